--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -9,8 +9,8 @@
 import sys
 from pathlib import Path
 
-MOST = 3          # lines: more are no exceptions
-PASSED, FAILED, ABSENT = 0, 1, 4   # what pytest ends with: all well, tests failed, no such test
+MOST = 3  # lines: more are no exceptions
+PASSED, FAILED, ABSENT = 0, 1, 4  # what pytest ends with: all well, tests failed, no such test
 
 
 class Unusable(Exception):
@@ -48,8 +48,11 @@
     good = run(root, python, [*words, *(f"--deselect={test}" for test, _, _ in rows)]) == PASSED
     for test, cause, issue in rows:
         status = run(root, python, ["-p", "no:cacheprovider", test])
-        verdict = {PASSED: "passes: its line goes", FAILED: "fails, passed over",
-                   ABSENT: "does not exist"}.get(status, f"ends with {status}")
+        verdict = {
+            PASSED: "passes: its line goes",
+            FAILED: "fails, passed over",
+            ABSENT: "does not exist",
+        }.get(status, f"ends with {status}")
         print(f"known red: {test}: {verdict} ({cause}; issue {issue})")
         good = good and status == FAILED
     return 0 if good else 1
--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -90,7 +90,12 @@
         print(f"mutant {name}: {what[1][:90] + f' (walk {what[0]})' if what else 'NOT FOUND'}")
     for fault in broken:
         print("broken:", fault)
-    return {"explored_states": len(met) + sum(number for number, _ in states), "walks": count,
-            "systematic_depth_whole": min(depth for _, depth in states), "walks_broken": len(broken),
-            "mutants": len(found), "mutants_found": sum(what is not None for what in found.values()),
-            "mutants_missed": sum(what is None for what in found.values())}
+    return {
+        "explored_states": len(met) + sum(number for number, _ in states),
+        "walks": count,
+        "systematic_depth_whole": min(depth for _, depth in states),
+        "walks_broken": len(broken),
+        "mutants": len(found),
+        "mutants_found": sum(what is not None for what in found.values()),
+        "mutants_missed": sum(what is None for what in found.values()),
+    }
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -22,14 +22,23 @@
 from gullhold.standins.running import cpu_s
 
 BOUNDS = {
-    "over_whole": 0, "moves": (300, "least"), "used_of_whole": (0.9, "least"), "used_even": (0.95, "least"),
-    "redivided_order_p95_s": 0.5, "redivided_kill_p95_leases": 2.5, "answered_gain": (1.0, "least"),
-    "cold_fallen": 0, "calls_flat": 1.5, "service_ratio": (0.98, "least"), "mutants_missed": 0,
-    "walks_broken": 0, "cpu_over": 1.05,
+    "over_whole": 0,
+    "moves": (300, "least"),
+    "used_of_whole": (0.9, "least"),
+    "used_even": (0.95, "least"),
+    "redivided_order_p95_s": 0.5,
+    "redivided_kill_p95_leases": 2.5,
+    "answered_gain": (1.0, "least"),
+    "cold_fallen": 0,
+    "calls_flat": 1.5,
+    "service_ratio": (0.98, "least"),
+    "mutants_missed": 0,
+    "walks_broken": 0,
+    "cpu_over": 1.05,
 }
-CORES = 60          # of an engine: the module's cap is two threads a core
-WHOLE = 2 * CORES   # threads of the fleet on one engine
-STEPS = 800         # of a walk
+CORES = 60  # of an engine: the module's cap is two threads a core
+WHOLE = 2 * CORES  # threads of the fleet on one engine
+STEPS = 800  # of a walk
 SLOW = ("NoFence", "OverAtOnce", "DeafWhileReading", "MaybeIsDone", "reports not compared", "drift left out")
 
 
@@ -40,6 +49,7 @@
 
 def fleet(members, budgets, engines=1, adjust=lambda settings: None, **facts):
     """A rig of so many gateways, whose engines count."""
+
     def settings(tree):
         tree["balancers"], tree["domain"]["cores_by_kind"] = members, [CORES]
         adjust(tree)
@@ -50,8 +60,13 @@
 
 def client(rig, name, serial, **facts):
     """A client of one gateway."""
-    facts = {"open": 60, "connections": 2, "work_ms": 100.0, "limit_ms": 1500,
-             "manner": crowd.NOT_AT_ALL} | facts
+    facts = {
+        "open": 60,
+        "connections": 2,
+        "work_ms": 100.0,
+        "limit_ms": 1500,
+        "manner": crowd.NOT_AT_ALL,
+    } | facts
     return crowd.Client(rig.members[name].address, "", f"c{serial}", seed=serial, **facts).start()
 
 
@@ -66,8 +81,11 @@
 def faults(rounds, seed):
     """Six gateways, held and windowed budgets, demand that moves, drawn faults; what engines counted."""
     draw, whole, further = random.Random(seed), 24, 20
-    budgets = [threads(whole), {"of": '"further"', "whole": further, "window": "2s"},
-               {"of": '"taken"', "whole": 400, "window": "1s"}]
+    budgets = [
+        threads(whole),
+        {"of": '"further"', "whole": further, "window": "2s"},
+        {"of": '"taken"', "whole": 400, "window": "1s"},
+    ]
     make = lambda seed: CountingEngine(slots=64, seed=seed, fails=0.1, runs_on=True)  # noqa: E731
     with fleet(6, budgets, engines=2, seed=seed, make=make) as rig:
         rig.start()
@@ -104,12 +122,20 @@
         limits = {"threads": whole, "further": further, "taken": 400}
         over += sum(most > limits[name.partition("/")[0]] for name, most in check.most.items())
         logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
-        bad = sum(log.count(word) for log in logs for word in (
-            "faults of ours", "faults of the module", "was not answered in time", "Traceback"))
-        return {"over_whole": over, "moves": check.moves, "rules_broken": bad, "further_sends": len(sends),
-                "most_at_once": [most_at_once(engine.flights)[0] for engine in rig.engines],
-                "most_further": most_in_window(sends, 2.0)[0],
-                "fetches": sum(len(engine.flights) for engine in rig.engines)}
+        bad = sum(
+            log.count(word)
+            for log in logs
+            for word in ("faults of ours", "faults of the module", "was not answered in time", "Traceback")
+        )
+        return {
+            "over_whole": over,
+            "moves": check.moves,
+            "rules_broken": bad,
+            "further_sends": len(sends),
+            "most_at_once": [most_at_once(engine.flights)[0] for engine in rig.engines],
+            "most_further": most_in_window(sends, 2.0)[0],
+            "fetches": sum(len(engine.flights) for engine in rig.engines),
+        }
 
 
 def in_use(rig, began, ended):
@@ -122,8 +148,18 @@
     """What gateways that ask for all get to use of the whole, of six; busy: who asks."""
     with fleet(6, budgets) as rig:
         rig.start(operator=bool(budgets))
-        clients = [client(rig, name, i, open=2 * WHOLE // len(busy), connections=1 + 8 // len(busy),
-                          work_ms=600.0, limit_ms=2900) for i, name in enumerate(busy)]
+        clients = [
+            client(
+                rig,
+                name,
+                i,
+                open=2 * WHOLE // len(busy),
+                connections=1 + 8 // len(busy),
+                work_ms=600.0,
+                limit_ms=2900,
+            )
+            for i, name in enumerate(busy)
+        ]
         time.sleep(1.5)
         began = time.time()
         time.sleep(seconds)
@@ -147,9 +183,18 @@
             getattr(rig, manner)("n0")
             went = time.time()
             rig.until(lambda: rig_parts(rig).get("n1", 0) >= 22)
-            raised = next(at for at, rows in Parts(rig.lines()).history if at > told and sum(
-                part for name, parts in rows.items() for member, part in parts.items()
-                if member.startswith("n1/")) >= 22)
+            raised = next(
+                at
+                for at, rows in Parts(rig.lines()).history
+                if at > told
+                and sum(
+                    part
+                    for name, parts in rows.items()
+                    for member, part in parts.items()
+                    if member.startswith("n1/")
+                )
+                >= 22
+            )
             found[manner].append(max(0.0, raised - went) / (rig.lease_s if manner == "kill" else 1))
             rig.start("n0")
             end(clients[:1])
@@ -166,6 +211,7 @@
 
 def gain(seconds, budgets):
     """Commands answered in the latency target under uneven traffic, with one engine slow and one cold."""
+
     def rules(tree):
         tree["rules"] |= {"cold_from": 0.05, "warm_after": 30, "fall_multiple": 1, "tip_after": 1}
         for item in tree["categories"]:
@@ -175,8 +221,10 @@
         rig.engines[1].pace = 0.5
         rig.born_ms[2] = int(time.time() * 1000)
         rig.start(operator=bool(budgets))
-        clients = [client(rig, "n0", 1, rate=170.0, work_ms=250.0, limit_ms=900, connections=4),
-                   *(client(rig, f"n{i}", 1 + i, rate=4.0, work_ms=250.0, limit_ms=900) for i in range(1, 6))]
+        clients = [
+            client(rig, "n0", 1, rate=170.0, work_ms=250.0, limit_ms=900, connections=4),
+            *(client(rig, f"n{i}", 1 + i, rate=4.0, work_ms=250.0, limit_ms=900) for i in range(1, 6)),
+        ]
         time.sleep(1.0)
         for one in clients:
             one.zero()
@@ -186,7 +234,7 @@
         end(clients)
         fallen = 0
         rows = [(row[0], row[4] / 1000) for row in rig.engines[2].flights]
-        for at, _ in rows:   # what it stands in a window, its capacity growing half as fast as a line
+        for at, _ in rows:  # what it stands in a window, its capacity growing half as fast as a line
             stands = (0.05 + 0.95 / 2 * (at - rig.born_ms[2] / 1000) / 30) * CORES
             fallen += sum(work for when, work in rows if at - 1.0 < when <= at) > stands
         return good / max(1, asked), fallen
@@ -196,8 +244,9 @@
     """Answered over asked with the register dead, at a load that even parts carry."""
     with fleet(6, budgets) as rig:
         rig.start(operator=True)
-        clients = [client(rig, name, i, rate=30.0, work_ms=150.0, limit_ms=1000)
-                   for i, name in enumerate(rig.names)]
+        clients = [
+            client(rig, name, i, rate=30.0, work_ms=150.0, limit_ms=1000) for i, name in enumerate(rig.names)
+        ]
         time.sleep(1.0)
         rig.kill_register()
         time.sleep(1.3)
@@ -221,7 +270,7 @@
             clients = [client(rig, "n0", 1, rate=120.0, work_ms=5.0, limit_ms=900)]
             time.sleep(0.7)
             spent[rig] = [clients, 0.0, 0]
-        for _ in range(2):   # both are under the same load at the same time
+        for _ in range(2):  # both are under the same load at the same time
             before = {rig: (cpu_s(rig.members["n0"].process.pid), spent[rig][0][0].answered) for rig in spent}
             time.sleep(seconds)
             for rig, (cpu, answered) in before.items():
@@ -243,18 +292,25 @@
             one = client(rig, f"n{turn}", turn, work_ms=60.0)
             time.sleep(seconds / 2)
             end([one])
-        return (round((sum(rig.counts().values()) - before) / members / seconds, 2),
-                round((Parts(rig.lines()).bytes - size) / members / seconds))
+        return (
+            round((sum(rig.counts().values()) - before) / members / seconds, 2),
+            round((Parts(rig.lines()).bytes - size) / members / seconds),
+        )
 
 
 def calls_alone(members, budgets=5000, each=250, turns=2):
     """By the decisions alone: (calls, bytes) of one member for a change of five of its budgets, and the
     longest division in ms. Each member tells of so many of the budgets: scaled down from all of them."""
-    dividing = Dividing({"threads": Budget(HELD, 10_000, linger_us=1_000_000),
-                         "taken": Budget(WINDOWED, 10_000, window_us=1_000_000)})
+    dividing = Dividing(
+        {
+            "threads": Budget(HELD, 10_000, linger_us=1_000_000),
+            "taken": Budget(WINDOWED, 10_000, window_us=1_000_000),
+        }
+    )
     names = [f"{('threads', 'taken')[i % 2]}/{i}" for i in range(budgets)]
-    told = {f"m{i}/1": {names[(i * each + k) % budgets]: (0, 5, 8) for k in range(each)}
-            for i in range(members)}
+    told = {
+        f"m{i}/1": {names[(i * each + k) % budgets]: (0, 5, 8) for k in range(each)} for i in range(members)
+    }
     items = tuple(Item(ASKS + member, report_text(0, rows), 2, 1) for member, rows in told.items())
     now, revision, writes, size, longest = 0, 10, 0, 0, 0.0
     dividing.won(1, now)
@@ -280,7 +336,7 @@
     writes = size = 0
     for turn in range(turns):
         for i, (member, rows) in enumerate(told.items()):
-            for name in list(rows)[5 * turn:5 * turn + 5]:
+            for name in list(rows)[5 * turn : 5 * turn + 5]:
                 rows[name] = (0, 20 + turn + i % 3, 40 + turn)
             revision, calls = revision + 1, calls + 1
             text = report_text(0, rows)
@@ -290,8 +346,11 @@
                 dividing.written(now, dividing.writing, Reply(DONE, revision))
         now += 1_000_000
         settle()
-    return (round((calls + writes) / members / turns, 3), round(size / members / turns),
-            round(longest * 1000, 1))
+    return (
+        round((calls + writes) / members / turns, 3),
+        round(size / members / turns),
+        round(longest * 1000, 1),
+    )
 
 
 def main():
@@ -311,13 +370,21 @@
     six, spare = [f"n{i}" for i in range(6)], [threads(alone=10, members=6)]
     # Rigs two at a time, decisions beside them; what a command costs is measured by itself.
     with ProcessPoolExecutor(2) as rigs, ProcessPoolExecutor(5) as pool:
-        alone = begin_decisions(pool, dividecheck, dividemutants, STEPS, (
-            30, 8, 1200, 1500) if args.quick else (400, 16, 6000, 40_000), (HELD, WINDOWED), SLOW)
+        alone = begin_decisions(
+            pool,
+            dividecheck,
+            dividemutants,
+            STEPS,
+            (30, 8, 1200, 1500) if args.quick else (400, 16, 6000, 40_000),
+            (HELD, WINDOWED),
+            SLOW,
+        )
         sizes = {members: pool.submit(calls_alone, members) for members in (200, 1000)}
         broken = rigs.submit(faults, 7 if args.quick else 60, args.seed)
         again = rigs.submit(redivided, 4 if args.quick else 20)
-        spent = [rigs.submit(used, seconds, *told) for told in (
-            (["n0"], budgets), (["n0"], []), (six, budgets))]
+        spent = [
+            rigs.submit(used, seconds, *told) for told in ((["n0"], budgets), (["n0"], []), (six, budgets))
+        ]
         gains = [rigs.submit(gain, seconds, told) for told in ([threads(), cold], [])]
         dead = [rigs.submit(service, seconds, told) for told in (spare, [])]
         real = rigs.submit(calls_real, 2.0 if args.quick else 20.0)
@@ -327,19 +394,26 @@
         one, today, even = (job.result() for job in spent)
         show(used_of_whole=one, used_today=today, used_even=even)
         (good, fallen), (evenly, _) = (job.result() for job in gains)
-        show(answered_gain=round(good / max(evenly, 1e-9), 3), cold_fallen=fallen,
-             answered_in_target=[round(good, 3), round(evenly, 3)])
+        show(
+            answered_gain=round(good / max(evenly, 1e-9), 3),
+            cold_fallen=fallen,
+            answered_in_target=[round(good, 3), round(evenly, 3)],
+        )
         ratios = [job.result() for job in dead]
-        show(service_ratio=round(ratios[0] / ratios[1], 4),
-             service_dead=[round(ratio, 4) for ratio in ratios])
+        show(
+            service_ratio=round(ratios[0] / ratios[1], 4), service_dead=[round(ratio, 4) for ratio in ratios]
+        )
         calls, size = real.result()
         found = {members: job.result() for members, job in sizes.items()}
         rates, written = zip(*(row[:2] for row in found.values()), strict=True)
-        show(calls_per_member_s=calls, bytes_per_member_s=size,
-             calls_alone={members: row[0] for members, row in found.items()},
-             bytes_alone={members: row[1] for members, row in found.items()},
-             divide_ms={members: row[2] for members, row in found.items()},
-             calls_flat=round(max(max(rates) / min(rates), max(written) / min(written)), 3))
+        show(
+            calls_per_member_s=calls,
+            bytes_per_member_s=size,
+            calls_alone={members: row[0] for members, row in found.items()},
+            bytes_alone={members: row[1] for members, row in found.items()},
+            divide_ms={members: row[2] for members, row in found.items()},
+            calls_flat=round(max(max(rates) / min(rates), max(written) / min(written)), 3),
+        )
         show(**decided(*alone))
     over, us = cost(2 * seconds)
     show(cpu_over=over, cpu_off_us=us)
--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -22,25 +22,52 @@
 from gullhold.standins.policycheck import Changes, by_policy, mixed
 
 BOUNDS = {
-    "changes": (40, "least"), "split": 0, "mixed_sends": 0, "overlap_p99_ms": 1200,
-    "in_force_without_all_ready": 0, "turned_down_in_force": 0, "unknown_reported_as_known": 0,
-    "commands_lost": 0, "answered_twice": 0, "rules_broken": 0, "over_whole": 0,
-    "answered_ratio": (0.98, "least"), "back_under_the_wrong_one": 0, "mutants_missed": 0, "walks_broken": 0,
+    "changes": (40, "least"),
+    "split": 0,
+    "mixed_sends": 0,
+    "overlap_p99_ms": 1200,
+    "in_force_without_all_ready": 0,
+    "turned_down_in_force": 0,
+    "unknown_reported_as_known": 0,
+    "commands_lost": 0,
+    "answered_twice": 0,
+    "rules_broken": 0,
+    "over_whole": 0,
+    "answered_ratio": (0.98, "least"),
+    "back_under_the_wrong_one": 0,
+    "mutants_missed": 0,
+    "walks_broken": 0,
 }
 FIRST_MB, STEPS, WHOLE = 1, 500, 24
-A_RUN = 44   # changes on one fleet: each grants another number of MB, all of them less than is asked for
+A_RUN = 44  # changes on one fleet: each grants another number of MB, all of them less than is asked for
 
 
 def fleet(members, **other):
     """A rig of so many gateways, whose engines count."""
-    return Rig(members=members, engines=1, policy="on: true",
-               make=lambda seed: CountingEngine(slots=400, seed=seed), **other)
+    return Rig(
+        members=members,
+        engines=1,
+        policy="on: true",
+        make=lambda seed: CountingEngine(slots=400, seed=seed),
+        **other,
+    )
 
 
 def load(rig, names, rate=25.0):
     """A client of each of these gateways."""
-    return [crowd.Client(rig.members[name].address, "", f"{name}{i}", rate=rate, work_ms=10.0, limit_ms=900,
-                         manner=crowd.NOT_AT_ALL, seed=i + 1).start() for i, name in enumerate(names)]
+    return [
+        crowd.Client(
+            rig.members[name].address,
+            "",
+            f"{name}{i}",
+            rate=rate,
+            work_ms=10.0,
+            limit_ms=900,
+            manner=crowd.NOT_AT_ALL,
+            seed=i + 1,
+        ).start()
+        for i, name in enumerate(names)
+    ]
 
 
 def end(clients):
@@ -53,8 +80,11 @@
 
 def settled(rig, number, names):
     """Wait until these go by a policy."""
-    rig.until(lambda: {name for name, under in Changes(rig.lines()).under().items()
-                       if under == number} >= set(names))
+    rig.until(
+        lambda: (
+            {name for name, under in Changes(rig.lines()).under().items() if under == number} >= set(names)
+        )
+    )
 
 
 def text(mb, turn):
@@ -75,7 +105,7 @@
             mb, overlap = FIRST_MB + turn, ("strict", "loose")[turn // 6 % 2]
             try:
                 record = office.propose(text(mb, turn), "bench", "b", overlap=overlap, patience_us=1_500_000)
-            except (Unfit, Away):   # the last one is not closed yet
+            except (Unfit, Away):  # the last one is not closed yet
                 time.sleep(0.3)
                 continue
             time.sleep(draw.random() * 0.05)
@@ -116,24 +146,37 @@
     """
     check, parts = Changes(rig.lines()), Parts(rig.lines())
     sends, strict, overlaps = by_policy(rig.engines, [mb for mb, _ in grants]), 0, []
-    for place, (_, overlap) in enumerate(grants, 1):   # each by itself: what it found and what it brought
+    for place, (_, overlap) in enumerate(grants, 1):  # each by itself: what it found and what it brought
         wrongs, overlap_ms = mixed([(at, now >= place) for at, now in sends if now in (place - 1, place)])
         strict += wrongs * (overlap == "strict")
         overlaps.append(overlap_ms)
     logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
-    bad = sum(log.count(word) for log in logs for word in (
-        "faults of ours", "faults of the module", "was not answered in time", "Traceback"))
+    bad = sum(
+        log.count(word)
+        for log in logs
+        for word in ("faults of ours", "faults of the module", "was not answered in time", "Traceback")
+    )
     over = (most_at_once(rig.engines[0].flights)[0] > WHOLE) + (max(parts.most.values(), default=0) > WHOLE)
     told = {IN_FORCE: "decided", DROPPED: "dropped"}
-    return {"changes": len(outcomes), "in_force": sum(status == IN_FORCE for _, status in outcomes),
-            "dropped": sum(status == DROPPED for _, status in outcomes), "split": check.split,
-            "mixed_sends": strict, "overlap_p99_ms": p95(overlaps, 0.99), "overlap_most_ms": max(overlaps),
-            "in_force_without_all_ready": check.without_all, "turned_down_in_force": check.turned_down,
-            "unknown_reported_as_known": sum(
-                status in told and check.outcomes.get(number) != told[status] for number, status in outcomes),
-            "commands_lost": sum(one.lost for one in clients[:safe]),
-            "answered_twice": sum(one.twice for one in clients), "rules_broken": bad, "over_whole": over,
-            "asked": sum(one.asked for one in clients)}
+    return {
+        "changes": len(outcomes),
+        "in_force": sum(status == IN_FORCE for _, status in outcomes),
+        "dropped": sum(status == DROPPED for _, status in outcomes),
+        "split": check.split,
+        "mixed_sends": strict,
+        "overlap_p99_ms": p95(overlaps, 0.99),
+        "overlap_most_ms": max(overlaps),
+        "in_force_without_all_ready": check.without_all,
+        "turned_down_in_force": check.turned_down,
+        "unknown_reported_as_known": sum(
+            status in told and check.outcomes.get(number) != told[status] for number, status in outcomes
+        ),
+        "commands_lost": sum(one.lost for one in clients[:safe]),
+        "answered_twice": sum(one.twice for one in clients),
+        "rules_broken": bad,
+        "over_whole": over,
+        "asked": sum(one.asked for one in clients),
+    }
 
 
 def several(runs, seed):
@@ -159,7 +202,7 @@
                 raise SystemExit(f"change {record.number} did not come through")
             took.append(time.monotonic() - at)
         seconds = time.monotonic() - began
-        polls = count * 3 + sum(took) / 0.1   # what the staff's side asked for
+        polls = count * 3 + sum(took) / 0.1  # what the staff's side asked for
         calls = (sum(rig.counts().values()) - before - idle * seconds - polls) / members / count
         held = Changes(rig.lines()).held_s
         return round(p95(held, 0.99) * 1000, 1), p95(took), round(calls, 2)
@@ -183,8 +226,9 @@
             end_at, turn = time.monotonic() + seconds, 0
             while time.monotonic() < end_at:
                 if changing:
-                    record = office.propose(text_of(FIRST_MB + turn), "bench", "b",
-                                            overlap=("strict", "loose")[turn % 2])
+                    record = office.propose(
+                        text_of(FIRST_MB + turn), "bench", "b", overlap=("strict", "loose")[turn % 2]
+                    )
                     office.wait(record.number, 5)
                     turn += 1
                     time.sleep(0.05)
@@ -194,7 +238,7 @@
             done = sum(one.answered for one in clients) - sum(row[1] for row in before)
             ratios.append(done / max(1, asked))
         rig.kill("n2")
-        record = office.propose(text_of(49), "bench", "b")   # less than is asked for
+        record = office.propose(text_of(49), "bench", "b")  # less than is asked for
         office.wait(record.number, 6)
         end(clients)
         began = time.time()
@@ -261,19 +305,30 @@
         figures.update(facts)
         print(f"{time.monotonic() - began:6.1f} s", facts, flush=True)
 
-    with ProcessPoolExecutor(3) as pool:   # beside what no other work can spoil
-        alone = begin_decisions(pool, changecheck, changemutants, STEPS, (
-            60, 8, 1000, 3000) if args.quick else (1500, 16, 6000, 60_000), (change.STRICT, change.LOOSE))
+    with ProcessPoolExecutor(3) as pool:  # beside what no other work can spoil
+        alone = begin_decisions(
+            pool,
+            changecheck,
+            changemutants,
+            STEPS,
+            (60, 8, 1000, 3000) if args.quick else (1500, 16, 6000, 60_000),
+            (change.STRICT, change.LOOSE),
+        )
         show(**several(1 if args.quick else 7, args.seed))
         show(**decided(*alone))
     six, twelve = quiet(6, 8 if args.quick else 40), quiet(12, 8 if args.quick else 40)
-    show(held_p99_ms={6: six[0], 12: twelve[0]}, change_p95_s={6: six[1], 12: twelve[1]},
-         calls_per_member=twelve[2])
+    show(
+        held_p99_ms={6: six[0], 12: twelve[0]},
+        change_p95_s={6: six[1], 12: twelve[1]},
+        calls_per_member=twelve[2],
+    )
     ratio, back, wrong = answered(3.0 if args.quick else 15.0)
     show(answered_ratio=ratio, back_s=back, back_under_the_wrong_one=wrong)
     carried = {members: calls_alone(members) for members in (200, 1000, 10_000)}
-    show(carrier_calls={members: calls for members, (calls, _) in carried.items()},
-         carrier_s={members: seconds for members, (_, seconds) in carried.items()})
+    show(
+        carrier_calls={members: calls for members, (calls, _) in carried.items()},
+        carrier_s={members: seconds for members, (_, seconds) in carried.items()},
+    )
     show(seconds=round(time.monotonic() - began, 1))
     sys.stdout.flush()
     close(figures, BOUNDS)
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -19,13 +19,21 @@
 from gullhold.standins.running import DOOR, ROOT, Running
 from gullhold.standins.working import statement
 
-EARLIER = "a6dbb5f"       # the last commit before the door and the change to the module
-WORK_MS = 50.0            # of a command; two engines of four slots do 160 of them a second
-WARM_S = 1.5              # s before a measurement: the drain is known, first links are up
+EARLIER = "a6dbb5f"  # the last commit before the door and the change to the module
+WORK_MS = 50.0  # of a command; two engines of four slots do 160 of them a second
+WARM_S = 1.5  # s before a measurement: the drain is known, first links are up
 OPEN = 'door: {tenants: "open", others: "others"}\n'
-BOUNDS = {"share_error": 0.10, "share_error_middle": 0.05, "polite_p95_ratio": 1.5, "memory_growth_mb": 8.0,
-          "memory_second_mb": 2.0, "cpu_ratio_tenants": 1.5, "cpu_ratio_tenants_module": 1.5,
-          "came_back_answered": (0.9, "least"), "refusal_cpu_ratio": 0.1}
+BOUNDS = {
+    "share_error": 0.10,
+    "share_error_middle": 0.05,
+    "polite_p95_ratio": 1.5,
+    "memory_growth_mb": 8.0,
+    "memory_second_mb": 2.0,
+    "cpu_ratio_tenants": 1.5,
+    "cpu_ratio_tenants_module": 1.5,
+    "came_back_answered": (0.9, "least"),
+    "refusal_cpu_ratio": 0.1,
+}
 
 
 def during(running, clients, seconds, finish=False):
@@ -63,15 +71,28 @@
         for many, connections in ((160, 8), (1600, 50)):
             with Running(operator=operator, tenants=(("one", 1.0),), root=root) as running:
                 # Turned away, each asks for something else: all stay backlogged.
-                clients = [crowd.Client(running.address, "one", f"polite-{i}", open=16,
-                                        manner=crowd.NOT_AT_ALL) for i in range(3)]
-                clients.append(crowd.Apart(running.address, "one", "crowding", open=many,
-                                           connections=connections, manner=crowd.NOT_AT_ALL))
+                clients = [
+                    crowd.Client(running.address, "one", f"polite-{i}", open=16, manner=crowd.NOT_AT_ALL)
+                    for i in range(3)
+                ]
+                clients.append(
+                    crowd.Apart(
+                        running.address,
+                        "one",
+                        "crowding",
+                        open=many,
+                        connections=connections,
+                        manner=crowd.NOT_AT_ALL,
+                    )
+                )
                 _, _, counts = during(running, clients, seconds)
             work = [answered * WORK_MS for answered, _ in counts]
             off = [abs(each * len(work) / max(sum(work), 1) - 1) for each in work]
-            print(f"shares {way} {many}: answered {[answered for answered, _ in counts]}, off by "
-                  f"{', '.join(f'{each:.3f}' for each in off)}", flush=True)
+            print(
+                f"shares {way} {many}: answered {[answered for answered, _ in counts]}, off by "
+                f"{', '.join(f'{each:.3f}' for each in off)}",
+                flush=True,
+            )
             largest, middle = max(largest, *off), [*middle, median(off)]
         found[way] = largest, max(middle)
     return found
@@ -85,13 +106,27 @@
         for many in (0, 160):
             with Running(operator=operator, tenants=(("one", 1.0),), root=root) as running:
                 clients = [crowd.Client(running.address, "one", f"polite-{i}", rate=8.0) for i in range(4)]
-                crowding = [crowd.Apart(running.address, "one", "crowding", open=many, connections=8,
-                                        manner=crowd.NOT_AT_ALL)] if many else []
+                crowding = (
+                    [
+                        crowd.Apart(
+                            running.address,
+                            "one",
+                            "crowding",
+                            open=many,
+                            connections=8,
+                            manner=crowd.NOT_AT_ALL,
+                        )
+                    ]
+                    if many
+                    else []
+                )
                 during(running, clients + crowding, seconds)
             seen.append(p95(clients))
         found[way] = seen[1] / seen[0] if all(seen) else None
-        print(f"polite {way}: p95 {seen[0] * 1000:.0f} ms alone, {(seen[1] or 0) * 1000:.0f} ms beside 160",
-              flush=True)
+        print(
+            f"polite {way}: p95 {seen[0] * 1000:.0f} ms alone, {(seen[1] or 0) * 1000:.0f} ms beside 160",
+            flush=True,
+        )
     return found
 
 
@@ -100,15 +135,19 @@
     found = {}
     for manner, name in ((crowd.WHEN_TOLD, "told"), (crowd.AT_ONCE, "at once")):
         with Running(operator=DOOR, tenants=(("one", 1.0),)) as running:
-            clients = [crowd.Client(running.address, "one", f"client-{i}", rate=16.0, manner=manner)
-                       for i in range(20)]   # 320 a second where 160 can be done
+            clients = [
+                crowd.Client(running.address, "one", f"client-{i}", rate=16.0, manner=manner)
+                for i in range(20)
+            ]  # 320 a second where 160 can be done
             during(running, clients, seconds, finish=True)
         good = sum(client.back_answered + client.again_answered for client in clients)
         back = good + sum(client.back_shed + client.again_shed for client in clients)
         found[name] = good / back if back else None
-        print(f"came back {name}: {good} of {back} answered; answers in all "
-              f"{sum(client.answered for client in clients)}, told {sum(client.told for client in clients)}",
-              flush=True)
+        print(
+            f"came back {name}: {good} of {back} answered; answers in all "
+            f"{sum(client.answered for client in clients)}, told {sum(client.told for client in clients)}",
+            flush=True,
+        )
     return found
 
 
@@ -119,13 +158,25 @@
         used, _, counts = during(running, clients, seconds)
         served = used / sum(answered for answered, _ in counts)
     with Running(operator=DOOR, tenants=(("one", 1.0),)) as running:
-        clients = [crowd.Apart(running.address, "one", "crowding", open=640, connections=20,
-                               manner=crowd.AT_ONCE, tries=10**9)]
+        clients = [
+            crowd.Apart(
+                running.address,
+                "one",
+                "crowding",
+                open=640,
+                connections=20,
+                manner=crowd.AT_ONCE,
+                tries=10**9,
+            )
+        ]
         used, _, counts = during(running, clients, seconds)
         answered, shed = map(sum, zip(*counts, strict=True))
     refused = (used - answered * served) / max(shed, 1)
-    print(f"served {served * 1e6:.0f} us, refused {refused * 1e6:.0f} us of CPU ({shed} refused beside "
-          f"{answered} served)", flush=True)
+    print(
+        f"served {served * 1e6:.0f} us, refused {refused * 1e6:.0f} us of CPU ({shed} refused beside "
+        f"{answered} served)",
+        flush=True,
+    )
     return refused / served
 
 
@@ -144,9 +195,21 @@
             while out < 8 and sent < count:
                 seq, out, name = seq + 1, out + 1, b"t%d" % (first + sent)
                 sent += 1
-                burst.append(crowd.frame(seq, {
-                    b"verb": b"read", b"txn": b"%016x" % draw.getrandbits(64), b"limit": b"4000",
-                    b"cpu": b"1", b"memory": b"50", b"team": name, b"client": name}, statement(1)))
+                burst.append(
+                    crowd.frame(
+                        seq,
+                        {
+                            b"verb": b"read",
+                            b"txn": b"%016x" % draw.getrandbits(64),
+                            b"limit": b"4000",
+                            b"cpu": b"1",
+                            b"memory": b"50",
+                            b"team": name,
+                            b"client": name,
+                        },
+                        statement(1),
+                    )
+                )
             if burst:
                 sock.sendall(b"".join(burst))
             if out:
@@ -161,8 +224,10 @@
 
 def tenants(many):
     """Memory and CPU of the whole path as open tenants grow: growth in MB, again, CPU ratio."""
-    with Running(operator=DOOR + OPEN, tenants=(("known", 0.5), ("others", 0.5)), slots=64,
-                 cores=32) as running:
+    with Running(
+        operator=DOOR + OPEN, tenants=(("known", 0.5), ("others", 0.5)), slots=64, cores=32
+    ) as running:
+
         def step(first, count):
             cpu = running.cpu_s()
             once_each(running.address, first, count)
@@ -170,7 +235,7 @@
 
         few = [step(0, 2) and 0.0]
         names = iter(range(10**9, 10**10, 10**7))
-        for _ in range(4):   # two names, many commands: what a command costs with two tenants
+        for _ in range(4):  # two names, many commands: what a command costs with two tenants
             few.append(two(running))
         step(100, 100)
         base = running.resident_mb()
@@ -180,8 +245,11 @@
         step(2 * 10**8, many)
         again = running.resident_mb()
     cost = median(few[1:])
-    print(f"tenants: resident {base:.1f} MB at 100, {grown:.1f} after {many} more, {again:.1f} after as many "
-          f"again; CPU {cost:.0f} us a command at 2, {some:.0f} at 4000, {first:.0f} at {many}", flush=True)
+    print(
+        f"tenants: resident {base:.1f} MB at 100, {grown:.1f} after {many} more, {again:.1f} after as many "
+        f"again; CPU {cost:.0f} us a command at 2, {some:.0f} at 4000, {first:.0f} at {many}",
+        flush=True,
+    )
     return grown - base, again - grown, max(some, first) / cost
 
 
@@ -195,9 +263,21 @@
             burst = []
             while out < 32 and seq < count:
                 seq, out, name = seq + 1, out + 1, b"u%d" % (seq % 2)
-                burst.append(crowd.frame(seq, {
-                    b"verb": b"read", b"txn": b"%016x" % draw.getrandbits(64), b"limit": b"4000",
-                    b"cpu": b"1", b"memory": b"50", b"team": name, b"client": name}, statement(1)))
+                burst.append(
+                    crowd.frame(
+                        seq,
+                        {
+                            b"verb": b"read",
+                            b"txn": b"%016x" % draw.getrandbits(64),
+                            b"limit": b"4000",
+                            b"cpu": b"1",
+                            b"memory": b"50",
+                            b"team": name,
+                            b"client": name,
+                        },
+                        statement(1),
+                    )
+                )
             if burst:
                 sock.sendall(b"".join(burst))
             machine.buffer.receive(sock)
@@ -207,13 +287,32 @@
 
 def module(many, commands):
     """CPU us of one command of the module alone with so many tenants, eight engines."""
-    profile = api.Profile(1, 500_000, 2.0, 4_000_000, 1.0, 0.3, api.REPLAYABLE, api.ALL, 0, False, None, None,
-                          False, False)
+    profile = api.Profile(
+        1, 500_000, 2.0, 4_000_000, 1.0, 0.3, api.REPLAYABLE, api.ALL, 0, False, None, None, False, False
+    )
     deal = api.Agreement(
-        profiles=(profile,), tenants=tuple(api.Tenant(1 / many) for _ in range(many)), managers=1, location=0,
-        kind_cores=(4.0,), kind_memory_mb=(8192.0,), most_grant=0.4, heeds_grants=False, heeds_priority=False,
-        sends_cap=3, may_cancel=True, come_back_us=0, cold_from=0.3, cold_us=0, fall_multiple=3.0,
-        fall_us=2_000_000, key_rest_us=0, extra_free=None, extra_share=0.0, extra_us=0, crossing_costs=False)
+        profiles=(profile,),
+        tenants=tuple(api.Tenant(1 / many) for _ in range(many)),
+        managers=1,
+        location=0,
+        kind_cores=(4.0,),
+        kind_memory_mb=(8192.0,),
+        most_grant=0.4,
+        heeds_grants=False,
+        heeds_priority=False,
+        sends_cap=3,
+        may_cancel=True,
+        come_back_us=0,
+        cold_from=0.3,
+        cold_us=0,
+        fall_multiple=3.0,
+        fall_us=2_000_000,
+        key_rest_us=0,
+        extra_free=None,
+        extra_share=0.0,
+        extra_us=0,
+        crossing_costs=False,
+    )
     best = []
     for _ in range(3):
         gateway, draw, now, out = policy.Gateway(1, deal, 0), random.Random(3), 1000, []
@@ -221,8 +320,9 @@
         began = time.process_time()
         for ident in range(commands):
             now += 400
-            results = gateway.command(now, ident, 0, draw.randrange(many), 0, now + 4_000_000, 50_000, 64.0,
-                                      ident % 5, False)
+            results = gateway.command(
+                now, ident, 0, draw.randrange(many), 0, now + 4_000_000, 50_000, 64.0, ident % 5, False
+            )
             out += [(now + 20_000, result[1]) for result in results if result[0] == api.SEND]
             while out and out[0][0] <= now:
                 results = gateway.ended(now, out.pop(0)[1], 0, api.ANSWERED, False, 20_000, 50_000, 60, ())
@@ -249,17 +349,26 @@
         refusal = refusals(2 if quick else 8)
         many = 5_000 if quick else 100_000
         growth, second, ratio = tenants(many)
-    close({"share_error": round(off["door"][0], 3), "share_error_middle": round(off["door"][1], 3),
-           "share_error_by_way": {way: round(each[0], 3) for way, each in off.items()},
-           "polite_p95_ratio": round(late["door"], 2),
-           "polite_p95_ratio_by_way": {way: round(each, 2) if each else None for way, each in late.items()},
-           "memory_growth_mb": round(growth, 2), "memory_second_mb": round(second, 2), "tenants": many,
-           "cpu_ratio_tenants": round(ratio, 2),
-           "cpu_ratio_tenants_module": round(max(cost[4000], cost[100_000]) / cost[2], 2),
-           "came_back_answered": round(back["told"] or 0, 3),
-           "came_back_at_once_answered": round(back["at once"] or 0, 3),
-           "refusal_cpu_ratio": round(refusal, 3), "quick": quick,
-           "seconds": round(time.monotonic() - begun, 1)}, BOUNDS)
+    close(
+        {
+            "share_error": round(off["door"][0], 3),
+            "share_error_middle": round(off["door"][1], 3),
+            "share_error_by_way": {way: round(each[0], 3) for way, each in off.items()},
+            "polite_p95_ratio": round(late["door"], 2),
+            "polite_p95_ratio_by_way": {way: round(each, 2) if each else None for way, each in late.items()},
+            "memory_growth_mb": round(growth, 2),
+            "memory_second_mb": round(second, 2),
+            "tenants": many,
+            "cpu_ratio_tenants": round(ratio, 2),
+            "cpu_ratio_tenants_module": round(max(cost[4000], cost[100_000]) / cost[2], 2),
+            "came_back_answered": round(back["told"] or 0, 3),
+            "came_back_at_once_answered": round(back["at once"] or 0, 3),
+            "refusal_cpu_ratio": round(refusal, 3),
+            "quick": quick,
+            "seconds": round(time.monotonic() - begun, 1),
+        },
+        BOUNDS,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -31,20 +31,20 @@
 from gullhold.standins.swarm import Swarm
 
 SIZES = (80, 3200)
-CORES = 1280.0        # of all engines together: the same at every size
-REPLACED = 0.6        # part of the engines that are replaced ...
-RAMP_S = 7.0          # ... within so many seconds
-AROUND_S = 2.0        # s of traffic before and after
-RATE_PER_S = 25.0     # requests: some tens a second is what a gateway sees
-LIMIT_MS = 2000       # of a request
-STEP_S = 0.05         # s between pieces of news
-DATASETS = 40         # groups of tables that requests read
+CORES = 1280.0  # of all engines together: the same at every size
+REPLACED = 0.6  # part of the engines that are replaced ...
+RAMP_S = 7.0  # ... within so many seconds
+AROUND_S = 2.0  # s of traffic before and after
+RATE_PER_S = 25.0  # requests: some tens a second is what a gateway sees
+LIMIT_MS = 2000  # of a request
+STEP_S = 0.05  # s between pieces of news
+DATASETS = 40  # groups of tables that requests read
 THOUSANDS = SIZES[1] / 1000
 BOUNDS = {
-    "cpu_extra_s": 0.02 + 0.12 * THOUSANDS,           # over 1.4 times
-    "memory_extra_mb": 8.0 + 4.0 * THOUSANDS,         # over 1.5 times
-    "descriptors_extra": 40.0,                        # over twice
-    "connections_extra": 40.0,                        # over 2.5 times
+    "cpu_extra_s": 0.02 + 0.12 * THOUSANDS,  # over 1.4 times
+    "memory_extra_mb": 8.0 + 4.0 * THOUSANDS,  # over 1.5 times
+    "descriptors_extra": 40.0,  # over twice
+    "connections_extra": 40.0,  # over 2.5 times
     "list_bytes_extra_kb": 64.0 + 500.0 * THOUSANDS,  # over twice
     "served_ratio": (0.85, "least"),
     "us_per_list_change_ratio": 1.5,
@@ -83,7 +83,7 @@
                 for frame in decoder.frames():
                     message = thrift.read(frame, thrift.REPLY, thrift.EXCEPTION)
                     self.answered += (0, thrift.STRUCT) in message.args
-        except OSError:   # the end
+        except OSError:  # the end
             return
 
 
@@ -110,9 +110,12 @@
         if due - time.monotonic() > STEP_S:
             time.sleep(due - time.monotonic())
         started_ms = int(time.time() * 1000)
-        for news in (event(index + 1, (f"s-{n}", addresses[n], "gone")),
-                     event(index + 2, (f"s-{first_new + n}", addresses[first_new + n], "ready"),
-                           started_ms=started_ms)):
+        for news in (
+            event(index + 1, (f"s-{n}", addresses[n], "gone")),
+            event(
+                index + 2, (f"s-{first_new + n}", addresses[first_new + n], "ready"), started_ms=started_ms
+            ),
+        ):
             feed.say(news)
             told += len(json.dumps(news)) + 1
         index += 2
@@ -141,8 +144,12 @@
     path.write_text(json.dumps(told))
     host, _, port = told["listen"].rpartition(":")
     with open(folder / "log", "wb") as log:
-        process = subprocess.Popen([sys.executable, "-m", "gullhold", "serve"], cwd=ROOT, stderr=log,
-                                   env=os.environ | {"GW_CONFIG": str(path), "MALLOC_ARENA_MAX": "1"})
+        process = subprocess.Popen(
+            [sys.executable, "-m", "gullhold", "serve"],
+            cwd=ROOT,
+            stderr=log,
+            env=os.environ | {"GW_CONFIG": str(path), "MALLOC_ARENA_MAX": "1"},
+        )
     try:
         end = time.monotonic() + PATIENCE_S
         while not answers((host, int(port))):
@@ -151,15 +158,24 @@
             time.sleep(0.05)
         seconds = RAMP_S + 2 * AROUND_S
         traffic, found = Traffic((host, int(port)), seconds, seed), {}
-        news = Thread(target=lambda: (time.sleep(AROUND_S), found.update(
-            list_bytes=replace(feed, swarm.addresses, size, size))), daemon=True)
+        news = Thread(
+            target=lambda: (
+                time.sleep(AROUND_S),
+                found.update(list_bytes=replace(feed, swarm.addresses, size, size)),
+            ),
+            daemon=True,
+        )
         traffic.start()
         news.start()
         found["descriptors"] = watch(process.pid, seconds)
         traffic.join()
         news.join()
-        return found | {"cpu_s": cpu_s(process.pid), "memory_mb": peak_mb(process.pid),
-                        "connections": swarm.accepted, "served": traffic.answered / traffic.asked}
+        return found | {
+            "cpu_s": cpu_s(process.pid),
+            "memory_mb": peak_mb(process.pid),
+            "connections": swarm.accepted,
+            "served": traffic.answered / traffic.asked,
+        }
     finally:
         process.kill()
         process.wait()
@@ -176,13 +192,15 @@
     for command in range(commands):
         now += 40_000
         began = time.perf_counter()
-        results = gateway.command(now, command, 0, 0, 0, now + 2_000_000, 5_000, 10.0, command % DATASETS,
-                                  True)
+        results = gateway.command(
+            now, command, 0, 0, 0, now + 2_000_000, 5_000, 10.0, command % DATASETS, True
+        )
         for ended in [entry for entry in out if entry[0] <= now]:
             out.remove(ended)
             at, number, sent_at = ended
-            results = results + gateway.ended(now, number, 0, api.ANSWERED, False, at - sent_at, 5_000, 10,
-                                              ())
+            results = results + gateway.ended(
+                now, number, 0, api.ANSWERED, False, at - sent_at, 5_000, 10, ()
+            )
         spent += time.perf_counter() - began
         sent = [row[1] for row in results if row[0] == api.SEND]
         out += [(now + random.randrange(5_000, 200_000), number, now) for number in sent]
@@ -209,14 +227,19 @@
         rows = [played(size, args.seed + turn) for turn in range(rounds)]
         seen[size] = {name: median(row[name] for row in rows) for name in rows[0]}
         alone = [module(size, args.seed + turn) for turn in range(max(3, rounds))]
-        seen[size] |= {"us_per_command": min(row[0] for row in alone),
-                       "us_per_list_change": min(row[1] for row in alone)}
+        seen[size] |= {
+            "us_per_command": min(row[0] for row in alone),
+            "us_per_list_change": min(row[1] for row in alone),
+        }
         print(size, {name: round(value, 2) for name, value in seen[size].items()}, flush=True)
     small, large = (seen[size] for size in SIZES)
     figures |= {f"{name}_ratio": round(large[name] / small[name], 3) for name in small}
-    for name, times, unit in (("cpu_s", 1.4, "cpu_extra_s"), ("memory_mb", 1.5, "memory_extra_mb"),
-                              ("descriptors", 2, "descriptors_extra"),
-                              ("connections", 2.5, "connections_extra")):
+    for name, times, unit in (
+        ("cpu_s", 1.4, "cpu_extra_s"),
+        ("memory_mb", 1.5, "memory_extra_mb"),
+        ("descriptors", 2, "descriptors_extra"),
+        ("connections", 2.5, "connections_extra"),
+    ):
         figures[unit] = round(large[name] - times * small[name], 3)
     figures["list_bytes_extra_kb"] = round((large["list_bytes"] - 2 * small["list_bytes"]) / 1000, 1)
     figures |= {"cpu_ratio": figures.pop("cpu_s_ratio"), "memory_ratio": figures.pop("memory_mb_ratio")}
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -24,23 +24,39 @@
 from gullhold.standins.running import cpu_s, resident_mb
 
 BOUNDS = {
-    "owners_accepted_at_once": 0, "late_effects_accepted": 0, "late_effects_tried": (50, "least"),
-    "occurrences": (200, "least"), "occurrences_lost": 0, "non_replayable_twice": 0,
-    "uniqued_outside_window": 0, "rules_broken": 0,
-    "handover_p95_leases": 1.5, "handover_sigterm_p95_leases": 0.2, "moves_over_least": 1.2,
-    "calls_flat": 1.5, "service_ratio": (0.98, "least"), "mutants_missed": 0, "walks_broken": 0,
+    "owners_accepted_at_once": 0,
+    "late_effects_accepted": 0,
+    "late_effects_tried": (50, "least"),
+    "occurrences": (200, "least"),
+    "occurrences_lost": 0,
+    "non_replayable_twice": 0,
+    "uniqued_outside_window": 0,
+    "rules_broken": 0,
+    "handover_p95_leases": 1.5,
+    "handover_sigterm_p95_leases": 0.2,
+    "moves_over_least": 1.2,
+    "calls_flat": 1.5,
+    "service_ratio": (0.98, "least"),
+    "mutants_missed": 0,
+    "walks_broken": 0,
 }
 DUTIES = 10_000
 SIZES = (50, 200, 1000)
-STEPS = 160                  # of a walk
+STEPS = 160  # of a walk
 KINDS = {"plain": "read", "marked": "mark", "single": "once"}
 
 
 def words(kind, i):
     """An operator's words for a scheduled command; each has a statement of its own."""
     name = f"{kind}{i}"
-    return {"name": f'"{name}"', "every": "500ms", "profile": f'"{KINDS[kind]}"', "window": "20s",
-            "statement": f'"select 1 from {name}_1.t /* work=30 */"', "work": "30ms"}
+    return {
+        "name": f'"{name}"',
+        "every": "500ms",
+        "profile": f'"{KINDS[kind]}"',
+        "window": "20s",
+        "statement": f'"select 1 from {name}_1.t /* work=30 */"',
+        "work": "30ms",
+    }
 
 
 def faults(rounds, seed):
@@ -80,22 +96,40 @@
     check = Check(rig.lines())
     rows = check.occurrences()
     lost = sum(gaps(check, item["name"].strip('"'), 500_000) for item in scheduled)
-    twice = sum(max(0, len(at) - tries(rows, statement.split()[3].partition("_")[0]))
-                for statement, at in sent(rig.engines).items() if "single" in statement)
-    outside = sum(max(at for at, _ in times) - min(at for at, _ in times) > rig.dedup_s
-                  for mark, times in marks(rig.engines).items())
+    twice = sum(
+        max(0, len(at) - tries(rows, statement.split()[3].partition("_")[0]))
+        for statement, at in sent(rig.engines).items()
+        if "single" in statement
+    )
+    outside = sum(
+        max(at for at, _ in times) - min(at for at, _ in times) > rig.dedup_s
+        for mark, times in marks(rig.engines).items()
+    )
     broken = [line for line in check.broken if "token" in line or "effect" in line]
     logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
-    faults_of_ours = sum(log.count(word) for log in logs for word in (
-        "faults of ours", "faults of the module", "was not answered in time", "Traceback"))
+    faults_of_ours = sum(
+        log.count(word)
+        for log in logs
+        for word in ("faults of ours", "faults of the module", "was not answered in time", "Traceback")
+    )
     for line in check.broken[:5]:
         print("broken:", line)
-    return {"owners_accepted_at_once": len(check.broken) - len(broken), "late_effects_accepted": len(broken),
-            "late_effects_tried": check.late, "effects": check.effects, "moves": check.moves,
-            "occurrences": len(rows), "occurrences_lost": lost, "non_replayable_twice": twice,
-            "uniqued_outside_window": outside, "rules_broken": faults_of_ours,
-            "occurrence_states": {state: sum(row["state"] == state for row in rows.values())
-                                  for state in sorted({row["state"] for row in rows.values()})}}
+    return {
+        "owners_accepted_at_once": len(check.broken) - len(broken),
+        "late_effects_accepted": len(broken),
+        "late_effects_tried": check.late,
+        "effects": check.effects,
+        "moves": check.moves,
+        "occurrences": len(rows),
+        "occurrences_lost": lost,
+        "non_replayable_twice": twice,
+        "uniqued_outside_window": outside,
+        "rules_broken": faults_of_ours,
+        "occurrence_states": {
+            state: sum(row["state"] == state for row in rows.values())
+            for state in sorted({row["state"] for row in rows.values()})
+        },
+    }
 
 
 def tries(rows, command):
@@ -105,8 +139,11 @@
 
 def gaps(check, command, every_us):
     """Times at which a command was due, between the first and the last that is recorded, without a record."""
-    found = sorted((due, row["count"] if row["state"] == "skipped" else 1)
-                   for (name, due), row in check.occurrences().items() if name == command)
+    found = sorted(
+        (due, row["count"] if row["state"] == "skipped" else 1)
+        for (name, due), row in check.occurrences().items()
+        if name == command
+    )
     missing, last = 0, None
     for due, count in found:
         missing += 0 if last is None else max(0, (due - last) // every_us - count)
@@ -126,9 +163,13 @@
             mine = {duty for duty, (who, _) in rig.owners().items() if who == name}
             went = time.time()
             (rig.kill if manner == "kill" else rig.members[name].process.terminate)(
-                *([name] if manner == "kill" else []))
-            rig.until(lambda mine=mine, name=name: all(
-                rig.owners().get(duty, (name, 0))[0] != name for duty in mine))
+                *([name] if manner == "kill" else [])
+            )
+            rig.until(
+                lambda mine=mine, name=name: all(
+                    rig.owners().get(duty, (name, 0))[0] != name for duty in mine
+                )
+            )
             time.sleep(0.3)
             check = Check(rig.lines())
             for duty in mine:
@@ -205,20 +246,31 @@
     """Answered in target with the register dead over with it alive, same load."""
     with Rig(members=3, beats=6) as rig:
         rig.start()
-        clients = [crowd.Client(member.address, "", f"c{i}", work_ms=20.0, limit_ms=500, rate=40.0,
-                                manner=crowd.NOT_AT_ALL, seed=i).start()
-                   for i, member in enumerate(rig.members.values())]
+        clients = [
+            crowd.Client(
+                member.address,
+                "",
+                f"c{i}",
+                work_ms=20.0,
+                limit_ms=500,
+                rate=40.0,
+                manner=crowd.NOT_AT_ALL,
+                seed=i,
+            ).start()
+            for i, member in enumerate(rig.members.values())
+        ]
         time.sleep(0.5)
         counts = []
         for alive in (True, False):
             if not alive:
                 rig.kill_register()
-                time.sleep(1.2)   # leases end
+                time.sleep(1.2)  # leases end
             for client in clients:
                 client.zero()
             time.sleep(seconds)
-            counts.append(sum(client.answered for client in clients) / max(1, sum(
-                client.asked for client in clients)))
+            counts.append(
+                sum(client.answered for client in clients) / max(1, sum(client.asked for client in clients))
+            )
         for client in clients:
             client.stop()
         for client in clients:
@@ -253,8 +305,14 @@
     per, jobs = (60, 8) if quick else (2000, 16)
     with ProcessPoolExecutor() as pool:
         played = pool.map(walks, [(i * per, (i + 1) * per) for i in range(jobs)])
-        hunted = pool.map(hunt, [(which is ownermutants, i, 1200) for which in (ownermutants, plancheck)
-                                 for i in range(len(which.MUTANTS))])
+        hunted = pool.map(
+            hunt,
+            [
+                (which is ownermutants, i, 1200)
+                for which in (ownermutants, plancheck)
+                for i in range(len(which.MUTANTS))
+            ],
+        )
         systematic = pool.submit(ownercheck.explore, 8, 4_000 if quick else 60_000)
         met, broken = set(), []
         for marks_met, fault in played:
@@ -264,10 +322,15 @@
         states, depth = systematic.result()
     for name, what in found.items():
         print(f"mutant {name}: {what[1][:90] + f' (walk {what[0]})' if what else 'NOT FOUND'}")
-    return {"explored_states": len(met) + states, "systematic_depth_whole": depth,
-            "walks": per * jobs, "walks_broken": len(broken), "mutants": len(found),
-            "mutants_found": sum(what is not None for what in found.values()),
-            "mutants_missed": sum(what is None for what in found.values())}
+    return {
+        "explored_states": len(met) + states,
+        "systematic_depth_whole": depth,
+        "walks": per * jobs,
+        "walks_broken": len(broken),
+        "mutants": len(found),
+        "mutants_found": sum(what is not None for what in found.values()),
+        "mutants_missed": sum(what is None for what in found.values()),
+    }
 
 
 def main():
@@ -292,9 +355,14 @@
     calls, cpu, mb = calls_real(seconds=2 if args.quick else 20)
     alone = {size: calls_alone(size) for size in SIZES}
     rates = [rate for rate, _ in alone.values()]
-    show(calls_per_member_s=calls, calls_alone={size: rate for size, (rate, _) in alone.items()},
-         calls_to_take={size: taking for size, (_, taking) in alone.items()},
-         calls_flat=round(max(rates) / min(rates), 3), idle_cpu_more=cpu, idle_mb_more=mb)
+    show(
+        calls_per_member_s=calls,
+        calls_alone={size: rate for size, (rate, _) in alone.items()},
+        calls_to_take={size: taking for size, (_, taking) in alone.items()},
+        calls_flat=round(max(rates) / min(rates), 3),
+        idle_cpu_more=cpu,
+        idle_mb_more=mb,
+    )
     show(moves_over_least=moved())
     show(**decisions(args.quick))
     show(seconds=round(time.monotonic() - began, 1))
--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -96,37 +96,58 @@
     def flag(words, i):
         return i < len(words) and words[i].lower() == "true"
 
-    profiles = tuple(api.Profile(
-        threads=max(1, int(float(threads[i]))) if i < len(threads) else 1,
-        target_us=micros(item.number("aim")), target_stretch=item.number("aim_stretch"),
-        timeout_us=micros(item.number("give_up")),
-        benefit=item.number("value"), late_benefit=item.number("late_worth"),
-        effect=EFFECTS.get(item.word("idempotency"), api.NON_REPLAYABLE),
-        dedup_scope=SCOPES.get(item.word("dedup_scope"), api.CELL),
-        dedup_us=micros(item.number("window")), ordered=item.yes("serial_by_key"),
-        locations=allowed(item, "dcs_only", locations), kinds=allowed(item, "kinds_only", kinds),
-        loads=flag(loads, i), stands_still=flag(waits, i), name=item.word("name"),
-    ) for i, item in enumerate(top.items("categories")))
-    tenants = tuple(api.Tenant(item.number("fraction"), item.number("allowance_per_s"), item.word("name"))
-                    for item in top.items("tenants"))
+    profiles = tuple(
+        api.Profile(
+            threads=max(1, int(float(threads[i]))) if i < len(threads) else 1,
+            target_us=micros(item.number("aim")),
+            target_stretch=item.number("aim_stretch"),
+            timeout_us=micros(item.number("give_up")),
+            benefit=item.number("value"),
+            late_benefit=item.number("late_worth"),
+            effect=EFFECTS.get(item.word("idempotency"), api.NON_REPLAYABLE),
+            dedup_scope=SCOPES.get(item.word("dedup_scope"), api.CELL),
+            dedup_us=micros(item.number("window")),
+            ordered=item.yes("serial_by_key"),
+            locations=allowed(item, "dcs_only", locations),
+            kinds=allowed(item, "kinds_only", kinds),
+            loads=flag(loads, i),
+            stands_still=flag(waits, i),
+            name=item.word("name"),
+        )
+        for i, item in enumerate(top.items("categories"))
+    )
+    tenants = tuple(
+        api.Tenant(item.number("fraction"), item.number("allowance_per_s"), item.word("name"))
+        for item in top.items("tenants")
+    )
     return api.Agreement(
-        profiles=profiles, tenants=tenants, managers=max(1, int(top.number("balancers"))),
+        profiles=profiles,
+        tenants=tenants,
+        managers=max(1, int(top.number("balancers"))),
         location=place_of(locations, top.word("my_zone"), 0),
         kind_cores=tuple(float(word) for word in domain.several("cores_by_kind")),
         kind_memory_mb=tuple(float(word) for word in domain.several("ram_of_kind_mb")),
         most_grant=domain.number("max_grant_share"),
-        heeds_grants=domain.yes("grants_count"), heeds_priority=domain.yes("takes_priority"),
-        sends_cap=int(limits.number("attempts_cap")), may_cancel=limits.yes("cancel"),
+        heeds_grants=domain.yes("grants_count"),
+        heeds_priority=domain.yes("takes_priority"),
+        sends_cap=int(limits.number("attempts_cap")),
+        may_cancel=limits.yes("cancel"),
         come_back_us=micros(limits.number("max_retry_after")) if limits.yes("retry_after") else 0,
-        cold_from=rules.number("cold_from"), cold_us=micros(rules.number("warm_after")),
-        fall_multiple=rules.number("fall_multiple"), fall_us=micros(rules.number("tip_after")),
+        cold_from=rules.number("cold_from"),
+        cold_us=micros(rules.number("warm_after")),
+        fall_multiple=rules.number("fall_multiple"),
+        fall_us=micros(rules.number("tip_after")),
         key_rest_us=micros(rules.number("order_settle")),
         extra_free=rules.number("min_extra") if rules.has("ratio_span") else None,
-        extra_share=rules.number("extra_share"), extra_us=micros(rules.number("ratio_span")),
+        extra_share=rules.number("extra_share"),
+        extra_us=micros(rules.number("ratio_span")),
         crossing_costs=top.under("charges").number("cross_zone") > 0,
-        locations=tuple(locations), kinds=tuple(kinds),
+        locations=tuple(locations),
+        kinds=tuple(kinds),
         report_fields=tuple(top.under("telemetry").several("fields")),
         note_us=micros(domain.number("note_period")),
         streams=max(1, int(limits.number("streams_per_conn", 1))),
-        connect_us=micros(limits.number("connect_timeout")), idle_us=micros(limits.number("conn_idle")),
-        open_cap=int(limits.number("max_open")))
+        connect_us=micros(limits.number("connect_timeout")),
+        idle_us=micros(limits.number("conn_idle")),
+        open_cap=int(limits.number("max_open")),
+    )
--- a/gullhold/budgets/demand.py
+++ b/gullhold/budgets/demand.py
@@ -1,10 +1,10 @@
 """How much of what a member asks for is believed, and how much a member asks for. Decisions only."""
 
-AHEAD = 4                # a member asks for a quarter more than it uses: before it runs dry
+AHEAD = 4  # a member asks for a quarter more than it uses: before it runs dry
 PATIENCE_US = 2_000_000  # us for which a part may lie mostly idle while more is asked: some reports
-IDLE = 2                 # a part is mostly idle where the part over this is more than what is used
-SWING = 0.1              # of what was told: a change by less is not worth a write
-STALE_US = 2_000_000     # us after which changed use is told though it moves nothing: staff look at it
+IDLE = 2  # a part is mostly idle where the part over this is more than what is used
+SWING = 0.1  # of what was told: a change by less is not worth a write
+STALE_US = 2_000_000  # us after which changed use is told though it moves nothing: staff look at it
 
 
 def wanted(used, lack, whole):
@@ -48,7 +48,7 @@
     """When a member's report is worth a write. Its first word is; then what changes what others may have."""
 
     def __init__(self, least_us):
-        self.least_us = least_us   # between writes
+        self.least_us = least_us  # between writes
         self.last, self.seen, self.at = None, 0, 0
 
     def forget(self):
@@ -65,10 +65,18 @@
         if self.last is not None and now < self.at + self.least_us:
             return False
         stale = now >= self.at + STALE_US
-        return self.last is None or cut and seen > self.seen or set(told) != set(self.last) or any(
-            self._differs(row, self.last[name], parts.get(name, 0)) or stale and
-            abs(row[1] - self.last[name][1]) > SWING * max(self.last[name][1], parts.get(name, 0))
-            for name, row in told.items())
+        return (
+            self.last is None
+            or cut
+            and seen > self.seen
+            or set(told) != set(self.last)
+            or any(
+                self._differs(row, self.last[name], parts.get(name, 0))
+                or stale
+                and abs(row[1] - self.last[name][1]) > SWING * max(self.last[name][1], parts.get(name, 0))
+                for name, row in told.items()
+            )
+        )
 
     def written(self, now, seen, told):
         """It goes out."""
@@ -77,7 +85,7 @@
     @staticmethod
     def _differs(new, old, part):
         (out, used, want), (old_out, old_used, old_want) = new, old
-        if out < old_out and old_out > part:   # given back at last
+        if out < old_out and old_out > part:  # given back at last
             return True
         if want > part and (used * IDLE >= part) != (old_used * IDLE >= part):
             return True
--- a/gullhold/budgets/divider.py
+++ b/gullhold/budgets/divider.py
@@ -15,9 +15,9 @@
 from gullhold.budgets.division import calm, shares
 from gullhold.budgets.ledger import WEIGHT, Ledger
 
-MOST = 200             # budgets looked at in one division: half a second among 1,000 members
-BOOKS_MOST = 50_000    # budgets at once: beyond, a member goes by what it may spend alone
-TURN_US = 1_000_000    # us until others are served first, where not all can have what is of use
+MOST = 200  # budgets looked at in one division: half a second among 1,000 members
+BOOKS_MOST = 50_000  # budgets at once: beyond, a member goes by what it may spend alone
+TURN_US = 1_000_000  # us until others are served first, where not all can have what is of use
 
 
 class Budget(NamedTuple):
@@ -46,12 +46,12 @@
     """All budgets of a fleet. divide() says what to write; what it says is booked already."""
 
     def __init__(self, budgets, weights=None):
-        self.budgets, self.weights = dict(budgets), weights or {}   # weights: by member, 1 where not said
-        self.books, self.words = {}, {}        # by budget; by budget and member: what it says
-        self.there, self.rows = {}, {}         # by member: the budgets that it tells of; that it stands in
-        self.changed, self.later = {}, []      # to look at, in turn; (when, budget) to look at again
-        self.turns = {}                        # where not all are served: (when others are, who is first)
-        self.over = set()                      # members of whom nothing stands any more
+        self.budgets, self.weights = dict(budgets), weights or {}  # weights: by member, 1 where not said
+        self.books, self.words = {}, {}  # by budget; by budget and member: what it says
+        self.there, self.rows = {}, {}  # by member: the budgets that it tells of; that it stands in
+        self.changed, self.later = {}, []  # to look at, in turn; (when, budget) to look at again
+        self.turns = {}  # where not all are served: (when others are, who is first)
+        self.over = set()  # members of whom nothing stands any more
 
     def rule(self, name):
         """The operator's word for a budget; None: there is none."""
@@ -113,7 +113,7 @@
                 changed, ended = self._divide(name, write, now)
                 for member, part in changed.items():
                     found.setdefault(member, {})[name] = part
-                for member in ended:   # with what others get for it: on its row it stands no more
+                for member in ended:  # with what others get for it: on its row it stands no more
                     found.setdefault(member, {})
         return found
 
@@ -122,11 +122,18 @@
         stood = set(books.entries)
         for member, word in words.items():
             word.look(books.entries[member].part if member in books.entries else 0, now)
-        wants = {member: word.want if rule.kind == WEIGHT else max(
-            word.believed(now), min(word.want, rule.grain)) for member, word in words.items()}
-        parts = shares(max(0, books.whole - books.reserve), wants,
-                       {member: self.weights.get(member, 1) for member in wants}, rule.floor, rule.grain,
-                       self.turns.get(name, (0, 0))[1])
+        wants = {
+            member: word.want if rule.kind == WEIGHT else max(word.believed(now), min(word.want, rule.grain))
+            for member, word in words.items()
+        }
+        parts = shares(
+            max(0, books.whole - books.reserve),
+            wants,
+            {member: self.weights.get(member, 1) for member in wants},
+            rule.floor,
+            rule.grain,
+            self.turns.get(name, (0, 0))[1],
+        )
         old = books.parts()
         targets = calm(old, parts, wants)
         changed = books.write(targets, write, now)
@@ -147,10 +154,12 @@
         books = self.books[name]
         times = [due for word in self.words[name].values() if (due := word.due()) and due > now]
         if books.parts() != targets and (end := books.next_end()):
-            times.append(end)   # else a report makes it change: something is still to be given back
+            times.append(end)  # else a report makes it change: something is still to be given back
         # In vain: a part that is of no use at all. Guards against the same ones going without for ever.
-        in_vain = any(want > 0 and targets.get(member, 0) < min(want, self.rule(name).grain)
-                      for member, want in wants.items())
+        in_vain = any(
+            want > 0 and targets.get(member, 0) < min(want, self.rule(name).grain)
+            for member, want in wants.items()
+        )
         at, first = self.turns.get(name, (now + TURN_US, 0))
         if not in_vain:
             self.turns.pop(name, None)
@@ -166,8 +175,10 @@
 
     def resize(self, wholes):
         """{name or word: whole} from now on; what is out under more comes down by itself."""
-        self.budgets = {name: budget._replace(whole=wholes.get(name, budget.whole))
-                        for name, budget in self.budgets.items()}
+        self.budgets = {
+            name: budget._replace(whole=wholes.get(name, budget.whole))
+            for name, budget in self.budgets.items()
+        }
         for name, books in self.books.items():
             if books.whole != self.rule(name).whole:
                 books.whole = self.rule(name).whole
@@ -181,16 +192,25 @@
 
     def spent_and_idle(self, now):
         """{budget: (whole, charged, free, wanted)}: what staff see."""
-        return {name: (books.whole, books.charged(now), books.free(now),
-                       sum(word.want for word in self.words[name].values()))
-                for name, books in self.books.items()}
+        return {
+            name: (
+                books.whole,
+                books.charged(now),
+                books.free(now),
+                sum(word.want for word in self.words[name].values()),
+            )
+            for name, books in self.books.items()
+        }
 
     # Rows
 
     def row(self, member):
         """All that stands of a member, as plain values."""
-        return {name: self.books[name].entries[member].pack() for name in sorted(self.rows.get(member, ()))
-                if member in self.books[name].entries and not self.books[name].entries[member].empty()}
+        return {
+            name: self.books[name].entries[member].pack()
+            for name in sorted(self.rows.get(member, ()))
+            if member in self.books[name].entries and not self.books[name].entries[member].empty()
+        }
 
     def load(self, rows, now):
         """Go on from rows that another wrote, {member: row}. Who stands in them and does not report has left:
@@ -209,5 +229,6 @@
 def plan(budget, wants, weights=None):
     """What each of these members would be given of one budget, {member: part}: as divided, without books."""
     left = max(0, budget.whole - budget.alone * budget.members_most)
-    return shares(left, wants, {member: (weights or {}).get(member, 1) for member in wants}, budget.floor,
-                  budget.grain)
+    return shares(
+        left, wants, {member: (weights or {}).get(member, 1) for member in wants}, budget.floor, budget.grain
+    )
--- a/gullhold/budgets/division.py
+++ b/gullhold/budgets/division.py
@@ -5,7 +5,7 @@
 
 from heapq import heapify, heappop, heappush
 
-SWING = 0.1   # of a part: a change by less is left alone, unless somebody wants what it would free
+SWING = 0.1  # of a part: a change by less is left alone, unless somebody wants what it would free
 
 
 def shares(whole, wants, weights, floor, grain=1, turn=0):
@@ -20,12 +20,17 @@
     if not names or whole <= 0:
         return dict.fromkeys(names, 0)
     if grain > 1:
-        parts = shares(whole // grain, {name: -(-want // grain) for name, want in wants.items()}, weights,
-                       -(-floor // grain), turn=turn)
+        parts = shares(
+            whole // grain,
+            {name: -(-want // grain) for name, want in wants.items()},
+            weights,
+            -(-floor // grain),
+            turn=turn,
+        )
         parts = {name: part * grain for name, part in parts.items()}
-        parts[max(parts, key=parts.get)] += whole % grain   # less than a grain: of use beside others alone
+        parts[max(parts, key=parts.get)] += whole % grain  # less than a grain: of use beside others alone
         return parts
-    names = names[(turn := turn % len(names)):] + names[:turn]
+    names = names[(turn := turn % len(names)) :] + names[:turn]
     floor = min(floor, whole // len(names))
     parts = dict.fromkeys(names, floor)
     left = whole - floor * len(names)
@@ -86,6 +91,8 @@
     short = any(wants[name] > old.get(name, 0) for name in new)
     if short or set(old) != set(new):
         return new
-    kept = {name: old[name] if abs(part - old[name]) <= swing * max(1, old[name]) else part
-            for name, part in new.items()}
+    kept = {
+        name: old[name] if abs(part - old[name]) <= swing * max(1, old[name]) else part
+        for name, part in new.items()
+    }
     return kept if sum(kept.values()) <= sum(new.values()) else new
--- a/gullhold/budgets/driver.py
+++ b/gullhold/budgets/driver.py
@@ -14,18 +14,26 @@
 from gullhold.fleet.calls import DONE, Get, Put, Read, Txn
 from gullhold.fleet.holding import IDLE_US
 
-OF = {"threads": api.THREADS, "memory": api.MEMORY, "open": api.OPEN, "further": api.FURTHER,
-      "cold": api.COLD, "taken": api.TAKEN, "share": api.SHARE, "lists": api.LISTS}   # the operator's words
+OF = {
+    "threads": api.THREADS,
+    "memory": api.MEMORY,
+    "open": api.OPEN,
+    "further": api.FURTHER,
+    "cold": api.COLD,
+    "taken": api.TAKEN,
+    "share": api.SHARE,
+    "lists": api.LISTS,
+}  # the operator's words
 WORDS = {number: word for word, number in OF.items()}
 HELD, WINDOWED = (api.THREADS, api.MEMORY, api.OPEN), (api.FURTHER, api.COLD, api.TAKEN, api.LISTS)
-EACH = (api.THREADS, api.MEMORY, api.COLD)    # one for each engine
+EACH = (api.THREADS, api.MEMORY, api.COLD)  # one for each engine
 TENANTS = (api.OPEN, api.TAKEN)
-SETTLE_US = 500_000      # us that what was given up may run on at an engine: an abort on its way, twice
-LINGER_US = 1_000_000    # us over the longest client timeout: nothing that an engine was sent waits longer
-LEAST_US = 50_000        # us between reports of one member
-CALM = 5                 # looks that are left out while nothing runs dry and nothing is to be given back
-PATIENCE_S = 1.0         # that the follower of the list waits for the core's word
-LANES = ("reports", duty.DUTY)   # of calls: neither waits for the other
+SETTLE_US = 500_000  # us that what was given up may run on at an engine: an abort on its way, twice
+LINGER_US = 1_000_000  # us over the longest client timeout: nothing that an engine was sent waits longer
+LEAST_US = 50_000  # us between reports of one member
+CALM = 5  # looks that are left out while nothing runs dry and nothing is to be given back
+PATIENCE_S = 1.0  # that the follower of the list waits for the core's word
+LANES = ("reports", duty.DUTY)  # of calls: neither waits for the other
 
 
 class Unfit(Exception):
@@ -63,17 +71,31 @@
     """
     budgets, rules, tenants = {}, {}, tenants_of(deal)
     longest = max((profile.timeout_us for profile in deal.profiles), default=0)
-    for record in sorted(records, key=lambda record: record.tenant):   # those for each come first
+    for record in sorted(records, key=lambda record: record.tenant):  # those for each come first
         budget = OF[record.of]
         window = int(window_of(record, budget, deal) * (1 + drift))
         linger = int((record.linger or longest + LINGER_US) * (1 + drift))
         if record.tenant and record.tenant not in tenants:
             raise Unfit(f"fleet.budgets: {record.tenant!r} is no tenant of the agreement")
-        of_all = Budget(kind_of(budget), record.whole, window, linger, record.alone, record.members,
-                        record.floor, record.grain)
+        of_all = Budget(
+            kind_of(budget),
+            record.whole,
+            window,
+            linger,
+            record.alone,
+            record.members,
+            record.floor,
+            record.grain,
+        )
         # What an earlier process in this one's place began alone has to be over before this one may.
-        rule = Rule(of_all.kind, record.whole, window, int(SETTLE_US * (1 + drift)), record.alone,
-                    window if budget in WINDOWED else linger)
+        rule = Rule(
+            of_all.kind,
+            record.whole,
+            window,
+            int(SETTLE_US * (1 + drift)),
+            record.alone,
+            window if budget in WINDOWED else linger,
+        )
         budgets[name_of(record)] = of_all
         if budget in EACH:
             rules[budget, None] = rule
@@ -93,16 +115,20 @@
         budgets, rules = rules_of(record.budgets, deal, record.drift.rate)
         names = tenants_of(deal)
         self.purses = Purses(
-            rules, lambda budget, of: f"{WORDS[budget]}/{names[of] if budget in TENANTS else of}",
-            fleet.owner.lease, clock, lambda: fleet.queue.put(("rush",)))
+            rules,
+            lambda budget, of: f"{WORDS[budget]}/{names[of] if budget in TENANTS else of}",
+            fleet.owner.lease,
+            clock,
+            lambda: fleet.queue.put(("rush",)),
+        )
         self.teller, fleet.held[duty.DUTY] = Teller(LEAST_US), duty.Dividing(budgets)
-        self.lease, self.told, self.cut = 0, {}, False      # reports are for this lease; parts as last told
-        self.revision = 0                                   # of our report, as the register has it
+        self.lease, self.told, self.cut = 0, {}, False  # reports are for this lease; parts as last told
+        self.revision = 0  # of our report, as the register has it
         self.look_at, self.looked_at, self.writing, self.known = 0, 0, False, False
-        self.pending = []                                   # what the core's thread is to be told
+        self.pending = []  # what the core's thread is to be told
         self.leaving, self.given_back = False, False
         self.core.checks.append(self.purses)
-        self.core.first(self._on_core, [])   # before the first command: parts bind from the start
+        self.core.first(self._on_core, [])  # before the first command: parts bind from the start
         self.looking = True
 
     def start(self, follow):
@@ -139,7 +165,7 @@
         self.core.first(self._list_call, answer)
         try:
             return answer.get(timeout=PATIENCE_S)
-        except Empty:   # it comes later: counted, and not made
+        except Empty:  # it comes later: counted, and not made
             return False
 
     # On the fleet's thread
@@ -175,8 +201,12 @@
 
     def counted(self, now, under, seen, cut, told, parts):
         """What the core's thread counted."""
-        back = self.cut or cut or self.leaving or any(
-            out > parts.get(name, 0) for name, (out, *_) in told.items())
+        back = (
+            self.cut
+            or cut
+            or self.leaving
+            or any(out > parts.get(name, 0) for name, (out, *_) in told.items())
+        )
         self.looking, self.cut = False, self.cut or cut
         self.looked_at, self.look_at = now, now + self.look_us * (1 if back else CALM)
         if under != self.lease or not self.fleet.owner.lease.held(now) or self.given_back:
@@ -193,7 +223,7 @@
 
     def _report(self, seen, told, left=False):
         """Compared with the last one: a call that was given up can't put an older word over a newer."""
-        key, lease = duty.ASKS + self._key(), 0 if left else self.lease   # the last one stays till it is read
+        key, lease = duty.ASKS + self._key(), 0 if left else self.lease  # the last one stays till it is read
         text = duty.report_text(seen, told, left)
         return Txn(((key, self.revision),), (Put(key, text, lease),), (Get(key),))
 
@@ -215,7 +245,7 @@
         self.writing = False
         if lease != self.lease:
             return
-        if reply.proof != DONE or not reply.met:   # what stands is compared with from now on, and told anew
+        if reply.proof != DONE or not reply.met:  # what stands is compared with from now on, and told anew
             self.revision = reply.items[0].revision if reply.items else 0
             self.teller.forget()
             return
@@ -229,7 +259,7 @@
         if lease != self.lease:
             return
         if reply.proof != DONE:
-            self.known = False   # with the next report it is read again
+            self.known = False  # with the next report it is read again
             self.teller.forget()
             return
         self.rows.follow(reply.revision + 1)
@@ -243,8 +273,11 @@
         write, row = duty.row_of(value)
         parts = {name: duty.part_in(packed) for name, packed in row.items()}
         if parts != self.told:
-            changed = {name: parts.get(name, 0) for name in self.told.keys() | parts.keys()
-                       if parts.get(name, 0) != self.told.get(name, 0)}
+            changed = {
+                name: parts.get(name, 0)
+                for name in self.told.keys() | parts.keys()
+                if parts.get(name, 0) != self.told.get(name, 0)
+            }
             self.fleet.event("debug", "parts", write=write, parts=changed)
         self.told = parts
         self.pending.append((self.lease, write, parts))
--- a/gullhold/budgets/duty.py
+++ b/gullhold/budgets/duty.py
@@ -15,9 +15,9 @@
 ROOT = "budget/"
 ASKS, PARTS, FENCE = ROOT + "asks/", ROOT + "parts/", ROOT + "fence"
 DUTY = "budgets"
-ROWS_MOST = (TXN_MOST - 2) // 2        # rows in one write: each may come with a report to take away
-SERIALS = 1 << 20                      # writes under one token: numbers grow over tokens too
-LEAST_US = 20_000                      # us between writes: several reports are answered by one
+ROWS_MOST = (TXN_MOST - 2) // 2  # rows in one write: each may come with a report to take away
+SERIALS = 1 << 20  # writes under one token: numbers grow over tokens too
+LEAST_US = 20_000  # us between writes: several reports are answered by one
 
 
 def report_text(seen, told, left=False):
@@ -75,12 +75,14 @@
         super().__init__(ROOT)
         self.budgets, self.weights, self.make = budgets, weights, make
         self.divider, self.fence, self.revision, self.last_at = None, 0, 0, 0
-        self.dirty, self.gone = {}, {}   # members to write; whose keys to take away
+        self.dirty, self.gone = {}, {}  # members to write; whose keys to take away
 
     def resize(self, wholes):
         """{name or word: whole} from now on, for this divider and the books that it reads."""
-        self.budgets = {name: budget._replace(whole=wholes.get(name, budget.whole))
-                        for name, budget in self.budgets.items()}
+        self.budgets = {
+            name: budget._replace(whole=wholes.get(name, budget.whole))
+            for name, budget in self.budgets.items()
+        }
         if self.divider:
             self.divider.resize(wholes)
 
@@ -104,12 +106,12 @@
             self.dirty[member] = None
         self.gone |= dict.fromkeys(self.divider.over)
         for member in self.divider.over:
-            self.dirty.pop(member, None)   # its keys go
+            self.dirty.pop(member, None)  # its keys go
         self.divider.over = set()
         if not self.dirty and not self.gone:
             return
         members = list(self.dirty)[:ROWS_MOST]
-        gone = list(self.gone)[:ROWS_MOST - len(members)]
+        gone = list(self.gone)[: ROWS_MOST - len(members)]
         acts = [Put(FENCE, fence_text(number, self.budgets))]
         for member in members:
             row = self.divider.row(member)
@@ -150,7 +152,7 @@
     def _change(self, now, key, value, revision):
         """A report changed; value None: its lease has ended."""
         if revision <= self.revision and value is not None:
-            return False   # that of an older one was read; an end that was read already changes nothing
+            return False  # that of an older one was read; an end that was read already changes nothing
         self.revision = max(self.revision, revision)
         member = key.removeprefix(ASKS)
         if value is not None:
@@ -167,7 +169,7 @@
             self.out.append((TELL, "warning", "a report that can't be read", {"of": member}))
             return
         seen, told, left = report
-        if left:   # in good order
+        if left:  # in good order
             self.divider.left(member, now, told)
             if member not in self.divider.rows:
                 self.gone[member] = None
--- a/gullhold/budgets/ledger.py
+++ b/gullhold/budgets/ledger.py
@@ -107,7 +107,7 @@
             if entry.gone or target <= entry.part:
                 continue
             before = entry.charge(now)
-            part = min(target, before + max(0, free))   # what it is charged with anyway costs nothing
+            part = min(target, before + max(0, free))  # what it is charged with anyway costs nothing
             if part > entry.part:
                 entry.part = changed[name] = part
                 free -= entry.charge(now) - before
@@ -133,7 +133,7 @@
         entry.owed = [row for row in entry.owed if row[0] > seen]
         if self.kind == HELD:
             entry.out = out
-        elif out > entry.part:   # it counts until the window has passed, whatever is spent from now on
+        elif out > entry.part:  # it counts until the window has passed, whatever is spent from now on
             entry.ends = [row for row in entry.ends if row[0] > now and row[1] > out]
             entry.ends.append((now + self.window_us, out))
 
--- a/gullhold/budgets/purse.py
+++ b/gullhold/budgets/purse.py
@@ -34,8 +34,8 @@
 
     def __init__(self, rule, purses, part=0):
         self.rule, self.purses, self.part = rule, purses, part
-        self.out, self.spent, self.fading = 0, deque(), deque()   # (when, amount) that was spent, or fades
-        self.peak, self.lack, self.short = 0, 0, False            # since the last report
+        self.out, self.spent, self.fading = 0, deque(), deque()  # (when, amount) that was spent, or fades
+        self.peak, self.lack, self.short = 0, 0, False  # since the last report
 
     def alone(self, now):
         """What it may spend besides its part."""
@@ -113,12 +113,12 @@
     def __init__(self, rules, label, lease, clock, hurry=lambda: None):
         self.rules, self.label, self.lease, self.clock = rules, label, lease, clock
         self.hurry, self.hurried = hurry, False
-        self.held = False   # whether parts held when last asked
+        self.held = False  # whether parts held when last asked
         self.kinds = {budget for budget, _ in rules}
         self.began, self.under, self.seen, self.cut = clock(), 0, 0, False
-        self.rows, self.row = {}, {}   # purses by (budget, of what); parts by name, as last told
+        self.rows, self.row = {}, {}  # purses by (budget, of what); parts by name, as last told
         for budget, of in rules:
-            if of is not None:   # always of interest; one for each is once it is used
+            if of is not None:  # always of interest; one for each is once it is used
                 self(budget, of)
 
     def __call__(self, budget, of):
@@ -135,9 +135,11 @@
 
     def resize(self, wholes):
         """{(budget, of what it is called or "" for each): whole}: more is never asked for."""
+
         def new(budget, of, rule):
             name = "" if of is None else self.label(budget, of).partition("/")[2]
             return rule._replace(whole=wholes.get((budget, name), wholes.get((budget, ""), rule.whole)))
+
         self.rules = {key: new(*key, rule) for key, rule in self.rules.items()}
         for key, purse in self.rows.items():
             purse.rule = self.rules.get(key) or self.rules[key[0], None]
@@ -193,7 +195,7 @@
         for (budget, of), purse in list(self.rows.items()):
             key = (budget, of)
             if key not in asked and key not in self.rules and not purse.used(now) and not purse.lack:
-                del self.rows[key]   # its engine has gone
+                del self.rows[key]  # its engine has gone
             else:
                 found[self.label(budget, of)] = purse.report(asked.get(key, 0), now)
         return found
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -17,7 +17,7 @@
 from gullhold.fleet.register import Register
 
 TIMEOUT_S = 3.0
-LOOK_S = 0.25       # between looks of a report
+LOOK_S = 0.25  # between looks of a report
 TEMPLATE = "report.html.j2"
 
 
@@ -31,8 +31,9 @@
 
     def of(name):
         whole, back = wholes.get(name) or wholes.get(name.partition("/")[0]) or (0, 0)
-        return found.setdefault(name, {"whole": whole, "back": back, "parts": {}, "used": {}, "waits": [],
-                                       "owes": []})
+        return found.setdefault(
+            name, {"whole": whole, "back": back, "parts": {}, "used": {}, "waits": [], "owes": []}
+        )
 
     for item in items:
         if item.key == duty.FENCE:
@@ -58,14 +59,22 @@
 
 def rows(items):
     """What staff see, a dict a budget."""
-    return [{"budget": name, "whole": told["whole"], "kept back": told["back"],
-             "given": sum(told["parts"].values()), "used": sum(told["used"].values()),
-             "idle": max(0, sum(told["parts"].values()) - sum(told["used"].values())),
-             "parts": ", ".join(f"{member.partition('/')[0]} {part}"
-                                for member, part in sorted(told["parts"].items()) if part),
-             "waiting": ", ".join(sorted(member.partition("/")[0] for member in told["waits"])),
-             "for": ", ".join(sorted(member.partition("/")[0] for member in told["owes"]))}
-            for name, told in sorted(standing(items).items())]
+    return [
+        {
+            "budget": name,
+            "whole": told["whole"],
+            "kept back": told["back"],
+            "given": sum(told["parts"].values()),
+            "used": sum(told["used"].values()),
+            "idle": max(0, sum(told["parts"].values()) - sum(told["used"].values())),
+            "parts": ", ".join(
+                f"{member.partition('/')[0]} {part}" for member, part in sorted(told["parts"].items()) if part
+            ),
+            "waiting": ", ".join(sorted(member.partition("/")[0] for member in told["waits"])),
+            "for": ", ".join(sorted(member.partition("/")[0] for member in told["owes"])),
+        }
+        for name, told in sorted(standing(items).items())
+    ]
 
 
 def _print(title, found, as_json):
@@ -115,8 +124,10 @@
     budget = Budget(HELD, whole, alone=alone, members_most=members, floor=floor, grain=grain)
     wants = [*wants, *[wants[-1] if wants else whole] * members][:members]
     parts = plan(budget, {f"member {i + 1}": want for i, want in enumerate(wants)})
-    found = [{"member": member, "wants": wants[i], "part": part, "and alone": alone}
-             for i, (member, part) in enumerate(parts.items())]
+    found = [
+        {"member": member, "wants": wants[i], "part": part, "and alone": alone}
+        for i, (member, part) in enumerate(parts.items())
+    ]
     given = sum(parts.values())
     _print(f"{whole} among {members}: {given} given, {alone * members} kept back", found, as_json)
     return 0
@@ -134,8 +145,18 @@
 def _chart(name, looks):
     """An SVG of one budget over time: each member's part, all that is used, and the whole."""
     import pygal  # noqa: PLC0415  only a report needs it
-    chart = pygal.XY(title=name, height=320, width=900, js=(), stroke=True, show_dots=False,
-                     legend_at_bottom=True, x_title="s", disable_xml_declaration=True)
+
+    chart = pygal.XY(
+        title=name,
+        height=320,
+        width=900,
+        js=(),
+        stroke=True,
+        show_dots=False,
+        legend_at_bottom=True,
+        x_title="s",
+        disable_xml_declaration=True,
+    )
     told = [(at, standing_at[name]) for at, standing_at in looks if name in standing_at]
     members = sorted({member for _, one in told for member in one["parts"]})
     for member in members:
@@ -148,6 +169,7 @@
 def page(name, looks):
     """The report as HTML: for each budget a plot and what was given, used and waited for."""
     import jinja2  # noqa: PLC0415  only a report needs it
+
     source = files("gullhold.budgets").joinpath(TEMPLATE).read_text("utf-8")
     budgets = sorted({budget for _, one in looks for budget in one})
     found = []
@@ -155,10 +177,19 @@
         told = [one[budget] for _, one in looks if budget in one]
         given = [sum(one["parts"].values()) for one in told]
         spent = [sum(one["used"].values()) for one in told]
-        found.append({"name": budget, "whole": told[-1]["whole"], "back": told[-1]["back"],
-                      "given": round(sum(given) / len(given), 1), "used": round(sum(spent) / len(spent), 1),
-                      "most": max(given), "waited": sum(bool(one["waits"]) for one in told),
-                      "looks": len(told), "chart": _chart(budget, looks)})
+        found.append(
+            {
+                "name": budget,
+                "whole": told[-1]["whole"],
+                "back": told[-1]["back"],
+                "given": round(sum(given) / len(given), 1),
+                "used": round(sum(spent) / len(spent), 1),
+                "most": max(given),
+                "waited": sum(bool(one["waits"]) for one in told),
+                "looks": len(told),
+                "chart": _chart(budget, looks),
+            }
+        )
     template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(source)
     return template.render(fleet=name, seconds=looks[-1][0], budgets=found)
 
--- a/gullhold/door/door.py
+++ b/gullhold/door/door.py
@@ -22,23 +22,37 @@
 BEHIND, WAITING, HANDED, OUT, OVER = range(5)
 MOVES = {BEHIND: (WAITING, OVER), WAITING: (HANDED, OVER), HANDED: (OUT, OVER), OUT: (HANDED, OVER), OVER: ()}
 
-MARGIN_US = 40_000         # us before its client timeout at which it is answered: two looks, a crossing
-FREE_PART = 0.5            # part of the free room that one flow may fill: room is left for others, always
-EASE = 0.1                 # weight of the newest answer in a flow's bias
-BIAS = (0.1, 10.0)         # bounds of what an estimate may be off by: as far as estimates are known to lie
-FIRST_WORK = 50_000.0      # us of work of a command that states none, before any answer told
-HEAVY = 0.5                # part of an even share among exact flows that makes a flow heavy, were all taken
-NOISE = 2.8                # of all work over the sketch's width: an estimate that may be of others alone
-SHUT_US = 50_000           # us for which a flow is shut to newcomers at the most: little of any target
-LOOK = (2, 4)              # tenants, and flows of each, looked at for what may be forgotten at one event
-COMPACT = 1024             # rows of the time table that are never worth a clean-up
+MARGIN_US = 40_000  # us before its client timeout at which it is answered: two looks, a crossing
+FREE_PART = 0.5  # part of the free room that one flow may fill: room is left for others, always
+EASE = 0.1  # weight of the newest answer in a flow's bias
+BIAS = (0.1, 10.0)  # bounds of what an estimate may be off by: as far as estimates are known to lie
+FIRST_WORK = 50_000.0  # us of work of a command that states none, before any answer told
+HEAVY = 0.5  # part of an even share among exact flows that makes a flow heavy, were all taken
+NOISE = 2.8  # of all work over the sketch's width: an estimate that may be of others alone
+SHUT_US = 50_000  # us for which a flow is shut to newcomers at the most: little of any target
+LOOK = (2, 4)  # tenants, and flows of each, looked at for what may be forgotten at one event
+COMPACT = 1024  # rows of the time table that are never worth a clean-up
 
 
 class Ticket:
     """One command from its arrival to its end; changes state only in Door._move."""
 
-    __slots__ = ("charged", "cost", "flow", "ident", "key", "last_at", "name", "order", "profile",
-                 "queues", "ran", "size", "state", "work")
+    __slots__ = (
+        "charged",
+        "cost",
+        "flow",
+        "ident",
+        "key",
+        "last_at",
+        "name",
+        "order",
+        "profile",
+        "queues",
+        "ran",
+        "size",
+        "state",
+        "work",
+    )
 
     def __init__(self, ident, order, profile, key, work, size, last_at, name):
         self.ident, self.order, self.profile, self.key, self.work = ident, order, profile, key, work
@@ -60,8 +74,9 @@
         self.random = Random(seed)
         back = rule.come_back
         most = min(back.most, come_back_us) if come_back_us else back.most
-        self.promises = Promises(min(back.least, most), most, back.spread, back.grace, back.each, back.all,
-                                 self.random.random)
+        self.promises = Promises(
+            min(back.least, most), most, back.spread, back.grace, back.each, back.all, self.random.random
+        )
         self.usual = 0.0
         self.root, self.by_slot, self.tenants = FairQueue(FIRST_WORK), {}, OrderedDict()
         self.tickets, self.lines, self.due, self.lanes = {}, {}, [], {}
@@ -81,8 +96,16 @@
         self._redeal(now)
         self.order += 1
         work = float(work or self.usual or FIRST_WORK)
-        ticket = Ticket(ident, self.order, profile, key if self.profiles[profile].ordered else 0, work, size,
-                        timeout_at - MARGIN_US, name)
+        ticket = Ticket(
+            ident,
+            self.order,
+            profile,
+            key if self.profiles[profile].ordered else 0,
+            work,
+            size,
+            timeout_at - MARGIN_US,
+            name,
+        )
         queues = self._queues(tenant)
         flow, came_back = self._flow(queues, name, work, now, repeat)
         ticket.queues, ticket.flow = queues, flow
@@ -149,7 +172,7 @@
             if ticket.cost:
                 self._learn(ticket)
                 self._charge(ticket, ticket.cost - ticket.charged)
-            elif not ticket.ran:   # it cost the engines nothing
+            elif not ticket.ran:  # it cost the engines nothing
                 self._charge(ticket, -ticket.charged)
         self._tidy(now)
 
@@ -173,8 +196,11 @@
     def close(self, now):
         """The gateway leaves: all that waits is turned away, with no time to come back to this one."""
         self.now = now
-        return [(REFUSE, ticket.ident, 0) for ticket in list(self.tickets.values())
-                if ticket.state in (BEHIND, WAITING) and not self._move(ticket, OVER)]
+        return [
+            (REFUSE, ticket.ident, 0)
+            for ticket in list(self.tickets.values())
+            if ticket.state in (BEHIND, WAITING) and not self._move(ticket, OVER)
+        ]
 
     def told(self, now, ident):
         """What a client whose command the module turned away may be told: us, 0: nothing."""
@@ -230,7 +256,7 @@
         if not line:
             del self.lines[ticket.profile, ticket.key]
         elif line[0].state == BEHIND:
-            self._enter(line[0], True)   # it has waited: not behind those that came after it
+            self._enter(line[0], True)  # it has waited: not behind those that came after it
 
     def _enter(self, ticket, first):
         self._move(ticket, WAITING)
@@ -275,16 +301,21 @@
         """(the flow that this name's commands queue in now, whether it came back when told)."""
         flow = queues.flows.get(name)
         if flow is not None:
-            queues.flows.move_to_end(name)   # it has a queue of its own: nothing is to be estimated
+            queues.flows.move_to_end(name)  # it has a queue of its own: nothing is to be estimated
         else:
             recent, known = self.sketch.recent(), self.sketch.add(name, work)
-            heavy = known > recent * max(NOISE / WIDTH, HEAVY * self.exact / self.rule.exact ** 2)
+            heavy = known > recent * max(NOISE / WIDTH, HEAVY * self.exact / self.rule.exact**2)
             if (heavy or name[2:] in self.client_weights) and self._exact_room():
                 flow = queues.flow(name, self._weight(name), shared=False)
                 self.exact += 1
-        buckets = () if flow is not None and not repeat else [
-            (epoch, self._bucket(name, salt)) for epoch, salt in
-            ((self.epoch, self.sketch.salt), (self.epoch - 1, self.sketch.last_salt))]
+        buckets = (
+            ()
+            if flow is not None and not repeat
+            else [
+                (epoch, self._bucket(name, salt))
+                for epoch, salt in ((self.epoch, self.sketch.salt), (self.epoch - 1, self.sketch.last_salt))
+            ]
+        )
         if flow is None:
             flow = queues.flow(buckets[0], 1.0, shared=True)
         # It was told by the queue it was in then: its own, or a shared one, perhaps of the last deal.
@@ -298,7 +329,9 @@
         """Whether one more flow may have a queue of its own; for it an idle one may go."""
         return self.exact < self.rule.exact or any(
             self._idle(queues, flow) and flow.names is None and not self._forget(queues, flow)
-            for queues in islice(self.tenants.values(), LOOK[0]) for flow in self._oldest(queues))
+            for queues in islice(self.tenants.values(), LOOK[0])
+            for flow in self._oldest(queues)
+        )
 
     @staticmethod
     def _oldest(queues):
@@ -324,7 +357,8 @@
             for flow in self._oldest(queues):
                 self.promises.expire(flow.book, now)
                 if self._idle(queues, flow) and (
-                        queues.fair.settled(flow.slot) or len(queues.flows) > self.rule.exact):
+                    queues.fair.settled(flow.slot) or len(queues.flows) > self.rule.exact
+                ):
                     self._forget(queues, flow)
                 else:
                     queues.flows.move_to_end(flow.key)
@@ -334,7 +368,7 @@
 
     def _remember(self, ticket):
         heappush(self.due, (ticket.last_at, ticket.order, ticket))
-        if len(self.due) > 2 * self.waiting + COMPACT:   # guards against a table of commands long gone on
+        if len(self.due) > 2 * self.waiting + COMPACT:  # guards against a table of commands long gone on
             self.due = [row for row in self.due if row[2].state in (BEHIND, WAITING)]
             heapify(self.due)
 
@@ -382,7 +416,7 @@
         kind, flow = self.profiles[ticket.profile], ticket.flow
         target = kind.target_us + kind.target_stretch * ticket.work / kind.threads
         allowed = min(self.rule.patience * target, ticket.last_at - now)
-        each = wait * ticket.work / (flow.backlog(ticket.profile) + ticket.work)   # us that one command takes
+        each = wait * ticket.work / (flow.backlog(ticket.profile) + ticket.work)  # us that one command takes
         coming = flow.book.within(now, allowed) * each
         return max(0, int(wait + min(coming, self.rule.come_back.part * allowed) - allowed))
 
@@ -395,13 +429,18 @@
         if len(self.shut) < 2 * self.rule.exact:
             book = ticket.flow.book
             self.shut[ticket.queues.index, ticket.name, ticket.profile] = (
-                now + min(late, SHUT_US), book.open[0][0] if book.open else None)
+                now + min(late, SHUT_US),
+                book.open[0][0] if book.open else None,
+            )
 
     def _full(self, flow, size):
         """No room: in all, or for one flow, which may fill a part of what is free (and always a little)."""
         free = self.rule.waiting - self.waiting
-        return free <= 0 or self.bytes + size > self.rule.bytes or (
-            flow.queued >= max(4, FREE_PART * free * (len(flow.names) if flow.names else 1)))
+        return (
+            free <= 0
+            or self.bytes + size > self.rule.bytes
+            or (flow.queued >= max(4, FREE_PART * free * (len(flow.names) if flow.names else 1)))
+        )
 
     def _come_back(self, now, wait, ticket, repeat):
         """When to come back: from the place in line and the drain of that flow and of all; 0: no word."""
--- a/gullhold/door/drain.py
+++ b/gullhold/door/drain.py
@@ -2,8 +2,8 @@
 
 from math import exp
 
-DRAIN_US = 2_000_000   # us of waiting over which the drain is seen: some commands' times, less than a trouble
-KNOWN_US = 200_000     # us of waiting seen before it says anything
+DRAIN_US = 2_000_000  # us of waiting over which the drain is seen: some commands' times, less than a trouble
+KNOWN_US = 200_000  # us of waiting seen before it says anything
 
 
 class Drain:
--- a/gullhold/door/fair.py
+++ b/gullhold/door/fair.py
@@ -10,8 +10,8 @@
 
 from heapq import heapify, heappop, heappush
 
-IDLE, READY, PARKED = range(3)   # parked: backlogged, but nothing of it may be taken at present
-COMPACT = 64                     # stale heap entries that are never worth a clean-up
+IDLE, READY, PARKED = range(3)  # parked: backlogged, but nothing of it may be taken at present
+COMPACT = 64  # stale heap entries that are never worth a clean-up
 
 
 class FairQueue:
@@ -24,8 +24,8 @@
         self.least, self.quantum, self.virtual, self.total, self.serial = least, least, 0.0, 0.0, 0
         self.ready = self.backlogged = 0
         self.start, self.weight, self.state, self.entry, self.free = [], [], [], [], []
-        self.fresh = []   # whether nothing of it was taken since it was idle
-        self.ahead, self.eligible = [], []   # (start or due, serial, slot): not yet, and now
+        self.fresh = []  # whether nothing of it was taken since it was idle
+        self.ahead, self.eligible = [], []  # (start or due, serial, slot): not yet, and now
 
     def add(self, weight):
         """A new child, idle; its slot."""
@@ -34,8 +34,13 @@
             self.start[slot], self.weight[slot], self.state[slot] = self.virtual, weight, IDLE
         else:
             slot = len(self.start)
-            for column, first in ((self.start, self.virtual), (self.weight, weight), (self.state, IDLE),
-                                  (self.entry, 0), (self.fresh, True)):
+            for column, first in (
+                (self.start, self.virtual),
+                (self.weight, weight),
+                (self.state, IDLE),
+                (self.entry, 0),
+                (self.fresh, True),
+            ):
                 column.append(first)
         return slot
 
@@ -65,8 +70,8 @@
             self.total -= self.weight[slot]
             self.state[slot], self.entry[slot], self.backlogged = IDLE, 0, self.backlogged - 1
             if not self.backlogged:
-                self.total, self.quantum = 0.0, self.least   # no dust of sums and differences
-            else:   # what it is ahead of its share, the others are behind theirs: they have it to come
+                self.total, self.quantum = 0.0, self.least  # no dust of sums and differences
+            else:  # what it is ahead of its share, the others are behind theirs: they have it to come
                 self.virtual -= self.weight[slot] * (self.start[slot] - self.virtual) / self.total
 
     def park(self, slot):
@@ -99,7 +104,7 @@
             heappop(self.eligible)
         if self.eligible:
             return self.eligible[0][2]
-        return self.ahead[0][2] if self.ahead else -1   # all that may go are ahead of their shares
+        return self.ahead[0][2] if self.ahead else -1  # all that may go are ahead of their shares
 
     def charge(self, slot, work):
         """So much work of it was taken, or turned out to be needed (negative: was not needed)."""
@@ -133,7 +138,7 @@
             heappush(self.eligible, (self.due(slot), self.serial, slot))
         else:
             heappush(self.ahead, (self.start[slot], self.serial, slot))
-        for heap in (self.ahead, self.eligible):   # guards against heaps full of what corrections made stale
+        for heap in (self.ahead, self.eligible):  # guards against heaps full of what corrections made stale
             if len(heap) > 2 * self.ready + COMPACT:
                 heap[:] = [row for row in heap if not self._stale(row)]
                 heapify(heap)
--- a/gullhold/door/flows.py
+++ b/gullhold/door/flows.py
@@ -28,11 +28,11 @@
 
     def __init__(self, key, slot, shared):
         self.key, self.slot = key, slot
-        self.lanes = {}          # Lane by profile, of those that hold something
-        self.queued, self.bias = 0, 1.0   # commands; work against estimates
-        self.behind = 0          # commands that will come to it once an earlier one of their key has gone
-        self.names = {} if shared else None                  # of a shared one: commands that wait, by name
-        self.book, self.parked = Book(), 0   # parked: the parking that counts
+        self.lanes = {}  # Lane by profile, of those that hold something
+        self.queued, self.bias = 0, 1.0  # commands; work against estimates
+        self.behind = 0  # commands that will come to it once an earlier one of their key has gone
+        self.names = {} if shared else None  # of a shared one: commands that wait, by name
+        self.book, self.parked = Book(), 0  # parked: the parking that counts
 
     def backlog(self, profile):
         """Work that waits here, of a profile."""
@@ -48,8 +48,8 @@
     def __init__(self, index, slot, quantum):
         self.index, self.slot = index, slot
         self.fair, self.flows, self.by_slot = FairQueue(quantum), OrderedDict(), {}
-        self.parked, self.queued = {}, 0   # by profile: heap of (due, parking, flow)
-        self.serial, self.drains = 0, {}   # drains by profile
+        self.parked, self.queued = {}, 0  # by profile: heap of (due, parking, flow)
+        self.serial, self.drains = 0, {}  # drains by profile
 
     def flow(self, key, weight, shared):
         """The flow of a key, made if need be."""
@@ -127,8 +127,11 @@
     def _holds(self, row):
         """Guards turns: what a flow was parked with before it last went says nothing of its turn now."""
         _, serial, flow = row
-        return flow.parked == serial and self.by_slot.get(flow.slot) is flow and (
-            self.fair.state[flow.slot] == PARKED)
+        return (
+            flow.parked == serial
+            and self.by_slot.get(flow.slot) is flow
+            and (self.fair.state[flow.slot] == PARKED)
+        )
 
     def opened(self, profile):
         """One of a profile may go again: the parked flow that waits for it the longest, in its own time."""
--- a/gullhold/door/sketch.py
+++ b/gullhold/door/sketch.py
@@ -7,7 +7,7 @@
 from array import array
 from hashlib import blake2b
 
-ROWS, WIDTH = 4, 2048   # 64 KB each; an estimate is over by e/2048 of all work at most, but for 1 name in 50
+ROWS, WIDTH = 4, 2048  # 64 KB each; an estimate is over by e/2048 of all work at most, but for 1 name in 50
 
 
 class Sketch:
--- a/gullhold/door/whose.py
+++ b/gullhold/door/whose.py
@@ -4,8 +4,8 @@
 import socket
 from hashlib import blake2b
 
-NAME_MOST = 48   # bytes of a client's name that are kept as they are; longer ones count by their hash
-CLOSED = -1      # a tenant that this door does not know
+NAME_MOST = 48  # bytes of a client's name that are kept as they are; longer ones count by their hash
+CLOSED = -1  # a tenant that this door does not know
 
 
 class Whose:
@@ -21,6 +21,7 @@
         self.networks = None
         if rule.networks:
             import pytricia  # noqa: PLC0415  needed only where networks are named
+
             self.networks = pytricia.PyTricia(128, socket.AF_INET6)
             for net in rule.networks:
                 self.networks[mapped(ipaddress.ip_network(net.net, strict=False))] = net.name, net.each
--- a/gullhold/drill/frames.py
+++ b/gullhold/drill/frames.py
@@ -31,8 +31,16 @@
 DEBUG, BUG = 10, 4
 
 STATES = {0: api.GONE, 2: api.READY, 3: api.DRAINING}
-ENDINGS = {0: api.ANSWERED, 13: api.ERROR, 8: api.FULL, 4: api.TIMED_OUT, 14: api.NO_CONNECTION,
-           10: api.RESET, 1: api.CANCELLED, 9: api.MOOT}
+ENDINGS = {
+    0: api.ANSWERED,
+    13: api.ERROR,
+    8: api.FULL,
+    4: api.TIMED_OUT,
+    14: api.NO_CONNECTION,
+    10: api.RESET,
+    1: api.CANCELLED,
+    9: api.MOOT,
+}
 NOTES = {1: api.PROGRESS, 2: api.SPILLS, 3: api.WAITS}
 
 
@@ -44,7 +52,7 @@
         at += RECORD.size
         if at + size > end:
             raise ValueError(f"record of code {code} runs past its frame")
-        yield code, body[at:at + size]
+        yield code, body[at : at + size]
         at += size
 
 
--- a/gullhold/drill/host.py
+++ b/gullhold/drill/host.py
@@ -50,7 +50,7 @@
     def _new(self, who, fields):
         _, seed, size = frames.NEW_INSTANCE.unpack_from(fields)
         at = frames.NEW_INSTANCE.size
-        text = bytes(fields[at:at + size]).decode("utf-8", "replace")
+        text = bytes(fields[at : at + size]).decode("utf-8", "replace")
         self.gateways[who] = policy.Gateway(seed, agreement.read(agreement.tree_of(text)), self.now)
         return ()
 
@@ -65,9 +65,17 @@
         if who not in self.gateways:
             return ()
         return self.gateways[who].command(
-            self.now, job, profile, tenant, key, frames.micros(until),
-            frames.micros(work) if opts & 1 and isfinite(work) else 0, need,
-            int(group) if isfinite(group) else 0, bool(opts & MARKED_REPEAT))
+            self.now,
+            job,
+            profile,
+            tenant,
+            key,
+            frames.micros(until),
+            frames.micros(work) if opts & 1 and isfinite(work) else 0,
+            need,
+            int(group) if isfinite(group) else 0,
+            bool(opts & MARKED_REPEAT),
+        )
 
     def _established(self, who, fields):
         _, job, trial, _, _ = frames.ESTABLISHED.unpack_from(fields)
@@ -80,8 +88,17 @@
         at = frames.ANSWER.size
         size = min(size, (len(fields) - at) // 4)
         report = struct.unpack_from(f">{size}f", fields, at)
-        return self.gateways[who].ended(self.now, job, trial, frames.ENDINGS[ending], bool(closed),
-                                        frames.micros(rtt), (used >> 12) * 1000, (used & 4095) * 4, report)
+        return self.gateways[who].ended(
+            self.now,
+            job,
+            trial,
+            frames.ENDINGS[ending],
+            bool(closed),
+            frames.micros(rtt),
+            (used >> 12) * 1000,
+            (used & 4095) * 4,
+            report,
+        )
 
     def _gone(self, who, fields):
         job = frames.CLIENT_GONE.unpack_from(fields)[1]
@@ -101,5 +118,14 @@
             return ()
         return self.gateways[who].noted(self.now, job, trial, frames.NOTES[kind], value)
 
-    HANDLERS = {NEW_INSTANCE: _new, ANNOUNCE: _announce, ARRIVAL: _arrival, ESTABLISHED: _established,
-                ANSWER: _answer, CLIENT_GONE: _gone, TIMEOUT_FIRED: _timer, RETIRE: _retire, UPDATE_OF: _note}
+    HANDLERS = {
+        NEW_INSTANCE: _new,
+        ANNOUNCE: _announce,
+        ARRIVAL: _arrival,
+        ESTABLISHED: _established,
+        ANSWER: _answer,
+        CLIENT_GONE: _gone,
+        TIMEOUT_FIRED: _timer,
+        RETIRE: _retire,
+        UPDATE_OF: _note,
+    }
--- a/gullhold/fleet/calendar.py
+++ b/gullhold/fleet/calendar.py
@@ -11,7 +11,7 @@
 
 from gullhold.fleet.lease import MILLION
 
-BEHIND_MOST = 10_000   # missed occurrences that are counted one by one; older ones are "at least so many"
+BEHIND_MOST = 10_000  # missed occurrences that are counted one by one; older ones are "at least so many"
 
 
 class Bad(Exception):
--- a/gullhold/fleet/calls.py
+++ b/gullhold/fleet/calls.py
@@ -9,7 +9,7 @@
 # What a reply proves. MAYBE: the call may have been carried out, now or later, and must not be guessed at.
 DONE, NOT_DONE, MAYBE = "done", "not done", "may have been done"
 
-TXN_MOST = 100   # compares, or acts, in one transaction: the published default allows 128
+TXN_MOST = 100  # compares, or acts, in one transaction: the published default allows 128
 
 
 class Item(NamedTuple):
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -28,12 +28,12 @@
 from gullhold.revisions.driver import LANES as POLICY_LANES
 from gullhold.revisions.driver import Policies
 
-KEYS = "/gullhold/"       # before a fleet's name: other programs may use the register too
-PLAN, BEAT = "schedule/", "beat/"   # duties, by what they are for
-BEATS = "beats/"          # keys of what beats write
-IDLE_S = 0.5              # s, the longest sleep of the deciding thread: a clock that jumps is noticed by then
-QUIET_LEASES = 2          # lease times for which a watch may say nothing before it is opened anew
-LEAST_S = 0.002           # s, the shortest: what is due at once and can't be done now does not spin
+KEYS = "/gullhold/"  # before a fleet's name: other programs may use the register too
+PLAN, BEAT = "schedule/", "beat/"  # duties, by what they are for
+BEATS = "beats/"  # keys of what beats write
+IDLE_S = 0.5  # s, the longest sleep of the deciding thread: a clock that jumps is noticed by then
+QUIET_LEASES = 2  # lease times for which a watch may say nothing before it is opened anew
+LEAST_S = 0.002  # s, the shortest: what is due at once and can't be done now does not spin
 
 
 class Unusable(Exception):
@@ -116,21 +116,32 @@
         timeout_s = record.timeout / MILLION
         self.make = lambda: Register(record.register_, f"{KEYS}{record.name}/", timeout_s)
         terms = Terms(record.lease // MILLION, record.drift.rate, record.drift.margin)
-        rule = owner.Rule(terms, record.duties.settle, record.duties.moves, record.duties.pauses.least,
-                          record.duties.pauses.most, record.duties.leaving)
+        rule = owner.Rule(
+            terms,
+            record.duties.settle,
+            record.duties.moves,
+            record.duties.pauses.least,
+            record.duties.pauses.most,
+            record.duties.leaving,
+        )
         self.plans = {PLAN + item.name: self._plan(item, told["deal"]) for item in record.schedule}
         self.commands = {PLAN + item.name: item for item in record.schedule}
         duties = [*self.plans, *(f"{BEAT}{i}" for i in range(record.duties.beats))]
         duties += [dividing.DUTY] if record.budgets else []
         duties += [CARRIES] if record.policy.on else []
-        self.owner = owner.Owner(self.name, f"{self.chance.getrandbits(64):016x}", rule, duties,
-                                 self.chance.random, clock())
+        self.owner = owner.Owner(
+            self.name, f"{self.chance.getrandbits(64):016x}", rule, duties, self.chance.random, clock()
+        )
         self.beats = Beats(self, record.duties.beat)
-        self.desk = Desk(core, Reader(told["deal"]),
-                         lambda *told_: self.queue.put(("answered", *told_)), self.chance.getrandbits)
-        self.asked = {}                   # commands that are out: their duty
-        self.away_since = None            # since when the register does not answer
-        self.held, self.watchers = {}, {}   # by duty: what holds its keys; what follows them
+        self.desk = Desk(
+            core,
+            Reader(told["deal"]),
+            lambda *told_: self.queue.put(("answered", *told_)),
+            self.chance.getrandbits,
+        )
+        self.asked = {}  # commands that are out: their duty
+        self.away_since = None  # since when the register does not answer
+        self.held, self.watchers = {}, {}  # by duty: what holds its keys; what follows them
         try:
             self.budgets = Budgets(self, record, told["deal"], clock) if record.budgets else None
         except Unfit as fault:
@@ -151,10 +162,12 @@
             calendar = Calendar(item.at, item.zone, item.every)
         except Bad as fault:
             raise Unusable(f"{where}: {fault}") from None
-        rule = schedule.Rule(item.name, item.window, item.tries, item.overlap == "wait",
-                             self.record.drift.skew)
-        kind = schedule.Kind(profile.effect, profile.timeout_us, profile.dedup_us,
-                             profile.dedup_scope == api.ALL)
+        rule = schedule.Rule(
+            item.name, item.window, item.tries, item.overlap == "wait", self.record.drift.skew
+        )
+        kind = schedule.Kind(
+            profile.effect, profile.timeout_us, profile.dedup_us, profile.dedup_scope == api.ALL
+        )
         return schedule.Plan(rule, kind, calendar, self.name)
 
     # From other threads
@@ -163,9 +176,16 @@
         """Begin, in threads of its own."""
         if self.record.events:
             logger.add(self.record.events, serialize=True, filter=lambda line: "fleet" in line["extra"])
-        self.lanes = {name: Lane(name, self.make, lambda *told: self.queue.put(told))
-                      for name in (owner.LEASE, owner.STATE, "work", *(LANES if self.budgets else ()),
-                                   *(POLICY_LANES if self.policies else ()))}
+        self.lanes = {
+            name: Lane(name, self.make, lambda *told: self.queue.put(told))
+            for name in (
+                owner.LEASE,
+                owner.STATE,
+                "work",
+                *(LANES if self.budgets else ()),
+                *(POLICY_LANES if self.policies else ()),
+            )
+        }
         self.work, self.members = self.lanes["work"], self._watcher("members", owner.MEMBERS, "changed")
         for part in (self.budgets, self.policies):
             if part:
@@ -175,9 +195,15 @@
     def _watcher(self, name, prefix, what, *of):
         """Changes of these keys come as this event; where some were missed, as `missed` with its name."""
         pauses = Pauses(self.record.duties.pauses.least, self.record.duties.pauses.most, self.chance.random)
-        return Watcher(name, self.make, prefix, QUIET_LEASES * self.record.lease / MILLION, pauses,
-                       lambda *told: self.queue.put((what, *of, *told)),
-                       lambda: self.queue.put(("missed", what, *of)))
+        return Watcher(
+            name,
+            self.make,
+            prefix,
+            QUIET_LEASES * self.record.lease / MILLION,
+            pauses,
+            lambda *told: self.queue.put((what, *of, *told)),
+            lambda: self.queue.put(("missed", what, *of)),
+        )
 
     def leave(self):
         """SIGTERM: give back in good order; `gone` is set when that is done."""
@@ -286,8 +312,9 @@
                     self.work.put(Read(told[0]), "plan_read", duty)
                 elif what == schedule.WRITE:
                     serial, token, acts, when = told
-                    self.work.put(self.owner.effect(duty, token, acts, when), "plan_written", duty, serial,
-                                  token)
+                    self.work.put(
+                        self.owner.effect(duty, token, acts, when), "plan_written", duty, serial, token
+                    )
                 elif what == schedule.BUSY:
                     self.owner.occupied(duty, told[0])
                 elif what == schedule.SEND:
@@ -307,8 +334,12 @@
     def event(self, level, text, **facts):
         """A line for staff, with its facts as fields."""
         fields = {"fleet": self.record.name, "member": self.name, "event": text, **facts}
-        logger.bind(**fields).log(level.upper(), "fleet: {}{}", text, "".join(
-            f"; {name} {value}" for name, value in facts.items() if value not in ("", None)))
+        logger.bind(**fields).log(
+            level.upper(),
+            "fleet: {}{}",
+            text,
+            "".join(f"; {name} {value}" for name, value in facts.items() if value not in ("", None)),
+        )
 
     def refused(self, duty, token, reply):
         """Say so where the register refused an effect."""
--- a/gullhold/fleet/errands.py
+++ b/gullhold/fleet/errands.py
@@ -6,7 +6,7 @@
 from gullhold.net import thrift
 from gullhold.net.front import Refused
 
-SCALE = 1000   # us in a millisecond
+SCALE = 1000  # us in a millisecond
 
 
 class _Open:
@@ -24,7 +24,7 @@
     tell(number, state, why): called once for each command that was asked for. bits: of chance, for ids.
     """
 
-    peer = ("", "fleet")   # where it connects from, as other clients have it
+    peer = ("", "fleet")  # where it connects from, as other clients have it
 
     def __init__(self, core, reader, tell, bits):
         self.core, self.reader, self.tell, self.bits = core, reader, tell, bits
@@ -38,10 +38,15 @@
         sent any more. mark: 32 hex digits by which engines know a repeat.
         """
         number = next(self.serial)
-        fields = {b"verb": command.profile.encode(), b"team": command.tenant.encode(),
-                  b"txn": b"%016x" % self.bits(64),
-                  b"limit": b"%d" % max(1, limit_us // SCALE), b"unique": mark.encode(),
-                  b"cpu": b"%d" % (command.work // SCALE), b"memory": b"%d" % command.memory}
+        fields = {
+            b"verb": command.profile.encode(),
+            b"team": command.tenant.encode(),
+            b"txn": b"%016x" % self.bits(64),
+            b"limit": b"%d" % max(1, limit_us // SCALE),
+            b"unique": mark.encode(),
+            b"cpu": b"%d" % (command.work // SCALE),
+            b"memory": b"%d" % command.memory,
+        }
         if again:
             fields[b"second"] = b"1"
         try:
--- a/gullhold/fleet/holding.py
+++ b/gullhold/fleet/holding.py
@@ -7,9 +7,9 @@
 
 from gullhold.fleet.calls import DONE
 
-READ, WRITE, FOLLOW, TELL = range(4)   # what it hands out
-IDLE_US = 2_000_000    # us between steps while nothing is told: all that comes makes a step
-AGAIN_US = 200_000     # us until the next try after a reply that proves nothing
+READ, WRITE, FOLLOW, TELL = range(4)  # what it hands out
+IDLE_US = 2_000_000  # us between steps while nothing is told: all that comes makes a step
+AGAIN_US = 200_000  # us until the next try after a reply that proves nothing
 
 
 class Holder:
@@ -27,10 +27,10 @@
 
     def __init__(self, root):
         self.root, self.token, self.out, self.serials = root, 0, [], count(1)
-        self.reading, self.writing = None, None   # serials of the calls under way
+        self.reading, self.writing = None, None  # serials of the calls under way
         self.again_at, self.loaded = 0, False
-        self.newest = self.known = 0   # revision that we were told of: now, and when a read was asked for
-        self.early = []   # changes that came before the reply to READ: it may not show them
+        self.newest = self.known = 0  # revision that we were told of: now, and when a read was asked for
+        self.early = []  # changes that came before the reply to READ: it may not show them
 
     def take(self):
         """What is to be done now, in order."""
--- a/gullhold/fleet/lease.py
+++ b/gullhold/fleet/lease.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-MILLION = 1_000_000   # us in a second, and parts in a whole
+MILLION = 1_000_000  # us in a second, and parts in a whole
 
 
 class Terms(NamedTuple):
--- a/gullhold/fleet/owner.py
+++ b/gullhold/fleet/owner.py
@@ -19,12 +19,12 @@
 # LEAVING: gives back. OUT: has left for good, or a later process has its name.
 ALONE, READING, JOINING, IN, LEAVING, OUT = "alone", "reading", "joining", "in", "leaving", "out"
 MEMBERS, DUTIES = "members/", "duties/"
-CALL, WON, GONE, WATCH, EVENT = range(5)   # what it hands out, with: a Call; a duty, a token; a duty, why;
-                                           # the revision to watch members from; a name, and facts about it
-LEASE, STATE = "lease", "state"            # the lanes
-BATCH = calls.TXN_MOST - 1   # duties in one transaction, beside our own key
-AUDIT_LEASES = 5   # lease times between looks at what hangs on our lease: a call that was given up may have
-                   # been carried out after all
+CALL, WON, GONE, WATCH, EVENT = range(5)  # what it hands out, with: a Call; a duty, a token; a duty, why;
+# the revision to watch members from; a name, and facts about it
+LEASE, STATE = "lease", "state"  # the lanes
+BATCH = calls.TXN_MOST - 1  # duties in one transaction, beside our own key
+AUDIT_LEASES = 5  # lease times between looks at what hangs on our lease: a call that was given up may have
+# been carried out after all
 
 
 def lane_of(request):
@@ -71,14 +71,14 @@
         self.claim_pauses = Pauses(rule.pause_least, rule.pause_most, chance)
         self.moves = Moves(rule.moves, now)
         self.state, self.out, self.under_way, self.retry_at = ALONE, [], {}, {LEASE: 0, STATE: 0}
-        self.serial, self.void = 0, 0        # calls up to `void` were for a lease that is no more
-        self.seen = 0                        # the newest revision that we were told of
+        self.serial, self.void = 0, 0  # calls up to `void` were for a lease that is no more
+        self.seen = 0  # the newest revision that we were told of
         self.key_revision, self.ready, self.ready_at, self.incarnation = 0, False, 0, 0
-        self.members, self.look_again = {}, False      # name: ready; whether to read them anew
-        self.tokens = {}                     # duties whose key is ours
-        self.wanted, self.excess = {}, {}    # duties to claim: when; to let go: the token
-        self.known = {}                      # of those to claim: the revision of a key that is ours already
-        self.unsure, self.busy = {}, set()   # to look at again; not to be let go in the middle of work
+        self.members, self.look_again = {}, False  # name: ready; whether to read them anew
+        self.tokens = {}  # duties whose key is ours
+        self.wanted, self.excess = {}, {}  # duties to claim: when; to let go: the token
+        self.known = {}  # of those to claim: the revision of a key that is ours already
+        self.unsure, self.busy = {}, set()  # to look at again; not to be let go in the middle of work
         self.audit_at, self.leave_at = 0, 0
 
     # What the driver calls
@@ -150,7 +150,7 @@
     def changed(self, now, key, value, revision):
         """A member's key changed; value None: it was deleted."""
         if revision <= self.seen and self.state not in (IN, LEAVING):
-            return   # older than what a read told
+            return  # older than what a read told
         self.seen = max(self.seen, revision)
         name = key.removeprefix(MEMBERS)
         told = written(value) if value is not None else None
@@ -160,13 +160,13 @@
             elif told.get("nonce") != self.nonce:
                 if since(told, revision) > self.incarnation:
                     self._superseded(now)
-                else:   # an earlier process found our key gone: we write over it
+                else:  # an earlier process found our key gone: we write over it
                     self._lose(now, "its key ended")
             else:
                 self.key_revision, self.ready = revision, bool(told.get("ready"))
         if told is None:
             self.members.pop(name, None)
-            for duty in self.wanted:   # what it owned is free now
+            for duty in self.wanted:  # what it owned is free now
                 self.wanted[duty] = now
         else:
             self.members[name] = bool(told.get("ready"))
@@ -266,7 +266,7 @@
         ours = item is not None and written(item.value).get("nonce") == self.nonce
         wanted = self.spread.owner.get(duty) == self.name
         self.known.pop(duty, None)
-        if ours and wanted:   # a call whose reply was lost: written anew, so that no older call can undo it
+        if ours and wanted:  # a call whose reply was lost: written anew, so that no older call can undo it
             self.known[duty], self.wanted[duty] = item.revision, now
         elif ours:
             self.excess[duty] = item.revision
@@ -283,7 +283,7 @@
         return ("keep", Keep(self.lease.id), ()) if now >= self.lease.keep_at() else None
 
     def _replied_grant(self, now, call, reply):
-        if reply.proof == DONE:   # else the register may have one that nothing hangs on: it ends by itself
+        if reply.proof == DONE:  # else the register may have one that nothing hangs on: it ends by itself
             self.lease.kept(reply.lease, call.sent_at)
             if self.state == ALONE:
                 self._become(READING, "has a lease")
@@ -307,11 +307,11 @@
         if self.state == READING or self.look_again and self.state == IN:
             return "read", Read(MEMBERS), ()
         if self.state == JOINING:
-            first = not any(self.members.values())   # nobody to move duties from: no reason to wait
+            first = not any(self.members.values())  # nobody to move duties from: no reason to wait
             return "join", Txn(((own, self.key_revision),), (self._own(first),)), (first,)
         if self.state == LEAVING:
             idle = [(duty, token) for duty, token in self.tokens.items() if duty not in self.busy][:BATCH]
-            return self._release(idle) if idle and self.busy else None   # else one call frees them all
+            return self._release(idle) if idle and self.busy else None  # else one call frees them all
         if self.state != IN:
             return None
         if not self.ready and now >= self.ready_at:
@@ -347,15 +347,22 @@
             return None
         keys = tuple((DUTIES + duty, self.known.get(duty, 0)) for duty in about)
         value = json.dumps({"owner": self.name, "nonce": self.nonce, "incarnation": self.incarnation})
-        return "claim", Txn(((MEMBERS + self.name, self.key_revision), *keys),
-                            tuple(Put(key, value, self.lease.id) for key, _ in keys),
-                            tuple(Get(key) for key, _ in keys)), tuple(about)
+        return (
+            "claim",
+            Txn(
+                ((MEMBERS + self.name, self.key_revision), *keys),
+                tuple(Put(key, value, self.lease.id) for key, _ in keys),
+                tuple(Get(key) for key, _ in keys),
+            ),
+            tuple(about),
+        )
 
     def _replied_read(self, now, call, reply):
         if reply.proof != DONE:
             return
-        self.members = {item.key.removeprefix(MEMBERS): bool(written(item.value).get("ready"))
-                        for item in reply.items}
+        self.members = {
+            item.key.removeprefix(MEMBERS): bool(written(item.value).get("ready")) for item in reply.items
+        }
         own = next((item for item in reply.items if item.key == MEMBERS + self.name), None)
         ours = own is not None and written(own.value).get("nonce") == self.nonce
         self.look_again = False
@@ -364,7 +371,7 @@
             self._superseded(now)
             return
         self.out.append((WATCH, reply.revision + 1))
-        if ours and own.lease == self.lease.id:   # also where the reply to our joining was lost
+        if ours and own.lease == self.lease.id:  # also where the reply to our joining was lost
             self._joined(now, own.revision, bool(written(own.value).get("ready")))
         elif self.state == IN:
             self._lose(now, "its key ended")
@@ -376,14 +383,14 @@
         if reply.proof == DONE and reply.met:
             self.members[self.name] = call.about[0]
             self._joined(now, reply.revision, call.about[0])
-        else:   # somebody else wrote it, or we may have: a read tells
+        else:  # somebody else wrote it, or we may have: a read tells
             self.key_revision = 0
             self._become(READING, "does not know whether it joined")
 
     def _joined(self, now, revision, ready):
         fresh, self.key_revision, self.ready = self.state != IN, revision, ready
         if fresh:
-            self.incarnation = self.incarnation or revision   # of its first joining: the later process wins
+            self.incarnation = self.incarnation or revision  # of its first joining: the later process wins
             self.ready_at, self.audit_at = now + self.rule.settle_us, now + self._audit_us()
             self._become(IN, "joined")
         self._desire(now)
@@ -415,9 +422,9 @@
                 self.wanted.pop(duty, None)
                 self.known.pop(duty, None)
                 self._won(duty, reply.revision)
-                self._sort(now, duty)   # it may be another's by now
+                self._sort(now, duty)  # it may be another's by now
         elif reply.proof == DONE:
-            self.look_again = self.look_again or not reply.items   # our own key is not what we thought
+            self.look_again = self.look_again or not reply.items  # our own key is not what we thought
             self._items(now, call, reply)
         elif reply.proof == MAYBE:
             self._unsure(call.about)
@@ -441,8 +448,8 @@
         self.audit_at = now + self._audit_us()
         held = {key.removeprefix(DUTIES) for key in reply.keys if key.startswith(DUTIES)}
         for duty in held - set(self.tokens) - set(self.unsure):
-            self._unsure((duty,))   # a call that was given up was carried out after all
-        for duty in set(self.tokens) - held:   # nobody but us deletes it while the lease holds
+            self._unsure((duty,))  # a call that was given up was carried out after all
+        for duty in set(self.tokens) - held:  # nobody but us deletes it while the lease holds
             self._gone(duty, "its key ended")
             self.excess.pop(duty, None)
             self._sort(now, duty)
--- a/gullhold/fleet/pace.py
+++ b/gullhold/fleet/pace.py
@@ -1,7 +1,7 @@
 """How often: pauses that grow and are spread, and moves a second. Decisions only."""
 
-GROWTH = 2.0    # each pause over the one before
-SPREAD = 0.5    # of a pause, drawn at random: members that failed together do not come back together
+GROWTH = 2.0  # each pause over the one before
+SPREAD = 0.5  # of a pause, drawn at random: members that failed together do not come back together
 
 
 class Pauses:
--- a/gullhold/fleet/register.py
+++ b/gullhold/fleet/register.py
@@ -28,8 +28,8 @@
 )
 from gullhold.net import host_port
 
-API = "/v3/"           # stated, so that no call is spent on asking for the version
-NOT_FOUND = 5          # the interface's code of what is not there
+API = "/v3/"  # stated, so that no call is spent on asking for the version
+NOT_FOUND = 5  # the interface's code of what is not there
 
 
 def _to(text):
@@ -52,7 +52,7 @@
         host, port = host_port(address)
         self.prefix, self.timeout_s = prefix, timeout_s
         self.client = Etcd3Client(host=host, port=port, timeout=timeout_s, api_path=API)
-        self.client.session.trust_env = False   # no proxy of the environment stands between
+        self.client.session.trust_env = False  # no proxy of the environment stands between
 
     def call(self, request):
         """Carry one request out; its Reply. Never raises for what the other side does."""
@@ -62,10 +62,10 @@
         except Etcd3Exception as fault:
             if reads or _never_sent(fault) or _said_no(fault):
                 found = isinstance(request, Revoke) and _said_no(fault)
-                return Reply(DONE if found else NOT_DONE)   # no such lease: it has ended already
+                return Reply(DONE if found else NOT_DONE)  # no such lease: it has ended already
             return Reply(MAYBE)
         except (OSError, ValueError, KeyError, TypeError, requests.RequestException):
-            return Reply(NOT_DONE if reads else MAYBE)   # an answer that can't be read
+            return Reply(NOT_DONE if reads else MAYBE)  # an answer that can't be read
 
     def _call(self, request):
         post = self._post
@@ -84,21 +84,37 @@
         if isinstance(request, Read):
             told = post("kv/range", self._range(request.prefix))
             return Reply(DONE, _revision(told), items=self._items(told))
-        told = post("kv/txn", {
-            "compare": [{"key": _to(self.prefix + key), "target": "MOD", "result": "EQUAL",
-                         "mod_revision": revision} for key, revision in request.when],
-            "success": [self._act(act) for act in request.acts],
-            "failure": [self._act(act) for act in request.others]})
-        items = [item for part in told.get("responses", ()) for item in
-                 self._items(part.get("response_range", {}))]
+        told = post(
+            "kv/txn",
+            {
+                "compare": [
+                    {
+                        "key": _to(self.prefix + key),
+                        "target": "MOD",
+                        "result": "EQUAL",
+                        "mod_revision": revision,
+                    }
+                    for key, revision in request.when
+                ],
+                "success": [self._act(act) for act in request.acts],
+                "failure": [self._act(act) for act in request.others],
+            },
+        )
+        items = [
+            item for part in told.get("responses", ()) for item in self._items(part.get("response_range", {}))
+        ]
         return Reply(DONE, _revision(told), met=bool(told.get("succeeded")), items=tuple(items))
 
     def watch(self, prefix, revision, seconds, tell):
         """Follow changes of keys with this prefix from a revision on, until the stream ends or says nothing
         for so long. tell(key, value or None, revision) for each. False: the history back to there is gone."""
         payload = self._range(prefix) | {"start_revision": revision}
-        told = self.client.session.post(self.client.get_url("watch"), json={"create_request": payload},
-                                        stream=True, timeout=(self.timeout_s, seconds))
+        told = self.client.session.post(
+            self.client.get_url("watch"),
+            json={"create_request": payload},
+            stream=True,
+            timeout=(self.timeout_s, seconds),
+        )
         with told:
             told.raise_for_status()
             for line in told.iter_lines(chunk_size=None):
@@ -112,8 +128,11 @@
                 for event in result.get("events", ()):
                     item = event["kv"]
                     gone = event.get("type") == "DELETE"
-                    tell(_from(item["key"]).removeprefix(self.prefix),
-                         None if gone else _from(item.get("value", "")), int(item["mod_revision"]))
+                    tell(
+                        _from(item["key"]).removeprefix(self.prefix),
+                        None if gone else _from(item.get("value", "")),
+                        int(item["mod_revision"]),
+                    )
         return True
 
     def close(self):
@@ -127,16 +146,25 @@
         return {"key": _to(self.prefix + prefix), "range_end": _to(_beyond(self.prefix + prefix))}
 
     def _items(self, told):
-        return tuple(Item(_from(item["key"]).removeprefix(self.prefix), _from(item.get("value", "")),
-                          int(item["mod_revision"]), int(item.get("lease", 0)))
-                     for item in told.get("kvs", ()))
+        return tuple(
+            Item(
+                _from(item["key"]).removeprefix(self.prefix),
+                _from(item.get("value", "")),
+                int(item["mod_revision"]),
+                int(item.get("lease", 0)),
+            )
+            for item in told.get("kvs", ())
+        )
 
     def _act(self, act):
         if isinstance(act, Put):
             put = {"key": _to(self.prefix + act.key), "value": _to(act.value)}
             return {"request_put": put | ({"lease": act.lease} if act.lease else {})}
-        return {"request_range" if isinstance(act, Get) else "request_delete_range":
-                {"key": _to(self.prefix + act.key)}}
+        return {
+            "request_range" if isinstance(act, Get) else "request_delete_range": {
+                "key": _to(self.prefix + act.key)
+            }
+        }
 
 
 def _revision(told):
@@ -148,7 +176,8 @@
     cause = fault.__context__
     inner = cause.args[0] if isinstance(cause, requests.ConnectionError) and cause.args else None
     return isinstance(cause, requests.ConnectTimeout) or (
-        isinstance(inner, MaxRetryError) and isinstance(inner.reason, NewConnectionError))
+        isinstance(inner, MaxRetryError) and isinstance(inner.reason, NewConnectionError)
+    )
 
 
 def _said_no(fault):
--- a/gullhold/fleet/schedule.py
+++ b/gullhold/fleet/schedule.py
@@ -18,11 +18,11 @@
 INTENT, SHED, UNDONE, ANSWERED, FAILED, SKIPPED = "intent", "shed", "undone", "answered", "failed", "skipped"
 OPEN = (INTENT, SHED, UNDONE)
 PLAN = "plan/"
-READ, WRITE, SEND, BUSY, TELL = range(5)   # what a Plan hands out
-KEPT = 20                 # settled records that stay, for staff and for who owns the command next
-LEAST_PART = 0.1          # of the client timeout: with less time left a try is not begun
-AGAIN_US = 500_000        # us until the next try after one without effect, as a client would wait
-STEP_US = 20_000          # us between steps at least: calendars are in seconds
+READ, WRITE, SEND, BUSY, TELL = range(5)  # what a Plan hands out
+KEPT = 20  # settled records that stay, for staff and for who owns the command next
+LEAST_PART = 0.1  # of the client timeout: with less time left a try is not begun
+AGAIN_US = 500_000  # us until the next try after one without effect, as a client would wait
+STEP_US = 20_000  # us between steps at least: calendars are in seconds
 
 
 class Kind(NamedTuple):
@@ -86,7 +86,7 @@
     late = now > record.due_us + rule.window_us
     if record.tries >= rule.tries:
         return 0, f"{record.tries} tries"
-    if record.state != INTENT:   # it provably had no effect: trying again is harmless
+    if record.state != INTENT:  # it provably had no effect: trying again is harmless
         return (0, "its window is over") if late else (kind.timeout_us, "")
     if kind.effect == NON_REPLAYABLE:
         return 0, "it may have run: its owner vanished or was told a failure; check its effect by hand"
@@ -94,7 +94,7 @@
         return 0, "it may have run, and its window is over"
     if kind.effect == REPLAYABLE:
         return kind.timeout_us, ""
-    if not kind.everywhere:   # the engines that know the mark are known to the vanished owner alone
+    if not kind.everywhere:  # the engines that know the mark are known to the vanished owner alone
         return 0, "it may have run, and not all engines would drop a repeat"
     # Never past the time for which engines remember the mark, counted from before it can have run.
     left = min(kind.timeout_us, record.began_us + kind.dedup_us - rule.skew_us - now)
@@ -115,11 +115,11 @@
         self.rule, self.kind, self.calendar, self.by = rule, kind, calendar, by
         self.prefix = f"{PLAN}{rule.name}/"
         self.token, self.serial, self.out, self.leaving = 0, 0, [], False
-        self.loaded, self.reading, self.writing = False, False, None   # writing: (serial, purpose, record)
+        self.loaded, self.reading, self.writing = False, False, None  # writing: (serial, purpose, record)
         self.upto, self.records, self.revisions = 0, {}, {}
-        self.flight, self.result, self.unsent = None, None, None       # records: out; over; written, not sent
+        self.flight, self.result, self.unsent = None, None, None  # records: out; over; written, not sent
         self.again_at, self.pause_until = {}, 0
-        self.off = False   # a policy says that it does not run
+        self.off = False  # a policy says that it does not run
 
     def take(self):
         """What is to be done now, in order."""
@@ -159,13 +159,13 @@
         if not self.loaded:
             self.reading = True
             self.out.append((READ, self.prefix))
-        elif not self.upto:   # a new command begins with what is due from now on
+        elif not self.upto:  # a new command begins with what is due from now on
             self._write("start", None, now)
         elif self.result:
             record, self.result = self.result, None
             old = self.records.get(record.due_us)
             if old and (old.token, old.tries, old.state) == (record.token, record.tries, INTENT):
-                self._write("settle", record, self.upto)   # else somebody else went on with it
+                self._write("settle", record, self.upto)  # else somebody else went on with it
             else:
                 self.step(now)
         elif self.leaving:
@@ -182,7 +182,7 @@
         return None
 
     def _recover(self, record, now):
-        if self.unsent == record:   # our own intent, written after all, and never sent
+        if self.unsent == record:  # our own intent, written after all, and never sent
             self._intend(record, now)
             return
         limit, why = recover(self.rule, self.kind, record, now)
@@ -213,8 +213,9 @@
         self._write("skip", Record(due, SKIPPED, self.token, 0, now, self.by, why, count), due)
 
     def _intend(self, record, now):
-        record = record._replace(state=INTENT, token=self.token, by=self.by, began_us=record.began_us or now,
-                                 why="")
+        record = record._replace(
+            state=INTENT, token=self.token, by=self.by, began_us=record.began_us or now, why=""
+        )
         self.out.append((BUSY, True))
         self.again_at.pop(record.due_us, None)
         self._write("intent", record, max(self.upto, record.due_us))
@@ -266,11 +267,11 @@
         _, purpose, record = self.writing
         self.writing = None
         if reply.proof != DONE or not reply.met:
-            if purpose == "intent":   # whether or not it stands: nothing went out for it
+            if purpose == "intent":  # whether or not it stands: nothing went out for it
                 self.unsent = record
                 self.out.append((BUSY, False))
             elif purpose == "settle" and record.due_us in self.records:
-                self.result = record   # tried again, unless a read shows that it stands or is another's now
+                self.result = record  # tried again, unless a read shows that it stands or is another's now
             self.loaded, self.pause_until = False, now + AGAIN_US // 2
             return
         for due in self._old():
@@ -282,14 +283,15 @@
             self.upto = max(self.upto, record.due_us)
         if purpose == "intent" and may_act:
             self._send(record, now)
-        elif purpose == "intent":   # it may be ours again soon, or another's: nothing went out
+        elif purpose == "intent":  # it may be ours again soon, or another's: nothing went out
             self.unsent, self.pause_until = record, now + AGAIN_US // 2
         elif purpose in ("settle", "skip"):
             if purpose == "settle":
                 self.out.append((BUSY, record.state in OPEN))
             level = {FAILED: "error", SKIPPED: "warning"}.get(record.state, "info")
-            self._tell(level, record.state, due=record.due_us, tries=record.tries, why=record.why,
-                       count=record.count)
+            self._tell(
+                level, record.state, due=record.due_us, tries=record.tries, why=record.why, count=record.count
+            )
         self.step(now)
 
     def _send(self, record, now):
@@ -313,7 +315,7 @@
         if state in (SHED, UNDONE, FAILED):
             self.again_at[record.due_us] = now + AGAIN_US
         if state == FAILED and self.kind.effect != NON_REPLAYABLE and record.tries < self.rule.tries:
-            self.step(now)   # the intent stands; recover() says what may follow
+            self.step(now)  # the intent stands; recover() says what may follow
             return
         self.result = record._replace(state=state, why=why)
         self.step(now)
--- a/gullhold/fleet/show.py
+++ b/gullhold/fleet/show.py
@@ -28,21 +28,40 @@
         for item in read(owner.DUTIES):
             name = owner.written(item.value).get("owner")
             counts[name] = counts.get(name, 0) + 1
-        return [{"member": item.key.removeprefix(owner.MEMBERS),
-                 "ready": bool(owner.written(item.value).get("ready")),
-                 "incarnation": owner.since(owner.written(item.value), item.revision),
-                 "duties": counts.get(item.key.removeprefix(owner.MEMBERS), 0)}
-                for item in read(owner.MEMBERS)]
+        return [
+            {
+                "member": item.key.removeprefix(owner.MEMBERS),
+                "ready": bool(owner.written(item.value).get("ready")),
+                "incarnation": owner.since(owner.written(item.value), item.revision),
+                "duties": counts.get(item.key.removeprefix(owner.MEMBERS), 0),
+            }
+            for item in read(owner.MEMBERS)
+        ]
     if what == "duties":
-        return [{"duty": item.key.removeprefix(owner.DUTIES), "owner": owner.written(item.value).get("owner"),
-                 "token": item.revision} for item in read(owner.DUTIES)]
+        return [
+            {
+                "duty": item.key.removeprefix(owner.DUTIES),
+                "owner": owner.written(item.value).get("owner"),
+                "token": item.revision,
+            }
+            for item in read(owner.DUTIES)
+        ]
     found = []
     for item in read(schedule.PLAN):
         record = schedule.record_of(item.value) if "/run/" in item.key else None
         if record:
-            found.append({"command": item.key.split("/")[1], "due": _when(record.due_us),
-                          "state": record.state, "tries": record.tries, "by": record.by,
-                          "token": record.token, "why": record.why, "count": record.count})
+            found.append(
+                {
+                    "command": item.key.split("/")[1],
+                    "due": _when(record.due_us),
+                    "state": record.state,
+                    "tries": record.tries,
+                    "by": record.by,
+                    "token": record.token,
+                    "why": record.why,
+                    "count": record.count,
+                }
+            )
     return sorted(found, key=lambda row: (row["due"], row["command"]))
 
 
--- a/gullhold/fleet/watch.py
+++ b/gullhold/fleet/watch.py
@@ -38,14 +38,14 @@
 
             try:
                 whole = session.watch(self.prefix, revision, self.quiet_s, tell)
-                if not whole:   # what changed meanwhile is not to be had
+                if not whole:  # what changed meanwhile is not to be had
                     self.missed()
                     revision = self.where.get()
                     continue
             except (OSError, ValueError, KeyError, requests.RequestException):
-                pass   # silence, or a register that is away
+                pass  # silence, or a register that is away
             revision = max(revision, last[0])
-            if time.monotonic() - began >= self.quiet_s:   # it was up, and nothing changed
+            if time.monotonic() - began >= self.quiet_s:  # it was up, and nothing changed
                 self.pauses.reset()
             else:
                 time.sleep(self.pauses.draw() / MILLION)
--- a/gullhold/net/__init__.py
+++ b/gullhold/net/__init__.py
@@ -4,7 +4,7 @@
 import struct
 from contextlib import suppress
 
-OPTION_TRIES = 8   # of one option of a socket; each is refused for a moment at most
+OPTION_TRIES = 8  # of one option of a socket; each is refused for a moment at most
 
 
 def host_port(address):
--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -2,7 +2,7 @@
 
 from gullhold.net.endings import Malformed
 
-FIRST = 4096   # bytes: a page of memory, enough for most messages
+FIRST = 4096  # bytes: a page of memory, enough for most messages
 
 
 class Buffer:
@@ -17,7 +17,7 @@
     def receive(self, sock):
         """Read once from a socket into the free tail; how many bytes came."""
         self._make_room(1)
-        with memoryview(self.data) as view, view[self.end:] as tail:
+        with memoryview(self.data) as view, view[self.end :] as tail:
             count = sock.recv_into(tail)
         self.end += count
         return count
@@ -25,13 +25,13 @@
     def put(self, data):
         """Take bytes that are at hand."""
         self._make_room(len(data))
-        self.data[self.end:self.end + len(data)] = data
+        self.data[self.end : self.end + len(data)] = data
         self.end += len(data)
 
     def peek(self, size, at=0):
         """The next bytes, if all are there."""
         first = self.start + at
-        return bytes(self.data[first:first + size]) if first + size <= self.end else None
+        return bytes(self.data[first : first + size]) if first + size <= self.end else None
 
     def find(self, mark, at=0):
         """How far on a mark stands, or -1."""
@@ -53,7 +53,7 @@
         if held + size > self.most:
             raise Malformed(f"a message of over {self.most} bytes")
         if self.start:
-            self.data[:held] = self.data[self.start:self.end]
+            self.data[:held] = self.data[self.start : self.end]
             self.start, self.end = 0, held
         if held + max(size, FIRST) > len(self.data):
             more = max(len(self.data), size)
--- a/gullhold/net/coordinator.py
+++ b/gullhold/net/coordinator.py
@@ -18,10 +18,10 @@
 from gullhold.net.endings import Ending, Malformed
 
 STATES = {"ready": api.READY, "draining": api.DRAINING, "gone": api.GONE}
-FIRST_WORD_US = 100_000   # us in which news is told that there is: twice the page's time for crossings
-TOGETHER_S = 0.01     # s for which changes are gathered while they follow each other so closely
-FAULT_WAIT_S = 0.1   # s until the stream is followed anew after a fault of ours
-SILENT_US = 2_000_000   # two of the seconds' numbers, which come once a second by the protocol
+FIRST_WORD_US = 100_000  # us in which news is told that there is: twice the page's time for crossings
+TOGETHER_S = 0.01  # s for which changes are gathered while they follow each other so closely
+FAULT_WAIT_S = 0.1  # s until the stream is followed anew after a fault of ours
+SILENT_US = 2_000_000  # two of the seconds' numbers, which come once a second by the protocol
 
 
 def came(sock, wait_us):
@@ -41,7 +41,7 @@
         """The number of an engine."""
         if name not in self.numbers:
             number = crc32(name.encode())
-            while number in self.taken:   # two names of one hash
+            while number in self.taken:  # two names of one hash
                 number = number + 1 & 0xFFFFFFFF
             self.numbers[name] = number
             self.taken.add(number)
@@ -59,11 +59,17 @@
         entries, addresses = [], {}
         for member in change["members"]:
             ident = names.number(member["id"])
-            entries.append((ident, place_of(deal.locations, str(member.get("locality", ""))),
-                            float(member.get("size") or 1.0),
-                            place_of(deal.kinds, str(member.get("flavor", ""))),
-                            STATES[member["phase"]], int(member.get("cell") or 0),
-                            int(member.get("up_since_ms") or 0) * 1000))
+            entries.append(
+                (
+                    ident,
+                    place_of(deal.locations, str(member.get("locality", ""))),
+                    float(member.get("size") or 1.0),
+                    place_of(deal.kinds, str(member.get("flavor", ""))),
+                    STATES[member["phase"]],
+                    int(member.get("cell") or 0),
+                    int(member.get("up_since_ms") or 0) * 1000,
+                )
+            )
             if member.get("host_port"):
                 addresses[ident] = "{}:{}".format(*host_port(member["host_port"]))
             if member["phase"] == "gone":
@@ -126,25 +132,25 @@
     def __init__(self, address, last, core, most, names):
         self.last, self.core, self.most, self.names = last, core, most, names
         self.address, self.connection, self.moved = address and host_port(address), None, Event()
-        self.told_at = float("-inf")   # s of the monotonic clock: when the core was told last
-        self.taking = False   # bytes came, and what they tell is not handed on yet
-        self.lost = lambda: None   # called from this thread whenever the stream has ended: a look for a move
-        self.may_call = lambda: True   # whether the service may be called now: a budget of the fleet's
+        self.told_at = float("-inf")  # s of the monotonic clock: when the core was told last
+        self.taking = False  # bytes came, and what they tell is not handed on yet
+        self.lost = lambda: None  # called from this thread whenever the stream has ended: a look for a move
+        self.may_call = lambda: True  # whether the service may be called now: a budget of the fleet's
 
     def move(self, address):
         """From any thread: follow the stream at this address, on from the last event."""
         self.address = host_port(address)
         self.moved.set()
-        connection = self.connection   # one that comes up after this line sees the new address itself
+        connection = self.connection  # one that comes up after this line sees the new address itself
         if connection is not None:
             connection.shutdown()
 
     def behind(self):
         """From any thread: whether something has come that the core was not told of yet."""
         try:
-            connection = self.connection   # in this order: bytes there, or in hand
+            connection = self.connection  # in this order: bytes there, or in hand
             return bool(connection and connection.readable()) or self.taking
-        except (OSError, ValueError):   # it ends just now
+        except (OSError, ValueError):  # it ends just now
             return False
 
     def run(self):
@@ -153,7 +159,7 @@
         while True:
             try:
                 self._turn(wait)
-            except Exception:   # guards against a list that is followed no more in a process that looks alive
+            except Exception:  # guards against a list that is followed no more in a process that looks alive
                 self.core.counters.add("faults of ours")
                 logger.exception("following the list failed, and begins anew")
                 time.sleep(FAULT_WAIT_S)
@@ -162,7 +168,7 @@
         """Follow the stream until it ends, and a pause; or wait until it may be followed."""
         began = time.monotonic()
         self.moved.clear()
-        address = self.address   # read after the clearing: a move from here on sets it again
+        address = self.address  # read after the clearing: a move from here on sets it again
         if address is None:
             self.core.listed.set()
             self.moved.wait()
@@ -174,9 +180,9 @@
             ending, text = self._follow(address, wait), ""
         except TimeoutError:
             ending, text = Ending.SILENT, ""
-        except Exception as error:   # the old list holds; the stream is followed anew
+        except Exception as error:  # the old list holds; the stream is followed anew
             ending, text = endings.caught(error, connecting=True)
-        self.core.listed.set()   # it can't be asked: the list that we have must do
+        self.core.listed.set()  # it can't be asked: the list that we have must do
         self.core.counters.add(f"coordinator: {ending.value}")
         logger.warning("coordinator: {} {}; following on from event {}", ending.value, text, self.last)
         self.lost()
@@ -188,7 +194,7 @@
             try:
                 sock.sendall(b"follow %d\n" % self.last)
                 stream = Follow(self.last, self.most)
-                if not came(sock, FIRST_WORD_US):   # what has news tells it at once: there is none
+                if not came(sock, FIRST_WORD_US):  # what has news tells it at once: there is none
                     self.core.listed.set()
                 while address == self.address and self._receive(stream, sock):
                     self._hand_on(stream)
@@ -210,7 +216,7 @@
                 if whole:
                     self._tell(batch)
                     batch = Batch()
-        finally:   # what came before a line that makes no sense holds
+        finally:  # what came before a line that makes no sense holds
             self._tell(batch)
 
     def _tell(self, batch):
@@ -226,5 +232,5 @@
             time.sleep(TOGETHER_S)
         if not came(sock, SILENT_US):
             raise TimeoutError
-        self.taking = True   # before they are read: behind() sees them in the one place or the other
+        self.taking = True  # before they are read: behind() sees them in the one place or the other
         return stream.buffer.receive(sock)
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -27,18 +27,18 @@
 OUTCOMES = ("answered", "error", "full", "timed out", "no connection", "reset", "cancelled", "moot")
 ALIVE = b"alive"
 PAGES = (b"200", b"chunk")
-PAGE_MOST = 6_000   # bytes of a page, from the protocol
-SPOILT = frozenset((Ending.MALFORMED, Ending.RESET, Ending.SILENT))   # may take other sends along
+PAGE_MOST = 6_000  # bytes of a page, from the protocol
+SPOILT = frozenset((Ending.MALFORMED, Ending.RESET, Ending.SILENT))  # may take other sends along
 # From the protocol's page on planned restarts: new requests come for 0.6 s; the end comes 0.7 s after the
 # longest client timeout, of which 3 s at most count. Half of the rest is left for answers still in pipes.
 LAST_NEWS_US, LAST_ANSWER_US, FLUSH_US = 600_000, 3_000_000, 350_000
-CLOSING_US = 600_000    # us before the last answers from which nothing is taken: thousands to be answered
-DOOR_LOOK_US = 20_000   # us between looks at the door for what is due: half of the door's margin
-STALL_US = 100_000      # us beyond any wait that are a stall: far more than a step, a fifth of usual graces
-CATCH_UP_US = 500_000   # us that its reading may take, on a machine that has just let us sleep
-LOOK_S = 0.001          # s between looks at whether the list is up to date after one
-START_NS = time.time_ns() - time.monotonic_ns()   # Unix ns, as this process began, at the other clock's zero
-HELD_BYTES = 2000       # bytes that a waiting command takes beside its statement, measured
+CLOSING_US = 600_000  # us before the last answers from which nothing is taken: thousands to be answered
+DOOR_LOOK_US = 20_000  # us between looks at the door for what is due: half of the door's margin
+STALL_US = 100_000  # us beyond any wait that are a stall: far more than a step, a fifth of usual graces
+CATCH_UP_US = 500_000  # us that its reading may take, on a machine that has just let us sleep
+LOOK_S = 0.001  # s between looks at whether the list is up to date after one
+START_NS = time.time_ns() - time.monotonic_ns()  # Unix ns, as this process began, at the other clock's zero
+HELD_BYTES = 2000  # bytes that a waiting command takes beside its statement, measured
 
 
 def deadline(now, until):
@@ -50,14 +50,24 @@
     """A command that was taken: whom it is owed to (None once answered), and its send that is out."""
 
     __slots__ = (
-        "client", "ended", "grant", "holds", "number", "priority", "request", "send", "sends", "seq",
-        "timeout_at")
+        "client",
+        "ended",
+        "grant",
+        "holds",
+        "number",
+        "priority",
+        "request",
+        "send",
+        "sends",
+        "seq",
+        "timeout_at",
+    )
 
     def __init__(self, number, client, seq, request, timeout_at):
         self.number, self.client, self.seq, self.request = number, client, seq, request
         self.timeout_at, self.grant, self.priority, self.send, self.sends = timeout_at, 0.0, 1, None, 0
-        self.holds = len(request.body)   # bytes of the room for statements
-        self.ended = ""   # how its last send ended
+        self.holds = len(request.body)  # bytes of the room for statements
+        self.ended = ""  # how its last send ended
 
 
 class Core:
@@ -67,31 +77,31 @@
     the first and the last of its own and calls begin() and turn().
     """
 
-    connect = Link   # a class: of (engine, core, most bytes of a message, and of its pipe, now)
-    flusher = None   # goes on with writes that the system did not take whole
+    connect = Link  # a class: of (engine, core, most bytes of a message, and of its pipe, now)
+    flusher = None  # goes on with writes that the system did not take whole
 
     def __init__(self, gateway, deal, counters, message_most, links_most, room, door=None, come_back=""):
-        self.room = room   # of all clients
+        self.room = room  # of all clients
         self.gateway, self.deal, self.counters, self.door = gateway, deal, counters, door
-        self.come_back = come_back.encode()   # the field of Shed that tells when to come back; empty: none
+        self.come_back = come_back.encode()  # the field of Shed that tells when to come back; empty: none
         self.message_most, self.links_most = message_most, links_most
         self.report = [name.encode() for name in deal.report_fields]
         self.queue, self.urgent, self.after, self.timers = SimpleQueue(), deque(), deque(), []
         self.now, self.serial, self.timer_serial, self.tags = self.clock(), 0, 0, 0
         self.owed, self.txns, self.engines, self.links = {}, {}, {}, set()
-        self.holding = set()   # links that hold a descriptor, ended or not; their threads take them out
+        self.holding = set()  # links that hold a descriptor, ended or not; their threads take them out
         self.starts, self.events = StartTimes(), EventLog()
         self.listed = Event()  # the coordinator has told what changed since the configuration, or can't
         self.leaving_at, self.settled_at, self.stopped, self.known = 0, 0, False, False
-        self.closed = self.ended = False   # what comes now is turned away at once; the thread is over
-        self.lacking, self.gate = lambda rows: None, None   # of a fleet's budgets, of its policy
-        self.behind = lambda: False   # whether the coordinator's thread has yet to tell of what has come
-        self.end_clients = lambda: None   # ends all clients' connections, once what has come is answered
-        self.checks = []   # of a fleet: each stamps what is decided, and knows whether a stamp still holds
-        self.sweep_us = max(deal.connect_us, 100_000)   # between looks at links: time to come up
-        self.share = max(2, isqrt(deal.streams))   # sends on a shared link: few links, few lost with one
-        self.silent_us = deal.note_us + self.sweep_us    # a link with a send out says something by then
-        self.lost_us = deal.note_us and self.silent_us + deal.note_us   # two notes missed: none will come
+        self.closed = self.ended = False  # what comes now is turned away at once; the thread is over
+        self.lacking, self.gate = lambda rows: None, None  # of a fleet's budgets, of its policy
+        self.behind = lambda: False  # whether the coordinator's thread has yet to tell of what has come
+        self.end_clients = lambda: None  # ends all clients' connections, once what has come is answered
+        self.checks = []  # of a fleet: each stamps what is decided, and knows whether a stamp still holds
+        self.sweep_us = max(deal.connect_us, 100_000)  # between looks at links: time to come up
+        self.share = max(2, isqrt(deal.streams))  # sends on a shared link: few links, few lost with one
+        self.silent_us = deal.note_us + self.sweep_us  # a link with a send out says something by then
+        self.lost_us = deal.note_us and self.silent_us + deal.note_us  # two notes missed: none will come
 
     @staticmethod
     def clock():
@@ -125,11 +135,11 @@
         while not self.stopped:
             try:
                 self._step()
-            except Exception:   # guards against a core that dies and leaves a process that looks alive
+            except Exception:  # guards against a core that dies and leaves a process that looks alive
                 self.counters.add("faults of ours")
                 logger.exception("a step failed")
                 time.sleep(LOOK_S)
-        self.ended = True   # this thread touches nothing any more
+        self.ended = True  # this thread touches nothing any more
 
     def begin(self, known):
         """The list of the configuration is told; from here on there is always a timer."""
@@ -142,7 +152,7 @@
             self._look_at_door()
 
     def _step(self):
-        before, wait = self.now, self.timers[0][0] - self.clock()   # the sweep always waits there
+        before, wait = self.now, self.timers[0][0] - self.clock()  # the sweep always waits there
         try:
             event = self.queue.get(timeout=wait / 1e6) if wait > 0 else self.queue.get_nowait()
         except Empty:
@@ -195,7 +205,7 @@
             act(*args)
 
     def _tick(self):
-        self.now = max(self.now, self.clock())   # the module never sees time go back
+        self.now = max(self.now, self.clock())  # the module never sees time go back
 
     def _later(self, at, call, *args):
         self.timer_serial += 1
@@ -208,13 +218,13 @@
 
     def _ask(self, cmd, call, *args):
         """Call the module and carry out its results; if it fails, the command gets its one final answer."""
-        self.gateway.out = []   # of a call that fails only its own results hold
+        self.gateway.out = []  # of a call that fails only its own results hold
         try:
             results = call(self.now, *args)
-        except Exception:   # guards against one odd command taking all others down with it
+        except Exception:  # guards against one odd command taking all others down with it
             self.counters.add("faults of the module")
             logger.exception("the module failed in {}", call.__name__)
-            results = list(self.gateway.out)   # what it had decided until then holds
+            results = list(self.gateway.out)  # what it had decided until then holds
             if cmd and cmd.client and not cmd.send:
                 self.after.append((self._give_up, cmd))
         for verb, *facts in results:
@@ -227,13 +237,27 @@
         send = Exchange(cmd, cmd.sends, self.now)
         cmd.sends += 1
         if cmd.send or not cmd.client or until <= self.now:
-            self.after.append((self._ask, cmd, self.gateway.ended, number, send.number, api.MOOT,
-                               not cmd.client, 0, 0, 0, ()))
+            self.after.append(
+                (
+                    self._ask,
+                    cmd,
+                    self.gateway.ended,
+                    number,
+                    send.number,
+                    api.MOOT,
+                    not cmd.client,
+                    0,
+                    0,
+                    0,
+                    (),
+                )
+            )
             return
         cmd.send = send
         if send.number:
-            self.events.add(Happened(
-                self.now, RETRY, cmd.ended, cmd.request.txn, before="held", after="sent"))
+            self.events.add(
+                Happened(self.now, RETRY, cmd.ended, cmd.request.txn, before="held", after="sent")
+            )
         if self.door:
             self.door.sent(number)
         link = self._link_for(engine, cmd.request.txn)
@@ -246,16 +270,18 @@
         request, facts = cmd.request, self._facts(cmd)
 
         def message(now):
-            return resp.encode(b"fetch", request.txn, resp.field_list([*facts, deadline(now, until)]),
-                               request.body)
+            return resp.encode(
+                b"fetch", request.txn, resp.field_list([*facts, deadline(now, until)]), request.body
+            )
 
         send.message, send.link, link.used_at = message(self.now), link, self.now
         link.open[cmd.request.txn] = send
         # Guards against a deadline that was true when the send was decided and not when it goes out: its
         # connection may come up late, or what is before it may be read late.
-        send.offset = link.pipe.put(send.message, send.stamp and (lambda: self.sure(send.stamp)),
-                                    lambda: message(self.clock()))
-        if send.offset < 0:   # nothing of it goes out
+        send.offset = link.pipe.put(
+            send.message, send.stamp and (lambda: self.sure(send.stamp)), lambda: message(self.clock())
+        )
+        if send.offset < 0:  # nothing of it goes out
             unsure = send.offset == UNSURE
             link.retired = link.retired or not unsure
             self.after.append((self._end_send, send, api.MOOT if unsure else api.NO_CONNECTION))
@@ -314,12 +340,21 @@
             self.counters.add(word)
             self._refused(cmd, word)
             self._answer(cmd, message(cmd))
-            if cmd.send:   # given up with the command
+            if cmd.send:  # given up with the command
                 self._stop_send(cmd.send, api.CANCELLED)
 
     def _refused(self, cmd, reason):
-        self.events.add(Happened(self.now, REFUSAL, reason, cmd.request.txn, cmd.client.peer[1],
-                              "sent" if cmd.send else "held", "answered"))
+        self.events.add(
+            Happened(
+                self.now,
+                REFUSAL,
+                reason,
+                cmd.request.txn,
+                cmd.client.peer[1],
+                "sent" if cmd.send else "held",
+                "answered",
+            )
+        )
 
     def _act_timer(self, delay_us, token):
         self._later(self.now + delay_us, self._ask, None, self.gateway.timer, token)
@@ -330,8 +365,16 @@
     def _act_lacks(self, rows):
         self.lacking(rows)
 
-    ACTIONS = {api.SEND: _act_send, api.TERMS: _act_terms, api.CANCEL: _act_cancel, api.SHED: _act_shed,
-               api.FAIL: _act_fail, api.TIMER: _act_timer, api.LOG: _act_log, api.LACKS: _act_lacks}
+    ACTIONS = {
+        api.SEND: _act_send,
+        api.TERMS: _act_terms,
+        api.CANCEL: _act_cancel,
+        api.SHED: _act_shed,
+        api.FAIL: _act_fail,
+        api.TIMER: _act_timer,
+        api.LOG: _act_log,
+        api.LACKS: _act_lacks,
+    }
 
     def adopt(self, terms, gate, shares, clients):
         """A policy of the fleet holds from here on; gate: asked at each send; shares, clients: the door's."""
@@ -351,7 +394,7 @@
         """A client asks for a command."""
         self.serial += 1
         cmd = Owed(self.serial, client, seq, request, at + request.limit_us)
-        client.open[seq] = cmd   # first: an interrupt finds it in one place or the other
+        client.open[seq] = cmd  # first: an interrupt finds it in one place or the other
         # Taken back before we came to it; or its client has left; or it came after we had said our end, so
         # that its client asks elsewhere.
         if client.waiting.pop(seq, None) is None or client.left or client.pipe.finishing:
@@ -369,17 +412,39 @@
             self.counters.peak("owed", len(self.owed))
             self._later(cmd.timeout_at, self._overdue, cmd)
             if self.door:
-                self._from_door(self.door.arrive(
-                    self.now, cmd.number, request.tenant, request.flow, request.profile, request.key,
-                    request.work_us, len(request.body) + HELD_BYTES, cmd.timeout_at, request.repeat))
+                self._from_door(
+                    self.door.arrive(
+                        self.now,
+                        cmd.number,
+                        request.tenant,
+                        request.flow,
+                        request.profile,
+                        request.key,
+                        request.work_us,
+                        len(request.body) + HELD_BYTES,
+                        cmd.timeout_at,
+                        request.repeat,
+                    )
+                )
             else:
                 self._hand(cmd)
 
     def _hand(self, cmd):
         """The module decides from here on."""
         request = cmd.request
-        self._ask(cmd, self.gateway.command, cmd.number, request.profile, request.tenant, request.key,
-                  cmd.timeout_at, request.work_us, request.need_mb, request.group, request.repeat)
+        self._ask(
+            cmd,
+            self.gateway.command,
+            cmd.number,
+            request.profile,
+            request.tenant,
+            request.key,
+            cmd.timeout_at,
+            request.work_us,
+            request.need_mb,
+            request.group,
+            request.repeat,
+        )
 
     # The door
 
@@ -397,7 +462,7 @@
                 self._refused(cmd, "turned away at the door")
                 frames.setdefault(cmd.client, []).append(thrift.shed(cmd.seq, self._when(*told)))
                 self._settle(cmd)
-        for client, parts in frames.items():   # thousands at once cost one write for each connection
+        for client, parts in frames.items():  # thousands at once cost one write for each connection
             client.put(b"".join(parts))
 
     def _at_door(self):
@@ -433,12 +498,21 @@
         any more. One that sent what makes no sense is still there: each of its commands gets its answer."""
         self.counters.add(f"client connection: {ending.value}")
         unusual = bool(client.open) and ending in endings.OURS
-        self.events.add(Happened(
-            self.now, CLOSE, f"{ending.value} {text}".rstrip(), connection=f"client {client.peer[1]}",
-            before="open", after="closed", open=len(client.open)), unusual)
+        self.events.add(
+            Happened(
+                self.now,
+                CLOSE,
+                f"{ending.value} {text}".rstrip(),
+                connection=f"client {client.peer[1]}",
+                before="open",
+                after="closed",
+                open=len(client.open),
+            ),
+            unusual,
+        )
         for cmd in list(client.open.values()):
             (self._give_up if ending in endings.STILL_THERE else self._gone)(cmd)
-        client.pipe.finish()   # what is under way goes out; the reader closes
+        client.pipe.finish()  # what is under way goes out; the reader closes
 
     def _gone(self, cmd):
         here = self.door and self.door.waits(cmd.number)
@@ -448,7 +522,7 @@
 
     def _answer(self, cmd, message):
         client = cmd.client
-        self._settle(cmd)   # first: its next request may come as soon as it has this answer
+        self._settle(cmd)  # first: its next request may come as soon as it has this answer
         client.put(message)
 
     def _settle(self, cmd):
@@ -479,10 +553,10 @@
     def _give_up(self, cmd):
         """The command must end now: the final answer is the module's, else a failure: no promise."""
         if cmd.client and self.door and self.door.waits(cmd.number):
-            self._act_shed(cmd.number, 0)   # it never went out
+            self._act_shed(cmd.number, 0)  # it never went out
         elif cmd.client:
             self._ask(None, self.gateway.give_up, cmd.number)
-            self._act_fail(cmd.number)   # for a module that fails on this command again
+            self._act_fail(cmd.number)  # for a module that fails on this command again
 
     # Engines
 
@@ -490,19 +564,19 @@
         """The list of engines changed."""
         for ident, address in addresses.items():
             engine = self.engines.setdefault(ident, Engine(ident, address))
-            if engine.address != address:   # links to where it was are not links to it
+            if engine.address != address:  # links to where it was are not links to it
                 engine.address = address
                 for link in engine.links:
                     link.retired = True
         entries = self.starts.corrected(self.now, entries, news=self.known)
         states = {entry[0]: entry[4] for entry in entries}
         self.counters.add("list changes", events)
-        for ident in list(self.engines) if whole else states:   # the work follows what changed
+        for ident in list(self.engines) if whole else states:  # the work follows what changed
             engine = self.engines.get(ident)
             if engine is None:
                 continue
             engine.state = states.get(ident, api.GONE)
-            if engine.state != api.READY:   # what has not begun to go out must not go any more
+            if engine.state != api.READY:  # what has not begun to go out must not go any more
                 for link in list(engine.links):
                     for send in [send for send in link.open.values() if link.pipe.withdraw(send.message)]:
                         self.after.append((self._end_send, send, api.MOOT))
@@ -526,12 +600,12 @@
         # engine can't read taking down what else is open there. But some engines close a connection when they
         # have answered and nothing else is open on it, be pages or a fetch still to come: there sends share.
         few = [link for link in fresh if len(link.open) < (self.share if engine.closed else 1)]
-        if few:   # the fullest; of idle ones the one used last, so that the others may be closed
+        if few:  # the fullest; of idle ones the one used last, so that the others may be closed
             return max(few, key=lambda link: (len(link.open), link.used_at))
         if len(self.holding) >= self.links_most:
             if fresh:
                 return min(fresh, key=lambda link: len(link.open))
-            for link in self.links:   # idle ones go, for the next that asks
+            for link in self.links:  # idle ones go, for the next that asks
                 if not link.open and not link.ended:
                     link.shut(Ending.RETIRED)
             self.counters.add("no descriptor for a link")
@@ -540,7 +614,7 @@
         self.holding.add(link)
         try:
             link.start()
-        except RuntimeError:   # no thread to be had
+        except RuntimeError:  # no thread to be had
             self.holding.discard(link)
             self.counters.add("no thread for a link")
             return None
@@ -556,8 +630,12 @@
             return
         self.counters.add("links up")
         for send in list(link.open.values()):
-            if not (send.command.client and link.engine.state == api.READY and send.until > self.now
-                    and self.sure(send.stamp)) and link.pipe.withdraw(send.message):
+            if not (
+                send.command.client
+                and link.engine.state == api.READY
+                and send.until > self.now
+                and self.sure(send.stamp)
+            ) and link.pipe.withdraw(send.message):
                 self.counters.add("sends taken back")
                 self.after.append((self._end_send, send, api.MOOT))
         link.pipe.attach(link.connection)
@@ -586,7 +664,7 @@
         if word == ALIVE:
             self._confirmed(link, link.confirms.pop(txn, None))
             return
-        if send is None:   # a late word on a send that was given up, or nothing of ours
+        if send is None:  # a late word on a send that was given up, or nothing of ours
             self.counters.add("late or unknown answers")
             if word in endings.WORDS:
                 link.given_up.discard(txn)
@@ -595,18 +673,24 @@
         if word == b"status":
             if facts.get(b"note") in NOTES:
                 self.counters.add("notes")
-                self._ask(send.command, self.gateway.noted, send.command.number, send.number,
-                          NOTES[facts[b"note"]], float(facts.get(b"v", 0)))
+                self._ask(
+                    send.command,
+                    self.gateway.noted,
+                    send.command.number,
+                    send.number,
+                    NOTES[facts[b"note"]],
+                    float(facts.get(b"v", 0)),
+                )
         elif word == b"200" and send.leaving is not None and int(facts.get(b"pages", 1)) > 1:
-            return   # it ended just before our abort came, which gave its further pages up
+            return  # it ended just before our abort came, which gave its further pages up
         elif send.pages and word in PAGES and int(facts.get(b"page", 0)) < len(send.pages):
-            self.counters.add("second copies")   # of a page that we have: passed over
+            self.counters.add("second copies")  # of a page that we have: passed over
         elif word == b"200":
             send.told, send.total = self._told(facts), max(1, int(facts.get(b"pages", 1)))
             self._page(link, send, txn, body)
         elif word == b"chunk" and send.pages and int(facts.get(b"page", -1)) == len(send.pages):
             self._page(link, send, txn, body)
-        elif word == b"500" or word in endings.WORDS and not send.pages:   # once begun, it ran
+        elif word == b"500" or word in endings.WORDS and not send.pages:  # once begun, it ran
             send.told = self._told(facts)
             self._end_send(send, endings.WORDS[word])
         else:
@@ -615,7 +699,7 @@
     def _page(self, link, send, txn, body):
         """One more page came; after the last the result goes to the client."""
         if len(body) > PAGE_MOST or body.count(b"\t") != 2 * body.count(b"\n") or body and body[-1:] != b"\n":
-            raise Malformed("a page that is not whole rows of three columns")   # never passed on as served
+            raise Malformed("a page that is not whole rows of three columns")  # never passed on as served
         send.pages.append(body)
         send.size += len(body)
         if send.size > self.message_most or send.total > RESULT_MOST:
@@ -628,7 +712,7 @@
         cmd = send.command
         if cmd.client:
             self.counters.add("answered")
-            if self.gate:   # a canary is judged by it
+            if self.gate:  # a canary is judged by it
                 self.counters.add("answered us", self.now - cmd.timeout_at + cmd.request.limit_us)
             message = thrift.answer("execute", cmd.seq, b"".join(send.pages))
             self._answer(cmd, message)
@@ -651,8 +735,16 @@
             self.door.back(self.now, cmd.number, send.told[0], outcome not in api.NEVER_RAN)
         if closed:
             self._forget(cmd)
-        self._ask(cmd, self.gateway.ended, cmd.number, send.number, outcome, closed, self.now - send.sent_at,
-                  *send.told)
+        self._ask(
+            cmd,
+            self.gateway.ended,
+            cmd.number,
+            send.number,
+            outcome,
+            closed,
+            self.now - send.sent_at,
+            *send.told,
+        )
 
     def _told(self, facts):
         """Work and memory that a send needed, and the load report in the settings' order; absent: zero."""
@@ -671,9 +763,17 @@
         `alive` behind the abort has been answered; by then no late answer can come either.
         """
         cmd, link, txn = send.command, send.link, send.command.request.txn
-        self.events.add(Happened(
-            self.now, GIVEN_UP, OUTCOMES[outcome], txn, f"engine {link.engine.address}" if link else "",
-            "streaming" if send.pages else "sent", "given up"))
+        self.events.add(
+            Happened(
+                self.now,
+                GIVEN_UP,
+                OUTCOMES[outcome],
+                txn,
+                f"engine {link.engine.address}" if link else "",
+                "streaming" if send.pages else "sent",
+                "given up",
+            )
+        )
         if link and link.open.get(txn) is send:
             if link.pipe.withdraw(send.message):
                 outcome = api.MOOT
@@ -717,13 +817,23 @@
         self._part(link.engine)
         self.counters.add(f"link: {ending.value}")
         cut = ending == Ending.CLOSED and link.decoder.cut
-        link.engine.closed = max(0, link.engine.closed + (
-            -1 if cut or ending in SPOILT else ending == Ending.CLOSED))
+        link.engine.closed = max(
+            0, link.engine.closed + (-1 if cut or ending in SPOILT else ending == Ending.CLOSED)
+        )
         routine = ending in (Ending.IDLE, Ending.RETIRED) or ending == Ending.CLOSED and not link.open
         before = "open" if link.connection else "connecting"
-        self.events.add(Happened(
-            self.now, CLOSE, f"{ending.value} {text}".rstrip(), connection=f"engine {link.engine.address}",
-            before=before, after="closed", open=len(link.open)), not routine)
+        self.events.add(
+            Happened(
+                self.now,
+                CLOSE,
+                f"{ending.value} {text}".rstrip(),
+                connection=f"engine {link.engine.address}",
+                before=before,
+                after="closed",
+                open=len(link.open),
+            ),
+            not routine,
+        )
         # Where we closed, the engine learns of it later: until then its sends are still out there.
         at = self.now + (self.deal.connect_us if ending in endings.OURS else 0)
         for send in list(link.open.values()):
@@ -797,7 +907,7 @@
 
     def _leave_now(self):
         """What is still open is answered before the kill."""
-        self._later(self.now + FLUSH_US // 2, self._stop)   # first: a fault below must not keep us
+        self._later(self.now + FLUSH_US // 2, self._stop)  # first: a fault below must not keep us
         for cmd in [cmd for cmd in self.owed.values() if cmd.client]:
             self._give_up(cmd)
         self.end_clients()
--- a/gullhold/net/endings.py
+++ b/gullhold/net/endings.py
@@ -31,8 +31,18 @@
 
 # What socket() and connect() say where this machine is short of something, for a moment: socket(2),
 # connect(2), ip(7). It proves nothing about the other side.
-SHORT_HERE = frozenset((errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM,
-                        errno.EADDRNOTAVAIL, errno.EADDRINUSE))
+SHORT_HERE = frozenset(
+    (
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,
+        errno.EADDRINUSE,
+    )
+)
 
 
 # Ends that we bring about while something is open.
@@ -67,8 +77,8 @@
     if connecting and error.errno in SHORT_HERE:
         return Ending.SHORT
     if isinstance(error, BlockingIOError):
-        return Ending.IDLE   # a read's time-out
-    if isinstance(error, TimeoutError):   # on an open connection ETIMEDOUT: it broke, as by a reset
+        return Ending.IDLE  # a read's time-out
+    if isinstance(error, TimeoutError):  # on an open connection ETIMEDOUT: it broke, as by a reset
         return Ending.NOT_UP if connecting else Ending.RESET
     if isinstance(error, ConnectionError):
         return Ending.RESET
