--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -9,9 +9,9 @@
 
 from loguru import logger
 
-KEPT = 400          # events kept in memory: some 100 KB
-BURST = 20          # lines of one kind that may be logged at once ...
-RATE_PER_S = 2.0    # ... and those a second that are allowed from then on
+KEPT = 400  # events kept in memory: some 100 KB
+BURST = 20  # lines of one kind that may be logged at once ...
+RATE_PER_S = 2.0  # ... and those a second that are allowed from then on
 
 CLOSE, RETRY, REFUSAL, GIVEN_UP = "close", "retry", "refusal", "given up"
 
@@ -19,20 +19,26 @@
 class Happened(NamedTuple):
     """One event; what does not apply is empty."""
 
-    at_us: int              # Unix time, us
-    kind: str               # CLOSE, RETRY, REFUSAL or GIVEN_UP
+    at_us: int  # Unix time, us
+    kind: str  # CLOSE, RETRY, REFUSAL or GIVEN_UP
     reason: str
-    request: bytes = b""    # the client's id of the request
-    connection: str = ""    # of a client, or to an engine: its address
-    before: str = ""        # the state that it was in
-    after: str = ""         # the state that it is in now
-    open: int = 0           # requests or attempts that were open on a connection that closed
+    request: bytes = b""  # the client's id of the request
+    connection: str = ""  # of a client, or to an engine: its address
+    before: str = ""  # the state that it was in
+    after: str = ""  # the state that it is in now
+    open: int = 0  # requests or attempts that were open on a connection that closed
 
     def line(self):
         """As it is logged: key=value pairs, in an order that does not change."""
-        told = {"event": self.kind.replace(" ", "-"), "request": self.request.decode("ascii", "replace"),
-                "connection": self.connection, "from": self.before, "to": self.after,
-                "open": self.open or "", "reason": self.reason}
+        told = {
+            "event": self.kind.replace(" ", "-"),
+            "request": self.request.decode("ascii", "replace"),
+            "connection": self.connection,
+            "from": self.before,
+            "to": self.after,
+            "open": self.open or "",
+            "reason": self.reason,
+        }
         return " ".join(f"{key}={str(value).replace(' ', '_')}" for key, value in told.items() if value != "")
 
 
@@ -41,7 +47,7 @@
 
     def __init__(self):
         self.kept, self.left_out = deque(maxlen=KEPT), 0
-        self.allowed, self.filled_at = {}, {}   # by kind: lines that may be logged now; since when
+        self.allowed, self.filled_at = {}, {}  # by kind: lines that may be logged now; since when
 
     def add(self, event, unusual=False):
         """Keep an event, and log it if its kind's rate allows. unusual: as a warning."""
@@ -50,8 +56,7 @@
             self.left_out += 1
             return
         out, self.left_out = self.left_out, 0
-        (logger.warning if unusual else logger.info)(
-            "{}{}", event.line(), f" left_out={out}" if out else "")
+        (logger.warning if unusual else logger.info)("{}{}", event.line(), f" left_out={out}" if out else "")
 
     def lines(self):
         """All that are kept, the oldest first."""
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -12,15 +12,15 @@
 
 from loguru import logger
 
-READ_MOST = 4096      # bytes of one read of the wake-up pipe
-FAULT_WAIT_S = 0.01   # s after a wait that the system refused, until the next
+READ_MOST = 4096  # bytes of one read of the wake-up pipe
+FAULT_WAIT_S = 0.01  # s after a wait that the system refused, until the next
 
 
 class Flusher:
     """Pipes that wait for room in their connections; run() is the thread's, watch() anyone's."""
 
     def __init__(self):
-        self.lock, self.waiting = Lock(), {}   # pipes, in the order in which they came
+        self.lock, self.waiting = Lock(), {}  # pipes, in the order in which they came
         self.out, self.into = os.pipe()
         os.set_blocking(self.out, False)
         os.set_blocking(self.into, False)
@@ -29,7 +29,7 @@
         """From any thread: write on there as soon as there is room."""
         with self.lock:
             self.waiting[pipe] = True
-        with suppress(BlockingIOError):   # full: there is enough to wake for
+        with suppress(BlockingIOError):  # full: there is enough to wake for
             os.write(self.into, b"w")
 
     def run(self):
@@ -37,7 +37,7 @@
         while True:
             try:
                 self.turn()
-            except Exception:   # guards against a flusher that dies and leaves connections silent
+            except Exception:  # guards against a flusher that dies and leaves connections silent
                 logger.exception("the flusher failed, and goes on")
                 time.sleep(FAULT_WAIT_S)
 
@@ -56,8 +56,8 @@
                 os.read(self.out, READ_MOST)
         for number in ready:
             for pipe in by_number.get(number, ()):
-                written = pipe.flush() > 0 and written   # put off once more, it comes in anew
-        if not written:   # there is room, and yet nothing was taken: the system is short of something
+                written = pipe.flush() > 0 and written  # put off once more, it comes in anew
+        if not written:  # there is room, and yet nothing was taken: the system is short of something
             time.sleep(FAULT_WAIT_S)
 
     def _take(self):
--- a/gullhold/net/front.py
+++ b/gullhold/net/front.py
@@ -18,22 +18,22 @@
 from gullhold.net.endings import Ending, Malformed
 from gullhold.net.pipe import Pipe
 
-OPEN_MOST = 32         # requests that a client has open on a connection, from the protocol
-RESULT_MOST = 48_000   # bytes of a result, from the protocol
-KEPT_MOST = 32_768     # bytes of calls kept in a pause: 32 of usual size
-KEPT_PART = 0.4        # of the time that its client waits, for which a call is kept in pauses at most
-CLOSED_S = 0.5         # s between reads of a connection that is owed answers, once nothing is taken
-ENDING_MOST = 65_536   # bytes of a connection that are read at once at the end: 32 requests of usual size
-KEPT_LOOK_S = 0.05     # s between reads in a pause once as much is kept: half of what a leaving may take
-SAY_S = 2.0            # s in which a connection says something whole; the page wants an end within 3 s
-IDLE_S = 5.0           # s without a request; usual clients close their own after 4 s
-LOOK_US = 500_000      # us between looks at these two
-REFUSED_S = (0.05, 0.4)   # s, least and most, until the next read after something was turned away at once
-CROSS_S = 0.1          # s in which what was sent has come: twice the page's time for crossings
-DISMISS_S = 0.01       # s between looks at one that is dismissed: the page's time for crossings is 50 ms
+OPEN_MOST = 32  # requests that a client has open on a connection, from the protocol
+RESULT_MOST = 48_000  # bytes of a result, from the protocol
+KEPT_MOST = 32_768  # bytes of calls kept in a pause: 32 of usual size
+KEPT_PART = 0.4  # of the time that its client waits, for which a call is kept in pauses at most
+CLOSED_S = 0.5  # s between reads of a connection that is owed answers, once nothing is taken
+ENDING_MOST = 65_536  # bytes of a connection that are read at once at the end: 32 requests of usual size
+KEPT_LOOK_S = 0.05  # s between reads in a pause once as much is kept: half of what a leaving may take
+SAY_S = 2.0  # s in which a connection says something whole; the page wants an end within 3 s
+IDLE_S = 5.0  # s without a request; usual clients close their own after 4 s
+LOOK_US = 500_000  # us between looks at these two
+REFUSED_S = (0.05, 0.4)  # s, least and most, until the next read after something was turned away at once
+CROSS_S = 0.1  # s in which what was sent has come: twice the page's time for crossings
+DISMISS_S = 0.01  # s between looks at one that is dismissed: the page's time for crossings is 50 ms
 FIGURE = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
 TXN = re.compile(rb"[0-9a-fA-F]{16}\Z")
-UNIQUE = re.compile(rb"[!-+\--<>-~]*\Z")   # printable, without the signs that a list of fields is built of
+UNIQUE = re.compile(rb"[!-+\--<>-~]*\Z")  # printable, without the signs that a list of fields is built of
 
 
 class Request(NamedTuple):
@@ -51,7 +51,7 @@
     need_mb: float
     group: int
     repeat: bool
-    flow: bytes = b""   # whose it is inside its tenant, where a door asks
+    flow: bytes = b""  # whose it is inside its tenant, where a door asks
 
 
 class Refused(Exception):
@@ -70,8 +70,8 @@
     """Turns the arguments of execute into a Request, with the names of one agreement."""
 
     def __init__(self, deal, whose=None, come_back=b""):
-        self.deal, self.whose = deal, whose   # whose: tells clients apart, where there is a door
-        self.come_back = come_back            # the field of Shed that says when to come back
+        self.deal, self.whose = deal, whose  # whose: tells clients apart, where there is a door
+        self.come_back = come_back  # the field of Shed that says when to come back
         self.profiles = {profile.name.encode(): i for i, profile in enumerate(deal.profiles)}
         self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(deal.tenants)}
         # The most of a limit (ms; for clients that round), of work (ms on one core) and of memory (MB).
@@ -89,7 +89,7 @@
             return None
         if b"second" not in fields or first is None:
             return ({},)
-        early = first > now and self.come_back   # it came before any time that was promised
+        early = first > now and self.come_back  # it came before any time that was promised
         return ({self.come_back: b"%d" % -((now - first) // 1000)},) if early else None
 
     def request(self, fields, body, address="", connection=""):
@@ -99,20 +99,36 @@
             raise Refused("unusable txn")
         if verb not in self.profiles:
             raise Refused("unknown verb")
-        tenant, stranger = (self.whose.tenant(fields.get(b"team", b"")) if self.whose else
-                            (self.tenants.get(fields.get(b"team"), CLOSED if self.tenants else 0), None))
+        tenant, stranger = (
+            self.whose.tenant(fields.get(b"team", b""))
+            if self.whose
+            else (self.tenants.get(fields.get(b"team"), CLOSED if self.tenants else 0), None)
+        )
         if tenant == CLOSED:
             raise Refused("unknown team")
         flow = self.whose.flow(fields, stranger, address, connection) if self.whose else b""
         profile, unique = self.profiles[verb], fields.get(b"unique", b"")
         if not UNIQUE.match(unique) or not unique and self.deal.profiles[profile].effect == api.UNIQUED:
-            raise Refused("unusable unique")   # without it no engine knows a repeat
+            raise Refused("unusable unique")  # without it no engine knows a repeat
         limit = _figure(fields, b"limit", self.limit_most, absent=b"")
         work = _figure(fields, b"cpu", self.work_most)
         group, table = statement.group(body.decode("utf-8", "replace"))
         key = crc32(table.encode()) or 1 if table and self.deal.profiles[profile].ordered else 0
-        return Request(txn, verb, body, unique, profile, tenant, key, int(limit * 1000), int(work * 1000),
-                       _figure(fields, b"memory", self.memory_most), group, b"second" in fields, flow)
+        return Request(
+            txn,
+            verb,
+            body,
+            unique,
+            profile,
+            tenant,
+            key,
+            int(limit * 1000),
+            int(work * 1000),
+            _figure(fields, b"memory", self.memory_most),
+            group,
+            b"second" in fields,
+            flow,
+        )
 
 
 class Room:
@@ -151,16 +167,16 @@
         self.decoder = thrift.Decoder(most)
         self.pipe = Pipe(OPEN_MOST * (RESULT_MOST + most), core.counters, core.flusher)
         self.open, self.taken, self.settled, self.ending = {}, 0, 0, None
-        self.taken_back = set()   # numbers of open requests whose interrupts wait for the core
-        self.seq, self.waiting, self.over = 0, {}, False   # last number; those that the core has yet to see
-        self.left = False   # it closed, or its connection broke: it waits for nothing any more
-        self.came_at = self.quiet_at = time.monotonic()   # it came; something last came or was open
-        self.pause, self.resume_at = 0.0, 0.0   # s: the last pause after a refusal; its end
+        self.taken_back = set()  # numbers of open requests whose interrupts wait for the core
+        self.seq, self.waiting, self.over = 0, {}, False  # last number; those that the core has yet to see
+        self.left = False  # it closed, or its connection broke: it waits for nothing any more
+        self.came_at = self.quiet_at = time.monotonic()  # it came; something last came or was open
+        self.pause, self.resume_at = 0.0, 0.0  # s: the last pause after a refusal; its end
         self.kept, self.kept_size = deque(), 0  # (call, when it came) of a pause; bytes read in it
-        self.refused = []   # answers to what was read just now and is turned away at once
-        self.cut, self.dismissed = False, False   # in the middle of a message; to end when nothing is open
-        self.resting = False   # the core was asked to end it for idleness
-        self.peer, self.patience_us = peer, LOOK_US   # its address, and a name for this connection alone
+        self.refused = []  # answers to what was read just now and is turned away at once
+        self.cut, self.dismissed = False, False  # in the middle of a message; to end when nothing is open
+        self.resting = False  # the core was asked to end it for idleness
+        self.peer, self.patience_us = peer, LOOK_US  # its address, and a name for this connection alone
         set_no_delay(sock)
         set_read_timeout(sock, LOOK_US)
         self.pipe.attach(self.connection)
@@ -197,18 +213,18 @@
     def _serve(self):
         try:
             ending, text = self._read(), ""
-            if self.pipe.error:   # a write broke it, and the reader was only woken
+            if self.pipe.error:  # a write broke it, and the reader was only woken
                 ending, text = endings.caught(self.pipe.error)
-        except Exception as error:   # a fault of ours ends this connection, not the program
+        except Exception as error:  # a fault of ours ends this connection, not the program
             ending, text = endings.caught(error)
         ending, text = self.ending or (ending, text)
         self.over = True
-        if ending in endings.STILL_THERE:   # behind its own requests: each gets its answer
+        if ending in endings.STILL_THERE:  # behind its own requests: each gets its answer
             self.refused += [thrift.shed(call.seq, {}) for call, _ in self.kept if call.method == "execute"]
             if self.refused:
                 self.put(b"".join(self.refused))
             self.core.post(self.core.client_ended, self, ending, text)
-        else:   # ahead of all: nothing must go out for it any more
+        else:  # ahead of all: nothing must go out for it any more
             self.left = True
             self.core.first(self.core.client_ended, self, ending, text)
         self._linger()
@@ -219,7 +235,7 @@
         Guards answers on their way against the reset that a close over unread bytes sends. What is read here
         came after our end was said, so a client sends it again elsewhere: it is never taken.
         """
-        end, patient = time.monotonic() + SAY_S, False   # first: what is still to go out
+        end, patient = time.monotonic() + SAY_S, False  # first: what is still to go out
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(DISMISS_S * 1e6))
             while time.monotonic() < end and not self.pipe.dead:
@@ -228,7 +244,7 @@
                 try:
                     if not self.connection.sock.recv(ENDING_MOST) and self.pipe.said and not self.dismissed:
                         break
-                    time.sleep(DISMISS_S)   # one that goes on writing must not keep the others waiting
+                    time.sleep(DISMISS_S)  # one that goes on writing must not keep the others waiting
                 except BlockingIOError:
                     pass
         self.pipe.finish(now=True)
@@ -245,18 +261,18 @@
                     self._end_soon()
                 elif not self.busy():
                     self._rest()
-                time.sleep(DISMISS_S)   # something came just then: more of it may come
+                time.sleep(DISMISS_S)  # something came just then: more of it may come
             while self.kept and (self._pause_left() <= 0 or self._kept_left() <= 0):
                 self._take(*self.kept.popleft())
             for call in self.decoder.calls():
                 self.quiet_at = time.monotonic()
                 self._come(call, at)
-            if self.refused:   # one write for all of them
+            if self.refused:  # one write for all of them
                 frames, self.refused = self.refused, []
                 self.put(b"".join(frames))
                 if self.core.closed:
                     self._end_soon()
-                elif time.monotonic() >= self.resume_at:   # else what is kept would wait longer and longer
+                elif time.monotonic() >= self.resume_at:  # else what is kept would wait longer and longer
                     self._pause_longer()
             elif self.pause and time.monotonic() >= self.resume_at:
                 self.pause /= 2 if self.pause > REFUSED_S[0] else float("inf")
@@ -285,11 +301,14 @@
         if left <= 0:
             self.kept_size = 0
         elif full and self.connection.left(min(left, KEPT_LOOK_S)):
-            return False   # whatever it asked before: guards against sends for one that has left
+            return False  # whatever it asked before: guards against sends for one that has left
         if self.kept:
             left = min(left, max(self._kept_left(), DISMISS_S))
-        wait_us = int(min(left * 1e6 + 1000, LOOK_US)) if left > 0 else (
-            int(DISMISS_S * 1e6) if self.resting else LOOK_US)
+        wait_us = (
+            int(min(left * 1e6 + 1000, LOOK_US))
+            if left > 0
+            else (int(DISMISS_S * 1e6) if self.resting else LOOK_US)
+        )
         if wait_us != self.patience_us:
             self.patience_us = wait_us
             set_read_timeout(self.connection.sock, wait_us)
@@ -368,11 +387,11 @@
                 self.core.counters.add("taken")
                 self.core.counters.add("interrupted")
                 return
-        if self.waiting.pop(seq, None) is None:   # else the core passes it over when it comes to it
-            self.taken_back.add(seq)   # no longer open, though the core has yet to settle it
+        if self.waiting.pop(seq, None) is None:  # else the core passes it over when it comes to it
+            self.taken_back.add(seq)  # no longer open, though the core has yet to settle it
             if seq in self.open:
                 self.core.first(self.core.interrupt, self, seq)
-            else:   # answered before, or never asked
+            else:  # answered before, or never asked
                 self.taken_back.discard(seq)
 
     def _take(self, call, at):
@@ -392,7 +411,7 @@
             raise Malformed(f"request {seq} after {self.seq}")
         self.seq = seq
         core.counters.add("taken")
-        if core.closed:   # at the end: nothing goes on from here, so this costs the core nothing
+        if core.closed:  # at the end: nothing goes on from here, so this costs the core nothing
             self.refused.append(thrift.shed(seq, {}))
             return
         if self.taken - self.settled - len(self.taken_back) >= OPEN_MOST:
@@ -413,7 +432,7 @@
         except Refused as why:
             core.counters.add("unusable")
             self.put(thrift.fault(seq, str(why)))
-            self._hold_off(core.deal.connect_us / 1e6)   # guards against those who ask the same again at once
+            self._hold_off(core.deal.connect_us / 1e6)  # guards against those who ask the same again at once
             return
         if not core.room.take(len(body)):
             core.counters.add("no memory for a statement")
@@ -448,7 +467,7 @@
                     self.core.counters.add("accepts put off")
                     time.sleep(DISMISS_S)
                 client = Client(sock, self.core, self.reader, self.most, (host, f"{host}:{port}"))
-                self.clients.add(client)   # before its thread runs, which may end at once
+                self.clients.add(client)  # before its thread runs, which may end at once
                 try:
                     Thread(target=self._serve, args=(client,), daemon=True, name="client").start()
                 except RuntimeError:
@@ -456,10 +475,10 @@
                     raise
                 waiting = None
                 self.core.counters.add("client connections")
-            except Exception as error:   # of any kind: one that ends this thread leaves nobody to take them
+            except Exception as error:  # of any kind: one that ends this thread leaves nobody to take them
                 if self.sock.fileno() < 0:
                     return
-                if waiting and isinstance(error, OSError):   # it went before we had it
+                if waiting and isinstance(error, OSError):  # it went before we had it
                     waiting.close()
                     waiting = None
                 self.core.counters.add("accepts put off")
@@ -471,7 +490,7 @@
     def _serve(self, client):
         try:
             client.run()
-        finally:   # its descriptor is given back by now: until then it holds its room
+        finally:  # its descriptor is given back by now: until then it holds its room
             self.clients.discard(client)
 
     def end_clients(self):
@@ -490,9 +509,12 @@
         """
         if len(self.clients) < self.clients_most * 7 // 8:
             return True
-        late = time.monotonic() - CROSS_S   # one that came just now is about to ask
-        idle = [client for client in list(self.clients) if not client.busy() and not client.over
-                and client.quiet_at < late]
+        late = time.monotonic() - CROSS_S  # one that came just now is about to ask
+        idle = [
+            client
+            for client in list(self.clients)
+            if not client.busy() and not client.over and client.quiet_at < late
+        ]
         if idle:
             self.core.counters.add("idle ones closed for room")
             min(idle, key=lambda client: (client.pipe.queued > 0, client.quiet_at)).dismiss()
--- a/gullhold/net/links.py
+++ b/gullhold/net/links.py
@@ -10,7 +10,7 @@
 from gullhold.net.endings import Ending, Malformed
 from gullhold.net.pipe import Pipe
 
-RETRY_S = 0.02   # s between tries to connect where this machine is short of something
+RETRY_S = 0.02  # s between tries to connect where this machine is short of something
 # Also tried again: a route that is gone for a moment. ip(7), connect(2).
 RETRIED = endings.SHORT_HERE | {errno.ENETUNREACH}
 
@@ -20,7 +20,7 @@
 
     def __init__(self, ident, address):
         self.id, self.address, self.links, self.state = ident, address, [], 0
-        self.closed = 0   # links that it closed in good order, less those that broke
+        self.closed = 0  # links that it closed in good order, less those that broke
 
 
 class Exchange:
@@ -29,10 +29,10 @@
     def __init__(self, command, number, at):
         self.command, self.number, self.sent_at, self.heard_at = command, number, at, at
         self.link, self.message, self.offset = None, b"", 0
-        self.until, self.stamp = 0, ()   # not begun after it, us; what it was decided under
+        self.until, self.stamp = 0, ()  # not begun after it, us; what it was decided under
         self.pages, self.total, self.size = [], 0, 0
-        self.leaving = None   # the outcome that it will have, once an abort has come to its engine
-        self.told = (0, 0, ())   # work in us, memory in MB, load report
+        self.leaving = None  # the outcome that it will have, once an abort has come to its engine
+        self.told = (0, 0, ())  # work in us, memory in MB, load report
 
 
 class Link:
@@ -43,7 +43,7 @@
         self.decoder, self.pipe = resp.Decoder(most), Pipe(pipe_most, core.counters, core.flusher)
         self.open, self.given_up, self.confirms, self.ended, self.retired = {}, set(), {}, False, False
         self.heard_at, self.used_at, self.asked_at, self.ending = now, now, 0, None
-        self.connection = None   # once it is up
+        self.connection = None  # once it is up
         self.address = host_port(engine.address)
 
     def start(self):
@@ -52,7 +52,7 @@
 
     def takes(self, txn, streams):
         """Whether a send of this id may go out here: a late answer to an earlier one must not meet it."""
-        if self.ended or self.retired or self.asked_at or self.pipe.dead:   # asked: it fell silent
+        if self.ended or self.retired or self.asked_at or self.pipe.dead:  # asked: it fell silent
             return False
         return len(self.open) < streams and txn not in self.given_up
 
@@ -75,11 +75,11 @@
             if self.ending:
                 ending = self.ending
                 return
-            core.first(core.link_up, self)   # which looks at what waits here once more, and lets it go out
+            core.first(core.link_up, self)  # which looks at what waits here once more, and lets it go out
             ending = self._read(connection.sock)
-            if self.pipe.error:   # a write broke it, and the reader was only woken
+            if self.pipe.error:  # a write broke it, and the reader was only woken
                 ending, text = endings.caught(self.pipe.error)
-        except Exception as error:   # a fault of ours ends this link, not the program
+        except Exception as error:  # a fault of ours ends this link, not the program
             ending, text = endings.caught(error)
         finally:
             self.pipe.finish(now=True)
@@ -126,9 +126,9 @@
             arrays = []
             try:
                 arrays.extend(self.decoder.arrays())
-            finally:   # what was whole before bytes that make no sense holds
+            finally:  # what was whole before bytes that make no sense holds
                 if arrays:
                     self.core.post(self.core.heard, self, arrays)
-            if self.decoder.cut != cut:   # in the middle of an answer the next bytes come soon, or never
+            if self.decoder.cut != cut:  # in the middle of an answer the next bytes come soon, or never
                 cut = self.decoder.cut
                 set_read_timeout(sock, self.core.deal.connect_us if cut else 0)
--- a/gullhold/net/logsink.py
+++ b/gullhold/net/logsink.py
@@ -3,7 +3,7 @@
 from queue import Full, Queue
 from threading import Thread
 
-LINES = 2000   # lines that may wait: some seconds of the most that a troubled gateway logs
+LINES = 2000  # lines that may wait: some seconds of the most that a troubled gateway logs
 
 
 class LogSink:
@@ -31,5 +31,5 @@
             try:
                 self.stream.write(text)
                 self.stream.flush()
-            except Exception:   # nobody reads any more, or memory is short: the gateway serves on
+            except Exception:  # nobody reads any more, or memory is short: the gateway serves on
                 self.counters.add("log writes failed")
--- a/gullhold/net/pipe.py
+++ b/gullhold/net/pipe.py
@@ -4,7 +4,7 @@
 from collections import deque
 from threading import Lock
 
-REFUSED, UNSURE = -1, -2   # what put() returns where nothing of a message goes out
+REFUSED, UNSURE = -1, -2  # what put() returns where nothing of a message goes out
 
 
 class Message:
@@ -25,10 +25,10 @@
     def __init__(self, most, counters, flusher):
         self.most, self.counters, self.flusher = most, counters, flusher
         self.connection, self.lock, self.pending, self.size = None, Lock(), deque(), 0
-        self.queued, self.broken_at = 0, None   # offsets: all messages; the first lost one's end
-        self.error = None       # the OSError by which a write ended the connection
-        self.flushing = False   # the flusher goes on with it
-        self.dead, self.finishing, self.said = False, False, False   # said: our side is shut, all is out
+        self.queued, self.broken_at = 0, None  # offsets: all messages; the first lost one's end
+        self.error = None  # the OSError by which a write ended the connection
+        self.flushing = False  # the flusher goes on with it
+        self.dead, self.finishing, self.said = False, False, False  # said: our side is shut, all is out
 
     def attach(self, connection):
         """The connection is up: what waits goes out."""
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -3,8 +3,8 @@
 from gullhold.net.buffer import Buffer
 from gullhold.net.endings import Malformed
 
-HEAD_MOST = 16    # bytes of a length line: more digits than any length that fits a buffer
-WORDS_MOST = 64   # strings in one array: several times what the protocol has
+HEAD_MOST = 16  # bytes of a length line: more digits than any length that fits a buffer
+WORDS_MOST = 64  # strings in one array: several times what the protocol has
 
 
 class Decoder:
--- a/gullhold/net/service.py
+++ b/gullhold/net/service.py
@@ -26,16 +26,16 @@
 from gullhold.net.signals import ENDED, Signals
 from gullhold.net.startup import Refused, retried, start_thread
 
-STACK = 256 * 1024   # bytes of address space a thread; only what is touched counts as memory
-SWITCH_S = 0.001     # the longest that one thread keeps another waiting: under any network time that matters
+STACK = 256 * 1024  # bytes of address space a thread; only what is touched counts as memory
+SWITCH_S = 0.001  # the longest that one thread keeps another waiting: under any network time that matters
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-LOG_S = 0.2          # at the end, for lines still unwritten
-FLEET_S = 1.0        # at the end, for what came of the fleet's own commands: a few calls of the register
-LISTEN_PATIENCE_S = 5.0   # s in which an address that is still taken, or a socket, is asked for again
+LOG_S = 0.2  # at the end, for lines still unwritten
+FLEET_S = 1.0  # at the end, for what came of the fleet's own commands: a few calls of the register
+LISTEN_PATIENCE_S = 5.0  # s in which an address that is still taken, or a socket, is asked for again
 FAULT_WAIT_S = 0.01  # s between turns of the main thread after a fault
 LOG_LINE_MOST = 240  # characters of a line of counters: what reads logs may cut lines at 300
-ROOM_PART = 8        # of the memory, for statements that wait, and as much for answers that are not read
-OWN_SOCKETS = 16     # descriptors beside clients and links: standard ones, listener, coordinator, spare
+ROOM_PART = 8  # of the memory, for statements that wait, and as much for answers that are not read
+OWN_SOCKETS = 16  # descriptors beside clients and links: standard ones, listener, coordinator, spare
 
 
 class Unusable(Exception):
@@ -54,13 +54,18 @@
         known = told.get("known") or {}
         changes = [members(event, deal, names) for event in known.get("updates", ())]
         limits = told.get("limits") or {}
-        return {"deal": deal, "names": names, "changes": changes, "last": int(known.get("index", 0)),
-                "seed": int(str(told.get("seed", "0")), 16),
-                "coordinator": told.get("coordinator"),
-                "listen": os.environ.get("GW_LISTEN") or told["listen"],
-                "name": told.get("name", ""),
-                "memory": int(limits.get("memory_mb", 192)) << 20,
-                "sockets": int(limits.get("sockets", 1024))}
+        return {
+            "deal": deal,
+            "names": names,
+            "changes": changes,
+            "last": int(known.get("index", 0)),
+            "seed": int(str(told.get("seed", "0")), 16),
+            "coordinator": told.get("coordinator"),
+            "listen": os.environ.get("GW_LISTEN") or told["listen"],
+            "name": told.get("name", ""),
+            "memory": int(limits.get("memory_mb", 192)) << 20,
+            "sockets": int(limits.get("sockets", 1024)),
+        }
     except (OSError, ValueError, KeyError, TypeError, AttributeError, Malformed) as fault:
         raise Unusable(f"configuration {path}: {fault!r}") from None
 
@@ -76,8 +81,9 @@
         whose = Whose(rule.client, names, names.index(rule.others) if rule.tenants == "open" else None)
     except ValueError as fault:
         raise Unusable(f"door.client.networks: {fault}") from None
-    return Door(seed, rule, [tenant.share for tenant in deal.tenants],
-                deal.profiles, deal.come_back_us, Core.clock()), whose
+    return Door(
+        seed, rule, [tenant.share for tenant in deal.tenants], deal.profiles, deal.come_back_us, Core.clock()
+    ), whose
 
 
 def assemble(told, rule=None):
@@ -89,14 +95,22 @@
     door, whose = door_of(rule, deal, told["seed"]) if rule else (None, None)
     # The largest message: an even part of the memory for each connection, and always room for a result.
     most = max(told["memory"] // told["sockets"], 2 * RESULT_MOST)
-    clients = told["sockets"] // 2   # usual ones hold a third at most; others must find room too
-    core = Core(policy.Gateway(told["seed"], deal, Core.clock()), deal, Counters(), most,
-                told["sockets"] - clients - OWN_SOCKETS, Room(told["memory"] // ROOM_PART), door,
-                rule.come_back.field if rule else "")
+    clients = told["sockets"] // 2  # usual ones hold a third at most; others must find room too
+    core = Core(
+        policy.Gateway(told["seed"], deal, Core.clock()),
+        deal,
+        Counters(),
+        most,
+        told["sockets"] - clients - OWN_SOCKETS,
+        Room(told["memory"] // ROOM_PART),
+        door,
+        rule.come_back.field if rule else "",
+    )
     try:
         core.flusher = retried("a pipe", Flusher)
-        listener = retried("a socket", lambda: Listener(told["listen"], core, deal, most, clients, whose),
-                           LISTEN_PATIENCE_S)
+        listener = retried(
+            "a socket", lambda: Listener(told["listen"], core, deal, most, clients, whose), LISTEN_PATIENCE_S
+        )
     except (OSError, ValueError, Refused) as fault:
         raise Unusable(f"can't listen on {told['listen']}: {fault}") from None
     coordinator = Coordinator(told["coordinator"], told["last"], core, most, told["names"])
@@ -135,8 +149,9 @@
 def log_to(sink):
     """From here on the log goes to this sink, which is returned."""
     logger.remove()
-    logger.add(sink.put, level=os.environ.get("GULLHOLD_LOG", "INFO"),
-               format="{time:HH:mm:ss.SSS} {level} {message}")
+    logger.add(
+        sink.put, level=os.environ.get("GULLHOLD_LOG", "INFO"), format="{time:HH:mm:ss.SSS} {level} {message}"
+    )
     return sink
 
 
@@ -152,7 +167,7 @@
             if report_s and time.monotonic() >= due:
                 due += report_s
                 report()
-        except Exception:   # guards against a fault beside the service that ends the process with all it owes
+        except Exception:  # guards against a fault beside the service that ends the process with all it owes
             logger.exception("the main thread failed, and goes on")
             time.sleep(FAULT_WAIT_S)
 
@@ -162,7 +177,7 @@
 
     def __init__(self, path, operator):
         """Read the files and take the address; Unusable where that can't be."""
-        self.seen = mark(path) if path else None   # before it is read: one that is replaced meanwhile differs
+        self.seen = mark(path) if path else None  # before it is read: one that is replaced meanwhile differs
         self.told = load(path)
         written = operator_file(operator)
         self.core, self.runs = assemble(self.told, written and written.door)
@@ -188,8 +203,12 @@
 
     def run(self, report_s):
         """Serve until the core has ended; the exit status."""
-        acts = {signal.SIGTERM: self.leave, signal.SIGINT: self.leave, signal.SIGHUP: self.reread.now,
-                signal.SIGUSR1: self.dump}
+        acts = {
+            signal.SIGTERM: self.leave,
+            signal.SIGINT: self.leave,
+            signal.SIGHUP: self.reread.now,
+            signal.SIGUSR1: self.dump,
+        }
         wait_for_end(self.signals, acts, self.report, report_s)
         if self.fleet:
             self.fleet.gone.wait(FLEET_S)
@@ -204,8 +223,12 @@
 
     def report(self):
         """Log the counters."""
-        parts = [f"up {time.monotonic() - self.began:.1f} s", f"CPU {time.process_time():.2f} s",
-                 *resident(), *self.core.counters.lines()]
+        parts = [
+            f"up {time.monotonic() - self.began:.1f} s",
+            f"CPU {time.process_time():.2f} s",
+            *resident(),
+            *self.core.counters.lines(),
+        ]
         for place, line in enumerate(joined(parts, LOG_LINE_MOST)):
             logger.info("{} {}", "counters, continued:" if place else "counters:", line)
 
@@ -221,7 +244,7 @@
         except Exception:
             logger.exception("the core ended")
         finally:
-            self.signals.wake()   # a gateway without its core must not live on
+            self.signals.wake()  # a gateway without its core must not live on
 
 
 def serve(path, report_s=0, operator=None):
@@ -237,13 +260,13 @@
         print(f"gullhold: {fault}", file=sys.stderr)
         return 2
     gc.collect()
-    gc.freeze()   # what lives to the end need not be looked through again
+    gc.freeze()  # what lives to the end need not be looked through again
     try:
         process.start()
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         logger.info("serving {} on {}", process.told["name"], process.told["listen"])
         status = process.run(report_s)
-    except Refused as fault:   # in order, and with the reason: half a gateway must not look alive
+    except Refused as fault:  # in order, and with the reason: half a gateway must not look alive
         logger.critical("{}", fault)
         status = 1
     process.sink.finish(LOG_S)
@@ -255,6 +278,7 @@
     try:
         if operator:
             from gullhold.operator import records  # noqa: PLC0415
+
             print("\n".join(records.lines(operator_file(operator))))
             return 0
         told = load(path)
@@ -262,8 +286,10 @@
         print(f"gullhold: {fault}", file=sys.stderr)
         return 2
     deal = told.pop("deal")
-    print(f"listens on {told['listen']}, coordinator {told['coordinator']}, {told['memory'] >> 20} MB, "
-          f"{told['sockets']} descriptors, list of event {told['last']}")
+    print(
+        f"listens on {told['listen']}, coordinator {told['coordinator']}, {told['memory'] >> 20} MB, "
+        f"{told['sockets']} descriptors, list of event {told['last']}"
+    )
     for profile in deal.profiles:
         print(f"profile {profile}")
     for tenant in deal.tenants:
@@ -321,6 +347,8 @@
         held = len(os.listdir("/proc/self/fd"))
     except OSError:
         return []
-    return [f"{name}: {rows[key].strip()}" for name, key in
-            (("resident most", "VmHWM"), ("resident", "VmRSS"), ("threads", "Threads")) if key in rows] + [
-            f"descriptors: {held}"]
+    return [
+        f"{name}: {rows[key].strip()}"
+        for name, key in (("resident most", "VmHWM"), ("resident", "VmRSS"), ("threads", "Threads"))
+        if key in rows
+    ] + [f"descriptors: {held}"]
--- a/gullhold/net/signals.py
+++ b/gullhold/net/signals.py
@@ -5,8 +5,8 @@
 import signal
 from contextlib import suppress
 
-ENDED = 0            # not a signal: what wake() says
-READ_MOST = 4096     # bytes of one read, a signal each
+ENDED = 0  # not a signal: what wake() says
+READ_MOST = 4096  # bytes of one read, a signal each
 
 
 class Signals:
@@ -21,13 +21,13 @@
         self.out, self.into = os.pipe()
         os.set_blocking(self.out, False)
         os.set_blocking(self.into, False)
-        signal.set_wakeup_fd(self.into, warn_on_full_buffer=False)   # full: there is enough to wake for
+        signal.set_wakeup_fd(self.into, warn_on_full_buffer=False)  # full: there is enough to wake for
         for number in numbers:
-            signal.signal(number, lambda *_: None)   # without a handler of ours no byte is written
+            signal.signal(number, lambda *_: None)  # without a handler of ours no byte is written
 
     def wake(self):
         """From any thread: have wait() return."""
-        with suppress(BlockingIOError):   # full: there is enough to wake for
+        with suppress(BlockingIOError):  # full: there is enough to wake for
             os.write(self.into, bytes([ENDED]))
 
     def wait(self, seconds):
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -6,15 +6,15 @@
 held colder than it is, by the shortest delay of the news, and never warmer.
 """
 
-PLAUSIBLE_US = 10_000_000   # us that news may take: over the 7 s of the protocol
+PLAUSIBLE_US = 10_000_000  # us that news may take: over the 7 s of the protocol
 
 
 class StartTimes:
     """Corrects the starts (us of Unix time, 0: not a late one) of engines as the list tells them."""
 
     def __init__(self):
-        self.ahead_us = None   # the most that our clock is ahead of who tells of starts; None: unknown
-        self.told, self.rows = {}, {}   # by engine: (start as told, as corrected); entries not told as news
+        self.ahead_us = None  # the most that our clock is ahead of who tells of starts; None: unknown
+        self.told, self.rows = {}, {}  # by engine: (start as told, as corrected); entries not told as news
 
     def corrected(self, now, entries, news):
         """These entries, and others that what they show corrects. An entry is a tuple that begins with the
@@ -47,7 +47,7 @@
             return entry
         start = min(now, born + (self.ahead_us or 0 if news else 0))
         last, corrected = self.told.get(ident, (0, 0))
-        if last == born:   # the same start, told again: what is known since can only make it older
+        if last == born:  # the same start, told again: what is known since can only make it older
             start = min(start, corrected)
         self.told[ident] = born, start
         if news:
--- a/gullhold/net/startup.py
+++ b/gullhold/net/startup.py
@@ -10,8 +10,8 @@
 
 from gullhold.net.endings import SHORT_HERE
 
-PATIENCE_S = 20.0   # s in which what is refused is asked for again: under the 30 s that a start may take
-PAUSE_S = 0.02      # s between tries
+PATIENCE_S = 20.0  # s in which what is refused is asked for again: under the 30 s that a start may take
+PAUSE_S = 0.02  # s between tries
 MOMENTARY = SHORT_HERE | {errno.ECONNABORTED}
 
 
@@ -29,7 +29,7 @@
             last = error
             if error.errno not in MOMENTARY:
                 raise
-        except (RuntimeError, MemoryError) as error:   # how Python tells that a thread can't be started
+        except (RuntimeError, MemoryError) as error:  # how Python tells that a thread can't be started
             last = error
         if time.monotonic() >= end:
             raise Refused(f"{what}: refused for {seconds:g} s: {last}") from last
@@ -38,6 +38,7 @@
 
 def start_thread(run, name):
     """Start a long-lived thread."""
+
     def start():
         Thread(target=run, name=name, daemon=True).start()
 
--- a/gullhold/net/statement.py
+++ b/gullhold/net/statement.py
@@ -4,13 +4,16 @@
 
 # Strings with doubled quotes, comments, and names, plain or quoted, joined by dots.
 NAME = r'(?:[^\W\d]\w*|"(?:[^"]|"")*"|`[^`]*`|\[[^\]\'"]*\])'
-TOKEN = re.compile(r"(?P<skip>'(?:[^']|'')*(?:'|$)|--[^\n]*|/\*.*?(?:\*/|$))"
-                   rf"|(?P<name>{NAME}(?:\s*\.\s*{NAME})*)|(?P<other>[^\s\w])", re.S)
+TOKEN = re.compile(
+    r"(?P<skip>'(?:[^']|'')*(?:'|$)|--[^\n]*|/\*.*?(?:\*/|$))"
+    rf"|(?P<name>{NAME}(?:\s*\.\s*{NAME})*)|(?P<other>[^\s\w])",
+    re.S,
+)
 PART = re.compile(NAME, re.S)
 GROUP = re.compile(r"_(\d+)\Z")
 BEFORE_TABLE = frozenset(("from", "join", "into", "update", "table", "using", "only", "copy"))
 AFTER_TABLES = frozenset(("where", "group", "order", "having", "limit", "set", "on", "select", "values"))
-BESIDE = "staging"   # a schema for work in between: never the one that counts
+BESIDE = "staging"  # a schema for work in between: never the one that counts
 
 
 def group(text):
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -8,10 +8,10 @@
 
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 STOP, BOOL, I32, STRING, STRUCT, MAP, SET, LIST = 0, 2, 8, 11, 12, 13, 14, 15
-FIXED = {BOOL: 1, 3: 1, 4: 8, 6: 2, I32: 4, 10: 8}   # type: bytes
+FIXED = {BOOL: 1, 3: 1, 4: 8, 6: 2, I32: 4, 10: 8}  # type: bytes
 STRICT = 0x8001
-NESTED = 16   # structs within structs that are followed
-UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7   # of application exceptions
+NESTED = 16  # structs within structs that are followed
+UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7  # of application exceptions
 HEAD = struct.Struct(">HBB")
 I16, I32S = struct.Struct(">h"), struct.Struct(">i")
 FIELD = struct.Struct(">Bh")
@@ -37,7 +37,7 @@
         if size < 0 or self.at + size > len(self.data):
             raise Malformed("a value runs past its frame")
         self.at += size
-        return self.data[self.at - size:self.at]
+        return self.data[self.at - size : self.at]
 
     def number(self, form):
         """The next number."""
@@ -88,7 +88,7 @@
                 at += 4 + size
                 if size < 0 or at > end:
                     raise Malformed("a value runs past its frame")
-                pair.append(data[at - size:at])
+                pair.append(data[at - size : at])
             found[pair[0]] = pair[1]
         self.at = at
         return found
@@ -99,7 +99,7 @@
 
     def _size(self, *kinds):
         size = self.number(I32S)
-        if size < 0 or size > len(self.data) - self.at:   # no value is shorter than a byte
+        if size < 0 or size > len(self.data) - self.at:  # no value is shorter than a byte
             raise Malformed(f"a container of {size}")
         if size and not all(kind in FIXED or kind in (STRING, STRUCT, MAP, SET, LIST) for kind in kinds):
             raise Malformed("unknown type in a container")
@@ -164,14 +164,28 @@
 
 def answer(method, seq, body=b"", good=True):
     """An Answer."""
-    return _message(REPLY, method, seq, FIELD.pack(STRUCT, 0) + FIELD.pack(STRING, 1) + _string(body) +
-                    FIELD.pack(MAP, 2) + _map({}) + FIELD.pack(BOOL, 3) + bytes((good, STOP, STOP)))
+    return _message(
+        REPLY,
+        method,
+        seq,
+        FIELD.pack(STRUCT, 0)
+        + FIELD.pack(STRING, 1)
+        + _string(body)
+        + FIELD.pack(MAP, 2)
+        + _map({})
+        + FIELD.pack(BOOL, 3)
+        + bytes((good, STOP, STOP)),
+    )
 
 
 def thrown(seq, place, fields):
     """What execute throws: the exception at this place of its result (1 Shed, 2 Fault)."""
-    return _message(REPLY, "execute", seq, FIELD.pack(STRUCT, place) + FIELD.pack(MAP, 1) + _map(fields) +
-                    bytes((STOP, STOP)))
+    return _message(
+        REPLY,
+        "execute",
+        seq,
+        FIELD.pack(STRUCT, place) + FIELD.pack(MAP, 1) + _map(fields) + bytes((STOP, STOP)),
+    )
 
 
 def shed(seq, fields):
@@ -186,8 +200,16 @@
 
 def exception(method, seq, kind, text):
     """An application exception."""
-    return _message(EXCEPTION, method, seq, FIELD.pack(STRING, 1) + _string(text.encode()) +
-                    FIELD.pack(I32, 2) + I32S.pack(kind) + bytes((STOP,)))
+    return _message(
+        EXCEPTION,
+        method,
+        seq,
+        FIELD.pack(STRING, 1)
+        + _string(text.encode())
+        + FIELD.pack(I32, 2)
+        + I32S.pack(kind)
+        + bytes((STOP,)),
+    )
 
 
 def check_call(seq):
@@ -195,7 +217,7 @@
     return _message(CALL, "check", seq, FIELD.pack(BOOL, 1) + bytes((1, STOP)))
 
 
-CHECK_MOST = 4096   # bytes of an answer to check, which has no body: far more than it needs
+CHECK_MOST = 4096  # bytes of an answer to check, which has no body: far more than it needs
 
 
 def is_good(frame):
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -163,7 +163,7 @@
 
     on: bool
     name: str
-    register_: str = Field(alias="register")   # a model has a method of that name
+    register_: str = Field(alias="register")  # a model has a method of that name
     timeout: int
     lease: int
     drift: Drift
@@ -214,7 +214,7 @@
     except Bad as fault:
         if fault.place.file != SCHEMA:
             raise
-        raise Bad(_place(nodes, fault.path, file), fault.path, fault.text) from None   # what is not there
+        raise Bad(_place(nodes, fault.path, file), fault.path, fault.text) from None  # what is not there
     try:
         return OperatorFile.model_validate(told)
     except ValidationError as fault:
--- a/gullhold/operator/text.py
+++ b/gullhold/operator/text.py
@@ -41,6 +41,7 @@
 @cache
 def _parser():
     from lark import Lark  # noqa: PLC0415  only those who name an operator file need it
+
     grammar = files("gullhold.operator").joinpath("grammar.lark").read_text("utf-8")
     return Lark(grammar, parser="lalr", propagate_positions=True, maybe_placeholders=False)
 
@@ -48,9 +49,9 @@
 def number(word, place):
     """(kind, value) of a number: int, float, or a duration in whole us."""
     unit = UNIT.search(word)
-    if not unit or word[unit.start():] in ("e", "E"):
+    if not unit or word[unit.start() :] in ("e", "E"):
         return ("int", int(word)) if re.fullmatch(r"[-+]?[0-9]+", word) else ("float", float(word))
-    amount, unit = float(word[:unit.start()]), unit.group()
+    amount, unit = float(word[: unit.start()]), unit.group()
     if unit in DURATIONS_US:
         return "duration", round(amount * DURATIONS_US[unit])
     if amount * SIZES[unit] % 1:
@@ -64,11 +65,15 @@
     Raises Bad with the place of what can't be read.
     """
     from lark.exceptions import UnexpectedCharacters, UnexpectedInput, UnexpectedToken  # noqa: PLC0415
+
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as fault:
-        line, column = (fault.line, fault.column) if fault.line and fault.line > 0 else (
-            text.count("\n") + 1, len(text) - text.rfind("\n"))
+        line, column = (
+            (fault.line, fault.column)
+            if fault.line and fault.line > 0
+            else (text.count("\n") + 1, len(text) - text.rfind("\n"))
+        )
         shown = "the end of the file"
         if isinstance(fault, UnexpectedCharacters):
             shown = repr(text[fault.pos_in_stream])
@@ -95,7 +100,7 @@
         else:
             name = str(label.children[0])
             name = _text(name, place) if label.data == "quoted" else name
-        if value.data == "field":   # a: b: c is a: {b: c}
+        if value.data == "field":  # a: b: c is a: {b: c}
             holder = type(part)("record", [value], value.meta)
             node = Node("record", tuple(_fields(holder, file)), _place(value, file))
         else:
@@ -116,8 +121,17 @@
     if kind in ("either", "both") and len(parts) == 1 and parts[0].data != "preferred":
         return _node(parts[0], file)
     if kind == "either":
-        return Node("either", tuple((part.data == "preferred", _node(
-            part.children[0] if part.data == "preferred" else part, file)) for part in parts), place)
+        return Node(
+            "either",
+            tuple(
+                (
+                    part.data == "preferred",
+                    _node(part.children[0] if part.data == "preferred" else part, file),
+                )
+                for part in parts
+            ),
+            place,
+        )
     if kind == "number":
         return Node("value", number(str(tree.children[0]), place), place)
     if kind == "string":
--- a/gullhold/operator/values.py
+++ b/gullhold/operator/values.py
@@ -11,11 +11,23 @@
 
 from gullhold.operator.text import Bad, Place
 
-TYPES = {"int": ("int",), "float": ("int", "float"), "number": ("int", "float"), "string": ("string",),
-         "bool": ("bool",), "duration": ("duration",)}
-COMPARE = {">": operator.gt, ">=": operator.ge, "<": operator.lt, "<=": operator.le, "!=": operator.ne,
-           "=~": lambda value, form: re.search(form, value) is not None}
-DEPTH_MOST = 64      # records in records: guards against a definition that holds itself
+TYPES = {
+    "int": ("int",),
+    "float": ("int", "float"),
+    "number": ("int", "float"),
+    "string": ("string",),
+    "bool": ("bool",),
+    "duration": ("duration",),
+}
+COMPARE = {
+    ">": operator.gt,
+    ">=": operator.ge,
+    "<": operator.lt,
+    "<=": operator.le,
+    "!=": operator.ne,
+    "=~": lambda value, form: re.search(form, value) is not None,
+}
+DEPTH_MOST = 64  # records in records: guards against a definition that holds itself
 ABSENT = object()
 
 
@@ -56,8 +68,12 @@
     """Evaluates nodes under a file's definitions (names that begin with #)."""
 
     def __init__(self, *roots):
-        self.named = {name: (node, place) for root in roots for label, name, _, node, place in root.facts
-                      if label == "named" and name.startswith("#")}
+        self.named = {
+            name: (node, place)
+            for root in roots
+            for label, name, _, node, place in root.facts
+            if label == "named" and name.startswith("#")
+        }
 
     def value(self, node, path=(), depth=0):
         """What a node stands for."""
@@ -72,8 +88,12 @@
             limit = concrete(self.value(facts[1], path, depth + 1), path)
             limits = facts[1].facts[0] if facts[1].kind == "value" else "int"
             types = TYPES.get(limits, (limits,)) if limits not in ("int", "float") else ("int", "float")
-            return Scalar(None if facts[0] == "!=" else frozenset(types),
-                          ((facts[0], limit, f"{facts[0]}{shown(limits, limit)}"),), ABSENT, place)
+            return Scalar(
+                None if facts[0] == "!=" else frozenset(types),
+                ((facts[0], limit, f"{facts[0]}{shown(limits, limit)}"),),
+                ABSENT,
+                place,
+            )
         if kind == "either":
             return Either(tuple((first, self.value(part, path, depth + 1)) for first, part in facts), place)
         if kind == "both":
@@ -85,8 +105,9 @@
             return self._record(facts, place, path, depth, closed=False)
         if kind == "rest":
             return Row(None, self.value(facts[0], path, depth + 1), place)
-        return Row(tuple(self.value(part, (*path, str(i)), depth + 1) for i, part in enumerate(facts)),
-                   None, place)
+        return Row(
+            tuple(self.value(part, (*path, str(i)), depth + 1) for i, part in enumerate(facts)), None, place
+        )
 
     def _named(self, name, place, path, depth):
         if name in TYPES:
@@ -95,7 +116,7 @@
             known = [*TYPES, *self.named, "true", "false"]
             raise Bad(place, path, f"{name} is not known{nearest(name, known)}")
         node, _ = self.named[name]
-        if node.kind == "record":   # a definition is closed
+        if node.kind == "record":  # a definition is closed
             return self._record(node.facts, node.place, path, depth + 1, closed=True)
         return self.value(node, path, depth + 1)
 
@@ -157,8 +178,9 @@
 
 
 def _scalar(one, other, path):
-    types = (one.types if other.types is None else other.types if one.types is None
-             else one.types & other.types)
+    types = (
+        one.types if other.types is None else other.types if one.types is None else one.types & other.types
+    )
     if types is not None and not types:
         raise Bad(other.place, path, f"{_what(other)} where {kinds(one.types)} must stand")
     if one.value is not ABSENT and other.value is not ABSENT and one.value != other.value:
@@ -191,8 +213,12 @@
                 faults.append(fault)
     if not parts:
         # Most is said by an alternative that took the type and broke a bound, least by another constant.
-        faults.sort(key=lambda fault: (" must stand" in fault.text, fault.text.count(" is not ") > 0 and
-                                       fault.text.rsplit(" is not ", 1)[1][:1] not in "<>=!"))
+        faults.sort(
+            key=lambda fault: (
+                " must stand" in fault.text,
+                fault.text.count(" is not ") > 0 and fault.text.rsplit(" is not ", 1)[1][:1] not in "<>=!",
+            )
+        )
         if len(faults) > 1 and all(" is not " in fault.text for fault in faults):
             bounds = [fault.text.split(" is not ", 1)[1] for fault in faults]
             value = faults[0].text.split(" is not ", 1)[0]
@@ -209,8 +235,10 @@
     items = one.items if other.items is None else other.items
     if items is not None:
         if one.items is not None and other.items is not None:
-            items = [unify(left, right, (*path, str(i))) for i, (left, right) in
-                     enumerate(zip(one.items, other.items, strict=True))]
+            items = [
+                unify(left, right, (*path, str(i)))
+                for i, (left, right) in enumerate(zip(one.items, other.items, strict=True))
+            ]
         for rule in rules:
             items = [unify(rule, item, (*path, str(i))) for i, item in enumerate(items)]
         items = tuple(items)
@@ -226,8 +254,11 @@
                 continue
             if name in mine.fields:
                 left, right = (one, other)
-                fields[name] = (unify(left.fields[name][0], right.fields[name][0], (*path, name)),
-                                left.fields[name][1] and right.fields[name][1], right.fields[name][2])
+                fields[name] = (
+                    unify(left.fields[name][0], right.fields[name][0], (*path, name)),
+                    left.fields[name][1] and right.fields[name][1],
+                    right.fields[name][2],
+                )
                 continue
             rules = [rule for names, rule in mine.every if _fits(names, name)]
             if mine.closed or mine.every and not rules:
@@ -257,13 +288,19 @@
         return concrete(known[0], path)
     if isinstance(value, Scalar):
         if value.value is ABSENT:
-            raise Bad(value.place, path, f"must be said: {kinds(value.types)}"
-                      + "".join(f" {words}" for _, _, words in value.bounds))
+            raise Bad(
+                value.place,
+                path,
+                f"must be said: {kinds(value.types)}" + "".join(f" {words}" for _, _, words in value.bounds),
+            )
         return value.value
     if isinstance(value, Row):
         return [concrete(item, (*path, str(i))) for i, item in enumerate(value.items or ())]
-    return {name: concrete(inner, (*path, name)) for name, (inner, optional, _) in value.fields.items()
-            if not (optional and _open(inner))}
+    return {
+        name: concrete(inner, (*path, name))
+        for name, (inner, optional, _) in value.fields.items()
+        if not (optional and _open(inner))
+    }
 
 
 def _plain(part, path):
@@ -284,4 +321,3 @@
 def root(nodes, closed=False):
     """The value of a file's top record under its own definitions; closed: no other names may be added."""
     return Scope(nodes).value(nodes)._replace(closed=closed)
-
--- a/gullhold/policy.py
+++ b/gullhold/policy.py
@@ -16,50 +16,81 @@
 from gullhold.ranking import RANKED_MOST, EngineList
 
 # Tuned values: each with its unit and the reason for its size.
-THREADS_A_CORE = 2.0      # threads; the design's start for cap and bound
-TICK_US = 50_000          # us between looks while commands are held; far below any latency target
-MARGIN_US = 30_000        # us before a client timeout or window ends at which we stop: over one tick
-REFIT_US = (10_000_000, 800_000)   # us between fits, from the design; and of one sample: a few commands end
+THREADS_A_CORE = 2.0  # threads; the design's start for cap and bound
+TICK_US = 50_000  # us between looks while commands are held; far below any latency target
+MARGIN_US = 30_000  # us before a client timeout or window ends at which we stop: over one tick
+REFIT_US = (10_000_000, 800_000)  # us between fits, from the design; and of one sample: a few commands end
 SAMPLE_AT = (0.4, 0.7, 4)  # P0 and P1 against the cap: far apart; least threads of a cap worth sampling
 BUSY = (0.7, 2.0, 4.0, 1_000_000)  # load told that leaves no room; most that sum and cap widen; us it fades
-PRESSURE = 1.8            # pace against the best seen that is pressure: sharing cores in turn explains less
-WARM = 0.7                # weight of a command's own threads at a home: it reads less there, warm
-STALE_US = 12_000_000     # us in which what an engine showed fades: some long commands, less than a trouble
+PRESSURE = 1.8  # pace against the best seen that is pressure: sharing cores in turn explains less
+WARM = 0.7  # weight of a command's own threads at a home: it reads less there, warm
+STALE_US = 12_000_000  # us in which what an engine showed fades: some long commands, less than a trouble
 HOMES = (3, 20, 2.0, 400)  # least homes of a data set; first count; spread; commands after which all halve
-TRAFFIC_US = 15_000_000   # us over which our traffic is counted for our share: longer than a burst
-FULL_US = 2_000_000       # us a full answer, or a note of waiting for a load, keeps us off: a few notes
-STEADY = 4.0              # long commands' work that outweighs the newest in the fleet's pace: few end
-PART = (0.5, 1.25)        # least and most of our share that pressure leaves: a thread a core; more jams all
-SLACK = 1.0               # spreads of our threads by chance that the bound over the fleet allows
-LONG_PART = (0.3, 0.8, 0.7, 0.0015)   # of a bound, for long commands: least, most; left at a loss; regained
-SHORT = 2.5               # times the shortest latency target that a short command is allowed in all
-QUOTA = (1.0, 2.0, 8.0)   # least, first and most commands a round of the smallest tenant (zeta)
-LIMITS = (0.5, 1.0)       # unfairness and latency variability: half the mean count, a spread like the mean
-NEED = (1.1, 0.2, 2.0)    # first mean of need over estimate, its spread; spreads granted: spilling costs more
+TRAFFIC_US = 15_000_000  # us over which our traffic is counted for our share: longer than a burst
+FULL_US = 2_000_000  # us a full answer, or a note of waiting for a load, keeps us off: a few notes
+STEADY = 4.0  # long commands' work that outweighs the newest in the fleet's pace: few end
+PART = (0.5, 1.25)  # least and most of our share that pressure leaves: a thread a core; more jams all
+SLACK = 1.0  # spreads of our threads by chance that the bound over the fleet allows
+LONG_PART = (0.3, 0.8, 0.7, 0.0015)  # of a bound, for long commands: least, most; left at a loss; regained
+SHORT = 2.5  # times the shortest latency target that a short command is allowed in all
+QUOTA = (1.0, 2.0, 8.0)  # least, first and most commands a round of the smallest tenant (zeta)
+LIMITS = (0.5, 1.0)  # unfairness and latency variability: half the mean count, a spread like the mean
+NEED = (1.1, 0.2, 2.0)  # first mean of need over estimate, its spread; spreads granted: spilling costs more
 SICK = (0.15, 2, 0.7, 0.3)  # share of failures, over times the median, that is sick; part for long ones; step
-JAMMED = (0.1, 1.5)       # share of failures, or slowness, from which load told is no room: half of sick
-NO_FAILURES = 1e-4        # share of failures, as it fades, that is none
-LARGE = RANKED_MOST       # engines beyond which a gateway goes back to those that it has used
-LATELY = (4, 512)         # engines kept for a data set: what one gateway has out there; data sets
-WALK_MOST = 128           # engines looked at from a point drawn at random: more than most fleets have
-EASE = 0.1                # weight of the newest answer in moving figures: about ten count
-FORGOTTEN = 0.02          # commands of a tenant's fading count that no figure would show any more
-RUNS = (0.6, 1.8, 3.0)    # usual runs between looks at a send; of a bad plan; left by notes, or of one stuck
-KILLS = (0.4, 4.0)        # further sends for bad plans that each send earns, and the most saved up
-COLD_PART = (0.5, 0.25)   # part of the cold budget that we expect to use; and for one command: chance
-RUNS_ON = 2.0             # ages that a send which timed out is taken to run on, where none can be cancelled
-ABSURD = 100              # client timeouts of work that no estimate is believed beyond
-FIRST = (1.5, 0.5)        # before any answer: pace; part of the latency target that a run takes
+JAMMED = (0.1, 1.5)  # share of failures, or slowness, from which load told is no room: half of sick
+NO_FAILURES = 1e-4  # share of failures, as it fades, that is none
+LARGE = RANKED_MOST  # engines beyond which a gateway goes back to those that it has used
+LATELY = (4, 512)  # engines kept for a data set: what one gateway has out there; data sets
+WALK_MOST = 128  # engines looked at from a point drawn at random: more than most fleets have
+EASE = 0.1  # weight of the newest answer in moving figures: about ten count
+FORGOTTEN = 0.02  # commands of a tenant's fading count that no figure would show any more
+RUNS = (0.6, 1.8, 3.0)  # usual runs between looks at a send; of a bad plan; left by notes, or of one stuck
+KILLS = (0.4, 4.0)  # further sends for bad plans that each send earns, and the most saved up
+COLD_PART = (0.5, 0.25)  # part of the cold budget that we expect to use; and for one command: chance
+RUNS_ON = 2.0  # ages that a send which timed out is taken to run on, where none can be cancelled
+ABSURD = 100  # client timeouts of work that no estimate is believed beyond
+FIRST = (1.5, 0.5)  # before any answer: pace; part of the latency target that a run takes
 
 HELD, BEHIND, OUT, STREAMING, LEAVING, ORPHAN, ENDED = range(7)
-MOVES = {HELD: (OUT, ENDED), BEHIND: (HELD, ENDED), OUT: (HELD, STREAMING, LEAVING, ORPHAN, ENDED),
-         STREAMING: (ORPHAN, ENDED), LEAVING: (HELD, ORPHAN, ENDED), ORPHAN: (ENDED,), ENDED: ()}
-
-ENGINE = {"state": api.GONE, "place": 0, "kind": 0, "cell": 0, "born": 0, "cores": 1.0, "threads": 0,
-          "running": 0, "bound": None, "failed": 0.0, "failed_at": 0, "full_until": 0, "seen_at": 0,
-          "seen": 0.0, "seen_slow": 0.0, "stage": 0, "stage_at": 0, "work_done": 0.0, "fit_at": 0,
-          "samples": (), "cold_sent": deque, "ticket": 0.0, "ticket_at": 0, "load": 1.0, "load_at": 0,
-          "stuck": 0, "sequence": 0}
+MOVES = {
+    HELD: (OUT, ENDED),
+    BEHIND: (HELD, ENDED),
+    OUT: (HELD, STREAMING, LEAVING, ORPHAN, ENDED),
+    STREAMING: (ORPHAN, ENDED),
+    LEAVING: (HELD, ORPHAN, ENDED),
+    ORPHAN: (ENDED,),
+    ENDED: (),
+}
+
+ENGINE = {
+    "state": api.GONE,
+    "place": 0,
+    "kind": 0,
+    "cell": 0,
+    "born": 0,
+    "cores": 1.0,
+    "threads": 0,
+    "running": 0,
+    "bound": None,
+    "failed": 0.0,
+    "failed_at": 0,
+    "full_until": 0,
+    "seen_at": 0,
+    "seen": 0.0,
+    "seen_slow": 0.0,
+    "stage": 0,
+    "stage_at": 0,
+    "work_done": 0.0,
+    "fit_at": 0,
+    "samples": (),
+    "cold_sent": deque,
+    "ticket": 0.0,
+    "ticket_at": 0,
+    "load": 1.0,
+    "load_at": 0,
+    "stuck": 0,
+    "sequence": 0,
+}
 
 
 class Command:
@@ -68,15 +99,15 @@
     def __init__(self, ident, profile, kind, tenant, key, timeout_at, need, dataset, order):
         self.id, self.profile, self.kind, self.tenant, self.key = ident, profile, kind, tenant, key
         self.need, self.dataset, self.order, self.entry, self.state = need, dataset, order, 0, BEHIND
-        self.last_at, self.threads = timeout_at - MARGIN_US, kind.threads   # after last_at nothing is started
+        self.last_at, self.threads = timeout_at - MARGIN_US, kind.threads  # after last_at nothing is started
         self.sends, self.engine, self.sent_at, self.ran_engine, self.ran_at, self.done = 0, -1, 0, -1, 0, 0.0
-        self.stuck = False   # its send has been out for so long that nothing new goes to that engine
-        self.began, self.stays = (), ()   # under the fleet's budgets: of its send, and until it has ended
+        self.stuck = False  # its send has been out for so long that nothing new goes to that engine
+        self.began, self.stays = (), ()  # under the fleet's budgets: of its send, and until it has ended
 
 
 def spread_of(n, s1, s2):
     """The spread against its mean of a figure, from fading sums of ones, values and squares; 0: none yet."""
-    return max(s2 * n / s1 ** 2 - 1, 0.0) ** 0.5 if s1 else 0.0
+    return max(s2 * n / s1**2 - 1, 0.0) ** 0.5 if s1 else 0.0
 
 
 def fit_bound(p0, rate0, p1, rate1, p2, rate2):
@@ -85,7 +116,7 @@
         return None
     far1 = (p1 * rate0 / rate1 - p0) / (p0 * (p1 - 1))
     far2 = (p2 * rate0 / rate2 - p0) / (p0 * (p2 - 1))
-    if far1 <= 0 or far2 <= far1 or far2 / far1 >= (p2 - p0) / (p1 - p0):   # no positive B and gamma fit
+    if far1 <= 0 or far2 <= far1 or far2 / far1 >= (p2 - p0) / (p1 - p0):  # no positive B and gamma fit
         return None
     low, high = 1e-6 / (p2 - p0), 50 / (p1 - p0)
     for _ in range(60):
@@ -104,10 +135,10 @@
     def __init__(self, seed, agreement, now):
         self.deal, self.draw, self.began = agreement, Random(seed).random, now
         self.out, self.now, self.order, self.ready_cores, self.usual_failed = [], now, 0, 0.0, 0.0
-        self.commands, self.due = {}, []             # by id while owed or out; (time, order, command, sends)
+        self.commands, self.due = {}, []  # by id while owed or out; (time, order, command, sends)
         # (Engine, data set): until when a load holds it. Data set: engines by rank, and commands, fading.
         self.closed, self.asked, self.asked_all = {}, {}, 0.0
-        self.lines, self.key_rest, self.taken, self.extras = {}, {}, deque(), deque()   # by key; times
+        self.lines, self.key_rest, self.taken, self.extras = {}, {}, deque(), deque()  # by key; times
         # Profiles: usual work, bias of estimates, need against estimate, best and usual pace, kills saved up.
         n = len(agreement.profiles)
         self.usual, self.bias, self.spread = [0.0] * n, [1.0] * n, [NEED[:2]] * n
@@ -118,22 +149,22 @@
         # All but the weights is kept only for tenants that it says something of, in dicts by index.
         self.weight = [t.share / least for t in agreement.tenants] or [1.0] * n
         self.counted, self.held, self.released = sum(w > 0 for w in self.weight), {}, {}
-        self.quota, self.latency, self.spreads = {}, {}, 0.0   # sum of spreads of latency
-        self.allowance = sum(t.allowance for t in agreement.tenants)   # what our traffic is measured against
+        self.quota, self.latency, self.spreads = {}, {}, 0.0  # sum of spreads of latency
+        self.allowance = sum(t.allowance for t in agreement.tenants)  # what our traffic is measured against
         self.traffic, self.traffic_at = self.allowance / agreement.managers * TRAFFIC_US / 1e6, now
         self.part, self.slow, self.total, self.armed = 1.0, 1.0, 0, None
-        self.long, self.lingering = LONG_PART[1], []   # (until, engine, born, threads): sends that may run on
+        self.long, self.lingering = LONG_PART[1], []  # (until, engine, born, threads): sends that may run on
         self.zeta, self.rose, self.turn, self.rounds = QUOTA[1], False, 0, 0
-        fields = list(agreement.report_fields)   # reported load, if any; of the fleet: full until told
+        fields = list(agreement.report_fields)  # reported load, if any; of the fleet: full until told
         self.util, self.busy = fields.index("util") if "util" in fields else -1, 1.0
-        self.prior, self.parts = 1.0, None   # least usual work; our parts of the fleet's budgets
-        self.gate, self.priorities, self.grants, self.most_sends = None, {}, {}, {}   # by the fleet's policy
+        self.prior, self.parts = 1.0, None  # least usual work; our parts of the fleet's budgets
+        self.gate, self.priorities, self.grants, self.most_sends = None, {}, {}, {}  # by the fleet's policy
         # Engines by id; ready ones, and those of them in our location; gone ones that may still be needed.
         self.index, self.ids, self.free, self.sequences = {}, [], [], 0
         self.ready, self.near, self.gone = EngineList(), EngineList(), set()
-        self.lately = {}   # by data set: engines that answered for it
-        self.marred, self.stuck_at, self.sampled = set(), set(), -1   # with failures, stuck sends; sampled
-        vars(self).update({name: [] for name in ENGINE})   # parallel arrays under the dense index
+        self.lately = {}  # by data set: engines that answered for it
+        self.marred, self.stuck_at, self.sampled = set(), set(), -1  # with failures, stuck sends; sampled
+        vars(self).update({name: [] for name in ENGINE})  # parallel arrays under the dense index
 
     def engines(self, now, entries, full):
         """The list of engines changed; full: engines that are not in it are gone."""
@@ -141,13 +172,13 @@
         for ident, place, _, kind, state, cell, born in entries:
             if ident not in self.index:
                 be = self.index[ident] = self.free.pop() if self.free else len(self.ids)
-                for name, first in (*ENGINE.items(), ("ids", ident)):   # a new place, or one given up
-                    getattr(self, name)[be:be + 1] = [first() if callable(first) else first]
+                for name, first in (*ENGINE.items(), ("ids", ident)):  # a new place, or one given up
+                    getattr(self, name)[be : be + 1] = [first() if callable(first) else first]
                 self.sequences += 1
                 self.sequence[be] = self.sequences
             seen.add(be := self.index[ident])
             self._take_off(be)
-            if born > self.born[be]:                          # a restart: whatever we knew is void
+            if born > self.born[be]:  # a restart: whatever we knew is void
                 self.seen[be] = self.seen_slow[be] = self.failed[be] = self.full_until[be] = 0
                 self.load[be] = 1.0
                 self.cold_sent[be].clear()
@@ -205,14 +236,23 @@
         # Estimates that are none, or beyond all that a client waits for, are bounded: never an exception.
         need = need if 0 < need < float("inf") else 0.0
         work = min(work * self.bias[profile], ABSURD * kind.timeout_us) if work > 0 else self.usual[profile]
-        cmd = Command(ident, profile, kind, who if who < len(self.weight) else 0, key, timeout_at, need,
-                      dataset, self.order)
+        cmd = Command(
+            ident,
+            profile,
+            kind,
+            who if who < len(self.weight) else 0,
+            key,
+            timeout_at,
+            need,
+            dataset,
+            self.order,
+        )
         cmd.work, cmd.taken_at = work or FIRST[1] * kind.target_us * kind.threads, now
         self.usual[profile] += EASE * (cmd.work - self.usual[profile]) if self.usual[profile] else cmd.work
         self.prior = min(usual for usual in self.usual if usual)
         allowed = kind.target_us + kind.target_stretch * cmd.work / kind.threads
         cmd.target_at, cmd.short = int(now + allowed), allowed <= self.short_us
-        cmd.until = cmd.last_at if kind.late_benefit else cmd.target_at   # while an answer still earns
+        cmd.until = cmd.last_at if kind.late_benefit else cmd.target_at  # while an answer still earns
         self.commands[ident] = cmd
         self.asked[dataset], self.asked_all = self.asked.get(dataset, 0.0) + 1, self.asked_all + 1
         if self.asked_all > HOMES[3]:
@@ -265,14 +305,18 @@
         if may := not (self.gate and self.gate.shut()) and all(part.may(1) for part in parts):
             cmd.stays = parts
         for part in parts:
-            part.begin(1) if may else part.refused(1)   # a refusal is demand
+            part.begin(1) if may else part.refused(1)  # a refusal is demand
         return may
 
     def _claims(self, cmd, be):
         """What a send takes of our parts of the fleet's budgets: (part, how much) each."""
         ident, cold = self.ids[be], self._cold_part(cmd.work, be) if self._cold(be) else None
-        asked = ((api.THREADS, ident, cmd.threads), (api.MEMORY, ident, ceil(self._grant(cmd, be))),
-                 (api.COLD, ident, cold), (api.FURTHER, 0, 1 if cmd.sends else None))
+        asked = (
+            (api.THREADS, ident, cmd.threads),
+            (api.MEMORY, ident, ceil(self._grant(cmd, be))),
+            (api.COLD, ident, cold),
+            (api.FURTHER, 0, 1 if cmd.sends else None),
+        )
         return [(part, n) for budget, of, n in asked if n is not None and (part := self.parts(budget, of))]
 
     def streaming(self, now, ident, send):
@@ -286,7 +330,7 @@
         cmd = self.commands.get(ident)
         if cmd and cmd.state == OUT and send == cmd.sends - 1 and note == api.PROGRESS:
             cmd.done = max(value, 0.01)
-        elif cmd and note == api.WAITS and value >= 2:   # another gateway's load, else unseen
+        elif cmd and note == api.WAITS and value >= 2:  # another gateway's load, else unseen
             self.closed[cmd.engine, cmd.dataset] = now + FULL_US
         return []
 
@@ -296,7 +340,7 @@
         if cmd is None or send != cmd.sends - 1 or cmd.state not in (OUT, STREAMING, LEAVING, ORPHAN):
             return self.out
         be, state = cmd.engine, cmd.state
-        for part, n in cmd.began:   # what was given up may run on for a moment
+        for part, n in cmd.began:  # what was given up may run on for a moment
             part.over(n, outcome not in (api.TIMED_OUT, api.RESET, api.CANCELLED))
         cmd.began = ()
         self._heard(be, report, outcome)
@@ -320,7 +364,7 @@
         if cmd and cmd.state == OUT and self.deal.may_cancel:
             self.out.append((api.CANCEL, ident, cmd.sends - 1))
         if cmd and cmd.state != ORPHAN:
-            self.traffic, cmd.taken_at = max(0.0, self.traffic - 1), 0   # no traffic: it was taken back
+            self.traffic, cmd.taken_at = max(0.0, self.traffic - 1), 0  # no traffic: it was taken back
             self._move(cmd, ENDED if cmd.state in (HELD, BEHIND) else ORPHAN)
         return self._release()
 
@@ -362,7 +406,7 @@
         if to == ENDED:
             for part in cmd.stays:
                 part.over(1)
-            insort(self.taken, cmd.taken_at)   # widens the budget now that it is known to be no bad client's
+            insort(self.taken, cmd.taken_at)  # widens the budget now that it is known to be no bad client's
             del self.commands[cmd.id]
             line = self.lines.get(cmd.key) if cmd.kind.ordered else None
             if line:
@@ -381,15 +425,17 @@
         run, cmd.entry = self._run_us(cmd), cmd.entry + 1
         late = self.now > cmd.target_at - run
         benefit = cmd.kind.benefit * (cmd.kind.late_benefit if late else 1.0)
-        if cmd.ran_engine >= 0 and cmd.kind.effect == api.UNIQUED:   # it must not wait past its dedup window
+        if cmd.ran_engine >= 0 and cmd.kind.effect == api.UNIQUED:  # it must not wait past its dedup window
             heappush(self.due, (cmd.ran_at + cmd.kind.dedup_us - MARGIN_US, cmd.order, cmd, cmd.sends))
         last = int((cmd.last_at if late else cmd.target_at) - run)
         heappush(self.due, (max(self.now, last) + 1, cmd.order, cmd, cmd.sends))
-        heappush(self.held.setdefault(cmd.tenant, ([], []))[0 if cmd.short else 1],
-                 (-benefit / max(cmd.work, 1.0), cmd.order, cmd.entry, cmd))
+        heappush(
+            self.held.setdefault(cmd.tenant, ([], []))[0 if cmd.short else 1],
+            (-benefit / max(cmd.work, 1.0), cmd.order, cmd.entry, cmd),
+        )
 
     def _run_us(self, cmd):
-        return cmd.work / cmd.threads * self.pace[cmd.profile]   # on an ordinary engine, at present
+        return cmd.work / cmd.threads * self.pace[cmd.profile]  # on an ordinary engine, at present
 
     def _review_held(self, cmd):
         """A held command whose time is up, or that can't make its latency target any more."""
@@ -407,8 +453,13 @@
         """
         fresh, age = self._run_us(cmd), self.now - cmd.sent_at
         bad = age * (1 / cmd.done - 1) > RUNS[2] * fresh if cmd.done else age >= RUNS[1] * fresh
-        if (bad and self.now + fresh <= cmd.until and self.kills[cmd.profile] >= 1 and
-                self.deal.may_cancel and self._may_start(cmd)):
+        if (
+            bad
+            and self.now + fresh <= cmd.until
+            and self.kills[cmd.profile] >= 1
+            and self.deal.may_cancel
+            and self._may_start(cmd)
+        ):
             self.kills[cmd.profile] -= 1
             self.out.append((api.CANCEL, cmd.id, cmd.sends - 1))
             self._move(cmd, LEAVING)
@@ -420,8 +471,15 @@
 
     def _finish(self, cmd, to=ENDED):
         """The final answer: shed where trying again does no harm, else failed."""
-        may = cmd.kind.effect == api.REPLAYABLE or cmd.ran_engine < 0 or (cmd.kind.effect == api.UNIQUED and
-            cmd.kind.dedup_scope == api.ALL and self.now < cmd.ran_at + cmd.kind.dedup_us)
+        may = (
+            cmd.kind.effect == api.REPLAYABLE
+            or cmd.ran_engine < 0
+            or (
+                cmd.kind.effect == api.UNIQUED
+                and cmd.kind.dedup_scope == api.ALL
+                and self.now < cmd.ran_at + cmd.kind.dedup_us
+            )
+        )
         self.out.append((api.SHED, cmd.id, self.deal.come_back_us) if may else (api.FAIL, cmd.id))
         self._move(cmd, to)
         return self.out
@@ -430,8 +488,11 @@
         """Rules: whether one more send can ever be allowed: effect, dedup window, cap."""
         ran_at = cmd.ran_at if cmd.ran_engine >= 0 else cmd.sent_at
         return not 0 < self.most_sends.get(cmd.profile, self.deal.sends_cap) <= cmd.sends and (
-            cmd.ran_engine < 0 or cmd.kind.effect == api.REPLAYABLE or
-            cmd.kind.effect == api.UNIQUED and self.now + MARGIN_US < ran_at + cmd.kind.dedup_us)
+            cmd.ran_engine < 0
+            or cmd.kind.effect == api.REPLAYABLE
+            or cmd.kind.effect == api.UNIQUED
+            and self.now + MARGIN_US < ran_at + cmd.kind.dedup_us
+        )
 
     def _may_start(self, cmd):
         """Rules: whether a send is allowed at this moment: key at rest, budget of further sends."""
@@ -439,18 +500,30 @@
         for times in (self.taken, self.extras):
             while times and times[0] <= self.now - self.deal.extra_us:
                 times.popleft()
-        return self.now < cmd.last_at and self._may_resend(cmd) and (not rests if not cmd.sends else (
-            self.deal.extra_free is None or self._part(api.FURTHER, 0) or
-            len(self.extras) + 1 <= self.deal.extra_free + self.deal.extra_share * len(self.taken)))
+        return (
+            self.now < cmd.last_at
+            and self._may_resend(cmd)
+            and (
+                not rests
+                if not cmd.sends
+                else (
+                    self.deal.extra_free is None
+                    or self._part(api.FURTHER, 0)
+                    or len(self.extras) + 1 <= self.deal.extra_free + self.deal.extra_share * len(self.taken)
+                )
+            )
+        )
 
     def _allowed(self, cmd, be):
         """Rules: whether this command may go to this engine now."""
         kind, repeats = cmd.kind, cmd.kind.effect == api.UNIQUED and cmd.ran_engine >= 0
         group = {api.LOCATION: self.place, api.CELL: self.cell}.get(kind.dedup_scope if repeats else api.ALL)
-        if self.state[be] != api.READY or (
-                kind.locations is not None and self.place[be] not in kind.locations) or (
-                kind.kinds is not None and self.kind[be] not in kind.kinds) or (
-                group and group[be] != group[cmd.ran_engine]):
+        if (
+            self.state[be] != api.READY
+            or (kind.locations is not None and self.place[be] not in kind.locations)
+            or (kind.kinds is not None and self.kind[be] not in kind.kinds)
+            or (group and group[be] != group[cmd.ran_engine])
+        ):
             return False
         if not self._cold(be):
             return True
@@ -464,8 +537,10 @@
             self.ticket[be], self.ticket_at[be] = self.draw(), self.now
         sent = sum(work for at, work in self.cold_sent[be] if at > self.now - self.deal.fall_us)
         budget = self._stands(be)
-        return cmd.work <= COLD_PART[1] * budget and (self._part(api.COLD, self.ids[be]) is not None or (
-            sent + self.ticket[be] * cmd.work <= COLD_PART[0] * budget / self.deal.managers))
+        return cmd.work <= COLD_PART[1] * budget and (
+            self._part(api.COLD, self.ids[be]) is not None
+            or (sent + self.ticket[be] * cmd.work <= COLD_PART[0] * budget / self.deal.managers)
+        )
 
     def _cold(self, be):
         return 0 < self.born[be] > self.now - self.deal.cold_us
@@ -489,7 +564,7 @@
         return self.part * min(1.0, max(0.1 / self.deal.managers, rate / self.allowance))
 
     def _fresh(self, at):
-        return exp((at - self.now) / STALE_US)   # what is left of what an engine showed then
+        return exp((at - self.now) / STALE_US)  # what is left of what an engine showed then
 
     def _slow(self, be):
         """How much slower than the fleet, each profile against its usual: what ended there lately fades."""
@@ -499,7 +574,7 @@
     def _heard(self, be, report, outcome):
         """How busy an engine says it is; one that turned us away, or said nothing in time, counts as full."""
         told = report[self.util] if 0 <= self.util < len(report) else -1.0
-        if 0.0 <= told < float("inf"):   # nothing made up: neither below nor not a number
+        if 0.0 <= told < float("inf"):  # nothing made up: neither below nor not a number
             self.load[be], self.load_at[be] = (told := min(told, 1.0)), self.now
         elif self.util >= 0 and outcome in (api.FULL, api.TIMED_OUT):
             told = 1.0
@@ -508,7 +583,7 @@
         self.busy += EASE * (told - self.busy)
 
     def _failing(self, be):
-        return self.failed[be] * self._fresh(self.failed_at[be])   # the share of failures there, as it fades
+        return self.failed[be] * self._fresh(self.failed_at[be])  # the share of failures there, as it fades
 
     def _median_failing(self):
         """Of the ready ones. While fewer than half have any failures it is none, and nothing is walked."""
@@ -519,7 +594,7 @@
         return median(map(self._failing, self.ready))
 
     def _room(self, busy, most):
-        return min(most, max(1.0, BUSY[0] / max(busy, 0.01)))   # how far a bound widens under that load
+        return min(most, max(1.0, BUSY[0] / max(busy, 0.01)))  # how far a bound widens under that load
 
     def _busy(self, be):
         """What it reported, fading to what the fleet does; 1 where engines report nothing, and for one that
@@ -556,12 +631,15 @@
         if not self._pressed(be):
             self._set_stage(be, 0)
         elif self.sampled < 0 and self.now >= self.fit_at[be] and self._limit(be) > SAMPLE_AT[2]:
-            self.fit_at[be] = self.now + REFIT_US[0]   # one engine at a time: no swing in step
+            self.fit_at[be] = self.now + REFIT_US[0]  # one engine at a time: no swing in step
             self.stage_at[be], self.work_done[be], self.samples[be] = self.now, 0.0, ()
             self._set_stage(be, 1)
         elif self.stage[be] and self.now >= self.stage_at[be] + REFIT_US[1]:
-            self.samples[be] = (self._limit(be), self.work_done[be] / (self.now - self.stage_at[be]),
-                                *self.samples[be])
+            self.samples[be] = (
+                self._limit(be),
+                self.work_done[be] / (self.now - self.stage_at[be]),
+                *self.samples[be],
+            )
             self._set_stage(be, (self.stage[be] + 1) % 4)
             self.stage_at[be], self.work_done[be] = self.now, 0.0
             if not self.stage[be]:
@@ -570,7 +648,7 @@
     def _room_at_all(self, cmd):
         """The sum of our bounds over the fleet, with slack for chance: many that send "one" each flood it."""
         if self.ready and self._part(api.THREADS, self.ids[self.ready[0]]):
-            return True   # each engine's threads are held by the fleet's budget
+            return True  # each engine's threads are held by the fleet's budget
         bound = THREADS_A_CORE * self._share() * self.ready_cores
         bound += SLACK * (bound * max(kind.threads for kind in self.deal.profiles)) ** 0.5
         bound *= self._room(self.busy, BUSY[1])
@@ -580,13 +658,17 @@
         """Room, the rules, and health: failing far more than the fleet's median, none till that fades."""
         cap = (self.caps.get(be) or self.caps.setdefault(be, self._limit(be))) * self.long ** (not cmd.short)
         most = SICK[0] * (1 if cmd.short and cmd.kind.effect == api.REPLAYABLE else SICK[2])
-        return self.now >= self.full_until[be] and not (self.stuck[be] and self._few_stuck()) and (
-            not self.running[be] or self.threads[be] + cmd.threads <= cap) and self._allowed(cmd, be) and (
-            self._failing(be) <= most + SICK[1] * self.usual_failed) and (
-            not self.parts or all(part.may(n) for part, n in self._claims(cmd, be)))
+        return (
+            self.now >= self.full_until[be]
+            and not (self.stuck[be] and self._few_stuck())
+            and (not self.running[be] or self.threads[be] + cmd.threads <= cap)
+            and self._allowed(cmd, be)
+            and (self._failing(be) <= most + SICK[1] * self.usual_failed)
+            and (not self.parts or all(part.may(n) for part, n in self._claims(cmd, be)))
+        )
 
     def _few_stuck(self):
-        return 2 * sum(be in self.ready for be in self.stuck_at) < len(self.ready)   # not most of the fleet
+        return 2 * sum(be in self.ready for be in self.stuck_at) < len(self.ready)  # not most of the fleet
 
     def _count_stuck(self, be, step):
         self.stuck[be] += step
@@ -602,14 +684,15 @@
         ranking, size = pool.ranked(cmd.dataset), len(pool)
         part = self.asked.get(cmd.dataset, 0.0) / (self.asked_all + HOMES[1])
         homes, rest, half = range(min(size, HOMES[0] + int(part * size * HOMES[2]))), range(size), size // 2
-        if half and any(kind.stands_still for kind in self.deal.profiles):   # loads: a half apart
+        if half and any(kind.stands_still for kind in self.deal.profiles):  # loads: a half apart
             homes, rest = (rest[half:], rest[half:]) if cmd.kind.loads else (homes[:half], rest[:half])
-        n, seen = 2 + (not cmd.short and self._limit(pool[0]) < cmd.threads), set()   # counts say nothing
+        n, seen = 2 + (not cmd.short and self._limit(pool[0]) < cmd.threads), set()  # counts say nothing
         drawn = self._drawn(cmd, ranking, homes, n, self._lately_used(cmd, size, seen), seen)
         drawn = self._drawn(cmd, ranking, rest, max(2, n - 1 + len(drawn)), drawn, seen)
         drawn = drawn or self._drawn(cmd, self.ready, range(len(self.ready)), 2, [], seen)
-        return min(drawn, default=-1, key=lambda be: self._weigh(
-            cmd, be, ranking.stands_in(homes, self.ids[be], be)))
+        return min(
+            drawn, default=-1, key=lambda be: self._weigh(cmd, be, ranking.stands_in(homes, self.ids[be], be))
+        )
 
     def _lately_used(self, cmd, size, seen):
         """In a large fleet, one that answered for this data set lately, if it may take the command: guards
@@ -637,7 +720,7 @@
         for at in chain(draws, range(first, first + min(n, WALK_MOST))):
             if len(drawn) >= want:
                 break
-            be = pool.at(places[at % n])   # each looked at once
+            be = pool.at(places[at % n])  # each looked at once
             if be not in seen and not seen.add(be) and self._fits(cmd, be):
                 drawn.append(be)
         return drawn
@@ -645,7 +728,7 @@
     def _weigh(self, cmd, be, home):
         """Our threads there against size and pace, and load told; where a load holds its data set: last."""
         stuck = (cmd.kind.loads or cmd.kind.stands_still) and self.now < self.closed.get((be, cmd.dataset), 0)
-        ours = (self.threads[be] + cmd.threads * WARM ** home) * self._slow(be) / self.cores[be]
+        ours = (self.threads[be] + cmd.threads * WARM**home) * self._slow(be) / self.cores[be]
         return stuck, ours + self._busy(be)
 
     def _account(self, cmd, be, outcome, latency, cost, need):
@@ -671,14 +754,14 @@
             self.long = max(LONG_PART[0], self.long * LONG_PART[2])
         elif outcome == api.ANSWERED:
             self.long = min(LONG_PART[1], self.long + LONG_PART[3])
-        if outcome not in (api.ANSWERED, api.TIMED_OUT, api.CANCELLED) or cmd.state == ORPHAN:   # taken back
+        if outcome not in (api.ANSWERED, api.TIMED_OUT, api.CANCELLED) or cmd.state == ORPHAN:  # taken back
             return
         self.count[p] += 1
         step = max(EASE, 1 / (2 + self.count[p]))
         if need and cmd.need:
             (mean, wide), off = self.spread[p], need / cmd.need - self.spread[p][0]
             self.spread[p] = mean + off * step, wide + (abs(off) - wide) * step
-        pace = max(latency * cmd.threads / work, 0.01)   # of a send cut off too: a jam is not to be hidden
+        pace = max(latency * cmd.threads / work, 0.01)  # of a send cut off too: a jam is not to be hidden
         # Cut off sooner than the usual run, it says nothing: it would count as fast. Guards against clients
         # that give up early, whose sends made jammed engines look idle to every gateway.
         if outcome != api.ANSWERED and pace < self.pace[p]:
@@ -713,10 +796,10 @@
             elif cmd.state == OUT and sends == cmd.sends:
                 self._review_send(cmd)
         for row in [row for row in self.lingering if row[0] <= self.now or row[2] != self.born[row[1]]]:
-            self.lingering.remove(row)   # it has ended, or its engine began anew
+            self.lingering.remove(row)  # it has ended, or its engine began anew
             self._occupy(row[1], row[3], -1)
-        self.caps, n = {}, len(self.weight)   # engines' bounds: none changes while we send
-        while not self.gate or self.gate():   # who has no quota left comes last: for what others can't use
+        self.caps, n = {}, len(self.weight)  # engines' bounds: none changes while we send
+        while not self.gate or self.gate():  # who has no quota left comes last: for what others can't use
             order = sorted(self.held, key=lambda t: (self._quota(t) < 1, (t - self.turn) % n))
             went = next((t for t in order if self._release_one(t)), None)
             if went is None:
@@ -737,7 +820,7 @@
         """Each tenant gets its weight times zeta; zeta follows unfairness and latency variability."""
         counts = [n / self.weight[t] for t, n in self.released.items() if self.weight[t] > 0]
         mean = sum(counts) / self.counted if self.counted else 0.0
-        least = min(counts) if len(counts) == self.counted else 0.0   # some sent nothing lately
+        least = min(counts) if len(counts) == self.counted else 0.0  # some sent nothing lately
         unfair = max(max(counts) - mean, mean - least) / mean if mean else 0.0
         vary = max(self.spreads, 0.0) / len(self.latency) if self.latency else 0.0
         if unfair < LIMITS[0] / 2 and vary < LIMITS[1] / 2:
@@ -757,7 +840,7 @@
             if be >= 0:
                 sent = self._send(heappop(heap)[3], be)
                 break
-        if not any(self.held[tenant]):   # nothing is walked for a tenant that holds nothing
+        if not any(self.held[tenant]):  # nothing is walked for a tenant that holds nothing
             del self.held[tenant]
         return sent
 
@@ -765,8 +848,11 @@
         """MB that a send is granted there."""
         (mean, wide), of_kind = self.spread[cmd.profile], self.deal.kind_memory_mb
         memory = of_kind[self.kind[be]] if self.kind[be] < len(of_kind) else 0.0
-        return min(cmd.need * (mean + NEED[2] * wide), self.deal.most_grant * memory or float("inf"),
-                   self.grants.get(cmd.profile, float("inf")))
+        return min(
+            cmd.need * (mean + NEED[2] * wide),
+            self.deal.most_grant * memory or float("inf"),
+            self.grants.get(cmd.profile, float("inf")),
+        )
 
     def _send(self, cmd, be):
         deal, cmd.began = self.deal, self._claims(cmd, be) if self.parts else ()
--- a/gullhold/ranking.py
+++ b/gullhold/ranking.py
@@ -6,9 +6,9 @@
 
 from bisect import bisect_left, insort
 
-RANKED_MOST = 256     # engines of a list for which each data set ranks all; larger ones share one order
-RING, ARC = -1, -2    # what the ids of engines, and data sets, are mixed with for that order
-RANKINGS_MOST = 512   # data sets whose ranks are kept; beyond it all are ranked anew when they are asked for
+RANKED_MOST = 256  # engines of a list for which each data set ranks all; larger ones share one order
+RING, ARC = -1, -2  # what the ids of engines, and data sets, are mixed with for that order
+RANKINGS_MOST = 512  # data sets whose ranks are kept; beyond it all are ranked anew when they are asked for
 
 
 def mix(one, other):
@@ -21,8 +21,8 @@
     """Engines by their rank for one data set: every gateway ranks them alike (rendezvous hashing)."""
 
     def __init__(self, dataset):
-        self.dataset, self.serial = dataset, 0   # serial: of the last change that is in it
-        self.keys, self.engines = [], []         # (rank, engine) in order; the engines of these
+        self.dataset, self.serial = dataset, 0  # serial: of the last change that is in it
+        self.keys, self.engines = [], []  # (rank, engine) in order; the engines of these
 
     def key(self, ident, engine):
         """Where an engine of this id stands."""
@@ -30,9 +30,17 @@
 
     def build(self, members):
         """Rank all (id, engine) anew."""
-        spread = self.dataset * 0x9E3779B1   # mix() in line: a fleet of thousands is ranked in a few ms
-        self.keys = sorted([(((one := (ident ^ spread) * 0x85EBCA6B & 0xFFFFFFFF) ^ one >> 15)
-                             * 0xC2B2AE35 & 0xFFFFFFFF, engine) for ident, engine in members])
+        spread = self.dataset * 0x9E3779B1  # mix() in line: a fleet of thousands is ranked in a few ms
+        self.keys = sorted(
+            [
+                (
+                    ((one := (ident ^ spread) * 0x85EBCA6B & 0xFFFFFFFF) ^ one >> 15) * 0xC2B2AE35
+                    & 0xFFFFFFFF,
+                    engine,
+                )
+                for ident, engine in members
+            ]
+        )
         self.engines = [engine for _, engine in self.keys]
 
     def change(self, comes, ident, engine):
@@ -82,9 +90,9 @@
     """Engines in the order in which they were first told of: each a small number, its id any number."""
 
     def __init__(self):
-        self.members, self.engines = {}, []    # engine: (sequence, id); the engines in order
-        self.order = []                        # (sequence, engine), as the engines stand
-        self.rankings, self.changes, self.serial = {}, [], 0   # changes: the last of them, up to the serial
+        self.members, self.engines = {}, []  # engine: (sequence, id); the engines in order
+        self.order = []  # (sequence, engine), as the engines stand
+        self.rankings, self.changes, self.serial = {}, [], 0  # changes: the last of them, up to the serial
 
     def __len__(self):
         return len(self.engines)
@@ -116,7 +124,7 @@
             del self.order[at], self.engines[at]
         self.changes.append((present, ident, engine))
         self.serial += 1
-        if len(self.changes) > len(self.engines) + RANKINGS_MOST:   # no more than to rank all anew
+        if len(self.changes) > len(self.engines) + RANKINGS_MOST:  # no more than to rank all anew
             self.changes.clear()
             self.rankings.clear()
 
--- a/gullhold/rehearsal/cast.py
+++ b/gullhold/rehearsal/cast.py
@@ -11,9 +11,9 @@
 from gullhold.rehearsal.ends import End
 from gullhold.rehearsal.streams import CLOSED, RESET
 
-NOTE_US = 120_000    # us between notes on a send: more often than the settings promise
-ROWS = 12            # rows of a page
-PAGE_MOST = 3        # pages of a result
+NOTE_US = 120_000  # us between notes on a send: more often than the settings promise
+ROWS = 12  # rows of a page
+PAGE_MOST = 3  # pages of a result
 
 
 def rows(txn, page):
@@ -113,14 +113,15 @@
             return
         known = mark and world.clock.now - self.marks.get(mark, -world.window_us) < world.window_us
         world.checker.fetched(world.clock.now, written_at, self, conn, txn, mark, True)
-        self.stop(conn, txn)   # a second one here in place of the first: judged above
+        self.stop(conn, txn)  # a second one here in place of the first: judged above
         if mark and not known:
             self.marks[mark] = world.clock.now
         work_us = 1000 if known else 1000 * int(body.split()[1])
         run = conn.runs[txn] = Run(conn, txn)
         self.count += 1
-        run.event = world.clock.after(int(work_us * self.slow * max(1.0, self.count / self.cores)),
-                                      self._end, run, work_us)
+        run.event = world.clock.after(
+            int(work_us * self.slow * max(1.0, self.count / self.cores)), self._end, run, work_us
+        )
         run.note = world.clock.after(NOTE_US, self._note, run)
 
     def _note(self, run):
--- a/gullhold/rehearsal/checker.py
+++ b/gullhold/rehearsal/checker.py
@@ -10,9 +10,9 @@
 
 from gullhold.rehearsal.cast import pages_of, rows
 
-GRACE_US = 550_000     # from the word that an engine leaves to the last send that may begin, with slack
-GONE_US = 100_000      # from the news that a client left to the last send that may begin for it
-SLACK_US = 50_000      # on sockets, beyond a client timeout
+GRACE_US = 550_000  # from the word that an engine leaves to the last send that may begin, with slack
+GONE_US = 100_000  # from the news that a client left to the last send that may begin for it
+SLACK_US = 50_000  # on sockets, beyond a client timeout
 
 
 class Asked:
--- a/gullhold/rehearsal/clock.py
+++ b/gullhold/rehearsal/clock.py
@@ -15,7 +15,7 @@
     never goes back.
     """
 
-    MOST_AT_ONCE = 200_000   # events at one instant
+    MOST_AT_ONCE = 200_000  # events at one instant
 
     def __init__(self, start_us=1_700_000_000_000_000, choose=lambda count: 0):
         self.now, self.start_us, self.choose, self.off_us = 0, start_us, choose, 0
@@ -61,7 +61,7 @@
             together.append(heappop(self.events))
         at = self.choose(len(together)) if len(together) > 1 else 0
         _, _, call, args = together.pop(at)
-        for event in together:   # in the order in which they were asked for
+        for event in together:  # in the order in which they were asked for
             heappush(self.events, event)
         self.played += 1
         call(*args)
--- a/gullhold/rehearsal/ends.py
+++ b/gullhold/rehearsal/ends.py
@@ -11,7 +11,7 @@
     def __init__(self, clock, owner):
         self.clock, self.owner, self.out = clock, owner, None
         self.kept, self.finishing, self.over = bytearray(), False, False
-        self.size, self.starts, self.times = 0, [], []   # of all that was written: bytes; when which began
+        self.size, self.starts, self.times = 0, [], []  # of all that was written: bytes; when which began
 
     def write(self, data):
         """Queue these bytes; BrokenPipeError where this side has ended."""
--- a/gullhold/rehearsal/gateway.py
+++ b/gullhold/rehearsal/gateway.py
@@ -16,10 +16,10 @@
 from gullhold.rehearsal.ends import End
 from gullhold.rehearsal.streams import CLOSED, RESET
 
-MOST = 192 << 10   # bytes of the largest message, as a small deployment has it
-LINKS_MOST = 200   # links of one gateway
-ROOM = 24 << 20    # bytes of statements that wait
-FEED_MOST = 1 << 20   # bytes of one line of the coordinator
+MOST = 192 << 10  # bytes of the largest message, as a small deployment has it
+LINKS_MOST = 200  # links of one gateway
+ROOM = 24 << 20  # bytes of statements that wait
+FEED_MOST = 1 << 20  # bytes of one line of the coordinator
 SERIALS = count()
 
 
@@ -53,7 +53,7 @@
         super().__init__(*args)
         self.serial, self.over = next(SERIALS), False
 
-    def __hash__(self):   # sets of links are walked in the same order in every run
+    def __hash__(self):  # sets of links are walked in the same order in every run
         return self.serial
 
     def __eq__(self, other):
@@ -183,11 +183,19 @@
 
     def __init__(self, world, name, told):
         self.world, self.name, self.alive, self.event, self.ends = world, name, True, None, []
-        self.fed_at = 0   # when the last that it was told of the list comes, or came
+        self.fed_at = 0  # when the last that it was told of the list comes, or came
         deal = told["deal"]
         now = world.clock.start_us + world.clock.now
-        self.core = Core(world, self, policy.Gateway(told["seed"], deal, now), deal, Counters(), MOST,
-                         LINKS_MOST, front.Room(ROOM))
+        self.core = Core(
+            world,
+            self,
+            policy.Gateway(told["seed"], deal, now),
+            deal,
+            Counters(),
+            MOST,
+            LINKS_MOST,
+            front.Room(ROOM),
+        )
         self.reader = front.Reader(deal, None, self.core.come_back)
         self.names, self.follow = told["names"], coordinator.Follow(told["last"], FEED_MOST)
         self.core.begin(told["changes"])
@@ -245,7 +253,17 @@
     def left_over(self):
         """What its tables still hold once nothing is owed or out; a census."""
         core, gate = self.core, self.core.gateway
-        return {name: size for name, size in (
-            ("owed", len(core.owed)), ("txns", len(core.txns)), ("commands", len(gate.commands)),
-            ("threads", sum(gate.threads)), ("running", sum(gate.running)), ("held", len(gate.held)),
-            ("sends", sum(len(link.open) for link in core.links)), ("bytes", core.room.used)) if size}
+        return {
+            name: size
+            for name, size in (
+                ("owed", len(core.owed)),
+                ("txns", len(core.txns)),
+                ("commands", len(gate.commands)),
+                ("threads", sum(gate.threads)),
+                ("running", sum(gate.running)),
+                ("held", len(gate.held)),
+                ("sends", sum(len(link.open) for link in core.links)),
+                ("bytes", core.room.used),
+            )
+            if size
+        }
--- a/gullhold/rehearsal/mutants.py
+++ b/gullhold/rehearsal/mutants.py
@@ -16,6 +16,7 @@
     def call(self, now, entries, full):
         told = [(*row[:4], api.READY if row[4] == api.DRAINING else row[4], *row[5:]) for row in entries]
         return engines(self, now, told, full)
+
     return call
 
 
@@ -27,12 +28,14 @@
             link.given_up.add(txn)
             del link.open[txn]
         self.after.append((self._end_send, send, outcome))
+
     return call
 
 
 def _twice(_answer):
     def call(self, cmd, message):
         _answer(self, cmd, message + message)
+
     return call
 
 
@@ -48,12 +51,14 @@
             return _may_resend(self, cmd)
         finally:
             cmd.kind = kind
+
     return call
 
 
 def _unheard(client_ended):
     def call(self, client, ending, text):
         self.counters.add("unheard")
+
     return call
 
 
@@ -62,6 +67,7 @@
         self.lost_count = getattr(self, "lost_count", 0) + 1
         if self.lost_count % 5 or made == self._sweep:
             _later(self, at, made, *args)
+
     return call
 
 
@@ -69,12 +75,14 @@
     def call(self, link, send, txn, body):
         send.total = 1
         _page(self, link, send, txn, body)
+
     return call
 
 
 def _not_forgotten(_forget):
     def call(self, cmd):
         self.owed.pop(cmd.number, None)
+
     return call
 
 
@@ -89,6 +97,7 @@
 def _not_taken_back(withdraw):
     def call(self, data):
         return any(held.data is data for held in self.pending)
+
     return call
 
 
@@ -103,6 +112,7 @@
             self._page(link, send, words[0], words[3])
         else:
             _word(self, link, words)
+
     return call
 
 
--- a/gullhold/rehearsal/play.py
+++ b/gullhold/rehearsal/play.py
@@ -16,17 +16,34 @@
 from gullhold.rehearsal.streams import Way
 from gullhold.standins.deployment import event, settings
 
-SPAN_US = 6_000_000     # in which clients ask, and faults begin
-AFTER_US = 9_000_000    # for all to end: longer than any client timeout, and than what is taken to run on
-FAULT_US = 1_200_000    # that a slow or cut wire lasts, where the fault's size is not its length
-WINDOW_S = 0.4          # s in which engines know a mark: short, so that it ends while commands are open
-UNCANCELLED = 3         # of so many seeds one has sends that can't be cancelled
-CONNECT_S = 1.0         # s in which a connection has to come up: long, so that much may happen meanwhile
-WAY_US = 400            # one way between any two
+SPAN_US = 6_000_000  # in which clients ask, and faults begin
+AFTER_US = 9_000_000  # for all to end: longer than any client timeout, and than what is taken to run on
+FAULT_US = 1_200_000  # that a slow or cut wire lasts, where the fault's size is not its length
+WINDOW_S = 0.4  # s in which engines know a mark: short, so that it ends while commands are open
+UNCANCELLED = 3  # of so many seeds one has sends that can't be cancelled
+CONNECT_S = 1.0  # s in which a connection has to come up: long, so that much may happen meanwhile
+WAY_US = 400  # one way between any two
 VERBS = (b"read", b"read", b"read", b"mark", b"once")
 # Kinds of fault that are played; of script.KINDS the others are not yet.
-PLAYED = frozenset(("delay", "piece", "silence", "reset", "late", "refuse", "slow", "cold", "spoilt",
-                    "twice", "drain", "gone", "late list", "kill", "leave"))
+PLAYED = frozenset(
+    (
+        "delay",
+        "piece",
+        "silence",
+        "reset",
+        "late",
+        "refuse",
+        "slow",
+        "cold",
+        "spoilt",
+        "twice",
+        "drain",
+        "gone",
+        "late list",
+        "kill",
+        "leave",
+    )
+)
 
 
 class Size(NamedTuple):
@@ -34,7 +51,7 @@
 
     gateways: int = 2
     engines: int = 3
-    clients: int = 3      # of each gateway
+    clients: int = 3  # of each gateway
     gap_us: int = 60_000  # between asks of a client, in the mean
     faults: int = 6
 
@@ -78,11 +95,22 @@
     def gateway(self, name):
         """A gateway starts, with the list as it is known now."""
         names = Names()
-        first = event(self.index, *((engine.id, engine.address, self.phases[engine.id])
-                                    for engine in self.engines), whole=True)
-        self.members[name] = Member(self, name, {
-            "deal": self.deal, "names": names, "changes": [members(first, self.deal, names)],
-            "last": self.index, "seed": self.draw.getrandbits(32)})
+        first = event(
+            self.index,
+            *((engine.id, engine.address, self.phases[engine.id]) for engine in self.engines),
+            whole=True,
+        )
+        self.members[name] = Member(
+            self,
+            name,
+            {
+                "deal": self.deal,
+                "names": names,
+                "changes": [members(first, self.deal, names)],
+                "last": self.index,
+                "seed": self.draw.getrandbits(32),
+            },
+        )
         for engine in self.engines:
             self.checker.told(self.clock.now, self.members[name], engine.id, self.phases[engine.id])
 
@@ -200,17 +228,22 @@
             if client.member is member:
                 client.gone = True
         member.kill()
-        self.gateway(name)   # another process in its place
+        self.gateway(name)  # another process in its place
         for _ in range(self.size.clients):
             self.client(name, VERBS, self.size.gap_us)
 
 
 def faults_of(seed, size):
     """The faults that a seed draws."""
-    places = {"wire": size.engines, "engine": size.engines, "coordinator": 1, "gateway": size.gateways,
-              "client": size.gateways * size.clients}
+    places = {
+        "wire": size.engines,
+        "engine": size.engines,
+        "coordinator": 1,
+        "gateway": size.gateways,
+        "client": size.gateways * size.clients,
+    }
     drawn_ones = drawn(seed, 2 * size.faults, SPAN_US, places)
-    return [fault for fault in drawn_ones if fault.kind in PLAYED][:size.faults]
+    return [fault for fault in drawn_ones if fault.kind in PLAYED][: size.faults]
 
 
 def play(seed, faults=None, size=None, choose=lambda count: 0):
@@ -221,7 +254,7 @@
     for fault in faults:
         world.clock.at(fault.at_us, world.strike, fault)
     world.clock.run(SPAN_US + AFTER_US)
-    for member in world.members.values():   # what may run on is over; a turn looks at it
+    for member in world.members.values():  # what may run on is over; a turn looks at it
         if member.alive:
             member.core.list_changed((), {}, False)
     world.clock.run(SPAN_US + AFTER_US + 1)
--- a/gullhold/rehearsal/script.py
+++ b/gullhold/rehearsal/script.py
@@ -9,26 +9,26 @@
 
 # Kinds, each with what it is about and the least and most of its size.
 KINDS = {
-    "delay": ("wire", 1_000, 3_000_000),        # us more on each piece
-    "piece": ("wire", 1, 64),                   # bytes that arrive at once
-    "window": ("wire", 16, 4_096),              # bytes under way before a writer is held back
-    "silence": ("wire", 50_000, 6_000_000),     # us for which nothing arrives
+    "delay": ("wire", 1_000, 3_000_000),  # us more on each piece
+    "piece": ("wire", 1, 64),  # bytes that arrive at once
+    "window": ("wire", 16, 4_096),  # bytes under way before a writer is held back
+    "silence": ("wire", 50_000, 6_000_000),  # us for which nothing arrives
     "reset": ("wire", 0, 0),
-    "late": ("engine", 20_000, 900_000),        # us by which connections come up later
-    "refuse": ("engine", 10_000, 3_000_000),    # us for which connections are refused
-    "slow": ("engine", 2, 20),                  # times as long for all that runs
-    "cold": ("engine", 0, 0),                   # restarts, and knows nothing
-    "spoilt": ("engine", 1, 5),                 # answers that make no sense
-    "twice": ("engine", 1, 5),                  # answers that come a second time
+    "late": ("engine", 20_000, 900_000),  # us by which connections come up later
+    "refuse": ("engine", 10_000, 3_000_000),  # us for which connections are refused
+    "slow": ("engine", 2, 20),  # times as long for all that runs
+    "cold": ("engine", 0, 0),  # restarts, and knows nothing
+    "spoilt": ("engine", 1, 5),  # answers that make no sense
+    "twice": ("engine", 1, 5),  # answers that come a second time
     "drain": ("engine", 0, 0),
     "gone": ("engine", 0, 0),
     "late list": ("coordinator", 100_000, 5_000_000),
     "moved": ("coordinator", 0, 0),
     "kill": ("gateway", 0, 0),
-    "stop": ("gateway", 0, 0),                  # SIGTERM
-    "clock": ("gateway", -2_000_000, 2_000_000),   # us by which the wall clock jumps
-    "retries": ("client", 1, 50),               # tries at once
-    "leave": ("client", 0, 0),                  # closes with commands open
+    "stop": ("gateway", 0, 0),  # SIGTERM
+    "clock": ("gateway", -2_000_000, 2_000_000),  # us by which the wall clock jumps
+    "retries": ("client", 1, 50),  # tries at once
+    "leave": ("client", 0, 0),  # closes with commands open
 }
 
 
@@ -52,8 +52,11 @@
     for _ in range(count):
         kind = chance.choice(sorted(kind for kind, (about, _, _) in KINDS.items() if places.get(about)))
         about, least, most = KINDS[kind]
-        found.append(Fault(chance.randrange(span_us), kind, chance.randrange(places[about]),
-                           chance.randint(least, most)))
+        found.append(
+            Fault(
+                chance.randrange(span_us), kind, chance.randrange(places[about]), chance.randint(least, most)
+            )
+        )
     return sorted(found)
 
 
@@ -84,7 +87,7 @@
 def pairs(faults):
     """The pairs of kinds that a script has together."""
     kinds = sorted({fault.kind for fault in faults})
-    return {(one, other) for i, one in enumerate(kinds) for other in kinds[i + 1:]}
+    return {(one, other) for i, one in enumerate(kinds) for other in kinds[i + 1 :]}
 
 
 def shrunk(faults, fails):
@@ -96,7 +99,7 @@
     while True:
         at, went = 0, False
         while at < len(faults):
-            fewer = faults[:at] + faults[at + size:]
+            fewer = faults[:at] + faults[at + size :]
             if fails(fewer):
                 faults, went = fewer, True
             else:
--- a/gullhold/rehearsal/show.py
+++ b/gullhold/rehearsal/show.py
@@ -15,7 +15,7 @@
 
 
 def _one(seed):
-    logger.remove()   # what gateways log of their faults is no news here
+    logger.remove()  # what gateways log of their faults is no news here
     return seed, play.play(seed), play.faults_of(seed, play.Size())
 
 
@@ -56,8 +56,10 @@
         seed, rules, faults = broken[0]
         fewer = script.shrunk(faults, _failing(rules[0][1], seed))
         Path(shrink).write_text(f"# seed {seed}: {rules[0][1]}\n" + script.text_of(fewer), "utf-8")
-        print(f"{len(fewer)} of {len(faults)} faults left in {shrink}; again: "
-              f"gullhold rehearse --seeds {seed} --replay {shrink}")
+        print(
+            f"{len(fewer)} of {len(faults)} faults left in {shrink}; again: "
+            f"gullhold rehearse --seeds {seed} --replay {shrink}"
+        )
     return 1 if broken else 0
 
 
@@ -74,5 +76,5 @@
     rows = [(kind, str(kinds[kind])) for kind in sorted(play.PLAYED)]
     seen = [(name, str(number)) for name, number in sorted(counts.items())]
     for at in range(max(len(rows), len(seen))):
-        table.add_row(*(rows[at:at + 1] or [("", "")])[0], *(seen[at:at + 1] or [("", "")])[0])
+        table.add_row(*(rows[at : at + 1] or [("", "")])[0], *(seen[at : at + 1] or [("", "")])[0])
     console.print(table)
--- a/gullhold/rehearsal/streams.py
+++ b/gullhold/rehearsal/streams.py
@@ -5,7 +5,7 @@
 
 from collections import deque
 
-CLOSED, RESET = "closed", "reset"   # how the other side's part of a wire ended
+CLOSED, RESET = "closed", "reset"  # how the other side's part of a wire ended
 
 
 class Way:
@@ -27,17 +27,17 @@
         self.clock, self.chance, self.way = clock, chance, way
         self.came, self.ended, self.room = came, ended, room
         self.under_way, self.last_at, self.kept, self.held = 0, 0, deque(), False
-        self.over, self.lost = False, False   # nothing more is written; what is under way does not arrive
+        self.over, self.lost = False, False  # nothing more is written; what is under way does not arrive
 
     def write(self, data):
         """So many bytes of it were taken; 0: the window is full, room() is called when it is not any more."""
         if self.over:
             raise BrokenPipeError
-        taken = data[:max(0, self.way.window - self.under_way)]
+        taken = data[: max(0, self.way.window - self.under_way)]
         self.held = len(taken) < len(data)
         size = self.way.piece or len(taken) or 1
         for at in range(0, len(taken), size):
-            self._send(taken[at:at + size])
+            self._send(taken[at : at + size])
         return len(taken)
 
     def finish(self, how=CLOSED):
--- a/gullhold/revisions/change.py
+++ b/gullhold/revisions/change.py
@@ -18,21 +18,27 @@
 
 ROOT = "policy/"
 NOW = ROOT + "now/"
-CURRENT, CHANGE = NOW + "current", NOW + "change"      # the record in force; the one change that is open
+CURRENT, CHANGE = NOW + "current", NOW + "change"  # the record in force; the one change that is open
 ROLL, WORDS, PAST = ROOT + "roll", ROOT + "words/", ROOT + "past/"
 DUTY = "policy"
 # States of a change; DECIDED and DROPPED are what one write made of it.
 PROPOSED, CHECKED, PREPARED, DECIDED, DROPPED = "proposed", "checked", "prepared", "decided", "dropped"
-CANARY = "canary"      # some members go by it for a stated time, and all tell what became of their commands
-MOVES = {PROPOSED: (CHECKED, DROPPED), CHECKED: (CANARY, PREPARED, DECIDED, DROPPED),
-         CANARY: (DECIDED, DROPPED), PREPARED: (DECIDED, DROPPED), DECIDED: (None,), DROPPED: (None,)}
+CANARY = "canary"  # some members go by it for a stated time, and all tell what became of their commands
+MOVES = {
+    PROPOSED: (CHECKED, DROPPED),
+    CHECKED: (CANARY, PREPARED, DECIDED, DROPPED),
+    CANARY: (DECIDED, DROPPED),
+    PREPARED: (DECIDED, DROPPED),
+    DECIDED: (None,),
+    DROPPED: (None,),
+}
 # Words of members, about a change or about what is in force. TRIAL: ready, and going by it meanwhile.
 READY, TRIAL, REFUSED, STILL, UNDER = "ready", "trial", "refused", "still", "under"
-ENOUGH = {READY: (READY, TRIAL, STILL), STILL: (STILL,)}   # words that say as much
-LEAST_TOLD = 20        # commands of a canary from which its share of failures tells something
+ENOUGH = {READY: (READY, TRIAL, STILL), STILL: (STILL,)}  # words that say as much
+LEAST_TOLD = 20  # commands of a canary from which its share of failures tells something
 LOOSE, STRICT = "loose", "strict"
 WAIT, DROP = "wait", "drop"
-KEPT = 50              # records that stay, for staff
+KEPT = 50  # records that stay, for staff
 
 
 class Canary(NamedTuple):
@@ -69,8 +75,14 @@
     try:
         told = json.loads(text)
         canary = told.get("canary")
-        return Open(**told | {"record": Record(**told["record"]), "canary": canary and Canary(*canary),
-                              "trial": tuple(told.get("trial", ()))})
+        return Open(
+            **told
+            | {
+                "record": Record(**told["record"]),
+                "canary": canary and Canary(*canary),
+                "trial": tuple(told.get("trial", ())),
+            }
+        )
     except (ValueError, TypeError, KeyError):
         raise Unfit("a change that can't be read") from None
 
@@ -125,8 +137,8 @@
         super().__init__(ROOT)
         self.revision, self.roll = 0, 0
         self.change, self.change_at, self.current, self.current_at = None, 0, FIRST, 0
-        self.words, self.past, self.since = {}, [], 0   # by member; numbers; since when it stands so
-        self.said = Counter()   # words less their reasons: not all members are looked through for each
+        self.words, self.past, self.since = {}, [], 0  # by member; numbers; since when it stands so
+        self.said = Counter()  # words less their reasons: not all members are looked through for each
 
     def _next_at(self, now):
         """What waits longer than its time waits for words: they come by themselves."""
@@ -160,7 +172,7 @@
         elif self.change.canary:
             number = self.change.record.number
             ranked = sorted(self.words, key=lambda name: blake2s(f"{number} {name}".encode()).digest())
-            some = ranked[:max(1, round(self.change.canary.part * len(ranked)))]
+            some = ranked[: max(1, round(self.change.canary.part * len(ranked)))]
             self._to(now, CANARY, trial=tuple(some))
         else:
             self._to(now, PREPARED if self.change.overlap == STRICT else DECIDED)
@@ -172,8 +184,11 @@
         why = self._bad(over := now >= self.since + self.change.canary.time_us)
         if why:
             self._to(now, DROPPED, "canary: " + why)
-        elif over and self._all(READY) and all(
-                word.figures for member, word in self.words.items() if member in self.change.trial):
+        elif (
+            over
+            and self._all(READY)
+            and all(word.figures for member, word in self.words.items() if member in self.change.trial)
+        ):
             self._to(now, DECIDED)
         elif over:
             self._silent(now, READY)
@@ -222,8 +237,10 @@
     def _refused(self, now):
         number = self.change.record.number
         found = any(about == number and word == REFUSED for _, about, word in self.said) and next(
-            (member, one.why) for member, one in self.words.items()
-            if one.about == number and one.word == REFUSED)
+            (member, one.why)
+            for member, one in self.words.items()
+            if one.about == number and one.word == REFUSED
+        )
         if self.change.drop or found:
             self._to(now, DROPPED, "dropped by staff" if self.change.drop else f"{found[0]}: {found[1]}")
         return bool(self.change.drop or found)
@@ -231,8 +248,11 @@
     def _silent(self, now, word):
         """Some have not said their word: the change waits, or is dropped, as the operator chose."""
         if self.change.silence == DROP and now >= self.since + self.change.patience_us:
-            silent = [member for member, one in self.words.items()
-                      if one.about != self.change.record.number or one.word not in ENOUGH[word]]
+            silent = [
+                member
+                for member, one in self.words.items()
+                if one.about != self.change.record.number or one.word not in ENOUGH[word]
+            ]
             names = ", ".join(sorted(silent)[:5]) or "nobody is there"
             self._to(now, DROPPED, f"not {word} in time: {names}")
 
@@ -243,8 +263,12 @@
         acts = [Put(CHANGE, change.pack())]
         if state in (DECIDED, DROPPED):
             number = change.record.number
-            acts.append(Put(past_key(number), json.dumps({"record": change.record._asdict(),
-                                                          "outcome": state, "why": why})))
+            acts.append(
+                Put(
+                    past_key(number),
+                    json.dumps({"record": change.record._asdict(), "outcome": state, "why": why}),
+                )
+            )
             acts += [Drop(past_key(old)) for old in self.past[:-KEPT]]
         if state == DECIDED:
             acts.append(Put(CURRENT, change.record.pack()))
@@ -268,8 +292,14 @@
         if before != (self.change and self.change.record.number, self.change and self.change.state):
             self.since = now
             if self.change:
-                self.out.append((TELL, "info", "policy: change " + self.change.state, {
-                    "number": self.change.record.number, "why": self.change.why}))
+                self.out.append(
+                    (
+                        TELL,
+                        "info",
+                        "policy: change " + self.change.state,
+                        {"number": self.change.record.number, "why": self.change.why},
+                    )
+                )
 
     def _change(self, _now, key, value, revision):
         if revision < self.revision:
@@ -279,7 +309,7 @@
             self._hear(key.removeprefix(WORDS), value)
         elif key == ROLL:
             self.roll = revision
-        elif key.startswith(NOW) and not self.writing:   # what we wrote is read when its reply has come
+        elif key.startswith(NOW) and not self.writing:  # what we wrote is read when its reply has come
             self.loaded = False
         return True
 
--- a/gullhold/revisions/driver.py
+++ b/gullhold/revisions/driver.py
@@ -12,8 +12,8 @@
 from gullhold.revisions import record as records
 from gullhold.revisions.record import FIRST, Unfit
 
-PLAN = "schedule/"               # before the name of a scheduled command, among duties
-LANES = ("words", change.DUTY)   # of calls: neither waits for the other
+PLAN = "schedule/"  # before the name of a scheduled command, among duties
+LANES = ("words", change.DUTY)  # of calls: neither waits for the other
 MILLION = 1_000_000
 
 
@@ -32,10 +32,10 @@
         self.gate = member.Gate(fleet.owner.lease, clock, surely_us, self.record.cut)
         self.member = member.Member(fleet.name, self.gate, self.fits, self._figures)
         fleet.held[change.DUTY] = change.Carrier()
-        self.lowest = {}   # wholes while a change is open: neither old nor new parts sum to more than either
+        self.lowest = {}  # wholes while a change is open: neither old nor new parts sum to more than either
         self.given = None
         self.core.checks.append(self.gate)
-        self._adopt(0, FIRST)   # before the first command: the gate is shut
+        self._adopt(0, FIRST)  # before the first command: the gate is shut
         self._by_snapshot()
 
     def _by_snapshot(self):
@@ -45,8 +45,13 @@
         record, at_us = found
         age_us = time.time_ns() // 1000 - at_us
         left = self.record.spare - age_us
-        self.fleet.event("warning", "a snapshot", number=record.number, age_s=round(age_us / MILLION, 1),
-                         used_for_s=round(max(0, left) / MILLION, 1))
+        self.fleet.event(
+            "warning",
+            "a snapshot",
+            number=record.number,
+            age_s=round(age_us / MILLION, 1),
+            used_for_s=round(max(0, left) / MILLION, 1),
+        )
         if left > 0 and not self.fits(record):
             self.gate.spare_until = self.clock() + left
             self._adopt(0, record)
@@ -137,6 +142,7 @@
             self.lowest = current
         elif opened.state in (change.CHECKED, change.PREPARED) and not self.fits(opened.record):
             new = records.wholes(records.read(opened.record.text), self.budgets)
-            self.lowest = {name: min(whole, new[name], self.lowest.get(name, whole))
-                           for name, whole in current.items()}
-        self.fleet.held[BUDGETS].resize(self.lowest)   # where it is decided: as it was, until all go by it
+            self.lowest = {
+                name: min(whole, new[name], self.lowest.get(name, whole)) for name, whole in current.items()
+            }
+        self.fleet.held[BUDGETS].resize(self.lowest)  # where it is decided: as it was, until all go by it
--- a/gullhold/revisions/member.py
+++ b/gullhold/revisions/member.py
@@ -31,11 +31,11 @@
 # AWAY: no lease. LEARNING: asks what is in force. ADOPTING: the core takes it over. ENROLLING: writes its
 # first word. ON: decides by it, and hears of changes.
 AWAY, LEARNING, ADOPTING, ENROLLING, ON = "away", "learning", "adopting", "enrolling", "on"
-CALL, ADOPT, STOP, FOLLOW, TELL = range(5)   # what it hands out
-KEEP, STAND = "keep", "stand"                # cut off with a change open: until its lease ends, or sooner
-LOOKS = 3        # looks at what stands in the time that one counts
-FIGURES_US = 500_000   # between figures told while a canary runs
-STAND_PART = 3   # of a lease's time, one over this is not used by one that stands: a keeping call was missed
+CALL, ADOPT, STOP, FOLLOW, TELL = range(5)  # what it hands out
+KEEP, STAND = "keep", "stand"  # cut off with a change open: until its lease ends, or sooner
+LOOKS = 3  # looks at what stands in the time that one counts
+FIGURES_US = 500_000  # between figures told while a canary runs
+STAND_PART = 3  # of a lease's time, one over this is not used by one that stands: a keeping call was missed
 
 
 class Gate:
@@ -44,10 +44,10 @@
 
     def __init__(self, lease, clock, surely_us, cut):
         self.lease, self.clock, self.surely_us, self.cut = lease, clock, surely_us, cut
-        self.under, self.asked, self.still = 0, 0, False   # lease on the roll; change open; told to be still
-        self.stops = 0         # how often it was told so
-        self.known_until = 0   # what is in force was read so lately: a watch that hears nothing is no proof
-        self.spare_until = 0   # by a snapshot, where the register was away at the start
+        self.under, self.asked, self.still = 0, 0, False  # lease on the roll; change open; told to be still
+        self.stops = 0  # how often it was told so
+        self.known_until = 0  # what is in force was read so lately: a watch that hears nothing is no proof
+        self.spare_until = 0  # by a snapshot, where the register was away at the start
 
     def __call__(self):
         """The end of the lease is read before its id: another may begin in between."""
@@ -55,8 +55,12 @@
         if now < self.spare_until:
             return True
         early = self.surely_us // STAND_PART if self.cut == STAND and self.asked else 0
-        return (not self.still and now < until - early and self.lease.id == self.under != 0 and
-                now < self.known_until - early)
+        return (
+            not self.still
+            and now < until - early
+            and self.lease.id == self.under != 0
+            and now < self.known_until - early
+        )
 
     def stop(self):
         """Be still. What was decided until now does not go out later either."""
@@ -74,7 +78,8 @@
         """Whether what comes is turned away: it is not known by what to decide. Being still is a moment."""
         now = self.clock()
         return now >= self.spare_until and not (
-            self.under and now < self.lease.until and now < self.known_until)
+            self.under and now < self.lease.until and now < self.known_until
+        )
 
 
 class Member:
@@ -89,13 +94,13 @@
 
     def __init__(self, name, gate, fits, figures=lambda: (0, 0, 0)):
         self.name, self.gate, self.fits, self.figures = name, gate, fits, figures
-        self.trial, self.began, self.tell_at = 0, (), 0   # going by a canary; its figures count from; next
+        self.trial, self.began, self.tell_at = 0, (), 0  # going by a canary; its figures count from; next
         self.state, self.out, self.lease, self.record = AWAY, [], 0, FIRST
         self.under_way, self.again_at, self.serial = None, 0, 0
         self.seen, self.roll, self.change_at, self.current_at = 0, 0, 0, 0
         self.change, self.adopting = None, 0
-        self.word, self.word_at, self.said = None, 0, None   # to say; as it stands, and its revision
-        self.look_at, self.sent_at, self.heard = 0, 0, {}   # heard: the newest revision of each key
+        self.word, self.word_at, self.said = None, 0, None  # to say; as it stands, and its revision
+        self.look_at, self.sent_at, self.heard = 0, 0, {}  # heard: the newest revision of each key
 
     def take(self):
         """What is to be done now, in order."""
@@ -121,12 +126,22 @@
             self._call("looked", Txn((), (Get(CURRENT), Get(CHANGE), Get(ROLL))))
         elif self.state == ENROLLING:
             when = ((CURRENT, self.current_at), (CHANGE, self.change_at), (ROLL, self.roll))
-            self._call("enrolled", Txn(when, (Put(self.key(), Word(self.record.number).pack(), self.lease),
-                                              Put(ROLL, self.name))))
+            self._call(
+                "enrolled",
+                Txn(
+                    when, (Put(self.key(), Word(self.record.number).pack(), self.lease), Put(ROLL, self.name))
+                ),
+            )
         elif self.state == ON and self.word != self.said:
-            self._call("told", Txn(((self.key(), self.word_at),), (
-                Put(self.key(), self.word.pack(), self.lease),), (Get(self.key()),)))
-            self.said = None   # until its reply is here, it is not known what stands
+            self._call(
+                "told",
+                Txn(
+                    ((self.key(), self.word_at),),
+                    (Put(self.key(), self.word.pack(), self.lease),),
+                    (Get(self.key()),),
+                ),
+            )
+            self.said = None  # until its reply is here, it is not known what stands
         elif self.state == ON and now >= self.look_at:
             self._call("seen_again", Txn((), (Get(CURRENT), Get(CHANGE))))
         if self.under_way:
@@ -135,7 +150,7 @@
     def due(self, now):
         """When to step() at the latest."""
         if not self.lease or self.under_way or self.state == ADOPTING:
-            return now + IDLE_US   # what is waited for comes by itself
+            return now + IDLE_US  # what is waited for comes by itself
         at = now
         if self.state == ON and self.word == self.said:
             at = min(self.look_at, self.tell_at) if self._tells() else self.look_at
@@ -151,8 +166,11 @@
             self.tell_at = now + FIGURES_US
             told = self.figures()
             self.began = self.began or told
-            self._say(self.word._replace(figures=tuple(
-                new - old for new, old in zip(told, self.began, strict=True))))
+            self._say(
+                self.word._replace(
+                    figures=tuple(new - old for new, old in zip(told, self.began, strict=True))
+                )
+            )
 
     def _call(self, purpose, request):
         self.serial += 1
@@ -174,7 +192,7 @@
         if reply.proof != DONE:
             self.again_at = now + AGAIN_US
             if purpose == "enrolled" and reply.proof == MAYBE:
-                self._become(LEARNING)   # we may be on the roll: a look at what is in force, and once more
+                self._become(LEARNING)  # we may be on the roll: a look at what is in force, and once more
         getattr(self, "_" + purpose)(now, reply, word)
         self.step(now, self.lease)
 
@@ -241,7 +259,7 @@
         """A look at what stands, besides the watch: guards against a watch that has fallen silent while the
         lease is kept."""
         if reply.proof != DONE or reply.revision < max(self.seen, *self.heard.values(), 0):
-            return   # or an answer from the past
+            return  # or an answer from the past
         found = {item.key: item for item in reply.items}
         for key in (CURRENT, CHANGE):
             item = found.get(key)
@@ -254,7 +272,7 @@
 
     def _enrolled(self, now, reply, _word):
         if reply.proof != DONE or not reply.met:
-            self._become(LEARNING)   # something changed since we looked
+            self._become(LEARNING)  # something changed since we looked
             return
         self.word = self.said = Word(self.record.number)
         self.word_at = reply.revision
@@ -268,13 +286,13 @@
     def _told(self, now, reply, word):
         if reply.proof == DONE and reply.met:
             self.said, self.word_at = word, reply.revision
-        elif reply.proof == DONE:   # a call that was given up was carried out: what stands is compared with
+        elif reply.proof == DONE:  # a call that was given up was carried out: what stands is compared with
             self.word_at = reply.items[0].revision if reply.items else 0
 
     def changed(self, now, key, value, revision):
         """What is now changed; value None: no change is open any more."""
         if self.state != ON or revision <= self.heard.get(key, self.seen):
-            return   # a look may have shown more than the watch has told yet
+            return  # a look may have shown more than the watch has told yet
         self.heard[key] = revision
         if key == CURRENT and value is not None:
             try:
@@ -298,7 +316,7 @@
         number = change.record.number if change else 0
         if change is None or change.state == DECIDED:
             return
-        if change.state == DROPPED and self.trial:   # back on the parent
+        if change.state == DROPPED and self.trial:  # back on the parent
             self.trial = 0
             self._take_over(self.record)
         elif change.state == DROPPED:
@@ -327,8 +345,13 @@
     def stopped(self, now, number):
         """The core has stopped sending for this change."""
         change = self.change
-        if (self.state == ON and change and change.record.number == number and change.state == PREPARED and
-                self.gate.still):
+        if (
+            self.state == ON
+            and change
+            and change.record.number == number
+            and change.state == PREPARED
+            and self.gate.still
+        ):
             self._say(Word(self.record.number, number, STILL))
             self.step(now, self.lease)
 
--- a/gullhold/revisions/record.py
+++ b/gullhold/revisions/record.py
@@ -10,7 +10,7 @@
 from gullhold.operator.text import Bad
 
 SCHEMA = "policy.cue"
-TEXT_MOST = 100_000   # characters of one policy: a value of the register
+TEXT_MOST = 100_000  # characters of one policy: a value of the register
 
 
 class Unfit(Exception):
@@ -76,8 +76,9 @@
     schema = files("gullhold.revisions").joinpath(SCHEMA).read_text("utf-8")
     try:
         nodes = text.parse(source, file)
-        told = values.concrete(values.unify(values.root(text.parse(schema, SCHEMA), closed=True),
-                                            values.root(nodes), ()))
+        told = values.concrete(
+            values.unify(values.root(text.parse(schema, SCHEMA), closed=True), values.root(nodes), ())
+        )
     except Bad as fault:
         raise Unfit(str(fault)) from None
     return Policy(**told["policy"])
@@ -134,8 +135,10 @@
     profiles = [item.name for item in deal.profiles]
     shares = shares_of(policy, deal)
     least = min((share for share in shares if share > 0), default=1.0)
-    by_index = [{profiles.index(name): value for name, value in told.items()}
-                for told in (policy.priorities, policy.grants, policy.sends)]
+    by_index = [
+        {profiles.index(name): value for name, value in told.items()}
+        for told in (policy.priorities, policy.grants, policy.sends)
+    ]
     return ([share / least for share in shares] or [1.0] * len(profiles), *by_index)
 
 
@@ -144,6 +147,9 @@
     found = []
     for field in Policy._fields:
         before, after = getattr(old, field), getattr(new, field)
-        found += [(field, name, before.get(name), after.get(name)) for name in sorted({*before, *after})
-                  if before.get(name) != after.get(name)]
+        found += [
+            (field, name, before.get(name), after.get(name))
+            for name in sorted({*before, *after})
+            if before.get(name) != after.get(name)
+        ]
     return found
--- a/gullhold/revisions/show.py
+++ b/gullhold/revisions/show.py
@@ -16,7 +16,7 @@
 from gullhold.revisions.record import FIRST, Record, Unfit
 
 TIMEOUT_S, LOOK_S = 3.0, 0.1
-IN_FORCE, WRONG, DROPPED, UNKNOWN = 0, 2, 3, 4   # exit statuses
+IN_FORCE, WRONG, DROPPED, UNKNOWN = 0, 2, 3, 4  # exit statuses
 
 
 class Away(Exception):
@@ -34,8 +34,10 @@
         reply = self.session.call(Read(change.ROOT))
         if reply.proof != DONE:
             raise Away
-        return ({item.key: item.value for item in reply.items},
-                {item.key: item.revision for item in reply.items})
+        return (
+            {item.key: item.value for item in reply.items},
+            {item.key: item.revision for item in reply.items},
+        )
 
     def current(self):
         """The record in force."""
@@ -54,15 +56,21 @@
         items, revisions = self.read()
         current = records.unpack(items[change.CURRENT]) if change.CURRENT in items else FIRST
         numbers = [int(key.removeprefix(change.PAST)) for key in items if key.startswith(change.PAST)]
-        record = Record(max([current.number, *numbers]) + 1, current.number if parent is None else parent,
-                        author, why, time.time_ns() // 1000, text).sealed()
+        record = Record(
+            max([current.number, *numbers]) + 1,
+            current.number if parent is None else parent,
+            author,
+            why,
+            time.time_ns() // 1000,
+            text,
+        ).sealed()
         acts, when = change.propose(record, items, revisions, **how)
         reply = self.session.call(Txn(when, acts))
         if reply.proof == NOT_DONE:
             raise Away
         if reply.proof == DONE and not reply.met:
             raise Unfit("somebody else proposed at the same moment")
-        return record   # also where the reply was lost: what stands will say
+        return record  # also where the reply was lost: what stands will say
 
     def drop(self):
         """Ask that the open change be dropped; its number. Unfit: there is none that can be."""
@@ -72,8 +80,12 @@
         opened = change.change_of(items[change.CHANGE])
         if opened.state in (change.DECIDED, change.DROPPED):
             raise Unfit(f"change {opened.record.number} is {opened.state} already")
-        reply = self.session.call(Txn(((change.CHANGE, revisions[change.CHANGE]),),
-                                      (Put(change.CHANGE, opened._replace(drop=True).pack()),)))
+        reply = self.session.call(
+            Txn(
+                ((change.CHANGE, revisions[change.CHANGE]),),
+                (Put(change.CHANGE, opened._replace(drop=True).pack()),),
+            )
+        )
         if reply.proof != DONE or not reply.met:
             raise Away
         return opened.record.number
@@ -91,7 +103,8 @@
             return UNKNOWN, f"{number} is decided; {self._words(items, number)}"
         if change.CHANGE in items and change.change_of(items[change.CHANGE]).record.number == number:
             return UNKNOWN, f"{number} is {change.change_of(items[change.CHANGE]).state}; " + self._words(
-                items, number)
+                items, number
+            )
         return UNKNOWN, f"nothing is known of {number}"
 
     @staticmethod
@@ -103,8 +116,13 @@
                 name = key.removeprefix(change.WORDS).partition("/")[0]
                 said = word.word if number in (word.about, word.under) else "says nothing"
                 found.setdefault(f"{said}{': ' + word.why if word.why else ''}", []).append(name)
-        return "; ".join(f"{said}: {', '.join(sorted(names)[:8])} ({len(names)})"
-                         for said, names in sorted(found.items())) or "nobody is there"
+        return (
+            "; ".join(
+                f"{said}: {', '.join(sorted(names)[:8])} ({len(names)})"
+                for said, names in sorted(found.items())
+            )
+            or "nobody is there"
+        )
 
     def wait(self, number, seconds):
         """(status, line) when it is known, or after so long as it stands then."""
@@ -124,9 +142,11 @@
 
 def differences(old, new):
     """A line for each thing that differs."""
-    return [f"{field} {name}: {'as agreed' if before is None else before} -> "
-            f"{'as agreed' if after is None else after}"
-            for field, name, before, after in records.difference(records.read(old), records.read(new))]
+    return [
+        f"{field} {name}: {'as agreed' if before is None else before} -> "
+        f"{'as agreed' if after is None else after}"
+        for field, name, before, after in records.difference(records.read(old), records.read(new))
+    ]
 
 
 def run(args):
@@ -141,8 +161,10 @@
         print(f"gullhold: {fault}", file=sys.stderr)
         return WRONG
     except Away:
-        print(f"gullhold: the register at {args.register} does not answer; what stands is not known",
-              file=sys.stderr)
+        print(
+            f"gullhold: the register at {args.register} does not answer; what stands is not known",
+            file=sys.stderr,
+        )
         return UNKNOWN
 
 
@@ -168,8 +190,9 @@
 def _propose(office, args, text=None, why=None):
     how = {"overlap": args.overlap, "silence": args.silence, "patience_us": int(args.patience * 1e6)}
     if args.canary:
-        how["canary"] = change.Canary(args.canary, int(args.canary_seconds * 1e6), args.most_failed,
-                                      args.most_slower)
+        how["canary"] = change.Canary(
+            args.canary, int(args.canary_seconds * 1e6), args.most_failed, args.most_slower
+        )
     record = office.propose(text or _text(args), args.author or getpass.getuser(), why or args.why, **how)
     print(f"{record.number} is proposed on {record.parent}; digest {record.digest}")
     return office.wait(record.number, args.wait)[0] if args.wait else UNKNOWN
@@ -206,9 +229,18 @@
 
 
 def _history(office, args):
-    rows = [{"number": record.number, "parent": record.parent, "outcome": outcome, "author": record.author,
-             "why": record.why, "because": why, "digest": record.digest}
-            for record, outcome, why in office.past()]
+    rows = [
+        {
+            "number": record.number,
+            "parent": record.parent,
+            "outcome": outcome,
+            "author": record.author,
+            "why": record.why,
+            "because": why,
+            "digest": record.digest,
+        }
+        for record, outcome, why in office.past()
+    ]
     if args.json:
         for row in rows:
             print(json.dumps(row))
--- a/gullhold/revisions/snapshot.py
+++ b/gullhold/revisions/snapshot.py
@@ -16,7 +16,7 @@
         out.flush()
         os.fsync(out.fileno())
     os.replace(fresh, path)
-    with suppress(OSError):   # the folder's own entry; not all systems allow it
+    with suppress(OSError):  # the folder's own entry; not all systems allow it
         folder = os.open(os.path.dirname(os.path.abspath(path)), os.O_RDONLY)
         try:
             os.fsync(folder)
--- a/gullhold/standins/__init__.py
+++ b/gullhold/standins/__init__.py
@@ -6,8 +6,8 @@
 
 import socket
 
-LOOPBACK = "127.0.0.1"   # the only place where a stand-in listens or connects
-PATIENCE_S = 8.0         # s until a wait of a stand-in fails: far more than any answer takes
+LOOPBACK = "127.0.0.1"  # the only place where a stand-in listens or connects
+PATIENCE_S = 8.0  # s until a wait of a stand-in fails: far more than any answer takes
 
 
 def listening():
--- a/gullhold/standins/budgetcheck.py
+++ b/gullhold/standins/budgetcheck.py
@@ -66,8 +66,11 @@
         self.history, self.asks, self.writes, self.bytes = [], [], 0, 0
         for line in lines:
             if line["what"] == "began":
-                self.rows = {_tail(key).removeprefix("budget/parts/"): _row(value)
-                             for key, value, *_ in line["keys"] if _tail(key).startswith("budget/parts/")}
+                self.rows = {
+                    _tail(key).removeprefix("budget/parts/"): _row(value)
+                    for key, value, *_ in line["keys"]
+                    if _tail(key).startswith("budget/parts/")
+                }
             if line["what"] == "txn" and line["met"]:
                 self._txn(line)
 
@@ -93,8 +96,15 @@
                     sums[name] += part
             for name, total in sums.items():
                 self.most[name] = max(self.most[name], total)
-            self.history.append((line["at"], {name: {member: row[name] for member, row in self.rows.items()
-                                                     if row.get(name)} for name in sums}))
+            self.history.append(
+                (
+                    line["at"],
+                    {
+                        name: {member: row[name] for member, row in self.rows.items() if row.get(name)}
+                        for name in sums
+                    },
+                )
+            )
 
     def now(self, budget):
         """{member's name: its parts of a budget, all its processes together} as last written."""
@@ -105,8 +115,9 @@
 
 
 def _row(value):
-    return {name: part if isinstance(part, int) else part[0]
-            for name, part in json.loads(value)["row"].items()}
+    return {
+        name: part if isinstance(part, int) else part[0] for name, part in json.loads(value)["row"].items()
+    }
 
 
 def _tail(key):
--- a/gullhold/standins/changecheck.py
+++ b/gullhold/standins/changecheck.py
@@ -16,7 +16,7 @@
 
 NAMES = ("a", "b", "c")
 FAULTS = (*OF_CALLS, "die", "cut", "elect", "miss", "deaf")
-BAD, SOUR, SETTLED = "bad", "sour", 40   # refused by one member; of which commands fail; moments to settle
+BAD, SOUR, SETTLED = "bad", "sour", 40  # refused by one member; of which commands fail; moments to settle
 PATIENCE_US = 4 * QUANTUM_US
 
 
@@ -28,8 +28,9 @@
         self.lease, self.number, self.todo, self.seen = Lease(TERMS), 0, [], None
         self.text, self.told, self.failed = "", 0, 0
         self.gate = world.make["gate"](self.lease, self, TERMS.surely_us(), world.make["cut"])
-        self.member = world.make["member"](name, self.gate, lambda record: world.fits(record, name),
-                                           self.figures)
+        self.member = world.make["member"](
+            name, self.gate, lambda record: world.fits(record, name), self.figures
+        )
 
     def __call__(self):
         return int(self.world.now * self.rate)
@@ -50,13 +51,22 @@
     """
 
     def __init__(self, overlap, faults=6, **make):
-        self.make = {"member": member.Member, "gate": member.Gate, "carrier": change.Carrier,
-                     "cut": member.KEEP} | make
-        super().__init__(Model(change.ROOT), "duties/" + change.DUTY, change.ROOT,
-                         [self.make["carrier"]() for _ in range(2)], faults)
+        self.make = {
+            "member": member.Member,
+            "gate": member.Gate,
+            "carrier": change.Carrier,
+            "cut": member.KEEP,
+        } | make
+        super().__init__(
+            Model(change.ROOT),
+            "duties/" + change.DUTY,
+            change.ROOT,
+            [self.make["carrier"]() for _ in range(2)],
+            faults,
+        )
         self.overlap, self.proposed = overlap, 0
         self.decided_at, self.decided, self.order, self.opened = {0: self.now}, 0, [0], False
-        self.tried = {}   # by number: when a canary was last under way, its members
+        self.tried = {}  # by number: when a canary was last under way, its members
         for name in NAMES:
             self._do_come(name)
         self._do_elect(0)
@@ -127,13 +137,14 @@
             now = change.change_of(self.model.keys[change.CHANGE].value)
             if now.state == change.CANARY:
                 self.tried[now.record.number] = (self.now, now.trial)
-        if opened and not self.opened:   # staff hear: in force everywhere
+        if opened and not self.opened:  # staff hear: in force everywhere
             late = [one.name for one in self.members if one.gate() and one.number != number]
             if late:
                 raise Broken(f"{late} go by another than {number}, which is said to be in force everywhere")
         if number != self.decided:
             if change.records.unpack(item.value).text == BAD and any(
-                    one.name == NAMES[1] and one.gate() for one in self.members):
+                one.name == NAMES[1] and one.gate() for one in self.members
+            ):
                 raise Broken(f"{number} is in force though {NAMES[1]} turned it down")
             self.decided, self.decided_at[number] = number, self.now
             self.order.append(number)
@@ -187,26 +198,42 @@
         revisions = {key: item.revision for key, item in self.model.keys.items()}
         self.proposed += 1
         record = Record(self.proposed, self.decided, "", "", 0, text).sealed()
-        canary = change.Canary(0.4, 2 * PATIENCE_US) if (
-            self.overlap == change.LOOSE and self.proposed % 2) else None
-        acts, when = change.propose(record, items, revisions, overlap=self.overlap, patience_us=PATIENCE_US,
-                                    silence=change.DROP, canary=canary)
+        canary = (
+            change.Canary(0.4, 2 * PATIENCE_US)
+            if (self.overlap == change.LOOSE and self.proposed % 2)
+            else None
+        )
+        acts, when = change.propose(
+            record,
+            items,
+            revisions,
+            overlap=self.overlap,
+            patience_us=PATIENCE_US,
+            silence=change.DROP,
+            canary=canary,
+        )
         self.model.call(Txn(when, acts), self.now)
 
     def _do_send(self, i):
         """What goes out goes by what the core has."""
         one = self.members[i]
         tried_at, trial = self.tried.get(one.number, (0, ()))
-        if one.member.key().removeprefix(change.WORDS) in trial and (
-                self.now <= tried_at + TERMS.ttl_s * 1_000_000) and one.number not in self.order:
+        if (
+            one.member.key().removeprefix(change.WORDS) in trial
+            and (self.now <= tried_at + TERMS.ttl_s * 1_000_000)
+            and one.number not in self.order
+        ):
             return
         if one.number not in self.order:
             raise Broken(f"{one.name} sends under {one.number}, which was never decided")
         if self.overlap == change.STRICT and one.number != self.order[-1]:
             raise Broken(f"{one.name} sends under {one.number} when {self.order[-1]} is in force")
-        late = self.now - self.decided_at[self.order[self.order.index(one.number) + 1]] if (
-            one.number != self.order[-1]) else 0
-        if late > TERMS.ttl_s * 1_000_000:   # the stated overlap
+        late = (
+            self.now - self.decided_at[self.order[self.order.index(one.number) + 1]]
+            if (one.number != self.order[-1])
+            else 0
+        )
+        if late > TERMS.ttl_s * 1_000_000:  # the stated overlap
             raise Broken(f"{one.name} sends under {one.number} {late} us after it was over")
 
     def _do_come(self, name):
@@ -227,15 +254,34 @@
 
     def mark(self):
         """What makes two states the same: all but absolute time."""
-        return (tuple((one.name, one.cut, one.number, one.member.state, one.gate.still, one.gate(), one.seen,
-                       str(one.member.word), tuple(map(str, one.todo)), max(0, one.lease.until - one()))
-                      for one in self.members),
-                tuple((key, item.value, item.revision) for key, item in sorted(self.model.keys.items())),
-                tuple((tag[0], str(request)) for _, request, tag in self.calls),
-                tuple((tag[0], reply.proof, reply.met) for _, tag, reply in self.replies),
-                tuple(map(str, self.ghosts)), tuple(self.seen), self.owner, self.faults,
-                tuple((k.token, k.loaded, bool(k.reading), bool(k.writing), k.roll, k.change_at, len(k.words))
-                      for k in self.holders))
+        return (
+            tuple(
+                (
+                    one.name,
+                    one.cut,
+                    one.number,
+                    one.member.state,
+                    one.gate.still,
+                    one.gate(),
+                    one.seen,
+                    str(one.member.word),
+                    tuple(map(str, one.todo)),
+                    max(0, one.lease.until - one()),
+                )
+                for one in self.members
+            ),
+            tuple((key, item.value, item.revision) for key, item in sorted(self.model.keys.items())),
+            tuple((tag[0], str(request)) for _, request, tag in self.calls),
+            tuple((tag[0], reply.proof, reply.met) for _, tag, reply in self.replies),
+            tuple(map(str, self.ghosts)),
+            tuple(self.seen),
+            self.owner,
+            self.faults,
+            tuple(
+                (k.token, k.loaded, bool(k.reading), bool(k.writing), k.roll, k.change_at, len(k.words))
+                for k in self.holders
+            ),
+        )
 
     def calm(self):
         """No more faults: all is carried out in turn, who is missing comes, one carries."""
@@ -254,8 +300,10 @@
         """Raises Broken unless everybody goes by what is in force, and no change is left open."""
         if change.CHANGE in self.model.keys:
             raise Broken(f"a change stays {self.model.keys[change.CHANGE].value[-120:]}")
-        bad = change.CURRENT in self.model.keys and change.records.unpack(
-            self.model.keys[change.CURRENT].value).text == BAD   # decided while the one that refuses was down
+        bad = (
+            change.CURRENT in self.model.keys
+            and change.records.unpack(self.model.keys[change.CURRENT].value).text == BAD
+        )  # decided while the one that refuses was down
         for one in self.members:
             if bad and one.name == NAMES[1]:
                 if one.gate():
@@ -278,15 +326,22 @@
             broken = world.calls and world.faults and draw() < 0.05
             yield (OF_CALLS[int(draw() * 3)], int(draw() * len(world.calls))) if broken else todo
         yield from walking.now_and_then(
-            world, draw, (("come", 0.5), ("heal", 0.2), ("late", 0.2), ("lost", 0.1)),
-            ("die", "cut", "elect", "miss", "deaf"), 0.25)
+            world,
+            draw,
+            (("come", 0.5), ("heal", 0.2), ("late", 0.2), ("lost", 0.1)),
+            ("die", "cut", "elect", "miss", "deaf"),
+            0.25,
+        )
 
 
 def walk(seed, steps, faults=10, marks=False, **make):
     """One walk, then calm; raises Broken with its story. Marks of the states that it met, where asked for."""
     draw = random.Random(seed).random
-    world = World((change.STRICT, change.LOOSE)[seed % 2], faults, **{
-        "cut": (member.KEEP, member.STAND)[seed // 2 % 2]} | make)
+    world = World(
+        (change.STRICT, change.LOOSE)[seed % 2],
+        faults,
+        **{"cut": (member.KEEP, member.STAND)[seed // 2 % 2]} | make,
+    )
     actions = rounds(world, draw) if seed // 4 % 4 else walking.wild(world, draw, FAULTS)
     return walking.follow(world, actions, steps, seed, marks)
 
--- a/gullhold/standins/changemutants.py
+++ b/gullhold/standins/changemutants.py
@@ -105,8 +105,10 @@
     """Decides whoever joined meanwhile."""
 
     def take(self):
-        return [(*row[:4], tuple(pair for pair in row[4] if pair[0] != ROLL)) if len(row) == 5 else row
-                for row in super().take()]
+        return [
+            (*row[:4], tuple(pair for pair in row[4] if pair[0] != ROLL)) if len(row) == 5 else row
+            for row in super().take()
+        ]
 
 
 class RefusalsForgotten(Carrier):
@@ -149,10 +151,22 @@
 
 
 MUTANTS = {kind.__name__: {"gate": kind} for kind in (LeaseNotLooked, LooksForgotten, NotStill)}
-MUTANTS |= {kind.__name__: {"member": kind} for kind in (
-    EnrolsBlind, SendsAtOnce, SaysYes, DeafToDropping, StillTooSoon, OldWord, AdoptsOnReady)}
-MUTANTS |= {kind.__name__: {"carrier": kind} for kind in (
-    NotAll, RollForgotten, RefusalsForgotten, NotPrepared, ClosesEarly, NotCompared, GoneForgotten)}
+MUTANTS |= {
+    kind.__name__: {"member": kind}
+    for kind in (EnrolsBlind, SendsAtOnce, SaysYes, DeafToDropping, StillTooSoon, OldWord, AdoptsOnReady)
+}
+MUTANTS |= {
+    kind.__name__: {"carrier": kind}
+    for kind in (
+        NotAll,
+        RollForgotten,
+        RefusalsForgotten,
+        NotPrepared,
+        ClosesEarly,
+        NotCompared,
+        GoneForgotten,
+    )
+}
 
 
 def find(name, walks, steps, first=0):
--- a/gullhold/standins/child.py
+++ b/gullhold/standins/child.py
@@ -23,13 +23,15 @@
     for name, unit in (("monotonic", 1), ("monotonic_ns", 1), ("time", 1), ("time_ns", 1)):
         real = getattr(time, name)
         began = real()
-        setattr(time, name, lambda real=real, began=began, unit=unit: type(began)(
-            began + (real() - began) * rate))
+        setattr(
+            time, name, lambda real=real, began=began, unit=unit: type(began)(began + (real() - began) * rate)
+        )
 
 
 def point_of(request):
     """What a request of the register is, in a script's words."""
     from gullhold.fleet import calls  # noqa: PLC0415
+
     if isinstance(request, calls.Keep):
         return "keep"
     puts = [act for act in getattr(request, "acts", ()) if isinstance(act, calls.Put)]
@@ -62,6 +64,7 @@
 def hook(point, side, act, nth):
     """Do this to ourselves at that call."""
     from gullhold.fleet.register import Register  # noqa: PLC0415
+
     real, serial = Register.call, count(1)
 
     def call(self, request):
@@ -84,6 +87,7 @@
     if asked:
         hook(**asked)
     from gullhold.__main__ import main as product  # noqa: PLC0415
+
     status = product(sys.argv[1:])
     sys.stdout.flush()
     sys.stderr.flush()
--- a/gullhold/standins/coordinator.py
+++ b/gullhold/standins/coordinator.py
@@ -19,7 +19,7 @@
         while True:
             try:
                 conn = self.sock.accept()[0]
-            except OSError:   # closed
+            except OSError:  # closed
                 return
             self.asked.append(conn.recv(100))
             self.conn = conn
--- a/gullhold/standins/counting.py
+++ b/gullhold/standins/counting.py
@@ -25,8 +25,14 @@
             super()._word(conn, words)
             return
         facts, found = dict(pair.partition(b"=")[::2] for pair in words[2].split(b",")), WORK.search(words[3])
-        row = [time.time(), None, self.threads.get(facts[b"c"].decode(), 1), words[1],
-               float(found.group(1)) if found else WORK_MS, float(facts.get(b"mem", 0))]
+        row = [
+            time.time(),
+            None,
+            self.threads.get(facts[b"c"].decode(), 1),
+            words[1],
+            float(found.group(1)) if found else WORK_MS,
+            float(facts.get(b"mem", 0)),
+        ]
         with self.changed:
             self.flights.append(row)
             fails = self.luck() < self.fails
--- a/gullhold/standins/crowd.py
+++ b/gullhold/standins/crowd.py
@@ -17,21 +17,35 @@
 from gullhold.standins import PATIENCE_S
 from gullhold.standins.working import statement
 
-COUNTS = ("asked", "answered", "shed", "failed", "tries", "lost", "told", "came_back", "back_answered",
-          "back_shed", "again", "again_answered", "again_shed", "twice")
-OPEN_MOST = 32          # open on one connection, from the protocol
-FRAME_MOST = 100_000    # bytes of an answer
-PAUSE_S = 0.02          # s that a client told nothing waits before it asks for something else
+COUNTS = (
+    "asked",
+    "answered",
+    "shed",
+    "failed",
+    "tries",
+    "lost",
+    "told",
+    "came_back",
+    "back_answered",
+    "back_shed",
+    "again",
+    "again_answered",
+    "again_shed",
+    "twice",
+)
+OPEN_MOST = 32  # open on one connection, from the protocol
+FRAME_MOST = 100_000  # bytes of an answer
+PAUSE_S = 0.02  # s that a client told nothing waits before it asks for something else
 WHEN_TOLD, AT_ONCE, NOT_AT_ALL = range(3)
 
 
 class Ask(NamedTuple):
     """A command as a client means it: all its tries are one ask."""
 
-    at: float          # s, monotonic, when it was first asked for
-    sent_at: float     # s, of this try
+    at: float  # s, monotonic, when it was first asked for
+    sent_at: float  # s, of this try
     tries: int
-    told: bool         # whether it waited as it had been told
+    told: bool  # whether it waited as it had been told
 
 
 def frame(seq, fields, body):
@@ -47,9 +61,24 @@
     rate: asks a second in all instead of a fixed number open (0: closed loop); limit_ms: its client timeout.
     """
 
-    def __init__(self, address, tenant, name, open=4, connections=1, work_ms=50.0, says=1.0,
-                 manner=WHEN_TOLD, tries=3, limit_ms=4000, verb="read", field=b"client", rate=0.0, seed=1,
-                 come_back=b"retry_ms"):
+    def __init__(
+        self,
+        address,
+        tenant,
+        name,
+        open=4,
+        connections=1,
+        work_ms=50.0,
+        says=1.0,
+        manner=WHEN_TOLD,
+        tries=3,
+        limit_ms=4000,
+        verb="read",
+        field=b"client",
+        rate=0.0,
+        seed=1,
+        come_back=b"retry_ms",
+    ):
         self.address, self.tenant, self.name, self.open = address, tenant, name, open
         self.work_ms, self.says, self.manner, self.tries_most = work_ms, says, manner, tries
         self.limit_ms, self.verb, self.field, self.rate = limit_ms, verb, field, rate
@@ -58,8 +87,9 @@
         self.stopped = self.over = False
         self.serial = 0
         self.zero()
-        self.threads = [Thread(target=self._run, args=(i, connections), daemon=True)
-                        for i in range(connections)]
+        self.threads = [
+            Thread(target=self._run, args=(i, connections), daemon=True) for i in range(connections)
+        ]
 
     def start(self):
         """Ask until stop()."""
@@ -98,9 +128,14 @@
             else:
                 self.again += 1
         txn = b"%016x" % self.draw.getrandbits(64)
-        fields = {b"verb": self.verb.encode(), b"txn": txn, b"limit": b"%d" % self.limit_ms,
-                  b"cpu": b"%g" % (self.work_ms * self.says), b"memory": b"50",
-                  self.field: self.name.encode()}
+        fields = {
+            b"verb": self.verb.encode(),
+            b"txn": txn,
+            b"limit": b"%d" % self.limit_ms,
+            b"cpu": b"%g" % (self.work_ms * self.says),
+            b"memory": b"50",
+            self.field: self.name.encode(),
+        }
         if self.tenant:
             fields[b"team"] = self.tenant.encode()
         if ask.tries > 1:
@@ -171,8 +206,11 @@
                 self.again_shed += not ask.told
             word = shed.get((1, thrift.MAP), {}).get(self.come_back)
             self.told += word is not None
-        if self.manner == NOT_AT_ALL or ask.tries >= self.tries_most or (
-                self.manner == WHEN_TOLD and word is None):   # told nothing: it gives this ask up
+        if (
+            self.manner == NOT_AT_ALL
+            or ask.tries >= self.tries_most
+            or (self.manner == WHEN_TOLD and word is None)
+        ):  # told nothing: it gives this ask up
             if not self.rate:
                 heappush(later, (now + PAUSE_S, order, Ask(now, now, 1, False)))
             return
--- a/gullhold/standins/dividecheck.py
+++ b/gullhold/standins/dividecheck.py
@@ -17,10 +17,10 @@
 from gullhold.standins.ownercheck import Model
 from gullhold.standins.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
 
-WINDOW_US, LINGER_US = 1_600_000, 1_100_000   # of real time: no whole number of moments
+WINDOW_US, LINGER_US = 1_600_000, 1_100_000  # of real time: no whole number of moments
 WHOLE, ALONE, NAMES = 10, 1, ("a", "b", "c")
 FAULTS = (*OF_CALLS, "die", "cut", "elect", "miss", "leave")
-SETTLED = 30                # moments in which a fleet without faults has to have divided all
+SETTLED = 30  # moments in which a fleet without faults has to have divided all
 
 
 class Member:
@@ -31,7 +31,7 @@
         self.lease, self.cut, self.asked_revision, self.heard = Lease(TERMS), False, 0, 0
         self.rule = world.rule
         self.purses = world.make["purses"]({(0, 0): self.rule}, lambda _, of: f"b/{of}", self.lease, self)
-        self.purse, self.want, self.running = self.purses(0, 0), 0, []   # running: when each was begun
+        self.purse, self.want, self.running = self.purses(0, 0), 0, []  # running: when each was begun
 
     def __call__(self):
         return int(self.world.now * self.rate)
@@ -48,17 +48,35 @@
     """
 
     def __init__(self, kind, faults=4, **make):
-        self.make = {"purses": Purses, "dividing": duty.Dividing, "divider": Divider, "compared": True,
-                     "alone_after": LINGER_US, "lengthen": 1 + TERMS.drift} | make
+        self.make = {
+            "purses": Purses,
+            "dividing": duty.Dividing,
+            "divider": Divider,
+            "compared": True,
+            "alone_after": LINGER_US,
+            "lengthen": 1 + TERMS.drift,
+        } | make
         longer = self.make["lengthen"]
         self.kind = kind
-        self.rule = Rule(kind, WHOLE, int(WINDOW_US * longer), 0, ALONE,
-                         int(max(self.make["alone_after"], WINDOW_US * (kind == WINDOWED)) * longer)
-                         if self.make["alone_after"] else 0)
+        self.rule = Rule(
+            kind,
+            WHOLE,
+            int(WINDOW_US * longer),
+            0,
+            ALONE,
+            int(max(self.make["alone_after"], WINDOW_US * (kind == WINDOWED)) * longer)
+            if self.make["alone_after"]
+            else 0,
+        )
         budget = Budget(kind, WHOLE, int(WINDOW_US * longer), int(LINGER_US * longer), ALONE, len(NAMES))
-        super().__init__(Model(duty.ROOT), "duties/" + duty.DUTY, duty.ASKS, [
-            self.make["dividing"]({"b": budget}, make=self.make["divider"]) for _ in range(2)], faults)
-        self.spent, self.lingering, self.still = [], [], False   # still: demand changes no more
+        super().__init__(
+            Model(duty.ROOT),
+            "duties/" + duty.DUTY,
+            duty.ASKS,
+            [self.make["dividing"]({"b": budget}, make=self.make["divider"]) for _ in range(2)],
+            faults,
+        )
+        self.spent, self.lingering, self.still = [], [], False  # still: demand changes no more
         for name in NAMES:
             self._do_come(name)
         self._do_elect(0)
@@ -80,8 +98,9 @@
         key = duty.ASKS + member.key()
         when = ((key, member.asked_revision),) if self.make["compared"] else ()
         text = duty.report_text(member.purses.seen, told, left)
-        self.calls.append((member, Txn(when, (Put(key, text, 0 if left else member.lease.id),)),
-                           ("reported", key)))
+        self.calls.append(
+            (member, Txn(when, (Put(key, text, 0 if left else member.lease.id),)), ("reported", key))
+        )
 
     def actions(self):
         """All that may be next."""
@@ -101,8 +120,9 @@
 
     def fair(self):
         """What happens next where nothing is wrong; None: nothing is under way."""
-        return super().fair() or next((("hear", i) for i, one in enumerate(self.members)
-                                       if not one.cut and self._rows(one)), None)
+        return super().fair() or next(
+            (("hear", i) for i, one in enumerate(self.members) if not one.cut and self._rows(one)), None
+        )
 
     def may_report(self, member):
         """One report of a member is under way at a time."""
@@ -122,7 +142,7 @@
         self.now += QUANTUM_US
         for member in self.members:
             self._keep(member)
-            while member.running and member.running[0] <= self.now - LINGER_US:   # nothing runs longer
+            while member.running and member.running[0] <= self.now - LINGER_US:  # nothing runs longer
                 member.running.pop(0)
                 member.purse.over(1)
         self._step_holders()
@@ -138,7 +158,7 @@
     def _reported(self, member, reply):
         if reply.proof == DONE and reply.met:
             member.asked_revision = reply.revision
-        else:   # as the driver does: what stands is looked at, and told anew
+        else:  # as the driver does: what stands is looked at, and told anew
             item = self.model.keys.get(duty.ASKS + member.key())
             member.asked_revision = item.revision if item else 0
             self._report(member)
@@ -152,7 +172,7 @@
 
     def _do_end(self, i):
         member = self.members[i]
-        for _ in range(-(-len(member.running) // 2)):   # the older half
+        for _ in range(-(-len(member.running) // 2)):  # the older half
             member.running.pop(0)
             member.purse.over(1)
 
@@ -161,8 +181,9 @@
         member.heard, _, value = self._rows(member)[0]
         if value is not None:
             write, row = duty.row_of(value)
-            member.purses.told(member.lease.id, write,
-                               {name: duty.part_in(packed) for name, packed in row.items()})
+            member.purses.told(
+                member.lease.id, write, {name: duty.part_in(packed) for name, packed in row.items()}
+            )
 
     def _do_report(self, i):
         member = self.members[i]
@@ -200,15 +221,31 @@
 
     def mark(self):
         """What makes two states the same: all but absolute time and numbers of writes."""
-        return (tuple((one.name, one.cut, one.purse.part, one.purse.out, one.want, one.heard,
-                       max(0, one.lease.until - one()), len(one.purse.spent)) for one in self.members),
-                tuple((key, item.value) for key, item in sorted(self.model.keys.items())),
-                tuple((tag, str(request)) for _, request, tag in self.calls),
-                tuple((tag, reply.proof, reply.met) for _, tag, reply in self.replies),
-                tuple(map(str, self.ghosts)), tuple(self.seen), self.owner, self.faults,
-                tuple((k.token, k.loaded, k.fence, k.reading, k.writing) for k in self.holders),
-                tuple(at - self.now for at in self.spent),
-                tuple((at - self.now, n) for at, n in self.lingering))
+        return (
+            tuple(
+                (
+                    one.name,
+                    one.cut,
+                    one.purse.part,
+                    one.purse.out,
+                    one.want,
+                    one.heard,
+                    max(0, one.lease.until - one()),
+                    len(one.purse.spent),
+                )
+                for one in self.members
+            ),
+            tuple((key, item.value) for key, item in sorted(self.model.keys.items())),
+            tuple((tag, str(request)) for _, request, tag in self.calls),
+            tuple((tag, reply.proof, reply.met) for _, tag, reply in self.replies),
+            tuple(map(str, self.ghosts)),
+            tuple(self.seen),
+            self.owner,
+            self.faults,
+            tuple((k.token, k.loaded, k.fence, k.reading, k.writing) for k in self.holders),
+            tuple(at - self.now for at in self.spent),
+            tuple((at - self.now, n) for at, n in self.lingering),
+        )
 
     def calm(self):
         """No more faults: all is carried out in turn, everybody reports, and one owner divides."""
@@ -231,7 +268,7 @@
     def settled(self):
         """Raises Broken unless all that may be divided is divided among those who live."""
         parts = sum(one.purse.part for one in self.members)
-        if parts < WHOLE - ALONE * len(NAMES) - 1:   # one of it may be on its way
+        if parts < WHOLE - ALONE * len(NAMES) - 1:  # one of it may be on its way
             raise Broken(f"{parts} are divided though nothing is wrong any more")
 
 
@@ -257,8 +294,12 @@
             if todo and draw() < chance:
                 yield todo
         yield from walking.now_and_then(
-            world, draw, (("end", 0.4), ("come", 0.4), ("heal", 0.1), ("late", 0.15), ("lost", 0.1)),
-            ("die", "cut", "elect", "miss", "leave"), 0.2)
+            world,
+            draw,
+            (("end", 0.4), ("come", 0.4), ("heal", 0.1), ("late", 0.15), ("lost", 0.1)),
+            ("die", "cut", "elect", "miss", "leave"),
+            0.2,
+        )
 
 
 def walk(seed, steps, faults=10, marks=False, **make):
--- a/gullhold/standins/dividemutants.py
+++ b/gullhold/standins/dividemutants.py
@@ -75,8 +75,9 @@
             fresh = name not in self.books
             books = super()._open(name)
             if fresh and books:
-                self.books[name] = ledger(books.kind, books.whole, books.window_us, books.linger_us,
-                                          books.reserve)
+                self.books[name] = ledger(
+                    books.kind, books.whole, books.window_us, books.linger_us, books.reserve
+                )
             return self.books.get(name)
 
     return Books
@@ -182,12 +183,19 @@
 LEDGERS = (HandsOn, ForgetsWindow, ForgetsOut, BuriesAtOnce, NoReserve, RaisesTwice, OverAtOnce)
 MUTANTS = {ledger.__name__: {"divider": booked_by(ledger)} for ledger in LEDGERS}
 MUTANTS |= {kind.__name__: {"divider": kind} for kind in (ForgetsBooks,)}
-MUTANTS |= {kind.__name__: {"dividing": kind} for kind in (NoFence, MaybeIsDone, DeafWhileReading, GoneUnseen,
-                                                           GoneIsInOrder)}
-MUTANTS |= {kind.__name__: {"purses": kind} for kind in (LeaseNotLooked, OldParts, AcksUnheard,
-                                                         TellsNothingOut, GivesBackTwice)}
-MUTANTS |= {"reports not compared": {"compared": False}, "alone at once": {"alone_after": 0},
-            "drift left out": {"lengthen": 1.0}}
+MUTANTS |= {
+    kind.__name__: {"dividing": kind}
+    for kind in (NoFence, MaybeIsDone, DeafWhileReading, GoneUnseen, GoneIsInOrder)
+}
+MUTANTS |= {
+    kind.__name__: {"purses": kind}
+    for kind in (LeaseNotLooked, OldParts, AcksUnheard, TellsNothingOut, GivesBackTwice)
+}
+MUTANTS |= {
+    "reports not compared": {"compared": False},
+    "alone at once": {"alone_after": 0},
+    "drift left out": {"lengthen": 1.0},
+}
 
 
 def find(name, walks, steps, first=0):
--- a/gullhold/standins/fleet.py
+++ b/gullhold/standins/fleet.py
@@ -23,13 +23,14 @@
 from gullhold.standins.running import ROOT, answers, free_address
 from gullhold.standins.working import WorkingEngine
 
-KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}   # profiles of the deployment
+KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}  # profiles of the deployment
 
 
 def _records(items):
     """Records of an operator's file."""
-    return "\n".join("{" + ", ".join(f"{key}: {value}" for key, value in item.items()) + "},"
-                     for item in items)
+    return "\n".join(
+        "{" + ", ".join(f"{key}: {value}" for key, value in item.items()) + "}," for item in items
+    )
 
 
 class KeepingEngine(WorkingEngine):
@@ -42,8 +43,9 @@
     def _word(self, conn, words):
         if words[0] == b"fetch":
             facts = dict(pair.partition(b"=")[::2] for pair in words[2].split(b","))
-            self.kept.append((time.time(), facts.get(b"i", b"").decode(), facts[b"c"].decode(),
-                              words[3].decode()))
+            self.kept.append(
+                (time.time(), facts.get(b"i", b"").decode(), facts[b"c"].decode(), words[3].decode())
+            )
             self.on_fetch(facts, words[3])
         super()._word(conn, words)
 
@@ -69,10 +71,28 @@
     gateways are started with; make(seed): an engine; coordinator: where the list is told.
     """
 
-    def __init__(self, members=3, lease_s=1, fleet="", scheduled=(), beats=0, beat_ms=50, engines=2, seed=1,
-                 timeout_s=3.0, dedup_s=4.0, drift="rate: 0.02, margin: 50ms", settle_ms=200, moves=500,
-                 budgets=(), policy="", look="50ms", coordinator=None, adjust=lambda settings: None,
-                 make=lambda seed: KeepingEngine(slots=32, seed=seed)):
+    def __init__(
+        self,
+        members=3,
+        lease_s=1,
+        fleet="",
+        scheduled=(),
+        beats=0,
+        beat_ms=50,
+        engines=2,
+        seed=1,
+        timeout_s=3.0,
+        dedup_s=4.0,
+        drift="rate: 0.02, margin: 50ms",
+        settle_ms=200,
+        moves=500,
+        budgets=(),
+        policy="",
+        look="50ms",
+        coordinator=None,
+        adjust=lambda settings: None,
+        make=lambda seed: KeepingEngine(slots=32, seed=seed),
+    ):
         self.folder = tempfile.TemporaryDirectory(prefix="gullhold-fleet-")
         self.path, self.lease_s, self.seed, self.dedup_s = Path(self.folder.name), lease_s, seed, dedup_s
         self.timeout_s, self.scheduled = timeout_s, {item["name"]: item for item in scheduled}
@@ -117,9 +137,24 @@
     def start_register(self):
         """Begin, or begin again with what it kept."""
         self.register = subprocess.Popen(
-            [sys.executable, "-m", "gullhold", "register", "--listen", self.register_address, "--store",
-             str(self.path / "store"), "--journal", str(self.journal), "--fast", "--scripted"],
-            cwd=ROOT, stdout=subprocess.PIPE, env=os.environ | {"PYTHONPATH": str(ROOT)})
+            [
+                sys.executable,
+                "-m",
+                "gullhold",
+                "register",
+                "--listen",
+                self.register_address,
+                "--store",
+                str(self.path / "store"),
+                "--journal",
+                str(self.journal),
+                "--fast",
+                "--scripted",
+            ],
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            env=os.environ | {"PYTHONPATH": str(ROOT)},
+        )
         if not self.register.stdout.readline():
             raise RuntimeError("the register did not come up")
 
@@ -143,10 +178,13 @@
         for name in names or self.names:
             member = self.members[name]
             member.serial += 1
-            told = config(*self.engines) | {"listen": member.listen, "name": name_ or name,
-                                            "seed": f"{self.seed * 1000 + member.serial:x}",
-                                            "coordinator": self.coordinator}
-            told["settings"]["domain"]["note_period"] = 0   # these engines tell no notes
+            told = config(*self.engines) | {
+                "listen": member.listen,
+                "name": name_ or name,
+                "seed": f"{self.seed * 1000 + member.serial:x}",
+                "coordinator": self.coordinator,
+            }
+            told["settings"]["domain"]["note_period"] = 0  # these engines tell no notes
             for item in told["settings"]["categories"]:
                 item["give_up"], item["window"] = self.timeout_s, self.dedup_s
             self.adjust(told["settings"])
@@ -154,17 +192,33 @@
                 item["up_since_ms"] = self.born_ms.get(i, 0)
             (member.folder / "config.json").write_text(json.dumps(told))
             (member.folder / "operator.cue").write_text(
-                self.operator % (member.relay.address, _records(self.budgets), member.events))
+                self.operator % (member.relay.address, _records(self.budgets), member.events)
+            )
             words = ["--operator", str(member.folder / "operator.cue")] if operator else []
             with open(member.log, "ab") as log:
                 member.process = subprocess.Popen(
-                    [sys.executable, "-m", "gullhold.standins.child", "serve", "--config",
-                     str(member.folder / "config.json"), *words], cwd=ROOT, stderr=log, stdout=log,
-                    env=os.environ | {"PYTHONPATH": str(ROOT), "GULLHOLD_RIG": json.dumps(hooks),
-                                      "MALLOC_ARENA_MAX": "1"})
+                    [
+                        sys.executable,
+                        "-m",
+                        "gullhold.standins.child",
+                        "serve",
+                        "--config",
+                        str(member.folder / "config.json"),
+                        *words,
+                    ],
+                    cwd=ROOT,
+                    stderr=log,
+                    stdout=log,
+                    env=os.environ
+                    | {"PYTHONPATH": str(ROOT), "GULLHOLD_RIG": json.dumps(hooks), "MALLOC_ARENA_MAX": "1"},
+                )
         for name in (names or self.names) if wait else ():
-            self.until(lambda name=name: answers(self.members[name].address) is not None or
-                       self.members[name].process.poll() is not None)
+            self.until(
+                lambda name=name: (
+                    answers(self.members[name].address) is not None
+                    or self.members[name].process.poll() is not None
+                )
+            )
 
     def stop(self, *names):
         """SIGTERM, and wait for the end."""
@@ -225,7 +279,7 @@
             for line in member.events.read_text("utf-8").splitlines() if member.events.exists() else ():
                 try:
                     told = json.loads(line)["record"]
-                except ValueError:   # cut by a kill
+                except ValueError:  # cut by a kill
                     continue
                 found.append((told["time"]["timestamp"], member.name, told["extra"]["event"], told["extra"]))
         return sorted(found, key=lambda row: row[0])
@@ -234,8 +288,11 @@
         """The register's journal."""
         if not self.journal.exists():
             return []
-        return [json.loads(line) for line in self.journal.read_text("utf-8").splitlines(keepends=True)
-                if line.endswith("\n")]
+        return [
+            json.loads(line)
+            for line in self.journal.read_text("utf-8").splitlines(keepends=True)
+            if line.endswith("\n")
+        ]
 
     def owners(self):
         """Who owns each duty by the register's journal: {duty: (member, token)}."""
@@ -247,11 +304,26 @@
 
     def story(self):
         """The last of what happened, for a failure: who, when, token, revision."""
-        rows = [(at, f"{who} {what} " + " ".join(
-            f"{key}={facts[key]}" for key in ("duty", "token", "why", "due") if facts.get(key)))
-            for at, who, what, facts in self.events()]
-        rows += [(line["at"], f"register {line['what']} " + " ".join(
-            f"{key}={line[key]}" for key in ("revision", "met", "lease", "acts") if key in line))
-            for line in self.lines() if "kept" not in line["what"] and not (line.get("met") and all(
-                "/beats/" in act[1] for act in line["acts"]))]   # what went well is no part of a story
+        rows = [
+            (
+                at,
+                f"{who} {what} "
+                + " ".join(
+                    f"{key}={facts[key]}" for key in ("duty", "token", "why", "due") if facts.get(key)
+                ),
+            )
+            for at, who, what, facts in self.events()
+        ]
+        rows += [
+            (
+                line["at"],
+                f"register {line['what']} "
+                + " ".join(
+                    f"{key}={line[key]}" for key in ("revision", "met", "lease", "acts") if key in line
+                ),
+            )
+            for line in self.lines()
+            if "kept" not in line["what"]
+            and not (line.get("met") and all("/beats/" in act[1] for act in line["acts"]))
+        ]  # what went well is no part of a story
         return "\n".join(f"{at - self.began:8.3f} {text[:200]}" for at, text in sorted(rows)[-40:])
--- a/gullhold/standins/fleetcheck.py
+++ b/gullhold/standins/fleetcheck.py
@@ -14,9 +14,9 @@
     def __init__(self, lines):
         self.broken, self.held, self.highest = [], {}, defaultdict(int)
         self.late, self.effects, self.moves = 0, 0, 0
-        self.records = defaultdict(dict)     # (command, due): {revision: record}
-        self.took = defaultdict(list)        # duty: (time, token, owner)
-        self.first_effect = {}               # (duty, token): time
+        self.records = defaultdict(dict)  # (command, due): {revision: record}
+        self.took = defaultdict(list)  # duty: (time, token, owner)
+        self.first_effect = {}  # (duty, token): time
         self.leases = defaultdict(set)
         revision = 0
         for line in lines:
@@ -37,8 +37,11 @@
 
     def _began(self, keys):
         """A register that was killed: what it committed and had not yet written down is in its keys."""
-        found = {_tail(key): (json.loads(value)["owner"], revision, lease)
-                 for key, value, revision, lease in keys if _tail(key).startswith("duties/")}
+        found = {
+            _tail(key): (json.loads(value)["owner"], revision, lease)
+            for key, value, revision, lease in keys
+            if _tail(key).startswith("duties/")
+        }
         self.held = {key.removeprefix("duties/"): told for key, told in found.items()}
         self.leases = defaultdict(set)
         for duty, (_, revision, lease) in self.held.items():
@@ -47,8 +50,11 @@
 
     def _txn(self, line):
         when = {_tail(key): revision for key, revision in line["when"]}
-        tokens = {key.removeprefix("duties/"): revision for key, revision in when.items()
-                  if key.startswith("duties/")}
+        tokens = {
+            key.removeprefix("duties/"): revision
+            for key, revision in when.items()
+            if key.startswith("duties/")
+        }
         puts = [(_tail(key), value, lease) for kind, key, value, lease in line["acts"] if kind == "put"]
         drops = [_tail(key) for kind, key, _, _ in line["acts"] if kind == "delete"]
         effects = [key for key, _, _ in puts if key.startswith(("beats/", "plan/"))]
@@ -86,7 +92,7 @@
         if len(tokens) != 1:
             self.broken.append(f"an effect with {len(tokens)} tokens: {effects}")
             return
-        (duty, token), = tokens.items()
+        ((duty, token),) = tokens.items()
         current = self.held.get(duty, ("", 0, 0))[1]
         if line["met"]:
             self.effects += 1
@@ -104,8 +110,12 @@
 
     def handovers(self):
         """(duty, time of the first effect of who took it over, time it was taken), a change of owner each."""
-        return [(duty, self.first_effect.get((duty, now[1])), now[0]) for duty, rows in self.took.items()
-                for old, now in zip(rows, rows[1:], strict=False) if now[2] != old[2]]
+        return [
+            (duty, self.first_effect.get((duty, now[1])), now[0])
+            for duty, rows in self.took.items()
+            for old, now in zip(rows, rows[1:], strict=False)
+            if now[2] != old[2]
+        ]
 
 
 def marks(engines):
