--- a/gullhold/standins/ownercheck.py
+++ b/gullhold/standins/ownercheck.py
@@ -27,12 +27,12 @@
 from gullhold.standins import walking
 from gullhold.standins.walking import QUANTUM_US, TERMS, Broken
 
-RATES = (0.87, 1.0, 1.1)       # of members' clocks against the register's: within the drift of 0.15
+RATES = (0.87, 1.0, 1.1)  # of members' clocks against the register's: within the drift of 0.15
 # Of these a owns the first alone, and c the second until b comes.
 DUTIES, NAMES, COMES = ("d0", "d5"), ("a", "c"), "b"
-HALF = 0.5               # what chance says: pauses are the same in every run
+HALF = 0.5  # what chance says: pauses are the same in every run
 OF_CALLS = ("lose the reply", "hold back", "refuse", "answer late")
-SETTLED = 60             # moments in which a fleet without faults has to own everything
+SETTLED = 60  # moments in which a fleet without faults has to own everything
 
 
 class Model:
@@ -41,7 +41,7 @@
     def __init__(self, prefix=owner.MEMBERS):
         self.prefix = prefix
         self.revision, self.serial, self.keys, self.leases, self.past = 1, 0, {}, {}, []
-        self.accepted = {}   # effects: the highest token of each duty
+        self.accepted = {}  # effects: the highest token of each duty
 
     def put(self, key, value, lease):
         self.keys[key] = Item(key, value, self.revision, lease)
@@ -82,16 +82,25 @@
             self.end(request.lease)
             return Reply(DONE, self.revision)
         if isinstance(request, Held):
-            return Reply(DONE, self.revision,
-                         keys=tuple(key for key, item in self.keys.items() if item.lease == request.lease))
+            return Reply(
+                DONE,
+                self.revision,
+                keys=tuple(key for key, item in self.keys.items() if item.lease == request.lease),
+            )
         if isinstance(request, Read):
-            return Reply(DONE, self.revision, items=tuple(
-                item for key, item in sorted(self.keys.items()) if key.startswith(request.prefix)))
+            return Reply(
+                DONE,
+                self.revision,
+                items=tuple(
+                    item for key, item in sorted(self.keys.items()) if key.startswith(request.prefix)
+                ),
+            )
         return self._txn(request)
 
     def _txn(self, request):
-        met = all((self.keys[key].revision if key in self.keys else 0) == revision
-                  for key, revision in request.when)
+        met = all(
+            (self.keys[key].revision if key in self.keys else 0) == revision for key, revision in request.when
+        )
         acts = request.acts if met else request.others
         if any(isinstance(act, Put) and act.lease and act.lease not in self.leases for act in acts):
             return Reply(NOT_DONE)
@@ -121,8 +130,9 @@
         self.nonce += 1
         self.rates.append(RATES[len(self.members) % len(RATES)])
         rule = owner.Rule(TERMS, 0, 100, 50_000, 100_000, 500_000)
-        member = self.make(name, f"x{self.nonce}", rule, self.duties, lambda: HALF,
-                           self.clock(len(self.members)))
+        member = self.make(
+            name, f"x{self.nonce}", rule, self.duties, lambda: HALF, self.clock(len(self.members))
+        )
         self.members.append(member)
         self.seen.append(None)
         self.asleep.append(False)
@@ -167,8 +177,7 @@
             if self._news(i):
                 found.append(("tell", i))
             if len(self.effects) < 2:
-                found += [("effect", i, duty) for duty in self.duties
-                          if member.may_act(duty, self.clock(i))]
+                found += [("effect", i, duty) for duty in self.duties if member.may_act(duty, self.clock(i))]
         return found
 
     def _news(self, i):
@@ -219,7 +228,7 @@
         elif what == "come":
             self.add(self.comes)
             self.comes = ""
-        else:   # restart: a new process of the same name, while the old one goes on
+        else:  # restart: a new process of the same name, while the old one goes on
             self.add(self.members[k].name)
         self.check()
 
@@ -246,38 +255,64 @@
         """What holds at every moment."""
         for duty in self.duties:
             held = self.model.keys.get(owner.DUTIES + duty)
-            acting = [(i, token) for i, member in enumerate(self.members)
-                      if (token := member.may_act(duty, self.clock(i)))]
+            acting = [
+                (i, token)
+                for i, member in enumerate(self.members)
+                if (token := member.may_act(duty, self.clock(i)))
+            ]
             if len(acting) > 1:
                 raise Broken(f"{duty} has {len(acting)} owners at once: {acting}")
             for i, token in acting:
                 if held is None or held.revision != token:
                     raise Broken(f"{self.members[i].name} acts on {duty} under {token}, which is not its own")
                 known = self.model.keys.get(owner.MEMBERS + self.members[i].name)
-                if (known and known.revision < (self.seen[i] or 0) and
-                        owner.written(known.value).get("nonce") != self.members[i].nonce):
+                if (
+                    known
+                    and known.revision < (self.seen[i] or 0)
+                    and owner.written(known.value).get("nonce") != self.members[i].nonce
+                ):
                     raise Broken(f"{self.members[i].name} acts though it knows a later process of its name")
 
     def mark(self):
         """What makes two states the same: all but absolute time."""
-        return (tuple(self._mark(i) for i in range(len(self.members))),
-                tuple((item.key, item.value, item.revision, item.lease) for _, item in
-                      sorted(self.model.keys.items())),
-                tuple((lease, end - self.now) for lease, end in sorted(self.model.leases.items())),
-                tuple((i, call.purpose, call.request) for i, call in self.calls),
-                tuple((i, call.purpose, reply) for i, call, reply in self.replies),
-                tuple((i, call.purpose, reply) for i, call, reply in self.slow), tuple(self.ghosts),
-                tuple((duty, token) for duty, token, _ in self.effects),
-                tuple(self.seen), tuple(self.asleep), tuple(sorted(self.dead)), self.faults, self.comes)
+        return (
+            tuple(self._mark(i) for i in range(len(self.members))),
+            tuple(
+                (item.key, item.value, item.revision, item.lease)
+                for _, item in sorted(self.model.keys.items())
+            ),
+            tuple((lease, end - self.now) for lease, end in sorted(self.model.leases.items())),
+            tuple((i, call.purpose, call.request) for i, call in self.calls),
+            tuple((i, call.purpose, reply) for i, call, reply in self.replies),
+            tuple((i, call.purpose, reply) for i, call, reply in self.slow),
+            tuple(self.ghosts),
+            tuple((duty, token) for duty, token, _ in self.effects),
+            tuple(self.seen),
+            tuple(self.asleep),
+            tuple(sorted(self.dead)),
+            self.faults,
+            self.comes,
+        )
 
     def _mark(self, i):
         member, now = self.members[i], self.clock(i)
-        return (member.state, member.lease.id, max(0, member.lease.until - now), member.key_revision,
-                member.ready, tuple(sorted(member.tokens.items())), tuple(sorted(member.excess.items())),
-                tuple(sorted((duty, max(0, at - now)) for duty, at in member.wanted.items())),
-                tuple(sorted(member.known.items())), tuple(member.unsure), tuple(sorted(member.members)),
-                max(0, member.retry_at["lease"] - now), max(0, member.retry_at["state"] - now),
-                member.look_again, member.void == member.serial)
+        return (
+            member.state,
+            member.lease.id,
+            max(0, member.lease.until - now),
+            member.key_revision,
+            member.ready,
+            tuple(sorted(member.tokens.items())),
+            tuple(sorted(member.excess.items())),
+            tuple(sorted((duty, max(0, at - now)) for duty, at in member.wanted.items())),
+            tuple(sorted(member.known.items())),
+            tuple(member.unsure),
+            tuple(sorted(member.members)),
+            max(0, member.retry_at["lease"] - now),
+            max(0, member.retry_at["state"] - now),
+            member.look_again,
+            member.void == member.serial,
+        )
 
     def calm(self):
         """No more faults: what was held back is lost, who sleeps wakes, everything is carried out in turn."""
@@ -294,13 +329,17 @@
     def settled(self):
         """Raises Broken unless each duty has an owner that may act, and each name a process that lives."""
         for i, member in enumerate(self.members):
-            later = any(other.name == member.name and other.incarnation > member.incarnation
-                        for other in self.members)
+            later = any(
+                other.name == member.name and other.incarnation > member.incarnation for other in self.members
+            )
             if (not later or not member.incarnation) and i not in self.dead and member.state != owner.IN:
                 raise Broken(f"the process of {member.name} that joined last is {member.state}")
         for duty in self.duties:
-            alive = [i for i in range(len(self.members)) if i not in self.dead and
-                     self.members[i].state != owner.OUT]
+            alive = [
+                i
+                for i in range(len(self.members))
+                if i not in self.dead and self.members[i].state != owner.OUT
+            ]
             if alive and not any(self.members[i].may_act(duty, self.clock(i)) for i in alive):
                 raise Broken(f"{duty} has no owner though nothing is wrong any more")
 
@@ -322,7 +361,7 @@
     return walking.explore(fleet(make, faults=faults), depth, most, seed)
 
 
-FAIR = ("carry out", "reply", "tell", "land")   # what happens at once where nothing is wrong
+FAIR = ("carry out", "reply", "tell", "land")  # what happens at once where nothing is wrong
 FAULTS = (*OF_CALLS, "sleep", "restart", "die")
 
 
@@ -388,7 +427,7 @@
 
     def _hold(self, world, actions):
         found = [action for action in _hits(world, actions) if action[0] in ("hold back", "answer late")]
-        if not found:   # nothing is under way: somebody comes
+        if not found:  # nothing is under way: somebody comes
             came = [action for action in actions if action[0] in ("come", "restart")]
             self.plan = ["hold", *self.plan] if len(self.plan) < 6 else self.plan
             return came[int(self.draw() * len(came))] if came else None
@@ -406,8 +445,12 @@
 
 def _hits(world, actions):
     """Faults of calls that come seldom."""
-    return [action for action in actions if action[0] in OF_CALLS and
-            world.calls[action[1]][1].purpose not in ("keep", "audit", "grant", "read")]
+    return [
+        action
+        for action in actions
+        if action[0] in OF_CALLS
+        and world.calls[action[1]][1].purpose not in ("keep", "audit", "grant", "read")
+    ]
 
 
 MANNERS = (Wild, Fair, Scheme)
--- a/gullhold/standins/ownermutants.py
+++ b/gullhold/standins/ownermutants.py
@@ -144,13 +144,31 @@
 
     def _claim(self, about):
         asked = super()._claim(about)
-        return asked and (asked[0], asked[1]._replace(
-            acts=tuple(Put(act.key, act.value) for act in asked[1].acts)), asked[2])
-
-
-MUTANTS = (NoDriftMargin, LeaseFromReply, TokenNotCompared, OldToken, LeaseNotLooked, ActsWhileReleasing,
-           MaybeIsDone, MaybeIsNot, TokenReused, ClaimsHeld, NameNotWatched,
-           DeafToGoing, OldReplies, JoinsOver, NothingLetGo, NoLease)
+        return asked and (
+            asked[0],
+            asked[1]._replace(acts=tuple(Put(act.key, act.value) for act in asked[1].acts)),
+            asked[2],
+        )
+
+
+MUTANTS = (
+    NoDriftMargin,
+    LeaseFromReply,
+    TokenNotCompared,
+    OldToken,
+    LeaseNotLooked,
+    ActsWhileReleasing,
+    MaybeIsDone,
+    MaybeIsNot,
+    TokenReused,
+    ClaimsHeld,
+    NameNotWatched,
+    DeafToGoing,
+    OldReplies,
+    JoinsOver,
+    NothingLetGo,
+    NoLease,
+)
 
 
 def find(mutant, walks, steps):
--- a/gullhold/standins/plancheck.py
+++ b/gullhold/standins/plancheck.py
@@ -97,7 +97,7 @@
 
     def __init__(self, kind, sends, **other):
         super().__init__(kind, **other)
-        self.kind, self.sends = kind, sends   # sends: due: [[mark, at, limit, what came of it]]
+        self.kind, self.sends = kind, sends  # sends: due: [[mark, at, limit, what came of it]]
 
     def go(self, us=0):
         """As a Play, then look."""
@@ -140,7 +140,7 @@
     ends = (schedule.ANSWERED, schedule.FAILED, schedule.SHED)
     for _ in range(steps):
         what, last = draw.random(), plays[-1]
-        if what < 0.12:   # another takes over; who had it sleeps, and may wake
+        if what < 0.12:  # another takes over; who had it sleeps, and may wake
             plays.append(Watched(kind, sends, store=store, by=f"n{len(plays)}", make=make))
             store.token += 1
             plays[-1].now = last.now
--- a/gullhold/standins/policycheck.py
+++ b/gullhold/standins/policycheck.py
@@ -23,8 +23,9 @@
         last[place] = at
         count += place < newest
         newest = max(newest, place)
-    overlaps = [last[old] - at for place, at in first.items() for old in last
-                if old < place and last[old] > at]
+    overlaps = [
+        last[old] - at for place, at in first.items() for old in last if old < place and last[old] > at
+    ]
     return count, round(max(overlaps, default=0.0) * 1000, 1)
 
 
@@ -75,10 +76,12 @@
             self.outcomes[number] = told["state"]
         if told["state"] == "decided":
             wanted = ("still",) if strict else ("ready", "trial", "still")
-            self.without_all += any(word["about"] != number or word["word"] not in wanted
-                                    for word in self.words.values())
-            self.turned_down += any(word["about"] == number and word["word"] == "refused"
-                                    for word in self.words.values())
+            self.without_all += any(
+                word["about"] != number or word["word"] not in wanted for word in self.words.values()
+            )
+            self.turned_down += any(
+                word["about"] == number and word["word"] == "refused" for word in self.words.values()
+            )
 
     def under(self):
         """{member's name: the number that it goes by}."""
--- a/gullhold/standins/register/server.py
+++ b/gullhold/standins/register/server.py
@@ -18,12 +18,20 @@
 from gullhold.net import host_port
 from gullhold.standins.register.store import Dropped, Store
 
-LOOK_S = 0.02       # between looks for leases that have run out
-TELL_S = 0.2        # the most that a watch waits between looks at whether its reader is still there
-TARGETS = {"MOD": ("mod_revision", "changed"), "CREATE": ("create_revision", "born"),
-           "VERSION": ("version", "version"), "LEASE": ("lease", "lease")}
-HOLDS = {"EQUAL": lambda a, b: a == b, "NOT_EQUAL": lambda a, b: a != b,
-         "GREATER": lambda a, b: a > b, "LESS": lambda a, b: a < b}
+LOOK_S = 0.02  # between looks for leases that have run out
+TELL_S = 0.2  # the most that a watch waits between looks at whether its reader is still there
+TARGETS = {
+    "MOD": ("mod_revision", "changed"),
+    "CREATE": ("create_revision", "born"),
+    "VERSION": ("version", "version"),
+    "LEASE": ("lease", "lease"),
+}
+HOLDS = {
+    "EQUAL": lambda a, b: a == b,
+    "NOT_EQUAL": lambda a, b: a != b,
+    "GREATER": lambda a, b: a > b,
+    "LESS": lambda a, b: a < b,
+}
 
 
 def _to(data):
@@ -89,7 +97,7 @@
             try:
                 for ident in self.store.expire():
                     self.note("lease ended", lease=ident, revision=self.store.revision)
-            except (sqlite3.Error, OSError) as fault:   # a disk that is full for a while: leases end later
+            except (sqlite3.Error, OSError) as fault:  # a disk that is full for a while: leases end later
                 print(f"gullhold: leases: {fault}", file=sys.stderr, flush=True)
 
     def handle_error(self, *_):
@@ -174,8 +182,10 @@
     def _keep(self, told):
         ttl = self.server.store.keep(int(told["ID"]))
         self.server.note("lease kept" if ttl else "lease not kept", lease=int(told["ID"]))
-        return {"result": {"header": self._header(), "ID": str(told["ID"])} | (
-            {"TTL": str(int(ttl))} if ttl else {})}, True
+        return {
+            "result": {"header": self._header(), "ID": str(told["ID"])}
+            | ({"TTL": str(int(ttl))} if ttl else {})
+        }, True
 
     def _revoke(self, told):
         if not self.server.store.revoke(int(told["ID"])):
@@ -187,8 +197,12 @@
         found = self.server.store.held(int(told["ID"]))
         if not found:
             return {"header": self._header(), "ID": str(told["ID"]), "TTL": "-1"}, False
-        return {"header": self._header(), "ID": str(told["ID"]), "TTL": str(int(found[0])),
-                "keys": [_to(key) for key in found[1]]}, False
+        return {
+            "header": self._header(),
+            "ID": str(told["ID"]),
+            "TTL": str(int(found[0])),
+            "keys": [_to(key) for key in found[1]],
+        }, False
 
     def _range(self, told):
         faults, store, behind = self.server.faults, self.server.store, 0
@@ -196,8 +210,11 @@
             faults.stale, behind = faults.stale - 1, faults.behind
         with store.lock:
             found = store.read(_from(told["key"]), _from(told.get("range_end")), behind)
-            return {"header": self._header(max(1, store.revision - behind)), "count": str(len(found)),
-                    "kvs": [self._item(key, item) for key, item in found]}, False
+            return {
+                "header": self._header(max(1, store.revision - behind)),
+                "count": str(len(found)),
+                "kvs": [self._item(key, item) for key, item in found],
+            }, False
 
     def _txn(self, told):
         store = self.server.store
@@ -214,9 +231,15 @@
         acts = [[self._act(act) for act in told.get(branch, ())] for branch in ("success", "failure")]
         with store.lock:
             held, given = store.txn(met, *acts)
-            reply = {"header": self._header(), "responses": [
-                {"response_range": {"kvs": [self._item(key, item) for key, item in found]}}
-                if found is not None else {"response_put": {}} for found in given]}
+            reply = {
+                "header": self._header(),
+                "responses": [
+                    {"response_range": {"kvs": [self._item(key, item) for key, item in found]}}
+                    if found is not None
+                    else {"response_put": {}}
+                    for found in given
+                ],
+            }
             if acts[0]:
                 self._note(told, held, acts[0])
         return reply | ({"succeeded": True} if held else {}), any(act[0] != "range" for act in acts[0])
@@ -224,11 +247,20 @@
     def _note(self, told, held, acts):
         if not self.server.journal or all(act[0] == "range" for act in acts):
             return
-        self.server.note("txn", met=held, revision=self.server.store.revision, when=[
-            [_from(compare["key"]).decode(), int(compare.get("mod_revision", 0))]
-            for compare in told.get("compare", ())], acts=[
-            [kind, key.decode(), value.decode() if kind == "put" else None, lease]
-            for kind, key, value, lease in acts if kind != "range"])
+        self.server.note(
+            "txn",
+            met=held,
+            revision=self.server.store.revision,
+            when=[
+                [_from(compare["key"]).decode(), int(compare.get("mod_revision", 0))]
+                for compare in told.get("compare", ())
+            ],
+            acts=[
+                [kind, key.decode(), value.decode() if kind == "put" else None, lease]
+                for kind, key, value, lease in acts
+                if kind != "range"
+            ],
+        )
 
     def _act(self, act):
         if "request_put" in act:
@@ -239,8 +271,13 @@
         return kind, _from(told["key"]), _from(told.get("range_end")), 0
 
     def _item(self, key, item):
-        told = {"key": _to(key), "value": _to(item.value), "create_revision": str(item.born),
-                "mod_revision": str(item.changed), "version": str(item.version)}
+        told = {
+            "key": _to(key),
+            "value": _to(item.value),
+            "create_revision": str(item.born),
+            "mod_revision": str(item.changed),
+            "version": str(item.version),
+        }
         return told | ({"lease": str(item.lease)} if item.lease else {})
 
     # Watches
@@ -260,19 +297,35 @@
             try:
                 rows, revision = store.since(revision, start, end, TELL_S)
             except Dropped as fault:
-                self._chunk({"header": self._header(), "canceled": True,
-                             "compact_revision": str(fault.args[0])})
+                self._chunk(
+                    {"header": self._header(), "canceled": True, "compact_revision": str(fault.args[0])}
+                )
                 self.wfile.write(b"0\r\n\r\n")
                 return
             if rows:
-                self._chunk({"header": self._header(), "events": [
-                    {"type": "DELETE", "kv": {"key": _to(key), "mod_revision": str(at)}} if value is None else
-                    {"kv": {"key": _to(key), "value": _to(value), "mod_revision": str(at),
-                            "create_revision": str(born), "version": str(version), "lease": str(lease)}}
-                    for at, key, value, lease, born, version in rows]})
+                self._chunk(
+                    {
+                        "header": self._header(),
+                        "events": [
+                            {"type": "DELETE", "kv": {"key": _to(key), "mod_revision": str(at)}}
+                            if value is None
+                            else {
+                                "kv": {
+                                    "key": _to(key),
+                                    "value": _to(value),
+                                    "mod_revision": str(at),
+                                    "create_revision": str(born),
+                                    "version": str(version),
+                                    "lease": str(lease),
+                                }
+                            }
+                            for at, key, value, lease, born, version in rows
+                        ],
+                    }
+                )
             try:
                 if not self.connection.recv(1, socket.MSG_PEEK):
-                    return   # the reader has gone
+                    return  # the reader has gone
             except BlockingIOError:
                 pass
 
@@ -284,8 +337,14 @@
         self.connection.settimeout(0)
 
 
-CALLS = {"lease/grant": Handler._grant, "lease/keepalive": Handler._keep, "lease/revoke": Handler._revoke,
-         "lease/timetolive": Handler._held, "kv/range": Handler._range, "kv/txn": Handler._txn}
+CALLS = {
+    "lease/grant": Handler._grant,
+    "lease/keepalive": Handler._keep,
+    "lease/revoke": Handler._revoke,
+    "lease/timetolive": Handler._held,
+    "kv/range": Handler._range,
+    "kv/txn": Handler._txn,
+}
 
 
 def serve(listen, path, sync=True, journal=None, scripted=False, ready=lambda server: None):
@@ -294,8 +353,14 @@
     with open(journal, "a", encoding="utf-8") if journal else open("/dev/null", "w") as lines:
         server = Server(host_port(listen), store, lines if journal else None, scripted)
         # What is there: a kill may have come between a change and its line.
-        server.note("began", revision=store.revision, keys=[
-            [key.decode(), item.value.decode(), item.changed, item.lease] for key, item in store.kv.items()])
+        server.note(
+            "began",
+            revision=store.revision,
+            keys=[
+                [key.decode(), item.value.decode(), item.changed, item.lease]
+                for key, item in store.kv.items()
+            ],
+        )
         threading.Thread(target=server.expire, daemon=True, name="leases").start()
         ready(server)
         try:
--- a/gullhold/standins/register/store.py
+++ b/gullhold/standins/register/store.py
@@ -15,7 +15,7 @@
 create table if not exists leases (id integer primary key, ttl real);
 create table if not exists told (name text primary key, value int);
 """
-HISTORY = 20_000   # changes that watches may still ask for; what is older is dropped
+HISTORY = 20_000  # changes that watches may still ask for; what is older is dropped
 
 
 class Key:
@@ -48,13 +48,20 @@
         self.rate, self.early_s = 1.0, 0.0
         told = dict(self.db.execute("select name, value from told"))
         self.revision, self.first = told.get("revision", 1), told.get("first", 0)
-        self.kv = {row[0]: Key(*row[1:]) for row in
-                   self.db.execute("select key, value, born, changed, version, lease from kv")}
-        self.past = [(row[0], row[2], *row[3:]) for row in self.db.execute(
-            "select revision, place, key, value, lease, born, version from past order by revision, place")]
+        self.kv = {
+            row[0]: Key(*row[1:])
+            for row in self.db.execute("select key, value, born, changed, version, lease from kv")
+        }
+        self.past = [
+            (row[0], row[2], *row[3:])
+            for row in self.db.execute(
+                "select revision, place, key, value, lease, born, version from past order by revision, place"
+            )
+        ]
         now = self.clock()
-        self.leases = {ident: [ttl, now + ttl, set()] for ident, ttl in
-                       self.db.execute("select id, ttl from leases")}
+        self.leases = {
+            ident: [ttl, now + ttl, set()] for ident, ttl in self.db.execute("select id, ttl from leases")
+        }
         for key, item in self.kv.items():
             if item.lease in self.leases:
                 self.leases[item.lease][2].add(key)
@@ -72,7 +79,7 @@
             yield
             self.db.execute("commit")
         except BaseException:
-            with suppress(sqlite3.Error):   # some failures have undone it already
+            with suppress(sqlite3.Error):  # some failures have undone it already
                 self.db.execute("rollback")
             raise
 
@@ -168,13 +175,17 @@
         done = set()
         for kind, key, value, lease in writes:
             old = self.kv.get(key)
-            if kind == "delete" and (old is None or key in done):   # deleted once in one revision
+            if kind == "delete" and (old is None or key in done):  # deleted once in one revision
                 continue
             done.add(key)
-            item = None if kind == "delete" else Key(
-                value, old.born if old else revision, revision, old.version + 1 if old else 1, lease)
-            rows.append((revision, place, key, value, lease, item.born if item else 0,
-                         item.version if item else 0))
+            item = (
+                None
+                if kind == "delete"
+                else Key(value, old.born if old else revision, revision, old.version + 1 if old else 1, lease)
+            )
+            rows.append(
+                (revision, place, key, value, lease, item.born if item else 0, item.version if item else 0)
+            )
             leases.append((key, item, old))
             place += 1
         if not rows and not ended:
@@ -182,11 +193,17 @@
         with self._transaction():
             if rows:
                 self.db.executemany("insert into past values (?, ?, ?, ?, ?, ?, ?)", rows)
-                self.db.executemany("insert or replace into kv values (?, ?, ?, ?, ?, ?)", [
-                    (key, item.value, item.born, item.changed, item.version, item.lease)
-                    for key, item, _ in leases if item])
-                self.db.executemany("delete from kv where key = ?",
-                                    [(key,) for key, item, _ in leases if not item])
+                self.db.executemany(
+                    "insert or replace into kv values (?, ?, ?, ?, ?, ?)",
+                    [
+                        (key, item.value, item.born, item.changed, item.version, item.lease)
+                        for key, item, _ in leases
+                        if item
+                    ],
+                )
+                self.db.executemany(
+                    "delete from kv where key = ?", [(key,) for key, item, _ in leases if not item]
+                )
                 self.db.execute("insert or replace into told values ('revision', ?)", (revision,))
             if ended:
                 self.db.execute("delete from leases where id = ?", (ended,))
@@ -204,7 +221,7 @@
             self.past += [(row[0], *row[2:]) for row in rows]
             self.revision = revision
             if len(self.past) > 2 * HISTORY:
-                with suppress(sqlite3.Error):   # the change itself is told and kept; the next one tries again
+                with suppress(sqlite3.Error):  # the change itself is told and kept; the next one tries again
                     self.drop(self.past[-HISTORY][0])
         self.lock.notify_all()
 
@@ -217,7 +234,7 @@
             with self._transaction():
                 self.db.execute("delete from past where revision < ?", (revision,))
                 self.db.execute("insert or replace into told values ('first', ?)", (revision,))
-            self.past = self.past[bisect_right(self.past, revision - 1, key=lambda row: row[0]):]
+            self.past = self.past[bisect_right(self.past, revision - 1, key=lambda row: row[0]) :]
             self.first = revision
             self.lock.notify_all()
 
--- a/gullhold/standins/relay.py
+++ b/gullhold/standins/relay.py
@@ -8,7 +8,7 @@
 from gullhold.net import host_port
 from gullhold.standins import listening
 
-THERE, BACK = "there", "back"   # from who connects to who listens, and the other way
+THERE, BACK = "there", "back"  # from who connects to who listens, and the other way
 OPEN, HELD, LOST, HALVED = "open", "held", "lost", "halved"
 CHUNK = 65536
 
@@ -56,7 +56,7 @@
             threading.Thread(target=self._join, args=(near,), daemon=True).start()
 
     def _join(self, near):
-        self._wait(THERE)   # a new connection does not come up through a cut
+        self._wait(THERE)  # a new connection does not come up through a cut
         try:
             far = socket.create_connection(self.target, timeout=5)
         except OSError:
@@ -70,7 +70,7 @@
         back.start()
         self._pump(near, far, THERE)
         back.join()
-        for sock in (near, far):   # only now: while a thread reads there its number must not be another's
+        for sock in (near, far):  # only now: while a thread reads there its number must not be another's
             self.conns.discard(sock)
             sock.close()
 
@@ -88,10 +88,10 @@
                 way = self._wait(side)
                 if way == LOST:
                     break
-                sink.sendall(data[:len(data) // 2] if way == HALVED else data)
+                sink.sendall(data[: len(data) // 2] if way == HALVED else data)
                 if way == HALVED:
                     break
-            else:   # what was sent before the end still goes on
+            else:  # what was sent before the end still goes on
                 self._wait(side)
                 sink.shutdown(socket.SHUT_WR)
                 return
--- a/gullhold/standins/running.py
+++ b/gullhold/standins/running.py
@@ -22,7 +22,7 @@
     client: field: "client"
     come_back: field: "retry_ms"
 }
-"""   # the operator file of a trial: clients are told by a field, and are told when to come back
+"""  # the operator file of a trial: clients are told by a field, and are told when to come back
 
 
 def free_address():
@@ -71,14 +71,30 @@
     limits: what the gateway may have.
     """
 
-    def __init__(self, engines=2, slots=4, tenants=(), operator="", root=ROOT, cores=2, timeout_s=4.0,
-                 target_s=0.5, spread=0.1, seed=1, memory_mb=192, sockets=1024, max_open=20000):
+    def __init__(
+        self,
+        engines=2,
+        slots=4,
+        tenants=(),
+        operator="",
+        root=ROOT,
+        cores=2,
+        timeout_s=4.0,
+        target_s=0.5,
+        spread=0.1,
+        seed=1,
+        memory_mb=192,
+        sockets=1024,
+        max_open=20000,
+    ):
         self.engines = [WorkingEngine(slots, spread=spread, seed=seed + i) for i in range(engines)]
         self.folder, self.root, self.process = tempfile.TemporaryDirectory(prefix="gullhold-"), root, None
         listen = free_address()
         self.address = (LOOPBACK, int(listen.rpartition(":")[2]))
         told = config(*self.engines, max_open=max_open) | {
-            "listen": listen, "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}}
+            "listen": listen,
+            "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
+        }
         agreed(told["settings"], tenants, cores, timeout_s, target_s)
         path = Path(self.folder.name)
         (path / "config.json").write_text(json.dumps(told))
@@ -90,9 +106,12 @@
     def __enter__(self):
         with open(self.log, "wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "gullhold", "serve", *self.words], cwd=self.root, stderr=log,
-                env=os.environ | {"MALLOC_ARENA_MAX": "1", "PYTHONPATH": str(self.root),
-                                  "GULLHOLD_LOG": "INFO"})
+                [sys.executable, "-m", "gullhold", "serve", *self.words],
+                cwd=self.root,
+                stderr=log,
+                env=os.environ
+                | {"MALLOC_ARENA_MAX": "1", "PYTHONPATH": str(self.root), "GULLHOLD_LOG": "INFO"},
+            )
         end = time.monotonic() + PATIENCE_S
         while answers(self.address) is None:
             if time.monotonic() > end or self.process.poll() is not None:
--- a/gullhold/standins/scripted.py
+++ b/gullhold/standins/scripted.py
@@ -52,7 +52,7 @@
 
     def refuse(self):
         """No new connection comes up."""
-        self.sock.shutdown(socket.SHUT_RDWR)   # closing alone would leave the accept that waits
+        self.sock.shutdown(socket.SHUT_RDWR)  # closing alone would leave the accept that waits
         self.sock.close()
 
     def close(self):
--- a/gullhold/standins/swarm.py
+++ b/gullhold/standins/swarm.py
@@ -8,9 +8,9 @@
 from gullhold.net import resp
 from gullhold.standins import LOOPBACK
 
-MESSAGE_MOST = 200_000   # bytes of one message of the gateway
-BACKLOG = 16             # connections of one engine that wait to be taken
-READ_MOST = 65_536       # bytes of one read
+MESSAGE_MOST = 200_000  # bytes of one message of the gateway
+BACKLOG = 16  # connections of one engine that wait to be taken
+READ_MOST = 65_536  # bytes of one read
 
 
 class Swarm:
--- a/gullhold/standins/walking.py
+++ b/gullhold/standins/walking.py
@@ -11,10 +11,10 @@
 from gullhold.fleet.holding import FOLLOW, READ, WRITE
 from gullhold.fleet.lease import Terms
 
-OF_CALLS = ("lose the reply", "hold back", "refuse")   # faults of calls
-QUANTUM_US = 250_000        # between moments: a lease is four of them
+OF_CALLS = ("lose the reply", "hold back", "refuse")  # faults of calls
+QUANTUM_US = 250_000  # between moments: a lease is four of them
 TERMS = Terms(1, 0.15, 0)
-RATES = (0.87, 1.1, 1.0)    # of clocks against the register's: within the drift
+RATES = (0.87, 1.1, 1.0)  # of clocks against the register's: within the drift
 
 
 class Broken(Exception):
@@ -67,8 +67,11 @@
         if since is None:
             return []
         past = self.model.past
-        return [row for row in past[bisect_left(past, since, key=lambda row: row[0]):]
-                if row[1].startswith(prefix)]
+        return [
+            row
+            for row in past[bisect_left(past, since, key=lambda row: row[0]) :]
+            if row[1].startswith(prefix)
+        ]
 
     def quiet(self, most):
         """All that is under way is carried out in turn, so many steps at most."""
@@ -231,6 +234,6 @@
             walk(seed)
         except Broken as fault:
             return seed, str(fault).partition("; after")[0]
-        except Exception as fault:   # it fell over its own state: found too
+        except Exception as fault:  # it fell over its own state: found too
             return seed, repr(fault)
     return None
--- a/gullhold/standins/working.py
+++ b/gullhold/standins/working.py
@@ -17,8 +17,8 @@
 from gullhold.standins import listening
 
 WORK = re.compile(rb"/\* work=([0-9.]+) \*/")
-WORK_MS = 20.0     # of a statement that does not say
-MESSAGE_MOST = 200_000   # bytes of one message of the gateway: far over any statement here
+WORK_MS = 20.0  # of a statement that does not say
+MESSAGE_MOST = 200_000  # bytes of one message of the gateway: far over any statement here
 
 
 def statement(work_ms, group=1):
@@ -128,7 +128,7 @@
                     self.changed.wait(self.ends[0][0] - now if self.ends else None)
                     continue
                 _, serial, key, work = heappop(self.ends)
-                if self.running.get(key) != serial:   # given up
+                if self.running.get(key) != serial:  # given up
                     continue
                 del self.running[key]
                 self._over(key)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 from gullhold.standins.client import Caller
 from gullhold.standins.deployment import config
 
-logger.remove()   # gateways that run inside a test would go on logging to a stream that it has closed
+logger.remove()  # gateways that run inside a test would go on logging to a stream that it has closed
 
 
 @pytest.fixture
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -11,21 +11,50 @@
 
 def profile(**other):
     """A profile of short replayable commands, with what the test names changed."""
-    plain = {"threads": 1, "target_us": 500 * MS, "target_stretch": 2.0, "timeout_us": 4000 * MS,
-             "benefit": 1.0, "late_benefit": 0.3,
-             "effect": api.REPLAYABLE, "dedup_scope": api.ALL, "dedup_us": 1500 * MS,
-             "ordered": False, "locations": None, "kinds": None, "loads": False, "stands_still": False}
+    plain = {
+        "threads": 1,
+        "target_us": 500 * MS,
+        "target_stretch": 2.0,
+        "timeout_us": 4000 * MS,
+        "benefit": 1.0,
+        "late_benefit": 0.3,
+        "effect": api.REPLAYABLE,
+        "dedup_scope": api.ALL,
+        "dedup_us": 1500 * MS,
+        "ordered": False,
+        "locations": None,
+        "kinds": None,
+        "loads": False,
+        "stands_still": False,
+    }
     return api.Profile(**plain | other)
 
 
 def agreement(*profiles, **other):
     """An agreement over such profiles, with what the test names changed."""
-    plain = {"profiles": profiles or (profile(),), "tenants": (), "managers": 1, "location": 0,
-             "kind_cores": (4.0, 2.0), "kind_memory_mb": (8192.0, 4096.0), "most_grant": 0.4,
-             "heeds_grants": True, "heeds_priority": True, "sends_cap": 3,
-             "may_cancel": True, "come_back_us": 0, "cold_from": 0.3,
-             "cold_us": 10_000 * MS, "fall_multiple": 3.0, "fall_us": 2000 * MS, "key_rest_us": 300 * MS,
-             "extra_free": None, "extra_share": 0.0, "extra_us": 0, "crossing_costs": False}
+    plain = {
+        "profiles": profiles or (profile(),),
+        "tenants": (),
+        "managers": 1,
+        "location": 0,
+        "kind_cores": (4.0, 2.0),
+        "kind_memory_mb": (8192.0, 4096.0),
+        "most_grant": 0.4,
+        "heeds_grants": True,
+        "heeds_priority": True,
+        "sends_cap": 3,
+        "may_cancel": True,
+        "come_back_us": 0,
+        "cold_from": 0.3,
+        "cold_us": 10_000 * MS,
+        "fall_multiple": 3.0,
+        "fall_us": 2000 * MS,
+        "key_rest_us": 300 * MS,
+        "extra_free": None,
+        "extra_share": 0.0,
+        "extra_us": 0,
+        "crossing_costs": False,
+    }
     return api.Agreement(**plain | other)
 
 
@@ -53,13 +82,34 @@
         self.serial += 1
         kind = self.deal.profiles[number]
         timeout_at = self.now + (timeout_us or kind.timeout_us)
-        self.commands[self.serial] = {"kind": kind, "key": key, "timeout_at": timeout_at, "final": None,
-                                      "work": work, "over": False, "out": None, "sends": [], "ran": None}
+        self.commands[self.serial] = {
+            "kind": kind,
+            "key": key,
+            "timeout_at": timeout_at,
+            "final": None,
+            "work": work,
+            "over": False,
+            "out": None,
+            "sends": [],
+            "ran": None,
+        }
         if kind.ordered and key:
             self.lines.setdefault(key, []).append(self.serial)
         self.taken.append(self.now)
-        self.obey(self.gateway.command(self.now, self.serial, number, tenant, key, timeout_at,
-                                       work if told is None else told, need, self.serial % 5, False))
+        self.obey(
+            self.gateway.command(
+                self.now,
+                self.serial,
+                number,
+                tenant,
+                key,
+                timeout_at,
+                work if told is None else told,
+                need,
+                self.serial % 5,
+                False,
+            )
+        )
         return self.serial
 
     def end(self, ident, outcome, cost=WORK, closed=False, report=()):
@@ -73,8 +123,11 @@
         if cmd["kind"].ordered and outcome in (api.TIMED_OUT, api.RESET, api.CANCELLED):
             self.rest[cmd["key"]] = self.now + self.deal.key_rest_us
         cost = cost if outcome == api.ANSWERED else 0
-        self.obey(self.gateway.ended(self.now, ident, send, outcome, cmd["over"] or closed,
-                                     self.now - sent_at, cost, 60, report))
+        self.obey(
+            self.gateway.ended(
+                self.now, ident, send, outcome, cmd["over"] or closed, self.now - sent_at, cost, 60, report
+            )
+        )
 
     def leave(self, ident):
         """The client goes."""
@@ -84,7 +137,7 @@
     def give_up(self, ident):
         """The front must end a command now; a send that is out is stopped."""
         cmd = self.commands[ident]
-        out, cmd["out"] = cmd["out"], None   # the front stops it beside the answer
+        out, cmd["out"] = cmd["out"], None  # the front stops it beside the answer
         if out and cmd["ran"] is None:
             cmd["ran"] = out[:2]
         self.obey(self.gateway.give_up(self.now, ident))
@@ -164,10 +217,10 @@
             work = sum(work for at, work in sent if at > self.now - deal.fall_us)
             grown = deal.cold_from + (1 - deal.cold_from) * (self.now - be["born"]) / deal.cold_us
             stands = deal.fall_multiple * grown * deal.kind_cores[be["kind"]] * deal.fall_us
-            assert work <= stands / deal.managers + cmd["work"], "cold engine pushed over"   # rounded by lot
+            assert work <= stands / deal.managers + cmd["work"], "cold engine pushed over"  # rounded by lot
         if kind.ordered and cmd["key"]:
             line = self.lines[cmd["key"]]
-            for other in line[:line.index(ident)]:
+            for other in line[: line.index(ident)]:
                 earlier = self.commands[other]
                 assert earlier["over"] and not earlier["out"], "out of order"
             assert cmd["sends"] or self.now >= self.rest.get(cmd["key"], 0), "the key rests"
--- a/tests/faults/plan.py
+++ b/tests/faults/plan.py
@@ -9,8 +9,8 @@
 
 SOURCE = Path(__file__).with_name("shim.c")
 CALLS = ("accept", "connect", "socket", "send", "recv", "setsockopt", "poll", "thread", "write", "sync")
-ROW = struct.Struct("5i")     # rate in 1000, errno, most bytes, delay in us, calls hit
-WALL = struct.Struct("q")     # ns that the wall clock is off
+ROW = struct.Struct("5i")  # rate in 1000, errno, most bytes, delay in us, calls hit
+WALL = struct.Struct("q")  # ns that the wall clock is off
 WALL_AT = ROW.size * len(CALLS)
 
 
--- a/tests/faults/test_clock.py
+++ b/tests/faults/test_clock.py
@@ -12,7 +12,7 @@
 from gullhold.standins.deployment import event
 
 HOUR_S = 3600
-WARM_S = 30.0      # s that engines take to warm up here: they stay cold while these tests look
+WARM_S = 30.0  # s that engines take to warm up here: they stay cold while these tests look
 
 
 @pytest.mark.parametrize("off_s", [-HOUR_S, HOUR_S])
@@ -29,9 +29,9 @@
     with played:
         feed.say(event(2, ("s-1", second.address, "ready"), started_ms=int(time.time() * 1000)))
         played.ask(6, burst=1)
-        until(lambda: first.fetches >= 60)   # within a second or so, in which it stands next to nothing
+        until(lambda: first.fetches >= 60)  # within a second or so, in which it stands next to nothing
         cold, share = second.fetches, second.fetches / first.fetches
-        until(lambda: second.fetches >= cold + 30)   # what it stands grows from the first second on
+        until(lambda: second.fetches >= cold + 30)  # what it stands grows from the first second on
         assert share <= 0.35 and not played.play(0.1)
 
 
--- a/tests/faults/test_descriptors.py
+++ b/tests/faults/test_descriptors.py
@@ -5,8 +5,8 @@
 from faults.plan import Plan
 from faults.traffic import Played
 
-LATE_US = 1500   # us between reading a descriptor's number and the system call: a thread that lost its turn
-PART = 2000      # bytes that the system takes of one write: less than a statement, as with full buffers
+LATE_US = 1500  # us between reading a descriptor's number and the system call: a thread that lost its turn
+PART = 2000  # bytes that the system takes of one write: less than a statement, as with full buffers
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/faults/test_durable.py
+++ b/tests/faults/test_durable.py
@@ -16,9 +16,15 @@
 KEYS, ROUNDS = 7, 60
 
 
-@pytest.mark.parametrize(("call", "error"), [
-    ("write", "ENOSPC"), ("write", "EIO"), ("sync", "EIO"), ("write", ""),
-])
+@pytest.mark.parametrize(
+    ("call", "error"),
+    [
+        ("write", "ENOSPC"),
+        ("write", "EIO"),
+        ("sync", "EIO"),
+        ("write", ""),
+    ],
+)
 def test_nothing_told_as_done_is_undone_by_a_disk_that_fails_for_a_while_or_a_kill(tmp_path, call, error):
     plan, address = Plan(tmp_path, seed=len(call + error)), free_address()
     process = started(plan, address, tmp_path)
@@ -35,7 +41,7 @@
                 maybe.setdefault(key, []).append(value)
         assert plan.hits(call) > 3
         plan.clear()
-        assert session.call(Grant(30)).proof == DONE      # it works again, for all
+        assert session.call(Grant(30)).proof == DONE  # it works again, for all
         for n in range(KEYS):
             assert session.call(Txn(acts=(Put(f"/t/new{n}", "x"),))).proof == DONE
             done[f"/t/new{n}"] = "x"
@@ -61,8 +67,13 @@
 def started(plan, address, folder):
     """A register over one file, whose system calls follow the plan."""
     words = ["register", "--listen", address, "--store", str(folder / "register.db")]
-    return subprocess.Popen([sys.executable, "-m", "gullhold", *words], cwd=ROOT, env=plan.environment(),
-                            stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    return subprocess.Popen(
+        [sys.executable, "-m", "gullhold", *words],
+        cwd=ROOT,
+        env=plan.environment(),
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+    )
 
 
 class Failing:
@@ -106,7 +117,8 @@
     again = Store(tmp_path / "register.db", sync=False)
     for one, other in ((store, again), (again, store)):
         assert {key: (item.value, item.changed) for key, item in one.kv.items()} == {
-            key: (item.value, item.changed) for key, item in other.kv.items()}
+            key: (item.value, item.changed) for key, item in other.kv.items()
+        }
         assert set(one.leases) == set(other.leases) and one.revision == other.revision
         assert one.past == other.past
 
--- a/tests/faults/test_refusals.py
+++ b/tests/faults/test_refusals.py
@@ -21,9 +21,15 @@
         assert not breaks and "Traceback" not in played.text()
 
 
-@pytest.mark.parametrize(("call", "error"), [
-    ("thread", "EAGAIN"), ("socket", "ENFILE"), ("socket", "ENOBUFS"), ("poll", "ENOMEM"),
-])
+@pytest.mark.parametrize(
+    ("call", "error"),
+    [
+        ("thread", "EAGAIN"),
+        ("socket", "ENFILE"),
+        ("socket", "ENOBUFS"),
+        ("poll", "ENOMEM"),
+    ],
+)
 def test_a_process_starts_where_the_system_refuses_for_a_moment(tmp_path, call, error):
     """Its first threads and its listener were asked for once: it ended, or lived on without a part of it."""
     plan = Plan(tmp_path)
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -11,9 +11,9 @@
 from faults.traffic import Played, statement
 from gullhold.standins.client import Caller
 
-CROSSING_S = 0.05    # s in which a request may cross the end of its connection, from the protocol
-AFTER_S = 0.7        # s behind the longest deadline (3 s at most) at which SIGKILL may come: the protocol
-SPARE_S = 0.15       # s that this machine may be late in writing down when something happened
+CROSSING_S = 0.05  # s in which a request may cross the end of its connection, from the protocol
+AFTER_S = 0.7  # s behind the longest deadline (3 s at most) at which SIGKILL may come: the protocol
+SPARE_S = 0.15  # s that this machine may be late in writing down when something happened
 
 
 class Asking(Thread):
@@ -36,11 +36,11 @@
                     txn = b"%08x%08x" % (self.number + 1, serial)
                     body = statement(txn, 1)
                     self.record.asked[txn] = (1, body)
-                    self.written[serial] = time.monotonic()   # first: its answer may come at once
+                    self.written[serial] = time.monotonic()  # first: its answer may come at once
                     self.caller.ask("odd" if self.odd else "read", self.limit_ms, txn=txn, body=body)
                 time.sleep(self.pause_s)
         except OSError:
-            pass   # its end
+            pass  # its end
         reader.join(PATIENCE)
 
     def _read(self):
@@ -64,8 +64,10 @@
     for category in played.told["settings"]["categories"]:
         category["give_up"], category["aim"] = deadline_s, deadline_s / 3
     with played:
-        clients = [Asking(played.address, played.record, n, 0.02, int(deadline_s * 1000), odd=n >= 6)
-                   for n in range(8)]   # two ask for what can't be used, again and again
+        clients = [
+            Asking(played.address, played.record, n, 0.02, int(deadline_s * 1000), odd=n >= 6)
+            for n in range(8)
+        ]  # two ask for what can't be used, again and again
         for client in clients:
             client.start()
         time.sleep(0.5)
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -18,7 +18,7 @@
     "no port for a link": [("connect", 300, "EADDRNOTAVAIL", 0)],
     "no route for a moment": [("connect", 300, "ENETUNREACH", 0)],
     "options refused": [("setsockopt", 200, "ENOMEM", 0)],
-    "waits that fail": [("poll", 300, "ENOMEM", 0), ("send", 1000, "", 1500)],   # the flusher waits
+    "waits that fail": [("poll", 300, "ENOMEM", 0), ("send", 1000, "", 1500)],  # the flusher waits
     "no buffer for a write": [("send", 200, "ENOBUFS", 0)],
     "short reads and writes": [("send", 1000, "", 39), ("recv", 1000, "", 39)],
     "single bytes": [("send", 300, "", 1), ("recv", 300, "", 1)],
@@ -36,7 +36,7 @@
         until(lambda: all(plan.hits(call) for call, *_ in PLANS[name]))
         until(lambda: played.record.counts.get("answered", 0) > 40)
         assert not played.play(0.5)
-        assert ("Traceback" in played.text()) == (name == "waits that fail")   # logged, and gone on from
+        assert ("Traceback" in played.text()) == (name == "waits that fail")  # logged, and gone on from
         plan.clear()
         played.process.send_signal(signal.SIGTERM)
         assert played.process.wait(PATIENCE) == 0
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -23,10 +23,10 @@
 from gullhold.standins.deployment import config
 from gullhold.standins.running import free_address
 
-MESSAGE_MOST = 200_000   # bytes of one message of the gateway
-PAGE_ROWS = 200          # rows of a page: under the protocol's 6,000 bytes
-PAUSE_S = 0.005          # s between connections of a client: the machine has other tests to run
-GRACE_S = 0.5            # s after a request's time in which its answer earns nothing, but is not lost
+MESSAGE_MOST = 200_000  # bytes of one message of the gateway
+PAGE_ROWS = 200  # rows of a page: under the protocol's 6,000 bytes
+PAUSE_S = 0.005  # s between connections of a client: the machine has other tests to run
+GRACE_S = 0.5  # s after a request's time in which its answer earns nothing, but is not lost
 
 
 def statement(txn, pages, size=0):
@@ -67,7 +67,7 @@
 
     def __init__(self, record, resets=0.0, seed=1):
         self.record, self.conns, self.resets, self.draw = record, [], resets, Random(seed).random
-        self.fetches, self.hangs = 0, False   # hangs: takes work and answers nothing
+        self.fetches, self.hangs = 0, False  # hangs: takes work and answers nothing
         self.sock, self.address = listening()
         Thread(target=self._accept, daemon=True).start()
 
@@ -89,7 +89,7 @@
         machine = resp.Decoder(MESSAGE_MOST)
         try:
             while machine.buffer.receive(conn):
-                if self.draw() < self.resets:   # in the middle of a request
+                if self.draw() < self.resets:  # in the middle of a request
                     reset(conn)
                     return
                 for words in machine.arrays():
@@ -112,7 +112,7 @@
             if words[2] != body:
                 self.record.wrong(f"an engine was sent what no client had sent: {words}")
                 return
-            facts = b"pages=%d,cost=20,need=10" % pages   # what clients estimate
+            facts = b"pages=%d,cost=20,need=10" % pages  # what clients estimate
             conn.sendall(resp.encode(txn, b"200", facts, page(txn, 0)))
         elif verb == b"more":
             conn.sendall(resp.encode(txn, b"chunk", b"page=" + words[1], page(txn, int(words[1]))))
@@ -150,7 +150,7 @@
                 open_now[seq] = txn
             if leaving:
                 with suppress(ConnectionError):
-                    caller.sock.recv(1000)   # in the middle of what it is being sent
+                    caller.sock.recv(1000)  # in the middle of what it is being sent
                 reset(caller.sock)
                 self.record.add("left")
                 return
@@ -166,7 +166,7 @@
             self.record.wrong(f"no answer in time: {sorted(open_now.values())}")
             open_now.clear()
             return
-        except Exception as fault:   # bytes that are no answer
+        except Exception as fault:  # bytes that are no answer
             self.record.wrong(f"a client was sent what is no answer: {fault!r}")
             open_now.clear()
             return
@@ -223,8 +223,12 @@
     def _start(self):
         self.path.write_text(json.dumps(self.told))
         with open(self.log, "wb") as log:
-            self.process = subprocess.Popen([sys.executable, *self.words], cwd=ROOT, stderr=log,
-                                            env=self.plan.environment() | {"GW_CONFIG": str(self.path)})
+            self.process = subprocess.Popen(
+                [sys.executable, *self.words],
+                cwd=ROOT,
+                stderr=log,
+                env=self.plan.environment() | {"GW_CONFIG": str(self.path)},
+            )
 
     def serves(self):
         """Whether it answers check with good."""
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -28,15 +28,19 @@
     assert one == {"n0": 55} | dict.fromkeys(names[1:], 1)
     assert shares(60, even(names, 100), even(names), 1) == even(names, 10)
     assert shares(60, dict(zip(names, (1, 2, 3, 100, 100, 100), strict=True)), even(names), 0) == dict(
-        zip(names, (1, 2, 3, 18, 18, 18), strict=True))
+        zip(names, (1, 2, 3, 18, 18, 18), strict=True)
+    )
     assert shares(60, even("ab", 100), {"a": 2, "b": 1}, 0) == {"a": 40, "b": 20}
     assert sum(shares(100, even(range(1000), 5), even(range(1000)), 1).values()) == 100
     assert shares(0, even("ab", 5), even("ab"), 1) == {"a": 0, "b": 0} and shares(5, {}, {}, 1) == {}
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.integers(0, 200), st.integers(0, 5),
-       st.lists(st.tuples(st.integers(0, 90), st.integers(1, 4)), min_size=1, max_size=9))
+@given(
+    st.integers(0, 200),
+    st.integers(0, 5),
+    st.lists(st.tuples(st.integers(0, 90), st.integers(1, 4)), min_size=1, max_size=9),
+)
 def test_shares_are_max_min_fair(whole, floor, rows):
     wants = {i: want for i, (want, _) in enumerate(rows)}
     weights = {i: weight for i, (_, weight) in enumerate(rows)}
@@ -45,7 +49,7 @@
     low = min(floor, whole // len(rows))
     assert all(part >= low for part in parts.values())
     short = [i for i, want in wants.items() if parts[i] < want]
-    for i in short:   # it has no less for its weight than anybody above the floor
+    for i in short:  # it has no less for its weight than anybody above the floor
         for j, part in parts.items():
             if part > max(low, 1):
                 assert (part - 1) / weights[j] <= (parts[i] + 1) / weights[i]
@@ -71,14 +75,14 @@
     books = Ledger(HELD, 10, linger_us=5 * S)
     assert books.write({"a": 10, "b": 0}, 1, 0) == {"a": 10}
     assert books.write({"a": 4, "b": 6}, 2, 0) == {"a": 4}
-    assert books.free(0) == 0   # a may not have heard
+    assert books.free(0) == 0  # a may not have heard
     books.report("a", 1, 9, 0)
     assert books.free(0) == 0
-    books.report("a", 2, 7, 0)   # it has, and still has seven under way
+    books.report("a", 2, 7, 0)  # it has, and still has seven under way
     assert books.write({"a": 4, "b": 6}, 3, 0) == {"b": 3}
     books.report("a", 2, 4, 0)
     assert books.write({"a": 4, "b": 6}, 4, 0) == {"b": 6} and books.charged(0) == 10
-    books.report("a", 1, 0, 0)   # an older word
+    books.report("a", 1, 0, 0)  # an older word
     assert books.free(0) == 0
 
 
@@ -86,10 +90,10 @@
     books = Ledger(WINDOWED, 10, window_us=5 * S)
     books.write({"a": 10, "b": 0, "c": 0}, 1, 0)
     books.write({"a": 0, "b": 10}, 2, 0)
-    assert books.free(0) == 0   # a may not have heard
-    books.report("a", 2, 8, 1 * S)   # it has, and had spent eight
+    assert books.free(0) == 0  # a may not have heard
+    books.report("a", 2, 8, 1 * S)  # it has, and had spent eight
     assert books.write({"a": 0, "b": 10}, 3, 5 * S) == {"b": 2}
-    assert books.write({"a": 8, "b": 10}, 4, 5 * S) == {"a": 8}   # to it itself it costs nothing
+    assert books.write({"a": 8, "b": 10}, 4, 5 * S) == {"a": 8}  # to it itself it costs nothing
     books.write({"b": 10}, 5, 5 * S)
     books.report("a", 5, 8, 5 * S)
     assert books.write({"b": 10}, 6, 6 * S) == {} and books.write({"b": 10}, 7, 10 * S) == {"b": 10}
@@ -106,7 +110,7 @@
     books = Ledger(HELD, 10, linger_us=5 * S)
     books.write({"a/1": 10}, 1, 0)
     books.left("a/1", 2 * S)
-    assert books.write({"a/2": 10}, 2, 6 * S) == {}   # another process of the same name
+    assert books.write({"a/2": 10}, 2, 6 * S) == {}  # another process of the same name
     assert books.write({"a/2": 10}, 2, 7 * S) == {"a/2": 10}
     books.report("a/2", 2, 0, 7 * S)
     books.left("a/2", 7 * S, spent=0)
@@ -137,8 +141,9 @@
     """(purses, the one purse, its lease) of a budget; the lease holds for a thousand seconds."""
     lease = Lease(Terms(1000, 0.0, 0))
     lease.kept(7, 0)
-    purses = Purses({(0, 0): Rule(kind, whole, **rule)}, lambda budget, of: f"b/{of}", lease,
-                    clock or Clock())
+    purses = Purses(
+        {(0, 0): Rule(kind, whole, **rule)}, lambda budget, of: f"b/{of}", lease, clock or Clock()
+    )
     return purses, purses(0, 0), lease
 
 
@@ -153,24 +158,24 @@
 def test_a_purse_holds_while_its_lease_does_and_cancels_nothing():
     clock = Clock()
     purses, purse, lease = purse_of(HELD, clock, alone=1, settle_us=S)
-    assert spend(purse) and not spend(purse)   # alone
+    assert spend(purse) and not spend(purse)  # alone
     purses.fresh(7)
     purses.told(7, 5, {"b/0": 3})
     assert spend(purse) and spend(purse) and spend(purse) and not spend(purse)
     purses.told(7, 6, {"b/0": 1})
     assert purse.out == 4 and not purse.may(1) and purses.cut
-    assert purses.report(()) == {"b/0": (3, 4, 5)}   # three of its part, four at once, one more wanted
-    purses.told(7, 5, {"b/0": 9})   # an older write
+    assert purses.report(()) == {"b/0": (3, 4, 5)}  # three of its part, four at once, one more wanted
+    purses.told(7, 5, {"b/0": 9})  # an older write
     assert purse.most() == 2
     purse.over(1)
     purse.over(1)
     purse.over(1, surely=False)
-    assert purse.used(clock.now) == 2 and purse.used(S) == 1   # what was given up counts for a while
+    assert purse.used(clock.now) == 2 and purse.used(S) == 1  # what was given up counts for a while
     clock.now = S
     assert purse.may(1)
     lease.lost()
     assert purse.most() == purse.alone(clock.now) == 1 and not purse.may(1)
-    lease.kept(8, S)   # another lease: what was told under the first is no more
+    lease.kept(8, S)  # another lease: what was told under the first is no more
     assert purse.most() == 1
     purses.fresh(8)
     assert purse.most() == 1
@@ -186,9 +191,9 @@
     assert spend(purse, 2)
     before = purses.stamp()
     assert purses.sure(before)
-    clock.now = 2000 * S   # it slept past its lease
-    assert not purse.may(1) and not purses.sure(before)   # refused since, it is none the surer
-    assert purses.stamp() == 0 and purses.sure(0)         # what is allowed now is what is kept back for it
+    clock.now = 2000 * S  # it slept past its lease
+    assert not purse.may(1) and not purses.sure(before)  # refused since, it is none the surer
+    assert purses.stamp() == 0 and purses.sure(0)  # what is allowed now is what is kept back for it
     lease.kept(8, clock.now)
     purses.fresh(8)
     assert not purses.sure(before)
@@ -201,7 +206,7 @@
     purses.told(7, 1, {"b/0": 2})
     assert spend(purse)
     clock.now = S
-    assert spend(purse) and not spend(purse)   # what is kept back may still be an earlier process's
+    assert spend(purse) and not spend(purse)  # what is kept back may still be an earlier process's
     clock.now = 4 * S
     assert spend(purse) and not spend(purse)
     clock.now = 5 * S
@@ -225,7 +230,7 @@
     assert purses(1, 5) is None and set(purses.report(((0, 5, 0), (0, 6, 2)))) == {"t/5", "t/6"}
     purses.told(7, 1, {"t/5": 3, "t/6": 4})
     purses(0, 6).begin(1)
-    assert set(purses.report(())) == {"t/6"} and purses(0, 5).part == 3   # the last word holds until the next
+    assert set(purses.report(())) == {"t/6"} and purses(0, 5).part == 3  # the last word holds until the next
     purses(0, 6).over(1)
     purses.report(())
     assert purses.report(()) == {} and not purses.rows
@@ -235,14 +240,14 @@
     teller, parts = Teller(1000), {"b": 10}
     assert teller.worth(0, 0, False, {"b": (0, 0, 0)}, parts)
     teller.written(0, 0, {"b": (0, 0, 0)})
-    assert not teller.worth(500, 9, True, {"b": (0, 0, 0)}, parts)          # too soon
-    assert teller.worth(1000, 9, True, {"b": (0, 0, 0)}, parts)             # a cut is acknowledged
-    assert not teller.worth(1000, 9, False, {"b": (0, 1, 1)}, parts)        # it has plenty
-    assert teller.worth(1000, 0, False, {"b": (0, 9, 12)}, parts)           # a rush
+    assert not teller.worth(500, 9, True, {"b": (0, 0, 0)}, parts)  # too soon
+    assert teller.worth(1000, 9, True, {"b": (0, 0, 0)}, parts)  # a cut is acknowledged
+    assert not teller.worth(1000, 9, False, {"b": (0, 1, 1)}, parts)  # it has plenty
+    assert teller.worth(1000, 0, False, {"b": (0, 9, 12)}, parts)  # a rush
     teller.written(1000, 0, {"b": (12, 12, 15)})
     assert not teller.worth(2000, 0, False, {"b": (12, 12, 15)}, parts)
-    assert teller.worth(2000, 0, False, {"b": (11, 12, 15)}, parts)         # given back
-    assert teller.worth(2000, 0, False, {"b": (12, 2, 15)}, parts)          # asks, and spends little
+    assert teller.worth(2000, 0, False, {"b": (11, 12, 15)}, parts)  # given back
+    assert teller.worth(2000, 0, False, {"b": (12, 2, 15)}, parts)  # asks, and spends little
     assert teller.worth(2000, 0, False, {"b": (12, 12, 15), "c": (0, 0, 0)}, parts)
     teller.forget()
     assert teller.worth(2000, 0, False, {"b": (12, 12, 15)}, parts)
@@ -250,10 +255,10 @@
 
 def test_what_staff_see_of_use_is_no_older_than_some_reports():
     teller, parts = Teller(1000), {"b": 10}
-    teller.written(0, 0, {"b": (5, 5, 12)})                                     # the rush begins ...
-    assert not teller.worth(STALE_US - 1, 0, False, {"b": (9, 9, 12)}, parts)   # ... moves no part more, ...
-    assert teller.worth(STALE_US, 0, False, {"b": (9, 9, 12)}, parts)           # ... and is told
-    assert not teller.worth(STALE_US, 0, False, {"b": (6, 6, 12)}, parts)       # hardly another use
+    teller.written(0, 0, {"b": (5, 5, 12)})  # the rush begins ...
+    assert not teller.worth(STALE_US - 1, 0, False, {"b": (9, 9, 12)}, parts)  # ... moves no part more, ...
+    assert teller.worth(STALE_US, 0, False, {"b": (9, 9, 12)}, parts)  # ... and is told
+    assert not teller.worth(STALE_US, 0, False, {"b": (6, 6, 12)}, parts)  # hardly another use
 
 
 def test_who_asks_for_all_and_spends_nothing_is_believed_for_a_while():
@@ -265,8 +270,7 @@
 
 
 ACTS = ("time", "divide", "hear", "report", "lose", "join", "die", "leave", "spend", "rush", "end", "divider")
-STEPS = st.lists(st.tuples(
-    st.sampled_from(ACTS), st.integers(0, 99)), max_size=80)
+STEPS = st.lists(st.tuples(st.sampled_from(ACTS), st.integers(0, 99)), max_size=80)
 ALONE, LEASE_US, WINDOW_US, LINGER_US, MOST = 1, 2 * S, 3 * S, 4 * S, 5
 
 
@@ -291,7 +295,8 @@
         if len(self.members) + len(self.lingering) < MOST:
             self.serial += 1
             purses, purse, lease = purse_of(
-                self.kind, self, window_us=WINDOW_US, alone=self.alone, alone_after_us=WINDOW_US)
+                self.kind, self, window_us=WINDOW_US, alone=self.alone, alone_after_us=WINDOW_US
+            )
             lease.kept(7, self.now)
             lease.until = self.now + LEASE_US
             purses.fresh(7)
@@ -342,7 +347,7 @@
         self.books.left(name, self.now + LEASE_US)
 
     def leave(self, k):
-        for name in list(self.members)[k % 3:k % 3 + 1]:
+        for name in list(self.members)[k % 3 : k % 3 + 1]:
             if not self.members[name].out or self.kind == WINDOWED:
                 spent = max(0, self.members[name].used(self.now) - self.members[name].alone(self.now))
                 self.members.pop(name)
@@ -358,7 +363,7 @@
             self.spend(k + i // 25)
 
     def end(self, k):
-        for purse in list(self.members.values())[k % 3:]:
+        for purse in list(self.members.values())[k % 3 :]:
             if purse.out and self.kind == HELD:
                 purse.over(1)
 
@@ -376,7 +381,7 @@
         self.now += k * S // 40
         for purse in self.members.values():
             lease = purse.purses.lease
-            if lease.until > self.now - S // 2:   # most keep their lease
+            if lease.until > self.now - S // 2:  # most keep their lease
                 lease.until = self.now + LEASE_US
 
     def check(self):
@@ -447,7 +452,7 @@
     books.write({"a": 10}, 1, 0)
     books.write({"a": 4}, 2, 0)
     books.report("a", 2, 9, 0)
-    books.report("a", 1, 0, 0)   # too seldom in the play: nine steps in one order
+    books.report("a", 1, 0, 0)  # too seldom in the play: nine steps in one order
     assert books.free(0) == free
 
 
@@ -494,7 +499,7 @@
     divider = fleet("a", "b")
     for at in (0, S, 2 * S, 3 * S):
         divider.divide(1 + at, at)
-        divider.report("a", 1 + at, {"b": (0, 0, 60)}, at)    # asks for all, spends nothing
+        divider.report("a", 1 + at, {"b": (0, 0, 60)}, at)  # asks for all, spends nothing
         divider.report("b", 1 + at, {"b": (9, 30, 60)}, at)
         divider.divide(2 + at, at)
         divider.report("a", 2 + at, {"b": (0, 0, 60)}, at)
@@ -507,7 +512,7 @@
 def test_so_many_budgets_are_looked_at_in_one_division_and_none_is_passed_over():
     divider = fleet("a", "b", **{f"b{i}": Budget(HELD, 10) for i in range(50)})
     divider.divide(1, 0, most=50)
-    divider.report("b", 1, {f"b{i}": (0, 9, 9) for i in range(50)}, 0)   # a has not heard of its cuts
+    divider.report("b", 1, {f"b{i}": (0, 9, 9) for i in range(50)}, 0)  # a has not heard of its cuts
     seen = [set(divider.divide(2 + turn, 0, most=20).get("a", ())) for turn in range(3)]
     assert [len(names) for names in seen] == [20, 20, 10] and len(set.union(*seen)) == 50
 
@@ -564,7 +569,7 @@
     assert divider.books["threads/8"].parts() == {"a": 10} and divider.books["threads/7"].parts() == {"a": 3}
     divider.report("a", 1, {"threads/7": (0, 1, 1)}, 0)
     divider.divide(2, 0, most=1000)
-    assert divider.row("a")["threads/8"][0] == 0 and len(divider.books) == 300   # it may not have heard
+    assert divider.row("a")["threads/8"][0] == 0 and len(divider.books) == 300  # it may not have heard
     divider.report("a", 2, {"threads/7": (0, 1, 1)}, 0)
     divider.divide(3, 0, most=1000)
     assert set(divider.books) == {"threads/7"} and set(divider.row("a")) == {"threads/7"}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -141,7 +141,7 @@
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
     until(lambda: gateway.core.owed)
-    client.ask("odd")   # unusable: whoever asks so is not listened to for a while
+    client.ask("odd")  # unusable: whoever asks so is not listened to for a while
     assert client.answer()[1] == "fault"
     began = time.monotonic()
     if how == "closes":
@@ -233,7 +233,7 @@
     assert room.most < most < room.most + 12 * 2 * len(frame)
     assert 0 < gateway.count("answers that could not go") <= 12
     seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")   # who reads is served on
+    assert client.answer() == (seq, b"a\tb\tc\n")  # who reads is served on
 
 
 def test_bytes_that_make_no_sense_cost_their_connection_and_leave_no_command_without_its_answer(start):
@@ -247,7 +247,7 @@
     client.sock.sendall(b"\xff\xff\xff\xff" * 10)
     assert {client.answer(), client.answer()} == {(asked[0], "shed"), (asked[1], "fault")}
     assert client.answer() is None
-    assert other.answer() == (kept, "fault")   # at its own time, untouched by that
+    assert other.answer() == (kept, "fault")  # at its own time, untouched by that
     assert gateway.count("client connection: malformed bytes") == 1
 
 
@@ -278,7 +278,7 @@
     inside = idle(gateway, client)
     with Blocked(gateway.core):
         monkeypatch.setattr(front, "IDLE_S", 0.0)
-        until(lambda: inside.resting)   # it asks the core for its end
+        until(lambda: inside.resting)  # it asks the core for its end
         monkeypatch.setattr(front, "IDLE_S", 60)
         seq = client.ask()
         until(lambda: inside.taken == 1)
@@ -308,7 +308,7 @@
     with Blocked(gateway.core):
         client.ask()
         until(lambda: inside.taken == 1)
-        inside.pipe.finish()   # as it would be, had the core looked an instant earlier
+        inside.pipe.finish()  # as it would be, had the core looked an instant earlier
     until(lambda: gateway.count("interrupted") == 1)
     assert half_reading(client) == (b"", True) and not engine.told
 
@@ -363,7 +363,7 @@
     feed.say(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[what])))
     until(lambda: gateway.count("sends moot"))
     conn = late.come_up()
-    assert conn.recv(100) == b""   # closed with nothing said
+    assert conn.recv(100) == b""  # closed with nothing said
     client.interrupt(seq)
     gateway.end()
     late.close()
@@ -392,7 +392,7 @@
     late = Late()
     gateway, client = start(late, connect_timeout=5.0)
     seq = client.ask("once", limit=300)
-    assert client.answer() == (seq, "shed")   # it never ran: trying again does no harm
+    assert client.answer() == (seq, "shed")  # it never ran: trying again does no harm
     conn = late.come_up()
     until(lambda: gateway.count("links up") == 1)
     conn.settimeout(0.3)
@@ -420,7 +420,7 @@
     until(lambda: gateway.core.links)
     check.now = 2
     conn = late.come_up()
-    assert conn.recv(1000).count(b"fetch") == 1   # the one that was decided under the second
+    assert conn.recv(1000).count(b"fetch") == 1  # the one that was decided under the second
     assert gateway.count("sends taken back") == gateway.count("sends moot") == 1
     client.interrupt(seq)
     until(lambda: not any(cmd.client for cmd in gateway.core.owed.values()))
@@ -458,8 +458,10 @@
 
 def all_stopped(pid):
     """Whether each thread of a process stands still."""
-    return all(Path(f"/proc/{pid}/task/{task}/stat").read_text().rpartition(")")[2].split()[0] in "Tt"
-               for task in os.listdir(f"/proc/{pid}/task"))
+    return all(
+        Path(f"/proc/{pid}/task/{task}/stat").read_text().rpartition(")")[2].split()[0] in "Tt"
+        for task in os.listdir(f"/proc/{pid}/task")
+    )
 
 
 def test_what_left_while_a_process_slept_gets_nothing_when_it_wakes(launch):
@@ -476,10 +478,10 @@
         names = ("s-0", "s-1") if turn % 2 == 0 else ("s-1", "s-0")
         before = len(here.words(b"fetch"))
         process.send_signal(signal.SIGSTOP)
-        until(lambda: all_stopped(process.pid))   # a busy machine takes its time
+        until(lambda: all_stopped(process.pid))  # a busy machine takes its time
         asked = [caller.ask() for caller in callers]
         feed.say(event(2 + turn, (names[0], here.address, "draining"), (names[1], there.address, "ready")))
-        time.sleep(0.6)   # longer than the grace
+        time.sleep(0.6)  # longer than the grace
         process.send_signal(signal.SIGCONT)
         for caller, seq in zip(callers, asked, strict=True):
             assert caller.answer() == (seq, b"a\tb\tc\n")
@@ -497,7 +499,7 @@
     until(lambda: new.asked)
     new.say(line, b"2\n")
     until(lambda: gateway.count("list changes") == 2)
-    with contextlib.suppress(OSError):   # it was closed
+    with contextlib.suppress(OSError):  # it was closed
         old.say(line[40:], event(3, ("s-0", engines[0].address, "gone")))
     new.say(event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("list changes") == 3)
@@ -509,7 +511,7 @@
     feed, old, new = Feed(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address})
     feed.say(b"1\n")
-    until(lambda: len(feed.asked) == 2)   # two of its lines missed
+    until(lambda: len(feed.asked) == 2)  # two of its lines missed
     feed.say(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     until(lambda: gateway.count("list changes") == 2)
     client = Caller(gateway.address)
@@ -549,7 +551,7 @@
     while not (arrays := list(machine.arrays())):
         machine.buffer.receive(conn)
     verb, txn, facts, _ = arrays[0]
-    left = 3500 - 700 - 1000 * (time.monotonic() - began)   # ms, at most: it was waited for before that
+    left = 3500 - 700 - 1000 * (time.monotonic() - began)  # ms, at most: it was waited for before that
     assert verb == b"fetch" and 0 < int(resp.fields(facts)[b"w"]) <= left + 150
     conn.sendall(resp.encode(txn, b"200", b"pages=1,cost=5,need=10", b"a\tb\tc\n"))
     assert client.answer()[1] == b"a\tb\tc\n"
@@ -642,7 +644,7 @@
             try:
                 seq = caller.ask(limit=900)
             except OSError:
-                return   # it had ended before
+                return  # it had ended before
             answer = caller.answer()
             if answer is None:
                 return
@@ -671,7 +673,7 @@
     until(lambda: gateway.count("answered") == 1)
     (inside,) = gateway.listener.clients
     inside.pipe.finish()
-    inside.put(thrift.shed(99, {}))   # too late: passed over, no fault
+    inside.put(thrift.shed(99, {}))  # too late: passed over, no fault
     assert client.answer() == (seq, b"x\ty\tz\n" * 800) and half_reading(client) == (b"", True)
     assert not gateway.count("answers that could not go")
 
@@ -690,5 +692,3 @@
     assert client.answer() == (seq, "shed") and gateway.count("no descriptor for a link")
     late.come_up().close()
     until(lambda: not gateway.core.holding)
-
-
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -25,8 +25,7 @@
 class World:
     """A front and a module with so many slots round one door; checks the door with books of its own."""
 
-    def __init__(self, text="", weights=(0.6, 0.4), ordered=(False, False), slots=4, seed=1,
-                 checked=True):
+    def __init__(self, text="", weights=(0.6, 0.4), ordered=(False, False), slots=4, seed=1, checked=True):
         self.checked, self.names = checked, {}
         self.rule, self.now, self.slots, self.serial, self.seed = rule(text), SECOND, slots, 0, seed
         self.door = Door(seed, self.rule, weights, [profile(ordered=each) for each in ordered], 0, self.now)
@@ -34,16 +33,37 @@
         self.open, self.held, self.out, self.ended = {}, [], [], {}
         self.done, self.told, self.kept, self.log = Counter(), {}, Counter(), []
 
-    def ask(self, name=b"c:a", tenant=0, kind=0, key=0, work=50 * MS, says=1.0, limit=4 * SECOND,
-            repeat=False, real=None):
+    def ask(
+        self,
+        name=b"c:a",
+        tenant=0,
+        kind=0,
+        key=0,
+        work=50 * MS,
+        says=1.0,
+        limit=4 * SECOND,
+        repeat=False,
+        real=None,
+    ):
         """A command comes."""
         self.serial += 1
         ident = self.serial
-        self.open[ident] = {"name": name, "tenant": tenant, "profile": kind, "key": key, "at": self.now,
-                            "work": real or work, "timeout_at": self.now + limit, "state": "door"}
+        self.open[ident] = {
+            "name": name,
+            "tenant": tenant,
+            "profile": kind,
+            "key": key,
+            "at": self.now,
+            "work": real or work,
+            "timeout_at": self.now + limit,
+            "state": "door",
+        }
         self.names[ident] = name
-        self.obey(self.door.arrive(self.now, ident, tenant, name, kind, key, int(work * says), 100,
-                                   self.now + limit, repeat))
+        self.obey(
+            self.door.arrive(
+                self.now, ident, tenant, name, kind, key, int(work * says), 100, self.now + limit, repeat
+            )
+        )
         self.settle()
         return ident
 
@@ -54,14 +74,20 @@
             assert cmd["state"] == "door", "decided twice"
             if verb == HAND:
                 if self.ordered[cmd["profile"]] and cmd["key"]:
-                    earlier = [other for other, row in self.open.items() if other < ident and
-                               row["state"] == "door" and (row["profile"], row["key"]) ==
-                               (cmd["profile"], cmd["key"])]
+                    earlier = [
+                        other
+                        for other, row in self.open.items()
+                        if other < ident
+                        and row["state"] == "door"
+                        and (row["profile"], row["key"]) == (cmd["profile"], cmd["key"])
+                    ]
                     assert not earlier, "out of order"
                 cmd["state"] = "held"
                 self.held.append(ident)
-                lane = sum((self.open[i]["tenant"], self.open[i]["profile"]) ==
-                           (cmd["tenant"], cmd["profile"]) for i in self.held)
+                lane = sum(
+                    (self.open[i]["tenant"], self.open[i]["profile"]) == (cmd["tenant"], cmd["profile"])
+                    for i in self.held
+                )
                 assert lane <= self.rule.window and len(self.held) <= self.rule.held
             else:
                 assert self.now <= cmd["timeout_at"], "too late"
@@ -120,7 +146,7 @@
         self.settle()
 
     def check(self):
-        if not self.checked:   # long runs
+        if not self.checked:  # long runs
             return
         door = self.door
         here = [ident for ident, cmd in self.open.items() if cmd["state"] == "door"]
@@ -131,8 +157,11 @@
         queued = sum(flow.queued for queues in door.tenants.values() for flow in queues.flows.values())
         behind = sum(ticket.state == 0 for ticket in door.tickets.values())
         assert queued + behind == len(here)
-        assert sum(flow.names is None for queues in door.tenants.values()
-                   for flow in queues.flows.values()) == door.exact <= self.rule.exact
+        assert (
+            sum(flow.names is None for queues in door.tenants.values() for flow in queues.flows.values())
+            == door.exact
+            <= self.rule.exact
+        )
         if not self.open:
             assert not door.lines and not door.lanes and not door.handed
 
@@ -143,12 +172,23 @@
 @settings(max_examples=80, derandomize=True, deadline=None)
 @given(st.lists(STEP, min_size=20, max_size=150), st.integers(1, 3), st.integers(0, 99))
 def test_nothing_is_lost_or_decided_twice_and_all_stays_bounded_at_every_step(steps, slots, seed):
-    world = World("door: {waiting: 24, exact: 8, shared: 4, redeal: 1s, window: 2, held: 6}", slots=slots,
-                  ordered=(False, True), seed=seed)
+    world = World(
+        "door: {waiting: 24, exact: 8, shared: 4, redeal: 1s, window: 2, held: 6}",
+        slots=slots,
+        ordered=(False, True),
+        seed=seed,
+    )
     for act, client, kind, key in steps:
         if act < 6:
-            world.ask(b"c:%d" % client, client % 2, kind, key, limit=(act + 1) * 100 * MS,
-                      repeat=act == 5, says=(0.1, 1.0, 10.0)[key % 3])
+            world.ask(
+                b"c:%d" % client,
+                client % 2,
+                kind,
+                key,
+                limit=(act + 1) * 100 * MS,
+                repeat=act == 5,
+                says=(0.1, 1.0, 10.0)[key % 3],
+            )
         elif act < 8:
             world.wait(act * 10 * MS)
         elif act == 8 and world.open:
@@ -181,7 +221,7 @@
 
 
 def test_weights_of_clients_hold_also_when_they_change_under_load():
-    world = World('door: weights: {one: 3}', weights=(1.0,), checked=False)
+    world = World("door: weights: {one: 3}", weights=(1.0,), checked=False)
     crowd(world, 6 * SECOND, **{"c:one": 20, "c:two": 20})
     assert abs(world.done[b"c:one"] / world.done.total() - 0.75) <= 0.05
     world.door.reweigh((1.0,), {"two": 9})
@@ -208,8 +248,9 @@
 def test_thousands_of_tenants_that_send_once_leave_nothing_behind():
     world = World(weights=[1.0] * 5000, slots=8)
     for tenant in range(5000):
-        world.door.arrive(world.now, tenant, tenant, b"c:%d" % tenant, 0, 0, 100, 10, world.now + SECOND,
-                          False)
+        world.door.arrive(
+            world.now, tenant, tenant, b"c:%d" % tenant, 0, 0, 100, 10, world.now + SECOND, False
+        )
         for _, ident in world.door.hand(world.now):
             world.door.sent(ident)
             world.door.back(world.now, ident, 100, True)
@@ -226,7 +267,7 @@
         have = sum(cmd["name"] == b"c:desk" for cmd in world.open.values())
         for _ in range(4 - have):
             world.ask(b"c:desk", limit=2 * SECOND)
-        for _ in range(5):   # 500 names a second at 80 commands a second
+        for _ in range(5):  # 500 names a second at 80 commands a second
             made += 1
             world.ask(b"c:made up %d" % made, limit=2 * SECOND)
         world.wait(10 * MS)
@@ -300,7 +341,7 @@
 
 def test_keyed_commands_of_several_clients_keep_their_order():
     world = World(weights=(1.0,), ordered=(True, False), slots=1)
-    for i in range(12):   # checked where they are handed on
+    for i in range(12):  # checked where they are handed on
         world.ask(b"c:%d" % (i % 4), key=7)
         world.ask(b"c:%d" % (i % 4), key=0)
     world.wait(10 * SECOND)
@@ -313,7 +354,7 @@
     draw, later, back, tries, at = random.Random(seed), [], [], {}, world.now
     until = world.now + 20 * SECOND
     while world.now < until:
-        while at <= world.now:   # 160 commands a second, from twenty clients, at four slots of 50 ms
+        while at <= world.now:  # 160 commands a second, from twenty clients, at four slots of 50 ms
             at += int(draw.expovariate(160 / SECOND))
             tries[world.ask(b"c:%d" % draw.randrange(20), limit=2 * SECOND)] = 1
         for row in [row for row in later if row[0] <= world.now]:
@@ -345,7 +386,7 @@
     refused = [ident for ident, how in world.ended.items() if how == "refused" and world.told[ident]]
     assert refused
     book = next(iter(world.door.tenants.values())).flows[b"a"].book
-    while world.door.promises.kept(book, world.now):   # those that are due by now
+    while world.door.promises.kept(book, world.now):  # those that are due by now
         pass
     before = list(book.open), book.next_at
     early = world.serial
@@ -356,9 +397,9 @@
 
 
 def test_whose_command_it_is():
-    made = rule('''door: client: {field: "desk", networks: [
+    made = rule("""door: client: {field: "desk", networks: [
         {net: "10.0.0.0/8", name: "offices"}, {net: "10.1.0.0/16", name: "nat", each: "connection"},
-        {net: "10.1.2.0/24", name: "desks", each: "address"}, {net: "2001:db8::/32", name: "six"}]}''').client
+        {net: "10.1.2.0/24", name: "desks", each: "address"}, {net: "2001:db8::/32", name: "six"}]}""").client
     whose = Whose(made, ["a", "b"])
     flow = lambda fields, address: whose.flow(fields, None, address, address + ":1")  # noqa: E731
     assert flow({b"desk": b"7"}, "10.9.9.9") == flow({b"desk": b"7"}, "10.1.1.1") == b"c:7"
@@ -394,7 +435,7 @@
     assert set(world.door.shut) == {(0, b"c:a", 0)}
     until, first = world.door.shut[0, b"c:a", 0]
     assert until <= world.now + 50 * MS and (first is None or first > 0)
-    for i in range(3000):   # bounded whatever the names
+    for i in range(3000):  # bounded whatever the names
         ticket = next(iter(world.door.tickets.values()))
         ticket.name = b"%d" % i
         world.door._shut(ticket, world.now, 1000)
@@ -417,7 +458,7 @@
     whose = Whose(made.client, ["a"])
     names = [whose.flow({}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)]
     assert len(set(names)) == flows
-    world = World('door: {exact: 64, shared: 16}', weights=(1.0,), slots=16, checked=False)
+    world = World("door: {exact: 64, shared: 16}", weights=(1.0,), slots=16, checked=False)
     for i in range(4000):
         world.ask(names[i % 1000], work=20 * MS)
         if i % 3 == 0:
@@ -449,7 +490,7 @@
 def test_light_traffic_is_no_slow_drain_and_loads_before_it_hold_up_no_lookup():
     """The drain was measured over all time and profiles counted as one line: lookups were turned away."""
     world = World(weights=(1.0,), slots=8, checked=False)
-    for i in range(200):   # ten a second where 160 can be done, now and then four together
+    for i in range(200):  # ten a second where 160 can be done, now and then four together
         for _ in range(4 if i % 5 == 0 else 1):
             world.ask(work=50 * MS)
         if i % 4 == 0:
--- a/tests/test_door_fair.py
+++ b/tests/test_door_fair.py
@@ -12,15 +12,17 @@
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
-@given(st.lists(STEP, min_size=20, max_size=300),
-       st.lists(st.sampled_from([0.5, 1.0, 1.0, 2.0, 5.0]), min_size=6, max_size=6))
+@given(
+    st.lists(STEP, min_size=20, max_size=300),
+    st.lists(st.sampled_from([0.5, 1.0, 1.0, 2.0, 5.0]), min_size=6, max_size=6),
+)
 def test_no_child_that_stays_backlogged_lags_by_more_than_one_largest_command_and_one_quantum(steps, weights):
     """Against the work that an ideal, endlessly divisible sharing would have given it meanwhile."""
     fair = FairQueue(QUANTUM)
     slots = [fair.add(weight) for weight in weights]
     weight = dict(zip(slots, weights, strict=True))
     queue = {slot: [] for slot in slots}
-    behind, largest = {}, 0.0   # ideal less real work since a child became backlogged
+    behind, largest = {}, 0.0  # ideal less real work since a child became backlogged
     for act, child, work in steps:
         slot = slots[child]
         if act < 5:
@@ -77,7 +79,7 @@
         fair.charge(picked, said[picked])
         real[picked] += 10.0
         late.append(picked)
-        if len(late) > 8:   # eight are out at once
+        if len(late) > 8:  # eight are out at once
             slot = late.pop(draw.randrange(8))
             fair.charge(slot, 10.0 - said[slot])
     assert max(real.values()) - min(real.values()) < 0.02 * sum(real.values())
@@ -87,13 +89,13 @@
     fair = FairQueue(QUANTUM)
     one, other = fair.add(1.0), fair.add(1.0)
     fair.join(one)
-    played(fair, (one,), lambda _: 10.0, 500)   # an hour alone
+    played(fair, (one,), lambda _: 10.0, 500)  # an hour alone
     fair.join(other)
     done = played(fair, (one, other), lambda _: 10.0, 100)
-    assert abs(done[one] - done[other]) <= 20   # no burst for the one that was away
-    fair.charge(one, 200.0)   # a command that needed far more than was said
+    assert abs(done[one] - done[other]) <= 20  # no burst for the one that was away
+    fair.charge(one, 200.0)  # a command that needed far more than was said
     fair.leave(one)
-    assert not fair.settled(one)   # to be remembered: leaving and coming back must not clear it
+    assert not fair.settled(one)  # to be remembered: leaving and coming back must not clear it
     fair.join(one)
     done = played(fair, (one, other), lambda _: 10.0, 10)
     assert done[one] == 0
@@ -121,4 +123,4 @@
     fair.unpark(one)
     assert fair.state[one] == READY
     done = played(fair, (one, other), lambda _: 10.0, 3)
-    assert done[one] == 30   # what it missed, first
+    assert done[one] == 30  # what it missed, first
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -44,8 +44,11 @@
     gateway, client = start(Engine(endless), more="door: patience: 100")
     for _ in range(30):
         client.ask(limit=600, client=b"one")
-    until(lambda: gateway.core.door.waiting and
-          len(gateway.core.gateway.commands) + gateway.core.door.waiting == 30)
+    until(
+        lambda: (
+            gateway.core.door.waiting and len(gateway.core.gateway.commands) + gateway.core.door.waiting == 30
+        )
+    )
     assert len(gateway.core.gateway.commands) <= 4 * 2 * 16 + gateway.core.door.rule.window
     began = time.monotonic()
     answers = [client.answer()[1] for _ in range(30)]
@@ -72,8 +75,9 @@
         client.ask(limit=4000, client=b"one", body=statement(30))
     until(lambda: engine.done >= 2)
     core = gateway.core
-    core.list_changed(*service.members(event(2, ("s-0", engine.address, "draining")), core.deal,
-                                       service.Names()))
+    core.list_changed(
+        *service.members(event(2, ("s-0", engine.address, "draining")), core.deal, service.Names())
+    )
     core.list_changed(*service.members(event(3, ("s-9", later.address, "ready")), core.deal, service.Names()))
     answers = [client.answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
@@ -94,8 +98,10 @@
 
 def test_inside_one_tenant_a_crowding_client_takes_no_more_than_its_share():
     with Running(operator=DOOR, tenants=(("one", 1.0),), memory_mb=192) as running:
-        made = [crowd.Client(running.address, "one", "polite", open=16).start(),
-                crowd.Client(running.address, "one", "crowding", open=160, connections=8).start()]
+        made = [
+            crowd.Client(running.address, "one", "polite", open=16).start(),
+            crowd.Client(running.address, "one", "crowding", open=160, connections=8).start(),
+        ]
         time.sleep(1.5)
         for client in made:
             client.zero()
@@ -113,8 +119,12 @@
     """Without an end to what it takes, a gateway had not ended 10 s after SIGTERM."""
     more = "door: {patience: 1000, waiting: 30000}"
     with Running(operator=DOOR + more, slots=0, timeout_s=8.0, max_open=30000) as running:
-        made = [crowd.Client(running.address, "", f"c{i}", open=320, connections=10, limit_ms=8000,
-                             manner=crowd.NOT_AT_ALL).start() for i in range(32)]
+        made = [
+            crowd.Client(
+                running.address, "", f"c{i}", open=320, connections=10, limit_ms=8000, manner=crowd.NOT_AT_ALL
+            ).start()
+            for i in range(32)
+        ]
         deadline = time.monotonic() + 8
         while sum(c.tries - c.answered - c.shed - c.failed for c in made) < 9_900:
             assert time.monotonic() < deadline
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -15,7 +15,7 @@
 def test_lines_keep_to_their_rate_and_what_is_left_out_is_counted(monkeypatch):
     logged, log = [], EventLog()
     monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
-    for n in range(1000):   # within a second
+    for n in range(1000):  # within a second
         log.add(Happened(1_000_000 + n * 1000, RETRY, f"reset {n}"))
     assert eventlog.BURST <= len(logged) <= eventlog.BURST + eventlog.RATE_PER_S + 1
     log.add(Happened(9_000_000, RETRY, "the last"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,14 +32,22 @@
 
 def scheduled(name, profile, work_ms=20, every="300ms", **other):
     """An operator's words for a scheduled command, whose statement names it."""
-    return {"name": f'"{name}"', "every": every, "profile": f'"{profile}"', "window": "5s",
-            "statement": f'"select 1 from {name}_1.t /* work={work_ms} */"'} | other
+    return {
+        "name": f'"{name}"',
+        "every": every,
+        "profile": f'"{profile}"',
+        "window": "5s",
+        "statement": f'"select 1 from {name}_1.t /* work={work_ms} */"',
+    } | other
 
 
 def soon(seconds=4):
     """Words for a calendar that is due once, so many seconds from now."""
-    return {"every": "0s", "window": "20min",
-            "at": time.strftime('"%S %M %H * * *"', time.gmtime(time.time() + seconds))}
+    return {
+        "every": "0s",
+        "window": "20min",
+        "at": time.strftime('"%S %M %H * * *"', time.gmtime(time.time() + seconds)),
+    }
 
 
 def held(rig, least=1):
@@ -71,8 +79,8 @@
     assert session.call(Keep(77)).ttl_s == 0
     rig.faults(lose=1)
     assert session.call(Txn((), (Put("b", "1"),))).proof == MAYBE
-    assert session.call(Read("b")).items[0].value == "1"   # it was carried out
-    assert session.call(Txn((), (Put("c", "1", 77),))).proof == NOT_DONE   # no such lease
+    assert session.call(Read("b")).items[0].value == "1"  # it was carried out
+    assert session.call(Txn((), (Put("c", "1", 77),))).proof == NOT_DONE  # no such lease
     rig.faults(stale=1, behind=1)
     old = session.call(Read("b"))
     assert old.items == () and old.revision < session.call(Read("b")).revision
@@ -97,7 +105,7 @@
     began = session.call(Txn((), (Put("w/a", "1", lease),))).revision
     session.call(Revoke(lease))
     seen = []
-    with pytest.raises(Exception, match="timed out"):   # nothing more comes
+    with pytest.raises(Exception, match="timed out"):  # nothing more comes
         session.watch("w/", began, 0.5, lambda *told: seen.append(told))
     assert [told[:2] for told in seen] == [("w/a", "1"), ("w/a", None)]
     rig.faults(drop=1)
@@ -112,7 +120,7 @@
     assert session.call(Read("k/")).proof == NOT_DONE
     rig.start_register()
     assert sorted(item.revision for item in session.call(Read("k/")).items) == kept
-    assert session.call(Keep(lease)).ttl_s == 2   # leases run anew: late, never early
+    assert session.call(Keep(lease)).ttl_s == 2  # leases run anew: late, never early
     rig.faults(early_s=1.5)
     rig.until(lambda: not session.call(Read("k/")).items, 1.5)
     rig.faults(early_s=0)
@@ -136,7 +144,7 @@
 
 def test_the_reply_that_says_who_owns_is_lost():
     with Rig(members=2, beats=4) as rig:
-        rig.faults(lose=8)   # of the lease, of joining, of claiming
+        rig.faults(lose=8)  # of the lease, of joining, of claiming
         rig.start()
         rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2 and len(rig.owners()) == 4)
         assert sum(line["what"] == "reply lost" for line in rig.lines()) == 8
@@ -154,7 +162,7 @@
         went = time.time()
         rig.members["n1"].process.terminate()
         rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n2"} and len(rig.owners()) == 12)
-        assert time.time() - went < 0.5   # far less than a lease, on a busy machine too
+        assert time.time() - went < 0.5  # far less than a lease, on a busy machine too
         rig.stop("n1")
         held(rig, 20)
 
@@ -170,7 +178,7 @@
         assert client.answer() == (seq, b"a\tb\tc\n")
         said = [what for _, _, what, _ in rig.events("n0")]
         assert said.count("the register does not answer; served on as if alone") == 1
-        rig.heal("n0")   # what was held comes late, and is refused; then it is a member again
+        rig.heal("n0")  # what was held comes late, and is refused; then it is a member again
         rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
         held(rig, 10)
 
@@ -208,8 +216,12 @@
         before = sum(rig.counts().values())
         time.sleep(1)
         assert sum(rig.counts().values()) - before < 60
-        rig.until(lambda: len(rig.owners()) == 4 and any(
-            what == "the register answers again" for _, _, what, _ in rig.events()))
+        rig.until(
+            lambda: (
+                len(rig.owners()) == 4
+                and any(what == "the register answers again" for _, _, what, _ in rig.events())
+            )
+        )
         rig.until(lambda: held(rig, 0).effects >= 1)
 
 
@@ -224,7 +236,7 @@
             rig.heal(name)
         rig.stop("n0", "n1")
         held(rig, 10)
-        rig.start("n0", rate=0.5)   # far beyond: it may think that it owns too long, and is refused
+        rig.start("n0", rate=0.5)  # far beyond: it may think that it owns too long, and is refused
         rig.owner("beat/0")
         rig.start("n1")
         rig.pause("n0")
@@ -239,8 +251,9 @@
         rig.start()
         rig.until(lambda: len(rig.owners()) == 24)
         rig.kill("n0", "n1", "n2", "n3")
-        rig.until(lambda: {who for who, _ in rig.owners().values()} <= {"n4", "n5"} and
-                  len(rig.owners()) == 24)
+        rig.until(
+            lambda: {who for who, _ in rig.owners().values()} <= {"n4", "n5"} and len(rig.owners()) == 24
+        )
         rig.until(lambda: held(rig).effects >= 24)
 
 
@@ -262,11 +275,15 @@
         twin = rig.members["n1"]
         first = {token for _, token in rig.owners().values()}
         rig.start("n1", name_="n0")
-        rig.until(lambda: any(facts.get("why") == "a later process has this name"
-                              for _, _, _, facts in rig.events()))
-        rig.until(lambda: len(rig.owners()) == 4 and
-                  not first & {token for _, token in rig.owners().values()})
-        assert rig.members["n0"].process.poll() is None and twin.process.poll() is None   # both serve
+        rig.until(
+            lambda: any(
+                facts.get("why") == "a later process has this name" for _, _, _, facts in rig.events()
+            )
+        )
+        rig.until(
+            lambda: len(rig.owners()) == 4 and not first & {token for _, token in rig.owners().values()}
+        )
+        assert rig.members["n0"].process.poll() is None and twin.process.poll() is None  # both serve
         held(rig, 4)
 
 
@@ -286,8 +303,10 @@
 # Scheduled commands
 
 
-@pytest.mark.parametrize("point, side, sends", [
-    ("intent", "before", 1), ("intent", "after", 0), ("outcome", "before", 1), ("outcome", "after", 1)])
+@pytest.mark.parametrize(
+    "point, side, sends",
+    [("intent", "before", 1), ("intent", "after", 0), ("outcome", "before", 1), ("outcome", "after", 1)],
+)
 def test_a_non_replayable_occurrence_whose_owner_is_killed_runs_at_most_once(point, side, sends):
     with Rig(members=2, scheduled=[scheduled("once", "once") | soon()]) as rig:
         rig.start("n0", point=point, side=side, act="kill", nth=1)
@@ -297,12 +316,14 @@
         def ended():
             rows = [row for row in Check(rig.lines()).occurrences().values() if row["state"] != "skipped"]
             return rows and rows[0]["state"] in ("answered", "failed") and rows
+
         (row,) = rig.until(ended)
         time.sleep(0.3)
         fetches = sum(len(rows) for rows in sent(rig.engines).values())
         assert fetches == sends, rig.story()
-        assert row["state"] == ("answered" if (point, side) in (("intent", "before"), ("outcome", "after"))
-                                else "failed")
+        assert row["state"] == (
+            "answered" if (point, side) in (("intent", "before"), ("outcome", "after")) else "failed"
+        )
         told = [facts for _, _, what, facts in rig.events() if what == "occurrence failed"]
         assert bool(told) == (row["state"] == "failed")
         held(rig)
@@ -345,10 +366,11 @@
     with Rig(members=2, scheduled=[scheduled("long", "once", 1500, work="1500ms") | soon()]) as rig:
         rig.start("n0")
         rig.until(lambda: sum(len(engine.kept) for engine in rig.engines))
-        rig.start("n1")   # the duty takes longer than a lease, and stays meanwhile
+        rig.start("n1")  # the duty takes longer than a lease, and stays meanwhile
         rig.stop("n0")
-        rows = rig.until(lambda: [row for row in Check(rig.lines()).occurrences().values()
-                                  if row["state"] == "answered"])
+        rows = rig.until(
+            lambda: [row for row in Check(rig.lines()).occurrences().values() if row["state"] == "answered"]
+        )
         assert rows[0]["by"] == "n0" and rig.owner("schedule/long", "n0") == "n1"
         time.sleep(0.3)
         assert sum(len(engine.kept) for engine in rig.engines) == 1
@@ -359,22 +381,31 @@
 
 
 def test_a_record_that_cannot_be_used_is_one_line_with_its_place(tmp_path, capsys):
-    for text, why in (('fleet: on: true', "needs fleet.register"),
-                      ('fleet: {lease: 1500ms}', "whole seconds"),
-                      ('fleet: {lease: 1s, drift: margin: 900ms}', "less than half"),
-                      ('fleet: schedule: [{name: "a", profile: "p", statement: "s"}, {name: "a", '
-                       'profile: "p", statement: "s"}]', "two commands of one name")):
+    for text, why in (
+        ("fleet: on: true", "needs fleet.register"),
+        ("fleet: {lease: 1500ms}", "whole seconds"),
+        ("fleet: {lease: 1s, drift: margin: 900ms}", "less than half"),
+        (
+            'fleet: schedule: [{name: "a", profile: "p", statement: "s"}, {name: "a", '
+            'profile: "p", statement: "s"}]',
+            "two commands of one name",
+        ),
+    ):
         with pytest.raises(records.Bad, match=why):
             records.read(text, "x.cue")
     read = records.read('fleet: schedule: [{name: "a", at: "0 6 * * *", profile: "p", statement: "s"}]', "x")
     assert not read.fleet.on and read.fleet.schedule[0].window == 60_000_000 and read.fleet.lease == 5_000_000
 
 
-@pytest.mark.parametrize("item, why", [
-    ({"profile": '"nothing"'}, "is no profile"),
-    ({"every": "0s", "at": '"61 * * * *"'}, "no calendar expression"),
-    ({"at": '"* * * * *"'}, "not both"),
-    ({"every": "0s", "at": '"* * * * *"', "zone": '"Mars"'}, "no such time")])
+@pytest.mark.parametrize(
+    "item, why",
+    [
+        ({"profile": '"nothing"'}, "is no profile"),
+        ({"every": "0s", "at": '"61 * * * *"'}, "no calendar expression"),
+        ({"at": '"* * * * *"'}, "not both"),
+        ({"every": "0s", "at": '"* * * * *"', "zone": '"Mars"'}, "no such time"),
+    ],
+)
 def test_a_schedule_that_does_not_fit_the_agreement_refuses_to_start(item, why):
     with Rig(members=1, scheduled=[scheduled("a", "read") | item]) as rig:
         rig.start("n0", wait=False)
@@ -384,10 +415,11 @@
 
 def test_staff_see_members_duties_and_occurrences(capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
+
     with Rig(members=2, beats=3, scheduled=[scheduled("a", "read")]) as rig:
         rig.start()
         settled = Spread(["schedule/a", "beat/0", "beat/1", "beat/2"])
-        settled.change(["n0", "n1"])   # nothing moves any more between one look and the next
+        settled.change(["n0", "n1"])  # nothing moves any more between one look and the next
         rig.until(lambda: {duty: who for duty, (who, _) in rig.owners().items()} == settled.owner)
         rig.until(lambda: Check(rig.lines()).occurrences())
         found = {}
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -15,7 +15,7 @@
 from gullhold.standins.counting import CountingEngine
 from gullhold.standins.fleet import Rig
 
-SERIAL = count(1)   # of clients: each draws its own ids
+SERIAL = count(1)  # of clients: each draws its own ids
 
 
 def threads(whole=12, **other):
@@ -31,8 +31,14 @@
 
 def client(fleet, name, rate=0.0, **facts):
     """A client of one gateway, asking from now on; rate 0: with forty always open."""
-    facts = {"open": 40, "connections": 2, "work_ms": 60.0, "limit_ms": 900, "manner": crowd.NOT_AT_ALL,
-             "seed": next(SERIAL)} | facts
+    facts = {
+        "open": 40,
+        "connections": 2,
+        "work_ms": 60.0,
+        "limit_ms": 900,
+        "manner": crowd.NOT_AT_ALL,
+        "seed": next(SERIAL),
+    } | facts
     return crowd.Client(fleet.members[name].address, "", name, rate=rate, **facts).start()
 
 
@@ -88,7 +94,7 @@
         fleet.pause("n0")
         fleet.until(lambda: parts(fleet).get("n1", 0) == 12)
         fleet.until(lambda: len(fleet.engines[0].open) == 12)
-        fleet.resume("n0")   # with commands ready to go
+        fleet.resume("n0")  # with commands ready to go
         time.sleep(0.7)
         fleet.until(lambda: parts(fleet) == {"n0": 6, "n1": 6})
         end(*clients)
@@ -103,7 +109,7 @@
         fleet.kill("n0")
         fleet.until(lambda: parts(fleet).get("n1", 0) == 12)
         time.sleep(0.8)
-        fleet.until(lambda: len(fleet.engines[0].open) == 12)   # fewer between two answers
+        fleet.until(lambda: len(fleet.engines[0].open) == 12)  # fewer between two answers
         end(*clients)
         held(fleet, least=20)
 
@@ -127,7 +133,7 @@
         assert fleet.owner("budgets", divider) in others
         fleet.until(lambda: sum(parts(fleet).get(name, 0) for name in others) >= 11)
         if act == "stop":
-            fleet.resume(divider)   # two believe that they divide: the late write is refused
+            fleet.resume(divider)  # two believe that they divide: the late write is refused
             fleet.until(lambda: any(what == "late effect refused" for _, _, what, _ in fleet.events(divider)))
         time.sleep(0.5)
         end(*clients)
@@ -182,7 +188,7 @@
     window_s = 3.0
     budget = {"of": '"taken"', "whole": 30, "window": "3s"}
     with rig(budgets=[budget], drift="rate: 0.1, margin: 20ms") as fleet:
-        for i, name in enumerate(fleet.names):   # clocks off by the bound
+        for i, name in enumerate(fleet.names):  # clocks off by the bound
             fleet.start(name, rate=(1.08, 1.0, 0.93)[i])
         fleet.until(lambda: len(parts(fleet)) == 3)
         for turn in range(6):
@@ -222,7 +228,7 @@
 
     Thread(target=serve, daemon=True).start()
     with rig(budgets=[budget], coordinator=address) as fleet:
-        fleet.start()   # without a budget each asks four times a second
+        fleet.start()  # without a budget each asks four times a second
         time.sleep(5.0)
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
@@ -241,7 +247,7 @@
             fleet.start(name)
         fleet.until(lambda: sum(parts(fleet).values()) == 4)
         end(*clients)
-        lowered = time.time() + 1.5   # what was begun under more has ended
+        lowered = time.time() + 1.5  # what was begun under more has ended
         time.sleep(1.6)
         clients = [client(fleet, name, work_ms=100.0) for name in ("n0", "n1")]
         time.sleep(0.8)
@@ -297,7 +303,7 @@
             one = client(fleet, f"n{turn % 2}")
             time.sleep(1.0)
             end(one)
-        assert held(fleet, least=200).moves >= 5   # of 12 threads for 60 ms each: at most 1,200 in 6 s
+        assert held(fleet, least=200).moves >= 5  # of 12 threads for 60 ms each: at most 1,200 in 6 s
 
 
 def test_with_the_register_away_each_serves_by_what_is_kept_back_for_it():
@@ -321,6 +327,7 @@
 
 def test_staff_see_budgets_a_plan_and_a_report_of_a_run(tmp_path, capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
+
     with rig(2, [threads(12, alone=1, members=2)]) as fleet:
         fleet.start()
         one = client(fleet, "n0")
@@ -330,7 +337,7 @@
         def told():
             assert main(["fleet", "budgets", *at, "--json"]) == 0
             (row,) = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
-            return row if row["used"] >= 9 else None   # the first reports came before the rush
+            return row if row["used"] >= 9 else None  # the first reports came before the rush
 
         row = fleet.until(told)
         assert (row["whole"], row["kept back"], row["given"], row["waiting"]) == (12, 2, 10, "n0")
@@ -350,17 +357,22 @@
 
 def test_a_budget_that_does_not_fit_is_one_line(tmp_path):
     from gullhold.operator import records  # noqa: PLC0415
-    for text, why in (('{of: "threads", whole: 5, alone: 2, members: 3}', "over the whole"),
-                      ('{of: "threads", whole: 5, alone: 2}', "needs members"),
-                      ('{of: "taken", whole: 5}', "needs a window"),
-                      ('{of: "threads", whole: 5, window: 1s}', "has no window"),
-                      ('{of: "lists", whole: 5, window: 1s}', "needs alone"),
-                      ('{of: "cold", tenant: "a"}', "has no tenant"),
-                      ('{of: "share"}, {of: "share"}', "two of the same")):
+
+    for text, why in (
+        ('{of: "threads", whole: 5, alone: 2, members: 3}', "over the whole"),
+        ('{of: "threads", whole: 5, alone: 2}', "needs members"),
+        ('{of: "taken", whole: 5}', "needs a window"),
+        ('{of: "threads", whole: 5, window: 1s}', "has no window"),
+        ('{of: "lists", whole: 5, window: 1s}', "needs alone"),
+        ('{of: "cold", tenant: "a"}', "has no tenant"),
+        ('{of: "share"}, {of: "share"}', "two of the same"),
+    ):
         with pytest.raises(records.Bad, match=why):
             records.read(f"fleet: budgets: [{text}]", "x.cue")
-    for budget, why in (({"of": '"further"', "whole": 5}, "states a window"),
-                        ({"of": '"open"', "whole": 5, "tenant": '"nobody"'}, "no tenant of the agreement")):
+    for budget, why in (
+        ({"of": '"further"', "whole": 5}, "states a window"),
+        ({"of": '"open"', "whole": 5, "tenant": '"nobody"'}, "no tenant of the agreement"),
+    ):
         with rig(1, [budget]) as fleet:
             fleet.start("n0", wait=False)
             assert fleet.members["n0"].process.wait(8) == 2
--- a/tests/test_fleet_change.py
+++ b/tests/test_fleet_change.py
@@ -25,8 +25,11 @@
 
 def rig(members=3, **other):
     """A fleet with counting engines and policies on."""
-    return Rig(members=members, engines=1, **{
-        "policy": "on: true", "make": lambda seed: CountingEngine(slots=64, seed=seed)} | other)
+    return Rig(
+        members=members,
+        engines=1,
+        **{"policy": "on: true", "make": lambda seed: CountingEngine(slots=64, seed=seed)} | other,
+    )
 
 
 def granting(mb):
@@ -36,8 +39,19 @@
 
 def load(fleet, *names, rate=40.0):
     """A client of each gateway."""
-    return [crowd.Client(fleet.members[name].address, "", name, rate=rate, work_ms=10.0, limit_ms=900,
-                         manner=crowd.NOT_AT_ALL, seed=next(SERIAL)).start() for name in names or fleet.names]
+    return [
+        crowd.Client(
+            fleet.members[name].address,
+            "",
+            name,
+            rate=rate,
+            work_ms=10.0,
+            limit_ms=900,
+            manner=crowd.NOT_AT_ALL,
+            seed=next(SERIAL),
+        ).start()
+        for name in names or fleet.names
+    ]
 
 
 def end(clients):
@@ -52,8 +66,9 @@
 def on(fleet, number=0, names=None):
     """Wait until all of these go by this policy."""
     names = set(names or fleet.names)
-    fleet.until(lambda: {name for name, under in Changes(fleet.lines()).under().items()
-                         if under == number} >= names)
+    fleet.until(
+        lambda: {name for name, under in Changes(fleet.lines()).under().items() if under == number} >= names
+    )
 
 
 def propose(office, fleet, text, **how):
@@ -92,9 +107,16 @@
         assert office.current().text == granting(23) and len(office.past()) == 4
 
 
-@pytest.mark.parametrize("state, side, act", [
-    ("checked", "before", "kill"), ("prepared", "after", "stop"), ("decided", "before", "stop"),
-    ("decided", "before", "kill"), ("decided", "after", "kill")])
+@pytest.mark.parametrize(
+    "state, side, act",
+    [
+        ("checked", "before", "kill"),
+        ("prepared", "after", "stop"),
+        ("decided", "before", "stop"),
+        ("decided", "before", "kill"),
+        ("decided", "after", "kill"),
+    ],
+)
 def test_whoever_carries_it_ends_or_sleeps_in_the_middle(state, side, act):
     with rig() as fleet:
         spread = Spread(["policy"])
@@ -134,7 +156,7 @@
         office, clients = Office(fleet.register_address, "rig"), load(fleet, first)
         record = office.propose(granting(20), "a", "b", overlap="strict")
         fleet.members[victim].process.wait(8)
-        fleet.start(other)   # it enrols in the middle, before or after the decision
+        fleet.start(other)  # it enrols in the middle, before or after the decision
         assert office.wait(record.number, 8)[0] == IN_FORCE
         fleet.start(victim)
         on(fleet, 1)
@@ -174,11 +196,11 @@
         on(fleet)
         office = Office(fleet.register_address, "rig")
         fleet.kill("n2")
-        fleet.pause("n3")   # it slept, and wakes believing in what was
+        fleet.pause("n3")  # it slept, and wakes believing in what was
         clients = load(fleet, "n0", "n1", "n3")
         record = office.propose(granting(20), "a", "b", overlap="strict")
         assert office.wait(record.number, 8)[0] == IN_FORCE
-        fleet.start("n2")   # with its old file
+        fleet.start("n2")  # with its old file
         fleet.resume("n3")
         on(fleet, 1)
         clients += load(fleet, "n2")
@@ -203,10 +225,10 @@
         assert office.wait(record.number, 8)[0] == IN_FORCE
         on(fleet, 1, others)
         asker = clients[fleet.names.index(victim)]
-        fleet.until(lambda: asker.shed > 3)   # a time to come back is not stated by this agreement
+        fleet.until(lambda: asker.shed > 3)  # a time to come back is not stated by this agreement
         assert service_good(fleet, victim) is False
         fleet.heal(victim)
-        on(fleet, 1)   # its word stands at the register a moment before the reply that opens its gate
+        on(fleet, 1)  # its word stands at the register a moment before the reply that opens its gate
         fleet.until(lambda: service_good(fleet, victim))
         time.sleep(0.2)
         end(clients)
@@ -216,6 +238,7 @@
 def service_good(fleet, name):
     """Whether a gateway says that it serves."""
     from gullhold.net import service  # noqa: PLC0415
+
     return service.asked(fleet.members[name].address, 1.0)
 
 
@@ -223,7 +246,7 @@
     with rig(budgets=[{"of": '"threads"', "whole": 12, "linger": "1s"}]) as fleet:
         fleet.start("n0", "n1")
         fleet.budgets = []
-        fleet.start("n2")   # another file: it knows no such budget
+        fleet.start("n2")  # another file: it knows no such budget
         on(fleet)
         office, clients = Office(fleet.register_address, "rig"), load(fleet)
         record = propose(office, fleet, "policy: {budgets: threads: 8, grants: read: 20}", overlap="strict")
@@ -247,9 +270,11 @@
         fleet.start()
         on(fleet)
         office = Office(fleet.register_address, "rig")
-        for text, why in (("policy: sends: once: 2", "must never run twice"),
-                          ("policy: sends: read: 99", "the agreement allows 6"),
-                          ("policy: shares: nobody: 1", "no tenant")):
+        for text, why in (
+            ("policy: sends: once: 2", "must never run twice"),
+            ("policy: sends: read: 99", "the agreement allows 6"),
+            ("policy: shares: nobody: 1", "no tenant"),
+        ):
             status, line = office.wait(propose(office, fleet, text).number, 5)
             assert status == DROPPED and why in line
         for text in ("policy: {", "policy: unheard: 1", "policy: grants: read: 0"):
@@ -265,7 +290,7 @@
         with pytest.raises(Unfit, match="not 7"):
             office.propose(granting(20), "a", "b", parent=7)
         first = propose(office, fleet, granting(20))
-        with suppress(Unfit):   # the first may be in force already
+        with suppress(Unfit):  # the first may be in force already
             second = office.propose(granting(21), "z", "y", parent=first.parent)
             raise AssertionError(f"{second.number} beside {first.number}")
         assert office.wait(first.number, 5)[0] == IN_FORCE
@@ -283,8 +308,19 @@
         fleet.start()
         on(fleet)
         office = Office(fleet.register_address, "rig")
-        clients = [crowd.Client(fleet.members[name].address, "", name, open=20, work_ms=60.0, limit_ms=800,
-                                manner=crowd.NOT_AT_ALL, seed=next(SERIAL)).start() for name in ("n0", "n1")]
+        clients = [
+            crowd.Client(
+                fleet.members[name].address,
+                "",
+                name,
+                open=20,
+                work_ms=60.0,
+                limit_ms=800,
+                manner=crowd.NOT_AT_ALL,
+                seed=next(SERIAL),
+            ).start()
+            for name in ("n0", "n1")
+        ]
         time.sleep(0.4)
         record = office.propose("policy: {budgets: threads: 5, grants: read: 20}", "a", "b", overlap="strict")
         for name in ("n3", "n2"):
@@ -323,7 +359,7 @@
         on(fleet, 0)
         time.sleep(0.1)
         tried = [at for at, place in by_policy(fleet.engines, [20]) if place]
-        assert not tried or max(tried) < time.time() - 0.05   # all are back on the parent
+        assert not tried or max(tried) < time.time() - 0.05  # all are back on the parent
         record = propose(office, fleet, granting(21), canary=Canary(0.34, 1_200_000, 0.3, 9.0))
         assert office.wait(record.number, 8)[0] == IN_FORCE
         on(fleet, record.number)
@@ -333,8 +369,14 @@
 
 
 def test_schedules_and_weights_at_the_door_are_changed_with_the_rest():
-    words = {"name": '"warm"', "every": "150ms", "profile": '"read"', "window": "5s", "work": "10ms",
-             "statement": '"select 1 from warm_1.t /* work=10 */"'}
+    words = {
+        "name": '"warm"',
+        "every": "150ms",
+        "profile": '"read"',
+        "window": "5s",
+        "work": "10ms",
+        "statement": '"select 1 from warm_1.t /* work=10 */"',
+    }
     door = 'door: {on: true, client: field: "client", weights: {n0: 1}}'
     with rig(2, scheduled=[words], fleet=door) as fleet:
         fleet.start()
@@ -364,7 +406,7 @@
     record = Record(3, 2, "a", "b", 0, granting(20)).sealed()
     snapshot.write(path, record, 5)
     assert snapshot.read(path) == (record, 5)
-    (tmp_path / "last.new").write_text("half of")   # a kill in the middle of the next one
+    (tmp_path / "last.new").write_text("half of")  # a kill in the middle of the next one
     assert snapshot.read(path) == (record, 5)
     path.write_text(path.read_text()[:-9])
     assert snapshot.read(path) is None and snapshot.read(tmp_path / "none") is None
@@ -380,13 +422,14 @@
         clients = load(fleet)
         fleet.until(lambda: clients[0].answered > 5)
         assert {row[5] for row in fleet.engines[0].flights} == {20}
-        fleet.until(lambda: clients[0].shed > 5)   # the time for which it may be gone by is over
+        fleet.until(lambda: clients[0].shed > 5)  # the time for which it may be gone by is over
         end(clients)
         fleet.start_register()
 
 
 def test_staff_propose_see_and_undo_on_the_command_line(tmp_path, capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
+
     path = tmp_path / "p.cue"
     path.write_text(granting(20))
     with rig(2) as fleet:
@@ -405,7 +448,9 @@
         assert main(["policy", "history", *at, "--json"]) == 0
         rows = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
         assert [(row["number"], row["parent"], row["outcome"]) for row in rows] == [
-            (1, 0, "decided"), (2, 1, "decided")]
+            (1, 0, "decided"),
+            (2, 1, "decided"),
+        ]
         assert rows[0]["why"] == "renewal" and main(["policy", "history", *at]) == 0
         assert main(["policy", "drop", *at]) == 2
         path.write_text("policy: {")
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -29,7 +29,7 @@
     assert not lease.held(0)
     lease.kept(7, sent_at=1 * S)
     assert lease.held(9_499_999) and not lease.held(9_500_000)
-    lease.kept(7, sent_at=0)   # a reply that comes out of turn takes nothing back
+    lease.kept(7, sent_at=0)  # a reply that comes out of turn takes nothing back
     assert lease.until == 9_500_000 and lease.keep_at() < 4 * S + 200_000
     lease.kept(8, sent_at=2 * S)
     assert lease.until == 10_500_000
@@ -63,7 +63,7 @@
                 assert duty in moved
         alone = Spread(spread.duties)
         alone.change(now)
-        assert alone.owner == spread.owner   # whatever came before, all members agree
+        assert alone.owner == spread.owner  # whatever came before, all members agree
         before, members = dict(spread.owner), set(now)
 
 
@@ -90,9 +90,17 @@
     assert met >= 300 and whole >= 2
 
 
-@pytest.mark.parametrize("mutant", [
-    ownermutants.NoDriftMargin, ownermutants.TokenNotCompared, ownermutants.LeaseNotLooked,
-    ownermutants.ActsWhileReleasing, ownermutants.MaybeIsDone, ownermutants.ClaimsHeld])
+@pytest.mark.parametrize(
+    "mutant",
+    [
+        ownermutants.NoDriftMargin,
+        ownermutants.TokenNotCompared,
+        ownermutants.LeaseNotLooked,
+        ownermutants.ActsWhileReleasing,
+        ownermutants.MaybeIsDone,
+        ownermutants.ClaimsHeld,
+    ],
+)
 def test_the_walks_find_decisions_that_are_wrong(mutant):
     assert ownermutants.find(mutant, 60, 160)
 
@@ -165,11 +173,11 @@
     assert release.purpose == "release" and release.about == ("e",)
     assert one.may_act("d", 0) and not one.may_act("e", 0)
     one.reply(0, release, Reply(DONE, 7))
-    one.tick(400_000)   # it keeps its lease meanwhile
+    one.tick(400_000)  # it keeps its lease meanwhile
     assert [call.purpose for call in calls(one)] == ["keep"]
     one.occupied("d", False)
     one.tick(500_000)
-    one.tick(S)   # nothing was heard of either: leaving ends all the same
+    one.tick(S)  # nothing was heard of either: leaving ends all the same
     assert one.state == owner.OUT
 
 
@@ -193,19 +201,22 @@
     return Record(due, state, 4, tries, began, "n0")
 
 
-@pytest.mark.parametrize("kind, state, tries, after_s, limit_s, why", [
-    (REPLAY, schedule.INTENT, 1, 5, 10, ""),
-    (REPLAY, schedule.INTENT, 1, 61, 0, "its window is over"),
-    (REPLAY, schedule.INTENT, 3, 5, 0, "3 tries"),
-    (UNIQ, schedule.INTENT, 1, 2, 10, ""),
-    (UNIQ, schedule.INTENT, 1, 10, 4.9, ""),
-    (UNIQ, schedule.INTENT, 1, 14, 0, "forgotten its mark"),
-    (UNIQ._replace(everywhere=False), schedule.INTENT, 1, 2, 0, "not all engines"),
-    (ONCE, schedule.INTENT, 1, 0, 0, "check its effect by hand"),
-    (ONCE, schedule.SHED, 1, 5, 10, ""),
-    (ONCE, schedule.UNDONE, 2, 5, 10, ""),
-    (ONCE, schedule.SHED, 1, 61, 0, "its window is over"),
-])
+@pytest.mark.parametrize(
+    "kind, state, tries, after_s, limit_s, why",
+    [
+        (REPLAY, schedule.INTENT, 1, 5, 10, ""),
+        (REPLAY, schedule.INTENT, 1, 61, 0, "its window is over"),
+        (REPLAY, schedule.INTENT, 3, 5, 0, "3 tries"),
+        (UNIQ, schedule.INTENT, 1, 2, 10, ""),
+        (UNIQ, schedule.INTENT, 1, 10, 4.9, ""),
+        (UNIQ, schedule.INTENT, 1, 14, 0, "forgotten its mark"),
+        (UNIQ._replace(everywhere=False), schedule.INTENT, 1, 2, 0, "not all engines"),
+        (ONCE, schedule.INTENT, 1, 0, 0, "check its effect by hand"),
+        (ONCE, schedule.SHED, 1, 5, 10, ""),
+        (ONCE, schedule.UNDONE, 2, 5, 10, ""),
+        (ONCE, schedule.SHED, 1, 61, 0, "its window is over"),
+    ],
+)
 def test_an_open_record_is_gone_on_with_as_its_profile_allows(kind, state, tries, after_s, limit_s, why):
     limit, said = recover(RULE, kind, record(state, tries), 1000 * S + after_s * S)
     assert limit == limit_s * S and why in said
@@ -219,7 +230,7 @@
     play.end(schedule.ANSWERED)
     assert play.states() == [(1001, "answered")] and not play.plan.flight
     play.go(S)
-    assert len(play.sent) == 2 and play.sent[0][2] != play.sent[1][2]   # each has a mark of its own
+    assert len(play.sent) == 2 and play.sent[0][2] != play.sent[1][2]  # each has a mark of its own
 
 
 def test_one_that_is_due_while_the_last_runs_is_skipped_or_waits_and_missed_ones_are_counted():
@@ -234,11 +245,12 @@
     late.own()
     skipped = [item for item in play.store.records() if item.state == "skipped"]
     assert [(item.due_us // S, item.count) for item in skipped] == [(1139, 137), (1200, 60)]
-    assert late.states()[-2] == (1140, "intent")   # what is due and not too late runs
+    assert late.states()[-2] == (1140, "intent")  # what is due and not too late runs
 
 
-@pytest.mark.parametrize("kind, sends, states", [
-    (REPLAY, 1, ["answered"]), (UNIQ, 1, ["answered"]), (ONCE, 0, ["failed"])])
+@pytest.mark.parametrize(
+    "kind, sends, states", [(REPLAY, 1, ["answered"]), (UNIQ, 1, ["answered"]), (ONCE, 0, ["failed"])]
+)
 def test_where_the_owner_vanished_after_the_intent_the_next_one_goes_by_the_profile(kind, sends, states):
     first = Play(kind).own().go(S)
     first.store.token = 9
@@ -247,18 +259,18 @@
     second.own()
     assert len(second.sent) == sends
     if sends:
-        assert second.sent[0][2] == first.sent[0][2]   # the same mark
+        assert second.sent[0][2] == first.sent[0][2]  # the same mark
         second.end(schedule.ANSWERED)
     assert [item.state for item in first.store.records()] == states
     assert any(level == "error" for level, *_ in second.told) == (kind is ONCE)
-    first.end(schedule.ANSWERED)   # the first one wakes: its outcome is refused
+    first.end(schedule.ANSWERED)  # the first one wakes: its outcome is refused
     assert [item.state for item in first.store.records()] == states and first.store.records()[0].by != "n2"
 
 
 def test_a_uniqued_send_is_over_while_its_mark_is_known():
     kind = UNIQ._replace(timeout_us=30 * S)
     first = Play(kind).own().go(S)
-    assert first.sent[0][4] == 15 * S - 100_000   # its limit counts from the intent, as engines may do
+    assert first.sent[0][4] == 15 * S - 100_000  # its limit counts from the intent, as engines may do
     first.store.token = 9
     second = Play(kind, store=first.store)
     second.now = first.now + 5 * S
@@ -342,8 +354,8 @@
         at = calendar.after(int(datetime(*when, tzinfo=zone).timestamp()) * S)
         return datetime.fromtimestamp(at // S, zone).strftime("%d %H:%M")
 
-    assert after(2026, 3, 28, 12) == "29 03:00"    # 02:30 does not exist that day
-    assert after(2026, 10, 24, 12) == "25 02:30"   # it comes twice, and is due once
+    assert after(2026, 3, 28, 12) == "29 03:00"  # 02:30 does not exist that day
+    assert after(2026, 10, 24, 12) == "25 02:30"  # it comes twice, and is due once
     assert after(2026, 10, 25, 4) == "26 02:30"
 
 
@@ -352,7 +364,11 @@
     assert calendar.between(1000 * S, 1009 * S) == (4, 1008 * S)
     assert Calendar("", "UTC", 300_000).between(1000 * S, 1001 * S) == (3, 1000_800_000)
     assert calendar.between(1000 * S, 999 * S) == (0, 1000 * S)
-    for bad in (("61 * * * *", "UTC", 0), ("* * * * *", "Mars/Base", 0), ("", "UTC", 0),
-                ("* * * * *", "UTC", 5)):
+    for bad in (
+        ("61 * * * *", "UTC", 0),
+        ("* * * * *", "Mars/Base", 0),
+        ("", "UTC", 0),
+        ("* * * * *", "UTC", 5),
+    ):
         with pytest.raises(Bad):
             Calendar(*bad)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -17,8 +17,8 @@
 @pytest.mark.parametrize(
     ("lines", "red", "status", "says"),
     [
-        (None, False, 0, ""),                      # no file: none, and all pass
-        (None, True, 1, ""),                       # a failure that is not listed
+        (None, False, 0, ""),  # no file: none, and all pass
+        (None, True, 1, ""),  # a failure that is not listed
         ("", True, 1, ""),
         ("# why\n\n" + RED, True, 0, "test_red: fails, passed over (a real fault; issue 5)"),
         (RED, False, 1, "test_red: passes: its line goes"),
@@ -34,7 +34,8 @@
 )
 def test_only_listed_tests_that_fail_are_passed_over(tmp_path, capfd, lines, red, status, says):
     (tmp_path / "test_it.py").write_text(
-        f"def test_red():\n    assert not {red}\n\n\ndef test_green():\n    assert True\n")
+        f"def test_red():\n    assert not {red}\n\n\ndef test_green():\n    assert True\n"
+    )
     if lines is not None:
         (tmp_path / "KNOWN-RED.txt").write_text(lines)
     assert known_red.main(tmp_path, sys.executable, ["-p", "no:cacheprovider"]) == status
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -18,7 +18,8 @@
 
 
 def test_units_nesting_comments_definitions_and_lists():
-    told = records.read('''
+    told = records.read(
+        """
         // who crowds is told apart by desk
         #Slow: 2.5s
         door: on: true
@@ -31,33 +32,38 @@
             ]
             weights: {"big desk": 2, small: 0.5}
         }
-    ''', "f.cue").door
+    """,
+        "f.cue",
+    ).door
     assert told.on and told.come_back.least == 250_000 and told.come_back.most == 2_500_000
     assert told.bytes == 1 << 20 and told.waiting == 5000
     assert [net.each for net in told.client.networks] == ["network", "address"]
     assert told.weights == {"big desk": 2.0, "small": 0.5}
 
 
-@pytest.mark.parametrize("written, want", [
-    ("door: {window: 65}", "f.cue:1:16: door.window: 65 is not <=64 or 1"),
-    ("door: {\n  windw: 3\n}", "f.cue:2:3: door.windw: not a known name; did you mean window?"),
-    ('door: window: "a"', "f.cue:1:15: door.window: string where int must stand"),
-    ("door: redeal: 3", "f.cue:1:15: door.redeal: int where duration must stand"),
-    ("door: redeal: 2h", "f.cue:1:15: door.redeal: 2h is not <=1h or 10s"),
-    ("door: weights: {a: -1}", "f.cue:1:20: door.weights.a: -1 is not >0"),
-    ('door: tenants: "opn"', 'f.cue:1:16: door.tenants: "opn" is not "closed" or "open"'),
-    ("dor: {}", "f.cue:1:1: dor: not a known name; did you mean door?"),
-    ("door: {window: 3, window: 4}", "f.cue:1:27: door.window: 4 is not 3"),
-    ("door: {window: #W}", "f.cue:1:16: door.window: #W is not known"),
-    ('door: client: networks: [{net: "10.0.0.0/8"}]', "f.cue:1:26: door.client.networks.0.name: must be"),
-    ('door: client: networks: [{net: "10", name: "x"}]', "f.cue:1:32: door.client.networks.0.net: "),
-    ("door: {come_back: {least: 2s, most: 1s}}", "f.cue:1:8: door.come_back: least is over most"),
-    ('door: tenants: "open"', "f.cue:1:1: door: "),
-    ("door: {\n window: }", "f.cue:2:10: '}' can't stand here"),
-    ("door: {window: 3", "the end of the file can't stand here"),
-    ("door: {window: ~}", "f.cue:1:16: '~' can't stand here"),
-    ("#A: {a: #A}\ndoor: #A", "definitions that hold themselves"),
-])
+@pytest.mark.parametrize(
+    "written, want",
+    [
+        ("door: {window: 65}", "f.cue:1:16: door.window: 65 is not <=64 or 1"),
+        ("door: {\n  windw: 3\n}", "f.cue:2:3: door.windw: not a known name; did you mean window?"),
+        ('door: window: "a"', "f.cue:1:15: door.window: string where int must stand"),
+        ("door: redeal: 3", "f.cue:1:15: door.redeal: int where duration must stand"),
+        ("door: redeal: 2h", "f.cue:1:15: door.redeal: 2h is not <=1h or 10s"),
+        ("door: weights: {a: -1}", "f.cue:1:20: door.weights.a: -1 is not >0"),
+        ('door: tenants: "opn"', 'f.cue:1:16: door.tenants: "opn" is not "closed" or "open"'),
+        ("dor: {}", "f.cue:1:1: dor: not a known name; did you mean door?"),
+        ("door: {window: 3, window: 4}", "f.cue:1:27: door.window: 4 is not 3"),
+        ("door: {window: #W}", "f.cue:1:16: door.window: #W is not known"),
+        ('door: client: networks: [{net: "10.0.0.0/8"}]', "f.cue:1:26: door.client.networks.0.name: must be"),
+        ('door: client: networks: [{net: "10", name: "x"}]', "f.cue:1:32: door.client.networks.0.net: "),
+        ("door: {come_back: {least: 2s, most: 1s}}", "f.cue:1:8: door.come_back: least is over most"),
+        ('door: tenants: "open"', "f.cue:1:1: door: "),
+        ("door: {\n window: }", "f.cue:2:10: '}' can't stand here"),
+        ("door: {window: 3", "the end of the file can't stand here"),
+        ("door: {window: ~}", "f.cue:1:16: '~' can't stand here"),
+        ("#A: {a: #A}\ndoor: #A", "definitions that hold themselves"),
+    ],
+)
 def test_a_bad_file_is_one_line_with_its_place_its_path_and_the_bound(written, want):
     with pytest.raises(Bad) as fault:
         records.read(written, "f.cue")
@@ -91,8 +97,9 @@
     assert settled(lambda: joined(terms[::-1])) == one
     assert settled(lambda: joined([*terms, terms[0]])) == one
     if isinstance(one, int) and not any("|" in term for term in terms):
-        assert all(settled(lambda t=term: values.unify(value(t), value(str(one)), ())) == one
-                   for term in terms)
+        assert all(
+            settled(lambda t=term: values.unify(value(t), value(str(one)), ())) == one for term in terms
+        )
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -398,10 +398,10 @@
     fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
     shut = {(0, b"c:d", 0): (1000, 5_000_000)}
     assert reader.shut(fields, peer, shut, 999) == ({},)
-    assert reader.shut(fields, peer, shut, 1000) is None   # its time is over
+    assert reader.shut(fields, peer, shut, 1000) is None  # its time is over
     assert reader.shut(fields | {b"desk": b"other"}, peer, shut, 5) is None
     assert reader.shut(fields | {b"verb": b"mark"}, peer, shut, 5) is None
-    assert reader.shut(fields | {b"txn": b"no"}, peer, shut, 5) is None   # unusable: that is the answer
+    assert reader.shut(fields | {b"txn": b"no"}, peer, shut, 5) is None  # unusable: that is the answer
     # A repeat is told the time of the first promise; once that has come, the door decides.
     assert reader.shut(fields | {b"second": b"1"}, peer, shut, 0) == ({b"back": b"5000"},)
     assert reader.shut(fields | {b"second": b"1"}, peer, {(0, b"c:d", 0): (1000, 5)}, 6) is None
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -13,23 +13,53 @@
 READY4 = [(ident, ident % 2, ident % 2, api.READY, ident % 3, 0) for ident in range(4)]
 STEP = st.tuples(st.integers(0, 12), st.integers(0, 9999))
 DEALS = [
-    agreement(profile(), profile(effect=api.NON_REPLAYABLE, threads=3),
-              profile(effect=api.UNIQUED, dedup_scope=api.LOCATION, target_us=2000 * MS),
-              tenants=(api.Tenant(0.7), api.Tenant(0.3))),
-    agreement(profile(effect=api.UNIQUED, ordered=True), profile(ordered=True, late_benefit=0.0),
-              profile(effect=api.UNIQUED, dedup_scope=api.CELL), extra_free=2.0, extra_share=0.2,
-              extra_us=2000 * MS, managers=3),
-    agreement(profile(locations=frozenset((1,))), profile(kinds=frozenset((0,)), effect=api.NON_REPLAYABLE),
-              profile(effect=api.UNIQUED, ordered=True, locations=frozenset((0,)), kinds=frozenset((0,))),
-              managers=2, crossing_costs=True, heeds_grants=False, heeds_priority=False, sends_cap=6),
-    agreement(profile(late_benefit=0.0), profile(threads=3, benefit=6.0, target_us=1500 * MS), sends_cap=6,
-              may_cancel=False, heeds_grants=False, come_back_us=500 * MS, report_fields=("util",),
-              managers=3, tenants=(api.Tenant(0.87, 90.0), api.Tenant(0.13, 12.0))),
-    agreement(profile(stands_still=True), profile(threads=3, benefit=2.5),
-              profile(threads=2, benefit=6.0, effect=api.NON_REPLAYABLE, loads=True), heeds_priority=False,
-              crossing_costs=True, report_fields=("queue", "util"), managers=5),
+    agreement(
+        profile(),
+        profile(effect=api.NON_REPLAYABLE, threads=3),
+        profile(effect=api.UNIQUED, dedup_scope=api.LOCATION, target_us=2000 * MS),
+        tenants=(api.Tenant(0.7), api.Tenant(0.3)),
+    ),
+    agreement(
+        profile(effect=api.UNIQUED, ordered=True),
+        profile(ordered=True, late_benefit=0.0),
+        profile(effect=api.UNIQUED, dedup_scope=api.CELL),
+        extra_free=2.0,
+        extra_share=0.2,
+        extra_us=2000 * MS,
+        managers=3,
+    ),
+    agreement(
+        profile(locations=frozenset((1,))),
+        profile(kinds=frozenset((0,)), effect=api.NON_REPLAYABLE),
+        profile(effect=api.UNIQUED, ordered=True, locations=frozenset((0,)), kinds=frozenset((0,))),
+        managers=2,
+        crossing_costs=True,
+        heeds_grants=False,
+        heeds_priority=False,
+        sends_cap=6,
+    ),
+    agreement(
+        profile(late_benefit=0.0),
+        profile(threads=3, benefit=6.0, target_us=1500 * MS),
+        sends_cap=6,
+        may_cancel=False,
+        heeds_grants=False,
+        come_back_us=500 * MS,
+        report_fields=("util",),
+        managers=3,
+        tenants=(api.Tenant(0.87, 90.0), api.Tenant(0.13, 12.0)),
+    ),
+    agreement(
+        profile(stands_still=True),
+        profile(threads=3, benefit=2.5),
+        profile(threads=2, benefit=6.0, effect=api.NON_REPLAYABLE, loads=True),
+        heeds_priority=False,
+        crossing_costs=True,
+        report_fields=("queue", "util"),
+        managers=5,
+    ),
 ]
-ODD = (0, -5, float("nan"), float("inf"), 1e300, 64.0)   # estimates as they may come
+ODD = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
 
 
 def play(deal, steps):
@@ -38,16 +68,27 @@
     for kind, number in steps:
         out = world.out()
         if kind <= 4:
-            world.command(number % len(deal.profiles), tenant=number % 3, key=number % 4,
-                          timeout_us=(200 + number % 3800) * MS, need=ODD[number % 6],
-                          told=ODD[number // 7 % 6] if number % 5 == 0 else None)
+            world.command(
+                number % len(deal.profiles),
+                tenant=number % 3,
+                key=number % 4,
+                timeout_us=(200 + number % 3800) * MS,
+                need=ODD[number % 6],
+                told=ODD[number // 7 % 6] if number % 5 == 0 else None,
+            )
         elif kind <= 7 and out:
-            world.end(out[number % len(out)], number % 8, cost=100 * MS,
-                      report=(ODD[number % 6], number % 9 / 8)[:number % 3])
+            world.end(
+                out[number % len(out)],
+                number % 8,
+                cost=100 * MS,
+                report=(ODD[number % 6], number % 9 / 8)[: number % 3],
+            )
         elif kind == 8:
             born = world.now if number % 3 == 0 else 0
-            world.engines((number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, born),
-                          full=number % 11 == 0)
+            world.engines(
+                (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, born),
+                full=number % 11 == 0,
+            )
         elif kind == 9 and out:
             world.leave(out[number % len(out)])
         elif kind == 10:
@@ -60,7 +101,7 @@
     for ident in world.out():
         world.end(ident, api.RESET)
     assert not world.gateway.commands and not world.gateway.lines
-    world.now += 20_000 * MS   # what timed out where nothing can be cancelled is over by now, and forgotten
+    world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
     world.engines()
     assert not world.gateway.lingering and not world.gateway.total
     assert not any(world.gateway.threads) and not any(world.gateway.running)
@@ -68,12 +109,18 @@
 
 
 @pytest.mark.parametrize("deal", DEALS)
-@settings(derandomize=True, deadline=None, max_examples=40, database=None,
-          suppress_health_check=list(HealthCheck), phases=[Phase.generate])
+@settings(
+    derandomize=True,
+    deadline=None,
+    max_examples=40,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+    phases=[Phase.generate],
+)
 @given(steps=st.lists(STEP, min_size=20, max_size=70))
 def test_rules_hold_at_every_step(deal, steps):
     first = [(8, 0), (8, 21), (8, 12), (8, 33)]
-    assert play(deal, first + steps) == play(deal, first + steps)   # and same calls, same decisions
+    assert play(deal, first + steps) == play(deal, first + steps)  # and same calls, same decisions
 
 
 @pytest.mark.parametrize(("b", "gamma"), [(0.5, 0.05), (0.1, 0.2), (1.5, 0.02)])
@@ -99,7 +146,7 @@
 
 def test_held_commands_stay_under_the_cap_and_one_may_always_go():
     world = Driver(agreement(profile(threads=3), managers=4))
-    world.engines((1, 0, 1, api.READY, 0, 0))            # two cores: a cap of one thread for this gateway
+    world.engines((1, 0, 1, api.READY, 0, 0))  # two cores: a cap of one thread for this gateway
     for _ in range(5):
         world.command()
     assert len(world.out()) == 1
@@ -108,8 +155,12 @@
 
 
 def test_tenants_are_released_by_weight_under_pressure():
-    world = Driver(agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
-                             tenants=(api.Tenant(0.75), api.Tenant(0.25))))
+    world = Driver(
+        agreement(
+            profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
+            tenants=(api.Tenant(0.75), api.Tenant(0.25)),
+        )
+    )
     world.engines((1, 0, 1, api.READY, 0, 0))
     for i in range(400):
         world.command(tenant=i % 2)
@@ -131,8 +182,8 @@
         used.add(world.commands[ident]["out"][0])
         world.now += 50 * MS
         world.end(ident, api.ANSWERED)
-    assert len(used) <= 5 * 6   # of five data sets, four each, and few more
-    busy = [world.command() for _ in range(60)]   # all at once: no engine is given two while others are idle
+    assert len(used) <= 5 * 6  # of five data sets, four each, and few more
+    busy = [world.command() for _ in range(60)]  # all at once: no engine is given two while others are idle
     engines = [world.commands[ident]["out"][0] for ident in busy]
     assert len(set(engines)) >= 55
 
@@ -142,7 +193,7 @@
     monkeypatch.setattr(Gateway, "_fits", lambda self, cmd, be: looked.append(be) or fits(self, cmd, be))
     world = Driver(agreement())
     world.engines(*[(ident, 0, 0, api.READY, 0, START - 1) for ident in range(2000)])
-    world.command(work=2_000_000)   # too much for any of them while it is cold
+    world.command(work=2_000_000)  # too much for any of them while it is cold
     assert not world.out() and 0 < len(looked) < 1000
 
 
@@ -262,7 +313,7 @@
     world.engines(*FLEET)
     for _ in range(60):
         world.command()
-    assert 1 <= len(world.out()) <= 10        # not one at each of forty engines
+    assert 1 <= len(world.out()) <= 10  # not one at each of forty engines
 
 
 def test_a_busy_gateway_gets_a_larger_share_and_loses_it_again():
@@ -307,15 +358,15 @@
     for seed in range(managers):
         for start in range(4):
             world = Driver(deal, 4 * seed + start)
-            world.gateway.began = world.now = START + (1 + 500 * start) * MS   # the engine is there before
+            world.gateway.began = world.now = START + (1 + 500 * start) * MS  # the engine is there before
             world.engines((1, 0, 0, api.READY, 0, START))
             sent += asks(world, 3, 160 * MS)
     stands = deal.fall_multiple * deal.cold_from * deal.kind_cores[0] * deal.fall_us / (400 * MS)
-    assert sent <= stands + 2 * stands ** 0.5 + 2
+    assert sent <= stands + 2 * stands**0.5 + 2
     world.wait(deal.fall_us)
     world.command(work=400 * MS)
     world.wait(3 * deal.fall_us)
-    assert managers > 3 or world.out()   # the part is ours again
+    assert managers > 3 or world.out()  # the part is ours again
 
 
 def test_the_cost_of_a_command_hardly_grows_with_the_fleet():
@@ -342,7 +393,7 @@
             if ident % 5 == 0:
                 used.add(world.commands[ident]["out"][0])
             world.end(ident, api.ANSWERED)
-    assert len(used) <= 16        # of twenty sends by twenty gateways over forty engines
+    assert len(used) <= 16  # of twenty sends by twenty gateways over forty engines
 
 
 def test_loads_keep_off_the_engines_that_read_their_data_set():
@@ -405,7 +456,7 @@
 def test_what_bad_clients_ask_widens_no_budget_and_no_share_of_the_fleet():
     world = Driver(agreement(profile(), extra_free=3.0, extra_share=0.5, extra_us=5000 * MS))
     world.engines(*READY4)
-    for i in range(60):   # taken back at once, or of no use to any engine
+    for i in range(60):  # taken back at once, or of no use to any engine
         ident = world.command()
         if i % 2:
             world.leave(ident)
@@ -419,7 +470,7 @@
         ident = world.command()
         world.end(ident, api.FULL) if world.commands[ident]["out"] else None
         world.gateway.full_until = [0] * 4
-    assert len(world.extras) == 3 + 7   # three, and half of those answered
+    assert len(world.extras) == 3 + 7  # three, and half of those answered
 
 
 def test_an_error_on_a_second_engine_ends_the_command():
@@ -432,7 +483,7 @@
             world.end(ident, api.ERROR)
         assert world.commands[ident]["final"] == api.SHED
         assert len(set(used)) == 2 and used[-1] not in used[:-1]
-        world.wait(60_000 * MS)   # its marks fade
+        world.wait(60_000 * MS)  # its marks fade
 
 
 def test_one_reset_keeps_no_engine_out_but_several_do():
@@ -460,12 +511,12 @@
 
 def test_engines_that_are_gone_leave_nothing_behind():
     world = Driver(agreement(profile(effect=api.UNIQUED, dedup_scope=api.LOCATION)))
-    world.now += 20_000 * MS   # no engine is cold any more
+    world.now += 20_000 * MS  # no engine is cold any more
     for ident in range(0, 900, 3):
         world.engines(*[(ident + i, 0, 0, api.READY, 0, 0) for i in range(3)], full=True)
         one, other = world.command(), world.command()
         world.end(one, api.ANSWERED)
-        world.end(other, api.RESET)   # what may have run holds its engine's location
+        world.end(other, api.RESET)  # what may have run holds its engine's location
         while world.commands[other]["out"]:
             world.end(other, api.ANSWERED)
     assert len(world.gateway.ids) <= 12 and len(world.gateway.index) <= 6
@@ -489,8 +540,9 @@
 
 def test_our_share_stays_near_our_part_of_the_traffic_however_long_commands_wait():
     """It once grew fourfold while a few waited: all engines were filled past their knee, and jammed."""
-    deal = agreement(profile(target_us=9000 * MS, timeout_us=20_000 * MS), managers=3,
-                     tenants=(api.Tenant(1.0, 30.0),))
+    deal = agreement(
+        profile(target_us=9000 * MS, timeout_us=20_000 * MS), managers=3, tenants=(api.Tenant(1.0, 30.0),)
+    )
     world = Driver(deal)
     world.engines(*READY4)
     most = 0.0
@@ -516,8 +568,11 @@
     while driver.out():
         driver.end(driver.out()[0], api.ANSWERED)
     assert not gateway.held and set(gateway.latency) | set(gateway.released) | set(gateway.quota) <= {
-        7, 70_000, 99_999}
-    for tenant in range(2000):   # each sends one, once: what is counted of them fades
+        7,
+        70_000,
+        99_999,
+    }
+    for tenant in range(2000):  # each sends one, once: what is counted of them fades
         driver.command(tenant=tenant)
         driver.end(driver.out()[0], api.ANSWERED)
     assert len(gateway.released) < 100
@@ -540,7 +595,7 @@
     assert gateway.pace[0] == before[2] and gateway.slow == before[1]
     ident = world.command(timeout_us=3000 * MS)
     world.wait(900 * MS)
-    world.end(ident, api.TIMED_OUT)   # a jam is not hidden
+    world.end(ident, api.TIMED_OUT)  # a jam is not hidden
     assert gateway.pace[0] > before[2] and gateway._slow(0) > 1
 
 
@@ -587,8 +642,10 @@
     def allot():
         results = world.gateway.allot(world.now, lambda budget, of: found.get(budget))
         world.obey([row for row in results if row[0] != api.LACKS])
-        return {row[:2]: row[2] for kind, rows in (row for row in results if row[0] == api.LACKS)
-                for row in rows}
+        return {
+            row[:2]: row[2] for kind, rows in (row for row in results if row[0] == api.LACKS) for row in rows
+        }
+
     allot()
     return world, allot
 
@@ -603,10 +660,10 @@
     part.limit = 5
     allot()
     assert len(world.out()) == 5
-    part.limit = 1   # it cancels nothing, and begins nothing
+    part.limit = 1  # it cancels nothing, and begins nothing
     world.end(world.out()[0], api.ANSWERED)
     assert len(world.out()) == 4 == part.out
-    world.end(world.out()[0], api.RESET)   # it may run on: whoever keeps the part says when it is over
+    world.end(world.out()[0], api.RESET)  # it may run on: whoever keeps the part says when it is over
     assert part.out == 4
 
 
@@ -618,11 +675,12 @@
 
 def test_further_sends_and_commands_taken_of_a_tenant_are_the_fleets():
     further, taken, opened = Part(1), Part(9), Part(2)
-    deal = agreement(extra_free=0.0, extra_share=0.0, extra_us=1000 * MS,
-                     tenants=(api.Tenant(1.0, name="a"),))
+    deal = agreement(
+        extra_free=0.0, extra_share=0.0, extra_us=1000 * MS, tenants=(api.Tenant(1.0, name="a"),)
+    )
     world = Driver(deal)
     found = {api.FURTHER: further, api.TAKEN: taken, api.OPEN: opened}
-    world.deal = deal._replace(extra_free=None)   # the stand-in front keeps the module's own budget no more
+    world.deal = deal._replace(extra_free=None)  # the stand-in front keeps the module's own budget no more
     world.engines((1, 0, 0, api.READY, 0, 0), (2, 0, 0, api.READY, 0, 0))
     world.gateway.allot(world.now, lambda budget, of: found.get(budget))
     first, second, third = (world.command() for _ in range(3))
@@ -652,8 +710,14 @@
 
 def reporting(**other):
     """A gateway of four on one engine of four cores that tells its load with answers."""
-    world = Driver(agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), managers=4,
-                             report_fields=("inflight", "util"), **other))
+    world = Driver(
+        agreement(
+            profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
+            managers=4,
+            report_fields=("inflight", "util"),
+            **other,
+        )
+    )
     world.engines((1, 0, 0, api.READY, 0, 0))
     return world
 
@@ -675,7 +739,7 @@
 
 def test_slow_answers_are_no_pressure_where_engines_tell_of_idle_cores():
     found = []
-    for util in (0.1, 0.95):   # the same paces: two fast ones, then three times as slow
+    for util in (0.1, 0.95):  # the same paces: two fast ones, then three times as slow
         world = reporting()
         answered(world, 5, util)
         answered(world, 30, util, latency=3 * WORK)
@@ -704,7 +768,7 @@
     answered(world, 5, told)
     assert 0.0 <= world.gateway.busy <= 1.0 and 0.0 <= world.gateway.load[0] <= 1.0
     ident = world.command()
-    world.end(ident, api.ANSWERED, report=(1.0,))   # a report cut short
+    world.end(ident, api.ANSWERED, report=(1.0,))  # a report cut short
     assert out_of(world) > 0
 
 
@@ -712,7 +776,7 @@
 def test_of_engines_with_as_much_of_ours_the_one_that_tells_less_load_is_taken(full):
     world = Driver(agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",)))
     world.engines((1, 0, 0, api.READY, 0, 0), (2, 0, 0, api.READY, 0, 0))
-    for ident in [world.command(), world.command()]:   # one on each: both tell
+    for ident in [world.command(), world.command()]:  # one on each: both tell
         world.end(ident, api.ANSWERED, report=(0.9 if world.commands[ident]["out"][0] == full else 0.1,))
     for _ in range(12):
         ident = world.command()
@@ -722,20 +786,20 @@
 
 def test_an_engine_with_a_send_that_never_ends_gets_nothing_new_where_sends_cannot_be_cancelled():
     deal = agreement(profile(target_us=3000 * MS, timeout_us=6000 * MS), may_cancel=False)
-    world = Driver(deal)   # which also checks: no cancel, never two sends out at once
+    world = Driver(deal)  # which also checks: no cancel, never two sends out at once
     world.engines((1, 0, 0, api.READY, 0, 0), (2, 0, 0, api.READY, 0, 0), (3, 0, 0, api.READY, 0, 0))
     answered(world, 20, 0.5)
     hung = world.command()
     engine = world.commands[hung]["out"][0]
     world.wait(4 * WORK)
-    for _ in range(15):   # far more than the others' cap
+    for _ in range(15):  # far more than the others' cap
         world.command()
     assert [world.commands[ident]["out"][0] for ident in world.out()].count(engine) == 1
-    assert len(world.out()) > 8   # and the others take theirs
+    assert len(world.out()) > 8  # and the others take theirs
     for ident in world.out():
         if ident != hung:
             world.end(ident, api.ANSWERED)
-    world.end(hung, api.ANSWERED)   # its end is known: it may have some again
+    world.end(hung, api.ANSWERED)  # its end is known: it may have some again
     for _ in range(15):
         world.command()
     assert engine in [world.commands[ident]["out"][0] for ident in world.out()]
@@ -764,16 +828,16 @@
         while world.out():
             ident = world.out()[0]
             world.end(ident, api.TIMED_OUT if world.commands[ident]["out"][0] == 1 else api.ANSWERED)
-    for _ in range(30):   # more than the others' caps
+    for _ in range(30):  # more than the others' caps
         world.command()
     went = [world.commands[ident]["out"][0] for ident in world.out()]
-    assert len(went) > 4 and (1 in went) == may_cancel   # where it can be cut off, it has its part
+    assert len(went) > 4 and (1 in went) == may_cancel  # where it can be cut off, it has its part
 
 
 def test_load_told_by_an_engine_that_crawls_is_no_room():
     world = Driver(agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",)))
     world.engines((1, 0, 0, api.READY, 0, 0), (2, 0, 0, api.READY, 0, 0))
-    for _ in range(10):   # one on each: the first crawls, and tells of idle cores
+    for _ in range(10):  # one on each: the first crawls, and tells of idle cores
         pair = [world.command(), world.command()]
         for crawls in (False, True):
             world.now += 5 * WORK if crawls else WORK
@@ -813,8 +877,13 @@
 
 def jammed(may_cancel=False, threads=2):
     """(world, how many went out in 40 s): two engines of four cores on which nothing ends in time."""
-    world = Driver(agreement(profile(threads=threads, target_us=3000 * MS, timeout_us=4000 * MS),
-                             may_cancel=may_cancel, sends_cap=1))
+    world = Driver(
+        agreement(
+            profile(threads=threads, target_us=3000 * MS, timeout_us=4000 * MS),
+            may_cancel=may_cancel,
+            sends_cap=1,
+        )
+    )
     world.engines(*((ident, 0, 0, api.READY, 0, 0) for ident in (1, 2)))
     for _ in range(400):
         world.command()
@@ -824,7 +893,7 @@
 
 def test_what_timed_out_holds_its_threads_while_it_may_run_on_where_sends_cannot_be_cancelled():
     (_, fed), (_, stopped) = jammed(), jammed(may_cancel=True)
-    assert 0 < fed < 0.5 * stopped   # two ages run on behind each: a third of the sends
+    assert 0 < fed < 0.5 * stopped  # two ages run on behind each: a third of the sends
 
 
 def test_what_may_run_on_is_over_once_its_engine_began_anew():
@@ -832,15 +901,19 @@
     assert world.gateway.total >= 4 and world.gateway.lingering
     for ident in world.out():
         world.end(ident, api.RESET)
-    born = world.now - 20_000 * MS   # seen anew and warm
+    born = world.now - 20_000 * MS  # seen anew and warm
     world.engines((1, 0, 0, api.READY, 0, born), (2, 0, 0, api.READY, 0, born))
     out = sum(world.commands[ident]["kind"].threads for ident in world.out())
     assert world.gateway.total == out and not world.gateway.lingering
 
 
 def test_time_outs_leave_long_commands_less_of_the_bound_until_answers_give_it_back():
-    deal = agreement(profile(), profile(threads=3, target_us=20_000 * MS, timeout_us=4000 * MS),
-                     may_cancel=False, kind_cores=(40.0,))
+    deal = agreement(
+        profile(),
+        profile(threads=3, target_us=20_000 * MS, timeout_us=4000 * MS),
+        may_cancel=False,
+        kind_cores=(40.0,),
+    )
     world = Driver(deal)
     world.engines((1, 0, 0, api.READY, 0, 0))
 
@@ -872,25 +945,26 @@
 
 def test_a_gateway_that_stood_still_looks_at_the_time_before_it_sends():
     world = Driver(agreement(profile(late_benefit=0.0), may_cancel=False))
-    world.engines((1, 0, 1, api.READY, 0, 0))   # two cores
+    world.engines((1, 0, 1, api.READY, 0, 0))  # two cores
     asked = [world.command() for _ in range(12)]
     went = set(world.out())
     assert 0 < len(went) < 12
-    world.now += 2000 * MS        # no turn: no timer fires, and the answers wait for it too
+    world.now += 2000 * MS  # no turn: no timer fires, and the answers wait for it too
     for ident in went:
         world.end(ident, api.ANSWERED)
     world.wait(100 * MS)
     held = [world.commands[ident] for ident in asked if ident not in went]
-    assert all(not cmd["sends"] and cmd["final"] == api.SHED for cmd in held)   # none could earn anything
+    assert all(not cmd["sends"] and cmd["final"] == api.SHED for cmd in held)  # none could earn anything
 
 
 def test_half_a_fleet_back_cold_at_once_is_given_its_part_by_gateways_that_know_only_their_last_list():
     deal = agreement(profile(timeout_us=4000 * MS), managers=10, kind_cores=(8.0,))
     fleet = [Driver(deal, seed) for seed in range(10)]
     work = {}
-    for world in fleet:   # all that each knows is a list of a moment ago; half of its engines began anew
-        world.engines(*((ident, 0, 0, api.READY, 0, 0 if ident < 4 else START - 1000 * MS)
-                        for ident in range(8)))
+    for world in fleet:  # all that each knows is a list of a moment ago; half of its engines began anew
+        world.engines(
+            *((ident, 0, 0, api.READY, 0, 0 if ident < 4 else START - 1000 * MS) for ident in range(8))
+        )
     for _ in range(40):
         for world in fleet:
             for _ in range(3):
@@ -902,4 +976,4 @@
             for ident in world.out():
                 world.end(ident, api.ANSWERED)
     stands = deal.fall_multiple * (deal.cold_from + 0.7 * 0.1) * 8 * deal.fall_us
-    assert all(given < stands for given in work.values())   # the sum of all gateways, over one window
+    assert all(given < stands for given in work.values())  # the sum of all gateways, over one window
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -39,8 +39,9 @@
         kept.set(engine, engine, engine * 7919, True)
     monkeypatch.setattr(ranking, "RANKED_MOST", 10_000)
     build = Ranking.build
-    monkeypatch.setattr(Ranking, "build", lambda self, members: (built.append(len(members)),
-                                                                build(self, members)))
+    monkeypatch.setattr(
+        Ranking, "build", lambda self, members: (built.append(len(members)), build(self, members))
+    )
     for engine in range(200):
         kept.set(engine, 0, 0, False)
         kept.set(engine, 4000 + engine, engine * 104729 + 1, True)
@@ -68,6 +69,6 @@
         for place in range(size):
             one = found.at(place)
             assert found.stands_in(homes, one * 7919, one) == (place in homes)
-    assert list(kept.rankings) == [RING]   # no order is kept for a data set alone
+    assert list(kept.rankings) == [RING]  # no order is kept for a data set alone
     kept.set(7, 0, 0, False)
     assert not kept.ranked(3).stands_in(range(size), 7 * 7919, 7)
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -17,11 +17,18 @@
 from gullhold.standins.running import ROOT
 
 # Deliberate faults that are found soon, and the seed; others are hunted by hand (docs/notes/rehearsal.md).
-QUICK = {"every answer twice": 0, "a drain that is heard and not obeyed": 1, "every fifth timer lost": 1,
-         "the first page for the whole": 0, "clients that leave are not heard": 13,
-         "what is taken back goes out": 4, "what is over is not forgotten": 0,
-         "a broken link proves that nothing ran": 1, "answers to another's number": 0,
-         "a second copy kept": 6}
+QUICK = {
+    "every answer twice": 0,
+    "a drain that is heard and not obeyed": 1,
+    "every fifth timer lost": 1,
+    "the first page for the whole": 0,
+    "clients that leave are not heard": 13,
+    "what is taken back goes out": 4,
+    "what is over is not forgotten": 0,
+    "a broken link proves that nothing ran": 1,
+    "answers to another's number": 0,
+    "a second copy kept": 6,
+}
 
 
 def test_events_come_in_order_of_time_and_then_as_they_were_asked_for():
@@ -33,7 +40,7 @@
     clock.cancel(gone)
     clock.run(15)
     assert seen == ["a", "b"] and clock.now == 15 and clock.due() == 20
-    clock.at(3, seen.append, "late")   # not before now
+    clock.at(3, seen.append, "late")  # not before now
     clock.run(100)
     assert seen == ["a", "b", "late", "c"] and clock.now == 100 and not clock.step()
 
@@ -149,11 +156,16 @@
     assert all(script.KINDS[fault.kind][0] == "engine" for fault in script.drawn(1, 20, 100, {"engine": 2}))
 
 
-@pytest.mark.parametrize("line, why", [
-    ("{", "line 1: not a fault"),
-    ('{"at_us": 1, "kind": "storm", "place": 0, "size": 1}', "is called 'storm'"),
-    ('{"at_us": 1, "kind": "slow", "place": 0, "size": 99}', "2 to 20"), ("[1]", "not a fault"),
-    ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "from 0 on")])
+@pytest.mark.parametrize(
+    "line, why",
+    [
+        ("{", "line 1: not a fault"),
+        ('{"at_us": 1, "kind": "storm", "place": 0, "size": 1}', "is called 'storm'"),
+        ('{"at_us": 1, "kind": "slow", "place": 0, "size": 99}', "2 to 20"),
+        ("[1]", "not a fault"),
+        ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "from 0 on"),
+    ],
+)
 def test_a_script_that_can_not_be_played_is_one_line_with_its_number(line, why):
     with pytest.raises(Bad, match=why):
         script.faults_of(line)
@@ -185,14 +197,23 @@
 
 def test_a_seed_plays_alike_in_another_process_under_another_hash_seed():
     code = "from gullhold.rehearsal import play; print(play.play(3).trace)"
-    told = {subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True, capture_output=True, text=True,
-                           env=os.environ | {"PYTHONHASHSEED": seed}).stdout for seed in ("1", "77")}
+    told = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            check=True,
+            capture_output=True,
+            text=True,
+            env=os.environ | {"PYTHONHASHSEED": seed},
+        ).stdout
+        for seed in ("1", "77")
+    }
     assert told == {play.play(3).trace + "\n"}
 
 
 @pytest.mark.parametrize("name", sorted(QUICK))
 def test_a_deliberate_fault_is_found(name):
-    with mutants.applied(name):   # without it these seeds break nothing, as tested above
+    with mutants.applied(name):  # without it these seeds break nothing, as tested above
         assert mutants.MUTANTS[name][0] in {rule for _, rule, _ in play.play(QUICK[name]).broken}
 
 
@@ -222,7 +243,11 @@
 
 def test_what_can_not_be_played_is_one_line(tmp_path, capsys):
     (tmp_path / "bad").write_text("not a fault\n")
-    for words in (["--replay", str(tmp_path / "bad")], ["--replay", str(tmp_path / "none")], ["--seeds", "x"],
-                  ["--seeds", "5:5"]):
+    for words in (
+        ["--replay", str(tmp_path / "bad")],
+        ["--replay", str(tmp_path / "none")],
+        ["--seeds", "x"],
+        ["--seeds", "5:5"],
+    ):
         assert main(["rehearse", *words]) == 2
         assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -16,34 +16,59 @@
 from gullhold.standins import changecheck, changemutants, dividecheck, dividemutants
 from gullhold.standins.policycheck import Changes, mixed
 
-DEAL = agreement(profile(name="read"), profile(name="once", effect=api.NON_REPLAYABLE),
-                 tenants=(api.Tenant(0.7, name="a"), api.Tenant(0.3, name="b")))
+DEAL = agreement(
+    profile(name="read"),
+    profile(name="once", effect=api.NON_REPLAYABLE),
+    tenants=(api.Tenant(0.7, name="a"), api.Tenant(0.3, name="b")),
+)
 
 
 def test_a_record_is_what_was_sealed_or_nothing():
     one = Record(1, 0, "a", "why", 5, "policy: {}").sealed()
     assert record.unpack(one.pack()) == one and record.unpack(FIRST.pack()) == FIRST
-    for spoilt in (one.pack()[:-5], one.pack().replace('"why"', '"who"', 1), '{"number": 1}', "[]",
-                   one._replace(text="policy: {grants: read: 1}").pack()):
+    for spoilt in (
+        one.pack()[:-5],
+        one.pack().replace('"why"', '"who"', 1),
+        '{"number": 1}',
+        "[]",
+        one._replace(text="policy: {grants: read: 1}").pack(),
+    ):
         with pytest.raises(Unfit):
             record.unpack(spoilt)
 
 
-@pytest.mark.parametrize("text, why", [
-    ("policy: {", "line"), ("policy: shares: a: 0", ""), ("policy: unheard: 1", ""), ("other: 1", ""),
-    ("policy: priorities: read: 9", ""), ("policy: grants: read: 1.5", ""), ("x" * 200_000, "characters")])
+@pytest.mark.parametrize(
+    "text, why",
+    [
+        ("policy: {", "line"),
+        ("policy: shares: a: 0", ""),
+        ("policy: unheard: 1", ""),
+        ("other: 1", ""),
+        ("policy: priorities: read: 9", ""),
+        ("policy: grants: read: 1.5", ""),
+        ("x" * 200_000, "characters"),
+    ],
+)
 def test_a_policy_that_can_not_be_read_is_one_line(text, why):
     with pytest.raises(Unfit) as fault:
         record.read(text)
     assert "\n" not in str(fault.value) and (not why or why in str(fault.value) or ":" in str(fault.value))
 
 
-@pytest.mark.parametrize("text, why", [
-    ("shares: c: 1", "no tenant"), ("grants: none: 1", "no profile"), ("sends: once: 2", "never run twice"),
-    ("sends: read: 4", "allows 3"), ("budgets: threads: 9", "is no budget"),
-    ("budgets: taken: 3", "are kept back"), ("schedules: warm: false", "no scheduled command"),
-    ("clients: x: 2", "there is no door"),
-    ("{shares: a: 2, sends: {read: 3, once: 1}, budgets: taken: 9}", "")])
+@pytest.mark.parametrize(
+    "text, why",
+    [
+        ("shares: c: 1", "no tenant"),
+        ("grants: none: 1", "no profile"),
+        ("sends: once: 2", "never run twice"),
+        ("sends: read: 4", "allows 3"),
+        ("budgets: threads: 9", "is no budget"),
+        ("budgets: taken: 3", "are kept back"),
+        ("schedules: warm: false", "no scheduled command"),
+        ("clients: x: 2", "there is no door"),
+        ("{shares: a: 2, sends: {read: 3, once: 1}, budgets: taken: 9}", ""),
+    ],
+)
 def test_a_policy_is_checked_against_the_agreement_and_the_budgets(text, why):
     policy = record.read(f"policy: {text}")
     found = record.check(policy, DEAL, {"taken": (10, 4)})
@@ -55,9 +80,14 @@
     weights, priorities, grants, sends = record.for_module(policy, DEAL)
     assert weights == [2.0, 1.0] and priorities == {1: 2} and grants == {0: 20} and sends == {}
     assert record.difference(Policy(*[{}] * len(Policy._fields)), policy) == [
-        ("shares", "b", None, 0.35), ("priorities", "once", None, 2), ("grants", "read", None, 20)]
+        ("shares", "b", None, 0.35),
+        ("priorities", "once", None, 2),
+        ("grants", "read", None, 20),
+    ]
     assert record.wholes(record.read("policy: budgets: threads: 4"), {"threads": (9, 0), "cold": (5, 0)}) == {
-        "threads": 4, "cold": 5}
+        "threads": 4,
+        "cold": 5,
+    }
 
 
 class Gate:
@@ -91,9 +121,9 @@
     adopt("policy: grants: read: 30")
     assert world.commands[second]["out"] and (api.TERMS, second, 30, 3) in world.log
     adopt("policy: sends: read: 1")
-    world.end(first, api.RESET)   # one send is all there is
+    world.end(first, api.RESET)  # one send is all there is
     assert world.commands[first]["final"] == api.SHED
-    gate.away = True   # it is not known by what to decide
+    gate.away = True  # it is not known by what to decide
     third = world.command()
     assert world.commands[third]["final"] == api.SHED and not world.commands[third]["sends"]
 
@@ -105,7 +135,7 @@
     world.obey(world.gateway.adopt(world.now, record.for_module(record.read("policy: {}"), DEAL), gate))
     for _ in range(5):
         world.command()
-    world.wait(5000 * MS)   # the driver fails where one is late
+    world.wait(5000 * MS)  # the driver fails where one is late
     assert all(cmd["final"] == api.SHED for cmd in world.commands.values())
 
 
@@ -125,8 +155,12 @@
     told.insert(1, {"what": "lease ended", "lease": 1, "revision": 9})
     assert Changes(told).without_all == 0
     strict = opened._replace(overlap=change.STRICT)
-    assert Changes([line("policy/words/a/1", word.pack(), 1),
-                    line("policy/now/change", strict.pack())]).without_all == 1
+    assert (
+        Changes(
+            [line("policy/words/a/1", word.pack(), 1), line("policy/now/change", strict.pack())]
+        ).without_all
+        == 1
+    )
 
 
 @pytest.mark.parametrize("text, comes", [("good", True), (changecheck.SOUR, False), (changecheck.BAD, False)])
@@ -150,13 +184,19 @@
 
 def test_a_canary_that_is_slower_than_the_others_is_out_of_its_bounds():
     carrier = change.Carrier()
-    opened = change.Open(Record(1, 0, "", "", 0, "policy: {}").sealed(), change.CANARY, trial=("a/1",),
-                         canary=change.Canary(0.5, 1000, 0.1, 1.5))
+    opened = change.Open(
+        Record(1, 0, "", "", 0, "policy: {}").sealed(),
+        change.CANARY,
+        trial=("a/1",),
+        canary=change.Canary(0.5, 1000, 0.1, 1.5),
+    )
     carrier.change = opened
 
     def bad(trial, others, over=True):
-        carrier.words = {"a/1": change.Word(0, 1, change.TRIAL, "", trial),
-                         "b/1": change.Word(0, 1, change.READY, "", others)}
+        carrier.words = {
+            "a/1": change.Word(0, 1, change.TRIAL, "", trial),
+            "b/1": change.Word(0, 1, change.READY, "", others),
+        }
         return carrier._bad(over)
 
     assert "took 200 us, the others' 100" in bad((10, 0, 2000), (10, 0, 1000))
@@ -184,12 +224,23 @@
 
 
 def test_a_change_that_waits_longer_than_its_time_waits_for_words_and_does_not_spin():
-    opened = change.Open(Record(1, 0, "", "", 0, "policy: {}").sealed(), change.CHECKED, silence=change.WAIT,
-                         patience_us=1000)
+    opened = change.Open(
+        Record(1, 0, "", "", 0, "policy: {}").sealed(), change.CHECKED, silence=change.WAIT, patience_us=1000
+    )
     carrier = change.Carrier()
     carrier.won(1, 0)
-    carrier.read(0, carrier.take()[0][1], Reply(DONE, 7, items=(
-        Item(change.CHANGE, opened.pack(), 5), Item(change.WORDS + "a/1", change.Word(0).pack(), 6))))
+    carrier.read(
+        0,
+        carrier.take()[0][1],
+        Reply(
+            DONE,
+            7,
+            items=(
+                Item(change.CHANGE, opened.pack(), 5),
+                Item(change.WORDS + "a/1", change.Word(0).pack(), 6),
+            ),
+        ),
+    )
     assert carrier.due(0) == 1000 and carrier.due(999) == 1000
     carrier.step(1000)
     assert not any(row[0] == WRITE for row in carrier.take()) and carrier.due(1000) == 1000 + IDLE_US
@@ -202,7 +253,7 @@
         now = one()
         assert one.member.due(now) == max(now, one.member.look_at)
         one.member.missed(now)
-        assert one.member.due(now) == now + IDLE_US   # its call is under way
+        assert one.member.due(now) == now + IDLE_US  # its call is under way
 
 
 def test_a_read_from_the_past_is_not_believed_by_whoever_carries_or_divides():
@@ -212,7 +263,7 @@
         one.won(1, 0)
         one.read(0, one.take()[0][1], Reply(DONE, 7))
         assert one.loaded
-    carrier.changed(0, change.CHANGE, opened.pack(), 9)   # it reads what was proposed
+    carrier.changed(0, change.CHANGE, opened.pack(), 9)  # it reads what was proposed
     dividing.changed(0, duty.ASKS + "a/1", duty.report_text(0, {"b/0": (0, 1, 1)}), 9)
     dividing.missed(0)
     dividing.written(0, dividing.writing, Reply(DONE, 10, met=False))
@@ -221,8 +272,11 @@
         one.read(0, serial, Reply(DONE, 7))
         assert not one.loaded and not one.take()
         one.step(AGAIN_US)
-        one.read(AGAIN_US, one.take()[0][1], Reply(DONE, 11, items=(
-            Item(change.CHANGE, opened.pack(), 9),) if one is carrier else ()))
+        one.read(
+            AGAIN_US,
+            one.take()[0][1],
+            Reply(DONE, 11, items=(Item(change.CHANGE, opened.pack(), 9),) if one is carrier else ()),
+        )
         assert one.loaded
     assert any(row[0] == WRITE for row in carrier.take())
 
@@ -246,11 +300,17 @@
 
 
 @pytest.mark.parametrize("name", [name for name in changemutants.MUTANTS if name != "RollForgotten"])
-def test_the_walks_find_changes_that_are_wrong(name):   # the one left out takes 225 walks: benchmarks.change
+def test_the_walks_find_changes_that_are_wrong(name):  # the one left out takes 225 walks: benchmarks.change
     assert changemutants.find(name, 250, 500)
 
 
-@pytest.mark.parametrize("name", [name for name in dividemutants.MUTANTS if name not in (
-    "NoFence", "OverAtOnce", "DeafWhileReading", "MaybeIsDone", "reports not compared")])
-def test_the_walks_find_divisions_that_are_wrong(name):   # those left out: benchmarks.budgets
+@pytest.mark.parametrize(
+    "name",
+    [
+        name
+        for name in dividemutants.MUTANTS
+        if name not in ("NoFence", "OverAtOnce", "DeafWhileReading", "MaybeIsDone", "reports not compared")
+    ],
+)
+def test_the_walks_find_divisions_that_are_wrong(name):  # those left out: benchmarks.budgets
     assert dividemutants.find(name, 60, 800)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -148,12 +148,12 @@
 @pytest.mark.parametrize("step_s", [-5, 5])
 def test_a_wall_clock_that_is_set_moves_no_client_timeout(start, monkeypatch, step_s):
     _, client = start(Engine(endless))
-    client.ask("once", limit=10)   # answered: all is up
+    client.ask("once", limit=10)  # answered: all is up
     client.answer()
     began, real = time.monotonic(), time.time_ns
     seq = client.ask("once", limit=700)
     time.sleep(0.1)
-    monkeypatch.setattr(time, "time_ns", lambda: real() + step_s * 10 ** 9)
+    monkeypatch.setattr(time, "time_ns", lambda: real() + step_s * 10**9)
     assert client.answer() == (seq, "fault")
     assert 0.5 < time.monotonic() - began < 1.0
 
@@ -203,6 +203,7 @@
     def crosses(conn, verb, *words):
         if verb == b"abort":
             ok(b"j\tu\tst\n")(conn, b"fetch", *words)
+
     engine = Engine(crosses)
     gateway, client = start(engine)
     seq = client.ask(limit=4000, cpu=b"20")
@@ -268,7 +269,7 @@
     client.ask(seq=5)
     until(lambda: engine.words(b"fetch"))
     client.ask(seq=5)
-    assert client.answer() == (5, "shed")   # what it had asked gets its one answer, and only that
+    assert client.answer() == (5, "shed")  # what it had asked gets its one answer, and only that
     assert client.answer() is None
     until(lambda: engine.words(b"abort"))
 
@@ -281,7 +282,7 @@
     client.ask("once")
     until(lambda: engine.words(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
-    assert client.answer() is None   # no answer is owed, and our side ends too
+    assert client.answer() is None  # no answer is owed, and our side ends too
     until(lambda: engine.words(b"abort") and not gateway.core.owed)
     assert len(engine.words(b"fetch")) == 1 and not gateway.count("answered")
 
@@ -297,9 +298,12 @@
         made.append((word, Gateway(tmp_path, told)))
     for word, gateway in made:
         client, other, team = Caller(gateway.address), {"one": "two", "two": "one"}[word], word.encode()
-        asked = [client.ask(word + "read", team=team), client.ask(other + "read", team=team),
-                 client.ask(word + "read", team=other.encode()),
-                 client.ask(word + "read", team=team, odd=b"\xff")]
+        asked = [
+            client.ask(word + "read", team=team),
+            client.ask(other + "read", team=team),
+            client.ask(word + "read", team=other.encode()),
+            client.ask(word + "read", team=team, odd=b"\xff"),
+        ]
         answers = dict(client.answer() for _ in asked)
         assert [answers[seq] for seq in asked] == [b"a\tb\tc\n", "fault", "fault", b"a\tb\tc\n"]
         gateway.end()
@@ -311,7 +315,7 @@
     gateway, client = start(engine, max_open=2)
     asked = [client.ask() for _ in range(3)]
     assert client.answer() == (asked[2], "shed")
-    until(lambda: len(engine.words(b"fetch")) == 2)   # what is not out yet is taken back instead
+    until(lambda: len(engine.words(b"fetch")) == 2)  # what is not out yet is taken back instead
     client.sock.close()
     until(lambda: len(engine.words(b"abort")) == 2)
 
@@ -427,7 +431,7 @@
     until(lambda: new.asked)
     process.send_signal(signal.SIGTERM)
     assert process.wait(PATIENCE) == 0 and time.monotonic() - began < 3
-    assert process.stderr.read().count("counters: ") == 1   # at the end alone
+    assert process.stderr.read().count("counters: ") == 1  # at the end alone
 
 
 def test_a_coordinator_that_refuses_is_looked_for_in_the_file_without_a_signal(launch, tmp_path):
@@ -508,15 +512,15 @@
     pipe, connection = Pipe(50_000_000, Counters(), flushing()), Connection(ours)
     waits = b"w" * 10
     assert pipe.put(waits) == 10 and not pipe.whole(10)
-    assert pipe.withdraw(waits) and not pipe.withdraw(waits)   # the connection is not up yet
+    assert pipe.withdraw(waits) and not pipe.withdraw(waits)  # the connection is not up yet
     pipe.attach(connection)
     large, last = b"x" * 9_000_000, b"y" * 10
-    end = pipe.put(large)   # more than the system takes: a writer goes on with it
+    end = pipe.put(large)  # more than the system takes: a writer goes on with it
     pipe.put(last)
     assert not pipe.whole(end) and not pipe.withdraw(large) and pipe.withdraw(last)
     assert not pipe.finish()
     got = bytearray()
-    while data := theirs.recv(1 << 20):   # to the end: our side is shut once all is out
+    while data := theirs.recv(1 << 20):  # to the end: our side is shut once all is out
         got += data
     assert bytes(got) == large and pipe.whole(end) and pipe.put(b"z") == -1
     theirs.close()
@@ -529,7 +533,7 @@
     assert pipe.put(b"x" * 9_000_000) > 0 and pipe.put(b"x" * 9_000_000) == -1
     assert pipe.flusher.waiting and pipe.finish(now=True)
     until(lambda: not pipe.flusher.waiting)
-    assert ours.recv(1) == b""   # the reader wakes, and closes: until then the number is nobody else's
+    assert ours.recv(1) == b""  # the reader wakes, and closes: until then the number is nobody else's
     assert ours.fileno() >= 0 and connection.fileno() >= 0
     connection.close()
     assert ours.fileno() < 0 and connection.fileno() < 0
@@ -540,18 +544,18 @@
     engine, port = Engine(), free_port()
     process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: listens(port))
-    callers = [Caller(("127.0.0.1", port)) for _ in range(330)]   # about the third that clients may hold
+    callers = [Caller(("127.0.0.1", port)) for _ in range(330)]  # about the third that clients may hold
     asked = [[caller.ask() for _ in range(3)] for caller in callers]
     for caller, seqs in zip(callers, asked, strict=True):
         answers = [caller.answer() for _ in seqs]
         assert {seq for seq, _ in answers} == set(seqs)
         assert all(word in (b"a\tb\tc\n", "shed") for _, word in answers)
     status = dict(row.split(":", 1) for row in Path(f"/proc/{process.pid}/status").read_text().splitlines())
-    assert int(status["VmHWM"].split()[0]) < 100_000   # kB; the limit of scored days is 192 MB
+    assert int(status["VmHWM"].split()[0]) < 100_000  # kB; the limit of scored days is 192 MB
     assert len(os.listdir(f"/proc/{process.pid}/fd")) < 600 and int(status["Threads"]) < 600
     for caller in callers:
         caller.sock.close()
-    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220)   # links stay a while
+    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220)  # links stay a while
     process.send_signal(signal.SIGTERM)
     assert process.wait(PATIENCE) == 0
 
@@ -565,7 +569,7 @@
     process = launch(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=writing)
     until(lambda: listens(port))
     for _ in range(300):
-        process.send_signal(signal.SIGUSR1)   # each logs a long line
+        process.send_signal(signal.SIGUSR1)  # each logs a long line
         time.sleep(0.001)
     caller = Caller(("127.0.0.1", port))
     seq = caller.ask()
@@ -608,7 +612,7 @@
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
     first = Caller(("127.0.0.1", port))
     seq = first.ask()
-    assert first.answer() == (seq, b"a\tb\tc\n")   # its link to the engine is up
+    assert first.answer() == (seq, b"a\tb\tc\n")  # its link to the engine is up
     callers = [Caller(("127.0.0.1", port)) for _ in range(60)]
     asked = [caller.ask(limit=7000) for caller in callers]
     until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= 20)
@@ -628,7 +632,7 @@
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
     assert idle.answer() is None
-    assert client.answer() == (seq, "fault")   # long after the time for idle ones
+    assert client.answer() == (seq, "fault")  # long after the time for idle ones
     assert client.answer() is None
     until(lambda: gateway.count("client connection: idle, closed by us") == 2)
 
@@ -680,13 +684,13 @@
 
 
 def test_a_send_of_which_nothing_is_heard_on_a_link_that_works_goes_again(start):
-    engine = Engine(endless, ok())   # answers `alive`, never the fetch
+    engine = Engine(endless, ok())  # answers `alive`, never the fetch
     gateway, client = start(engine, cancel=False)
     seq = client.ask(limit=3500, cpu=b"900")
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert gateway.count("answers lost") == 1 and gateway.count("links up") <= 2
     (first, second), (abort,) = engine.words(b"fetch"), engine.words(b"abort")
-    assert first[-1] < abort[-1] < second[-1]   # never two at once
+    assert first[-1] < abort[-1] < second[-1]  # never two at once
 
 
 def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
@@ -700,7 +704,7 @@
         back.interrupt(back.ask())
     for caller in (client, half, back):
         assert caller.answer() is None
-    assert gateway.core.gateway.traffic < 1   # what was taken back at once counts for no share of the fleet
+    assert gateway.core.gateway.traffic < 1  # what was taken back at once counts for no share of the fleet
     monkeypatch.setattr(front, "SAY_S", 60)
     gateway.listener.clients_most = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
@@ -717,20 +721,20 @@
         seq = client.ask(**{name: word})
         assert client.answer() == (seq, "fault")
     assert not engine.told
-    seq = client.ask()   # an id that no engine knows: an error on each
+    seq = client.ask()  # an id that no engine knows: an error on each
     assert client.answer() == (seq, "shed") and len(engine.words(b"fetch")) <= 6
     many = Caller(gateway.address)
     engine.acts[:] = [endless]
     for _ in range(60):
         many.ask()
     until(lambda: gateway.count("over 32 open on a connection") == 28)
-    many.ask(seq=7)   # a number that was there before
+    many.ask(seq=7)  # a number that was there before
     until(lambda: gateway.count("client connection: malformed bytes") == 1)
 
 
 def test_hundreds_taken_back_before_the_core_comes_to_them_never_reach_the_module(start):
     gateway, client = start(Engine())
-    gateway.core.post(time.sleep, 0.3)   # the core is behind
+    gateway.core.post(time.sleep, 0.3)  # the core is behind
     for _ in range(20):
         client.interrupt(client.ask())
     until(lambda: gateway.count("interrupted") == 20)
@@ -765,15 +769,15 @@
     until(lambda: gateway.count("link: closed by the other side") == 1)
     for number in range(5):
         client.ask("once")
-        until(lambda: len(together.words(b"fetch")) == 2 + number)   # noqa: B023
-    assert gateway.count("links up") == 1 + 2   # three to a link: a reset takes no more along
+        until(lambda: len(together.words(b"fetch")) == 2 + number)  # noqa: B023
+    assert gateway.count("links up") == 1 + 2  # three to a link: a reset takes no more along
 
 
 def test_engines_that_are_gone_are_forgotten_with_their_names_and_links(tmp_path):
     feed, engines = Feed(), [Engine() for _ in range(8)]
     gateway = Gateway(tmp_path, config() | {"coordinator": feed.address})
     client = Caller(gateway.address)
-    for i, engine in enumerate(engines):   # each at its own address, then gone
+    for i, engine in enumerate(engines):  # each at its own address, then gone
         feed.say(event(2 * i + 2, (f"s-{i}", engine.address, "ready")))
         seq = client.ask()
         assert client.answer() == (seq, b"a\tb\tc\n")
@@ -800,7 +804,7 @@
     gateway, client = start(Engine(endless))
     seqs = [client.ask() for _ in range(32)]
     until(lambda: len(client_open(gateway)) == 32)
-    gateway.core.post(time.sleep, 0.3)   # the core is behind
+    gateway.core.post(time.sleep, 0.3)  # the core is behind
     for seq in seqs[:5]:
         client.interrupt(seq)
         client.ask()
@@ -811,7 +815,7 @@
 def test_a_client_that_ends_before_the_door_goes_on_holds_no_room(start, monkeypatch):
     class Inline(Thread):
         def start(self):
-            self.run()   # it is over before start() returns
+            self.run()  # it is over before start() returns
 
     gateway, client = start(Engine())
     until(lambda: gateway.count("client connections") == 1)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -5,7 +5,7 @@
 from gullhold.net.start_times import PLAUSIBLE_US, StartTimes
 
 S = 1_000_000
-NOW = 1_790_000_000 * S   # us of Unix time, by our clock
+NOW = 1_790_000_000 * S  # us of Unix time, by our clock
 
 
 def row(ident, born):
@@ -27,14 +27,14 @@
         found = started(starts, real_now + off, n, real_now - delay)
         age = real_now + off - found
         assert 0 <= age <= delay
-        assert age >= delay - 2 * S   # off by no more than the shortest delay seen
+        assert age >= delay - 2 * S  # off by no more than the shortest delay seen
 
 
 def test_the_same_start_told_again_only_grows_older():
     starts = StartTimes()
     first = started(starts, NOW, 1, NOW - 2 * S)
     assert first == NOW
-    started(starts, NOW + S, 2, NOW + S - 1000)   # news came faster: our clock is right after all
+    started(starts, NOW + S, 2, NOW + S - 1000)  # news came faster: our clock is right after all
     assert started(starts, NOW + 2 * S, 1, NOW - 2 * S) == NOW - 2 * S + 1000
 
 
