--- a/tests/recording.py
+++ b/tests/recording.py
@@ -61,7 +61,7 @@
         return [] if tag is None else [tag]
 
     def recording(self, number: int, call: Callable) -> Callable:
-        """A method that does as this one does and records its arguments, without the object, and its result."""
+        """A method that does as this one does and records its arguments and its result."""
 
         @wraps(call)
         def recorded(target: object, *args: object, **named: object) -> object:
