--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -12,8 +12,17 @@
 from statistics import median
 
 from benchmarks import close, earlier
-from gullhold import interface as api
 from gullhold import policy
+from gullhold.interface import (
+    Agreement,
+    DeduplicationScope,
+    Dispatch,
+    EngineState,
+    Idempotency,
+    Outcome,
+    Profile,
+    Tenant,
+)
 from gullhold.net import thrift
 from gullhold.standins import crowd
 from gullhold.standins.running import DOOR, ROOT, Running
@@ -287,46 +296,61 @@
 
 def module(many, commands):
     """CPU us of one command of the module alone with so many tenants, eight engines."""
-    profile = api.Profile(
-        1, 500_000, 2.0, 4_000_000, 1.0, 0.3, api.REPLAYABLE, api.ALL, 0, False, None, None, False, False
+    profile = Profile(
+        1,
+        500_000,
+        2.0,
+        4_000_000,
+        1.0,
+        0.3,
+        Idempotency.IDEMPOTENT,
+        DeduplicationScope.FLEET,
+        0,
+        False,
+        None,
+        None,
+        False,
+        False,
     )
-    deal = api.Agreement(
+    agreement = Agreement(
         profiles=(profile,),
-        tenants=tuple(api.Tenant(1 / many) for _ in range(many)),
-        managers=1,
-        location=0,
-        kind_cores=(4.0,),
-        kind_memory_mb=(8192.0,),
-        most_grant=0.4,
-        heeds_grants=False,
-        heeds_priority=False,
-        sends_cap=3,
-        may_cancel=True,
-        come_back_us=0,
-        cold_from=0.3,
-        cold_us=0,
-        fall_multiple=3.0,
-        fall_us=2_000_000,
-        key_rest_us=0,
-        extra_free=None,
-        extra_share=0.0,
-        extra_us=0,
-        crossing_costs=False,
+        tenants=tuple(Tenant(1 / many) for _ in range(many)),
+        gateways=1,
+        zone=0,
+        cores_by_kind=(4.0,),
+        memory_mb_by_kind=(8192.0,),
+        max_grant_share=0.4,
+        honors_grants=False,
+        honors_priority=False,
+        max_attempts=3,
+        supports_cancel=True,
+        max_retry_after_us=0,
+        warmup_initial_share=0.3,
+        warmup_us=0,
+        overload_multiple=3.0,
+        overload_window_us=2_000_000,
+        key_settle_us=0,
+        retry_budget_base=None,
+        retry_budget_share=0.0,
+        retry_budget_window_us=0,
+        cross_zone_costs=False,
     )
     best = []
     for _ in range(3):
-        gateway, draw, now, out = policy.Gateway(1, deal, 0), random.Random(3), 1000, []
-        gateway.engines(0, [(100 + i, 0, 1.0, 0, api.READY, 0, 0) for i in range(8)], True)
+        gateway, draw, now, out = policy.Gateway(1, agreement, 0), random.Random(3), 1000, []
+        gateway.update_engines(0, [(100 + i, 0, 1.0, 0, EngineState.READY, 0, 0) for i in range(8)], True)
         began = time.process_time()
         for ident in range(commands):
             now += 400
-            results = gateway.command(
+            results = gateway.submit(
                 now, ident, 0, draw.randrange(many), 0, now + 4_000_000, 50_000, 64.0, ident % 5, False
             )
-            out += [(now + 20_000, result[1]) for result in results if result[0] == api.SEND]
+            out += [(now + 20_000, result.command) for result in results if isinstance(result, Dispatch)]
             while out and out[0][0] <= now:
-                results = gateway.ended(now, out.pop(0)[1], 0, api.ANSWERED, False, 20_000, 50_000, 60, ())
-                out += [(now + 20_000, result[1]) for result in results if result[0] == api.SEND]
+                results = gateway.attempt_ended(
+                    now, out.pop(0)[1], 0, Outcome.ANSWERED, False, 20_000, 50_000, 60, ()
+                )
+                out += [(now + 20_000, result.command) for result in results if isinstance(result, Dispatch)]
         best.append((time.process_time() - began) / commands * 1e6)
     return min(best)
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -18,8 +18,8 @@
 from threading import Thread
 
 from benchmarks import ROOT, close
-from gullhold import interface as api
 from gullhold.agreement import read
+from gullhold.interface import Dispatch, EngineState, Outcome
 from gullhold.net import thrift
 from gullhold.net.buffer import Buffer
 from gullhold.policy import Gateway
@@ -183,34 +183,34 @@
 
 def module(size, seed, commands=3000, change_every=30):
     """(us of the module for a command from its arrival to its end, and for a change of the list)."""
-    random, deal = Random(seed), read(config()["settings"] | {"balancers": 50})
-    deal = deal._replace(kind_cores=(CORES / size,))
-    gateway, now, serial, out = Gateway(seed, deal, 0), 5_000_000, size, []
+    random, agreement = Random(seed), read(config()["settings"] | {"balancers": 50})
+    agreement = agreement._replace(cores_by_kind=(CORES / size,))
+    gateway, now, serial, out = Gateway(seed, agreement, 0), 5_000_000, size, []
     ids = list(range(size))
-    gateway.engines(now, [(n * 7919, 0, 1.0, 0, api.READY, 0, 0) for n in ids], True)
+    gateway.update_engines(now, [(n * 7919, 0, 1.0, 0, EngineState.READY, 0, 0) for n in ids], True)
     spent, changing, changes = 0.0, 0.0, 0
     for command in range(commands):
         now += 40_000
         began = time.perf_counter()
-        results = gateway.command(
+        results = gateway.submit(
             now, command, 0, 0, 0, now + 2_000_000, 5_000, 10.0, command % DATASETS, True
         )
         for ended in [entry for entry in out if entry[0] <= now]:
             out.remove(ended)
             at, number, sent_at = ended
-            results = results + gateway.ended(
-                now, number, 0, api.ANSWERED, False, at - sent_at, 5_000, 10, ()
+            results = results + gateway.attempt_ended(
+                now, number, 0, Outcome.ANSWERED, False, at - sent_at, 5_000, 10, ()
             )
         spent += time.perf_counter() - began
-        sent = [row[1] for row in results if row[0] == api.SEND]
+        sent = [result.command for result in results if isinstance(result, Dispatch)]
         out += [(now + random.randrange(5_000, 200_000), number, now) for number in sent]
         if command % change_every == 0:
             place, serial = random.randrange(size), serial + 1
-            gone = (ids[place] * 7919, 0, 1.0, 0, api.GONE, 0, 0)
-            new = (serial * 7919, 0, 1.0, 0, api.READY, 0, now)
+            gone = (ids[place] * 7919, 0, 1.0, 0, EngineState.REMOVED, 0, 0)
+            new = (serial * 7919, 0, 1.0, 0, EngineState.READY, 0, now)
             began = time.perf_counter()
             for row in (gone, new):
-                gateway.engines(now, [row], False)
+                gateway.update_engines(now, [row], False)
             changing, changes, ids[place] = changing + time.perf_counter() - began, changes + 2, serial
     return spent / commands * 1e6, changing / changes * 1e6
 
--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -1,153 +1,181 @@
-"""Reads a deployment's settings tree, once, into an Agreement; the same for every front."""
+"""Reads a deployment's settings tree, once, into an Agreement; the same for every driver.
 
-from gullhold import interface as api
+The keys are those of the settings that the users' pages give; settings that nothing reads are ignored.
+"""
 
-EFFECTS = {"pure": api.REPLAYABLE, "token": api.UNIQUED, "side_effect": api.NON_REPLAYABLE}
-SCOPES = {"all": api.ALL, "zone": api.LOCATION, "cell": api.CELL}
+from collections.abc import Sequence
+from typing import Any
 
+from gullhold.interface import Agreement, DeduplicationScope, Idempotency, Profile, Tenant
 
-def micros(seconds):
-    """Whole microseconds."""
-    return round(seconds * 1e6)
+MICROSECONDS = 1e6  # in a second
 
+IDEMPOTENCY_BY_SETTING = {
+    "pure": Idempotency.IDEMPOTENT,
+    "token": Idempotency.KEYED,
+    "side_effect": Idempotency.NON_IDEMPOTENT,
+}
+SCOPE_BY_SETTING = {
+    "all": DeduplicationScope.FLEET,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
 
-def tree_of(text):
+
+def microseconds(seconds: float) -> int:
+    """Seconds as whole microseconds."""
+    return round(seconds * MICROSECONDS)
+
+
+def parse_tree(text: str) -> dict[str, Any]:
     """The nested tree that `path=value` lines describe; a list's items stand under 0, 1 and so on."""
-    tree = {}
+    tree: dict[str, Any] = {}
     for line in text.splitlines():
-        path, found, value = line.partition("=")
-        *steps, last = path.split(".")
-        node = tree
-        for step in steps:
-            node = node.setdefault(step, {})
+        path, separator, value = line.partition("=")
+        *parents, last = path.split(".")
+        node: Any = tree
+        for parent in parents:
+            node = node.setdefault(parent, {})
             if not isinstance(node, dict):
                 break
-        if found and isinstance(node, dict):
+        if separator and isinstance(node, dict):
             node[last] = value
     return tree
 
 
-class Node:
-    """One place in the tree; values may be typed or text, lists may be lists, joined text or numbered."""
+class SettingsNode:
+    """One place in the tree. Values may be typed or text; lists may be lists, joined text or numbered."""
 
-    def __init__(self, tree):
-        self.tree = tree if isinstance(tree, dict) else {}
+    def __init__(self, tree: object) -> None:
+        self.tree: dict[str, Any] = tree if isinstance(tree, dict) else {}
 
-    def under(self, key):
-        """The place below."""
-        return Node(self.tree.get(key))
+    def child(self, key: str) -> "SettingsNode":
+        """The node below; empty where there is none."""
+        return SettingsNode(self.tree.get(key))
 
-    def has(self, key):
+    def has(self, key: str) -> bool:
         """Whether the settings name it."""
         return key in self.tree
 
-    def number(self, key, absent=0.0):
-        """A figure."""
+    def number(self, key: str, default: float = 0.0) -> float:
+        """A number; the default where it is absent or no number."""
         try:
             return float(self.tree[key])
         except (KeyError, TypeError, ValueError):
-            return absent
+            return default
+
+    def microseconds(self, key: str) -> int:
+        """A duration that the settings give in seconds."""
+        return microseconds(self.number(key))
 
-    def yes(self, key):
-        """A flag; absent is no."""
+    def flag(self, key: str) -> bool:
+        """A flag; absent is false."""
         return str(self.tree.get(key)).lower() == "true"
 
-    def word(self, key):
-        """A name."""
+    def text(self, key: str) -> str:
+        """A name; absent is empty."""
         return str(self.tree.get(key, ""))
 
-    def several(self, key):
+    def texts(self, key: str) -> list[str]:
         """A list of plain values, as text."""
         value = self.tree.get(key)
         if isinstance(value, str):
-            return [word for word in value.split(",") if word]
-        return [str(word) for word in value] if isinstance(value, list) else []
+            return [item for item in value.split(",") if item]
+        return [str(item) for item in value] if isinstance(value, list) else []
 
-    def items(self, key):
-        """A list of places."""
+    def items(self, key: str) -> list["SettingsNode"]:
+        """A list of nodes."""
         value = self.tree.get(key)
         if isinstance(value, list):
-            return [Node(item) for item in value]
-        value = Node(value)
-        return [value.under(str(i)) for i in range(int(value.number("count")))]
+            return [SettingsNode(item) for item in value]
+        node = SettingsNode(value)
+        return [node.child(str(index)) for index in range(int(node.number("count")))]
 
 
-def place_of(names, word, absent=-1):
+def index_of(names: Sequence[str], name: str, default: int = -1) -> int:
     """The index of a name in its list; an index stands for itself."""
-    if word in names:
-        return names.index(word)
+    if name in names:
+        return names.index(name)
     try:
-        return int(float(word))
+        return int(float(name))
     except ValueError:
-        return absent
-
-
-def read(tree):
-    """The Agreement; settings that nobody reads are left out."""
-    top = Node(tree)
-    domain, limits, rules = top.under("domain"), top.under("limits"), top.under("rules")
-    locations, kinds = top.several("dcs"), top.several("kinds")
-    threads, loads, waits = (domain.several(key) for key in ("parallelism", "writes_tables", "class_waits"))
-
-    def allowed(item, key, names):
-        words = item.several(key)
-        return frozenset(place_of(names, word) for word in words) if words else None
+        return default
+
+
+def read_agreement(tree: object) -> Agreement:
+    """The Agreement that a settings tree states."""
+    settings = SettingsNode(tree)
+    domain, limits, rules = settings.child("domain"), settings.child("limits"), settings.child("rules")
+    zone_names, kind_names = settings.texts("dcs"), settings.texts("kinds")
+    has_retry_budget = rules.has("ratio_span")
+    return Agreement(
+        profiles=_read_profiles(settings, domain, zone_names, kind_names),
+        tenants=tuple(_read_tenant(item) for item in settings.items("tenants")),
+        gateways=max(1, int(settings.number("balancers"))),
+        zone=index_of(zone_names, settings.text("my_zone"), 0),
+        cores_by_kind=tuple(float(cores) for cores in domain.texts("cores_by_kind")),
+        memory_mb_by_kind=tuple(float(memory) for memory in domain.texts("ram_of_kind_mb")),
+        max_grant_share=domain.number("max_grant_share"),
+        honors_grants=domain.flag("grants_count"),
+        honors_priority=domain.flag("takes_priority"),
+        max_attempts=int(limits.number("attempts_cap")),
+        supports_cancel=limits.flag("cancel"),
+        max_retry_after_us=limits.microseconds("max_retry_after") if limits.flag("retry_after") else 0,
+        warmup_initial_share=rules.number("cold_from"),
+        warmup_us=rules.microseconds("warm_after"),
+        overload_multiple=rules.number("fall_multiple"),
+        overload_window_us=rules.microseconds("tip_after"),
+        key_settle_us=rules.microseconds("order_settle"),
+        retry_budget_base=rules.number("min_extra") if has_retry_budget else None,
+        retry_budget_share=rules.number("extra_share"),
+        retry_budget_window_us=rules.microseconds("ratio_span"),
+        cross_zone_costs=settings.child("charges").number("cross_zone") > 0,
+        zone_names=tuple(zone_names),
+        kind_names=tuple(kind_names),
+        report_fields=tuple(settings.child("telemetry").texts("fields")),
+        status_interval_us=domain.microseconds("note_period"),
+        streams_per_connection=max(1, int(limits.number("streams_per_conn", 1))),
+        connect_timeout_us=limits.microseconds("connect_timeout"),
+        idle_timeout_us=limits.microseconds("conn_idle"),
+        max_open_commands=int(limits.number("max_open")),
+    )
 
-    def flag(words, i):
-        return i < len(words) and words[i].lower() == "true"
 
-    profiles = tuple(
-        api.Profile(
-            threads=max(1, int(float(threads[i]))) if i < len(threads) else 1,
-            target_us=micros(item.number("aim")),
+def _read_profiles(
+    settings: SettingsNode, domain: SettingsNode, zone_names: Sequence[str], kind_names: Sequence[str]
+) -> tuple[Profile, ...]:
+    threads, loads, waits = (domain.texts(key) for key in ("parallelism", "writes_tables", "class_waits"))
+    return tuple(
+        Profile(
+            threads=max(1, int(float(threads[index]))) if index < len(threads) else 1,
+            target_us=item.microseconds("aim"),
             target_stretch=item.number("aim_stretch"),
-            timeout_us=micros(item.number("give_up")),
+            timeout_us=item.microseconds("give_up"),
             benefit=item.number("value"),
             late_benefit=item.number("late_worth"),
-            effect=EFFECTS.get(item.word("idempotency"), api.NON_REPLAYABLE),
-            dedup_scope=SCOPES.get(item.word("dedup_scope"), api.CELL),
-            dedup_us=micros(item.number("window")),
-            ordered=item.yes("serial_by_key"),
-            locations=allowed(item, "dcs_only", locations),
-            kinds=allowed(item, "kinds_only", kinds),
-            loads=flag(loads, i),
-            stands_still=flag(waits, i),
-            name=item.word("name"),
+            idempotency=IDEMPOTENCY_BY_SETTING.get(item.text("idempotency"), Idempotency.NON_IDEMPOTENT),
+            dedup_scope=SCOPE_BY_SETTING.get(item.text("dedup_scope"), DeduplicationScope.CELL),
+            dedup_window_us=item.microseconds("window"),
+            ordered=item.flag("serial_by_key"),
+            zones=_allowed_indexes(item, "dcs_only", zone_names),
+            engine_kinds=_allowed_indexes(item, "kinds_only", kind_names),
+            loads_dataset=_flag_at(loads, index),
+            waits_for_loads=_flag_at(waits, index),
+            name=item.text("name"),
         )
-        for i, item in enumerate(top.items("categories"))
-    )
-    tenants = tuple(
-        api.Tenant(item.number("fraction"), item.number("allowance_per_s"), item.word("name"))
-        for item in top.items("tenants")
-    )
-    return api.Agreement(
-        profiles=profiles,
-        tenants=tenants,
-        managers=max(1, int(top.number("balancers"))),
-        location=place_of(locations, top.word("my_zone"), 0),
-        kind_cores=tuple(float(word) for word in domain.several("cores_by_kind")),
-        kind_memory_mb=tuple(float(word) for word in domain.several("ram_of_kind_mb")),
-        most_grant=domain.number("max_grant_share"),
-        heeds_grants=domain.yes("grants_count"),
-        heeds_priority=domain.yes("takes_priority"),
-        sends_cap=int(limits.number("attempts_cap")),
-        may_cancel=limits.yes("cancel"),
-        come_back_us=micros(limits.number("max_retry_after")) if limits.yes("retry_after") else 0,
-        cold_from=rules.number("cold_from"),
-        cold_us=micros(rules.number("warm_after")),
-        fall_multiple=rules.number("fall_multiple"),
-        fall_us=micros(rules.number("tip_after")),
-        key_rest_us=micros(rules.number("order_settle")),
-        extra_free=rules.number("min_extra") if rules.has("ratio_span") else None,
-        extra_share=rules.number("extra_share"),
-        extra_us=micros(rules.number("ratio_span")),
-        crossing_costs=top.under("charges").number("cross_zone") > 0,
-        locations=tuple(locations),
-        kinds=tuple(kinds),
-        report_fields=tuple(top.under("telemetry").several("fields")),
-        note_us=micros(domain.number("note_period")),
-        streams=max(1, int(limits.number("streams_per_conn", 1))),
-        connect_us=micros(limits.number("connect_timeout")),
-        idle_us=micros(limits.number("conn_idle")),
-        open_cap=int(limits.number("max_open")),
+        for index, item in enumerate(settings.items("categories"))
     )
+
+
+def _read_tenant(item: SettingsNode) -> Tenant:
+    return Tenant(item.number("fraction"), item.number("allowance_per_s"), item.text("name"))
+
+
+def _allowed_indexes(item: SettingsNode, key: str, names: Sequence[str]) -> frozenset[int] | None:
+    """The indexes that a profile is restricted to; None: any."""
+    allowed = item.texts(key)
+    return frozenset(index_of(names, name) for name in allowed) if allowed else None
+
+
+def _flag_at(flags: Sequence[str], index: int) -> bool:
+    return index < len(flags) and flags[index].lower() == "true"
--- a/gullhold/budgets/driver.py
+++ b/gullhold/budgets/driver.py
@@ -6,28 +6,31 @@
 
 from queue import Empty, SimpleQueue
 
-from gullhold import interface as api
 from gullhold.budgets import duty, ledger
 from gullhold.budgets.demand import Teller
 from gullhold.budgets.divider import Budget
 from gullhold.budgets.purse import Purses, Rule
 from gullhold.fleet.calls import DONE, Get, Put, Read, Txn
 from gullhold.fleet.holding import IDLE_US
+from gullhold.interface import BudgetKind
 
 OF = {
-    "threads": api.THREADS,
-    "memory": api.MEMORY,
-    "open": api.OPEN,
-    "further": api.FURTHER,
-    "cold": api.COLD,
-    "taken": api.TAKEN,
-    "share": api.SHARE,
-    "lists": api.LISTS,
+    "threads": BudgetKind.THREADS,
+    "memory": BudgetKind.MEMORY,
+    "open": BudgetKind.OPEN_COMMANDS,
+    "further": BudgetKind.RETRIES,
+    "cold": BudgetKind.WARMUP,
+    "taken": BudgetKind.ADMISSIONS,
+    "share": BudgetKind.TRAFFIC_SHARE,
+    "lists": BudgetKind.DISCOVERY_CALLS,
 }  # the operator's words
 WORDS = {number: word for word, number in OF.items()}
-HELD, WINDOWED = (api.THREADS, api.MEMORY, api.OPEN), (api.FURTHER, api.COLD, api.TAKEN, api.LISTS)
-EACH = (api.THREADS, api.MEMORY, api.COLD)  # one for each engine
-TENANTS = (api.OPEN, api.TAKEN)
+HELD, WINDOWED = (
+    (BudgetKind.THREADS, BudgetKind.MEMORY, BudgetKind.OPEN_COMMANDS),
+    (BudgetKind.RETRIES, BudgetKind.WARMUP, BudgetKind.ADMISSIONS, BudgetKind.DISCOVERY_CALLS),
+)
+EACH = (BudgetKind.THREADS, BudgetKind.MEMORY, BudgetKind.WARMUP)  # one for each engine
+TENANTS = (BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS)
 SETTLE_US = 500_000  # us that what was given up may run on at an engine: an abort on its way, twice
 LINGER_US = 1_000_000  # us over the longest client timeout: nothing that an engine was sent waits longer
 LEAST_US = 50_000  # us between reports of one member
@@ -45,9 +48,9 @@
     return f"{record.of}/{record.tenant}" if record.tenant else record.of
 
 
-def tenants_of(deal):
+def tenants_of(agreement):
     """Names of those by whom commands are counted, by index: tenants, else profiles."""
-    return [tenant.name for tenant in deal.tenants] or [profile.name for profile in deal.profiles]
+    return [tenant.name for tenant in agreement.tenants] or [profile.name for profile in agreement.profiles]
 
 
 def kind_of(budget):
@@ -55,25 +58,28 @@
     return ledger.HELD if budget in HELD else ledger.WINDOWED if budget in WINDOWED else ledger.WEIGHT
 
 
-def window_of(record, budget, deal):
+def window_of(record, budget, agreement):
     """The window in us; Unfit where nobody states one."""
-    stated = {api.FURTHER: deal.extra_us, api.COLD: deal.fall_us}.get(budget, 0)
+    stated = {
+        BudgetKind.RETRIES: agreement.retry_budget_window_us,
+        BudgetKind.WARMUP: agreement.overload_window_us,
+    }.get(budget, 0)
     if budget in WINDOWED and not (record.window or stated):
         raise Unfit(f"fleet.budgets: {record.of}: neither it nor the agreement states a window")
     return record.window or stated
 
 
-def rules_of(records, deal, drift):
+def rules_of(records, agreement, drift):
     """({name or word: Budget} for the divider, {(budget, of what or None): Rule} for purses).
 
     drift: a share; windows and times to linger are lengthened by it, so that none is over too soon by a clock
     that runs fast.
     """
-    budgets, rules, tenants = {}, {}, tenants_of(deal)
-    longest = max((profile.timeout_us for profile in deal.profiles), default=0)
+    budgets, rules, tenants = {}, {}, tenants_of(agreement)
+    longest = max((profile.timeout_us for profile in agreement.profiles), default=0)
     for record in sorted(records, key=lambda record: record.tenant):  # those for each come first
         budget = OF[record.of]
-        window = int(window_of(record, budget, deal) * (1 + drift))
+        window = int(window_of(record, budget, agreement) * (1 + drift))
         linger = int((record.linger or longest + LINGER_US) * (1 + drift))
         if record.tenant and record.tenant not in tenants:
             raise Unfit(f"fleet.budgets: {record.tenant!r} is no tenant of the agreement")
@@ -110,10 +116,10 @@
     """One member's side, and the divider's where this member owns that. All but what is said to be on the
     core's thread is called from the fleet's."""
 
-    def __init__(self, fleet, record, deal, clock):
+    def __init__(self, fleet, record, agreement, clock):
         self.fleet, self.core, self.clock, self.look_us = fleet, fleet.core, clock, record.look
-        budgets, rules = rules_of(record.budgets, deal, record.drift.rate)
-        names = tenants_of(deal)
+        budgets, rules = rules_of(record.budgets, agreement, record.drift.rate)
+        names = tenants_of(agreement)
         self.purses = Purses(
             rules,
             lambda budget, of: f"{WORDS[budget]}/{names[of] if budget in TENANTS else of}",
@@ -128,7 +134,7 @@
         self.pending = []  # what the core's thread is to be told
         self.leaving, self.given_back = False, False
         self.core.checks.append(self.purses)
-        self.core.first(self._on_core, [])  # before the first command: parts bind from the start
+        self.core.post_urgent(self._on_core, [])  # before the first command: parts bind from the start
         self.looking = True
 
     def start(self, follow):
@@ -142,13 +148,13 @@
         for lease, write, row in pending:
             self.purses.fresh(lease)
             self.purses.told(lease, write, row)
-        self.core.allot(self.purses, self._counted)
+        self.core.apply_budgets(self.purses, self._counted)
 
     def _list_call(self, answer):
-        part = self.purses(api.LISTS, 0)
-        may = part is None or part.may(1)
+        part = self.purses(BudgetKind.DISCOVERY_CALLS, 0)
+        may = part is None or part.allows(1)
         if part is not None:
-            part.begin(1) if may else part.refused(1)
+            part.acquire(1) if may else part.record_rejection(1)
         answer.put(may)
 
     def _counted(self, lacks):
@@ -162,7 +168,7 @@
         """Whether the list's service may be called now; counted if so. Waits for the core, not longer than a
         moment."""
         answer = SimpleQueue()
-        self.core.first(self._list_call, answer)
+        self.core.post_urgent(self._list_call, answer)
         try:
             return answer.get(timeout=PATIENCE_S)
         except Empty:  # it comes later: counted, and not made
@@ -185,7 +191,7 @@
             self.pending.append((lease.id, 0, {}))
         if not self.looking and (self.pending or now >= self.look_at):
             pending, self.pending, self.looking = self.pending, [], True
-            self.core.first(self._on_core, pending)
+            self.core.post_urgent(self._on_core, pending)
         if self.leaving and self.core.ended and not self.given_back:
             self._give_back()
 
--- a/gullhold/budgets/purse.py
+++ b/gullhold/budgets/purse.py
@@ -42,21 +42,21 @@
         alone = self.rule.alone
         return alone if alone and now >= self.purses.began + self.rule.alone_after_us else 0
 
-    def most(self, now=None):
+    def limit(self, now=None):
         """What it may have in use now."""
         now = self.purses.clock() if now is None else now
         return self.alone(now) + (self.part if self.purses.holds(now) else 0)
 
-    def may(self, amount):
+    def allows(self, amount):
         """Whether so much more may be begun now."""
         now = self.purses.clock()
-        if self.used(now) + amount <= self.most(now):
+        if self.used(now) + amount <= self.limit(now):
             return True
         self.short = True
         self.purses.rush()
         return False
 
-    def begin(self, amount):
+    def acquire(self, amount):
         """Begun, after may(). It asks for more before it runs dry."""
         now, self.out = self.purses.clock(), self.out + amount
         if self.rule.kind != HELD:
@@ -66,17 +66,17 @@
             if used * (AHEAD + 1) > self.part * AHEAD:
                 self.purses.rush()
 
-    def over(self, amount, surely=True):
+    def release(self, amount, confirmed=True):
         """What was begun under a held budget has ended; not surely: it was given up, and may run on a moment.
         A part that shrank under it cancelled nothing."""
         if self.rule.kind != HELD:
             return
-        if surely:
+        if confirmed:
             self.out -= amount
         else:
             self.fading.append((self.purses.clock() + self.rule.settle_us, amount))
 
-    def refused(self, amount):
+    def record_rejection(self, amount):
         """Somebody was turned away for want of it."""
         self.lack += amount
         self.purses.rush()
@@ -157,11 +157,11 @@
         self.held = now < until and self.lease.id == self.under != 0
         return self.held
 
-    def stamp(self):
+    def fencing_token(self):
         """The lease under which the last was allowed; 0: under none."""
         return self.under if self.held else 0
 
-    def sure(self, stamp):
+    def token_valid(self, stamp):
         """Whether what was allowed then still is. From any thread: it asks nothing that changes."""
         until = self.lease.until
         return not stamp or self.clock() < until and self.lease.id == stamp
--- a/gullhold/door/door.py
+++ b/gullhold/door/door.py
@@ -318,7 +318,7 @@
         )
         if flow is None:
             flow = queues.flow(buckets[0], 1.0, shared=True)
-        # It was told by the queue it was in then: its own, or a shared one, perhaps of the last deal.
+        # It was told by the queue it was in then: its own, or a shared one, perhaps of the last agreement.
         books = [flow.book] + [queues.flows[key].book for key in buckets if key in queues.flows]
         return flow, repeat and any(self.promises.kept(book, now) for book in books)
 
--- a/gullhold/drill/frames.py
+++ b/gullhold/drill/frames.py
@@ -2,8 +2,19 @@
 
 import struct
 
-from gullhold import interface as api
-from gullhold.agreement import micros
+from gullhold.agreement import microseconds
+from gullhold.interface import (
+    CancelAttempt,
+    Dispatch,
+    EngineState,
+    Fail,
+    LogLine,
+    Outcome,
+    SetTerms,
+    Shed,
+    StartTimer,
+    StatusKind,
+)
 
 HEADER = struct.Struct(">IdI")
 REPLY = struct.Struct(">III")
@@ -30,18 +41,18 @@
 PUT_RETRACT = struct.Struct(">BIIIH")
 DEBUG, BUG = 10, 4
 
-STATES = {0: api.GONE, 2: api.READY, 3: api.DRAINING}
+STATES = {0: EngineState.REMOVED, 2: EngineState.READY, 3: EngineState.DRAINING}
 ENDINGS = {
-    0: api.ANSWERED,
-    13: api.ERROR,
-    8: api.FULL,
-    4: api.TIMED_OUT,
-    14: api.NO_CONNECTION,
-    10: api.RESET,
-    1: api.CANCELLED,
-    9: api.MOOT,
+    0: Outcome.ANSWERED,
+    13: Outcome.ERROR,
+    8: Outcome.OVERLOADED,
+    4: Outcome.TIMED_OUT,
+    14: Outcome.CONNECT_FAILED,
+    10: Outcome.RESET,
+    1: Outcome.CANCELLED,
+    9: Outcome.NOT_STARTED,
 }
-NOTES = {1: api.PROGRESS, 2: api.SPILLS, 3: api.WAITS}
+NOTES = {1: StatusKind.PROGRESS, 2: StatusKind.SPILLING, 3: StatusKind.WAITING}
 
 
 def records(body):
@@ -64,7 +75,9 @@
         raise ValueError("list shorter than its count")
     for _ in range(size):
         zone, weight, kind, state, cell, born, engine = ENTRY.unpack_from(fields, at)
-        found.append((engine, zone, weight, kind, STATES.get(state, api.GONE), cell, micros(born)))
+        found.append(
+            (engine, zone, weight, kind, STATES.get(state, EngineState.REMOVED), cell, microseconds(born))
+        )
         at += ENTRY.size
     return number, found
 
@@ -75,12 +88,21 @@
     return PUT_TEXT.pack(code, 6 + len(raw), instance, len(raw)) + raw
 
 
-ENCODERS = {
-    api.SEND: lambda who, cmd, engine, until: PUT_TRY.pack(8, 20, who, cmd, until / 1e6, engine),
-    api.TERMS: lambda who, cmd, grant, lane: PUT_PROVIDE.pack(3, 13, who, cmd, grant, lane),
-    api.CANCEL: lambda who, cmd, send: PUT_RETRACT.pack(12, 10, who, cmd, send),
-    api.SHED: lambda who, cmd, wait: PUT_BUSY.pack(1, 16, who, cmd, wait / 1e6),
-    api.FAIL: lambda who, cmd: PUT_DROP.pack(7, 8, who, cmd),
-    api.TIMER: lambda who, delay, token: PUT_TIMER.pack(6, 20, who, delay / 1e6, token),
-    api.LOG: lambda who, text: line(DEBUG, who, text),
-}
+def encode_result(instance, result):
+    """The record that tells the bench of one result; ReportDemand has none: budgets are off here."""
+    match result:
+        case Dispatch(command, engine, deadline_us):
+            return PUT_TRY.pack(8, 20, instance, command, deadline_us / 1e6, engine)
+        case SetTerms(command, grant_mb, priority):
+            return PUT_PROVIDE.pack(3, 13, instance, command, grant_mb, priority)
+        case CancelAttempt(command, attempt):
+            return PUT_RETRACT.pack(12, 10, instance, command, attempt)
+        case Shed(command, retry_after_us):
+            return PUT_BUSY.pack(1, 16, instance, command, retry_after_us / 1e6)
+        case Fail(command):
+            return PUT_DROP.pack(7, 8, instance, command)
+        case StartTimer(delay_us, token):
+            return PUT_TIMER.pack(6, 20, instance, delay_us / 1e6, token)
+        case LogLine(text):
+            return line(DEBUG, instance, text)
+    raise TypeError(f"no record for {result!r}")
--- a/gullhold/drill/host.py
+++ b/gullhold/drill/host.py
@@ -4,7 +4,8 @@
 import traceback
 from math import isfinite
 
-from gullhold import agreement, policy
+from gullhold import policy
+from gullhold.agreement import parse_tree, read_agreement
 from gullhold.drill import frames
 
 NEW_INSTANCE, ANNOUNCE, ARRIVAL, ESTABLISHED, ANSWER, CLIENT_GONE = 1, 2, 3, 4, 5, 6
@@ -24,7 +25,7 @@
     def reply(self, body):
         """The reply frame to one batch (the batch without its length field)."""
         now, number = frames.HEADER.unpack(b"\0\0\0\0" + body[:12])[1:]
-        self.now = frames.micros(now)
+        self.now = frames.microseconds(now)
         orders = []
         for code, fields in frames.records(body):
             if code == PAGE:
@@ -43,7 +44,7 @@
                 text = "".join(traceback.format_exc().splitlines(True)[-6:])
                 orders.append(frames.line(frames.BUG, who, text))
                 continue
-            orders.extend(frames.ENCODERS[result[0]](who, *result[1:]) for result in results)
+            orders.extend(frames.encode_result(who, result) for result in results)
         tail = b"".join(orders)
         return frames.REPLY.pack(frames.REPLY.size + len(tail), len(orders), number) + tail
 
@@ -51,27 +52,27 @@
         _, seed, size = frames.NEW_INSTANCE.unpack_from(fields)
         at = frames.NEW_INSTANCE.size
         text = bytes(fields[at : at + size]).decode("utf-8", "replace")
-        self.gateways[who] = policy.Gateway(seed, agreement.read(agreement.tree_of(text)), self.now)
+        self.gateways[who] = policy.Gateway(seed, read_agreement(parse_tree(text)), self.now)
         return ()
 
     def _announce(self, who, fields):
         _, number, _, scope = frames.ANNOUNCE.unpack_from(fields)
         if scope == FAILED or who not in self.gateways:
             return ()
-        return self.gateways[who].engines(self.now, self.lists.get(number, ()), scope != DELTA)
+        return self.gateways[who].update_engines(self.now, self.lists.get(number, ()), scope != DELTA)
 
     def _arrival(self, who, fields):
         _, job, profile, tenant, key, until, work, need, group, opts = frames.ARRIVAL.unpack_from(fields)
         if who not in self.gateways:
             return ()
-        return self.gateways[who].command(
+        return self.gateways[who].submit(
             self.now,
             job,
             profile,
             tenant,
             key,
-            frames.micros(until),
-            frames.micros(work) if opts & 1 and isfinite(work) else 0,
+            frames.microseconds(until),
+            frames.microseconds(work) if opts & 1 and isfinite(work) else 0,
             need,
             int(group) if isfinite(group) else 0,
             bool(opts & MARKED_REPEAT),
@@ -79,7 +80,7 @@
 
     def _established(self, who, fields):
         _, job, trial, _, _ = frames.ESTABLISHED.unpack_from(fields)
-        return self.gateways[who].streaming(self.now, job, trial) if who in self.gateways else ()
+        return self.gateways[who].answer_began(self.now, job, trial) if who in self.gateways else ()
 
     def _answer(self, who, fields):
         _, job, trial, rtt, used, _, ending, closed, size = frames.ANSWER.unpack_from(fields)
@@ -88,13 +89,13 @@
         at = frames.ANSWER.size
         size = min(size, (len(fields) - at) // 4)
         report = struct.unpack_from(f">{size}f", fields, at)
-        return self.gateways[who].ended(
+        return self.gateways[who].attempt_ended(
             self.now,
             job,
             trial,
             frames.ENDINGS[ending],
             bool(closed),
-            frames.micros(rtt),
+            frames.microseconds(rtt),
             (used >> 12) * 1000,
             (used & 4095) * 4,
             report,
@@ -102,11 +103,11 @@
 
     def _gone(self, who, fields):
         job = frames.CLIENT_GONE.unpack_from(fields)[1]
-        return self.gateways[who].client_gone(self.now, job) if who in self.gateways else ()
+        return self.gateways[who].client_left(self.now, job) if who in self.gateways else ()
 
     def _timer(self, who, fields):
         token = frames.TIMEOUT_FIRED.unpack_from(fields)[1]
-        return self.gateways[who].timer(self.now, token) if who in self.gateways else ()
+        return self.gateways[who].timer_fired(self.now, token) if who in self.gateways else ()
 
     def _retire(self, who, _fields):
         self.gateways.pop(who, None)
@@ -116,7 +117,7 @@
         _, job, trial, _, kind, value = frames.UPDATE_OF.unpack_from(fields)
         if who not in self.gateways or kind not in frames.NOTES:
             return ()
-        return self.gateways[who].noted(self.now, job, trial, frames.NOTES[kind], value)
+        return self.gateways[who].attempt_status(self.now, job, trial, frames.NOTES[kind], value)
 
     HANDLERS = {
         NEW_INSTANCE: _new,
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -11,7 +11,6 @@
 
 from loguru import logger
 
-from gullhold import interface as api
 from gullhold.budgets import duty as dividing
 from gullhold.budgets.driver import LANES, Budgets, Unfit
 from gullhold.fleet import holding, owner, schedule
@@ -22,6 +21,7 @@
 from gullhold.fleet.pace import Pauses
 from gullhold.fleet.register import Register
 from gullhold.fleet.watch import Watcher
+from gullhold.interface import DeduplicationScope
 from gullhold.net.front import Reader
 from gullhold.net.startup import start_thread
 from gullhold.revisions.change import DUTY as CARRIES
@@ -124,7 +124,7 @@
             record.duties.pauses.most,
             record.duties.leaving,
         )
-        self.plans = {PLAN + item.name: self._plan(item, told["deal"]) for item in record.schedule}
+        self.plans = {PLAN + item.name: self._plan(item, told["agreement"]) for item in record.schedule}
         self.commands = {PLAN + item.name: item for item in record.schedule}
         duties = [*self.plans, *(f"{BEAT}{i}" for i in range(record.duties.beats))]
         duties += [dividing.DUTY] if record.budgets else []
@@ -135,7 +135,7 @@
         self.beats = Beats(self, record.duties.beat)
         self.desk = Desk(
             core,
-            Reader(told["deal"]),
+            Reader(told["agreement"]),
             lambda *told_: self.queue.put(("answered", *told_)),
             self.chance.getrandbits,
         )
@@ -143,21 +143,21 @@
         self.away_since = None  # since when the register does not answer
         self.held, self.watchers = {}, {}  # by duty: what holds its keys; what follows them
         try:
-            self.budgets = Budgets(self, record, told["deal"], clock) if record.budgets else None
+            self.budgets = Budgets(self, record, told["agreement"], clock) if record.budgets else None
         except Unfit as fault:
             raise Unusable(str(fault)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = Policies(self, record, told["deal"], clock, terms.surely_us())
+            self.policies = Policies(self, record, told["agreement"], clock, terms.surely_us())
 
-    def _plan(self, item, deal):
-        names = [profile.name for profile in deal.profiles]
+    def _plan(self, item, agreement):
+        names = [profile.name for profile in agreement.profiles]
         where = f"fleet.schedule {item.name!r}"
         if item.profile not in names:
             raise Unusable(f"{where}: {item.profile!r} is no profile of the agreement")
-        if deal.tenants and item.tenant not in [tenant.name for tenant in deal.tenants]:
+        if agreement.tenants and item.tenant not in [tenant.name for tenant in agreement.tenants]:
             raise Unusable(f"{where}: {item.tenant!r} is no tenant of the agreement")
-        profile = deal.profiles[names.index(item.profile)]
+        profile = agreement.profiles[names.index(item.profile)]
         try:
             calendar = Calendar(item.at, item.zone, item.every)
         except Bad as fault:
@@ -166,7 +166,10 @@
             item.name, item.window, item.tries, item.overlap == "wait", self.record.drift.skew
         )
         kind = schedule.Kind(
-            profile.effect, profile.timeout_us, profile.dedup_us, profile.dedup_scope == api.ALL
+            profile.idempotency,
+            profile.timeout_us,
+            profile.dedup_window_us,
+            profile.dedup_scope == DeduplicationScope.FLEET,
         )
         return schedule.Plan(rule, kind, calendar, self.name)
 
--- a/gullhold/fleet/schedule.py
+++ b/gullhold/fleet/schedule.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from gullhold.fleet.calls import DONE, Drop, Put
-from gullhold.interface import NON_REPLAYABLE, REPLAYABLE, UNIQUED
+from gullhold.interface import Idempotency
 
 # States of an occurrence. INTENT: it may have been sent. SHED, UNDONE: the last try provably had no effect,
 # and another may follow. The rest are final.
@@ -88,16 +88,16 @@
         return 0, f"{record.tries} tries"
     if record.state != INTENT:  # it provably had no effect: trying again is harmless
         return (0, "its window is over") if late else (kind.timeout_us, "")
-    if kind.effect == NON_REPLAYABLE:
+    if kind.idempotency == Idempotency.NON_IDEMPOTENT:
         return 0, "it may have run: its owner vanished or was told a failure; check its effect by hand"
     if late:
         return 0, "it may have run, and its window is over"
-    if kind.effect == REPLAYABLE:
+    if kind.idempotency == Idempotency.IDEMPOTENT:
         return kind.timeout_us, ""
     if not kind.everywhere:  # the engines that know the mark are known to the vanished owner alone
         return 0, "it may have run, and not all engines would drop a repeat"
     # Never past the time for which engines remember the mark, counted from before it can have run.
-    left = min(kind.timeout_us, record.began_us + kind.dedup_us - rule.skew_us - now)
+    left = min(kind.timeout_us, record.began_us + kind.dedup_window_us - rule.skew_us - now)
     if left < LEAST_PART * kind.timeout_us:
         return 0, "it may have run, and engines may have forgotten its mark"
     return left, ""
@@ -298,8 +298,8 @@
         """It goes out. `at` is the moment at which the token surely held: what a sleep delays beyond the
         limit from then on is never sent. A uniqued one has to be over while its mark is known."""
         limit = self.kind.timeout_us
-        if self.kind.effect == UNIQUED:
-            limit = min(limit, record.began_us + self.kind.dedup_us - self.rule.skew_us - now)
+        if self.kind.idempotency == Idempotency.KEYED:
+            limit = min(limit, record.began_us + self.kind.dedup_window_us - self.rule.skew_us - now)
         self.unsent, self.flight = None, record
         if limit <= 0:
             self.ended(now, UNDONE, "no time was left")
@@ -314,7 +314,11 @@
             return
         if state in (SHED, UNDONE, FAILED):
             self.again_at[record.due_us] = now + AGAIN_US
-        if state == FAILED and self.kind.effect != NON_REPLAYABLE and record.tries < self.rule.tries:
+        if (
+            state == FAILED
+            and self.kind.idempotency != Idempotency.NON_IDEMPOTENT
+            and record.tries < self.rule.tries
+        ):
             self.step(now)  # the intent stands; recover() says what may follow
             return
         self.result = record._replace(state=state, why=why)
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -1,60 +1,225 @@
-"""What the decision module and its fronts share: what a deployment agreed to, and the verbs of results.
+"""Types shared by the decision module and whatever drives it: settings, engine entries, events and results.
 
-A front (the service on sockets, the drill adapter) builds an Agreement once, makes one
-`policy.Gateway(seed, agreement, now)` for each workload manager and calls its methods. Every call takes the
-time in whole microseconds first and returns plain tuples that start with one of the verbs below. Absent
-figures are zero; absent limits are None.
+A driver (the service on sockets, the simulator adapter) reads an Agreement once, makes one
+`decisions.Gateway(seed, agreement, now)` for each gateway process and calls its methods. Every call takes the
+time in whole microseconds first and returns a list of the result types below. Absent figures are zero; absent
+limits are None.
 """
 
-from typing import NamedTuple
-
-# Kinds of profile: may run again; carries a mark by which a repeat is known; must never run twice.
-REPLAYABLE, UNIQUED, NON_REPLAYABLE = range(3)
-# Engines that drop repeats of a uniqued command: all, those in one location, those in one cell.
-ALL, LOCATION, CELL = range(3)
-# Engine states in a list entry.
-GONE, READY, DRAINING = range(3)
-# How a send ended. FULL, NO_CONNECTION and MOOT prove that it never ran.
-ANSWERED, ERROR, FULL, TIMED_OUT, NO_CONNECTION, RESET, CANCELLED, MOOT = range(8)
-NEVER_RAN = frozenset((FULL, NO_CONNECTION, MOOT))
-# Notes on a send that is out: share done, MB missing, what it waits for.
-PROGRESS, SPILLS, WAITS = range(3)
-
-# Verbs of results:
-SEND = 0  # (SEND, command, engine, until_us): hand the command to the engine
-TERMS = 1  # (TERMS, command, grant_mb, priority): memory of further sends; priority also of one that is out
-CANCEL = 2  # (CANCEL, command, send_no): stop waiting for a send
-SHED = 3  # (SHED, command, come_back_us): final answer, trying again does no harm
-FAIL = 4  # (FAIL, command): final answer that promises nothing
-TIMER = 5  # (TIMER, delay_us, token): call timer(token) after the delay
-LOG = 6  # (LOG, text): a line for staff
-LACKS = 7  # (LACKS, ((budget, of what, amount), ...)): what held commands would need beside what is out
-
-# Budgets of a fleet. Held: threads, and MB, on an engine; commands of a tenant that are open. Over a window:
-# further sends; millionths of what a cold engine can stand; commands of a tenant that are taken; calls to the
-# list's service (the front's). By weight: millionths of the traffic. "Of what": an engine's id, a tenant's
-# index, or 0.
-THREADS, MEMORY, OPEN, FURTHER, COLD, TAKEN, SHARE, LISTS = range(8)
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import NamedTuple, Protocol
+
+
+class Idempotency(IntEnum):
+    """Whether the commands of a profile may run more than once."""
+
+    IDEMPOTENT = 0  # any number of times
+    KEYED = 1  # a repeat carries the same idempotency key; engines that know the key drop it
+    NON_IDEMPOTENT = 2  # once at the most
+
+
+class DeduplicationScope(IntEnum):
+    """Which engines drop a repeat of a keyed command: all, those of one zone, those of one cell."""
+
+    FLEET = 0
+    ZONE = 1
+    CELL = 2
+
+
+class EngineState(IntEnum):
+    """State of an engine in the endpoint list."""
+
+    REMOVED = 0
+    READY = 1
+    DRAINING = 2
+
+
+class Outcome(IntEnum):
+    """How an attempt ended."""
+
+    ANSWERED = 0
+    ERROR = 1
+    OVERLOADED = 2
+    TIMED_OUT = 3
+    CONNECT_FAILED = 4
+    RESET = 5
+    CANCELLED = 6
+    NOT_STARTED = 7  # withdrawn before its first byte went out, or refused by the engine as expired
+
+
+NEVER_RAN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED))
+
+
+class StatusKind(IntEnum):
+    """What a status note on an open attempt tells."""
+
+    PROGRESS = 0  # the share done, 0 to 1
+    SPILLING = 1  # the memory that it lacks, MB
+    WAITING = 2  # what it waits for
+
+
+class BudgetKind(IntEnum):
+    """Budgets of a fleet, each with the unit of its amounts and what its subject is.
+
+    Held while in use: THREADS and MEMORY (MB) on an engine, OPEN_COMMANDS of a tenant. Spent over a window:
+    RETRIES; WARMUP, millionths of what a warming engine can take; ADMISSIONS of a tenant; DISCOVERY_CALLS.
+    By weight: TRAFFIC_SHARE, millionths of the traffic. The subject is an engine's id, a tenant's index, or 0.
+    """
+
+    THREADS = 0
+    MEMORY = 1
+    OPEN_COMMANDS = 2
+    RETRIES = 3
+    WARMUP = 4
+    ADMISSIONS = 5
+    TRAFFIC_SHARE = 6
+    DISCOVERY_CALLS = 7
+
+
+@dataclass(frozen=True, slots=True)
+class Dispatch:
+    """Result: send the command to the engine; the attempt must not begin after the deadline."""
+
+    command: int
+    engine: int
+    deadline_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class SetTerms:
+    """Result: memory granted to further attempts of a command, and its priority, also of an open attempt."""
+
+    command: int
+    grant_mb: float
+    priority: int
+
+
+@dataclass(frozen=True, slots=True)
+class CancelAttempt:
+    """Result: cancel one attempt of a command, by its number."""
+
+    command: int
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class Shed:
+    """Result: the final answer is that the command was shed; a retry does no harm.
+
+    retry_after_us: the longest wait that the client may be asked for; 0: none.
+    """
+
+    command: int
+    retry_after_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Result: the final answer is a failure; the command may have run."""
+
+    command: int
+
+
+@dataclass(frozen=True, slots=True)
+class StartTimer:
+    """Result: call timer_fired() with the token after the delay."""
+
+    delay_us: int
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class LogLine:
+    """Result: a line for the log."""
+
+    text: str
+
+
+class Demand(NamedTuple):
+    """What held commands would need of one budget, beyond what is in use."""
+
+    budget: BudgetKind
+    subject: int
+    amount: int
+
+
+@dataclass(frozen=True, slots=True)
+class ReportDemand:
+    """Result: the demand for budgets of the fleet."""
+
+    demands: tuple[Demand, ...]
+
+
+Result = Dispatch | SetTerms | CancelAttempt | Shed | Fail | StartTimer | LogLine | ReportDemand
+
+
+class EngineEntry(NamedTuple):
+    """One engine as the endpoint list tells it. zone, kind: indexes into the agreement's names, -1: unknown."""
+
+    id: int
+    zone: int
+    weight: float
+    kind: int
+    state: EngineState
+    cell: int
+    started_us: int  # Unix time, us; 0: it has long been up
+
+
+class BudgetShare(Protocol):
+    """This gateway's share of one budget of the fleet."""
+
+    def limit(self) -> int:
+        """The most that may be in use now."""
+        ...
+
+    def allows(self, amount: int) -> bool:
+        """Whether so much more may be acquired now."""
+        ...
+
+    def acquire(self, amount: int) -> None:
+        """Take an amount, after allows()."""
+        ...
+
+    def release(self, amount: int, confirmed: bool = True) -> None:
+        """Give an amount back. Not confirmed: the work was cancelled and may run on for a moment."""
+        ...
+
+    def record_rejection(self, amount: int) -> None:
+        """Count an amount that was rejected for want of it."""
+        ...
+
+
+class PolicyGate(Protocol):
+    """Whether the fleet's policy lets this gateway work at the moment."""
+
+    def may_dispatch(self) -> bool:
+        """Whether an attempt may be sent now."""
+        ...
+
+    def rejects_new(self) -> bool:
+        """Whether commands that arrive now are rejected."""
+        ...
 
 
 class Profile(NamedTuple):
-    """How commands of one profile behave and what was promised for them."""
+    """How the commands of one profile behave, and what was promised for them."""
 
     threads: int
-    target_us: int  # latency target ...
+    target_us: int  # latency objective ...
     target_stretch: float  # ... and how it grows with work divided by threads
-    timeout_us: int  # client timeout over all of the client's tries
+    timeout_us: int  # client timeout over all of the client's attempts
     benefit: float
-    late_benefit: float  # share of the benefit that an answer after the target still earns
-    effect: int
-    dedup_scope: int
-    dedup_us: int
+    late_benefit: float  # share of the benefit that an answer after the objective still earns
+    idempotency: Idempotency
+    dedup_scope: DeduplicationScope
+    dedup_window_us: int
     ordered: bool
-    locations: frozenset | None
-    kinds: frozenset | None
-    loads: bool  # holds its data set on its engine while it runs
-    stands_still: bool  # waits while a load holds its data set
-    name: str = ""  # for fronts only: what clients and engines call it
+    zones: frozenset | None
+    engine_kinds: frozenset | None
+    loads_dataset: bool  # locks its data set on its engine while it runs
+    waits_for_loads: bool  # waits while its data set is locked
+    name: str = ""  # for drivers only: what clients and engines call it
 
 
 class Tenant(NamedTuple):
@@ -62,39 +227,39 @@
 
     share: float
     allowance: float = 0.0  # commands a second inside its share, all gateways together; 0: not stated
-    name: str = ""  # for fronts only
+    name: str = ""  # for drivers only
 
 
 class Agreement(NamedTuple):
-    """What a deployment states at start, in our words."""
-
-    profiles: tuple
-    tenants: tuple
-    managers: int
-    location: int
-    kind_cores: tuple
-    kind_memory_mb: tuple
-    most_grant: float
-    heeds_grants: bool
-    heeds_priority: bool
-    sends_cap: int
-    may_cancel: bool
-    come_back_us: int  # longest wait a shed reply may ask of a client; 0: none
-    cold_from: float
-    cold_us: int
-    fall_multiple: float
-    fall_us: int
-    key_rest_us: int
-    extra_free: float | None  # further sends allowed in any window; None: no budget
-    extra_share: float
-    extra_us: int
-    crossing_costs: bool
-    # For fronts only: names by index, and the limits of connections.
-    locations: tuple = ()
-    kinds: tuple = ()
-    report_fields: tuple = ()  # the figures of a load report, in their order
-    note_us: int = 0  # between notes on a send that is out; 0: none
-    streams: int = 1  # sends that one connection to an engine carries
-    connect_us: int = 0
-    idle_us: int = 0  # after which an idle connection is closed by the engine
-    open_cap: int = 0  # commands owed or out at once; 0: no cap
+    """What a deployment's settings state, read once at the start."""
+
+    profiles: tuple[Profile, ...]
+    tenants: tuple[Tenant, ...]
+    gateways: int
+    zone: int  # of this gateway
+    cores_by_kind: tuple[float, ...]
+    memory_mb_by_kind: tuple[float, ...]
+    max_grant_share: float
+    honors_grants: bool
+    honors_priority: bool
+    max_attempts: int
+    supports_cancel: bool
+    max_retry_after_us: int  # longest wait that a shed reply may ask of a client; 0: none
+    warmup_initial_share: float
+    warmup_us: int
+    overload_multiple: float
+    overload_window_us: int
+    key_settle_us: int
+    retry_budget_base: float | None  # retries allowed in any window; None: no budget
+    retry_budget_share: float
+    retry_budget_window_us: int
+    cross_zone_costs: bool
+    # For drivers only: names by index, and the limits of connections.
+    zone_names: tuple[str, ...] = ()
+    kind_names: tuple[str, ...] = ()
+    report_fields: tuple[str, ...] = ()  # the figures of a load report, in their order
+    status_interval_us: int = 0  # between status notes on an open attempt; 0: none
+    streams_per_connection: int = 1  # attempts that one connection to an engine carries
+    connect_timeout_us: int = 0
+    idle_timeout_us: int = 0  # after which the engine closes an idle connection
+    max_open_commands: int = 0  # commands owed or out at once; 0: no limit
--- a/gullhold/net/coordinator.py
+++ b/gullhold/net/coordinator.py
@@ -10,14 +10,14 @@
 
 from loguru import logger
 
-from gullhold import interface as api
-from gullhold.agreement import place_of
+from gullhold.agreement import index_of
+from gullhold.interface import EngineState
 from gullhold.net import endings, host_port
 from gullhold.net.buffer import Buffer
 from gullhold.net.connection import Connection
 from gullhold.net.endings import Ending, Malformed
 
-STATES = {"ready": api.READY, "draining": api.DRAINING, "gone": api.GONE}
+STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING, "gone": EngineState.REMOVED}
 FIRST_WORD_US = 100_000  # us in which news is told that there is: twice the page's time for crossings
 TOGETHER_S = 0.01  # s for which changes are gathered while they follow each other so closely
 FAULT_WAIT_S = 0.1  # s until the stream is followed anew after a fault of ours
@@ -52,7 +52,7 @@
         self.taken.discard(self.numbers.pop(name, None))
 
 
-def members(event, deal, names):
+def members(event, agreement, names):
     """(entries for the module, addresses by engine, whether the list is whole) of one event."""
     try:
         change = event["endpoints"]
@@ -62,9 +62,9 @@
             entries.append(
                 (
                     ident,
-                    place_of(deal.locations, str(member.get("locality", ""))),
+                    index_of(agreement.zone_names, str(member.get("locality", ""))),
                     float(member.get("size") or 1.0),
-                    place_of(deal.kinds, str(member.get("flavor", ""))),
+                    index_of(agreement.kind_names, str(member.get("flavor", ""))),
                     STATES[member["phase"]],
                     int(member.get("cell") or 0),
                     int(member.get("up_since_ms") or 0) * 1000,
@@ -155,7 +155,7 @@
 
     def run(self):
         """Connect, follow, and again whenever the stream ends, falls silent, makes no sense or moves."""
-        wait = self.core.deal.connect_us / 1e6
+        wait = self.core.agreement.connect_timeout_us / 1e6
         while True:
             try:
                 self._turn(wait)
@@ -208,7 +208,7 @@
         batch = Batch()
         try:
             for event in stream.events():
-                entries, addresses, whole = members(event, self.core.deal, self.names)
+                entries, addresses, whole = members(event, self.core.agreement, self.names)
                 if whole or batch.names_any(entries):
                     self._tell(batch)
                     batch = Batch()
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -12,8 +12,21 @@
 
 from loguru import logger
 
-from gullhold import interface as api
 from gullhold.door.door import HAND
+from gullhold.interface import (
+    NEVER_RAN,
+    CancelAttempt,
+    Dispatch,
+    EngineState,
+    Fail,
+    LogLine,
+    Outcome,
+    ReportDemand,
+    SetTerms,
+    Shed,
+    StartTimer,
+    StatusKind,
+)
 from gullhold.net import endings, resp, thrift
 from gullhold.net.coordinator import FIRST_WORD_US
 from gullhold.net.endings import Ending, Malformed
@@ -23,7 +36,7 @@
 from gullhold.net.pipe import UNSURE
 from gullhold.net.start_times import StartTimes
 
-NOTES = {b"share": api.PROGRESS, b"short": api.SPILLS, b"held": api.WAITS}
+NOTES = {b"share": StatusKind.PROGRESS, b"short": StatusKind.SPILLING, b"held": StatusKind.WAITING}
 OUTCOMES = ("answered", "error", "full", "timed out", "no connection", "reset", "cancelled", "moot")
 ALIVE = b"alive"
 PAGES = (b"200", b"chunk")
@@ -80,12 +93,12 @@
     connect = Link  # a class: of (engine, core, most bytes of a message, and of its pipe, now)
     flusher = None  # goes on with writes that the system did not take whole
 
-    def __init__(self, gateway, deal, counters, message_most, links_most, room, door=None, come_back=""):
+    def __init__(self, gateway, agreement, counters, message_most, links_most, room, door=None, come_back=""):
         self.room = room  # of all clients
-        self.gateway, self.deal, self.counters, self.door = gateway, deal, counters, door
+        self.gateway, self.agreement, self.counters, self.door = gateway, agreement, counters, door
         self.come_back = come_back.encode()  # the field of Shed that tells when to come back; empty: none
         self.message_most, self.links_most = message_most, links_most
-        self.report = [name.encode() for name in deal.report_fields]
+        self.report = [name.encode() for name in agreement.report_fields]
         self.queue, self.urgent, self.after, self.timers = SimpleQueue(), deque(), deque(), []
         self.now, self.serial, self.timer_serial, self.tags = self.clock(), 0, 0, 0
         self.owed, self.txns, self.engines, self.links = {}, {}, {}, set()
@@ -98,10 +111,16 @@
         self.behind = lambda: False  # whether the coordinator's thread has yet to tell of what has come
         self.end_clients = lambda: None  # ends all clients' connections, once what has come is answered
         self.checks = []  # of a fleet: each stamps what is decided, and knows whether a stamp still holds
-        self.sweep_us = max(deal.connect_us, 100_000)  # between looks at links: time to come up
-        self.share = max(2, isqrt(deal.streams))  # sends on a shared link: few links, few lost with one
-        self.silent_us = deal.note_us + self.sweep_us  # a link with a send out says something by then
-        self.lost_us = deal.note_us and self.silent_us + deal.note_us  # two notes missed: none will come
+        self.sweep_us = max(agreement.connect_timeout_us, 100_000)  # between looks at links: time to come up
+        self.share = max(
+            2, isqrt(agreement.streams_per_connection)
+        )  # sends on a shared link: few links, few lost with one
+        self.silent_us = (
+            agreement.status_interval_us + self.sweep_us
+        )  # a link with a send out says something by then
+        self.lost_us = (
+            agreement.status_interval_us and self.silent_us + agreement.status_interval_us
+        )  # two notes missed: none will come
 
     @staticmethod
     def clock():
@@ -118,9 +137,9 @@
 
     def list_changed(self, entries, addresses, whole, events=1):
         """From the coordinator's thread: the list of engines changed, by so many events."""
-        self.first(self._listed, entries, addresses, whole, events)
+        self.post_urgent(self._listed, entries, addresses, whole, events)
 
-    def first(self, call, *args):
+    def post_urgent(self, call, *args):
         """From any thread: have the core make this call ahead of all else that waits."""
         self.urgent.append((call, args))
         self.post(self._nothing)
@@ -130,7 +149,7 @@
     def run(self, known):
         """Serve until told to leave and done."""
         # Guards against sends to what has left since the configuration was written: a start takes a second.
-        self.listed.wait((self.deal.connect_us + 2 * FIRST_WORD_US) / 1e6)
+        self.listed.wait((self.agreement.connect_timeout_us + 2 * FIRST_WORD_US) / 1e6)
         self.begin(known)
         while not self.stopped:
             try:
@@ -227,10 +246,11 @@
             results = list(self.gateway.out)  # what it had decided until then holds
             if cmd and cmd.client and not cmd.send:
                 self.after.append((self._give_up, cmd))
-        for verb, *facts in results:
-            self.ACTIONS[verb](self, *facts)
+        for result in results:
+            self.ACTIONS[type(result)](self, result)
 
-    def _act_send(self, number, engine, until):
+    def _act_send(self, result):
+        number, engine, until = result.command, result.engine, result.deadline_us
         cmd = self.owed.get(number)
         if cmd is None:
             return
@@ -241,10 +261,10 @@
                 (
                     self._ask,
                     cmd,
-                    self.gateway.ended,
+                    self.gateway.attempt_ended,
                     number,
                     send.number,
-                    api.MOOT,
+                    Outcome.NOT_STARTED,
                     not cmd.client,
                     0,
                     0,
@@ -264,9 +284,14 @@
         if link is None:
             # Told as late as a connection that does not come up: no spinning on the same want. We are short
             # of a descriptor or a thread: guards against blaming the engine for it.
-            self._later(min(self.now + self.deal.connect_us, until), self._end_send, send, api.MOOT)
+            self._later(
+                min(self.now + self.agreement.connect_timeout_us, until),
+                self._end_send,
+                send,
+                Outcome.NOT_STARTED,
+            )
             return
-        send.until, send.stamp = until, self.stamp()
+        send.until, send.stamp = until, self.fencing_token()
         request, facts = cmd.request, self._facts(cmd)
 
         def message(now):
@@ -279,12 +304,14 @@
         # Guards against a deadline that was true when the send was decided and not when it goes out: its
         # connection may come up late, or what is before it may be read late.
         send.offset = link.pipe.put(
-            send.message, send.stamp and (lambda: self.sure(send.stamp)), lambda: message(self.clock())
+            send.message, send.stamp and (lambda: self.token_valid(send.stamp)), lambda: message(self.clock())
         )
         if send.offset < 0:  # nothing of it goes out
             unsure = send.offset == UNSURE
             link.retired = link.retired or not unsure
-            self.after.append((self._end_send, send, api.MOOT if unsure else api.NO_CONNECTION))
+            self.after.append(
+                (self._end_send, send, Outcome.NOT_STARTED if unsure else Outcome.CONNECT_FAILED)
+            )
             return
         self.counters.add("sends")
         self._later(until, self._send_due, send)
@@ -294,35 +321,38 @@
         facts = [(b"c", cmd.request.verb)]
         if cmd.request.unique:
             facts.append((b"i", cmd.request.unique))
-        if cmd.grant > 0 and self.deal.heeds_grants:
+        if cmd.grant > 0 and self.agreement.honors_grants:
             facts.append((b"mem", b"%d" % ceil(cmd.grant)))
-        if self.deal.heeds_priority:
+        if self.agreement.honors_priority:
             facts.append((b"prio", b"%d" % cmd.priority))
         return facts
 
-    def stamp(self):
+    def fencing_token(self):
         """What sends are decided under now, for sure()."""
-        return tuple(check.stamp() for check in self.checks)
+        return tuple(check.fencing_token() for check in self.checks)
 
-    def sure(self, stamp):
+    def token_valid(self, stamp):
         """Whether what was decided under a stamp may still go out. Guards against a process that slept
         between decision and write: what it was made under may be another's by now. From any thread."""
-        return all(check.sure(then) for check, then in zip(self.checks, stamp, strict=True))
+        return all(check.token_valid(then) for check, then in zip(self.checks, stamp, strict=True))
 
-    def _act_terms(self, number, grant, priority):
-        cmd = self.owed.get(number)
+    def _act_terms(self, result):
+        cmd, priority = self.owed.get(result.command), result.priority
         if cmd is None:
             return
-        if cmd.send and cmd.send.link and priority != cmd.priority and self.deal.heeds_priority:
+        if cmd.send and cmd.send.link and priority != cmd.priority and self.agreement.honors_priority:
             self._tell(cmd.send.link, b"renice", cmd.request.txn, b"%d" % priority)
-        cmd.grant, cmd.priority = grant, priority
+        cmd.grant, cmd.priority = result.grant_mb, priority
 
-    def _act_cancel(self, number, send_no):
-        cmd = self.owed.get(number)
-        if cmd and cmd.send and cmd.send.number == send_no:
-            self._stop_send(cmd.send, api.CANCELLED)
+    def _act_cancel(self, result):
+        cmd = self.owed.get(result.command)
+        if cmd and cmd.send and cmd.send.number == result.attempt:
+            self._stop_send(cmd.send, Outcome.CANCELLED)
+
+    def _act_shed(self, result):
+        self._shed(result.command, result.retry_after_us)
 
-    def _act_shed(self, number, come_back_us):
+    def _shed(self, number, come_back_us):
         told = self.door.told(self.now, number) if self.door and self.come_back else 0
         told = min(told, come_back_us) if come_back_us else told
         self._refuse(number, "shed", lambda cmd: thrift.shed(cmd.seq, self._when(told)))
@@ -331,7 +361,10 @@
         """What a Shed carries: when to come back, where that is known."""
         return {self.come_back: b"%d" % -(-come_back_us // 1000)} if come_back_us and self.come_back else {}
 
-    def _act_fail(self, number):
+    def _act_fail(self, result):
+        self._fail(result.command)
+
+    def _fail(self, number):
         self._refuse(number, "failed", lambda cmd: thrift.fault(cmd.seq, "failed"))
 
     def _refuse(self, number, word, message):
@@ -341,7 +374,7 @@
             self._refused(cmd, word)
             self._answer(cmd, message(cmd))
             if cmd.send:  # given up with the command
-                self._stop_send(cmd.send, api.CANCELLED)
+                self._stop_send(cmd.send, Outcome.CANCELLED)
 
     def _refused(self, cmd, reason):
         self.events.add(
@@ -356,37 +389,37 @@
             )
         )
 
-    def _act_timer(self, delay_us, token):
-        self._later(self.now + delay_us, self._ask, None, self.gateway.timer, token)
+    def _act_timer(self, result):
+        self._later(self.now + result.delay_us, self._ask, None, self.gateway.timer_fired, result.token)
 
-    def _act_log(self, text):
-        logger.info("module: {}", text)
+    def _act_log(self, result):
+        logger.info("module: {}", result.text)
 
-    def _act_lacks(self, rows):
-        self.lacking(rows)
+    def _act_lacks(self, result):
+        self.lacking(result.demands)
 
     ACTIONS = {
-        api.SEND: _act_send,
-        api.TERMS: _act_terms,
-        api.CANCEL: _act_cancel,
-        api.SHED: _act_shed,
-        api.FAIL: _act_fail,
-        api.TIMER: _act_timer,
-        api.LOG: _act_log,
-        api.LACKS: _act_lacks,
+        Dispatch: _act_send,
+        SetTerms: _act_terms,
+        CancelAttempt: _act_cancel,
+        Shed: _act_shed,
+        Fail: _act_fail,
+        StartTimer: _act_timer,
+        LogLine: _act_log,
+        ReportDemand: _act_lacks,
     }
 
-    def adopt(self, terms, gate, shares, clients):
+    def apply_policy(self, terms, gate, shares, clients):
         """A policy of the fleet holds from here on; gate: asked at each send; shares, clients: the door's."""
         self.gate = gate
         if self.door:
             self.door.reweigh(shares, clients)
-        self._ask(None, self.gateway.adopt, terms, gate)
+        self._ask(None, self.gateway.apply_policy, terms, gate)
 
-    def allot(self, parts, lacking):
+    def apply_budgets(self, parts, lacking):
         """The fleet's budgets bind, or have changed; lacking(rows) hears what held commands lack."""
         self.lacking = lacking
-        self._ask(None, self.gateway.allot, parts)
+        self._ask(None, self.gateway.apply_budgets, parts)
 
     # Clients
 
@@ -404,7 +437,7 @@
         if request.txn in self.txns:
             self.counters.add("failed")
             self._answer(cmd, thrift.fault(seq, "this txn is open already"))
-        elif self.closed or 0 < self.deal.open_cap <= len(self.owed) - self._at_door():
+        elif self.closed or 0 < self.agreement.max_open_commands <= len(self.owed) - self._at_door():
             self.counters.add("over the open cap")
             self._answer(cmd, thrift.shed(seq, {}))
         else:
@@ -434,7 +467,7 @@
         request = cmd.request
         self._ask(
             cmd,
-            self.gateway.command,
+            self.gateway.submit,
             cmd.number,
             request.profile,
             request.tenant,
@@ -476,7 +509,7 @@
 
     def check(self, client, seq):
         """The front asks whether we serve: this answer comes from the thread that does."""
-        good = self.known and not self.leaving_at and not (self.gate and self.gate.shut())
+        good = self.known and not self.leaving_at and not (self.gate and self.gate.rejects_new())
         client.put(thrift.answer("check", seq, good=good))
 
     def interrupt(self, client, seq):
@@ -518,7 +551,7 @@
         here = self.door and self.door.waits(cmd.number)
         self._settle(cmd)
         if not here:
-            self._ask(cmd, self.gateway.client_gone, cmd.number)
+            self._ask(cmd, self.gateway.client_left, cmd.number)
 
     def _answer(self, cmd, message):
         client = cmd.client
@@ -553,10 +586,10 @@
     def _give_up(self, cmd):
         """The command must end now: the final answer is the module's, else a failure: no promise."""
         if cmd.client and self.door and self.door.waits(cmd.number):
-            self._act_shed(cmd.number, 0)  # it never went out
+            self._shed(cmd.number, 0)  # it never went out
         elif cmd.client:
-            self._ask(None, self.gateway.give_up, cmd.number)
-            self._act_fail(cmd.number)  # for a module that fails on this command again
+            self._ask(None, self.gateway.abandon, cmd.number)
+            self._fail(cmd.number)  # for a module that fails on this command again
 
     # Engines
 
@@ -575,19 +608,19 @@
             engine = self.engines.get(ident)
             if engine is None:
                 continue
-            engine.state = states.get(ident, api.GONE)
-            if engine.state != api.READY:  # what has not begun to go out must not go any more
+            engine.state = states.get(ident, EngineState.REMOVED)
+            if engine.state != EngineState.READY:  # what has not begun to go out must not go any more
                 for link in list(engine.links):
                     for send in [send for send in link.open.values() if link.pipe.withdraw(send.message)]:
-                        self.after.append((self._end_send, send, api.MOOT))
+                        self.after.append((self._end_send, send, Outcome.NOT_STARTED))
             self._part(engine)
-        self._ask(None, self.gateway.engines, entries, whole)
+        self._ask(None, self.gateway.update_engines, entries, whole)
 
     def _part(self, engine):
         """What is gone and has no link left is forgotten."""
-        if engine.state == api.GONE:
+        if engine.state == EngineState.REMOVED:
             self.starts.forget(engine.id)
-        if engine.state == api.GONE and not engine.links:
+        if engine.state == EngineState.REMOVED and not engine.links:
             self.engines.pop(engine.id, None)
 
     def _link_for(self, ident, txn):
@@ -595,7 +628,11 @@
         engine = self.engines.get(ident)
         if engine is None:
             return None
-        fresh = [link for link in engine.links if link.takes(txn, self.deal.streams) and not self._idle(link)]
+        fresh = [
+            link
+            for link in engine.links
+            if link.takes(txn, self.agreement.streams_per_connection) and not self._idle(link)
+        ]
         # One send a link while descriptors last: guards against one spoilt answer, reset, or request that an
         # engine can't read taking down what else is open there. But some engines close a connection when they
         # have answered and nothing else is open on it, be pages or a fetch still to come: there sends share.
@@ -632,12 +669,12 @@
         for send in list(link.open.values()):
             if not (
                 send.command.client
-                and link.engine.state == api.READY
+                and link.engine.state == EngineState.READY
                 and send.until > self.now
-                and self.sure(send.stamp)
+                and self.token_valid(send.stamp)
             ) and link.pipe.withdraw(send.message):
                 self.counters.add("sends taken back")
-                self.after.append((self._end_send, send, api.MOOT))
+                self.after.append((self._end_send, send, Outcome.NOT_STARTED))
         link.pipe.attach(link.connection)
 
     def _tell(self, link, *words):
@@ -675,7 +712,7 @@
                 self.counters.add("notes")
                 self._ask(
                     send.command,
-                    self.gateway.noted,
+                    self.gateway.attempt_status,
                     send.command.number,
                     send.number,
                     NOTES[facts[b"note"]],
@@ -716,7 +753,7 @@
                 self.counters.add("answered us", self.now - cmd.timeout_at + cmd.request.limit_us)
             message = thrift.answer("execute", cmd.seq, b"".join(send.pages))
             self._answer(cmd, message)
-        self._end_send(send, api.ANSWERED)
+        self._end_send(send, Outcome.ANSWERED)
 
     def _end_send(self, send, outcome):
         """A send is over: the module is told, once."""
@@ -732,12 +769,12 @@
         self.counters.add(f"sends {cmd.ended}")
         closed = cmd.client is None
         if self.door:
-            self.door.back(self.now, cmd.number, send.told[0], outcome not in api.NEVER_RAN)
+            self.door.back(self.now, cmd.number, send.told[0], outcome not in NEVER_RAN)
         if closed:
             self._forget(cmd)
         self._ask(
             cmd,
-            self.gateway.ended,
+            self.gateway.attempt_ended,
             cmd.number,
             send.number,
             outcome,
@@ -776,8 +813,8 @@
         )
         if link and link.open.get(txn) is send:
             if link.pipe.withdraw(send.message):
-                outcome = api.MOOT
-            elif outcome in (api.CANCELLED, api.RESET) and cmd.client and not send.pages:
+                outcome = Outcome.NOT_STARTED
+            elif outcome in (Outcome.CANCELLED, Outcome.RESET) and cmd.client and not send.pages:
                 if send.leaving is None:
                     self.tags += 1
                     tag, send.leaving = b"~%d" % self.tags, outcome
@@ -789,7 +826,7 @@
                 if send.leaving is None:
                     self._tell(link, b"done" if send.pages else b"abort", txn)
                 link.given_up.add(txn)
-                link.retired = link.retired or len(link.given_up) >= self.deal.streams
+                link.retired = link.retired or len(link.given_up) >= self.agreement.streams_per_connection
             del link.open[txn]
         self.after.append((self._end_send, send, outcome))
 
@@ -801,7 +838,7 @@
 
     def _send_due(self, send):
         if send.command.send is send:
-            self._stop_send(send, api.TIMED_OUT)
+            self._stop_send(send, Outcome.TIMED_OUT)
 
     def _drop_link(self, link, ending, text=""):
         link.shut(ending)
@@ -835,11 +872,11 @@
             not routine,
         )
         # Where we closed, the engine learns of it later: until then its sends are still out there.
-        at = self.now + (self.deal.connect_us if ending in endings.OURS else 0)
+        at = self.now + (self.agreement.connect_timeout_us if ending in endings.OURS else 0)
         for send in list(link.open.values()):
             outcome = endings.outcome(send.offset > 0 and link.pipe.whole(send.offset))
-            if ending in endings.NO_BLAME and outcome == api.NO_CONNECTION:
-                outcome = api.MOOT
+            if ending in endings.NO_BLAME and outcome == Outcome.CONNECT_FAILED:
+                outcome = Outcome.NOT_STARTED
             if at > self.now:
                 del link.open[send.command.request.txn]
                 self._later(at, self._end_send, send, outcome)
@@ -848,7 +885,9 @@
 
     def _idle(self, link):
         """Whether the engine may be about to close it for idleness: we close first."""
-        return not link.open and 0 < self.deal.idle_us < self.now - link.used_at + 2 * self.sweep_us
+        return (
+            not link.open and 0 < self.agreement.idle_timeout_us < self.now - link.used_at + 2 * self.sweep_us
+        )
 
     def _sweep(self):
         """Links that fell silent, links no longer needed."""
@@ -857,7 +896,7 @@
             if link.connection is None:
                 continue
             if not link.open:
-                if link.retired or link.engine.state != api.READY:
+                if link.retired or link.engine.state != EngineState.READY:
                     link.shut(Ending.RETIRED)
                 elif self._idle(link):
                     link.shut(Ending.IDLE)
@@ -871,7 +910,7 @@
                 for send in list(link.open.values()):
                     if send.leaving is None and self.now - send.heard_at >= self.lost_us:
                         self.counters.add("answers lost")
-                        self._stop_send(send, api.RESET)
+                        self._stop_send(send, Outcome.RESET)
             elif quiet >= self.silent_us:
                 # Guards against a machine that vanished or was cut off: its links stay open and silent.
                 if not link.asked_at:
@@ -888,7 +927,7 @@
             return
         self.leaving_at = self.now
         logger.info("leaving: {} commands open", len(self.owed))
-        longest = max((profile.timeout_us for profile in self.deal.profiles), default=0)
+        longest = max((profile.timeout_us for profile in self.agreement.profiles), default=0)
         longest = min(longest, LAST_ANSWER_US)
         # With short deadlines the kill comes soon, and requests come until then: guards against an end before
         # the last of them is read and answered.
--- a/gullhold/net/endings.py
+++ b/gullhold/net/endings.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 
-from gullhold import interface as api
+from gullhold.interface import Outcome
 
 
 class Malformed(Exception):
@@ -52,12 +52,17 @@
 # Ends of a client's connection at which the client is still there, and waits for what it asked.
 STILL_THERE = frozenset((Ending.IDLE, Ending.MALFORMED, Ending.FAULT))
 # Words of engines that end a send; "full" and "over already" prove that it never ran.
-WORDS = {b"200": api.ANSWERED, b"503": api.FULL, b"500": api.ERROR, b"504": api.MOOT}
+WORDS = {
+    b"200": Outcome.ANSWERED,
+    b"503": Outcome.OVERLOADED,
+    b"500": Outcome.ERROR,
+    b"504": Outcome.NOT_STARTED,
+}
 
 
 def outcome(whole):
     """What the end of a link, however it came, is to a send: one that never went out whole never ran."""
-    return api.RESET if whole else api.NO_CONNECTION
+    return Outcome.RESET if whole else Outcome.CONNECT_FAILED
 
 
 def caught(error, connecting=False):
--- a/gullhold/net/front.py
+++ b/gullhold/net/front.py
@@ -11,8 +11,8 @@
 
 from loguru import logger
 
-from gullhold import interface as api
 from gullhold.door.whose import CLOSED
+from gullhold.interface import Idempotency
 from gullhold.net import endings, host_port, set_no_delay, set_read_timeout, statement, thrift
 from gullhold.net.connection import Connection
 from gullhold.net.endings import Ending, Malformed
@@ -69,16 +69,16 @@
 class Reader:
     """Turns the arguments of execute into a Request, with the names of one agreement."""
 
-    def __init__(self, deal, whose=None, come_back=b""):
-        self.deal, self.whose = deal, whose  # whose: tells clients apart, where there is a door
+    def __init__(self, agreement, whose=None, come_back=b""):
+        self.agreement, self.whose = agreement, whose  # whose: tells clients apart, where there is a door
         self.come_back = come_back  # the field of Shed that says when to come back
-        self.profiles = {profile.name.encode(): i for i, profile in enumerate(deal.profiles)}
-        self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(deal.tenants)}
+        self.profiles = {profile.name.encode(): i for i, profile in enumerate(agreement.profiles)}
+        self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)}
         # The most of a limit (ms; for clients that round), of work (ms on one core) and of memory (MB).
-        longest = max((profile.timeout_us for profile in deal.profiles), default=0)
+        longest = max((profile.timeout_us for profile in agreement.profiles), default=0)
         self.limit_most = 2 * longest / 1000 or float("inf")
-        self.work_most = self.limit_most * max(deal.kind_cores, default=1.0)
-        self.memory_most = max(deal.kind_memory_mb, default=float("inf"))
+        self.work_most = self.limit_most * max(agreement.cores_by_kind, default=1.0)
+        self.memory_most = max(agreement.memory_mb_by_kind, default=float("inf"))
 
     def shut(self, fields, peer, shut, now):
         """(fields of the Shed,) where the door would turn this away with no more than is known, or None."""
@@ -108,12 +108,16 @@
             raise Refused("unknown team")
         flow = self.whose.flow(fields, stranger, address, connection) if self.whose else b""
         profile, unique = self.profiles[verb], fields.get(b"unique", b"")
-        if not UNIQUE.match(unique) or not unique and self.deal.profiles[profile].effect == api.UNIQUED:
+        if (
+            not UNIQUE.match(unique)
+            or not unique
+            and self.agreement.profiles[profile].idempotency == Idempotency.KEYED
+        ):
             raise Refused("unusable unique")  # without it no engine knows a repeat
         limit = _figure(fields, b"limit", self.limit_most, absent=b"")
         work = _figure(fields, b"cpu", self.work_most)
         group, table = statement.group(body.decode("utf-8", "replace"))
-        key = crc32(table.encode()) or 1 if table and self.deal.profiles[profile].ordered else 0
+        key = crc32(table.encode()) or 1 if table and self.agreement.profiles[profile].ordered else 0
         return Request(
             txn,
             verb,
@@ -226,7 +230,7 @@
             self.core.post(self.core.client_ended, self, ending, text)
         else:  # ahead of all: nothing must go out for it any more
             self.left = True
-            self.core.first(self.core.client_ended, self, ending, text)
+            self.core.post_urgent(self.core.client_ended, self, ending, text)
         self._linger()
 
     def _linger(self):
@@ -390,7 +394,7 @@
         if self.waiting.pop(seq, None) is None:  # else the core passes it over when it comes to it
             self.taken_back.add(seq)  # no longer open, though the core has yet to settle it
             if seq in self.open:
-                self.core.first(self.core.interrupt, self, seq)
+                self.core.post_urgent(self.core.interrupt, self, seq)
             else:  # answered before, or never asked
                 self.taken_back.discard(seq)
 
@@ -432,7 +436,9 @@
         except Refused as why:
             core.counters.add("unusable")
             self.put(thrift.fault(seq, str(why)))
-            self._hold_off(core.deal.connect_us / 1e6)  # guards against those who ask the same again at once
+            self._hold_off(
+                core.agreement.connect_timeout_us / 1e6
+            )  # guards against those who ask the same again at once
             return
         if not core.room.take(len(body)):
             core.counters.add("no memory for a statement")
@@ -446,9 +452,9 @@
 class Listener:
     """Takes connections, to the very end: what waits in the backlog counts as taken."""
 
-    def __init__(self, address, core, deal, most, clients_most, whose=None):
+    def __init__(self, address, core, agreement, most, clients_most, whose=None):
         self.core, self.most, self.clients_most = core, most, clients_most
-        self.reader = Reader(deal, whose, core.come_back)
+        self.reader = Reader(agreement, whose, core.come_back)
         self.clients = core.room.clients
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/gullhold/net/links.py
+++ b/gullhold/net/links.py
@@ -75,7 +75,9 @@
             if self.ending:
                 ending = self.ending
                 return
-            core.first(core.link_up, self)  # which looks at what waits here once more, and lets it go out
+            core.post_urgent(
+                core.link_up, self
+            )  # which looks at what waits here once more, and lets it go out
             ending = self._read(connection.sock)
             if self.pipe.error:  # a write broke it, and the reader was only woken
                 ending, text = endings.caught(self.pipe.error)
@@ -91,7 +93,7 @@
     def _connected(self):
         """A socket that is connected; OSError where there is none in time. What this machine refuses for a
         moment is tried again: guards against blaming an engine for it."""
-        wait_s = self.core.deal.connect_us / 1e6
+        wait_s = self.core.agreement.connect_timeout_us / 1e6
         end = time.monotonic() + (wait_s or self.core.sweep_us / 1e6)
         while True:
             try:
@@ -131,4 +133,4 @@
                     self.core.post(self.core.heard, self, arrays)
             if self.decoder.cut != cut:  # in the middle of an answer the next bytes come soon, or never
                 cut = self.decoder.cut
-                set_read_timeout(sock, self.core.deal.connect_us if cut else 0)
+                set_read_timeout(sock, self.core.agreement.connect_timeout_us if cut else 0)
--- a/gullhold/net/service.py
+++ b/gullhold/net/service.py
@@ -11,7 +11,8 @@
 
 from loguru import logger
 
-from gullhold import agreement, policy
+from gullhold import policy
+from gullhold.agreement import read_agreement
 from gullhold.door.door import Door
 from gullhold.door.whose import Whose
 from gullhold.net import host_port, thrift
@@ -49,13 +50,13 @@
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
-        deal = agreement.read(told["settings"])
+        agreement = read_agreement(told["settings"])
         names = Names()
         known = told.get("known") or {}
-        changes = [members(event, deal, names) for event in known.get("updates", ())]
+        changes = [members(event, agreement, names) for event in known.get("updates", ())]
         limits = told.get("limits") or {}
         return {
-            "deal": deal,
+            "agreement": agreement,
             "names": names,
             "changes": changes,
             "last": int(known.get("index", 0)),
@@ -70,11 +71,11 @@
         raise Unusable(f"configuration {path}: {fault!r}") from None
 
 
-def door_of(rule, deal, seed):
+def door_of(rule, agreement, seed):
     """(the door, what tells clients apart) that an operator's DoorRecord asks for; Nones where it is off."""
     if not rule.on:
         return None, None
-    names = [tenant.name for tenant in deal.tenants]
+    names = [tenant.name for tenant in agreement.tenants]
     if rule.tenants == "open" and rule.others not in names:
         raise Unusable(f"door.others: {rule.others!r} is no tenant of the agreement")
     try:
@@ -82,7 +83,12 @@
     except ValueError as fault:
         raise Unusable(f"door.client.networks: {fault}") from None
     return Door(
-        seed, rule, [tenant.share for tenant in deal.tenants], deal.profiles, deal.come_back_us, Core.clock()
+        seed,
+        rule,
+        [tenant.share for tenant in agreement.tenants],
+        agreement.profiles,
+        agreement.max_retry_after_us,
+        Core.clock(),
     ), whose
 
 
@@ -91,14 +97,14 @@
 
     rule: the operator's DoorRecord, None: no door.
     """
-    deal = told["deal"]
-    door, whose = door_of(rule, deal, told["seed"]) if rule else (None, None)
+    agreement = told["agreement"]
+    door, whose = door_of(rule, agreement, told["seed"]) if rule else (None, None)
     # The largest message: an even part of the memory for each connection, and always room for a result.
     most = max(told["memory"] // told["sockets"], 2 * RESULT_MOST)
     clients = told["sockets"] // 2  # usual ones hold a third at most; others must find room too
     core = Core(
-        policy.Gateway(told["seed"], deal, Core.clock()),
-        deal,
+        policy.Gateway(told["seed"], agreement, Core.clock()),
+        agreement,
         Counters(),
         most,
         told["sockets"] - clients - OWN_SOCKETS,
@@ -109,7 +115,9 @@
     try:
         core.flusher = retried("a pipe", Flusher)
         listener = retried(
-            "a socket", lambda: Listener(told["listen"], core, deal, most, clients, whose), LISTEN_PATIENCE_S
+            "a socket",
+            lambda: Listener(told["listen"], core, agreement, most, clients, whose),
+            LISTEN_PATIENCE_S,
         )
     except (OSError, ValueError, Refused) as fault:
         raise Unusable(f"can't listen on {told['listen']}: {fault}") from None
@@ -217,7 +225,7 @@
 
     def leave(self):
         """A planned restart."""
-        self.core.first(self.core.leave)
+        self.core.post_urgent(self.core.leave)
         if self.fleet:
             self.fleet.leave()
 
@@ -285,16 +293,16 @@
     except Unusable as fault:
         print(f"gullhold: {fault}", file=sys.stderr)
         return 2
-    deal = told.pop("deal")
+    agreement = told.pop("agreement")
     print(
         f"listens on {told['listen']}, coordinator {told['coordinator']}, {told['memory'] >> 20} MB, "
         f"{told['sockets']} descriptors, list of event {told['last']}"
     )
-    for profile in deal.profiles:
+    for profile in agreement.profiles:
         print(f"profile {profile}")
-    for tenant in deal.tenants:
+    for tenant in agreement.tenants:
         print(f"tenant {tenant}")
-    print(deal._replace(profiles=(), tenants=()))
+    print(agreement._replace(profiles=(), tenants=()))
     return 0
 
 
--- a/gullhold/policy.py
+++ b/gullhold/policy.py
@@ -12,7 +12,23 @@
 from random import Random
 from statistics import median
 
-from gullhold import interface as api
+from gullhold.interface import (
+    NEVER_RAN,
+    BudgetKind,
+    CancelAttempt,
+    DeduplicationScope,
+    Demand,
+    Dispatch,
+    EngineState,
+    Fail,
+    Idempotency,
+    Outcome,
+    ReportDemand,
+    SetTerms,
+    Shed,
+    StartTimer,
+    StatusKind,
+)
 from gullhold.ranking import RANKED_MOST, EngineList
 
 # Tuned values: each with its unit and the reason for its size.
@@ -63,7 +79,7 @@
 }
 
 ENGINE = {
-    "state": api.GONE,
+    "state": EngineState.REMOVED,
     "place": 0,
     "kind": 0,
     "cell": 0,
@@ -133,7 +149,7 @@
     """The decisions of one workload manager."""
 
     def __init__(self, seed, agreement, now):
-        self.deal, self.draw, self.began = agreement, Random(seed).random, now
+        self.agreement, self.draw, self.began = agreement, Random(seed).random, now
         self.out, self.now, self.order, self.ready_cores, self.usual_failed = [], now, 0, 0.0, 0.0
         self.commands, self.due = {}, []  # by id while owed or out; (time, order, command, sends)
         # (Engine, data set): until when a load holds it. Data set: engines by rank, and commands, fading.
@@ -151,7 +167,7 @@
         self.counted, self.held, self.released = sum(w > 0 for w in self.weight), {}, {}
         self.quota, self.latency, self.spreads = {}, {}, 0.0  # sum of spreads of latency
         self.allowance = sum(t.allowance for t in agreement.tenants)  # what our traffic is measured against
-        self.traffic, self.traffic_at = self.allowance / agreement.managers * TRAFFIC_US / 1e6, now
+        self.traffic, self.traffic_at = self.allowance / agreement.gateways * TRAFFIC_US / 1e6, now
         self.part, self.slow, self.total, self.armed = 1.0, 1.0, 0, None
         self.long, self.lingering = LONG_PART[1], []  # (until, engine, born, threads): sends that may run on
         self.zeta, self.rose, self.turn, self.rounds = QUOTA[1], False, 0, 0
@@ -166,7 +182,7 @@
         self.marred, self.stuck_at, self.sampled = set(), set(), -1  # with failures, stuck sends; sampled
         vars(self).update({name: [] for name in ENGINE})  # parallel arrays under the dense index
 
-    def engines(self, now, entries, full):
+    def update_engines(self, now, entries, full):
         """The list of engines changed; full: engines that are not in it are gone."""
         self.now, self.out, seen = now, [], set()
         for ident, place, _, kind, state, cell, born in entries:
@@ -183,13 +199,13 @@
                 self.load[be] = 1.0
                 self.cold_sent[be].clear()
             self.state[be], self.place[be], self.kind[be], self.cell[be] = state, place, kind, cell
-            cores, self.born[be] = self.deal.kind_cores, born
+            cores, self.born[be] = self.agreement.cores_by_kind, born
             self._set_stage(be, 0)
             self.cores[be] = cores[kind] if kind < len(cores) else max(cores, default=1.0)
             self._enlist(be)
         for be in [be for be in self.index.values() if be not in seen] if full else ():
             self._take_off(be)
-            self.state[be] = api.GONE
+            self.state[be] = EngineState.REMOVED
             self._enlist(be)
         self._forget_gone()
         self.closed = {spot: until for spot, until in self.closed.items() if until > now}
@@ -203,11 +219,11 @@
 
     def _enlist(self, be):
         """After an engine's entry has changed: the lists that it belongs to."""
-        ready = self.state[be] == api.READY
+        ready = self.state[be] == EngineState.READY
         self.ready.set(be, self.sequence[be], self.ids[be], ready)
-        self.near.set(be, self.sequence[be], self.ids[be], ready and self.place[be] == self.deal.location)
+        self.near.set(be, self.sequence[be], self.ids[be], ready and self.place[be] == self.agreement.zone)
         self.ready_cores += self.cores[be] if ready else 0.0
-        (self.gone.add if self.state[be] == api.GONE else self.gone.discard)(be)
+        (self.gone.add if self.state[be] == EngineState.REMOVED else self.gone.discard)(be)
         if ready and self.failed[be]:
             self.marred.add(be)
 
@@ -217,7 +233,9 @@
             return
         used = {be for cmd in self.commands.values() for be in (cmd.engine, cmd.ran_engine)}
         used.update(row[1] for row in self.lingering)
-        over = [be for be in self.gone if be not in used and self.now > self.born[be] + self.deal.cold_us]
+        over = [
+            be for be in self.gone if be not in used and self.now > self.born[be] + self.agreement.warmup_us
+        ]
         for be in sorted(over, key=lambda be: self.sequence[be]):
             self._set_stage(be, 0)
             del self.index[self.ids[be]]
@@ -225,12 +243,12 @@
             for of_engines in (self.gone, self.marred, self.stuck_at):
                 of_engines.discard(be)
 
-    def command(self, now, ident, profile, tenant, key, timeout_at, work, need, dataset, repeat):
+    def submit(self, now, ident, profile, tenant, key, timeout_at, work, need, dataset, repeat):
         """A command arrived."""
         self.now, self.out = now, []
-        if ident in self.commands or profile >= len(self.deal.profiles):
-            return [] if ident in self.commands else [(api.FAIL, ident)]
-        kind, who = self.deal.profiles[profile], tenant if self.deal.tenants else profile
+        if ident in self.commands or profile >= len(self.agreement.profiles):
+            return [] if ident in self.commands else [Fail(ident)]
+        kind, who = self.agreement.profiles[profile], tenant if self.agreement.tenants else profile
         self.order += 1
         self.traffic, self.traffic_at = self.traffic * exp((self.traffic_at - now) / TRAFFIC_US) + 1, now
         # Estimates that are none, or beyond all that a client waits for, are bounded: never an exception.
@@ -268,29 +286,32 @@
         fits = now + run < cmd.last_at and self._take(cmd)
         return self._release() if fits else self._finish(cmd)
 
-    def allot(self, now, parts):
+    def apply_budgets(self, now, parts):
         """Budgets of the fleet bind, in place of even parts; called again when a part has changed.
 
-        parts(budget, of what) is our part, an object with most(), may(), begin() and over(); None: the fleet
-        has no such budget, and we go on as without. The last result tells what held commands lack.
+        parts(budget, subject) is our BudgetShare; None: the fleet has no such budget, and we go on as without.
+        The last result tells what held commands lack.
         """
         self.now, self.out, self.parts = now, [], parts
         self._release()
         held, n = [cmd for cmd in self.commands.values() if cmd.state == HELD], max(1, len(self.ready))
-        found = [(api.FURTHER, 0, sum(cmd.sends > 0 for cmd in held)), (api.SHARE, 0, ceil(self.traffic))]
+        found = [
+            Demand(BudgetKind.RETRIES, 0, sum(cmd.sends > 0 for cmd in held)),
+            Demand(BudgetKind.TRAFFIC_SHARE, 0, ceil(self.traffic)),
+        ]
         needs = [(cmd.threads, ceil(cmd.need), cmd.work) for cmd in held] or [(0, 0, 0)]
         # Each engine could take an even part of what is held, or the largest of it.
         threads, memory, work = (max(*rows, ceil(sum(rows) / n)) for rows in zip(*needs, strict=True))
         for be in self.ready:
-            found += [(api.THREADS, self.ids[be], threads), (api.MEMORY, self.ids[be], memory)]
+            found.append(Demand(BudgetKind.THREADS, self.ids[be], threads))
+            found.append(Demand(BudgetKind.MEMORY, self.ids[be], memory))
             if self._cold(be):
-                found.append((api.COLD, self.ids[be], self._cold_part(work, be)))
-        self.out.append((api.LACKS, tuple(found)))
+                found.append(Demand(BudgetKind.WARMUP, self.ids[be], self._cold_part(work, be)))
+        self.out.append(ReportDemand(tuple(found)))
         return self.out
 
-    def adopt(self, now, terms, gate):
-        """A policy of the fleet: shares hold from the next round on, all else from the next send. gate():
-        whether to send now; gate.shut(): whether what comes is turned away."""
+    def apply_policy(self, now, terms, gate):
+        """A policy of the fleet: shares hold from the next round on, all else from the next attempt."""
         self.now, self.out, self.gate = now, [], gate
         self.weight, self.priorities, self.grants, self.most_sends = terms
         self.counted = sum(w > 0 for w in self.weight)
@@ -301,74 +322,83 @@
 
     def _take(self, cmd):
         """Whether its tenant may have one more command open, and taken, by the fleet's budgets."""
-        parts = [part for budget in (api.OPEN, api.TAKEN) if (part := self._part(budget, cmd.tenant))]
-        if may := not (self.gate and self.gate.shut()) and all(part.may(1) for part in parts):
+        parts = [
+            part
+            for budget in (BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS)
+            if (part := self._part(budget, cmd.tenant))
+        ]
+        if may := not (self.gate and self.gate.rejects_new()) and all(part.allows(1) for part in parts):
             cmd.stays = parts
         for part in parts:
-            part.begin(1) if may else part.refused(1)  # a refusal is demand
+            part.acquire(1) if may else part.record_rejection(1)  # a refusal is demand
         return may
 
     def _claims(self, cmd, be):
         """What a send takes of our parts of the fleet's budgets: (part, how much) each."""
         ident, cold = self.ids[be], self._cold_part(cmd.work, be) if self._cold(be) else None
         asked = (
-            (api.THREADS, ident, cmd.threads),
-            (api.MEMORY, ident, ceil(self._grant(cmd, be))),
-            (api.COLD, ident, cold),
-            (api.FURTHER, 0, 1 if cmd.sends else None),
+            (BudgetKind.THREADS, ident, cmd.threads),
+            (BudgetKind.MEMORY, ident, ceil(self._grant(cmd, be))),
+            (BudgetKind.WARMUP, ident, cold),
+            (BudgetKind.RETRIES, 0, 1 if cmd.sends else None),
         )
         return [(part, n) for budget, of, n in asked if n is not None and (part := self.parts(budget, of))]
 
-    def streaming(self, now, ident, send):
+    def answer_began(self, now, ident, send):
         """A send's answer has begun: it now belongs to the client."""
         if (cmd := self.commands.get(ident)) and cmd.state == OUT and send == cmd.sends - 1:
             self._move(cmd, STREAMING)
         return []
 
-    def noted(self, now, ident, send, note, value):
+    def attempt_status(self, now, ident, send, note, value):
         """News of a send that is out."""
         cmd = self.commands.get(ident)
-        if cmd and cmd.state == OUT and send == cmd.sends - 1 and note == api.PROGRESS:
+        if cmd and cmd.state == OUT and send == cmd.sends - 1 and note == StatusKind.PROGRESS:
             cmd.done = max(value, 0.01)
-        elif cmd and note == api.WAITS and value >= 2:  # another gateway's load, else unseen
+        elif cmd and note == StatusKind.WAITING and value >= 2:  # another gateway's load, else unseen
             self.closed[cmd.engine, cmd.dataset] = now + FULL_US
         return []
 
-    def ended(self, now, ident, send, outcome, closed, latency, cost, need, report):
+    def attempt_ended(self, now, ident, send, outcome, closed, latency, cost, need, report):
         """A send ended. An error on a second engine too is the command's fault, as what bad clients ask."""
         self.now, self.out, cmd = now, [], self.commands.get(ident)
         if cmd is None or send != cmd.sends - 1 or cmd.state not in (OUT, STREAMING, LEAVING, ORPHAN):
             return self.out
         be, state = cmd.engine, cmd.state
         for part, n in cmd.began:  # what was given up may run on for a moment
-            part.over(n, outcome not in (api.TIMED_OUT, api.RESET, api.CANCELLED))
+            part.release(n, outcome not in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED))
         cmd.began = ()
         self._heard(be, report, outcome)
         self._account(cmd, be, outcome, latency, cost, need)
-        cmd.taken_at = 0 if outcome == api.ERROR else cmd.taken_at
-        if outcome not in api.NEVER_RAN and cmd.ran_engine < 0:
+        cmd.taken_at = 0 if outcome == Outcome.ERROR else cmd.taken_at
+        if outcome not in NEVER_RAN and cmd.ran_engine < 0:
             cmd.ran_engine, cmd.ran_at = be, cmd.sent_at
-        if cmd.kind.ordered and cmd.key and outcome in (api.TIMED_OUT, api.RESET, api.CANCELLED):
-            self.key_rest[cmd.key] = now + self.deal.key_rest_us
-        if closed or outcome == api.ANSWERED or state in (ORPHAN, STREAMING):
+        if cmd.kind.ordered and cmd.key and outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
+            self.key_rest[cmd.key] = now + self.agreement.key_settle_us
+        if closed or outcome == Outcome.ANSWERED or state in (ORPHAN, STREAMING):
             self._move(cmd, ENDED)
-        elif now >= cmd.last_at or not self._may_resend(cmd) or outcome == api.ERROR and be != cmd.ran_engine:
+        elif (
+            now >= cmd.last_at
+            or not self._may_resend(cmd)
+            or outcome == Outcome.ERROR
+            and be != cmd.ran_engine
+        ):
             self._finish(cmd)
         else:
             self._move(cmd, HELD)
         return self._release()
 
-    def client_gone(self, now, ident):
+    def client_left(self, now, ident):
         """The client left; a send that is still out is stopped."""
         self.now, self.out, cmd = now, [], self.commands.get(ident)
-        if cmd and cmd.state == OUT and self.deal.may_cancel:
-            self.out.append((api.CANCEL, ident, cmd.sends - 1))
+        if cmd and cmd.state == OUT and self.agreement.supports_cancel:
+            self.out.append(CancelAttempt(ident, cmd.sends - 1))
         if cmd and cmd.state != ORPHAN:
             self.traffic, cmd.taken_at = max(0.0, self.traffic - 1), 0  # no traffic: it was taken back
             self._move(cmd, ENDED if cmd.state in (HELD, BEHIND) else ORPHAN)
         return self._release()
 
-    def give_up(self, now, ident):
+    def abandon(self, now, ident):
         """The front must end this command now: its final answer, also while a send is out."""
         self.now, self.out, cmd = now, [], self.commands.get(ident)
         if cmd and cmd.state in (HELD, BEHIND, OUT, LEAVING):
@@ -377,7 +407,7 @@
             self._finish(cmd, ORPHAN if out else ENDED)
         return self.out
 
-    def timer(self, now, token):
+    def timer_fired(self, now, token):
         """A moment at which something is due, or at which held commands are to be looked at."""
         self.now, self.out, self.armed = now, [], None if token == self.armed else self.armed
         return self._release()
@@ -389,7 +419,7 @@
         at = min([self.now + TICK_US] * bool(self.held) + [d[0] for d in self.due[:1]], default=0)
         if at and (self.armed is None or at < self.armed - TICK_US // 2 or self.armed <= self.now):
             self.armed = max(at, self.now + 1)
-            self.out.append((api.TIMER, self.armed - self.now, self.armed))
+            self.out.append(StartTimer(self.armed - self.now, self.armed))
 
     def _move(self, cmd, to):
         """Every change of a command's state, and the lists and counts that hang on it."""
@@ -405,7 +435,7 @@
             self._hold(cmd)
         if to == ENDED:
             for part in cmd.stays:
-                part.over(1)
+                part.release(1)
             insort(self.taken, cmd.taken_at)  # widens the budget now that it is known to be no bad client's
             del self.commands[cmd.id]
             line = self.lines.get(cmd.key) if cmd.kind.ordered else None
@@ -425,8 +455,10 @@
         run, cmd.entry = self._run_us(cmd), cmd.entry + 1
         late = self.now > cmd.target_at - run
         benefit = cmd.kind.benefit * (cmd.kind.late_benefit if late else 1.0)
-        if cmd.ran_engine >= 0 and cmd.kind.effect == api.UNIQUED:  # it must not wait past its dedup window
-            heappush(self.due, (cmd.ran_at + cmd.kind.dedup_us - MARGIN_US, cmd.order, cmd, cmd.sends))
+        if (
+            cmd.ran_engine >= 0 and cmd.kind.idempotency == Idempotency.KEYED
+        ):  # it must not wait past its dedup window
+            heappush(self.due, (cmd.ran_at + cmd.kind.dedup_window_us - MARGIN_US, cmd.order, cmd, cmd.sends))
         last = int((cmd.last_at if late else cmd.target_at) - run)
         heappush(self.due, (max(self.now, last) + 1, cmd.order, cmd, cmd.sends))
         heappush(
@@ -457,11 +489,11 @@
             bad
             and self.now + fresh <= cmd.until
             and self.kills[cmd.profile] >= 1
-            and self.deal.may_cancel
+            and self.agreement.supports_cancel
             and self._may_start(cmd)
         ):
             self.kills[cmd.profile] -= 1
-            self.out.append((api.CANCEL, cmd.id, cmd.sends - 1))
+            self.out.append(CancelAttempt(cmd.id, cmd.sends - 1))
             self._move(cmd, LEAVING)
         elif self.now + fresh <= cmd.until:
             if age >= RUNS[2] * fresh and not cmd.stuck:
@@ -472,33 +504,33 @@
     def _finish(self, cmd, to=ENDED):
         """The final answer: shed where trying again does no harm, else failed."""
         may = (
-            cmd.kind.effect == api.REPLAYABLE
+            cmd.kind.idempotency == Idempotency.IDEMPOTENT
             or cmd.ran_engine < 0
             or (
-                cmd.kind.effect == api.UNIQUED
-                and cmd.kind.dedup_scope == api.ALL
-                and self.now < cmd.ran_at + cmd.kind.dedup_us
+                cmd.kind.idempotency == Idempotency.KEYED
+                and cmd.kind.dedup_scope == DeduplicationScope.FLEET
+                and self.now < cmd.ran_at + cmd.kind.dedup_window_us
             )
         )
-        self.out.append((api.SHED, cmd.id, self.deal.come_back_us) if may else (api.FAIL, cmd.id))
+        self.out.append(Shed(cmd.id, self.agreement.max_retry_after_us) if may else Fail(cmd.id))
         self._move(cmd, to)
         return self.out
 
     def _may_resend(self, cmd):
         """Rules: whether one more send can ever be allowed: effect, dedup window, cap."""
         ran_at = cmd.ran_at if cmd.ran_engine >= 0 else cmd.sent_at
-        return not 0 < self.most_sends.get(cmd.profile, self.deal.sends_cap) <= cmd.sends and (
+        return not 0 < self.most_sends.get(cmd.profile, self.agreement.max_attempts) <= cmd.sends and (
             cmd.ran_engine < 0
-            or cmd.kind.effect == api.REPLAYABLE
-            or cmd.kind.effect == api.UNIQUED
-            and self.now + MARGIN_US < ran_at + cmd.kind.dedup_us
+            or cmd.kind.idempotency == Idempotency.IDEMPOTENT
+            or cmd.kind.idempotency == Idempotency.KEYED
+            and self.now + MARGIN_US < ran_at + cmd.kind.dedup_window_us
         )
 
     def _may_start(self, cmd):
         """Rules: whether a send is allowed at this moment: key at rest, budget of further sends."""
         rests = cmd.kind.ordered and self.now < self.key_rest.get(cmd.key, 0)
         for times in (self.taken, self.extras):
-            while times and times[0] <= self.now - self.deal.extra_us:
+            while times and times[0] <= self.now - self.agreement.retry_budget_window_us:
                 times.popleft()
         return (
             self.now < cmd.last_at
@@ -507,21 +539,24 @@
                 not rests
                 if not cmd.sends
                 else (
-                    self.deal.extra_free is None
-                    or self._part(api.FURTHER, 0)
-                    or len(self.extras) + 1 <= self.deal.extra_free + self.deal.extra_share * len(self.taken)
+                    self.agreement.retry_budget_base is None
+                    or self._part(BudgetKind.RETRIES, 0)
+                    or len(self.extras) + 1
+                    <= self.agreement.retry_budget_base + self.agreement.retry_budget_share * len(self.taken)
                 )
             )
         )
 
     def _allowed(self, cmd, be):
         """Rules: whether this command may go to this engine now."""
-        kind, repeats = cmd.kind, cmd.kind.effect == api.UNIQUED and cmd.ran_engine >= 0
-        group = {api.LOCATION: self.place, api.CELL: self.cell}.get(kind.dedup_scope if repeats else api.ALL)
+        kind, repeats = cmd.kind, cmd.kind.idempotency == Idempotency.KEYED and cmd.ran_engine >= 0
+        group = {DeduplicationScope.ZONE: self.place, DeduplicationScope.CELL: self.cell}.get(
+            kind.dedup_scope if repeats else DeduplicationScope.FLEET
+        )
         if (
-            self.state[be] != api.READY
-            or (kind.locations is not None and self.place[be] not in kind.locations)
-            or (kind.kinds is not None and self.kind[be] not in kind.kinds)
+            self.state[be] != EngineState.READY
+            or (kind.zones is not None and self.place[be] not in kind.zones)
+            or (kind.engine_kinds is not None and self.kind[be] not in kind.engine_kinds)
             or (group and group[be] != group[cmd.ran_engine])
         ):
             return False
@@ -531,24 +566,36 @@
         # for each window: all together expect the sum. A budget of the fleet for it holds the sum by itself.
         # We may have taken our part before a restart: guards against killed fleets and processes that start
         # over and over. Harm: where all engines are cold, what comes in the first window waits.
-        if self.born[be] < self.began > self.now - self.deal.fall_us:
+        if self.born[be] < self.began > self.now - self.agreement.overload_window_us:
             return False
-        if self.ticket_at[be] <= self.now - self.deal.fall_us:
+        if self.ticket_at[be] <= self.now - self.agreement.overload_window_us:
             self.ticket[be], self.ticket_at[be] = self.draw(), self.now
-        sent = sum(work for at, work in self.cold_sent[be] if at > self.now - self.deal.fall_us)
+        sent = sum(
+            work for at, work in self.cold_sent[be] if at > self.now - self.agreement.overload_window_us
+        )
         budget = self._stands(be)
         return cmd.work <= COLD_PART[1] * budget and (
-            self._part(api.COLD, self.ids[be]) is not None
-            or (sent + self.ticket[be] * cmd.work <= COLD_PART[0] * budget / self.deal.managers)
+            self._part(BudgetKind.WARMUP, self.ids[be]) is not None
+            or (sent + self.ticket[be] * cmd.work <= COLD_PART[0] * budget / self.agreement.gateways)
         )
 
     def _cold(self, be):
-        return 0 < self.born[be] > self.now - self.deal.cold_us
+        return 0 < self.born[be] > self.now - self.agreement.warmup_us
 
     def _stands(self, be):
         """Work that a cold engine stands in a window, its capacity taken to grow half as fast as a line."""
-        warm = (self.now - self.born[be]) / self.deal.cold_us * (1 - self.deal.cold_from) / 2
-        return self.deal.fall_multiple * (self.deal.cold_from + warm) * self.cores[be] * self.deal.fall_us
+        warm = (
+            (self.now - self.born[be])
+            / self.agreement.warmup_us
+            * (1 - self.agreement.warmup_initial_share)
+            / 2
+        )
+        return (
+            self.agreement.overload_multiple
+            * (self.agreement.warmup_initial_share + warm)
+            * self.cores[be]
+            * self.agreement.overload_window_us
+        )
 
     def _cold_part(self, work, be):
         """Of all that we may expect of a cold engine in a window, in millionths."""
@@ -556,12 +603,12 @@
 
     def _share(self):
         """Our share of the fleet: our part of the traffic where its whole is stated, else an even one."""
-        if part := self._part(api.SHARE, 0):
-            return self.part * part.most() / 1e6
+        if part := self._part(BudgetKind.TRAFFIC_SHARE, 0):
+            return self.part * part.limit() / 1e6
         if not self.allowance:
-            return self.part / self.deal.managers
+            return self.part / self.agreement.gateways
         rate = self.traffic * exp((self.traffic_at - self.now) / TRAFFIC_US) * 1e6 / TRAFFIC_US
-        return self.part * min(1.0, max(0.1 / self.deal.managers, rate / self.allowance))
+        return self.part * min(1.0, max(0.1 / self.agreement.gateways, rate / self.allowance))
 
     def _fresh(self, at):
         return exp((at - self.now) / STALE_US)  # what is left of what an engine showed then
@@ -576,7 +623,7 @@
         told = report[self.util] if 0 <= self.util < len(report) else -1.0
         if 0.0 <= told < float("inf"):  # nothing made up: neither below nor not a number
             self.load[be], self.load_at[be] = (told := min(told, 1.0)), self.now
-        elif self.util >= 0 and outcome in (api.FULL, api.TIMED_OUT):
+        elif self.util >= 0 and outcome in (Outcome.OVERLOADED, Outcome.TIMED_OUT):
             told = 1.0
         else:
             return
@@ -611,8 +658,8 @@
 
     def _limit(self, be):
         """The bound on our threads there: the cap, and under pressure the fit or the sample being taken."""
-        part = self._part(api.THREADS, self.ids[be])
-        cap = part.most() if part else THREADS_A_CORE * self.cores[be] * self._share()
+        part = self._part(BudgetKind.THREADS, self.ids[be])
+        cap = part.limit() if part else THREADS_A_CORE * self.cores[be] * self._share()
         cap *= self._room(self._busy(be), BUSY[2]) / max(1.0, self._slow(be))
         if self.stage[be] and self._pressed(be):
             return cap * (1.0, SAMPLE_AT[1], SAMPLE_AT[0])[self.stage[be] - 1]
@@ -647,24 +694,24 @@
 
     def _room_at_all(self, cmd):
         """The sum of our bounds over the fleet, with slack for chance: many that send "one" each flood it."""
-        if self.ready and self._part(api.THREADS, self.ids[self.ready[0]]):
+        if self.ready and self._part(BudgetKind.THREADS, self.ids[self.ready[0]]):
             return True  # each engine's threads are held by the fleet's budget
         bound = THREADS_A_CORE * self._share() * self.ready_cores
-        bound += SLACK * (bound * max(kind.threads for kind in self.deal.profiles)) ** 0.5
+        bound += SLACK * (bound * max(kind.threads for kind in self.agreement.profiles)) ** 0.5
         bound *= self._room(self.busy, BUSY[1])
         return not self.total or self.total + cmd.threads <= bound * (1.0 if cmd.short else self.long)
 
     def _fits(self, cmd, be):
         """Room, the rules, and health: failing far more than the fleet's median, none till that fades."""
         cap = (self.caps.get(be) or self.caps.setdefault(be, self._limit(be))) * self.long ** (not cmd.short)
-        most = SICK[0] * (1 if cmd.short and cmd.kind.effect == api.REPLAYABLE else SICK[2])
+        most = SICK[0] * (1 if cmd.short and cmd.kind.idempotency == Idempotency.IDEMPOTENT else SICK[2])
         return (
             self.now >= self.full_until[be]
             and not (self.stuck[be] and self._few_stuck())
             and (not self.running[be] or self.threads[be] + cmd.threads <= cap)
             and self._allowed(cmd, be)
             and (self._failing(be) <= most + SICK[1] * self.usual_failed)
-            and (not self.parts or all(part.may(n) for part, n in self._claims(cmd, be)))
+            and (not self.parts or all(part.allows(n) for part, n in self._claims(cmd, be)))
         )
 
     def _few_stuck(self):
@@ -679,13 +726,15 @@
         if not self._room_at_all(cmd) or not self.ready:
             return -1
         # Under pressure all locations: guards against one that is busier than the others. Harm: crossings.
-        wide = not self.deal.crossing_costs or not self.near or self.slow > PRESSURE
+        wide = not self.agreement.cross_zone_costs or not self.near or self.slow > PRESSURE
         pool = self.ready if wide else self.near
         ranking, size = pool.ranked(cmd.dataset), len(pool)
         part = self.asked.get(cmd.dataset, 0.0) / (self.asked_all + HOMES[1])
         homes, rest, half = range(min(size, HOMES[0] + int(part * size * HOMES[2]))), range(size), size // 2
-        if half and any(kind.stands_still for kind in self.deal.profiles):  # loads: a half apart
-            homes, rest = (rest[half:], rest[half:]) if cmd.kind.loads else (homes[:half], rest[:half])
+        if half and any(kind.waits_for_loads for kind in self.agreement.profiles):  # loads: a half apart
+            homes, rest = (
+                (rest[half:], rest[half:]) if cmd.kind.loads_dataset else (homes[:half], rest[:half])
+            )
         n, seen = 2 + (not cmd.short and self._limit(pool[0]) < cmd.threads), set()  # counts say nothing
         drawn = self._drawn(cmd, ranking, homes, n, self._lately_used(cmd, size, seen), seen)
         drawn = self._drawn(cmd, ranking, rest, max(2, n - 1 + len(drawn)), drawn, seen)
@@ -727,7 +776,9 @@
 
     def _weigh(self, cmd, be, home):
         """Our threads there against size and pace, and load told; where a load holds its data set: last."""
-        stuck = (cmd.kind.loads or cmd.kind.stands_still) and self.now < self.closed.get((be, cmd.dataset), 0)
+        stuck = (cmd.kind.loads_dataset or cmd.kind.waits_for_loads) and self.now < self.closed.get(
+            (be, cmd.dataset), 0
+        )
         ours = (self.threads[be] + cmd.threads * WARM**home) * self._slow(be) / self.cores[be]
         return stuck, ours + self._busy(be)
 
@@ -736,25 +787,27 @@
         p, work = cmd.profile, cost or cmd.work
         # A time-out where work goes on tells of its engine and holds its threads: guards against feeding one
         # that jams. Harm: what a dead engine lost holds room. Where we cut slow ones off it tells of a crowd.
-        runs_on = outcome == api.TIMED_OUT and not self.deal.may_cancel
+        runs_on = outcome == Outcome.TIMED_OUT and not self.agreement.supports_cancel
         if runs_on:
             age = self.now - cmd.sent_at
             self.lingering.append((self.now + RUNS_ON * age, be, self.born[be], cmd.threads))
             self._occupy(be, cmd.threads, 1)
-        silent = runs_on or outcome == api.NO_CONNECTION
-        if silent or outcome in (api.ERROR, api.RESET, api.ANSWERED):
-            bad, step = outcome != api.ANSWERED, SICK[3] if silent else EASE
+        silent = runs_on or outcome == Outcome.CONNECT_FAILED
+        if silent or outcome in (Outcome.ERROR, Outcome.RESET, Outcome.ANSWERED):
+            bad, step = outcome != Outcome.ANSWERED, SICK[3] if silent else EASE
             left, self.failed_at[be] = self._failing(be), self.now
             self.failed[be] = left + step * (bad - left)
             if bad:
                 self.marred.add(be)
                 self.usual_failed = self._median_failing()
-        self.full_until[be] = self.now + FULL_US if outcome == api.FULL else self.full_until[be]
-        if outcome == api.FULL or runs_on:
+        self.full_until[be] = self.now + FULL_US if outcome == Outcome.OVERLOADED else self.full_until[be]
+        if outcome == Outcome.OVERLOADED or runs_on:
             self.long = max(LONG_PART[0], self.long * LONG_PART[2])
-        elif outcome == api.ANSWERED:
+        elif outcome == Outcome.ANSWERED:
             self.long = min(LONG_PART[1], self.long + LONG_PART[3])
-        if outcome not in (api.ANSWERED, api.TIMED_OUT, api.CANCELLED) or cmd.state == ORPHAN:  # taken back
+        if (
+            outcome not in (Outcome.ANSWERED, Outcome.TIMED_OUT, Outcome.CANCELLED) or cmd.state == ORPHAN
+        ):  # taken back
             return
         self.count[p] += 1
         step = max(EASE, 1 / (2 + self.count[p]))
@@ -764,9 +817,9 @@
         pace = max(latency * cmd.threads / work, 0.01)  # of a send cut off too: a jam is not to be hidden
         # Cut off sooner than the usual run, it says nothing: it would count as fast. Guards against clients
         # that give up early, whose sends made jammed engines look idle to every gateway.
-        if outcome != api.ANSWERED and pace < self.pace[p]:
+        if outcome != Outcome.ANSWERED and pace < self.pace[p]:
             return
-        if outcome == api.ANSWERED:
+        if outcome == Outcome.ANSWERED:
             if len(self.ready) > LARGE:
                 self._use(cmd, be)
             self.bias[p] += EASE * (min(max(work / cmd.work, 0.2), 5.0) - 1.0) * self.bias[p]
@@ -776,7 +829,7 @@
         self.seen[be], self.seen_at[be] = self.seen[be] * fresh + work, self.now
         self.seen_slow[be] = self.seen_slow[be] * fresh + work * min(pace / self.pace[p], 10.0)
         self.pace[p] += step * (min(pace, 3 * self.pace[p]) - self.pace[p])
-        weigh = work / (work + STEADY * max(self.usual) * max(1.0, len(self.ready) / self.deal.managers))
+        weigh = work / (work + STEADY * max(self.usual) * max(1.0, len(self.ready) / self.agreement.gateways))
         self.slow += weigh * (min(pace / min(pace, self.best[p]), 10.0) - self.slow)
         last = self.latency.get(cmd.tenant, (0.0, 0.0, 0.0))
         new = [old + EASE * (now - old) for old, now in zip(last, (1.0, pace, pace * pace), strict=True)]
@@ -799,7 +852,9 @@
             self.lingering.remove(row)  # it has ended, or its engine began anew
             self._occupy(row[1], row[3], -1)
         self.caps, n = {}, len(self.weight)  # engines' bounds: none changes while we send
-        while not self.gate or self.gate():  # who has no quota left comes last: for what others can't use
+        while (
+            not self.gate or self.gate.may_dispatch()
+        ):  # who has no quota left comes last: for what others can't use
             order = sorted(self.held, key=lambda t: (self._quota(t) < 1, (t - self.turn) % n))
             went = next((t for t in order if self._release_one(t)), None)
             if went is None:
@@ -846,33 +901,33 @@
 
     def _grant(self, cmd, be):
         """MB that a send is granted there."""
-        (mean, wide), of_kind = self.spread[cmd.profile], self.deal.kind_memory_mb
+        (mean, wide), of_kind = self.spread[cmd.profile], self.agreement.memory_mb_by_kind
         memory = of_kind[self.kind[be]] if self.kind[be] < len(of_kind) else 0.0
         return min(
             cmd.need * (mean + NEED[2] * wide),
-            self.deal.most_grant * memory or float("inf"),
+            self.agreement.max_grant_share * memory or float("inf"),
             self.grants.get(cmd.profile, float("inf")),
         )
 
     def _send(self, cmd, be):
-        deal, cmd.began = self.deal, self._claims(cmd, be) if self.parts else ()
+        agreement, cmd.began = self.agreement, self._claims(cmd, be) if self.parts else ()
         for part, n in cmd.began:
-            part.begin(n)
-        if deal.heeds_grants or deal.heeds_priority:
+            part.acquire(n)
+        if agreement.honors_grants or agreement.honors_priority:
             priority = self.priorities.get(cmd.profile, 3 if cmd.short else 1)
-            self.out.append((api.TERMS, cmd.id, self._grant(cmd, be), priority))
+            self.out.append(SetTerms(cmd.id, self._grant(cmd, be), priority))
         if cmd.sends:
             self.extras.append(self.now)
         if self._cold(be):
             self.cold_sent[be].append((self.now, cmd.work))
             self.ticket_at[be] = 0
-        if cmd.kind.loads:
+        if cmd.kind.loads_dataset:
             self.closed[be, cmd.dataset] = int(self.now + self._run_us(cmd))
         cmd.engine, cmd.sent_at, cmd.done = be, self.now, 0.0
         cmd.sends += 1
         self.kills[cmd.profile] = min(KILLS[1], self.kills[cmd.profile] + KILLS[0])
         self._move(cmd, OUT)
-        self.out.append((api.SEND, cmd.id, self.ids[be], cmd.last_at))
-        if cmd.kind.effect == api.REPLAYABLE:
+        self.out.append(Dispatch(cmd.id, self.ids[be], cmd.last_at))
+        if cmd.kind.idempotency == Idempotency.IDEMPOTENT:
             heappush(self.due, (int(self.now + RUNS[0] * self._run_us(cmd)), cmd.order, cmd, cmd.sends))
         return True
--- a/gullhold/rehearsal/gateway.py
+++ b/gullhold/rehearsal/gateway.py
@@ -69,7 +69,7 @@
         if self.ending:
             self.fail(self.ending)
         else:
-            self.core.first(self.core.link_up, self)
+            self.core.post_urgent(self.core.link_up, self)
 
     def shut(self, ending):
         """End it from our side; its reader reports a moment later."""
@@ -154,7 +154,7 @@
             self.core.post(self.core.client_ended, self, ending, text)
         else:
             self.left = True
-            self.core.first(self.core.client_ended, self, ending, text)
+            self.core.post_urgent(self.core.client_ended, self, ending, text)
 
 
 class Core(product.Core):
@@ -177,26 +177,26 @@
 class Member:
     """One gateway: from its start to its kill.
 
-    world: clock, chance, dial(link); told: {"deal", "changes", "names", "last", "seed"}, as the service reads
+    world: clock, chance, dial(link); told: {"agreement", "changes", "names", "last", "seed"}, as the service reads
     them of its configuration.
     """
 
     def __init__(self, world, name, told):
         self.world, self.name, self.alive, self.event, self.ends = world, name, True, None, []
         self.fed_at = 0  # when the last that it was told of the list comes, or came
-        deal = told["deal"]
+        agreement = told["agreement"]
         now = world.clock.start_us + world.clock.now
         self.core = Core(
             world,
             self,
-            policy.Gateway(told["seed"], deal, now),
-            deal,
+            policy.Gateway(told["seed"], agreement, now),
+            agreement,
             Counters(),
             MOST,
             LINKS_MOST,
             front.Room(ROOM),
         )
-        self.reader = front.Reader(deal, None, self.core.come_back)
+        self.reader = front.Reader(agreement, None, self.core.come_back)
         self.names, self.follow = told["names"], coordinator.Follow(told["last"], FEED_MOST)
         self.core.begin(told["changes"])
         self.wake()
@@ -211,7 +211,7 @@
         if self.alive:
             self.follow.buffer.put(data)
             for event in self.follow.events():
-                self.core.list_changed(*coordinator.members(event, self.core.deal, self.names))
+                self.core.list_changed(*coordinator.members(event, self.core.agreement, self.names))
 
     def end(self, link):
         """Our end of a wire for a link."""
--- a/gullhold/rehearsal/mutants.py
+++ b/gullhold/rehearsal/mutants.py
@@ -7,14 +7,17 @@
 from contextlib import ExitStack, contextmanager
 from unittest import mock
 
-from gullhold import interface as api
 from gullhold import policy
+from gullhold.interface import EngineState, Outcome
 from gullhold.net import core, endings, pipe, thrift
 
 
 def _heard_not_obeyed(engines):
     def call(self, now, entries, full):
-        told = [(*row[:4], api.READY if row[4] == api.DRAINING else row[4], *row[5:]) for row in entries]
+        told = [
+            (*row[:4], EngineState.READY if row[4] == EngineState.DRAINING else row[4], *row[5:])
+            for row in entries
+        ]
         return engines(self, now, told, full)
 
     return call
@@ -40,13 +43,13 @@
 
 
 def _any_number(_may_resend):
-    return lambda self, cmd: cmd.sends < self.deal.sends_cap
+    return lambda self, cmd: cmd.sends < self.agreement.max_attempts
 
 
 def _window_longer(_may_resend):
     def call(self, cmd):
         kind = cmd.kind
-        cmd.kind = kind._replace(dedup_us=2 * kind.dedup_us)
+        cmd.kind = kind._replace(dedup_window_us=2 * kind.dedup_window_us)
         try:
             return _may_resend(self, cmd)
         finally:
@@ -87,7 +90,7 @@
 
 
 def _nothing_ran(outcome):
-    return lambda whole: api.NO_CONNECTION
+    return lambda whole: Outcome.CONNECT_FAILED
 
 
 def _not_looked_again(link_up):
@@ -117,7 +120,7 @@
 
 
 MUTANTS = {
-    "a drain that is heard and not obeyed": ("drain", policy.Gateway, "engines", _heard_not_obeyed),
+    "a drain that is heard and not obeyed": ("drain", policy.Gateway, "update_engines", _heard_not_obeyed),
     "an abort not awaited": ("two at once", core.Core, "_stop_send", _not_awaited),
     "every answer twice": ("one answer", core.Core, "_answer", _twice),
     "sends of any kind up to the cap": ("must not run twice", policy.Gateway, "_may_resend", _any_number),
--- a/gullhold/rehearsal/play.py
+++ b/gullhold/rehearsal/play.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import NamedTuple
 
-from gullhold import agreement
+from gullhold.agreement import read_agreement
 from gullhold.net.coordinator import Names, members
 from gullhold.net.endings import Ending
 from gullhold.rehearsal.cast import Client, Engine
@@ -77,9 +77,9 @@
         tree["limits"] |= {"connect_timeout": CONNECT_S, "cancel": seed % UNCANCELLED > 0}
         for item in tree["categories"]:
             item["window"] = WINDOW_S
-        self.tree, self.deal = tree, agreement.read(json.loads(json.dumps(tree)))
-        self.window_us = self.deal.profiles[1].dedup_us
-        self.checker = Checker(self, self.deal.sends_cap, self.window_us)
+        self.tree, self.agreement = tree, read_agreement(json.loads(json.dumps(tree)))
+        self.window_us = self.agreement.profiles[1].dedup_window_us
+        self.checker = Checker(self, self.agreement.max_attempts, self.window_us)
         self.engines = [Engine(self, f"s-{i}", f"10.0.0.{i + 1}:5050", 4) for i in range(size.engines)]
         self.at = {engine.address: engine for engine in self.engines}
         self.ways = {engine.address: (Way(WAY_US), Way(WAY_US)) for engine in self.engines}
@@ -104,9 +104,9 @@
             self,
             name,
             {
-                "deal": self.deal,
+                "agreement": self.agreement,
                 "names": names,
-                "changes": [members(first, self.deal, names)],
+                "changes": [members(first, self.agreement, names)],
                 "last": self.index,
                 "seed": self.draw.getrandbits(32),
             },
@@ -135,8 +135,8 @@
         span_us = 2 * way.delay_us + (engine.late if engine else 0)
         if engine is None or engine.refusing > self.clock.now:
             self.clock.after(2 * way.delay_us, link.fail, Ending.REFUSED)
-        elif way.silent or span_us > self.deal.connect_us:
-            self.clock.after(self.deal.connect_us, link.fail, Ending.NOT_UP)
+        elif way.silent or span_us > self.agreement.connect_timeout_us:
+            self.clock.after(self.agreement.connect_timeout_us, link.fail, Ending.NOT_UP)
         else:
             self.clock.after(span_us, self._connected, link, engine)
 
--- a/gullhold/revisions/driver.py
+++ b/gullhold/revisions/driver.py
@@ -21,8 +21,8 @@
     """One member's side, and the carrier's where this member owns that. All but what is said to be on the
     core's thread is called from the fleet's."""
 
-    def __init__(self, fleet, record, deal, clock, surely_us):
-        self.fleet, self.core, self.deal = fleet, fleet.core, deal
+    def __init__(self, fleet, record, agreement, clock, surely_us):
+        self.fleet, self.core, self.agreement = fleet, fleet.core, agreement
         self.clock, self.record = clock, record.policy
         # Of the operator's files: {name or word: (whole, kept back)}.
         self.budgets = {name_of(item): (item.whole, item.alone * item.members) for item in record.budgets}
@@ -60,7 +60,7 @@
         """What is wrong with a record here, one line; "": nothing."""
         try:
             policy = records.read(record.text, f"policy {record.number}")
-            return records.check(policy, self.deal, self.budgets, self.schedules, bool(self.core.door))
+            return records.check(policy, self.agreement, self.budgets, self.schedules, bool(self.core.door))
         except Unfit as fault:
             return str(fault)
 
@@ -93,7 +93,7 @@
                 elif what == member.ADOPT:
                     self._adopt(*told)
                 elif what == member.STOP:
-                    self.core.first(self._stopped, told[0])
+                    self.core.post_urgent(self._stopped, told[0])
                 elif what == member.FOLLOW:
                     self.now.follow(told[0])
                 else:
@@ -103,10 +103,10 @@
 
     def _adopt(self, serial, record):
         policy = records.read(record.text, f"policy {record.number}")
-        terms = records.for_module(policy, self.deal)
-        door = records.shares_of(policy, self.deal), self.clients | policy.clients
+        terms = records.for_module(policy, self.agreement)
+        door = records.shares_of(policy, self.agreement), self.clients | policy.clients
         wholes = records.wholes(policy, self.budgets)
-        self.core.first(self._on_core, serial, terms, wholes, door, record.number)
+        self.core.post_urgent(self._on_core, serial, terms, wholes, door, record.number)
         for name in self.schedules:
             self.fleet.plans[PLAN + name].off = not policy.schedules.get(name, True)
         if serial and self.record.snapshot and not self.member.trial:
@@ -121,7 +121,7 @@
         if self.fleet.budgets:
             named = [(*name.partition("/"), whole) for name, whole in wholes.items()]
             self.fleet.budgets.purses.resize({(OF[word], tenant): whole for word, _, tenant, whole in named})
-        self.core.adopt(terms, self.gate, *door)
+        self.core.apply_policy(terms, self.gate, *door)
         self.core.counters.add(f"policy {number}")
         self.fleet.queue.put(("adopted", serial))
 
--- a/gullhold/revisions/member.py
+++ b/gullhold/revisions/member.py
@@ -49,7 +49,7 @@
         self.known_until = 0  # what is in force was read so lately: a watch that hears nothing is no proof
         self.spare_until = 0  # by a snapshot, where the register was away at the start
 
-    def __call__(self):
+    def may_dispatch(self):
         """The end of the lease is read before its id: another may begin in between."""
         now, until = self.clock(), self.lease.until
         if now < self.spare_until:
@@ -66,15 +66,15 @@
         """Be still. What was decided until now does not go out later either."""
         self.still, self.stops = True, self.stops + 1
 
-    def stamp(self):
+    def fencing_token(self):
         """What sends are decided under now."""
         return self.under, self.stops
 
-    def sure(self, stamp):
+    def token_valid(self, stamp):
         """Whether what was decided under a stamp may still go out."""
-        return self() and stamp == self.stamp()
+        return self.may_dispatch() and stamp == self.fencing_token()
 
-    def shut(self):
+    def rejects_new(self):
         """Whether what comes is turned away: it is not known by what to decide. Being still is a moment."""
         now = self.clock()
         return now >= self.spare_until and not (
--- a/gullhold/revisions/record.py
+++ b/gullhold/revisions/record.py
@@ -5,7 +5,7 @@
 from importlib.resources import files
 from typing import NamedTuple
 
-from gullhold.interface import NON_REPLAYABLE
+from gullhold.interface import Idempotency
 from gullhold.operator import text, values
 from gullhold.operator.text import Bad
 
@@ -84,13 +84,16 @@
     return Policy(**told["policy"])
 
 
-def check(policy, deal, budgets, schedules=(), door=False):
+def check(policy, agreement, budgets, schedules=(), door=False):
     """What is wrong with a policy for this agreement and these budgets, one line; "": nothing.
 
     budgets: {name or word: (whole as the operator's file has it, kept back)}; schedules: names of scheduled
     commands; door: whether there is one.
     """
-    tenants, profiles = {item.name for item in deal.tenants}, {item.name: item for item in deal.profiles}
+    tenants, profiles = (
+        {item.name for item in agreement.tenants},
+        {item.name: item for item in agreement.profiles},
+    )
     for name in policy.shares:
         if name not in tenants:
             return f"shares: {name!r} is no tenant of the agreement"
@@ -99,18 +102,18 @@
             if name not in profiles:
                 return f"{kind}: {name!r} is no profile of the agreement"
     for name, most in policy.sends.items():
-        if most > 1 and profiles[name].effect == NON_REPLAYABLE:
+        if most > 1 and profiles[name].idempotency == Idempotency.NON_IDEMPOTENT:
             return f"sends: {name!r} must never run twice"
-        if 0 < deal.sends_cap < most:
-            return f"sends: {name!r}: the agreement allows {deal.sends_cap}"
+        if 0 < agreement.max_attempts < most:
+            return f"sends: {name!r}: the agreement allows {agreement.max_attempts}"
     for name in policy.schedules:
         if name not in schedules:
             return f"schedules: {name!r} is no scheduled command"
     if policy.clients and not door:
         return "clients: there is no door"
-    if policy.priorities and not deal.heeds_priority:
+    if policy.priorities and not agreement.honors_priority:
         return "priorities: engines of this agreement heed none"
-    if policy.grants and not deal.heeds_grants:
+    if policy.grants and not agreement.honors_grants:
         return "grants: engines of this agreement heed none"
     for name, whole in policy.budgets.items():
         if name not in budgets:
@@ -125,15 +128,15 @@
     return {name: policy.budgets.get(name, whole) for name, (whole, _) in budgets.items()}
 
 
-def shares_of(policy, deal):
+def shares_of(policy, agreement):
     """Shares of the agreement's tenants, by index."""
-    return [policy.shares.get(item.name, item.share) for item in deal.tenants]
+    return [policy.shares.get(item.name, item.share) for item in agreement.tenants]
 
 
-def for_module(policy, deal):
+def for_module(policy, agreement):
     """(weights by tenant, {profile: priority}, {profile: MB}, {profile: sends}) for the decision module."""
-    profiles = [item.name for item in deal.profiles]
-    shares = shares_of(policy, deal)
+    profiles = [item.name for item in agreement.profiles]
+    shares = shares_of(policy, agreement)
     least = min((share for share in shares if share > 0), default=1.0)
     by_index = [
         {profiles.index(name): value for name, value in told.items()}
--- a/gullhold/standins/changecheck.py
+++ b/gullhold/standins/changecheck.py
@@ -97,7 +97,7 @@
         found += self.of_calls() + self.of_holders()
         found += [("propose", bad) for bad in ("good", BAD)] if self.may_propose() else []
         for i, one in enumerate(self.members):
-            found += [("send", i)] if one.gate() else []
+            found += [("send", i)] if one.gate.may_dispatch() else []
             found += [("core", i)] if one.todo else []
             found += [("hear", i)] if not one.cut and self.news(one.seen, change.NOW) else []
             if self.faults:
@@ -138,12 +138,12 @@
             if now.state == change.CANARY:
                 self.tried[now.record.number] = (self.now, now.trial)
         if opened and not self.opened:  # staff hear: in force everywhere
-            late = [one.name for one in self.members if one.gate() and one.number != number]
+            late = [one.name for one in self.members if one.gate.may_dispatch() and one.number != number]
             if late:
                 raise Broken(f"{late} go by another than {number}, which is said to be in force everywhere")
         if number != self.decided:
             if change.records.unpack(item.value).text == BAD and any(
-                one.name == NAMES[1] and one.gate() for one in self.members
+                one.name == NAMES[1] and one.gate.may_dispatch() for one in self.members
             ):
                 raise Broken(f"{number} is in force though {NAMES[1]} turned it down")
             self.decided, self.decided_at[number] = number, self.now
@@ -249,7 +249,7 @@
     def check(self):
         """All that could send now would go by what may be gone by."""
         for i, one in enumerate(self.members):
-            if one.gate():
+            if one.gate.may_dispatch():
                 self._do_send(i)
 
     def mark(self):
@@ -262,7 +262,7 @@
                     one.number,
                     one.member.state,
                     one.gate.still,
-                    one.gate(),
+                    one.gate.may_dispatch(),
                     one.seen,
                     str(one.member.word),
                     tuple(map(str, one.todo)),
@@ -306,9 +306,9 @@
         )  # decided while the one that refuses was down
         for one in self.members:
             if bad and one.name == NAMES[1]:
-                if one.gate():
+                if one.gate.may_dispatch():
                     raise Broken(f"{one.name} sends though it can't run what is in force")
-            elif not one.gate() or one.number != self.decided:
+            elif not one.gate.may_dispatch() or one.number != self.decided:
                 raise Broken(f"{one.name} is {one.member.state} under {one.number}, {self.decided} in force")
 
 
--- a/gullhold/standins/changemutants.py
+++ b/gullhold/standins/changemutants.py
@@ -10,24 +10,24 @@
 class LeaseNotLooked(Gate):
     """Sends on whatever the time."""
 
-    def __call__(self):
+    def may_dispatch(self):
         return not self.still and self.under != 0
 
 
 class LooksForgotten(Gate):
     """Takes a watch that says nothing for a proof that nothing changed."""
 
-    def __call__(self):
+    def may_dispatch(self):
         self.known_until = max(self.known_until, self.clock() + self.surely_us)
-        return super().__call__()
+        return super().may_dispatch()
 
 
 class NotStill(Gate):
     """Says that it is still, and sends."""
 
-    def __call__(self):
+    def may_dispatch(self):
         self.still = False
-        return super().__call__()
+        return super().may_dispatch()
 
 
 class EnrolsBlind(Member):
--- a/gullhold/standins/dividecheck.py
+++ b/gullhold/standins/dividecheck.py
@@ -107,7 +107,7 @@
         found = [("time",)]
         found += self.of_calls() + self.of_holders()
         for i, member in enumerate(self.members):
-            found += [("spend", i)] if member.purse.may(1) else []
+            found += [("spend", i)] if member.purse.allows(1) else []
             found += [("end", i)] if member.running else []
             found += [("hear", i)] if not member.cut and self._rows(member) else []
             found += [("report", i)] if self.may_report(member) else []
@@ -144,7 +144,7 @@
             self._keep(member)
             while member.running and member.running[0] <= self.now - LINGER_US:  # nothing runs longer
                 member.running.pop(0)
-                member.purse.over(1)
+                member.purse.release(1)
         self._step_holders()
 
     def _do_reply(self, i):
@@ -165,8 +165,8 @@
 
     def _do_spend(self, i):
         purse = self.members[i].purse
-        while purse.may(1):
-            purse.begin(1)
+        while purse.allows(1):
+            purse.acquire(1)
             self.spent.append(self.now)
             self.members[i].running += [self.now] * (self.kind == HELD)
 
@@ -174,7 +174,7 @@
         member = self.members[i]
         for _ in range(-(-len(member.running) // 2)):  # the older half
             member.running.pop(0)
-            member.purse.over(1)
+            member.purse.release(1)
 
     def _do_hear(self, i):
         member = self.members[i]
@@ -288,7 +288,7 @@
             yield (OF_CALLS[int(draw() * 3)], int(draw() * len(world.calls))) if broken else todo
         for chance in (0.7, 0.5):
             for i, member in enumerate(world.members):
-                if draw() < chance and member.purse.may(1):
+                if draw() < chance and member.purse.allows(1):
                     yield ("spend", i)
             todo = world.fair()
             if todo and draw() < chance:
--- a/gullhold/standins/dividemutants.py
+++ b/gullhold/standins/dividemutants.py
@@ -166,7 +166,7 @@
 class _Twice(Purse):
     __slots__ = ()
 
-    def over(self, amount, surely=True):
+    def release(self, amount, confirmed=True):
         self.out -= min(self.out, 2 * amount)
 
 
--- a/gullhold/standins/plancheck.py
+++ b/gullhold/standins/plancheck.py
@@ -114,12 +114,12 @@
             raise Broken("a send without its intent")
         earlier = self.sends.setdefault(due, [])
         open_ones = [row for row in earlier if row[3] not in NO_EFFECT]
-        if self.kind.effect == schedule.NON_REPLAYABLE and open_ones:
+        if self.kind.idempotency == schedule.NON_REPLAYABLE and open_ones:
             raise Broken("a non-replayable one is sent again though it may have run")
-        if self.kind.effect == schedule.UNIQUED and open_ones:
+        if self.kind.idempotency == schedule.UNIQUED and open_ones:
             if any(row[0] != mark for row in open_ones):
                 raise Broken("a uniqued one is sent again under another mark")
-            if at + limit > open_ones[0][1] + self.kind.dedup_us:
+            if at + limit > open_ones[0][1] + self.kind.dedup_window_us:
                 raise Broken("a uniqued one may run when its mark is forgotten")
         if len(earlier) >= RULE.tries:
             raise Broken(f"{len(earlier) + 1} sends of one occurrence")
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -149,9 +149,9 @@
 
 def spend(purse, amount=1):
     """Begin it if it may; whether it did."""
-    if not purse.may(amount):
+    if not purse.allows(amount):
         return False
-    purse.begin(amount)
+    purse.acquire(amount)
     return True
 
 
@@ -163,24 +163,24 @@
     purses.told(7, 5, {"b/0": 3})
     assert spend(purse) and spend(purse) and spend(purse) and not spend(purse)
     purses.told(7, 6, {"b/0": 1})
-    assert purse.out == 4 and not purse.may(1) and purses.cut
+    assert purse.out == 4 and not purse.allows(1) and purses.cut
     assert purses.report(()) == {"b/0": (3, 4, 5)}  # three of its part, four at once, one more wanted
     purses.told(7, 5, {"b/0": 9})  # an older write
-    assert purse.most() == 2
-    purse.over(1)
-    purse.over(1)
-    purse.over(1, surely=False)
+    assert purse.limit() == 2
+    purse.release(1)
+    purse.release(1)
+    purse.release(1, confirmed=False)
     assert purse.used(clock.now) == 2 and purse.used(S) == 1  # what was given up counts for a while
     clock.now = S
-    assert purse.may(1)
+    assert purse.allows(1)
     lease.lost()
-    assert purse.most() == purse.alone(clock.now) == 1 and not purse.may(1)
+    assert purse.limit() == purse.alone(clock.now) == 1 and not purse.allows(1)
     lease.kept(8, S)  # another lease: what was told under the first is no more
-    assert purse.most() == 1
+    assert purse.limit() == 1
     purses.fresh(8)
-    assert purse.most() == 1
+    assert purse.limit() == 1
     purses.told(8, 1, {"b/0": 4})
-    assert purse.most() == 5
+    assert purse.limit() == 5
 
 
 def test_what_was_allowed_before_a_sleep_is_not_sure_after_it_whatever_was_asked_meanwhile():
@@ -189,14 +189,16 @@
     purses.fresh(7)
     purses.told(7, 1, {"b/0": 3})
     assert spend(purse, 2)
-    before = purses.stamp()
-    assert purses.sure(before)
+    before = purses.fencing_token()
+    assert purses.token_valid(before)
     clock.now = 2000 * S  # it slept past its lease
-    assert not purse.may(1) and not purses.sure(before)  # refused since, it is none the surer
-    assert purses.stamp() == 0 and purses.sure(0)  # what is allowed now is what is kept back for it
+    assert not purse.allows(1) and not purses.token_valid(before)  # refused since, it is none the surer
+    assert purses.fencing_token() == 0 and purses.token_valid(
+        0
+    )  # what is allowed now is what is kept back for it
     lease.kept(8, clock.now)
     purses.fresh(8)
-    assert not purses.sure(before)
+    assert not purses.token_valid(before)
 
 
 def test_a_purse_over_a_window_counts_what_was_spent_in_any_of_it():
@@ -217,7 +219,7 @@
     purses, purse, _ = purse_of(HELD)
     purses.fresh(7)
     purses.told(7, 1, {"b/0": 2})
-    assert not purse.may(3) and purses.report(((0, 0, 3),)) == {"b/0": (0, 2, 3)}
+    assert not purse.allows(3) and purses.report(((0, 0, 3),)) == {"b/0": (0, 2, 3)}
     assert purses.report(()) == {"b/0": (0, 0, 0)}
 
 
@@ -229,9 +231,9 @@
     purses.fresh(7)
     assert purses(1, 5) is None and set(purses.report(((0, 5, 0), (0, 6, 2)))) == {"t/5", "t/6"}
     purses.told(7, 1, {"t/5": 3, "t/6": 4})
-    purses(0, 6).begin(1)
+    purses(0, 6).acquire(1)
     assert set(purses.report(())) == {"t/6"} and purses(0, 5).part == 3  # the last word holds until the next
-    purses(0, 6).over(1)
+    purses(0, 6).release(1)
     purses.report(())
     assert purses.report(()) == {} and not purses.rows
 
@@ -365,7 +367,7 @@
     def end(self, k):
         for purse in list(self.members.values())[k % 3 :]:
             if purse.out and self.kind == HELD:
-                purse.over(1)
+                purse.release(1)
 
     def divider(self, _):
         """Another takes over with what was written last; who has gone meanwhile it learns anew."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -407,10 +407,10 @@
 
         now = 1
 
-        def stamp(self):
+        def fencing_token(self):
             return self.now
 
-        def sure(self, stamp):
+        def token_valid(self, stamp):
             return stamp == self.now
 
     late, check = Late(), Check()
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -76,9 +76,11 @@
     until(lambda: engine.done >= 2)
     core = gateway.core
     core.list_changed(
-        *service.members(event(2, ("s-0", engine.address, "draining")), core.deal, service.Names())
+        *service.members(event(2, ("s-0", engine.address, "draining")), core.agreement, service.Names())
+    )
+    core.list_changed(
+        *service.members(event(3, ("s-9", later.address, "ready")), core.agreement, service.Names())
     )
-    core.list_changed(*service.members(event(3, ("s-9", later.address, "ready")), core.deal, service.Names()))
     answers = [client.answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
     assert len(later.words(b"fetch")) >= 10 and engine.done + len(later.words(b"fetch")) == 20
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold import agreement
-from gullhold import interface as api
+from gullhold.agreement import parse_tree, read_agreement
 from gullhold.door.whose import Whose
+from gullhold.interface import NEVER_RAN, EngineState, Outcome
 from gullhold.net import buffer, coordinator, front, resp, statement, thrift
 from gullhold.net.endings import Ending, Malformed, of_error, outcome
 from gullhold.operator import records
@@ -206,12 +206,14 @@
     machine = coordinator.Follow(4, MOST)
     data = b"4\n" + EVENT % (4, b"") + EVENT % (5, MEMBER) + b"5\n\n" + EVENT % (6, b"") + b"6\n"
     assert [event["index"] for event in feed(machine, coordinator.Follow.events, data, [])] == [5, 6]
-    deal = agreement.read({"dcs": ["west", "east"], "kinds": ["std"]})
+    agreement = read_agreement({"dcs": ["west", "east"], "kinds": ["std"]})
     entries, addresses, whole = coordinator.members(
-        json.loads(EVENT % (5, MEMBER)), deal, coordinator.Names()
+        json.loads(EVENT % (5, MEMBER)), agreement, coordinator.Names()
     )
     ident = entries[0][0]
-    assert entries == [(ident, 1, 4.0, 0, api.READY, 2, 9000)] and addresses == {ident: "127.1.0.9:5050"}
+    assert entries == [(ident, 1, 4.0, 0, EngineState.READY, 2, 9000)] and addresses == {
+        ident: "127.1.0.9:5050"
+    }
     assert not whole and ident == coordinator.Names().number("s-00c41f7a")
 
 
@@ -230,7 +232,7 @@
 )
 def test_a_member_of_another_form_is_malformed(member):
     with pytest.raises(Malformed):
-        coordinator.members(json.loads(EVENT % (5, member)), agreement.read({}), coordinator.Names())
+        coordinator.members(json.loads(EVENT % (5, member)), read_agreement({}), coordinator.Names())
 
 
 @pytest.mark.parametrize(
@@ -266,7 +268,7 @@
     assert statement.group(sql)[0] == group
 
 
-DEAL = agreement.read(
+AGREEMENT = read_agreement(
     {
         "categories": [{"name": "lookup"}, {"name": "load", "serial_by_key": True, "idempotency": "token"}],
         "tenants": [{"name": "acme", "fraction": 1.0}],
@@ -283,7 +285,7 @@
 
 
 def test_a_request_is_read_in_the_modules_units():
-    reader = front.Reader(DEAL)
+    reader = front.Reader(AGREEMENT)
     got = reader.request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
     assert (got.limit_us, got.work_us, got.need_mb, got.group, got.repeat) == (
         1_500_000,
@@ -323,7 +325,7 @@
 def test_a_request_that_cannot_be_used_is_refused(change):
     fields = {k: v for k, v in {**ASKED, **change}.items() if v is not None}
     with pytest.raises(front.Refused):
-        front.Reader(DEAL).request(fields, b"select 1")
+        front.Reader(AGREEMENT).request(fields, b"select 1")
 
 
 def test_text_and_json_settings_read_the_same():
@@ -372,19 +374,27 @@
             node = ",".join(str(word) for word in node)
         return [f"{path}={str(node).lower() if isinstance(node, bool) else node}"]
 
-    said = agreement.read(tree)
-    assert said == agreement.read(agreement.tree_of("\n".join(lines(tree)).replace("True", "true")))
+    said = read_agreement(tree)
+    assert said == read_agreement(parse_tree("\n".join(lines(tree)).replace("True", "true")))
     first = said.profiles[0]
     assert (
-        first.locations == {1} and first.kinds == {1} and first.ordered and first.loads and first.threads == 2
+        first.zones == {1}
+        and first.engine_kinds == {1}
+        and first.ordered
+        and first.loads_dataset
+        and first.threads == 2
+    )
+    assert (
+        said.connect_timeout_us == 250_000
+        and said.report_fields == ("inflight", "x0")
+        and said.retry_budget_base == 3.0
     )
-    assert said.connect_us == 250_000 and said.report_fields == ("inflight", "x0") and said.extra_free == 3.0
-    assert agreement.read({}).profiles == () and agreement.read({}).extra_free is None
+    assert read_agreement({}).profiles == () and read_agreement({}).retry_budget_base is None
 
 
 def test_how_a_connection_ended_says_whether_a_send_may_have_run():
-    assert outcome(True) == api.RESET and outcome(False) == api.NO_CONNECTION
-    assert outcome(False) in api.NEVER_RAN and outcome(True) not in api.NEVER_RAN
+    assert outcome(True) == Outcome.RESET and outcome(False) == Outcome.CONNECT_FAILED
+    assert outcome(False) in NEVER_RAN and outcome(True) not in NEVER_RAN
     assert of_error(ConnectionRefusedError(), True) == Ending.REFUSED
     assert (
         of_error(TimeoutError(), True) == Ending.NOT_UP and of_error(ConnectionResetError()) == Ending.RESET
@@ -393,8 +403,8 @@
 
 def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
     whose = Whose(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
-    deal = agreement.read(agreed(deployment.settings(), (("acme", 1.0),)))
-    reader, peer = front.Reader(deal, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
+    agreement = read_agreement(agreed(deployment.settings(), (("acme", 1.0),)))
+    reader, peer = front.Reader(agreement, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
     fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
     shut = {(0, b"c:d", 0): (1000, 5_000_000)}
     assert reader.shut(fields, peer, shut, 999) == ({},)
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -8,28 +8,54 @@
 from unittest import mock
 
 import pytest
-from driver import MS, Driver, agreement, profile
+from driver import MS, Driver, make_agreement, profile
 from recording import Recorder
 
-from gullhold import interface as api
 from gullhold import policy
+from gullhold.interface import (
+    Agreement,
+    BudgetKind,
+    CancelAttempt,
+    DeduplicationScope,
+    Dispatch,
+    EngineState,
+    Fail,
+    Idempotency,
+    LogLine,
+    Outcome,
+    ReportDemand,
+    SetTerms,
+    Shed,
+    StartTimer,
+    Tenant,
+)
 from gullhold.rehearsal import play, streams
 
 # Methods of the decision module and of a stream, numbered: the numbers go into the hash, the names do not.
 GATEWAY_CALLS = {
-    "engines": 1,
-    "command": 2,
-    "streaming": 3,
-    "noted": 4,
-    "ended": 5,
-    "client_gone": 6,
-    "give_up": 7,
-    "timer": 8,
-    "allot": 9,
-    "adopt": 10,
+    "update_engines": 1,
+    "submit": 2,
+    "answer_began": 3,
+    "attempt_status": 4,
+    "attempt_ended": 5,
+    "client_left": 6,
+    "abandon": 7,
+    "timer_fired": 8,
+    "apply_budgets": 9,
+    "apply_policy": 10,
 }
 STREAM_CALLS = {"write": 21, "finish": 22}
-TAGS: dict[type, int] = {}  # result types that stand for a verb's number
+# Result types that stand for the number that a result once began with.
+TAGS = {
+    Dispatch: 0,
+    SetTerms: 1,
+    CancelAttempt: 2,
+    Shed: 3,
+    Fail: 4,
+    StartTimer: 5,
+    LogLine: 6,
+    ReportDemand: 7,
+}
 
 REHEARSED_SEEDS = 12
 WALKS_EACH = 10
@@ -37,50 +63,52 @@
 ODD_FIGURES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
 
 AGREEMENTS = {
-    "tenants": agreement(
+    "tenants": make_agreement(
         profile(),
-        profile(effect=api.NON_REPLAYABLE, threads=3),
-        profile(effect=api.UNIQUED, dedup_scope=api.LOCATION, target_us=2000 * MS),
-        tenants=(api.Tenant(0.7), api.Tenant(0.3)),
+        profile(idempotency=Idempotency.NON_IDEMPOTENT, threads=3),
+        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE, target_us=2000 * MS),
+        tenants=(Tenant(0.7), Tenant(0.3)),
     ),
-    "ordered keys": agreement(
-        profile(effect=api.UNIQUED, ordered=True),
+    "ordered keys": make_agreement(
+        profile(idempotency=Idempotency.KEYED, ordered=True),
         profile(ordered=True, late_benefit=0.0),
-        profile(effect=api.UNIQUED, dedup_scope=api.CELL),
-        extra_free=2.0,
-        extra_share=0.2,
-        extra_us=2000 * MS,
-        managers=3,
+        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.CELL),
+        retry_budget_base=2.0,
+        retry_budget_share=0.2,
+        retry_budget_window_us=2000 * MS,
+        gateways=3,
     ),
-    "placement": agreement(
-        profile(locations=frozenset((1,))),
-        profile(kinds=frozenset((0,)), effect=api.NON_REPLAYABLE),
-        profile(effect=api.UNIQUED, ordered=True, locations=frozenset((0,)), kinds=frozenset((0,))),
-        managers=2,
-        crossing_costs=True,
-        heeds_grants=False,
-        heeds_priority=False,
-        sends_cap=6,
+    "placement": make_agreement(
+        profile(zones=frozenset((1,))),
+        profile(engine_kinds=frozenset((0,)), idempotency=Idempotency.NON_IDEMPOTENT),
+        profile(
+            idempotency=Idempotency.KEYED, ordered=True, zones=frozenset((0,)), engine_kinds=frozenset((0,))
+        ),
+        gateways=2,
+        cross_zone_costs=True,
+        honors_grants=False,
+        honors_priority=False,
+        max_attempts=6,
     ),
-    "no cancels": agreement(
+    "no cancels": make_agreement(
         profile(late_benefit=0.0),
         profile(threads=3, benefit=6.0, target_us=1500 * MS),
-        sends_cap=6,
-        may_cancel=False,
-        heeds_grants=False,
-        come_back_us=500 * MS,
+        max_attempts=6,
+        supports_cancel=False,
+        honors_grants=False,
+        max_retry_after_us=500 * MS,
         report_fields=("util",),
-        managers=3,
-        tenants=(api.Tenant(0.87, 90.0), api.Tenant(0.13, 12.0)),
+        gateways=3,
+        tenants=(Tenant(0.87, 90.0), Tenant(0.13, 12.0)),
     ),
-    "loads": agreement(
-        profile(stands_still=True),
+    "loads": make_agreement(
+        profile(waits_for_loads=True),
         profile(threads=3, benefit=2.5),
-        profile(threads=2, benefit=6.0, effect=api.NON_REPLAYABLE, loads=True),
-        heeds_priority=False,
-        crossing_costs=True,
+        profile(threads=2, benefit=6.0, idempotency=Idempotency.NON_IDEMPOTENT, loads_dataset=True),
+        honors_priority=False,
+        cross_zone_costs=True,
         report_fields=("queue", "util"),
-        managers=5,
+        gateways=5,
     ),
 }
 
@@ -88,24 +116,24 @@
 class Part:
     """A member's part of one budget, without a fleet: so much at once."""
 
-    def __init__(self, limit: int) -> None:
-        self.limit = limit
+    def __init__(self, size: int) -> None:
+        self.size = size
         self.used = 0
         self.refusals = 0
 
-    def most(self) -> int:
-        return self.limit
+    def limit(self) -> int:
+        return self.size
 
-    def may(self, amount: int) -> bool:
-        return self.used + amount <= self.limit
+    def allows(self, amount: int) -> bool:
+        return self.used + amount <= self.size
 
-    def begin(self, amount: int) -> None:
+    def acquire(self, amount: int) -> None:
         self.used += amount
 
-    def over(self, amount: int, surely: bool = True) -> None:
+    def release(self, amount: int, confirmed: bool = True) -> None:
         self.used -= amount
 
-    def refused(self, amount: int) -> None:
+    def record_rejection(self, amount: int) -> None:
         self.refusals += amount
 
 
@@ -115,23 +143,23 @@
     def __init__(self, draw: Random) -> None:
         self.draw = draw
 
-    def __call__(self) -> bool:
+    def may_dispatch(self) -> bool:
         return self.draw.random() < 0.9
 
-    def shut(self) -> bool:
+    def rejects_new(self) -> bool:
         return self.draw.random() < 0.1
 
 
 class Walk:
     """Seeded calls on one gateway through the driver, which checks the rules after every call."""
 
-    def __init__(self, deal: api.Agreement, seed: int, engines: int) -> None:
+    def __init__(self, agreement: Agreement, seed: int, engines: int) -> None:
         self.draw = Random(seed)
-        self.world = Driver(deal, seed)
+        self.world = Driver(agreement, seed)
         self.engines = engines
         self.parts: dict[tuple[int, int], Part] = {}
         for ident in range(engines):
-            self.world.engines((ident, ident % 2, ident % 2, api.READY, ident % 3, 0))
+            self.world.engines((ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0))
 
     def step(self) -> None:
         """One call drawn by chance; arrivals and waits are the most frequent."""
@@ -150,7 +178,7 @@
     def arrive(self) -> None:
         number = self.draw.randrange(10_000)
         self.world.command(
-            number % len(self.world.deal.profiles),
+            number % len(self.world.agreement.profiles),
             tenant=number % 3,
             key=number % 4,
             work=self.draw.choice((3, 20, 100, 400)) * MS,
@@ -170,7 +198,15 @@
         self.world.wait(self.draw.choice((1, 10, 60, 300, 900)) * MS)
 
     def list_change(self) -> None:
-        state = self.draw.choice((api.READY, api.READY, api.READY, api.DRAINING, api.GONE))
+        state = self.draw.choice(
+            (
+                EngineState.READY,
+                EngineState.READY,
+                EngineState.READY,
+                EngineState.DRAINING,
+                EngineState.REMOVED,
+            )
+        )
         born = self.world.now if self.draw.random() < 0.3 else 0
         ident = self.draw.randrange(self.engines)
         entry = (ident, ident % 2, ident // 7 % 2, state, ident % 3, born)
@@ -190,32 +226,38 @@
             ident = self.draw.choice(out)
             send = self.world.commands[ident]["out"][2]
             note, value = self.draw.randrange(3), self.draw.choice((0.0, 0.02, 0.6, 1.0, 2.0))
-            self.world.obey(self.world.gateway.noted(self.world.now, ident, send, note, value))
+            self.world.obey(self.world.gateway.attempt_status(self.world.now, ident, send, note, value))
 
     def stream(self) -> None:
         if self.draw.random() < 0.2 and (out := self.world.out()):
             ident = self.draw.choice(out)
             send = self.world.commands[ident]["out"][2]
-            self.world.obey(self.world.gateway.streaming(self.world.now, ident, send))
+            self.world.obey(self.world.gateway.answer_began(self.world.now, ident, send))
             self.world.commands[ident]["over"] = True  # the answer that has begun is the final one
 
     def budgets(self) -> None:
         if self.draw.random() < 0.3:
-            results = self.world.gateway.allot(self.world.now, self.part)
-            self.world.obey([result for result in results if result[0] != api.LACKS])
+            results = self.world.gateway.apply_budgets(self.world.now, self.part)
+            self.world.obey([result for result in results if not isinstance(result, ReportDemand)])
 
     def part(self, budget: int, of: int) -> Part | None:
-        deal = self.world.deal
-        if budget == api.TAKEN or (budget == api.FURTHER and deal.extra_free is not None):
+        agreement = self.world.agreement
+        if budget == BudgetKind.ADMISSIONS or (
+            budget == BudgetKind.RETRIES and agreement.retry_budget_base is not None
+        ):
             return None  # the driver checks the agreement's own budget of further sends
-        limit = {api.COLD: 10**6 // deal.managers, api.SHARE: 4 * 10**5, api.MEMORY: 10**5}.get(budget, 12)
+        limit = {
+            BudgetKind.WARMUP: 10**6 // agreement.gateways,
+            BudgetKind.TRAFFIC_SHARE: 4 * 10**5,
+            BudgetKind.MEMORY: 10**5,
+        }.get(budget, 12)
         return self.parts.setdefault((budget, of), Part(limit))
 
     def policy(self) -> None:
         if self.draw.random() < 0.3:
             weights = [self.draw.choice((1.0, 2.0, 0.5)) for _ in self.world.gateway.weight]
             terms = (weights, {0: 2}, {0: 48.0}, {0: self.draw.choice((1, 2, 3))})
-            self.world.obey(self.world.gateway.adopt(self.world.now, terms, Gate(self.draw)))
+            self.world.obey(self.world.gateway.apply_policy(self.world.now, terms, Gate(self.draw)))
 
 
 def recorded(recorder: Recorder, target: type, calls: dict[str, int]) -> mock._patch_multiple:
@@ -249,29 +291,29 @@
 def test_a_crowded_gateway_gives_the_recorded_decisions() -> None:
     """Long commands on few engines, slower and slower: pressure, samples, fits, health and cold starts."""
     recorder = Recorder(TAGS)
-    deal = agreement(
+    agreement = make_agreement(
         profile(threads=2, target_us=3000 * MS, timeout_us=9000 * MS),
         profile(threads=1, target_us=200 * MS),
         report_fields=("util",),
-        managers=2,
-        tenants=(api.Tenant(0.6, 40.0), api.Tenant(0.4, 30.0)),
-        extra_free=3.0,
-        extra_share=0.1,
-        extra_us=3000 * MS,
+        gateways=2,
+        tenants=(Tenant(0.6, 40.0), Tenant(0.4, 30.0)),
+        retry_budget_base=3.0,
+        retry_budget_share=0.1,
+        retry_budget_window_us=3000 * MS,
     )
     with recorded(recorder, policy.Gateway, GATEWAY_CALLS):
         for seed in range(3):
             draw = Random(seed)
-            world = Driver(deal, seed)
+            world = Driver(agreement, seed)
             born = world.now if seed else 0
-            world.engines(*((ident, 0, 0, api.READY, 0, born * (ident == 3)) for ident in range(4)))
+            world.engines(*((ident, 0, 0, EngineState.READY, 0, born * (ident == 3)) for ident in range(4)))
             for step in range(2500):
                 world.command(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need=40.0)
                 out = world.out()
                 slowest = 1 + step // 300
                 if len(out) > 3 * slowest or draw.random() < 0.5:
                     for ident in out[: 1 + slowest // 2]:
-                        outcome = api.ANSWERED if draw.random() < 0.95 else draw.choice((1, 2, 3, 4, 5))
+                        outcome = Outcome.ANSWERED if draw.random() < 0.95 else draw.choice((1, 2, 3, 4, 5))
                         world.end(ident, outcome, cost=draw.choice((20, 120, 700)) * MS, report=(0.95,))
                 world.wait(draw.choice((2, 10, 30)) * MS)
     assert (recorder.records, recorder.digest()) == CROWDED_HASH
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,25 +1,25 @@
 """Policies and their changes, and the walks through them: the decisions alone."""
 
 import pytest
-from driver import MS, Driver, agreement, profile
+from driver import MS, Driver, make_agreement, profile
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold import interface as api
 from gullhold.budgets import duty
 from gullhold.budgets.divider import Budget
 from gullhold.fleet.calls import DONE, Item, Reply
 from gullhold.fleet.holding import AGAIN_US, IDLE_US, WRITE
 from gullhold.fleet.lease import Lease, Terms
+from gullhold.interface import EngineState, Idempotency, Outcome, SetTerms, Shed, Tenant
 from gullhold.revisions import change, member, record
 from gullhold.revisions.record import FIRST, Policy, Record, Unfit
 from gullhold.standins import changecheck, changemutants, dividecheck, dividemutants
 from gullhold.standins.policycheck import Changes, mixed
 
-DEAL = agreement(
+AGREEMENT = make_agreement(
     profile(name="read"),
-    profile(name="once", effect=api.NON_REPLAYABLE),
-    tenants=(api.Tenant(0.7, name="a"), api.Tenant(0.3, name="b")),
+    profile(name="once", idempotency=Idempotency.NON_IDEMPOTENT),
+    tenants=(Tenant(0.7, name="a"), Tenant(0.3, name="b")),
 )
 
 
@@ -71,13 +71,13 @@
 )
 def test_a_policy_is_checked_against_the_agreement_and_the_budgets(text, why):
     policy = record.read(f"policy: {text}")
-    found = record.check(policy, DEAL, {"taken": (10, 4)})
+    found = record.check(policy, AGREEMENT, {"taken": (10, 4)})
     assert (why in found) if why else not found
 
 
 def test_what_a_policy_says_is_by_index_for_the_module_and_by_name_for_staff():
     policy = record.read("policy: {shares: b: 0.35, grants: read: 20, priorities: once: 2}")
-    weights, priorities, grants, sends = record.for_module(policy, DEAL)
+    weights, priorities, grants, sends = record.for_module(policy, AGREEMENT)
     assert weights == [2.0, 1.0] and priorities == {1: 2} and grants == {0: 20} and sends == {}
     assert record.difference(Policy(*[{}] * len(Policy._fields)), policy) == [
         ("shares", "b", None, 0.35),
@@ -96,47 +96,51 @@
     def __init__(self):
         self.open, self.away = True, False
 
-    def __call__(self):
+    def may_dispatch(self):
         return self.open
 
-    def shut(self):
+    def rejects_new(self):
         return self.away
 
 
 def test_the_module_goes_by_a_policy_from_the_next_send_and_sends_nothing_while_the_gate_is_closed():
-    world, gate = Driver(DEAL), Gate()
-    world.engines((1, 0, 0, api.READY, 0, 0))
+    world, gate = Driver(AGREEMENT), Gate()
+    world.engines((1, 0, 0, EngineState.READY, 0, 0))
 
     def adopt(text):
-        world.obey(world.gateway.adopt(world.now, record.for_module(record.read(text), DEAL), gate))
+        world.obey(
+            world.gateway.apply_policy(world.now, record.for_module(record.read(text), AGREEMENT), gate)
+        )
 
     adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
     first = world.command()
-    assert (api.TERMS, first, 20, 2) in world.log
+    assert SetTerms(first, 20, 2) in world.log
     gate.open = False
     second = world.command()
     world.wait(100 * MS)
     assert not world.commands[second]["out"]
     gate.open = True
     adopt("policy: grants: read: 30")
-    assert world.commands[second]["out"] and (api.TERMS, second, 30, 3) in world.log
+    assert world.commands[second]["out"] and SetTerms(second, 30, 3) in world.log
     adopt("policy: sends: read: 1")
-    world.end(first, api.RESET)  # one send is all there is
-    assert world.commands[first]["final"] == api.SHED
+    world.end(first, Outcome.RESET)  # one send is all there is
+    assert world.commands[first]["final"] == Shed
     gate.away = True  # it is not known by what to decide
     third = world.command()
-    assert world.commands[third]["final"] == api.SHED and not world.commands[third]["sends"]
+    assert world.commands[third]["final"] == Shed and not world.commands[third]["sends"]
 
 
 def test_while_the_gate_is_closed_every_command_still_gets_its_answer_in_time():
-    world, gate = Driver(DEAL), Gate()
-    world.engines((1, 0, 0, api.READY, 0, 0))
+    world, gate = Driver(AGREEMENT), Gate()
+    world.engines((1, 0, 0, EngineState.READY, 0, 0))
     gate.open = False
-    world.obey(world.gateway.adopt(world.now, record.for_module(record.read("policy: {}"), DEAL), gate))
+    world.obey(
+        world.gateway.apply_policy(world.now, record.for_module(record.read("policy: {}"), AGREEMENT), gate)
+    )
     for _ in range(5):
         world.command()
     world.wait(5000 * MS)  # the driver fails where one is late
-    assert all(cmd["final"] == api.SHED for cmd in world.commands.values())
+    assert all(cmd["final"] == Shed for cmd in world.commands.values())
 
 
 def test_the_checkers_see_what_is_mixed_and_what_was_decided_without_a_word():
@@ -213,14 +217,14 @@
     gate = member.Gate(lease, lambda: now[0], 10**9, member.KEEP)
     lease.kept(7, 0)
     gate.under, gate.known_until = 7, 10**9
-    before = gate.stamp()
-    assert gate() and gate.sure(before)
+    before = gate.fencing_token()
+    assert gate.may_dispatch() and gate.token_valid(before)
     gate.stop()
-    assert not gate() and not gate.sure(gate.stamp())
+    assert not gate.may_dispatch() and not gate.token_valid(gate.fencing_token())
     gate.still = False
-    assert gate() and gate.sure(gate.stamp()) and not gate.sure(before)
+    assert gate.may_dispatch() and gate.token_valid(gate.fencing_token()) and not gate.token_valid(before)
     now[0] = 10**9
-    assert not gate.sure(gate.stamp())
+    assert not gate.token_valid(gate.fencing_token())
 
 
 def test_a_change_that_waits_longer_than_its_time_waits_for_words_and_does_not_spin():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,8 +13,8 @@
 import pytest
 from serving import PATIENCE, Gateway, free_port, listens, until
 
-from gullhold import interface as api
 from gullhold.__main__ import main
+from gullhold.interface import Outcome
 from gullhold.net import front, resp, service, thrift
 from gullhold.net.connection import Connection
 from gullhold.net.counters import Counters
@@ -46,15 +46,15 @@
 
 def test_what_an_answer_tells_reaches_the_module_in_its_units(start):
     gateway, client = start(Engine(ok()))
-    seen, inner = [], gateway.core.gateway.ended
-    gateway.core.gateway.ended = lambda *args: seen.append(args) or inner(*args)
+    seen, inner = [], gateway.core.gateway.attempt_ended
+    gateway.core.gateway.attempt_ended = lambda *args: seen.append(args) or inner(*args)
     client.ask()
     client.answer()
     until(lambda: seen)
     _, _, send, outcome, closed, latency, cost, need, report = seen[0]
     assert (send, outcome, closed, cost, need, report) == (
         0,
-        api.ANSWERED,
+        Outcome.ANSWERED,
         True,
         20_500,
         64.0,
@@ -322,14 +322,14 @@
 
 def test_a_module_that_fails_costs_one_command_its_answer_and_no_other(start):
     gateway, client = start(Engine())
-    inner = gateway.core.gateway.command
+    inner = gateway.core.gateway.submit
 
     def fails(now, ident, *rest):
         if rest[0] == 2:
             raise ValueError("odd")
         return inner(now, ident, *rest)
 
-    gateway.core.gateway.command = fails
+    gateway.core.gateway.submit = fails
     bad, good = client.ask("once"), client.ask()
     assert {client.answer(), client.answer()} == {(bad, "fault"), (good, b"a\tb\tc\n")}
     assert gateway.count("faults of the module") == 1
