--- /dev/null
+++ b/tests/data/v3c216f7/policies/first.cue
@@ -0,0 +1,1 @@
+policy: {grants: read: 20, clients: "desk": 4}
--- /dev/null
+++ b/tests/data/v3c216f7/policies/open.cue
@@ -0,0 +1,1 @@
+policy: {grants: read: 22, shares: {}, priorities: {}}
--- /dev/null
+++ b/tests/data/v3c216f7/policies/refused.cue
@@ -0,0 +1,1 @@
+policy: sends: once: 2
