--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -13,7 +13,7 @@
 from io import BytesIO
 from pathlib import Path
 
-from gullhold.standins.walking import Broken
+from gullhold.testing.walking import Broken
 
 ROOT = Path(__file__).resolve().parents[1]
 
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -15,11 +15,11 @@
 from gullhold.budgets.ledger import HELD, WINDOWED
 from gullhold.fleet.calls import DONE, Item, Put, Reply
 from gullhold.fleet.holding import READ, WRITE
-from gullhold.standins import crowd, dividecheck, dividemutants
-from gullhold.standins.budgetcheck import Parts, further_sends, most_at_once, most_in_window
-from gullhold.standins.counting import CountingEngine
-from gullhold.standins.fleet import Rig
-from gullhold.standins.running import cpu_s
+from gullhold.testing import crowd, dividecheck, dividemutants
+from gullhold.testing.budgetcheck import Parts, further_sends, most_at_once, most_in_window
+from gullhold.testing.counting import CountingEngine
+from gullhold.testing.fleet import Rig
+from gullhold.testing.running import cpu_s
 
 BOUNDS = {
     "over_whole": 0,
--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -12,14 +12,14 @@
 from benchmarks import begin_decisions, close, decided, p95
 from gullhold.fleet.calls import DONE, Item, Put, Reply
 from gullhold.fleet.holding import READ, WRITE
-from gullhold.revisions import change
-from gullhold.revisions.record import Record, Unfit
-from gullhold.revisions.show import DROPPED, IN_FORCE, Away, Office
-from gullhold.standins import changecheck, changemutants, crowd
-from gullhold.standins.budgetcheck import Parts, most_at_once
-from gullhold.standins.counting import CountingEngine
-from gullhold.standins.fleet import Rig
-from gullhold.standins.policycheck import Changes, by_policy, mixed
+from gullhold.rollout import change
+from gullhold.rollout.record import Record, Unfit
+from gullhold.rollout.show import DROPPED, IN_FORCE, Away, Office
+from gullhold.testing import changecheck, changemutants, crowd
+from gullhold.testing.budgetcheck import Parts, most_at_once
+from gullhold.testing.counting import CountingEngine
+from gullhold.testing.fleet import Rig
+from gullhold.testing.policycheck import Changes, by_policy, mixed
 
 BOUNDS = {
     "changes": (40, "least"),
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -12,11 +12,12 @@
 from statistics import median
 
 from benchmarks import close, earlier
-from gullhold import policy
+from gullhold.decisions.gateway import Gateway
 from gullhold.interface import (
     Agreement,
     DeduplicationScope,
     Dispatch,
+    EngineEntry,
     EngineState,
     Idempotency,
     Outcome,
@@ -24,9 +25,9 @@
     Tenant,
 )
 from gullhold.net import thrift
-from gullhold.standins import crowd
-from gullhold.standins.running import DOOR, ROOT, Running
-from gullhold.standins.working import statement
+from gullhold.testing import crowd
+from gullhold.testing.running import DOOR, ROOT, Running
+from gullhold.testing.working import statement
 
 EARLIER = "a6dbb5f"  # the last commit before the door and the change to the module
 WORK_MS = 50.0  # of a command; two engines of four slots do 160 of them a second
@@ -337,8 +338,10 @@
     )
     best = []
     for _ in range(3):
-        gateway, draw, now, out = policy.Gateway(1, agreement, 0), random.Random(3), 1000, []
-        gateway.update_engines(0, [(100 + i, 0, 1.0, 0, EngineState.READY, 0, 0) for i in range(8)], True)
+        gateway, draw, now, out = Gateway(1, agreement, 0), random.Random(3), 1000, []
+        gateway.update_engines(
+            0, [EngineEntry(100 + i, 0, 1.0, 0, EngineState.READY, 0, 0) for i in range(8)], True
+        )
         began = time.process_time()
         for ident in range(commands):
             now += 400
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -19,16 +19,16 @@
 
 from benchmarks import ROOT, close
 from gullhold.agreement import read
-from gullhold.interface import Dispatch, EngineState, Outcome
+from gullhold.decisions.gateway import Gateway
+from gullhold.interface import Dispatch, EngineEntry, EngineState, Outcome
 from gullhold.net import thrift
 from gullhold.net.buffer import Buffer
-from gullhold.policy import Gateway
-from gullhold.standins import PATIENCE_S
-from gullhold.standins.client import Caller
-from gullhold.standins.coordinator import Feed
-from gullhold.standins.deployment import config, event
-from gullhold.standins.running import answers, cpu_s, free_address
-from gullhold.standins.swarm import Swarm
+from gullhold.testing import PATIENCE_S
+from gullhold.testing.client import Caller
+from gullhold.testing.coordinator import Feed
+from gullhold.testing.deployment import config, event
+from gullhold.testing.running import answers, cpu_s, free_address
+from gullhold.testing.swarm import Swarm
 
 SIZES = (80, 3200)
 CORES = 1280.0  # of all engines together: the same at every size
@@ -187,7 +187,9 @@
     agreement = agreement._replace(cores_by_kind=(CORES / size,))
     gateway, now, serial, out = Gateway(seed, agreement, 0), 5_000_000, size, []
     ids = list(range(size))
-    gateway.update_engines(now, [(n * 7919, 0, 1.0, 0, EngineState.READY, 0, 0) for n in ids], True)
+    gateway.update_engines(
+        now, [EngineEntry(n * 7919, 0, 1.0, 0, EngineState.READY, 0, 0) for n in ids], True
+    )
     spent, changing, changes = 0.0, 0.0, 0
     for command in range(commands):
         now += 40_000
@@ -206,8 +208,8 @@
         out += [(now + random.randrange(5_000, 200_000), number, now) for number in sent]
         if command % change_every == 0:
             place, serial = random.randrange(size), serial + 1
-            gone = (ids[place] * 7919, 0, 1.0, 0, EngineState.REMOVED, 0, 0)
-            new = (serial * 7919, 0, 1.0, 0, EngineState.READY, 0, now)
+            gone = EngineEntry(ids[place] * 7919, 0, 1.0, 0, EngineState.REMOVED, 0, 0)
+            new = EngineEntry(serial * 7919, 0, 1.0, 0, EngineState.READY, 0, now)
             began = time.perf_counter()
             for row in (gone, new):
                 gateway.update_engines(now, [row], False)
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -18,10 +18,10 @@
 from gullhold.fleet.calls import DONE, Grant, Held, Item, Keep, Read, Reply
 from gullhold.fleet.lease import Terms
 from gullhold.fleet.spread import Spread
-from gullhold.standins import crowd, ownercheck, ownermutants, plancheck
-from gullhold.standins.fleet import Rig
-from gullhold.standins.fleetcheck import Check, marks, sent
-from gullhold.standins.running import cpu_s, resident_mb
+from gullhold.testing import crowd, ownercheck, ownermutants, plancheck
+from gullhold.testing.fleet import Rig
+from gullhold.testing.fleetcheck import Check, marks, sent
+from gullhold.testing.running import cpu_s, resident_mb
 
 BOUNDS = {
     "owners_accepted_at_once": 0,
--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -134,13 +134,13 @@
         print(f"gullhold {__version__}")
         return 0
     if args.command == "try":
-        from gullhold import trial  # noqa: PLC0415  heavy libraries
+        from gullhold import demo  # noqa: PLC0415  heavy libraries
 
-        return trial.run(
+        return demo.run(
             args.seconds, {"both": (False, True), "on": (True,), "off": (False,)}[args.door], args.seed
         )
     if args.command == "register":
-        from gullhold.standins.register import server  # noqa: PLC0415
+        from gullhold.testing.register import server  # noqa: PLC0415
 
         return server.main(args.listen, args.store, not args.fast, args.journal, args.scripted)
     if args.command == "fleet" and args.what in ("budgets", "plan", "report"):
@@ -165,11 +165,11 @@
 
         return show.run(args.what, args.register, args.name, args.json)
     if args.command == "policy":
-        from gullhold.revisions import show as policy  # noqa: PLC0415  heavy libraries
+        from gullhold.rollout import show as policy  # noqa: PLC0415  heavy libraries
 
         return policy.run(args)
     if args.command == "rehearse":
-        from gullhold.rehearsal import show as rehearsal  # noqa: PLC0415  heavy libraries
+        from gullhold.simulation import show as rehearsal  # noqa: PLC0415  heavy libraries
 
         return rehearsal.run(args.seeds, args.jobs, args.replay, args.shrink)
     from gullhold.net import service  # noqa: PLC0415  only these need what it imports
--- a/gullhold/door/flows.py
+++ b/gullhold/admission/flows.py
@@ -3,9 +3,9 @@
 from collections import OrderedDict, deque
 from heapq import heapify, heappop, heappush
 
-from gullhold.door.drain import Drain
-from gullhold.door.fair import COMPACT, IDLE, PARKED, FairQueue
-from gullhold.door.promises import Book
+from gullhold.admission.drain_rate import Drain
+from gullhold.admission.fair_queue import COMPACT, IDLE, PARKED, FairQueue
+from gullhold.admission.retry_after import Book
 
 
 class Lane:
--- a/gullhold/door/door.py
+++ b/gullhold/admission/queue.py
@@ -13,10 +13,10 @@
 from itertools import islice
 from random import Random
 
-from gullhold.door.fair import IDLE, FairQueue
-from gullhold.door.flows import Queues
-from gullhold.door.promises import Promises
-from gullhold.door.sketch import WIDTH, Sketch
+from gullhold.admission.fair_queue import IDLE, FairQueue
+from gullhold.admission.flows import Queues
+from gullhold.admission.retry_after import Promises
+from gullhold.admission.sketch import WIDTH, Sketch
 
 HAND, REFUSE = range(2)
 BEHIND, WAITING, HANDED, OUT, OVER = range(5)
--- a/gullhold/policy.py
+++ b/gullhold/decisions/gateway.py
@@ -12,6 +12,7 @@
 from random import Random
 from statistics import median
 
+from gullhold.decisions.ranking import RANKED_MOST, EngineList
 from gullhold.interface import (
     NEVER_RAN,
     BudgetKind,
@@ -29,7 +30,6 @@
     StartTimer,
     StatusKind,
 )
-from gullhold.ranking import RANKED_MOST, EngineList
 
 # Tuned values: each with its unit and the reason for its size.
 THREADS_A_CORE = 2.0  # threads; the design's start for cap and bound
@@ -185,7 +185,7 @@
     def update_engines(self, now, entries, full):
         """The list of engines changed; full: engines that are not in it are gone."""
         self.now, self.out, seen = now, [], set()
-        for ident, place, _, kind, state, cell, born in entries:
+        for ident, zone, _, kind, state, cell, born in entries:
             if ident not in self.index:
                 be = self.index[ident] = self.free.pop() if self.free else len(self.ids)
                 for name, first in (*ENGINE.items(), ("ids", ident)):  # a new place, or one given up
@@ -198,7 +198,7 @@
                 self.seen[be] = self.seen_slow[be] = self.failed[be] = self.full_until[be] = 0
                 self.load[be] = 1.0
                 self.cold_sent[be].clear()
-            self.state[be], self.place[be], self.kind[be], self.cell[be] = state, place, kind, cell
+            self.state[be], self.place[be], self.kind[be], self.cell[be] = state, zone, kind, cell
             cores, self.born[be] = self.agreement.cores_by_kind, born
             self._set_stage(be, 0)
             self.cores[be] = cores[kind] if kind < len(cores) else max(cores, default=1.0)
@@ -289,8 +289,8 @@
     def apply_budgets(self, now, parts):
         """Budgets of the fleet bind, in place of even parts; called again when a part has changed.
 
-        parts(budget, subject) is our BudgetShare; None: the fleet has no such budget, and we go on as without.
-        The last result tells what held commands lack.
+        parts(budget, subject) is our BudgetShare; None: the fleet has no such budget, and we go on as
+        without. The last result tells what held commands lack.
         """
         self.now, self.out, self.parts = now, [], parts
         self._release()
--- a/gullhold/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -1,7 +1,7 @@
 """Engines that commands may go to, in order, and their ranks for each data set, kept by what changes.
 
 The work follows the changes, not the number of engines: a fleet of thousands tells of one engine at a time.
-Part of the decision module: gullhold/policy.py is the only one that uses it.
+Part of the decision module: gullhold/decisions/gateway.py is the only one that uses it.
 """
 
 from bisect import bisect_left, insort
--- a/gullhold/trial.py
+++ b/gullhold/demo.py
@@ -6,8 +6,8 @@
 from rich.live import Live
 from rich.table import Table
 
-from gullhold.standins import crowd
-from gullhold.standins.running import DOOR, Running
+from gullhold.testing import crowd
+from gullhold.testing.running import DOOR, Running
 
 TENANTS = (("north", 1 / 3), ("south", 1 / 3), ("nightly", 1 / 3))  # nightly crowds
 TARGET_S = 0.5  # s: the latency target that the table counts by
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -22,11 +22,11 @@
 from gullhold.fleet.register import Register
 from gullhold.fleet.watch import Watcher
 from gullhold.interface import DeduplicationScope
-from gullhold.net.front import Reader
+from gullhold.net.clients import Reader
 from gullhold.net.startup import start_thread
-from gullhold.revisions.change import DUTY as CARRIES
-from gullhold.revisions.driver import LANES as POLICY_LANES
-from gullhold.revisions.driver import Policies
+from gullhold.rollout.change import DUTY as CARRIES
+from gullhold.rollout.driver import LANES as POLICY_LANES
+from gullhold.rollout.driver import Policies
 
 KEYS = "/gullhold/"  # before a fleet's name: other programs may use the register too
 PLAN, BEAT = "schedule/", "beat/"  # duties, by what they are for
@@ -108,10 +108,10 @@
 class Fleet:
     """A member of a fleet, from start() until leave() is done."""
 
-    def __init__(self, record, told, core):
-        self.record, self.core, self.name = record, core, told["name"] or told["listen"]
+    def __init__(self, record, configuration, core):
+        self.record, self.core, self.name = record, core, configuration.name or configuration.listen_address
         # The seed is this start's own; the nonce tells two processes of one name apart.
-        self.chance = random.Random(told["seed"] ^ time.time_ns())
+        self.chance = random.Random(configuration.seed ^ time.time_ns())
         self.queue, self.gone = SimpleQueue(), Event()
         timeout_s = record.timeout / MILLION
         self.make = lambda: Register(record.register_, f"{KEYS}{record.name}/", timeout_s)
@@ -124,7 +124,7 @@
             record.duties.pauses.most,
             record.duties.leaving,
         )
-        self.plans = {PLAN + item.name: self._plan(item, told["agreement"]) for item in record.schedule}
+        self.plans = {PLAN + item.name: self._plan(item, configuration.agreement) for item in record.schedule}
         self.commands = {PLAN + item.name: item for item in record.schedule}
         duties = [*self.plans, *(f"{BEAT}{i}" for i in range(record.duties.beats))]
         duties += [dividing.DUTY] if record.budgets else []
@@ -135,7 +135,7 @@
         self.beats = Beats(self, record.duties.beat)
         self.desk = Desk(
             core,
-            Reader(told["agreement"]),
+            Reader(configuration.agreement),
             lambda *told_: self.queue.put(("answered", *told_)),
             self.chance.getrandbits,
         )
@@ -143,12 +143,12 @@
         self.away_since = None  # since when the register does not answer
         self.held, self.watchers = {}, {}  # by duty: what holds its keys; what follows them
         try:
-            self.budgets = Budgets(self, record, told["agreement"], clock) if record.budgets else None
+            self.budgets = Budgets(self, record, configuration.agreement, clock) if record.budgets else None
         except Unfit as fault:
             raise Unusable(str(fault)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = Policies(self, record, told["agreement"], clock, terms.surely_us())
+            self.policies = Policies(self, record, configuration.agreement, clock, terms.surely_us())
 
     def _plan(self, item, agreement):
         names = [profile.name for profile in agreement.profiles]
--- a/gullhold/fleet/errands.py
+++ b/gullhold/fleet/errands.py
@@ -4,7 +4,7 @@
 
 from gullhold.fleet.schedule import ANSWERED, FAILED, SHED
 from gullhold.net import thrift
-from gullhold.net.front import Refused
+from gullhold.net.clients import Refused
 
 SCALE = 1000  # us in a millisecond
 
--- a/gullhold/fleet/schedule.py
+++ b/gullhold/fleet/schedule.py
@@ -28,9 +28,9 @@
 class Kind(NamedTuple):
     """What the agreement says of a command's profile; times in us. everywhere: all engines drop a repeat."""
 
-    effect: int
+    idempotency: Idempotency
     timeout_us: int
-    dedup_us: int
+    dedup_window_us: int
     everywhere: bool
 
 
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -62,9 +62,10 @@
 class BudgetKind(IntEnum):
     """Budgets of a fleet, each with the unit of its amounts and what its subject is.
 
-    Held while in use: THREADS and MEMORY (MB) on an engine, OPEN_COMMANDS of a tenant. Spent over a window:
+    Held in use: THREADS and MEMORY (MB) on an engine, OPEN_COMMANDS of a tenant. Spent over a window:
     RETRIES; WARMUP, millionths of what a warming engine can take; ADMISSIONS of a tenant; DISCOVERY_CALLS.
-    By weight: TRAFFIC_SHARE, millionths of the traffic. The subject is an engine's id, a tenant's index, or 0.
+    By weight: TRAFFIC_SHARE, millionths of the traffic. The subject is an engine's id, a tenant's
+    index, or 0.
     """
 
     THREADS = 0
@@ -155,7 +156,7 @@
 
 
 class EngineEntry(NamedTuple):
-    """One engine as the endpoint list tells it. zone, kind: indexes into the agreement's names, -1: unknown."""
+    """One engine as the endpoint list tells it. zone, kind: indexes of the agreement's names; -1: unknown."""
 
     id: int
     zone: int
--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -1,6 +1,6 @@
 """The one buffer of a connection: grows as it needs, is compacted in place, gives room back when empty."""
 
-from gullhold.net.endings import Malformed
+from gullhold.net.connection_ends import Malformed
 
 FIRST = 4096  # bytes: a page of memory, enough for most messages
 
--- a/gullhold/net/front.py
+++ b/gullhold/net/clients.py
@@ -11,11 +11,11 @@
 
 from loguru import logger
 
-from gullhold.door.whose import CLOSED
+from gullhold.admission.client_identity import CLOSED
 from gullhold.interface import Idempotency
-from gullhold.net import endings, host_port, set_no_delay, set_read_timeout, statement, thrift
+from gullhold.net import connection_ends, host_port, set_no_delay, set_read_timeout, statement, thrift
 from gullhold.net.connection import Connection
-from gullhold.net.endings import Ending, Malformed
+from gullhold.net.connection_ends import Ending, Malformed
 from gullhold.net.pipe import Pipe
 
 OPEN_MOST = 32  # requests that a client has open on a connection, from the protocol
@@ -218,12 +218,12 @@
         try:
             ending, text = self._read(), ""
             if self.pipe.error:  # a write broke it, and the reader was only woken
-                ending, text = endings.caught(self.pipe.error)
+                ending, text = connection_ends.caught(self.pipe.error)
         except Exception as error:  # a fault of ours ends this connection, not the program
-            ending, text = endings.caught(error)
+            ending, text = connection_ends.caught(error)
         ending, text = self.ending or (ending, text)
         self.over = True
-        if ending in endings.STILL_THERE:  # behind its own requests: each gets its answer
+        if ending in connection_ends.STILL_THERE:  # behind its own requests: each gets its answer
             self.refused += [thrift.shed(call.seq, {}) for call, _ in self.kept if call.method == "execute"]
             if self.refused:
                 self.put(b"".join(self.refused))
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from gullhold.door.door import HAND
+from gullhold.admission.queue import HAND
 from gullhold.interface import (
     NEVER_RAN,
     CancelAttempt,
@@ -27,11 +27,11 @@
     StartTimer,
     StatusKind,
 )
-from gullhold.net import endings, resp, thrift
-from gullhold.net.coordinator import FIRST_WORD_US
-from gullhold.net.endings import Ending, Malformed
+from gullhold.net import connection_ends, resp, thrift
+from gullhold.net.clients import OPEN_MOST, RESULT_MOST
+from gullhold.net.connection_ends import Ending, Malformed
+from gullhold.net.discovery import FIRST_WORD_US
 from gullhold.net.eventlog import CLOSE, GIVEN_UP, REFUSAL, RETRY, EventLog, Happened
-from gullhold.net.front import OPEN_MOST, RESULT_MOST
 from gullhold.net.links import Engine, Exchange, Link
 from gullhold.net.pipe import UNSURE
 from gullhold.net.start_times import StartTimes
@@ -530,7 +530,7 @@
         """A client's connection is read no more. One that closed, or broke, has gone: nothing of it goes out
         any more. One that sent what makes no sense is still there: each of its commands gets its answer."""
         self.counters.add(f"client connection: {ending.value}")
-        unusual = bool(client.open) and ending in endings.OURS
+        unusual = bool(client.open) and ending in connection_ends.OURS
         self.events.add(
             Happened(
                 self.now,
@@ -544,7 +544,7 @@
             unusual,
         )
         for cmd in list(client.open.values()):
-            (self._give_up if ending in endings.STILL_THERE else self._gone)(cmd)
+            (self._give_up if ending in connection_ends.STILL_THERE else self._gone)(cmd)
         client.pipe.finish()  # what is under way goes out; the reader closes
 
     def _gone(self, cmd):
@@ -602,7 +602,7 @@
                 for link in engine.links:
                     link.retired = True
         entries = self.starts.corrected(self.now, entries, news=self.known)
-        states = {entry[0]: entry[4] for entry in entries}
+        states = {entry.id: entry.state for entry in entries}
         self.counters.add("list changes", events)
         for ident in list(self.engines) if whole else states:  # the work follows what changed
             engine = self.engines.get(ident)
@@ -703,7 +703,7 @@
             return
         if send is None:  # a late word on a send that was given up, or nothing of ours
             self.counters.add("late or unknown answers")
-            if word in endings.WORDS:
+            if word in connection_ends.WORDS:
                 link.given_up.discard(txn)
             return
         facts, send.heard_at = resp.fields(facts), self.now
@@ -727,9 +727,9 @@
             self._page(link, send, txn, body)
         elif word == b"chunk" and send.pages and int(facts.get(b"page", -1)) == len(send.pages):
             self._page(link, send, txn, body)
-        elif word == b"500" or word in endings.WORDS and not send.pages:  # once begun, it ran
+        elif word == b"500" or word in connection_ends.WORDS and not send.pages:  # once begun, it ran
             send.told = self._told(facts)
-            self._end_send(send, endings.WORDS[word])
+            self._end_send(send, connection_ends.WORDS[word])
         else:
             raise Malformed(f"{word!r} out of turn")
 
@@ -872,10 +872,10 @@
             not routine,
         )
         # Where we closed, the engine learns of it later: until then its sends are still out there.
-        at = self.now + (self.agreement.connect_timeout_us if ending in endings.OURS else 0)
+        at = self.now + (self.agreement.connect_timeout_us if ending in connection_ends.OURS else 0)
         for send in list(link.open.values()):
-            outcome = endings.outcome(send.offset > 0 and link.pipe.whole(send.offset))
-            if ending in endings.NO_BLAME and outcome == Outcome.CONNECT_FAILED:
+            outcome = connection_ends.outcome(send.offset > 0 and link.pipe.whole(send.offset))
+            if ending in connection_ends.NO_BLAME and outcome == Outcome.CONNECT_FAILED:
                 outcome = Outcome.NOT_STARTED
             if at > self.now:
                 del link.open[send.command.request.txn]
--- a/gullhold/net/coordinator.py
+++ b/gullhold/net/discovery.py
@@ -11,11 +11,11 @@
 from loguru import logger
 
 from gullhold.agreement import index_of
-from gullhold.interface import EngineState
-from gullhold.net import endings, host_port
+from gullhold.interface import EngineEntry, EngineState
+from gullhold.net import connection_ends, host_port
 from gullhold.net.buffer import Buffer
 from gullhold.net.connection import Connection
-from gullhold.net.endings import Ending, Malformed
+from gullhold.net.connection_ends import Ending, Malformed
 
 STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING, "gone": EngineState.REMOVED}
 FIRST_WORD_US = 100_000  # us in which news is told that there is: twice the page's time for crossings
@@ -60,7 +60,7 @@
         for member in change["members"]:
             ident = names.number(member["id"])
             entries.append(
-                (
+                EngineEntry(
                     ident,
                     index_of(agreement.zone_names, str(member.get("locality", ""))),
                     float(member.get("size") or 1.0),
@@ -116,13 +116,13 @@
 
     def names_any(self, entries):
         """Whether one of these engines is in it: what was told first has to take hold first."""
-        return any(entry[0] in self.named for entry in entries)
+        return any(entry.id in self.named for entry in entries)
 
     def add(self, entries, addresses, whole, index):
         """One more event."""
         self.entries += entries
         self.addresses.update(addresses)
-        self.named.update(entry[0] for entry in entries)
+        self.named.update(entry.id for entry in entries)
         self.whole, self.last, self.events = whole, index, self.events + 1
 
 
@@ -181,7 +181,7 @@
         except TimeoutError:
             ending, text = Ending.SILENT, ""
         except Exception as error:  # the old list holds; the stream is followed anew
-            ending, text = endings.caught(error, connecting=True)
+            ending, text = connection_ends.caught(error, connecting=True)
         self.core.listed.set()  # it can't be asked: the list that we have must do
         self.core.counters.add(f"coordinator: {ending.value}")
         logger.warning("coordinator: {} {}; following on from event {}", ending.value, text, self.last)
--- a/gullhold/net/links.py
+++ b/gullhold/net/links.py
@@ -5,14 +5,14 @@
 import time
 from threading import Thread
 
-from gullhold.net import endings, host_port, resp, set_no_delay, set_read_timeout
+from gullhold.net import connection_ends, host_port, resp, set_no_delay, set_read_timeout
 from gullhold.net.connection import Connection
-from gullhold.net.endings import Ending, Malformed
+from gullhold.net.connection_ends import Ending, Malformed
 from gullhold.net.pipe import Pipe
 
 RETRY_S = 0.02  # s between tries to connect where this machine is short of something
 # Also tried again: a route that is gone for a moment. ip(7), connect(2).
-RETRIED = endings.SHORT_HERE | {errno.ENETUNREACH}
+RETRIED = connection_ends.SHORT_HERE | {errno.ENETUNREACH}
 
 
 class Engine:
@@ -69,7 +69,7 @@
             try:
                 connection = Connection(self._connected())
             except OSError as error:
-                ending, text = endings.caught(error, connecting=True)
+                ending, text = connection_ends.caught(error, connecting=True)
                 return
             self.connection = connection
             if self.ending:
@@ -80,9 +80,9 @@
             )  # which looks at what waits here once more, and lets it go out
             ending = self._read(connection.sock)
             if self.pipe.error:  # a write broke it, and the reader was only woken
-                ending, text = endings.caught(self.pipe.error)
+                ending, text = connection_ends.caught(self.pipe.error)
         except Exception as error:  # a fault of ours ends this link, not the program
-            ending, text = endings.caught(error)
+            ending, text = connection_ends.caught(error)
         finally:
             self.pipe.finish(now=True)
             if connection is not None:
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -1,7 +1,7 @@
 """RESP arrays of bulk strings: what engines say from bytes, and the bytes of what they are told."""
 
 from gullhold.net.buffer import Buffer
-from gullhold.net.endings import Malformed
+from gullhold.net.connection_ends import Malformed
 
 HEAD_MOST = 16  # bytes of a length line: more digits than any length that fits a buffer
 WORDS_MOST = 64  # strings in one array: several times what the protocol has
--- a/gullhold/net/service.py
+++ b/gullhold/net/service.py
@@ -1,7 +1,6 @@
 """Puts the parts together: the configuration, the threads, the signals."""
 
 import gc
-import json
 import os
 import signal
 import socket
@@ -11,19 +10,19 @@
 
 from loguru import logger
 
-from gullhold import policy
-from gullhold.agreement import read_agreement
-from gullhold.door.door import Door
-from gullhold.door.whose import Whose
+from gullhold.admission.client_identity import Whose
+from gullhold.admission.queue import Door
+from gullhold.decisions.gateway import Gateway
 from gullhold.net import host_port, thrift
-from gullhold.net.coordinator import Coordinator, Names, members
+from gullhold.net.clients import RESULT_MOST, Listener, Room
+from gullhold.net.configuration import ConfigurationError, load_configuration
+from gullhold.net.configuration_reload import Reread, mark
+from gullhold.net.connection_ends import Malformed
 from gullhold.net.core import Core
 from gullhold.net.counters import Counters
-from gullhold.net.endings import Malformed
+from gullhold.net.discovery import Coordinator
 from gullhold.net.flusher import Flusher
-from gullhold.net.front import RESULT_MOST, Listener, Room
 from gullhold.net.logsink import LogSink
-from gullhold.net.reread import Reread, mark
 from gullhold.net.signals import ENDED, Signals
 from gullhold.net.startup import Refused, retried, start_thread
 
@@ -39,49 +38,17 @@
 OWN_SOCKETS = 16  # descriptors beside clients and links: standard ones, listener, coordinator, spare
 
 
-class Unusable(Exception):
-    """A configuration that can't be used; the text is one plain line."""
-
-
-def load(path):
-    """The configuration, checked for what serving needs."""
-    if not path:
-        raise Unusable("GW_CONFIG is not set")
-    try:
-        with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-        agreement = read_agreement(told["settings"])
-        names = Names()
-        known = told.get("known") or {}
-        changes = [members(event, agreement, names) for event in known.get("updates", ())]
-        limits = told.get("limits") or {}
-        return {
-            "agreement": agreement,
-            "names": names,
-            "changes": changes,
-            "last": int(known.get("index", 0)),
-            "seed": int(str(told.get("seed", "0")), 16),
-            "coordinator": told.get("coordinator"),
-            "listen": os.environ.get("GW_LISTEN") or told["listen"],
-            "name": told.get("name", ""),
-            "memory": int(limits.get("memory_mb", 192)) << 20,
-            "sockets": int(limits.get("sockets", 1024)),
-        }
-    except (OSError, ValueError, KeyError, TypeError, AttributeError, Malformed) as fault:
-        raise Unusable(f"configuration {path}: {fault!r}") from None
-
-
 def door_of(rule, agreement, seed):
     """(the door, what tells clients apart) that an operator's DoorRecord asks for; Nones where it is off."""
     if not rule.on:
         return None, None
     names = [tenant.name for tenant in agreement.tenants]
     if rule.tenants == "open" and rule.others not in names:
-        raise Unusable(f"door.others: {rule.others!r} is no tenant of the agreement")
+        raise ConfigurationError(f"door.others: {rule.others!r} is no tenant of the agreement")
     try:
         whose = Whose(rule.client, names, names.index(rule.others) if rule.tenants == "open" else None)
     except ValueError as fault:
-        raise Unusable(f"door.client.networks: {fault}") from None
+        raise ConfigurationError(f"door.client.networks: {fault}") from None
     return Door(
         seed,
         rule,
@@ -92,23 +59,23 @@
     ), whose
 
 
-def assemble(told, rule=None):
+def assemble(configuration, rule=None):
     """The core, and what its other long-lived threads run, by name; the listener is open afterwards.
 
     rule: the operator's DoorRecord, None: no door.
     """
-    agreement = told["agreement"]
-    door, whose = door_of(rule, agreement, told["seed"]) if rule else (None, None)
+    agreement = configuration.agreement
+    door, whose = door_of(rule, agreement, configuration.seed) if rule else (None, None)
     # The largest message: an even part of the memory for each connection, and always room for a result.
-    most = max(told["memory"] // told["sockets"], 2 * RESULT_MOST)
-    clients = told["sockets"] // 2  # usual ones hold a third at most; others must find room too
+    most = max(configuration.memory_bytes // configuration.max_sockets, 2 * RESULT_MOST)
+    clients = configuration.max_sockets // 2  # usual ones hold a third at most; others must find room too
     core = Core(
-        policy.Gateway(told["seed"], agreement, Core.clock()),
+        Gateway(configuration.seed, agreement, Core.clock()),
         agreement,
         Counters(),
         most,
-        told["sockets"] - clients - OWN_SOCKETS,
-        Room(told["memory"] // ROOM_PART),
+        configuration.max_sockets - clients - OWN_SOCKETS,
+        Room(configuration.memory_bytes // ROOM_PART),
         door,
         rule.come_back.field if rule else "",
     )
@@ -116,42 +83,46 @@
         core.flusher = retried("a pipe", Flusher)
         listener = retried(
             "a socket",
-            lambda: Listener(told["listen"], core, agreement, most, clients, whose),
+            lambda: Listener(configuration.listen_address, core, agreement, most, clients, whose),
             LISTEN_PATIENCE_S,
         )
     except (OSError, ValueError, Refused) as fault:
-        raise Unusable(f"can't listen on {told['listen']}: {fault}") from None
-    coordinator = Coordinator(told["coordinator"], told["last"], core, most, told["names"])
+        raise ConfigurationError(f"can't listen on {configuration.listen_address}: {fault}") from None
+    coordinator = Coordinator(
+        configuration.discovery_address, configuration.last_event, core, most, configuration.engine_ids
+    )
     core.behind, core.end_clients = coordinator.behind, listener.end_clients
     return core, {"listener": listener.run, "coordinator": coordinator.run, "flusher": core.flusher.run}
 
 
 def operator_file(path):
-    """What the operator file at a path says, or None; Unusable where it can't be used."""
+    """What the operator file at a path says, or None; ConfigurationError where it can't be used."""
     if not path:
         return None
     try:
         from gullhold.operator import records  # noqa: PLC0415  heavy: only where there is such a file
     except ImportError as fault:
-        raise Unusable(f"an operator file needs the libraries of requirements-full.txt: {fault}") from None
+        raise ConfigurationError(
+            f"an operator file needs the libraries of requirements-full.txt: {fault}"
+        ) from None
     try:
         return records.load(path)
     except (OSError, records.Bad) as fault:
-        raise Unusable(str(fault)) from None
+        raise ConfigurationError(str(fault)) from None
 
 
-def fleet_of(rule, told, core):
+def fleet_of(rule, configuration, core):
     """The member of a fleet that an operator's FleetRecord asks for, not begun yet; None where it is off."""
     if not rule.on:
         return None
     try:
         from gullhold.fleet import driver  # noqa: PLC0415  heavy: only where it is on
     except ImportError as fault:
-        raise Unusable(f"fleet needs the libraries of requirements-full.txt: {fault}") from None
+        raise ConfigurationError(f"fleet needs the libraries of requirements-full.txt: {fault}") from None
     try:
-        return driver.Fleet(rule, told, core)
+        return driver.Fleet(rule, configuration, core)
     except driver.Unusable as fault:
-        raise Unusable(str(fault)) from None
+        raise ConfigurationError(str(fault)) from None
 
 
 def log_to(sink):
@@ -184,17 +155,17 @@
     """The parts of one gateway process, from what its files say to its end."""
 
     def __init__(self, path, operator):
-        """Read the files and take the address; Unusable where that can't be."""
+        """Read the files and take the address; ConfigurationError where that can't be."""
         self.seen = mark(path) if path else None  # before it is read: one that is replaced meanwhile differs
-        self.told = load(path)
+        self.configuration = load_configuration(path)
         written = operator_file(operator)
-        self.core, self.runs = assemble(self.told, written and written.door)
-        self.fleet = fleet_of(written.fleet, self.told, self.core) if written else None
+        self.core, self.runs = assemble(self.configuration, written and written.door)
+        self.fleet = fleet_of(written.fleet, self.configuration, self.core) if written else None
         try:
             self.sink = log_to(retried("thread log", lambda: LogSink(sys.stderr, self.core.counters)))
             self.signals = retried("a pipe", lambda: Signals(SIGNALS))
         except Refused as fault:
-            raise Unusable(str(fault)) from None
+            raise ConfigurationError(str(fault)) from None
         self.began = time.monotonic()
         coordinator = self.runs["coordinator"].__self__
         self.reread = Reread(path, self.seen, coordinator)
@@ -248,7 +219,7 @@
 
     def _run_core(self):
         try:
-            self.core.run(self.told["changes"])
+            self.core.run(self.configuration.list_changes)
         except Exception:
             logger.exception("the core ended")
         finally:
@@ -263,7 +234,7 @@
     sys.setswitchinterval(SWITCH_S)
     try:
         process = Process(path, operator)
-    except Unusable as fault:
+    except ConfigurationError as fault:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         print(f"gullhold: {fault}", file=sys.stderr)
         return 2
@@ -272,7 +243,7 @@
     try:
         process.start()
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-        logger.info("serving {} on {}", process.told["name"], process.told["listen"])
+        logger.info("serving {} on {}", process.configuration.name, process.configuration.listen_address)
         status = process.run(report_s)
     except Refused as fault:  # in order, and with the reason: half a gateway must not look alive
         logger.critical("{}", fault)
@@ -289,14 +260,15 @@
 
             print("\n".join(records.lines(operator_file(operator))))
             return 0
-        told = load(path)
-    except Unusable as fault:
+        configuration = load_configuration(path)
+    except ConfigurationError as fault:
         print(f"gullhold: {fault}", file=sys.stderr)
         return 2
-    agreement = told.pop("agreement")
+    agreement = configuration.agreement
     print(
-        f"listens on {told['listen']}, coordinator {told['coordinator']}, {told['memory'] >> 20} MB, "
-        f"{told['sockets']} descriptors, list of event {told['last']}"
+        f"listens on {configuration.listen_address}, coordinator {configuration.discovery_address}, "
+        f"{configuration.memory_bytes >> 20} MB, {configuration.max_sockets} descriptors, "
+        f"list of event {configuration.last_event}"
     )
     for profile in agreement.profiles:
         print(f"profile {profile}")
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -17,13 +17,14 @@
         self.told, self.rows = {}, {}  # by engine: (start as told, as corrected); entries not told as news
 
     def corrected(self, now, entries, news):
-        """These entries, and others that what they show corrects. An entry is a tuple that begins with the
-        engine and ends with its start. news: not of the list that a configuration holds."""
-        for ident, *_, born in entries if news else ():
-            if born and self.told.get(ident, (0,))[0] != born:
-                self.ahead_us = now - born if self.ahead_us is None else min(self.ahead_us, now - born)
+        """These entries, and others that they show to be wrong. news: not of a configuration's list."""
+        for entry in entries if news else ():
+            started = entry.started_us
+            if started and self.told.get(entry.id, (0,))[0] != started:
+                ahead_us = now - started
+                self.ahead_us = ahead_us if self.ahead_us is None else min(self.ahead_us, ahead_us)
         found = [self._entry(now, entry, news) for entry in entries]
-        return found + self._unchecked(now, {entry[0] for entry in entries})
+        return found + self._unchecked(now, {entry.id for entry in entries})
 
     def forget(self, ident):
         """The engine is gone."""
@@ -37,11 +38,11 @@
             return []
         rows, self.rows = [row for ident, row in self.rows.items() if ident not in but], {}
         for row in rows:
-            del self.told[row[0]]
+            del self.told[row.id]
         return [self._entry(now, row, True) for row in rows]
 
     def _entry(self, now, entry, news):
-        ident, born = entry[0], entry[-1]
+        ident, born = entry.id, entry.started_us
         if not born:
             self.forget(ident)
             return entry
@@ -54,4 +55,4 @@
             self.rows.pop(ident, None)
         else:
             self.rows[ident] = entry
-        return (*entry[:-1], start)
+        return entry._replace(started_us=start)
--- a/gullhold/net/startup.py
+++ b/gullhold/net/startup.py
@@ -8,7 +8,7 @@
 import time
 from threading import Thread
 
-from gullhold.net.endings import SHORT_HERE
+from gullhold.net.connection_ends import SHORT_HERE
 
 PATIENCE_S = 20.0  # s in which what is refused is asked for again: under the 30 s that a start may take
 PAUSE_S = 0.02  # s between tries
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from gullhold.net.buffer import Buffer
-from gullhold.net.endings import Malformed
+from gullhold.net.connection_ends import Malformed
 
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 STOP, BOOL, I32, STRING, STRUCT, MAP, SET, LIST = 0, 2, 8, 11, 12, 13, 14, 15
--- a/gullhold/revisions/change.py
+++ b/gullhold/rollout/change.py
@@ -13,8 +13,8 @@
 
 from gullhold.fleet.calls import Drop, Put
 from gullhold.fleet.holding import TELL, Holder
-from gullhold.revisions import record as records
-from gullhold.revisions.record import FIRST, Record, Unfit
+from gullhold.rollout import record as records
+from gullhold.rollout.record import FIRST, Record, Unfit
 
 ROOT = "policy/"
 NOW = ROOT + "now/"
--- a/gullhold/revisions/driver.py
+++ b/gullhold/rollout/driver.py
@@ -8,9 +8,9 @@
 
 from gullhold.budgets.driver import OF, name_of
 from gullhold.budgets.duty import DUTY as BUDGETS
-from gullhold.revisions import change, member, snapshot
-from gullhold.revisions import record as records
-from gullhold.revisions.record import FIRST, Unfit
+from gullhold.rollout import change, member, snapshot
+from gullhold.rollout import record as records
+from gullhold.rollout.record import FIRST, Unfit
 
 PLAN = "schedule/"  # before the name of a scheduled command, among duties
 LANES = ("words", change.DUTY)  # of calls: neither waits for the other
--- a/gullhold/revisions/member.py
+++ b/gullhold/rollout/member.py
@@ -7,8 +7,8 @@
 
 from gullhold.fleet.calls import DONE, MAYBE, Get, Put, Txn
 from gullhold.fleet.holding import AGAIN_US, IDLE_US
-from gullhold.revisions import record as records
-from gullhold.revisions.change import (
+from gullhold.rollout import record as records
+from gullhold.rollout.change import (
     CANARY,
     CHANGE,
     CHECKED,
@@ -26,7 +26,7 @@
     Word,
     change_of,
 )
-from gullhold.revisions.record import FIRST, Unfit
+from gullhold.rollout.record import FIRST, Unfit
 
 # AWAY: no lease. LEARNING: asks what is in force. ADOPTING: the core takes it over. ENROLLING: writes its
 # first word. ON: decides by it, and hears of changes.
--- a/gullhold/revisions/record.py
+++ b/gullhold/rollout/record.py
@@ -73,7 +73,7 @@
     """The Policy that this text says; Unfit: one line with its place."""
     if len(source) > TEXT_MOST:
         raise Unfit(f"{file}: over {TEXT_MOST} characters")
-    schema = files("gullhold.revisions").joinpath(SCHEMA).read_text("utf-8")
+    schema = files("gullhold.rollout").joinpath(SCHEMA).read_text("utf-8")
     try:
         nodes = text.parse(source, file)
         told = values.concrete(
--- a/gullhold/revisions/show.py
+++ b/gullhold/rollout/show.py
@@ -11,9 +11,9 @@
 from gullhold.fleet.calls import DONE, NOT_DONE, Put, Read, Txn
 from gullhold.fleet.driver import KEYS
 from gullhold.fleet.register import Register
-from gullhold.revisions import change
-from gullhold.revisions import record as records
-from gullhold.revisions.record import FIRST, Record, Unfit
+from gullhold.rollout import change
+from gullhold.rollout import record as records
+from gullhold.rollout.record import FIRST, Record, Unfit
 
 TIMEOUT_S, LOOK_S = 3.0, 0.1
 IN_FORCE, WRONG, DROPPED, UNKNOWN = 0, 2, 3, 4  # exit statuses
--- a/gullhold/revisions/snapshot.py
+++ b/gullhold/rollout/snapshot.py
@@ -4,8 +4,8 @@
 import os
 from contextlib import suppress
 
-from gullhold.revisions import record as records
-from gullhold.revisions.record import Unfit
+from gullhold.rollout import record as records
+from gullhold.rollout.record import Unfit
 
 
 def write(path, record, at_us):
--- a/gullhold/rehearsal/checker.py
+++ b/gullhold/simulation/checker.py
@@ -8,7 +8,7 @@
 from collections import defaultdict
 from hashlib import sha256
 
-from gullhold.rehearsal.cast import pages_of, rows
+from gullhold.simulation.peers import pages_of, rows
 
 GRACE_US = 550_000  # from the word that an engine leaves to the last send that may begin, with slack
 GONE_US = 100_000  # from the news that a client left to the last send that may begin for it
--- a/gullhold/rehearsal/ends.py
+++ b/gullhold/simulation/endpoints.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect_right
 
-from gullhold.rehearsal.streams import CLOSED, RESET, Wire
+from gullhold.simulation.streams import CLOSED, RESET, Wire
 
 
 class End:
--- a/gullhold/rehearsal/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -7,14 +7,14 @@
 from itertools import count
 from queue import Empty
 
-from gullhold import policy
-from gullhold.net import coordinator, front, links
+from gullhold.decisions.gateway import Gateway
+from gullhold.net import clients, discovery, links
 from gullhold.net import core as product
 from gullhold.net.connection import Connection
+from gullhold.net.connection_ends import STILL_THERE, Ending, Malformed
 from gullhold.net.counters import Counters
-from gullhold.net.endings import STILL_THERE, Ending, Malformed
-from gullhold.rehearsal.ends import End
-from gullhold.rehearsal.streams import CLOSED, RESET
+from gullhold.simulation.endpoints import End
+from gullhold.simulation.streams import CLOSED, RESET
 
 MOST = 192 << 10  # bytes of the largest message, as a small deployment has it
 LINKS_MOST = 200  # links of one gateway
@@ -109,7 +109,7 @@
         self.core.post(self.core.link_ended, self, self.ending or ending, text)
 
 
-class Client(front.Client):
+class Client(clients.Client):
     """A connection of a client whose reader is an end of a wire."""
 
     def __init__(self, end, core, reader):
@@ -177,28 +177,28 @@
 class Member:
     """One gateway: from its start to its kill.
 
-    world: clock, chance, dial(link); told: {"agreement", "changes", "names", "last", "seed"}, as the service reads
-    them of its configuration.
+    world: clock, chance, dial(link); configuration: as the service reads it.
     """
 
-    def __init__(self, world, name, told):
+    def __init__(self, world, name, configuration):
         self.world, self.name, self.alive, self.event, self.ends = world, name, True, None, []
         self.fed_at = 0  # when the last that it was told of the list comes, or came
-        agreement = told["agreement"]
+        agreement = configuration.agreement
         now = world.clock.start_us + world.clock.now
         self.core = Core(
             world,
             self,
-            policy.Gateway(told["seed"], agreement, now),
+            Gateway(configuration.seed, agreement, now),
             agreement,
             Counters(),
             MOST,
             LINKS_MOST,
-            front.Room(ROOM),
+            clients.Room(ROOM),
         )
-        self.reader = front.Reader(agreement, None, self.core.come_back)
-        self.names, self.follow = told["names"], coordinator.Follow(told["last"], FEED_MOST)
-        self.core.begin(told["changes"])
+        self.reader = clients.Reader(agreement, None, self.core.come_back)
+        self.names = configuration.engine_ids
+        self.follow = discovery.Follow(configuration.last_event, FEED_MOST)
+        self.core.begin(configuration.list_changes)
         self.wake()
 
     def accept(self, end):
@@ -211,7 +211,7 @@
         if self.alive:
             self.follow.buffer.put(data)
             for event in self.follow.events():
-                self.core.list_changed(*coordinator.members(event, self.core.agreement, self.names))
+                self.core.list_changed(*discovery.members(event, self.core.agreement, self.names))
 
     def end(self, link):
         """Our end of a wire for a link."""
--- a/gullhold/rehearsal/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -7,15 +7,15 @@
 from contextlib import ExitStack, contextmanager
 from unittest import mock
 
-from gullhold import policy
+from gullhold.decisions.gateway import Gateway
 from gullhold.interface import EngineState, Outcome
-from gullhold.net import core, endings, pipe, thrift
+from gullhold.net import connection_ends, core, pipe, thrift
 
 
 def _heard_not_obeyed(engines):
     def call(self, now, entries, full):
         told = [
-            (*row[:4], EngineState.READY if row[4] == EngineState.DRAINING else row[4], *row[5:])
+            row._replace(state=EngineState.READY) if row.state == EngineState.DRAINING else row
             for row in entries
         ]
         return engines(self, now, told, full)
@@ -120,16 +120,16 @@
 
 
 MUTANTS = {
-    "a drain that is heard and not obeyed": ("drain", policy.Gateway, "update_engines", _heard_not_obeyed),
+    "a drain that is heard and not obeyed": ("drain", Gateway, "update_engines", _heard_not_obeyed),
     "an abort not awaited": ("two at once", core.Core, "_stop_send", _not_awaited),
     "every answer twice": ("one answer", core.Core, "_answer", _twice),
-    "sends of any kind up to the cap": ("must not run twice", policy.Gateway, "_may_resend", _any_number),
-    "the dedup window twice as long": ("outside its window", policy.Gateway, "_may_resend", _window_longer),
+    "sends of any kind up to the cap": ("must not run twice", Gateway, "_may_resend", _any_number),
+    "the dedup window twice as long": ("outside its window", Gateway, "_may_resend", _window_longer),
     "clients that leave are not heard": ("client gone", core.Core, "client_ended", _unheard),
     "every fifth timer lost": ("in time", core.Core, "_later", _lost),
     "the first page for the whole": ("intact", core.Core, "_page", _first_page_only),
     "what is over is not forgotten": ("census", core.Core, "_forget", _not_forgotten),
-    "a broken link proves that nothing ran": ("must not run twice", endings, "outcome", _nothing_ran),
+    "a broken link proves that nothing ran": ("must not run twice", connection_ends, "outcome", _nothing_ran),
     "a late link is not looked at again": ("client gone", core.Core, "link_up", _not_looked_again),
     "what is taken back goes out": ("two at once", pipe.Pipe, "withdraw", _not_taken_back),
     "answers to another's number": ("one answer", thrift, "answer", _mixed),
--- a/gullhold/rehearsal/cast.py
+++ b/gullhold/simulation/peers.py
@@ -8,8 +8,8 @@
 import struct
 
 from gullhold.net import resp, thrift
-from gullhold.rehearsal.ends import End
-from gullhold.rehearsal.streams import CLOSED, RESET
+from gullhold.simulation.endpoints import End
+from gullhold.simulation.streams import CLOSED, RESET
 
 NOTE_US = 120_000  # us between notes on a send: more often than the settings promise
 ROWS = 12  # rows of a page
--- a/gullhold/rehearsal/play.py
+++ b/gullhold/simulation/play.py
@@ -5,16 +5,17 @@
 from typing import NamedTuple
 
 from gullhold.agreement import read_agreement
-from gullhold.net.coordinator import Names, members
-from gullhold.net.endings import Ending
-from gullhold.rehearsal.cast import Client, Engine
-from gullhold.rehearsal.checker import Checker
-from gullhold.rehearsal.clock import Clock
-from gullhold.rehearsal.ends import End, join
-from gullhold.rehearsal.gateway import Member
-from gullhold.rehearsal.script import drawn
-from gullhold.rehearsal.streams import Way
-from gullhold.standins.deployment import event, settings
+from gullhold.net.configuration import Configuration
+from gullhold.net.connection_ends import Ending
+from gullhold.net.discovery import Names, members
+from gullhold.simulation.checker import Checker
+from gullhold.simulation.clock import Clock
+from gullhold.simulation.endpoints import End, join
+from gullhold.simulation.gateway import Member
+from gullhold.simulation.peers import Client, Engine
+from gullhold.simulation.script import drawn
+from gullhold.simulation.streams import Way
+from gullhold.testing.deployment import event, settings
 
 SPAN_US = 6_000_000  # in which clients ask, and faults begin
 AFTER_US = 9_000_000  # for all to end: longer than any client timeout, and than what is taken to run on
@@ -103,13 +104,18 @@
         self.members[name] = Member(
             self,
             name,
-            {
-                "agreement": self.agreement,
-                "names": names,
-                "changes": [members(first, self.agreement, names)],
-                "last": self.index,
-                "seed": self.draw.getrandbits(32),
-            },
+            Configuration(
+                agreement=self.agreement,
+                engine_ids=names,
+                list_changes=[members(first, self.agreement, names)],
+                last_event=self.index,
+                seed=self.draw.getrandbits(32),
+                discovery_address=None,
+                listen_address="",
+                name=name,
+                memory_bytes=0,
+                max_sockets=0,
+            ),
         )
         for engine in self.engines:
             self.checker.told(self.clock.now, self.members[name], engine.id, self.phases[engine.id])
--- a/gullhold/rehearsal/show.py
+++ b/gullhold/simulation/show.py
@@ -11,7 +11,7 @@
 from rich.progress import track
 from rich.table import Table
 
-from gullhold.rehearsal import play, script
+from gullhold.simulation import play, script
 
 
 def _one(seed):
--- a/gullhold/drill/__main__.py
+++ b/gullhold/simulator_adapter/__main__.py
@@ -3,8 +3,8 @@
 import struct
 import sys
 
-from gullhold.drill.frames import HEADER, U32
-from gullhold.drill.host import Host
+from gullhold.simulator_adapter.frames import HEADER, U32
+from gullhold.simulator_adapter.host import Host
 
 
 def main():
@@ -19,7 +19,7 @@
                 raise ValueError("frame cut short")
             answer = host.reply(body)
         except (struct.error, ValueError) as fault:
-            sys.exit(f"gullhold.drill: malformed frame: {fault}")
+            sys.exit(f"gullhold.simulator_adapter: malformed frame: {fault}")
         give.write(answer)
         give.flush()
 
--- a/gullhold/drill/frames.py
+++ b/gullhold/simulator_adapter/frames.py
@@ -6,6 +6,7 @@
 from gullhold.interface import (
     CancelAttempt,
     Dispatch,
+    EngineEntry,
     EngineState,
     Fail,
     LogLine,
@@ -68,16 +69,15 @@
 
 
 def entries(fields):
-    """A list of engines as (id, location, weight, kind, state, cell, started_us) tuples."""
+    """The number of an endpoint list, and its entries."""
     number, size = PAGE.unpack_from(fields)
     found, at = [], PAGE.size
     if len(fields) < at + size * ENTRY.size:
         raise ValueError("list shorter than its count")
     for _ in range(size):
-        zone, weight, kind, state, cell, born, engine = ENTRY.unpack_from(fields, at)
-        found.append(
-            (engine, zone, weight, kind, STATES.get(state, EngineState.REMOVED), cell, microseconds(born))
-        )
+        zone, weight, kind, code, cell, started, engine = ENTRY.unpack_from(fields, at)
+        state = STATES.get(code, EngineState.REMOVED)
+        found.append(EngineEntry(engine, zone, weight, kind, state, cell, microseconds(started)))
         at += ENTRY.size
     return number, found
 
--- a/gullhold/drill/host.py
+++ b/gullhold/simulator_adapter/host.py
@@ -4,9 +4,9 @@
 import traceback
 from math import isfinite
 
-from gullhold import policy
 from gullhold.agreement import parse_tree, read_agreement
-from gullhold.drill import frames
+from gullhold.decisions.gateway import Gateway
+from gullhold.simulator_adapter import frames
 
 NEW_INSTANCE, ANNOUNCE, ARRIVAL, ESTABLISHED, ANSWER, CLIENT_GONE = 1, 2, 3, 4, 5, 6
 TIMEOUT_FIRED, RETIRE, UPDATE_OF, PAGE = 7, 10, 11, 12
@@ -52,7 +52,7 @@
         _, seed, size = frames.NEW_INSTANCE.unpack_from(fields)
         at = frames.NEW_INSTANCE.size
         text = bytes(fields[at : at + size]).decode("utf-8", "replace")
-        self.gateways[who] = policy.Gateway(seed, read_agreement(parse_tree(text)), self.now)
+        self.gateways[who] = Gateway(seed, read_agreement(parse_tree(text)), self.now)
         return ()
 
     def _announce(self, who, fields):
--- a/gullhold/standins/changecheck.py
+++ b/gullhold/testing/changecheck.py
@@ -8,11 +8,11 @@
 
 from gullhold.fleet.calls import Grant, Txn
 from gullhold.fleet.lease import Lease
-from gullhold.revisions import change, member
-from gullhold.revisions.record import Record
-from gullhold.standins import walking
-from gullhold.standins.ownercheck import Model
-from gullhold.standins.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
+from gullhold.rollout import change, member
+from gullhold.rollout.record import Record
+from gullhold.testing import walking
+from gullhold.testing.ownercheck import Model
+from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
 
 NAMES = ("a", "b", "c")
 FAULTS = (*OF_CALLS, "die", "cut", "elect", "miss", "deaf")
--- a/gullhold/standins/changemutants.py
+++ b/gullhold/testing/changemutants.py
@@ -1,10 +1,10 @@
 """Deliberate faults in the decisions of a change: the explorer finds each one, or it has a gap."""
 
 from gullhold.fleet.calls import DONE, Txn
-from gullhold.revisions import change
-from gullhold.revisions.change import CHANGE, CHECKED, DECIDED, PREPARED, READY, ROLL, STILL, Carrier
-from gullhold.revisions.member import ENROLLING, LEARNING, ON, Gate, Member
-from gullhold.standins import changecheck, walking
+from gullhold.rollout import change
+from gullhold.rollout.change import CHANGE, CHECKED, DECIDED, PREPARED, READY, ROLL, STILL, Carrier
+from gullhold.rollout.member import ENROLLING, LEARNING, ON, Gate, Member
+from gullhold.testing import changecheck, walking
 
 
 class LeaseNotLooked(Gate):
--- a/gullhold/standins/client.py
+++ b/gullhold/testing/client.py
@@ -4,7 +4,7 @@
 import struct
 
 from gullhold.net import thrift
-from gullhold.standins import PATIENCE_S
+from gullhold.testing import PATIENCE_S
 
 
 class Caller:
--- a/gullhold/standins/coordinator.py
+++ b/gullhold/testing/coordinator.py
@@ -4,7 +4,7 @@
 import socket
 from threading import Event, Thread
 
-from gullhold.standins import PATIENCE_S, listening
+from gullhold.testing import PATIENCE_S, listening
 
 
 class Feed:
--- a/gullhold/standins/counting.py
+++ b/gullhold/testing/counting.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from gullhold.net import resp
-from gullhold.standins.fleet import KeepingEngine
-from gullhold.standins.working import WORK, WORK_MS
+from gullhold.testing.fleet import KeepingEngine
+from gullhold.testing.working import WORK, WORK_MS
 
 
 class CountingEngine(KeepingEngine):
--- a/gullhold/standins/crowd.py
+++ b/gullhold/testing/crowd.py
@@ -13,9 +13,9 @@
 from typing import NamedTuple
 
 from gullhold.net import thrift
-from gullhold.net.endings import Malformed
-from gullhold.standins import PATIENCE_S
-from gullhold.standins.working import statement
+from gullhold.net.connection_ends import Malformed
+from gullhold.testing import PATIENCE_S
+from gullhold.testing.working import statement
 
 COUNTS = (
     "asked",
--- a/gullhold/standins/deployment.py
+++ b/gullhold/testing/deployment.py
@@ -3,7 +3,7 @@
 The settings tree and the list's events are written in the platform's words, as the gateway reads them.
 """
 
-from gullhold.standins import LOOPBACK
+from gullhold.testing import LOOPBACK
 
 
 def settings(**other):
--- a/gullhold/standins/dividecheck.py
+++ b/gullhold/testing/dividecheck.py
@@ -13,9 +13,9 @@
 from gullhold.budgets.purse import Purses, Rule
 from gullhold.fleet.calls import DONE, Grant, Put, Txn
 from gullhold.fleet.lease import Lease
-from gullhold.standins import walking
-from gullhold.standins.ownercheck import Model
-from gullhold.standins.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
+from gullhold.testing import walking
+from gullhold.testing.ownercheck import Model
+from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
 
 WINDOW_US, LINGER_US = 1_600_000, 1_100_000  # of real time: no whole number of moments
 WHOLE, ALONE, NAMES = 10, 1, ("a", "b", "c")
--- a/gullhold/standins/dividemutants.py
+++ b/gullhold/testing/dividemutants.py
@@ -8,7 +8,7 @@
 from gullhold.budgets.ledger import Ledger
 from gullhold.budgets.purse import Purse, Purses
 from gullhold.fleet.calls import DONE, MAYBE
-from gullhold.standins import dividecheck, walking
+from gullhold.testing import dividecheck, walking
 
 
 class HandsOn(Ledger):
--- a/gullhold/standins/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -1,7 +1,7 @@
 """Several gateways as processes of their own, a register, engines, and relays between them, on loopback.
 
 A scenario calls it step by step: start, stop, kill, pause, resume, cut, heal. What came of it is read from
-the register's journal, the engines' records and the gateways' events by gullhold.standins.fleetcheck.
+the register's journal, the engines' records and the gateways' events by gullhold.testing.fleetcheck.
 """
 
 import json
@@ -16,12 +16,12 @@
 import requests
 
 from gullhold.net import host_port
-from gullhold.standins import PATIENCE_S
-from gullhold.standins.deployment import config
-from gullhold.standins.fleetcheck import Check
-from gullhold.standins.relay import HELD, OPEN, Relay
-from gullhold.standins.running import ROOT, answers, free_address
-from gullhold.standins.working import WorkingEngine
+from gullhold.testing import PATIENCE_S
+from gullhold.testing.deployment import config
+from gullhold.testing.fleetcheck import Check
+from gullhold.testing.relay import HELD, OPEN, Relay
+from gullhold.testing.running import ROOT, answers, free_address
+from gullhold.testing.working import WorkingEngine
 
 KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}  # profiles of the deployment
 
@@ -174,7 +174,7 @@
     # Members
 
     def start(self, *names, wait=True, operator=True, name_=None, **hooks):
-        """Start gateways; name_: under another's name; hooks: what gullhold.standins.child is asked for."""
+        """Start gateways; name_: under another's name; hooks: what gullhold.testing.child is asked for."""
         for name in names or self.names:
             member = self.members[name]
             member.serial += 1
@@ -200,7 +200,7 @@
                     [
                         sys.executable,
                         "-m",
-                        "gullhold.standins.child",
+                        "gullhold.testing.child",
                         "serve",
                         "--config",
                         str(member.folder / "config.json"),
--- a/gullhold/standins/ownercheck.py
+++ b/gullhold/testing/ownercheck.py
@@ -24,8 +24,8 @@
     Reply,
     Revoke,
 )
-from gullhold.standins import walking
-from gullhold.standins.walking import QUANTUM_US, TERMS, Broken
+from gullhold.testing import walking
+from gullhold.testing.walking import QUANTUM_US, TERMS, Broken
 
 RATES = (0.87, 1.0, 1.1)  # of members' clocks against the register's: within the drift of 0.15
 # Of these a owns the first alone, and c the second until b comes.
--- a/gullhold/standins/ownermutants.py
+++ b/gullhold/testing/ownermutants.py
@@ -6,7 +6,7 @@
 from gullhold.fleet import owner
 from gullhold.fleet.calls import DONE, MAYBE, Put, Txn
 from gullhold.fleet.owner import DUTIES, MEMBERS, Owner
-from gullhold.standins import ownercheck, walking
+from gullhold.testing import ownercheck, walking
 
 
 class NoDriftMargin(Owner):
--- a/gullhold/standins/plancheck.py
+++ b/gullhold/testing/plancheck.py
@@ -10,7 +10,8 @@
 from gullhold.fleet.calendar import Calendar
 from gullhold.fleet.calls import DONE, MAYBE, NOT_DONE, Item, Put, Reply
 from gullhold.fleet.schedule import Kind, Plan, Rule, record_of
-from gullhold.standins.walking import Broken
+from gullhold.interface import Idempotency
+from gullhold.testing.walking import Broken
 
 S = 1_000_000
 KINDS = tuple(Kind(effect, 3 * S, 2 * S, True) for effect in range(3))
@@ -114,9 +115,9 @@
             raise Broken("a send without its intent")
         earlier = self.sends.setdefault(due, [])
         open_ones = [row for row in earlier if row[3] not in NO_EFFECT]
-        if self.kind.idempotency == schedule.NON_REPLAYABLE and open_ones:
+        if self.kind.idempotency == Idempotency.NON_IDEMPOTENT and open_ones:
             raise Broken("a non-replayable one is sent again though it may have run")
-        if self.kind.idempotency == schedule.UNIQUED and open_ones:
+        if self.kind.idempotency == Idempotency.KEYED and open_ones:
             if any(row[0] != mark for row in open_ones):
                 raise Broken("a uniqued one is sent again under another mark")
             if at + limit > open_ones[0][1] + self.kind.dedup_window_us:
--- a/gullhold/standins/register/server.py
+++ b/gullhold/testing/register/server.py
@@ -16,7 +16,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
 from gullhold.net import host_port
-from gullhold.standins.register.store import Dropped, Store
+from gullhold.testing.register.store import Dropped, Store
 
 LOOK_S = 0.02  # between looks for leases that have run out
 TELL_S = 0.2  # the most that a watch waits between looks at whether its reader is still there
--- a/gullhold/standins/relay.py
+++ b/gullhold/testing/relay.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 
 from gullhold.net import host_port
-from gullhold.standins import listening
+from gullhold.testing import listening
 
 THERE, BACK = "there", "back"  # from who connects to who listens, and the other way
 OPEN, HELD, LOST, HALVED = "open", "held", "lost", "halved"
--- a/gullhold/standins/running.py
+++ b/gullhold/testing/running.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 
 from gullhold.net import service
-from gullhold.standins import LOOPBACK, PATIENCE_S
-from gullhold.standins.deployment import config
-from gullhold.standins.working import WorkingEngine
+from gullhold.testing import LOOPBACK, PATIENCE_S
+from gullhold.testing.deployment import config
+from gullhold.testing.working import WorkingEngine
 
 ROOT = Path(__file__).resolve().parents[2]
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/gullhold/standins/scripted.py
+++ b/gullhold/testing/scripted.py
@@ -9,7 +9,7 @@
 from threading import Thread
 
 from gullhold.net import resp
-from gullhold.standins import listening
+from gullhold.testing import listening
 
 
 class Engine:
--- a/gullhold/standins/swarm.py
+++ b/gullhold/testing/swarm.py
@@ -6,7 +6,7 @@
 from threading import Thread
 
 from gullhold.net import resp
-from gullhold.standins import LOOPBACK
+from gullhold.testing import LOOPBACK
 
 MESSAGE_MOST = 200_000  # bytes of one message of the gateway
 BACKLOG = 16  # connections of one engine that wait to be taken
--- a/gullhold/standins/working.py
+++ b/gullhold/testing/working.py
@@ -14,7 +14,7 @@
 from threading import Condition, Thread
 
 from gullhold.net import resp
-from gullhold.standins import listening
+from gullhold.testing import listening
 
 WORK = re.compile(rb"/\* work=([0-9.]+) \*/")
 WORK_MS = 20.0  # of a statement that does not say
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,8 +4,8 @@
 from loguru import logger
 from serving import Gateway, launched
 
-from gullhold.standins.client import Caller
-from gullhold.standins.deployment import config
+from gullhold.testing.client import Caller
+from gullhold.testing.deployment import config
 
 logger.remove()  # gateways that run inside a test would go on logging to a stream that it has closed
 
--- a/tests/data/make_stored_data.py
+++ b/tests/data/make_stored_data.py
@@ -15,8 +15,6 @@
 import time
 from pathlib import Path
 
-from gullhold.__main__ import main
-from gullhold.budgets import show as budgets_show
 from gullhold.rehearsal import mutants, play, script
 from gullhold.revisions import snapshot
 from gullhold.revisions.change import CHANGE, change_of
@@ -26,6 +24,9 @@
 from gullhold.standins.fleet import Rig
 from gullhold.standins.policycheck import Changes
 
+from gullhold.__main__ import main
+from gullhold.budgets import show as budgets_show
+
 FLEET_NAME = "rig"
 LEASE_S = 60  # readers of a stored register must come before the leases of its members are over
 NOBODY_LISTENS = "127.0.0.1:9"  # the discard port: stands for the addresses of the run, which are gone
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,11 +1,13 @@
 """A driver that makes calls on a Gateway and checks the seven rules after every one, with its own books."""
 
+from gullhold.decisions.gateway import Gateway
 from gullhold.interface import (
     NEVER_RAN,
     Agreement,
     CancelAttempt,
     DeduplicationScope,
     Dispatch,
+    EngineEntry,
     EngineState,
     Fail,
     Idempotency,
@@ -14,7 +16,6 @@
     Shed,
     StartTimer,
 )
-from gullhold.policy import Gateway
 
 MS = 1000
 START = 5_000_000
@@ -87,7 +88,7 @@
                 known["state"] = EngineState.REMOVED
         for ident, place, kind, state, cell, born in entries:
             self.fleet[ident] = {"place": place, "kind": kind, "state": state, "cell": cell, "born": born}
-        rows = [(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
+        rows = [EngineEntry(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
         self.obey(self.gateway.update_engines(self.now, rows, full))
 
     def command(self, number=0, tenant=0, key=0, work=WORK, timeout_us=None, need=64.0, told=None):
--- a/tests/faults/test_clock.py
+++ b/tests/faults/test_clock.py
@@ -8,8 +8,8 @@
 
 from faults.plan import Plan
 from faults.traffic import Played
-from gullhold.standins.coordinator import Feed
-from gullhold.standins.deployment import event
+from gullhold.testing.coordinator import Feed
+from gullhold.testing.deployment import event
 
 HOUR_S = 3600
 WARM_S = 30.0  # s that engines take to warm up here: they stay cold while these tests look
--- a/tests/faults/test_durable.py
+++ b/tests/faults/test_durable.py
@@ -10,8 +10,8 @@
 from faults.plan import Plan
 from gullhold.fleet.calls import DONE, Grant, Put, Read, Txn
 from gullhold.fleet.register import Register
-from gullhold.standins.register.store import Store
-from gullhold.standins.running import free_address
+from gullhold.testing.register.store import Store
+from gullhold.testing.running import free_address
 
 KEYS, ROUNDS = 7, 60
 
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -9,7 +9,7 @@
 
 from faults.plan import Plan
 from faults.traffic import Played, statement
-from gullhold.standins.client import Caller
+from gullhold.testing.client import Caller
 
 CROSSING_S = 0.05  # s in which a request may cross the end of its connection, from the protocol
 AFTER_S = 0.7  # s behind the longest deadline (3 s at most) at which SIGKILL may come: the protocol
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -17,11 +17,11 @@
 from serving import PATIENCE, ROOT, until
 
 from gullhold.net import resp, service
-from gullhold.net.endings import Malformed
-from gullhold.standins import listening
-from gullhold.standins.client import Caller
-from gullhold.standins.deployment import config
-from gullhold.standins.running import free_address
+from gullhold.net.connection_ends import Malformed
+from gullhold.testing import listening
+from gullhold.testing.client import Caller
+from gullhold.testing.deployment import config
+from gullhold.testing.running import free_address
 
 MESSAGE_MOST = 200_000  # bytes of one message of the gateway
 PAGE_ROWS = 200  # rows of a page: under the protocol's 6,000 bytes
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -10,6 +10,7 @@
 from threading import Thread
 
 from gullhold.net import service
+from gullhold.net.configuration import load_configuration
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 8  # seconds until a wait fails: far more than any of these takes
@@ -29,11 +30,11 @@
     def __init__(self, tmp_path, told, held=()):
         path = tmp_path / "config.json"
         path.write_text(json.dumps(told))
-        self.core, runs = service.assemble(service.load(path))
+        self.core, runs = service.assemble(load_configuration(path))
         self.listener, self.coordinator = runs["listener"].__self__, runs["coordinator"].__self__
         self.address = self.listener.sock.getsockname()
-        self.told = service.load(path)
-        self.parts = {**runs, "core": lambda: self.core.run(self.told["changes"])}
+        self.configuration = load_configuration(path)
+        self.parts = {**runs, "core": lambda: self.core.run(self.configuration.list_changes)}
         self.go(*(name for name in self.parts if name not in held))
 
     def go(self, *names):
--- a/tests/test_door.py
+++ b/tests/test_admission.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold.door.door import HAND, Door
-from gullhold.door.sketch import Sketch
-from gullhold.door.whose import CLOSED, Whose
+from gullhold.admission.client_identity import CLOSED, Whose
+from gullhold.admission.queue import HAND, Door
+from gullhold.admission.sketch import Sketch
 from gullhold.operator import records
 
 MS = 1000
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -13,7 +13,7 @@
 from gullhold.budgets.ledger import HELD, WEIGHT, WINDOWED, Ledger
 from gullhold.budgets.purse import Purses, Rule
 from gullhold.fleet.lease import Lease, Terms
-from gullhold.standins.dividemutants import LEDGERS
+from gullhold.testing.dividemutants import LEDGERS
 
 S = 1_000_000
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,11 +13,11 @@
 import pytest
 from serving import PATIENCE, Gateway, free_port, listens, until
 
-from gullhold.net import front, resp, thrift
-from gullhold.standins.client import Caller
-from gullhold.standins.coordinator import Feed
-from gullhold.standins.deployment import config, event
-from gullhold.standins.scripted import Engine, endless, ok, resets
+from gullhold.net import clients, resp, thrift
+from gullhold.testing.client import Caller
+from gullhold.testing.coordinator import Feed
+from gullhold.testing.deployment import config, event
+from gullhold.testing.scripted import Engine, endless, ok, resets
 
 LEFT = "client connection: closed by the other side"
 
@@ -182,12 +182,12 @@
     (inside,) = gateway.listener.clients
     for _ in range(400):
         client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
-    until(lambda: len(inside.kept) >= front.OPEN_MOST or inside.kept_size > front.KEPT_MOST)
-    assert inside.kept_size <= 2 * front.KEPT_MOST and len(inside.kept) <= front.OPEN_MOST
+    until(lambda: len(inside.kept) >= clients.OPEN_MOST or inside.kept_size > clients.KEPT_MOST)
+    assert inside.kept_size <= 2 * clients.KEPT_MOST and len(inside.kept) <= clients.OPEN_MOST
     # The rest is read slowly, a buffer at a time, and turned away: an interrupt may stand behind it.
     turned, began = gateway.count("turned away in a pause"), time.monotonic()
     until(lambda: gateway.count("turned away in a pause") > turned)
-    assert inside.kept_size <= 2 * front.KEPT_MOST and len(inside.kept) <= front.OPEN_MOST
+    assert inside.kept_size <= 2 * clients.KEPT_MOST and len(inside.kept) <= clients.OPEN_MOST
     # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
     client.sock.close()
     until(lambda: inside.left)
@@ -277,9 +277,9 @@
     gateway, client = start(engine)
     inside = idle(gateway, client)
     with Blocked(gateway.core):
-        monkeypatch.setattr(front, "IDLE_S", 0.0)
+        monkeypatch.setattr(clients, "IDLE_S", 0.0)
         until(lambda: inside.resting)  # it asks the core for its end
-        monkeypatch.setattr(front, "IDLE_S", 60)
+        monkeypatch.setattr(clients, "IDLE_S", 60)
         seq = client.ask()
         until(lambda: inside.taken == 1)
     assert client.answer() == (seq, b"a\tb\tc\n")
@@ -291,7 +291,7 @@
     engine = Engine()
     gateway, client = start(engine)
     inside = idle(gateway, client)
-    monkeypatch.setattr(front, "CROSS_S", 2.0)
+    monkeypatch.setattr(clients, "CROSS_S", 2.0)
     inside.pipe.finish()
     client.ask()
     assert half_reading(client) == (b"", True)
@@ -341,7 +341,7 @@
 
 def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(start, monkeypatch):
     gateway, client = start(Engine())
-    monkeypatch.setattr(front, "CROSS_S", 1.0)
+    monkeypatch.setattr(clients, "CROSS_S", 1.0)
     inside = idle(gateway, client)
     inside.dismiss()
     assert half_reading(client) == (b"", True)
@@ -686,7 +686,7 @@
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
     (link,) = gateway.core.links
-    gateway.core.post(gateway.core._drop_link, link, front.Ending.SILENT)
+    gateway.core.post(gateway.core._drop_link, link, clients.Ending.SILENT)
     until(lambda: not gateway.core.links)
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed") and gateway.count("no descriptor for a link")
--- a/tests/test_policy.py
+++ b/tests/test_decisions.py
@@ -7,6 +7,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
+from gullhold.decisions.gateway import Gateway, fit_bound
 from gullhold.interface import (
     BudgetKind,
     CancelAttempt,
@@ -21,7 +22,6 @@
     StatusKind,
     Tenant,
 )
-from gullhold.policy import Gateway, fit_bound
 
 READY4 = [(ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0) for ident in range(4)]
 STEP = st.tuples(st.integers(0, 12), st.integers(0, 9999))
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -7,13 +7,14 @@
 from serving import Gateway, until
 
 from gullhold.net import service
+from gullhold.net.discovery import Names, members
 from gullhold.operator import records
-from gullhold.standins import crowd
-from gullhold.standins.client import Caller
-from gullhold.standins.deployment import config, event
-from gullhold.standins.running import DOOR, Running, agreed
-from gullhold.standins.scripted import Engine, endless
-from gullhold.standins.working import WorkingEngine, statement
+from gullhold.testing import crowd
+from gullhold.testing.client import Caller
+from gullhold.testing.deployment import config, event
+from gullhold.testing.running import DOOR, Running, agreed
+from gullhold.testing.scripted import Engine, endless
+from gullhold.testing.working import WorkingEngine, statement
 
 
 @pytest.fixture
@@ -24,7 +25,7 @@
 
     def make(*parts, more="", tenants=(), cores=2, **other):
         rule = records.read(DOOR + more, "test.cue").door
-        monkeypatch.setattr(service, "assemble", lambda told: real(told, rule))
+        monkeypatch.setattr(service, "assemble", lambda configuration: real(configuration, rule))
         told = config(*parts, **other)
         agreed(told["settings"], tenants, cores)
         made.append(Gateway(tmp_path, told))
@@ -75,12 +76,8 @@
         client.ask(limit=4000, client=b"one", body=statement(30))
     until(lambda: engine.done >= 2)
     core = gateway.core
-    core.list_changed(
-        *service.members(event(2, ("s-0", engine.address, "draining")), core.agreement, service.Names())
-    )
-    core.list_changed(
-        *service.members(event(3, ("s-9", later.address, "ready")), core.agreement, service.Names())
-    )
+    core.list_changed(*members(event(2, ("s-0", engine.address, "draining")), core.agreement, Names()))
+    core.list_changed(*members(event(3, ("s-9", later.address, "ready")), core.agreement, Names()))
     answers = [client.answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
     assert len(later.words(b"fetch")) >= 10 and engine.done + len(later.words(b"fetch")) == 20
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -7,9 +7,9 @@
 
 from gullhold.net import eventlog
 from gullhold.net.eventlog import CLOSE, RETRY, EventLog, Happened
-from gullhold.standins.client import Caller
-from gullhold.standins.deployment import config
-from gullhold.standins.scripted import Engine, ok, resets
+from gullhold.testing.client import Caller
+from gullhold.testing.deployment import config
+from gullhold.testing.scripted import Engine, ok, resets
 
 
 def test_lines_keep_to_their_rate_and_what_is_left_out_is_counted(monkeypatch):
--- a/tests/test_door_fair.py
+++ b/tests/test_fair_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold.door.fair import IDLE, PARKED, READY, FairQueue
+from gullhold.admission.fair_queue import IDLE, PARKED, READY, FairQueue
 
 QUANTUM = 10.0
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 5), st.floats(1.0, 40.0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,10 +24,10 @@
 from gullhold.fleet.register import Register
 from gullhold.fleet.spread import Spread
 from gullhold.operator import records
-from gullhold.standins.client import Caller
-from gullhold.standins.fleet import Rig
-from gullhold.standins.fleetcheck import Check, sent
-from gullhold.standins.relay import HALVED, LOST
+from gullhold.testing.client import Caller
+from gullhold.testing.fleet import Rig
+from gullhold.testing.fleetcheck import Check, sent
+from gullhold.testing.relay import HALVED, LOST
 
 
 def scheduled(name, profile, work_ms=20, every="300ms", **other):
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -10,10 +10,10 @@
 import pytest
 
 from gullhold.fleet.spread import Spread
-from gullhold.standins import crowd, listening
-from gullhold.standins.budgetcheck import Parts, first_sends, further_sends, most_at_once, most_in_window
-from gullhold.standins.counting import CountingEngine
-from gullhold.standins.fleet import Rig
+from gullhold.testing import crowd, listening
+from gullhold.testing.budgetcheck import Parts, first_sends, further_sends, most_at_once, most_in_window
+from gullhold.testing.counting import CountingEngine
+from gullhold.testing.fleet import Rig
 
 SERIAL = count(1)  # of clients: each draws its own ids
 
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -15,8 +15,8 @@
 from gullhold.fleet.pace import Moves, Pauses
 from gullhold.fleet.schedule import Kind, Record, Rule, record_of, recover, text_of
 from gullhold.fleet.spread import Spread
-from gullhold.standins import ownercheck, ownermutants, plancheck
-from gullhold.standins.plancheck import Play
+from gullhold.testing import ownercheck, ownermutants, plancheck
+from gullhold.testing.plancheck import Play
 
 S = 1_000_000
 
--- a/tests/test_fleet_change.py
+++ b/tests/test_fleet_rollout.py
@@ -9,16 +9,16 @@
 
 from gullhold.fleet.calls import DONE, Put, Read, Txn
 from gullhold.fleet.spread import Spread
-from gullhold.revisions import record as records
-from gullhold.revisions import snapshot
-from gullhold.revisions.change import CHANGE, Canary, Open, change_of, past_key
-from gullhold.revisions.record import Record, Unfit
-from gullhold.revisions.show import DROPPED, IN_FORCE, UNKNOWN, Office
-from gullhold.standins import crowd
-from gullhold.standins.budgetcheck import most_at_once
-from gullhold.standins.counting import CountingEngine
-from gullhold.standins.fleet import Rig
-from gullhold.standins.policycheck import Changes, by_policy, mixed
+from gullhold.rollout import record as records
+from gullhold.rollout import snapshot
+from gullhold.rollout.change import CHANGE, Canary, Open, change_of, past_key
+from gullhold.rollout.record import Record, Unfit
+from gullhold.rollout.show import DROPPED, IN_FORCE, UNKNOWN, Office
+from gullhold.testing import crowd
+from gullhold.testing.budgetcheck import most_at_once
+from gullhold.testing.counting import CountingEngine
+from gullhold.testing.fleet import Rig
+from gullhold.testing.policycheck import Changes, by_policy, mixed
 
 SERIAL = count(1)
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -7,14 +7,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from gullhold.admission.client_identity import Whose
 from gullhold.agreement import parse_tree, read_agreement
-from gullhold.door.whose import Whose
 from gullhold.interface import NEVER_RAN, EngineState, Outcome
-from gullhold.net import buffer, coordinator, front, resp, statement, thrift
-from gullhold.net.endings import Ending, Malformed, of_error, outcome
+from gullhold.net import buffer, clients, discovery, resp, statement, thrift
+from gullhold.net.connection_ends import Ending, Malformed, of_error, outcome
 from gullhold.operator import records
-from gullhold.standins import deployment
-from gullhold.standins.running import agreed
+from gullhold.testing import deployment
+from gullhold.testing.running import agreed
 
 MOST = 60_000
 CUTS = st.lists(st.integers(1, 4000), max_size=12)
@@ -203,25 +203,25 @@
 
 
 def test_the_list_is_followed_in_order_repeats_are_passed_over():
-    machine = coordinator.Follow(4, MOST)
+    machine = discovery.Follow(4, MOST)
     data = b"4\n" + EVENT % (4, b"") + EVENT % (5, MEMBER) + b"5\n\n" + EVENT % (6, b"") + b"6\n"
-    assert [event["index"] for event in feed(machine, coordinator.Follow.events, data, [])] == [5, 6]
+    assert [event["index"] for event in feed(machine, discovery.Follow.events, data, [])] == [5, 6]
     agreement = read_agreement({"dcs": ["west", "east"], "kinds": ["std"]})
-    entries, addresses, whole = coordinator.members(
-        json.loads(EVENT % (5, MEMBER)), agreement, coordinator.Names()
+    entries, addresses, whole = discovery.members(
+        json.loads(EVENT % (5, MEMBER)), agreement, discovery.Names()
     )
     ident = entries[0][0]
     assert entries == [(ident, 1, 4.0, 0, EngineState.READY, 2, 9000)] and addresses == {
         ident: "127.1.0.9:5050"
     }
-    assert not whole and ident == coordinator.Names().number("s-00c41f7a")
+    assert not whole and ident == discovery.Names().number("s-00c41f7a")
 
 
 @pytest.mark.parametrize(
     "line", [b"{\n", b"[]\n", b'{"a":1}\n', b"6\n", EVENT % (6, b""), b'{"index":"x"}\n', b"\xff\n"]
 )
 def test_a_bad_line_or_a_gap_asks_for_the_stream_anew(line):
-    machine = coordinator.Follow(4, MOST)
+    machine = discovery.Follow(4, MOST)
     machine.buffer.put(line)
     with pytest.raises(Malformed):
         list(machine.events())
@@ -232,7 +232,7 @@
 )
 def test_a_member_of_another_form_is_malformed(member):
     with pytest.raises(Malformed):
-        coordinator.members(json.loads(EVENT % (5, member)), read_agreement({}), coordinator.Names())
+        discovery.members(json.loads(EVENT % (5, member)), read_agreement({}), discovery.Names())
 
 
 @pytest.mark.parametrize(
@@ -285,7 +285,7 @@
 
 
 def test_a_request_is_read_in_the_modules_units():
-    reader = front.Reader(AGREEMENT)
+    reader = clients.Reader(AGREEMENT)
     got = reader.request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
     assert (got.limit_us, got.work_us, got.need_mb, got.group, got.repeat) == (
         1_500_000,
@@ -324,8 +324,8 @@
 )
 def test_a_request_that_cannot_be_used_is_refused(change):
     fields = {k: v for k, v in {**ASKED, **change}.items() if v is not None}
-    with pytest.raises(front.Refused):
-        front.Reader(AGREEMENT).request(fields, b"select 1")
+    with pytest.raises(clients.Refused):
+        clients.Reader(AGREEMENT).request(fields, b"select 1")
 
 
 def test_text_and_json_settings_read_the_same():
@@ -404,7 +404,7 @@
 def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
     whose = Whose(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
     agreement = read_agreement(agreed(deployment.settings(), (("acme", 1.0),)))
-    reader, peer = front.Reader(agreement, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
+    reader, peer = clients.Reader(agreement, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
     fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
     shut = {(0, b"c:d", 0): (1000, 5_000_000)}
     assert reader.shut(fields, peer, shut, 999) == ({},)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from gullhold import ranking
-from gullhold.ranking import ARC, RANKED_MOST, RANKINGS_MOST, RING, EngineList, Ranking, mix
+from gullhold.decisions import ranking
+from gullhold.decisions.ranking import ARC, RANKED_MOST, RANKINGS_MOST, RING, EngineList, Ranking, mix
 
 
 @pytest.mark.parametrize("changes", [5, 40, 2000])
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -11,7 +11,7 @@
 from driver import MS, Driver, make_agreement, profile
 from recording import Recorder
 
-from gullhold import policy
+from gullhold.decisions.gateway import Gateway
 from gullhold.interface import (
     Agreement,
     BudgetKind,
@@ -29,7 +29,7 @@
     StartTimer,
     Tenant,
 )
-from gullhold.rehearsal import play, streams
+from gullhold.simulation import play, streams
 
 # Methods of the decision module and of a stream, numbered: the numbers go into the hash, the names do not.
 GATEWAY_CALLS = {
@@ -280,7 +280,7 @@
 @pytest.mark.parametrize("name", AGREEMENTS)
 def test_seeded_walks_give_the_recorded_decisions(name: str) -> None:
     recorder = Recorder(TAGS)
-    with recorded(recorder, policy.Gateway, GATEWAY_CALLS):
+    with recorded(recorder, Gateway, GATEWAY_CALLS):
         for seed in range(WALKS_EACH):
             walk = Walk(AGREEMENTS[name], seed, engines=5 if seed % 2 else 300)
             for _ in range(WALK_STEPS):
@@ -301,7 +301,7 @@
         retry_budget_share=0.1,
         retry_budget_window_us=3000 * MS,
     )
-    with recorded(recorder, policy.Gateway, GATEWAY_CALLS):
+    with recorded(recorder, Gateway, GATEWAY_CALLS):
         for seed in range(3):
             draw = Random(seed)
             world = Driver(agreement, seed)
@@ -322,7 +322,7 @@
 def test_rehearsed_seeds_give_the_recorded_calls_and_bytes() -> None:
     recorder = Recorder(TAGS)
     with (
-        recorded(recorder, policy.Gateway, GATEWAY_CALLS),
+        recorded(recorder, Gateway, GATEWAY_CALLS),
         recorded(recorder, streams.Stream, STREAM_CALLS),
     ):
         results = [play.play(seed) for seed in range(REHEARSED_SEEDS)]
--- a/tests/test_revisions.py
+++ b/tests/test_rollout.py
@@ -11,10 +11,10 @@
 from gullhold.fleet.holding import AGAIN_US, IDLE_US, WRITE
 from gullhold.fleet.lease import Lease, Terms
 from gullhold.interface import EngineState, Idempotency, Outcome, SetTerms, Shed, Tenant
-from gullhold.revisions import change, member, record
-from gullhold.revisions.record import FIRST, Policy, Record, Unfit
-from gullhold.standins import changecheck, changemutants, dividecheck, dividemutants
-from gullhold.standins.policycheck import Changes, mixed
+from gullhold.rollout import change, member, record
+from gullhold.rollout.record import FIRST, Policy, Record, Unfit
+from gullhold.testing import changecheck, changemutants, dividecheck, dividemutants
+from gullhold.testing.policycheck import Changes, mixed
 
 AGREEMENT = make_agreement(
     profile(name="read"),
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,16 +15,16 @@
 
 from gullhold.__main__ import main
 from gullhold.interface import Outcome
-from gullhold.net import front, resp, service, thrift
+from gullhold.net import clients, resp, service, thrift
 from gullhold.net.connection import Connection
 from gullhold.net.counters import Counters
 from gullhold.net.flusher import Flusher
 from gullhold.net.logsink import LINES, LogSink
 from gullhold.net.pipe import Pipe
-from gullhold.standins.client import Caller
-from gullhold.standins.coordinator import Feed
-from gullhold.standins.deployment import config, event
-from gullhold.standins.scripted import Engine, endless, mute, ok, raw, resets, says
+from gullhold.testing.client import Caller
+from gullhold.testing.coordinator import Feed
+from gullhold.testing.deployment import config, event
+from gullhold.testing.scripted import Engine, endless, mute, ok, raw, resets, says
 
 
 def test_a_command_is_answered_with_all_its_pages_in_order(start):
@@ -626,8 +626,8 @@
 
 
 def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start, monkeypatch):
-    monkeypatch.setattr(front, "IDLE_S", 0.1)
-    monkeypatch.setattr(front, "SAY_S", 0.1)
+    monkeypatch.setattr(clients, "IDLE_S", 0.1)
+    monkeypatch.setattr(clients, "SAY_S", 0.1)
     gateway, client = start(Engine(endless))
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
@@ -696,7 +696,7 @@
 def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
     start, monkeypatch
 ):
-    monkeypatch.setattr(front, "SAY_S", 0.2)
+    monkeypatch.setattr(clients, "SAY_S", 0.2)
     gateway, client = start(Engine(endless))
     half, back = Caller(gateway.address), Caller(gateway.address)
     half.sock.sendall(b"\0\0\1\0\x80\1")
@@ -705,7 +705,7 @@
     for caller in (client, half, back):
         assert caller.answer() is None
     assert gateway.core.gateway.traffic < 1  # what was taken back at once counts for no share of the fleet
-    monkeypatch.setattr(front, "SAY_S", 60)
+    monkeypatch.setattr(clients, "SAY_S", 60)
     gateway.listener.clients_most = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
     asks = Caller(gateway.address)
@@ -792,7 +792,7 @@
     gateway.listener.clients_most = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
-    time.sleep(front.CROSS_S + 0.05)
+    time.sleep(clients.CROSS_S + 0.05)
     new = [Caller(gateway.address) for _ in range(5)]
     for caller in new:
         seq = caller.ask()
@@ -819,7 +819,7 @@
 
     gateway, client = start(Engine())
     until(lambda: gateway.count("client connections") == 1)
-    monkeypatch.setattr(front, "Thread", Inline)
+    monkeypatch.setattr(clients, "Thread", Inline)
     for _ in range(3):
         Caller(gateway.address).sock.close()
     until(lambda: gateway.count("client connections") == 4)
--- a/tests/test_rehearsal.py
+++ b/tests/test_simulation.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from gullhold.__main__ import main
-from gullhold.rehearsal import mutants, play, script, show
-from gullhold.rehearsal.clock import Clock, Stuck
-from gullhold.rehearsal.script import Bad, Fault
-from gullhold.rehearsal.streams import CLOSED, RESET, Way, Wire
-from gullhold.standins.running import ROOT
+from gullhold.simulation import mutants, play, script, show
+from gullhold.simulation.clock import Clock, Stuck
+from gullhold.simulation.script import Bad, Fault
+from gullhold.simulation.streams import CLOSED, RESET, Way, Wire
+from gullhold.testing.running import ROOT
 
 # Deliberate faults that are found soon, and the seed; others are hunted by hand (docs/notes/rehearsal.md).
 QUICK = {
@@ -196,7 +196,7 @@
 
 
 def test_a_seed_plays_alike_in_another_process_under_another_hash_seed():
-    code = "from gullhold.rehearsal import play; print(play.play(3).trace)"
+    code = "from gullhold.simulation import play; print(play.play(3).trace)"
     told = {
         subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from gullhold.interface import EngineEntry, EngineState
 from gullhold.net.start_times import PLAUSIBLE_US, StartTimes
 
 S = 1_000_000
@@ -10,12 +11,12 @@
 
 def row(ident, born):
     """An entry of the list as the core has it; what stands between does not matter here."""
-    return ident, 0, 1.0, 0, 1, 0, born
+    return EngineEntry(ident, 0, 1.0, 0, EngineState.READY, 0, born)
 
 
 def started(starts, now, ident, born, news=True):
     """The start of one engine after it is told."""
-    return {entry[0]: entry[-1] for entry in starts.corrected(now, [row(ident, born)], news)}[ident]
+    return {entry.id: entry.started_us for entry in starts.corrected(now, [row(ident, born)], news)}[ident]
 
 
 @pytest.mark.parametrize("off_s", [-3600, -5, -1, 0, 1, 5, 3600])
@@ -51,7 +52,7 @@
     starts, off = StartTimes(), off_s * S
     started(starts, NOW + off, 1, NOW - 3 * S, news=False)
     news = starts.corrected(NOW + S + off, [row(2, NOW + S - 1000)], news=True)
-    found = {entry[0]: entry[-1] for entry in news}
+    found = {entry.id: entry.started_us for entry in news}
     assert 0 <= NOW + S + off - found[1] <= 4 * S and found[1] == NOW + off - 3 * S + 1000
 
 
