--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -13,8 +13,8 @@
 from gullhold.budgets.divider import Budget
 from gullhold.budgets.duty import ASKS, PARTS, Dividing, report_text
 from gullhold.budgets.ledger import HELD, WINDOWED
-from gullhold.fleet.calls import DONE, Item, Put, Reply
-from gullhold.fleet.holding import READ, WRITE
+from gullhold.fleet.role_state import ReadKeys, WriteKeys
+from gullhold.fleet.store_calls import KeyValue, Proof, Put, Reply
 from gullhold.testing import crowd, dividecheck, dividemutants
 from gullhold.testing.budgetcheck import Parts, further_sends, most_at_once, most_in_window
 from gullhold.testing.counting import CountingEngine
@@ -311,10 +311,11 @@
     told = {
         f"m{i}/1": {names[(i * each + k) % budgets]: (0, 5, 8) for k in range(each)} for i in range(members)
     }
-    items = tuple(Item(ASKS + member, report_text(0, rows), 2, 1) for member, rows in told.items())
+    items = tuple(KeyValue(ASKS + member, report_text(0, rows), 2, 1) for member, rows in told.items())
     now, revision, writes, size, longest = 0, 10, 0, 0, 0.0
     dividing.won(1, now)
-    dividing.read(now, next(row for row in dividing.take() if row[0] == READ)[1], Reply(DONE, 3, items=items))
+    first = next(action for action in dividing.take_actions() if isinstance(action, ReadKeys))
+    dividing.read(now, first.serial, Reply(Proof.DONE, 3, items=items))
 
     def settle():
         nonlocal now, revision, writes, size, longest
@@ -322,11 +323,13 @@
             began = time.perf_counter()
             dividing.step(now)
             longest = max(longest, time.perf_counter() - began)
-            rows = [row for row in dividing.take() if row[0] == WRITE]
-            for _, serial, _, acts, _ in rows:
+            rows = [action for action in dividing.take_actions() if isinstance(action, WriteKeys)]
+            for row in rows:
                 writes, revision = writes + 1, revision + 1
-                size += sum(len(act.value) for act in acts if isinstance(act, Put) and PARTS in act.key)
-                dividing.written(now, serial, Reply(DONE, revision))
+                size += sum(
+                    len(act.value) for act in row.operations if isinstance(act, Put) and PARTS in act.key
+                )
+                dividing.written(now, row.serial, Reply(Proof.DONE, revision))
             if not rows and dividing.divider.due() != 0:
                 return
             now += 20_000
@@ -343,7 +346,7 @@
             size += len(text)
             dividing.changed(now, ASKS + member, text, revision)
             if dividing.writing:
-                dividing.written(now, dividing.writing, Reply(DONE, revision))
+                dividing.written(now, dividing.writing, Reply(Proof.DONE, revision))
         now += 1_000_000
         settle()
     return (
--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -10,8 +10,8 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import begin_decisions, close, decided, p95
-from gullhold.fleet.calls import DONE, Item, Put, Reply
-from gullhold.fleet.holding import READ, WRITE
+from gullhold.fleet.role_state import ReadKeys, WriteKeys
+from gullhold.fleet.store_calls import KeyValue, Proof, Put, Reply
 from gullhold.rollout import change
 from gullhold.rollout.record import Record, Unfit
 from gullhold.rollout.show import DROPPED, IN_FORCE, Away, Office
@@ -265,19 +265,19 @@
     def go():
         nonlocal calls, revision
         while True:
-            rows = carrier.take()
-            for what, *told in rows:
-                calls += what in (READ, WRITE)
-                if what == READ:
-                    items = tuple(Item(key, value, revision) for key, value in keys.items())
-                    carrier.read(now, told[0], Reply(DONE, revision, items=items))
-                elif what == WRITE:
+            rows = carrier.take_actions()
+            for row in rows:
+                calls += isinstance(row, ReadKeys | WriteKeys)
+                if isinstance(row, ReadKeys):
+                    items = tuple(KeyValue(key, value, revision) for key, value in keys.items())
+                    carrier.read(now, row.serial, Reply(Proof.DONE, revision, items=items))
+                elif isinstance(row, WriteKeys):
                     revision += 1
-                    for act in told[2]:
+                    for act in row.operations:
                         keys[act.key] = act.value if isinstance(act, Put) else keys.pop(act.key) and None
                     for key in [key for key, value in keys.items() if value is None]:
                         del keys[key]
-                    carrier.written(now, told[0], Reply(DONE, revision))
+                    carrier.written(now, row.serial, Reply(Proof.DONE, revision))
             if not rows:
                 return
 
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -14,10 +14,18 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import close, p95
-from gullhold.fleet import owner
-from gullhold.fleet.calls import DONE, Grant, Held, Item, Keep, Read, Reply
-from gullhold.fleet.lease import Terms
+from gullhold.fleet import membership
+from gullhold.fleet.lease import LeaseTerms
 from gullhold.fleet.spread import Spread
+from gullhold.fleet.store_calls import (
+    GrantLease,
+    KeepLeaseAlive,
+    KeyValue,
+    Proof,
+    ReadLeaseKeys,
+    ReadPrefix,
+    Reply,
+)
 from gullhold.testing import crowd, ownercheck, ownermutants, plancheck
 from gullhold.testing.fleet import Rig
 from gullhold.testing.fleetcheck import Check, marks, sent
@@ -192,29 +200,29 @@
 
 def calls_alone(members, lease_s=5, seconds=120):
     """(calls a second of one member among so many in its steady state, calls to take its duties)."""
-    rule = owner.Rule(Terms(lease_s, 0.01, 100_000), 0, 200, 100_000, 5_000_000, 1_000_000)
-    one = owner.Owner("n0", "x", rule, [f"d{i}" for i in range(DUTIES)], lambda: 0.5, 0)
-    others = tuple(Item(f"members/n{i}", '{"nonce": "y", "ready": true}', 2) for i in range(1, members))
+    rule = membership.Rule(LeaseTerms(lease_s, 0.01, 100_000), 0, 200, 100_000, 5_000_000, 1_000_000)
+    one = membership.Membership("n0", "x", rule, [f"d{i}" for i in range(DUTIES)], lambda: 0.5, 0)
+    others = tuple(KeyValue(f"members/n{i}", '{"nonce": "y", "ready": true}', 2) for i in range(1, members))
     now, taking, steady, revision = 0, 0, 0, 10
     one.tick(now)
     while now < seconds * 1_000_000:
-        for what, *told in one.take():
-            if what != owner.CALL:
+        for what, *told in one.take_actions():
+            if what != membership.CALL:
                 continue
             call, revision = told[0], revision + 1
             request = call.request
             steady += now >= 30_000_000
             taking += now < 30_000_000
-            if isinstance(request, Grant):
-                reply = Reply(DONE, revision, lease=7, ttl_s=lease_s)
-            elif isinstance(request, Keep):
-                reply = Reply(DONE, revision, ttl_s=lease_s)
-            elif isinstance(request, Read):
-                reply = Reply(DONE, revision, items=others)
-            elif isinstance(request, Held):
-                reply = Reply(DONE, revision, keys=tuple(f"duties/{duty}" for duty in one.tokens))
+            if isinstance(request, GrantLease):
+                reply = Reply(Proof.DONE, revision, lease=7, ttl_s=lease_s)
+            elif isinstance(request, KeepLeaseAlive):
+                reply = Reply(Proof.DONE, revision, ttl_s=lease_s)
+            elif isinstance(request, ReadPrefix):
+                reply = Reply(Proof.DONE, revision, items=others)
+            elif isinstance(request, ReadLeaseKeys):
+                reply = Reply(Proof.DONE, revision, keys=tuple(f"duties/{duty}" for duty in one.tokens))
             else:
-                reply = Reply(DONE, revision)
+                reply = Reply(Proof.DONE, revision)
             one.reply(now, call, reply)
         if not one.out:
             now = max(now + 1000, one.due(now))
--- a/gullhold/budgets/driver.py
+++ b/gullhold/budgets/driver.py
@@ -10,8 +10,8 @@
 from gullhold.budgets.demand import Teller
 from gullhold.budgets.divider import Budget
 from gullhold.budgets.purse import Purses, Rule
-from gullhold.fleet.calls import DONE, Get, Put, Read, Txn
-from gullhold.fleet.holding import IDLE_US
+from gullhold.fleet.role_state import IDLE_STEP_US
+from gullhold.fleet.store_calls import Get, Proof, Put, ReadPrefix, Transaction
 from gullhold.interface import BudgetKind
 
 OF = {
@@ -123,7 +123,7 @@
         self.purses = Purses(
             rules,
             lambda budget, of: f"{WORDS[budget]}/{names[of] if budget in TENANTS else of}",
-            fleet.owner.lease,
+            fleet.membership.lease,
             clock,
             lambda: fleet.queue.put(("rush",)),
         )
@@ -179,12 +179,12 @@
     def due(self, now):
         """When to step() at the latest."""
         if self.looking:
-            return now + IDLE_US
+            return now + IDLE_STEP_US
         return now if self.pending else self.look_at
 
     def step(self, now):
         """Look at what is used, and tell it."""
-        lease = self.fleet.owner.lease
+        lease = self.fleet.membership.lease
         if lease.id and lease.id != self.lease:
             self.lease, self.known, self.told, self.revision = lease.id, False, {}, 0
             self.teller.forget()
@@ -203,7 +203,7 @@
         """In good order: the lease is kept until all is given back."""
         self.leaving = True
         if not self.given_back:
-            self.fleet.owner.occupied(duty.DUTY + "/spent", True)
+            self.fleet.membership.set_busy(duty.DUTY + "/spent", True)
 
     def counted(self, now, under, seen, cut, told, parts):
         """What the core's thread counted."""
@@ -215,7 +215,7 @@
         )
         self.looking, self.cut = False, self.cut or cut
         self.looked_at, self.look_at = now, now + self.look_us * (1 if back else CALM)
-        if under != self.lease or not self.fleet.owner.lease.held(now) or self.given_back:
+        if under != self.lease or not self.fleet.membership.lease.is_valid(now) or self.given_back:
             return
         if self.leaving:
             told = {name: (out, used, 0) for name, (out, used, _) in told.items()}
@@ -231,7 +231,7 @@
         """Compared with the last one: a call that was given up can't put an older word over a newer."""
         key, lease = duty.ASKS + self._key(), 0 if left else self.lease  # the last one stays till it is read
         text = duty.report_text(seen, told, left)
-        return Txn(((key, self.revision),), (Put(key, text, lease),), (Get(key),))
+        return Transaction(((key, self.revision),), (Put(key, text, lease),), (Get(key),))
 
     def _give_back(self):
         """The last word, when the core's thread has ended and nothing is spent any more: what may still run,
@@ -244,27 +244,29 @@
 
     def gave_back(self, _reply):
         """The lease may go. Where the word was not taken, it ends as one of a member that was killed."""
-        self.fleet.owner.occupied(duty.DUTY + "/spent", False)
+        self.fleet.membership.set_busy(duty.DUTY + "/spent", False)
 
     def reported(self, lease, reply):
         """A report's reply."""
         self.writing = False
         if lease != self.lease:
             return
-        if reply.proof != DONE or not reply.met:  # what stands is compared with from now on, and told anew
+        if (
+            reply.proof != Proof.DONE or not reply.succeeded
+        ):  # what stands is compared with from now on, and told anew
             self.revision = reply.items[0].revision if reply.items else 0
             self.teller.forget()
             return
         self.revision = reply.revision
         if not self.known:
             self.known = True
-            self.lane("reports").put(Read(f"{duty.PARTS}{self._key()}"), "rows_read", lease)
+            self.lane("reports").put(ReadPrefix(f"{duty.PARTS}{self._key()}"), "rows_read", lease)
 
     def rows_read(self, lease, reply):
         """Our row as it stood when we joined, or when changes were missed."""
         if lease != self.lease:
             return
-        if reply.proof != DONE:
+        if reply.proof != Proof.DONE:
             self.known = False  # with the next report it is read again
             self.teller.forget()
             return
@@ -290,7 +292,7 @@
 
     def row_missed(self):
         """Changes of our row were missed."""
-        self.lane("reports").put(Read(f"{duty.PARTS}{self._key()}"), "rows_read", self.lease)
+        self.lane("reports").put(ReadPrefix(f"{duty.PARTS}{self._key()}"), "rows_read", self.lease)
 
     def lane(self, name):
         """A lane of the fleet's."""
--- a/gullhold/budgets/duty.py
+++ b/gullhold/budgets/duty.py
@@ -9,13 +9,15 @@
 import json
 
 from gullhold.budgets.divider import Divider
-from gullhold.fleet.calls import TXN_MOST, Drop, Put
-from gullhold.fleet.holding import TELL, Holder
+from gullhold.fleet.role_state import LogEvent, RoleState
+from gullhold.fleet.store_calls import MAX_TRANSACTION_OPERATIONS, Delete, Put
 
 ROOT = "budget/"
 ASKS, PARTS, FENCE = ROOT + "asks/", ROOT + "parts/", ROOT + "fence"
 DUTY = "budgets"
-ROWS_MOST = (TXN_MOST - 2) // 2  # rows in one write: each may come with a report to take away
+ROWS_MOST = (
+    MAX_TRANSACTION_OPERATIONS - 2
+) // 2  # rows in one write: each may come with a report to take away
 SERIALS = 1 << 20  # writes under one token: numbers grow over tokens too
 LEAST_US = 20_000  # us between writes: several reports are answered by one
 
@@ -68,7 +70,7 @@
     return packed if isinstance(packed, int) else packed[0]
 
 
-class Dividing(Holder):
+class Dividing(RoleState):
     """The duty of dividing, while we own it."""
 
     def __init__(self, budgets, weights=None, make=Divider):
@@ -91,11 +93,11 @@
         super().lost()
         self.divider = None
 
-    def _next_at(self, _now):
+    def _next_write_at(self, _now):
         at = 0 if self.dirty or self.gone or self.divider.over else self.divider.due()
         return None if at is None else max(at, self.last_at + LEAST_US)
 
-    def _next(self, now):
+    def _write_next(self, now):
         if now >= self.last_at + LEAST_US:
             self._divide(now)
 
@@ -115,20 +117,20 @@
         acts = [Put(FENCE, fence_text(number, self.budgets))]
         for member in members:
             row = self.divider.row(member)
-            acts.append(Put(PARTS + member, row_text(number, row)) if row else Drop(PARTS + member))
+            acts.append(Put(PARTS + member, row_text(number, row)) if row else Delete(PARTS + member))
             del self.dirty[member]
         for member in gone:
-            acts += [Drop(PARTS + member), Drop(ASKS + member)]
+            acts += [Delete(PARTS + member), Delete(ASKS + member)]
             del self.gone[member]
         self.last_at = now
         self._write(acts, ((FENCE, self.fence),))
 
-    def _kept(self, reply):
-        if reply.met:
+    def _write_confirmed(self, reply):
+        if reply.succeeded:
             self.fence = reply.revision
-        return reply.met
+        return reply.succeeded
 
-    def _load(self, now, reply):
+    def _on_loaded(self, now, reply):
         """Rows first, then who reports; who stands in a row and does not has left."""
         self.divider, self.fence = self.make(self.budgets, self.weights), 0
         self.dirty, self.gone = {}, {}
@@ -147,9 +149,9 @@
             if member not in asks:
                 self.divider.left(member, now)
         self.revision = reply.revision
-        self.out.append((TELL, "info", "divides", {"members": len(asks), "rows": len(rows)}))
+        self.out.append(LogEvent("info", "divides", {"members": len(asks), "rows": len(rows)}))
 
-    def _change(self, now, key, value, revision):
+    def _on_key_changed(self, now, key, value, revision):
         """A report changed; value None: its lease has ended."""
         if revision <= self.revision and value is not None:
             return False  # that of an older one was read; an end that was read already changes nothing
@@ -166,7 +168,7 @@
     def _heard(self, member, value, now):
         report = report_of(value)
         if report is None:
-            self.out.append((TELL, "warning", "a report that can't be read", {"of": member}))
+            self.out.append(LogEvent("warning", "a report that can't be read", {"of": member}))
             return
         seen, told, left = report
         if left:  # in good order
--- a/gullhold/budgets/purse.py
+++ b/gullhold/budgets/purse.py
@@ -153,7 +153,7 @@
     def holds(self, now):
         """Whether the lease under which the parts were told surely holds. Its end is read first: another
         thread may begin a new one in between, whose id is another."""
-        until = self.lease.until
+        until = self.lease.valid_until
         self.held = now < until and self.lease.id == self.under != 0
         return self.held
 
@@ -163,7 +163,7 @@
 
     def token_valid(self, stamp):
         """Whether what was allowed then still is. From any thread: it asks nothing that changes."""
-        until = self.lease.until
+        until = self.lease.valid_until
         return not stamp or self.clock() < until and self.lease.id == stamp
 
     def told(self, lease, write, row):
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -12,9 +12,9 @@
 from gullhold.budgets import duty
 from gullhold.budgets.divider import Budget, plan
 from gullhold.budgets.ledger import HELD
-from gullhold.fleet.calls import DONE, Read
 from gullhold.fleet.driver import KEYS
 from gullhold.fleet.register import Register
+from gullhold.fleet.store_calls import Proof, ReadPrefix
 
 TIMEOUT_S = 3.0
 LOOK_S = 0.25  # between looks of a report
@@ -94,8 +94,8 @@
     session = Register(address, f"{KEYS}{name}/", TIMEOUT_S)
 
     def read():
-        reply = session.call(Read(duty.ROOT))
-        if reply.proof != DONE:
+        reply = session.call(ReadPrefix(duty.ROOT))
+        if reply.proof != Proof.DONE:
             raise ConnectionError
         return reply.items
 
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -13,13 +13,14 @@
 
 from gullhold.budgets import duty as dividing
 from gullhold.budgets.driver import LANES, Budgets, Unfit
-from gullhold.fleet import holding, owner, schedule
+from gullhold.fleet import membership, schedule
 from gullhold.fleet.calendar import Bad, Calendar
-from gullhold.fleet.calls import DONE, Put, Read
 from gullhold.fleet.errands import Desk
-from gullhold.fleet.lease import MILLION, Terms
+from gullhold.fleet.lease import MILLION, LeaseTerms
 from gullhold.fleet.pace import Pauses
 from gullhold.fleet.register import Register
+from gullhold.fleet.role_state import LogEvent, ReadKeys, WatchKeys, WriteKeys
+from gullhold.fleet.store_calls import Proof, Put, ReadPrefix
 from gullhold.fleet.watch import Watcher
 from gullhold.interface import DeduplicationScope
 from gullhold.net.clients import Reader
@@ -90,12 +91,14 @@
         """Write those whose time has come; one write of a duty is out at a time."""
         for duty, at in self.next.items():
             if at <= now and duty not in self.out:
-                token = self.fleet.owner.may_act(duty, now)
+                token = self.fleet.membership.fencing_token(duty, now)
                 if token:
                     self.out.add(duty)
-                    value = f'{{"duty": "{duty}", "token": {token}, "by": "{self.fleet.owner.name}"}}'
+                    value = f'{{"duty": "{duty}", "token": {token}, "by": "{self.fleet.membership.name}"}}'
                     acts = (Put(BEATS + duty, value),)
-                    self.fleet.work.put(self.fleet.owner.effect(duty, token, acts), "beaten", duty, token)
+                    self.fleet.work.put(
+                        self.fleet.membership.fenced_transaction(duty, token, acts), "beaten", duty, token
+                    )
             if at <= now:
                 self.next[duty] = now + self.period_us
 
@@ -115,8 +118,8 @@
         self.queue, self.gone = SimpleQueue(), Event()
         timeout_s = record.timeout / MILLION
         self.make = lambda: Register(record.register_, f"{KEYS}{record.name}/", timeout_s)
-        terms = Terms(record.lease // MILLION, record.drift.rate, record.drift.margin)
-        rule = owner.Rule(
+        terms = LeaseTerms(record.lease // MILLION, record.drift.rate, record.drift.margin)
+        rule = membership.Rule(
             terms,
             record.duties.settle,
             record.duties.moves,
@@ -129,7 +132,7 @@
         duties = [*self.plans, *(f"{BEAT}{i}" for i in range(record.duties.beats))]
         duties += [dividing.DUTY] if record.budgets else []
         duties += [CARRIES] if record.policy.on else []
-        self.owner = owner.Owner(
+        self.membership = membership.Membership(
             self.name, f"{self.chance.getrandbits(64):016x}", rule, duties, self.chance.random, clock()
         )
         self.beats = Beats(self, record.duties.beat)
@@ -148,7 +151,7 @@
             raise Unusable(str(fault)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = Policies(self, record, configuration.agreement, clock, terms.surely_us())
+            self.policies = Policies(self, record, configuration.agreement, clock, terms.guaranteed_us())
 
     def _plan(self, item, agreement):
         names = [profile.name for profile in agreement.profiles]
@@ -182,14 +185,14 @@
         self.lanes = {
             name: Lane(name, self.make, lambda *told: self.queue.put(told))
             for name in (
-                owner.LEASE,
-                owner.STATE,
+                membership.LEASE,
+                membership.STATE,
                 "work",
                 *(LANES if self.budgets else ()),
                 *(POLICY_LANES if self.policies else ()),
             )
         }
-        self.work, self.members = self.lanes["work"], self._watcher("members", owner.MEMBERS, "changed")
+        self.work, self.members = self.lanes["work"], self._watcher("members", membership.MEMBERS, "changed")
         for part in (self.budgets, self.policies):
             if part:
                 part.start(self._watcher)
@@ -215,15 +218,15 @@
     # The deciding thread
 
     def _run(self):
-        self.owner.tick(clock())
-        while self.owner.state != owner.OUT:
+        self.membership.tick(clock())
+        while self.membership.state != membership.OUT:
             self._guarded(self._carry_out)
             try:
                 what, *told = self.queue.get(timeout=self._sleep_s())
                 self._guarded(getattr(self, "_on_" + what), *told)
             except Empty:
                 pass
-            self._guarded(self.owner.tick, clock())
+            self._guarded(self.membership.tick, clock())
             for duty, plan in self.plans.items():
                 self._guarded(self._step_plan, duty, plan)
             self._guarded(self.beats.step, clock())
@@ -245,7 +248,7 @@
 
     def _sleep_s(self):
         now, unix_now = clock(), unix()
-        waits = [self.owner.due(now) - now, (self.beats.due() or now + MILLION) - now]
+        waits = [self.membership.due(now) - now, (self.beats.due() or now + MILLION) - now]
         waits += [part.due(now) - now for part in (self.budgets, self.policies) if part]
         waits += [holder.due(now) - now for holder in self.held.values()]
         waits += [plan.due(unix_now) - unix_now for plan in self.plans.values() if plan.token]
@@ -257,15 +260,15 @@
 
     def _carry_out(self):
         """What the owner wants done."""
-        while out := self.owner.take():
+        while out := self.membership.take_actions():
             for what, *told in out:
-                if what == owner.CALL:
-                    self.lanes[owner.lane_of(told[0].request)].put(told[0].request, "replied", told[0])
-                elif what == owner.WON:
+                if what == membership.CALL:
+                    self.lanes[membership.lane_of(told[0].request)].put(told[0].request, "replied", told[0])
+                elif what == membership.WON:
                     self._won(*told)
-                elif what == owner.GONE:
+                elif what == membership.GONE:
                     self._lost(*told)
-                elif what == owner.WATCH:
+                elif what == membership.WATCH:
                     self.members.follow(told[0])
                 else:
                     self.event("info", told[0], **told[1])
@@ -293,33 +296,36 @@
     def _step_held(self, duty, holder):
         """Go on with a duty's keys, and do what is wanted."""
         holder.step(clock())
-        while out := holder.take():
-            for what, *told in out:
-                if what == holding.READ:
-                    self.lanes[duty].put(Read(told[1]), "duty_read", duty, told[0])
-                elif what == holding.WRITE:
-                    serial, token, acts, when = told
-                    request = self.owner.effect(duty, token, acts, when)
-                    self.lanes[duty].put(request, "duty_written", duty, serial, token)
-                elif what == holding.FOLLOW:
-                    self.watchers[duty].follow(told[0])
-                else:
-                    level, text, facts = told
-                    self.event(level, text, duty=duty, token=holder.token, **facts)
+        while out := holder.take_actions():
+            for action in out:
+                match action:
+                    case ReadKeys(serial, prefix):
+                        self.lanes[duty].put(ReadPrefix(prefix), "duty_read", duty, serial)
+                    case WriteKeys(serial, token, operations, conditions):
+                        request = self.membership.fenced_transaction(duty, token, operations, conditions)
+                        self.lanes[duty].put(request, "duty_written", duty, serial, token)
+                    case WatchKeys(revision):
+                        self.watchers[duty].follow(revision)
+                    case LogEvent(level, text, facts):
+                        self.event(level, text, duty=duty, token=holder.token, **facts)
 
     def _carry_plan(self, duty, plan):
         """What a scheduled command wants done."""
-        while out := plan.take():
+        while out := plan.take_actions():
             for what, *told in out:
                 if what == schedule.READ:
-                    self.work.put(Read(told[0]), "plan_read", duty)
+                    self.work.put(ReadPrefix(told[0]), "plan_read", duty)
                 elif what == schedule.WRITE:
                     serial, token, acts, when = told
                     self.work.put(
-                        self.owner.effect(duty, token, acts, when), "plan_written", duty, serial, token
+                        self.membership.fenced_transaction(duty, token, acts, when),
+                        "plan_written",
+                        duty,
+                        serial,
+                        token,
                     )
                 elif what == schedule.BUSY:
-                    self.owner.occupied(duty, told[0])
+                    self.membership.set_busy(duty, told[0])
                 elif what == schedule.SEND:
                     self._send(duty, plan, *told)
                 else:
@@ -346,28 +352,28 @@
 
     def refused(self, duty, token, reply):
         """Say so where the register refused an effect."""
-        if reply.proof == DONE and not reply.met:
+        if reply.proof == Proof.DONE and not reply.succeeded:
             self.event("warning", "late effect refused", duty=duty, token=token)
 
     # What comes to the deciding thread
 
     def _on_replied(self, call, reply):
         now = clock()
-        if reply.proof == DONE and self.away_since is not None:
+        if reply.proof == Proof.DONE and self.away_since is not None:
             away_s = round((now - self.away_since) / MILLION, 1)
             self.event("warning", "the register answers again", after_s=away_s)
             self.away_since = None
-        elif reply.proof != DONE and self.away_since is None:
+        elif reply.proof != Proof.DONE and self.away_since is None:
             self.away_since = now
             self.event("warning", "the register does not answer; served on as if alone", proof=reply.proof)
-        self.owner.reply(now, call, reply)
+        self.membership.reply(now, call, reply)
 
     def _on_changed(self, key, value, revision):
-        self.owner.changed(clock(), key, value, revision)
+        self.membership.changed(clock(), key, value, revision)
 
     def _on_missed(self, what, duty=""):
         if what == "changed":
-            self.owner.watch_lost(clock())
+            self.membership.watch_lost(clock())
         elif what == "duty_changed":
             self.held[duty].missed(clock())
         elif what == "policy_changed":
@@ -380,7 +386,7 @@
             self.budgets.leave()
         for plan in self.plans.values():
             plan.leave()
-        self.owner.leave(clock())
+        self.membership.leave(clock())
 
     def _on_beaten(self, duty, token, reply):
         self.beats.beaten(duty, token, reply)
@@ -390,7 +396,7 @@
 
     def _on_plan_written(self, duty, serial, token, reply):
         self.refused(duty, token, reply)
-        may_act = self.owner.may_act(duty, clock()) == token
+        may_act = self.membership.fencing_token(duty, clock()) == token
         self.plans[duty].written(unix(), serial, reply, may_act)
 
     def _on_answered(self, number, state, why):
--- a/gullhold/fleet/lease.py
+++ b/gullhold/fleet/lease.py
@@ -9,7 +9,7 @@
 MILLION = 1_000_000  # us in a second, and parts in a whole
 
 
-class Terms(NamedTuple):
+class LeaseTerms(NamedTuple):
     """What the operator says of leases; times in us of a monotonic clock.
 
     ttl_s: whole seconds that a lease is granted for. drift: the most that two clocks' rates differ, as a
@@ -20,33 +20,33 @@
     drift: float
     margin_us: int
 
-    def surely_us(self):
+    def guaranteed_us(self):
         """How long after a granting or keeping call was sent the lease surely holds."""
         return int(self.ttl_s * MILLION * (1 - self.drift)) - self.margin_us
 
 
 class Lease:
-    """One lease, from its grant to its end. held(now) may be asked at any time, also after a long sleep."""
+    """One lease, from its grant to its end. is_valid() may be asked at any time, also after a long sleep."""
 
-    __slots__ = ("id", "terms", "until")
+    __slots__ = ("id", "terms", "valid_until")
 
     def __init__(self, terms):
-        self.terms, self.id, self.until = terms, 0, 0
+        self.terms, self.id, self.valid_until = terms, 0, 0
 
-    def kept(self, ident, sent_at):
+    def renew(self, ident, sent_at):
         """The register granted or kept it, asked at sent_at: what counts is when we asked, not the answer."""
         if ident != self.id:
-            self.id, self.until = ident, 0
-        self.until = max(self.until, sent_at + self.terms.surely_us())
+            self.id, self.valid_until = ident, 0
+        self.valid_until = max(self.valid_until, sent_at + self.terms.guaranteed_us())
 
-    def lost(self):
+    def clear(self):
         """The register has it no more."""
-        self.id = self.until = 0
+        self.id = self.valid_until = 0
 
-    def held(self, now):
+    def is_valid(self, now):
         """Whether it surely holds now."""
-        return self.id != 0 and now < self.until
+        return self.id != 0 and now < self.valid_until
 
-    def keep_at(self):
+    def renew_at(self):
         """When to keep it: two tries fit into what is left after a lost one."""
-        return self.until - self.terms.surely_us() * 2 // 3
+        return self.valid_until - self.terms.guaranteed_us() * 2 // 3
--- a/gullhold/fleet/owner.py
+++ b/gullhold/fleet/membership.py
@@ -2,34 +2,48 @@
 
 It hands out calls for the register, one at a time in each of two lanes (the lease's, and all others), and is
 told each one's reply. A duty is owned through a key that hangs on the member's lease; the revision of that
-key's last change is the owner's token, so tokens only grow. may_act() is true only while the lease surely
-holds by our own clock; every effect is a transaction that compares the key with the token, so one that comes
-late is refused.
+key's last change is the owner's token, so tokens only grow. fencing_token() is true only while the lease
+surely holds by our own clock; every effect is a transaction that compares the key with the token, so one that
+comes late is refused.
 """
 
 import json
 
-from gullhold.fleet import calls
-from gullhold.fleet.calls import DONE, MAYBE, Call, Drop, Get, Grant, Held, Keep, Put, Read, Revoke, Txn
+from gullhold.fleet import store_calls
 from gullhold.fleet.lease import Lease
 from gullhold.fleet.pace import Moves, Pauses
 from gullhold.fleet.spread import Spread
+from gullhold.fleet.store_calls import (
+    Delete,
+    Get,
+    GrantLease,
+    KeepLeaseAlive,
+    PendingCall,
+    Proof,
+    Put,
+    ReadLeaseKeys,
+    ReadPrefix,
+    RevokeLease,
+    Transaction,
+)
 
 # ALONE: no lease. READING: has one, asks who is there. JOINING: writes its own key. IN: owns what it should.
 # LEAVING: gives back. OUT: has left for good, or a later process has its name.
 ALONE, READING, JOINING, IN, LEAVING, OUT = "alone", "reading", "joining", "in", "leaving", "out"
 MEMBERS, DUTIES = "members/", "duties/"
-CALL, WON, GONE, WATCH, EVENT = range(5)  # what it hands out, with: a Call; a duty, a token; a duty, why;
+CALL, WON, GONE, WATCH, EVENT = range(
+    5
+)  # what it hands out, with: a PendingCall; a duty, a token; a duty, why;
 # the revision to watch members from; a name, and facts about it
 LEASE, STATE = "lease", "state"  # the lanes
-BATCH = calls.TXN_MOST - 1  # duties in one transaction, beside our own key
+BATCH = store_calls.MAX_TRANSACTION_OPERATIONS - 1  # duties in one transaction, beside our own key
 AUDIT_LEASES = 5  # lease times between looks at what hangs on our lease: a call that was given up may have
 # been carried out after all
 
 
 def lane_of(request):
     """The lane of a request: a lease must not wait behind anything else."""
-    return LEASE if isinstance(request, Grant | Keep | Revoke) else STATE
+    return LEASE if isinstance(request, GrantLease | KeepLeaseAlive | RevokeLease) else STATE
 
 
 def written(value):
@@ -61,7 +75,7 @@
         self.pause_least, self.pause_most = pause_least, pause_most
 
 
-class Owner:
+class Membership:
     """A member and its duties. Everything it wants done is in take(); due() is when to tick() again."""
 
     def __init__(self, name, nonce, rule, duties, chance, now):
@@ -83,22 +97,22 @@
 
     # What the driver calls
 
-    def take(self):
+    def take_actions(self):
         """What is to be done now, in order."""
         out, self.out = self.out, []
         return out
 
-    def may_act(self, duty, now):
+    def fencing_token(self, duty, now):
         """The token under which to act on a duty now, 0: not ours, or not surely."""
-        if self.state not in (IN, LEAVING) or duty in self.excess or not self.lease.held(now):
+        if self.state not in (IN, LEAVING) or duty in self.excess or not self.lease.is_valid(now):
             return 0
         return self.tokens.get(duty, 0)
 
-    def effect(self, duty, token, acts, when=()):
+    def fenced_transaction(self, duty, token, acts, when=()):
         """The transaction that carries acts out only while the duty is owned under this token."""
-        return Txn(((DUTIES + duty, token), *when), tuple(acts))
+        return Transaction(((DUTIES + duty, token), *when), tuple(acts))
 
-    def occupied(self, duty, busy):
+    def set_busy(self, duty, busy):
         """Work on a duty began, or ended: in its middle it is not let go in good order."""
         (self.busy.add if busy else self.busy.discard)(duty)
 
@@ -112,16 +126,16 @@
                 asked = choose(now)
                 if asked:
                     self.serial += 1
-                    self.under_way[lane] = call = Call(self.serial, asked[0], asked[1], now, asked[2])
+                    self.under_way[lane] = call = PendingCall(self.serial, asked[0], asked[1], now, asked[2])
                     self.out.append((CALL, call))
 
     def due(self, now):
         """When to tick again, at the latest."""
-        times = [self.lease.until] if self.lease.held(now) else []
+        times = [self.lease.valid_until] if self.lease.is_valid(now) else []
         times += [self.leave_at] if self.state == LEAVING else []
         if LEASE not in self.under_way:
-            times.append(max(self.retry_at[LEASE], self.lease.keep_at() if self.lease.id else 0))
-        if STATE not in self.under_way and self.lease.held(now):
+            times.append(max(self.retry_at[LEASE], self.lease.renew_at() if self.lease.id else 0))
+        if STATE not in self.under_way and self.lease.is_valid(now):
             wants = [self.audit_at] if self.state == IN else [0]
             if self.state == IN:
                 wants += [] if self.ready else [self.ready_at]
@@ -136,9 +150,13 @@
         lane = lane_of(call.request)
         self.under_way.pop(lane, None)
         # Guards against a read from the past: it would show keys that are no more.
-        if reply.proof == DONE and reply.revision < self.seen and isinstance(call.request, Read | Txn | Held):
-            reply = reply._replace(proof=MAYBE)
-        if reply.proof == DONE:
+        if (
+            reply.proof == Proof.DONE
+            and reply.revision < self.seen
+            and isinstance(call.request, ReadPrefix | Transaction | ReadLeaseKeys)
+        ):
+            reply = reply._replace(proof=Proof.UNKNOWN)
+        if reply.proof == Proof.DONE:
             self.pauses[lane].reset()
             self.seen = max(self.seen, reply.revision)
         else:
@@ -204,7 +222,7 @@
         Guards against a member whose calls arrive and whose replies are lost: it would keep for good what it
         can't act on, and nobody else could take it.
         """
-        if self.lease.id and not self.lease.held(now):
+        if self.lease.id and not self.lease.is_valid(now):
             self._lose(now, "its lease is not sure")
         if self.state == LEAVING and now >= self.leave_at:
             self._end("left without the register's word")
@@ -226,7 +244,7 @@
     def _lose(self, now, why):
         """The register has our lease no more: begin again."""
         self._drop_all(why)
-        self.lease.lost()
+        self.lease.clear()
         if self.state == LEAVING:
             self._become(OUT, why)
         else:
@@ -236,12 +254,12 @@
     def _superseded(self, now):
         """A later process has our name: it is right, we stop, for good. What we held is freed at once."""
         self._drop_all("a later process has this name")
-        self.busy, self.leave_at = set(), now + self.rule.terms.surely_us()
+        self.busy, self.leave_at = set(), now + self.rule.terms.guaranteed_us()
         self._become(LEAVING, "a later process has this name")
 
     def _end(self, why):
         self._drop_all(why)
-        self.lease.lost()
+        self.lease.clear()
         self._become(OUT, why)
 
     def _desire(self, now):
@@ -277,50 +295,52 @@
 
     def _lease_call(self, now):
         if self.state == LEAVING and not self.busy:
-            return "revoke", Revoke(self.lease.id), ()
+            return "revoke", RevokeLease(self.lease.id), ()
         if not self.lease.id:
-            return "grant", Grant(self.rule.terms.ttl_s), ()
-        return ("keep", Keep(self.lease.id), ()) if now >= self.lease.keep_at() else None
+            return "grant", GrantLease(self.rule.terms.ttl_s), ()
+        return ("keep", KeepLeaseAlive(self.lease.id), ()) if now >= self.lease.renew_at() else None
 
     def _replied_grant(self, now, call, reply):
-        if reply.proof == DONE:  # else the register may have one that nothing hangs on: it ends by itself
-            self.lease.kept(reply.lease, call.sent_at)
+        if (
+            reply.proof == Proof.DONE
+        ):  # else the register may have one that nothing hangs on: it ends by itself
+            self.lease.renew(reply.lease, call.sent_at)
             if self.state == ALONE:
                 self._become(READING, "has a lease")
 
     def _replied_keep(self, now, call, reply):
-        if reply.proof != DONE:
+        if reply.proof != Proof.DONE:
             return
         if reply.ttl_s > 0:
-            self.lease.kept(call.request.lease, call.sent_at)
+            self.lease.renew(call.request.lease, call.sent_at)
         else:
             self._lose(now, "its lease ended")
 
     def _replied_revoke(self, now, call, reply):
-        if reply.proof == DONE:
+        if reply.proof == Proof.DONE:
             self._end("left")
 
     def _state_call(self, now):
-        if not self.lease.held(now):
+        if not self.lease.is_valid(now):
             return None
         own = MEMBERS + self.name
         if self.state == READING or self.look_again and self.state == IN:
-            return "read", Read(MEMBERS), ()
+            return "read", ReadPrefix(MEMBERS), ()
         if self.state == JOINING:
             first = not any(self.members.values())  # nobody to move duties from: no reason to wait
-            return "join", Txn(((own, self.key_revision),), (self._own(first),)), (first,)
+            return "join", Transaction(((own, self.key_revision),), (self._own(first),)), (first,)
         if self.state == LEAVING:
             idle = [(duty, token) for duty, token in self.tokens.items() if duty not in self.busy][:BATCH]
             return self._release(idle) if idle and self.busy else None  # else one call frees them all
         if self.state != IN:
             return None
         if not self.ready and now >= self.ready_at:
-            return "ready", Txn(((own, self.key_revision),), (self._own(True),)), ()
+            return "ready", Transaction(((own, self.key_revision),), (self._own(True),)), ()
         if self.unsure:
             about = tuple(self.unsure)[:BATCH]
-            return "look", Txn((), tuple(Get(DUTIES + duty) for duty in about)), about
+            return "look", Transaction((), tuple(Get(DUTIES + duty) for duty in about)), about
         if now >= self.audit_at:
-            return "audit", Held(self.lease.id), ()
+            return "audit", ReadLeaseKeys(self.lease.id), ()
         loose = self._loose()
         count = self.moves.take(now, min(len(loose), BATCH)) if loose else 0
         if count:
@@ -340,7 +360,11 @@
             self._gone(duty, "let go")
             self.excess.pop(duty, None)
         keys = tuple((DUTIES + duty, token) for duty, token in about)
-        return "release", Txn(keys, tuple(Drop(key) for key, _ in keys)), tuple(duty for duty, _ in about)
+        return (
+            "release",
+            Transaction(keys, tuple(Delete(key) for key, _ in keys)),
+            tuple(duty for duty, _ in about),
+        )
 
     def _claim(self, about):
         if not about:
@@ -349,7 +373,7 @@
         value = json.dumps({"owner": self.name, "nonce": self.nonce, "incarnation": self.incarnation})
         return (
             "claim",
-            Txn(
+            Transaction(
                 ((MEMBERS + self.name, self.key_revision), *keys),
                 tuple(Put(key, value, self.lease.id) for key, _ in keys),
                 tuple(Get(key) for key, _ in keys),
@@ -358,7 +382,7 @@
         )
 
     def _replied_read(self, now, call, reply):
-        if reply.proof != DONE:
+        if reply.proof != Proof.DONE:
             return
         self.members = {
             item.key.removeprefix(MEMBERS): bool(written(item.value).get("ready")) for item in reply.items
@@ -380,7 +404,7 @@
             self._become(JOINING, "knows who is there")
 
     def _replied_join(self, now, call, reply):
-        if reply.proof == DONE and reply.met:
+        if reply.proof == Proof.DONE and reply.succeeded:
             self.members[self.name] = call.about[0]
             self._joined(now, reply.revision, call.about[0])
         else:  # somebody else wrote it, or we may have: a read tells
@@ -398,7 +422,7 @@
             self._sort(now, duty)
 
     def _replied_ready(self, now, call, reply):
-        if reply.proof == DONE and reply.met:
+        if reply.proof == Proof.DONE and reply.succeeded:
             self.key_revision, self.ready = reply.revision, True
             self.members[self.name] = True
             self._desire(now)
@@ -406,7 +430,7 @@
             self.look_again = True
 
     def _replied_look(self, now, call, reply):
-        if reply.proof == DONE:
+        if reply.proof == Proof.DONE:
             self._items(now, call, reply)
 
     def _items(self, now, call, reply):
@@ -416,21 +440,21 @@
             self._saw(now, duty, found.get(duty))
 
     def _replied_claim(self, now, call, reply):
-        if reply.proof == DONE and reply.met:
+        if reply.proof == Proof.DONE and reply.succeeded:
             self.claim_pauses.reset()
             for duty in call.about:
                 self.wanted.pop(duty, None)
                 self.known.pop(duty, None)
                 self._won(duty, reply.revision)
                 self._sort(now, duty)  # it may be another's by now
-        elif reply.proof == DONE:
+        elif reply.proof == Proof.DONE:
             self.look_again = self.look_again or not reply.items  # our own key is not what we thought
             self._items(now, call, reply)
-        elif reply.proof == MAYBE:
+        elif reply.proof == Proof.UNKNOWN:
             self._unsure(call.about)
 
     def _replied_release(self, now, call, reply):
-        if reply.proof == DONE and reply.met:
+        if reply.proof == Proof.DONE and reply.succeeded:
             for duty in call.about:
                 self._sort(now, duty)
         else:
@@ -443,7 +467,7 @@
             self.unsure[duty] = True
 
     def _replied_audit(self, now, call, reply):
-        if reply.proof != DONE:
+        if reply.proof != Proof.DONE:
             return
         self.audit_at = now + self._audit_us()
         held = {key.removeprefix(DUTIES) for key in reply.keys if key.startswith(DUTIES)}
@@ -455,4 +479,4 @@
             self._sort(now, duty)
 
     def _audit_us(self):
-        return AUDIT_LEASES * self.rule.terms.surely_us()
+        return AUDIT_LEASES * self.rule.terms.guaranteed_us()
--- a/gullhold/fleet/register.py
+++ b/gullhold/fleet/register.py
@@ -12,19 +12,17 @@
 from etcd3gw.exceptions import Etcd3Exception
 from urllib3.exceptions import MaxRetryError, NewConnectionError
 
-from gullhold.fleet.calls import (
-    DONE,
-    MAYBE,
-    NOT_DONE,
+from gullhold.fleet.store_calls import (
     Get,
-    Grant,
-    Held,
-    Item,
-    Keep,
+    GrantLease,
+    KeepLeaseAlive,
+    KeyValue,
+    Proof,
     Put,
-    Read,
+    ReadLeaseKeys,
+    ReadPrefix,
     Reply,
-    Revoke,
+    RevokeLease,
 )
 from gullhold.net import host_port
 
@@ -56,34 +54,36 @@
 
     def call(self, request):
         """Carry one request out; its Reply. Never raises for what the other side does."""
-        reads = isinstance(request, Read | Held)
+        reads = isinstance(request, ReadPrefix | ReadLeaseKeys)
         try:
             return self._call(request)
         except Etcd3Exception as fault:
             if reads or _never_sent(fault) or _said_no(fault):
-                found = isinstance(request, Revoke) and _said_no(fault)
-                return Reply(DONE if found else NOT_DONE)  # no such lease: it has ended already
-            return Reply(MAYBE)
+                found = isinstance(request, RevokeLease) and _said_no(fault)
+                return Reply(Proof.DONE if found else Proof.NOT_DONE)  # no such lease: it has ended already
+            return Reply(Proof.UNKNOWN)
         except (OSError, ValueError, KeyError, TypeError, requests.RequestException):
-            return Reply(NOT_DONE if reads else MAYBE)  # an answer that can't be read
+            return Reply(Proof.NOT_DONE if reads else Proof.UNKNOWN)  # an answer that can't be read
 
     def _call(self, request):
         post = self._post
-        if isinstance(request, Grant):
+        if isinstance(request, GrantLease):
             told = post("lease/grant", {"TTL": request.ttl_s})
-            return Reply(DONE, _revision(told), lease=int(told["ID"]), ttl_s=int(told["TTL"]))
-        if isinstance(request, Keep):
+            return Reply(Proof.DONE, _revision(told), lease=int(told["ID"]), ttl_s=int(told["TTL"]))
+        if isinstance(request, KeepLeaseAlive):
             told = post("lease/keepalive", {"ID": request.lease})["result"]
-            return Reply(DONE, _revision(told), ttl_s=int(told.get("TTL", 0)))
-        if isinstance(request, Revoke):
-            return Reply(DONE, _revision(post("lease/revoke", {"ID": request.lease})))
-        if isinstance(request, Held):
+            return Reply(Proof.DONE, _revision(told), ttl_s=int(told.get("TTL", 0)))
+        if isinstance(request, RevokeLease):
+            return Reply(Proof.DONE, _revision(post("lease/revoke", {"ID": request.lease})))
+        if isinstance(request, ReadLeaseKeys):
             told = post("lease/timetolive", {"ID": request.lease, "keys": True})
             keys = [_from(key) for key in told.get("keys", ())]
-            return Reply(DONE, _revision(told), keys=tuple(key.removeprefix(self.prefix) for key in keys))
-        if isinstance(request, Read):
+            return Reply(
+                Proof.DONE, _revision(told), keys=tuple(key.removeprefix(self.prefix) for key in keys)
+            )
+        if isinstance(request, ReadPrefix):
             told = post("kv/range", self._range(request.prefix))
-            return Reply(DONE, _revision(told), items=self._items(told))
+            return Reply(Proof.DONE, _revision(told), items=self._items(told))
         told = post(
             "kv/txn",
             {
@@ -94,16 +94,16 @@
                         "result": "EQUAL",
                         "mod_revision": revision,
                     }
-                    for key, revision in request.when
+                    for key, revision in request.conditions
                 ],
-                "success": [self._act(act) for act in request.acts],
-                "failure": [self._act(act) for act in request.others],
+                "success": [self._act(act) for act in request.operations],
+                "failure": [self._act(act) for act in request.otherwise],
             },
         )
         items = [
             item for part in told.get("responses", ()) for item in self._items(part.get("response_range", {}))
         ]
-        return Reply(DONE, _revision(told), met=bool(told.get("succeeded")), items=tuple(items))
+        return Reply(Proof.DONE, _revision(told), succeeded=bool(told.get("succeeded")), items=tuple(items))
 
     def watch(self, prefix, revision, seconds, tell):
         """Follow changes of keys with this prefix from a revision on, until the stream ends or says nothing
@@ -147,7 +147,7 @@
 
     def _items(self, told):
         return tuple(
-            Item(
+            KeyValue(
                 _from(item["key"]).removeprefix(self.prefix),
                 _from(item.get("value", "")),
                 int(item["mod_revision"]),
--- a/gullhold/fleet/schedule.py
+++ b/gullhold/fleet/schedule.py
@@ -10,7 +10,7 @@
 from hashlib import blake2s
 from typing import NamedTuple
 
-from gullhold.fleet.calls import DONE, Drop, Put
+from gullhold.fleet.store_calls import Delete, Proof, Put
 from gullhold.interface import Idempotency
 
 # States of an occurrence. INTENT: it may have been sent. SHED, UNDONE: the last try provably had no effect,
@@ -121,7 +121,7 @@
         self.again_at, self.pause_until = {}, 0
         self.off = False  # a policy says that it does not run
 
-    def take(self):
+    def take_actions(self):
         """What is to be done now, in order."""
         out, self.out = self.out, []
         return out
@@ -224,7 +224,7 @@
         """Records change only under our token, and only as we know them."""
         self.serial += 1
         self.writing = (self.serial, purpose, record)
-        acts, when = [Drop(self._key(due)) for due in self._old()], ()
+        acts, when = [Delete(self._key(due)) for due in self._old()], ()
         if record:
             key = self._key(record.due_us)
             acts.append(Put(key, text_of(record)))
@@ -247,7 +247,7 @@
         if not self.reading:
             return
         self.reading = False
-        if reply.proof != DONE:
+        if reply.proof != Proof.DONE:
             self.pause_until = now + AGAIN_US
             return
         self.loaded, self.upto, self.records, self.revisions = True, 0, {}, {}
@@ -266,7 +266,7 @@
             return
         _, purpose, record = self.writing
         self.writing = None
-        if reply.proof != DONE or not reply.met:
+        if reply.proof != Proof.DONE or not reply.succeeded:
             if purpose == "intent":  # whether or not it stands: nothing went out for it
                 self.unsent = record
                 self.out.append((BUSY, False))
--- a/gullhold/fleet/show.py
+++ b/gullhold/fleet/show.py
@@ -7,11 +7,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from gullhold.fleet import owner, schedule
-from gullhold.fleet.calls import DONE, Read
+from gullhold.fleet import membership, schedule
 from gullhold.fleet.driver import KEYS
 from gullhold.fleet.lease import MILLION
 from gullhold.fleet.register import Register
+from gullhold.fleet.store_calls import Proof, ReadPrefix
 
 TIMEOUT_S = 3.0
 
@@ -25,26 +25,26 @@
     """What is shown, a dict a row; read: items of the register by prefix."""
     if what == "members":
         counts = {}
-        for item in read(owner.DUTIES):
-            name = owner.written(item.value).get("owner")
+        for item in read(membership.DUTIES):
+            name = membership.written(item.value).get("owner")
             counts[name] = counts.get(name, 0) + 1
         return [
             {
-                "member": item.key.removeprefix(owner.MEMBERS),
-                "ready": bool(owner.written(item.value).get("ready")),
-                "incarnation": owner.since(owner.written(item.value), item.revision),
-                "duties": counts.get(item.key.removeprefix(owner.MEMBERS), 0),
+                "member": item.key.removeprefix(membership.MEMBERS),
+                "ready": bool(membership.written(item.value).get("ready")),
+                "incarnation": membership.since(membership.written(item.value), item.revision),
+                "duties": counts.get(item.key.removeprefix(membership.MEMBERS), 0),
             }
-            for item in read(owner.MEMBERS)
+            for item in read(membership.MEMBERS)
         ]
     if what == "duties":
         return [
             {
-                "duty": item.key.removeprefix(owner.DUTIES),
-                "owner": owner.written(item.value).get("owner"),
+                "duty": item.key.removeprefix(membership.DUTIES),
+                "owner": membership.written(item.value).get("owner"),
                 "token": item.revision,
             }
-            for item in read(owner.DUTIES)
+            for item in read(membership.DUTIES)
         ]
     found = []
     for item in read(schedule.PLAN):
@@ -70,8 +70,8 @@
     session = Register(address, f"{KEYS}{name}/", TIMEOUT_S)
 
     def read(prefix):
-        reply = session.call(Read(prefix))
-        if reply.proof != DONE:
+        reply = session.call(ReadPrefix(prefix))
+        if reply.proof != Proof.DONE:
             raise ConnectionError
         return reply.items
 
--- /dev/null
+++ b/gullhold/fleet/store_calls.py
@@ -0,0 +1,118 @@
+"""Calls to the store of a fleet and what their replies prove. No I/O, no wire.
+
+The store ("register" in the commands and the operator file) holds keys with one revision for each change of
+the whole, leases that delete the keys attached to them, and transactions that compare revisions.
+"""
+
+from enum import StrEnum
+from typing import NamedTuple
+
+MAX_TRANSACTION_OPERATIONS = 100  # comparisons, or operations; the published default allows 128
+
+
+class Proof(StrEnum):
+    """What a reply proves about its call."""
+
+    DONE = "done"
+    NOT_DONE = "not done"
+    UNKNOWN = "may have been done"  # it may be carried out, now or later
+
+
+class KeyValue(NamedTuple):
+    """One key as the store has it. revision: that of its last change; lease 0: none."""
+
+    key: str
+    value: str
+    revision: int
+    lease: int = 0
+
+
+class GrantLease(NamedTuple):
+    """Create a lease of so many whole seconds."""
+
+    ttl_s: int
+
+
+class KeepLeaseAlive(NamedTuple):
+    """Renew a lease."""
+
+    lease: int
+
+
+class RevokeLease(NamedTuple):
+    """End a lease now, and delete every key attached to it in one revision."""
+
+    lease: int
+
+
+class ReadLeaseKeys(NamedTuple):
+    """Read the names of the keys attached to a lease."""
+
+    lease: int
+
+
+class ReadPrefix(NamedTuple):
+    """Read all keys with this prefix at one revision, the newest."""
+
+    prefix: str
+
+
+class Put(NamedTuple):
+    """Operation: write a key; lease 0: it stays."""
+
+    key: str
+    value: str
+    lease: int = 0
+
+
+class Delete(NamedTuple):
+    """Operation: delete a key."""
+
+    key: str
+
+
+class Get(NamedTuple):
+    """Operation: read one key."""
+
+    key: str
+
+
+Operation = Put | Delete | Get
+Condition = tuple[str, int]  # (key, revision of its last change; 0: the key does not exist)
+
+
+class Transaction(NamedTuple):
+    """Carry out all operations in one revision if every condition holds; otherwise the others, all Gets."""
+
+    conditions: tuple[Condition, ...] = ()
+    operations: tuple[Operation, ...] = ()
+    otherwise: tuple[Get, ...] = ()
+
+
+Request = GrantLease | KeepLeaseAlive | RevokeLease | ReadLeaseKeys | ReadPrefix | Transaction
+
+
+class Reply(NamedTuple):
+    """The reply to a request; all but the proof holds only with Proof.DONE.
+
+    revision: the store's at that moment; succeeded: a transaction's conditions held; items: what was read;
+    lease: the one granted; ttl_s: of a renewed lease, 0 where it does not exist; keys: those of a lease.
+    """
+
+    proof: Proof
+    revision: int = 0
+    succeeded: bool = True
+    items: tuple[KeyValue, ...] = ()
+    lease: int = 0
+    ttl_s: int = 0
+    keys: tuple[str, ...] = ()
+
+
+class PendingCall(NamedTuple):
+    """A request under way: its number, its purpose, when it was handed out (us), and what its reply needs."""
+
+    number: int
+    purpose: str
+    request: Request
+    sent_at: int
+    about: tuple = ()
--- a/gullhold/rollout/change.py
+++ b/gullhold/rollout/change.py
@@ -11,8 +11,8 @@
 from hashlib import blake2s
 from typing import NamedTuple
 
-from gullhold.fleet.calls import Drop, Put
-from gullhold.fleet.holding import TELL, Holder
+from gullhold.fleet.role_state import LogEvent, RoleState
+from gullhold.fleet.store_calls import Delete, Put
 from gullhold.rollout import record as records
 from gullhold.rollout.record import FIRST, Record, Unfit
 
@@ -130,7 +130,7 @@
     return acts, ((CHANGE, 0), (CURRENT, revisions.get(CURRENT, 0)), (past_key(record.number), 0))
 
 
-class Carrier(Holder):
+class Carrier(RoleState):
     """The duty of carrying a change through, while we own it."""
 
     def __init__(self):
@@ -140,7 +140,7 @@
         self.words, self.past, self.since = {}, [], 0  # by member; numbers; since when it stands so
         self.said = Counter()  # words less their reasons: not all members are looked through for each
 
-    def _next_at(self, now):
+    def _next_write_at(self, now):
         """What waits longer than its time waits for words: they come by themselves."""
         if self.change is None:
             return None
@@ -148,7 +148,7 @@
         spans += [self.change.canary.time_us] if self.change.state == CANARY else []
         return min((self.since + span for span in spans if self.since + span > now), default=None)
 
-    def _next(self, now):
+    def _write_next(self, now):
         if self.change:
             getattr(self, "_" + self.change.state)(now)
 
@@ -228,7 +228,7 @@
     def _close(self, _now):
         """Everybody goes by what is in force: the next change may come."""
         if all(under == self.current.number and word == UNDER for under, _, word in self.said):
-            self._put((Drop(CHANGE),))
+            self._put((Delete(CHANGE),))
 
     def _all(self, word):
         number = self.change.record.number
@@ -269,7 +269,7 @@
                     json.dumps({"record": change.record._asdict(), "outcome": state, "why": why}),
                 )
             )
-            acts += [Drop(past_key(old)) for old in self.past[:-KEPT]]
+            acts += [Delete(past_key(old)) for old in self.past[:-KEPT]]
         if state == DECIDED:
             acts.append(Put(CURRENT, change.record.pack()))
         self._put(acts)
@@ -279,11 +279,11 @@
 
     # What comes
 
-    def _kept(self, _reply):
+    def _write_confirmed(self, _reply):
         """What a write did is read, with all else."""
         return False
 
-    def _load(self, now, reply):
+    def _on_loaded(self, now, reply):
         before = (self.change and self.change.record.number, self.change and self.change.state)
         self.change, self.change_at, self.current, self.current_at, self.roll = None, 0, FIRST, 0, 0
         self.words, self.past, self.said, self.revision = {}, [], Counter(), reply.revision
@@ -293,15 +293,14 @@
             self.since = now
             if self.change:
                 self.out.append(
-                    (
-                        TELL,
+                    LogEvent(
                         "info",
                         "policy: change " + self.change.state,
                         {"number": self.change.record.number, "why": self.change.why},
                     )
                 )
 
-    def _change(self, _now, key, value, revision):
+    def _on_key_changed(self, _now, key, value, revision):
         if revision < self.revision:
             return False
         self.revision = revision
--- a/gullhold/rollout/driver.py
+++ b/gullhold/rollout/driver.py
@@ -21,7 +21,7 @@
     """One member's side, and the carrier's where this member owns that. All but what is said to be on the
     core's thread is called from the fleet's."""
 
-    def __init__(self, fleet, record, agreement, clock, surely_us):
+    def __init__(self, fleet, record, agreement, clock, guaranteed_us):
         self.fleet, self.core, self.agreement = fleet, fleet.core, agreement
         self.clock, self.record = clock, record.policy
         # Of the operator's files: {name or word: (whole, kept back)}.
@@ -29,7 +29,7 @@
         self.schedules = [item.name for item in record.schedule]
         door = self.core.door
         self.clients = {name.decode(): weight for name, weight in door.client_weights.items()} if door else {}
-        self.gate = member.Gate(fleet.owner.lease, clock, surely_us, self.record.cut)
+        self.gate = member.Gate(fleet.membership.lease, clock, guaranteed_us, self.record.cut)
         self.member = member.Member(fleet.name, self.gate, self.fits, self._figures)
         fleet.held[change.DUTY] = change.Carrier()
         self.lowest = {}  # wholes while a change is open: neither old nor new parts sum to more than either
@@ -76,8 +76,8 @@
 
     def step(self, now):
         """Go on with whatever is next."""
-        lease = self.fleet.owner.lease
-        self.member.step(now, lease.id if lease.held(now) else 0)
+        lease = self.fleet.membership.lease
+        self.member.step(now, lease.id if lease.is_valid(now) else 0)
         self.carry()
 
     def due(self, now):
@@ -86,7 +86,7 @@
 
     def carry(self):
         """What the member wants done."""
-        while out := self.member.take():
+        while out := self.member.take_actions():
             for what, *told in out:
                 if what == member.CALL:
                     self.fleet.lanes["words"].put(told[1], "policy_replied", told[0])
--- a/gullhold/rollout/member.py
+++ b/gullhold/rollout/member.py
@@ -5,8 +5,8 @@
 can decide without it, and one that starts learns before it sends.
 """
 
-from gullhold.fleet.calls import DONE, MAYBE, Get, Put, Txn
-from gullhold.fleet.holding import AGAIN_US, IDLE_US
+from gullhold.fleet.role_state import IDLE_STEP_US, RETRY_US
+from gullhold.fleet.store_calls import Get, Proof, Put, Transaction
 from gullhold.rollout import record as records
 from gullhold.rollout.change import (
     CANARY,
@@ -40,10 +40,10 @@
 
 class Gate:
     """Whether to send now: asked on the core's thread at each send. lease: with id and until, which another
-    thread changes; clock: monotonic us; surely_us: how long a lease surely holds."""
+    thread changes; clock: monotonic us; guaranteed_us: how long a lease surely holds."""
 
-    def __init__(self, lease, clock, surely_us, cut):
-        self.lease, self.clock, self.surely_us, self.cut = lease, clock, surely_us, cut
+    def __init__(self, lease, clock, guaranteed_us, cut):
+        self.lease, self.clock, self.guaranteed_us, self.cut = lease, clock, guaranteed_us, cut
         self.under, self.asked, self.still = 0, 0, False  # lease on the roll; change open; told to be still
         self.stops = 0  # how often it was told so
         self.known_until = 0  # what is in force was read so lately: a watch that hears nothing is no proof
@@ -51,10 +51,10 @@
 
     def may_dispatch(self):
         """The end of the lease is read before its id: another may begin in between."""
-        now, until = self.clock(), self.lease.until
+        now, until = self.clock(), self.lease.valid_until
         if now < self.spare_until:
             return True
-        early = self.surely_us // STAND_PART if self.cut == STAND and self.asked else 0
+        early = self.guaranteed_us // STAND_PART if self.cut == STAND and self.asked else 0
         return (
             not self.still
             and now < until - early
@@ -78,7 +78,7 @@
         """Whether what comes is turned away: it is not known by what to decide. Being still is a moment."""
         now = self.clock()
         return now >= self.spare_until and not (
-            self.under and now < self.lease.until and now < self.known_until
+            self.under and now < self.lease.valid_until and now < self.known_until
         )
 
 
@@ -102,7 +102,7 @@
         self.word, self.word_at, self.said = None, 0, None  # to say; as it stands, and its revision
         self.look_at, self.sent_at, self.heard = 0, 0, {}  # heard: the newest revision of each key
 
-    def take(self):
+    def take_actions(self):
         """What is to be done now, in order."""
         out, self.out = self.out, []
         return out
@@ -123,19 +123,19 @@
         if self.state == ON:
             self._tell_figures(now)
         if self.state == LEARNING:
-            self._call("looked", Txn((), (Get(CURRENT), Get(CHANGE), Get(ROLL))))
+            self._call("looked", Transaction((), (Get(CURRENT), Get(CHANGE), Get(ROLL))))
         elif self.state == ENROLLING:
             when = ((CURRENT, self.current_at), (CHANGE, self.change_at), (ROLL, self.roll))
             self._call(
                 "enrolled",
-                Txn(
+                Transaction(
                     when, (Put(self.key(), Word(self.record.number).pack(), self.lease), Put(ROLL, self.name))
                 ),
             )
         elif self.state == ON and self.word != self.said:
             self._call(
                 "told",
-                Txn(
+                Transaction(
                     ((self.key(), self.word_at),),
                     (Put(self.key(), self.word.pack(), self.lease),),
                     (Get(self.key()),),
@@ -143,14 +143,14 @@
             )
             self.said = None  # until its reply is here, it is not known what stands
         elif self.state == ON and now >= self.look_at:
-            self._call("seen_again", Txn((), (Get(CURRENT), Get(CHANGE))))
+            self._call("seen_again", Transaction((), (Get(CURRENT), Get(CHANGE))))
         if self.under_way:
             self.sent_at = now
 
     def due(self, now):
         """When to step() at the latest."""
         if not self.lease or self.under_way or self.state == ADOPTING:
-            return now + IDLE_US  # what is waited for comes by itself
+            return now + IDLE_STEP_US  # what is waited for comes by itself
         at = now
         if self.state == ON and self.word == self.said:
             at = min(self.look_at, self.tell_at) if self._tells() else self.look_at
@@ -189,15 +189,15 @@
             return
         purpose, _, word = self.under_way
         self.under_way = None
-        if reply.proof != DONE:
-            self.again_at = now + AGAIN_US
-            if purpose == "enrolled" and reply.proof == MAYBE:
+        if reply.proof != Proof.DONE:
+            self.again_at = now + RETRY_US
+            if purpose == "enrolled" and reply.proof == Proof.UNKNOWN:
                 self._become(LEARNING)  # we may be on the roll: a look at what is in force, and once more
         getattr(self, "_" + purpose)(now, reply, word)
         self.step(now, self.lease)
 
     def _looked(self, now, reply, _word):
-        if reply.proof != DONE:
+        if reply.proof != Proof.DONE:
             return
         found = {item.key: item for item in reply.items}
         self.seen, self.heard = reply.revision, {}
@@ -230,7 +230,7 @@
 
     def _unfit(self, now, why):
         """What is in force can't be run here: nothing is sent."""
-        self.gate.under, self.again_at = 0, now + AGAIN_US * 5
+        self.gate.under, self.again_at = 0, now + RETRY_US * 5
         self.out.append((TELL, "error", "what is in force can't be run here", {"why": why}))
         self._become(LEARNING)
 
@@ -252,13 +252,13 @@
 
     def _surely(self):
         """What was read by the call that has come back counts from when it was sent."""
-        self.gate.known_until = self.sent_at + self.gate.surely_us
-        self.look_at = self.sent_at + self.gate.surely_us // LOOKS
+        self.gate.known_until = self.sent_at + self.gate.guaranteed_us
+        self.look_at = self.sent_at + self.gate.guaranteed_us // LOOKS
 
     def _seen_again(self, now, reply, _word):
         """A look at what stands, besides the watch: guards against a watch that has fallen silent while the
         lease is kept."""
-        if reply.proof != DONE or reply.revision < max(self.seen, *self.heard.values(), 0):
+        if reply.proof != Proof.DONE or reply.revision < max(self.seen, *self.heard.values(), 0):
             return  # or an answer from the past
         found = {item.key: item for item in reply.items}
         for key in (CURRENT, CHANGE):
@@ -268,10 +268,10 @@
         if self.state == ON and not self.gate.still:
             self._surely()
         elif self.state == ON:
-            self.look_at = now + AGAIN_US
+            self.look_at = now + RETRY_US
 
     def _enrolled(self, now, reply, _word):
-        if reply.proof != DONE or not reply.met:
+        if reply.proof != Proof.DONE or not reply.succeeded:
             self._become(LEARNING)  # something changed since we looked
             return
         self.word = self.said = Word(self.record.number)
@@ -284,9 +284,11 @@
         self._heard_change(now)
 
     def _told(self, now, reply, word):
-        if reply.proof == DONE and reply.met:
+        if reply.proof == Proof.DONE and reply.succeeded:
             self.said, self.word_at = word, reply.revision
-        elif reply.proof == DONE:  # a call that was given up was carried out: what stands is compared with
+        elif (
+            reply.proof == Proof.DONE
+        ):  # a call that was given up was carried out: what stands is compared with
             self.word_at = reply.items[0].revision if reply.items else 0
 
     def changed(self, now, key, value, revision):
--- a/gullhold/rollout/show.py
+++ b/gullhold/rollout/show.py
@@ -8,9 +8,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from gullhold.fleet.calls import DONE, NOT_DONE, Put, Read, Txn
 from gullhold.fleet.driver import KEYS
 from gullhold.fleet.register import Register
+from gullhold.fleet.store_calls import Proof, Put, ReadPrefix, Transaction
 from gullhold.rollout import change
 from gullhold.rollout import record as records
 from gullhold.rollout.record import FIRST, Record, Unfit
@@ -31,8 +31,8 @@
 
     def read(self):
         """(text by key, revision by key) of all that stands of policies."""
-        reply = self.session.call(Read(change.ROOT))
-        if reply.proof != DONE:
+        reply = self.session.call(ReadPrefix(change.ROOT))
+        if reply.proof != Proof.DONE:
             raise Away
         return (
             {item.key: item.value for item in reply.items},
@@ -65,10 +65,10 @@
             text,
         ).sealed()
         acts, when = change.propose(record, items, revisions, **how)
-        reply = self.session.call(Txn(when, acts))
-        if reply.proof == NOT_DONE:
+        reply = self.session.call(Transaction(when, acts))
+        if reply.proof == Proof.NOT_DONE:
             raise Away
-        if reply.proof == DONE and not reply.met:
+        if reply.proof == Proof.DONE and not reply.succeeded:
             raise Unfit("somebody else proposed at the same moment")
         return record  # also where the reply was lost: what stands will say
 
@@ -81,12 +81,12 @@
         if opened.state in (change.DECIDED, change.DROPPED):
             raise Unfit(f"change {opened.record.number} is {opened.state} already")
         reply = self.session.call(
-            Txn(
+            Transaction(
                 ((change.CHANGE, revisions[change.CHANGE]),),
                 (Put(change.CHANGE, opened._replace(drop=True).pack()),),
             )
         )
-        if reply.proof != DONE or not reply.met:
+        if reply.proof != Proof.DONE or not reply.succeeded:
             raise Away
         return opened.record.number
 
--- a/gullhold/testing/changecheck.py
+++ b/gullhold/testing/changecheck.py
@@ -6,8 +6,8 @@
 
 import random
 
-from gullhold.fleet.calls import Grant, Txn
 from gullhold.fleet.lease import Lease
+from gullhold.fleet.store_calls import GrantLease, Transaction
 from gullhold.rollout import change, member
 from gullhold.rollout.record import Record
 from gullhold.testing import walking
@@ -27,7 +27,7 @@
         self.world, self.name, self.rate, self.cut = world, name, rate, False
         self.lease, self.number, self.todo, self.seen = Lease(TERMS), 0, [], None
         self.text, self.told, self.failed = "", 0, 0
-        self.gate = world.make["gate"](self.lease, self, TERMS.surely_us(), world.make["cut"])
+        self.gate = world.make["gate"](self.lease, self, TERMS.guaranteed_us(), world.make["cut"])
         self.member = world.make["member"](
             name, self.gate, lambda record: world.fits(record, name), self.figures
         )
@@ -77,7 +77,7 @@
         return "no such tenant" if record.text == BAD and name == NAMES[1] else ""
 
     def _gather(self, one):
-        for what, *told in one.member.take():
+        for what, *told in one.member.take_actions():
             if what == member.CALL:
                 self.calls.append((one, told[1], ("replied", told[0])))
             elif what == member.ADOPT:
@@ -88,7 +88,7 @@
                 one.seen = told[0]
 
     def _step(self, one):
-        one.member.step(one(), one.lease.id if one.lease.held(one()) else 0)
+        one.member.step(one(), one.lease.id if one.lease.is_valid(one()) else 0)
         self._gather(one)
 
     def actions(self):
@@ -157,7 +157,7 @@
         self._step_holders()
 
     def _grant(self, one):
-        one.lease.kept(self.model.call(Grant(TERMS.ttl_s), self.now).lease, one())
+        one.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, one())
         one.seen = None
 
     def _do_reply(self, i):
@@ -212,7 +212,7 @@
             silence=change.DROP,
             canary=canary,
         )
-        self.model.call(Txn(when, acts), self.now)
+        self.model.call(Transaction(when, acts), self.now)
 
     def _do_send(self, i):
         """What goes out goes by what the core has."""
@@ -266,13 +266,13 @@
                     one.seen,
                     str(one.member.word),
                     tuple(map(str, one.todo)),
-                    max(0, one.lease.until - one()),
+                    max(0, one.lease.valid_until - one()),
                 )
                 for one in self.members
             ),
             tuple((key, item.value, item.revision) for key, item in sorted(self.model.keys.items())),
             tuple((tag[0], str(request)) for _, request, tag in self.calls),
-            tuple((tag[0], reply.proof, reply.met) for _, tag, reply in self.replies),
+            tuple((tag[0], reply.proof, reply.succeeded) for _, tag, reply in self.replies),
             tuple(map(str, self.ghosts)),
             tuple(self.seen),
             self.owner,
--- a/gullhold/testing/changemutants.py
+++ b/gullhold/testing/changemutants.py
@@ -1,6 +1,6 @@
 """Deliberate faults in the decisions of a change: the explorer finds each one, or it has a gap."""
 
-from gullhold.fleet.calls import DONE, Txn
+from gullhold.fleet.store_calls import Proof, Transaction
 from gullhold.rollout import change
 from gullhold.rollout.change import CHANGE, CHECKED, DECIDED, PREPARED, READY, ROLL, STILL, Carrier
 from gullhold.rollout.member import ENROLLING, LEARNING, ON, Gate, Member
@@ -18,7 +18,7 @@
     """Takes a watch that says nothing for a proof that nothing changed."""
 
     def may_dispatch(self):
-        self.known_until = max(self.known_until, self.clock() + self.surely_us)
+        self.known_until = max(self.known_until, self.clock() + self.guaranteed_us)
         return super().may_dispatch()
 
 
@@ -37,7 +37,7 @@
         super().step(now, lease)
         if self.out and self.under_way and self.under_way[0] == "enrolled":
             what, serial, request = self.out[-1]
-            self.out[-1] = (what, serial, Txn((), request.acts))
+            self.out[-1] = (what, serial, Transaction((), request.operations))
 
 
 class SendsAtOnce(Member):
@@ -46,7 +46,11 @@
     def step(self, now, lease):
         super().step(now, lease)
         if self.state in (LEARNING, ENROLLING):
-            self.gate.under, self.gate.still, self.gate.known_until = lease, False, now + self.gate.surely_us
+            self.gate.under, self.gate.still, self.gate.known_until = (
+                lease,
+                False,
+                now + self.gate.guaranteed_us,
+            )
 
 
 class SaysYes(Member):
@@ -78,7 +82,7 @@
     """Takes a word whose reply was lost for said."""
 
     def _told(self, now, reply, word):
-        if reply.proof != DONE:
+        if reply.proof != Proof.DONE:
             self.said = word
         super()._told(now, reply, word)
 
@@ -104,10 +108,10 @@
 class RollForgotten(Carrier):
     """Decides whoever joined meanwhile."""
 
-    def take(self):
+    def take_actions(self):
         return [
             (*row[:4], tuple(pair for pair in row[4] if pair[0] != ROLL)) if len(row) == 5 else row
-            for row in super().take()
+            for row in super().take_actions()
         ]
 
 
@@ -138,8 +142,8 @@
 class NotCompared(Carrier):
     """Writes whatever stands: a write that was given up may come after another change."""
 
-    def take(self):
-        return [(*row[:4], ()) if len(row) == 5 else row for row in super().take()]
+    def take_actions(self):
+        return [(*row[:4], ()) if len(row) == 5 else row for row in super().take_actions()]
 
 
 class GoneForgotten(Carrier):
--- a/gullhold/testing/child.py
+++ b/gullhold/testing/child.py
@@ -30,11 +30,11 @@
 
 def point_of(request):
     """What a request of the register is, in a script's words."""
-    from gullhold.fleet import calls  # noqa: PLC0415
+    from gullhold.fleet import store_calls  # noqa: PLC0415  once the clocks run at the rig's rate
 
-    if isinstance(request, calls.Keep):
+    if isinstance(request, store_calls.KeepLeaseAlive):
         return "keep"
-    puts = [act for act in getattr(request, "acts", ()) if isinstance(act, calls.Put)]
+    puts = [act for act in getattr(request, "operations", ()) if isinstance(act, store_calls.Put)]
     if any(act.key.startswith("duties/") for act in puts):
         return "claim"
     if any(act.key == "budget/fence" for act in puts):
--- a/gullhold/testing/dividecheck.py
+++ b/gullhold/testing/dividecheck.py
@@ -11,8 +11,8 @@
 from gullhold.budgets.divider import Budget, Divider
 from gullhold.budgets.ledger import HELD, WINDOWED
 from gullhold.budgets.purse import Purses, Rule
-from gullhold.fleet.calls import DONE, Grant, Put, Txn
 from gullhold.fleet.lease import Lease
+from gullhold.fleet.store_calls import GrantLease, Proof, Put, Transaction
 from gullhold.testing import walking
 from gullhold.testing.ownercheck import Model
 from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
@@ -88,7 +88,7 @@
         self._grant(member)
 
     def _grant(self, member):
-        member.lease.kept(self.model.call(Grant(TERMS.ttl_s), self.now).lease, member())
+        member.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
         member.asked_revision, member.heard = 0, 0
         member.purses.fresh(member.lease.id)
         self._report(member)
@@ -99,7 +99,7 @@
         when = ((key, member.asked_revision),) if self.make["compared"] else ()
         text = duty.report_text(member.purses.seen, told, left)
         self.calls.append(
-            (member, Txn(when, (Put(key, text, 0 if left else member.lease.id),)), ("reported", key))
+            (member, Transaction(when, (Put(key, text, 0 if left else member.lease.id),)), ("reported", key))
         )
 
     def actions(self):
@@ -126,7 +126,7 @@
 
     def may_report(self, member):
         """One report of a member is under way at a time."""
-        return member.lease.held(member()) and not any(who is member for who, *_ in self.calls)
+        return member.lease.is_valid(member()) and not any(who is member for who, *_ in self.calls)
 
     def _rows(self, member):
         key = duty.PARTS + member.key()
@@ -156,7 +156,7 @@
             self._held(who, what, *told, reply)
 
     def _reported(self, member, reply):
-        if reply.proof == DONE and reply.met:
+        if reply.proof == Proof.DONE and reply.succeeded:
             member.asked_revision = reply.revision
         else:  # as the driver does: what stands is looked at, and told anew
             item = self.model.keys.get(duty.ASKS + member.key())
@@ -200,7 +200,7 @@
     def _do_leave(self, i):
         """In good order: nothing is begun any more, the last word is written, the lease goes."""
         member = self.members[i]
-        if member.lease.held(member()) and not member.cut:
+        if member.lease.is_valid(member()) and not member.cut:
             self.calls = [row for row in self.calls if row[0] is not member]
             self._report(member, left=True)
             _, request, _ = self.calls.pop()
@@ -230,14 +230,14 @@
                     one.purse.out,
                     one.want,
                     one.heard,
-                    max(0, one.lease.until - one()),
+                    max(0, one.lease.valid_until - one()),
                     len(one.purse.spent),
                 )
                 for one in self.members
             ),
             tuple((key, item.value) for key, item in sorted(self.model.keys.items())),
             tuple((tag, str(request)) for _, request, tag in self.calls),
-            tuple((tag, reply.proof, reply.met) for _, tag, reply in self.replies),
+            tuple((tag, reply.proof, reply.succeeded) for _, tag, reply in self.replies),
             tuple(map(str, self.ghosts)),
             tuple(self.seen),
             self.owner,
--- a/gullhold/testing/dividemutants.py
+++ b/gullhold/testing/dividemutants.py
@@ -7,7 +7,7 @@
 from gullhold.budgets.duty import Dividing
 from gullhold.budgets.ledger import Ledger
 from gullhold.budgets.purse import Purse, Purses
-from gullhold.fleet.calls import DONE, MAYBE
+from gullhold.fleet.store_calls import Proof
 from gullhold.testing import dividecheck, walking
 
 
@@ -93,16 +93,16 @@
 class NoFence(Dividing):
     """Compares its writes with the token alone: one that was given up may come between two later ones."""
 
-    def take(self):
-        return [(*row[:4], ()) if len(row) == 5 else row for row in super().take()]
+    def take_actions(self):
+        return [(*row[:4], ()) if len(row) == 5 else row for row in super().take_actions()]
 
 
 class MaybeIsDone(Dividing):
     """Takes a write whose reply was lost for done, and its fence for the last one."""
 
     def written(self, now, serial, reply):
-        if reply.proof == MAYBE and self.writing == serial:
-            reply = reply._replace(proof=DONE, revision=self.fence)
+        if reply.proof == Proof.UNKNOWN and self.writing == serial:
+            reply = reply._replace(proof=Proof.DONE, revision=self.fence)
         super().written(now, serial, reply)
 
 
--- a/gullhold/testing/ownercheck.py
+++ b/gullhold/testing/ownercheck.py
@@ -8,21 +8,19 @@
 
 import random
 
-from gullhold.fleet import owner
-from gullhold.fleet.calls import (
-    DONE,
-    MAYBE,
-    NOT_DONE,
-    Drop,
+from gullhold.fleet import membership
+from gullhold.fleet.store_calls import (
+    Delete,
     Get,
-    Grant,
-    Held,
-    Item,
-    Keep,
+    GrantLease,
+    KeepLeaseAlive,
+    KeyValue,
+    Proof,
     Put,
-    Read,
+    ReadLeaseKeys,
+    ReadPrefix,
     Reply,
-    Revoke,
+    RevokeLease,
 )
 from gullhold.testing import walking
 from gullhold.testing.walking import QUANTUM_US, TERMS, Broken
@@ -38,13 +36,13 @@
 class Model:
     """The register: keys with revisions, leases, the history of keys with a prefix."""
 
-    def __init__(self, prefix=owner.MEMBERS):
+    def __init__(self, prefix=membership.MEMBERS):
         self.prefix = prefix
         self.revision, self.serial, self.keys, self.leases, self.past = 1, 0, {}, {}, []
         self.accepted = {}  # effects: the highest token of each duty
 
     def put(self, key, value, lease):
-        self.keys[key] = Item(key, value, self.revision, lease)
+        self.keys[key] = KeyValue(key, value, self.revision, lease)
         self._past(key, value)
 
     def drop(self, key):
@@ -69,27 +67,27 @@
 
     def call(self, request, now):
         """Carry a request out; its reply."""
-        if isinstance(request, Grant):
+        if isinstance(request, GrantLease):
             self.serial += 1
             self.leases[self.serial] = now + request.ttl_s * 1_000_000
-            return Reply(DONE, self.revision, lease=self.serial, ttl_s=request.ttl_s)
-        if isinstance(request, Keep):
+            return Reply(Proof.DONE, self.revision, lease=self.serial, ttl_s=request.ttl_s)
+        if isinstance(request, KeepLeaseAlive):
             if request.lease not in self.leases:
-                return Reply(DONE, self.revision)
+                return Reply(Proof.DONE, self.revision)
             self.leases[request.lease] = now + TERMS.ttl_s * 1_000_000
-            return Reply(DONE, self.revision, ttl_s=TERMS.ttl_s)
-        if isinstance(request, Revoke):
+            return Reply(Proof.DONE, self.revision, ttl_s=TERMS.ttl_s)
+        if isinstance(request, RevokeLease):
             self.end(request.lease)
-            return Reply(DONE, self.revision)
-        if isinstance(request, Held):
+            return Reply(Proof.DONE, self.revision)
+        if isinstance(request, ReadLeaseKeys):
             return Reply(
-                DONE,
+                Proof.DONE,
                 self.revision,
                 keys=tuple(key for key, item in self.keys.items() if item.lease == request.lease),
             )
-        if isinstance(request, Read):
+        if isinstance(request, ReadPrefix):
             return Reply(
-                DONE,
+                Proof.DONE,
                 self.revision,
                 items=tuple(
                     item for key, item in sorted(self.keys.items()) if key.startswith(request.prefix)
@@ -99,25 +97,26 @@
 
     def _txn(self, request):
         met = all(
-            (self.keys[key].revision if key in self.keys else 0) == revision for key, revision in request.when
+            (self.keys[key].revision if key in self.keys else 0) == revision
+            for key, revision in request.conditions
         )
-        acts = request.acts if met else request.others
+        acts = request.operations if met else request.otherwise
         if any(isinstance(act, Put) and act.lease and act.lease not in self.leases for act in acts):
-            return Reply(NOT_DONE)
+            return Reply(Proof.NOT_DONE)
         items = tuple(self.keys[act.key] for act in acts if isinstance(act, Get) and act.key in self.keys)
-        self.revision += any(isinstance(act, Put | Drop) for act in acts)
+        self.revision += any(isinstance(act, Put | Delete) for act in acts)
         for act in acts:
             if isinstance(act, Put):
                 self.put(act.key, act.value, act.lease)
-            elif isinstance(act, Drop):
+            elif isinstance(act, Delete):
                 self.drop(act.key)
-        return Reply(DONE, self.revision, met=met, items=items)
+        return Reply(Proof.DONE, self.revision, succeeded=met, items=items)
 
 
 class World:
     """Members, register, and what is under way. act() takes one of actions(); raises Broken."""
 
-    def __init__(self, names, duties, make=owner.Owner, faults=3):
+    def __init__(self, names, duties, make=membership.Membership, faults=3):
         self.now, self.model, self.make, self.duties, self.faults = 10_000_000, Model(), make, duties, faults
         self.members, self.rates, self.calls, self.replies, self.ghosts = [], [], [], [], []
         self.effects, self.slow = [], []
@@ -129,7 +128,7 @@
         """A process begins."""
         self.nonce += 1
         self.rates.append(RATES[len(self.members) % len(RATES)])
-        rule = owner.Rule(TERMS, 0, 100, 50_000, 100_000, 500_000)
+        rule = membership.Rule(TERMS, 0, 100, 50_000, 100_000, 500_000)
         member = self.make(
             name, f"x{self.nonce}", rule, self.duties, lambda: HALF, self.clock(len(self.members))
         )
@@ -147,10 +146,10 @@
         self._collect(i)
 
     def _collect(self, i):
-        for what, *told in self.members[i].take():
-            if what == owner.CALL:
+        for what, *told in self.members[i].take_actions():
+            if what == membership.CALL:
                 self.calls.append((i, told[0]))
-            elif what == owner.WATCH:
+            elif what == membership.WATCH:
                 self.seen[i] = told[0]
 
     def actions(self):
@@ -170,14 +169,16 @@
             if self.asleep[i]:
                 found += [] if i in self.dead else [("wake", i)]
                 continue
-            if self.faults and member.state == owner.IN:
+            if self.faults and member.state == membership.IN:
                 found += [("sleep", i), ("die", i)]
-            if self.faults and member.state != owner.OUT:
+            if self.faults and member.state != membership.OUT:
                 found.append(("restart", i))
             if self._news(i):
                 found.append(("tell", i))
             if len(self.effects) < 2:
-                found += [("effect", i, duty) for duty in self.duties if member.may_act(duty, self.clock(i))]
+                found += [
+                    ("effect", i, duty) for duty in self.duties if member.fencing_token(duty, self.clock(i))
+                ]
         return found
 
     def _news(self, i):
@@ -207,8 +208,8 @@
         elif what == "late":
             self.model.call(self.ghosts.pop(k), self.now)
         elif what == "effect":
-            token = self.members[k].may_act(duty, self.clock(k))
-            request = self.members[k].effect(duty, token, (Put("beats/" + duty, str(token)),))
+            token = self.members[k].fencing_token(duty, self.clock(k))
+            request = self.members[k].fenced_transaction(duty, token, (Put("beats/" + duty, str(token)),))
             self.effects.append((duty, token, request))
         elif what == "land":
             self._land(*self.effects.pop(k))
@@ -235,7 +236,7 @@
     def _of_call(self, what, i, call):
         if what == "hold back":
             self.ghosts.append(call.request)
-        reply = Reply(NOT_DONE) if what == "refuse" else Reply(MAYBE)
+        reply = Reply(Proof.NOT_DONE) if what == "refuse" else Reply(Proof.UNKNOWN)
         if what in ("lose the reply", "answer late"):
             told = self.model.call(call.request, self.now)
             reply = told if what == "answer late" else reply
@@ -243,10 +244,10 @@
 
     def _land(self, duty, token, request):
         reply = self.model.call(request, self.now)
-        if reply.proof == DONE and reply.met:
+        if reply.proof == Proof.DONE and reply.succeeded:
             if token < self.model.accepted.get(duty, 0):
                 raise Broken(f"an effect on {duty} under {token} after {self.model.accepted[duty]}")
-            held = self.model.keys.get(owner.DUTIES + duty)
+            held = self.model.keys.get(membership.DUTIES + duty)
             if held is None or held.revision != token:
                 raise Broken(f"an effect on {duty} under {token}, which is nobody's")
             self.model.accepted[duty] = token
@@ -254,22 +255,22 @@
     def check(self):
         """What holds at every moment."""
         for duty in self.duties:
-            held = self.model.keys.get(owner.DUTIES + duty)
+            held = self.model.keys.get(membership.DUTIES + duty)
             acting = [
                 (i, token)
                 for i, member in enumerate(self.members)
-                if (token := member.may_act(duty, self.clock(i)))
+                if (token := member.fencing_token(duty, self.clock(i)))
             ]
             if len(acting) > 1:
                 raise Broken(f"{duty} has {len(acting)} owners at once: {acting}")
             for i, token in acting:
                 if held is None or held.revision != token:
                     raise Broken(f"{self.members[i].name} acts on {duty} under {token}, which is not its own")
-                known = self.model.keys.get(owner.MEMBERS + self.members[i].name)
+                known = self.model.keys.get(membership.MEMBERS + self.members[i].name)
                 if (
                     known
                     and known.revision < (self.seen[i] or 0)
-                    and owner.written(known.value).get("nonce") != self.members[i].nonce
+                    and membership.written(known.value).get("nonce") != self.members[i].nonce
                 ):
                     raise Broken(f"{self.members[i].name} acts though it knows a later process of its name")
 
@@ -299,7 +300,7 @@
         return (
             member.state,
             member.lease.id,
-            max(0, member.lease.until - now),
+            max(0, member.lease.valid_until - now),
             member.key_revision,
             member.ready,
             tuple(sorted(member.tokens.items())),
@@ -332,19 +333,19 @@
             later = any(
                 other.name == member.name and other.incarnation > member.incarnation for other in self.members
             )
-            if (not later or not member.incarnation) and i not in self.dead and member.state != owner.IN:
+            if (not later or not member.incarnation) and i not in self.dead and member.state != membership.IN:
                 raise Broken(f"the process of {member.name} that joined last is {member.state}")
         for duty in self.duties:
             alive = [
                 i
                 for i in range(len(self.members))
-                if i not in self.dead and self.members[i].state != owner.OUT
+                if i not in self.dead and self.members[i].state != membership.OUT
             ]
-            if alive and not any(self.members[i].may_act(duty, self.clock(i)) for i in alive):
+            if alive and not any(self.members[i].fencing_token(duty, self.clock(i)) for i in alive):
                 raise Broken(f"{duty} has no owner though nothing is wrong any more")
 
 
-def fleet(make=owner.Owner, names=NAMES, duties=DUTIES, faults=3):
+def fleet(make=membership.Membership, names=NAMES, duties=DUTIES, faults=3):
     """A world whose members have settled."""
     world = World(names, duties, make, faults=0)
     world.calm()
@@ -353,7 +354,7 @@
     return world
 
 
-def explore(depth, most, make=owner.Owner, faults=2, seed=0):
+def explore(depth, most, make=membership.Membership, faults=2, seed=0):
     """(states met, the depth that was gone through whole) from a settled fleet; raises Broken with its story.
 
     most: states after which it stops. Which actions come first at one depth is drawn from the seed.
@@ -456,7 +457,7 @@
 MANNERS = (Wild, Fair, Scheme)
 
 
-def walk(seed, steps, make=owner.Owner, faults=6):
+def walk(seed, steps, make=membership.Membership, faults=6):
     """One walk, in a manner by its seed, then calm; raises Broken with its story.
 
     What it met is returned: marks of states.
--- a/gullhold/testing/ownermutants.py
+++ b/gullhold/testing/ownermutants.py
@@ -3,36 +3,38 @@
 A mutant is the product's class with one method changed.
 """
 
-from gullhold.fleet import owner
-from gullhold.fleet.calls import DONE, MAYBE, Put, Txn
-from gullhold.fleet.owner import DUTIES, MEMBERS, Owner
+from gullhold.fleet import membership
+from gullhold.fleet.membership import DUTIES, MEMBERS, Membership
+from gullhold.fleet.store_calls import Proof, Put, Transaction
 from gullhold.testing import ownercheck, walking
 
 
-class NoDriftMargin(Owner):
+class NoDriftMargin(Membership):
     """Counts a lease by its own clock for as long as it was granted."""
 
     def __init__(self, name, nonce, rule, duties, chance, now):
         terms = rule.terms._replace(drift=0.0)
-        rule = owner.Rule(terms, rule.settle_us, rule.moves, rule.pause_least, rule.pause_most, rule.leave_us)
+        rule = membership.Rule(
+            terms, rule.settle_us, rule.moves, rule.pause_least, rule.pause_most, rule.leave_us
+        )
         super().__init__(name, nonce, rule, duties, chance, now)
 
 
-class LeaseFromReply(Owner):
+class LeaseFromReply(Membership):
     """Counts a lease from when it heard of it."""
 
     def _replied_keep(self, now, call, reply):
         super()._replied_keep(now, call._replace(sent_at=now), reply)
 
 
-class TokenNotCompared(Owner):
+class TokenNotCompared(Membership):
     """Effects carry no token."""
 
-    def effect(self, duty, token, acts, when=()):
-        return Txn(tuple(when), tuple(acts))
+    def fenced_transaction(self, duty, token, acts, when=()):
+        return Transaction(tuple(when), tuple(acts))
 
 
-class OldToken(Owner):
+class OldToken(Membership):
     """Acts after its lease was lost, under the tokens that it had, once it has another lease."""
 
     def _drop_all(self, why):
@@ -41,14 +43,14 @@
         self.tokens = kept
 
 
-class LeaseNotLooked(Owner):
+class LeaseNotLooked(Membership):
     """Goes by what it last knew, whatever the time."""
 
-    def may_act(self, duty, now):
-        return self.tokens.get(duty, 0) if self.state == owner.IN else 0
+    def fencing_token(self, duty, now):
+        return self.tokens.get(duty, 0) if self.state == membership.IN else 0
 
 
-class ActsWhileReleasing(Owner):
+class ActsWhileReleasing(Membership):
     """Goes on acting until it hears that a duty was let go."""
 
     def _gone(self, duty, why):
@@ -61,27 +63,27 @@
         super()._replied_release(now, call, reply)
 
 
-class MaybeIsDone(Owner):
+class MaybeIsDone(Membership):
     """Takes a lost reply to a claim for a yes."""
 
     def _replied_claim(self, now, call, reply):
-        if reply.proof == MAYBE:
-            reply = reply._replace(proof=DONE, revision=self.seen + 1)
+        if reply.proof == Proof.UNKNOWN:
+            reply = reply._replace(proof=Proof.DONE, revision=self.seen + 1)
         super()._replied_claim(now, call, reply)
 
 
-class MaybeIsNot(Owner):
+class MaybeIsNot(Membership):
     """Takes a lost reply to a release for a no, and goes on under the old token."""
 
     def _replied_release(self, now, call, reply):
-        if reply.proof == MAYBE:
-            for key, token in call.request.when:
+        if reply.proof == Proof.UNKNOWN:
+            for key, token in call.request.conditions:
                 self._won(key.removeprefix(DUTIES), token)
         else:
             super()._replied_release(now, call, reply)
 
 
-class TokenReused(Owner):
+class TokenReused(Membership):
     """Finds its own key after a lost reply and goes on under that token: an older call may still undo it."""
 
     def _saw(self, now, duty, item):
@@ -91,22 +93,22 @@
             self._won(duty, self.known.pop(duty))
 
 
-class ClaimsHeld(Owner):
+class ClaimsHeld(Membership):
     """Takes a duty whatever the register has of it."""
 
     def _claim(self, about):
         asked = super()._claim(about)
-        return asked and (asked[0], asked[1]._replace(when=asked[1].when[:1]), asked[2])
+        return asked and (asked[0], asked[1]._replace(conditions=asked[1].conditions[:1]), asked[2])
 
 
-class NameNotWatched(Owner):
+class NameNotWatched(Membership):
     """Does not see that a later process has its name."""
 
     def _superseded(self, now):
         pass
 
 
-class DeafToGoing(Owner):
+class DeafToGoing(Membership):
     """Does not hear that a member has gone."""
 
     def changed(self, now, key, value, revision):
@@ -114,7 +116,7 @@
             super().changed(now, key, value, revision)
 
 
-class OldReplies(Owner):
+class OldReplies(Membership):
     """Believes replies that were asked for under a lease that is no more."""
 
     def reply(self, now, call, reply):
@@ -122,31 +124,31 @@
         super().reply(now, call, reply)
 
 
-class JoinsOver(Owner):
+class JoinsOver(Membership):
     """Writes its own key whatever stands there: an older process may push out a later one."""
 
     def _state_call(self, now):
         asked = super()._state_call(now)
         if asked and asked[0] in ("join", "ready"):
-            return asked[0], asked[1]._replace(when=()), asked[2]
+            return asked[0], asked[1]._replace(conditions=()), asked[2]
         return asked
 
 
-class NothingLetGo(Owner):
+class NothingLetGo(Membership):
     """Keeps what others should have."""
 
     def _loose(self):
         return []
 
 
-class NoLease(Owner):
+class NoLease(Membership):
     """Claims with keys that hang on no lease."""
 
     def _claim(self, about):
         asked = super()._claim(about)
         return asked and (
             asked[0],
-            asked[1]._replace(acts=tuple(Put(act.key, act.value) for act in asked[1].acts)),
+            asked[1]._replace(operations=tuple(Put(act.key, act.value) for act in asked[1].operations)),
             asked[2],
         )
 
--- a/gullhold/testing/plancheck.py
+++ b/gullhold/testing/plancheck.py
@@ -8,8 +8,8 @@
 
 from gullhold.fleet import schedule
 from gullhold.fleet.calendar import Calendar
-from gullhold.fleet.calls import DONE, MAYBE, NOT_DONE, Item, Put, Reply
 from gullhold.fleet.schedule import Kind, Plan, Rule, record_of
+from gullhold.fleet.store_calls import KeyValue, Proof, Put, Reply
 from gullhold.interface import Idempotency
 from gullhold.testing.walking import Broken
 
@@ -27,15 +27,15 @@
 
     def read(self, prefix):
         """All keys with a prefix."""
-        found = [Item(key, *told) for key, told in sorted(self.items.items()) if key.startswith(prefix)]
-        return Reply(DONE, self.revision, items=tuple(found))
+        found = [KeyValue(key, *told) for key, told in sorted(self.items.items()) if key.startswith(prefix)]
+        return Reply(Proof.DONE, self.revision, items=tuple(found))
 
     def write(self, token, acts, when):
         """A transaction under a token; a record that is final may not change."""
         met = token == self.token and all(self.items.get(key, ("", 0))[1] == at for key, at in when)
         lose, self.lose = self.lose, None
-        if lose == NOT_DONE:
-            return Reply(NOT_DONE)
+        if lose == Proof.NOT_DONE:
+            return Reply(Proof.NOT_DONE)
         if met:
             self.revision += 1
             for act in acts:
@@ -46,7 +46,7 @@
                 if old and old.state not in schedule.OPEN and act.value != self.items[act.key][0]:
                     raise Broken(f"{old.state} became {record_of(act.value).state}")
                 self.items[act.key] = (act.value, self.revision)
-        return Reply(MAYBE) if lose else Reply(DONE, self.revision, met=met)
+        return Reply(Proof.UNKNOWN) if lose else Reply(Proof.DONE, self.revision, succeeded=met)
 
     def records(self):
         """All occurrences that are kept."""
@@ -70,7 +70,7 @@
         """Time passes, and all that is asked for is done."""
         self.now += us
         self.plan.step(self.now)
-        while out := self.plan.take():
+        while out := self.plan.take_actions():
             for what, *told in out:
                 if what == schedule.READ:
                     self.plan.read(self.now, self.store.read(told[0]))
@@ -147,7 +147,7 @@
             plays[-1].now = last.now
             plays[-1].own()
         elif what < 0.3:
-            store.lose = draw.choice((MAYBE, NOT_DONE))
+            store.lose = draw.choice((Proof.UNKNOWN, Proof.NOT_DONE))
         elif what < 0.6:
             us = draw.randrange(900_000)
             for one in plays:
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -7,13 +7,13 @@
 import random
 from bisect import bisect_left
 
-from gullhold.fleet.calls import MAYBE, NOT_DONE, Keep, Read, Reply, Txn
-from gullhold.fleet.holding import FOLLOW, READ, WRITE
-from gullhold.fleet.lease import Terms
+from gullhold.fleet.lease import LeaseTerms
+from gullhold.fleet.role_state import ReadKeys, WatchKeys, WriteKeys
+from gullhold.fleet.store_calls import KeepLeaseAlive, Proof, ReadPrefix, Reply, Transaction
 
 OF_CALLS = ("lose the reply", "hold back", "refuse")  # faults of calls
 QUANTUM_US = 250_000  # between moments: a lease is four of them
-TERMS = Terms(1, 0.15, 0)
+TERMS = LeaseTerms(1, 0.15, 0)
 RATES = (0.87, 1.1, 1.0)  # of clocks against the register's: within the drift
 
 
@@ -82,23 +82,24 @@
             self.act(*todo)
 
     def _collect(self, k):
-        for what, *told in self.holders[k].take():
-            if what == READ:
-                self.calls.append((k, Read(told[1]), ("read", told[0])))
-            elif what == WRITE:
-                serial, token, acts, when = told
-                self.calls.append((k, Txn(((self.duty, token), *when), acts), ("written", serial)))
-            elif what == FOLLOW:
-                self.seen[k] = max(self.seen[k] or 0, told[0])
+        for action in self.holders[k].take_actions():
+            match action:
+                case ReadKeys(serial, prefix):
+                    self.calls.append((k, ReadPrefix(prefix), ("read", serial)))
+                case WriteKeys(serial, token, operations, conditions):
+                    request = Transaction(((self.duty, token), *conditions), operations)
+                    self.calls.append((k, request, ("written", serial)))
+                case WatchKeys(revision):
+                    self.seen[k] = max(self.seen[k] or 0, revision)
 
     def _keep(self, one):
         """A moment has passed for a member's lease."""
-        if not one.cut and one.lease.held(one()):
-            reply = self.model.call(Keep(one.lease.id), self.now)
+        if not one.cut and one.lease.is_valid(one()):
+            reply = self.model.call(KeepLeaseAlive(one.lease.id), self.now)
             if reply.ttl_s:
-                one.lease.kept(one.lease.id, one())
-        if one.lease.id and not one.lease.held(one()):
-            one.lease.lost()
+                one.lease.renew(one.lease.id, one())
+        if one.lease.id and not one.lease.is_valid(one()):
+            one.lease.clear()
         if not one.lease.id and not one.cut:
             self._grant(one)
 
@@ -119,16 +120,16 @@
     def _do_lose_the_reply(self, i):
         who, request, tag = self.calls.pop(i)
         self.model.call(request, self.now)
-        self.replies.append((who, tag, Reply(MAYBE)))
+        self.replies.append((who, tag, Reply(Proof.UNKNOWN)))
 
     def _do_hold_back(self, i):
         who, request, tag = self.calls.pop(i)
         self.ghosts.append(request)
-        self.replies.append((who, tag, Reply(MAYBE)))
+        self.replies.append((who, tag, Reply(Proof.UNKNOWN)))
 
     def _do_refuse(self, i):
         who, _, tag = self.calls.pop(i)
-        self.replies.append((who, tag, Reply(NOT_DONE)))
+        self.replies.append((who, tag, Reply(Proof.NOT_DONE)))
 
     def _do_late(self, i):
         self.model.call(self.ghosts.pop(i), self.now)
--- a/tests/faults/test_durable.py
+++ b/tests/faults/test_durable.py
@@ -8,8 +8,8 @@
 from serving import ROOT, until
 
 from faults.plan import Plan
-from gullhold.fleet.calls import DONE, Grant, Put, Read, Txn
 from gullhold.fleet.register import Register
+from gullhold.fleet.store_calls import GrantLease, Proof, Put, ReadPrefix, Transaction
 from gullhold.testing.register.store import Store
 from gullhold.testing.running import free_address
 
@@ -29,33 +29,33 @@
     plan, address = Plan(tmp_path, seed=len(call + error)), free_address()
     process = started(plan, address, tmp_path)
     session = Register(address, "/t/", 2.0)
-    until(lambda: session.call(Read("/t/")).proof == DONE)
+    until(lambda: session.call(ReadPrefix("/t/")).proof == Proof.DONE)
     done, maybe = {}, {}
     try:
         plan.set(call, 200, error, most=0 if error else 100)
         for n in range(ROUNDS):
             key, value = f"/t/{n % KEYS}", str(n)
-            if session.call(Txn(acts=(Put(key, value),))).proof == DONE:
+            if session.call(Transaction(operations=(Put(key, value),))).proof == Proof.DONE:
                 done[key], maybe[key] = value, []
             else:
                 maybe.setdefault(key, []).append(value)
         assert plan.hits(call) > 3
         plan.clear()
-        assert session.call(Grant(30)).proof == DONE  # it works again, for all
+        assert session.call(GrantLease(30)).proof == Proof.DONE  # it works again, for all
         for n in range(KEYS):
-            assert session.call(Txn(acts=(Put(f"/t/new{n}", "x"),))).proof == DONE
+            assert session.call(Transaction(operations=(Put(f"/t/new{n}", "x"),))).proof == Proof.DONE
             done[f"/t/new{n}"] = "x"
         plan.set(call, 200, error, most=0 if error else 100)
-        session.call(Txn(acts=(Put("/t/last", "x"),)))
-        read = {item.key: item.value for item in session.call(Read("/t/")).items}
+        session.call(Transaction(operations=(Put("/t/last", "x"),)))
+        read = {item.key: item.value for item in session.call(ReadPrefix("/t/")).items}
     finally:
         process.kill()
         process.wait()
     plan.clear()
     again = started(plan, address, tmp_path)
     try:
-        until(lambda: session.call(Read("/t/")).proof == DONE)
-        found = {item.key: item.value for item in session.call(Read("/t/")).items}
+        until(lambda: session.call(ReadPrefix("/t/")).proof == Proof.DONE)
+        found = {item.key: item.value for item in session.call(ReadPrefix("/t/")).items}
     finally:
         again.kill()
         again.wait()
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -12,7 +12,7 @@
 from gullhold.budgets.division import calm, shares
 from gullhold.budgets.ledger import HELD, WEIGHT, WINDOWED, Ledger
 from gullhold.budgets.purse import Purses, Rule
-from gullhold.fleet.lease import Lease, Terms
+from gullhold.fleet.lease import Lease, LeaseTerms
 from gullhold.testing.dividemutants import LEDGERS
 
 S = 1_000_000
@@ -139,8 +139,8 @@
 
 def purse_of(kind, clock=None, whole=1000, **rule):
     """(purses, the one purse, its lease) of a budget; the lease holds for a thousand seconds."""
-    lease = Lease(Terms(1000, 0.0, 0))
-    lease.kept(7, 0)
+    lease = Lease(LeaseTerms(1000, 0.0, 0))
+    lease.renew(7, 0)
     purses = Purses(
         {(0, 0): Rule(kind, whole, **rule)}, lambda budget, of: f"b/{of}", lease, clock or Clock()
     )
@@ -173,9 +173,9 @@
     assert purse.used(clock.now) == 2 and purse.used(S) == 1  # what was given up counts for a while
     clock.now = S
     assert purse.allows(1)
-    lease.lost()
+    lease.clear()
     assert purse.limit() == purse.alone(clock.now) == 1 and not purse.allows(1)
-    lease.kept(8, S)  # another lease: what was told under the first is no more
+    lease.renew(8, S)  # another lease: what was told under the first is no more
     assert purse.limit() == 1
     purses.fresh(8)
     assert purse.limit() == 1
@@ -196,7 +196,7 @@
     assert purses.fencing_token() == 0 and purses.token_valid(
         0
     )  # what is allowed now is what is kept back for it
-    lease.kept(8, clock.now)
+    lease.renew(8, clock.now)
     purses.fresh(8)
     assert not purses.token_valid(before)
 
@@ -225,8 +225,8 @@
 
 def test_one_for_each_engine_is_there_while_its_engine_is():
     clock = Clock()
-    lease = Lease(Terms(1000, 0.0, 0))
-    lease.kept(7, 0)
+    lease = Lease(LeaseTerms(1000, 0.0, 0))
+    lease.renew(7, 0)
     purses = Purses({(0, None): Rule(HELD, 10)}, lambda budget, of: f"t/{of}", lease, clock)
     purses.fresh(7)
     assert purses(1, 5) is None and set(purses.report(((0, 5, 0), (0, 6, 2)))) == {"t/5", "t/6"}
@@ -299,8 +299,8 @@
             purses, purse, lease = purse_of(
                 self.kind, self, window_us=WINDOW_US, alone=self.alone, alone_after_us=WINDOW_US
             )
-            lease.kept(7, self.now)
-            lease.until = self.now + LEASE_US
+            lease.renew(7, self.now)
+            lease.valid_until = self.now + LEASE_US
             purses.fresh(7)
             self.members[f"m/{self.serial}"] = purse
 
@@ -383,8 +383,8 @@
         self.now += k * S // 40
         for purse in self.members.values():
             lease = purse.purses.lease
-            if lease.until > self.now - S // 2:  # most keep their lease
-                lease.until = self.now + LEASE_US
+            if lease.valid_until > self.now - S // 2:  # most keep their lease
+                lease.valid_until = self.now + LEASE_US
 
     def check(self):
         """Never more than the whole, by what was really begun."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,23 +6,21 @@
 
 import pytest
 
-from gullhold.fleet.calls import (
-    DONE,
-    MAYBE,
-    NOT_DONE,
-    Drop,
+from gullhold.fleet.register import Register
+from gullhold.fleet.spread import Spread
+from gullhold.fleet.store_calls import (
+    Delete,
     Get,
-    Grant,
-    Held,
-    Item,
-    Keep,
+    GrantLease,
+    KeepLeaseAlive,
+    KeyValue,
+    Proof,
     Put,
-    Read,
-    Revoke,
-    Txn,
+    ReadLeaseKeys,
+    ReadPrefix,
+    RevokeLease,
+    Transaction,
 )
-from gullhold.fleet.register import Register
-from gullhold.fleet.spread import Spread
 from gullhold.operator import records
 from gullhold.testing.client import Caller
 from gullhold.testing.fleet import Rig
@@ -70,40 +68,42 @@
 
 def test_what_a_call_proves_is_told_exactly(register):
     rig, session = register
-    lease = session.call(Grant(5)).lease
-    first = session.call(Txn((("a", 0),), (Put("a", "1", lease),), (Get("a"),)))
-    assert first.proof == DONE and first.met
-    again = session.call(Txn((("a", 0),), (Put("a", "2", lease),), (Get("a"),)))
-    assert not again.met and again.items == (Item("a", "1", first.revision, lease),)
-    assert session.call(Held(lease)).keys == ("a",) and session.call(Keep(lease)).ttl_s == 5
-    assert session.call(Keep(77)).ttl_s == 0
+    lease = session.call(GrantLease(5)).lease
+    first = session.call(Transaction((("a", 0),), (Put("a", "1", lease),), (Get("a"),)))
+    assert first.proof == Proof.DONE and first.succeeded
+    again = session.call(Transaction((("a", 0),), (Put("a", "2", lease),), (Get("a"),)))
+    assert not again.succeeded and again.items == (KeyValue("a", "1", first.revision, lease),)
+    assert (
+        session.call(ReadLeaseKeys(lease)).keys == ("a",) and session.call(KeepLeaseAlive(lease)).ttl_s == 5
+    )
+    assert session.call(KeepLeaseAlive(77)).ttl_s == 0
     rig.faults(lose=1)
-    assert session.call(Txn((), (Put("b", "1"),))).proof == MAYBE
-    assert session.call(Read("b")).items[0].value == "1"  # it was carried out
-    assert session.call(Txn((), (Put("c", "1", 77),))).proof == NOT_DONE  # no such lease
+    assert session.call(Transaction((), (Put("b", "1"),))).proof == Proof.UNKNOWN
+    assert session.call(ReadPrefix("b")).items[0].value == "1"  # it was carried out
+    assert session.call(Transaction((), (Put("c", "1", 77),))).proof == Proof.NOT_DONE  # no such lease
     rig.faults(stale=1, behind=1)
-    old = session.call(Read("b"))
-    assert old.items == () and old.revision < session.call(Read("b")).revision
-    assert session.call(Revoke(lease)).proof == DONE and session.call(Read("a")).items == ()
-    assert Register("127.0.0.1:1", "/t/", 1.0).call(Grant(1)).proof == NOT_DONE
+    old = session.call(ReadPrefix("b"))
+    assert old.items == () and old.revision < session.call(ReadPrefix("b")).revision
+    assert session.call(RevokeLease(lease)).proof == Proof.DONE and session.call(ReadPrefix("a")).items == ()
+    assert Register("127.0.0.1:1", "/t/", 1.0).call(GrantLease(1)).proof == Proof.NOT_DONE
     rig.faults(delay=1, delay_s=1.5)
-    assert Register(rig.register_address, "/t/", 0.2).call(Grant(1)).proof == MAYBE
+    assert Register(rig.register_address, "/t/", 0.2).call(GrantLease(1)).proof == Proof.UNKNOWN
     time.sleep(1.1)
 
 
 def test_a_key_that_is_deleted_twice_in_one_transaction_is_deleted_once(register):
     _, session = register
-    session.call(Txn((), (Put("d", "1"),)))
-    gone = session.call(Txn((), (Drop("d"), Drop("d"), Put("e", "1"))))
-    assert gone.proof == DONE and session.call(Read("d")).items == ()
-    assert session.call(Txn((), (Put("e", "2"),))).revision == gone.revision + 1
+    session.call(Transaction((), (Put("d", "1"),)))
+    gone = session.call(Transaction((), (Delete("d"), Delete("d"), Put("e", "1"))))
+    assert gone.proof == Proof.DONE and session.call(ReadPrefix("d")).items == ()
+    assert session.call(Transaction((), (Put("e", "2"),))).revision == gone.revision + 1
 
 
 def test_a_watch_tells_all_from_a_revision_on_or_that_its_history_is_gone(register):
     rig, session = register
-    lease = session.call(Grant(5)).lease
-    began = session.call(Txn((), (Put("w/a", "1", lease),))).revision
-    session.call(Revoke(lease))
+    lease = session.call(GrantLease(5)).lease
+    began = session.call(Transaction((), (Put("w/a", "1", lease),))).revision
+    session.call(RevokeLease(lease))
     seen = []
     with pytest.raises(Exception, match="timed out"):  # nothing more comes
         session.watch("w/", began, 0.5, lambda *told: seen.append(told))
@@ -114,15 +114,15 @@
 
 def test_what_the_register_acknowledged_is_there_after_a_kill(register):
     rig, session = register
-    lease = session.call(Grant(2)).lease
-    kept = [session.call(Txn((), (Put(f"k/{i}", str(i), lease),))).revision for i in range(20)]
+    lease = session.call(GrantLease(2)).lease
+    kept = [session.call(Transaction((), (Put(f"k/{i}", str(i), lease),))).revision for i in range(20)]
     rig.kill_register()
-    assert session.call(Read("k/")).proof == NOT_DONE
+    assert session.call(ReadPrefix("k/")).proof == Proof.NOT_DONE
     rig.start_register()
-    assert sorted(item.revision for item in session.call(Read("k/")).items) == kept
-    assert session.call(Keep(lease)).ttl_s == 2  # leases run anew: late, never early
+    assert sorted(item.revision for item in session.call(ReadPrefix("k/")).items) == kept
+    assert session.call(KeepLeaseAlive(lease)).ttl_s == 2  # leases run anew: late, never early
     rig.faults(early_s=1.5)
-    rig.until(lambda: not session.call(Read("k/")).items, 1.5)
+    rig.until(lambda: not session.call(ReadPrefix("k/")).items, 1.5)
     rig.faults(early_s=0)
 
 
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -8,13 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold.fleet import owner, schedule
+from gullhold.fleet import membership, schedule
 from gullhold.fleet.calendar import Bad, Calendar
-from gullhold.fleet.calls import DONE, MAYBE, NOT_DONE, Drop, Get, Item, Put, Reply
-from gullhold.fleet.lease import Lease, Terms
+from gullhold.fleet.lease import Lease, LeaseTerms
 from gullhold.fleet.pace import Moves, Pauses
 from gullhold.fleet.schedule import Kind, Record, Rule, record_of, recover, text_of
 from gullhold.fleet.spread import Spread
+from gullhold.fleet.store_calls import Delete, Get, KeyValue, Proof, Put, Reply
 from gullhold.testing import ownercheck, ownermutants, plancheck
 from gullhold.testing.plancheck import Play
 
@@ -25,16 +25,16 @@
 
 
 def test_a_lease_counts_from_when_we_asked_by_a_clock_that_may_be_slow():
-    lease = Lease(Terms(10, 0.1, 500_000))
-    assert not lease.held(0)
-    lease.kept(7, sent_at=1 * S)
-    assert lease.held(9_499_999) and not lease.held(9_500_000)
-    lease.kept(7, sent_at=0)  # a reply that comes out of turn takes nothing back
-    assert lease.until == 9_500_000 and lease.keep_at() < 4 * S + 200_000
-    lease.kept(8, sent_at=2 * S)
-    assert lease.until == 10_500_000
-    lease.lost()
-    assert not lease.held(2 * S)
+    lease = Lease(LeaseTerms(10, 0.1, 500_000))
+    assert not lease.is_valid(0)
+    lease.renew(7, sent_at=1 * S)
+    assert lease.is_valid(9_499_999) and not lease.is_valid(9_500_000)
+    lease.renew(7, sent_at=0)  # a reply that comes out of turn takes nothing back
+    assert lease.valid_until == 9_500_000 and lease.renew_at() < 4 * S + 200_000
+    lease.renew(8, sent_at=2 * S)
+    assert lease.valid_until == 10_500_000
+    lease.clear()
+    assert not lease.is_valid(2 * S)
 
 
 def test_pauses_grow_and_are_spread_and_moves_are_bounded_over_any_second():
@@ -106,60 +106,67 @@
 
 
 def member(duties=("d",), settle_us=0):
-    rule = owner.Rule(Terms(1, 0.1, 0), settle_us, 100, 50_000, 100_000, S)
-    return owner.Owner("a", "x", rule, duties, lambda: 0.5, 0)
+    rule = membership.Rule(LeaseTerms(1, 0.1, 0), settle_us, 100, 50_000, 100_000, S)
+    return membership.Membership("a", "x", rule, duties, lambda: 0.5, 0)
 
 
 def joined(duties=("d",), now=0):
     """A member that is in and owns all."""
     one = member(duties)
     one.tick(now)
-    for reply in (Reply(DONE, 1, lease=5, ttl_s=1), Reply(DONE, 1), Reply(DONE, 2), Reply(DONE, 3)):
-        (call,) = [told[0] for what, *told in one.take() if what == owner.CALL]
+    for reply in (
+        Reply(Proof.DONE, 1, lease=5, ttl_s=1),
+        Reply(Proof.DONE, 1),
+        Reply(Proof.DONE, 2),
+        Reply(Proof.DONE, 3),
+    ):
+        (call,) = [told[0] for what, *told in one.take_actions() if what == membership.CALL]
         one.reply(now, call, reply)
-    assert one.state == owner.IN and one.tokens == dict.fromkeys(duties, 3)
+    assert one.state == membership.IN and one.tokens == dict.fromkeys(duties, 3)
     return one
 
 
 def calls(one):
-    return [told[0] for what, *told in one.take() if what == owner.CALL]
+    return [told[0] for what, *told in one.take_actions() if what == membership.CALL]
 
 
 def test_a_read_from_the_past_is_not_believed():
     one = member()
     one.tick(0)
     one.seen = 9
-    one.reply(0, calls(one)[0], Reply(DONE, 9, lease=5, ttl_s=1))
+    one.reply(0, calls(one)[0], Reply(Proof.DONE, 9, lease=5, ttl_s=1))
     (read,) = calls(one)
-    one.reply(0, read, Reply(DONE, 4, items=(Item("members/ghost", '{"ready": true}', 3),)))
-    assert one.state == owner.READING and not one.members
+    one.reply(0, read, Reply(Proof.DONE, 4, items=(KeyValue("members/ghost", '{"ready": true}', 3),)))
+    assert one.state == membership.READING and not one.members
 
 
 def test_a_key_that_a_lost_call_left_behind_is_found_by_the_audit_and_let_go():
     one = joined(("d", "e"))
     one.excess, one.spread.owner["e"] = {}, "b"
     one._gone("e", "test")
-    one.lease.until = one.audit_at = 6 * S
-    one.lease.until += 100 * S
+    one.lease.valid_until = one.audit_at = 6 * S
+    one.lease.valid_until += 100 * S
     one.tick(6 * S)
     (audit,) = calls(one)
     assert audit.purpose == "audit"
-    one.reply(6 * S, audit, Reply(DONE, 9, keys=("members/a", "duties/d", "duties/e")))
+    one.reply(6 * S, audit, Reply(Proof.DONE, 9, keys=("members/a", "duties/d", "duties/e")))
     (look,) = calls(one)
-    assert look.request.acts == (Get("duties/e"),)
-    one.reply(6 * S, look, Reply(DONE, 9, items=(Item("duties/e", '{"nonce": "x"}', 8, 5),)))
+    assert look.request.operations == (Get("duties/e"),)
+    one.reply(6 * S, look, Reply(Proof.DONE, 9, items=(KeyValue("duties/e", '{"nonce": "x"}', 8, 5),)))
     (release,) = calls(one)
-    assert release.request.when == (("duties/e", 8),) and release.request.acts == (Drop("duties/e"),)
+    assert release.request.conditions == (("duties/e", 8),) and release.request.operations == (
+        Delete("duties/e"),
+    )
 
 
 def test_an_effect_compares_the_token_and_nothing_is_begun_on_a_lease_that_is_not_sure():
     one = joined()
-    assert one.may_act("d", 0) == 3 and one.may_act("other", 0) == 0
-    request = one.effect("d", 3, (Put("k", "v"),), (("k", 0),))
-    assert request.when == (("duties/d", 3), ("k", 0)) and request.acts == (Put("k", "v"),)
-    assert one.may_act("d", 900_000 - 1) == 3 and one.may_act("d", 900_000) == 0
+    assert one.fencing_token("d", 0) == 3 and one.fencing_token("other", 0) == 0
+    request = one.fenced_transaction("d", 3, (Put("k", "v"),), (("k", 0),))
+    assert request.conditions == (("duties/d", 3), ("k", 0)) and request.operations == (Put("k", "v"),)
+    assert one.fencing_token("d", 900_000 - 1) == 3 and one.fencing_token("d", 900_000) == 0
     one.tick(900_000)
-    assert (owner.GONE, "d", "its lease is not sure") in one.take()
+    assert (membership.GONE, "d", "its lease is not sure") in one.take_actions()
 
 
 def test_leaving_frees_all_with_one_call_but_waits_for_work_in_its_middle():
@@ -167,26 +174,26 @@
     one.leave(0)
     assert [call.purpose for call in calls(one)] == ["revoke"]
     one = joined(("d", "e"))
-    one.occupied("d", True)
+    one.set_busy("d", True)
     one.leave(0)
     (release,) = calls(one)
     assert release.purpose == "release" and release.about == ("e",)
-    assert one.may_act("d", 0) and not one.may_act("e", 0)
-    one.reply(0, release, Reply(DONE, 7))
+    assert one.fencing_token("d", 0) and not one.fencing_token("e", 0)
+    one.reply(0, release, Reply(Proof.DONE, 7))
     one.tick(400_000)  # it keeps its lease meanwhile
     assert [call.purpose for call in calls(one)] == ["keep"]
-    one.occupied("d", False)
+    one.set_busy("d", False)
     one.tick(500_000)
     one.tick(S)  # nothing was heard of either: leaving ends all the same
-    assert one.state == owner.OUT
+    assert one.state == membership.OUT
 
 
 def test_work_in_its_middle_is_not_let_go_for_another_member():
     one = joined(("d", "e"))
-    one.occupied("d", True)
+    one.set_busy("d", True)
     one.excess = {"d": 3}
     assert one._loose() == []
-    one.occupied("d", False)
+    one.set_busy("d", False)
     assert one._loose() == [("d", 3)]
 
 
@@ -278,7 +285,7 @@
     assert second.sent[0][4] == 10 * S - 100_000
 
 
-@pytest.mark.parametrize("lost", [MAYBE, NOT_DONE])
+@pytest.mark.parametrize("lost", [Proof.UNKNOWN, Proof.NOT_DONE])
 def test_an_intent_whose_reply_was_lost_is_sent_once_and_not_given_up(lost):
     play = Play(ONCE).own()
     play.store.lose = lost
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from gullhold.fleet.calls import DONE, Put, Read, Txn
 from gullhold.fleet.spread import Spread
+from gullhold.fleet.store_calls import Proof, Put, ReadPrefix, Transaction
 from gullhold.rollout import record as records
 from gullhold.rollout import snapshot
 from gullhold.rollout.change import CHANGE, Canary, Open, change_of, past_key
@@ -283,7 +283,7 @@
         spoilt = Record(9, 0, "a", "b", 0, granting(20)).sealed()._replace(why="c")
         session = office.session
         fleet.until(lambda: CHANGE not in office.read()[0])
-        assert session.call(Txn(((CHANGE, 0),), (Put(CHANGE, Open(spoilt).pack()),))).met
+        assert session.call(Transaction(((CHANGE, 0),), (Put(CHANGE, Open(spoilt).pack()),))).succeeded
         status, line = office.wait(9, 5)
         assert status == DROPPED and "digest" in line
         fleet.until(lambda: CHANGE not in office.read()[0])
@@ -456,8 +456,8 @@
         path.write_text("policy: {")
         assert main(["policy", "propose", str(path), *at]) == 2
         office = Office(fleet.register_address, "rig")
-        reply = office.session.call(Read("policy/now/"))
-        assert reply.proof == DONE and office.current().text == records.FIRST.text
+        reply = office.session.call(ReadPrefix("policy/now/"))
+        assert reply.proof == Proof.DONE and office.current().text == records.FIRST.text
         assert past_key(2) in office.read()[0]
         fleet.kill_register()
         assert main(["policy", "status", *at]) == UNKNOWN
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,9 +7,9 @@
 
 from gullhold.budgets import duty
 from gullhold.budgets.divider import Budget
-from gullhold.fleet.calls import DONE, Item, Reply
-from gullhold.fleet.holding import AGAIN_US, IDLE_US, WRITE
-from gullhold.fleet.lease import Lease, Terms
+from gullhold.fleet.lease import Lease, LeaseTerms
+from gullhold.fleet.role_state import IDLE_STEP_US, RETRY_US, WriteKeys
+from gullhold.fleet.store_calls import KeyValue, Proof, Reply
 from gullhold.interface import EngineState, Idempotency, Outcome, SetTerms, Shed, Tenant
 from gullhold.rollout import change, member, record
 from gullhold.rollout.record import FIRST, Policy, Record, Unfit
@@ -213,9 +213,9 @@
 
 
 def test_what_was_decided_before_a_gate_was_closed_does_not_go_out_when_it_is_open_again():
-    lease, now = Lease(Terms(1000, 0.0, 0)), [0]
+    lease, now = Lease(LeaseTerms(1000, 0.0, 0)), [0]
     gate = member.Gate(lease, lambda: now[0], 10**9, member.KEEP)
-    lease.kept(7, 0)
+    lease.renew(7, 0)
     gate.under, gate.known_until = 7, 10**9
     before = gate.fencing_token()
     assert gate.may_dispatch() and gate.token_valid(before)
@@ -235,19 +235,22 @@
     carrier.won(1, 0)
     carrier.read(
         0,
-        carrier.take()[0][1],
+        carrier.take_actions()[0].serial,
         Reply(
-            DONE,
+            Proof.DONE,
             7,
             items=(
-                Item(change.CHANGE, opened.pack(), 5),
-                Item(change.WORDS + "a/1", change.Word(0).pack(), 6),
+                KeyValue(change.CHANGE, opened.pack(), 5),
+                KeyValue(change.WORDS + "a/1", change.Word(0).pack(), 6),
             ),
         ),
     )
     assert carrier.due(0) == 1000 and carrier.due(999) == 1000
     carrier.step(1000)
-    assert not any(row[0] == WRITE for row in carrier.take()) and carrier.due(1000) == 1000 + IDLE_US
+    assert (
+        not any(isinstance(row, WriteKeys) for row in carrier.take_actions())
+        and carrier.due(1000) == 1000 + IDLE_STEP_US
+    )
 
 
 def test_a_member_with_nothing_to_say_steps_when_it_looks_again():
@@ -257,7 +260,7 @@
         now = one()
         assert one.member.due(now) == max(now, one.member.look_at)
         one.member.missed(now)
-        assert one.member.due(now) == now + IDLE_US  # its call is under way
+        assert one.member.due(now) == now + IDLE_STEP_US  # its call is under way
 
 
 def test_a_read_from_the_past_is_not_believed_by_whoever_carries_or_divides():
@@ -265,24 +268,26 @@
     carrier, dividing = change.Carrier(), duty.Dividing({"b": Budget("held", 5)})
     for one in (carrier, dividing):
         one.won(1, 0)
-        one.read(0, one.take()[0][1], Reply(DONE, 7))
+        one.read(0, one.take_actions()[0].serial, Reply(Proof.DONE, 7))
         assert one.loaded
     carrier.changed(0, change.CHANGE, opened.pack(), 9)  # it reads what was proposed
     dividing.changed(0, duty.ASKS + "a/1", duty.report_text(0, {"b/0": (0, 1, 1)}), 9)
     dividing.missed(0)
-    dividing.written(0, dividing.writing, Reply(DONE, 10, met=False))
+    dividing.written(0, dividing.writing, Reply(Proof.DONE, 10, succeeded=False))
     for one in (carrier, dividing):
-        serial = one.take()[-1][1]
-        one.read(0, serial, Reply(DONE, 7))
-        assert not one.loaded and not one.take()
-        one.step(AGAIN_US)
+        serial = one.take_actions()[-1].serial
+        one.read(0, serial, Reply(Proof.DONE, 7))
+        assert not one.loaded and not one.take_actions()
+        one.step(RETRY_US)
         one.read(
-            AGAIN_US,
-            one.take()[0][1],
-            Reply(DONE, 11, items=(Item(change.CHANGE, opened.pack(), 9),) if one is carrier else ()),
+            RETRY_US,
+            one.take_actions()[0].serial,
+            Reply(
+                Proof.DONE, 11, items=(KeyValue(change.CHANGE, opened.pack(), 9),) if one is carrier else ()
+            ),
         )
         assert one.loaded
-    assert any(row[0] == WRITE for row in carrier.take())
+    assert any(isinstance(row, WriteKeys) for row in carrier.take_actions())
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
