--- a/gullhold/budgets/driver.py
+++ b/gullhold/budgets/driver.py
@@ -133,7 +133,7 @@
         self.look_at, self.looked_at, self.writing, self.known = 0, 0, False, False
         self.pending = []  # what the core's thread is to be told
         self.leaving, self.given_back = False, False
-        self.core.checks.append(self.purses)
+        self.core.fences.append(self.purses)
         self.core.post_urgent(self._on_core, [])  # before the first command: parts bind from the start
         self.looking = True
 
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -23,7 +23,7 @@
 from gullhold.fleet.store_calls import Proof, Put, ReadPrefix
 from gullhold.fleet.watch import Watcher
 from gullhold.interface import DeduplicationScope
-from gullhold.net.clients import Reader
+from gullhold.net.request_reader import RequestReader
 from gullhold.net.startup import start_thread
 from gullhold.rollout.change import DUTY as CARRIES
 from gullhold.rollout.driver import LANES as POLICY_LANES
@@ -138,7 +138,7 @@
         self.beats = Beats(self, record.duties.beat)
         self.desk = Desk(
             core,
-            Reader(configuration.agreement),
+            RequestReader(configuration.agreement),
             lambda *told_: self.queue.put(("answered", *told_)),
             self.chance.getrandbits,
         )
--- a/gullhold/fleet/errands.py
+++ b/gullhold/fleet/errands.py
@@ -4,7 +4,7 @@
 
 from gullhold.fleet.schedule import ANSWERED, FAILED, SHED
 from gullhold.net import thrift
-from gullhold.net.clients import Refused
+from gullhold.net.request_reader import RequestError
 
 SCALE = 1000  # us in a millisecond
 
@@ -51,7 +51,7 @@
             fields[b"second"] = b"1"
         try:
             request = self.reader.request(fields, command.statement.encode(), "fleet", "fleet")
-        except Refused as why:
+        except RequestError as why:
             return None, str(why)
         if not self.core.room.take(len(request.body)):
             return None, "no memory for its statement"
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -1,7 +1,7 @@
 """The keys of a role while this member leads it: read, followed from there, written call by call.
 
-Decisions only. A role is a piece of the fleet's work with one leader at a time; each kind of role says what to
-make of what was read, of what changed, and what is to be written next.
+Decisions only. A role is a piece of the fleet's work with one leader at a time; each kind of role says what
+to make of what was read, of what changed, and what is to be written next.
 """
 
 from dataclasses import dataclass
--- a/gullhold/net/clients.py
+++ b/gullhold/net/client_connection.py
@@ -1,22 +1,15 @@
-"""Clients: takes connections, reads calls, and understands requests before the core sees them."""
+"""One connection of a client: its reader thread, its requests that wait, and its graceful end."""
 
-import re
 import socket
 import time
 from collections import deque
 from contextlib import suppress
-from threading import Lock, Thread
-from typing import NamedTuple
-from zlib import crc32
 
-from loguru import logger
-
-from gullhold.admission.client_identity import CLOSED
-from gullhold.interface import Idempotency
-from gullhold.net import connection_ends, host_port, set_no_delay, set_read_timeout, statement, thrift
+from gullhold.net import connection_ends, set_no_delay, set_read_timeout, thrift
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import Ending, Malformed
 from gullhold.net.pipe import Pipe
+from gullhold.net.request_reader import FIGURE, RequestError
 
 OPEN_MOST = 32  # requests that a client has open on a connection, from the protocol
 RESULT_MOST = 48_000  # bytes of a result, from the protocol
@@ -31,139 +24,9 @@
 REFUSED_S = (0.05, 0.4)  # s, least and most, until the next read after something was turned away at once
 CROSS_S = 0.1  # s in which what was sent has come: twice the page's time for crossings
 DISMISS_S = 0.01  # s between looks at one that is dismissed: the page's time for crossings is 50 ms
-FIGURE = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
-TXN = re.compile(rb"[0-9a-fA-F]{16}\Z")
-UNIQUE = re.compile(rb"[!-+\--<>-~]*\Z")  # printable, without the signs that a list of fields is built of
-
-
-class Request(NamedTuple):
-    """A command as a client asked for it, in the module's units."""
-
-    txn: bytes
-    verb: bytes
-    body: bytes
-    unique: bytes
-    profile: int
-    tenant: int
-    key: int
-    limit_us: int
-    work_us: int
-    need_mb: float
-    group: int
-    repeat: bool
-    flow: bytes = b""  # whose it is inside its tenant, where a door asks
-
-
-class Refused(Exception):
-    """A request that can't be used; the text is for the client."""
-
-
-def _figure(fields, name, most, absent=b"0"):
-    """A figure of a request, no more than this deployment can do."""
-    word = fields.get(name, absent)
-    if not FIGURE.match(word) or float(word) > most:
-        raise Refused(f"unusable {name.decode()}")
-    return float(word)
-
-
-class Reader:
-    """Turns the arguments of execute into a Request, with the names of one agreement."""
 
-    def __init__(self, agreement, whose=None, come_back=b""):
-        self.agreement, self.whose = agreement, whose  # whose: tells clients apart, where there is a door
-        self.come_back = come_back  # the field of Shed that says when to come back
-        self.profiles = {profile.name.encode(): i for i, profile in enumerate(agreement.profiles)}
-        self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)}
-        # The most of a limit (ms; for clients that round), of work (ms on one core) and of memory (MB).
-        longest = max((profile.timeout_us for profile in agreement.profiles), default=0)
-        self.limit_most = 2 * longest / 1000 or float("inf")
-        self.work_most = self.limit_most * max(agreement.cores_by_kind, default=1.0)
-        self.memory_most = max(agreement.memory_mb_by_kind, default=float("inf"))
-
-    def shut(self, fields, peer, shut, now):
-        """(fields of the Shed,) where the door would turn this away with no more than is known, or None."""
-        tenant, stranger = self.whose.tenant(fields.get(b"team", b""))
-        name = self.whose.flow(fields, stranger, *peer)
-        until, first = shut.get((tenant, name, self.profiles.get(fields.get(b"verb"))), (0, None))
-        if now >= until or not TXN.match(fields.get(b"txn", b"")):
-            return None
-        if b"second" not in fields or first is None:
-            return ({},)
-        early = first > now and self.come_back  # it came before any time that was promised
-        return ({self.come_back: b"%d" % -((now - first) // 1000)},) if early else None
-
-    def request(self, fields, body, address="", connection=""):
-        """The request, or Refused."""
-        txn, verb = fields.get(b"txn", b""), fields.get(b"verb", b"")
-        if not TXN.match(txn):
-            raise Refused("unusable txn")
-        if verb not in self.profiles:
-            raise Refused("unknown verb")
-        tenant, stranger = (
-            self.whose.tenant(fields.get(b"team", b""))
-            if self.whose
-            else (self.tenants.get(fields.get(b"team"), CLOSED if self.tenants else 0), None)
-        )
-        if tenant == CLOSED:
-            raise Refused("unknown team")
-        flow = self.whose.flow(fields, stranger, address, connection) if self.whose else b""
-        profile, unique = self.profiles[verb], fields.get(b"unique", b"")
-        if (
-            not UNIQUE.match(unique)
-            or not unique
-            and self.agreement.profiles[profile].idempotency == Idempotency.KEYED
-        ):
-            raise Refused("unusable unique")  # without it no engine knows a repeat
-        limit = _figure(fields, b"limit", self.limit_most, absent=b"")
-        work = _figure(fields, b"cpu", self.work_most)
-        group, table = statement.group(body.decode("utf-8", "replace"))
-        key = crc32(table.encode()) or 1 if table and self.agreement.profiles[profile].ordered else 0
-        return Request(
-            txn,
-            verb,
-            body,
-            unique,
-            profile,
-            tenant,
-            key,
-            int(limit * 1000),
-            int(work * 1000),
-            _figure(fields, b"memory", self.memory_most),
-            group,
-            b"second" in fields,
-            flow,
-        )
-
-
-class Room:
-    """Bytes of statements that all clients together may have waiting, and whether answers are read too late.
-
-    Guards the limit of memory, which is for all of them, against a few that ask much at once or never read:
-    what one connection may hold is small, what hundreds may is not. From any thread.
-    """
-
-    def __init__(self, most):
-        self.most, self.used, self.lock, self.clients = most, 0, Lock(), set()
-
-    def take(self, size):
-        """Whether so many bytes of a statement find room; they are given back with give()."""
-        with self.lock:
-            if self.used + size > self.most:
-                return False
-            self.used += size
-            return True
 
-    def give(self, size):
-        """A statement is over."""
-        with self.lock:
-            self.used -= size
-
-    def crowded(self):
-        """Whether answers that nobody has read yet take more than as much again."""
-        return sum(client.pipe.size for client in list(self.clients)) > self.most
-
-
-class Client:
+class ClientConnection:
     """One connection of a client. Its reader thread feeds the core; the core answers through its pipe."""
 
     def __init__(self, sock, core, reader, most, peer=("", "")):
@@ -433,7 +296,7 @@
             return
         try:
             request = self.reader.request(fields, body, *self.peer)
-        except Refused as why:
+        except RequestError as why:
             core.counters.add("unusable")
             self.put(thrift.fault(seq, str(why)))
             self._hold_off(
@@ -447,81 +310,3 @@
         self.taken += 1
         self.waiting[seq] = True
         core.post(core.execute, self, seq, request, at)
-
-
-class Listener:
-    """Takes connections, to the very end: what waits in the backlog counts as taken."""
-
-    def __init__(self, address, core, agreement, most, clients_most, whose=None):
-        self.core, self.most, self.clients_most = core, most, clients_most
-        self.reader = Reader(agreement, whose, core.come_back)
-        self.clients = core.room.clients
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.bind(host_port(address))
-        self.sock.listen(socket.SOMAXCONN)
-
-    def run(self):
-        """Accept for ever; where descriptors or threads are short, what waits is taken later."""
-        waiting = None
-        while True:
-            try:
-                if not waiting:
-                    waiting, (host, port) = self.sock.accept()
-                sock = waiting
-                while not self._room():
-                    self.core.counters.add("accepts put off")
-                    time.sleep(DISMISS_S)
-                client = Client(sock, self.core, self.reader, self.most, (host, f"{host}:{port}"))
-                self.clients.add(client)  # before its thread runs, which may end at once
-                try:
-                    Thread(target=self._serve, args=(client,), daemon=True, name="client").start()
-                except RuntimeError:
-                    self.clients.discard(client)
-                    raise
-                waiting = None
-                self.core.counters.add("client connections")
-            except Exception as error:  # of any kind: one that ends this thread leaves nobody to take them
-                if self.sock.fileno() < 0:
-                    return
-                if waiting and isinstance(error, OSError):  # it went before we had it
-                    waiting.close()
-                    waiting = None
-                self.core.counters.add("accepts put off")
-                if not isinstance(error, OSError | RuntimeError):
-                    self.core.counters.add("faults of ours")
-                    logger.opt(exception=error).error("taking a connection failed")
-                time.sleep(DISMISS_S)
-
-    def _serve(self, client):
-        try:
-            client.run()
-        finally:  # its descriptor is given back by now: until then it holds its room
-            self.clients.discard(client)
-
-    def end_clients(self):
-        """From the core, at the end: what has come on any connection is answered, then its end is said.
-
-        Guards against requests that lie unread when the process ends: their connections are reset.
-        """
-        for client in list(self.clients):
-            client.dismiss()
-
-    def _room(self):
-        """Whether one more may come; for it the one goes that has been idle the longest.
-
-        Guards against hundreds that say nothing, or ask once and stay, while others wait outside; an
-        eighth of the room is kept free, so that nobody waits for another to go.
-        """
-        if len(self.clients) < self.clients_most * 7 // 8:
-            return True
-        late = time.monotonic() - CROSS_S  # one that came just now is about to ask
-        idle = [
-            client
-            for client in list(self.clients)
-            if not client.busy() and not client.over and client.quiet_at < late
-        ]
-        if idle:
-            self.core.counters.add("idle ones closed for room")
-            min(idle, key=lambda client: (client.pipe.queued > 0, client.quiet_at)).dismiss()
-        return len(self.clients) < self.clients_most
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -28,7 +28,7 @@
     StatusKind,
 )
 from gullhold.net import connection_ends, resp, thrift
-from gullhold.net.clients import OPEN_MOST, RESULT_MOST
+from gullhold.net.client_connection import OPEN_MOST, RESULT_MOST
 from gullhold.net.connection_ends import Ending, Malformed
 from gullhold.net.discovery import FIRST_WORD_US
 from gullhold.net.eventlog import CLOSE, GIVEN_UP, REFUSAL, RETRY, EventLog, Happened
@@ -59,7 +59,7 @@
     return b"w", b"%d" % max(1, -((now - until) // 1000))
 
 
-class Owed:
+class PendingRequest:
     """A command that was taken: whom it is owed to (None once answered), and its send that is out."""
 
     __slots__ = (
@@ -96,21 +96,25 @@
     def __init__(self, gateway, agreement, counters, message_most, links_most, room, door=None, come_back=""):
         self.room = room  # of all clients
         self.gateway, self.agreement, self.counters, self.door = gateway, agreement, counters, door
-        self.come_back = come_back.encode()  # the field of Shed that tells when to come back; empty: none
+        self.retry_after_field = (
+            come_back.encode()
+        )  # the field of Shed that tells when to come back; empty: none
         self.message_most, self.links_most = message_most, links_most
         self.report = [name.encode() for name in agreement.report_fields]
         self.queue, self.urgent, self.after, self.timers = SimpleQueue(), deque(), deque(), []
         self.now, self.serial, self.timer_serial, self.tags = self.clock(), 0, 0, 0
-        self.owed, self.txns, self.engines, self.links = {}, {}, {}, set()
+        self.pending, self.pending_by_txn, self.engines, self.links = {}, {}, {}, set()
         self.holding = set()  # links that hold a descriptor, ended or not; their threads take them out
         self.starts, self.events = StartTimes(), EventLog()
-        self.listed = Event()  # the coordinator has told what changed since the configuration, or can't
+        self.list_known = Event()  # the coordinator has told what changed since the configuration, or can't
         self.leaving_at, self.settled_at, self.stopped, self.known = 0, 0, False, False
         self.closed = self.ended = False  # what comes now is turned away at once; the thread is over
-        self.lacking, self.gate = lambda rows: None, None  # of a fleet's budgets, of its policy
-        self.behind = lambda: False  # whether the coordinator's thread has yet to tell of what has come
-        self.end_clients = lambda: None  # ends all clients' connections, once what has come is answered
-        self.checks = []  # of a fleet: each stamps what is decided, and knows whether a stamp still holds
+        self.report_demand, self.gate = lambda rows: None, None  # of a fleet's budgets, of its policy
+        self.discovery_lags = lambda: (
+            False
+        )  # whether the coordinator's thread has yet to tell of what has come
+        self.close_clients = lambda: None  # ends all clients' connections, once what has come is answered
+        self.fences = []  # of a fleet: each stamps what is decided, and knows whether a stamp still holds
         self.sweep_us = max(agreement.connect_timeout_us, 100_000)  # between looks at links: time to come up
         self.share = max(
             2, isqrt(agreement.streams_per_connection)
@@ -149,7 +153,7 @@
     def run(self, known):
         """Serve until told to leave and done."""
         # Guards against sends to what has left since the configuration was written: a start takes a second.
-        self.listed.wait((self.agreement.connect_timeout_us + 2 * FIRST_WORD_US) / 1e6)
+        self.list_known.wait((self.agreement.connect_timeout_us + 2 * FIRST_WORD_US) / 1e6)
         self.begin(known)
         while not self.stopped:
             try:
@@ -201,7 +205,7 @@
         there at once, and requests would go out to engines that left before the list's word is read."""
         self.counters.add("stalls")
         end = self.now + CATCH_UP_US
-        while self.behind() and self.clock() < end:
+        while self.discovery_lags() and self.clock() < end:
             time.sleep(LOOK_S)
         self._tick()
 
@@ -251,7 +255,7 @@
 
     def _act_send(self, result):
         number, engine, until = result.command, result.engine, result.deadline_us
-        cmd = self.owed.get(number)
+        cmd = self.pending.get(number)
         if cmd is None:
             return
         send = Exchange(cmd, cmd.sends, self.now)
@@ -329,15 +333,15 @@
 
     def fencing_token(self):
         """What sends are decided under now, for sure()."""
-        return tuple(check.fencing_token() for check in self.checks)
+        return tuple(check.fencing_token() for check in self.fences)
 
     def token_valid(self, stamp):
         """Whether what was decided under a stamp may still go out. Guards against a process that slept
         between decision and write: what it was made under may be another's by now. From any thread."""
-        return all(check.token_valid(then) for check, then in zip(self.checks, stamp, strict=True))
+        return all(check.token_valid(then) for check, then in zip(self.fences, stamp, strict=True))
 
     def _act_terms(self, result):
-        cmd, priority = self.owed.get(result.command), result.priority
+        cmd, priority = self.pending.get(result.command), result.priority
         if cmd is None:
             return
         if cmd.send and cmd.send.link and priority != cmd.priority and self.agreement.honors_priority:
@@ -345,7 +349,7 @@
         cmd.grant, cmd.priority = result.grant_mb, priority
 
     def _act_cancel(self, result):
-        cmd = self.owed.get(result.command)
+        cmd = self.pending.get(result.command)
         if cmd and cmd.send and cmd.send.number == result.attempt:
             self._stop_send(cmd.send, Outcome.CANCELLED)
 
@@ -353,13 +357,17 @@
         self._shed(result.command, result.retry_after_us)
 
     def _shed(self, number, come_back_us):
-        told = self.door.told(self.now, number) if self.door and self.come_back else 0
+        told = self.door.told(self.now, number) if self.door and self.retry_after_field else 0
         told = min(told, come_back_us) if come_back_us else told
         self._refuse(number, "shed", lambda cmd: thrift.shed(cmd.seq, self._when(told)))
 
     def _when(self, come_back_us):
         """What a Shed carries: when to come back, where that is known."""
-        return {self.come_back: b"%d" % -(-come_back_us // 1000)} if come_back_us and self.come_back else {}
+        return (
+            {self.retry_after_field: b"%d" % -(-come_back_us // 1000)}
+            if come_back_us and self.retry_after_field
+            else {}
+        )
 
     def _act_fail(self, result):
         self._fail(result.command)
@@ -368,7 +376,7 @@
         self._refuse(number, "failed", lambda cmd: thrift.fault(cmd.seq, "failed"))
 
     def _refuse(self, number, word, message):
-        cmd = self.owed.get(number)
+        cmd = self.pending.get(number)
         if cmd and cmd.client:
             self.counters.add(word)
             self._refused(cmd, word)
@@ -396,7 +404,7 @@
         logger.info("module: {}", result.text)
 
     def _act_lacks(self, result):
-        self.lacking(result.demands)
+        self.report_demand(result.demands)
 
     ACTIONS = {
         Dispatch: _act_send,
@@ -418,7 +426,7 @@
 
     def apply_budgets(self, parts, lacking):
         """The fleet's budgets bind, or have changed; lacking(rows) hears what held commands lack."""
-        self.lacking = lacking
+        self.report_demand = lacking
         self._ask(None, self.gateway.apply_budgets, parts)
 
     # Clients
@@ -426,7 +434,7 @@
     def execute(self, client, seq, request, at):
         """A client asks for a command."""
         self.serial += 1
-        cmd = Owed(self.serial, client, seq, request, at + request.limit_us)
+        cmd = PendingRequest(self.serial, client, seq, request, at + request.limit_us)
         client.open[seq] = cmd  # first: an interrupt finds it in one place or the other
         # Taken back before we came to it; or its client has left; or it came after we had said our end, so
         # that its client asks elsewhere.
@@ -434,15 +442,15 @@
             self.counters.add("interrupted")
             self._settle(cmd)
             return
-        if request.txn in self.txns:
+        if request.txn in self.pending_by_txn:
             self.counters.add("failed")
             self._answer(cmd, thrift.fault(seq, "this txn is open already"))
-        elif self.closed or 0 < self.agreement.max_open_commands <= len(self.owed) - self._at_door():
+        elif self.closed or 0 < self.agreement.max_open_commands <= len(self.pending) - self._at_door():
             self.counters.add("over the open cap")
             self._answer(cmd, thrift.shed(seq, {}))
         else:
-            self.owed[cmd.number] = self.txns[request.txn] = cmd
-            self.counters.peak("owed", len(self.owed))
+            self.pending[cmd.number] = self.pending_by_txn[request.txn] = cmd
+            self.counters.peak("owed", len(self.pending))
             self._later(cmd.timeout_at, self._overdue, cmd)
             if self.door:
                 self._from_door(
@@ -485,7 +493,7 @@
         """Carry out what the door decided: commands go on to the module, or are turned away."""
         frames = {}
         for verb, number, *told in results:
-            cmd = self.owed.get(number)
+            cmd = self.pending.get(number)
             if cmd is None or not cmd.client:
                 continue
             if verb == HAND:
@@ -571,8 +579,8 @@
         if cmd.holds:
             self.room.give(cmd.holds)
             cmd.holds = 0
-        if self.owed.pop(cmd.number, None):
-            self.txns.pop(cmd.request.txn, None)
+        if self.pending.pop(cmd.number, None):
+            self.pending_by_txn.pop(cmd.request.txn, None)
             if self.door:
                 self.door.over(self.now, cmd.number)
 
@@ -926,7 +934,7 @@
         if self.leaving_at:
             return
         self.leaving_at = self.now
-        logger.info("leaving: {} commands open", len(self.owed))
+        logger.info("leaving: {} commands open", len(self.pending))
         longest = max((profile.timeout_us for profile in self.agreement.profiles), default=0)
         longest = min(longest, LAST_ANSWER_US)
         # With short deadlines the kill comes soon, and requests come until then: guards against an end before
@@ -937,19 +945,19 @@
         self._later(last, self._leave_now)
 
     def _leave_if_done(self):
-        if self.now >= self.settled_at + FLUSH_US and not any(cmd.client for cmd in self.owed.values()):
+        if self.now >= self.settled_at + FLUSH_US and not any(cmd.client for cmd in self.pending.values()):
             self._later(self.now + FLUSH_US // 2, self._stop)
             self._close()
-            self.end_clients()
+            self.close_clients()
         else:
             self._later(self.now + FLUSH_US // 4, self._leave_if_done)
 
     def _leave_now(self):
         """What is still open is answered before the kill."""
         self._later(self.now + FLUSH_US // 2, self._stop)  # first: a fault below must not keep us
-        for cmd in [cmd for cmd in self.owed.values() if cmd.client]:
+        for cmd in [cmd for cmd in self.pending.values() if cmd.client]:
             self._give_up(cmd)
-        self.end_clients()
+        self.close_clients()
 
     def _close(self):
         """Nothing goes on to the module any more: what waits is answered, and what comes is at once.
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -170,7 +170,7 @@
         self.moved.clear()
         address = self.address  # read after the clearing: a move from here on sets it again
         if address is None:
-            self.core.listed.set()
+            self.core.list_known.set()
             self.moved.wait()
             return
         if not self.may_call():
@@ -182,7 +182,7 @@
             ending, text = Ending.SILENT, ""
         except Exception as error:  # the old list holds; the stream is followed anew
             ending, text = connection_ends.caught(error, connecting=True)
-        self.core.listed.set()  # it can't be asked: the list that we have must do
+        self.core.list_known.set()  # it can't be asked: the list that we have must do
         self.core.counters.add(f"coordinator: {ending.value}")
         logger.warning("coordinator: {} {}; following on from event {}", ending.value, text, self.last)
         self.lost()
@@ -195,10 +195,10 @@
                 sock.sendall(b"follow %d\n" % self.last)
                 stream = Follow(self.last, self.most)
                 if not came(sock, FIRST_WORD_US):  # what has news tells it at once: there is none
-                    self.core.listed.set()
+                    self.core.list_known.set()
                 while address == self.address and self._receive(stream, sock):
                     self._hand_on(stream)
-                    self.core.listed.set()
+                    self.core.list_known.set()
                 return Ending.CLOSED if address == self.address else Ending.RETIRED
             finally:
                 self.taking, self.connection = False, None
--- a/gullhold/net/service.py
+++ b/gullhold/net/service.py
@@ -14,7 +14,7 @@
 from gullhold.admission.queue import Door
 from gullhold.decisions.gateway import Gateway
 from gullhold.net import host_port, thrift
-from gullhold.net.clients import RESULT_MOST, Listener, Room
+from gullhold.net.client_connection import RESULT_MOST
 from gullhold.net.configuration import ConfigurationError, load_configuration
 from gullhold.net.configuration_reload import Reread, mark
 from gullhold.net.connection_ends import Malformed
@@ -22,9 +22,11 @@
 from gullhold.net.counters import Counters
 from gullhold.net.discovery import Coordinator
 from gullhold.net.flusher import Flusher
+from gullhold.net.listener import Listener
 from gullhold.net.logsink import LogSink
 from gullhold.net.signals import ENDED, Signals
 from gullhold.net.startup import Refused, retried, start_thread
+from gullhold.net.statement_memory import StatementMemory
 
 STACK = 256 * 1024  # bytes of address space a thread; only what is touched counts as memory
 SWITCH_S = 0.001  # the longest that one thread keeps another waiting: under any network time that matters
@@ -75,7 +77,7 @@
         Counters(),
         most,
         configuration.max_sockets - clients - OWN_SOCKETS,
-        Room(configuration.memory_bytes // ROOM_PART),
+        StatementMemory(configuration.memory_bytes // ROOM_PART),
         door,
         rule.come_back.field if rule else "",
     )
@@ -91,7 +93,7 @@
     coordinator = Coordinator(
         configuration.discovery_address, configuration.last_event, core, most, configuration.engine_ids
     )
-    core.behind, core.end_clients = coordinator.behind, listener.end_clients
+    core.discovery_lags, core.close_clients = coordinator.behind, listener.end_clients
     return core, {"listener": listener.run, "coordinator": coordinator.run, "flusher": core.flusher.run}
 
 
--- a/gullhold/rollout/driver.py
+++ b/gullhold/rollout/driver.py
@@ -34,7 +34,7 @@
         fleet.held[change.DUTY] = change.Carrier()
         self.lowest = {}  # wholes while a change is open: neither old nor new parts sum to more than either
         self.given = None
-        self.core.checks.append(self.gate)
+        self.core.fences.append(self.gate)
         self._adopt(0, FIRST)  # before the first command: the gate is shut
         self._by_snapshot()
 
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -8,7 +8,7 @@
 from queue import Empty
 
 from gullhold.decisions.gateway import Gateway
-from gullhold.net import clients, discovery, links
+from gullhold.net import client_connection, discovery, links, request_reader, statement_memory
 from gullhold.net import core as product
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import STILL_THERE, Ending, Malformed
@@ -109,7 +109,7 @@
         self.core.post(self.core.link_ended, self, self.ending or ending, text)
 
 
-class Client(clients.Client):
+class Client(client_connection.ClientConnection):
     """A connection of a client whose reader is an end of a wire."""
 
     def __init__(self, end, core, reader):
@@ -193,9 +193,9 @@
             Counters(),
             MOST,
             LINKS_MOST,
-            clients.Room(ROOM),
+            statement_memory.StatementMemory(ROOM),
         )
-        self.reader = clients.Reader(agreement, None, self.core.come_back)
+        self.reader = request_reader.RequestReader(agreement, None, self.core.retry_after_field)
         self.names = configuration.engine_ids
         self.follow = discovery.Follow(configuration.last_event, FEED_MOST)
         self.core.begin(configuration.list_changes)
@@ -256,8 +256,8 @@
         return {
             name: size
             for name, size in (
-                ("owed", len(core.owed)),
-                ("txns", len(core.txns)),
+                ("owed", len(core.pending)),
+                ("txns", len(core.pending_by_txn)),
                 ("commands", len(gate.commands)),
                 ("threads", sum(gate.threads)),
                 ("running", sum(gate.running)),
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -84,7 +84,7 @@
 
 def _not_forgotten(_forget):
     def call(self, cmd):
-        self.owed.pop(cmd.number, None)
+        self.pending.pop(cmd.number, None)
 
     return call
 
--- a/gullhold/testing/register/server.py
+++ b/gullhold/testing/register/server.py
@@ -249,7 +249,7 @@
             return
         self.server.note(
             "txn",
-            succeeded=held,
+            met=held,
             revision=self.server.store.revision,
             when=[
                 [_from(compare["key"]).decode(), int(compare.get("mod_revision", 0))]
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -48,12 +48,12 @@
 
     def end(self):
         """It ends with nothing owed."""
-        until(lambda: not self.core.owed)
+        until(lambda: not self.core.pending)
         self.core.post(setattr, self.core, "stopped", True)
         until(lambda: self.core.stopped)
         self.listener.sock.close()
         assert not self.count("faults of ours") and not self.count("overdue")
-        assert not self.core.owed and not self.core.txns and not self.core.gateway.commands
+        assert not self.core.pending and not self.core.pending_by_txn and not self.core.gateway.commands
         assert not self.core.room.used
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 import pytest
 from serving import PATIENCE, Gateway, free_port, listens, until
 
-from gullhold.net import clients, resp, thrift
+from gullhold.net import client_connection, connection_ends, resp, thrift
 from gullhold.testing.client import Caller
 from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
@@ -101,7 +101,7 @@
     gateway, client, feed = listless()
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
-    until(lambda: gateway.core.owed)
+    until(lambda: gateway.core.pending)
     if how == "closes":
         client.sock.close()
     elif how == "ends its side":
@@ -110,7 +110,7 @@
         resets(client.sock, b"fetch")
     else:
         client.interrupt(seq)
-    until(lambda: not gateway.core.owed)
+    until(lambda: not gateway.core.pending)
     feed.say(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask(txn=b"f%015x" % 7)
     assert other.answer() == (seq, b"a\tb\tc\n")
@@ -140,7 +140,7 @@
     gateway, client, feed = listless(connect_timeout=3.0)
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
-    until(lambda: gateway.core.owed)
+    until(lambda: gateway.core.pending)
     client.ask("odd")  # unusable: whoever asks so is not listened to for a while
     assert client.answer()[1] == "fault"
     began = time.monotonic()
@@ -148,7 +148,7 @@
         client.sock.close()
     else:
         client.interrupt(seq)
-    until(lambda: not gateway.core.owed)
+    until(lambda: not gateway.core.pending)
     assert time.monotonic() - began < 1
     feed.say(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask()
@@ -182,12 +182,22 @@
     (inside,) = gateway.listener.clients
     for _ in range(400):
         client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
-    until(lambda: len(inside.kept) >= clients.OPEN_MOST or inside.kept_size > clients.KEPT_MOST)
-    assert inside.kept_size <= 2 * clients.KEPT_MOST and len(inside.kept) <= clients.OPEN_MOST
+    until(
+        lambda: (
+            len(inside.kept) >= client_connection.OPEN_MOST or inside.kept_size > client_connection.KEPT_MOST
+        )
+    )
+    assert (
+        inside.kept_size <= 2 * client_connection.KEPT_MOST
+        and len(inside.kept) <= client_connection.OPEN_MOST
+    )
     # The rest is read slowly, a buffer at a time, and turned away: an interrupt may stand behind it.
     turned, began = gateway.count("turned away in a pause"), time.monotonic()
     until(lambda: gateway.count("turned away in a pause") > turned)
-    assert inside.kept_size <= 2 * clients.KEPT_MOST and len(inside.kept) <= clients.OPEN_MOST
+    assert (
+        inside.kept_size <= 2 * client_connection.KEPT_MOST
+        and len(inside.kept) <= client_connection.OPEN_MOST
+    )
     # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
     client.sock.close()
     until(lambda: inside.left)
@@ -277,9 +287,9 @@
     gateway, client = start(engine)
     inside = idle(gateway, client)
     with Blocked(gateway.core):
-        monkeypatch.setattr(clients, "IDLE_S", 0.0)
+        monkeypatch.setattr(client_connection, "IDLE_S", 0.0)
         until(lambda: inside.resting)  # it asks the core for its end
-        monkeypatch.setattr(clients, "IDLE_S", 60)
+        monkeypatch.setattr(client_connection, "IDLE_S", 60)
         seq = client.ask()
         until(lambda: inside.taken == 1)
     assert client.answer() == (seq, b"a\tb\tc\n")
@@ -291,7 +301,7 @@
     engine = Engine()
     gateway, client = start(engine)
     inside = idle(gateway, client)
-    monkeypatch.setattr(clients, "CROSS_S", 2.0)
+    monkeypatch.setattr(client_connection, "CROSS_S", 2.0)
     inside.pipe.finish()
     client.ask()
     assert half_reading(client) == (b"", True)
@@ -341,7 +351,7 @@
 
 def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(start, monkeypatch):
     gateway, client = start(Engine())
-    monkeypatch.setattr(clients, "CROSS_S", 1.0)
+    monkeypatch.setattr(client_connection, "CROSS_S", 1.0)
     inside = idle(gateway, client)
     inside.dismiss()
     assert half_reading(client) == (b"", True)
@@ -379,12 +389,12 @@
     client.sock.close()
     until(lambda: gateway.count(LEFT) == 1)
     conn = late.come_up()
-    until(lambda: gateway.count("links up") == 1 and not gateway.core.owed)
+    until(lambda: gateway.count("links up") == 1 and not gateway.core.pending)
     other = Caller(gateway.address)
     seq = other.ask(txn=b"f%015x" % 2)
     assert b"f%015x" % 1 not in (first := conn.recv(1000)) and b"f%015x" % 2 in first
     other.interrupt(seq)
-    until(lambda: not any(cmd.client for cmd in gateway.core.owed.values()))
+    until(lambda: not any(cmd.client for cmd in gateway.core.pending.values()))
     conn.close()
 
 
@@ -415,7 +425,7 @@
 
     late, check = Late(), Check()
     gateway, client = start(late, connect_timeout=5.0)
-    gateway.core.checks.append(check)
+    gateway.core.fences.append(check)
     seq = client.ask("once", limit=4000)
     until(lambda: gateway.core.links)
     check.now = 2
@@ -423,7 +433,7 @@
     assert conn.recv(1000).count(b"fetch") == 1  # the one that was decided under the second
     assert gateway.count("sends taken back") == gateway.count("sends moot") == 1
     client.interrupt(seq)
-    until(lambda: not any(cmd.client for cmd in gateway.core.owed.values()))
+    until(lambda: not any(cmd.client for cmd in gateway.core.pending.values()))
     conn.close()
 
 
@@ -590,7 +600,7 @@
     gateway, client = start(engine)
     client.ask()
     until(lambda: engine.words(b"done") or engine.words(b"abort"))
-    until(lambda: not gateway.core.owed)
+    until(lambda: not gateway.core.pending)
     assert len(engine.words(b"fetch")) == 1
 
 
@@ -686,7 +696,7 @@
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
     (link,) = gateway.core.links
-    gateway.core.post(gateway.core._drop_link, link, clients.Ending.SILENT)
+    gateway.core.post(gateway.core._drop_link, link, connection_ends.Ending.SILENT)
     until(lambda: not gateway.core.links)
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed") and gateway.count("no descriptor for a link")
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -122,7 +122,7 @@
         divider = spread.owner["budgets"]
         others = [name for name in fleet.names if name != divider]
         fleet.start(divider, point="divide", side=side, act=act, nth=4)
-        fleet.membership("budgets")
+        fleet.owner("budgets")
         clients = [client(fleet, divider, rate=40.0)]
         fleet.start(*others)
         clients += [client(fleet, name) for name in others]
@@ -130,7 +130,7 @@
             fleet.members[divider].process.wait(8)
         else:
             fleet.until(lambda: fleet.paused(divider))
-        assert fleet.membership("budgets", divider) in others
+        assert fleet.owner("budgets", divider) in others
         fleet.until(lambda: sum(parts(fleet).get(name, 0) for name in others) >= 11)
         if act == "stop":
             fleet.resume(divider)  # two believe that they divide: the late write is refused
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,7 +10,7 @@
 from gullhold.admission.client_identity import Whose
 from gullhold.agreement import parse_tree, read_agreement
 from gullhold.interface import NEVER_RAN, EngineState, Outcome
-from gullhold.net import buffer, clients, discovery, resp, statement, thrift
+from gullhold.net import buffer, discovery, request_reader, resp, statement, thrift
 from gullhold.net.connection_ends import Ending, Malformed, of_error, outcome
 from gullhold.operator import records
 from gullhold.testing import deployment
@@ -285,7 +285,7 @@
 
 
 def test_a_request_is_read_in_the_modules_units():
-    reader = clients.Reader(AGREEMENT)
+    reader = request_reader.RequestReader(AGREEMENT)
     got = reader.request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
     assert (got.limit_us, got.work_us, got.need_mb, got.group, got.repeat) == (
         1_500_000,
@@ -324,8 +324,8 @@
 )
 def test_a_request_that_cannot_be_used_is_refused(change):
     fields = {k: v for k, v in {**ASKED, **change}.items() if v is not None}
-    with pytest.raises(clients.Refused):
-        clients.Reader(AGREEMENT).request(fields, b"select 1")
+    with pytest.raises(request_reader.RequestError):
+        request_reader.RequestReader(AGREEMENT).request(fields, b"select 1")
 
 
 def test_text_and_json_settings_read_the_same():
@@ -404,7 +404,7 @@
 def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
     whose = Whose(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
     agreement = read_agreement(agreed(deployment.settings(), (("acme", 1.0),)))
-    reader, peer = clients.Reader(agreement, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
+    reader, peer = request_reader.RequestReader(agreement, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
     fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
     shut = {(0, b"c:d", 0): (1000, 5_000_000)}
     assert reader.shut(fields, peer, shut, 999) == ({},)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,7 +15,7 @@
 
 from gullhold.__main__ import main
 from gullhold.interface import Outcome
-from gullhold.net import clients, resp, service, thrift
+from gullhold.net import client_connection, resp, service, thrift
 from gullhold.net.connection import Connection
 from gullhold.net.counters import Counters
 from gullhold.net.flusher import Flusher
@@ -283,7 +283,7 @@
     until(lambda: engine.words(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
     assert client.answer() is None  # no answer is owed, and our side ends too
-    until(lambda: engine.words(b"abort") and not gateway.core.owed)
+    until(lambda: engine.words(b"abort") and not gateway.core.pending)
     assert len(engine.words(b"fetch")) == 1 and not gateway.count("answered")
 
 
@@ -626,8 +626,8 @@
 
 
 def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE_S", 0.1)
-    monkeypatch.setattr(clients, "SAY_S", 0.1)
+    monkeypatch.setattr(client_connection, "IDLE_S", 0.1)
+    monkeypatch.setattr(client_connection, "SAY_S", 0.1)
     gateway, client = start(Engine(endless))
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
@@ -680,7 +680,7 @@
 
 def client_open(gateway):
     """Numbers of all that clients have open."""
-    return {cmd.seq for cmd in gateway.core.owed.values() if cmd.client}
+    return {cmd.seq for cmd in gateway.core.pending.values() if cmd.client}
 
 
 def test_a_send_of_which_nothing_is_heard_on_a_link_that_works_goes_again(start):
@@ -696,7 +696,7 @@
 def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
     start, monkeypatch
 ):
-    monkeypatch.setattr(clients, "SAY_S", 0.2)
+    monkeypatch.setattr(client_connection, "SAY_S", 0.2)
     gateway, client = start(Engine(endless))
     half, back = Caller(gateway.address), Caller(gateway.address)
     half.sock.sendall(b"\0\0\1\0\x80\1")
@@ -705,7 +705,7 @@
     for caller in (client, half, back):
         assert caller.answer() is None
     assert gateway.core.gateway.traffic < 1  # what was taken back at once counts for no share of the fleet
-    monkeypatch.setattr(clients, "SAY_S", 60)
+    monkeypatch.setattr(client_connection, "SAY_S", 60)
     gateway.listener.clients_most = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
     asks = Caller(gateway.address)
@@ -792,7 +792,7 @@
     gateway.listener.clients_most = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
-    time.sleep(clients.CROSS_S + 0.05)
+    time.sleep(client_connection.CROSS_S + 0.05)
     new = [Caller(gateway.address) for _ in range(5)]
     for caller in new:
         seq = caller.ask()
@@ -819,7 +819,7 @@
 
     gateway, client = start(Engine())
     until(lambda: gateway.count("client connections") == 1)
-    monkeypatch.setattr(clients, "Thread", Inline)
+    monkeypatch.setattr(client_connection, "Thread", Inline)
     for _ in range(3):
         Caller(gateway.address).sock.close()
     until(lambda: gateway.count("client connections") == 4)
