--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -18,7 +18,7 @@
 from threading import Thread
 
 from benchmarks import ROOT, close
-from gullhold.agreement import read
+from gullhold.agreement import read_agreement
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import Dispatch, EngineEntry, EngineState, Outcome
 from gullhold.net import thrift
@@ -183,7 +183,7 @@
 
 def module(size, seed, commands=3000, change_every=30):
     """(us of the module for a command from its arrival to its end, and for a change of the list)."""
-    random, agreement = Random(seed), read(config()["settings"] | {"balancers": 50})
+    random, agreement = Random(seed), read_agreement(config()["settings"] | {"balancers": 50})
     agreement = agreement._replace(cores_by_kind=(CORES / size,))
     gateway, now, serial, out = Gateway(seed, agreement, 0), 5_000_000, size, []
     ids = list(range(size))
--- /dev/null
+++ b/gullhold/decisions/command.py
@@ -0,0 +1,119 @@
+"""A command from its arrival to the outcome of its last attempt, and the states between."""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import TYPE_CHECKING
+
+from gullhold.interface import BudgetShare, Idempotency, Profile
+
+if TYPE_CHECKING:
+    from gullhold.decisions.engine import Engine
+
+
+class CommandState(IntEnum):
+    """State of a command."""
+
+    QUEUED = 0  # may be dispatched
+    BLOCKED = 1  # behind an earlier command of its ordered key
+    DISPATCHED = 2  # an attempt is open
+    STREAMING = 3  # the answer of its attempt has begun and belongs to the client
+    CANCELLING = 4  # we cancelled its attempt, to dispatch it anew once that has ended
+    ORPHANED = 5  # an attempt is open whose answer nobody waits for
+    ENDED = 6
+
+
+WAITING_STATES = (CommandState.QUEUED, CommandState.BLOCKED)
+OPEN_ATTEMPT_STATES = (
+    CommandState.DISPATCHED,
+    CommandState.STREAMING,
+    CommandState.CANCELLING,
+    CommandState.ORPHANED,
+)
+TRANSITIONS = {
+    CommandState.QUEUED: (CommandState.DISPATCHED, CommandState.ENDED),
+    CommandState.BLOCKED: (CommandState.QUEUED, CommandState.ENDED),
+    CommandState.DISPATCHED: (
+        CommandState.QUEUED,
+        CommandState.STREAMING,
+        CommandState.CANCELLING,
+        CommandState.ORPHANED,
+        CommandState.ENDED,
+    ),
+    CommandState.STREAMING: (CommandState.ORPHANED, CommandState.ENDED),
+    CommandState.CANCELLING: (CommandState.QUEUED, CommandState.ORPHANED, CommandState.ENDED),
+    CommandState.ORPHANED: (CommandState.ENDED,),
+    CommandState.ENDED: (),
+}
+
+
+class InvalidTransitionError(RuntimeError):
+    """A command was to change to a state that does not follow its present one."""
+
+
+@dataclass(slots=True, eq=False)
+class Command:
+    """One command. Times are in microseconds; the state changes only through change_state().
+
+    engine and sent_at: of the newest attempt. first_run_engine, first_run_at: of the first attempt that may
+    have run; None: none has.
+    """
+
+    id: int
+    profile_index: int
+    profile: Profile
+    tenant: int
+    key: int
+    need_mb: float
+    dataset: int
+    order: int  # of arrival
+    work: float  # estimate, core-us
+    admitted_at: int  # 0: it widens no retry budget
+    target_at: int  # end of its latency objective
+    is_short: bool
+    last_start_at: int  # after it no attempt is started
+    worthwhile_until: int  # while an answer still earns
+    threads: int
+    state: CommandState = CommandState.BLOCKED
+    queue_entry: int = 0  # number of its newest entry in the queue; older ones are void
+    attempts: int = 0
+    engine: "Engine | None" = None
+    sent_at: int = 0
+    first_run_engine: "Engine | None" = None
+    first_run_at: int = 0
+    progress: float = 0.0  # share done, as the engine reported it for the open attempt; 0: not reported
+    is_stalled: bool = False  # its attempt is open for so long that nothing new goes to that engine
+    attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # until its attempt ends
+    admission_shares: Sequence[BudgetShare] = ()  # until the command ends
+
+    def change_state(self, state: CommandState) -> None:
+        """Enter a state. Raises InvalidTransitionError where it does not follow the present one."""
+        if state not in TRANSITIONS[self.state]:
+            raise InvalidTransitionError(f"command {self.id}: {self.state.name} to {state.name}")
+        self.state = state
+
+    def mark_run(self) -> None:
+        """The newest attempt may have run."""
+        if self.first_run_engine is None:
+            self.first_run_engine = self.engine
+            self.first_run_at = self.sent_at
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether any attempt may have run."""
+        return self.first_run_engine is not None
+
+    @property
+    def is_idempotent(self) -> bool:
+        """Whether it may run any number of times."""
+        return self.profile.idempotency == Idempotency.IDEMPOTENT
+
+    @property
+    def is_keyed(self) -> bool:
+        """Whether engines drop a repeat by its idempotency key."""
+        return self.profile.idempotency == Idempotency.KEYED
+
+    @property
+    def deduplication_until(self) -> int:
+        """End of the deduplication window of its first run."""
+        return self.first_run_at + self.profile.dedup_window_us
--- /dev/null
+++ b/gullhold/decisions/engine.py
@@ -0,0 +1,101 @@
+"""What a gateway knows of one engine."""
+
+from collections import deque
+from enum import IntEnum
+
+from gullhold.interface import EngineState
+
+
+class SampleStage(IntEnum):
+    """Which sample of throughput is being taken on an engine."""
+
+    NONE = 0
+    AT_LIMIT = 1
+    AT_UPPER = 2
+    AT_LOWER = 3
+
+
+class Engine:
+    """One engine: its entry in the endpoint list and what its attempts showed.
+
+    slot: a dense number, given to another engine once this one is forgotten. sequence: order of discovery.
+    Only the part that a group of fields is named after writes to it.
+    """
+
+    __slots__ = (
+        "attempts",
+        "cell",
+        "completed_at",
+        "completed_slow_work",
+        "completed_work",
+        "cores",
+        "failure_rate",
+        "failure_rate_at",
+        "fitted_limit",
+        "id",
+        "kind",
+        "load",
+        "load_at",
+        "next_fit_at",
+        "overloaded_until",
+        "sample_began_at",
+        "sample_stage",
+        "sample_work",
+        "samples",
+        "sequence",
+        "slot",
+        "stalled_attempts",
+        "started_us",
+        "state",
+        "threads",
+        "warmup_dispatches",
+        "warmup_rounding",
+        "warmup_rounding_at",
+        "zone",
+    )
+
+    def __init__(self, engine_id: int, slot: int, sequence: int) -> None:
+        self.id = engine_id
+        self.slot = slot
+        self.sequence = sequence
+        # Endpoint list.
+        self.state = EngineState.REMOVED
+        self.zone = 0
+        self.kind = 0
+        self.cell = 0
+        self.started_us = 0
+        self.cores = 1.0
+        # Thread use: of our attempts.
+        self.threads = 0
+        self.attempts = 0
+        # Health: rates and sums fade from the time beside them.
+        self.failure_rate = 0.0
+        self.failure_rate_at = 0
+        self.overloaded_until = 0
+        self.stalled_attempts = 0
+        self.completed_at = 0
+        self.completed_work = 0.0  # core-us
+        self.completed_slow_work = 0.0  # the same, each times its slowness
+        # Concurrency limit.
+        self.fitted_limit: float | None = None
+        self.sample_stage = SampleStage.NONE
+        self.sample_began_at = 0
+        self.sample_work = 0.0
+        self.samples: tuple[float, ...] = ()  # (threads, throughput) of each sample, the newest first
+        self.next_fit_at = 0
+        # Slow start.
+        self.warmup_dispatches: deque[tuple[int, float]] = deque()  # (time, work)
+        self.warmup_rounding = 0.0
+        self.warmup_rounding_at = 0
+        # Load report.
+        self.load = 1.0
+        self.load_at = 0
+
+    def forget_observations(self) -> None:
+        """Its process has restarted: what its attempts showed is void."""
+        self.completed_work = 0.0
+        self.completed_slow_work = 0.0
+        self.failure_rate = 0.0
+        self.overloaded_until = 0
+        self.load = 1.0
+        self.warmup_dispatches.clear()
--- /dev/null
+++ b/gullhold/decisions/engine_health.py
@@ -0,0 +1,108 @@
+"""Health of engines: failure rate, attempts that stall, and pace against the fleet's."""
+
+from statistics import median
+
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.estimators import Estimates
+from gullhold.decisions.moving_average import STEP, remaining
+from gullhold.decisions.ranking import EngineList
+from gullhold.interface import Outcome
+
+OUTLIER_RATE = 0.15  # share of failures, over the median below, from which an engine is an outlier
+OUTLIER_MEDIANS = 2  # medians of the fleet's failure rate that are no outlier yet
+CAUTIOUS_PART = 0.7  # of OUTLIER_RATE, for long commands and those that may not be repeated
+SILENT_STEP = 0.3  # weight of a failure without a word from the engine: it costs the most time
+NO_FAILURE_RATE = 1e-4  # failure rate, as it fades, that is none
+OVERLOADED_US = 2_000_000  # us that an overloaded engine gets nothing new: a few status notes
+SLOWNESS_MOST = 10.0  # of one attempt: bounds what a single one can say
+
+FAILURES = frozenset((Outcome.ERROR, Outcome.RESET))
+
+
+class EngineHealth:
+    """Failure rates, stalled attempts and slowness of engines, and the fleet's usual failure rate."""
+
+    def __init__(self, ready: EngineList, estimates: Estimates) -> None:
+        self._ready = ready
+        self._estimates = estimates
+        self._failing: set[Engine] = set()  # engines with failures
+        self._stalled: set[Engine] = set()  # engines with stalled attempts
+        self.usual_failure_rate = 0.0  # median of the ready engines
+
+    def note_listed(self, engine: Engine) -> None:
+        """An engine's entry changed; one that is ready again counts in the median again."""
+        if engine in self._ready and engine.failure_rate:
+            self._failing.add(engine)
+
+    def forget(self, engine: Engine) -> None:
+        """Nothing refers to the engine any more."""
+        self._failing.discard(engine)
+        self._stalled.discard(engine)
+
+    def failure_rate(self, engine: Engine, now: int) -> float:
+        """Share of failures there, as it fades."""
+        return engine.failure_rate * remaining(engine.failure_rate_at, now)
+
+    def slowness(self, engine: Engine, now: int) -> float:
+        """How much slower than the fleet, each profile against its usual; what ended there fades."""
+        fresh = remaining(engine.completed_at, now)
+        prior = self._estimates.least_usual_work
+        return (prior + engine.completed_slow_work * fresh) / (prior + engine.completed_work * fresh)
+
+    def is_outlier(self, engine: Engine, is_robust: bool, now: int) -> bool:
+        """Whether it fails far more than the fleet's median.
+
+        is_robust: for a short command that may be repeated, which stands a failure.
+        """
+        tolerance = OUTLIER_RATE * (1 if is_robust else CAUTIOUS_PART)
+        return self.failure_rate(engine, now) > tolerance + OUTLIER_MEDIANS * self.usual_failure_rate
+
+    def record_outcome(self, engine: Engine, outcome: Outcome, runs_on: bool, now: int) -> None:
+        """An attempt ended. runs_on: it timed out and its work goes on there."""
+        is_silent = runs_on or outcome == Outcome.CONNECT_FAILED
+        is_failure = is_silent or outcome in FAILURES
+        if is_failure or outcome == Outcome.ANSWERED:
+            rate = self.failure_rate(engine, now)
+            step = SILENT_STEP if is_silent else STEP
+            engine.failure_rate_at = now
+            engine.failure_rate = rate + step * (is_failure - rate)
+            if is_failure:
+                self._failing.add(engine)
+                self.usual_failure_rate = self._median_failure_rate(now)
+        if outcome == Outcome.OVERLOADED:
+            engine.overloaded_until = now + OVERLOADED_US
+
+    def record_pace(self, engine: Engine, work: float, pace: float, usual_pace: float, now: int) -> None:
+        """An attempt of so much work ended there at this pace."""
+        fresh = remaining(engine.completed_at, now)
+        slowness = min(pace / usual_pace, SLOWNESS_MOST)
+        engine.completed_at = now
+        engine.completed_work = engine.completed_work * fresh + work
+        engine.completed_slow_work = engine.completed_slow_work * fresh + work * slowness
+
+    def count_stalled(self, engine: Engine, change: int) -> None:
+        """An attempt there stalled (1), or a stalled one ended (-1)."""
+        engine.stalled_attempts += change
+        if engine.stalled_attempts > 0:
+            self._stalled.add(engine)
+        else:
+            self._stalled.discard(engine)
+
+    def is_stalled(self, engine: Engine) -> bool:
+        """Whether attempts stall there while they do not on most of the fleet."""
+        if not engine.stalled_attempts:
+            return False
+        stalled = sum([each in self._ready for each in self._stalled])
+        return 2 * stalled < len(self._ready)
+
+    def _median_failure_rate(self, now: int) -> float:
+        """Of the ready engines. While fewer than half have failures it is 0, and nothing is walked."""
+        if 2 * len(self._failing) >= len(self._ready):
+            self._failing = {
+                engine
+                for engine in self._failing
+                if engine in self._ready and self.failure_rate(engine, now) > NO_FAILURE_RATE
+            }
+        if not self._ready or 2 * len(self._failing) < len(self._ready):
+            return 0.0
+        return median([self.failure_rate(engine, now) for engine in self._ready])
--- /dev/null
+++ b/gullhold/decisions/fleet_budgets.py
@@ -0,0 +1,97 @@
+"""This gateway's shares of the budgets of its fleet; without a fleet there are none."""
+
+from collections.abc import Callable
+from math import ceil
+
+from gullhold.decisions.command import Command
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.memory_grants import MemoryGrants
+from gullhold.decisions.ranking import EngineList
+from gullhold.decisions.slow_start import SlowStart
+from gullhold.interface import BudgetKind, BudgetShare, Demand, ReportDemand
+
+ShareLookup = Callable[[BudgetKind, int], BudgetShare | None]
+Claim = tuple[BudgetShare, int]  # a share and the amount that an attempt takes of it
+
+ADMISSION_BUDGETS = (BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS)
+
+
+class FleetBudgets:
+    """The shares, as the last lookup that the driver gave knows them."""
+
+    def __init__(self, slow_start: SlowStart, grants: MemoryGrants) -> None:
+        self._slow_start = slow_start
+        self._grants = grants
+        self._lookup: ShareLookup | None = None
+
+    @property
+    def is_active(self) -> bool:
+        """Whether budgets of a fleet bind."""
+        return self._lookup is not None
+
+    def apply(self, lookup: ShareLookup | None) -> None:
+        """Have the shares of this lookup bind."""
+        self._lookup = lookup
+
+    def share(self, budget: BudgetKind, subject: int) -> BudgetShare | None:
+        """Our share of one budget; None: there is none."""
+        return self._lookup(budget, subject) if self._lookup else None
+
+    def admit(self, command: Command, is_open: bool) -> bool:
+        """Whether the command's tenant may have one more open; if so, it is acquired.
+
+        is_open: whether the policy admits new commands at all.
+        """
+        found = [self.share(budget, command.tenant) for budget in ADMISSION_BUDGETS]
+        shares = [share for share in found if share is not None]
+        is_admitted = is_open and all(share.allows(1) for share in shares)
+        for share in shares:
+            if is_admitted:
+                share.acquire(1)
+            else:
+                share.record_rejection(1)  # a rejection is demand
+        if is_admitted:
+            command.admission_shares = shares
+        return is_admitted
+
+    def claims(self, command: Command, engine: Engine, now: int) -> list[Claim]:
+        """What an attempt there takes of our shares."""
+        amounts = [
+            (BudgetKind.THREADS, engine.id, command.threads),
+            (BudgetKind.MEMORY, engine.id, ceil(self._grants.grant_mb(command, engine))),
+        ]
+        if self._slow_start.is_warming(engine, now):
+            amount = self._slow_start.budget_part(command.work, engine, now)
+            amounts.append((BudgetKind.WARMUP, engine.id, amount))
+        if command.attempts:
+            amounts.append((BudgetKind.RETRIES, 0, 1))
+        found = [(self.share(budget, subject), amount) for budget, subject, amount in amounts]
+        return [(share, amount) for share, amount in found if share is not None]
+
+    def demand(self, queued: list[Command], ready: EngineList, traffic: float, now: int) -> ReportDemand:
+        """What queued commands would need of the budgets; traffic: our fading count of arrivals.
+
+        Each engine could take an even part of what is queued, or the largest of it.
+        """
+        engines = max(1, len(ready))
+        threads = _even_part([command.threads for command in queued], engines)
+        memory = _even_part([ceil(command.need_mb) for command in queued], engines)
+        work = _even_part([command.work for command in queued], engines)
+        demands = [
+            Demand(BudgetKind.RETRIES, 0, sum([command.attempts > 0 for command in queued])),
+            Demand(BudgetKind.TRAFFIC_SHARE, 0, ceil(traffic)),
+        ]
+        for engine in ready:
+            demands.append(Demand(BudgetKind.THREADS, engine.id, threads))
+            demands.append(Demand(BudgetKind.MEMORY, engine.id, memory))
+            if self._slow_start.is_warming(engine, now):
+                amount = self._slow_start.budget_part(work, engine, now)
+                demands.append(Demand(BudgetKind.WARMUP, engine.id, amount))
+        return ReportDemand(tuple(demands))
+
+
+def _even_part(amounts: list[int] | list[float], engines: int) -> float:
+    """An even part of the amounts for each engine, or the largest amount."""
+    if not amounts:
+        return 0
+    return max(*amounts, ceil(sum(amounts) / engines))
--- /dev/null
+++ b/gullhold/decisions/memory_grants.py
@@ -0,0 +1,26 @@
+"""Memory that attempts are granted on engines."""
+
+from gullhold.decisions.command import Command
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.estimators import Estimates
+from gullhold.interface import Agreement
+
+
+class MemoryGrants:
+    """Grants by the estimated need, bounded by the engine's memory and the policy."""
+
+    def __init__(self, agreement: Agreement, estimates: Estimates) -> None:
+        self._memory_mb_by_kind = agreement.memory_mb_by_kind
+        self._max_share = agreement.max_grant_share
+        self._estimates = estimates
+        self.most_mb: dict[int, float] = {}  # by profile, where the policy sets it
+
+    def grant_mb(self, command: Command, engine: Engine) -> float:
+        """MB that an attempt of the command is granted there."""
+        by_kind = self._memory_mb_by_kind
+        memory_mb = by_kind[engine.kind] if engine.kind < len(by_kind) else 0.0
+        return min(
+            self._estimates.need_mb(command),
+            self._max_share * memory_mb or float("inf"),
+            self.most_mb.get(command.profile_index, float("inf")),
+        )
--- /dev/null
+++ b/gullhold/decisions/outcome_recorder.py
@@ -0,0 +1,94 @@
+"""What the end of an attempt tells of its engine, its profile and the fleet."""
+
+from gullhold.decisions.command import Command, CommandState
+from gullhold.decisions.concurrency_limit import ConcurrencyLimit
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.engine_health import EngineHealth
+from gullhold.decisions.estimators import PACE_LEAST, Estimates
+from gullhold.decisions.fair_queue import FairQueue
+from gullhold.decisions.moving_average import STEP
+from gullhold.decisions.placement import Placement
+from gullhold.decisions.thread_use import ThreadUse
+from gullhold.interface import Agreement, Outcome
+
+TIMED_OUTCOMES = frozenset((Outcome.ANSWERED, Outcome.TIMED_OUT, Outcome.CANCELLED))
+
+
+class OutcomeRecorder:
+    """Passes ended attempts on to the parts that learn from them, in a fixed order."""
+
+    def __init__(
+        self,
+        agreement: Agreement,
+        estimates: Estimates,
+        health: EngineHealth,
+        limits: ConcurrencyLimit,
+        thread_use: ThreadUse,
+        queue: FairQueue,
+        placement: Placement,
+    ) -> None:
+        self._supports_cancel = agreement.supports_cancel
+        self._estimates = estimates
+        self._health = health
+        self._limits = limits
+        self._thread_use = thread_use
+        self._queue = queue
+        self._placement = placement
+
+    def record(
+        self,
+        command: Command,
+        engine: Engine,
+        outcome: Outcome,
+        latency_us: int,
+        cost: float,
+        need_mb: float,
+        now: int,
+    ) -> None:
+        """An attempt ended; cost: its work (core-us), 0: unknown. need_mb: memory, 0: unknown.
+
+        A timeout where work goes on tells of its engine and holds its threads. Where we cut slow attempts
+        off it tells of a crowd.
+        """
+        runs_on = outcome == Outcome.TIMED_OUT and not self._supports_cancel
+        if runs_on:
+            self._thread_use.hold_timed_out(engine, command.threads, command.sent_at, now)
+        self._health.record_outcome(engine, outcome, runs_on, now)
+        if outcome == Outcome.OVERLOADED or runs_on:
+            self._limits.record_loss()
+        elif outcome == Outcome.ANSWERED:
+            self._limits.record_answer()
+        if outcome in TIMED_OUTCOMES and command.state != CommandState.ORPHANED:
+            self._record_run(command, engine, outcome, latency_us, cost or command.work, need_mb, now)
+
+    def _record_run(
+        self,
+        command: Command,
+        engine: Engine,
+        outcome: Outcome,
+        latency_us: int,
+        work: float,
+        need_mb: float,
+        now: int,
+    ) -> None:
+        """An attempt that nobody took back has run for a known time."""
+        estimate = self._estimates.by_profile[command.profile_index]
+        estimate.attempts += 1
+        step = max(STEP, 1 / (2 + estimate.attempts))
+        if need_mb and command.need_mb:
+            estimate.record_need(need_mb / command.need_mb, step)
+        # Of an attempt that was cut off too: a jam is not to be hidden.
+        pace = max(latency_us * command.threads / work, PACE_LEAST)
+        # Cut off sooner than the usual run, it says nothing: it would count as fast. Guards against clients
+        # that give up early, whose attempts made jammed engines look idle to every gateway.
+        if outcome != Outcome.ANSWERED and pace < estimate.pace:
+            return
+        if outcome == Outcome.ANSWERED:
+            self._placement.record_answer(command.dataset, engine)
+            estimate.record_answer(work, command.work, pace)
+            engine.sample_work += work
+        self._health.record_pace(engine, work, pace, estimate.pace, now)
+        estimate.record_pace(pace, step)
+        weight = self._limits.record_pace(work, pace, estimate.best_pace)
+        self._queue.record_pace(command.tenant, pace)
+        self._limits.adapt(engine, weight, bool(self._queue.by_tenant), now)
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -1,156 +1,186 @@
-"""Engines that commands may go to, in order, and their ranks for each data set, kept by what changes.
+"""Engines that commands may go to, in order, and their ranks for each data set, kept up to date by changes.
 
-The work follows the changes, not the number of engines: a fleet of thousands tells of one engine at a time.
-Part of the decision module: gullhold/decisions/gateway.py is the only one that uses it.
+Every gateway ranks alike: rendezvous hashing in small fleets, consistent hashing on one ring in large ones.
+The work follows the changes, not the number of engines: a fleet of thousands changes one engine at a time.
 """
 
 from bisect import bisect_left, insort
+from collections.abc import Iterable, Iterator
+from typing import Protocol
 
-RANKED_MOST = 256  # engines of a list for which each data set ranks all; larger ones share one order
-RING, ARC = -1, -2  # what the ids of engines, and data sets, are mixed with for that order
+RANKED_MOST = 256  # engines of a list for which each data set ranks all; larger ones share one ring
+RING_SALT = -1  # what ids of engines are mixed with for the ring
+RING_START_SALT = -2  # what data sets are mixed with for their start on the ring
 RANKINGS_MOST = 512  # data sets whose ranks are kept; beyond it all are ranked anew when they are asked for
 
 
-def mix(one, other):
+class Member(Protocol):
+    """What a list needs of an engine."""
+
+    id: int
+    slot: int
+    sequence: int
+
+
+class EngineOrder(Protocol):
+    """All engines of a list in the order of one data set."""
+
+    def at(self, place: int) -> Member:
+        """The engine at a place."""
+        ...
+
+    def is_within(self, places: range, engine: Member) -> bool:
+        """Whether an engine stands at one of these places."""
+        ...
+
+
+def mix(one: int, other: int) -> int:
     """A number of 32 bits that looks random, the same everywhere for the same two."""
-    one = (one ^ other * 0x9E3779B1) * 0x85EBCA6B & 0xFFFFFFFF
-    return (one ^ one >> 15) * 0xC2B2AE35 & 0xFFFFFFFF
+    mixed = (one ^ other * 0x9E3779B1) * 0x85EBCA6B & 0xFFFFFFFF
+    return (mixed ^ mixed >> 15) * 0xC2B2AE35 & 0xFFFFFFFF
 
 
 class Ranking:
-    """Engines by their rank for one data set: every gateway ranks them alike (rendezvous hashing)."""
-
-    def __init__(self, dataset):
-        self.dataset, self.serial = dataset, 0  # serial: of the last change that is in it
-        self.keys, self.engines = [], []  # (rank, engine) in order; the engines of these
-
-    def key(self, ident, engine):
-        """Where an engine of this id stands."""
-        return mix(ident, self.dataset), engine
-
-    def build(self, members):
-        """Rank all (id, engine) anew."""
-        spread = self.dataset * 0x9E3779B1  # mix() in line: a fleet of thousands is ranked in a few ms
-        self.keys = sorted(
-            [
-                (
-                    ((one := (ident ^ spread) * 0x85EBCA6B & 0xFFFFFFFF) ^ one >> 15) * 0xC2B2AE35
-                    & 0xFFFFFFFF,
-                    engine,
-                )
-                for ident, engine in members
-            ]
-        )
-        self.engines = [engine for _, engine in self.keys]
-
-    def change(self, comes, ident, engine):
-        """One engine comes or goes."""
-        key = self.key(ident, engine)
+    """Engines by their rank for one data set (rendezvous hashing)."""
+
+    def __init__(self, dataset: int) -> None:
+        self.dataset = dataset
+        self.serial = 0  # of the last change of the list that is in it
+        self.keys: list[tuple[int, int]] = []  # (rank, slot), ascending
+        self.engines: list[Member] = []  # the engines of these keys
+
+    def key(self, engine: Member) -> tuple[int, int]:
+        """What an engine is sorted by."""
+        return mix(engine.id, self.dataset), engine.slot
+
+    def build(self, members: Iterable[Member]) -> None:
+        """Rank all anew."""
+        spread = self.dataset * 0x9E3779B1
+        ranked = []
+        for engine in members:
+            # mix() in line: a fleet of thousands is ranked in a few ms.
+            mixed = (engine.id ^ spread) * 0x85EBCA6B & 0xFFFFFFFF
+            rank = (mixed ^ mixed >> 15) * 0xC2B2AE35 & 0xFFFFFFFF
+            ranked.append(((rank, engine.slot), engine))
+        ranked.sort(key=lambda pair: pair[0])
+        self.keys = [key for key, _ in ranked]
+        self.engines = [engine for _, engine in ranked]
+
+    def change(self, is_added: bool, engine: Member) -> None:
+        """One engine is added or removed."""
+        key = self.key(engine)
         at = bisect_left(self.keys, key)
-        if comes:
+        if is_added:
             self.keys.insert(at, key)
             self.engines.insert(at, engine)
         else:
-            del self.keys[at], self.engines[at]
+            del self.keys[at]
+            del self.engines[at]
 
-    def at(self, place):
+    def at(self, place: int) -> Member:
         """The engine at a place."""
         return self.engines[place]
 
-    def place(self, ident, engine):
-        """Where an engine stands, or None."""
-        at = bisect_left(self.keys, self.key(ident, engine))
-        return at if at < len(self.engines) and self.engines[at] == engine else None
+    def place(self, engine: Member) -> int | None:
+        """Where an engine stands; None: it is not ranked."""
+        key = self.key(engine)
+        at = bisect_left(self.keys, key)
+        return at if at < len(self.keys) and self.keys[at] == key else None
 
-    def stands_in(self, places, ident, engine):
+    def is_within(self, places: range, engine: Member) -> bool:
         """Whether an engine stands at one of these places."""
-        return self.place(ident, engine) in places
+        return self.place(engine) in places
 
 
-class Arc:
-    """The one order that data sets of a large list share, from a point of its own on (consistent hashing).
+class RingView:
+    """The ring that data sets of a large list share, from a point of its own on (consistent hashing).
 
     Ranks of its own for each data set cost a sort and some hundred KB each at thousands of engines.
     """
 
-    def __init__(self, ring, dataset):
-        self.ring, self.start = ring, bisect_left(ring.keys, (mix(dataset, ARC), 0))
+    def __init__(self, ring: Ranking, dataset: int) -> None:
+        self.ring = ring
+        self.start = bisect_left(ring.keys, (mix(dataset, RING_START_SALT), 0))
 
-    def at(self, place):
+    def at(self, place: int) -> Member:
         """The engine at a place."""
         return self.ring.engines[(self.start + place) % len(self.ring.engines)]
 
-    def stands_in(self, places, ident, engine):
+    def is_within(self, places: range, engine: Member) -> bool:
         """Whether an engine stands at one of these places."""
-        at = self.ring.place(ident, engine)
+        at = self.ring.place(engine)
         return at is not None and (at - self.start) % len(self.ring.engines) in places
 
 
 class EngineList:
-    """Engines in the order in which they were first told of: each a small number, its id any number."""
+    """Engines in the order in which they were discovered."""
 
-    def __init__(self):
-        self.members, self.engines = {}, []  # engine: (sequence, id); the engines in order
-        self.order = []  # (sequence, engine), as the engines stand
-        self.rankings, self.changes, self.serial = {}, [], 0  # changes: the last of them, up to the serial
+    def __init__(self) -> None:
+        self.engines: list[Member] = []
+        self._members: set[Member] = set()
+        self._sequences: list[int] = []  # of the engines, in the same order
+        self.rankings: dict[int, Ranking] = {}  # by data set
+        self.changes: list[tuple[bool, Member]] = []  # the last of them, up to the serial
+        self._serial = 0  # of the last change
 
-    def __len__(self):
+    def __len__(self) -> int:
         return len(self.engines)
 
-    def __iter__(self):
+    def __iter__(self) -> Iterator[Member]:
         return iter(self.engines)
 
-    def __getitem__(self, at):
-        return self.engines[at]
+    def __getitem__(self, place: int) -> Member:
+        return self.engines[place]
 
-    def at(self, place):
+    def at(self, place: int) -> Member:
         """The engine at a place."""
         return self.engines[place]
 
-    def __contains__(self, engine):
-        return engine in self.members
+    def __contains__(self, engine: Member) -> bool:
+        return engine in self._members
 
-    def set(self, engine, sequence, ident, present):
-        """Have an engine be in the list, or not. sequence: where it stands among the others."""
-        if present == (engine in self.members):
+    def set_present(self, engine: Member, is_present: bool) -> None:
+        """Have an engine be in the list, or not."""
+        if is_present == (engine in self._members):
             return
-        if present:
-            self.members[engine] = sequence, ident
-            insort(self.order, (sequence, engine))
-            self.engines.insert(bisect_left(self.order, (sequence, engine)), engine)
+        if is_present:
+            self._members.add(engine)
+            insort(self._sequences, engine.sequence)
+            self.engines.insert(bisect_left(self._sequences, engine.sequence), engine)
         else:
-            sequence, ident = self.members.pop(engine)
-            at = bisect_left(self.order, (sequence, engine))
-            del self.order[at], self.engines[at]
-        self.changes.append((present, ident, engine))
-        self.serial += 1
+            self._members.remove(engine)
+            at = bisect_left(self._sequences, engine.sequence)
+            del self._sequences[at]
+            del self.engines[at]
+        self.changes.append((is_present, engine))
+        self._serial += 1
         if len(self.changes) > len(self.engines) + RANKINGS_MOST:  # no more than to rank all anew
             self.changes.clear()
             self.rankings.clear()
 
-    def ranked(self, dataset):
-        """The engines in order for a data set: at(place), stands_in(places, id, engine)."""
+    def ranked(self, dataset: int) -> EngineOrder:
+        """The engines in order for a data set."""
         if len(self.engines) > RANKED_MOST:
-            return Arc(self._ranking(RING), dataset)
+            return RingView(self._ranking(RING_SALT), dataset)
         return self._ranking(dataset)
 
-    def _ranking(self, dataset):
+    def _ranking(self, dataset: int) -> Ranking:
         """The Ranking for a data set, with all changes up to now."""
         ranking = self.rankings.get(dataset)
         if ranking is None:
             if len(self.rankings) >= RANKINGS_MOST:
                 self.rankings.clear()
-            ranking = self.rankings[dataset] = Ranking(dataset)
-            self._build(ranking)
-        elif ranking.serial < self.serial:
-            late = self.serial - ranking.serial
-            if late > len(self.engines) // 4:
-                self._build(ranking)
-            else:
-                for change in self.changes[-late:]:
-                    ranking.change(*change)
-        ranking.serial = self.serial
+            ranking = Ranking(dataset)
+            self.rankings[dataset] = ranking
+            ranking.build(self.engines)
+        elif ranking.serial < self._serial:
+            self._catch_up(ranking, self._serial - ranking.serial)
+        ranking.serial = self._serial
         return ranking
 
-    def _build(self, ranking):
-        ranking.build([(self.members[engine][1], engine) for engine in self.engines])
+    def _catch_up(self, ranking: Ranking, missed: int) -> None:
+        if missed > len(self.engines) // 4:
+            ranking.build(self.engines)
+            return
+        for is_added, engine in self.changes[-missed:]:
+            ranking.change(is_added, engine)
--- /dev/null
+++ b/gullhold/decisions/retry_policy.py
@@ -0,0 +1,83 @@
+"""Which attempts of a command are allowed: idempotency, number of attempts, retry budget, cancel credit."""
+
+from bisect import insort
+from collections import deque
+
+from gullhold.decisions.command import Command
+from gullhold.decisions.fleet_budgets import FleetBudgets
+from gullhold.decisions.key_order import KeyOrder
+from gullhold.interface import Agreement, BudgetKind, DeduplicationScope
+
+MARGIN_US = 30_000  # us before a client timeout or window ends at which we stop: over one tick
+CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each attempt of a profile earns
+CREDIT_MOST = 4.0  # and the most saved up
+
+
+class RetryPolicy:
+    """Rules for attempts, and the times that the agreement's retry budget counts."""
+
+    def __init__(self, agreement: Agreement, budgets: FleetBudgets, key_order: KeyOrder) -> None:
+        self.agreement = agreement
+        self._budgets = budgets
+        self._key_order = key_order
+        self._ended: deque[int] = deque()  # arrival times of ended commands that widen the budget, ascending
+        self._retries: deque[int] = deque()  # times of retries, ascending
+        self._cancel_credit = [CREDIT_MOST] * len(agreement.profiles)
+        self.attempts_most: dict[int, int] = {}  # by profile, where the policy sets it
+
+    def may_retry(self, command: Command, now: int) -> bool:
+        """Whether one more attempt can ever be allowed: attempts, idempotency, deduplication window."""
+        attempts_most = self.attempts_most.get(command.profile_index, self.agreement.max_attempts)
+        if 0 < attempts_most <= command.attempts:
+            return False
+        if not command.may_have_run or command.is_idempotent:
+            return True
+        return command.is_keyed and now + MARGIN_US < command.deduplication_until
+
+    def may_start(self, command: Command, now: int) -> bool:
+        """Whether an attempt is allowed now: key at rest, retry budget."""
+        self._forget_old(now)
+        if now >= command.last_start_at or not self.may_retry(command, now):
+            return False
+        if not command.attempts:
+            return not self._key_order.is_settling(command, now)
+        return self._has_retry_budget()
+
+    def may_shed(self, command: Command, now: int) -> bool:
+        """Whether a retry by the client does no harm."""
+        if command.is_idempotent or not command.may_have_run:
+            return True
+        has_fleet_scope = command.profile.dedup_scope == DeduplicationScope.FLEET
+        return command.is_keyed and has_fleet_scope and now < command.deduplication_until
+
+    def record_attempt(self, command: Command, now: int) -> None:
+        """An attempt is dispatched (command.attempts: the ones before it)."""
+        if command.attempts:
+            self._retries.append(now)
+        credit = self._cancel_credit[command.profile_index] + CREDIT_PER_ATTEMPT
+        self._cancel_credit[command.profile_index] = min(CREDIT_MOST, credit)
+
+    def record_ended(self, command: Command) -> None:
+        """A command ended: it widens the budget now that it is known to be no bad client's."""
+        insort(self._ended, command.admitted_at)
+
+    def has_cancel_credit(self, command: Command) -> bool:
+        """Whether a slow attempt of the command's profile may be cancelled."""
+        return self._cancel_credit[command.profile_index] >= 1
+
+    def spend_cancel_credit(self, command: Command) -> None:
+        """A slow attempt is cancelled."""
+        self._cancel_credit[command.profile_index] -= 1
+
+    def _has_retry_budget(self) -> bool:
+        base = self.agreement.retry_budget_base
+        if base is None or self._budgets.share(BudgetKind.RETRIES, 0) is not None:
+            return True
+        return len(self._retries) + 1 <= base + self.agreement.retry_budget_share * len(self._ended)
+
+    def _forget_old(self, now: int) -> None:
+        """Drop times that have left the budget's window."""
+        window_start = now - self.agreement.retry_budget_window_us
+        for times in (self._ended, self._retries):
+            while times and times[0] <= window_start:
+                times.popleft()
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -241,13 +241,13 @@
 
     def _ask(self, cmd, call, *args):
         """Call the module and carry out its results; if it fails, the command gets its one final answer."""
-        self.gateway.out = []  # of a call that fails only its own results hold
+        self.gateway.results = []  # of a call that fails only its own results hold
         try:
             results = call(self.now, *args)
         except Exception:  # guards against one odd command taking all others down with it
             self.counters.add("faults of the module")
             logger.exception("the module failed in {}", call.__name__)
-            results = list(self.gateway.out)  # what it had decided until then holds
+            results = list(self.gateway.results)  # what it had decided until then holds
             if cmd and cmd.client and not cmd.send:
                 self.after.append((self._give_up, cmd))
         for result in results:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -252,16 +252,16 @@
 
     def left_over(self):
         """What its tables still hold once nothing is owed or out; a census."""
-        core, gate = self.core, self.core.gateway
+        core, census = self.core, self.core.gateway.census()
         return {
             name: size
             for name, size in (
                 ("owed", len(core.pending)),
                 ("txns", len(core.pending_by_txn)),
-                ("commands", len(gate.commands)),
-                ("threads", sum(gate.threads)),
-                ("running", sum(gate.running)),
-                ("held", len(gate.held)),
+                ("commands", census.commands),
+                ("threads", census.engine_threads),
+                ("running", census.engine_attempts),
+                ("held", census.queued_tenants),
                 ("sends", sum(len(link.open) for link in core.links)),
                 ("bytes", core.room.used),
             )
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -8,6 +8,7 @@
 from unittest import mock
 
 from gullhold.decisions.gateway import Gateway
+from gullhold.decisions.retry_policy import RetryPolicy
 from gullhold.interface import EngineState, Outcome
 from gullhold.net import connection_ends, core, pipe, thrift
 
@@ -42,18 +43,18 @@
     return call
 
 
-def _any_number(_may_resend):
-    return lambda self, cmd: cmd.sends < self.agreement.max_attempts
+def _any_number(_may_retry):
+    return lambda self, command, _now: command.attempts < self.agreement.max_attempts
 
 
-def _window_longer(_may_resend):
-    def call(self, cmd):
-        kind = cmd.kind
-        cmd.kind = kind._replace(dedup_window_us=2 * kind.dedup_window_us)
+def _window_longer(_may_retry):
+    def call(self, command, now):
+        profile = command.profile
+        command.profile = profile._replace(dedup_window_us=2 * profile.dedup_window_us)
         try:
-            return _may_resend(self, cmd)
+            return _may_retry(self, command, now)
         finally:
-            cmd.kind = kind
+            command.profile = profile
 
     return call
 
@@ -123,8 +124,8 @@
     "a drain that is heard and not obeyed": ("drain", Gateway, "update_engines", _heard_not_obeyed),
     "an abort not awaited": ("two at once", core.Core, "_stop_send", _not_awaited),
     "every answer twice": ("one answer", core.Core, "_answer", _twice),
-    "sends of any kind up to the cap": ("must not run twice", Gateway, "_may_resend", _any_number),
-    "the dedup window twice as long": ("outside its window", Gateway, "_may_resend", _window_longer),
+    "sends of any kind up to the cap": ("must not run twice", RetryPolicy, "may_retry", _any_number),
+    "the dedup window twice as long": ("outside its window", RetryPolicy, "may_retry", _window_longer),
     "clients that leave are not heard": ("client gone", core.Core, "client_ended", _unheard),
     "every fifth timer lost": ("in time", core.Core, "_later", _lost),
     "the first page for the whole": ("intact", core.Core, "_page", _first_page_only),
--- /dev/null
+++ b/tests/decisions/scenarios.py
@@ -0,0 +1,45 @@
+"""Worlds that the tests of the decisions share."""
+
+from driver import MS, WORK, Driver, make_agreement, profile
+
+from gullhold.interface import EngineState, Outcome, Tenant
+
+READY4 = [(ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0) for ident in range(4)]
+
+
+FLEET = [(ident, 0, 0, EngineState.READY, ident % 5, 0) for ident in range(40)]
+
+
+CROWD = (Tenant(1.0, 1000.0),)
+
+
+ODD = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
+
+
+def answered(world, times, util, latency=WORK):
+    """So many commands, one by one, each answered with this load told."""
+    for _ in range(times):
+        ident = world.command()
+        world.now += latency
+        world.end(ident, Outcome.ANSWERED, report=(3.0, util))
+
+
+def reporting(**other):
+    """A gateway of four on one engine of four cores that tells its load with answers."""
+    world = Driver(
+        make_agreement(
+            profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
+            gateways=4,
+            report_fields=("inflight", "util"),
+            **other,
+        )
+    )
+    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    return world
+
+
+def out_of(world, asked=12):
+    """How many of so many commands at once are out."""
+    for _ in range(asked):
+        world.command()
+    return len(world.out())
--- /dev/null
+++ b/tests/decisions/test_attempt_review.py
@@ -0,0 +1,39 @@
+"""Open attempts that take far longer than usual."""
+
+from driver import MS, Driver, make_agreement, profile
+from scenarios import READY4
+
+from gullhold.interface import CancelAttempt, Outcome, StatusKind
+
+
+def test_a_bad_plan_is_started_afresh_elsewhere():
+    world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
+    world.engines(*READY4)
+    for _ in range(20):
+        ident = world.command()
+        world.now += 100 * MS
+        world.end(ident, Outcome.ANSWERED)
+    ident = world.command()
+    world.wait(400 * MS)
+    assert CancelAttempt(ident, 0) in world.log
+    world.end(ident, Outcome.CANCELLED)
+    assert len(world.commands[ident]["sends"]) == 2
+
+
+def test_a_send_that_notes_call_nearly_done_is_left_alone():
+    world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
+    world.engines(*READY4)
+    ident = world.command()
+    world.gateway.attempt_status(world.now, ident, 0, StatusKind.PROGRESS, 0.9)
+    world.wait(900 * MS)
+    assert not any(isinstance(result, CancelAttempt) for result in world.log)
+
+
+def test_notes_tell_a_bad_plan_long_before_its_age_does():
+    world = Driver(make_agreement(profile(timeout_us=20_000 * MS, target_us=9000 * MS)))
+    world.engines(*READY4)
+    ident = world.command(work=1000 * MS)
+    world.wait(500 * MS)
+    world.gateway.attempt_status(world.now, ident, 0, StatusKind.PROGRESS, 0.02)
+    world.wait(600 * MS)
+    assert CancelAttempt(ident, 0) in world.log
--- /dev/null
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -0,0 +1,46 @@
+"""Queued commands of tenants, in turn by weight."""
+
+from driver import MS, Driver, make_agreement, profile
+
+from gullhold.interface import EngineState, Outcome, Tenant
+
+
+def test_tenants_are_released_by_weight_under_pressure():
+    world = Driver(
+        make_agreement(
+            profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
+            tenants=(Tenant(0.75), Tenant(0.25)),
+        )
+    )
+    world.engines((1, 0, 1, EngineState.READY, 0, 0))
+    for i in range(400):
+        world.command(tenant=i % 2)
+    sent = [0, 0]
+    for _ in range(150):
+        ident = world.out()[0]
+        sent[(ident - 1) % 2] += 1
+        world.now += 100 * MS
+        world.end(ident, Outcome.ANSWERED)
+    assert 0.6 < sent[0] / sum(sent) < 0.85
+
+
+def test_tenants_that_hold_nothing_cost_nothing():
+    agreement = make_agreement(tenants=tuple(Tenant(1e-5) for _ in range(100_000)))
+    driver = Driver(agreement)
+    driver.engines((1, 0, 0, EngineState.READY, 0, 0), full=True)
+    for tenant in (7, 70_000, 99_999):
+        for _ in range(30):
+            driver.command(tenant=tenant)
+    queue = driver.gateway.queue
+    assert set(queue.by_tenant) == {7, 70_000, 99_999}
+    while driver.out():
+        driver.end(driver.out()[0], Outcome.ANSWERED)
+    assert not queue.by_tenant and set(queue.latency_sums) | set(queue.dispatched) | set(queue.quotas) <= {
+        7,
+        70_000,
+        99_999,
+    }
+    for tenant in range(2000):  # each sends one, once: what is counted of them fades
+        driver.command(tenant=tenant)
+        driver.end(driver.out()[0], Outcome.ANSWERED)
+    assert len(queue.dispatched) < 100
--- /dev/null
+++ b/tests/decisions/test_decisions_fleet_budgets.py
@@ -0,0 +1,116 @@
+"""Shares of the fleet's budgets."""
+
+from driver import MS, Driver, make_agreement, profile
+
+from gullhold.interface import BudgetKind, EngineState, Outcome, ReportDemand, Shed, Tenant
+
+
+class Part:
+    """A share of a budget that a test moves: what it may have, and what is acquired of it."""
+
+    def __init__(self, most):
+        self.most, self.out, self.turned_away = most, 0, 0
+
+    def limit(self):
+        return self.most
+
+    def allows(self, amount):
+        return self.out + amount <= self.most
+
+    def acquire(self, amount):
+        self.out += amount
+
+    def release(self, amount, confirmed=True):
+        self.out -= amount if confirmed else 0
+
+    def record_rejection(self, amount):
+        self.turned_away += amount
+
+
+def parted(agreement=None, **parts):
+    """A driver whose module has these parts, each of all engines and tenants: {name: Part}."""
+    world = Driver(agreement or make_agreement())
+    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    found = {BudgetKind[name.upper()]: part for name, part in parts.items()}
+
+    def allot():
+        results = world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))
+        world.obey([row for row in results if not isinstance(row, ReportDemand)])
+        reports = [row for row in results if isinstance(row, ReportDemand)]
+        return {
+            (demand.budget, demand.subject): demand.amount for report in reports for demand in report.demands
+        }
+
+    allot()
+    return world, allot
+
+
+def test_threads_of_the_fleet_hold_back_what_the_even_part_would_send_and_go_on_when_they_grow():
+    part = Part(2)
+    world, allot = parted(make_agreement(gateways=50), threads=part)
+    for _ in range(6):
+        world.command()
+    assert len(world.out()) == 2 == part.out
+    assert allot()[BudgetKind.THREADS, 1] == 4
+    part.most = 5
+    allot()
+    assert len(world.out()) == 5
+    part.most = 1  # it cancels nothing, and begins nothing
+    world.end(world.out()[0], Outcome.ANSWERED)
+    assert len(world.out()) == 4 == part.out
+    world.end(world.out()[0], Outcome.RESET)  # it may run on: whoever keeps the part says when it is over
+    assert part.out == 4
+
+
+def test_a_part_under_one_command_sends_none_of_it():
+    world, allot = parted(make_agreement(profile(threads=3)), threads=Part(2))
+    world.command()
+    assert not world.out() and allot()[BudgetKind.THREADS, 1] == 3
+
+
+def test_further_sends_and_commands_taken_of_a_tenant_are_the_fleets():
+    further, taken, opened = Part(1), Part(9), Part(2)
+    agreement = make_agreement(
+        retry_budget_base=0.0,
+        retry_budget_share=0.0,
+        retry_budget_window_us=1000 * MS,
+        tenants=(Tenant(1.0, name="a"),),
+    )
+    world = Driver(agreement)
+    found = {BudgetKind.RETRIES: further, BudgetKind.ADMISSIONS: taken, BudgetKind.OPEN_COMMANDS: opened}
+    world.agreement = agreement._replace(
+        retry_budget_base=None
+    )  # the stand-in front keeps the module's own budget no more
+    world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))
+    first, second, third = (world.command() for _ in range(3))
+    assert world.commands[third]["final"] == Shed and opened.turned_away == taken.turned_away == 1
+    for one in (first, second):
+        world.end(one, Outcome.RESET)
+    world.wait(10 * MS)
+    assert len(world.out()) == 1 and further.out == 1
+    lacks = world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))[-1].demands
+    assert (BudgetKind.RETRIES, 0, 1) in lacks
+    world.leave(second)
+    world.end(world.out()[0], Outcome.ANSWERED)
+    assert opened.out == 0 and taken.out == 0
+
+
+def test_memory_and_cold_work_are_asked_for_and_a_share_sets_the_bound():
+    memory, cold, share = Part(100), Part(100_000), Part(500_000)
+    world, allot = parted(make_agreement(gateways=50), memory=memory, warmup=cold, traffic_share=share)
+    world.engines((1, 0, 0, EngineState.READY, 0, world.now))
+    first = [world.command() for _ in range(3)]
+    granted = memory.out
+    assert (
+        0 < granted <= 100
+        and 0 < cold.out <= 100_000
+        and world.gateway.limits.share(world.gateway.now) == 0.5
+    )
+    lacks = allot()
+    assert (
+        lacks[BudgetKind.MEMORY, 1] >= 64
+        and lacks[BudgetKind.WARMUP, 1] > 0
+        and lacks[BudgetKind.TRAFFIC_SHARE, 0] >= 3
+    )
+    assert len(world.out()) < len(first)
--- /dev/null
+++ b/tests/decisions/test_decisions_rules.py
@@ -0,0 +1,148 @@
+"""The rules under random calls, and input of any value."""
+
+import pytest
+from driver import MS, Driver, make_agreement, profile
+from hypothesis import HealthCheck, Phase, given, settings
+from hypothesis import strategies as st
+from scenarios import ODD, READY4
+
+from gullhold.interface import DeduplicationScope, EngineState, Fail, Idempotency, Outcome, Tenant
+
+STEP = st.tuples(st.integers(0, 12), st.integers(0, 9999))
+
+
+AGREEMENTS = [
+    make_agreement(
+        profile(),
+        profile(idempotency=Idempotency.NON_IDEMPOTENT, threads=3),
+        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE, target_us=2000 * MS),
+        tenants=(Tenant(0.7), Tenant(0.3)),
+    ),
+    make_agreement(
+        profile(idempotency=Idempotency.KEYED, ordered=True),
+        profile(ordered=True, late_benefit=0.0),
+        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.CELL),
+        retry_budget_base=2.0,
+        retry_budget_share=0.2,
+        retry_budget_window_us=2000 * MS,
+        gateways=3,
+    ),
+    make_agreement(
+        profile(zones=frozenset((1,))),
+        profile(engine_kinds=frozenset((0,)), idempotency=Idempotency.NON_IDEMPOTENT),
+        profile(
+            idempotency=Idempotency.KEYED, ordered=True, zones=frozenset((0,)), engine_kinds=frozenset((0,))
+        ),
+        gateways=2,
+        cross_zone_costs=True,
+        honors_grants=False,
+        honors_priority=False,
+        max_attempts=6,
+    ),
+    make_agreement(
+        profile(late_benefit=0.0),
+        profile(threads=3, benefit=6.0, target_us=1500 * MS),
+        max_attempts=6,
+        supports_cancel=False,
+        honors_grants=False,
+        max_retry_after_us=500 * MS,
+        report_fields=("util",),
+        gateways=3,
+        tenants=(Tenant(0.87, 90.0), Tenant(0.13, 12.0)),
+    ),
+    make_agreement(
+        profile(waits_for_loads=True),
+        profile(threads=3, benefit=2.5),
+        profile(threads=2, benefit=6.0, idempotency=Idempotency.NON_IDEMPOTENT, loads_dataset=True),
+        honors_priority=False,
+        cross_zone_costs=True,
+        report_fields=("queue", "util"),
+        gateways=5,
+    ),
+]
+
+
+def play(agreement, steps):
+    """One random run; returns all that the module asked for."""
+    world = Driver(agreement)
+    for kind, number in steps:
+        out = world.out()
+        if kind <= 4:
+            world.command(
+                number % len(agreement.profiles),
+                tenant=number % 3,
+                key=number % 4,
+                timeout_us=(200 + number % 3800) * MS,
+                need=ODD[number % 6],
+                told=ODD[number // 7 % 6] if number % 5 == 0 else None,
+            )
+        elif kind <= 7 and out:
+            world.end(
+                out[number % len(out)],
+                number % 8,
+                cost=100 * MS,
+                report=(ODD[number % 6], number % 9 / 8)[: number % 3],
+            )
+        elif kind == 8:
+            born = world.now if number % 3 == 0 else 0
+            world.engines(
+                (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, born),
+                full=number % 11 == 0,
+            )
+        elif kind == 9 and out:
+            world.leave(out[number % len(out)])
+        elif kind == 10:
+            owed = [ident for ident, cmd in world.commands.items() if not cmd["over"]]
+            if owed:
+                world.give_up(owed[number % len(owed)])
+        else:
+            world.wait(number % 700 * MS)
+    world.wait(5000 * MS)
+    for ident in world.out():
+        world.end(ident, Outcome.RESET)
+    assert not world.gateway.commands and not world.gateway.key_order.by_key
+    world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
+    world.engines()
+    assert not world.gateway.thread_use.running_on and not world.gateway.thread_use.total
+    assert not any(engine.threads or engine.attempts for engine in world.gateway.engines.by_slot)
+    return world.log
+
+
+@pytest.mark.parametrize("agreement", AGREEMENTS)
+@settings(
+    derandomize=True,
+    deadline=None,
+    max_examples=40,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+    phases=[Phase.generate],
+)
+@given(steps=st.lists(STEP, min_size=20, max_size=70))
+def test_rules_hold_at_every_step(agreement, steps):
+    first = [(8, 0), (8, 21), (8, 12), (8, 33)]
+    assert play(agreement, first + steps) == play(agreement, first + steps)  # and same calls, same decisions
+
+
+def test_strange_input_is_passed_over():
+    world = Driver(make_agreement(tenants=(Tenant(1.0),), cores_by_kind=(), memory_mb_by_kind=()))
+    world.engines(*READY4)
+    assert world.gateway.attempt_ended(world.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
+    assert world.gateway.client_left(world.now, 77) == []
+    unknown = world.gateway.submit(world.now, 900, 5, 0, 0, world.now + MS, 0, 0.0, 0, False)
+    assert unknown == [Fail(900)]
+    world.command(0, tenant=9, work=0)
+    assert len(world.out()) == 1
+
+
+@pytest.mark.parametrize("told", ODD)
+def test_an_estimate_that_is_none_loses_no_command(told):
+    world = Driver(make_agreement(profile(), profile(threads=3)))
+    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    for need in ODD:
+        ident = world.command(told=told, need=need)
+        if world.commands[ident]["out"]:
+            world.end(ident, Outcome.ANSWERED)
+    world.wait(8000 * MS)
+    assert world.gateway.estimates.by_profile[0].work_bias > 0 and all(
+        cmd["over"] or cmd["final"] for cmd in world.commands.values()
+    )
--- /dev/null
+++ b/tests/decisions/test_load_report.py
@@ -0,0 +1,77 @@
+"""Utilisation that engines report."""
+
+import pytest
+from driver import MS, WORK, Driver, make_agreement, profile
+from scenarios import answered, out_of, reporting
+
+from gullhold.interface import EngineState, Outcome
+
+
+def test_slow_answers_are_no_pressure_where_engines_tell_of_idle_cores():
+    found = []
+    for util in (0.1, 0.95):  # the same paces: two fast ones, then three times as slow
+        world = reporting()
+        answered(world, 5, util)
+        answered(world, 30, util, latency=3 * WORK)
+        found.append(out_of(world))
+    assert found[0] >= 2 * found[1] > 0
+
+
+def test_an_engine_that_turns_us_away_or_says_nothing_counts_as_full():
+    world = reporting()
+    answered(world, 40, 0.1)
+    assert world.gateway.loads.fleet_utilization < 0.2
+    for outcome in [Outcome.OVERLOADED, Outcome.TIMED_OUT] * 15:
+        ident = world.command()
+        if ident in world.out():
+            world.end(ident, outcome)
+        world.wait(3000 * MS)
+        for other in world.out():
+            world.end(other, Outcome.ANSWERED)
+    assert world.gateway.loads.fleet_utilization > 0.7
+
+
+@pytest.mark.parametrize("told", [float("nan"), -0.5, float("inf"), float("-inf"), 1e30])
+def test_a_made_up_load_is_bounded(told):
+    world = reporting()
+    answered(world, 20, 0.2)
+    answered(world, 5, told)
+    assert (
+        0.0 <= world.gateway.loads.fleet_utilization <= 1.0
+        and 0.0 <= world.gateway.engines.by_slot[0].load <= 1.0
+    )
+    ident = world.command()
+    world.end(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
+    assert out_of(world) > 0
+
+
+@pytest.mark.parametrize("full", [1, 2])
+def test_of_engines_with_as_much_of_ours_the_one_that_tells_less_load_is_taken(full):
+    world = Driver(
+        make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
+    )
+    world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    for ident in [world.command(), world.command()]:  # one on each: both tell
+        world.end(ident, Outcome.ANSWERED, report=(0.9 if world.commands[ident]["out"][0] == full else 0.1,))
+    for _ in range(12):
+        ident = world.command()
+        assert world.commands[ident]["out"][0] != full
+        world.end(ident, Outcome.ANSWERED, report=(0.1,))
+
+
+def test_load_told_by_an_engine_that_crawls_is_no_room():
+    world = Driver(
+        make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
+    )
+    world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    for _ in range(10):  # one on each: the first crawls, and tells of idle cores
+        pair = [world.command(), world.command()]
+        for crawls in (False, True):
+            world.now += 5 * WORK if crawls else WORK
+            for ident in pair:
+                if world.commands[ident]["out"] and (world.commands[ident]["out"][0] == 1) == crawls:
+                    world.end(ident, Outcome.ANSWERED, report=(0.05 if crawls else 0.6,))
+        for ident in world.out():
+            world.end(ident, Outcome.ANSWERED, report=(0.6,))
+    ident = world.command()
+    assert world.commands[ident]["out"][0] == 2
--- /dev/null
+++ b/tests/decisions/test_slow_start.py
@@ -0,0 +1,110 @@
+"""What warming engines are given."""
+
+import pytest
+from driver import MS, START, WORK, Driver, make_agreement, profile
+
+from gullhold.interface import Dispatch, EngineState, Outcome
+
+
+def test_a_restart_makes_an_engine_cold_again():
+    world = Driver(make_agreement(gateways=1))
+    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.engines((1, 0, 0, EngineState.READY, 0, START))
+    for _ in range(200):
+        if not world.out():
+            world.command()
+        world.end(world.out()[0], Outcome.ANSWERED) if world.out() else world.wait(20 * MS)
+    assert world.cold[1]
+
+
+def test_a_heavy_command_may_go_to_a_new_engine_before_it_is_warm():
+    world = Driver(make_agreement(profile(timeout_us=60_000 * MS, target_us=60_000 * MS), gateways=3))
+    world.engines((1, 0, 0, EngineState.READY, 0, START))
+    ident = world.command(work=2500 * MS)
+    assert not world.out()
+    world.wait(9900 * MS)
+    assert world.commands[ident]["out"]
+
+
+def asks(world, times, wait_us):
+    """It is asked so often, all that goes out is answered; how many sends it has made in all."""
+    for _ in range(times):
+        world.command(work=400 * MS)
+        for ident in world.out():
+            world.end(ident, Outcome.ANSWERED)
+        world.wait(wait_us)
+    return sum(isinstance(result, Dispatch) for result in world.log)
+
+
+@pytest.mark.parametrize("managers", [3, 300])
+def test_all_gateways_together_stay_inside_the_cold_budget(managers):
+    agreement = make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
+    stands = (
+        agreement.overload_multiple
+        * agreement.warmup_initial_share
+        * agreement.cores_by_kind[0]
+        * agreement.overload_window_us
+    )
+    sent = 0
+    for seed in range(managers):
+        world = Driver(agreement, seed)
+        world.engines((1, 0, 0, EngineState.READY, 0, START))
+        sent += 400 * MS * asks(world, 10, 190 * MS)
+    assert 0.2 * stands < sent < stands
+
+
+@pytest.mark.parametrize("managers", [3, 30, 200])
+def test_gateways_that_start_over_and_over_stay_inside_the_cold_budget(managers):
+    """Each start had forgotten what the one before had sent: four in a window sent three times the budget."""
+    agreement = make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
+    sent = 0
+    for seed in range(managers):
+        for start in range(4):
+            world = Driver(agreement, 4 * seed + start)
+            world.gateway.slow_start.gateway_started_at = world.now = (
+                START + (1 + 500 * start) * MS
+            )  # the engine is there before
+            world.engines((1, 0, 0, EngineState.READY, 0, START))
+            sent += asks(world, 3, 160 * MS)
+    stands = (
+        agreement.overload_multiple
+        * agreement.warmup_initial_share
+        * agreement.cores_by_kind[0]
+        * agreement.overload_window_us
+        / (400 * MS)
+    )
+    assert sent <= stands + 2 * stands**0.5 + 2
+    world.wait(agreement.overload_window_us)
+    world.command(work=400 * MS)
+    world.wait(3 * agreement.overload_window_us)
+    assert managers > 3 or world.out()  # the part is ours again
+
+
+def test_half_a_fleet_back_cold_at_once_is_given_its_part_by_gateways_that_know_only_their_last_list():
+    agreement = make_agreement(profile(timeout_us=4000 * MS), gateways=10, cores_by_kind=(8.0,))
+    fleet = [Driver(agreement, seed) for seed in range(10)]
+    work = {}
+    for world in fleet:  # all that each knows is a list of a moment ago; half of its engines began anew
+        world.engines(
+            *(
+                (ident, 0, 0, EngineState.READY, 0, 0 if ident < 4 else START - 1000 * MS)
+                for ident in range(8)
+            )
+        )
+    for _ in range(40):
+        for world in fleet:
+            for _ in range(3):
+                ident = world.command()
+                out = world.commands[ident]["out"]
+                if out and out[0] >= 4:
+                    work[out[0]] = work.get(out[0], 0) + WORK
+            world.wait(50 * MS)
+            for ident in world.out():
+                world.end(ident, Outcome.ANSWERED)
+    stands = (
+        agreement.overload_multiple
+        * (agreement.warmup_initial_share + 0.7 * 0.1)
+        * 8
+        * agreement.overload_window_us
+    )
+    assert all(given < stands for given in work.values())  # the sum of all gateways, over one window
--- /dev/null
+++ b/tests/decisions/test_thread_use.py
@@ -0,0 +1,37 @@
+"""Threads that timed-out attempts hold."""
+
+from driver import MS, Driver, make_agreement, profile
+
+from gullhold.interface import EngineState, Outcome
+
+
+def jammed(supports_cancel=False, threads=2):
+    """(world, how many went out in 40 s): two engines of four cores on which nothing ends in time."""
+    world = Driver(
+        make_agreement(
+            profile(threads=threads, target_us=3000 * MS, timeout_us=4000 * MS),
+            supports_cancel=supports_cancel,
+            max_attempts=1,
+        )
+    )
+    world.engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2)))
+    for _ in range(400):
+        world.command()
+        world.wait(100 * MS)
+    return world, sum(len(cmd["sends"]) for cmd in world.commands.values())
+
+
+def test_what_timed_out_holds_its_threads_while_it_may_run_on_where_sends_cannot_be_cancelled():
+    (_, fed), (_, stopped) = jammed(), jammed(supports_cancel=True)
+    assert 0 < fed < 0.5 * stopped  # two ages run on behind each: a third of the sends
+
+
+def test_what_may_run_on_is_over_once_its_engine_began_anew():
+    world, _ = jammed()
+    assert world.gateway.thread_use.total >= 4 and world.gateway.thread_use.running_on
+    for ident in world.out():
+        world.end(ident, Outcome.RESET)
+    born = world.now - 20_000 * MS  # seen anew and warm
+    world.engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
+    out = sum(world.commands[ident]["kind"].threads for ident in world.out())
+    assert world.gateway.thread_use.total == out and not world.gateway.thread_use.running_on
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -131,7 +131,7 @@
         client.sock.close()
         until(lambda: inside.over)
     until(lambda: gateway.count("interrupted") == 20)
-    assert gateway.core.gateway.order == 0 and not engine.told
+    assert gateway.core.gateway.submitted == 0 and not engine.told
 
 
 @pytest.mark.parametrize("how", ["closes", "interrupts"])
@@ -308,7 +308,7 @@
     until(lambda: len(inside.decoder.buffer) or inside.over)
     client.sock.close()
     until(lambda: not gateway.listener.clients)
-    assert not engine.told and gateway.core.gateway.order == 0
+    assert not engine.told and gateway.core.gateway.submitted == 0
 
 
 def test_a_request_read_just_before_the_end_is_said_and_handed_on_after_it_goes_nowhere(start):
@@ -513,7 +513,7 @@
         old.say(line[40:], event(3, ("s-0", engines[0].address, "gone")))
     new.say(event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("list changes") == 3)
-    assert new.asked == [b"follow 1\n"] and len(gateway.core.gateway.ready) == 2
+    assert new.asked == [b"follow 1\n"] and len(gateway.core.gateway.engines.ready) == 2
     gateway.end()
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -704,7 +704,7 @@
         back.interrupt(back.ask())
     for caller in (client, half, back):
         assert caller.answer() is None
-    assert gateway.core.gateway.traffic < 1  # what was taken back at once counts for no share of the fleet
+    assert gateway.core.gateway.traffic.count < 1  # what was taken back at once counts for no share of the fleet
     monkeypatch.setattr(client_connection, "SAY_S", 60)
     gateway.listener.clients_most = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
@@ -738,7 +738,7 @@
     for _ in range(20):
         client.interrupt(client.ask())
     until(lambda: gateway.count("interrupted") == 20)
-    assert gateway.core.gateway.order == 0
+    assert gateway.core.gateway.submitted == 0
 
 
 def test_one_dismissed_for_room_is_still_answered_what_had_come(start):
@@ -783,7 +783,7 @@
         assert client.answer() == (seq, b"a\tb\tc\n")
         feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.engines and not gateway.core.links)
-    assert not gateway.core.gateway.index and not gateway.coordinator.names.numbers
+    assert not gateway.core.gateway.engines.by_id and not gateway.coordinator.names.numbers
     gateway.end()
 
 
