--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -92,6 +92,13 @@
             raise InvalidTransitionError(f"command {self.id}: {self.state.name} to {state.name}")
         self.state = state
 
+    def begin_attempt(self, engine: "Engine", now: int) -> None:
+        """A further attempt begins on the engine."""
+        self.engine = engine
+        self.sent_at = now
+        self.progress = 0.0
+        self.attempts += 1
+
     def mark_run(self) -> None:
         """The newest attempt may have run."""
         if self.first_run_engine is None:
--- /dev/null
+++ b/gullhold/decisions/command_intake.py
@@ -0,0 +1,60 @@
+"""Makes a Command of what a client submitted: bounds its estimates and sets its times."""
+
+from gullhold.decisions.command import Command
+from gullhold.decisions.estimators import Estimates
+from gullhold.decisions.retry_policy import MARGIN_US
+from gullhold.interface import Agreement
+
+SHORT_TARGETS = 2.5  # times the shortest latency objective that a short command is allowed in all
+
+
+class CommandIntake:
+    """Numbers commands in their order of arrival."""
+
+    def __init__(self, agreement: Agreement, estimates: Estimates) -> None:
+        self._profiles = agreement.profiles
+        self._has_tenants = bool(agreement.tenants)
+        self._estimates = estimates
+        shortest_target_us = min([profile.target_us for profile in agreement.profiles], default=0)
+        self._short_us = SHORT_TARGETS * shortest_target_us
+        self.submitted = 0  # commands so far
+
+    def new_command(
+        self,
+        now: int,
+        command_id: int,
+        profile_index: int,
+        tenant: int,
+        tenants: int,
+        key: int,
+        timeout_at: int,
+        stated_work: float,
+        need_mb: float,
+        dataset: int,
+    ) -> Command:
+        """The command; tenants: how many there are, one beyond them counts as the first."""
+        profile = self._profiles[profile_index]
+        if not self._has_tenants:
+            tenant = profile_index
+        self.submitted += 1
+        work = self._estimates.command_work(profile_index, stated_work)
+        allowed_us = profile.target_us + profile.target_stretch * work / profile.threads
+        target_at = int(now + allowed_us)
+        last_start_at = timeout_at - MARGIN_US
+        return Command(
+            id=command_id,
+            profile_index=profile_index,
+            profile=profile,
+            tenant=tenant if tenant < tenants else 0,
+            key=key,
+            need_mb=need_mb if 0 < need_mb < float("inf") else 0.0,
+            dataset=dataset,
+            order=self.submitted,
+            work=work,
+            admitted_at=now,
+            target_at=target_at,
+            is_short=allowed_us <= self._short_us,
+            last_start_at=last_start_at,
+            worthwhile_until=last_start_at if profile.late_benefit else target_at,
+            threads=profile.threads,
+        )
--- /dev/null
+++ b/gullhold/decisions/command_lifecycle.py
@@ -0,0 +1,96 @@
+"""Changes of commands' states, and what follows from each in the other parts."""
+
+from gullhold.decisions.command import WAITING_STATES, Command, CommandState
+from gullhold.decisions.decision_call import DecisionCall
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.parts import Parts
+from gullhold.decisions.retry_policy import MARGIN_US
+from gullhold.interface import Agreement, Fail, Shed
+
+
+class CommandLifecycle:
+    """The commands that wait or have an open attempt; every change of a state goes through it."""
+
+    def __init__(self, agreement: Agreement, parts: Parts, call: DecisionCall) -> None:
+        self._max_retry_after_us = agreement.max_retry_after_us
+        self._call = call
+        self._estimates = parts.estimates
+        self._health = parts.health
+        self._key_order = parts.key_order
+        self._queue = parts.queue
+        self._retries = parts.retries
+        self._reviews = parts.reviews
+        self._thread_use = parts.thread_use
+        self.commands: dict[int, Command] = {}
+
+    def add(self, command: Command) -> None:
+        """A new command: it is queued, or blocked by an earlier one of its ordered key."""
+        self.commands[command.id] = command
+        if self._key_order.add(command):
+            self.change_state(command, CommandState.QUEUED)
+        self._reviews.add_last_start(command)
+
+    def with_attempt(self, command_id: int, attempt: int, states: tuple[CommandState, ...]) -> Command | None:
+        """The command if this is its newest attempt and its state is one of these."""
+        command = self.commands.get(command_id)
+        if command is None or attempt != command.attempts - 1 or command.state not in states:
+            return None
+        return command
+
+    def engines_in_use(self) -> set[Engine | None]:
+        """Engines that commands refer to."""
+        in_use: set[Engine | None] = set()
+        for command in self.commands.values():
+            in_use.add(command.engine)
+            in_use.add(command.first_run_engine)
+        return in_use
+
+    def change_state(self, command: Command, state: CommandState) -> None:
+        """Have a command enter a state. Raises InvalidTransitionError where that can't be."""
+        was_waiting = command.state in WAITING_STATES
+        command.change_state(state)
+        if state == CommandState.DISPATCHED:
+            self._thread_use.occupy(command.engine, command.threads)
+        elif state in (CommandState.QUEUED, CommandState.ENDED) and not was_waiting:
+            self._close_attempt(command)
+        if state == CommandState.QUEUED:
+            self.enqueue(command)
+        elif state == CommandState.ENDED:
+            self._forget(command)
+
+    def enqueue(self, command: Command) -> None:
+        """Queue a command and plan the reviews at which it is out of time."""
+        now = self._call.now
+        run_us = self._estimates.run_us(command)
+        is_late = now > command.target_at - run_us
+        profile = command.profile
+        if command.may_have_run and command.is_keyed:  # it must not wait past its deduplication window
+            self._reviews.add(command.deduplication_until - MARGIN_US, command)
+        latest_start_at = int((command.last_start_at if is_late else command.target_at) - run_us)
+        self._reviews.add(max(now, latest_start_at) + 1, command)
+        self._queue.push(command, profile.benefit * (profile.late_benefit if is_late else 1.0))
+
+    def finish(self, command: Command, state: CommandState = CommandState.ENDED) -> None:
+        """The final answer: shed where a retry does no harm, else failed."""
+        if self._retries.may_shed(command, self._call.now):
+            self._call.results.append(Shed(command.id, self._max_retry_after_us))
+        else:
+            self._call.results.append(Fail(command.id))
+        self.change_state(command, state)
+
+    def _close_attempt(self, command: Command) -> None:
+        """The command's attempt is open no more."""
+        self._thread_use.vacate(command.engine, command.threads)
+        if command.is_stalled:
+            command.is_stalled = False
+            self._health.count_stalled(command.engine, -1)
+
+    def _forget(self, command: Command) -> None:
+        """A command has ended: what it held is free, and a command that it blocked is queued."""
+        for share in command.admission_shares:
+            share.release(1)
+        self._retries.record_ended(command)
+        del self.commands[command.id]
+        unblocked = self._key_order.remove(command)
+        if unblocked:
+            self.change_state(unblocked, CommandState.QUEUED)
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -60,7 +60,7 @@
         thread_use: ThreadUse,
     ) -> None:
         self._gateways = agreement.gateways
-        self._profiles = agreement.profiles
+        self._most_threads = max((profile.threads for profile in agreement.profiles), default=0)
         self._engines = engines
         self._estimates = estimates
         self._health = health
@@ -105,8 +105,7 @@
         if ready and self._budgets.share(BudgetKind.THREADS, ready[0].id) is not None:
             return True  # each engine's threads are held by the fleet's budget
         limit = THREADS_PER_CORE * self.share(now) * self._engines.ready_cores
-        most_threads = max([profile.threads for profile in self._profiles])
-        limit += CHANCE_DEVIATIONS * (limit * most_threads) ** 0.5
+        limit += CHANCE_DEVIATIONS * (limit * self._most_threads) ** 0.5
         limit *= room(self._loads.fleet_utilization, FLEET_WIDENING_MOST)
         threads = self._thread_use.total
         return not threads or threads + command.threads <= self.long_command_limit(limit, command)
--- /dev/null
+++ b/gullhold/decisions/dispatcher.py
@@ -0,0 +1,146 @@
+"""Reviews that are due, then queued commands in turn for as long as there is room."""
+
+from gullhold.decisions.attempt_review import Verdict
+from gullhold.decisions.command import WAITING_STATES, Command, CommandState
+from gullhold.decisions.command_lifecycle import CommandLifecycle
+from gullhold.decisions.decision_call import DecisionCall
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.fair_queue import Entry
+from gullhold.decisions.parts import Parts
+from gullhold.interface import Agreement, CancelAttempt, Dispatch, Result, SetTerms, StartTimer
+
+
+class Dispatcher:
+    """Ends each call that may have changed what can be dispatched."""
+
+    def __init__(
+        self, agreement: Agreement, parts: Parts, lifecycle: CommandLifecycle, call: DecisionCall
+    ) -> None:
+        self._sends_terms = agreement.honors_grants or agreement.honors_priority
+        self._call = call
+        self._lifecycle = lifecycle
+        self._attempt_review = parts.attempt_review
+        self._budgets = parts.budgets
+        self._estimates = parts.estimates
+        self._grants = parts.grants
+        self._health = parts.health
+        self._placement = parts.placement
+        self._policy = parts.policy
+        self._queue = parts.queue
+        self._retries = parts.retries
+        self._reviews = parts.reviews
+        self._slow_start = parts.slow_start
+        self._thread_use = parts.thread_use
+
+    def run(self) -> list[Result]:
+        """What is due first (after a stall its timer may be last); then queued commands while there is room.
+
+        Returns the results of the call.
+        """
+        now = self._call.now
+        while due := self._reviews.pop_due(now):
+            self._review(*due)
+        self._thread_use.release_ended(now)
+        self._placement.begin_dispatching()
+        while self._policy.may_dispatch():
+            tenant = self._dispatch_next()
+            if tenant is None:
+                break
+            self._queue.record_dispatch(tenant)
+        timer_at = self._reviews.next_timer(now, bool(self._queue.by_tenant))
+        if timer_at is not None:
+            self._call.results.append(StartTimer(timer_at - now, timer_at))
+        return self._call.results
+
+    def _dispatch_next(self) -> int | None:
+        """Dispatch one command; returns its tenant, None: none can go."""
+        for tenant in self._queue.tenants_in_turn():
+            if self._dispatch_of_tenant(tenant):
+                return tenant
+        return None
+
+    def _dispatch_of_tenant(self, tenant: int) -> bool:
+        """Dispatch the tenant's best queued command that fits anywhere; whether one went."""
+        is_dispatched = False
+        for heap in self._queue.queues_of(tenant):
+            if self._dispatch_first(heap):
+                is_dispatched = True
+                break
+        self._queue.drop_if_empty(tenant)
+        return is_dispatched
+
+    def _dispatch_first(self, heap: list[Entry]) -> bool:
+        """Dispatch the first command of a queue, if it may go anywhere."""
+        command = self._queue.first(heap)
+        if command is None or not self._retries.may_start(command, self._call.now):
+            return False
+        engine = self._placement.choose(command, self._call.now)
+        if engine is None:
+            return False
+        self._queue.pop(heap)
+        self._dispatch(command, engine)
+        return True
+
+    def _dispatch(self, command: Command, engine: Engine) -> None:
+        """Start an attempt of the command on the engine."""
+        now = self._call.now
+        self._acquire_claims(command, engine)
+        if self._sends_terms:
+            grant_mb = self._grants.grant_mb(command, engine)
+            self._call.results.append(SetTerms(command.id, grant_mb, self._policy.priority(command)))
+        if self._slow_start.is_warming(engine, now):
+            self._slow_start.record_dispatch(engine, command.work, now)
+        run_us = self._estimates.run_us(command)
+        if command.profile.loads_dataset:
+            self._placement.locks.lock(engine, command.dataset, int(now + run_us))
+        self._retries.record_attempt(command, now)
+        command.begin_attempt(engine, now)
+        self._lifecycle.change_state(command, CommandState.DISPATCHED)
+        self._call.results.append(Dispatch(command.id, engine.id, command.last_start_at))
+        if command.is_idempotent:
+            self._reviews.add(self._attempt_review.first_at(run_us, now), command)
+
+    def _acquire_claims(self, command: Command, engine: Engine) -> None:
+        """Take what the attempt needs of the fleet's budgets."""
+        if not self._budgets.is_active:
+            return
+        command.attempt_claims = self._budgets.claims(command, engine, self._call.now)
+        for share, amount in command.attempt_claims:
+            share.acquire(amount)
+
+    def _review(self, command: Command, attempts: int) -> None:
+        """A command's review is due; attempts: those that it had when the review was planned."""
+        if command.state in WAITING_STATES:
+            self._review_waiting(command)
+        elif command.state == CommandState.DISPATCHED and attempts == command.attempts:
+            self._review_attempt(command)
+
+    def _review_waiting(self, command: Command) -> None:
+        """A command whose time is up, or that can't make its latency objective any more."""
+        now = self._call.now
+        is_worthless = now + self._estimates.run_us(command) > command.worthwhile_until
+        if is_worthless or now >= command.last_start_at or not self._retries.may_retry(command, now):
+            self._lifecycle.finish(command)
+        elif command.state == CommandState.QUEUED:
+            self._lifecycle.enqueue(command)
+
+    def _review_attempt(self, command: Command) -> None:
+        """An open attempt that may be far slower than usual."""
+        now = self._call.now
+        match self._attempt_review.verdict(command, now):
+            case Verdict.CANCEL:
+                self._retries.spend_cancel_credit(command)
+                self._call.results.append(CancelAttempt(command.id, command.attempts - 1))
+                self._lifecycle.change_state(command, CommandState.CANCELLING)
+            case Verdict.STALLED:
+                self._mark_stalled(command)
+                self._reviews.add(self._attempt_review.next_at(command, now), command)
+            case Verdict.REVIEW_AGAIN:
+                self._reviews.add(self._attempt_review.next_at(command, now), command)
+            case Verdict.LEAVE_ALONE:
+                pass
+
+    def _mark_stalled(self, command: Command) -> None:
+        if not command.is_stalled:
+            command.is_stalled = True
+            self._health.count_stalled(command.engine, 1)
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -41,10 +41,14 @@
 
     def failure_rate(self, engine: Engine, now: int) -> float:
         """Share of failures there, as it fades."""
+        if not engine.failure_rate:
+            return 0.0
         return engine.failure_rate * remaining(engine.failure_rate_at, now)
 
     def slowness(self, engine: Engine, now: int) -> float:
         """How much slower than the fleet, each profile against its usual; what ended there fades."""
+        if not engine.completed_work:
+            return 1.0
         fresh = remaining(engine.completed_at, now)
         prior = self._estimates.least_usual_work
         return (prior + engine.completed_slow_work * fresh) / (prior + engine.completed_work * fresh)
@@ -92,7 +96,7 @@
         """Whether attempts stall there while they do not on most of the fleet."""
         if not engine.stalled_attempts:
             return False
-        stalled = sum([each in self._ready for each in self._stalled])
+        stalled = sum(each in self._ready for each in self._stalled)
         return 2 * stalled < len(self._ready)
 
     def _median_failure_rate(self, now: int) -> float:
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -57,6 +57,8 @@
 
     def tenants_in_turn(self) -> list[int]:
         """Tenants with queued commands; whoever has no quota left is last, for what others can't use."""
+        if len(self.by_tenant) <= 1:
+            return list(self.by_tenant)
         weights = len(self.weights)
         turn = self._turn
         return sorted(self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - turn) % weights))
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -17,6 +17,8 @@
 
 def room(utilization: float, widening_most: float) -> float:
     """How far a limit widens under this utilisation, 1 to widening_most."""
+    if utilization >= FULL:
+        return 1.0
     return min(widening_most, max(1.0, FULL / max(utilization, UTILIZATION_LEAST)))
 
 
--- a/tests/decisions/test_decisions_fleet_budgets.py
+++ b/tests/decisions/test_decisions_fleet_budgets.py
@@ -103,9 +103,7 @@
     first = [world.command() for _ in range(3)]
     granted = memory.out
     assert (
-        0 < granted <= 100
-        and 0 < cold.out <= 100_000
-        and world.gateway.limits.share(world.gateway.now) == 0.5
+        0 < granted <= 100 and 0 < cold.out <= 100_000 and world.gateway.parts.limits.share(world.now) == 0.5
     )
     lacks = allot()
     assert (
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -100,11 +100,11 @@
     world.wait(5000 * MS)
     for ident in world.out():
         world.end(ident, Outcome.RESET)
-    assert not world.gateway.commands and not world.gateway.key_order.by_key
+    assert not world.gateway.commands and not world.gateway.parts.key_order.by_key
     world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
     world.engines()
-    assert not world.gateway.thread_use.running_on and not world.gateway.thread_use.total
-    assert not any(engine.threads or engine.attempts for engine in world.gateway.engines.by_slot)
+    assert not world.gateway.parts.thread_use.running_on and not world.gateway.parts.thread_use.total
+    assert not any(engine.threads or engine.attempts for engine in world.gateway.parts.engines.by_slot)
     return world.log
 
 
@@ -143,6 +143,6 @@
         if world.commands[ident]["out"]:
             world.end(ident, Outcome.ANSWERED)
     world.wait(8000 * MS)
-    assert world.gateway.estimates.by_profile[0].work_bias > 0 and all(
+    assert world.gateway.parts.estimates.by_profile[0].work_bias > 0 and all(
         cmd["over"] or cmd["final"] for cmd in world.commands.values()
     )
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -20,7 +20,7 @@
 def test_an_engine_that_turns_us_away_or_says_nothing_counts_as_full():
     world = reporting()
     answered(world, 40, 0.1)
-    assert world.gateway.loads.fleet_utilization < 0.2
+    assert world.gateway.parts.loads.fleet_utilization < 0.2
     for outcome in [Outcome.OVERLOADED, Outcome.TIMED_OUT] * 15:
         ident = world.command()
         if ident in world.out():
@@ -28,7 +28,7 @@
         world.wait(3000 * MS)
         for other in world.out():
             world.end(other, Outcome.ANSWERED)
-    assert world.gateway.loads.fleet_utilization > 0.7
+    assert world.gateway.parts.loads.fleet_utilization > 0.7
 
 
 @pytest.mark.parametrize("told", [float("nan"), -0.5, float("inf"), float("-inf"), 1e30])
@@ -37,8 +37,8 @@
     answered(world, 20, 0.2)
     answered(world, 5, told)
     assert (
-        0.0 <= world.gateway.loads.fleet_utilization <= 1.0
-        and 0.0 <= world.gateway.engines.by_slot[0].load <= 1.0
+        0.0 <= world.gateway.parts.loads.fleet_utilization <= 1.0
+        and 0.0 <= world.gateway.parts.engines.by_slot[0].load <= 1.0
     )
     ident = world.command()
     world.end(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -513,7 +513,7 @@
         old.say(line[40:], event(3, ("s-0", engines[0].address, "gone")))
     new.say(event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("list changes") == 3)
-    assert new.asked == [b"follow 1\n"] and len(gateway.core.gateway.engines.ready) == 2
+    assert new.asked == [b"follow 1\n"] and len(gateway.core.gateway.parts.engines.ready) == 2
     gateway.end()
 
 
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -255,7 +255,7 @@
 
     def policy(self) -> None:
         if self.draw.random() < 0.3:
-            weights = [self.draw.choice((1.0, 2.0, 0.5)) for _ in self.world.gateway.queue.weights]
+            weights = [self.draw.choice((1.0, 2.0, 0.5)) for _ in self.world.gateway.parts.queue.weights]
             terms = (weights, {0: 2}, {0: 48.0}, {0: self.draw.choice((1, 2, 3))})
             self.world.obey(self.world.gateway.apply_policy(self.world.now, terms, Gate(self.draw)))
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -704,7 +704,8 @@
         back.interrupt(back.ask())
     for caller in (client, half, back):
         assert caller.answer() is None
-    assert gateway.core.gateway.traffic.count < 1  # what was taken back at once counts for no share of the fleet
+    # What was taken back at once counts for no share of the fleet.
+    assert gateway.core.gateway.parts.traffic.count < 1
     monkeypatch.setattr(client_connection, "SAY_S", 60)
     gateway.listener.clients_most = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
@@ -783,7 +784,7 @@
         assert client.answer() == (seq, b"a\tb\tc\n")
         feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.engines and not gateway.core.links)
-    assert not gateway.core.gateway.engines.by_id and not gateway.coordinator.names.numbers
+    assert not gateway.core.gateway.parts.engines.by_id and not gateway.coordinator.names.numbers
     gateway.end()
 
 
