--- a/gullhold/simulator_adapter/__main__.py
+++ b/gullhold/simulator_adapter/__main__.py
@@ -2,26 +2,33 @@
 
 import struct
 import sys
+from typing import BinaryIO
 
-from gullhold.simulator_adapter.frames import HEADER, U32
 from gullhold.simulator_adapter.host import Host
+from gullhold.simulator_adapter.wire import BATCH_HEADER, LENGTH
 
 
-def main():
+def main() -> None:
     """Serve until input ends; a frame that can't be parsed ends the process with a plain message."""
-    take, give = sys.stdin.buffer, sys.stdout.buffer
+    batches = sys.stdin.buffer
+    replies = sys.stdout.buffer
     host = Host()
-    while head := take.read(U32.size):
+    while length := batches.read(LENGTH.size):
         try:
-            size = U32.unpack(head)[0]
-            body = take.read(size - U32.size) if size >= HEADER.size else b""
-            if len(body) < HEADER.size - U32.size or len(body) < size - U32.size:
-                raise ValueError("frame cut short")
-            answer = host.reply(body)
+            reply = host.reply(_read_body(batches, length))
         except (struct.error, ValueError) as fault:
             sys.exit(f"gullhold.simulator_adapter: malformed frame: {fault}")
-        give.write(answer)
-        give.flush()
+        replies.write(reply)
+        replies.flush()
+
+
+def _read_body(batches: BinaryIO, length: bytes) -> bytes:
+    """The rest of a frame. Raises ValueError or struct.error where it is cut short."""
+    (size,) = LENGTH.unpack(length)
+    body = batches.read(size - LENGTH.size) if size >= BATCH_HEADER.size else b""
+    if len(body) < BATCH_HEADER.size - LENGTH.size or len(body) < size - LENGTH.size:
+        raise ValueError("frame cut short")
+    return body
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/gullhold/simulator_adapter/events.py
@@ -0,0 +1,218 @@
+"""Records of a batch as typed events. Times are in seconds, as they came; the host converts them.
+
+Each decoder raises struct.error where the fields are cut short.
+"""
+
+import struct
+from collections.abc import Callable, Iterator
+from typing import NamedTuple
+
+from gullhold.agreement import microseconds
+from gullhold.interface import EngineEntry, EngineState, Outcome, StatusKind
+from gullhold.simulator_adapter import wire
+from gullhold.simulator_adapter.wire import ArrivalOption, EventCode
+
+
+class NewInstance(NamedTuple):
+    """A gateway starts."""
+
+    instance: int
+    seed: int
+    settings: str
+
+
+class EndpointsAnnounced(NamedTuple):
+    """Discovery gives an instance the engines of a numbered list."""
+
+    instance: int
+    list_number: int
+    revision: int
+    scope: int  # a wire.Scope, or a code that is not known
+
+
+class CommandArrived(NamedTuple):
+    """A command arrives."""
+
+    instance: int
+    command: int
+    profile: int
+    tenant: int
+    key: int
+    timeout_s: float
+    work_s: float
+    need_mb: float
+    dataset: float
+    options: ArrivalOption
+
+
+class AnswerBegan(NamedTuple):
+    """An attempt's answer has begun."""
+
+    instance: int
+    command: int
+    attempt: int
+    engine: int
+    latency_s: float
+
+
+class AttemptEnded(NamedTuple):
+    """An attempt ended. work_us, need_mb: what it used, 0: not stated."""
+
+    instance: int
+    command: int
+    attempt: int
+    latency_s: float
+    work_us: int
+    need_mb: int
+    outcome: Outcome
+    is_closed: bool
+    report: tuple[float, ...]
+
+
+class ClientLeft(NamedTuple):
+    """A client left."""
+
+    instance: int
+    command: int
+
+
+class TimerFired(NamedTuple):
+    """A timer fired."""
+
+    instance: int
+    token: int
+
+
+class Retired(NamedTuple):
+    """A gateway is dead."""
+
+    instance: int
+
+
+class StatusNoted(NamedTuple):
+    """A status note on an open attempt."""
+
+    instance: int
+    command: int
+    attempt: int
+    kind: StatusKind
+    value: float
+
+
+Event = (
+    NewInstance
+    | EndpointsAnnounced
+    | CommandArrived
+    | AnswerBegan
+    | AttemptEnded
+    | ClientLeft
+    | TimerFired
+    | Retired
+    | StatusNoted
+)
+
+
+def records(body: bytes) -> Iterator[tuple[int, bytes]]:
+    """The (code, fields) pairs of a batch without its length. Raises ValueError where one is cut short."""
+    at = wire.BATCH_HEADER.size - wire.LENGTH.size
+    while at < len(body):
+        code, size = wire.RECORD_HEADER.unpack_from(body, at)
+        at += wire.RECORD_HEADER.size
+        if at + size > len(body):
+            raise ValueError(f"record of code {code} runs past its frame")
+        yield code, body[at : at + size]
+        at += size
+
+
+def decode_page(fields: bytes) -> tuple[int, list[EngineEntry]]:
+    """The number of a list of engines, and its entries. Raises ValueError where it is cut short."""
+    number, size = wire.PAGE.unpack_from(fields)
+    if len(fields) < wire.PAGE.size + size * wire.PAGE_ENTRY.size:
+        raise ValueError("list shorter than its count")
+    entries = []
+    for index in range(size):
+        at = wire.PAGE.size + index * wire.PAGE_ENTRY.size
+        zone, weight, kind, code, cell, started_s, engine = wire.PAGE_ENTRY.unpack_from(fields, at)
+        state = wire.STATE_BY_CODE.get(code, EngineState.REMOVED)
+        entries.append(EngineEntry(engine, zone, weight, kind, state, cell, microseconds(started_s)))
+    return number, entries
+
+
+def decode(code: int, fields: bytes) -> Event | None:
+    """The event of a record; None: one that the adapter passes over."""
+    decoder = DECODERS.get(code)
+    if decoder is None or len(fields) < wire.INSTANCE.size:
+        return None
+    return decoder(fields)
+
+
+def _new_instance(fields: bytes) -> NewInstance:
+    instance, seed, size = wire.NEW_INSTANCE.unpack_from(fields)
+    start = wire.NEW_INSTANCE.size
+    text = bytes(fields[start : start + size]).decode("utf-8", "replace")
+    return NewInstance(instance, seed, text)
+
+
+def _announce(fields: bytes) -> EndpointsAnnounced:
+    return EndpointsAnnounced(*wire.ANNOUNCE.unpack_from(fields))
+
+
+def _arrival(fields: bytes) -> CommandArrived:
+    *plain, options = wire.ARRIVAL.unpack_from(fields)
+    return CommandArrived(*plain, ArrivalOption(options))
+
+
+def _established(fields: bytes) -> AnswerBegan:
+    return AnswerBegan(*wire.ESTABLISHED.unpack_from(fields))
+
+
+def _answer(fields: bytes) -> AttemptEnded | None:
+    unpacked = wire.ANSWER.unpack_from(fields)
+    instance, command, attempt, latency_s, used, _, ending, is_closed, figures = unpacked
+    if ending not in wire.OUTCOME_BY_CODE:
+        return None
+    start = wire.ANSWER.size
+    figures = min(figures, (len(fields) - start) // wire.REPORT_FIGURE_SIZE)
+    return AttemptEnded(
+        instance,
+        command,
+        attempt,
+        latency_s,
+        (used >> wire.USED_MEMORY_BITS) * wire.USED_WORK_UNIT_US,
+        (used & wire.USED_MEMORY_MASK) * wire.USED_MEMORY_UNIT_MB,
+        wire.OUTCOME_BY_CODE[ending],
+        bool(is_closed),
+        struct.unpack_from(f">{figures}f", fields, start),
+    )
+
+
+def _client_gone(fields: bytes) -> ClientLeft:
+    return ClientLeft(*wire.CLIENT_GONE.unpack_from(fields))
+
+
+def _timeout_fired(fields: bytes) -> TimerFired:
+    return TimerFired(*wire.TIMEOUT_FIRED.unpack_from(fields))
+
+
+def _retire(fields: bytes) -> Retired:
+    return Retired(*wire.INSTANCE.unpack_from(fields))
+
+
+def _update_of(fields: bytes) -> StatusNoted | None:
+    instance, command, attempt, _, kind, value = wire.UPDATE_OF.unpack_from(fields)
+    if kind not in wire.STATUS_KIND_BY_CODE:
+        return None
+    return StatusNoted(instance, command, attempt, wire.STATUS_KIND_BY_CODE[kind], value)
+
+
+DECODERS: dict[int, Callable[[bytes], Event | None]] = {
+    EventCode.NEW_INSTANCE: _new_instance,
+    EventCode.ANNOUNCE: _announce,
+    EventCode.ARRIVAL: _arrival,
+    EventCode.ESTABLISHED: _established,
+    EventCode.ANSWER: _answer,
+    EventCode.CLIENT_GONE: _client_gone,
+    EventCode.TIMEOUT_FIRED: _timeout_fired,
+    EventCode.RETIRE: _retire,
+    EventCode.UPDATE_OF: _update_of,
+}
--- a/gullhold/simulator_adapter/host.py
+++ b/gullhold/simulator_adapter/host.py
@@ -1,132 +1,134 @@
-"""Hosts one module instance for each workload manager and carries frames to them and back."""
+"""One gateway for each instance of the simulator; takes batches of events and gives replies."""
 
-import struct
 import traceback
 from math import isfinite
 
-from gullhold.agreement import parse_tree, read_agreement
+from gullhold.agreement import microseconds, parse_tree, read_agreement
 from gullhold.decisions.gateway import Gateway
-from gullhold.simulator_adapter import frames
-
-NEW_INSTANCE, ANNOUNCE, ARRIVAL, ESTABLISHED, ANSWER, CLIENT_GONE = 1, 2, 3, 4, 5, 6
-TIMEOUT_FIRED, RETIRE, UPDATE_OF, PAGE = 7, 10, 11, 12
-DELTA, FAILED = 0, 3
-MARKED_REPEAT = 2
+from gullhold.interface import EngineEntry, Result
+from gullhold.simulator_adapter import wire
+from gullhold.simulator_adapter.actions import encode_result, text_record
+from gullhold.simulator_adapter.events import (
+    AnswerBegan,
+    AttemptEnded,
+    ClientLeft,
+    CommandArrived,
+    EndpointsAnnounced,
+    Event,
+    NewInstance,
+    Retired,
+    StatusNoted,
+    TimerFired,
+    decode,
+    decode_page,
+    records,
+)
+from gullhold.simulator_adapter.wire import ActionCode, ArrivalOption, EventCode, Scope
+
+FAULT_LINES = 6  # of a traceback that the simulator is given: the last call and the error
 
 
 class Host:
-    """The instances of one process, and the numbered lists that their events refer to."""
-
-    def __init__(self):
-        self.gateways = {}
-        self.lists = {}
-        self.now = 0
-
-    def reply(self, body):
-        """The reply frame to one batch (the batch without its length field)."""
-        now, number = frames.HEADER.unpack(b"\0\0\0\0" + body[:12])[1:]
-        self.now = frames.microseconds(now)
-        orders = []
-        for code, fields in frames.records(body):
-            if code == PAGE:
-                key, members = frames.entries(fields)
-                self.lists[key] = members
-                continue
-            handle = self.HANDLERS.get(code)
-            if handle is None or len(fields) < 4:
+    """The instances of one process, and the numbered lists of engines that their events refer to."""
+
+    def __init__(self) -> None:
+        self.gateways: dict[int, Gateway] = {}
+        self.lists: dict[int, list[EngineEntry]] = {}
+        self.now = 0  # us, of the batch
+
+    def reply(self, body: bytes) -> bytes:
+        """The reply frame to one batch (the batch without its length field).
+
+        Raises struct.error or ValueError where the batch is malformed.
+        """
+        no_length = bytes(wire.LENGTH.size)
+        header = no_length + body[: wire.BATCH_HEADER.size - wire.LENGTH.size]
+        _, now_s, number = wire.BATCH_HEADER.unpack(header)
+        self.now = microseconds(now_s)
+        actions: list[bytes] = []
+        for code, fields in records(body):
+            if code == EventCode.PAGE:
+                list_number, entries = decode_page(fields)
+                self.lists[list_number] = entries
                 continue
-            who = frames.U32.unpack_from(fields)[0]
-            try:
-                results = handle(self, who, fields)
-            except struct.error:
-                raise
-            except Exception:
-                text = "".join(traceback.format_exc().splitlines(True)[-6:])
-                orders.append(frames.line(frames.BUG, who, text))
-                continue
-            orders.extend(frames.encode_result(who, result) for result in results)
-        tail = b"".join(orders)
-        return frames.REPLY.pack(frames.REPLY.size + len(tail), len(orders), number) + tail
-
-    def _new(self, who, fields):
-        _, seed, size = frames.NEW_INSTANCE.unpack_from(fields)
-        at = frames.NEW_INSTANCE.size
-        text = bytes(fields[at : at + size]).decode("utf-8", "replace")
-        self.gateways[who] = Gateway(seed, read_agreement(parse_tree(text)), self.now)
-        return ()
-
-    def _announce(self, who, fields):
-        _, number, _, scope = frames.ANNOUNCE.unpack_from(fields)
-        if scope == FAILED or who not in self.gateways:
-            return ()
-        return self.gateways[who].update_engines(self.now, self.lists.get(number, ()), scope != DELTA)
-
-    def _arrival(self, who, fields):
-        _, job, profile, tenant, key, until, work, need, group, opts = frames.ARRIVAL.unpack_from(fields)
-        if who not in self.gateways:
-            return ()
-        return self.gateways[who].submit(
+            event = decode(code, fields)
+            if event is not None:
+                actions.extend(self._actions(event))
+        size = wire.REPLY_HEADER.size + sum(len(action) for action in actions)
+        return wire.REPLY_HEADER.pack(size, len(actions), number) + b"".join(actions)
+
+    def _actions(self, event: Event) -> list[bytes]:
+        """The records that an event leads to; a fault of the decisions is one of its own."""
+        try:
+            results = self._deliver(event)
+        except Exception:  # noqa: BLE001  the wire wants any fault of the decisions in a record
+            text = "".join(traceback.format_exc().splitlines(True)[-FAULT_LINES:])
+            return [text_record(ActionCode.BUG, event.instance, text)]
+        return [encode_result(event.instance, result) for result in results]
+
+    def _deliver(self, event: Event) -> list[Result]:
+        """Carry an event to its gateway; events of unknown instances are passed over."""
+        if isinstance(event, NewInstance):
+            agreement = read_agreement(parse_tree(event.settings))
+            self.gateways[event.instance] = Gateway(event.seed, agreement, self.now)
+            return []
+        gateway = self.gateways.get(event.instance)
+        if gateway is None:
+            return []
+        if isinstance(event, Retired):
+            del self.gateways[event.instance]
+            return []
+        return self._call(gateway, event)
+
+    def _call(self, gateway: Gateway, event: Event) -> list[Result]:
+        """The call of the gateway that an event stands for."""
+        match event:
+            case EndpointsAnnounced():
+                return self._announce(gateway, event)
+            case CommandArrived():
+                return self._submit(gateway, event)
+            case AnswerBegan():
+                return gateway.answer_began(self.now, event.command, event.attempt)
+            case StatusNoted(_, command, attempt, kind, value):
+                return gateway.attempt_status(self.now, command, attempt, kind, value)
+            case AttemptEnded():
+                return self._attempt_ended(gateway, event)
+            case ClientLeft():
+                return gateway.client_left(self.now, event.command)
+            case TimerFired():
+                return gateway.timer_fired(self.now, event.token)
+        raise TypeError(f"no call for {event!r}")
+
+    def _announce(self, gateway: Gateway, event: EndpointsAnnounced) -> list[Result]:
+        if event.scope == Scope.FAILED:
+            return []
+        entries = self.lists.get(event.list_number, [])
+        return gateway.update_engines(self.now, entries, event.scope != Scope.DELTA)
+
+    def _submit(self, gateway: Gateway, event: CommandArrived) -> list[Result]:
+        has_estimate = ArrivalOption.HAS_COST_HINT in event.options and isfinite(event.work_s)
+        return gateway.submit(
             self.now,
-            job,
-            profile,
-            tenant,
-            key,
-            frames.microseconds(until),
-            frames.microseconds(work) if opts & 1 and isfinite(work) else 0,
-            need,
-            int(group) if isfinite(group) else 0,
-            bool(opts & MARKED_REPEAT),
+            event.command,
+            event.profile,
+            event.tenant,
+            event.key,
+            microseconds(event.timeout_s),
+            microseconds(event.work_s) if has_estimate else 0,
+            event.need_mb,
+            int(event.dataset) if isfinite(event.dataset) else 0,
+            ArrivalOption.IS_REPEAT in event.options,
         )
 
-    def _established(self, who, fields):
-        _, job, trial, _, _ = frames.ESTABLISHED.unpack_from(fields)
-        return self.gateways[who].answer_began(self.now, job, trial) if who in self.gateways else ()
-
-    def _answer(self, who, fields):
-        _, job, trial, rtt, used, _, ending, closed, size = frames.ANSWER.unpack_from(fields)
-        if who not in self.gateways or ending not in frames.ENDINGS:
-            return ()
-        at = frames.ANSWER.size
-        size = min(size, (len(fields) - at) // 4)
-        report = struct.unpack_from(f">{size}f", fields, at)
-        return self.gateways[who].attempt_ended(
+    def _attempt_ended(self, gateway: Gateway, event: AttemptEnded) -> list[Result]:
+        return gateway.attempt_ended(
             self.now,
-            job,
-            trial,
-            frames.ENDINGS[ending],
-            bool(closed),
-            frames.microseconds(rtt),
-            (used >> 12) * 1000,
-            (used & 4095) * 4,
-            report,
+            event.command,
+            event.attempt,
+            event.outcome,
+            event.is_closed,
+            microseconds(event.latency_s),
+            event.work_us,
+            event.need_mb,
+            event.report,
         )
-
-    def _gone(self, who, fields):
-        job = frames.CLIENT_GONE.unpack_from(fields)[1]
-        return self.gateways[who].client_left(self.now, job) if who in self.gateways else ()
-
-    def _timer(self, who, fields):
-        token = frames.TIMEOUT_FIRED.unpack_from(fields)[1]
-        return self.gateways[who].timer_fired(self.now, token) if who in self.gateways else ()
-
-    def _retire(self, who, _fields):
-        self.gateways.pop(who, None)
-        return ()
-
-    def _note(self, who, fields):
-        _, job, trial, _, kind, value = frames.UPDATE_OF.unpack_from(fields)
-        if who not in self.gateways or kind not in frames.NOTES:
-            return ()
-        return self.gateways[who].attempt_status(self.now, job, trial, frames.NOTES[kind], value)
-
-    HANDLERS = {
-        NEW_INSTANCE: _new,
-        ANNOUNCE: _announce,
-        ARRIVAL: _arrival,
-        ESTABLISHED: _established,
-        ANSWER: _answer,
-        CLIENT_GONE: _gone,
-        TIMEOUT_FIRED: _timer,
-        RETIRE: _retire,
-        UPDATE_OF: _note,
-    }
