--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -1,8 +1,9 @@
 """Worlds that the tests of the decisions share."""
 
-from driver import MS, WORK, Driver, make_agreement, profile
+from driver import MS, START, WORK, Driver, make_agreement, profile
 
-from gullhold.interface import EngineState, Outcome, Tenant
+from gullhold.decisions.command import Command
+from gullhold.interface import EngineState, Outcome, Profile, Tenant
 
 READY4 = [(ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0) for ident in range(4)]
 
@@ -43,3 +44,25 @@
     for _ in range(asked):
         world.command()
     return len(world.out())
+
+
+def make_command(number: int = 1, kind: Profile | None = None, key: int = 0, tenant: int = 0) -> Command:
+    """A command of 100 ms of work that has just arrived."""
+    kind = kind or profile()
+    return Command(
+        id=number,
+        profile_index=0,
+        profile=kind,
+        tenant=tenant,
+        key=key,
+        need_mb=64.0,
+        dataset=0,
+        order=number,
+        work=100 * MS,
+        admitted_at=START,
+        target_at=START + kind.target_us,
+        is_short=True,
+        last_start_at=START + kind.timeout_us,
+        worthwhile_until=START + kind.timeout_us,
+        threads=kind.threads,
+    )
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -1,7 +1,10 @@
 """Queued commands of tenants, in turn by weight."""
 
 from driver import MS, Driver, make_agreement, profile
+from scenarios import make_command
 
+from gullhold.decisions.command import CommandState
+from gullhold.decisions.fair_queue import FairQueue
 from gullhold.interface import EngineState, Outcome, Tenant
 
 
@@ -44,3 +47,21 @@
         driver.command(tenant=tenant)
         driver.end(driver.out()[0], Outcome.ANSWERED)
     assert len(queue.dispatched) < 100
+
+
+def test_a_queue_gives_the_commands_with_the_most_benefit_first_and_passes_over_void_entries():
+    queue = FairQueue(make_agreement(tenants=(Tenant(0.75), Tenant(0.25))))
+    assert list(queue.weights) == [3.0, 1.0]
+    low, high = make_command(1), make_command(2)
+    for command in (low, high):
+        command.state = CommandState.QUEUED
+    queue.push(low, 1.0)
+    queue.push(high, 5.0)
+    (heap, _) = queue.queues_of(0)
+    assert queue.first(heap) is high
+    queue.push(high, 0.5)  # its benefit has shrunk: the entry before is void
+    assert queue.first(heap) is low
+    low.state = high.state = CommandState.ENDED
+    assert queue.first(heap) is None and not heap
+    queue.drop_if_empty(0)
+    assert not queue.by_tenant
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -1,8 +1,9 @@
 """Engines that come and go."""
 
-from driver import MS, Driver, make_agreement, profile
+from driver import MS, START, Driver, make_agreement, profile
 
-from gullhold.interface import DeduplicationScope, EngineState, Idempotency, Outcome
+from gullhold.decisions.engine_registry import EngineRegistry
+from gullhold.interface import DeduplicationScope, EngineEntry, EngineState, Idempotency, Outcome
 
 
 def test_engines_that_are_gone_leave_nothing_behind():
@@ -20,3 +21,27 @@
     engines = world.gateway.parts.engines
     assert len(engines.by_slot) <= 12 and len(engines.by_id) <= 6
     assert [engine.slot for engine in engines.by_slot] == list(range(len(engines.by_slot)))
+
+
+def test_a_slot_is_given_to_another_engine_once_nothing_refers_to_the_one_that_left():
+    engines = EngineRegistry(make_agreement())
+    first = engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
+    other = engines.update(EngineEntry(8, 1, 1.0, 1, EngineState.READY, 0, 0))
+    assert engines.ready_cores == 6.0 and list(engines.local) == [first]
+    engines.remove_all_but({other})
+    assert engines.ready_cores == 2.0 and engines.has_removed()
+    now = START + 10_001 * MS
+    assert engines.forget_removed(now, {first}) == [] and 7 in engines.by_id
+    assert engines.forget_removed(now, set()) == [first] and 7 not in engines.by_id
+    new = engines.update(EngineEntry(9, 0, 1.0, 0, EngineState.READY, 0, 0))
+    assert new is not first and new.slot == first.slot and new.sequence > other.sequence
+
+
+def test_a_restart_voids_what_an_engine_showed():
+    engines = EngineRegistry(make_agreement())
+    engine = engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
+    engine.failure_rate, engine.completed_work, engine.load = 0.5, 10.0, 0.2
+    engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
+    assert engine.failure_rate == 0.5
+    engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, START))
+    assert (engine.failure_rate, engine.completed_work, engine.load) == (0.0, 0.0, 1.0)
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -3,6 +3,7 @@
 from driver import MS, Driver, make_agreement, profile
 from scenarios import READY4
 
+from gullhold.decisions.estimators import Estimates
 from gullhold.interface import EngineState, Outcome
 
 
@@ -42,3 +43,12 @@
     world.wait(900 * MS)
     world.end(ident, Outcome.TIMED_OUT)  # a jam is not hidden
     assert estimate.pace > before[1] and gateway.parts.health.slowness(engine, world.now) > 1
+
+
+def test_work_of_a_command_without_an_estimate_is_the_usual_of_its_profile():
+    estimates = Estimates(make_agreement())
+    assert estimates.command_work(0, 0) == 0.5 * 500 * MS  # half the latency objective, before any other
+    estimates = Estimates(make_agreement())
+    assert estimates.command_work(0, 80 * MS) == 80 * MS
+    assert estimates.command_work(0, float("nan")) == 80 * MS
+    assert estimates.command_work(0, float("inf")) == 100 * 4000 * MS  # a hundred client timeouts
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -4,6 +4,7 @@
 from driver import MS, WORK, Driver, make_agreement, profile
 from scenarios import answered, out_of, reporting
 
+from gullhold.decisions.load_report import FULL, room
 from gullhold.interface import EngineState, Outcome
 
 
@@ -75,3 +76,9 @@
             world.end(ident, Outcome.ANSWERED, report=(0.6,))
     ident = world.command()
     assert world.commands[ident]["out"][0] == 2
+
+
+def test_room_widens_a_limit_below_full_utilisation_only():
+    assert room(FULL, 4.0) == room(1.0, 4.0) == 1.0
+    assert room(FULL / 2, 4.0) == 2.0
+    assert room(0.0, 4.0) == 4.0
--- a/tests/decisions/test_review_schedule.py
+++ b/tests/decisions/test_review_schedule.py
@@ -1,7 +1,10 @@
 """Commands whose time is up."""
 
-from driver import MS, WORK, Driver, make_agreement, profile
+from driver import MS, START, WORK, Driver, make_agreement, profile
+from scenarios import make_command
 
+from gullhold.decisions.command import CommandState
+from gullhold.decisions.review_schedule import TICK_US, ReviewSchedule
 from gullhold.interface import EngineState, Idempotency, Outcome, Shed
 
 
@@ -33,3 +36,18 @@
     world.wait(100 * MS)
     held = [world.commands[ident] for ident in asked if ident not in went]
     assert all(not cmd["sends"] and cmd["final"] == Shed for cmd in held)  # none could earn anything
+
+
+def test_reviews_come_in_order_and_one_timer_runs_for_the_next():
+    reviews, first, second = ReviewSchedule(), make_command(1), make_command(2)
+    reviews.add(START + 3000 * MS, first)
+    reviews.add(START + 2000 * MS, second)
+    assert reviews.pop_due(START) is None
+    assert reviews.next_timer(START, False) == START + 2000 * MS
+    assert reviews.next_timer(START, False) is None
+    assert reviews.next_timer(START, True) == START + TICK_US  # commands are queued
+    reviews.timer_fired(START + TICK_US)
+    assert reviews.next_timer(START + TICK_US, False) == START + 2000 * MS
+    assert reviews.pop_due(START + 5000 * MS) == (second, 0)
+    first.state = CommandState.ENDED
+    assert reviews.next_timer(START + 5000 * MS, False) is None  # what has ended needs no timer
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,8 +1,12 @@
 """What warming engines are given."""
 
+from random import Random
+
 import pytest
 from driver import MS, START, WORK, Driver, make_agreement, profile
 
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.slow_start import SlowStart
 from gullhold.interface import Dispatch, EngineState, Outcome
 
 
@@ -108,3 +112,27 @@
         * agreement.overload_window_us
     )
     assert all(given < stands for given in work.values())  # the sum of all gateways, over one window
+
+
+def test_a_warming_engine_takes_our_part_of_what_it_stands_in_a_window():
+    agreement = make_agreement(gateways=2)
+    slow_start, engine = SlowStart(agreement, 0, Random(1).random), Engine(1, 0, 1)
+    engine.started_us, engine.cores = START, 4.0
+    capacity = slow_start.capacity(engine, START)
+    assert capacity == pytest.approx(3.0 * 0.3 * 4.0 * 2000 * MS)
+    assert slow_start.capacity(engine, START + 5000 * MS) > capacity
+    given = 0
+    while slow_start.may_take(engine, 100 * MS, False, START) and given < 100:
+        slow_start.record_dispatch(engine, 100 * MS, START)
+        given += 1
+    assert abs(given * 100 * MS - capacity / 4) <= 100 * MS
+    assert slow_start.may_take(engine, 100 * MS, True, START)  # a budget of the fleet holds the sum
+    assert not slow_start.may_take(engine, capacity / 3, True, START)  # one command is too much
+    assert not slow_start.is_warming(engine, START + 10_000 * MS)
+
+
+def test_a_gateway_that_has_just_started_gives_engines_from_before_it_nothing_for_a_window():
+    slow_start, engine = SlowStart(make_agreement(), START + MS, Random(1).random), Engine(1, 0, 1)
+    engine.started_us = START
+    assert not slow_start.may_take(engine, 1, False, START + 2000 * MS)
+    assert slow_start.may_take(engine, 1, False, START + 2001 * MS)
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -1,7 +1,9 @@
 """Threads that timed-out attempts hold."""
 
-from driver import MS, Driver, make_agreement, profile
+from driver import MS, START, Driver, make_agreement, profile
 
+from gullhold.decisions.engine import Engine
+from gullhold.decisions.thread_use import ThreadUse
 from gullhold.interface import EngineState, Outcome
 
 
@@ -35,3 +37,20 @@
     world.engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
     out = sum(world.commands[ident]["kind"].threads for ident in world.out())
     assert world.gateway.parts.thread_use.total == out and not world.gateway.parts.thread_use.running_on
+
+
+def test_threads_of_a_timed_out_attempt_are_held_for_two_ages():
+    use, engine = ThreadUse(), Engine(1, 0, 1)
+    use.hold_timed_out(engine, 3, START, START + 100 * MS)
+    use.release_ended(START + 299 * MS)
+    assert (use.total, engine.threads, engine.attempts) == (3, 3, 1)
+    use.release_ended(START + 300 * MS)
+    assert (use.total, engine.threads, engine.attempts) == (0, 0, 0) and not use.running_on
+
+
+def test_threads_that_ran_on_are_free_once_their_engine_has_restarted():
+    use, engine = ThreadUse(), Engine(1, 0, 1)
+    use.hold_timed_out(engine, 3, START, START + 100 * MS)
+    engine.started_us = START + 150 * MS
+    use.release_ended(START + 160 * MS)
+    assert use.total == 0 == engine.threads
