--- a/gullhold/decisions/dataset_engines.py
+++ b/gullhold/decisions/dataset_engines.py
@@ -8,8 +8,8 @@
 COUNT_FIRST = 20  # commands that the popularity starts from: few are no ground for many engines
 POPULARITY_SPREAD = 2.0  # share of the engines preferred, against the share of the commands
 COUNT_MOST = 400  # commands after which all counts are halved
-RECENT_ENGINES = 4  # engines kept for a data set: about what one gateway has open for it
-RECENT_DATASETS_MOST = 512  # data sets that they are kept for
+RECENT_ENGINES = 4  # engines remembered for a data set: about what one gateway has open for it
+RECENT_DATASETS_MOST = 512  # data sets that they are remembered for
 
 
 class DatasetPopularity:
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -11,7 +11,7 @@
 OUTLIER_RATE = 0.15  # share of failures, over the median below, from which an engine is an outlier
 OUTLIER_MEDIANS = 2  # medians of the fleet's failure rate that are no outlier yet
 CAUTIOUS_PART = 0.7  # of OUTLIER_RATE, for long commands and those that may not be repeated
-SILENT_STEP = 0.3  # weight of a failure without a word from the engine: it costs the most time
+SILENT_STEP = 0.3  # weight of a failure without an answer of the engine: it costs the most time
 NO_FAILURE_RATE = 1e-4  # failure rate, as it fades, that is none
 OVERLOADED_US = 2_000_000  # us that an overloaded engine gets nothing new: a few status notes
 SLOWNESS_MOST = 10.0  # of one attempt: bounds what a single one can say
@@ -50,8 +50,9 @@
         if not engine.completed_work:
             return 1.0
         fresh = remaining(engine.completed_at, now)
-        prior = self._estimates.least_usual_work
-        return (prior + engine.completed_slow_work * fresh) / (prior + engine.completed_work * fresh)
+        least_work = self._estimates.least_usual_work  # keeps the ratio near 1 while little was observed
+        slow_work = least_work + engine.completed_slow_work * fresh
+        return slow_work / (least_work + engine.completed_work * fresh)
 
     def is_outlier(self, engine: Engine, is_robust: bool, now: int) -> bool:
         """Whether it fails far more than the fleet's median.
--- a/gullhold/decisions/engine_registry.py
+++ b/gullhold/decisions/engine_registry.py
@@ -1,4 +1,4 @@
-"""All engines of the endpoint list, and those that are gone while something still refers to them."""
+"""All engines of the endpoint list, and those removed from it while something still refers to them."""
 
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.ranking import EngineList
--- a/gullhold/decisions/policy_terms.py
+++ b/gullhold/decisions/policy_terms.py
@@ -1,4 +1,4 @@
-"""What a policy of the fleet says of the whole gateway: whether it may work, and priorities."""
+"""What a policy of the fleet says of the gateway itself: whether it may work, and priorities."""
 
 from collections.abc import Mapping
 
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -11,7 +11,7 @@
 RANKED_MOST = 256  # engines of a list for which each data set ranks all; larger ones share one ring
 RING_SALT = -1  # what ids of engines are mixed with for the ring
 RING_START_SALT = -2  # what data sets are mixed with for their start on the ring
-RANKINGS_MOST = 512  # data sets whose ranks are kept; beyond it all are ranked anew when they are asked for
+RANKINGS_MOST = 512  # data sets whose ranks are cached; beyond it all are ranked anew when they are asked for
 
 
 class Member(Protocol):
--- a/gullhold/simulator_adapter/wire.py
+++ b/gullhold/simulator_adapter/wire.py
@@ -72,7 +72,7 @@
 PAGE_ENTRY = Struct(">HfBBHdI")  # zone, weight, kind, state, cell, start (s), engine
 REPORT_FIGURE_SIZE = 4  # bytes of an f32
 
-# Whole records of actions: code, bytes of the fields, instance, and:
+# Records of actions: code, bytes of the fields, instance, and:
 BUSY = Struct(">BIIId")  # request, retry after (s)
 PROVIDE = Struct(">BIIIfB")  # request, MB, priority
 TEXT = Struct(">BIIH")  # bytes of the text that follows
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -100,5 +100,5 @@
         answered(world, 20, 0.5, latency)
         for _ in range(6):
             world.command()
-        went.append({world.fleet[world.commands[ident]["out"][0]]["place"] for ident in world.out()})
+        went.append({world.fleet[world.commands[ident]["out"][0]]["zone"] for ident in world.out()})
     assert went == [{0}, {0, 1}]
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -18,7 +18,7 @@
         if not world.out():
             world.command()
         world.end(world.out()[0], Outcome.ANSWERED) if world.out() else world.wait(20 * MS)
-    assert world.cold[1]
+    assert world.warmup_work[1]
 
 
 def test_a_heavy_command_may_go_to_a_new_engine_before_it_is_warm():
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""A driver that makes calls on a Gateway and checks the seven rules after every one, with its own books."""
+"""A driver that makes calls on a Gateway and checks the seven rules after each, with records of its own."""
 
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import (
@@ -24,7 +24,7 @@
 
 
 def profile(**other):
-    """A profile of short replayable commands, with what the test names changed."""
+    """A profile of short idempotent commands, with what the test names changed."""
     plain = {
         "threads": 1,
         "target_us": 500 * MS,
@@ -73,21 +73,36 @@
 
 
 class Driver:
-    """Plays the front: keeps what was asked and answered, and fails on the first broken rule."""
+    """Stands for the service: records what was asked and answered, and fails on the first broken rule."""
 
     def __init__(self, agreement, seed=1):
-        self.agreement, self.now = agreement, START
+        self.agreement = agreement
+        self.now = START
         self.gateway = Gateway(seed, agreement, self.now)
-        self.fleet, self.commands, self.lines, self.log = {}, {}, {}, []
-        self.rest, self.extras, self.taken, self.cold, self.timers, self.serial = {}, [], [], {}, [], 0
+        self.fleet = {}  # engines by id, as last listed
+        self.commands = {}  # by id: what was asked, and what has become of it
+        self.ids_by_key = {}  # ids of commands with an ordered key, in order of arrival
+        self.settles_until = {}  # by ordered key
+        self.log = []  # results
+        self.extras = []  # times of retries
+        self.submitted_at = []
+        self.warmup_work = {}  # (time, work) of attempts on warming engines, by engine
+        self.timers = []  # (time, token), ascending
+        self.serial = 0
 
     def engines(self, *entries, full=False):
-        """Tell of (id, location, kind, state, cell, started_us) entries."""
+        """The endpoint list changes: (id, zone, kind, state, cell, started_us) entries."""
         if full:
             for known in self.fleet.values():
                 known["state"] = EngineState.REMOVED
-        for ident, place, kind, state, cell, born in entries:
-            self.fleet[ident] = {"place": place, "kind": kind, "state": state, "cell": cell, "born": born}
+        for ident, zone, kind, state, cell, started_us in entries:
+            self.fleet[ident] = {
+                "zone": zone,
+                "kind": kind,
+                "state": state,
+                "cell": cell,
+                "started_us": started_us,
+            }
         rows = [EngineEntry(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
         self.obey(self.gateway.update_engines(self.now, rows, full))
 
@@ -108,8 +123,8 @@
             "ran": None,
         }
         if kind.ordered and key:
-            self.lines.setdefault(key, []).append(self.serial)
-        self.taken.append(self.now)
+            self.ids_by_key.setdefault(key, []).append(self.serial)
+        self.submitted_at.append(self.now)
         self.obey(
             self.gateway.submit(
                 self.now,
@@ -127,48 +142,56 @@
         return self.serial
 
     def end(self, ident, outcome, cost=WORK, closed=False, report=()):
-        """The send that is out for a command ends."""
-        cmd = self.commands[ident]
-        engine, sent_at, send = cmd["out"]
-        cmd["out"] = None
-        cmd["over"] = cmd["over"] or outcome == Outcome.ANSWERED
-        if outcome not in NEVER_RAN and cmd["ran"] is None:
-            cmd["ran"] = (engine, sent_at)
-        if cmd["kind"].ordered and outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
-            self.rest[cmd["key"]] = self.now + self.agreement.key_settle_us
+        """The open attempt of a command ends."""
+        command = self.commands[ident]
+        engine, sent_at, send = command["out"]
+        command["out"] = None
+        command["over"] = command["over"] or outcome == Outcome.ANSWERED
+        if outcome not in NEVER_RAN and command["ran"] is None:
+            command["ran"] = (engine, sent_at)
+        if command["kind"].ordered and outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
+            self.settles_until[command["key"]] = self.now + self.agreement.key_settle_us
         cost = cost if outcome == Outcome.ANSWERED else 0
         self.obey(
             self.gateway.attempt_ended(
-                self.now, ident, send, outcome, cmd["over"] or closed, self.now - sent_at, cost, 60, report
+                self.now,
+                ident,
+                send,
+                outcome,
+                command["over"] or closed,
+                self.now - sent_at,
+                cost,
+                60,
+                report,
             )
         )
 
     def leave(self, ident):
-        """The client goes."""
+        """The client leaves."""
         self.commands[ident]["over"] = True
         self.obey(self.gateway.client_left(self.now, ident))
 
     def give_up(self, ident):
-        """The front must end a command now; a send that is out is stopped."""
-        cmd = self.commands[ident]
-        out, cmd["out"] = cmd["out"], None  # the front stops it beside the answer
-        if out and cmd["ran"] is None:
-            cmd["ran"] = out[:2]
+        """The service must end a command now; an open attempt is cancelled."""
+        command = self.commands[ident]
+        out, command["out"] = command["out"], None  # the service cancels it beside the answer
+        if out and command["ran"] is None:
+            command["ran"] = out[:2]
         self.obey(self.gateway.abandon(self.now, ident))
-        assert cmd["over"], "no final answer"
+        assert command["over"], "no final answer"
         if out:
-            cmd["out"] = out
+            command["out"] = out
             self.end(ident, Outcome.CANCELLED)
 
     def out(self):
-        """Ids with a send that is out."""
-        return [ident for ident, cmd in self.commands.items() if cmd["out"]]
+        """Ids of commands with an open attempt."""
+        return [ident for ident, command in self.commands.items() if command["out"]]
 
     def wait(self, span_us):
-        """Time passes: timers fire, sends whose time is up time out."""
+        """Time passes: timers fire, attempts whose time is up time out."""
         until = self.now + span_us
         while True:
-            ends = [(cmd["until"], ident) for ident, cmd in self.commands.items() if cmd["out"]]
+            ends = [(command["until"], ident) for ident, command in self.commands.items() if command["out"]]
             first = min([at for at, _ in self.timers + ends], default=until + 1)
             if first > until:
                 break
@@ -179,8 +202,8 @@
             if self.timers and self.timers[0][0] <= self.now:
                 self.obey(self.gateway.timer_fired(self.now, self.timers.pop(0)[1]))
         self.now = until
-        for ident, cmd in self.commands.items():
-            late = self.now > cmd["timeout_at"] and not cmd["over"] and not cmd["final"]
+        for ident, command in self.commands.items():
+            late = self.now > command["timeout_at"] and not command["over"] and not command["final"]
             assert not late, f"command {ident} has no final answer"
 
     def obey(self, results):
@@ -191,72 +214,84 @@
                 self.timers.append((self.now + result.delay_us, result.token))
                 self.timers.sort()
                 continue
-            cmd = self.commands[result.command]
+            command = self.commands[result.command]
             if isinstance(result, FINAL):
-                self.check_final(type(result), cmd)
-                cmd["final"], cmd["over"] = type(result), True
+                self.check_final(type(result), command)
+                command["final"], command["over"] = type(result), True
             elif isinstance(result, Dispatch):
-                self.check_send(result.command, cmd, result.engine)
-                cmd["out"] = (result.engine, self.now, len(cmd["sends"]))
-                cmd["until"] = min(result.deadline_us, cmd["timeout_at"])
-                cmd["sends"].append(self.now)
+                self.check_send(result.command, command, result.engine)
+                command["out"] = (result.engine, self.now, len(command["sends"]))
+                command["until"] = min(result.deadline_us, command["timeout_at"])
+                command["sends"].append(self.now)
             elif isinstance(result, CancelAttempt):
-                assert self.agreement.supports_cancel and cmd["out"] and cmd["out"][2] == result.attempt
+                assert (
+                    self.agreement.supports_cancel and command["out"] and command["out"][2] == result.attempt
+                )
 
-    def check_final(self, verb, cmd):
+    def check_final(self, final, command):
         """Rules 1 and 2: one answer in time; shed only where a repeat does no harm."""
-        assert not cmd["over"] and self.now <= cmd["timeout_at"] and not cmd["out"]
-        if verb == Shed and cmd["ran"] and cmd["kind"].idempotency != Idempotency.IDEMPOTENT:
+        assert not command["over"] and self.now <= command["timeout_at"] and not command["out"]
+        if final == Shed and command["ran"] and command["kind"].idempotency != Idempotency.IDEMPOTENT:
             assert (
-                cmd["kind"].idempotency == Idempotency.KEYED
-                and cmd["kind"].dedup_scope == DeduplicationScope.FLEET
+                command["kind"].idempotency == Idempotency.KEYED
+                and command["kind"].dedup_scope == DeduplicationScope.FLEET
             )
-            assert self.now < cmd["ran"][1] + cmd["kind"].dedup_window_us
+            assert self.now < command["ran"][1] + command["kind"].dedup_window_us
 
-    def check_send(self, ident, cmd, engine):
-        """All seven rules at a send."""
-        agreement, kind, be = self.agreement, cmd["kind"], self.fleet[engine]
-        assert not cmd["over"] and self.now < cmd["timeout_at"]
-        assert not cmd["out"], "two sends at once"
-        assert len(cmd["sends"]) < agreement.max_attempts
-        assert be["state"] == EngineState.READY, "sent to an engine that drains or is gone"
-        if cmd["ran"] and kind.idempotency != Idempotency.IDEMPOTENT:
-            assert kind.idempotency == Idempotency.KEYED and self.now < cmd["ran"][1] + kind.dedup_window_us
-            first = self.fleet[cmd["ran"][0]]
-            for scope, name in ((DeduplicationScope.ZONE, "place"), (DeduplicationScope.CELL, "cell")):
-                assert kind.dedup_scope != scope or first[name] == be[name], "left its dedup group"
-        assert kind.zones is None or be["place"] in kind.zones
-        assert kind.engine_kinds is None or be["kind"] in kind.engine_kinds
-        if be["born"] and self.now < be["born"] + agreement.warmup_us:
-            sent = self.cold.setdefault(engine, [])
-            sent.append((self.now, cmd["work"]))
+    def check_send(self, ident, command, engine):
+        """All seven rules at a dispatch."""
+        agreement = self.agreement
+        kind = command["kind"]
+        listed = self.fleet[engine]
+        assert not command["over"] and self.now < command["timeout_at"]
+        assert not command["out"], "two attempts at once"
+        assert len(command["sends"]) < agreement.max_attempts
+        assert listed["state"] == EngineState.READY, "dispatched to an engine that drains or is removed"
+        if command["ran"] and kind.idempotency != Idempotency.IDEMPOTENT:
+            assert (
+                kind.idempotency == Idempotency.KEYED and self.now < command["ran"][1] + kind.dedup_window_us
+            )
+            first = self.fleet[command["ran"][0]]
+            for scope, name in ((DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")):
+                assert kind.dedup_scope != scope or first[name] == listed[name], (
+                    "left its deduplication scope"
+                )
+        assert kind.zones is None or listed["zone"] in kind.zones
+        assert kind.engine_kinds is None or listed["kind"] in kind.engine_kinds
+        if listed["started_us"] and self.now < listed["started_us"] + agreement.warmup_us:
+            sent = self.warmup_work.setdefault(engine, [])
+            sent.append((self.now, command["work"]))
             work = sum(work for at, work in sent if at > self.now - agreement.overload_window_us)
             grown = (
                 agreement.warmup_initial_share
-                + (1 - agreement.warmup_initial_share) * (self.now - be["born"]) / agreement.warmup_us
+                + (1 - agreement.warmup_initial_share)
+                * (self.now - listed["started_us"])
+                / agreement.warmup_us
             )
-            stands = (
+            capacity = (
                 agreement.overload_multiple
                 * grown
-                * agreement.cores_by_kind[be["kind"]]
+                * agreement.cores_by_kind[listed["kind"]]
                 * agreement.overload_window_us
             )
-            assert work <= stands / agreement.gateways + cmd["work"], (
-                "cold engine pushed over"
+            assert work <= capacity / agreement.gateways + command["work"], (
+                "warming engine overloaded"
             )  # rounded by lot
-        if kind.ordered and cmd["key"]:
-            line = self.lines[cmd["key"]]
-            for other in line[: line.index(ident)]:
+        if kind.ordered and command["key"]:
+            ids = self.ids_by_key[command["key"]]
+            for other in ids[: ids.index(ident)]:
                 earlier = self.commands[other]
                 assert earlier["over"] and not earlier["out"], "out of order"
-            assert cmd["sends"] or self.now >= self.rest.get(cmd["key"], 0), "the key rests"
-        if cmd["sends"]:
+            assert command["sends"] or self.now >= self.settles_until.get(command["key"], 0), (
+                "the key has not settled"
+            )
+        if command["sends"]:
             self.extras.append(self.now)
             since = self.now - agreement.retry_budget_window_us
             extras = sum(at > since for at in self.extras)
-            taken = sum(at > since for at in self.taken)
+            submitted = sum(at > since for at in self.submitted_at)
             budget = (
                 agreement.retry_budget_base is None
-                or extras <= agreement.retry_budget_base + agreement.retry_budget_share * taken
+                or extras <= agreement.retry_budget_base + agreement.retry_budget_share * submitted
             )
             assert budget, "over budget"
