--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -139,12 +139,7 @@
         self._call.results.append(demand)
         return self._call.results
 
-    def apply_policy(
-        self,
-        now: int,
-        terms: PolicyValues,
-        gate: PolicyGate,
-    ) -> list[Result]:
+    def apply_policy(self, now: int, terms: PolicyValues, gate: PolicyGate) -> list[Result]:
         """A policy of the fleet: shares hold from the next round on, all else from the next attempt.
 
         terms: weights of tenants, then by profile priorities, most MB of a grant and most attempts.
@@ -205,10 +200,8 @@
         if command is None:
             return self._call.results
         engine = command.engine
-        state = command.state
-        for share, amount in command.attempt_claims:  # what was given up may run on for a moment
-            share.release(amount, outcome not in UNKNOWN_END)
-        command.attempt_claims = ()
+        is_unawaited = command.state in (CommandState.ORPHANED, CommandState.STREAMING)
+        self._release_claims(command, outcome)
         self.parts.loads.record(engine, report, outcome, now)
         self.parts.outcomes.record(command, engine, outcome, latency_us, cost, need_mb, now)
         if outcome == Outcome.ERROR:
@@ -216,11 +209,7 @@
         if outcome not in NEVER_RAN:
             command.mark_run()
         self.parts.key_order.record_outcome(command, outcome, now)
-        if (
-            is_closed
-            or outcome == Outcome.ANSWERED
-            or state in (CommandState.ORPHANED, CommandState.STREAMING)
-        ):
+        if is_closed or is_unawaited or outcome == Outcome.ANSWERED:
             self._lifecycle.change_state(command, CommandState.ENDED)
         elif self._may_go_on(command, engine, outcome):
             self._lifecycle.change_state(command, CommandState.QUEUED)
@@ -260,6 +249,12 @@
         self.parts.reviews.timer_fired(token)
         return self._dispatcher.run()
 
+    def _release_claims(self, command: Command, outcome: Outcome) -> None:
+        """Give back what an ended attempt took of the fleet's budgets; it may run on for a moment."""
+        for share, amount in command.attempt_claims:
+            share.release(amount, outcome not in UNKNOWN_END)
+        command.attempt_claims = ()
+
     def _may_go_on(self, command: Command, engine: Engine, outcome: Outcome) -> bool:
         """Whether a further attempt may follow one that ended so on this engine.
 
