--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -51,7 +51,7 @@
     """A command was to change to a state that does not follow its present one."""
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Command:
     """One command. Times are in microseconds; the state changes only through change_state().
 
--- a/gullhold/decisions/estimators.py
+++ b/gullhold/decisions/estimators.py
@@ -4,8 +4,6 @@
 threads ran without waiting.
 """
 
-from dataclasses import dataclass
-
 from gullhold.decisions.command import Command
 from gullhold.decisions.moving_average import STEP
 from gullhold.interface import Agreement
@@ -23,17 +21,19 @@
 BEST_PACE_STEP = STEP / 10  # the best pace forgets slowly
 
 
-@dataclass(slots=True, eq=False)
 class ProfileEstimate:
     """Moving estimates for the commands of one profile."""
 
-    usual_work: float = 0.0  # 0: no command yet
-    work_bias: float = 1.0  # of work over stated work
-    need_ratio: float = FIRST_NEED_RATIO
-    need_deviation: float = FIRST_NEED_DEVIATION
-    best_pace: float = 1.0
-    pace: float = FIRST_PACE
-    attempts: int = 0  # that ended and count
+    __slots__ = ("attempts", "best_pace", "need_deviation", "need_ratio", "pace", "usual_work", "work_bias")
+
+    def __init__(self) -> None:
+        self.usual_work = 0.0  # 0: no command yet
+        self.work_bias = 1.0  # of work over stated work
+        self.need_ratio = FIRST_NEED_RATIO
+        self.need_deviation = FIRST_NEED_DEVIATION
+        self.best_pace = 1.0
+        self.pace = FIRST_PACE
+        self.attempts = 0  # that ended and count
 
     def record_need(self, ratio: float, step: float) -> None:
         """An attempt needed so much memory against its estimate."""
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -12,7 +12,7 @@
 from gullhold.decisions.engine_registry import EngineRegistry
 from gullhold.decisions.fleet_budgets import FleetBudgets
 from gullhold.decisions.load_report import LoadReports
-from gullhold.decisions.ranking import RANKED_MOST, EngineList, EngineOrder
+from gullhold.decisions.ranking import RANKED_MOST, EngineList, Ranking, RingView
 from gullhold.decisions.slow_start import SlowStart
 from gullhold.interface import Agreement, BudgetKind, DeduplicationScope, EngineState
 
@@ -170,7 +170,7 @@
     def _draw_engines(
         self,
         command: Command,
-        order: EngineOrder,
+        order: EngineList | Ranking | RingView,
         places: range,
         wanted: int,
         found: list[Engine],
@@ -196,7 +196,7 @@
                 found.append(engine)
 
     def _least_busy(
-        self, command: Command, found: list[Engine], order: EngineOrder, preferred: range, now: int
+        self, command: Command, found: list[Engine], order: Ranking | RingView, preferred: range, now: int
     ) -> Engine | None:
         """The engine with the least of our threads and reported load.
 
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -6,7 +6,8 @@
 
 from bisect import bisect_left, insort
 from collections.abc import Iterable, Iterator
-from typing import Protocol
+
+from gullhold.decisions.engine import Engine
 
 RANKED_MOST = 256  # engines of a list for which each data set ranks all; larger ones share one ring
 RING_SALT = -1  # what ids of engines are mixed with for the ring
@@ -14,26 +15,6 @@
 RANKINGS_MOST = 512  # data sets whose ranks are cached; beyond it all are ranked anew when they are asked for
 
 
-class Member(Protocol):
-    """What a list needs of an engine."""
-
-    id: int
-    slot: int
-    sequence: int
-
-
-class EngineOrder(Protocol):
-    """All engines of a list in the order of one data set."""
-
-    def at(self, place: int) -> Member:
-        """The engine at a place."""
-        ...
-
-    def is_within(self, places: range, engine: Member) -> bool:
-        """Whether an engine stands at one of these places."""
-        ...
-
-
 def mix(one: int, other: int) -> int:
     """A number of 32 bits that looks random, the same everywhere for the same two."""
     mixed = (one ^ other * 0x9E3779B1) * 0x85EBCA6B & 0xFFFFFFFF
@@ -47,13 +28,13 @@
         self.dataset = dataset
         self.serial = 0  # of the last change of the list that is in it
         self.keys: list[tuple[int, int]] = []  # (rank, slot), ascending
-        self.engines: list[Member] = []  # the engines of these keys
+        self.engines: list[Engine] = []  # the engines of these keys
 
-    def key(self, engine: Member) -> tuple[int, int]:
+    def key(self, engine: Engine) -> tuple[int, int]:
         """What an engine is sorted by."""
         return mix(engine.id, self.dataset), engine.slot
 
-    def build(self, members: Iterable[Member]) -> None:
+    def build(self, members: Iterable[Engine]) -> None:
         """Rank all anew."""
         spread = self.dataset * 0x9E3779B1
         ranked = []
@@ -66,7 +47,7 @@
         self.keys = [key for key, _ in ranked]
         self.engines = [engine for _, engine in ranked]
 
-    def change(self, is_added: bool, engine: Member) -> None:
+    def change(self, is_added: bool, engine: Engine) -> None:
         """One engine is added or removed."""
         key = self.key(engine)
         at = bisect_left(self.keys, key)
@@ -77,17 +58,17 @@
             del self.keys[at]
             del self.engines[at]
 
-    def at(self, place: int) -> Member:
+    def at(self, place: int) -> Engine:
         """The engine at a place."""
         return self.engines[place]
 
-    def place(self, engine: Member) -> int | None:
+    def place(self, engine: Engine) -> int | None:
         """Where an engine stands; None: it is not ranked."""
         key = self.key(engine)
         at = bisect_left(self.keys, key)
         return at if at < len(self.keys) and self.keys[at] == key else None
 
-    def is_within(self, places: range, engine: Member) -> bool:
+    def is_within(self, places: range, engine: Engine) -> bool:
         """Whether an engine stands at one of these places."""
         return self.place(engine) in places
 
@@ -102,11 +83,11 @@
         self.ring = ring
         self.start = bisect_left(ring.keys, (mix(dataset, RING_START_SALT), 0))
 
-    def at(self, place: int) -> Member:
+    def at(self, place: int) -> Engine:
         """The engine at a place."""
         return self.ring.engines[(self.start + place) % len(self.ring.engines)]
 
-    def is_within(self, places: range, engine: Member) -> bool:
+    def is_within(self, places: range, engine: Engine) -> bool:
         """Whether an engine stands at one of these places."""
         at = self.ring.place(engine)
         return at is not None and (at - self.start) % len(self.ring.engines) in places
@@ -116,30 +97,30 @@
     """Engines in the order in which they were discovered."""
 
     def __init__(self) -> None:
-        self.engines: list[Member] = []
-        self._members: set[Member] = set()
+        self.engines: list[Engine] = []
+        self._members: set[Engine] = set()
         self._sequences: list[int] = []  # of the engines, in the same order
         self.rankings: dict[int, Ranking] = {}  # by data set
-        self.changes: list[tuple[bool, Member]] = []  # the last of them, up to the serial
+        self.changes: list[tuple[bool, Engine]] = []  # the last of them, up to the serial
         self._serial = 0  # of the last change
 
     def __len__(self) -> int:
         return len(self.engines)
 
-    def __iter__(self) -> Iterator[Member]:
+    def __iter__(self) -> Iterator[Engine]:
         return iter(self.engines)
 
-    def __getitem__(self, place: int) -> Member:
+    def __getitem__(self, place: int) -> Engine:
         return self.engines[place]
 
-    def at(self, place: int) -> Member:
+    def at(self, place: int) -> Engine:
         """The engine at a place."""
         return self.engines[place]
 
-    def __contains__(self, engine: Member) -> bool:
+    def __contains__(self, engine: Engine) -> bool:
         return engine in self._members
 
-    def set_present(self, engine: Member, is_present: bool) -> None:
+    def set_present(self, engine: Engine, is_present: bool) -> None:
         """Have an engine be in the list, or not."""
         if is_present == (engine in self._members):
             return
@@ -158,7 +139,7 @@
             self.changes.clear()
             self.rankings.clear()
 
-    def ranked(self, dataset: int) -> EngineOrder:
+    def ranked(self, dataset: int) -> Ranking | RingView:
         """The engines in order for a data set."""
         if len(self.engines) > RANKED_MOST:
             return RingView(self._ranking(RING_SALT), dataset)
