--- /dev/null
+++ b/tests/decisions/test_estimators.py
@@ -0,0 +1,54 @@
+"""What attempts tell of the pace of their profile."""
+
+from driver import MS, Driver, make_agreement, profile
+from scenarios import READY4
+
+from gullhold.decisions.estimators import Estimates
+from gullhold.interface import EngineState, Outcome
+
+
+def test_what_clients_take_back_says_nothing_of_pace():
+    world = Driver(make_agreement())
+    world.engines(*READY4)
+    for _ in range(30):
+        ident = world.command()
+        world.now += 150 * MS
+        world.end(ident, Outcome.ANSWERED)
+    pace = world.gateway.parts.estimates.by_profile[0].pace
+    for _ in range(100):
+        ident = world.command()
+        world.leave(ident)
+        world.end(ident, Outcome.CANCELLED)
+    assert world.gateway.parts.estimates.by_profile[0].pace == pace
+    assert world.gateway.parts.limits.fleet_slowness < 2
+
+
+def test_a_send_cut_off_sooner_than_the_usual_run_tells_nothing_of_its_engine():
+    """Clients that gave up early had made jammed engines look fast to every gateway."""
+    world = Driver(make_agreement(profile(), max_attempts=1))
+    world.engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
+    for _ in range(20):
+        ident = world.command()
+        world.wait(300 * MS)
+        world.end(ident, Outcome.ANSWERED)
+    gateway = world.gateway
+    engine, estimate = gateway.parts.engines.by_id[0], gateway.parts.estimates.by_profile[0]
+    before = gateway.parts.limits.fleet_slowness, estimate.pace
+    for _ in range(10):
+        ident = world.command(timeout_us=160 * MS)
+        world.wait(20 * MS)
+        world.end(ident, Outcome.TIMED_OUT)
+    assert estimate.pace == before[1] and gateway.parts.limits.fleet_slowness == before[0]
+    ident = world.command(timeout_us=3000 * MS)
+    world.wait(900 * MS)
+    world.end(ident, Outcome.TIMED_OUT)  # a jam is not hidden
+    assert estimate.pace > before[1] and gateway.parts.health.slowness(engine, world.now) > 1
+
+
+def test_work_of_a_command_without_an_estimate_is_the_usual_of_its_profile():
+    estimates = Estimates(make_agreement())
+    assert estimates.command_work(0, 0) == 0.5 * 500 * MS  # half the latency objective, before any other
+    estimates = Estimates(make_agreement())
+    assert estimates.command_work(0, 80 * MS) == 80 * MS
+    assert estimates.command_work(0, float("nan")) == 80 * MS
+    assert estimates.command_work(0, float("inf")) == 100 * 4000 * MS  # a hundred client timeouts
--- /dev/null
+++ b/tests/decisions/test_review_schedule.py
@@ -0,0 +1,53 @@
+"""Commands whose time is up."""
+
+from driver import MS, START, WORK, Driver, make_agreement, profile
+from scenarios import make_command
+
+from gullhold.decisions.command import CommandState
+from gullhold.decisions.review_schedule import TICK_US, ReviewSchedule
+from gullhold.interface import EngineState, Idempotency, Outcome, Shed
+
+
+def test_nothing_is_held_past_its_time_with_no_engine_at_all():
+    world = Driver(make_agreement(profile(late_benefit=0.0), profile(idempotency=Idempotency.NON_IDEMPOTENT)))
+    never, late = world.command(0), world.command(1)
+    world.wait(4100 * MS)
+    assert world.commands[never]["final"] == world.commands[late]["final"] == Shed
+
+
+def test_what_cannot_end_in_time_at_the_best_pace_is_turned_away_and_not_sent():
+    world = Driver(make_agreement(profile()))
+    world.engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
+    world.command(timeout_us=WORK // 2)
+    assert not world.out() and not world.gateway.commands
+    ident = world.command(timeout_us=WORK + 100 * MS)
+    assert world.out() == [ident]
+
+
+def test_a_gateway_that_stood_still_looks_at_the_time_before_it_sends():
+    world = Driver(make_agreement(profile(late_benefit=0.0), supports_cancel=False))
+    world.engines((1, 0, 1, EngineState.READY, 0, 0))  # two cores
+    asked = [world.command() for _ in range(12)]
+    went = set(world.out())
+    assert 0 < len(went) < 12
+    world.now += 2000 * MS  # no turn: no timer fires, and the answers wait for it too
+    for ident in went:
+        world.end(ident, Outcome.ANSWERED)
+    world.wait(100 * MS)
+    held = [world.commands[ident] for ident in asked if ident not in went]
+    assert all(not cmd["sends"] and cmd["final"] == Shed for cmd in held)  # none could earn anything
+
+
+def test_reviews_come_in_order_and_one_timer_runs_for_the_next():
+    reviews, first, second = ReviewSchedule(), make_command(1), make_command(2)
+    reviews.add(START + 3000 * MS, first)
+    reviews.add(START + 2000 * MS, second)
+    assert reviews.pop_due(START) is None
+    assert reviews.next_timer(START, False) == START + 2000 * MS
+    assert reviews.next_timer(START, False) is None
+    assert reviews.next_timer(START, True) == START + TICK_US  # commands are queued
+    reviews.timer_fired(START + TICK_US)
+    assert reviews.next_timer(START + TICK_US, False) == START + 2000 * MS
+    assert reviews.pop_due(START + 5000 * MS) == (second, 0)
+    first.state = CommandState.ENDED
+    assert reviews.next_timer(START + 5000 * MS, False) is None  # what has ended needs no timer
