--- /dev/null
+++ b/gullhold/net/attempts.py
@@ -0,0 +1,244 @@
+"""Attempts of requests on engines: how one starts, ends, and is given up or cancelled with confirmation."""
+
+from math import ceil
+from typing import TYPE_CHECKING
+
+from gullhold.interface import NEVER_RAN, Dispatch, Outcome
+from gullhold.net import engine_words, resp
+from gullhold.net.engine_connection import NO_RESOURCES, Attempt, EngineConnection
+from gullhold.net.eventlog import EventKind, LoggedEvent
+from gullhold.net.write_buffer import Rejection
+
+if TYPE_CHECKING:
+    from gullhold.net.core import Core
+    from gullhold.net.pending_requests import PendingRequest
+
+OUTCOME_TEXTS = {
+    Outcome.ANSWERED: "answered",
+    Outcome.ERROR: "error",
+    Outcome.OVERLOADED: "full",
+    Outcome.TIMED_OUT: "timed out",
+    Outcome.CONNECT_FAILED: "no connection",
+    Outcome.RESET: "reset",
+    Outcome.CANCELLED: "cancelled",
+    Outcome.NOT_STARTED: "moot",
+}
+MS_US = 1000  # us in a millisecond
+LEAST_DEADLINE_MS = 1  # the least that a fetch may tell, also of a deadline that is past
+
+
+class Attempts:
+    """Starts and ends attempts. On the core's thread only."""
+
+    def __init__(self, core: "Core") -> None:
+        self.core = core
+        self.agreement = core.agreement
+        self.counters = core.counters
+        self.last_confirmation = 0  # number of the last confirmation that was asked for
+
+    def start(self, dispatch: Dispatch) -> None:
+        """Send a request to an engine, as the decision module says."""
+        core = self.core
+        pending = core.requests.by_number.get(dispatch.command)
+        if pending is None:
+            return
+        attempt = Attempt(pending, pending.attempts_started, core.now)
+        pending.attempts_started += 1
+        if pending.attempt or not pending.client or dispatch.deadline_us <= core.now:
+            self._report_never_started(attempt)
+            return
+        pending.attempt = attempt
+        if attempt.number:
+            self._log_retry(pending)
+        if core.door:
+            core.door.sent(dispatch.command)
+        connection = core.pool.connection_for(dispatch.engine, pending.request.txn)
+        if connection is None:
+            # Told as late as a connection that does not come up: no spinning on the same want. We are short
+            # of a descriptor or a thread: guards against blaming the engine for it.
+            told_at_us = min(core.now + self.agreement.connect_timeout_us, dispatch.deadline_us)
+            core.call_later(told_at_us, self.end, attempt, Outcome.NOT_STARTED)
+            return
+        attempt.deadline_us = dispatch.deadline_us
+        attempt.fencing_tokens = core.fencing_tokens()
+        self._send(attempt, connection)
+
+    def end(self, attempt: Attempt, outcome: Outcome) -> None:
+        """An attempt is over: the decision module hears of it, once."""
+        core = self.core
+        pending = attempt.request
+        connection = attempt.connection
+        if pending.attempt is not attempt:
+            return
+        pending.attempt = None
+        if connection and connection.open.get(pending.request.txn) is attempt:
+            del connection.open[pending.request.txn]
+            connection.used_at = core.now
+        attempt.release()
+        pending.last_outcome = OUTCOME_TEXTS[outcome]
+        self.counters.add(f"sends {pending.last_outcome}")
+        is_answered = pending.client is None
+        if core.door:
+            core.door.back(core.now, pending.number, attempt.resources.work_us, outcome not in NEVER_RAN)
+        if is_answered:
+            core.requests.forget(pending)
+        core.decisions.call(
+            pending,
+            core.gateway.attempt_ended,
+            pending.number,
+            attempt.number,
+            outcome,
+            is_answered,
+            core.now - attempt.sent_at,
+            *attempt.resources,
+        )
+
+    def stop(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Give an attempt up: taken back if none of it has gone out, else the engine is told.
+
+        Guards against two attempts out at once: an abort and the fetch that follows it elsewhere travel on
+        different connections. So while a retry may follow, the module hears of the end only when an `alive`
+        behind the abort has been answered; by then no late answer can come either.
+        """
+        connection = attempt.connection
+        txn = attempt.request.request.txn
+        self._log_given_up(attempt, outcome)
+        if connection and connection.open.get(txn) is attempt:
+            if connection.write_buffer.withdraw(attempt.message):
+                outcome = Outcome.NOT_STARTED
+            elif self._needs_confirmation(attempt, outcome):
+                if attempt.outcome_once_confirmed is None:
+                    self._cancel_with_confirmation(attempt, outcome)
+                return
+            else:
+                self._abort_without_confirmation(attempt)
+            del connection.open[txn]
+        self.core.defer(self.end, attempt, outcome)
+
+    def cancel_confirmed(self, connection: EngineConnection, tag: bytes) -> None:
+        """An abort has come to its engine, and all that the engine said of the attempt before has come to us.
+
+        tag: of the confirmation; unknown ones are passed over.
+        """
+        attempt = connection.confirmations.pop(tag, None)
+        if attempt:
+            connection.given_up.discard(attempt.request.request.txn)
+            self.end(attempt, attempt.outcome_once_confirmed)
+
+    def _report_never_started(self, attempt: Attempt) -> None:
+        pending = attempt.request
+        self.core.defer(
+            self.core.decisions.call,
+            pending,
+            self.core.gateway.attempt_ended,
+            pending.number,
+            attempt.number,
+            Outcome.NOT_STARTED,
+            not pending.client,
+            0,  # us that it took
+            *NO_RESOURCES,
+        )
+
+    def _send(self, attempt: Attempt, connection: EngineConnection) -> None:
+        core = self.core
+        request = attempt.request.request
+        fixed_fields = self._fixed_fields(attempt.request)
+
+        def encoded(now_us: int) -> bytes:
+            fields = [*fixed_fields, (b"w", remaining_ms(now_us, attempt.deadline_us))]
+            return resp.encode(engine_words.FETCH, request.txn, resp.field_list(fields), request.body)
+
+        attempt.message = encoded(core.now)
+        attempt.connection = connection
+        connection.used_at = core.now
+        connection.open[request.txn] = attempt
+        tokens = attempt.fencing_tokens
+        # Guards against a deadline that was true when the attempt was decided and not when it goes out: its
+        # connection may come up late, or what is before it may be read late.
+        attempt.end_offset = connection.write_buffer.put(
+            attempt.message,
+            (lambda: core.are_tokens_valid(tokens)) if tokens else None,
+            lambda: encoded(core.clock()),
+        )
+        if attempt.end_offset < 0:
+            self._not_taken(attempt, connection)
+            return
+        self.counters.add("sends")
+        core.call_later(attempt.deadline_us, self._deadline_passed, attempt)
+
+    def _not_taken(self, attempt: Attempt, connection: EngineConnection) -> None:
+        """Nothing of it goes out."""
+        if attempt.end_offset == Rejection.NOT_ALLOWED:
+            self.core.defer(self.end, attempt, Outcome.NOT_STARTED)
+            return
+        connection.is_retired = True
+        self.core.defer(self.end, attempt, Outcome.CONNECT_FAILED)
+
+    def _fixed_fields(self, pending: "PendingRequest") -> list[tuple[bytes, bytes]]:
+        """The fields of a fetch that do not change while it waits."""
+        fields = [(b"c", pending.request.verb)]
+        if pending.request.unique:
+            fields.append((b"i", pending.request.unique))
+        if pending.grant_mb > 0 and self.agreement.honors_grants:
+            fields.append((b"mem", b"%d" % ceil(pending.grant_mb)))
+        if self.agreement.honors_priority:
+            fields.append((b"prio", b"%d" % pending.priority))
+        return fields
+
+    def _needs_confirmation(self, attempt: Attempt, outcome: Outcome) -> bool:
+        """Whether a retry may follow this attempt."""
+        may_be_retried = outcome in (Outcome.CANCELLED, Outcome.RESET) and attempt.request.client
+        return bool(may_be_retried) and not attempt.pages
+
+    def _cancel_with_confirmation(self, attempt: Attempt, outcome: Outcome) -> None:
+        connection = attempt.connection
+        self.last_confirmation += 1
+        tag = b"~%d" % self.last_confirmation
+        attempt.outcome_once_confirmed = outcome
+        connection.confirmations[tag] = attempt
+        self.core.pool.send_word(connection, engine_words.ABORT, attempt.request.request.txn)
+        self.core.pool.send_word(connection, engine_words.ALIVE, tag)
+
+    def _abort_without_confirmation(self, attempt: Attempt) -> None:
+        connection = attempt.connection
+        txn = attempt.request.request.txn
+        if attempt.outcome_once_confirmed is None:  # else the abort has gone already
+            self.core.pool.send_word(
+                connection, engine_words.DONE if attempt.pages else engine_words.ABORT, txn
+            )
+        connection.given_up.add(txn)
+        if len(connection.given_up) >= self.agreement.streams_per_connection:
+            connection.is_retired = True
+
+    def _deadline_passed(self, attempt: Attempt) -> None:
+        if attempt.request.attempt is attempt:
+            self.stop(attempt, Outcome.TIMED_OUT)
+
+    def _log_retry(self, pending: "PendingRequest") -> None:
+        event = LoggedEvent(
+            self.core.now,
+            EventKind.RETRY,
+            pending.last_outcome,
+            pending.request.txn,
+            before="held",
+            after="sent",
+        )
+        self.core.events.add(event)
+
+    def _log_given_up(self, attempt: Attempt, outcome: Outcome) -> None:
+        connection = attempt.connection
+        event = LoggedEvent(
+            self.core.now,
+            EventKind.GIVEN_UP,
+            OUTCOME_TEXTS[outcome],
+            attempt.request.request.txn,
+            f"engine {connection.endpoint.address}" if connection else "",
+            "streaming" if attempt.pages else "sent",
+            "given up",
+        )
+        self.core.events.add(event)
+
+
+def remaining_ms(now_us: int, deadline_us: int) -> bytes:
+    """The field of a fetch that tells how long we will wait; for a deadline that is past: the least."""
+    return b"%d" % max(LEAST_DEADLINE_MS, (deadline_us - now_us + MS_US - 1) // MS_US)
--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -1,6 +1,6 @@
 """The one buffer of a connection: grows as it needs, is compacted in place, gives room back when empty."""
 
-from gullhold.net.connection_ends import Malformed
+from gullhold.net.connection_ends import ProtocolError
 
 FIRST = 4096  # bytes: a page of memory, enough for most messages
 
@@ -51,7 +51,7 @@
             return
         held = len(self)
         if held + size > self.most:
-            raise Malformed(f"a message of over {self.most} bytes")
+            raise ProtocolError(f"a message of over {self.most} bytes")
         if self.start:
             self.data[:held] = self.data[self.start : self.end]
             self.start, self.end = 0, held
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -7,9 +7,9 @@
 
 from gullhold.net import connection_ends, set_no_delay, set_read_timeout, thrift
 from gullhold.net.connection import Connection
-from gullhold.net.connection_ends import Ending, Malformed
-from gullhold.net.pipe import Pipe
+from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.request_reader import FIGURE, RequestError
+from gullhold.net.write_buffer import WriteBuffer
 
 OPEN_MOST = 32  # requests that a client has open on a connection, from the protocol
 RESULT_MOST = 48_000  # bytes of a result, from the protocol
@@ -32,7 +32,7 @@
     def __init__(self, sock, core, reader, most, peer=("", "")):
         self.connection, self.core, self.reader = Connection(sock), core, reader
         self.decoder = thrift.Decoder(most)
-        self.pipe = Pipe(OPEN_MOST * (RESULT_MOST + most), core.counters, core.flusher)
+        self.pipe = WriteBuffer(OPEN_MOST * (RESULT_MOST + most), core.counters, core.flusher)
         self.open, self.taken, self.settled, self.ending = {}, 0, 0, None
         self.taken_back = set()  # numbers of open requests whose interrupts wait for the core
         self.seq, self.waiting, self.over = 0, {}, False  # last number; those that the core has yet to see
@@ -54,7 +54,7 @@
         full = self.pipe.size > RESULT_MOST and self.core.room.crowded()
         if (full or self.pipe.put(message) < 0) and (self.pipe.dead or not self.pipe.finishing):
             self.core.counters.add("answers that could not go")
-            self.end(Ending.RESET if self.pipe.dead else Ending.BACKED_UP, "")
+            self.end(ConnectionEnd.RESET if self.pipe.dead else ConnectionEnd.BACKED_UP, "")
 
     def end(self, ending, text):
         """End it from our side, now; the reader wakes and reports."""
@@ -84,9 +84,14 @@
                 ending, text = connection_ends.caught(self.pipe.error)
         except Exception as error:  # a fault of ours ends this connection, not the program
             ending, text = connection_ends.caught(error)
+        self.report_end(ending, text)
+        self._linger()
+
+    def report_end(self, ending, text):
+        """From the reader: tell the core that the connection is read no more."""
         ending, text = self.ending or (ending, text)
         self.over = True
-        if ending in connection_ends.STILL_THERE:  # behind its own requests: each gets its answer
+        if ending in connection_ends.CLIENT_STILL_WAITS:  # behind its own requests: each gets its answer
             self.refused += [thrift.shed(call.seq, {}) for call, _ in self.kept if call.method == "execute"]
             if self.refused:
                 self.put(b"".join(self.refused))
@@ -94,7 +99,6 @@
         else:  # ahead of all: nothing must go out for it any more
             self.left = True
             self.core.post_urgent(self.core.client_ended, self, ending, text)
-        self._linger()
 
     def _linger(self):
         """Read on, for nobody, until the other side has closed too or has had the time to.
@@ -106,10 +110,14 @@
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(DISMISS_S * 1e6))
             while time.monotonic() < end and not self.pipe.dead:
-                if self.pipe.said and not patient:
+                if self.pipe.is_end_sent and not patient:
                     end, patient = min(end, time.monotonic() + CROSS_S), True
                 try:
-                    if not self.connection.sock.recv(ENDING_MOST) and self.pipe.said and not self.dismissed:
+                    if (
+                        not self.connection.sock.recv(ENDING_MOST)
+                        and self.pipe.is_end_sent
+                        and not self.dismissed
+                    ):
                         break
                     time.sleep(DISMISS_S)  # one that goes on writing must not keep the others waiting
                 except BlockingIOError:
@@ -120,9 +128,9 @@
         while True:
             more, at = self._receive(), self.core.clock()
             if self.pipe.finishing:
-                return Ending.IDLE
+                return ConnectionEnd.IDLE
             if not more and not self.dismissed:
-                return Ending.CLOSED
+                return ConnectionEnd.CLOSED
             if not more:
                 if self.core.closed:
                     self._end_soon()
@@ -151,7 +159,7 @@
             since = self.quiet_at if told or busy else self.came_at
             if now - since > (IDLE_S if told and not cut else SAY_S):
                 if cut:
-                    raise Malformed("half a message")
+                    raise ProtocolError("half a message")
                 if not busy:
                     self._rest()
 
@@ -275,7 +283,7 @@
         """What can't be used is answered here and never reaches the core."""
         core = self.core
         if seq <= self.seq:
-            raise Malformed(f"request {seq} after {self.seq}")
+            raise ProtocolError(f"request {seq} after {self.seq}")
         self.seq = seq
         core.counters.add("taken")
         if core.closed:  # at the end: nothing goes on from here, so this costs the core nothing
--- a/gullhold/net/configuration.py
+++ b/gullhold/net/configuration.py
@@ -7,7 +7,7 @@
 
 from gullhold.agreement import read_agreement
 from gullhold.interface import Agreement
-from gullhold.net.connection_ends import Malformed
+from gullhold.net.connection_ends import ProtocolError
 from gullhold.net.discovery import Names, members
 
 MEGABYTE_SHIFT = 20  # bits by which megabytes are shifted to bytes
@@ -48,7 +48,7 @@
     try:
         with open(path, encoding="utf-8") as file:
             return _parse(json.load(file))
-    except (OSError, ValueError, KeyError, TypeError, AttributeError, Malformed) as error:
+    except (OSError, ValueError, KeyError, TypeError, AttributeError, ProtocolError) as error:
         raise ConfigurationError(f"configuration {path}: {error!r}") from None
 
 
--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection ends, and what that, or an engine's word, is to the decision module."""
+"""Every way in which a connection ends, and what that, or an engine's word, means for an attempt."""
 
 import errno
 from enum import Enum
@@ -8,11 +8,11 @@
 from gullhold.interface import Outcome
 
 
-class Malformed(Exception):
+class ProtocolError(Exception):
     """Bytes that the protocol does not allow."""
 
 
-class Ending(Enum):
+class ConnectionEnd(Enum):
     """How a connection ended; the text is what staff read."""
 
     REFUSED = "refused"
@@ -46,45 +46,43 @@
 
 
 # Ends that we bring about while something is open.
-OURS = frozenset((Ending.MALFORMED, Ending.SILENT, Ending.BACKED_UP, Ending.FAULT))
+CAUSED_BY_US = frozenset(
+    (ConnectionEnd.MALFORMED, ConnectionEnd.SILENT, ConnectionEnd.BACKED_UP, ConnectionEnd.FAULT)
+)
 # Ends at which what never went out is no failure of the other side.
-NO_BLAME = frozenset((Ending.RETIRED, Ending.SHORT))
+NO_BLAME = frozenset((ConnectionEnd.RETIRED, ConnectionEnd.SHORT))
 # Ends of a client's connection at which the client is still there, and waits for what it asked.
-STILL_THERE = frozenset((Ending.IDLE, Ending.MALFORMED, Ending.FAULT))
-# Words of engines that end a send; "full" and "over already" prove that it never ran.
-WORDS = {
-    b"200": Outcome.ANSWERED,
-    b"503": Outcome.OVERLOADED,
-    b"500": Outcome.ERROR,
-    b"504": Outcome.NOT_STARTED,
-}
+CLIENT_STILL_WAITS = frozenset((ConnectionEnd.IDLE, ConnectionEnd.MALFORMED, ConnectionEnd.FAULT))
+
 
+def outcome(is_written: bool) -> Outcome:
+    """What the end of a connection, however it came, is to an attempt whose fetch was or was not written.
 
-def outcome(whole):
-    """What the end of a link, however it came, is to a send: one that never went out whole never ran."""
-    return Outcome.RESET if whole else Outcome.CONNECT_FAILED
+    One that never went out whole never ran.
+    """
+    return Outcome.RESET if is_written else Outcome.CONNECT_FAILED
 
 
-def caught(error, connecting=False):
-    """(ending, text) for what a reader caught; all that no protocol or system explains is our fault."""
-    if isinstance(error, Malformed):
-        return Ending.MALFORMED, str(error)
+def caught(error: Exception, connecting: bool = False) -> tuple[ConnectionEnd, str]:
+    """The end and its text for what a reader caught; all that no protocol or system explains is our fault."""
+    if isinstance(error, ProtocolError):
+        return ConnectionEnd.MALFORMED, str(error)
     if isinstance(error, OSError):
         return of_error(error, connecting), str(error)
     logger.opt(exception=error).error("a reader failed")
-    return Ending.FAULT, ""
+    return ConnectionEnd.FAULT, ""
 
 
-def of_error(error, connecting=False):
-    """The ending that an operating system's error stands for."""
+def of_error(error: OSError, connecting: bool = False) -> ConnectionEnd:
+    """The end that an operating system's error stands for."""
     if isinstance(error, ConnectionRefusedError):
-        return Ending.REFUSED
+        return ConnectionEnd.REFUSED
     if connecting and error.errno in SHORT_HERE:
-        return Ending.SHORT
+        return ConnectionEnd.SHORT
     if isinstance(error, BlockingIOError):
-        return Ending.IDLE  # a read's time-out
+        return ConnectionEnd.IDLE  # a read's time-out
     if isinstance(error, TimeoutError):  # on an open connection ETIMEDOUT: it broke, as by a reset
-        return Ending.NOT_UP if connecting else Ending.RESET
+        return ConnectionEnd.NOT_UP if connecting else ConnectionEnd.RESET
     if isinstance(error, ConnectionError):
-        return Ending.RESET
-    return Ending.UNREACHABLE if connecting else Ending.RESET
+        return ConnectionEnd.RESET
+    return ConnectionEnd.UNREACHABLE if connecting else ConnectionEnd.RESET
--- /dev/null
+++ b/gullhold/net/decision_results.py
@@ -0,0 +1,90 @@
+"""Calls of the decision module, and the carrying out of the results that each call returns."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from loguru import logger
+
+from gullhold.interface import (
+    CancelAttempt,
+    Dispatch,
+    Fail,
+    LogLine,
+    Outcome,
+    ReportDemand,
+    Result,
+    SetTerms,
+    Shed,
+    StartTimer,
+)
+from gullhold.net import engine_words
+
+if TYPE_CHECKING:
+    from gullhold.net.core import Core
+    from gullhold.net.pending_requests import PendingRequest
+
+
+class Decisions:
+    """Asks the decision module, and carries out what it decides. On the core's thread only."""
+
+    def __init__(self, core: "Core") -> None:
+        self.core = core
+
+    def call(self, pending: "PendingRequest | None", method: Callable[..., list], *args: object) -> None:
+        """Call a method of the module; if it fails, the request of this call gets its one final answer."""
+        core = self.core
+        core.gateway.out = []  # of a call that fails only its own results hold
+        try:
+            results = method(core.now, *args)
+        # Guards against one odd command taking all others down with it.
+        except Exception:  # noqa: BLE001  a fault of the module ends one request, not the event
+            core.counters.add("faults of the module")
+            logger.exception("the module failed in {}", method.__name__)
+            results = list(core.gateway.out)  # what it had decided until then holds
+            if pending and pending.client and not pending.attempt:
+                core.defer(core.requests.give_up, pending)
+        for result in results:
+            self._carry_out(result)
+
+    def _carry_out(self, result: Result) -> None:
+        core = self.core
+        match result:
+            case Dispatch():
+                core.attempts.start(result)
+            case StartTimer():
+                self._start_timer(result)
+            case SetTerms():
+                self._set_terms(result)
+            case CancelAttempt():
+                self._cancel_attempt(result)
+            case Shed():
+                core.requests.answer_shed(result.command, result.retry_after_us)
+            case Fail():
+                core.requests.answer_failed(result.command)
+            case LogLine():
+                logger.info("module: {}", result.text)
+            case ReportDemand():
+                core.report_demand(result.demands)
+            case _:
+                raise TypeError(f"an unknown result of the decision module: {result!r}")
+
+    def _start_timer(self, timer: StartTimer) -> None:
+        core = self.core
+        core.call_later(core.now + timer.delay_us, self.call, None, core.gateway.timer_fired, timer.token)
+
+    def _set_terms(self, terms: SetTerms) -> None:
+        pending = self.core.requests.by_number.get(terms.command)
+        if pending is None:
+            return
+        attempt = pending.attempt
+        is_priority_changed = terms.priority != pending.priority
+        if attempt and attempt.connection and is_priority_changed and self.core.agreement.honors_priority:
+            priority = b"%d" % terms.priority
+            self.core.pool.send_word(attempt.connection, engine_words.RENICE, pending.request.txn, priority)
+        pending.grant_mb = terms.grant_mb
+        pending.priority = terms.priority
+
+    def _cancel_attempt(self, cancel: CancelAttempt) -> None:
+        pending = self.core.requests.by_number.get(cancel.command)
+        if pending and pending.attempt and pending.attempt.number == cancel.attempt:
+            self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -15,7 +15,7 @@
 from gullhold.net import connection_ends, host_port
 from gullhold.net.buffer import Buffer
 from gullhold.net.connection import Connection
-from gullhold.net.connection_ends import Ending, Malformed
+from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 
 STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING, "gone": EngineState.REMOVED}
 FIRST_WORD_US = 100_000  # us in which news is told that there is: twice the page's time for crossings
@@ -76,7 +76,7 @@
                 names.forget(member["id"])
         return entries, addresses, bool(change.get("complete"))
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
-        raise Malformed(f"an event of another form: {fault!r}") from None
+        raise ProtocolError(f"an event of another form: {fault!r}") from None
 
 
 class Follow:
@@ -86,7 +86,7 @@
         self.last, self.buffer = last, Buffer(most)
 
     def events(self):
-        """The new events; a gap or a bad line is Malformed, after which the stream is asked for anew."""
+        """The new events; a gap or a bad line is ProtocolError, after which the stream is asked for anew."""
         while (end := self.buffer.find(b"\n")) >= 0:
             line = self.buffer.peek(end)
             self.buffer.drop(end + 1)
@@ -98,11 +98,11 @@
                 if not isinstance(index, int):
                     raise ValueError("an index that is no number")
             except (ValueError, KeyError, TypeError, RecursionError) as fault:
-                raise Malformed(f"a bad line: {fault!r}") from None
+                raise ProtocolError(f"a bad line: {fault!r}") from None
             if index <= self.last:
                 continue
             if isinstance(event, int) or index != self.last + 1:
-                raise Malformed(f"event {index} after {self.last}: some are missing")
+                raise ProtocolError(f"event {index} after {self.last}: some are missing")
             yield event
             self.last = index
 
@@ -179,7 +179,7 @@
         try:
             ending, text = self._follow(address, wait), ""
         except TimeoutError:
-            ending, text = Ending.SILENT, ""
+            ending, text = ConnectionEnd.SILENT, ""
         except Exception as error:  # the old list holds; the stream is followed anew
             ending, text = connection_ends.caught(error, connecting=True)
         self.core.list_known.set()  # it can't be asked: the list that we have must do
@@ -199,7 +199,7 @@
                 while address == self.address and self._receive(stream, sock):
                     self._hand_on(stream)
                     self.core.list_known.set()
-                return Ending.CLOSED if address == self.address else Ending.RETIRED
+                return ConnectionEnd.CLOSED if address == self.address else ConnectionEnd.RETIRED
             finally:
                 self.taking, self.connection = False, None
 
--- /dev/null
+++ b/gullhold/net/endpoint_list.py
@@ -0,0 +1,64 @@
+"""The endpoint list as the core applies it: which engines there are, where they listen, their states."""
+
+from typing import TYPE_CHECKING
+
+from gullhold.interface import EngineEntry, EngineState, Outcome
+from gullhold.net.engine_connection import EngineEndpoint
+from gullhold.net.start_times import StartTimes
+
+if TYPE_CHECKING:
+    from gullhold.net.core import Core
+
+
+class EndpointList:
+    """Applies changes of the list. On the core's thread only."""
+
+    def __init__(self, core: "Core") -> None:
+        self.core = core
+        self.endpoints = core.pool.endpoints
+        self.start_times = StartTimes()
+        self.is_known = False  # the configuration's list was applied: what comes now is news
+
+    def apply(
+        self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, events: int = 1
+    ) -> None:
+        """The list changed, by so many watch events. is_complete: engines that are not in it are removed."""
+        self._update_addresses(addresses)
+        entries = self.start_times.corrected(self.core.now, entries, self.is_known)
+        self.core.counters.add("list changes", events)
+        states = {entry.id: entry.state for entry in entries}
+        changed = list(self.endpoints) if is_complete else states  # the work follows what changed
+        for engine_id in changed:
+            endpoint = self.endpoints.get(engine_id)
+            if endpoint is not None:
+                self._update_state(endpoint, states.get(engine_id, EngineState.REMOVED))
+        self.core.decisions.call(None, self.core.gateway.update_engines, entries, is_complete)
+
+    def forget_if_removed(self, endpoint: EngineEndpoint) -> None:
+        """An engine that was removed and has no connection left is forgotten."""
+        if endpoint.state != EngineState.REMOVED:
+            return
+        self.start_times.forget(endpoint.id)
+        if not endpoint.connections:
+            self.endpoints.pop(endpoint.id, None)
+
+    def _update_addresses(self, addresses: dict[int, str]) -> None:
+        for engine_id, address in addresses.items():
+            endpoint = self.endpoints.setdefault(engine_id, EngineEndpoint(engine_id, address))
+            if endpoint.address != address:  # connections to where it was are not connections to it
+                endpoint.address = address
+                for connection in endpoint.connections:
+                    connection.is_retired = True
+
+    def _update_state(self, endpoint: EngineEndpoint, state: EngineState) -> None:
+        endpoint.state = state
+        if state != EngineState.READY:
+            self._withdraw_unsent(endpoint)
+        self.forget_if_removed(endpoint)
+
+    def _withdraw_unsent(self, endpoint: EngineEndpoint) -> None:
+        """What has not begun to go out must not go any more."""
+        for connection in list(endpoint.connections):
+            for attempt in list(connection.open.values()):
+                if connection.write_buffer.withdraw(attempt.message):
+                    self.core.defer(self.core.attempts.end, attempt, Outcome.NOT_STARTED)
--- /dev/null
+++ b/gullhold/net/engine_pool.py
@@ -0,0 +1,181 @@
+"""Connections to engines: which one takes an attempt, when one is opened, and what its end means."""
+
+from typing import TYPE_CHECKING
+
+from gullhold.interface import EngineState, Outcome
+from gullhold.net import connection_ends, resp
+from gullhold.net.client_connection import OPEN_MOST
+from gullhold.net.connection_ends import ConnectionEnd
+from gullhold.net.engine_connection import Attempt, EngineConnection, EngineEndpoint
+from gullhold.net.eventlog import EventKind, LoggedEvent
+
+if TYPE_CHECKING:
+    from gullhold.net.core import Core
+
+# Ends of a connection that may take along other attempts than the one that caused it.
+BROKE_OTHERS = frozenset((ConnectionEnd.MALFORMED, ConnectionEnd.RESET, ConnectionEnd.SILENT))
+
+
+class EnginePool:
+    """All connections to engines. On the core's thread only, but for `holding`.
+
+    holding: connections that hold a descriptor, ended or not; their threads take them out.
+    connections_most: how many may hold one.
+    """
+
+    def __init__(self, core: "Core", connections_most: int) -> None:
+        self.core = core
+        self.agreement = core.agreement
+        self.counters = core.counters
+        self.connections_most = connections_most
+        self.endpoints: dict[int, EngineEndpoint] = {}
+        self.connections: set[EngineConnection] = set()
+        self.holding: set[EngineConnection] = set()
+
+    def connection_for(self, engine_id: int, txn: bytes) -> EngineConnection | None:
+        """A connection for an attempt of this id, a new one if need be; None where there is none."""
+        endpoint = self.endpoints.get(engine_id)
+        if endpoint is None:
+            return None
+        streams_most = self.agreement.streams_per_connection
+        usable = [
+            connection
+            for connection in endpoint.connections
+            if connection.accepts(txn, streams_most) and not self.is_idle(connection)
+        ]
+        # One attempt a connection while descriptors last: guards against one spoilt answer, reset, or request
+        # that an engine can't read taking down what else is open there. But some engines close a connection
+        # when they have answered and nothing else is open on it, be pages or a fetch still to come: there
+        # attempts share.
+        preferred_most = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
+        preferred = [connection for connection in usable if len(connection.open) < preferred_most]
+        if preferred:  # the fullest; of idle ones the one used last, so that the others may be closed
+            return max(preferred, key=lambda connection: (len(connection.open), connection.used_at))
+        if len(self.holding) < self.connections_most:
+            return self._open(endpoint)
+        if usable:
+            return min(usable, key=lambda connection: len(connection.open))
+        self._close_idle_ones()
+        return None
+
+    def connection_up(self, connection: EngineConnection) -> None:
+        """A connection came up.
+
+        What waits in it was decided a while ago: whatever may forbid an attempt (engine, client, time, what
+        it was decided under) is looked at once more right before its first byte.
+        """
+        if connection.is_ended or connection.end_by_us:
+            return
+        self.counters.add("links up")
+        for attempt in list(connection.open.values()):
+            may_go = self._may_still_go(connection, attempt)
+            if not may_go and connection.write_buffer.withdraw(attempt.message):
+                self.counters.add("sends taken back")
+                self.core.defer(self.core.attempts.end, attempt, Outcome.NOT_STARTED)
+        connection.write_buffer.attach(connection.connection)
+
+    def send_word(self, connection: EngineConnection, *words: bytes) -> None:
+        """Send a word beside a fetch.
+
+        If it can't go the connection ends: a lost abort would leave an attempt out.
+        """
+        if connection.write_buffer.put(resp.encode(*words)) < 0 and not connection.is_ended:
+            self.core.defer(self.drop, connection, ConnectionEnd.BACKED_UP)
+
+    def drop(self, connection: EngineConnection, end: ConnectionEnd, text: str = "") -> None:
+        """End a connection from our side, now."""
+        connection.shut(end)
+        self.connection_ended(connection, end, text)
+
+    def connection_ended(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
+        """A connection is over, however that came; so are its attempts. A second call does nothing."""
+        if connection.is_ended:
+            return
+        connection.is_ended = True
+        self.connections.discard(connection)
+        connection.endpoint.connections.remove(connection)
+        self.core.endpoint_list.forget_if_removed(connection.endpoint)
+        self.counters.add(f"link: {end.value}")
+        self._count_close(connection, end)
+        self._log_close(connection, end, text)
+        self._end_attempts(connection, end)
+
+    def is_idle(self, connection: EngineConnection) -> bool:
+        """Whether the engine may be about to close it for idleness: we close first."""
+        if connection.open:
+            return False
+        idle_us = self.core.now - connection.used_at
+        return 0 < self.agreement.idle_timeout_us < idle_us + 2 * self.core.limits.sweep_interval_us
+
+    def _open(self, endpoint: EngineEndpoint) -> EngineConnection | None:
+        most = self.core.message_most
+        connection = self.core.connect(endpoint, self.core, most, OPEN_MOST * most, self.core.now)
+        self.holding.add(connection)
+        try:
+            connection.start()
+        except RuntimeError:  # no thread to be had
+            self.holding.discard(connection)
+            self.counters.add("no thread for a link")
+            return None
+        endpoint.connections.append(connection)
+        self.connections.add(connection)
+        self.counters.peak("links", len(self.connections))
+        return connection
+
+    def _close_idle_ones(self) -> None:
+        """There is no descriptor left: idle ones go, for the next that asks."""
+        for connection in self.connections:
+            if not connection.open and not connection.is_ended:
+                connection.shut(ConnectionEnd.RETIRED)
+        self.counters.add("no descriptor for a link")
+
+    def _may_still_go(self, connection: EngineConnection, attempt: Attempt) -> bool:
+        return bool(
+            attempt.request.client
+            and connection.endpoint.state == EngineState.READY
+            and attempt.deadline_us > self.core.now
+            and self.core.are_tokens_valid(attempt.fencing_tokens)
+        )
+
+    @staticmethod
+    def _count_close(connection: EngineConnection, end: ConnectionEnd) -> None:
+        """Learn whether this engine closes connections in good order."""
+        endpoint = connection.endpoint
+        is_cut = end == ConnectionEnd.CLOSED and connection.decoder.cut
+        if is_cut or end in BROKE_OTHERS:
+            endpoint.orderly_closes = max(0, endpoint.orderly_closes - 1)
+        elif end == ConnectionEnd.CLOSED:
+            endpoint.orderly_closes += 1
+
+    def _log_close(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
+        is_planned = end in (ConnectionEnd.IDLE, ConnectionEnd.RETIRED)
+        is_routine = is_planned or (end == ConnectionEnd.CLOSED and not connection.open)
+        event = LoggedEvent(
+            self.core.now,
+            EventKind.CLOSE,
+            f"{end.value} {text}".rstrip(),
+            connection=f"engine {connection.endpoint.address}",
+            before="open" if connection.connection else "connecting",
+            after="closed",
+            open=len(connection.open),
+        )
+        self.core.events.add(event, not is_routine)
+
+    def _end_attempts(self, connection: EngineConnection, end: ConnectionEnd) -> None:
+        """Where we closed, the engine learns of it later: until then its attempts are still out there."""
+        delay_us = self.agreement.connect_timeout_us if end in connection_ends.CAUSED_BY_US else 0
+        for attempt in list(connection.open.values()):
+            outcome = self._outcome(connection, attempt, end)
+            if delay_us > 0:
+                del connection.open[attempt.request.request.txn]
+                self.core.call_later(self.core.now + delay_us, self.core.attempts.end, attempt, outcome)
+            else:
+                self.core.attempts.end(attempt, outcome)
+
+    @staticmethod
+    def _outcome(connection: EngineConnection, attempt: Attempt, end: ConnectionEnd) -> Outcome:
+        is_written = attempt.end_offset > 0 and connection.write_buffer.is_written(attempt.end_offset)
+        outcome = connection_ends.outcome(is_written)
+        if outcome == Outcome.CONNECT_FAILED and end in connection_ends.NO_BLAME:
+            return Outcome.NOT_STARTED
+        return outcome
--- /dev/null
+++ b/gullhold/net/engine_replies.py
@@ -0,0 +1,160 @@
+"""What engines say on their connections: answers and their pages, status notes, confirmations."""
+
+from math import isfinite
+from typing import TYPE_CHECKING
+
+from gullhold.interface import Outcome, StatusKind
+from gullhold.net import engine_words, resp
+from gullhold.net.client_connection import RESULT_MOST
+from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
+from gullhold.net.engine_connection import Attempt, EngineConnection, ResourceUse
+
+if TYPE_CHECKING:
+    from gullhold.net.core import Core
+
+STATUS_NOTES = {
+    b"share": StatusKind.PROGRESS,
+    b"short": StatusKind.SPILLING,
+    b"held": StatusKind.WAITING,
+}
+PAGE_WORDS = (engine_words.ANSWER, engine_words.CHUNK)
+PAGE_MOST_BYTES = 6_000  # of a page, from the protocol
+TABS_PER_ROW = 2  # rows of three columns, from the protocol
+LEAST_WORDS = 2  # of anything that an engine says: the id of the command, and what is said of it
+MOST_WORDS = 4  # id, word, fields, body
+MS_US = 1000  # us in a millisecond
+
+
+class EngineReplies:
+    """Carries out what engines say. On the core's thread only."""
+
+    def __init__(self, core: "Core") -> None:
+        self.core = core
+        self.counters = core.counters
+        self.report_fields = [name.encode() for name in core.agreement.report_fields]
+
+    def received(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
+        """An engine said something."""
+        connection.heard_at = self.core.now
+        connection.probed_at = 0
+        try:
+            for words in arrays:
+                if connection.is_ended:
+                    return
+                self._received_words(connection, words)
+        except (ProtocolError, ValueError) as error:
+            self.core.pool.drop(connection, ConnectionEnd.MALFORMED, str(error))
+
+    def _received_words(self, connection: EngineConnection, words: list[bytes]) -> None:
+        if len(words) < LEAST_WORDS:
+            raise ProtocolError(f"an answer of {len(words)} words")
+        txn, word, facts, body = (*words, b"", b"")[:MOST_WORDS]
+        if word == engine_words.ALIVE:
+            self.core.attempts.cancel_confirmed(connection, txn)
+            return
+        attempt = connection.open.get(txn)
+        if attempt is None:  # a late word on an attempt that was given up, or nothing of ours
+            self.counters.add("late or unknown answers")
+            if word in engine_words.FINAL_WORDS:
+                connection.given_up.discard(txn)
+            return
+        fields = resp.fields(facts)
+        attempt.heard_at = self.core.now
+        if word == engine_words.STATUS:
+            self._status(attempt, fields)
+        elif word in PAGE_WORDS:
+            self._answer_or_chunk(connection, attempt, word, fields, body)
+        elif word == engine_words.ERROR or (word in engine_words.FINAL_WORDS and not attempt.pages):
+            # Once it has begun to answer, it ran: from there on only an error may follow.
+            attempt.resources = self._resources(fields)
+            self.core.attempts.end(attempt, engine_words.FINAL_WORDS[word])
+        else:
+            raise ProtocolError(f"{word!r} out of turn")
+
+    def _answer_or_chunk(
+        self,
+        connection: EngineConnection,
+        attempt: Attempt,
+        word: bytes,
+        fields: dict[bytes, bytes],
+        rows: bytes,
+    ) -> None:
+        """The first page of a result comes with the answer, each further one as a chunk."""
+        is_answer = word == engine_words.ANSWER
+        if is_answer and self._was_cancelled_between_pages(attempt, fields):
+            return
+        if self._is_known_page(attempt, fields):
+            self.counters.add("second copies")  # of a page that we have: passed over
+        elif is_answer:
+            attempt.resources = self._resources(fields)
+            attempt.page_count = max(1, int(fields.get(b"pages", 1)))
+            self._add_page(connection, attempt, rows)
+        elif self._is_next_page(attempt, fields):
+            self._add_page(connection, attempt, rows)
+        else:
+            raise ProtocolError(f"{word!r} out of turn")
+
+    def _status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
+        kind = STATUS_NOTES.get(fields.get(b"note"))
+        if kind is None:
+            return
+        self.counters.add("notes")
+        self.core.decisions.call(
+            attempt.request,
+            self.core.gateway.attempt_status,
+            attempt.request.number,
+            attempt.number,
+            kind,
+            float(fields.get(b"v", 0)),
+        )
+
+    def _add_page(self, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
+        """One more page came; after the last the result goes to the client."""
+        txn = attempt.request.request.txn
+        check_page(rows)
+        attempt.pages.append(rows)
+        attempt.result_bytes += len(rows)
+        if attempt.result_bytes > self.core.message_most or attempt.page_count > RESULT_MOST:
+            raise ProtocolError("a result of an absurd size")
+        if len(attempt.pages) < attempt.page_count:
+            self.core.pool.send_word(connection, engine_words.MORE, txn, b"%d" % len(attempt.pages))
+            return
+        if attempt.page_count > 1:
+            self.core.pool.send_word(connection, engine_words.DONE, txn)
+        if attempt.request.client:
+            self.core.requests.answer_result(attempt.request, b"".join(attempt.pages))
+        self.core.attempts.end(attempt, Outcome.ANSWERED)
+
+    @staticmethod
+    def _was_cancelled_between_pages(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
+        """It ended just before our abort came, which gave its further pages up."""
+        return attempt.outcome_once_confirmed is not None and int(fields.get(b"pages", 1)) > 1
+
+    @staticmethod
+    def _is_known_page(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
+        return bool(attempt.pages) and int(fields.get(b"page", 0)) < len(attempt.pages)
+
+    @staticmethod
+    def _is_next_page(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
+        return bool(attempt.pages) and int(fields.get(b"page", -1)) == len(attempt.pages)
+
+    def _resources(self, fields: dict[bytes, bytes]) -> ResourceUse:
+        """Work and memory that an attempt needed, and its load report; what is absent is zero."""
+        work_ms = float(fields.get(b"cost", 0))
+        memory_mb = float(fields.get(b"need", 0))
+        load: list[float] = []
+        if b"load" in fields:
+            told = dict(pair.partition(b":")[::2] for pair in fields[b"load"].split(b";"))
+            load = [float(told.get(name, 0)) for name in self.report_fields]
+        if not all(map(isfinite, (work_ms, memory_mb, *load))):
+            raise ProtocolError("a figure that is none")
+        return ResourceUse(int(work_ms * MS_US), memory_mb, tuple(load))
+
+
+def check_page(rows: bytes) -> None:
+    """ProtocolError unless a page is whole rows of three columns: others are never passed on as served."""
+    is_too_long = len(rows) > PAGE_MOST_BYTES
+    has_other_columns = rows.count(b"\t") != TABS_PER_ROW * rows.count(b"\n")
+    is_cut = bool(rows) and not rows.endswith(b"\n")
+    if is_too_long or has_other_columns or is_cut:
+        raise ProtocolError("a page that is not whole rows of three columns")
--- /dev/null
+++ b/gullhold/net/event_loop.py
@@ -0,0 +1,170 @@
+"""The event loop of the one thread that owns the gateway's state: posted events, deferred calls and timers.
+
+Other threads post events; nothing that runs here waits for a socket.
+"""
+
+import time
+from collections import deque
+from collections.abc import Callable
+from heapq import heappop, heappush
+from queue import Empty, SimpleQueue
+from typing import NamedTuple
+
+from loguru import logger
+
+from gullhold.net.counters import Counters
+
+STALL_US = 100_000  # us beyond any wait that are a stall: far more than a step, a fifth of usual graces
+CATCH_UP_US = 500_000  # us that the discovery thread may read after a stall, on a machine that let us sleep
+CATCH_UP_POLL_S = 0.001  # s between looks at whether the endpoint list is up to date after a stall
+FAULT_WAIT_S = 0.001  # s after a step that failed, until the next
+CLOCK_OFFSET_NS = time.time_ns() - time.monotonic_ns()  # Unix ns, as this process began, at monotonic zero
+
+
+class PostedEvent(NamedTuple):
+    """A call that another thread asked for, and when."""
+
+    posted_at_us: int
+    call: Callable[..., None]
+    args: tuple
+
+
+class Timer(NamedTuple):
+    """A call that is due at a time; the serial number keeps timers of one time in their order."""
+
+    due_at_us: int
+    serial: int
+    call: Callable[..., None]
+    args: tuple
+
+
+class EventLoop:
+    """Runs events, deferred calls and timers, one at a time.
+
+    post(), post_urgent() and clock() may be called from any thread; all else belongs to the loop's thread.
+    Whoever drives a loop without threads overrides clock() and calls turn().
+    """
+
+    def __init__(self, counters: Counters) -> None:
+        self.counters = counters
+        self.queue: SimpleQueue[PostedEvent] = SimpleQueue()
+        self.urgent: deque[tuple[Callable[..., None], tuple]] = deque()
+        self.deferred: deque[tuple[Callable[..., None], tuple]] = deque()
+        self.timers: list[Timer] = []
+        self.timer_serial = 0
+        self.now = self.clock()
+        self.stopped = False
+        # Whether the discovery thread has yet to hand on events that have come.
+        self.discovery_lags: Callable[[], bool] = lambda: False
+
+    @staticmethod
+    def clock() -> int:
+        """Unix time in whole microseconds: as it was at the start, gone on by the clock that nobody sets.
+
+        Guards against a wall clock that is set back while commands wait: their time-outs stood still with it.
+        Harm: after a step of the wall clock the starts of engines are off by it.
+        """
+        return (CLOCK_OFFSET_NS + time.monotonic_ns()) // 1000
+
+    def post(self, call: Callable[..., None], *args: object) -> None:
+        """From any thread: have the loop make this call."""
+        self.queue.put(PostedEvent(self.clock(), call, args))
+
+    def post_urgent(self, call: Callable[..., None], *args: object) -> None:
+        """From any thread: have the loop make this call ahead of all else that waits."""
+        self.urgent.append((call, args))
+        self.post(self._wake)
+
+    def defer(self, call: Callable[..., None], *args: object) -> None:
+        """Make this call when the current event is handled, before the next one."""
+        self.deferred.append((call, args))
+
+    def call_later(self, due_at_us: int, call: Callable[..., None], *args: object) -> None:
+        """Make this call at a time (us of the loop's clock)."""
+        self.timer_serial += 1
+        heappush(self.timers, Timer(due_at_us, self.timer_serial, call, args))
+
+    def run_until_stopped(self) -> None:
+        """Serve until stopped is set; there must always be a timer."""
+        while not self.stopped:
+            try:
+                self._step()
+            # Guards against a loop that dies and leaves a process that looks alive.
+            except Exception:  # noqa: BLE001  the outermost loop of the thread
+                self.counters.add("faults of ours")
+                logger.exception("a step failed")
+                time.sleep(FAULT_WAIT_S)
+
+    def turn(self, event: PostedEvent | None) -> None:
+        """All of a step but its wait: urgent calls, this event if there is one, timers that are due."""
+        while self.urgent:
+            call, args = self.urgent.popleft()
+            self.run_guarded(call, *args)
+        if event:
+            self.counters.peak("events waiting", self.queue.qsize())
+            self.counters.peak("event late us", self.now - event.posted_at_us)
+            self.run_guarded(event.call, *event.args)
+        while self.timers and self.timers[0].due_at_us <= self.now:
+            timer = heappop(self.timers)
+            self.counters.peak("timer late us", self.now - timer.due_at_us)
+            self.run_guarded(timer.call, *timer.args)
+
+    def next_event(self, wait_us: int = 0) -> PostedEvent | None:
+        """The next posted event; None where none comes in this time."""
+        try:
+            if wait_us > 0:
+                return self.queue.get(timeout=wait_us / 1e6)
+            return self.queue.get_nowait()
+        except Empty:
+            return None
+
+    def next_timer_at_us(self) -> int:
+        """When the next timer is due."""
+        return self.timers[0].due_at_us
+
+    def tick(self) -> None:
+        """Read the clock; the loop's time never goes back."""
+        self.now = max(self.now, self.clock())
+
+    def run_guarded(self, call: Callable[..., None], *args: object) -> None:
+        """Handle one event: a fault of ours in it is logged and counted, and the program goes on."""
+        try:
+            call(*args)
+            self.run_deferred()
+            self.after_event()
+        except Exception:  # noqa: BLE001  the one place that guards an event
+            self.counters.add("faults of ours")
+            logger.exception("an event failed")
+
+    def after_event(self) -> None:
+        """Called when an event and its deferred calls are handled; for subclasses."""
+
+    def run_deferred(self) -> None:
+        """Make the calls that were put off until the event is handled."""
+        while self.deferred:
+            call, args = self.deferred.popleft()
+            call(*args)
+
+    def _step(self) -> None:
+        before = self.now
+        wait_us = self.next_timer_at_us() - self.clock()
+        event = self.next_event(wait_us)
+        self.tick()
+        if self.now - before > max(wait_us, 0) + STALL_US:
+            self._catch_up()
+        self.turn(event)
+
+    def _catch_up(self) -> None:
+        """After a stall, wait until the discovery thread has read what came meanwhile.
+
+        Guards against a process that stood still, or a step that took long: all that came meanwhile is there
+        at once, and requests would go out to engines that left before the change of the list is read.
+        """
+        self.counters.add("stalls")
+        end = self.now + CATCH_UP_US
+        while self.discovery_lags() and self.clock() < end:
+            time.sleep(CATCH_UP_POLL_S)
+        self.tick()
+
+    def _wake(self) -> None:
+        """Posted with an urgent call so that the loop wakes."""
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -1,10 +1,11 @@
 """What became of requests and connections, and why: an event a line, at a bounded rate; the last are kept.
 
-Every close, further attempt, refusal and given-up attempt is an event. The newest are kept in memory and are
-written out on SIGUSR1; as they happen they are logged as far as their rate allows, others are counted.
+Every close, retry, refusal and given-up attempt is an event. The newest are kept in memory and are written
+out on SIGUSR1; as they happen they are logged as far as their rate allows, others are counted.
 """
 
 from collections import deque
+from enum import StrEnum
 from typing import NamedTuple
 
 from loguru import logger
@@ -13,14 +14,21 @@
 BURST = 20  # lines of one kind that may be logged at once ...
 RATE_PER_S = 2.0  # ... and those a second that are allowed from then on
 
-CLOSE, RETRY, REFUSAL, GIVEN_UP = "close", "retry", "refusal", "given up"
 
+class EventKind(StrEnum):
+    """The kinds of event, as they are logged."""
 
-class Happened(NamedTuple):
+    CLOSE = "close"
+    RETRY = "retry"
+    REFUSAL = "refusal"
+    GIVEN_UP = "given-up"
+
+
+class LoggedEvent(NamedTuple):
     """One event; what does not apply is empty."""
 
     at_us: int  # Unix time, us
-    kind: str  # CLOSE, RETRY, REFUSAL or GIVEN_UP
+    kind: EventKind
     reason: str
     request: bytes = b""  # the client's id of the request
     connection: str = ""  # of a client, or to an engine: its address
@@ -28,10 +36,10 @@
     after: str = ""  # the state that it is in now
     open: int = 0  # requests or attempts that were open on a connection that closed
 
-    def line(self):
+    def line(self) -> str:
         """As it is logged: key=value pairs, in an order that does not change."""
-        told = {
-            "event": self.kind.replace(" ", "-"),
+        pairs = {
+            "event": self.kind.value,
             "request": self.request.decode("ascii", "replace"),
             "connection": self.connection,
             "from": self.before,
@@ -39,32 +47,40 @@
             "open": self.open or "",
             "reason": self.reason,
         }
-        return " ".join(f"{key}={str(value).replace(' ', '_')}" for key, value in told.items() if value != "")
+        present = {key: str(value) for key, value in pairs.items() if value != ""}
+        return " ".join(f"{key}={value.replace(' ', '_')}" for key, value in present.items())
 
 
 class EventLog:
     """Takes events from the core's thread."""
 
-    def __init__(self):
-        self.kept, self.left_out = deque(maxlen=KEPT), 0
-        self.allowed, self.filled_at = {}, {}  # by kind: lines that may be logged now; since when
+    def __init__(self) -> None:
+        self.kept: deque[LoggedEvent] = deque(maxlen=KEPT)
+        self.left_out = 0  # events since the last line that was logged
+        self.lines_allowed: dict[EventKind, float] = {}  # that may be logged now
+        self.counted_at_us: dict[EventKind, int] = {}  # when the above was true
 
-    def add(self, event, unusual=False):
-        """Keep an event, and log it if its kind's rate allows. unusual: as a warning."""
+    def add(self, event: LoggedEvent, is_unusual: bool = False) -> None:
+        """Keep an event, and log it if its kind's rate allows; an unusual one as a warning."""
         self.kept.append(event)
-        if not self._may(event):
+        if not self._may_log(event):
             self.left_out += 1
             return
-        out, self.left_out = self.left_out, 0
-        (logger.warning if unusual else logger.info)("{}{}", event.line(), f" left_out={out}" if out else "")
+        left_out = f" left_out={self.left_out}" if self.left_out else ""
+        self.left_out = 0
+        if is_unusual:
+            logger.warning("{}{}", event.line(), left_out)
+        else:
+            logger.info("{}{}", event.line(), left_out)
 
-    def lines(self):
+    def lines(self) -> list[str]:
         """All that are kept, the oldest first."""
         return [f"at_us={event.at_us} {event.line()}" for event in list(self.kept)]
 
-    def _may(self, event):
-        gone_s = (event.at_us - self.filled_at.get(event.kind, event.at_us)) / 1e6
-        allowed = min(BURST, self.allowed.get(event.kind, BURST) + gone_s * RATE_PER_S)
-        self.filled_at[event.kind] = event.at_us
-        self.allowed[event.kind] = allowed - 1 if allowed >= 1 else allowed
-        return allowed >= 1
+    def _may_log(self, event: LoggedEvent) -> bool:
+        passed_s = (event.at_us - self.counted_at_us.get(event.kind, event.at_us)) / 1e6
+        allowed = min(BURST, self.lines_allowed.get(event.kind, BURST) + passed_s * RATE_PER_S)
+        self.counted_at_us[event.kind] = event.at_us
+        may_log = allowed >= 1
+        self.lines_allowed[event.kind] = allowed - 1 if may_log else allowed
+        return may_log
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -1,7 +1,7 @@
 """RESP arrays of bulk strings: what engines say from bytes, and the bytes of what they are told."""
 
 from gullhold.net.buffer import Buffer
-from gullhold.net.connection_ends import Malformed
+from gullhold.net.connection_ends import ProtocolError
 
 HEAD_MOST = 16  # bytes of a length line: more digits than any length that fits a buffer
 WORDS_MOST = 64  # strings in one array: several times what the protocol has
@@ -26,7 +26,7 @@
                 if size is None:
                     return
                 if not 0 < size <= WORDS_MOST:
-                    raise Malformed(f"an array of {size}")
+                    raise ProtocolError(f"an array of {size}")
                 self.words, self.missing = [], size
             while self.missing:
                 head = self._head(b"$", use=False)
@@ -34,12 +34,12 @@
                     return
                 size, used = head
                 if not 0 <= size <= self.buffer.most - HEAD_MOST:
-                    raise Malformed(f"a string of {size}")
+                    raise ProtocolError(f"a string of {size}")
                 body = self.buffer.peek(size + 2, used)
                 if body is None:
                     return
                 if body[-2:] != b"\r\n":
-                    raise Malformed("a string longer than its length")
+                    raise ProtocolError("a string longer than its length")
                 self.buffer.drop(used + size + 2)
                 self.words.append(body[:-2])
                 self.missing -= 1
@@ -50,13 +50,13 @@
         end = self.buffer.find(b"\r\n")
         if end < 0 or end > HEAD_MOST:
             if len(self.buffer) > HEAD_MOST or end >= 0:
-                raise Malformed("a length without its line end")
+                raise ProtocolError("a length without its line end")
             if len(self.buffer) and self.buffer.peek(1) != mark:
-                raise Malformed("not an array of bulk strings")
+                raise ProtocolError("not an array of bulk strings")
             return None
         line = self.buffer.peek(end)
         if line[:1] != mark or not line[1:].isdigit():
-            raise Malformed("not an array of bulk strings")
+            raise ProtocolError("not an array of bulk strings")
         if use:
             self.buffer.drop(end + 2)
             return int(line[1:])
--- a/gullhold/net/service.py
+++ b/gullhold/net/service.py
@@ -17,7 +17,7 @@
 from gullhold.net.client_connection import RESULT_MOST
 from gullhold.net.configuration import ConfigurationError, load_configuration
 from gullhold.net.configuration_reload import Reread, mark
-from gullhold.net.connection_ends import Malformed
+from gullhold.net.connection_ends import ProtocolError
 from gullhold.net.core import Core
 from gullhold.net.counters import Counters
 from gullhold.net.discovery import Coordinator
@@ -299,7 +299,7 @@
         good = asked(host_port(address), timeout_s)
         if good is None:
             raise ConnectionRefusedError("nobody listens there")
-    except (OSError, ValueError, Malformed) as fault:
+    except (OSError, ValueError, ProtocolError) as fault:
         print(f"gullhold: {address}: {fault}", file=sys.stderr)
         return 1
     print("serves" if good else "does not serve")
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from gullhold.net.buffer import Buffer
-from gullhold.net.connection_ends import Malformed
+from gullhold.net.connection_ends import ProtocolError
 
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 STOP, BOOL, I32, STRING, STRUCT, MAP, SET, LIST = 0, 2, 8, 11, 12, 13, 14, 15
@@ -35,7 +35,7 @@
     def take(self, size):
         """The next bytes."""
         if size < 0 or self.at + size > len(self.data):
-            raise Malformed("a value runs past its frame")
+            raise ProtocolError("a value runs past its frame")
         self.at += size
         return self.data[self.at - size : self.at]
 
@@ -50,7 +50,7 @@
     def value(self, kind, depth=0):
         """The next value of a type, read or stepped over."""
         if depth > NESTED:
-            raise Malformed("structs too deep")
+            raise ProtocolError("structs too deep")
         if kind in FIXED:
             raw = self.take(FIXED[kind])
             return I32S.unpack(raw)[0] if kind == I32 else raw != b"\0" if kind == BOOL else raw
@@ -66,7 +66,7 @@
         if kind in (SET, LIST):
             item = self.take(1)[0]
             return [self.value(item, depth + 1) for _ in range(self._size(item, item))]
-        raise Malformed(f"unknown type {kind}")
+        raise ProtocolError(f"unknown type {kind}")
 
     def fields(self, depth=0):
         """A struct: values by (field id, type)."""
@@ -83,11 +83,11 @@
             pair = []
             for _ in (0, 1):
                 if at + 4 > end:
-                    raise Malformed("a value runs past its frame")
+                    raise ProtocolError("a value runs past its frame")
                 size = I32S.unpack_from(data, at)[0]
                 at += 4 + size
                 if size < 0 or at > end:
-                    raise Malformed("a value runs past its frame")
+                    raise ProtocolError("a value runs past its frame")
                 pair.append(data[at - size : at])
             found[pair[0]] = pair[1]
         self.at = at
@@ -100,9 +100,9 @@
     def _size(self, *kinds):
         size = self.number(I32S)
         if size < 0 or size > len(self.data) - self.at:  # no value is shorter than a byte
-            raise Malformed(f"a container of {size}")
+            raise ProtocolError(f"a container of {size}")
         if size and not all(kind in FIXED or kind in (STRING, STRUCT, MAP, SET, LIST) for kind in kinds):
-            raise Malformed("unknown type in a container")
+            raise ProtocolError("unknown type in a container")
         return size
 
 
@@ -121,7 +121,7 @@
         while (head := self.buffer.peek(4)) is not None:
             size = I32S.unpack(head)[0]
             if not HEAD.size <= size <= self.buffer.most - 4:
-                raise Malformed(f"a frame of {size} bytes")
+                raise ProtocolError(f"a frame of {size} bytes")
             frame = self.buffer.peek(size, 4)
             if frame is None:
                 return
@@ -134,11 +134,11 @@
     scan = Scan(frame)
     version, _, kind = HEAD.unpack(scan.take(HEAD.size))
     if version != STRICT or kind not in kinds:
-        raise Malformed("not a strict binary message of its kind")
+        raise ProtocolError("not a strict binary message of its kind")
     try:
         method = scan.string().decode()
     except UnicodeDecodeError:
-        raise Malformed("a method name that is no text") from None
+        raise ProtocolError("a method name that is no text") from None
     seq = scan.number(I32S)
     return Call(method, kind, seq, scan.fields())
 
--- /dev/null
+++ b/gullhold/net/write_buffer.py
@@ -0,0 +1,190 @@
+"""The write buffer of a connection: writes at once what fits; the flusher goes on with the rest."""
+
+import socket
+from collections import deque
+from collections.abc import Callable
+from enum import IntEnum
+from threading import Lock
+from typing import TYPE_CHECKING
+
+from gullhold.net.connection import Connection
+from gullhold.net.counters import Counters
+
+if TYPE_CHECKING:
+    from gullhold.net.flusher import Flusher
+
+
+class Rejection(IntEnum):
+    """Why put() took nothing of a message; offsets, which it returns else, are positive."""
+
+    CLOSED_OR_FULL = -1
+    NOT_ALLOWED = -2  # the check at the last moment said no
+
+
+class BufferedMessage:
+    """One message in a write buffer: as it was put, what is left of it, and how it is encoded anew."""
+
+    __slots__ = ("data", "end_offset", "is_begun", "left", "renew")
+
+    def __init__(self, data: bytes, end_offset: int, renew: Callable[[], bytes] | None) -> None:
+        self.data = data
+        self.left: bytes | memoryview = data
+        self.end_offset = end_offset
+        self.renew = renew
+        self.is_begun = False
+
+
+class WriteBuffer:
+    """Whole messages in order, never interleaved; put() never blocks. Waits until it is given its connection.
+
+    most: bytes that may wait; flusher: goes on with what the system did not take at once. From any thread.
+    """
+
+    def __init__(self, most: int, counters: Counters, flusher: "Flusher | None") -> None:
+        self.most = most
+        self.counters = counters
+        self.flusher = flusher
+        self.connection: Connection | None = None
+        self.lock = Lock()
+        self.pending: deque[BufferedMessage] = deque()
+        self.size = 0  # bytes that wait
+        self.queued = 0  # offset behind all messages that were ever put
+        self.broken_at: int | None = None  # the end of the first message that was lost
+        self.error: OSError | None = None  # by which a write ended the connection
+        self.flushing = False  # the flusher goes on with it
+        self.dead = False  # nothing goes out any more
+        self.finishing = False  # it takes no more
+        self.is_end_sent = False  # our side is shut: all is out
+
+    def attach(self, connection: Connection) -> None:
+        """The connection is up: what waits goes out."""
+        with self.lock:
+            self.connection = connection
+            self._write()
+
+    def put(
+        self,
+        data: bytes,
+        is_allowed: Callable[[], bool] | None = None,
+        renew: Callable[[], bytes] | None = None,
+    ) -> int:
+        """Queue one message; the offset of its end, or a Rejection.
+
+        is_allowed(): asked at the last moment before it would go out. renew(): the message as it is to be
+        when its first byte goes out, asked where it had to wait.
+        """
+        with self.lock:
+            if self.dead or self.finishing or self.size + len(data) > self.most:
+                return Rejection.CLOSED_OR_FULL
+            if is_allowed and self.connection is not None and not is_allowed():
+                return Rejection.NOT_ALLOWED
+            self.queued += len(data)
+            self.size += len(data)
+            must_wait = self.flushing or self.connection is None
+            self.pending.append(BufferedMessage(data, self.queued, renew if must_wait else None))
+            if not must_wait:
+                self._write(renew)
+            return self.queued
+
+    def is_written(self, offset: int) -> bool:
+        """Whether all up to this offset was handed to the system."""
+        with self.lock:
+            first_left = self.pending[0].end_offset if self.pending else self.broken_at
+            return first_left is None or offset < first_left
+
+    def withdraw(self, data: bytes) -> bool:
+        """Take back a message of which no byte has gone; whether it could be."""
+        with self.lock:
+            for position, message in enumerate(self.pending):
+                if message.data is data and not message.is_begun:
+                    del self.pending[position]
+                    self.size -= len(message.left)
+                    return True
+            return False
+
+    def finish(self, now: bool = False) -> bool:
+        """Take no more; once all is out the other side is told so. now: end it, whatever waits.
+
+        Whether that is done yet. The reader closes after the other side has: a close over unread bytes resets
+        the connection, and takes along what the other side has yet to read.
+        """
+        with self.lock:
+            self.finishing = True
+            if now:
+                self._end_now()
+            elif not self.pending:
+                self._send_end()
+            return self.is_end_sent or self.dead
+
+    def flush(self) -> int:
+        """From the flusher: write on; how many bytes went out."""
+        with self.lock:
+            before = self.size
+            self.flushing = False
+            self._write()
+            return before - self.size
+
+    def descriptor(self) -> int:
+        """The number to wait for until more can be written; -1: there is nothing to wait for any more."""
+        with self.lock:
+            return self.connection.fileno() if self.flushing and not self.dead else -1
+
+    def _send_end(self) -> None:
+        """With the lock held: the other side reads to the end."""
+        if self.connection is not None and not self.is_end_sent:
+            self.connection.shutdown(socket.SHUT_WR)
+        self.is_end_sent = True
+
+    def _end_now(self) -> None:
+        """With the lock held: nothing more goes out, and the reader, which closes, wakes."""
+        if self.pending and not self.dead:
+            self.broken_at = self.pending[0].end_offset
+        self.dead = True
+        self.flushing = False
+        self.pending.clear()
+        self.size = 0
+        if self.connection is not None:
+            self.connection.shutdown()
+
+    def _write(self, renew: Callable[[], bytes] | None = None) -> None:
+        """With the lock held: as much as the system takes now; the rest is the flusher's.
+
+        renew: of the last message, should nothing of it go out now.
+        """
+        while self.pending and self.connection is not None and not self.dead:
+            message = self.pending[0]
+            if message.renew:
+                self._renew(message)
+            try:
+                count = self.connection.send(message.left)
+            except OSError as error:
+                self.error = error
+                self._end_now()
+                return
+            self.size -= count
+            if count < len(message.left):
+                self._leave_to_flusher(message, count, renew)
+                return
+            self.pending.popleft()
+        if self.finishing and not self.pending and not self.dead:
+            self._send_end()
+
+    def _leave_to_flusher(
+        self, message: BufferedMessage, count: int, renew: Callable[[], bytes] | None
+    ) -> None:
+        """With the lock held: the system took only so many bytes of a message."""
+        if count:
+            message.is_begun = True
+            message.renew = None
+            message.left = memoryview(message.left)[count:]
+        else:
+            message.renew = message.renew or renew
+        self.flushing = True
+        self.counters.add("writes put off")
+        self.flusher.watch(self)
+
+    def _renew(self, message: BufferedMessage) -> None:
+        """With the lock held: the message as it is to be now."""
+        renewed = message.renew()
+        self.size += len(renewed) - len(message.left)
+        message.left = renewed
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -5,20 +5,19 @@
 """
 
 from itertools import count
-from queue import Empty
 
 from gullhold.decisions.gateway import Gateway
-from gullhold.net import client_connection, discovery, links, request_reader, statement_memory
+from gullhold.net import client_connection, discovery, engine_connection, request_reader, statement_memory
 from gullhold.net import core as product
 from gullhold.net.connection import Connection
-from gullhold.net.connection_ends import STILL_THERE, Ending, Malformed
+from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.counters import Counters
 from gullhold.simulation.endpoints import End
 from gullhold.simulation.streams import CLOSED, RESET
 
-MOST = 192 << 10  # bytes of the largest message, as a small deployment has it
-LINKS_MOST = 200  # links of one gateway
-ROOM = 24 << 20  # bytes of statements that wait
+MESSAGE_MOST = 192 << 10  # bytes of the largest message, as a small deployment has it
+CONNECTIONS_MOST = 200  # to engines, of one gateway
+STATEMENT_MEMORY = 24 << 20  # bytes of statements that wait
 FEED_MOST = 1 << 20  # bytes of one line of the coordinator
 SERIALS = count()
 
@@ -46,115 +45,99 @@
         """Nothing that a wire has."""
 
 
-class Link(links.Link):
-    """A link whose reader is an end of a wire."""
+class Link(engine_connection.EngineConnection):
+    """A connection to an engine whose reader is an end of a wire."""
 
-    def __init__(self, *args):
+    def __init__(self, *args: object) -> None:
         super().__init__(*args)
-        self.serial, self.over = next(SERIALS), False
+        self.serial = next(SERIALS)
+        self.over = False  # its reader has reported
 
-    def __hash__(self):  # sets of links are walked in the same order in every run
+    def __hash__(self) -> int:  # sets of connections are walked in the same order in every run
         return self.serial
 
-    def __eq__(self, other):
+    def __eq__(self, other: object) -> bool:
         return self is other
 
-    def start(self):
-        """Connect: up(), or _over() where nobody takes it."""
+    def start(self) -> None:
+        """Connect: up(), or fail() where nobody takes it."""
         self.core.world.dial(self)
 
-    def up(self, end):
+    def up(self, end: End) -> None:
         """The connection stands."""
-        self.connection = Connection(Line(end))
-        if self.ending:
-            self.fail(self.ending)
-        else:
-            self.core.post_urgent(self.core.link_up, self)
+        if not self.connected(Connection(Line(end))):
+            self.fail(self.end_by_us)
 
-    def shut(self, ending):
+    def shut(self, end: ConnectionEnd) -> None:
         """End it from our side; its reader reports a moment later."""
-        self.retired, self.ending = True, self.ending or ending
+        super().shut(end)
         if self.connection is not None:
-            self.connection.shutdown()
-            self.core.world.clock.after(0, self.fail, ending)
+            self.core.world.clock.after(0, self.fail, end)
 
-    def hears(self, _end, data):
+    def hears(self, _end: End, data: bytes) -> None:
         """Bytes of the engine."""
         if self.over:
             return
-        arrays = []
         try:
             self.decoder.buffer.put(data)
-            try:
-                arrays.extend(self.decoder.arrays())
-            finally:
-                if arrays:
-                    self.core.post(self.core.heard, self, arrays)
-        except Malformed as fault:
-            self.fail(Ending.MALFORMED, str(fault))
-
-    def is_left(self, _end, how):
+            self.deliver()
+        except ProtocolError as error:
+            self.fail(ConnectionEnd.MALFORMED, str(error))
+
+    def is_left(self, _end: End, how: str) -> None:
         """The engine's side has ended."""
-        self.fail(Ending.CLOSED if how == CLOSED else Ending.RESET)
+        self.fail(ConnectionEnd.CLOSED if how == CLOSED else ConnectionEnd.RESET)
 
-    def fail(self, ending, text=""):
+    def fail(self, end: ConnectionEnd, text: str = "") -> None:
         """Its reader is over."""
-        if self.over:
-            return
-        self.over = True
-        self.pipe.finish(now=True)
-        if self.connection is not None:
-            self.connection.close()
-        self.core.holding.discard(self)
-        self.core.post(self.core.link_ended, self, self.ending or ending, text)
+        if not self.over:
+            self.over = True
+            self.reader_ended(end, text, self.connection)
 
 
 class Client(client_connection.ClientConnection):
     """A connection of a client whose reader is an end of a wire."""
 
-    def __init__(self, end, core, reader):
-        super().__init__(Line(end), core, reader, MOST)
-        self.serial, self.said_over = next(SERIALS), False
+    def __init__(self, end: End, core: "Core", reader: request_reader.RequestReader) -> None:
+        super().__init__(Line(end), core, reader, MESSAGE_MOST)
+        self.serial = next(SERIALS)
+        self.has_reported = False
         end.owner = self
 
-    def __hash__(self):
+    def __hash__(self) -> int:
         return self.serial
 
-    def __eq__(self, other):
+    def __eq__(self, other: object) -> bool:
         return self is other
 
-    def hears(self, _end, data):
+    def hears(self, _end: End, data: bytes) -> None:
         """Bytes of the client."""
-        if self.said_over:
+        if self.has_reported:
             return
         try:
             self.decoder.buffer.put(data)
             for call in self.decoder.calls():
                 self._come(call, self.core.clock())
-        except Malformed as fault:
-            self._over(Ending.MALFORMED, str(fault))
+        except ProtocolError as error:
+            self._fail(ConnectionEnd.MALFORMED, str(error))
         if self.refused:
             frames, self.refused = self.refused, []
             self.put(b"".join(frames))
 
-    def is_left(self, _end, how):
+    def is_left(self, _end: End, how: str) -> None:
         """The client's side has ended."""
-        self._over(Ending.CLOSED if how == CLOSED else Ending.RESET)
+        self._fail(ConnectionEnd.CLOSED if how == CLOSED else ConnectionEnd.RESET)
 
-    def end(self, ending, text):
-        super().end(ending, text)
-        self._over(ending, text)
+    def end(self, end: ConnectionEnd, text: str) -> None:
+        """End it from our side, now."""
+        super().end(end, text)
+        self._fail(end, text)
 
-    def _over(self, ending, text=""):
-        if self.said_over:
-            return
-        self.said_over = self.over = True
-        ending, text = self.ending or (ending, text)
-        if ending in STILL_THERE:
-            self.core.post(self.core.client_ended, self, ending, text)
-        else:
-            self.left = True
-            self.core.post_urgent(self.core.client_ended, self, ending, text)
+    def _fail(self, end: ConnectionEnd, text: str = "") -> None:
+        """Its reader is over."""
+        if not self.has_reported:
+            self.has_reported = True
+            self.report_end(end, text)
 
 
 class Core(product.Core):
@@ -191,9 +174,9 @@
             Gateway(configuration.seed, agreement, now),
             agreement,
             Counters(),
-            MOST,
-            LINKS_MOST,
-            statement_memory.StatementMemory(ROOM),
+            MESSAGE_MOST,
+            CONNECTIONS_MOST,
+            statement_memory.StatementMemory(STATEMENT_MEMORY),
         )
         self.reader = request_reader.RequestReader(agreement, None, self.core.retry_after_field)
         self.names = configuration.engine_ids
@@ -233,22 +216,20 @@
                 end.finish(RESET)
             end.over = True
 
-    def _turns(self):
+    def _turns(self) -> None:
         self.event = None
         if not self.alive:
             return
         core = self.core
-        core._tick()
+        core.tick()
         while True:
-            try:
-                event = core.queue.get_nowait()
-            except Empty:
-                event = None
-            if event is None and not core.urgent and core.timers[0][0] > core.now:
+            event = core.next_event()
+            if event is None and not core.urgent and core.next_timer_at_us() > core.now:
                 break
             core.turn(event)
         if self.event is None:
-            self.event = self.world.clock.after(max(0, core.timers[0][0] - core.now), self._turns)
+            wait_us = max(0, core.next_timer_at_us() - core.now)
+            self.event = self.world.clock.after(wait_us, self._turns)
 
     def left_over(self):
         """What its tables still hold once nothing is owed or out; a census."""
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -9,7 +9,13 @@
 
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import EngineState, Outcome
-from gullhold.net import connection_ends, core, pipe, thrift
+from gullhold.net import connection_ends, engine_words, thrift
+from gullhold.net.attempts import Attempts
+from gullhold.net.engine_pool import EnginePool
+from gullhold.net.engine_replies import EngineReplies
+from gullhold.net.event_loop import EventLoop
+from gullhold.net.pending_requests import PendingRequests
+from gullhold.net.write_buffer import WriteBuffer
 
 
 def _heard_not_obeyed(engines):
@@ -23,21 +29,22 @@
     return call
 
 
-def _not_awaited(_stop_send):
-    def call(self, send, outcome):
-        link, txn = send.link, send.command.request.txn
-        if link and link.open.get(txn) is send and not link.pipe.withdraw(send.message):
-            self._tell(link, b"abort", txn)
-            link.given_up.add(txn)
-            del link.open[txn]
-        self.after.append((self._end_send, send, outcome))
+def _not_awaited(stop):
+    def call(self, attempt, outcome):
+        connection, txn = attempt.connection, attempt.request.request.txn
+        is_open = connection and connection.open.get(txn) is attempt
+        if is_open and not connection.write_buffer.withdraw(attempt.message):
+            self.core.pool.send_word(connection, engine_words.ABORT, txn)
+            connection.given_up.add(txn)
+            del connection.open[txn]
+        self.core.defer(self.end, attempt, outcome)
 
     return call
 
 
-def _twice(_answer):
-    def call(self, cmd, message):
-        _answer(self, cmd, message + message)
+def _twice(answer):
+    def call(self, pending, message):
+        answer(self, pending, message + message)
 
     return call
 
@@ -59,42 +66,42 @@
 
 
 def _unheard(client_ended):
-    def call(self, client, ending, text):
+    def call(self, client, end, text):
         self.counters.add("unheard")
 
     return call
 
 
-def _lost(_later):
-    def call(self, at, made, *args):
+def _lost(call_later):
+    def call(self, due_at_us, made, *args):
         self.lost_count = getattr(self, "lost_count", 0) + 1
-        if self.lost_count % 5 or made == self._sweep:
-            _later(self, at, made, *args)
+        if self.lost_count % 5 or made == self.health.sweep:
+            call_later(self, due_at_us, made, *args)
 
     return call
 
 
-def _first_page_only(_page):
-    def call(self, link, send, txn, body):
-        send.total = 1
-        _page(self, link, send, txn, body)
+def _first_page_only(add_page):
+    def call(self, connection, attempt, rows):
+        attempt.page_count = 1
+        add_page(self, connection, attempt, rows)
 
     return call
 
 
-def _not_forgotten(_forget):
-    def call(self, cmd):
-        self.pending.pop(cmd.number, None)
+def _not_forgotten(forget):
+    def call(self, pending):
+        self.by_number.pop(pending.number, None)
 
     return call
 
 
 def _nothing_ran(outcome):
-    return lambda whole: Outcome.CONNECT_FAILED
+    return lambda is_written: Outcome.CONNECT_FAILED
 
 
-def _not_looked_again(link_up):
-    return lambda self, link: link.pipe.attach(link.connection)
+def _not_looked_again(connection_up):
+    return lambda self, connection: connection.write_buffer.attach(connection.connection)
 
 
 def _not_taken_back(withdraw):
@@ -108,32 +115,32 @@
     return lambda method, seq, body=b"", good=True: answer(method, max(1, seq - 1), body, good)
 
 
-def _copy_kept(_word):
-    def call(self, link, words):
-        send = link.open.get(words[0])
-        if words[1] == b"200" and send and send.pages:
-            self._page(link, send, words[0], words[3])
+def _copy_kept(received_words):
+    def call(self, connection, words):
+        attempt = connection.open.get(words[0])
+        if words[1] == engine_words.ANSWER and attempt and attempt.pages:
+            self._add_page(connection, attempt, words[3])
         else:
-            _word(self, link, words)
+            received_words(self, connection, words)
 
     return call
 
 
 MUTANTS = {
     "a drain that is heard and not obeyed": ("drain", Gateway, "update_engines", _heard_not_obeyed),
-    "an abort not awaited": ("two at once", core.Core, "_stop_send", _not_awaited),
-    "every answer twice": ("one answer", core.Core, "_answer", _twice),
+    "an abort not awaited": ("two at once", Attempts, "stop", _not_awaited),
+    "every answer twice": ("one answer", PendingRequests, "answer", _twice),
     "sends of any kind up to the cap": ("must not run twice", Gateway, "_may_resend", _any_number),
     "the dedup window twice as long": ("outside its window", Gateway, "_may_resend", _window_longer),
-    "clients that leave are not heard": ("client gone", core.Core, "client_ended", _unheard),
-    "every fifth timer lost": ("in time", core.Core, "_later", _lost),
-    "the first page for the whole": ("intact", core.Core, "_page", _first_page_only),
-    "what is over is not forgotten": ("census", core.Core, "_forget", _not_forgotten),
+    "clients that leave are not heard": ("client gone", PendingRequests, "client_ended", _unheard),
+    "every fifth timer lost": ("in time", EventLoop, "call_later", _lost),
+    "the first page for the whole": ("intact", EngineReplies, "_add_page", _first_page_only),
+    "what is over is not forgotten": ("census", PendingRequests, "forget", _not_forgotten),
     "a broken link proves that nothing ran": ("must not run twice", connection_ends, "outcome", _nothing_ran),
-    "a late link is not looked at again": ("client gone", core.Core, "link_up", _not_looked_again),
-    "what is taken back goes out": ("two at once", pipe.Pipe, "withdraw", _not_taken_back),
+    "a late link is not looked at again": ("client gone", EnginePool, "connection_up", _not_looked_again),
+    "what is taken back goes out": ("two at once", WriteBuffer, "withdraw", _not_taken_back),
     "answers to another's number": ("one answer", thrift, "answer", _mixed),
-    "a second copy kept": ("intact", core.Core, "_word", _copy_kept),
+    "a second copy kept": ("intact", EngineReplies, "_received_words", _copy_kept),
 }
 
 
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -6,7 +6,7 @@
 
 from gullhold.agreement import read_agreement
 from gullhold.net.configuration import Configuration
-from gullhold.net.connection_ends import Ending
+from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.discovery import Names, members
 from gullhold.simulation.checker import Checker
 from gullhold.simulation.clock import Clock
@@ -136,13 +136,13 @@
 
     def dial(self, link):
         """A gateway's link connects."""
-        address = link.engine.address
+        address = link.endpoint.address
         engine, way = self.at.get(address), self.ways[address][0]
         span_us = 2 * way.delay_us + (engine.late if engine else 0)
         if engine is None or engine.refusing > self.clock.now:
-            self.clock.after(2 * way.delay_us, link.fail, Ending.REFUSED)
+            self.clock.after(2 * way.delay_us, link.fail, ConnectionEnd.REFUSED)
         elif way.silent or span_us > self.agreement.connect_timeout_us:
-            self.clock.after(self.agreement.connect_timeout_us, link.fail, Ending.NOT_UP)
+            self.clock.after(self.agreement.connect_timeout_us, link.fail, ConnectionEnd.NOT_UP)
         else:
             self.clock.after(span_us, self._connected, link, engine)
 
@@ -151,7 +151,7 @@
         if not member.alive or link.over:
             return
         if self.at.get(engine.address) is not engine:
-            link.fail(Ending.REFUSED)
+            link.fail(ConnectionEnd.REFUSED)
             return
         near = member.end(link)
         far = engine.accept(near)
--- a/gullhold/testing/crowd.py
+++ b/gullhold/testing/crowd.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from gullhold.net import thrift
-from gullhold.net.connection_ends import Malformed
+from gullhold.net.connection_ends import ProtocolError
 from gullhold.testing import PATIENCE_S
 from gullhold.testing.working import statement
 
@@ -176,7 +176,7 @@
                     for answer in machine.frames():
                         order += 1
                         self._answered(answer, out, later, order)
-        except (OSError, Malformed):
+        except (OSError, ProtocolError):
             pass
         with self.lock:
             self.lost += len(out)
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -8,7 +8,7 @@
 from faults.plan import Plan
 from faults.traffic import Played
 from gullhold.net import connection_ends
-from gullhold.net.connection_ends import Ending
+from gullhold.net.connection_ends import ConnectionEnd
 
 PLANS = {
     "connections that end before they are taken": [("accept", 300, "ECONNABORTED", 0)],
@@ -59,8 +59,8 @@
 
 def test_a_time_out_of_the_system_is_an_end_and_one_of_a_read_is_not():
     """ETIMEDOUT on an open connection was taken for idleness: the client's requests were still answered."""
-    assert connection_ends.of_error(TimeoutError(110, "ETIMEDOUT")) == Ending.RESET
-    assert connection_ends.of_error(TimeoutError(110, "ETIMEDOUT"), connecting=True) == Ending.NOT_UP
-    assert connection_ends.of_error(BlockingIOError(11, "EAGAIN")) == Ending.IDLE
-    assert connection_ends.of_error(OSError(113, "EHOSTUNREACH")) == Ending.RESET
-    assert connection_ends.of_error(OSError(105, "ENOBUFS"), connecting=True) == Ending.SHORT
+    assert connection_ends.of_error(TimeoutError(110, "ETIMEDOUT")) == ConnectionEnd.RESET
+    assert connection_ends.of_error(TimeoutError(110, "ETIMEDOUT"), connecting=True) == ConnectionEnd.NOT_UP
+    assert connection_ends.of_error(BlockingIOError(11, "EAGAIN")) == ConnectionEnd.IDLE
+    assert connection_ends.of_error(OSError(113, "EHOSTUNREACH")) == ConnectionEnd.RESET
+    assert connection_ends.of_error(OSError(105, "ENOBUFS"), connecting=True) == ConnectionEnd.SHORT
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -17,7 +17,7 @@
 from serving import PATIENCE, ROOT, until
 
 from gullhold.net import resp, service
-from gullhold.net.connection_ends import Malformed
+from gullhold.net.connection_ends import ProtocolError
 from gullhold.testing import listening
 from gullhold.testing.client import Caller
 from gullhold.testing.deployment import config
@@ -96,7 +96,7 @@
                     self._word(conn, *words)
         except OSError:
             pass
-        except (Malformed, ValueError, TypeError) as fault:
+        except (ProtocolError, ValueError, TypeError) as fault:
             self.record.wrong(f"an engine was sent what no client had sent: {fault!r}")
             conn.close()
 
@@ -234,7 +234,7 @@
         """Whether it answers check with good."""
         try:
             return bool(service.asked(self.address, 1.0))
-        except (OSError, Malformed):
+        except (OSError, ProtocolError):
             return False
 
     def ask(self, clients, **how):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -692,11 +692,11 @@
     """A link that is given up while it connects holds its descriptor until its thread has closed it."""
     late = Late()
     gateway, client = start(late, connect_timeout=5.0)
-    gateway.core.links_most = 1
+    gateway.core.pool.connections_most = 1
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
     (link,) = gateway.core.links
-    gateway.core.post(gateway.core._drop_link, link, connection_ends.Ending.SILENT)
+    gateway.core.post(gateway.core.pool.drop, link, connection_ends.ConnectionEnd.SILENT)
     until(lambda: not gateway.core.links)
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed") and gateway.count("no descriptor for a link")
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -6,7 +6,7 @@
 from serving import free_port, listens, until
 
 from gullhold.net import eventlog
-from gullhold.net.eventlog import CLOSE, RETRY, EventLog, Happened
+from gullhold.net.eventlog import EventKind, EventLog, LoggedEvent
 from gullhold.testing.client import Caller
 from gullhold.testing.deployment import config
 from gullhold.testing.scripted import Engine, ok, resets
@@ -16,9 +16,9 @@
     logged, log = [], EventLog()
     monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
     for n in range(1000):  # within a second
-        log.add(Happened(1_000_000 + n * 1000, RETRY, f"reset {n}"))
+        log.add(LoggedEvent(1_000_000 + n * 1000, EventKind.RETRY, f"reset {n}"))
     assert eventlog.BURST <= len(logged) <= eventlog.BURST + eventlog.RATE_PER_S + 1
-    log.add(Happened(9_000_000, RETRY, "the last"))
+    log.add(LoggedEvent(9_000_000, EventKind.RETRY, "the last"))
     assert "left_out=" in logged[-1] and "reason=the_last" in logged[-1]
     assert len(log.lines()) == eventlog.KEPT and log.lines()[-1].startswith("at_us=9000000 event=retry")
 
@@ -27,8 +27,12 @@
     logged, log = [], EventLog()
     monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
     for n in range(200):
-        log.add(Happened(n, RETRY, "reset"))
-    log.add(Happened(200, CLOSE, "closed", connection="engine 127.0.0.1:1", before="open", after="closed"))
+        log.add(LoggedEvent(n, EventKind.RETRY, "reset"))
+    log.add(
+        LoggedEvent(
+            200, EventKind.CLOSE, "closed", connection="engine 127.0.0.1:1", before="open", after="closed"
+        )
+    )
     assert "event=close connection=engine_127.0.0.1:1 from=open to=closed reason=closed" in logged[-1]
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -11,7 +11,7 @@
 from gullhold.agreement import parse_tree, read_agreement
 from gullhold.interface import NEVER_RAN, EngineState, Outcome
 from gullhold.net import buffer, discovery, request_reader, resp, statement, thrift
-from gullhold.net.connection_ends import Ending, Malformed, of_error, outcome
+from gullhold.net.connection_ends import ConnectionEnd, ProtocolError, of_error, outcome
 from gullhold.operator import records
 from gullhold.testing import deployment
 from gullhold.testing.running import agreed
@@ -101,7 +101,7 @@
 def test_thrift_that_is_not_strict_binary_is_malformed(data):
     machine = thrift.Decoder(MOST)
     machine.buffer.put(data)
-    with pytest.raises(Malformed):
+    with pytest.raises(ProtocolError):
         list(machine.calls())
 
 
@@ -116,7 +116,7 @@
             try:
                 machine.buffer.put(piece)
                 list(read(machine))
-            except Malformed:
+            except ProtocolError:
                 break
 
 
@@ -170,7 +170,7 @@
 def test_resp_that_is_not_an_array_of_bulk_strings_is_malformed(data):
     machine = resp.Decoder(MOST)
     machine.buffer.put(data)
-    with pytest.raises(Malformed):
+    with pytest.raises(ProtocolError):
         list(machine.arrays())
 
 
@@ -189,7 +189,7 @@
     size = len(one.data)
     one.put(b"y" * (size - 1500))  # fits once what was used has made room
     assert len(one.data) == size and one.peek(1001) == b"x" * 1000 + b"y"
-    with pytest.raises(Malformed):
+    with pytest.raises(ProtocolError):
         one.put(b"z" * 20_000)
     one.drop(len(one))
     assert len(one.data) == buffer.FIRST and len(one) == 0
@@ -223,7 +223,7 @@
 def test_a_bad_line_or_a_gap_asks_for_the_stream_anew(line):
     machine = discovery.Follow(4, MOST)
     machine.buffer.put(line)
-    with pytest.raises(Malformed):
+    with pytest.raises(ProtocolError):
         list(machine.events())
 
 
@@ -231,7 +231,7 @@
     "member", [b'{"id":"x"}', b'{"id":"x","phase":"odd"}', b"7", MEMBER.replace(b'"size":4', b'"size":"q"')]
 )
 def test_a_member_of_another_form_is_malformed(member):
-    with pytest.raises(Malformed):
+    with pytest.raises(ProtocolError):
         discovery.members(json.loads(EVENT % (5, member)), read_agreement({}), discovery.Names())
 
 
@@ -395,9 +395,10 @@
 def test_how_a_connection_ended_says_whether_a_send_may_have_run():
     assert outcome(True) == Outcome.RESET and outcome(False) == Outcome.CONNECT_FAILED
     assert outcome(False) in NEVER_RAN and outcome(True) not in NEVER_RAN
-    assert of_error(ConnectionRefusedError(), True) == Ending.REFUSED
+    assert of_error(ConnectionRefusedError(), True) == ConnectionEnd.REFUSED
     assert (
-        of_error(TimeoutError(), True) == Ending.NOT_UP and of_error(ConnectionResetError()) == Ending.RESET
+        of_error(TimeoutError(), True) == ConnectionEnd.NOT_UP
+        and of_error(ConnectionResetError()) == ConnectionEnd.RESET
     )
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,7 @@
 from gullhold.net.counters import Counters
 from gullhold.net.flusher import Flusher
 from gullhold.net.logsink import LINES, LogSink
-from gullhold.net.pipe import Pipe
+from gullhold.net.write_buffer import WriteBuffer
 from gullhold.testing.client import Caller
 from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
@@ -509,26 +509,26 @@
 
 def test_a_pipe_takes_back_only_what_has_not_begun_and_knows_what_went_whole():
     ours, theirs = tcp_pair()
-    pipe, connection = Pipe(50_000_000, Counters(), flushing()), Connection(ours)
+    pipe, connection = WriteBuffer(50_000_000, Counters(), flushing()), Connection(ours)
     waits = b"w" * 10
-    assert pipe.put(waits) == 10 and not pipe.whole(10)
+    assert pipe.put(waits) == 10 and not pipe.is_written(10)
     assert pipe.withdraw(waits) and not pipe.withdraw(waits)  # the connection is not up yet
     pipe.attach(connection)
     large, last = b"x" * 9_000_000, b"y" * 10
     end = pipe.put(large)  # more than the system takes: a writer goes on with it
     pipe.put(last)
-    assert not pipe.whole(end) and not pipe.withdraw(large) and pipe.withdraw(last)
+    assert not pipe.is_written(end) and not pipe.withdraw(large) and pipe.withdraw(last)
     assert not pipe.finish()
     got = bytearray()
     while data := theirs.recv(1 << 20):  # to the end: our side is shut once all is out
         got += data
-    assert bytes(got) == large and pipe.whole(end) and pipe.put(b"z") == -1
+    assert bytes(got) == large and pipe.is_written(end) and pipe.put(b"z") == -1
     theirs.close()
 
 
 def test_a_pipe_that_backs_up_refuses_and_one_that_ends_wakes_its_writer():
     ours, theirs = tcp_pair()
-    pipe, connection = Pipe(10_000_000, Counters(), flushing()), Connection(ours)
+    pipe, connection = WriteBuffer(10_000_000, Counters(), flushing()), Connection(ours)
     pipe.attach(connection)
     assert pipe.put(b"x" * 9_000_000) > 0 and pipe.put(b"x" * 9_000_000) == -1
     assert pipe.flusher.waiting and pipe.finish(now=True)
