--- /dev/null
+++ b/gullhold/net/backpressure.py
@@ -0,0 +1,102 @@
+"""Backpressure on one client: pauses in which its calls are deferred, and what was deferred."""
+
+import time
+from collections import deque
+from typing import NamedTuple
+
+from gullhold.net import thrift
+from gullhold.net.client_limits import OPEN_MOST
+from gullhold.net.request_reader import FIGURE
+
+DEFERRED_MOST_BYTES = 32_768  # bytes of calls deferred in a pause: 32 of usual size
+DEFERRED_PART = 0.4  # of the time that its client waits, for which a call is deferred at most
+# s, least and most, until the next read after something was rejected at once
+LEAST_PAUSE_S = 0.05
+LONGEST_PAUSE_S = 0.4
+
+
+class DeferredCall(NamedTuple):
+    """A call that was read in a pause, and when (us of the core's clock)."""
+
+    call: thrift.Call
+    received_at_us: int
+
+
+class Backpressure:
+    """The pauses of one connection. On its reader's thread only, but for stop().
+
+    A pause only puts off what is asked: what takes a request back, and the client's leaving, are seen at
+    once.
+    """
+
+    def __init__(self) -> None:
+        self.calls: deque[DeferredCall] = deque()
+        self.size_bytes = 0  # read in this pause
+        self.pause_s = 0.0  # the last pause after a rejection
+        self.resume_at = 0.0  # when the pause is over, by the monotonic clock
+        self.is_stopped = False
+
+    def stop(self) -> None:
+        """The connection is to end: there are no pauses any more. From any thread."""
+        self.is_stopped = True
+
+    def hold_off(self, seconds: float) -> None:
+        """Defer what is read for so long."""
+        self.resume_at = time.monotonic() + seconds
+
+    def remaining_s(self) -> float:
+        """Until the pause is over; zero or less: there is none."""
+        return 0.0 if self.is_stopped else self.resume_at - time.monotonic()
+
+    def rejected(self) -> None:
+        """Something was rejected at once.
+
+        Guards all others against those who ask again at once: the pause grows while they do.
+        """
+        if time.monotonic() >= self.resume_at:  # else what is deferred would wait longer and longer
+            self.pause_s = min(max(2 * self.pause_s, LEAST_PAUSE_S), LONGEST_PAUSE_S)
+            self.hold_off(self.pause_s)
+
+    def nothing_rejected(self) -> None:
+        """What was read last was taken: the next pause is shorter."""
+        if self.pause_s and time.monotonic() >= self.resume_at:
+            self.pause_s = self.pause_s / 2 if self.pause_s > LEAST_PAUSE_S else 0.0
+
+    def must_defer(self) -> bool:
+        """Whether a call that was read now waits: there is a pause, or others wait from one."""
+        return len(self.calls) > 0 or self.remaining_s() > 0
+
+    def is_full(self) -> bool:
+        """Whether as much is deferred as a usual client has open."""
+        return len(self.calls) >= OPEN_MOST or self.size_bytes > DEFERRED_MOST_BYTES
+
+    def defer(self, call: thrift.Call, received_at_us: int) -> None:
+        """Keep a call for later."""
+        self.calls.append(DeferredCall(call, received_at_us))
+
+    def take_due(self, now_us: int) -> DeferredCall | None:
+        """The oldest deferred call, if it need not, or must not, wait any longer."""
+        if not self.calls:
+            return None
+        if self.remaining_s() <= 0 or self.oldest_remaining_s(now_us) <= 0:
+            return self.calls.popleft()
+        return None
+
+    def take_back(self, seq: int) -> bool:
+        """Remove the deferred request of this number; whether there was one."""
+        for position, deferred in enumerate(self.calls):
+            if deferred.call.seq == seq and deferred.call.method == "execute":
+                del self.calls[position]
+                return True
+        return False
+
+    def oldest_remaining_s(self, now_us: int) -> float:
+        """For how long the oldest deferred call may still wait: a part of the time that its client waits.
+
+        Guards against pauses, one behind the other, that outlast it.
+        """
+        call, received_at_us = self.calls[0]
+        fields = call.args.get((1, thrift.MAP))
+        limit_ms = fields.get(b"limit", b"") if isinstance(fields, dict) else b""
+        limit_s = float(limit_ms) / 1000 if FIGURE.match(limit_ms) else 0.0
+        return DEFERRED_PART * limit_s - (now_us - received_at_us) / 1e6
--- /dev/null
+++ b/gullhold/net/client_calls.py
@@ -0,0 +1,142 @@
+"""The calls of one client: deferred, rejected at once, answered with an error, or handed to the core."""
+
+from typing import TYPE_CHECKING
+
+from gullhold.net import thrift
+from gullhold.net.client_limits import OPEN_MOST
+from gullhold.net.connection_ends import ProtocolError
+from gullhold.net.request_reader import Request, RequestError, RequestReader
+
+if TYPE_CHECKING:
+    from gullhold.net.client_connection import ClientConnection
+
+FIRST_MAP = (1, thrift.MAP)
+FIRST_NUMBER = (1, thrift.I32)
+SECOND_STRING = (2, thrift.STRING)
+
+
+class ClientCalls:
+    """Takes the calls of one connection, in its reader's thread."""
+
+    def __init__(self, client: "ClientConnection", reader: RequestReader) -> None:
+        self.client = client
+        self.core = client.core
+        self.counters = client.core.counters
+        self.backpressure = client.backpressure
+        self.reader = reader
+        self.last_seq = 0
+        self.rejections: list[bytes] = []  # answers to what was read just now and is rejected at once
+
+    def received(self, call: thrift.Call, received_at_us: int) -> None:
+        """A call was read: taken now, or after the pause; what takes another back is never put off."""
+        if call.method == "interrupt":
+            self._interrupt(call.args.get(FIRST_NUMBER))
+        elif not self.backpressure.must_defer():
+            self._take(call, received_at_us)
+        elif call.method == "execute" and self.backpressure.is_full():
+            self.counters.add("taken")
+            self.counters.add("turned away in a pause")
+            self.rejections.append(thrift.shed(call.seq, {}))
+        else:
+            self.backpressure.defer(call, received_at_us)
+
+    def take_deferred(self) -> None:
+        """Take what was deferred and is due."""
+        while deferred := self.backpressure.take_due(self.core.clock()):
+            self._take(deferred.call, deferred.received_at_us)
+
+    def take_rejections(self) -> list[bytes]:
+        """The answers to what was rejected at once since the last call."""
+        rejections = self.rejections
+        self.rejections = []
+        return rejections
+
+    def reject_deferred(self) -> None:
+        """The connection is read no more: each request that is deferred is shed."""
+        for deferred in self.backpressure.calls:
+            if deferred.call.method == "execute":
+                self.rejections.append(thrift.shed(deferred.call.seq, {}))
+
+    def _interrupt(self, seq: int) -> None:
+        client = self.client
+        if self.backpressure.take_back(seq):
+            self.counters.add("taken")
+            self.counters.add("interrupted")
+            return
+        if client.waiting.pop(seq, None) is not None:
+            return  # the core passes it over when it comes to it
+        client.taken_back.add(seq)  # no longer open, though the core has yet to settle it
+        if seq in client.open:
+            self.core.post_urgent(self.core.interrupt, client, seq)
+        else:  # answered before, or never asked
+            client.taken_back.discard(seq)
+
+    def _take(self, call: thrift.Call, received_at_us: int) -> None:
+        if call.kind != thrift.CALL:
+            return
+        if call.method == "execute":
+            self._execute(call, received_at_us)
+        elif call.method == "check":
+            self.core.post(self.core.check, self.client, call.seq)
+        else:
+            self.counters.add("calls unknown")
+            text = "unknown method"
+            self.client.put(thrift.exception(call.method, call.seq, thrift.UNKNOWN_METHOD, text))
+
+    def _execute(self, call: thrift.Call, received_at_us: int) -> None:
+        """What can't be used is answered here and never reaches the core."""
+        seq = call.seq
+        if seq <= self.last_seq:
+            raise ProtocolError(f"request {seq} after {self.last_seq}")
+        self.last_seq = seq
+        self.counters.add("taken")
+        if self.core.closed:  # at the end: nothing goes on from here, so this costs the core nothing
+            self.rejections.append(thrift.shed(seq, {}))
+            return
+        if self.client.open_count() >= OPEN_MOST:
+            self.counters.add("over 32 open on a connection")
+            self.client.put(thrift.shed(seq, {}))
+            return
+        fields = call.args.get(FIRST_MAP)
+        body = call.args.get(SECOND_STRING)
+        if fields is None or body is None:
+            self.counters.add("unusable")
+            self.client.put(thrift.exception("execute", seq, thrift.PROTOCOL_ERROR, "missing argument"))
+            return
+        if self._is_rejected_early(seq, fields, received_at_us):
+            return
+        request = self._read(seq, fields, body)
+        if request:
+            self._hand_to_core(seq, request, received_at_us)
+
+    def _is_rejected_early(self, seq: int, fields: dict, received_at_us: int) -> bool:
+        """Whether the admission queue would reject it with no more than is known here."""
+        queue = self.core.door
+        if not queue or not queue.shut:
+            return False
+        shed_fields = self.reader.shut(fields, self.client.peer, queue.shut, received_at_us)
+        if not shed_fields:
+            return False
+        self.counters.add("turned away at the door, unasked")
+        self.rejections.append(thrift.shed(seq, *shed_fields))
+        return True
+
+    def _read(self, seq: int, fields: dict, body: bytes) -> Request | None:
+        """The request; None where it can't be used, which its client hears."""
+        try:
+            return self.reader.request(fields, body, *self.client.peer)
+        except RequestError as error:
+            self.counters.add("unusable")
+            self.client.put(thrift.fault(seq, str(error)))
+            # Guards against those who ask the same again at once.
+            self.backpressure.hold_off(self.core.agreement.connect_timeout_us / 1e6)
+            return None
+
+    def _hand_to_core(self, seq: int, request: Request, received_at_us: int) -> None:
+        if not self.core.room.take(len(request.body)):
+            self.counters.add("no memory for a statement")
+            self.rejections.append(thrift.shed(seq, {}))
+            return
+        self.client.taken += 1
+        self.client.waiting[seq] = True
+        self.core.post(self.core.execute, self.client, seq, request, received_at_us)
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -32,6 +32,7 @@
 if TYPE_CHECKING:
     from gullhold.admission.queue import Door
     from gullhold.decisions.gateway import Gateway
+    from gullhold.net.client_connection import ClientConnection
     from gullhold.net.flusher import Flusher
 
 
@@ -182,10 +183,10 @@
             is_serving = not self.gate.rejects_new()
         client.put(thrift.answer("check", seq, good=is_serving))
 
-    def rest(self, client: Client) -> None:
+    def rest(self, client: "ClientConnection") -> None:
         """A connection is idle: it ends, unless something came meanwhile."""
         if client.busy():
-            client.resting = False
+            client.end_requested = False
         else:
             client.pipe.finish()
 
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -4,7 +4,7 @@
 
 from gullhold.interface import EngineState, Outcome
 from gullhold.net import connection_ends, resp
-from gullhold.net.client_connection import OPEN_MOST
+from gullhold.net.client_limits import OPEN_MOST
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.engine_connection import Attempt, EngineConnection, EngineEndpoint
 from gullhold.net.eventlog import EventKind, LoggedEvent
@@ -141,7 +141,7 @@
     def _count_close(connection: EngineConnection, end: ConnectionEnd) -> None:
         """Learn whether this engine closes connections in good order."""
         endpoint = connection.endpoint
-        is_cut = end == ConnectionEnd.CLOSED and connection.decoder.cut
+        is_cut = end == ConnectionEnd.CLOSED and connection.decoder.is_cut
         if is_cut or end in BROKE_OTHERS:
             endpoint.orderly_closes = max(0, endpoint.orderly_closes - 1)
         elif end == ConnectionEnd.CLOSED:
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -5,7 +5,7 @@
 
 from gullhold.interface import Outcome, StatusKind
 from gullhold.net import engine_words, resp
-from gullhold.net.client_connection import RESULT_MOST
+from gullhold.net.client_limits import RESULT_MOST
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.engine_connection import Attempt, EngineConnection, ResourceUse
 
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -117,12 +117,10 @@
         try:
             self.decoder.buffer.put(data)
             for call in self.decoder.calls():
-                self._come(call, self.core.clock())
+                self.calls.received(call, self.core.clock())
         except ProtocolError as error:
             self._fail(ConnectionEnd.MALFORMED, str(error))
-        if self.refused:
-            frames, self.refused = self.refused, []
-            self.put(b"".join(frames))
+        self.write_rejections()
 
     def is_left(self, _end: End, how: str) -> None:
         """The client's side has ended."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 import pytest
 from serving import PATIENCE, Gateway, free_port, listens, until
 
-from gullhold.net import client_connection, connection_ends, resp, thrift
+from gullhold.net import backpressure, client_connection, client_limits, connection_ends, resp, thrift
 from gullhold.testing.client import Caller
 from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
@@ -184,19 +184,20 @@
         client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
     until(
         lambda: (
-            len(inside.kept) >= client_connection.OPEN_MOST or inside.kept_size > client_connection.KEPT_MOST
+            len(inside.backpressure.calls) >= client_limits.OPEN_MOST
+            or inside.backpressure.size_bytes > backpressure.DEFERRED_MOST_BYTES
         )
     )
     assert (
-        inside.kept_size <= 2 * client_connection.KEPT_MOST
-        and len(inside.kept) <= client_connection.OPEN_MOST
+        inside.backpressure.size_bytes <= 2 * backpressure.DEFERRED_MOST_BYTES
+        and len(inside.backpressure.calls) <= client_limits.OPEN_MOST
     )
     # The rest is read slowly, a buffer at a time, and turned away: an interrupt may stand behind it.
     turned, began = gateway.count("turned away in a pause"), time.monotonic()
     until(lambda: gateway.count("turned away in a pause") > turned)
     assert (
-        inside.kept_size <= 2 * client_connection.KEPT_MOST
-        and len(inside.kept) <= client_connection.OPEN_MOST
+        inside.backpressure.size_bytes <= 2 * backpressure.DEFERRED_MOST_BYTES
+        and len(inside.backpressure.calls) <= client_limits.OPEN_MOST
     )
     # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
     client.sock.close()
@@ -288,7 +289,7 @@
     inside = idle(gateway, client)
     with Blocked(gateway.core):
         monkeypatch.setattr(client_connection, "IDLE_S", 0.0)
-        until(lambda: inside.resting)  # it asks the core for its end
+        until(lambda: inside.end_requested)  # it asks the core for its end
         monkeypatch.setattr(client_connection, "IDLE_S", 60)
         seq = client.ask()
         until(lambda: inside.taken == 1)
@@ -332,7 +333,7 @@
         seq = client.send("check", b"\x02\0\1\1")
         until(lambda: inside.quiet_at > quiet)
         inside.dismiss()
-        until(lambda: inside.resting)
+        until(lambda: inside.end_requested)
     assert client.answer() == (seq, b"") and half_reading(client) == (b"", True)
 
 
