--- a/gullhold/net/connection.py
+++ b/gullhold/net/connection.py
@@ -18,15 +18,17 @@
 class Connection:
     """One TCP connection. close() is the reader's alone; everything else may be called from any thread."""
 
-    def __init__(self, sock):
-        self.sock, self.lock, self.closed = sock, Lock(), False
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = sock
+        self.lock = Lock()
+        self.closed = False
 
-    def fileno(self):
+    def fileno(self) -> int:
         """Its descriptor's number for a wait, or -1; by the time it is used it may be another's."""
         with self.lock:
             return -1 if self.closed else self.sock.fileno()
 
-    def send(self, data):
+    def send(self, data: bytes | memoryview) -> int:
         """Hand bytes to the system without waiting; how many it took. OSError where the connection ended."""
         with self.lock:
             if self.closed:
@@ -38,28 +40,28 @@
                     return 0
                 raise
 
-    def shutdown(self, how=socket.SHUT_RDWR):
+    def shutdown(self, sides: int = socket.SHUT_RDWR) -> None:
         """End one side or both; a reader that waits comes back. Nothing where it has ended already."""
         with self.lock, suppress(OSError):
             if not self.closed:
-                self.sock.shutdown(how)
+                self.sock.shutdown(sides)
 
-    def readable(self):
+    def readable(self) -> bool:
         """Whether something is there to be read, or the end."""
         with self.lock:
             if self.closed:
                 return False
-            look = select.poll()
-            look.register(self.sock, select.POLLIN)
-            return bool(look.poll(0))
+            poll = select.poll()
+            poll.register(self.sock, select.POLLIN)
+            return bool(poll.poll(0))
 
-    def left(self, wait_s):
+    def left(self, wait_s: float) -> bool:
         """From the reader: whether the other side has ended, or does so in this time, unread bytes or not."""
-        look = select.poll()
-        look.register(self.sock, select.POLLRDHUP)
-        return bool(look.poll(wait_s * 1000))
+        poll = select.poll()
+        poll.register(self.sock, select.POLLRDHUP)
+        return bool(poll.poll(wait_s * 1000))
 
-    def close(self):
+    def close(self) -> None:
         """From the reader alone: give the descriptor back; a second call does nothing."""
         with self.lock:
             if not self.closed:
--- a/gullhold/net/counters.py
+++ b/gullhold/net/counters.py
@@ -1,4 +1,4 @@
-"""What the gateway took in, sent and answered: for staff, and for a canary of the fleet's."""
+"""What the gateway took in, sent and answered: for staff, and to judge a canary of a rollout."""
 
 from collections import Counter
 from threading import Lock
@@ -7,23 +7,25 @@
 class Counters:
     """Named counts and highest values, safe from every thread."""
 
-    def __init__(self):
-        self.counts, self.peaks, self.lock = Counter(), {}, Lock()
+    def __init__(self) -> None:
+        self.counts: Counter[str] = Counter()
+        self.peaks: dict[str, int] = {}
+        self.lock = Lock()
 
-    def add(self, name, step=1):
-        """Count."""
+    def add(self, name: str, step: int = 1) -> None:
+        """Raise a count."""
         with self.lock:
             self.counts[name] += step
 
-    def peak(self, name, value):
-        """Keep the highest."""
+    def peak(self, name: str, value: int) -> None:
+        """Keep the highest value."""
         if value > self.peaks.get(name, 0):
             with self.lock:
                 self.peaks[name] = max(value, self.peaks.get(name, 0))
 
-    def lines(self):
+    def lines(self) -> list[str]:
         """All of them as text, by name."""
         with self.lock:
-            rows = [(name, count) for name, count in self.counts.items()]
+            rows = list(self.counts.items())
             rows += [(f"most {name}", value) for name, value in self.peaks.items()]
         return [f"{name}: {value}" for name, value in sorted(rows)]
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -218,7 +218,7 @@
             if not count:
                 return ConnectionEnd.CLOSED
             self.deliver()
-            if self.decoder.cut != is_cut:
+            if self.decoder.is_cut != is_cut:
                 # In the middle of an answer the next bytes come soon, or never.
-                is_cut = self.decoder.cut
+                is_cut = self.decoder.is_cut
                 set_read_timeout(sock, self.core.agreement.connect_timeout_us if is_cut else 0)
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -1,4 +1,4 @@
-"""One thread that goes on with the writes that the system did not take whole, for all connections.
+"""One thread that goes on with the writes that the system did not take at once, for all connections.
 
 Guards against a thread that can't be started in the middle of a write: its connection was never written to
 again.
@@ -12,60 +12,68 @@
 
 from loguru import logger
 
+from gullhold.net.write_buffer import WriteBuffer
+
 READ_MOST = 4096  # bytes of one read of the wake-up pipe
 FAULT_WAIT_S = 0.01  # s after a wait that the system refused, until the next
 
 
 class Flusher:
-    """Pipes that wait for room in their connections; run() is the thread's, watch() anyone's."""
+    """Write buffers that wait for room in their connections; run() is the thread's, watch() anyone's."""
 
-    def __init__(self):
-        self.lock, self.waiting = Lock(), {}  # pipes, in the order in which they came
-        self.out, self.into = os.pipe()
-        os.set_blocking(self.out, False)
-        os.set_blocking(self.into, False)
+    def __init__(self) -> None:
+        self.lock = Lock()
+        self.waiting: dict[WriteBuffer, bool] = {}  # a set, in the order in which they came
+        self.wake_out, self.wake_in = os.pipe()
+        os.set_blocking(self.wake_out, False)
+        os.set_blocking(self.wake_in, False)
 
-    def watch(self, pipe):
+    def watch(self, buffer: WriteBuffer) -> None:
         """From any thread: write on there as soon as there is room."""
-        with self.lock:
-            self.waiting[pipe] = True
+        self._wait_for(buffer)
         with suppress(BlockingIOError):  # full: there is enough to wake for
-            os.write(self.into, b"w")
+            os.write(self.wake_in, b"w")
 
-    def run(self):
+    def run(self) -> None:
         """For ever."""
         while True:
             try:
                 self.turn()
-            except Exception:  # guards against a flusher that dies and leaves connections silent
+            # Guards against a flusher that dies and leaves connections silent.
+            except Exception:  # noqa: BLE001  the outermost loop of the thread
                 logger.exception("the flusher failed, and goes on")
                 time.sleep(FAULT_WAIT_S)
 
-    def turn(self):
+    def turn(self) -> None:
         """Wait until somewhere there is room, and write on there."""
-        look, by_number = select.poll(), {}
-        look.register(self.out, select.POLLIN)
-        for pipe in self._take():
-            if (number := pipe.descriptor()) >= 0:
-                self._keep(pipe)
-                by_number.setdefault(number, []).append(pipe)
-                look.register(number, select.POLLOUT)
-        ready, written = [number for number, _ in look.poll()], True
-        if self.out in ready:
+        poll = select.poll()
+        poll.register(self.wake_out, select.POLLIN)
+        by_descriptor: dict[int, list[WriteBuffer]] = {}
+        for buffer in self._take_all():
+            descriptor = buffer.descriptor()
+            if descriptor >= 0:
+                self._wait_for(buffer)
+                by_descriptor.setdefault(descriptor, []).append(buffer)
+                poll.register(descriptor, select.POLLOUT)
+        ready = [descriptor for descriptor, _ in poll.poll()]
+        if self.wake_out in ready:
             with suppress(BlockingIOError):
-                os.read(self.out, READ_MOST)
-        for number in ready:
-            for pipe in by_number.get(number, ()):
-                written = pipe.flush() > 0 and written  # put off once more, it comes in anew
-        if not written:  # there is room, and yet nothing was taken: the system is short of something
+                os.read(self.wake_out, READ_MOST)
+        is_all_written = True
+        for descriptor in ready:
+            for buffer in by_descriptor.get(descriptor, ()):
+                count = buffer.flush()  # put off once more, it comes in anew
+                is_all_written = is_all_written and count > 0
+        if not is_all_written:  # there is room, yet nothing was taken: the system is short of something
             time.sleep(FAULT_WAIT_S)
 
-    def _take(self):
-        """All that wait, out of the list: what still has to comes back, by _keep() or by watch()."""
+    def _take_all(self) -> list[WriteBuffer]:
+        """All that wait, out of the list: what still has to comes back, by _wait_for()."""
         with self.lock:
-            taken, self.waiting = list(self.waiting), {}
+            taken = list(self.waiting)
+            self.waiting = {}
         return taken
 
-    def _keep(self, pipe):
+    def _wait_for(self, buffer: WriteBuffer) -> None:
         with self.lock:
-            self.waiting[pipe] = True
+            self.waiting[buffer] = True
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -1,53 +1,75 @@
 """RESP arrays of bulk strings: what engines say from bytes, and the bytes of what they are told."""
 
+from collections.abc import Iterable, Iterator
+
 from gullhold.net.buffer import Buffer
 from gullhold.net.connection_ends import ProtocolError
 
 HEAD_MOST = 16  # bytes of a length line: more digits than any length that fits a buffer
 WORDS_MOST = 64  # strings in one array: several times what the protocol has
+LINE_END = b"\r\n"
+ARRAY_MARK = b"*"
+STRING_MARK = b"$"
 
 
 class Decoder:
-    """Bytes of one link in, arrays of byte strings out."""
+    """Bytes of one connection in, arrays of byte strings out. most: bytes of the largest array."""
 
-    def __init__(self, most):
-        self.buffer, self.words, self.missing = Buffer(most), [], 0
+    def __init__(self, most: int) -> None:
+        self.buffer = Buffer(most)
+        self.words: list[bytes] = []  # of the array that has begun
+        self.missing = 0  # strings that it still lacks
 
     @property
-    def cut(self):
-        """Whether an array has begun and is not whole."""
+    def is_cut(self) -> bool:
+        """Whether an array has begun and is not complete."""
         return bool(self.missing or len(self.buffer))
 
-    def arrays(self):
-        """The arrays that are whole."""
+    def arrays(self) -> Iterator[list[bytes]]:
+        """The arrays that are complete; ProtocolError behind them for bytes that make no sense."""
         while True:
-            if not self.missing:
-                size = self._head(b"*")
-                if size is None:
-                    return
-                if not 0 < size <= WORDS_MOST:
-                    raise ProtocolError(f"an array of {size}")
-                self.words, self.missing = [], size
+            if not self.missing and not self._begin_array():
+                return
             while self.missing:
-                head = self._head(b"$", use=False)
-                if head is None:
+                word = self._string()
+                if word is None:
                     return
-                size, used = head
-                if not 0 <= size <= self.buffer.most - HEAD_MOST:
-                    raise ProtocolError(f"a string of {size}")
-                body = self.buffer.peek(size + 2, used)
-                if body is None:
-                    return
-                if body[-2:] != b"\r\n":
-                    raise ProtocolError("a string longer than its length")
-                self.buffer.drop(used + size + 2)
-                self.words.append(body[:-2])
+                self.words.append(word)
                 self.missing -= 1
             yield self.words
 
-    def _head(self, mark, use=True):
-        """The number after a mark; with use=False also how long its line is, the line left in place."""
-        end = self.buffer.find(b"\r\n")
+    def _begin_array(self) -> bool:
+        """Read the head of an array; False if it is not there yet."""
+        head = self._head(ARRAY_MARK)
+        if head is None:
+            return False
+        size, used = head
+        self.buffer.drop(used)
+        if not 0 < size <= WORDS_MOST:
+            raise ProtocolError(f"an array of {size}")
+        self.words = []
+        self.missing = size
+        return True
+
+    def _string(self) -> bytes | None:
+        """The next string, if all of it is there."""
+        head = self._head(STRING_MARK)
+        if head is None:
+            return None
+        size, used = head
+        if not 0 <= size <= self.buffer.most - HEAD_MOST:
+            raise ProtocolError(f"a string of {size}")
+        body = self.buffer.peek(size + len(LINE_END), used)
+        if body is None:
+            return None
+        if body[size:] != LINE_END:
+            raise ProtocolError("a string longer than its length")
+        self.buffer.drop(used + len(body))
+        return body[:size]
+
+    def _head(self, mark: bytes) -> tuple[int, int] | None:
+        """The number after a mark, and how many bytes its line takes, which is left in place."""
+        end = self.buffer.find(LINE_END)
         if end < 0 or end > HEAD_MOST:
             if len(self.buffer) > HEAD_MOST or end >= 0:
                 raise ProtocolError("a length without its line end")
@@ -57,24 +79,21 @@
         line = self.buffer.peek(end)
         if line[:1] != mark or not line[1:].isdigit():
             raise ProtocolError("not an array of bulk strings")
-        if use:
-            self.buffer.drop(end + 2)
-            return int(line[1:])
-        return int(line[1:]), end + 2
+        return int(line[1:]), end + len(LINE_END)
 
 
-def encode(*words):
+def encode(*words: bytes) -> bytes:
     """One array."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
 
 
-def fields(word):
+def fields(word: bytes) -> dict[bytes, bytes]:
     """A list name=value,name=value as a dict; `-` is none."""
     if word in (b"-", b""):
         return {}
     return dict(pair.partition(b"=")[::2] for pair in word.split(b","))
 
 
-def field_list(pairs):
+def field_list(pairs: Iterable[tuple[bytes, bytes]]) -> bytes:
     """The list of these pairs."""
     return b",".join(b"%s=%s" % pair for pair in pairs) or b"-"
