--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -1,51 +1,61 @@
-"""A gateway on virtual time: the product's core, module, links, clients and parsers; no thread, no socket.
+"""A gateway on virtual time: the product's core, decisions, connections and parsers; no thread, no socket.
 
-What stands in for threads: a link and a client are fed by their ends of wires, and the core takes a turn
-whenever something was posted or a timer is due. All else is the product's own code.
+What stands in for threads: a connection is fed by its end of a wire, and the core takes a turn whenever
+something was posted or a timer is due. All else is the product's own code.
 """
 
+from collections.abc import Callable
 from itertools import count
+from typing import TYPE_CHECKING
 
 from gullhold.decisions.gateway import Gateway
-from gullhold.net import client_connection, discovery, engine_connection, request_reader, statement_memory
-from gullhold.net import core as product
+from gullhold.net import discovery
+from gullhold.net.client_connection import ClientConnection
+from gullhold.net.configuration import Configuration
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
+from gullhold.net.core import Core
 from gullhold.net.counters import Counters
+from gullhold.net.engine_connection import EngineConnection
+from gullhold.net.request_reader import RequestReader
+from gullhold.net.statement_memory import StatementMemory
 from gullhold.simulation.endpoints import End
 from gullhold.simulation.streams import CLOSED, RESET
 
+if TYPE_CHECKING:
+    from gullhold.simulation.play import World
+
 MESSAGE_MOST = 192 << 10  # bytes of the largest message, as a small deployment has it
 CONNECTIONS_MOST = 200  # to engines, of one gateway
 STATEMENT_MEMORY = 24 << 20  # bytes of statements that wait
-FEED_MOST = 1 << 20  # bytes of one line of the coordinator
-SERIALS = count()
+DISCOVERY_LINE_MOST = 1 << 20  # bytes of one line of the discovery service
+SERIALS = count()  # by which connections are ordered
 
 
-class Line:
-    """What a pipe takes for its socket: all that it is given goes on to an end of a wire."""
+class WireSocket:
+    """What a connection takes for its socket: all that it is given goes on to an end of a wire."""
 
-    def __init__(self, end):
+    def __init__(self, end: End) -> None:
         self.end = end
 
-    def send(self, data, _flags=0):
+    def send(self, data: bytes | memoryview, _flags: int = 0) -> int:
         """The wire keeps what it has no room for, so all is taken."""
         self.end.write(bytes(data))
         return len(data)
 
-    def shutdown(self, _how):
+    def shutdown(self, _sides: int) -> None:
         """Our side says its end."""
         self.end.finish(CLOSED)
 
-    def close(self):
+    def close(self) -> None:
         """As a process gives a descriptor back."""
         self.end.finish(CLOSED)
 
-    def setsockopt(self, *_):
+    def setsockopt(self, *_option: object) -> None:
         """Nothing that a wire has."""
 
 
-class Link(engine_connection.EngineConnection):
+class SimulatedEngineConnection(EngineConnection):
     """A connection to an engine whose reader is an end of a wire."""
 
     def __init__(self, *args: object) -> None:
@@ -65,7 +75,7 @@
 
     def up(self, end: End) -> None:
         """The connection stands."""
-        if not self.connected(Connection(Line(end))):
+        if not self.connected(Connection(WireSocket(end))):
             self.fail(self.end_by_us)
 
     def shut(self, end: ConnectionEnd) -> None:
@@ -84,9 +94,9 @@
         except ProtocolError as error:
             self.fail(ConnectionEnd.MALFORMED, str(error))
 
-    def is_left(self, _end: End, how: str) -> None:
+    def is_left(self, _end: End, end_kind: str) -> None:
         """The engine's side has ended."""
-        self.fail(ConnectionEnd.CLOSED if how == CLOSED else ConnectionEnd.RESET)
+        self.fail(ConnectionEnd.CLOSED if end_kind == CLOSED else ConnectionEnd.RESET)
 
     def fail(self, end: ConnectionEnd, text: str = "") -> None:
         """Its reader is over."""
@@ -95,11 +105,11 @@
             self.reader_ended(end, text, self.connection)
 
 
-class Client(client_connection.ClientConnection):
+class SimulatedClientConnection(ClientConnection):
     """A connection of a client whose reader is an end of a wire."""
 
-    def __init__(self, end: End, core: "Core", reader: request_reader.RequestReader) -> None:
-        super().__init__(Line(end), core, reader, MESSAGE_MOST)
+    def __init__(self, end: End, core: Core, reader: RequestReader) -> None:
+        super().__init__(WireSocket(end), core, reader, MESSAGE_MOST)
         self.serial = next(SERIALS)
         self.has_reported = False
         end.owner = self
@@ -122,9 +132,9 @@
             self._fail(ConnectionEnd.MALFORMED, str(error))
         self.write_rejections()
 
-    def is_left(self, _end: End, how: str) -> None:
+    def is_left(self, _end: End, end_kind: str) -> None:
         """The client's side has ended."""
-        self._fail(ConnectionEnd.CLOSED if how == CLOSED else ConnectionEnd.RESET)
+        self._fail(ConnectionEnd.CLOSED if end_kind == CLOSED else ConnectionEnd.RESET)
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """End it from our side, now."""
@@ -138,19 +148,22 @@
             self.report_end(end, text)
 
 
-class Core(product.Core):
+class SimulatedCore(Core):
     """The product's core on a world's time."""
 
-    connect = Link
+    connect = SimulatedEngineConnection
 
-    def __init__(self, world, member, *args):
-        self.world, self.member = world, member
+    def __init__(self, world: "World", member: "Member", *args: object) -> None:
+        self.world = world
+        self.member = member
         super().__init__(*args)
 
-    def clock(self):
+    def clock(self) -> int:
+        """Unix time in us, as the world has it."""
         return self.world.clock.start_us + self.world.clock.now
 
-    def post(self, call, *args):
+    def post(self, call: Callable[..., None], *args: object) -> None:
+        """Have the core make this call, as soon as may be."""
         super().post(call, *args)
         self.member.wake()
 
@@ -158,15 +171,19 @@
 class Member:
     """One gateway: from its start to its kill.
 
-    world: clock, chance, dial(link); configuration: as the service reads it.
+    world: clock, chance, dial(connection); configuration: as the service reads it.
     """
 
-    def __init__(self, world, name, configuration):
-        self.world, self.name, self.alive, self.event, self.ends = world, name, True, None, []
+    def __init__(self, world: "World", name: str, configuration: Configuration) -> None:
+        self.world = world
+        self.name = name
+        self.alive = True
+        self.event = None  # the world's event of its next turn
+        self.ends: list[End] = []
         self.fed_at = 0  # when the last that it was told of the list comes, or came
         agreement = configuration.agreement
         now = world.clock.start_us + world.clock.now
-        self.core = Core(
+        self.core = SimulatedCore(
             world,
             self,
             Gateway(configuration.seed, agreement, now),
@@ -174,39 +191,39 @@
             Counters(),
             MESSAGE_MOST,
             CONNECTIONS_MOST,
-            statement_memory.StatementMemory(STATEMENT_MEMORY),
+            StatementMemory(STATEMENT_MEMORY),
         )
-        self.reader = request_reader.RequestReader(agreement, None, self.core.retry_after_field)
+        self.reader = RequestReader(agreement, None, self.core.retry_after_field)
         self.names = configuration.engine_ids
-        self.follow = discovery.Follow(configuration.last_event, FEED_MOST)
+        self.follow = discovery.Follow(configuration.last_event, DISCOVERY_LINE_MOST)
         self.core.begin(configuration.list_changes)
         self.wake()
 
-    def accept(self, end):
+    def accept(self, end: End) -> None:
         """A client connects at this end."""
         self.ends.append(end)
-        self.core.room.clients.add(Client(end, self.core, self.reader))
+        self.core.room.clients.add(SimulatedClientConnection(end, self.core, self.reader))
 
-    def feed(self, data):
-        """Bytes of the coordinator's stream."""
+    def feed(self, data: bytes) -> None:
+        """Bytes of the discovery service's stream."""
         if self.alive:
             self.follow.buffer.put(data)
             for event in self.follow.events():
                 self.core.list_changed(*discovery.members(event, self.core.agreement, self.names))
 
-    def end(self, link):
-        """Our end of a wire for a link."""
-        end = End(self.world.clock, link)
+    def end(self, connection: SimulatedEngineConnection) -> End:
+        """Our end of a wire for a connection to an engine."""
+        end = End(self.world.clock, connection)
         self.ends.append(end)
         return end
 
-    def wake(self):
+    def wake(self) -> None:
         """Take a turn as soon as may be."""
         if self.event:
             self.world.clock.cancel(self.event)
         self.event = self.world.clock.after(0, self._turns)
 
-    def kill(self):
+    def kill(self) -> None:
         """As by SIGKILL: nothing more of it, its connections are reset."""
         self.alive = False
         for end in self.ends:
@@ -229,20 +246,18 @@
             wait_us = max(0, core.next_timer_at_us() - core.now)
             self.event = self.world.clock.after(wait_us, self._turns)
 
-    def left_over(self):
-        """What its tables still hold once nothing is owed or out; a census."""
-        core, gate = self.core, self.core.gateway
-        return {
-            name: size
-            for name, size in (
-                ("owed", len(core.pending)),
-                ("txns", len(core.pending_by_txn)),
-                ("commands", len(gate.commands)),
-                ("threads", sum(gate.threads)),
-                ("running", sum(gate.running)),
-                ("held", len(gate.held)),
-                ("sends", sum(len(link.open) for link in core.links)),
-                ("bytes", core.room.used),
-            )
-            if size
+    def left_over(self) -> dict[str, int]:
+        """What its tables still hold once nothing is pending; a census."""
+        core = self.core
+        gateway = core.gateway
+        sizes = {
+            "owed": len(core.pending),
+            "txns": len(core.pending_by_txn),
+            "commands": len(gateway.commands),
+            "threads": sum(gateway.threads),
+            "running": sum(gateway.running),
+            "held": len(gateway.held),
+            "sends": sum(len(connection.open) for connection in core.links),
+            "bytes": core.room.used,
         }
+        return {name: size for name, size in sizes.items() if size}
