--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -29,6 +29,8 @@
     once.
     """
 
+    __slots__ = ("calls", "is_stopped", "pause_s", "resume_at", "size_bytes")
+
     def __init__(self) -> None:
         self.calls: deque[DeferredCall] = deque()
         self.size_bytes = 0  # read in this pause
@@ -75,9 +77,7 @@
         self.calls.append(DeferredCall(call, received_at_us))
 
     def take_due(self, now_us: int) -> DeferredCall | None:
-        """The oldest deferred call, if it need not, or must not, wait any longer."""
-        if not self.calls:
-            return None
+        """The oldest deferred call, if it need not, or must not, wait any longer; there must be one."""
         if self.remaining_s() <= 0 or self.oldest_remaining_s(now_us) <= 0:
             return self.calls.popleft()
         return None
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -18,6 +18,8 @@
 class ClientCalls:
     """Takes the calls of one connection, in its reader's thread."""
 
+    __slots__ = ("backpressure", "client", "core", "counters", "last_seq", "reader", "rejections")
+
     def __init__(self, client: "ClientConnection", reader: RequestReader) -> None:
         self.client = client
         self.core = client.core
@@ -42,7 +44,10 @@
 
     def take_deferred(self) -> None:
         """Take what was deferred and is due."""
-        while deferred := self.backpressure.take_due(self.core.clock()):
+        while self.backpressure.calls:
+            deferred = self.backpressure.take_due(self.core.clock())
+            if deferred is None:
+                return
             self._take(deferred.call, deferred.received_at_us)
 
     def take_rejections(self) -> list[bytes]:
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -128,10 +128,10 @@
 
     def write_rejections(self) -> bool:
         """From the reader: answer what is rejected at once, in one write; whether there was anything."""
-        rejections = self.calls.take_rejections()
-        if rejections:
-            self.put(b"".join(rejections))
-        return len(rejections) > 0
+        if not self.calls.rejections:
+            return False
+        self.put(b"".join(self.calls.take_rejections()))
+        return True
 
     def _serve(self) -> None:
         text = ""
@@ -210,10 +210,9 @@
         """Guards against those who connect and say nothing, never come to an end, or take all back."""
         is_cut = len(self.decoder.buffer) > 0
         is_busy = self.busy()
-        self.idle_timer.update(is_cut, is_busy)
         was_answered = self.pipe.queued > 0
         limit_s = IDLE_S if was_answered and not is_cut else SAY_S
-        if self.idle_timer.idle_s(was_answered or is_busy) <= limit_s:
+        if self.idle_timer.idle_s(is_cut, is_busy, was_answered) <= limit_s:
             return
         if is_cut:
             raise ProtocolError("half a message")
--- /dev/null
+++ b/tests/test_client_connection_end.py
@@ -0,0 +1,96 @@
+"""The end of a client's connection, for idleness or by noise, and what crosses it."""
+
+import socket
+
+from crossings import Blocked, half_reading
+from serving import until
+
+from gullhold.net import client_connection
+from gullhold.testing.scripted import Engine, ok
+
+
+def idle(gateway, caller):
+    """The connection of a caller that was heard once, as the gateway has it."""
+    caller.send("check", b"\x02\0\1\1")
+    assert caller.answer()[1] == b""
+    (inside,) = gateway.listener.clients
+    return inside
+
+
+def test_a_request_that_comes_before_the_end_for_idleness_is_said_is_answered(start, monkeypatch):
+    """The reader had decided; what came until the core had closed was lost, and its answers with it."""
+    engine = Engine()
+    gateway, client = start(engine)
+    inside = idle(gateway, client)
+    with Blocked(gateway.core):
+        monkeypatch.setattr(client_connection, "IDLE_S", 0.0)
+        until(lambda: inside.end_requested)  # it asks the core for its end
+        monkeypatch.setattr(client_connection, "IDLE_S", 60)
+        seq = client.ask()
+        until(lambda: inside.taken == 1)
+    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert not gateway.count("client connection: idle, closed by us")
+
+
+def test_a_request_that_comes_after_the_end_is_said_is_never_sent_on_and_resets_nothing(start, monkeypatch):
+    """It is asked again elsewhere: sent on here too it would run for nobody, or twice."""
+    engine = Engine()
+    gateway, client = start(engine)
+    inside = idle(gateway, client)
+    monkeypatch.setattr(client_connection, "CROSS_S", 2.0)
+    inside.pipe.finish()
+    client.ask()
+    assert half_reading(client) == (b"", True)
+    until(lambda: len(inside.decoder.buffer) or inside.over)
+    client.sock.close()
+    until(lambda: not gateway.listener.clients)
+    assert not engine.told and gateway.core.gateway.order == 0
+
+
+def test_a_request_read_just_before_the_end_is_said_and_handed_on_after_it_goes_nowhere(start):
+    engine = Engine()
+    gateway, client = start(engine)
+    inside = idle(gateway, client)
+    with Blocked(gateway.core):
+        client.ask()
+        until(lambda: inside.taken == 1)
+        inside.pipe.finish()  # as it would be, had the core looked an instant earlier
+    until(lambda: gateway.count("interrupted") == 1)
+    assert half_reading(client) == (b"", True) and not engine.told
+
+
+def test_a_check_that_waits_in_the_cores_queue_is_answered_before_an_end_for_idleness(start):
+    """It is no open request, so the connection looks idle while the core has yet to come to it."""
+    gateway, client = start(Engine())
+    inside = idle(gateway, client)
+    with Blocked(gateway.core):
+        quiet = inside.quiet_at
+        seq = client.send("check", b"\x02\0\1\1")
+        until(lambda: inside.quiet_at > quiet)
+        inside.dismiss()
+        until(lambda: inside.end_requested)
+    assert client.answer() == (seq, b"") and half_reading(client) == (b"", True)
+
+
+def test_an_end_over_unread_bytes_takes_no_answer_along(start):
+    """A close over unread bytes is a reset: what the client had yet to read was lost with it."""
+    rows = b"x\ty\tz\n" * 900
+    gateway, client = start(Engine(ok(*[rows] * 8)))
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    asked = [client.ask() for _ in range(30)]
+    until(lambda: gateway.count("answered") == 30)
+    client.sock.sendall(b"\xff\xff\xff\xff" + b"noise" * 20_000)
+    answers = [client.answer() for _ in asked]
+    assert {seq for seq, _ in answers} == set(asked) and all(body == rows * 8 for _, body in answers)
+    assert half_reading(client) == (b"", True)
+
+
+def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(start, monkeypatch):
+    gateway, client = start(Engine())
+    monkeypatch.setattr(client_connection, "CROSS_S", 1.0)
+    inside = idle(gateway, client)
+    inside.dismiss()
+    assert half_reading(client) == (b"", True)
+    assert gateway.listener.clients and inside.connection.fileno() >= 0
+    until(lambda: not gateway.listener.clients)
+    assert inside.connection.fileno() < 0
--- /dev/null
+++ b/tests/test_client_leaving.py
@@ -0,0 +1,204 @@
+"""A client's leaving, and what it asked: nothing goes out for it, and no request lacks its answer."""
+
+import socket
+import time
+
+import pytest
+from crossings import Blocked
+from serving import Gateway, until
+
+from gullhold.net import backpressure, client_limits, thrift
+from gullhold.testing.client import Caller
+from gullhold.testing.coordinator import Feed
+from gullhold.testing.deployment import config, event
+from gullhold.testing.scripted import Engine, endless, ok, resets
+
+
+@pytest.fixture
+def listless(tmp_path):
+    """A gateway that knows no engine until its coordinator, a Feed, tells of one: what is asked is held."""
+    made = []
+
+    def make(**other):
+        feed = Feed()
+        made.append(Gateway(tmp_path, config(**other) | {"coordinator": feed.address}))
+        return made[-1], Caller(made[-1].address), feed
+
+    yield make
+    for gateway in made:
+        gateway.end()
+
+
+@pytest.mark.parametrize("how", ["closes", "ends its side", "resets", "interrupts"])
+def test_nothing_goes_out_for_a_client_that_left_while_its_command_was_held(listless, how):
+    gateway, client, feed = listless()
+    other, engine = Caller(gateway.address), Engine()
+    seq = client.ask(limit=7000)
+    until(lambda: gateway.core.pending)
+    if how == "closes":
+        client.sock.close()
+    elif how == "ends its side":
+        client.sock.shutdown(socket.SHUT_WR)
+    elif how == "resets":
+        resets(client.sock, b"fetch")
+    else:
+        client.interrupt(seq)
+    until(lambda: not gateway.core.pending)
+    feed.say(event(2, ("s-0", engine.address, "ready")))
+    seq = other.ask(txn=b"f%015x" % 7)
+    assert other.answer() == (seq, b"a\tb\tc\n")
+    assert [words[2] for words in engine.words(b"fetch")] == [b"f%015x" % 7]
+    engine.close()
+
+
+def test_a_client_that_left_is_passed_over_where_its_requests_wait_behind_a_flood(start):
+    """Its end waited behind its own requests and all others: each was sent first, and given up after."""
+    engine = Engine()
+    gateway, client = start(engine)
+    with Blocked(gateway.core):
+        for _ in range(20):
+            client.ask()
+        until(lambda: len(gateway.listener.clients) == 1)
+        (inside,) = gateway.listener.clients
+        until(lambda: inside.taken == 20)
+        client.sock.close()
+        until(lambda: inside.over)
+    until(lambda: gateway.count("interrupted") == 20)
+    assert gateway.core.gateway.order == 0 and not engine.told
+
+
+@pytest.mark.parametrize("how", ["closes", "interrupts"])
+def test_a_pause_after_a_refusal_does_not_keep_the_news_that_a_client_left(listless, how):
+    """The reader slept: the held command went out while its client's end lay unread."""
+    gateway, client, feed = listless(connect_timeout=3.0)
+    other, engine = Caller(gateway.address), Engine()
+    seq = client.ask(limit=7000)
+    until(lambda: gateway.core.pending)
+    client.ask("odd")  # unusable: whoever asks so is not listened to for a while
+    assert client.answer()[1] == "fault"
+    began = time.monotonic()
+    if how == "closes":
+        client.sock.close()
+    else:
+        client.interrupt(seq)
+    until(lambda: not gateway.core.pending)
+    assert time.monotonic() - began < 1
+    feed.say(event(2, ("s-0", engine.address, "ready")))
+    seq = other.ask()
+    assert other.answer() == (seq, b"a\tb\tc\n") and len(engine.words(b"fetch")) == 1
+    engine.close()
+
+
+def test_what_comes_in_a_pause_is_taken_after_it_in_its_order_and_can_be_taken_back(start):
+    engine = Engine(endless, ok())
+    gateway, client = start(engine, connect_timeout=0.5)
+    held = client.ask("once")
+    until(lambda: engine.words(b"fetch"))
+    began = time.monotonic()
+    bad = client.ask("odd")
+    first, back, last = (client.ask(txn=b"f%015x" % n) for n in (1, 2, 3))
+    client.interrupt(back)
+    check = client.send("check", b"\x02\0\1\1")
+    answers = [client.answer() for _ in range(4)]
+    assert answers[0] == (bad, "fault") and time.monotonic() - began >= 0.5
+    assert set(answers[1:]) == {(first, b"a\tb\tc\n"), (last, b"a\tb\tc\n"), (check, b"")}
+    assert sorted(words[2] for words in engine.words(b"fetch")[1:]) == [b"f%015x" % n for n in (1, 3)]
+    assert gateway.count("taken") == 5 and gateway.count("interrupted") == 1
+    client.interrupt(held)
+
+
+def test_a_flood_in_a_pause_is_held_to_what_a_usual_client_has_open(start):
+    gateway, client = start(Engine(endless), connect_timeout=1.0)
+    client.ask("once")
+    client.ask("odd")
+    assert client.answer()[1] == "fault"
+    (inside,) = gateway.listener.clients
+    for _ in range(400):
+        client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
+    until(
+        lambda: (
+            len(inside.backpressure.calls) >= client_limits.OPEN_MOST
+            or inside.backpressure.size_bytes > backpressure.DEFERRED_MOST_BYTES
+        )
+    )
+    assert (
+        inside.backpressure.size_bytes <= 2 * backpressure.DEFERRED_MOST_BYTES
+        and len(inside.backpressure.calls) <= client_limits.OPEN_MOST
+    )
+    # The rest is read slowly, a buffer at a time, and turned away: an interrupt may stand behind it.
+    turned, began = gateway.count("turned away in a pause"), time.monotonic()
+    until(lambda: gateway.count("turned away in a pause") > turned)
+    assert (
+        inside.backpressure.size_bytes <= 2 * backpressure.DEFERRED_MOST_BYTES
+        and len(inside.backpressure.calls) <= client_limits.OPEN_MOST
+    )
+    # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
+    client.sock.close()
+    until(lambda: inside.left)
+    assert time.monotonic() - began < 0.5
+    until(lambda: not gateway.listener.clients)
+
+
+def test_statements_that_wait_hold_no_more_than_their_part_of_the_memory(start):
+    """Thirty-two of the largest on each of ten connections were sixty megabytes, of a limit of eighty."""
+    engine = Engine(endless)
+    gateway, client = start(engine)
+    assert gateway.core.room.most == 192 * 2**20 // 8
+    gateway.core.room.most = 10_000
+    asked = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
+    until(lambda: len(engine.words(b"fetch")) == 2)
+    other = Caller(gateway.address)
+    big = other.ask(body=b"select 1 from sales_3.t" + b" " * 4000)
+    assert other.answer() == (big, "shed") and gateway.count("no memory for a statement") == 1
+    client.interrupt(asked[0])
+    until(lambda: gateway.core.room.used < 5000)
+    other.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000)
+    until(lambda: len(engine.words(b"fetch")) == 3)
+
+
+def test_answers_that_are_not_read_hold_no_more_than_their_part_of_the_memory(start):
+    """A connection may hold eight megabytes, and there may be hundreds."""
+    gateway, client = start(Engine())
+    room, frame = gateway.core.room, thrift.answer("execute", 1, b"x\ty\tz\n" * 8000)
+    room.most = 2_000_000
+    crowd = []
+    for _ in range(12):
+        crowd.append(Caller(gateway.address))
+        crowd[-1].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    until(lambda: len(gateway.listener.clients) == 13)
+    asks = client.sock.getsockname()[1]
+    inside = [one for one in list(gateway.listener.clients) if one.peer[1] != f"127.0.0.1:{asks}"]
+    most = 0
+    for _ in range(400):
+        for one in inside:
+            if not one.pipe.dead:
+                one.put(frame)
+        most = max(most, sum(one.pipe.size for one in inside))
+    assert room.most < most < room.most + 12 * 2 * len(frame)
+    assert 0 < gateway.count("answers that could not go") <= 12
+    seq = client.ask()
+    assert client.answer() == (seq, b"a\tb\tc\n")  # who reads is served on
+
+
+def test_bytes_that_make_no_sense_cost_their_connection_and_leave_no_command_without_its_answer(start):
+    """What was open there was dropped unanswered, its client still waiting for it."""
+    engine = Engine(endless)
+    gateway, client = start(engine)
+    other = Caller(gateway.address)
+    kept = other.ask("once", limit=2000)
+    asked = [client.ask(), client.ask("once")]
+    until(lambda: len(engine.words(b"fetch")) == 3)
+    client.sock.sendall(b"\xff\xff\xff\xff" * 10)
+    assert {client.answer(), client.answer()} == {(asked[0], "shed"), (asked[1], "fault")}
+    assert client.answer() is None
+    assert other.answer() == (kept, "fault")  # at its own time, untouched by that
+    assert gateway.count("client connection: malformed bytes") == 1
+
+
+def test_what_waits_in_a_pause_is_answered_when_the_connection_ends_by_bytes_that_make_no_sense(start):
+    gateway, client = start(Engine(endless), connect_timeout=2.0)
+    held, bad, seq = client.ask("once"), client.ask("odd"), client.ask()
+    client.sock.sendall(b"\xff\xff\xff\xff")
+    assert client.answer() == (bad, "fault")
+    assert {client.answer(), client.answer()} == {(seq, "shed"), (held, "fault")}
+    assert client.answer() is None
--- /dev/null
+++ b/tests/test_engine_connections.py
@@ -0,0 +1,120 @@
+"""Connections to engines that come up late, and what forbids an attempt meanwhile."""
+
+import time
+
+import pytest
+from crossings import CLIENT_CLOSED, Late
+from serving import Gateway, until
+
+from gullhold.net import connection_ends, resp
+from gullhold.testing.client import Caller
+from gullhold.testing.coordinator import Feed
+from gullhold.testing.deployment import config, event
+
+
+@pytest.mark.parametrize("what", ["drains", "is gone"])
+def test_nothing_goes_out_on_a_connection_that_comes_up_after_its_engine_left(tmp_path, what):
+    feed, late = Feed(), Late()
+    gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": feed.address})
+    client = Caller(gateway.address)
+    seq = client.ask(limit=7000)
+    until(lambda: gateway.core.links)
+    feed.say(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[what])))
+    until(lambda: gateway.count("sends moot"))
+    conn = late.come_up()
+    assert conn.recv(100) == b""  # closed with nothing said
+    client.interrupt(seq)
+    gateway.end()
+    late.close()
+
+
+@pytest.mark.parametrize("cancel", [True, False])
+def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_client_left(start, cancel):
+    """Where sends can't be cancelled the module asks for none: the fetch went out for nobody."""
+    late = Late()
+    gateway, client = start(late, connect_timeout=5.0, cancel=cancel)
+    client.ask(limit=7000, txn=b"f%015x" % 1)
+    until(lambda: gateway.core.links)
+    client.sock.close()
+    until(lambda: gateway.count(CLIENT_CLOSED) == 1)
+    conn = late.come_up()
+    until(lambda: gateway.count("links up") == 1 and not gateway.core.pending)
+    other = Caller(gateway.address)
+    seq = other.ask(txn=b"f%015x" % 2)
+    assert b"f%015x" % 1 not in (first := conn.recv(1000)) and b"f%015x" % 2 in first
+    other.interrupt(seq)
+    until(lambda: not any(cmd.client for cmd in gateway.core.pending.values()))
+    conn.close()
+
+
+def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_time_is_over(start):
+    late = Late()
+    gateway, client = start(late, connect_timeout=5.0)
+    seq = client.ask("once", limit=300)
+    assert client.answer() == (seq, "shed")  # it never ran: trying again does no harm
+    conn = late.come_up()
+    until(lambda: gateway.count("links up") == 1)
+    conn.settimeout(0.3)
+    with pytest.raises(TimeoutError):
+        raise AssertionError(f"it was told {conn.recv(100)!r}")
+    conn.close()
+
+
+def test_a_send_that_was_decided_under_what_has_changed_is_decided_anew_before_its_first_byte(start):
+    class Check:
+        """As a fleet's: its stamp tells what is decided under now."""
+
+        now = 1
+
+        def fencing_token(self):
+            return self.now
+
+        def token_valid(self, stamp):
+            return stamp == self.now
+
+    late, check = Late(), Check()
+    gateway, client = start(late, connect_timeout=5.0)
+    gateway.core.fences.append(check)
+    seq = client.ask("once", limit=4000)
+    until(lambda: gateway.core.links)
+    check.now = 2
+    conn = late.come_up()
+    assert conn.recv(1000).count(b"fetch") == 1  # the one that was decided under the second
+    assert gateway.count("sends taken back") == gateway.count("sends moot") == 1
+    client.interrupt(seq)
+    until(lambda: not any(cmd.client for cmd in gateway.core.pending.values()))
+    conn.close()
+
+
+def test_the_deadline_that_an_engine_is_told_counts_from_the_first_byte_not_from_the_decision(start):
+    """It was encoded when the send was decided, and waited for its connection: it said what had been left."""
+    late = Late()
+    gateway, client = start(late, connect_timeout=3.0)
+    client.ask(limit=3500)
+    until(lambda: gateway.count("sends") == 1)
+    time.sleep(0.7)
+    conn, machine = late.come_up(), resp.Decoder(100_000)
+    began = time.monotonic()
+    while not (arrays := list(machine.arrays())):
+        machine.buffer.receive(conn)
+    verb, txn, facts, _ = arrays[0]
+    left = 3500 - 700 - 1000 * (time.monotonic() - began)  # ms, at most: it was waited for before that
+    assert verb == b"fetch" and 0 < int(resp.fields(facts)[b"w"]) <= left + 150
+    conn.sendall(resp.encode(txn, b"200", b"pages=1,cost=5,need=10", b"a\tb\tc\n"))
+    assert client.answer()[1] == b"a\tb\tc\n"
+
+
+def test_the_room_of_links_counts_those_whose_descriptors_are_still_held(start):
+    """A link that is given up while it connects holds its descriptor until its thread has closed it."""
+    late = Late()
+    gateway, client = start(late, connect_timeout=5.0)
+    gateway.core.pool.connections_most = 1
+    seq = client.ask("once", limit=400)
+    assert client.answer() == (seq, "shed")
+    (link,) = gateway.core.links
+    gateway.core.post(gateway.core.pool.drop, link, connection_ends.ConnectionEnd.SILENT)
+    until(lambda: not gateway.core.links)
+    seq = client.ask("once", limit=400)
+    assert client.answer() == (seq, "shed") and gateway.count("no descriptor for a link")
+    late.come_up().close()
+    until(lambda: not gateway.core.holding)
