--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from gullhold.interface import NEVER_RAN, Dispatch, Outcome
-from gullhold.net import engine_words, resp
+from gullhold.net import engine_protocol, resp
 from gullhold.net.engine_connection import NO_RESOURCES, Attempt, EngineConnection
 from gullhold.net.eventlog import EventKind, LoggedEvent
 from gullhold.net.write_buffer import Rejection
@@ -54,10 +54,10 @@
             core.door.sent(dispatch.command)
         connection = core.pool.connection_for(dispatch.engine, pending.request.txn)
         if connection is None:
-            # Told as late as a connection that does not come up: no spinning on the same want. We are short
-            # of a descriptor or a thread: guards against blaming the engine for it.
-            told_at_us = min(core.now + self.agreement.connect_timeout_us, dispatch.deadline_us)
-            core.call_later(told_at_us, self.end, attempt, Outcome.NOT_STARTED)
+            # Reported as late as a connection that does not come up: no spinning on the same want. We are
+            # short of a descriptor or a thread: guards against blaming the engine for it.
+            reported_at_us = min(core.now + self.agreement.connect_timeout_us, dispatch.deadline_us)
+            core.call_later(reported_at_us, self.end, attempt, Outcome.NOT_STARTED)
             return
         attempt.deadline_us = dispatch.deadline_us
         attempt.fencing_tokens = core.fencing_tokens()
@@ -146,7 +146,7 @@
 
         def encoded(now_us: int) -> bytes:
             fields = [*fixed_fields, (b"w", remaining_ms(now_us, attempt.deadline_us))]
-            return resp.encode(engine_words.FETCH, request.txn, resp.field_list(fields), request.body)
+            return resp.encode(engine_protocol.FETCH, request.txn, resp.field_list(fields), request.body)
 
         attempt.message = encoded(core.now)
         attempt.connection = connection
@@ -196,15 +196,15 @@
         tag = b"~%d" % self.last_confirmation
         attempt.outcome_once_confirmed = outcome
         connection.confirmations[tag] = attempt
-        self.core.pool.send_word(connection, engine_words.ABORT, attempt.request.request.txn)
-        self.core.pool.send_word(connection, engine_words.ALIVE, tag)
+        self.core.pool.send_control(connection, engine_protocol.ABORT, attempt.request.request.txn)
+        self.core.pool.send_control(connection, engine_protocol.ALIVE, tag)
 
     def _abort_without_confirmation(self, attempt: Attempt) -> None:
         connection = attempt.connection
         txn = attempt.request.request.txn
         if attempt.outcome_once_confirmed is None:  # else the abort has gone already
-            self.core.pool.send_word(
-                connection, engine_words.DONE if attempt.pages else engine_words.ABORT, txn
+            self.core.pool.send_control(
+                connection, engine_protocol.DONE if attempt.pages else engine_protocol.ABORT, txn
             )
         connection.given_up.add(txn)
         if len(connection.given_up) >= self.agreement.streams_per_connection:
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -185,7 +185,7 @@
                 self._end_if_settled()
             self.calls.take_deferred()
             for call in self.decoder.calls():
-                self.idle_timer.heard()
+                self.idle_timer.call_received()
                 self.calls.received(call, received_at_us)
             self._answer_rejected()
             self._check_idle()
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -17,7 +17,7 @@
     Shed,
     StartTimer,
 )
-from gullhold.net import engine_words
+from gullhold.net import engine_protocol
 
 if TYPE_CHECKING:
     from gullhold.net.core import Core
@@ -80,7 +80,9 @@
         is_priority_changed = terms.priority != pending.priority
         if attempt and attempt.connection and is_priority_changed and self.core.agreement.honors_priority:
             priority = b"%d" % terms.priority
-            self.core.pool.send_word(attempt.connection, engine_words.RENICE, pending.request.txn, priority)
+            self.core.pool.send_control(
+                attempt.connection, engine_protocol.RENICE, pending.request.txn, priority
+            )
         pending.grant_mb = terms.grant_mb
         pending.priority = terms.priority
 
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -52,7 +52,7 @@
         "deadline_us",
         "end_offset",
         "fencing_tokens",
-        "heard_at",
+        "last_reply_at",
         "message",
         "number",
         "outcome_once_confirmed",
@@ -68,7 +68,7 @@
         self.request = request
         self.number = number
         self.sent_at = now
-        self.heard_at = now
+        self.last_reply_at = now
         self.connection: EngineConnection | None = None
         self.message = b""
         self.end_offset = 0  # of its fetch in the write buffer; negative: a Rejection
@@ -104,7 +104,7 @@
         self.confirmations: dict[bytes, Attempt] = {}  # by tag: those that are awaited
         self.is_ended = False
         self.is_retired = False  # takes no further attempt
-        self.heard_at = now
+        self.last_reply_at = now
         self.used_at = now
         self.probed_at = 0  # when it was asked for a sign of life that has not come; 0: it was not
         self.end_by_us: ConnectionEnd | None = None
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from gullhold.interface import Agreement, EngineState, Outcome
-from gullhold.net import engine_words
+from gullhold.net import engine_protocol
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.engine_connection import EngineConnection
 
@@ -64,12 +64,12 @@
 
     def _check_silence(self, connection: EngineConnection) -> None:
         now = self.core.now
-        oldest_heard_at = min(attempt.heard_at for attempt in connection.open.values())
-        silent_us = now - max(connection.heard_at, oldest_heard_at)
+        oldest_reply_at = min(attempt.last_reply_at for attempt in connection.open.values())
+        silent_us = now - max(connection.last_reply_at, oldest_reply_at)
         lost_after_us = self.limits.lost_after_us
         if 0 < lost_after_us <= silent_us:
             self.core.pool.drop(connection, ConnectionEnd.SILENT)
-        elif 0 < lost_after_us <= now - oldest_heard_at:
+        elif 0 < lost_after_us <= now - oldest_reply_at:
             self._stop_lost_attempts(connection)
         elif silent_us >= self.limits.silent_after_us:
             self._probe(connection)
@@ -77,7 +77,7 @@
     def _stop_lost_attempts(self, connection: EngineConnection) -> None:
         """Guards against an answer that never comes, or comes after its time, on a connection that works."""
         for attempt in list(connection.open.values()):
-            is_lost = self.core.now - attempt.heard_at >= self.limits.lost_after_us
+            is_lost = self.core.now - attempt.last_reply_at >= self.limits.lost_after_us
             if is_lost and attempt.outcome_once_confirmed is None:
                 self.core.counters.add("answers lost")
                 self.core.attempts.stop(attempt, Outcome.RESET)
@@ -86,6 +86,6 @@
         """Guards against a machine that vanished or was cut off: its connections stay open and silent."""
         if not connection.probed_at:
             connection.probed_at = self.core.now
-            self.core.pool.send_word(connection, engine_words.ALIVE, engine_words.ALIVE)
+            self.core.pool.send_control(connection, engine_protocol.ALIVE, engine_protocol.ALIVE)
         elif self.core.now - connection.probed_at >= self.limits.silent_after_us:
             self.core.pool.drop(connection, ConnectionEnd.SILENT)
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -74,12 +74,12 @@
                 self.core.defer(self.core.attempts.end, attempt, Outcome.NOT_STARTED)
         connection.write_buffer.attach(connection.connection)
 
-    def send_word(self, connection: EngineConnection, *words: bytes) -> None:
-        """Send a word beside a fetch.
+    def send_control(self, connection: EngineConnection, *strings: bytes) -> None:
+        """Send a message beside a fetch: an abort, a confirmation, a page asked for.
 
         If it can't go the connection ends: a lost abort would leave an attempt out.
         """
-        if connection.write_buffer.put(resp.encode(*words)) < 0 and not connection.is_ended:
+        if connection.write_buffer.put(resp.encode(*strings)) < 0 and not connection.is_ended:
             self.core.defer(self.drop, connection, ConnectionEnd.BACKED_UP)
 
     def drop(self, connection: EngineConnection, end: ConnectionEnd, text: str = "") -> None:
--- a/gullhold/net/engine_words.py
+++ b/gullhold/net/engine_protocol.py
@@ -1,15 +1,15 @@
-"""The words of the protocol between a gateway and its engines, and which of them end an attempt."""
+"""Commands to engines and their replies, and which replies end an attempt."""
 
 from gullhold.interface import Outcome
 
-# What an engine is told.
+# Commands.
 FETCH = b"fetch"
 MORE = b"more"
 DONE = b"done"
 ABORT = b"abort"
 RENICE = b"renice"
 ALIVE = b"alive"  # answered with the same tag
-# What an engine says.
+# Replies.
 STATUS = b"status"
 CHUNK = b"chunk"
 ANSWER = b"200"
@@ -17,8 +17,8 @@
 OVERLOADED = b"503"
 EXPIRED = b"504"
 
-# Words that end an attempt; "full" (503) and "over already" (504) prove that it never ran.
-FINAL_WORDS = {
+# Replies that end an attempt; "full" (503) and "over already" (504) prove that it never ran.
+FINAL_REPLIES = {
     ANSWER: Outcome.ANSWERED,
     OVERLOADED: Outcome.OVERLOADED,
     ERROR: Outcome.ERROR,
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from gullhold.interface import Outcome, StatusKind
-from gullhold.net import engine_words, resp
+from gullhold.net import engine_protocol, resp
 from gullhold.net.client_limits import RESULT_MOST
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.engine_connection import Attempt, EngineConnection, ResourceUse
@@ -17,11 +17,11 @@
     b"short": StatusKind.SPILLING,
     b"held": StatusKind.WAITING,
 }
-PAGE_WORDS = (engine_words.ANSWER, engine_words.CHUNK)
+PAGE_REPLIES = (engine_protocol.ANSWER, engine_protocol.CHUNK)
 PAGE_MOST_BYTES = 6_000  # of a page, from the protocol
 TABS_PER_ROW = 2  # rows of three columns, from the protocol
-LEAST_WORDS = 2  # of anything that an engine says: the id of the command, and what is said of it
-MOST_WORDS = 4  # id, word, fields, body
+LEAST_STRINGS = 2  # in any array of an engine: the id of the command, and the kind of reply
+MOST_STRINGS = 4  # id, kind of reply, fields, body
 MS_US = 1000  # us in a millisecond
 
 
@@ -34,53 +34,53 @@
         self.report_fields = [name.encode() for name in core.agreement.report_fields]
 
     def received(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
-        """An engine said something."""
-        connection.heard_at = self.core.now
+        """Arrays of an engine came."""
+        connection.last_reply_at = self.core.now
         connection.probed_at = 0
         try:
-            for words in arrays:
+            for array in arrays:
                 if connection.is_ended:
                     return
-                self._received_words(connection, words)
+                self._received_array(connection, array)
         except (ProtocolError, ValueError) as error:
             self.core.pool.drop(connection, ConnectionEnd.MALFORMED, str(error))
 
-    def _received_words(self, connection: EngineConnection, words: list[bytes]) -> None:
-        if len(words) < LEAST_WORDS:
-            raise ProtocolError(f"an answer of {len(words)} words")
-        txn, word, facts, body = (*words, b"", b"")[:MOST_WORDS]
-        if word == engine_words.ALIVE:
+    def _received_array(self, connection: EngineConnection, array: list[bytes]) -> None:
+        if len(array) < LEAST_STRINGS:
+            raise ProtocolError(f"an answer of {len(array)} words")
+        txn, reply, encoded_fields, body = (*array, b"", b"")[:MOST_STRINGS]
+        if reply == engine_protocol.ALIVE:
             self.core.attempts.cancel_confirmed(connection, txn)
             return
         attempt = connection.open.get(txn)
-        if attempt is None:  # a late word on an attempt that was given up, or nothing of ours
+        if attempt is None:  # a late reply to an attempt that was given up, or nothing of ours
             self.counters.add("late or unknown answers")
-            if word in engine_words.FINAL_WORDS:
+            if reply in engine_protocol.FINAL_REPLIES:
                 connection.given_up.discard(txn)
             return
-        fields = resp.fields(facts)
-        attempt.heard_at = self.core.now
-        if word == engine_words.STATUS:
+        fields = resp.fields(encoded_fields)
+        attempt.last_reply_at = self.core.now
+        if reply == engine_protocol.STATUS:
             self._status(attempt, fields)
-        elif word in PAGE_WORDS:
-            self._answer_or_chunk(connection, attempt, word, fields, body)
-        elif word == engine_words.ERROR or (word in engine_words.FINAL_WORDS and not attempt.pages):
+        elif reply in PAGE_REPLIES:
+            self._answer_or_chunk(connection, attempt, reply, fields, body)
+        elif reply == engine_protocol.ERROR or (reply in engine_protocol.FINAL_REPLIES and not attempt.pages):
             # Once it has begun to answer, it ran: from there on only an error may follow.
             attempt.resources = self._resources(fields)
-            self.core.attempts.end(attempt, engine_words.FINAL_WORDS[word])
+            self.core.attempts.end(attempt, engine_protocol.FINAL_REPLIES[reply])
         else:
-            raise ProtocolError(f"{word!r} out of turn")
+            raise ProtocolError(f"{reply!r} out of turn")
 
     def _answer_or_chunk(
         self,
         connection: EngineConnection,
         attempt: Attempt,
-        word: bytes,
+        reply: bytes,
         fields: dict[bytes, bytes],
         rows: bytes,
     ) -> None:
         """The first page of a result comes with the answer, each further one as a chunk."""
-        is_answer = word == engine_words.ANSWER
+        is_answer = reply == engine_protocol.ANSWER
         if is_answer and self._was_cancelled_between_pages(attempt, fields):
             return
         if self._is_known_page(attempt, fields):
@@ -92,7 +92,7 @@
         elif self._is_next_page(attempt, fields):
             self._add_page(connection, attempt, rows)
         else:
-            raise ProtocolError(f"{word!r} out of turn")
+            raise ProtocolError(f"{reply!r} out of turn")
 
     def _status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
         kind = STATUS_NOTES.get(fields.get(b"note"))
@@ -117,10 +117,10 @@
         if attempt.result_bytes > self.core.message_most or attempt.page_count > RESULT_MOST:
             raise ProtocolError("a result of an absurd size")
         if len(attempt.pages) < attempt.page_count:
-            self.core.pool.send_word(connection, engine_words.MORE, txn, b"%d" % len(attempt.pages))
+            self.core.pool.send_control(connection, engine_protocol.MORE, txn, b"%d" % len(attempt.pages))
             return
         if attempt.page_count > 1:
-            self.core.pool.send_word(connection, engine_words.DONE, txn)
+            self.core.pool.send_control(connection, engine_protocol.DONE, txn)
         if attempt.request.client:
             self.core.requests.answer_result(attempt.request, b"".join(attempt.pages))
         self.core.attempts.end(attempt, Outcome.ANSWERED)
@@ -144,8 +144,8 @@
         memory_mb = float(fields.get(b"need", 0))
         load: list[float] = []
         if b"load" in fields:
-            told = dict(pair.partition(b":")[::2] for pair in fields[b"load"].split(b";"))
-            load = [float(told.get(name, 0)) for name in self.report_fields]
+            loads = dict(pair.partition(b":")[::2] for pair in fields[b"load"].split(b";"))
+            load = [float(loads.get(name, 0)) for name in self.report_fields]
         if not all(map(isfinite, (work_ms, memory_mb, *load))):
             raise ProtocolError("a figure that is none")
         return ResourceUse(int(work_ms * MS_US), memory_mb, tuple(load))
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-KEPT = 400  # events kept in memory: some 100 KB
+NEWEST_MOST = 400  # events kept in memory: some 100 KB
 BURST = 20  # lines of one kind that may be logged at once ...
 RATE_PER_S = 2.0  # ... and those a second that are allowed from then on
 
@@ -55,14 +55,14 @@
     """Takes events from the core's thread."""
 
     def __init__(self) -> None:
-        self.kept: deque[LoggedEvent] = deque(maxlen=KEPT)
+        self.newest: deque[LoggedEvent] = deque(maxlen=NEWEST_MOST)
         self.left_out = 0  # events since the last line that was logged
         self.lines_allowed: dict[EventKind, float] = {}  # that may be logged now
         self.counted_at_us: dict[EventKind, int] = {}  # when the above was true
 
     def add(self, event: LoggedEvent, is_unusual: bool = False) -> None:
         """Keep an event, and log it if its kind's rate allows; an unusual one as a warning."""
-        self.kept.append(event)
+        self.newest.append(event)
         if not self._may_log(event):
             self.left_out += 1
             return
@@ -75,7 +75,7 @@
 
     def lines(self) -> list[str]:
         """All that are kept, the oldest first."""
-        return [f"at_us={event.at_us} {event.line()}" for event in list(self.kept)]
+        return [f"at_us={event.at_us} {event.line()}" for event in list(self.newest)]
 
     def _may_log(self, event: LoggedEvent) -> bool:
         passed_s = (event.at_us - self.counted_at_us.get(event.kind, event.at_us)) / 1e6
--- a/gullhold/net/idle_timer.py
+++ b/gullhold/net/idle_timer.py
@@ -13,7 +13,7 @@
         self.quiet_at = self.connected_at  # when something last came or was open
         self.is_cut = False  # in the middle of a message
 
-    def heard(self) -> None:
+    def call_received(self) -> None:
         """A call was read."""
         self.quiet_at = time.monotonic()
 
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -6,7 +6,7 @@
 from gullhold.net.connection_ends import ProtocolError
 
 HEAD_MOST = 16  # bytes of a length line: more digits than any length that fits a buffer
-WORDS_MOST = 64  # strings in one array: several times what the protocol has
+STRINGS_MOST = 64  # strings in one array: several times what the protocol has
 LINE_END = b"\r\n"
 ARRAY_MARK = b"*"
 STRING_MARK = b"$"
@@ -17,7 +17,7 @@
 
     def __init__(self, most: int) -> None:
         self.buffer = Buffer(most)
-        self.words: list[bytes] = []  # of the array that has begun
+        self.strings: list[bytes] = []  # of the array that has begun
         self.missing = 0  # strings that it still lacks
 
     @property
@@ -31,12 +31,12 @@
             if not self.missing and not self._begin_array():
                 return
             while self.missing:
-                word = self._string()
-                if word is None:
+                string = self._string()
+                if string is None:
                     return
-                self.words.append(word)
+                self.strings.append(string)
                 self.missing -= 1
-            yield self.words
+            yield self.strings
 
     def _begin_array(self) -> bool:
         """Read the head of an array; False if it is not there yet."""
@@ -45,9 +45,9 @@
             return False
         size, used = head
         self.buffer.drop(used)
-        if not 0 < size <= WORDS_MOST:
+        if not 0 < size <= STRINGS_MOST:
             raise ProtocolError(f"an array of {size}")
-        self.words = []
+        self.strings = []
         self.missing = size
         return True
 
@@ -82,16 +82,18 @@
         return int(line[1:]), end + len(LINE_END)
 
 
-def encode(*words: bytes) -> bytes:
+def encode(*strings: bytes) -> bytes:
     """One array."""
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+    return b"*%d\r\n" % len(strings) + b"".join(
+        b"$%d\r\n%s\r\n" % (len(string), string) for string in strings
+    )
 
 
-def fields(word: bytes) -> dict[bytes, bytes]:
+def fields(encoded: bytes) -> dict[bytes, bytes]:
     """A list name=value,name=value as a dict; `-` is none."""
-    if word in (b"-", b""):
+    if encoded in (b"-", b""):
         return {}
-    return dict(pair.partition(b"=")[::2] for pair in word.split(b","))
+    return dict(pair.partition(b"=")[::2] for pair in encoded.split(b","))
 
 
 def field_list(pairs: Iterable[tuple[bytes, bytes]]) -> bytes:
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -17,7 +17,7 @@
 class StartTime(NamedTuple):
     """When an engine started, us: as the list tells it, and by our clock."""
 
-    told_us: int
+    listed_us: int
     corrected_us: int
 
 
@@ -26,8 +26,8 @@
 
     def __init__(self) -> None:
         self.ahead_us: int | None = None  # the most that our clock is ahead of who tells; None: unknown
-        self.told: dict[int, StartTime] = {}  # by engine
-        self.rows: dict[int, EngineEntry] = {}  # by engine: entries that were not told as news
+        self.start_times: dict[int, StartTime] = {}  # by engine
+        self.unconfirmed: dict[int, EngineEntry] = {}  # by engine: entries that were not told as news
 
     def corrected(self, now: int, entries: Sequence[EngineEntry], news: bool) -> list[EngineEntry]:
         """These entries, and others that they show to be wrong. news: not of a configuration's list."""
@@ -39,13 +39,13 @@
 
     def forget(self, engine_id: int) -> None:
         """The engine was removed."""
-        self.told.pop(engine_id, None)
-        self.rows.pop(engine_id, None)
+        self.start_times.pop(engine_id, None)
+        self.unconfirmed.pop(engine_id, None)
 
     def _learn(self, now: int, entry: EngineEntry) -> None:
         """How far ahead our clock can be, from a start that is news."""
-        last = self.told.get(entry.id)
-        is_known = last is not None and last.told_us == entry.started_us
+        last = self.start_times.get(entry.id)
+        is_known = last is not None and last.listed_us == entry.started_us
         if not entry.started_us or is_known:
             return
         age_us = now - entry.started_us
@@ -56,28 +56,28 @@
 
         Once news shows that our clock is off by more than news takes.
         """
-        if not self.rows or self.ahead_us is None or 0 <= self.ahead_us <= PLAUSIBLE_US:
+        if not self.unconfirmed or self.ahead_us is None or 0 <= self.ahead_us <= PLAUSIBLE_US:
             return []
-        rows = [row for engine_id, row in self.rows.items() if engine_id not in but]
-        self.rows = {}
+        rows = [row for engine_id, row in self.unconfirmed.items() if engine_id not in but]
+        self.unconfirmed = {}
         for row in rows:
-            del self.told[row.id]
+            del self.start_times[row.id]
         return [self._entry(now, row, True) for row in rows]
 
     def _entry(self, now: int, entry: EngineEntry, news: bool) -> EngineEntry:
-        told_us = entry.started_us
-        if not told_us:
+        listed_us = entry.started_us
+        if not listed_us:
             self.forget(entry.id)
             return entry
         ahead_us = self.ahead_us if news and self.ahead_us is not None else 0
-        start_us = min(now, told_us + ahead_us)
-        last = self.told.get(entry.id)
-        if last is not None and last.told_us == told_us:
+        start_us = min(now, listed_us + ahead_us)
+        last = self.start_times.get(entry.id)
+        if last is not None and last.listed_us == listed_us:
             # The same start, told again: what is known since can only make it older.
             start_us = min(start_us, last.corrected_us)
-        self.told[entry.id] = StartTime(told_us, start_us)
+        self.start_times[entry.id] = StartTime(listed_us, start_us)
         if news:
-            self.rows.pop(entry.id, None)
+            self.unconfirmed.pop(entry.id, None)
         else:
-            self.rows[entry.id] = entry
+            self.unconfirmed[entry.id] = entry
         return entry._replace(started_us=start_us)
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -7,7 +7,7 @@
 
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import EngineEntry, EngineState, Outcome, Result
-from gullhold.net import connection_ends, engine_words, thrift
+from gullhold.net import connection_ends, engine_protocol, thrift
 from gullhold.net.attempts import Attempts
 from gullhold.net.engine_connection import Attempt, EngineConnection
 from gullhold.net.engine_pool import EnginePool
@@ -44,7 +44,7 @@
         connection, txn = attempt.connection, attempt.request.request.txn
         is_open = connection and connection.open.get(txn) is attempt
         if is_open and not connection.write_buffer.withdraw(attempt.message):
-            self.core.pool.send_word(connection, engine_words.ABORT, txn)
+            self.core.pool.send_control(connection, engine_protocol.ABORT, txn)
             connection.given_up.add(txn)
             del connection.open[txn]
         self.core.defer(self.end, attempt, outcome)
@@ -128,13 +128,13 @@
     return lambda method, seq, body=b"", good=True: answer(method, max(1, seq - 1), body, good)
 
 
-def _copy_kept(received_words: Method) -> Method:
+def _copy_kept(received_array: Method) -> Method:
     def call(self: EngineReplies, connection: EngineConnection, words: list[bytes]) -> None:
         attempt = connection.open.get(words[0])
-        if words[1] == engine_words.ANSWER and attempt and attempt.pages:
+        if words[1] == engine_protocol.ANSWER and attempt and attempt.pages:
             self._add_page(connection, attempt, words[3])
         else:
-            received_words(self, connection, words)
+            received_array(self, connection, words)
 
     return call
 
@@ -157,7 +157,7 @@
     ),
     "what is taken back goes out": Mutant("two at once", WriteBuffer, "withdraw", _not_taken_back),
     "answers to another's number": Mutant("one answer", thrift, "answer", _mixed),
-    "a second copy kept": Mutant("intact", EngineReplies, "_received_words", _copy_kept),
+    "a second copy kept": Mutant("intact", EngineReplies, "_received_array", _copy_kept),
 }
 
 
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -20,7 +20,9 @@
     assert eventlog.BURST <= len(logged) <= eventlog.BURST + eventlog.RATE_PER_S + 1
     log.add(LoggedEvent(9_000_000, EventKind.RETRY, "the last"))
     assert "left_out=" in logged[-1] and "reason=the_last" in logged[-1]
-    assert len(log.lines()) == eventlog.KEPT and log.lines()[-1].startswith("at_us=9000000 event=retry")
+    assert len(log.lines()) == eventlog.NEWEST_MOST and log.lines()[-1].startswith(
+        "at_us=9000000 event=retry"
+    )
 
 
 def test_a_kind_that_comes_often_keeps_no_other_from_the_log(monkeypatch):
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -44,7 +44,7 @@
     assert started(starts, NOW, 1, 0) == 0
     started(starts, NOW, 2, NOW - S)
     starts.forget(2)
-    assert not starts.told and not starts.rows
+    assert not starts.start_times and not starts.unconfirmed
 
 
 @pytest.mark.parametrize("off_s", [-3600, 3600])
