--- /dev/null
+++ b/gullhold/net/engine_protocol.py
@@ -0,0 +1,26 @@
+"""Commands to engines and their replies, and which replies end an attempt."""
+
+from gullhold.interface import Outcome
+
+# Commands.
+FETCH = b"fetch"
+MORE = b"more"
+DONE = b"done"
+ABORT = b"abort"
+RENICE = b"renice"
+ALIVE = b"alive"  # answered with the same tag
+# Replies.
+STATUS = b"status"
+CHUNK = b"chunk"
+ANSWER = b"200"
+ERROR = b"500"
+OVERLOADED = b"503"
+EXPIRED = b"504"
+
+# Replies that end an attempt; "full" (503) and "over already" (504) prove that it never ran.
+FINAL_REPLIES = {
+    ANSWER: Outcome.ANSWERED,
+    OVERLOADED: Outcome.OVERLOADED,
+    ERROR: Outcome.ERROR,
+    EXPIRED: Outcome.NOT_STARTED,
+}
