--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -172,12 +172,16 @@
         from gullhold.simulation import show as rehearsal  # noqa: PLC0415  heavy libraries
 
         return rehearsal.run(args.seeds, args.jobs, args.replay, args.shrink)
-    from gullhold.net import service  # noqa: PLC0415  only these need what it imports
-
     if args.command == "check":
-        return service.check(args.address, args.timeout)
+        from gullhold.net import health_check  # noqa: PLC0415
+
+        return health_check.check(args.address, args.timeout)
     if args.command == "config":
-        return service.explain(args.config, args.operator)
+        from gullhold.net import configuration_command  # noqa: PLC0415
+
+        return configuration_command.print_configuration(args.config, args.operator)
+    from gullhold.net import service  # noqa: PLC0415  only this needs what it imports
+
     return service.serve(args.config, args.report, args.operator)
 
 
--- a/gullhold/net/configuration.py
+++ b/gullhold/net/configuration.py
@@ -3,35 +3,38 @@
 import json
 import os
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gullhold.agreement import read_agreement
 from gullhold.interface import Agreement
 from gullhold.net.connection_ends import Malformed
-from gullhold.net.discovery import Names, members
+from gullhold.net.engine_ids import EngineIds
+from gullhold.net.list_change import ListChange, parse_event
+
+if TYPE_CHECKING:  # heavy, and needed only where there is an operator file
+    from gullhold.operator.records import OperatorFile
 
 MEGABYTE_SHIFT = 20  # bits by which megabytes are shifted to bytes
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
-LISTEN_VARIABLE = "GW_LISTEN"  # overrules the file's address
+LISTEN_VARIABLE = "GW_LISTEN"  # takes precedence over the file's address
 
 
 class ConfigurationError(Exception):
-    """A configuration or operator file that can't be used; the text is one plain line."""
+    """A configuration or operator file that can't be used; the message is one plain line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
     """What a configuration file states.
 
-    list_changes: the endpoint list at the start, as arguments of Core.begin(); engine_ids: the numbers given
-    to the engines' names so far; last_event: the number of the list's last event; discovery_address: None:
-    the list never changes.
+    list_changes: the endpoint list at the start; engine_ids: the numbers given to the engines' names so far;
+    last_event: the index of the list's last event; discovery_address: HOST:PORT; None: the list is fixed.
     """
 
     agreement: Agreement
-    engine_ids: Names
-    list_changes: list
+    engine_ids: EngineIds
+    list_changes: list[ListChange]
     last_event: int
     seed: int
     discovery_address: str | None
@@ -54,9 +57,9 @@
 
 def _parse(tree: dict[str, Any]) -> Configuration:
     agreement = read_agreement(tree["settings"])
-    engine_ids = Names()
+    engine_ids = EngineIds()
     known = tree.get("known") or {}
-    list_changes = [members(event, agreement, engine_ids) for event in known.get("updates", ())]
+    list_changes = [parse_event(event, agreement, engine_ids) for event in known.get("updates", ())]
     limits = tree.get("limits") or {}
     return Configuration(
         agreement=agreement,
@@ -70,3 +73,19 @@
         memory_bytes=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)) << MEGABYTE_SHIFT,
         max_sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
     )
+
+
+def load_operator_file(path: str | None) -> "OperatorFile | None":
+    """Return the operator file at a path, None where no path is given. Raises ConfigurationError."""
+    if not path:
+        return None
+    try:
+        from gullhold.operator import records  # noqa: PLC0415  heavy: only where there is such a file
+    except ImportError as error:
+        raise ConfigurationError(
+            f"an operator file needs the libraries of requirements-full.txt: {error}"
+        ) from None
+    try:
+        return records.load(path)
+    except (OSError, records.OperatorFileError) as error:
+        raise ConfigurationError(str(error)) from None
--- /dev/null
+++ b/gullhold/net/configuration_command.py
@@ -0,0 +1,49 @@
+"""The command `config`: prints what a configuration, or an operator file, states."""
+
+import sys
+from collections.abc import Iterator
+
+from gullhold.net.configuration import (
+    MEGABYTE_SHIFT,
+    Configuration,
+    ConfigurationError,
+    load_configuration,
+    load_operator_file,
+)
+
+STATUS_UNUSABLE = 2
+
+
+def print_configuration(path: str | None, operator_path: str | None = None) -> int:
+    """Print the operator file if one is named, else the configuration; return the exit status."""
+    try:
+        if operator_path:
+            lines = _operator_file_lines(operator_path)
+        else:
+            lines = list(_configuration_lines(load_configuration(path)))
+    except ConfigurationError as error:
+        print(f"gullhold: {error}", file=sys.stderr)
+        return STATUS_UNUSABLE
+    print("\n".join(lines))
+    return 0
+
+
+def _operator_file_lines(path: str) -> list[str]:
+    operator_file = load_operator_file(path)
+    from gullhold.operator import records  # noqa: PLC0415  heavy: only where there is such a file
+
+    return list(records.lines(operator_file))
+
+
+def _configuration_lines(configuration: Configuration) -> Iterator[str]:
+    agreement = configuration.agreement
+    yield (
+        f"listens on {configuration.listen_address}, coordinator {configuration.discovery_address}, "
+        f"{configuration.memory_bytes >> MEGABYTE_SHIFT} MB, {configuration.max_sockets} descriptors, "
+        f"list of event {configuration.last_event}"
+    )
+    for profile in agreement.profiles:
+        yield f"profile {profile}"
+    for tenant in agreement.tenants:
+        yield f"tenant {tenant}"
+    yield str(agreement._replace(profiles=(), tenants=()))
--- a/gullhold/net/configuration_reload.py
+++ b/gullhold/net/configuration_reload.py
@@ -1,43 +1,59 @@
-"""The configuration file, read again while serving: only the coordinator's address moves."""
+"""Reading the configuration file again while serving: only the discovery service's address may change."""
 
 import json
 import os
+from typing import NamedTuple
 
 from loguru import logger
 
+from gullhold.net.discovery import DiscoveryClient
 
-def mark(path):
-    """What changes whenever the file at this path is replaced or written; None where there is none."""
+
+class FileVersion(NamedTuple):
+    """Facts about a file that change whenever it is replaced or written."""
+
+    inode: int
+    modified_ns: int
+    size: int
+
+
+def file_version(path: str) -> FileVersion | None:
+    """Return the version of the file at a path; None where there is no file."""
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return found.st_ino, found.st_mtime_ns, found.st_size
+    return FileVersion(status.st_ino, status.st_mtime_ns, status.st_size)
 
 
-class Reread:
-    """Reads the coordinator's address anew: on SIGHUP, and by itself where the stream can't be followed.
+class ConfigurationReload:
+    """Reads the discovery service's address again: on SIGHUP, and where its stream can't be followed.
 
-    seen: the file's mark from before it was read at the start. A file that can't be used changes nothing.
+    version: the file's version from before it was read at the start. An unusable file changes nothing.
     """
 
-    def __init__(self, path, seen, coordinator):
-        self.path, self.seen, self.coordinator = path, seen, coordinator
+    def __init__(self, path: str, version: FileVersion | None, discovery_client: DiscoveryClient) -> None:
+        self._path = path
+        self._version = version
+        self._discovery_client = discovery_client
 
-    def now(self):
-        """SIGHUP: the file was replaced."""
-        self.seen = mark(self.path)
+    def reload(self) -> None:
+        """Read the file now; the action on SIGHUP."""
+        self._version = file_version(self._path)
         try:
-            with open(self.path, encoding="utf-8") as file:
+            with open(self._path, encoding="utf-8") as file:
                 address = json.load(file)["coordinator"]
-            self.coordinator.move(address)
+            self._discovery_client.move(address)
             logger.info("configuration read again: coordinator {}", address)
-        except (OSError, ValueError, KeyError, TypeError, AttributeError) as fault:
-            logger.error("configuration {} can't be used, the old one holds: {!r}", self.path, fault)
-
-    def if_changed(self):
-        """Guards against a move that no SIGHUP told: the file may be replaced while we start, when none is
-        sent, and a coordinator that has moved refuses for ever. Harm: none where the file did not change."""
-        found = mark(self.path)
-        if found is not None and found != self.seen:
-            self.now()
+        except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
+            logger.error("configuration {} can't be used, the old one holds: {!r}", self._path, error)
+
+    def reload_if_changed(self) -> None:
+        """Read the file if it has changed since it was last read.
+
+        Guards against a move that no SIGHUP announced: the file may be replaced while we start, when none is
+        sent, and a discovery service that has moved refuses for ever. Harmless where the file did not change.
+        """
+        version = file_version(self._path)
+        if version is not None and version != self._version:
+            self.reload()
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -30,7 +30,7 @@
 from gullhold.net import connection_ends, resp, thrift
 from gullhold.net.client_connection import OPEN_MOST, RESULT_MOST
 from gullhold.net.connection_ends import Ending, Malformed
-from gullhold.net.discovery import FIRST_WORD_US
+from gullhold.net.discovery import FIRST_EVENT_TIMEOUT_US
 from gullhold.net.eventlog import CLOSE, GIVEN_UP, REFUSAL, RETRY, EventLog, Happened
 from gullhold.net.links import Engine, Exchange, Link
 from gullhold.net.pipe import UNSURE
@@ -153,7 +153,7 @@
     def run(self, known):
         """Serve until told to leave and done."""
         # Guards against sends to what has left since the configuration was written: a start takes a second.
-        self.list_known.wait((self.agreement.connect_timeout_us + 2 * FIRST_WORD_US) / 1e6)
+        self.list_known.wait((self.agreement.connect_timeout_us + 2 * FIRST_EVENT_TIMEOUT_US) / 1e6)
         self.begin(known)
         while not self.stopped:
             try:
--- /dev/null
+++ b/gullhold/net/event_stream.py
@@ -0,0 +1,51 @@
+"""The discovery service's stream as a state machine without a socket: bytes in, events out."""
+
+import json
+from collections.abc import Iterator
+from typing import Any
+
+from gullhold.net.buffer import Buffer
+from gullhold.net.connection_ends import Malformed
+
+LINE_END = b"\n"
+
+
+class EventStream:
+    """Splits the stream's bytes into lines and returns the new events in order.
+
+    A line is a JSON object with an index, or a bare index that says which event was the last. Bytes are put
+    into `buffer`; last_index is that of the last event returned.
+    """
+
+    def __init__(self, last_index: int, max_line_bytes: int) -> None:
+        self.last_index = last_index
+        self.buffer = Buffer(max_line_bytes)
+
+    def events(self) -> Iterator[dict[str, Any]]:
+        """Iterate over the new events. Raises Malformed at a gap or a bad line: follow the stream anew."""
+        while (end := self.buffer.find(LINE_END)) >= 0:
+            line = self.buffer.peek(end)
+            self.buffer.drop(end + len(LINE_END))
+            if not line.strip():
+                continue
+            event, index = _parse_line(line)
+            if index <= self.last_index:
+                continue
+            if event is None or index != self.last_index + 1:
+                raise Malformed(f"event {index} after {self.last_index}: some are missing")
+            yield event
+            self.last_index = index
+
+
+def _parse_line(line: bytes) -> tuple[dict[str, Any] | None, int]:
+    """Return a line's event, None for a bare index, and its index."""
+    try:
+        content = json.loads(line)
+        if isinstance(content, int):
+            return None, content
+        index = content["index"]
+        if not isinstance(index, int):
+            raise ValueError("an index that is no number")
+    except (ValueError, KeyError, TypeError, RecursionError) as error:
+        raise Malformed(f"a bad line: {error!r}") from None
+    return content, index
--- /dev/null
+++ b/gullhold/net/list_change.py
@@ -0,0 +1,89 @@
+"""Changes of the endpoint list: parsing an event of the discovery service, and batches of events."""
+
+from typing import Any, NamedTuple
+
+from gullhold.agreement import index_of
+from gullhold.interface import Agreement, EngineEntry, EngineState
+from gullhold.net import host_port
+from gullhold.net.connection_ends import Malformed
+from gullhold.net.engine_ids import EngineIds
+
+REMOVED_PHASE = "gone"
+STATES_BY_PHASE = {
+    "ready": EngineState.READY,
+    "draining": EngineState.DRAINING,
+    REMOVED_PHASE: EngineState.REMOVED,
+}
+DEFAULT_WEIGHT = 1.0
+US_PER_MS = 1000
+
+
+class ListChange(NamedTuple):
+    """A change of the endpoint list, in the order of the arguments of Core.list_changed().
+
+    addresses: HOST:PORT by engine id, for those that state one; is_complete: engines that it doesn't mention
+    are in the list no more.
+    """
+
+    entries: list[EngineEntry]
+    addresses: dict[int, str]
+    is_complete: bool
+
+
+def parse_event(event: dict[str, Any], agreement: Agreement, engine_ids: EngineIds) -> ListChange:
+    """Parse one event of the stream; the ids of removed engines are freed. Raises Malformed."""
+    entries: list[EngineEntry] = []
+    addresses: dict[int, str] = {}
+    try:
+        change = event["endpoints"]
+        for member in change["members"]:
+            entry = _parse_member(member, agreement, engine_ids)
+            entries.append(entry)
+            if member.get("host_port"):
+                host, port = host_port(member["host_port"])
+                addresses[entry.id] = f"{host}:{port}"
+            if member["phase"] == REMOVED_PHASE:
+                engine_ids.forget(member["id"])
+        return ListChange(entries, addresses, bool(change.get("complete")))
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise Malformed(f"an event of another form: {error!r}") from None
+
+
+def _parse_member(member: dict[str, Any], agreement: Agreement, engine_ids: EngineIds) -> EngineEntry:
+    return EngineEntry(
+        id=engine_ids.id_for(member["id"]),
+        zone=index_of(agreement.zone_names, str(member.get("locality", ""))),
+        weight=float(member.get("size") or DEFAULT_WEIGHT),
+        kind=index_of(agreement.kind_names, str(member.get("flavor", ""))),
+        state=STATES_BY_PHASE[member["phase"]],
+        cell=int(member.get("cell") or 0),
+        started_us=int(member.get("up_since_ms") or 0) * US_PER_MS,
+    )
+
+
+class ListChangeBatch:
+    """Consecutive changes of the endpoint list that are applied in one call."""
+
+    def __init__(self) -> None:
+        self.entries: list[EngineEntry] = []
+        self.addresses: dict[int, str] = {}
+        self.is_complete = False
+        self.last_index = 0
+        self.event_count = 0
+        self._engine_ids: set[int] = set()
+
+    def must_precede(self, change: ListChange) -> bool:
+        """Whether the batch has to be applied before this change.
+
+        That is so for a complete list, and where both concern one engine: its states apply in order.
+        """
+        return change.is_complete or any(entry.id in self._engine_ids for entry in change.entries)
+
+    def add(self, change: ListChange, index: int) -> None:
+        """Append the change of the event with this index."""
+        self.entries += change.entries
+        self.addresses.update(change.addresses)
+        self._engine_ids.update(entry.id for entry in change.entries)
+        self.is_complete = change.is_complete
+        self.last_index = index
+        self.event_count += 1
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -1,4 +1,4 @@
-"""Takes the connections of clients, and makes room for them."""
+"""Accepts the connections of clients, and makes room for them."""
 
 import socket
 import time
@@ -6,84 +6,120 @@
 
 from loguru import logger
 
+from gullhold.admission.client_identity import Whose
+from gullhold.interface import Agreement
 from gullhold.net import host_port
 from gullhold.net.client_connection import CROSS_S, DISMISS_S, ClientConnection
+from gullhold.net.core import Core
 from gullhold.net.request_reader import RequestReader
 
+FREE_SHARE = 8  # one in so many places is kept free, so that nobody waits for another to go
+
 
 class Listener:
-    """Takes connections, to the very end: what waits in the backlog counts as taken."""
+    """Accepts connections until the process ends: those in the backlog count as accepted.
+
+    clients: the open client connections, shared with the statement memory.
+    """
 
-    def __init__(self, address, core, agreement, most, clients_most, whose=None):
-        self.core, self.most, self.clients_most = core, most, clients_most
-        self.reader = RequestReader(agreement, whose, core.retry_after_field)
+    def __init__(
+        self,
+        address: str,
+        core: Core,
+        agreement: Agreement,
+        max_message_bytes: int,
+        max_clients: int,
+        client_identity: Whose | None = None,
+    ) -> None:
+        """Listen on HOST:PORT. Raises OSError, or ValueError for an address of another form."""
+        self.core = core
+        self.max_message_bytes = max_message_bytes
+        self.max_clients = max_clients
+        self.reader = RequestReader(agreement, client_identity, core.retry_after_field)
         self.clients = core.room.clients
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(host_port(address))
         self.sock.listen(socket.SOMAXCONN)
+        self._accepted: tuple[socket.socket, tuple[str, int]] | None = None  # but not served yet
+
+    def run(self) -> None:
+        """Accept connections until the socket is closed.
 
-    def run(self):
-        """Accept for ever; where descriptors or threads are short, what waits is taken later."""
-        waiting = None
+        While descriptors or threads are short, connections wait and are accepted later.
+        """
         while True:
             try:
-                if not waiting:
-                    waiting, (host, port) = self.sock.accept()
-                sock = waiting
-                while not self._room():
-                    self.core.counters.add("accepts put off")
-                    time.sleep(DISMISS_S)
-                client = ClientConnection(sock, self.core, self.reader, self.most, (host, f"{host}:{port}"))
-                self.clients.add(client)  # before its thread runs, which may end at once
-                try:
-                    Thread(target=self._serve, args=(client,), daemon=True, name="client").start()
-                except RuntimeError:
-                    self.clients.discard(client)
-                    raise
-                waiting = None
+                if self._accepted is None:
+                    self._accepted = self.sock.accept()
+                self._start_client(*self._accepted)
+                self._accepted = None
                 self.core.counters.add("client connections")
-            except Exception as error:  # of any kind: one that ends this thread leaves nobody to take them
+            except Exception as error:  # noqa: BLE001  of any kind: without this thread nobody accepts connections
                 if self.sock.fileno() < 0:
                     return
-                if waiting and isinstance(error, OSError):  # it went before we had it
-                    waiting.close()
-                    waiting = None
-                self.core.counters.add("accepts put off")
-                if not isinstance(error, OSError | RuntimeError):
-                    self.core.counters.add("faults of ours")
-                    logger.opt(exception=error).error("taking a connection failed")
+                self._put_off(error)
                 time.sleep(DISMISS_S)
 
-    def _serve(self, client):
-        try:
-            client.run()
-        finally:  # its descriptor is given back by now: until then it holds its room
-            self.clients.discard(client)
-
-    def end_clients(self):
-        """From the core, at the end: what has come on any connection is answered, then its end is said.
+    def end_clients(self) -> None:
+        """Answer what has arrived on all connections, then end them; called from the core at the shutdown.
 
         Guards against requests that lie unread when the process ends: their connections are reset.
         """
         for client in list(self.clients):
             client.dismiss()
 
-    def _room(self):
-        """Whether one more may come; for it the one goes that has been idle the longest.
+    def _start_client(self, sock: socket.socket, peer: tuple[str, int]) -> None:
+        """Wait until there is room, then serve an accepted connection in a thread of its own.
+
+        Raises RuntimeError where the thread can't be started.
+        """
+        while not self._make_room():
+            self.core.counters.add("accepts put off")
+            time.sleep(DISMISS_S)
+        host, port = peer
+        client = ClientConnection(
+            sock, self.core, self.reader, self.max_message_bytes, (host, f"{host}:{port}")
+        )
+        self.clients.add(client)  # before its thread runs, which may end at once
+        try:
+            Thread(target=self._serve, args=(client,), daemon=True, name="client").start()
+        except RuntimeError:
+            self.clients.discard(client)
+            raise
+
+    def _put_off(self, error: Exception) -> None:
+        """Count a connection that could not be served now; a broken one is closed, another is tried again."""
+        if self._accepted and isinstance(error, OSError):  # the client left before we could serve it
+            sock, _ = self._accepted
+            sock.close()
+            self._accepted = None
+        self.core.counters.add("accepts put off")
+        if not isinstance(error, OSError | RuntimeError):
+            self.core.counters.add("faults of ours")
+            logger.opt(exception=error).error("taking a connection failed")
+
+    def _serve(self, client: ClientConnection) -> None:
+        try:
+            client.run()
+        finally:  # its descriptor is closed by now: until then it takes a place
+            self.clients.discard(client)
+
+    def _make_room(self) -> bool:
+        """Whether there is room for one more; where it is scarce, the longest idle connection is closed.
 
-        Guards against hundreds that say nothing, or ask once and stay, while others wait outside; an
-        eighth of the room is kept free, so that nobody waits for another to go.
+        Guards against hundreds that say nothing, or ask once and stay, while others wait outside.
         """
-        if len(self.clients) < self.clients_most * 7 // 8:
+        if len(self.clients) < self.max_clients * (FREE_SHARE - 1) // FREE_SHARE:
             return True
-        late = time.monotonic() - CROSS_S  # one that came just now is about to ask
+        latest_s = time.monotonic() - CROSS_S  # one that came later is about to ask
         idle = [
             client
             for client in list(self.clients)
-            if not client.busy() and not client.over and client.quiet_at < late
+            if not client.busy() and not client.over and client.quiet_at < latest_s
         ]
         if idle:
             self.core.counters.add("idle ones closed for room")
+            # First those that were never sent anything, of these the one that has been quiet the longest.
             min(idle, key=lambda client: (client.pipe.queued > 0, client.quiet_at)).dismiss()
-        return len(self.clients) < self.clients_most
+        return len(self.clients) < self.max_clients
--- a/gullhold/net/logsink.py
+++ b/gullhold/net/logsink.py
@@ -1,35 +1,40 @@
-"""Where log lines go: a bounded queue and a thread, so that a full pipe behind the log stops nobody."""
+"""A bounded queue and a thread that writes the log, so that a full pipe behind it blocks no other thread."""
 
 from queue import Full, Queue
 from threading import Thread
+from typing import TextIO
 
-LINES = 2000  # lines that may wait: some seconds of the most that a troubled gateway logs
+from gullhold.net.counters import Counters
+
+MAX_QUEUED_LINES = 2000  # some seconds of the most that a gateway in trouble logs
 
 
 class LogSink:
-    """Takes lines from any thread without blocking; what finds no room is dropped and counted."""
+    """Accepts lines from any thread without blocking; drops and counts them while the queue is full."""
 
-    def __init__(self, stream, counters):
-        self.stream, self.counters, self.lines = stream, counters, Queue(LINES)
+    def __init__(self, stream: TextIO, counters: Counters) -> None:
+        self.stream = stream
+        self.counters = counters
+        self.lines: Queue[str | None] = Queue(MAX_QUEUED_LINES)
         self.thread = Thread(target=self._write, daemon=True, name="log")
         self.thread.start()
 
-    def put(self, line):
-        """Take a line."""
+    def put(self, line: str | None) -> None:
+        """Queue a line; None ends the writing thread."""
         try:
             self.lines.put_nowait(line)
         except Full:
             self.counters.add("log lines dropped")
 
-    def finish(self, seconds):
-        """Write what waits, for so long at most."""
+    def finish(self, timeout_s: float) -> None:
+        """Write the lines that are queued and end; return after the timeout at the latest."""
         self.put(None)
-        self.thread.join(seconds)
+        self.thread.join(timeout_s)
 
-    def _write(self):
+    def _write(self) -> None:
         while (text := self.lines.get()) is not None:
             try:
                 self.stream.write(text)
                 self.stream.flush()
-            except Exception:  # nobody reads any more, or memory is short: the gateway serves on
+            except Exception:  # noqa: BLE001  no reader any more, or memory is short: the gateway serves on
                 self.counters.add("log writes failed")
--- /dev/null
+++ b/gullhold/net/process_report.py
@@ -0,0 +1,52 @@
+"""The lines of a report on this process: its times, memory, threads, descriptors and counters."""
+
+import os
+import time
+from collections.abc import Iterable, Iterator
+
+from gullhold.net.counters import Counters
+
+MAX_LINE_LENGTH = 240  # characters: what reads logs may cut lines at 300
+SEPARATOR = "; "
+STATUS_FILE = "/proc/self/status"
+DESCRIPTORS_DIRECTORY = "/proc/self/fd"
+LABELS_BY_STATUS_KEY = {"VmHWM": "resident most", "VmRSS": "resident", "Threads": "threads"}
+
+
+def report_lines(uptime_s: float, counters: Counters) -> Iterator[str]:
+    """Iterate over the lines of a report."""
+    parts = [
+        f"up {uptime_s:.1f} s",
+        f"CPU {time.process_time():.2f} s",
+        *resource_usage(),
+        *counters.lines(),
+    ]
+    return join_parts(parts, MAX_LINE_LENGTH)
+
+
+def join_parts(parts: Iterable[str], max_length: int) -> Iterator[str]:
+    """Join the parts, in order, to as few lines of at most so many characters as possible; no part is cut.
+
+    Guards against readers of logs that cut long lines: two thirds of an incident's counters were lost.
+    """
+    line = ""
+    for part in parts:
+        if line and len(line) + len(SEPARATOR) + len(part) > max_length:
+            yield line
+            line = ""
+        line = f"{line}{SEPARATOR}{part}" if line else part
+    if line:
+        yield line
+
+
+def resource_usage() -> list[str]:
+    """Return memory, threads and descriptors of this process; empty where the system states none."""
+    try:
+        with open(STATUS_FILE, encoding="ascii") as file:
+            rows = dict(line.split(":", 1) for line in file)
+        descriptors = len(os.listdir(DESCRIPTORS_DIRECTORY))
+    except OSError:
+        return []
+    usage = [f"{label}: {rows[key].strip()}" for key, label in LABELS_BY_STATUS_KEY.items() if key in rows]
+    usage.append(f"descriptors: {descriptors}")
+    return usage
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -1,112 +1,167 @@
-"""Reads the arguments of execute: what a client asks for, in the units of the decision module."""
+"""Validates the arguments of execute and converts them to the units of the decision module."""
 
 import re
+from collections.abc import Mapping
 from typing import NamedTuple
 from zlib import crc32
 
-from gullhold.admission.client_identity import CLOSED
-from gullhold.interface import Idempotency
-from gullhold.net import statement
+from gullhold.admission.client_identity import CLOSED, Whose
+from gullhold.interface import Agreement, Idempotency
+from gullhold.net.statement import table_group
 
 FIGURE = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
-TXN = re.compile(rb"[0-9a-fA-F]{16}\Z")
-UNIQUE = re.compile(rb"[!-+\--<>-~]*\Z")  # printable, without the signs that a list of fields is built of
+TRANSACTION_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}\Z")
+IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-+\--<>-~]*\Z")  # printable, but no separators of RESP field lists
+US_PER_MS = 1000
+TIMEOUT_ROUNDING = 2  # clients may round a profile's timeout up: at most to twice as much
+NO_ORDERING_KEY = 0
+
+ShutFlows = Mapping[tuple[int, bytes, int | None], tuple[int, int | None]]
+# By tenant, flow and profile: until when the admission queue rejects, and the first Retry-After time (us).
 
 
 class Request(NamedTuple):
-    """A command as a client asked for it, in the module's units."""
+    """A command as a client asked for it, in the decision module's units."""
 
-    txn: bytes
-    verb: bytes
-    body: bytes
-    unique: bytes
+    txn: bytes  # transaction id
+    verb: bytes  # name of the profile
+    body: bytes  # statement
+    unique: bytes  # idempotency key
     profile: int
     tenant: int
-    key: int
-    limit_us: int
-    work_us: int
-    need_mb: float
-    group: int
-    repeat: bool
-    flow: bytes = b""  # whose it is inside its tenant, where a door asks
+    key: int  # ordering key; 0: none
+    limit_us: int  # client timeout
+    work_us: int  # estimated work on one core
+    need_mb: float  # estimated memory
+    group: int  # group of the tables; 0: none
+    repeat: bool  # the client has asked for it before
+    flow: bytes = b""  # the client inside its tenant, where there is an admission queue
 
 
 class RequestError(Exception):
-    """A request that can't be used; the text is for the client."""
+    """A request that can't be used; the message, for the client, names the field."""
 
 
-def _figure(fields, name, most, absent=b"0"):
-    """A figure of a request, no more than this deployment can do."""
-    word = fields.get(name, absent)
-    if not FIGURE.match(word) or float(word) > most:
-        raise RequestError(f"unusable {name.decode()}")
-    return float(word)
+class RequestReader:
+    """Turns the arguments of execute into a Request, with the names of one agreement.
 
+    client_identity: tells clients apart where there is an admission queue; retry_after_field: the field of
+    Shed that says when the client may ask again.
+    """
 
-class RequestReader:
-    """Turns the arguments of execute into a Request, with the names of one agreement."""
-
-    def __init__(self, agreement, whose=None, come_back=b""):
-        self.agreement, self.whose = agreement, whose  # whose: tells clients apart, where there is a door
-        self.come_back = come_back  # the field of Shed that says when to come back
-        self.profiles = {profile.name.encode(): i for i, profile in enumerate(agreement.profiles)}
-        self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)}
-        # The most of a limit (ms; for clients that round), of work (ms on one core) and of memory (MB).
-        longest = max((profile.timeout_us for profile in agreement.profiles), default=0)
-        self.limit_most = 2 * longest / 1000 or float("inf")
-        self.work_most = self.limit_most * max(agreement.cores_by_kind, default=1.0)
-        self.memory_most = max(agreement.memory_mb_by_kind, default=float("inf"))
-
-    def shut(self, fields, peer, shut, now):
-        """(fields of the Shed,) where the door would turn this away with no more than is known, or None."""
-        tenant, stranger = self.whose.tenant(fields.get(b"team", b""))
-        name = self.whose.flow(fields, stranger, *peer)
-        until, first = shut.get((tenant, name, self.profiles.get(fields.get(b"verb"))), (0, None))
-        if now >= until or not TXN.match(fields.get(b"txn", b"")):
+    def __init__(
+        self, agreement: Agreement, client_identity: Whose | None = None, retry_after_field: bytes = b""
+    ) -> None:
+        self._agreement = agreement
+        self._client_identity = client_identity
+        self._retry_after_field = retry_after_field
+        self._profiles = {profile.name.encode(): i for i, profile in enumerate(agreement.profiles)}
+        self._tenants = {tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)}
+        # What this deployment can do at most bounds what a request may state.
+        longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
+        self._max_timeout_ms = TIMEOUT_ROUNDING * longest_timeout_us / US_PER_MS or float("inf")
+        self._max_work_ms = self._max_timeout_ms * max(agreement.cores_by_kind, default=1.0)
+        self._max_memory_mb = max(agreement.memory_mb_by_kind, default=float("inf"))
+
+    def shut(
+        self,
+        fields: Mapping[bytes, bytes],
+        peer: tuple[str, str],
+        shut: ShutFlows,
+        now_us: int,
+    ) -> tuple[dict[bytes, bytes]] | None:
+        """Decide whether the admission queue is known to reject this request, without asking it.
+
+        Returns the fields of the Shed in a tuple, or None where the request has to be read.
+        """
+        tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
+        flow = self._client_identity.flow(fields, unknown_tenant, *peer)
+        profile = self._profiles.get(fields.get(b"verb"))
+        rejects_until_us, retry_at_us = shut.get((tenant, flow, profile), (0, None))
+        if now_us >= rejects_until_us or not _has_transaction_id(fields):
             return None
-        if b"second" not in fields or first is None:
+        if b"second" not in fields or retry_at_us is None:
             return ({},)
-        early = first > now and self.come_back  # it came before any time that was promised
-        return ({self.come_back: b"%d" % -((now - first) // 1000)},) if early else None
+        # A repeat that comes before the time that it was given is told that time again.
+        if now_us < retry_at_us and self._retry_after_field:
+            return (self._retry_after(retry_at_us - now_us),)
+        return None
 
-    def request(self, fields, body, address="", connection=""):
-        """The request, or RequestError."""
-        txn, verb = fields.get(b"txn", b""), fields.get(b"verb", b"")
-        if not TXN.match(txn):
+    def request(
+        self, fields: Mapping[bytes, bytes], body: bytes, address: str = "", connection: str = ""
+    ) -> Request:
+        """Read a request from a client at an address, on a connection. Raises RequestError."""
+        if not _has_transaction_id(fields):
             raise RequestError("unusable txn")
-        if verb not in self.profiles:
-            raise RequestError("unknown verb")
-        tenant, stranger = (
-            self.whose.tenant(fields.get(b"team", b""))
-            if self.whose
-            else (self.tenants.get(fields.get(b"team"), CLOSED if self.tenants else 0), None)
+        profile = self._profile(fields)
+        tenant, unknown_tenant = self._tenant(fields)
+        flow = b""
+        if self._client_identity:
+            flow = self._client_identity.flow(fields, unknown_tenant, address, connection)
+        idempotency_key = self._idempotency_key(fields, profile)
+        timeout_ms = _figure(fields, b"limit", self._max_timeout_ms, default=b"")
+        work_ms = _figure(fields, b"cpu", self._max_work_ms)
+        group, table = table_group(body.decode("utf-8", "replace"))
+        return Request(
+            txn=fields[b"txn"],
+            verb=fields.get(b"verb", b""),
+            body=body,
+            unique=idempotency_key,
+            profile=profile,
+            tenant=tenant,
+            key=self._ordering_key(profile, table),
+            limit_us=int(timeout_ms * US_PER_MS),
+            work_us=int(work_ms * US_PER_MS),
+            need_mb=_figure(fields, b"memory", self._max_memory_mb),
+            group=group,
+            repeat=b"second" in fields,
+            flow=flow,
         )
+
+    def _retry_after(self, wait_us: int) -> dict[bytes, bytes]:
+        """Return the fields of a Shed that asks for a wait, rounded up to whole milliseconds."""
+        wait_ms = -(-wait_us // US_PER_MS)
+        return {self._retry_after_field: b"%d" % wait_ms}
+
+    def _profile(self, fields: Mapping[bytes, bytes]) -> int:
+        profile = self._profiles.get(fields.get(b"verb", b""))
+        if profile is None:
+            raise RequestError("unknown verb")
+        return profile
+
+    def _tenant(self, fields: Mapping[bytes, bytes]) -> tuple[int, bytes | None]:
+        """Return the tenant's index, and the name of a tenant that shares in the part of others."""
+        if self._client_identity:
+            tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
+        else:
+            tenant = self._tenants.get(fields.get(b"team"), CLOSED if self._tenants else 0)
+            unknown_tenant = None
         if tenant == CLOSED:
             raise RequestError("unknown team")
-        flow = self.whose.flow(fields, stranger, address, connection) if self.whose else b""
-        profile, unique = self.profiles[verb], fields.get(b"unique", b"")
-        if (
-            not UNIQUE.match(unique)
-            or not unique
-            and self.agreement.profiles[profile].idempotency == Idempotency.KEYED
-        ):
-            raise RequestError("unusable unique")  # without it no engine knows a repeat
-        limit = _figure(fields, b"limit", self.limit_most, absent=b"")
-        work = _figure(fields, b"cpu", self.work_most)
-        group, table = statement.group(body.decode("utf-8", "replace"))
-        key = crc32(table.encode()) or 1 if table and self.agreement.profiles[profile].ordered else 0
-        return Request(
-            txn,
-            verb,
-            body,
-            unique,
-            profile,
-            tenant,
-            key,
-            int(limit * 1000),
-            int(work * 1000),
-            _figure(fields, b"memory", self.memory_most),
-            group,
-            b"second" in fields,
-            flow,
-        )
+        return tenant, unknown_tenant
+
+    def _idempotency_key(self, fields: Mapping[bytes, bytes], profile: int) -> bytes:
+        key = fields.get(b"unique", b"")
+        is_required = self._agreement.profiles[profile].idempotency == Idempotency.KEYED
+        is_missing = is_required and not key  # without it no engine recognizes a repeat
+        if is_missing or not IDEMPOTENCY_KEY_PATTERN.match(key):
+            raise RequestError("unusable unique")
+        return key
+
+    def _ordering_key(self, profile: int, table: str) -> int:
+        """Return the key of the commands that must run one after the other: those on one table."""
+        if not table or not self._agreement.profiles[profile].ordered:
+            return NO_ORDERING_KEY
+        return crc32(table.encode()) or 1
+
+
+def _has_transaction_id(fields: Mapping[bytes, bytes]) -> bool:
+    return TRANSACTION_ID_PATTERN.match(fields.get(b"txn", b"")) is not None
+
+
+def _figure(fields: Mapping[bytes, bytes], name: bytes, maximum: float, default: bytes = b"0") -> float:
+    """Return a number of a request. Raises RequestError where it is none, or over the maximum."""
+    text = fields.get(name, default)
+    if not FIGURE.match(text) or float(text) > maximum:
+        raise RequestError(f"unusable {name.decode()}")
+    return float(text)
--- a/gullhold/net/signals.py
+++ b/gullhold/net/signals.py
@@ -1,37 +1,40 @@
-"""Signals as bytes in a pipe, read by one thread: no wait of any other thread has to end for them."""
+"""Signals as bytes in a pipe, read by one thread: no wait of another thread is interrupted by them."""
 
 import os
 import select
 import signal
+from collections.abc import Iterable
 from contextlib import suppress
 
-ENDED = 0  # not a signal: what wake() says
-READ_MOST = 4096  # bytes of one read, a signal each
+CORE_ENDED = 0  # not a signal number: the byte that wake() writes
+READ_SIZE = 4096  # bytes of one read, a signal each
 
 
 class Signals:
-    """The signals of this process as a stream; wait() reads it. Made in the main thread.
+    """The signals of this process as a stream that wait() reads. To be made in the main thread.
 
     Guards against a wait that signals do not interrupt: Python runs a handler only when the main thread comes
-    back from what it waits in, and a signal taken by another thread, or a wait that is led elsewhere, does
+    back from what it waits in, and a signal taken by another thread, or a wait that is redirected, does
     not bring it back. The byte is written by the interpreter's own handler, in whichever thread that runs.
     """
 
-    def __init__(self, numbers):
-        self.out, self.into = os.pipe()
-        os.set_blocking(self.out, False)
-        os.set_blocking(self.into, False)
-        signal.set_wakeup_fd(self.into, warn_on_full_buffer=False)  # full: there is enough to wake for
-        for number in numbers:
-            signal.signal(number, lambda *_: None)  # without a handler of ours no byte is written
-
-    def wake(self):
-        """From any thread: have wait() return."""
-        with suppress(BlockingIOError):  # full: there is enough to wake for
-            os.write(self.into, bytes([ENDED]))
-
-    def wait(self, seconds):
-        """The numbers that came, each once, in order; empty after so many seconds (None: no such end)."""
-        if not select.select([self.out], [], [], seconds)[0]:
+    def __init__(self, signal_numbers: Iterable[int]) -> None:
+        self._read_end, self._write_end = os.pipe()
+        os.set_blocking(self._read_end, False)
+        os.set_blocking(self._write_end, False)
+        # A full pipe needs no warning: it holds enough bytes to wake the reader.
+        signal.set_wakeup_fd(self._write_end, warn_on_full_buffer=False)
+        for number in signal_numbers:
+            signal.signal(number, lambda *_: None)  # without a Python handler no byte is written
+
+    def wake(self) -> None:
+        """Make wait() return CORE_ENDED; from any thread."""
+        with suppress(BlockingIOError):  # full: there are enough bytes to wake the reader
+            os.write(self._write_end, bytes([CORE_ENDED]))
+
+    def wait(self, timeout_s: float | None) -> tuple[int, ...]:
+        """Return the numbers that arrived, each once, in order; empty after the timeout (None: none)."""
+        readable, _, _ = select.select([self._read_end], [], [], timeout_s)
+        if not readable:
             return ()
-        return tuple(dict.fromkeys(os.read(self.out, READ_MOST)))
+        return tuple(dict.fromkeys(os.read(self._read_end, READ_SIZE)))
--- a/gullhold/net/startup.py
+++ b/gullhold/net/startup.py
@@ -1,4 +1,4 @@
-"""What a process asks of the system at its start, asked again where it is refused for a moment.
+"""Acquires threads and descriptors at the start of a process, with retries while they are short.
 
 Guards against a process that ends at its start, or lives on without a part of it, because the machine was
 short of threads, descriptors or buffers in that instant: hundreds of processes may start there at once.
@@ -6,40 +6,49 @@
 
 import errno
 import time
+from collections.abc import Callable
 from threading import Thread
+from typing import TypeVar
 
 from gullhold.net.connection_ends import SHORT_HERE
 
-PATIENCE_S = 20.0  # s in which what is refused is asked for again: under the 30 s that a start may take
-PAUSE_S = 0.02  # s between tries
-MOMENTARY = SHORT_HERE | {errno.ECONNABORTED}
+Resource = TypeVar("Resource")
 
+RETRY_LIMIT_S = 20.0  # under the 30 s that a start may take
+RETRY_INTERVAL_S = 0.02  # short beside a start; a shortage lasts for moments
+TRANSIENT_ERRNOS = SHORT_HERE | {errno.ECONNABORTED}
 
-class Refused(Exception):
-    """The system went on refusing; the text names what, and the system's last word."""
 
+class ResourceError(Exception):
+    """The system kept refusing a resource; the text names the resource and the last error."""
 
-def retried(what, call, seconds=PATIENCE_S):
-    """What call() returns, tried again while the system refuses for a moment; other errors go through."""
-    end = time.monotonic() + seconds
+
+def retry_while_exhausted(
+    resource_name: str, acquire: Callable[[], Resource], limit_s: float = RETRY_LIMIT_S
+) -> Resource:
+    """Return what acquire() returns, calling it again while the system is short of resources.
+
+    Raises ResourceError once the time limit is over. Errors of other kinds are raised unchanged.
+    """
+    deadline = time.monotonic() + limit_s
     while True:
         try:
-            return call()
+            return acquire()
         except OSError as error:
-            last = error
-            if error.errno not in MOMENTARY:
+            if error.errno not in TRANSIENT_ERRNOS:
                 raise
-        except (RuntimeError, MemoryError) as error:  # how Python tells that a thread can't be started
-            last = error
-        if time.monotonic() >= end:
-            raise Refused(f"{what}: refused for {seconds:g} s: {last}") from last
-        time.sleep(PAUSE_S)
+            last_error: Exception = error
+        except (RuntimeError, MemoryError) as error:  # raised by Python where a thread can't be started
+            last_error = error
+        if time.monotonic() >= deadline:
+            raise ResourceError(f"{resource_name}: refused for {limit_s:g} s: {last_error}") from last_error
+        time.sleep(RETRY_INTERVAL_S)
 
 
-def start_thread(run, name):
-    """Start a long-lived thread."""
+def start_thread(run: Callable[[], None], name: str) -> None:
+    """Start a long-lived daemon thread. Raises ResourceError."""
 
-    def start():
+    def start() -> None:
         Thread(target=run, name=name, daemon=True).start()
 
-    retried(f"thread {name}", start)
+    retry_while_exhausted(f"thread {name}", start)
--- a/gullhold/net/statement_memory.py
+++ b/gullhold/net/statement_memory.py
@@ -1,6 +1,10 @@
 """The memory that the statements of waiting requests may take, for all clients together."""
 
 from threading import Lock
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from gullhold.net.client_connection import ClientConnection
 
 
 class StatementMemory:
@@ -8,24 +12,29 @@
 
     Guards the limit of memory, which is for all of them, against a few that ask much at once or never read:
     what one connection may hold is small, what hundreds may is not. From any thread.
+
+    clients: the open client connections, kept by the listener.
     """
 
-    def __init__(self, most):
-        self.most, self.used, self.lock, self.clients = most, 0, Lock(), set()
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.used = 0
+        self.lock = Lock()
+        self.clients: set[ClientConnection] = set()
 
-    def take(self, size):
-        """Whether so many bytes of a statement find room; they are given back with give()."""
+    def take(self, size: int) -> bool:
+        """Reserve so many bytes for a statement; False where they exceed the limit. give() returns them."""
         with self.lock:
-            if self.used + size > self.most:
+            if self.used + size > self.max_bytes:
                 return False
             self.used += size
             return True
 
-    def give(self, size):
-        """A statement is over."""
+    def give(self, size: int) -> None:
+        """Return the bytes of a statement that needs them no more."""
         with self.lock:
             self.used -= size
 
-    def crowded(self):
-        """Whether answers that nobody has read yet take more than as much again."""
-        return sum(client.pipe.size for client in list(self.clients)) > self.most
+    def crowded(self) -> bool:
+        """Whether answers that clients have not read yet take more than as much memory again."""
+        return sum(client.pipe.size for client in list(self.clients)) > self.max_bytes
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -5,7 +5,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 from gullhold.operator import text, values
-from gullhold.operator.text import Bad, Place
+from gullhold.operator.text import OperatorFileError, Place
 
 SCHEMA = "schema.cue"
 
@@ -207,31 +207,35 @@
 
 
 def read(source, file):
-    """The OperatorFile that this text says, defaults filled in. Raises Bad: one line with its place."""
+    """The OperatorFile that this text says, defaults filled in. Raises OperatorFileError."""
     nodes = text.parse(source, file)
     try:
         told = values.concrete(values.unify(schema(), values.root(nodes), ()))
-    except Bad as fault:
+    except OperatorFileError as fault:
         if fault.place.file != SCHEMA:
             raise
-        raise Bad(_place(nodes, fault.path, file), fault.path, fault.text) from None  # what is not there
+        raise OperatorFileError(
+            _place(nodes, fault.path, file), fault.path, fault.text
+        ) from None  # what is not there
     try:
         return OperatorFile.model_validate(told)
     except ValidationError as fault:
         first = fault.errors()[0]
         path = tuple(str(step) for step in first["loc"])
-        raise Bad(_place(nodes, path, file), path, first["msg"].removeprefix("Value error, ")) from None
+        raise OperatorFileError(
+            _place(nodes, path, file), path, first["msg"].removeprefix("Value error, ")
+        ) from None
 
 
 def load(path):
-    """The OperatorFile at a path; None: all defaults. Raises Bad, or OSError."""
+    """The OperatorFile at a path; None: all defaults. Raises OperatorFileError, or OSError."""
     if path is None:
         return read("", "no file")
     with open(path, encoding="utf-8") as source:
         try:
             return read(source.read(), str(path))
         except UnicodeDecodeError as fault:
-            raise Bad(Place(str(path), 1, 1), (), f"not text: {fault.reason}") from None
+            raise OperatorFileError(Place(str(path), 1, 1), (), f"not text: {fault.reason}") from None
 
 
 def _place(nodes, path, file):
--- a/gullhold/operator/text.py
+++ b/gullhold/operator/text.py
@@ -22,7 +22,7 @@
         return f"{self.file}:{self.line}:{self.column}"
 
 
-class Bad(Exception):
+class OperatorFileError(Exception):
     """A file that can't be used; the text is one plain line with its place and path."""
 
     def __init__(self, place, path, text):
@@ -55,14 +55,14 @@
     if unit in DURATIONS_US:
         return "duration", round(amount * DURATIONS_US[unit])
     if amount * SIZES[unit] % 1:
-        raise Bad(place, (), f"{word} is no whole number")
+        raise OperatorFileError(place, (), f"{word} is no whole number")
     return "int", round(amount * SIZES[unit])
 
 
 def parse(text, file):
     """The nodes of a file: a Node "record" whose facts are fields (label kind, name, optional, Node, place).
 
-    Raises Bad with the place of what can't be read.
+    Raises OperatorFileError with the place of what can't be read.
     """
     from lark.exceptions import UnexpectedCharacters, UnexpectedInput, UnexpectedToken  # noqa: PLC0415
 
@@ -79,7 +79,7 @@
             shown = repr(text[fault.pos_in_stream])
         elif isinstance(fault, UnexpectedToken) and fault.token.type != "$END":
             shown = repr(str(fault.token)) if fault.token.strip() else "the end of the line"
-        raise Bad(Place(file, line, column), (), f"{shown} can't stand here") from None
+        raise OperatorFileError(Place(file, line, column), (), f"{shown} can't stand here") from None
     return Node("record", tuple(_fields(tree, file)), Place(file, 1, 1))
 
 
@@ -112,7 +112,7 @@
     try:
         return json.loads(word)
     except ValueError:
-        raise Bad(place, (), f"{word} is no string") from None
+        raise OperatorFileError(place, (), f"{word} is no string") from None
 
 
 def _node(tree, file):
--- a/gullhold/operator/values.py
+++ b/gullhold/operator/values.py
@@ -9,7 +9,7 @@
 from difflib import get_close_matches
 from typing import NamedTuple
 
-from gullhold.operator.text import Bad, Place
+from gullhold.operator.text import OperatorFileError, Place
 
 TYPES = {
     "int": ("int",),
@@ -78,7 +78,7 @@
     def value(self, node, path=(), depth=0):
         """What a node stands for."""
         if depth > DEPTH_MOST:
-            raise Bad(node.place, path, "definitions that hold themselves")
+            raise OperatorFileError(node.place, path, "definitions that hold themselves")
         kind, facts, place = node
         if kind == "value":
             return Scalar(frozenset((facts[0],)), (), facts[1], place)
@@ -114,7 +114,7 @@
             return Scalar(frozenset(TYPES[name]), (), ABSENT, place)
         if name not in self.named:
             known = [*TYPES, *self.named, "true", "false"]
-            raise Bad(place, path, f"{name} is not known{nearest(name, known)}")
+            raise OperatorFileError(place, path, f"{name} is not known{nearest(name, known)}")
         node, _ = self.named[name]
         if node.kind == "record":  # a definition is closed
             return self._record(node.facts, node.place, path, depth + 1, closed=True)
@@ -159,11 +159,14 @@
 
 
 def unify(one, other, path):
-    """What holds both; one is the schema's where it matters for the words of a fault. Raises Bad."""
+    """What satisfies both; one is the schema's where the wording of errors depends on it.
+
+    Raises OperatorFileError.
+    """
     if isinstance(one, Either) or isinstance(other, Either):
         return _either(one, other, path)
     if type(one) is not type(other):
-        raise Bad(other.place, path, f"{_what(other)} where {_what(one)} must stand")
+        raise OperatorFileError(other.place, path, f"{_what(other)} where {_what(one)} must stand")
     if isinstance(one, Scalar):
         return _scalar(one, other, path)
     if isinstance(one, Row):
@@ -182,10 +185,12 @@
         one.types if other.types is None else other.types if one.types is None else one.types & other.types
     )
     if types is not None and not types:
-        raise Bad(other.place, path, f"{_what(other)} where {kinds(one.types)} must stand")
+        raise OperatorFileError(other.place, path, f"{_what(other)} where {kinds(one.types)} must stand")
     if one.value is not ABSENT and other.value is not ABSENT and one.value != other.value:
         word = shown(next(iter(one.types)), one.value)
-        raise Bad(other.place, path, f"{shown(next(iter(other.types)), other.value)} is not {word}")
+        raise OperatorFileError(
+            other.place, path, f"{shown(next(iter(other.types)), other.value)} is not {word}"
+        )
     held = one if one.value is not ABSENT else other
     found = Scalar(types, one.bounds + other.bounds, held.value, other.place)
     if found.value is not ABSENT:
@@ -196,7 +201,7 @@
                 good = op == "!="
             if not good:
                 value = shown(next(iter(types)), found.value)
-                raise Bad(held.place, path, f"{value} is not {words}")
+                raise OperatorFileError(held.place, path, f"{value} is not {words}")
     return found
 
 
@@ -209,7 +214,7 @@
         for second, right in seconds:
             try:
                 parts.append((any_first and (first or second), unify(left, right, path)))
-            except Bad as fault:
+            except OperatorFileError as fault:
                 faults.append(fault)
     if not parts:
         # Most is said by an alternative that took the type and broke a bound, least by another constant.
@@ -222,7 +227,9 @@
         if len(faults) > 1 and all(" is not " in fault.text for fault in faults):
             bounds = [fault.text.split(" is not ", 1)[1] for fault in faults]
             value = faults[0].text.split(" is not ", 1)[0]
-            raise Bad(faults[0].place, path, f"{value} is not {' or '.join(dict.fromkeys(bounds))}")
+            raise OperatorFileError(
+                faults[0].place, path, f"{value} is not {' or '.join(dict.fromkeys(bounds))}"
+            )
         raise faults[0]
     place = other.place if not isinstance(other, Either) else one.place
     return parts[0][1] if len(parts) == 1 else Either(tuple(parts), place)
@@ -230,7 +237,9 @@
 
 def _row(one, other, path):
     if one.items is not None and other.items is not None and len(one.items) != len(other.items):
-        raise Bad(other.place, path, f"{len(other.items)} items where {len(one.items)} must stand")
+        raise OperatorFileError(
+            other.place, path, f"{len(other.items)} items where {len(one.items)} must stand"
+        )
     rules = [row.every for row in (one, other) if row.every is not None]
     items = one.items if other.items is None else other.items
     if items is not None:
@@ -262,7 +271,7 @@
                 continue
             rules = [rule for names, rule in mine.every if _fits(names, name)]
             if mine.closed or mine.every and not rules:
-                raise Bad(at, (*path, name), f"not a known name{nearest(name, mine.fields)}")
+                raise OperatorFileError(at, (*path, name), f"not a known name{nearest(name, mine.fields)}")
             held = value
             for rule in rules:
                 held = unify(rule, held, (*path, name)) if mine is one else unify(held, rule, (*path, name))
@@ -273,22 +282,25 @@
 def _fits(names, name):
     try:
         unify(names, Scalar(frozenset(("string",)), (), name, names.place), ())
-    except Bad:
+    except OperatorFileError:
         return False
     return True
 
 
 def concrete(value, path=()):
-    """Plain Python: numbers (durations in us), strings, dicts and lists; defaults taken. Raises Bad."""
+    """Plain Python: numbers (durations in us), strings, dicts and lists; defaults taken.
+
+    Raises OperatorFileError.
+    """
     if isinstance(value, Either):
         firsts = [part for first, part in value.parts if first]
         known = firsts or [part for _, part in value.parts]
         if len(known) > 1 and len({repr(_plain(part, path)) for part in known}) > 1:
-            raise Bad(value.place, path, "must be said: there is no default")
+            raise OperatorFileError(value.place, path, "must be said: there is no default")
         return concrete(known[0], path)
     if isinstance(value, Scalar):
         if value.value is ABSENT:
-            raise Bad(
+            raise OperatorFileError(
                 value.place,
                 path,
                 f"must be said: {kinds(value.types)}" + "".join(f" {words}" for _, _, words in value.bounds),
--- a/gullhold/rollout/record.py
+++ b/gullhold/rollout/record.py
@@ -7,7 +7,7 @@
 
 from gullhold.interface import Idempotency
 from gullhold.operator import text, values
-from gullhold.operator.text import Bad
+from gullhold.operator.text import OperatorFileError
 
 SCHEMA = "policy.cue"
 TEXT_MOST = 100_000  # characters of one policy: a value of the register
@@ -79,7 +79,7 @@
         told = values.concrete(
             values.unify(values.root(text.parse(schema, SCHEMA), closed=True), values.root(nodes), ())
         )
-    except Bad as fault:
+    except OperatorFileError as fault:
         raise Unfit(str(fault)) from None
     return Policy(**told["policy"])
 
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -8,7 +8,7 @@
 from queue import Empty
 
 from gullhold.decisions.gateway import Gateway
-from gullhold.net import client_connection, discovery, links, request_reader, statement_memory
+from gullhold.net import client_connection, event_stream, links, list_change, request_reader, statement_memory
 from gullhold.net import core as product
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import STILL_THERE, Ending, Malformed
@@ -197,7 +197,7 @@
         )
         self.reader = request_reader.RequestReader(agreement, None, self.core.retry_after_field)
         self.names = configuration.engine_ids
-        self.follow = discovery.Follow(configuration.last_event, FEED_MOST)
+        self.follow = event_stream.EventStream(configuration.last_event, FEED_MOST)
         self.core.begin(configuration.list_changes)
         self.wake()
 
@@ -211,7 +211,7 @@
         if self.alive:
             self.follow.buffer.put(data)
             for event in self.follow.events():
-                self.core.list_changed(*discovery.members(event, self.core.agreement, self.names))
+                self.core.list_changed(*list_change.parse_event(event, self.core.agreement, self.names))
 
     def end(self, link):
         """Our end of a wire for a link."""
--- a/gullhold/simulation/peers.py
+++ b/gullhold/simulation/peers.py
@@ -176,10 +176,10 @@
             if verb == b"mark":
                 fields[b"unique"] = txn * 2
             body = b"select %d from sales_%d.t" % (10 + int(world.chance() ** 3 * 400), self.seq % 5)
-            args = b"\x0d\0\1" + thrift._map(fields) + b"\x0b\0\2" + thrift._string(body)
+            args = b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
             self.open[self.seq] = txn
             world.checker.asked(world.clock.now, self, txn, verb, limit * 1000)
-            self.end.write(thrift._message(thrift.CALL, "execute", self.seq, args + b"\0"))
+            self.end.write(thrift.encode_message(thrift.CALL, "execute", self.seq, args + b"\0"))
         world.clock.after(int(self.gap_us * (0.2 + 1.6 * world.chance())), self.ask)
 
     def hears(self, _end, data):
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -7,7 +7,8 @@
 from gullhold.agreement import read_agreement
 from gullhold.net.configuration import Configuration
 from gullhold.net.connection_ends import Ending
-from gullhold.net.discovery import Names, members
+from gullhold.net.engine_ids import EngineIds
+from gullhold.net.list_change import parse_event
 from gullhold.simulation.checker import Checker
 from gullhold.simulation.clock import Clock
 from gullhold.simulation.endpoints import End, join
@@ -95,7 +96,7 @@
 
     def gateway(self, name):
         """A gateway starts, with the list as it is known now."""
-        names = Names()
+        names = EngineIds()
         first = event(
             self.index,
             *((engine.id, engine.address, self.phases[engine.id]) for engine in self.engines),
@@ -107,7 +108,7 @@
             Configuration(
                 agreement=self.agreement,
                 engine_ids=names,
-                list_changes=[members(first, self.agreement, names)],
+                list_changes=[parse_event(first, self.agreement, names)],
                 last_event=self.index,
                 seed=self.draw.getrandbits(32),
                 discovery_address=None,
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -20,7 +20,7 @@
         """One frame; its sequence number."""
         self.seq += 1
         seq = seq or self.seq
-        message = thrift._message(kind, method, seq, body + b"\0")
+        message = thrift.encode_message(kind, method, seq, body + b"\0")
         self.sock.sendall(message)
         return seq
 
@@ -38,7 +38,7 @@
         if verb == "mark":
             fields[b"unique"] = txn * 2
         fields |= {key.encode(): value for key, value in other.items()}
-        args = b"\x0d\0\1" + thrift._map(fields) + b"\x0b\0\2" + thrift._string(body)
+        args = b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
         return self.send("execute", args, seq=seq)
 
     def interrupt(self, seq):
--- a/gullhold/testing/crowd.py
+++ b/gullhold/testing/crowd.py
@@ -50,8 +50,8 @@
 
 def frame(seq, fields, body):
     """The bytes of one execute call; fields: bytes by bytes."""
-    args = b"\x0d\0\1" + thrift._map(fields) + b"\x0b\0\2" + thrift._string(body)
-    return thrift._message(thrift.CALL, "execute", seq, args + b"\0")
+    args = b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
+    return thrift.encode_message(thrift.CALL, "execute", seq, args + b"\0")
 
 
 class Client:
--- a/gullhold/testing/running.py
+++ b/gullhold/testing/running.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from gullhold.net import service
+from gullhold.net import health_check
 from gullhold.testing import LOOPBACK, PATIENCE_S
 from gullhold.testing.deployment import config
 from gullhold.testing.working import WorkingEngine
@@ -59,7 +59,7 @@
     """Whether a gateway says that it serves; None: nobody there, or one that takes connections and does not
     answer yet: on a busy machine it may take its time, and who waits for it has a limit of its own."""
     try:
-        return service.asked(address, 1.0)
+        return health_check.is_serving(address, 1.0)
     except TimeoutError:
         return None
 
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -16,7 +16,7 @@
 
 from serving import PATIENCE, ROOT, until
 
-from gullhold.net import resp, service
+from gullhold.net import health_check, resp
 from gullhold.net.connection_ends import Malformed
 from gullhold.testing import listening
 from gullhold.testing.client import Caller
@@ -233,7 +233,7 @@
     def serves(self):
         """Whether it answers check with good."""
         try:
-            return bool(service.asked(self.address, 1.0))
+            return bool(health_check.is_serving(self.address, 1.0))
         except (OSError, Malformed):
             return False
 
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from threading import Thread
 
-from gullhold.net import service
+from gullhold.net.assembly import build_parts
 from gullhold.net.configuration import load_configuration
 
 ROOT = Path(__file__).parent.parent
@@ -27,14 +27,17 @@
 class Gateway:
     """A gateway in this process."""
 
-    def __init__(self, tmp_path, told, held=()):
+    def __init__(self, tmp_path, told, held=(), door_record=None):
         path = tmp_path / "config.json"
         path.write_text(json.dumps(told))
-        self.core, runs = service.assemble(load_configuration(path))
-        self.listener, self.coordinator = runs["listener"].__self__, runs["coordinator"].__self__
+        parts = build_parts(load_configuration(path), door_record)
+        self.core = parts.core
+        self.listener = parts.listener
+        self.coordinator = parts.discovery_client
         self.address = self.listener.sock.getsockname()
         self.configuration = load_configuration(path)
-        self.parts = {**runs, "core": lambda: self.core.run(self.configuration.list_changes)}
+        self.parts = parts.background_threads()
+        self.parts["core"] = lambda: self.core.run(self.configuration.list_changes)
         self.go(*(name for name in self.parts if name not in held))
 
     def go(self, *names):
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -6,8 +6,8 @@
 import pytest
 from serving import Gateway, until
 
-from gullhold.net import service
-from gullhold.net.discovery import Names, members
+from gullhold.net.engine_ids import EngineIds
+from gullhold.net.list_change import parse_event
 from gullhold.operator import records
 from gullhold.testing import crowd
 from gullhold.testing.client import Caller
@@ -18,17 +18,15 @@
 
 
 @pytest.fixture
-def start(tmp_path, monkeypatch):
+def start(tmp_path):
     """Starts a gateway with a door over some engines; all of it ends with the test."""
     made, engines = [], []
-    real = service.assemble
 
     def make(*parts, more="", tenants=(), cores=2, **other):
         rule = records.read(DOOR + more, "test.cue").door
-        monkeypatch.setattr(service, "assemble", lambda configuration: real(configuration, rule))
         told = config(*parts, **other)
         agreed(told["settings"], tenants, cores)
-        made.append(Gateway(tmp_path, told))
+        made.append(Gateway(tmp_path, told, door_record=rule))
         engines.extend(parts)
         return made[-1], Caller(made[-1].address)
 
@@ -76,8 +74,10 @@
         client.ask(limit=4000, client=b"one", body=statement(30))
     until(lambda: engine.done >= 2)
     core = gateway.core
-    core.list_changed(*members(event(2, ("s-0", engine.address, "draining")), core.agreement, Names()))
-    core.list_changed(*members(event(3, ("s-9", later.address, "ready")), core.agreement, Names()))
+    core.list_changed(
+        *parse_event(event(2, ("s-0", engine.address, "draining")), core.agreement, EngineIds())
+    )
+    core.list_changed(*parse_event(event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds()))
     answers = [client.answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
     assert len(later.words(b"fetch")) >= 10 and engine.done + len(later.words(b"fetch")) == 20
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -367,7 +367,7 @@
         ('{of: "cold", tenant: "a"}', "has no tenant"),
         ('{of: "share"}, {of: "share"}', "two of the same"),
     ):
-        with pytest.raises(records.Bad, match=why):
+        with pytest.raises(records.OperatorFileError, match=why):
             records.read(f"fleet: budgets: [{text}]", "x.cue")
     for budget, why in (
         ({"of": '"further"', "whole": 5}, "states a window"),
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -237,9 +237,9 @@
 
 def service_good(fleet, name):
     """Whether a gateway says that it serves."""
-    from gullhold.net import service  # noqa: PLC0415
+    from gullhold.net import health_check  # noqa: PLC0415
 
-    return service.asked(fleet.members[name].address, 1.0)
+    return health_check.is_serving(fleet.members[name].address, 1.0)
 
 
 def test_one_that_refuses_last_drops_it_for_all_and_one_that_is_silent_as_the_operator_chose():
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -7,7 +7,7 @@
 
 from gullhold.__main__ import main
 from gullhold.operator import records, text, values
-from gullhold.operator.text import Bad
+from gullhold.operator.text import OperatorFileError
 
 
 def test_an_empty_file_is_all_defaults_and_records_are_frozen():
@@ -65,7 +65,7 @@
     ],
 )
 def test_a_bad_file_is_one_line_with_its_place_its_path_and_the_bound(written, want):
-    with pytest.raises(Bad) as fault:
+    with pytest.raises(OperatorFileError) as fault:
         records.read(written, "f.cue")
     assert want in str(fault.value) and "\n" not in str(fault.value) and str(fault.value).startswith("f.cue:")
 
@@ -80,7 +80,7 @@
 def settled(source):
     try:
         return values.concrete(source())
-    except Bad:
+    except OperatorFileError:
         return "nothing"
 
 
@@ -107,7 +107,7 @@
 def test_whatever_is_written_is_understood_or_refused_in_one_line(written):
     try:
         records.read(written, "f.cue")
-    except Bad as fault:
+    except OperatorFileError as fault:
         assert "\n" not in str(fault).replace("\\n", "")
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,8 +10,11 @@
 from gullhold.admission.client_identity import Whose
 from gullhold.agreement import parse_tree, read_agreement
 from gullhold.interface import NEVER_RAN, EngineState, Outcome
-from gullhold.net import buffer, discovery, request_reader, resp, statement, thrift
+from gullhold.net import buffer, request_reader, resp, statement, thrift
 from gullhold.net.connection_ends import Ending, Malformed, of_error, outcome
+from gullhold.net.engine_ids import EngineIds
+from gullhold.net.event_stream import EventStream
+from gullhold.net.list_change import parse_event
 from gullhold.operator import records
 from gullhold.testing import deployment
 from gullhold.testing.running import agreed
@@ -203,25 +206,23 @@
 
 
 def test_the_list_is_followed_in_order_repeats_are_passed_over():
-    machine = discovery.Follow(4, MOST)
+    machine = EventStream(4, MOST)
     data = b"4\n" + EVENT % (4, b"") + EVENT % (5, MEMBER) + b"5\n\n" + EVENT % (6, b"") + b"6\n"
-    assert [event["index"] for event in feed(machine, discovery.Follow.events, data, [])] == [5, 6]
+    assert [event["index"] for event in feed(machine, EventStream.events, data, [])] == [5, 6]
     agreement = read_agreement({"dcs": ["west", "east"], "kinds": ["std"]})
-    entries, addresses, whole = discovery.members(
-        json.loads(EVENT % (5, MEMBER)), agreement, discovery.Names()
-    )
+    entries, addresses, whole = parse_event(json.loads(EVENT % (5, MEMBER)), agreement, EngineIds())
     ident = entries[0][0]
     assert entries == [(ident, 1, 4.0, 0, EngineState.READY, 2, 9000)] and addresses == {
         ident: "127.1.0.9:5050"
     }
-    assert not whole and ident == discovery.Names().number("s-00c41f7a")
+    assert not whole and ident == EngineIds().id_for("s-00c41f7a")
 
 
 @pytest.mark.parametrize(
     "line", [b"{\n", b"[]\n", b'{"a":1}\n', b"6\n", EVENT % (6, b""), b'{"index":"x"}\n', b"\xff\n"]
 )
 def test_a_bad_line_or_a_gap_asks_for_the_stream_anew(line):
-    machine = discovery.Follow(4, MOST)
+    machine = EventStream(4, MOST)
     machine.buffer.put(line)
     with pytest.raises(Malformed):
         list(machine.events())
@@ -232,7 +233,7 @@
 )
 def test_a_member_of_another_form_is_malformed(member):
     with pytest.raises(Malformed):
-        discovery.members(json.loads(EVENT % (5, member)), read_agreement({}), discovery.Names())
+        parse_event(json.loads(EVENT % (5, member)), read_agreement({}), EngineIds())
 
 
 @pytest.mark.parametrize(
@@ -265,7 +266,7 @@
     ],
 )
 def test_the_group_is_that_of_the_schema_read_or_written(sql, group):
-    assert statement.group(sql)[0] == group
+    assert statement.table_group(sql).group == group
 
 
 AGREEMENT = read_agreement(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,11 +15,11 @@
 
 from gullhold.__main__ import main
 from gullhold.interface import Outcome
-from gullhold.net import client_connection, resp, service, thrift
+from gullhold.net import client_connection, listener, resp, service, thrift
 from gullhold.net.connection import Connection
 from gullhold.net.counters import Counters
 from gullhold.net.flusher import Flusher
-from gullhold.net.logsink import LINES, LogSink
+from gullhold.net.logsink import MAX_QUEUED_LINES, LogSink
 from gullhold.net.pipe import Pipe
 from gullhold.testing.client import Caller
 from gullhold.testing.coordinator import Feed
@@ -237,7 +237,7 @@
     assert [client.answer() for _ in asked] == [(seq, "fault") for seq in asked]
     seq = client.send("odd", b"")
     assert client.answer() == (seq, "exception")
-    seq = client.send("execute", b"\x0b\0\2" + thrift._string(b"x"))
+    seq = client.send("execute", b"\x0b\0\2" + thrift.encode_string(b"x"))
     assert client.answer() == (seq, "exception")
     seq = client.send("check", b"\x02\0\1\1")
     assert client.answer() == (seq, b"")
@@ -594,7 +594,7 @@
 
     stream, counters = Stuck(), Counters()
     sink = LogSink(stream, counters)
-    for i in range(LINES + 100):
+    for i in range(MAX_QUEUED_LINES + 100):
         sink.put(f"{i}\n")
     assert counters.counts["log lines dropped"] in (99, 100)
     stream.go.set()
@@ -706,7 +706,7 @@
         assert caller.answer() is None
     assert gateway.core.gateway.traffic < 1  # what was taken back at once counts for no share of the fleet
     monkeypatch.setattr(client_connection, "SAY_S", 60)
-    gateway.listener.clients_most = 10
+    gateway.listener.max_clients = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
     asks = Caller(gateway.address)
     seq = asks.send("check", b"\x02\0\1\1")
@@ -783,13 +783,13 @@
         assert client.answer() == (seq, b"a\tb\tc\n")
         feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.engines and not gateway.core.links)
-    assert not gateway.core.gateway.index and not gateway.coordinator.names.numbers
+    assert not gateway.core.gateway.index and not gateway.coordinator.engine_ids.ids_by_name
     gateway.end()
 
 
 def test_a_connection_that_came_just_now_makes_room_for_nobody(start, monkeypatch):
     gateway, client = start(Engine())
-    gateway.listener.clients_most = 8
+    gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
     time.sleep(client_connection.CROSS_S + 0.05)
@@ -819,7 +819,7 @@
 
     gateway, client = start(Engine())
     until(lambda: gateway.count("client connections") == 1)
-    monkeypatch.setattr(client_connection, "Thread", Inline)
+    monkeypatch.setattr(listener, "Thread", Inline)
     for _ in range(3):
         Caller(gateway.address).sock.close()
     until(lambda: gateway.count("client connections") == 4)
