--- a/gullhold/demo.py
+++ b/gullhold/demo.py
@@ -1,6 +1,10 @@
-"""`gullhold try`: stand-in engines, a gateway and three tenants' clients, without and with a door."""
+"""The command `try`: test engines, a gateway and three tenants' clients on loopback.
+
+It runs without and with an admission queue, and prints what each client got.
+"""
 
 import time
+from collections.abc import Iterable
 
 from rich.console import Console
 from rich.live import Live
@@ -9,90 +13,108 @@
 from gullhold.testing import crowd
 from gullhold.testing.running import DOOR, Running
 
-TENANTS = (("north", 1 / 3), ("south", 1 / 3), ("nightly", 1 / 3))  # nightly crowds
-TARGET_S = 0.5  # s: the latency target that the table counts by
-WORK_MS = 50.0  # of every command; eight slots do 160 of them a second
-CROWD = (80, 10)  # commands that the crowding client keeps open, and its connections
-REFRESH_S = 0.25
+CROWDED_TENANT = "nightly"
+TENANTS = (("north", 1 / 3), ("south", 1 / 3), (CROWDED_TENANT, 1 / 3))
+DESKS = (("north", "desk-1"), ("north", "desk-2"), ("south", "desk-3"), ("south", "desk-4"))
+TARGET_S = 0.5  # the latency objective that the table counts by
+WORK_MS = 50.0  # of each command; eight slots do 160 of them a second
+DESK_OPEN_COMMANDS = 2
+SMALL_JOB_OPEN_COMMANDS = 4
+BIG_JOB_OPEN_COMMANDS = 80
+BIG_JOB_CONNECTIONS = 10
+REFRESH_INTERVAL_S = 0.25
+COLUMNS = ("tenant", "client", "asked", "answered in target", "p95 ms", "shed", "came back", "and answered")
+TEXT_COLUMNS = ("tenant", "client")
 
 
-def clients(address, seed):
-    """Four desks with a few commands open, a small job beside the crowding one, and that one."""
-    made = [
-        crowd.Client(address, tenant, name, open=2, work_ms=WORK_MS, seed=seed)
-        for tenant, names in (("north", ("desk-1", "desk-2")), ("south", ("desk-3", "desk-4")))
-        for name in names
+def make_clients(address: tuple[str, int], seed: int) -> list[crowd.Client]:
+    """Make four desks with a few open commands, and two jobs in one tenant of which one crowds the other."""
+    desks = [
+        crowd.Client(address, tenant, name, open=DESK_OPEN_COMMANDS, work_ms=WORK_MS, seed=seed)
+        for tenant, name in DESKS
     ]
-    made.append(crowd.Client(address, "nightly", "small-job", open=4, work_ms=WORK_MS, seed=seed))
-    made.append(
-        crowd.Client(
-            address, "nightly", "big-job", open=CROWD[0], connections=CROWD[1], work_ms=WORK_MS, seed=seed
-        )
+    small_job = crowd.Client(
+        address, CROWDED_TENANT, "small-job", open=SMALL_JOB_OPEN_COMMANDS, work_ms=WORK_MS, seed=seed
     )
-    return made
+    big_job = crowd.Client(
+        address,
+        CROWDED_TENANT,
+        "big-job",
+        open=BIG_JOB_OPEN_COMMANDS,
+        connections=BIG_JOB_CONNECTIONS,
+        work_ms=WORK_MS,
+        seed=seed,
+    )
+    return [*desks, small_job, big_job]
 
 
-def in_target(client):
-    """Answers within the latency target."""
+def count_in_target(client: crowd.Client) -> int:
+    """Count the answers within the latency objective."""
     return sum(latency <= TARGET_S for latency in client.latencies)
 
 
-def table(title, made):
-    """A row a client."""
-    shown = Table(title=title)
-    for name in (
-        "tenant",
-        "client",
-        "asked",
-        "answered in target",
-        "p95 ms",
-        "shed",
-        "came back",
-        "and answered",
-    ):
-        shown.add_column(name, justify="left" if name in ("tenant", "client") else "right")
-    for client in made:
-        ordered = sorted(client.latencies)
-        p95 = f"{ordered[int(0.95 * (len(ordered) - 1))] * 1000:.0f}" if ordered else "-"
-        shown.add_row(
+def format_p95_ms(client: crowd.Client) -> str:
+    """Return the 95th percentile of the latencies in ms; "-" where there is none."""
+    latencies = sorted(client.latencies)
+    if not latencies:
+        return "-"
+    index = int(0.95 * (len(latencies) - 1))
+    return f"{latencies[index] * 1000:.0f}"
+
+
+def result_table(title: str, clients: Iterable[crowd.Client]) -> Table:
+    """Return a table with a row for each client."""
+    table = Table(title=title)
+    for name in COLUMNS:
+        table.add_column(name, justify="left" if name in TEXT_COLUMNS else "right")
+    for client in clients:
+        table.add_row(
             client.tenant,
             client.name,
             str(client.asked),
-            str(in_target(client)),
-            p95,
+            str(count_in_target(client)),
+            format_p95_ms(client),
             str(client.shed),
             str(client.came_back),
             str(client.back_answered),
         )
-    return shown
+    return table
 
 
-def play(title, operator, seconds, seed, console):
-    """One run; its clients, with their counts."""
+def run_once(title: str, operator: str, duration_s: float, seed: int, console: Console) -> list[crowd.Client]:
+    """Run the gateway under the text of an operator file; return the clients with their counts."""
     with Running(tenants=TENANTS, operator=operator, target_s=TARGET_S, seed=seed) as running:
-        made = [client.start() for client in clients(running.address, seed)]
-        end = time.monotonic() + seconds
-        with Live(console=console, refresh_per_second=1 / REFRESH_S, transient=True) as live:
-            while (left := end - time.monotonic()) > 0:
-                live.update(
-                    "   ".join(
-                        [f"{title}, {left:4.1f} s left:"]
-                        + [f"{client.name} {client.answered}/{client.asked}" for client in made]
-                    )
-                )
-                time.sleep(min(REFRESH_S, left))
-        for client in made:
+        clients = [client.start() for client in make_clients(running.address, seed)]
+        show_progress(title, clients, duration_s, console)
+        for client in clients:
             client.stop()
-        for client in made:
+        for client in clients:
             client.join()
-    console.print(table(title, made))
-    return made
+    console.print(result_table(title, clients))
+    return clients
+
+
+def show_progress(title: str, clients: list[crowd.Client], duration_s: float, console: Console) -> None:
+    """Show the clients' counts until the time is over."""
+    end_s = time.monotonic() + duration_s
+    with Live(console=console, refresh_per_second=1 / REFRESH_INTERVAL_S, transient=True) as live:
+        while (left_s := end_s - time.monotonic()) > 0:
+            counts = [f"{client.name} {client.answered}/{client.asked}" for client in clients]
+            live.update("   ".join([f"{title}, {left_s:4.1f} s left:", *counts]))
+            time.sleep(min(REFRESH_INTERVAL_S, left_s))
+
 
+def run(duration_s: float, admission_choices: Iterable[bool], seed: int) -> int:
+    """Run once for each choice, with an admission queue or without; return the exit status.
 
-def run(seconds, doors, seed):
-    """Play; exit status 1 where a client got no answer at all."""
-    console, good = Console(), True
-    for door in doors:
-        title = "with the door" if door else "without a door"
-        good &= all(client.answered for client in play(title, DOOR if door else "", seconds, seed, console))
-    return 0 if good else 1
+    The status is 1 where a client got no answer at all.
+    """
+    console = Console()
+    status = 0
+    for has_admission in admission_choices:
+        title = "with the door" if has_admission else "without a door"
+        operator = DOOR if has_admission else ""
+        clients = run_once(title, operator, duration_s, seed, console)
+        if not all(client.answered for client in clients):
+            status = 1
+    return status
--- a/gullhold/net/__init__.py
+++ b/gullhold/net/__init__.py
@@ -1,34 +1,36 @@
-"""The gateway on sockets: one module for each stage of a command. Nothing here decides."""
+"""The gateway on sockets: a module for each stage of a command. Decisions are made in gullhold.decisions."""
 
 import socket
 import struct
 from contextlib import suppress
 
-OPTION_TRIES = 8  # of one option of a socket; each is refused for a moment at most
+MAX_OPTION_ATTEMPTS = 8  # to set one option of a socket; a refusal lasts for a moment at most
+US_PER_S = 1_000_000
 
 
-def host_port(address):
-    """HOST:PORT as sockets want it."""
+def host_port(address: str) -> tuple[str, int]:
+    """Split HOST:PORT as sockets want it. Raises ValueError where the port is no number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def set_read_timeout(sock, wait_us):
-    """A read waits so long at most (0: for ever), then raises BlockingIOError; writes are as before.
+def set_read_timeout(sock: socket.socket, timeout_us: int) -> None:
+    """Let a read wait so long at most (0: for ever), then raise BlockingIOError; writes are not affected.
 
-    Tried several times: where the system refuses for a moment, a connection with requests on it would end.
+    Attempted several times: where the system refuses for a moment, a connection with open requests would end.
+    Raises OSError where it keeps refusing.
     """
-    option = struct.pack("ll", *divmod(wait_us, 1_000_000))
-    for left in reversed(range(OPTION_TRIES)):
+    seconds_and_us = struct.pack("ll", *divmod(timeout_us, US_PER_S))
+    for attempts_left in reversed(range(MAX_OPTION_ATTEMPTS)):
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, option)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds_and_us)
             return
         except OSError:
-            if not left:
+            if not attempts_left:
                 raise
 
 
-def set_no_delay(sock):
-    """Small writes go out at once. Where the system refuses they go out a little later: no reason to end."""
+def set_no_delay(sock: socket.socket) -> None:
+    """Send small writes at once. Where the system refuses, they go out a little later: no reason to fail."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
