--- a/gullhold/operator/__init__.py
+++ b/gullhold/operator/__init__.py
@@ -1,4 +1,5 @@
-"""The operator file: typed records, written as in CUE, unified with the schema that ships here.
+"""The operator file: typed records, written in a part of CUE and unified with the schema that ships here.
 
-text.py reads the words, values.py unifies, records.py holds what the program reads. Nothing here decides.
+parser reads the text into nodes, evaluation turns nodes into values, unification joins the file's values with
+the schema's, and records holds what the program reads.
 """
--- /dev/null
+++ b/gullhold/operator/evaluation.py
@@ -0,0 +1,199 @@
+"""Evaluation: from the syntax tree of a file to values, and from these to plain Python."""
+
+from typing import Any
+
+from gullhold.operator.errors import OperatorFileError
+from gullhold.operator.nodes import (
+    Alternatives,
+    Bound,
+    Conjunction,
+    Constant,
+    Field,
+    LabelKind,
+    ListNode,
+    Node,
+    OpenListNode,
+    RecordNode,
+    Reference,
+    ScalarType,
+)
+from gullhold.operator.unification import Path, unify
+from gullhold.operator.values import (
+    ABSENT,
+    NUMBER_TYPES,
+    TYPES_BY_NAME,
+    Choice,
+    Choices,
+    List,
+    NameRule,
+    Record,
+    RecordField,
+    Scalar,
+    Value,
+    ValueBound,
+    format_scalar,
+    format_types,
+    suggestion,
+)
+
+MAX_DEPTH = 64  # nested nodes: guards against a definition that contains itself
+EVERY_FIELD = "[]"  # in a path: the fields, or items, that a rule is for
+
+
+def evaluate_file(root: RecordNode, is_closed: bool = False) -> Record:
+    """Return the value of a file's top record. is_closed: no other names may be added.
+
+    Raises OperatorFileError.
+    """
+    return Scope(root).evaluate(root)._replace(is_closed=is_closed)
+
+
+class Scope:
+    """Evaluates nodes under the definitions of a file (names that begin with #)."""
+
+    def __init__(self, root: RecordNode) -> None:
+        self._definitions = {field.name: field.node for field in root.fields if field.is_definition()}
+
+    def evaluate(self, node: Node, path: Path = (), depth: int = 0) -> Value:
+        """Return what a node stands for. Raises OperatorFileError."""
+        if depth > MAX_DEPTH:
+            raise OperatorFileError(node.place, path, "definitions that hold themselves")
+        match node:
+            case Constant():
+                return Scalar(frozenset((node.type,)), (), node.value, node.place)
+            case Reference():
+                return self._evaluate_reference(node, path, depth)
+            case Bound():
+                return self._evaluate_bound(node, path, depth)
+            case Alternatives():
+                return self._evaluate_alternatives(node, path, depth)
+            case Conjunction():
+                return self._evaluate_conjunction(node, path, depth)
+            case RecordNode():
+                return self._evaluate_record(node, path, depth, is_closed=False)
+            case OpenListNode():
+                return List(None, self.evaluate(node.item, path, depth + 1), node.place)
+            case ListNode():
+                return self._evaluate_list(node, path, depth)
+
+    def _evaluate_reference(self, node: Reference, path: Path, depth: int) -> Value:
+        if node.name in TYPES_BY_NAME:
+            return Scalar(TYPES_BY_NAME[node.name], (), ABSENT, node.place)
+        if node.name not in self._definitions:
+            known_names = [*TYPES_BY_NAME, *self._definitions, "true", "false"]
+            text = f"{node.name} is not known{suggestion(node.name, known_names)}"
+            raise OperatorFileError(node.place, path, text)
+        definition = self._definitions[node.name]
+        if isinstance(definition, RecordNode):  # the records of definitions are closed
+            return self._evaluate_record(definition, path, depth + 1, is_closed=True)
+        return self.evaluate(definition, path, depth + 1)
+
+    def _evaluate_bound(self, node: Bound, path: Path, depth: int) -> Scalar:
+        limit = concretize(self.evaluate(node.operand, path, depth + 1), path)
+        limit_type = node.operand.type if isinstance(node.operand, Constant) else ScalarType.INT
+        bound = ValueBound(node.operator, limit, f"{node.operator}{format_scalar(limit_type, limit)}")
+        if node.operator == "!=":
+            types = None
+        elif limit_type in NUMBER_TYPES:
+            types = NUMBER_TYPES
+        else:
+            types = frozenset((limit_type,))
+        return Scalar(types, (bound,), ABSENT, node.place)
+
+    def _evaluate_alternatives(self, node: Alternatives, path: Path, depth: int) -> Choices:
+        choices = (
+            Choice(alternative.is_default, self.evaluate(alternative.node, path, depth + 1))
+            for alternative in node.alternatives
+        )
+        return Choices(tuple(choices), node.place)
+
+    def _evaluate_conjunction(self, node: Conjunction, path: Path, depth: int) -> Value:
+        first, *others = node.parts
+        value = self.evaluate(first, path, depth + 1)
+        for part in others:
+            value = unify(value, self.evaluate(part, path, depth + 1), path)
+        return value
+
+    def _evaluate_list(self, node: ListNode, path: Path, depth: int) -> List:
+        items = (self.evaluate(item, (*path, str(i)), depth + 1) for i, item in enumerate(node.items))
+        return List(tuple(items), None, node.place)
+
+    def _evaluate_record(self, node: RecordNode, path: Path, depth: int, is_closed: bool) -> Record:
+        fields: dict[str, RecordField] = {}
+        rules: list[NameRule] = []
+        for field in node.fields:
+            if field.is_definition():
+                continue
+            if field.label is LabelKind.EVERY:
+                rules.append(self._evaluate_rule(field, path, depth))
+                continue
+            inner_path = (*path, field.name)
+            value = self.evaluate(field.node, inner_path, depth + 1)
+            is_optional = field.is_optional
+            earlier = fields.get(field.name)
+            if earlier is not None:
+                value = unify(earlier.value, value, inner_path)
+                is_optional = is_optional and earlier.is_optional
+            fields[field.name] = RecordField(value, is_optional, field.place)
+        return Record(fields, tuple(rules), is_closed and not rules, node.place)
+
+    def _evaluate_rule(self, field: Field, path: Path, depth: int) -> NameRule:
+        inner_path = (*path, EVERY_FIELD)
+        value = self.evaluate(field.node, inner_path, depth + 1)
+        names = self.evaluate(field.name, inner_path, depth + 1)
+        return NameRule(names, value)
+
+
+def concretize(value: Value, path: Path = ()) -> Any:
+    """Return plain Python: numbers (durations in us), strings, dicts and lists; defaults are chosen.
+
+    Raises OperatorFileError for what is neither stated nor has a default.
+    """
+    match value:
+        case Choices():
+            return _concretize_choices(value, path)
+        case Scalar():
+            return _concretize_scalar(value, path)
+        case List():
+            return [concretize(item, (*path, str(i))) for i, item in enumerate(value.items or ())]
+        case Record():
+            return {
+                name: concretize(field.value, (*path, name))
+                for name, field in value.fields.items()
+                if not (field.is_optional and _is_unstated(field.value))
+            }
+
+
+def _concretize_choices(value: Choices, path: Path) -> Any:
+    defaults = [choice.value for choice in value.choices if choice.is_default]
+    candidates = defaults or [choice.value for choice in value.choices]
+    if len(candidates) > 1 and _differ(candidates, path):
+        raise OperatorFileError(value.place, path, "must be said: there is no default")
+    return concretize(candidates[0], path)
+
+
+def _differ(candidates: list[Value], path: Path) -> bool:
+    """Whether candidates for a value are not all the same."""
+    forms = {repr(value if _is_unstated(value) else concretize(value, path)) for value in candidates}
+    return len(forms) > 1
+
+
+def _concretize_scalar(value: Scalar, path: Path) -> Any:
+    if value.value is ABSENT:
+        bounds = "".join(f" {bound.text}" for bound in value.bounds)
+        raise OperatorFileError(value.place, path, f"must be said: {format_types(value.types)}{bounds}")
+    return value.value
+
+
+def _is_unstated(value: Value) -> bool:
+    """Whether a field that may be omitted was omitted."""
+    match value:
+        case Scalar():
+            return value.value is ABSENT
+        case Choices():
+            has_default = any(choice.is_default for choice in value.choices)
+            return not has_default and all(_is_unstated(choice.value) for choice in value.choices)
+        case List():
+            return value.items is None
+        case Record():
+            return any(_is_unstated(field.value) for field in value.fields.values() if not field.is_optional)
--- /dev/null
+++ b/gullhold/operator/parser.py
@@ -0,0 +1,176 @@
+"""Parses the text of an operator file, written in a part of CUE (grammar.lark), into a syntax tree."""
+
+import json
+import re
+from collections.abc import Iterator
+from functools import cache
+from importlib.resources import files
+from typing import TYPE_CHECKING
+
+from gullhold.operator.errors import OperatorFileError, Place
+from gullhold.operator.nodes import (
+    Alternative,
+    Alternatives,
+    Bound,
+    Conjunction,
+    Constant,
+    Field,
+    LabelKind,
+    ListNode,
+    Node,
+    OpenListNode,
+    RecordNode,
+    Reference,
+    ScalarType,
+)
+
+if TYPE_CHECKING:  # heavy: only those who name an operator file need it
+    from lark import Lark, Tree
+    from lark.exceptions import UnexpectedInput
+
+DURATION_UNITS_US = {
+    "ns": 1e-3,
+    "us": 1,
+    "ms": 1000,
+    "s": 1_000_000,
+    "min": 60_000_000,
+    "h": 3_600_000_000,
+}
+MULTIPLIERS = {"K": 10**3, "M": 10**6, "G": 10**9, "Ki": 2**10, "Mi": 2**20, "Gi": 2**30}
+UNIT_PATTERN = re.compile(r"[A-Za-z]+\Z")
+INT_PATTERN = re.compile(r"[-+]?[0-9]+")
+EXPONENT_SIGNS = ("e", "E")
+END_OF_FILE = "$END"  # lark's token
+
+
+def parse(source: str, file_name: str) -> RecordNode:
+    """Parse the text of a file into the record that it is. Raises OperatorFileError."""
+    from lark.exceptions import UnexpectedInput  # noqa: PLC0415
+
+    try:
+        tree = _lark_parser().parse(source)
+    except UnexpectedInput as error:
+        raise _syntax_error(error, source, file_name) from None
+    return RecordNode(tuple(_parse_fields(tree, file_name)), Place(file_name, 1, 1))
+
+
+@cache
+def _lark_parser() -> "Lark":
+    from lark import Lark  # noqa: PLC0415
+
+    grammar = files("gullhold.operator").joinpath("grammar.lark").read_text("utf-8")
+    return Lark(grammar, parser="lalr", propagate_positions=True, maybe_placeholders=False)
+
+
+def _syntax_error(error: "UnexpectedInput", source: str, file_name: str) -> OperatorFileError:
+    from lark.exceptions import UnexpectedCharacters, UnexpectedToken  # noqa: PLC0415
+
+    if error.line and error.line > 0:
+        place = Place(file_name, error.line, error.column)
+    else:  # at the end of the file
+        place = Place(file_name, source.count("\n") + 1, len(source) - source.rfind("\n"))
+    unexpected = "the end of the file"
+    if isinstance(error, UnexpectedCharacters):
+        unexpected = repr(source[error.pos_in_stream])
+    elif isinstance(error, UnexpectedToken) and error.token.type != END_OF_FILE:
+        unexpected = repr(str(error.token)) if error.token.strip() else "the end of the line"
+    return OperatorFileError(place, (), f"{unexpected} can't stand here")
+
+
+def _place(tree: "Tree", file_name: str) -> Place:
+    return Place(file_name, getattr(tree.meta, "line", 1), getattr(tree.meta, "column", 1))
+
+
+def _subtrees(tree: "Tree") -> list["Tree"]:
+    """Return a tree's children without its tokens."""
+    return [child for child in tree.children if hasattr(child, "data")]
+
+
+def _parse_fields(tree: "Tree", file_name: str) -> Iterator[Field]:
+    for child in _subtrees(tree):
+        if child.data == "field":
+            yield _parse_field(child, file_name)
+
+
+def _parse_field(tree: "Tree", file_name: str) -> Field:
+    label_tree, value_tree = tree.children
+    label = LabelKind(label_tree.data)
+    place = _place(label_tree, file_name)
+    is_optional = len(label_tree.children) > 1
+    match label:
+        case LabelKind.EVERY:
+            name = _parse_node(label_tree.children[0], file_name)
+            is_optional = False
+        case LabelKind.QUOTED:
+            name = _parse_string(str(label_tree.children[0]), place)
+        case LabelKind.NAMED:
+            name = str(label_tree.children[0])
+    if value_tree.data == "field":  # a: b: c is a: {b: c}
+        node = RecordNode((_parse_field(value_tree, file_name),), _place(value_tree, file_name))
+    else:
+        node = _parse_node(value_tree, file_name)
+    return Field(label, name, is_optional, node, place)
+
+
+def _parse_node(tree: "Tree", file_name: str) -> Node:  # noqa: C901  one short case for each rule of the grammar
+    place = _place(tree, file_name)
+    subtrees = _subtrees(tree)
+    is_single = len(subtrees) == 1
+    match tree.data:
+        case "either" | "both" if is_single and subtrees[0].data != "preferred":
+            return _parse_node(subtrees[0], file_name)
+        case "either":
+            return Alternatives(tuple(_parse_alternative(part, file_name) for part in subtrees), place)
+        case "both":
+            return Conjunction(tuple(_parse_node(part, file_name) for part in subtrees), place)
+        case "number":
+            return _parse_number(str(tree.children[0]), place)
+        case "string":
+            return Constant(ScalarType.STRING, _parse_string(str(tree.children[0]), place), place)
+        case "name":
+            return _parse_name(str(tree.children[0]), place)
+        case "bound":
+            return Bound(str(tree.children[0]), _parse_node(subtrees[-1], file_name), place)
+        case "record":
+            return RecordNode(tuple(_parse_fields(tree, file_name)), place)
+        case "rest":
+            return OpenListNode(_parse_node(subtrees[0], file_name), place)
+        case "list":
+            return ListNode(tuple(_parse_node(part, file_name) for part in subtrees), place)
+        case _:
+            raise AssertionError(f"the grammar has no rule {tree.data}")
+
+
+def _parse_alternative(tree: "Tree", file_name: str) -> Alternative:
+    is_default = tree.data == "preferred"
+    return Alternative(is_default, _parse_node(tree.children[0] if is_default else tree, file_name))
+
+
+def _parse_name(name: str, place: Place) -> Constant | Reference:
+    if name in ("true", "false"):
+        return Constant(ScalarType.BOOL, name == "true", place)
+    return Reference(name, place)
+
+
+def _parse_string(text: str, place: Place) -> str:
+    try:
+        return json.loads(text)
+    except ValueError:
+        raise OperatorFileError(place, (), f"{text} is no string") from None
+
+
+def _parse_number(text: str, place: Place) -> Constant:
+    """Parse an int, a float, an int with a multiplier or a duration."""
+    unit_match = UNIT_PATTERN.search(text)
+    if unit_match is None or unit_match.group() in EXPONENT_SIGNS:
+        if INT_PATTERN.fullmatch(text):
+            return Constant(ScalarType.INT, int(text), place)
+        return Constant(ScalarType.FLOAT, float(text), place)
+    unit = unit_match.group()
+    amount = float(text[: unit_match.start()])
+    if unit in DURATION_UNITS_US:
+        return Constant(ScalarType.DURATION, round(amount * DURATION_UNITS_US[unit]), place)
+    value = amount * MULTIPLIERS[unit]
+    if value % 1:
+        raise OperatorFileError(place, (), f"{text} is no whole number")
+    return Constant(ScalarType.INT, round(value), place)
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -1,39 +1,55 @@
-"""What the program reads of an operator file: frozen records, checked once."""
+"""The records of an operator file: frozen, validated once, with the names that the file uses."""
 
+from collections.abc import Iterator, Sequence
 from importlib.resources import files
+from typing import Self
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from gullhold.operator import text, values
-from gullhold.operator.text import OperatorFileError, Place
+from gullhold.operator.errors import OperatorFileError, Place
+from gullhold.operator.evaluation import concretize, evaluate_file
+from gullhold.operator.nodes import ListNode, Node, RecordNode
+from gullhold.operator.parser import parse
+from gullhold.operator.unification import unify
+from gullhold.operator.values import Record
 
 SCHEMA = "schema.cue"
+US_PER_S = 1_000_000
+VALIDATOR_PREFIX = "Value error, "  # pydantic puts it before the text of a ValueError
 
+# Kinds of budgets, by the file's names (BudgetRecord.of).
+BUDGETS_OF_TENANTS = ("open", "taken")
+BUDGETS_SPENT = ("taken", "lists")
+BUDGETS_HELD = ("threads", "memory", "open", "share")
 
-class Told(BaseModel):
-    """A record of the operator's: frozen, with no names but its own. Durations are whole us."""
+
+class OperatorRecord(BaseModel):
+    """Base of all records: frozen, without other names. Durations are whole microseconds.
+
+    The fields are named as in the file; schema.cue states their units, bounds and defaults.
+    """
 
     model_config = ConfigDict(frozen=True, extra="forbid", strict=True)
 
 
-class Network(Told):
-    """One network and who its addresses are."""
+class Network(OperatorRecord):
+    """A network of clients, and the name of the client that its addresses belong to."""
 
     net: str
     name: str
     each: str
 
 
-class ClientRule(Told):
-    """Whose command it is inside a tenant."""
+class ClientRule(OperatorRecord):
+    """How clients are told apart inside a tenant."""
 
     field: str
     networks: tuple[Network, ...] = Field(default=(), strict=False)
     otherwise: str
 
 
-class ComeBack(Told):
-    """What those who are turned away are told."""
+class ComeBack(OperatorRecord):
+    """The Retry-After times that clients get whose commands are rejected."""
 
     field: str
     least: int
@@ -45,14 +61,14 @@
     all: int
 
     @model_validator(mode="after")
-    def _order(self):
+    def _check_bounds(self) -> Self:
         if self.least > self.most:
             raise ValueError("least is over most")
         return self
 
 
-class DoorRecord(Told):
-    """The door."""
+class DoorRecord(OperatorRecord):
+    """The admission queue."""
 
     on: bool
     window: int
@@ -70,29 +86,29 @@
     come_back: ComeBack
 
     @model_validator(mode="after")
-    def _open(self):
+    def _check_tenant_of_others(self) -> Self:
         if self.tenants == "open" and not self.others:
             raise ValueError('tenants: "open" needs others: the tenant in whose part they share')
         return self
 
 
-class Drift(Told):
-    """How far clocks may be off."""
+class Drift(OperatorRecord):
+    """How far the clocks of members may be apart."""
 
     rate: float
     margin: int
     skew: int
 
 
-class Pauses(Told):
-    """Between tries."""
+class Pauses(OperatorRecord):
+    """The shortest and the longest wait between retries."""
 
     least: int
     most: int
 
 
-class Duties(Told):
-    """How duties are spread over members."""
+class Duties(OperatorRecord):
+    """How roles are distributed over members."""
 
     moves: int
     settle: int
@@ -102,8 +118,8 @@
     beat: int
 
 
-class Scheduled(Told):
-    """A command that is sent on behalf of the fleet."""
+class Scheduled(OperatorRecord):
+    """A scheduled command of the fleet."""
 
     name: str
     at: str
@@ -119,7 +135,7 @@
     overlap: str
 
 
-class BudgetRecord(Told):
+class BudgetRecord(OperatorRecord):
     """A budget of the fleet, or one for each engine or tenant."""
 
     of: str
@@ -133,24 +149,28 @@
     grain: int
 
     @model_validator(mode="after")
-    def _sums(self):
+    def _check_reserve(self) -> Self:
         if self.alone and not self.members:
             raise ValueError("alone needs members: for how many gateways it is kept back")
         if self.alone * self.members > self.whole:
             raise ValueError(f"alone for {self.members} members is over the whole of {self.whole}")
-        if self.tenant and self.of not in ("open", "taken"):
+        return self
+
+    @model_validator(mode="after")
+    def _check_kind(self) -> Self:
+        if self.tenant and self.of not in BUDGETS_OF_TENANTS:
             raise ValueError(f"a budget of {self.of} has no tenant")
-        if self.of in ("taken", "lists") and not self.window:
+        if self.of in BUDGETS_SPENT and not self.window:
             raise ValueError(f"a budget of {self.of} needs a window")
         if self.of == "lists" and not self.alone:
             raise ValueError("a budget of lists needs alone: it must hear of engines then too")
-        if self.window and self.of in ("threads", "memory", "open", "share"):
+        if self.window and self.of in BUDGETS_HELD:
             raise ValueError(f"a budget of {self.of} has no window")
         return self
 
 
-class PolicyRecord(Told):
-    """Changes of policy."""
+class PolicyRecord(OperatorRecord):
+    """Rollouts of policy changes."""
 
     on: bool
     cut: str
@@ -158,7 +178,7 @@
     spare: int
 
 
-class FleetRecord(Told):
+class FleetRecord(OperatorRecord):
     """Work on behalf of several gateways."""
 
     on: bool
@@ -175,93 +195,111 @@
     events: str
 
     @model_validator(mode="after")
-    def _usable(self):
+    def _check_lease(self) -> Self:
         if self.on and not self.register_:
             raise ValueError("fleet.on needs fleet.register: HOST:PORT")
-        if self.lease % 1_000_000:
+        if self.lease % US_PER_S:
             raise ValueError("fleet.lease is in whole seconds")
         if self.lease * (1 - self.drift.rate) - self.drift.margin < self.lease / 2:
             raise ValueError("fleet.drift leaves less than half of fleet.lease")
         if self.duties.pauses.least > self.duties.pauses.most:
             raise ValueError("fleet.duties.pauses: least is over most")
-        names = [item.name for item in self.schedule]
+        return self
+
+    @model_validator(mode="after")
+    def _check_names(self) -> Self:
+        names = [command.name for command in self.schedule]
         if len(set(names)) < len(names):
             raise ValueError("fleet.schedule: two commands of one name")
-        budgets = [(item.of, item.tenant) for item in self.budgets]
+        budgets = [(budget.of, budget.tenant) for budget in self.budgets]
         if len(set(budgets)) < len(budgets):
             raise ValueError("fleet.budgets: two of the same")
         return self
 
 
-class OperatorFile(Told):
-    """All that an operator file says."""
+class OperatorFile(OperatorRecord):
+    """A whole operator file."""
 
     door: DoorRecord
     fleet: FleetRecord
 
 
-def schema():
-    """The schema's value, evaluated anew."""
-    source = files("gullhold.operator").joinpath(SCHEMA).read_text("utf-8")
-    return values.root(text.parse(source, SCHEMA), closed=True)
+def load(path: str | None) -> OperatorFile:
+    """Return the operator file at a path; None: all defaults. Raises OperatorFileError, or OSError."""
+    if path is None:
+        return read("", "no file")
+    with open(path, encoding="utf-8") as file:
+        try:
+            return read(file.read(), str(path))
+        except UnicodeDecodeError as error:
+            raise OperatorFileError(Place(str(path), 1, 1), (), f"not text: {error.reason}") from None
 
 
-def read(source, file):
-    """The OperatorFile that this text says, defaults filled in. Raises OperatorFileError."""
-    nodes = text.parse(source, file)
+def read(source: str, file_name: str) -> OperatorFile:
+    """Return the operator file of this text, with its defaults. Raises OperatorFileError."""
+    root = parse(source, file_name)
     try:
-        told = values.concrete(values.unify(schema(), values.root(nodes), ()))
-    except OperatorFileError as fault:
-        if fault.place.file != SCHEMA:
+        content = concretize(unify(_schema(), evaluate_file(root), ()))
+    except OperatorFileError as error:
+        if error.place.file != SCHEMA:
             raise
-        raise OperatorFileError(
-            _place(nodes, fault.path, file), fault.path, fault.text
-        ) from None  # what is not there
+        # What is missing has no place in the file: that of the nearest record is named instead.
+        place = _nearest_place(root, error.path, file_name)
+        raise OperatorFileError(place, error.path, error.text) from None
     try:
-        return OperatorFile.model_validate(told)
-    except ValidationError as fault:
-        first = fault.errors()[0]
-        path = tuple(str(step) for step in first["loc"])
-        raise OperatorFileError(
-            _place(nodes, path, file), path, first["msg"].removeprefix("Value error, ")
-        ) from None
+        return OperatorFile.model_validate(content)
+    except ValidationError as error:
+        raise _validation_error(error, root, file_name) from None
 
 
-def load(path):
-    """The OperatorFile at a path; None: all defaults. Raises OperatorFileError, or OSError."""
-    if path is None:
-        return read("", "no file")
-    with open(path, encoding="utf-8") as source:
-        try:
-            return read(source.read(), str(path))
-        except UnicodeDecodeError as fault:
-            raise OperatorFileError(Place(str(path), 1, 1), (), f"not text: {fault.reason}") from None
+def _schema() -> Record:
+    """Return the schema's value."""
+    source = files("gullhold.operator").joinpath(SCHEMA).read_text("utf-8")
+    return evaluate_file(parse(source, SCHEMA), is_closed=True)
+
+
+def _validation_error(error: ValidationError, root: RecordNode, file_name: str) -> OperatorFileError:
+    """Return the first fault that pydantic found, with its place in the file."""
+    first = error.errors()[0]
+    path = tuple(str(step) for step in first["loc"])
+    text = first["msg"].removeprefix(VALIDATOR_PREFIX)
+    return OperatorFileError(_nearest_place(root, path, file_name), path, text)
 
 
-def _place(nodes, path, file):
-    """Where the file says most of this path; its first line where it says nothing."""
-    place = Place(file, 1, 1)
+def _nearest_place(root: RecordNode, path: Sequence[str], file_name: str) -> Place:
+    """Return where the file states most of this path; its first line where it states nothing."""
+    node: Node = root
+    place = Place(file_name, 1, 1)
     for step in path:
-        found = []
-        if nodes.kind == "record":
-            found = [(node, at) for _, name, _, node, at in nodes.facts if name == step]
-        elif nodes.kind == "list" and step.isdigit() and int(step) < len(nodes.facts):
-            found = [(nodes.facts[int(step)], nodes.facts[int(step)].place)]
-        if not found:
+        found = _step_into(node, step)
+        if found is None:
             break
-        nodes, place = found[-1]
+        node, place = found
     return place
 
 
-def lines(told, path=""):
-    """What was understood, a line a setting."""
-    for name, value in told:
-        inner = f"{path}{type(told).model_fields[name].alias or name}"
+def _step_into(node: Node, step: str) -> tuple[Node, Place] | None:
+    """Return the field, or the item, of a node and its place."""
+    match node:
+        case RecordNode():
+            fields = [field for field in node.fields if field.name == step]
+            return (fields[-1].node, fields[-1].place) if fields else None
+        case ListNode() if step.isdigit() and int(step) < len(node.items):
+            item = node.items[int(step)]
+            return item, item.place
+        case _:
+            return None
+
+
+def lines(record: OperatorRecord, path: str = "") -> Iterator[str]:
+    """Iterate over the lines that show a record, one for each setting."""
+    for name, value in record:
+        inner_path = f"{path}{type(record).model_fields[name].alias or name}"
         if isinstance(value, BaseModel):
-            yield from lines(value, f"{inner}.")
+            yield from lines(value, f"{inner_path}.")
         elif isinstance(value, tuple):
-            yield f"{inner}: {len(value)}"
+            yield f"{inner_path}: {len(value)}"
             for i, item in enumerate(value):
-                yield from lines(item, f"{inner}.{i}.")
+                yield from lines(item, f"{inner_path}.{i}.")
         else:
-            yield f"{inner}: {value!r}"
+            yield f"{inner_path}: {value!r}"
--- a/gullhold/rollout/record.py
+++ b/gullhold/rollout/record.py
@@ -6,8 +6,10 @@
 from typing import NamedTuple
 
 from gullhold.interface import Idempotency
-from gullhold.operator import text, values
-from gullhold.operator.text import OperatorFileError
+from gullhold.operator.errors import OperatorFileError
+from gullhold.operator.evaluation import concretize, evaluate_file
+from gullhold.operator.parser import parse
+from gullhold.operator.unification import unify
 
 SCHEMA = "policy.cue"
 TEXT_MOST = 100_000  # characters of one policy: a value of the register
@@ -75,9 +77,9 @@
         raise Unfit(f"{file}: over {TEXT_MOST} characters")
     schema = files("gullhold.rollout").joinpath(SCHEMA).read_text("utf-8")
     try:
-        nodes = text.parse(source, file)
-        told = values.concrete(
-            values.unify(values.root(text.parse(schema, SCHEMA), closed=True), values.root(nodes), ())
+        nodes = parse(source, file)
+        told = concretize(
+            unify(evaluate_file(parse(schema, SCHEMA), is_closed=True), evaluate_file(nodes), ())
         )
     except OperatorFileError as fault:
         raise Unfit(str(fault)) from None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -391,7 +391,7 @@
             "two commands of one name",
         ),
     ):
-        with pytest.raises(records.Bad, match=why):
+        with pytest.raises(records.OperatorFileError, match=why):
             records.read(text, "x.cue")
     read = records.read('fleet: schedule: [{name: "a", at: "0 6 * * *", profile: "p", statement: "s"}]', "x")
     assert not read.fleet.on and read.fleet.schedule[0].window == 60_000_000 and read.fleet.lease == 5_000_000
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -6,8 +6,11 @@
 from pydantic import ValidationError
 
 from gullhold.__main__ import main
-from gullhold.operator import records, text, values
-from gullhold.operator.text import OperatorFileError
+from gullhold.operator import records
+from gullhold.operator.errors import OperatorFileError
+from gullhold.operator.evaluation import concretize, evaluate_file
+from gullhold.operator.parser import parse
+from gullhold.operator.unification import unify
 
 
 def test_an_empty_file_is_all_defaults_and_records_are_frozen():
@@ -71,7 +74,7 @@
 
 
 def value(source):
-    return values.root(text.parse("x: " + source, "t")).fields["x"][0]
+    return evaluate_file(parse("x: " + source, "t")).fields["x"].value
 
 
 TERMS = ["int", ">=1", "<10", "5", "9", "*3 | int", "*2 | 5 | 9", "number", "!=9", '"a" | 5', "string"]
@@ -79,7 +82,7 @@
 
 def settled(source):
     try:
-        return values.concrete(source())
+        return concretize(source())
     except OperatorFileError:
         return "nothing"
 
@@ -90,16 +93,14 @@
     def joined(order):
         found = value(order[0])
         for term in order[1:]:
-            found = values.unify(found, value(term), ())
+            found = unify(found, value(term), ())
         return found
 
     one = settled(lambda: joined(terms))
     assert settled(lambda: joined(terms[::-1])) == one
     assert settled(lambda: joined([*terms, terms[0]])) == one
     if isinstance(one, int) and not any("|" in term for term in terms):
-        assert all(
-            settled(lambda t=term: values.unify(value(t), value(str(one)), ())) == one for term in terms
-        )
+        assert all(settled(lambda t=term: unify(value(t), value(str(one)), ())) == one for term in terms)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
