--- /dev/null
+++ b/tests/test_event_stream.py
@@ -0,0 +1,52 @@
+"""The discovery service's stream and its events."""
+
+import json
+
+import pytest
+from byte_streams import MOST, feed
+
+from gullhold.agreement import read_agreement
+from gullhold.interface import EngineState
+from gullhold.net.connection_ends import Malformed
+from gullhold.net.engine_ids import EngineIds
+from gullhold.net.event_stream import EventStream
+from gullhold.net.list_change import parse_event
+
+EVENT = b'{"index":%d,"endpoints":{"revision":7,"complete":false,"members":[%s]}}\n'
+
+
+MEMBER = (
+    b'{"id":"s-00c41f7a","host_port":"127.1.0.9:5050","locality":"east","flavor":"std","cell":2,'
+    b'"phase":"ready","size":4,"up_since_ms":9}'
+)
+
+
+def test_the_list_is_followed_in_order_repeats_are_passed_over():
+    machine = EventStream(4, MOST)
+    data = b"4\n" + EVENT % (4, b"") + EVENT % (5, MEMBER) + b"5\n\n" + EVENT % (6, b"") + b"6\n"
+    assert [event["index"] for event in feed(machine, EventStream.events, data, [])] == [5, 6]
+    agreement = read_agreement({"dcs": ["west", "east"], "kinds": ["std"]})
+    entries, addresses, whole = parse_event(json.loads(EVENT % (5, MEMBER)), agreement, EngineIds())
+    ident = entries[0][0]
+    assert entries == [(ident, 1, 4.0, 0, EngineState.READY, 2, 9000)] and addresses == {
+        ident: "127.1.0.9:5050"
+    }
+    assert not whole and ident == EngineIds().id_for("s-00c41f7a")
+
+
+@pytest.mark.parametrize(
+    "line", [b"{\n", b"[]\n", b'{"a":1}\n', b"6\n", EVENT % (6, b""), b'{"index":"x"}\n', b"\xff\n"]
+)
+def test_a_bad_line_or_a_gap_asks_for_the_stream_anew(line):
+    machine = EventStream(4, MOST)
+    machine.buffer.put(line)
+    with pytest.raises(Malformed):
+        list(machine.events())
+
+
+@pytest.mark.parametrize(
+    "member", [b'{"id":"x"}', b'{"id":"x","phase":"odd"}', b"7", MEMBER.replace(b'"size":4', b'"size":"q"')]
+)
+def test_a_member_of_another_form_is_malformed(member):
+    with pytest.raises(Malformed):
+        parse_event(json.loads(EVENT % (5, member)), read_agreement({}), EngineIds())
--- /dev/null
+++ b/tests/test_logsink.py
@@ -0,0 +1,31 @@
+"""The log's bounded queue."""
+
+from threading import Event
+
+from serving import PATIENCE, until
+
+from gullhold.net.counters import Counters
+from gullhold.net.logsink import MAX_QUEUED_LINES, LogSink
+
+
+def test_a_log_sink_drops_what_finds_no_room_and_counts_it():
+    class Stuck:
+        def __init__(self):
+            self.go, self.text = Event(), ""
+
+        def write(self, text):
+            self.go.wait(PATIENCE)
+            self.text += text
+
+        def flush(self):
+            pass
+
+    stream, counters = Stuck(), Counters()
+    sink = LogSink(stream, counters)
+    for i in range(MAX_QUEUED_LINES + 100):
+        sink.put(f"{i}\n")
+    assert counters.counts["log lines dropped"] in (99, 100)
+    stream.go.set()
+    until(sink.lines.empty)
+    sink.finish(PATIENCE)
+    assert stream.text.startswith("0\n1\n2\n") and not sink.thread.is_alive()
--- /dev/null
+++ b/tests/test_request_reader.py
@@ -0,0 +1,87 @@
+"""Requests of clients: read in the decision module's units, or rejected."""
+
+import pytest
+
+from gullhold.admission.client_identity import Whose
+from gullhold.agreement import read_agreement
+from gullhold.net import request_reader
+from gullhold.operator import records
+from gullhold.testing import deployment
+from gullhold.testing.running import agreed
+
+AGREEMENT = read_agreement(
+    {
+        "categories": [{"name": "lookup"}, {"name": "load", "serial_by_key": True, "idempotency": "token"}],
+        "tenants": [{"name": "acme", "fraction": 1.0}],
+    }
+)
+
+
+ASKED = {
+    b"verb": b"lookup",
+    b"txn": b"9b1f03aa5c7e2d41",
+    b"limit": b"1500",
+    b"team": b"acme",
+    b"cpu": b"820.5",
+    b"memory": b"96",
+}
+
+
+def test_a_request_is_read_in_the_modules_units():
+    reader = request_reader.RequestReader(AGREEMENT)
+    got = reader.request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
+    assert (got.limit_us, got.work_us, got.need_mb, got.group, got.repeat) == (
+        1_500_000,
+        820_500,
+        96.0,
+        17,
+        True,
+    )
+    assert got.key == 0 and got.unique == b"" and got.profile == got.tenant == 0
+    one, other = (
+        reader.request({**ASKED, b"verb": b"load", b"unique": b"5c"}, b"insert into a_1.%s" % t)
+        for t in (b"x", b"y")
+    )
+    assert one.key and other.key and one.key != other.key
+    bare = reader.request({k: v for k, v in ASKED.items() if k not in (b"cpu", b"memory")}, b"")
+    assert bare.work_us == bare.need_mb == bare.group == 0
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        {b"verb": b"load"},
+        {b"unique": b"a,b"},
+        {b"unique": b"a=b"},
+        {b"verb": b"odd"},
+        {b"team": b"odd"},
+        {b"txn": b"9b1f"},
+        {b"txn": b"zb1f03aa5c7e2d41"},
+        {b"limit": b"x"},
+        {b"limit": b"nan"},
+        {b"limit": b"inf"},
+        {b"cpu": b"-1"},
+        {b"memory": b"1e999"},
+        {b"limit": None},
+    ],
+)
+def test_a_request_that_cannot_be_used_is_refused(change):
+    fields = {k: v for k, v in {**ASKED, **change}.items() if v is not None}
+    with pytest.raises(request_reader.RequestError):
+        request_reader.RequestReader(AGREEMENT).request(fields, b"select 1")
+
+
+def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
+    whose = Whose(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
+    agreement = read_agreement(agreed(deployment.settings(), (("acme", 1.0),)))
+    reader, peer = request_reader.RequestReader(agreement, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
+    fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
+    shut = {(0, b"c:d", 0): (1000, 5_000_000)}
+    assert reader.shut(fields, peer, shut, 999) == ({},)
+    assert reader.shut(fields, peer, shut, 1000) is None  # its time is over
+    assert reader.shut(fields | {b"desk": b"other"}, peer, shut, 5) is None
+    assert reader.shut(fields | {b"verb": b"mark"}, peer, shut, 5) is None
+    assert reader.shut(fields | {b"txn": b"no"}, peer, shut, 5) is None  # unusable: that is the answer
+    # A repeat is told the time of the first promise; once that has come, the door decides.
+    assert reader.shut(fields | {b"second": b"1"}, peer, shut, 0) == ({b"back": b"5000"},)
+    assert reader.shut(fields | {b"second": b"1"}, peer, {(0, b"c:d", 0): (1000, 5)}, 6) is None
--- /dev/null
+++ b/tests/test_resp.py
@@ -0,0 +1,52 @@
+"""RESP arrays and field lists: complete, cut at random; malformed ones."""
+
+import pytest
+from byte_streams import CUTS, MOST, SEEDED, feed
+from hypothesis import given
+from hypothesis import strategies as st
+
+from gullhold.net import resp
+from gullhold.net.connection_ends import Malformed
+
+
+@SEEDED
+@given(
+    arrays=st.lists(st.lists(st.binary(max_size=7000), min_size=1, max_size=5), min_size=1, max_size=4),
+    cuts=CUTS,
+)
+def test_resp_arrays_come_out_the_same_however_they_are_cut(arrays, cuts):
+    data = b"".join(resp.encode(*words) for words in arrays)
+    assert feed(resp.Decoder(MOST), resp.Decoder.arrays, data, cuts) == arrays
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"+OK\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*99\r\n",
+        b"*1\r\n:5\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n$2\r\nabc\r\n",
+        b"*1\r\n$99999999\r\n",
+        b"*" + b"1" * 40,
+        b"*1\r\n$" + b"1" * 40,
+        b"x",
+        b"\r\n",
+        b"*x\r\n",
+    ],
+)
+def test_resp_that_is_not_an_array_of_bulk_strings_is_malformed(data):
+    machine = resp.Decoder(MOST)
+    machine.buffer.put(data)
+    with pytest.raises(Malformed):
+        list(machine.arrays())
+
+
+def test_resp_field_lists():
+    assert resp.fields(b"-") == {} and resp.fields(b"a=1,load=inflight:7;util:0.6") == {
+        b"a": b"1",
+        b"load": b"inflight:7;util:0.6",
+    }
+    assert resp.field_list([]) == b"-" and resp.field_list([(b"c", b"x"), (b"w", b"5")]) == b"c=x,w=5"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,25 +1,17 @@
 """The gateway on loopback sockets, against small stand-ins of engines, a client and the coordinator."""
 
-import fcntl
-import json
-import os
-import resource
-import signal
 import socket
 import time
-from pathlib import Path
-from threading import Event, Thread
+from threading import Thread
 
 import pytest
-from serving import PATIENCE, Gateway, free_port, listens, until
+from serving import Gateway, until
 
-from gullhold.__main__ import main
 from gullhold.interface import Outcome
-from gullhold.net import client_connection, listener, resp, service, thrift
+from gullhold.net import client_connection, listener, resp, thrift
 from gullhold.net.connection import Connection
 from gullhold.net.counters import Counters
 from gullhold.net.flusher import Flusher
-from gullhold.net.logsink import MAX_QUEUED_LINES, LogSink
 from gullhold.net.pipe import Pipe
 from gullhold.testing.client import Caller
 from gullhold.testing.coordinator import Feed
@@ -358,143 +350,6 @@
     gateway.end()
 
 
-def test_a_planned_restart_answers_what_is_open_and_exits_with_0(launch):
-    engine, port = Engine(endless, ok()), free_port()
-    told = config(engine) | {"listen": f"127.0.0.1:{port}"}
-    told["settings"]["limits"]["cancel"] = False  # the open one must not be started afresh
-    told["settings"]["domain"]["note_period"] = 0  # nor be given up for lost
-    process = launch(told)
-    until(lambda: listens(port))
-    client = Caller(("127.0.0.1", port))
-    client.send("check", b"\x02\0\1\1")
-    assert client.answer()[1] == b""
-    long = client.ask("once", limit=7000)
-    until(lambda: engine.words(b"fetch"))
-    process.send_signal(signal.SIGUSR1)
-    began = time.monotonic()
-    process.send_signal(signal.SIGTERM)
-    time.sleep(0.2)
-    other = Caller(("127.0.0.1", port))  # new connections still come, and are served
-    seq = other.ask()
-    assert other.answer() == (seq, b"a\tb\tc\n")
-    other.send("check", b"\x02\0\1\1")
-    assert other.answer()[1] == "unfit"
-    assert client.answer() == (long, "fault") and 2.5 < time.monotonic() - began < 3.7
-    assert process.wait(PATIENCE) == 0
-    log = process.stderr.read()
-    assert log.count("taken: 1") == 1 and log.count("taken: 2") == 1 and "resident" in log
-
-
-def test_sighup_moves_to_the_coordinator_of_the_new_file_and_a_bad_file_changes_nothing(launch, tmp_path):
-    old, new, engine, port = Feed(), Feed(), Engine(), free_port()
-    told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch(told)
-    until(lambda: old.asked)
-    path = tmp_path / "config.json"
-    for text in ("{", "[]", '{"coordinator": "nowhere"}', '{"coordinator": 5}'):
-        path.write_text(text)
-        process.send_signal(signal.SIGHUP)
-        time.sleep(0.05)
-    old.say(event(2, ("s-0", "127.0.0.1:1", "ready")))
-    path.write_text(json.dumps(told | {"coordinator": new.address}))
-    process.send_signal(signal.SIGHUP)
-    until(lambda: new.asked)
-    new.say(event(3, ("s-9", engine.address, "ready"), whole=True))
-    time.sleep(0.2)
-    client = Caller(("127.0.0.1", port))
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n") and process.poll() is None
-    assert old.asked == [b"follow 1\n"] and new.asked == [b"follow 2\n"]
-
-
-UNINTERRUPTED = """
-import signal, sys, threading, time
-threading.Thread(target=time.sleep, args=(60,), daemon=True).start()   # it alone takes signals from here on
-block = signal.pthread_sigmask
-signal.pthread_sigmask = lambda how, numbers: block(signal.SIG_BLOCK, numbers)
-from gullhold.__main__ import main
-status = main(sys.argv[1:])
-sys.stderr.flush()
-__import__("os")._exit(status)
-"""
-
-
-def test_signals_take_effect_at_once_where_they_interrupt_no_wait(launch, tmp_path):
-    """They did when the next report was due, as the main thread's wait went on: 7.5 s on an old list."""
-    old, new, port = Feed(), Feed(), free_port()
-    told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch(told, "-c", UNINTERRUPTED, "serve", "--report", "30")
-    until(lambda: old.asked)
-    (tmp_path / "config.json").write_text(json.dumps(told | {"coordinator": new.address}))
-    began = time.monotonic()
-    process.send_signal(signal.SIGHUP)
-    until(lambda: new.asked)
-    process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0 and time.monotonic() - began < 3
-    assert process.stderr.read().count("counters: ") == 1  # at the end alone
-
-
-def test_a_coordinator_that_refuses_is_looked_for_in_the_file_without_a_signal(launch, tmp_path):
-    old, new, port = Feed(), Feed(), free_port()
-    told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch(told)
-    until(lambda: old.conn)
-    path = tmp_path / "config.json"
-    path.write_text("{")
-    old.close()
-    time.sleep(0.6)
-    path.write_text(json.dumps(told | {"coordinator": new.address}))
-    until(lambda: new.asked)
-    process.terminate()
-    assert process.wait(PATIENCE) == 0
-    log = process.stderr.read()
-    assert log.count("can't be used, the old one holds") == 1 and log.count("configuration read again") == 1
-
-
-@pytest.mark.parametrize(
-    "spoil",
-    [
-        lambda told, path: path.unlink(),
-        lambda told, path: path.write_text("{"),
-        lambda told, path: path.write_text(
-            json.dumps(told | {"known": {"index": 1, "updates": [{"index": 1}]}})
-        ),
-        lambda told, path: path.write_text(json.dumps({k: v for k, v in told.items() if k != "settings"})),
-    ],
-)
-def test_a_configuration_that_cannot_be_used_is_one_plain_line(tmp_path, capsys, spoil):
-    path = tmp_path / "config.json"
-    path.write_text("{}")
-    spoil(config(), path)
-    assert service.serve(path) == 2
-    err = capsys.readouterr().err
-    assert err.startswith("gullhold: ") and err.count("\n") == 1
-
-
-def test_an_address_in_use_is_one_plain_line(tmp_path, capsys):
-    with socket.create_server(("127.0.0.1", 0)) as sock:
-        path = tmp_path / "config.json"
-        path.write_text(json.dumps(config() | {"listen": f"127.0.0.1:{sock.getsockname()[1]}"}))
-        assert service.serve(path) == 2
-    assert capsys.readouterr().err.startswith("gullhold: can't listen on 127.0.0.1:")
-
-
-def test_the_other_sub_commands(start, tmp_path, capsys):
-    gateway, _ = start(Engine())
-    address = f"127.0.0.1:{gateway.address[1]}"
-    assert main(["version"]) == 0 and capsys.readouterr().out.startswith("gullhold 0.")
-    assert main(["check", address]) == 0 and capsys.readouterr().out == "serves\n"
-    gateway.core.leaving_at = 1
-    assert main(["check", address]) == 1 and capsys.readouterr().out == "does not serve\n"
-    with socket.create_server(("127.0.0.1", 0)) as sock:
-        silent = f"127.0.0.1:{sock.getsockname()[1]}"
-        assert main(["check", silent, "--timeout", "0.1"]) == 1 and main(["check", "x"]) == 1
-    capsys.readouterr()
-    assert main(["config", "--config", str(tmp_path / "config.json")]) == 0
-    assert "name='mark'" in capsys.readouterr().out
-    assert main(["config", "--config", str(tmp_path / "none")]) == 2
-
-
 def flushing():
     """A flusher that runs."""
     flusher = Flusher()
@@ -540,91 +395,6 @@
     theirs.close()
 
 
-def test_hundreds_of_connections_stay_inside_the_limits_of_memory_and_descriptors(launch):
-    engine, port = Engine(), free_port()
-    process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
-    until(lambda: listens(port))
-    callers = [Caller(("127.0.0.1", port)) for _ in range(330)]  # about the third that clients may hold
-    asked = [[caller.ask() for _ in range(3)] for caller in callers]
-    for caller, seqs in zip(callers, asked, strict=True):
-        answers = [caller.answer() for _ in seqs]
-        assert {seq for seq, _ in answers} == set(seqs)
-        assert all(word in (b"a\tb\tc\n", "shed") for _, word in answers)
-    status = dict(row.split(":", 1) for row in Path(f"/proc/{process.pid}/status").read_text().splitlines())
-    assert int(status["VmHWM"].split()[0]) < 100_000  # kB; the limit of scored days is 192 MB
-    assert len(os.listdir(f"/proc/{process.pid}/fd")) < 600 and int(status["Threads"]) < 600
-    for caller in callers:
-        caller.sock.close()
-    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220)  # links stay a while
-    process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
-
-
-def test_a_log_that_nobody_reads_stops_nobody(launch):
-    """A full pipe behind standard error would have held up the thread that owns the gateway."""
-    dead, engine, port = Engine(), Engine(), free_port()
-    dead.refuse()
-    reading, writing = os.pipe()
-    fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
-    process = launch(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=writing)
-    until(lambda: listens(port))
-    for _ in range(300):
-        process.send_signal(signal.SIGUSR1)  # each logs a long line
-        time.sleep(0.001)
-    caller = Caller(("127.0.0.1", port))
-    seq = caller.ask()
-    assert caller.answer() == (seq, b"a\tb\tc\n")
-    process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
-    os.close(reading)
-    os.close(writing)
-
-
-def test_a_log_sink_drops_what_finds_no_room_and_counts_it():
-    class Stuck:
-        def __init__(self):
-            self.go, self.text = Event(), ""
-
-        def write(self, text):
-            self.go.wait(PATIENCE)
-            self.text += text
-
-        def flush(self):
-            pass
-
-    stream, counters = Stuck(), Counters()
-    sink = LogSink(stream, counters)
-    for i in range(MAX_QUEUED_LINES + 100):
-        sink.put(f"{i}\n")
-    assert counters.counts["log lines dropped"] in (99, 100)
-    stream.go.set()
-    until(sink.lines.empty)
-    sink.finish(PATIENCE)
-    assert stream.text.startswith("0\n1\n2\n") and not sink.thread.is_alive()
-
-
-def test_at_the_descriptor_limit_connections_wait_and_are_served_later(launch):
-    engine, port = Engine(), free_port()
-    told = config(engine) | {"listen": f"127.0.0.1:{port}"}
-    told["limits"]["sockets"] = 40
-    process = launch(told)
-    until(lambda: listens(port))
-    resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
-    first = Caller(("127.0.0.1", port))
-    seq = first.ask()
-    assert first.answer() == (seq, b"a\tb\tc\n")  # its link to the engine is up
-    callers = [Caller(("127.0.0.1", port)) for _ in range(60)]
-    asked = [caller.ask(limit=7000) for caller in callers]
-    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= 20)
-    time.sleep(0.1)
-    for caller, seq in zip(callers, asked, strict=True):
-        assert caller.answer() == (seq, b"a\tb\tc\n")
-        caller.sock.close()
-    process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
-    assert "accepts put off" in process.stderr.read()
-
-
 def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start, monkeypatch):
     monkeypatch.setattr(client_connection, "IDLE_S", 0.1)
     monkeypatch.setattr(client_connection, "SAY_S", 0.1)
--- /dev/null
+++ b/tests/test_thrift.py
@@ -0,0 +1,105 @@
+"""Thrift messages: complete, byte by byte, cut at random; malformed ones."""
+
+import struct
+
+import pytest
+from byte_streams import CUTS, MOST, SEEDED, call, feed, text
+from hypothesis import given
+from hypothesis import strategies as st
+
+from gullhold.net import resp, thrift
+from gullhold.net.connection_ends import Malformed
+
+
+@SEEDED
+@given(bodies=st.lists(st.binary(max_size=9000), min_size=1, max_size=5), cuts=CUTS)
+def test_thrift_calls_come_out_the_same_however_they_are_cut(bodies, cuts):
+    data = b"".join(
+        call(seq=i, fields={b"txn": b"%d" % i, b"verb": b""}, body=body) for i, body in enumerate(bodies)
+    )
+    calls = feed(thrift.Decoder(MOST), thrift.Decoder.calls, data, cuts)
+    assert [(c.seq, c.args[2, thrift.STRING]) for c in calls] == list(enumerate(bodies))
+    assert all(c.args[1, thrift.MAP] == {b"txn": b"%d" % c.seq, b"verb": b""} for c in calls)
+
+
+def test_thrift_steps_over_fields_that_it_does_not_know():
+    inner = (
+        b"\x08\x00\x07" + struct.pack(">i", 5) + b"\x0f\x00\x08" + struct.pack(">Bi", 11, 2) + text(b"a") * 2
+    )
+    extra = (
+        b"\x0c\x00\x09"
+        + inner
+        + b"\0"
+        + b"\x0a\x00\x0a"
+        + bytes(8)
+        + b"\x0d\x00\x0b"
+        + struct.pack(">BBi", 8, 12, 1)
+        + bytes(4)
+        + b"\0"
+        + b"\x02\x00\x0c\x01"
+    )
+    frame = call(fields={b"a": b"b"}, extra=extra)
+    assert thrift.decode(frame[4:]).args[1, thrift.MAP] == {b"a": b"b"}
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        struct.pack(">i", -1),
+        struct.pack(">i", MOST + 1),
+        struct.pack(">i", 2) + b"ab",
+        text(b"\0\0\0\x07execute" + bytes(9)),
+        text(call()[4:-1]),
+        text(call()[4:20]),
+        text(call(kind=thrift.REPLY)[4:]),
+        text(call(method=b"\xff\xfe")[4:]),
+        text(struct.pack(">HBB", 0x8001, 0, 1) + text(b"x") + bytes(4) + b"\x0f\x00\x01\x0b\x7f\xff\xff\xff"),
+        text(
+            struct.pack(">HBB", 0x8001, 0, 1)
+            + text(b"x")
+            + bytes(4)
+            + b"\x0d\x00\x01\x0b\x0b\xff\xff\xff\xff"
+        ),
+        text(struct.pack(">HBB", 0x8001, 0, 1) + text(b"x") + bytes(4) + b"\x0c\x00\x01" * 40),
+        text(struct.pack(">HBB", 0x8001, 0, 1) + text(b"x") + bytes(4) + b"\x63\x00\x01"),
+    ],
+)
+def test_thrift_that_is_not_strict_binary_is_malformed(data):
+    machine = thrift.Decoder(MOST)
+    machine.buffer.put(data)
+    with pytest.raises(Malformed):
+        list(machine.calls())
+
+
+@SEEDED
+@given(data=st.binary(max_size=300))
+def test_any_bytes_are_a_call_or_malformed(data):
+    for machine, read in (
+        (thrift.Decoder(MOST), thrift.Decoder.calls),
+        (resp.Decoder(MOST), resp.Decoder.arrays),
+    ):
+        for piece in (data, text(call()[4:12] + data), b"*2\r\n$" + data):
+            try:
+                machine.buffer.put(piece)
+                list(read(machine))
+            except Malformed:
+                break
+
+
+def test_answers_are_whole_strict_frames():
+    for message, kind in (
+        (thrift.answer("execute", 7, b"a\tb\tc\n"), thrift.REPLY),
+        (thrift.shed(7, {}), thrift.REPLY),
+        (thrift.fault(7, "no"), thrift.REPLY),
+        (thrift.exception("x", 7, thrift.UNKNOWN_METHOD, "?"), thrift.EXCEPTION),
+    ):
+        size, version, _, found = struct.unpack(">iHBB", message[:8])
+        assert size == len(message) - 4 and version == 0x8001 and found == kind
+        scan = thrift.Scan(message[8:])
+        scan.string()
+        assert scan.number(thrift.I32S) == 7
+        result = scan.fields()
+        assert scan.at == len(scan.data)
+        if message == thrift.answer("execute", 7, b"a\tb\tc\n"):
+            assert result[0, thrift.STRUCT][1, thrift.STRING] == b"a\tb\tc\n"
+            assert result[0, thrift.STRUCT][3, thrift.BOOL] is True
