--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -47,7 +47,7 @@
     PROTOCOL_ERROR = 7
 
 
-# The names by which other modules know these types.
+# Short names, for this module and others.
 CALL = MessageType.CALL
 REPLY = MessageType.REPLY
 EXCEPTION = MessageType.EXCEPTION
@@ -60,22 +60,16 @@
 UNKNOWN_METHOD = ApplicationErrorType.UNKNOWN_METHOD
 PROTOCOL_ERROR = ApplicationErrorType.PROTOCOL_ERROR
 
-# Plain ints for what is looked up for each value of a frame.
-TYPE_BOOL = int(FieldType.BOOL)
-TYPE_I32 = int(FieldType.I32)
-TYPE_STRING = int(FieldType.STRING)
-TYPE_STRUCT = int(FieldType.STRUCT)
-TYPE_MAP = int(FieldType.MAP)
-TYPES_SET_AND_LIST = (int(FieldType.SET), int(FieldType.LIST))
 SIZE_BY_FIXED_TYPE = {
-    TYPE_BOOL: 1,
-    int(FieldType.I8): 1,
-    int(FieldType.DOUBLE): 8,
-    int(FieldType.I16): 2,
-    TYPE_I32: 4,
-    int(FieldType.I64): 8,
+    FieldType.BOOL: 1,
+    FieldType.I8: 1,
+    FieldType.DOUBLE: 8,
+    FieldType.I16: 2,
+    FieldType.I32: 4,
+    FieldType.I64: 8,
 }
-VALUE_TYPES = frozenset((*SIZE_BY_FIXED_TYPE, TYPE_STRING, TYPE_STRUCT, TYPE_MAP, *TYPES_SET_AND_LIST))
+SEQUENCE_TYPES = frozenset((FieldType.SET, FieldType.LIST))
+VALUE_TYPES = frozenset(FieldType) - {FieldType.STOP}
 
 VERSION_1 = 0x8001  # of the strict encoding
 MAX_NESTING = 16  # levels of containers that are followed; no message of ours has more than three
@@ -145,13 +139,13 @@
             raise Malformed("structs too deep")
         if kind in SIZE_BY_FIXED_TYPE:
             return self._fixed_value(kind)
-        if kind == TYPE_STRING:
+        if kind == STRING:
             return self.string()
-        if kind == TYPE_STRUCT:
+        if kind == STRUCT:
             return self.fields(depth + 1)
-        if kind == TYPE_MAP:
+        if kind == MAP:
             return self._map(depth)
-        if kind in TYPES_SET_AND_LIST:
+        if kind in SEQUENCE_TYPES:
             item_type = self.take(1)[0]
             size = self._container_size(item_type)
             return [self.value(item_type, depth + 1) for _ in range(size)]
@@ -167,15 +161,15 @@
 
     def _fixed_value(self, kind: int) -> int | bool | bytes:
         data = self.take(SIZE_BY_FIXED_TYPE[kind])
-        if kind == TYPE_I32:
+        if kind == I32:
             return I32S.unpack(data)[0]
-        if kind == TYPE_BOOL:
+        if kind == BOOL:
             return data != b"\0"
         return data
 
     def _map(self, depth: int) -> dict[Any, Any]:
         key_type, value_type = self.take(2)
-        if key_type == TYPE_STRING and value_type == TYPE_STRING:
+        if key_type == STRING and value_type == STRING:
             return self._string_map()
         size = self._container_size(key_type, value_type)
         return {self._map_key(key_type, depth): self.value(value_type, depth + 1) for _ in range(size)}
@@ -190,7 +184,7 @@
         data = self.data
         end = len(data)
         at = self.at + LENGTH_SIZE
-        for _ in range(self._container_size(TYPE_STRING, TYPE_STRING)):
+        for _ in range(self._container_size(STRING, STRING)):
             pair = []
             for _ in (0, 1):
                 if at + LENGTH_SIZE > end:
