--- a/tests/serving.py
+++ b/tests/serving.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback, in this process or one of its own; for tests."""
+"""Starts gateways on loopback for tests, in this process or in one of their own."""
 
 import json
 import os
@@ -14,22 +14,25 @@
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 8  # seconds until a wait fails: far more than any of these takes
+POLL_INTERVAL_S = 0.005
 
 
-def until(true):
-    """Wait for it."""
+def until(condition):
+    """Wait until a condition holds; fail after PATIENCE."""
     end = time.monotonic() + PATIENCE
-    while not true():
+    while not condition():
         assert time.monotonic() < end, "waited in vain"
-        time.sleep(0.005)
+        time.sleep(POLL_INTERVAL_S)
 
 
 class Gateway:
-    """A gateway in this process."""
+    """A gateway in this process.
 
-    def __init__(self, tmp_path, told, held=(), door_record=None):
-        path = tmp_path / "config.json"
-        path.write_text(json.dumps(told))
+    held: names of threads that go() starts later; door_record: settings of an admission queue.
+    """
+
+    def __init__(self, tmp_path, configuration, held=(), door_record=None):
+        path = write_configuration(tmp_path, configuration)
         parts = build_parts(load_configuration(path), door_record)
         self.core = parts.core
         self.listener = parts.listener
@@ -41,16 +44,16 @@
         self.go(*(name for name in self.parts if name not in held))
 
     def go(self, *names):
-        """Start these parts; those held back at first wait for it."""
+        """Start these threads; those held back at first wait for it."""
         for name in names:
             Thread(target=self.parts[name], daemon=True).start()
 
     def count(self, name):
-        """A counter."""
+        """Return a counter."""
         return self.core.counters.counts[name]
 
     def end(self):
-        """It ends with nothing owed."""
+        """End it; it must have nothing open or reserved by then."""
         until(lambda: not self.core.pending)
         self.core.post(setattr, self.core, "stopped", True)
         until(lambda: self.core.stopped)
@@ -60,15 +63,22 @@
         assert not self.core.room.used
 
 
-def launched(tmp_path, told, *words, stderr=subprocess.PIPE):
+def write_configuration(tmp_path, configuration):
+    """Write a configuration file and return its path."""
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
-    env = {**os.environ, "GW_CONFIG": str(path)}
-    env.pop("GW_LISTEN", None)
+    path.write_text(json.dumps(configuration))
+    return path
+
+
+def launched(tmp_path, configuration, *arguments, stderr=subprocess.PIPE):
+    """Start Python with these arguments, by default a gateway, in a process of its own."""
+    path = write_configuration(tmp_path, configuration)
+    environment = {**os.environ, "GW_CONFIG": str(path)}
+    environment.pop("GW_LISTEN", None)
     return subprocess.Popen(
-        [sys.executable, *(words or ("-m", "gullhold", "serve"))],
+        [sys.executable, *(arguments or ("-m", "gullhold", "serve"))],
         cwd=ROOT,
-        env=env,
+        env=environment,
         text=True,
         stderr=stderr,
         stdout=subprocess.PIPE,
@@ -76,10 +86,12 @@
 
 
 def listens(port):
+    """Whether something listens on a port of this machine."""
     with socket.socket() as sock:
         return sock.connect_ex(("127.0.0.1", port)) == 0
 
 
 def free_port():
+    """Return a port that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return sock.getsockname()[1]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -209,8 +209,8 @@
     """Thirty-two of the largest on each of ten connections were sixty megabytes, of a limit of eighty."""
     engine = Engine(endless)
     gateway, client = start(engine)
-    assert gateway.core.room.most == 192 * 2**20 // 8
-    gateway.core.room.most = 10_000
+    assert gateway.core.room.max_bytes == 192 * 2**20 // 8
+    gateway.core.room.max_bytes = 10_000
     asked = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
     until(lambda: len(engine.words(b"fetch")) == 2)
     other = Caller(gateway.address)
@@ -226,7 +226,7 @@
     """A connection may hold eight megabytes, and there may be hundreds."""
     gateway, client = start(Engine())
     room, frame = gateway.core.room, thrift.answer("execute", 1, b"x\ty\tz\n" * 8000)
-    room.most = 2_000_000
+    room.max_bytes = 2_000_000
     crowd = []
     for _ in range(12):
         crowd.append(Caller(gateway.address))
@@ -240,7 +240,7 @@
             if not one.pipe.dead:
                 one.put(frame)
         most = max(most, sum(one.pipe.size for one in inside))
-    assert room.most < most < room.most + 12 * 2 * len(frame)
+    assert room.max_bytes < most < room.max_bytes + 12 * 2 * len(frame)
     assert 0 < gateway.count("answers that could not go") <= 12
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")  # who reads is served on
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -236,9 +236,9 @@
     world.list_delay_us = 0
     world.tell(world.engines[1], "draining")
     world.clock.run(2_900_000)
-    assert all(member.follow.last == 1 for member in world.members.values())
+    assert all(member.follow.last_index == 1 for member in world.members.values())
     world.clock.run(3_100_000)
-    assert all(member.follow.last == 3 for member in world.members.values())
+    assert all(member.follow.last_index == 3 for member in world.members.values())
 
 
 def test_what_can_not_be_played_is_one_line(tmp_path, capsys):
