--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -2,6 +2,7 @@
 
 import re
 from collections.abc import Mapping
+from enum import StrEnum
 from typing import NamedTuple
 from zlib import crc32
 
@@ -38,8 +39,20 @@
     flow: bytes = b""  # the client inside its tenant, where there is an admission queue
 
 
+class RequestFault(StrEnum):
+    """What is wrong with a field."""
+
+    UNKNOWN = "unknown"  # a name that the agreement does not have
+    UNUSABLE = "unusable"  # missing, malformed or out of range
+
+
 class RequestError(Exception):
-    """A request that can't be used; the message, for the client, names the field."""
+    """A request that can't be used; the message, for the client, names the fault and the field."""
+
+    def __init__(self, fault: RequestFault, field: bytes) -> None:
+        super().__init__(f"{fault} {field.decode()}")
+        self.fault = fault
+        self.field = field
 
 
 class RequestReader:
@@ -92,7 +105,7 @@
     ) -> Request:
         """Read a request from a client at an address, on a connection. Raises RequestError."""
         if not _has_transaction_id(fields):
-            raise RequestError("unusable txn")
+            raise RequestError(RequestFault.UNUSABLE, b"txn")
         profile = self._profile(fields)
         tenant, unknown_tenant = self._tenant(fields)
         flow = b""
@@ -126,7 +139,7 @@
     def _profile(self, fields: Mapping[bytes, bytes]) -> int:
         profile = self._profiles.get(fields.get(b"verb", b""))
         if profile is None:
-            raise RequestError("unknown verb")
+            raise RequestError(RequestFault.UNKNOWN, b"verb")
         return profile
 
     def _tenant(self, fields: Mapping[bytes, bytes]) -> tuple[int, bytes | None]:
@@ -137,7 +150,7 @@
             tenant = self._tenants.get(fields.get(b"team"), CLOSED if self._tenants else 0)
             unknown_tenant = None
         if tenant == CLOSED:
-            raise RequestError("unknown team")
+            raise RequestError(RequestFault.UNKNOWN, b"team")
         return tenant, unknown_tenant
 
     def _idempotency_key(self, fields: Mapping[bytes, bytes], profile: int) -> bytes:
@@ -145,7 +158,7 @@
         is_required = self._agreement.profiles[profile].idempotency == Idempotency.KEYED
         is_missing = is_required and not key  # without it no engine recognizes a repeat
         if is_missing or not IDEMPOTENCY_KEY_PATTERN.match(key):
-            raise RequestError("unusable unique")
+            raise RequestError(RequestFault.UNUSABLE, b"unique")
         return key
 
     def _ordering_key(self, profile: int, table: str) -> int:
@@ -163,5 +176,5 @@
     """Return a number of a request. Raises RequestError where it is none, or over the maximum."""
     text = fields.get(name, default)
     if not FIGURE.match(text) or float(text) > maximum:
-        raise RequestError(f"unusable {name.decode()}")
+        raise RequestError(RequestFault.UNUSABLE, name)
     return float(text)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -582,7 +582,7 @@
     assert not gateway.count("over 32 open on a connection")
 
 
-def test_a_client_that_ends_before_the_door_goes_on_holds_no_room(start, monkeypatch):
+def test_a_client_that_ends_before_the_listener_goes_on_holds_no_room(start, monkeypatch):
     class Inline(Thread):
         def start(self):
             self.run()  # it is over before start() returns
