--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -18,7 +18,7 @@
 class DeferredCall(NamedTuple):
     """A call that was read in a pause, and when (us of the core's clock)."""
 
-    call: thrift.Call
+    call: thrift.Message
     received_at_us: int
 
 
@@ -72,7 +72,7 @@
         """Whether as much is deferred as a usual client has open."""
         return len(self.calls) >= OPEN_MOST or self.size_bytes > DEFERRED_MOST_BYTES
 
-    def defer(self, call: thrift.Call, received_at_us: int) -> None:
+    def defer(self, call: thrift.Message, received_at_us: int) -> None:
         """Keep a call for later."""
         self.calls.append(DeferredCall(call, received_at_us))
 
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -29,7 +29,7 @@
         self.last_seq = 0
         self.rejections: list[bytes] = []  # answers to what was read just now and is rejected at once
 
-    def received(self, call: thrift.Call, received_at_us: int) -> None:
+    def received(self, call: thrift.Message, received_at_us: int) -> None:
         """A call was read: taken now, or after the pause; what takes another back is never put off."""
         if call.method == "interrupt":
             self._interrupt(call.args.get(FIRST_NUMBER))
@@ -76,7 +76,7 @@
         else:  # answered before, or never asked
             client.taken_back.discard(seq)
 
-    def _take(self, call: thrift.Call, received_at_us: int) -> None:
+    def _take(self, call: thrift.Message, received_at_us: int) -> None:
         if call.kind != thrift.CALL:
             return
         if call.method == "execute":
@@ -88,7 +88,7 @@
             text = "unknown method"
             self.client.put(thrift.exception(call.method, call.seq, thrift.UNKNOWN_METHOD, text))
 
-    def _execute(self, call: thrift.Call, received_at_us: int) -> None:
+    def _execute(self, call: thrift.Message, received_at_us: int) -> None:
         """What can't be used is answered here and never reaches the core."""
         seq = call.seq
         if seq <= self.last_seq:
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -15,7 +15,7 @@
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.counters import Counters
 from gullhold.net.decision_results import Decisions
-from gullhold.net.discovery import FIRST_WORD_US
+from gullhold.net.discovery import FIRST_EVENT_TIMEOUT_US
 from gullhold.net.endpoint_list import EndpointList
 from gullhold.net.engine_connection import EngineConnection, EngineEndpoint
 from gullhold.net.engine_health import ConnectionLimits, EngineHealth
@@ -137,7 +137,7 @@
     def run(self, known: list[tuple]) -> None:
         """Serve until the graceful shutdown is done. known: changes of the list, of the configuration."""
         # Guards against sends to what has left since the configuration was written: a start takes a second.
-        self.list_known.wait((self.agreement.connect_timeout_us + 2 * FIRST_WORD_US) / 1e6)
+        self.list_known.wait((self.agreement.connect_timeout_us + 2 * FIRST_EVENT_TIMEOUT_US) / 1e6)
         self.begin(known)
         self.run_until_stopped()
         self.ended = True  # this thread touches nothing any more
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from gullhold.decisions.gateway import Gateway
-from gullhold.net import discovery
+from gullhold.net import event_stream, list_change
 from gullhold.net.client_connection import ClientConnection
 from gullhold.net.configuration import Configuration
 from gullhold.net.connection import Connection
@@ -195,7 +195,7 @@
         )
         self.reader = RequestReader(agreement, None, self.core.retry_after_field)
         self.names = configuration.engine_ids
-        self.follow = discovery.Follow(configuration.last_event, DISCOVERY_LINE_MOST)
+        self.follow = event_stream.EventStream(configuration.last_event, DISCOVERY_LINE_MOST)
         self.core.begin(configuration.list_changes)
         self.wake()
 
@@ -209,7 +209,7 @@
         if self.alive:
             self.follow.buffer.put(data)
             for event in self.follow.events():
-                self.core.list_changed(*discovery.members(event, self.core.agreement, self.names))
+                self.core.list_changed(*list_change.parse_event(event, self.core.agreement, self.names))
 
     def end(self, connection: SimulatedEngineConnection) -> End:
         """Our end of a wire for a connection to an engine."""
--- /dev/null
+++ b/tests/test_connection_ends.py
@@ -0,0 +1,14 @@
+"""How a connection ended, and what that is to the decision module."""
+
+from gullhold.interface import NEVER_RAN, Outcome
+from gullhold.net.connection_ends import ConnectionEnd, of_error, outcome
+
+
+def test_how_a_connection_ended_says_whether_a_send_may_have_run():
+    assert outcome(True) == Outcome.RESET and outcome(False) == Outcome.CONNECT_FAILED
+    assert outcome(False) in NEVER_RAN and outcome(True) not in NEVER_RAN
+    assert of_error(ConnectionRefusedError(), True) == ConnectionEnd.REFUSED
+    assert (
+        of_error(TimeoutError(), True) == ConnectionEnd.NOT_UP
+        and of_error(ConnectionResetError()) == ConnectionEnd.RESET
+    )
