--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -14,9 +14,10 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import close, p95
-from gullhold.fleet import membership
 from gullhold.fleet.lease import LeaseTerms
-from gullhold.fleet.spread import Spread
+from gullhold.fleet.membership import Membership
+from gullhold.fleet.membership_types import CallStore, MembershipRules
+from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.fleet.store_calls import (
     GrantLease,
     KeepLeaseAlive,
@@ -26,10 +27,17 @@
     ReadPrefix,
     Reply,
 )
-from gullhold.testing import crowd, ownercheck, ownermutants, plancheck
+from gullhold.testing import (
+    crowd,
+    membership_explorer,
+    membership_mutants,
+    scheduled_command_explorer,
+    scheduled_command_mutants,
+)
 from gullhold.testing.fleet import Rig
-from gullhold.testing.fleetcheck import Check, marks, sent
+from gullhold.testing.fleet_checker import Check, marks, sent
 from gullhold.testing.running import cpu_s, resident_mb
+from gullhold.testing.walking import Broken
 
 BOUNDS = {
     "owners_accepted_at_once": 0,
@@ -192,24 +200,24 @@
 
 def moved(members=12):
     """Duties that move when one of so many goes, over its own: by the decisions alone."""
-    spread = Spread([f"d{i}" for i in range(DUTIES)])
-    spread.change([f"n{i}" for i in range(members)])
-    least = sum(name == "n3" for name in spread.owner.values())
-    return round(len(spread.change([f"n{i}" for i in range(members) if i != 3])) / least, 3)
+    spread = RoleAssignment([f"d{i}" for i in range(DUTIES)])
+    spread.update_members([f"n{i}" for i in range(members)])
+    least = sum(name == "n3" for name in spread.leaders.values())
+    return round(len(spread.update_members([f"n{i}" for i in range(members) if i != 3])) / least, 3)
 
 
 def calls_alone(members, lease_s=5, seconds=120):
     """(calls a second of one member among so many in its steady state, calls to take its duties)."""
-    rule = membership.Rule(LeaseTerms(lease_s, 0.01, 100_000), 0, 200, 100_000, 5_000_000, 1_000_000)
-    one = membership.Membership("n0", "x", rule, [f"d{i}" for i in range(DUTIES)], lambda: 0.5, 0)
+    rules = MembershipRules(LeaseTerms(lease_s, 0.01, 100_000), 0, 200, 100_000, 5_000_000, 1_000_000)
+    one = Membership("n0", "x", rules, [f"d{i}" for i in range(DUTIES)], lambda: 0.5, 0)
     others = tuple(KeyValue(f"members/n{i}", '{"nonce": "y", "ready": true}', 2) for i in range(1, members))
     now, taking, steady, revision = 0, 0, 0, 10
     one.tick(now)
     while now < seconds * 1_000_000:
-        for what, *told in one.take_actions():
-            if what != membership.CALL:
+        for action in one.take_actions():
+            if not isinstance(action, CallStore):
                 continue
-            call, revision = told[0], revision + 1
+            call, revision = action.call, revision + 1
             request = call.request
             steady += now >= 30_000_000
             taking += now < 30_000_000
@@ -220,16 +228,18 @@
             elif isinstance(request, ReadPrefix):
                 reply = Reply(Proof.DONE, revision, items=others)
             elif isinstance(request, ReadLeaseKeys):
-                reply = Reply(Proof.DONE, revision, keys=tuple(f"duties/{duty}" for duty in one.tokens))
+                reply = Reply(
+                    Proof.DONE, revision, keys=tuple(f"duties/{duty}" for duty in one.claims.tokens)
+                )
             else:
                 reply = Reply(Proof.DONE, revision)
-            one.reply(now, call, reply)
+            one.call_replied(now, call, reply)
         if not one.out:
             now = max(now + 1000, one.due(now))
             one.tick(now)
-    mine = sum(name == "n0" for name in one.spread.owner.values())
-    if len(one.tokens) != mine:
-        raise SystemExit(f"{len(one.tokens)} of {mine} duties were taken")
+    mine = sum(name == "n0" for name in one.claims.assignment.leaders.values())
+    if len(one.claims.tokens) != mine:
+        raise SystemExit(f"{len(one.claims.tokens)} of {mine} duties were taken")
     return round(steady / (seconds - 30), 3), taking
 
 
@@ -293,9 +303,9 @@
     met = set()
     for seed in range(first, last):
         try:
-            met |= ownercheck.walk(seed, STEPS)
-            plancheck.walk(seed)
-        except (ownercheck.Broken, plancheck.Broken) as fault:
+            met |= membership_explorer.walk(seed, STEPS)
+            scheduled_command_explorer.walk(seed)
+        except Broken as fault:
             return met, str(fault)[:300]
     return met, ""
 
@@ -303,9 +313,9 @@
 def hunt(job):
     """Whether a mutant is found, and by which walk."""
     owners, i, most = job
-    which = ownermutants if owners else plancheck
+    which = membership_mutants if owners else scheduled_command_mutants
     mutant = which.MUTANTS[i]
-    return mutant.__name__, which.find(mutant, most, *([STEPS] if which is ownermutants else []))
+    return mutant.__name__, which.find(mutant, most, *([STEPS] if which is membership_mutants else []))
 
 
 def decisions(quick):
@@ -316,12 +326,12 @@
         hunted = pool.map(
             hunt,
             [
-                (which is ownermutants, i, 1200)
-                for which in (ownermutants, plancheck)
+                (which is membership_mutants, i, 1200)
+                for which in (membership_mutants, scheduled_command_mutants)
                 for i in range(len(which.MUTANTS))
             ],
         )
-        systematic = pool.submit(ownercheck.explore, 8, 4_000 if quick else 60_000)
+        systematic = pool.submit(membership_explorer.explore, 8, 4_000 if quick else 60_000)
         met, broken = set(), []
         for marks_met, fault in played:
             met |= marks_met
--- a/gullhold/budgets/driver.py
+++ b/gullhold/budgets/driver.py
@@ -125,9 +125,9 @@
             lambda budget, of: f"{WORDS[budget]}/{names[of] if budget in TENANTS else of}",
             fleet.membership.lease,
             clock,
-            lambda: fleet.queue.put(("rush",)),
+            lambda: fleet.post(self.rush),
         )
-        self.teller, fleet.held[duty.DUTY] = Teller(LEAST_US), duty.Dividing(budgets)
+        self.teller, fleet.role_states[duty.DUTY] = Teller(LEAST_US), duty.Dividing(budgets)
         self.lease, self.told, self.cut = 0, {}, False  # reports are for this lease; parts as last told
         self.revision = 0  # of our report, as the register has it
         self.look_at, self.looked_at, self.writing, self.known = 0, 0, False, False
@@ -138,9 +138,9 @@
         self.looking = True
 
     def start(self, follow):
-        """follow(name, prefix, what): a watcher of these keys, whose changes come as this event."""
-        self.rows = follow("parts", f"{duty.PARTS}{self.fleet.name}/", "row_changed")
-        self.fleet.watchers[duty.DUTY] = follow("reports", duty.ASKS, "duty_changed", duty.DUTY)
+        """follow: Fleet.watch."""
+        self.rows = follow("parts", f"{duty.PARTS}{self.fleet.name}/", self.row_changed, self.row_missed)
+        self.fleet.watch_role(duty.DUTY, "reports", duty.ASKS)
 
     # On the core's thread
 
@@ -160,7 +160,7 @@
     def _counted(self, lacks):
         purses, told = self.purses, self.purses.report(lacks)
         cut, purses.cut = purses.cut, False
-        self.fleet.queue.put(("counted", purses.under, purses.seen, cut, told, purses.parts()))
+        self.fleet.post(self.counted, purses.under, purses.seen, cut, told, purses.parts())
 
     # On the thread that follows the list
 
@@ -205,8 +205,9 @@
         if not self.given_back:
             self.fleet.membership.set_busy(duty.DUTY + "/spent", True)
 
-    def counted(self, now, under, seen, cut, told, parts):
+    def counted(self, under, seen, cut, told, parts):
         """What the core's thread counted."""
+        now = self.clock()
         back = (
             self.cut
             or cut
@@ -222,7 +223,7 @@
         if not self.writing and self.teller.worth(now, seen, self.cut, told, parts):
             self.teller.written(now, seen, told)
             self.cut, self.writing = False, True
-            self.lane("reports").put(self._report(seen, told), "reported", self.lease)
+            self.lane("reports").put(self._report(seen, told), self.reported, self.lease)
 
     def _key(self):
         return f"{self.fleet.name}/{self.lease:x}"
@@ -238,7 +239,7 @@
         and what was spent within a window."""
         self.given_back, purses = True, self.purses
         if self.known and purses.under == self.lease:
-            self.lane("reports").put(self._report(purses.seen, purses.report(()), True), "gave_back")
+            self.lane("reports").put(self._report(purses.seen, purses.report(()), True), self.gave_back)
         else:
             self.gave_back(None)
 
@@ -260,7 +261,7 @@
         self.revision = reply.revision
         if not self.known:
             self.known = True
-            self.lane("reports").put(ReadPrefix(f"{duty.PARTS}{self._key()}"), "rows_read", lease)
+            self.lane("reports").put(ReadPrefix(f"{duty.PARTS}{self._key()}"), self.rows_read, lease)
 
     def rows_read(self, lease, reply):
         """Our row as it stood when we joined, or when changes were missed."""
@@ -286,13 +287,13 @@
                 for name in self.told.keys() | parts.keys()
                 if parts.get(name, 0) != self.told.get(name, 0)
             }
-            self.fleet.event("debug", "parts", write=write, parts=changed)
+            self.fleet.log_event("debug", "parts", write=write, parts=changed)
         self.told = parts
         self.pending.append((self.lease, write, parts))
 
     def row_missed(self):
         """Changes of our row were missed."""
-        self.lane("reports").put(ReadPrefix(f"{duty.PARTS}{self._key()}"), "rows_read", self.lease)
+        self.lane("reports").put(ReadPrefix(f"{duty.PARTS}{self._key()}"), self.rows_read, self.lease)
 
     def lane(self, name):
         """A lane of the fleet's."""
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -12,9 +12,9 @@
 from gullhold.budgets import duty
 from gullhold.budgets.divider import Budget, plan
 from gullhold.budgets.ledger import HELD
-from gullhold.fleet.driver import KEYS
-from gullhold.fleet.register import Register
 from gullhold.fleet.store_calls import Proof, ReadPrefix
+from gullhold.fleet.store_client import StoreClient
+from gullhold.fleet.store_schema import fleet_prefix
 
 TIMEOUT_S = 3.0
 LOOK_S = 0.25  # between looks of a report
@@ -91,7 +91,7 @@
 
 
 def _reader(address, name):
-    session = Register(address, f"{KEYS}{name}/", TIMEOUT_S)
+    session = StoreClient(address, fleet_prefix(name), TIMEOUT_S)
 
     def read():
         reply = session.call(ReadPrefix(duty.ROOT))
--- /dev/null
+++ b/gullhold/fleet/assembly.py
@@ -0,0 +1,80 @@
+"""Makes the parts of a fleet's member from the operator's record."""
+
+from typing import TYPE_CHECKING
+
+from gullhold.fleet.calendar import Calendar, InvalidCalendarError
+from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.fleet.lease import LeaseTerms
+from gullhold.fleet.membership_types import MembershipRules
+from gullhold.fleet.recovery import ScheduledCommandRules, ScheduledProfile
+from gullhold.fleet.scheduled_command import ScheduledCommand
+from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
+from gullhold.interface import Agreement, DeduplicationScope, Profile
+
+if TYPE_CHECKING:
+    from gullhold.operator.records import FleetRecord, Scheduled
+
+WAIT_FOR_PREVIOUS = "wait"  # the operator's word for an occurrence that waits for the one before
+
+
+class UnusableFleetError(Exception):
+    """A fleet record that does not fit the agreement; the text is one plain line."""
+
+
+def membership_rules(record: "FleetRecord") -> MembershipRules:
+    """The figures of a member."""
+    roles = record.duties
+    return MembershipRules(
+        terms=LeaseTerms(record.lease // US_PER_SECOND, record.drift.rate, record.drift.margin),
+        settle_us=roles.settle,
+        moves_per_second=roles.moves,
+        min_backoff_us=roles.pauses.least,
+        max_backoff_us=roles.pauses.most,
+        leave_us=roles.leaving,
+    )
+
+
+def scheduled_commands(
+    record: "FleetRecord", agreement: Agreement, member: str
+) -> dict[str, ScheduledCommand]:
+    """The scheduled commands by role. Raises UnusableFleetError."""
+    max_clock_skew_us = record.drift.skew
+    return {
+        SCHEDULED_COMMAND_ROLE + item.name: _scheduled_command(item, agreement, member, max_clock_skew_us)
+        for item in record.schedule
+    }
+
+
+def _scheduled_command(
+    item: "Scheduled", agreement: Agreement, member: str, max_clock_skew_us: int
+) -> ScheduledCommand:
+    place = f"fleet.schedule {item.name!r}"
+    profile = _profile(item, agreement, place)
+    try:
+        calendar = Calendar(item.at, item.zone, item.every)
+    except InvalidCalendarError as error:
+        raise UnusableFleetError(f"{place}: {error}") from None
+    rules = ScheduledCommandRules(
+        name=item.name,
+        window_us=item.window,
+        max_attempts=item.tries,
+        waits_for_previous=item.overlap == WAIT_FOR_PREVIOUS,
+        max_clock_skew_us=max_clock_skew_us,
+    )
+    scheduled_profile = ScheduledProfile(
+        idempotency=profile.idempotency,
+        timeout_us=profile.timeout_us,
+        dedup_window_us=profile.dedup_window_us,
+        is_deduplicated_everywhere=profile.dedup_scope == DeduplicationScope.FLEET,
+    )
+    return ScheduledCommand(rules, scheduled_profile, calendar, member)
+
+
+def _profile(item: "Scheduled", agreement: Agreement, place: str) -> Profile:
+    profiles = {profile.name: profile for profile in reversed(agreement.profiles)}  # the first of a name
+    if item.profile not in profiles:
+        raise UnusableFleetError(f"{place}: {item.profile!r} is no profile of the agreement")
+    tenant_names = [tenant.name for tenant in agreement.tenants]
+    if tenant_names and item.tenant not in tenant_names:
+        raise UnusableFleetError(f"{place}: {item.tenant!r} is no tenant of the agreement")
+    return profiles[item.profile]
--- a/gullhold/fleet/calendar.py
+++ b/gullhold/fleet/calendar.py
@@ -9,48 +9,59 @@
 
 from cronsim import CronSim, CronSimError
 
-from gullhold.fleet.lease import MILLION
+from gullhold.fleet.clocks import US_PER_SECOND
 
-BEHIND_MOST = 10_000  # missed occurrences that are counted one by one; older ones are "at least so many"
+MAX_COUNTED = 10_000  # due times that are counted one by one; of more, so many are counted
 
 
-class Bad(Exception):
+class InvalidCalendarError(Exception):
     """A calendar that can't be used; the text is one plain line."""
 
 
 class Calendar:
-    """Due times of one command: `at` an expression of five or six fields in a zone, or `every` so often."""
+    """The due times of one command: a calendar expression in a time zone, or a fixed interval."""
 
-    def __init__(self, at, zone, every_us):
-        self.at, self.every_us = at, every_us
-        if bool(at) == bool(every_us):
-            raise Bad("one of `at` and `every` is needed, not both")
+    def __init__(self, expression: str, zone_name: str, interval_us: int) -> None:
+        """expression: of five or six fields, or empty; interval_us: 0 with an expression.
+
+        Raises InvalidCalendarError.
+        """
+        self.expression = expression
+        self.interval_us = interval_us
+        if bool(expression) == bool(interval_us):
+            raise InvalidCalendarError("one of `at` and `every` is needed, not both")
         try:
-            self.zone = ZoneInfo(zone)
-            if at:
-                next(CronSim(at, datetime.now(self.zone)))
-        except (ZoneInfoNotFoundError, ValueError) as fault:
-            raise Bad(f"no such time zone: {fault}") from None
-        except CronSimError as fault:
-            raise Bad(f"{at!r} is no calendar expression: {fault}") from None
+            self.zone = ZoneInfo(zone_name)
+            if expression:
+                next(CronSim(expression, datetime.now(self.zone)))
+        except (ZoneInfoNotFoundError, ValueError) as error:
+            raise InvalidCalendarError(f"no such time zone: {error}") from None
+        except CronSimError as error:
+            raise InvalidCalendarError(f"{expression!r} is no calendar expression: {error}") from None
         except StopIteration:
-            raise Bad(f"{at!r} is never due") from None
+            raise InvalidCalendarError(f"{expression!r} is never due") from None
 
-    def after(self, at_us):
+    def after(self, at_us: int) -> int:
         """The first due time after this one."""
-        if self.every_us:
-            return (at_us // self.every_us + 1) * self.every_us
-        moment = datetime.fromtimestamp(at_us // MILLION, self.zone)
-        return int(next(CronSim(self.at, moment)).timestamp()) * MILLION
-
-    def between(self, after_us, upto_us):
-        """(how many are due after one time and up to another, the last of them or after_us)."""
-        if upto_us <= after_us:
+        if self.interval_us:
+            return (at_us // self.interval_us + 1) * self.interval_us
+        moment = datetime.fromtimestamp(at_us // US_PER_SECOND, self.zone)
+        return int(next(CronSim(self.expression, moment)).timestamp()) * US_PER_SECOND
+
+    def between(self, after_us: int, until_us: int) -> tuple[int, int]:
+        """(how many due times there are after one time and up to another, the last of them or after_us)."""
+        if until_us <= after_us:
             return 0, after_us
-        if self.every_us:
-            last = upto_us // self.every_us * self.every_us
-            return (last - after_us // self.every_us * self.every_us) // self.every_us, max(last, after_us)
-        count, last = 0, after_us
-        while count < BEHIND_MOST and (due := self.after(last)) <= upto_us:
-            count, last = count + 1, due
-        return count, (last if count < BEHIND_MOST else upto_us)
+        if self.interval_us:
+            last_number = until_us // self.interval_us
+            count = last_number - after_us // self.interval_us
+            return count, max(last_number * self.interval_us, after_us)
+        count = 0
+        last_us = after_us
+        while count < MAX_COUNTED:
+            due_us = self.after(last_us)
+            if due_us > until_us:
+                return count, last_us
+            count += 1
+            last_us = due_us
+        return count, until_us
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -1,449 +1,291 @@
-"""What carries a member's decisions out: one thread that decides, a few that wait for the register.
+"""A fleet's member: one thread that decides, and others that wait for the store.
 
-The core never waits for any of them: commands of the fleet's own reach it as posts, and answers come back as
-posts. A register that is away costs pauses here and nothing there.
+The core never waits for any of them: scheduled commands and what budgets and policies decide reach it as
+posts, and answers come back as events on the queue of the fleet's thread. A store that does not answer costs
+retries here and nothing there.
 """
 
 import random
 import time
+from collections.abc import Callable
 from queue import Empty, SimpleQueue
 from threading import Event
-
-from loguru import logger
+from typing import TYPE_CHECKING, Any
 
 from gullhold.budgets import duty as dividing
-from gullhold.budgets.driver import LANES, Budgets, Unfit
-from gullhold.fleet import membership, schedule
-from gullhold.fleet.calendar import Bad, Calendar
-from gullhold.fleet.errands import Desk
-from gullhold.fleet.lease import MILLION, LeaseTerms
-from gullhold.fleet.pace import Pauses
-from gullhold.fleet.register import Register
-from gullhold.fleet.role_state import LogEvent, ReadKeys, WatchKeys, WriteKeys
-from gullhold.fleet.store_calls import Proof, Put, ReadPrefix
-from gullhold.fleet.watch import Watcher
-from gullhold.interface import DeduplicationScope
+from gullhold.budgets.driver import LANES as BUDGET_LANES
+from gullhold.budgets.driver import Budgets, Unfit
+from gullhold.fleet import assembly, events
+from gullhold.fleet.assembly import UnusableFleetError
+from gullhold.fleet.backoff import Backoff
+from gullhold.fleet.clocks import US_PER_SECOND, monotonic_us
+from gullhold.fleet.event_log import AvailabilityLog, EventLog
+from gullhold.fleet.heartbeats import Heartbeats
+from gullhold.fleet.lane import Lane
+from gullhold.fleet.membership import Membership
+from gullhold.fleet.membership_types import (
+    CallLane,
+    CallStore,
+    MembershipAction,
+    MemberState,
+    RoleLost,
+    RoleWon,
+    StateChanged,
+    WatchMembers,
+    lane_of,
+)
+from gullhold.fleet.role_driver import RoleDriver
+from gullhold.fleet.role_state import RoleState
+from gullhold.fleet.scheduled_command_client import ScheduledCommandClient
+from gullhold.fleet.scheduled_command_driver import ScheduledCommandDriver
+from gullhold.fleet.store_calls import PendingCall, Reply
+from gullhold.fleet.store_client import StoreClient
+from gullhold.fleet.store_schema import (
+    HEARTBEAT_ROLE,
+    MEMBERS_PREFIX,
+    SCHEDULED_COMMAND_ROLE,
+    fleet_prefix,
+)
+from gullhold.fleet.watcher import OnChange, Watcher
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.startup import start_thread
-from gullhold.rollout.change import DUTY as CARRIES
-from gullhold.rollout.driver import LANES as POLICY_LANES
+from gullhold.rollout.change import DUTY as ROLLOUT_ROLE
+from gullhold.rollout.driver import LANES as ROLLOUT_LANES
 from gullhold.rollout.driver import Policies
 
-KEYS = "/gullhold/"  # before a fleet's name: other programs may use the register too
-PLAN, BEAT = "schedule/", "beat/"  # duties, by what they are for
-BEATS = "beats/"  # keys of what beats write
-IDLE_S = 0.5  # s, the longest sleep of the deciding thread: a clock that jumps is noticed by then
-QUIET_LEASES = 2  # lease times for which a watch may say nothing before it is opened anew
-LEAST_S = 0.002  # s, the shortest: what is due at once and can't be done now does not spin
-
-
-class Unusable(Exception):
-    """A fleet record that does not fit the agreement; the text is one plain line."""
-
-
-def clock():
-    """Monotonic us: what leases are counted by."""
-    return int(time.monotonic() * MILLION)
-
-
-def unix():
-    """Unix us: what calendars are counted by."""
-    return time.time_ns() // 1000
-
-
-class Lane:
-    """A thread that carries out requests one after another, on a session of its own."""
-
-    def __init__(self, name, make, tell):
-        self.make, self.tell, self.queue = make, tell, SimpleQueue()
-        start_thread(self._run, f"fleet {name}")
-
-    def put(self, request, *tag):
-        """From the deciding thread: carry it out; tell(*tag, reply) follows."""
-        self.queue.put((request, tag))
-
-    def _run(self):
-        session = self.make()
-        while True:
-            request, tag = self.queue.get()
-            self.tell(*tag, session.call(request))
-
-
-class Beats:
-    """Duties that write who owns them, each in its own time: staff see that all of it works."""
-
-    def __init__(self, fleet, period_us):
-        self.fleet, self.period_us, self.next, self.out = fleet, period_us, {}, set()
+if TYPE_CHECKING:
+    from gullhold.net.configuration import Configuration
+    from gullhold.net.core import Core
+    from gullhold.operator.records import FleetRecord
 
-    def won(self, duty, _token, now):
-        """Begin at once."""
-        self.next[duty] = now
+__all__ = ["Fleet", "UnusableFleetError"]
 
-    def gone(self, duty):
-        """Stop."""
-        self.next.pop(duty, None)
-
-    def due(self):
-        """When to step()."""
-        return min(self.next.values(), default=None)
-
-    def step(self, now):
-        """Write those whose time has come; one write of a duty is out at a time."""
-        for duty, at in self.next.items():
-            if at <= now and duty not in self.out:
-                token = self.fleet.membership.fencing_token(duty, now)
-                if token:
-                    self.out.add(duty)
-                    value = f'{{"duty": "{duty}", "token": {token}, "by": "{self.fleet.membership.name}"}}'
-                    acts = (Put(BEATS + duty, value),)
-                    self.fleet.work.put(
-                        self.fleet.membership.fenced_transaction(duty, token, acts), "beaten", duty, token
-                    )
-            if at <= now:
-                self.next[duty] = now + self.period_us
-
-    def beaten(self, duty, token, reply):
-        """A write's reply."""
-        self.out.discard(duty)
-        self.fleet.refused(duty, token, reply)
+WORK_LANE = "work"  # of heartbeats and scheduled commands
+MAX_SLEEP_S = 0.5  # of the fleet's thread: a clock that jumps is noticed by then
+MIN_SLEEP_S = 0.002  # what is due at once and can't be done now does not spin
+WATCH_SILENCE_LEASES = 2  # lease times for which a watch may be silent before it is opened anew
+NONCE_BITS = 64
 
 
 class Fleet:
-    """A member of a fleet, from start() until leave() is done."""
-
-    def __init__(self, record, configuration, core):
-        self.record, self.core, self.name = record, core, configuration.name or configuration.listen_address
-        # The seed is this start's own; the nonce tells two processes of one name apart.
-        self.chance = random.Random(configuration.seed ^ time.time_ns())
-        self.queue, self.gone = SimpleQueue(), Event()
-        timeout_s = record.timeout / MILLION
-        self.make = lambda: Register(record.register_, f"{KEYS}{record.name}/", timeout_s)
-        terms = LeaseTerms(record.lease // MILLION, record.drift.rate, record.drift.margin)
-        rule = membership.Rule(
-            terms,
-            record.duties.settle,
-            record.duties.moves,
-            record.duties.pauses.least,
-            record.duties.pauses.most,
-            record.duties.leaving,
+    """A member of a fleet, from start() until leave() is done; then `stopped` is set."""
+
+    def __init__(self, record: "FleetRecord", configuration: "Configuration", core: "Core") -> None:
+        """record: the operator's. Raises UnusableFleetError."""
+        agreement = configuration.agreement
+        self.record = record
+        self.core = core
+        self.name = configuration.name or configuration.listen_address
+        self.queue: SimpleQueue[events.Event] = SimpleQueue()  # calls for the fleet's thread
+        self.stopped = Event()
+        self.lanes: dict[str, Lane] = {}
+        self.role_states: dict[str, RoleState] = {}
+        self.watchers: dict[str, Watcher] = {}  # of the keys of led roles, by role
+        self.scheduled_commands = assembly.scheduled_commands(record, agreement, self.name)
+        # The seed is of this start alone; the nonce tells two processes of one name apart.
+        self._random = random.Random(configuration.seed ^ time.time_ns())
+        self._event_log = EventLog(record.name, self.name)
+        self._availability_log = AvailabilityLog(self._event_log)
+        rules = assembly.membership_rules(record)
+        nonce = f"{self._random.getrandbits(NONCE_BITS):016x}"
+        self.membership = Membership(
+            self.name, nonce, rules, self._roles(), self._random.random, monotonic_us()
         )
-        self.plans = {PLAN + item.name: self._plan(item, configuration.agreement) for item in record.schedule}
-        self.commands = {PLAN + item.name: item for item in record.schedule}
-        duties = [*self.plans, *(f"{BEAT}{i}" for i in range(record.duties.beats))]
-        duties += [dividing.DUTY] if record.budgets else []
-        duties += [CARRIES] if record.policy.on else []
-        self.membership = membership.Membership(
-            self.name, f"{self.chance.getrandbits(64):016x}", rule, duties, self.chance.random, clock()
+        self._heartbeats = Heartbeats(
+            self.membership, lambda: self.work_lane, record.duties.beat, self.log_refused_effect
         )
-        self.beats = Beats(self, record.duties.beat)
-        self.desk = Desk(
-            core,
-            RequestReader(configuration.agreement),
-            lambda *told_: self.queue.put(("answered", *told_)),
-            self.chance.getrandbits,
+        self._role_driver = RoleDriver(self)
+        client = ScheduledCommandClient(
+            core, RequestReader(agreement), self._post_attempt_ended, self._random.getrandbits
         )
-        self.asked = {}  # commands that are out: their duty
-        self.away_since = None  # since when the register does not answer
-        self.held, self.watchers = {}, {}  # by duty: what holds its keys; what follows them
-        try:
-            self.budgets = Budgets(self, record, configuration.agreement, clock) if record.budgets else None
-        except Unfit as fault:
-            raise Unusable(str(fault)) from None
+        records = {SCHEDULED_COMMAND_ROLE + item.name: item for item in record.schedule}
+        self._scheduled_command_driver = ScheduledCommandDriver(self, records, client)
+        self.budgets = None
+        if record.budgets:
+            try:
+                self.budgets = Budgets(self, record, agreement, monotonic_us)
+            except Unfit as error:
+                raise UnusableFleetError(str(error)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = Policies(self, record, configuration.agreement, clock, terms.guaranteed_us())
-
-    def _plan(self, item, agreement):
-        names = [profile.name for profile in agreement.profiles]
-        where = f"fleet.schedule {item.name!r}"
-        if item.profile not in names:
-            raise Unusable(f"{where}: {item.profile!r} is no profile of the agreement")
-        if agreement.tenants and item.tenant not in [tenant.name for tenant in agreement.tenants]:
-            raise Unusable(f"{where}: {item.tenant!r} is no tenant of the agreement")
-        profile = agreement.profiles[names.index(item.profile)]
-        try:
-            calendar = Calendar(item.at, item.zone, item.every)
-        except Bad as fault:
-            raise Unusable(f"{where}: {fault}") from None
-        rule = schedule.Rule(
-            item.name, item.window, item.tries, item.overlap == "wait", self.record.drift.skew
-        )
-        kind = schedule.Kind(
-            profile.idempotency,
-            profile.timeout_us,
-            profile.dedup_window_us,
-            profile.dedup_scope == DeduplicationScope.FLEET,
-        )
-        return schedule.Plan(rule, kind, calendar, self.name)
-
-    # From other threads
-
-    def start(self):
+            self.policies = Policies(self, record, agreement, monotonic_us, rules.terms.guaranteed_us())
+        self._parts = [part for part in (self.budgets, self.policies) if part]
+
+    def _roles(self) -> list[str]:
+        """The roles of the fleet, in the order in which they are assigned."""
+        roles = list(self.scheduled_commands)
+        roles += [f"{HEARTBEAT_ROLE}{number}" for number in range(self.record.duties.beats)]
+        if self.record.budgets:
+            roles.append(dividing.DUTY)
+        if self.record.policy.on:
+            roles.append(ROLLOUT_ROLE)
+        return roles
+
+    # Called on any thread
+
+    def start(self) -> None:
         """Begin, in threads of its own."""
         if self.record.events:
-            logger.add(self.record.events, serialize=True, filter=lambda line: "fleet" in line["extra"])
-        self.lanes = {
-            name: Lane(name, self.make, lambda *told: self.queue.put(told))
-            for name in (
-                membership.LEASE,
-                membership.STATE,
-                "work",
-                *(LANES if self.budgets else ()),
-                *(POLICY_LANES if self.policies else ()),
-            )
-        }
-        self.work, self.members = self.lanes["work"], self._watcher("members", membership.MEMBERS, "changed")
-        for part in (self.budgets, self.policies):
-            if part:
-                part.start(self._watcher)
+            self._event_log.add_file(self.record.events)
+        names = [*CallLane, WORK_LANE]
+        if self.budgets:
+            names += BUDGET_LANES
+        if self.policies:
+            names += ROLLOUT_LANES
+        self.lanes = {name: Lane(name, self.make, self.post) for name in names}
+        self._members_watcher = self.watch("members", MEMBERS_PREFIX, self._member_changed, self._watch_gap)
+        for part in self._parts:
+            part.start(self.watch)
         start_thread(self._run, "fleet")
 
-    def _watcher(self, name, prefix, what, *of):
-        """Changes of these keys come as this event; where some were missed, as `missed` with its name."""
-        pauses = Pauses(self.record.duties.pauses.least, self.record.duties.pauses.most, self.chance.random)
+    def leave(self) -> None:
+        """Give all roles back in good order; `stopped` is set when that is done."""
+        self.post(self._leave)
+
+    def post(self, call: Callable[..., Any], *arguments: Any) -> None:
+        """Have a call made on the fleet's thread."""
+        self.queue.put(events.Invoke(call, arguments))
+
+    def make(self) -> StoreClient:
+        """A new session with the store."""
+        prefix = fleet_prefix(self.record.name)
+        return StoreClient(self.record.register_, prefix, self.record.timeout / US_PER_SECOND)
+
+    def watch(self, name: str, prefix: str, on_change: OnChange, on_gap: Callable[[], Any]) -> Watcher:
+        """Watch the keys with this prefix, from the revision that Watcher.follow() names.
+
+        on_change(key, value or None where it was deleted, revision) is called on the fleet's thread for each
+        change, on_gap() where changes were missed.
+        """
+        pauses = self.record.duties.pauses
         return Watcher(
             name,
             self.make,
             prefix,
-            QUIET_LEASES * self.record.lease / MILLION,
-            pauses,
-            lambda *told: self.queue.put((what, *of, *told)),
-            lambda: self.queue.put(("missed", what, *of)),
+            WATCH_SILENCE_LEASES * self.record.lease / US_PER_SECOND,
+            Backoff(pauses.least, pauses.most, self._random.random),
+            lambda *change: self.post(on_change, *change),
+            lambda: self.post(on_gap),
         )
 
-    def leave(self):
-        """SIGTERM: give back in good order; `gone` is set when that is done."""
-        self.queue.put(("leave",))
+    def watch_role(self, role: str, name: str, prefix: str) -> None:
+        """Watch the keys of a role for its role state, while this member leads it."""
+        self.watchers[role] = self.watch(
+            name,
+            prefix,
+            lambda *change: self._role_driver.changed(role, *change),
+            lambda: self._role_driver.missed(role),
+        )
+
+    def log_event(self, level: str, text: str, **facts: Any) -> None:
+        """Write a log line, with its facts as fields."""
+        self._event_log.log(level, text, **facts)
+
+    def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
+        """Write a log line where the store refused a write under an old token."""
+        self._event_log.log_refused_effect(role, token, reply)
+
+    @property
+    def work_lane(self) -> Lane:
+        """The lane of heartbeats and scheduled commands."""
+        return self.lanes[WORK_LANE]
 
-    # The deciding thread
+    # The fleet's thread
 
-    def _run(self):
-        self.membership.tick(clock())
-        while self.membership.state != membership.OUT:
-            self._guarded(self._carry_out)
+    def _run(self) -> None:
+        self.membership.tick(monotonic_us())
+        while self.membership.state != MemberState.OUT:
+            self._guarded(self._carry_out_all)
             try:
-                what, *told = self.queue.get(timeout=self._sleep_s())
-                self._guarded(getattr(self, "_on_" + what), *told)
+                event = self.queue.get(timeout=self._sleep_s())
+                self._guarded(event)
             except Empty:
                 pass
-            self._guarded(self.membership.tick, clock())
-            for duty, plan in self.plans.items():
-                self._guarded(self._step_plan, duty, plan)
-            self._guarded(self.beats.step, clock())
-            for part in (self.budgets, self.policies):
-                if part:
-                    self._guarded(part.step, clock())
-            for duty, holder in self.held.items():
-                self._guarded(self._step_held, duty, holder)
-        self._guarded(self._carry_out)
-        self.gone.set()
-
-    def _guarded(self, call, *args):
-        """A fault of ours is logged and counted, and takes nothing else along."""
+            self._guarded(self.membership.tick, monotonic_us())
+            for role in self.scheduled_commands:
+                self._guarded(self._scheduled_command_driver.step, role)
+            self._guarded(self._heartbeats.step, monotonic_us())
+            for part in self._parts:
+                self._guarded(part.step, monotonic_us())
+            for role in self.role_states:
+                self._guarded(self._role_driver.step, role)
+        self._guarded(self._carry_out_all)
+        self.stopped.set()
+
+    def _guarded(self, call: Callable[..., Any], *arguments: Any) -> None:
+        """Make a call; a fault in it is logged and counted, and does not end the thread."""
         try:
-            call(*args)
-        except Exception:
+            call(*arguments)
+        except Exception:  # noqa: BLE001  the thread's outermost guard: one faulty event must not stop the fleet
             self.core.counters.add("faults of ours")
-            logger.exception("fleet: {} failed", getattr(call, "__name__", call))
-
-    def _sleep_s(self):
-        now, unix_now = clock(), unix()
-        waits = [self.membership.due(now) - now, (self.beats.due() or now + MILLION) - now]
-        waits += [part.due(now) - now for part in (self.budgets, self.policies) if part]
-        waits += [holder.due(now) - now for holder in self.held.values()]
-        waits += [plan.due(unix_now) - unix_now for plan in self.plans.values() if plan.token]
-        return max(LEAST_S, min(IDLE_S, min(waits) / MILLION))
-
-    def _step_plan(self, duty, plan):
-        plan.step(unix())
-        self._carry_plan(duty, plan)
-
-    def _carry_out(self):
-        """What the owner wants done."""
-        while out := self.membership.take_actions():
-            for what, *told in out:
-                if what == membership.CALL:
-                    self.lanes[membership.lane_of(told[0].request)].put(told[0].request, "replied", told[0])
-                elif what == membership.WON:
-                    self._won(*told)
-                elif what == membership.GONE:
-                    self._lost(*told)
-                elif what == membership.WATCH:
-                    self.members.follow(told[0])
-                else:
-                    self.event("info", told[0], **told[1])
-
-    def _won(self, duty, token):
-        self.event("info", "owns", duty=duty, token=token)
-        if duty in self.plans:
-            self.plans[duty].won(token, unix())
-            self._carry_plan(duty, self.plans[duty])
-        elif duty.startswith(BEAT):
-            self.beats.won(duty, token, clock())
+            self._event_log.log_fault(call)
+
+    def _sleep_s(self) -> float:
+        """How long nothing is due."""
+        now = monotonic_us()
+        times = [self.membership.due(now), self._heartbeats.due() or now + US_PER_SECOND]
+        times += [part.due(now) for part in self._parts]
+        times += self._role_driver.due(now)
+        waits_us = [at - now for at in times]
+        waits_us += self._scheduled_command_driver.waits_us()
+        return max(MIN_SLEEP_S, min(MAX_SLEEP_S, min(waits_us) / US_PER_SECOND))
+
+    def _carry_out_all(self) -> None:
+        """Do what the membership asks for."""
+        while actions := self.membership.take_actions():
+            for action in actions:
+                self._carry_out(action)
+
+    def _carry_out(self, action: MembershipAction) -> None:
+        match action:
+            case CallStore(call):
+                self.lanes[lane_of(call.request)].put(call.request, self._call_replied, call)
+            case RoleWon(role, token):
+                self.log_event("info", "owns", duty=role, token=token)
+                self._role_won(role, token)
+            case RoleLost(role, reason):
+                self.log_event("info", "owns no more", duty=role, why=reason)
+                self._role_lost(role)
+            case WatchMembers(revision):
+                self._members_watcher.follow(revision)
+            case StateChanged(text, facts):
+                self.log_event("info", text, **facts)
+
+    def _role_won(self, role: str, token: int) -> None:
+        if role in self.scheduled_commands:
+            self._scheduled_command_driver.won(role, token)
+        elif role.startswith(HEARTBEAT_ROLE):
+            self._heartbeats.won(role, monotonic_us())
         else:
-            self.held[duty].won(token, clock())
-
-    def _lost(self, duty, why):
-        self.event("info", "owns no more", duty=duty, why=why)
-        if duty in self.plans:
-            self.plans[duty].gone()
-            self._carry_plan(duty, self.plans[duty])
-        elif duty.startswith(BEAT):
-            self.beats.gone(duty)
-        else:
-            self.held[duty].lost()
-
-    def _step_held(self, duty, holder):
-        """Go on with a duty's keys, and do what is wanted."""
-        holder.step(clock())
-        while out := holder.take_actions():
-            for action in out:
-                match action:
-                    case ReadKeys(serial, prefix):
-                        self.lanes[duty].put(ReadPrefix(prefix), "duty_read", duty, serial)
-                    case WriteKeys(serial, token, operations, conditions):
-                        request = self.membership.fenced_transaction(duty, token, operations, conditions)
-                        self.lanes[duty].put(request, "duty_written", duty, serial, token)
-                    case WatchKeys(revision):
-                        self.watchers[duty].follow(revision)
-                    case LogEvent(level, text, facts):
-                        self.event(level, text, duty=duty, token=holder.token, **facts)
-
-    def _carry_plan(self, duty, plan):
-        """What a scheduled command wants done."""
-        while out := plan.take_actions():
-            for what, *told in out:
-                if what == schedule.READ:
-                    self.work.put(ReadPrefix(told[0]), "plan_read", duty)
-                elif what == schedule.WRITE:
-                    serial, token, acts, when = told
-                    self.work.put(
-                        self.membership.fenced_transaction(duty, token, acts, when),
-                        "plan_written",
-                        duty,
-                        serial,
-                        token,
-                    )
-                elif what == schedule.BUSY:
-                    self.membership.set_busy(duty, told[0])
-                elif what == schedule.SEND:
-                    self._send(duty, plan, *told)
-                else:
-                    level, text, facts = told
-                    self.event(level, "occurrence " + text, **facts)
-
-    def _send(self, duty, plan, due, tries, mark, at, limit_us):
-        self.event("info", "occurrence sent", duty=duty, due=due, tries=tries, token=plan.token, mark=mark)
-        number, why = self.desk.ask(self.commands[duty], limit_us, at, mark, tries > 1)
-        if number is None:
-            plan.ended(unix(), schedule.UNDONE, why)
-        else:
-            self.asked[number] = duty
-
-    def event(self, level, text, **facts):
-        """A line for staff, with its facts as fields."""
-        fields = {"fleet": self.record.name, "member": self.name, "event": text, **facts}
-        logger.bind(**fields).log(
-            level.upper(),
-            "fleet: {}{}",
-            text,
-            "".join(f"; {name} {value}" for name, value in facts.items() if value not in ("", None)),
-        )
+            self._role_driver.won(role, token)
 
-    def refused(self, duty, token, reply):
-        """Say so where the register refused an effect."""
-        if reply.proof == Proof.DONE and not reply.succeeded:
-            self.event("warning", "late effect refused", duty=duty, token=token)
-
-    # What comes to the deciding thread
-
-    def _on_replied(self, call, reply):
-        now = clock()
-        if reply.proof == Proof.DONE and self.away_since is not None:
-            away_s = round((now - self.away_since) / MILLION, 1)
-            self.event("warning", "the register answers again", after_s=away_s)
-            self.away_since = None
-        elif reply.proof != Proof.DONE and self.away_since is None:
-            self.away_since = now
-            self.event("warning", "the register does not answer; served on as if alone", proof=reply.proof)
-        self.membership.reply(now, call, reply)
-
-    def _on_changed(self, key, value, revision):
-        self.membership.changed(clock(), key, value, revision)
-
-    def _on_missed(self, what, duty=""):
-        if what == "changed":
-            self.membership.watch_lost(clock())
-        elif what == "duty_changed":
-            self.held[duty].missed(clock())
-        elif what == "policy_changed":
-            self.policies.member.missed(clock())
+    def _role_lost(self, role: str) -> None:
+        if role in self.scheduled_commands:
+            self._scheduled_command_driver.lost(role)
+        elif role.startswith(HEARTBEAT_ROLE):
+            self._heartbeats.lost(role)
         else:
-            self.budgets.row_missed()
-
-    def _on_leave(self):
-        if self.budgets:
-            self.budgets.leave()
-        for plan in self.plans.values():
-            plan.leave()
-        self.membership.leave(clock())
-
-    def _on_beaten(self, duty, token, reply):
-        self.beats.beaten(duty, token, reply)
+            self._role_driver.lost(role)
 
-    def _on_plan_read(self, duty, reply):
-        self.plans[duty].read(unix(), reply)
+    # Events
 
-    def _on_plan_written(self, duty, serial, token, reply):
-        self.refused(duty, token, reply)
-        may_act = self.membership.fencing_token(duty, clock()) == token
-        self.plans[duty].written(unix(), serial, reply, may_act)
+    def _call_replied(self, call: PendingCall, reply: Reply) -> None:
+        now = monotonic_us()
+        self._availability_log.record(reply, now)
+        self.membership.call_replied(now, call, reply)
 
-    def _on_answered(self, number, state, why):
-        duty = self.asked.pop(number, None)
-        if duty:
-            self.plans[duty].ended(unix(), state, why)
+    def _member_changed(self, key: str, value: str | None, revision: int) -> None:
+        self.membership.member_changed(monotonic_us(), key, value, revision)
 
-    def _on_duty_changed(self, duty, key, value, revision):
-        self.held[duty].changed(clock(), key, value, revision)
+    def _watch_gap(self) -> None:
+        self.membership.watch_gap(monotonic_us())
 
-    def _on_duty_read(self, duty, serial, reply):
-        self.held[duty].read(clock(), serial, reply)
+    def _post_attempt_ended(self, *outcome: Any) -> None:
+        """Called on the core's thread."""
+        self.post(self._scheduled_command_driver.attempt_ended, *outcome)
 
-    def _on_duty_written(self, duty, serial, token, reply):
-        self.refused(duty, token, reply)
-        self.held[duty].written(clock(), serial, reply)
-
-    # Budgets
-
-    def _on_rush(self):
-        self.budgets.rush()
-
-    def _on_counted(self, *told):
-        self.budgets.counted(clock(), *told)
-
-    def _on_reported(self, lease, reply):
-        self.budgets.reported(lease, reply)
-
-    def _on_rows_read(self, lease, reply):
-        self.budgets.rows_read(lease, reply)
-
-    def _on_row_changed(self, key, value, revision):
-        self.budgets.row_changed(key, value, revision)
-
-    def _on_gave_back(self, reply):
-        self.budgets.gave_back(reply)
-
-    # Policy
-
-    def _on_policy_replied(self, serial, reply):
-        self.policies.member.replied(clock(), serial, reply)
-
-    def _on_adopted(self, serial):
-        self.policies.member.adopted(clock(), serial)
-
-    def _on_stopped(self, number):
-        self.policies.member.stopped(clock(), number)
-
-    def _on_policy_changed(self, key, value, revision):
-        self.policies.member.changed(clock(), key, value, revision)
+    def _leave(self) -> None:
+        if self.budgets:
+            self.budgets.leave()
+        self._scheduled_command_driver.leave()
+        self.membership.leave(monotonic_us())
--- /dev/null
+++ b/gullhold/fleet/membership_types.py
@@ -0,0 +1,139 @@
+"""States, calls, actions and rules of a fleet's member."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any, NamedTuple
+
+from gullhold.fleet.backoff import Backoff
+from gullhold.fleet.lease import LeaseTerms
+from gullhold.fleet.store_calls import (
+    GrantLease,
+    KeepLeaseAlive,
+    PendingCall,
+    Proof,
+    ReadLeaseKeys,
+    ReadPrefix,
+    Reply,
+    Request,
+    RevokeLease,
+    Transaction,
+)
+
+
+class MemberState(StrEnum):
+    """State of a member; the values stand in the log."""
+
+    ALONE = "alone"  # it has no lease
+    READING = "reading"  # it has a lease, and reads who the members are
+    JOINING = "joining"  # it writes its own key
+    IN = "in"  # it leads the roles that are assigned to it
+    LEAVING = "leaving"  # it gives its roles back
+    OUT = "out"  # it has left for good, or a later process has its name
+
+
+class CallLane(StrEnum):
+    """Calls of one lane wait for each other: a lease must not wait behind anything else."""
+
+    LEASE = "lease"
+    STATE = "state"
+
+
+class CallPurpose(StrEnum):
+    """What a call to the store is for."""
+
+    GRANT_LEASE = "grant"
+    RENEW_LEASE = "keep"
+    REVOKE_LEASE = "revoke"
+    READ_MEMBERS = "read"
+    JOIN = "join"
+    BECOME_READY = "ready"
+    INSPECT_ROLES = "look"  # read the keys of roles of which we do not know who leads them
+    AUDIT_LEASE = "audit"  # read which keys are attached to our lease
+    CLAIM_ROLES = "claim"
+    RELEASE_ROLES = "release"
+
+
+def lane_of(request: Request) -> CallLane:
+    """The lane of a request."""
+    if isinstance(request, GrantLease | KeepLeaseAlive | RevokeLease):
+        return CallLane.LEASE
+    return CallLane.STATE
+
+
+def is_stale(request: Request, reply: Reply, newest_revision: int) -> bool:
+    """Whether a reply shows the store as it was before a revision that is known already.
+
+    Guards against a read from the past: it would show keys that do not exist any more.
+    """
+    reads_state = isinstance(request, ReadPrefix | Transaction | ReadLeaseKeys)
+    return reply.proof == Proof.DONE and reply.revision < newest_revision and reads_state
+
+
+class CallPlan(NamedTuple):
+    """A call that is to be made. about: what its reply needs: roles, or whether a member joined as ready."""
+
+    purpose: CallPurpose
+    request: Request
+    about: tuple = ()
+
+
+@dataclass(frozen=True, slots=True)
+class CallStore:
+    """Action: make the call; answered by call_replied()."""
+
+    call: PendingCall
+
+
+@dataclass(frozen=True, slots=True)
+class RoleWon:
+    """Action: this member leads the role from now on, under this fencing token."""
+
+    role: str
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class RoleLost:
+    """Action: this member does not lead the role any more."""
+
+    role: str
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class WatchMembers:
+    """Action: follow changes of the members' keys from this revision on; each comes to member_changed()."""
+
+    revision: int
+
+
+@dataclass(frozen=True, slots=True)
+class StateChanged:
+    """Action: an event for the log, with its facts as fields."""
+
+    text: str
+    facts: dict[str, Any]
+
+
+MembershipAction = CallStore | RoleWon | RoleLost | WatchMembers | StateChanged
+
+
+class MembershipRules(NamedTuple):
+    """The operator's figures; times in us.
+
+    settle_us: how long a member that joins others waits until roles move to it. moves_per_second: the most
+    roles that one member gives up for another. min_backoff_us, max_backoff_us: between attempts of a call.
+    leave_us: how long leaving waits for work that is under way.
+    """
+
+    terms: LeaseTerms
+    settle_us: int
+    moves_per_second: float
+    min_backoff_us: int
+    max_backoff_us: int
+    leave_us: int
+
+    def backoff(self, random_fraction: Callable[[], float]) -> Backoff:
+        """A new backoff between attempts of a call; random_fraction: draws from [0, 1)."""
+        return Backoff(self.min_backoff_us, self.max_backoff_us, random_fraction)
--- /dev/null
+++ b/gullhold/fleet/occurrence.py
@@ -0,0 +1,49 @@
+"""One time at which a scheduled command is due, and what became of it."""
+
+from enum import StrEnum
+from hashlib import blake2s
+from typing import NamedTuple
+
+IDEMPOTENCY_KEY_BYTES = 16
+
+
+class OccurrenceState(StrEnum):
+    """State of an occurrence, as stored."""
+
+    INTENT = "intent"  # an attempt may have been sent
+    SHED = "shed"  # the last attempt provably had no effect, and another may follow
+    UNDONE = "undone"  # the same: the last attempt was never taken
+    ANSWERED = "answered"  # final
+    FAILED = "failed"  # final
+    SKIPPED = "skipped"  # final
+
+
+OPEN_STATES = (OccurrenceState.INTENT, OccurrenceState.SHED, OccurrenceState.UNDONE)
+
+
+class Occurrence(NamedTuple):
+    """One occurrence of a scheduled command; times are Unix time in us.
+
+    token: the fencing token under which it was written. attempts: those begun. started_us: when the first
+    intent was written, 0: never. member: who wrote it. reason: why it failed or was skipped. count: how many
+    due times it stands for, more than one only where they were skipped together.
+    """
+
+    due_us: int
+    state: OccurrenceState | str
+    token: int
+    attempts: int = 0
+    started_us: int = 0
+    member: str = ""
+    reason: str = ""
+    count: int = 1
+
+    @property
+    def is_open(self) -> bool:
+        """Whether work on it may go on."""
+        return self.state in OPEN_STATES
+
+
+def idempotency_key(command: str, due_us: int) -> str:
+    """The key by which engines know a repeat: the same for all attempts, whichever member makes them."""
+    return blake2s(f"{command} {due_us}".encode(), digest_size=IDEMPOTENCY_KEY_BYTES).hexdigest()
--- /dev/null
+++ b/gullhold/fleet/rate_limit.py
@@ -0,0 +1,30 @@
+"""A token bucket that bounds how many roles a member gives up in a second. Decisions only."""
+
+US_PER_SECOND = 1e6
+
+
+class RateLimit:
+    """At most so many permits a second; the bucket holds the permits of one second."""
+
+    __slots__ = ("available", "rate", "updated_at")
+
+    def __init__(self, rate: float, now: int) -> None:
+        """rate: permits a second; now: us of a monotonic clock."""
+        self.rate = rate
+        self.available = float(rate)
+        self.updated_at = now
+
+    def take(self, now: int, wanted: int) -> int:
+        """Take up to so many permits; how many were taken."""
+        elapsed_us = max(0, now - self.updated_at)
+        self.available = min(self.rate, self.available + elapsed_us * self.rate / US_PER_SECOND)
+        self.updated_at = max(self.updated_at, now)
+        count = min(wanted, int(self.available))
+        self.available -= count
+        return count
+
+    def ready_at(self, now: int) -> int:
+        """When the next permit can be taken."""
+        if self.available >= 1:
+            return now
+        return now + int((1 - self.available) / self.rate * US_PER_SECOND) + 1
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -26,8 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteKeys:
-    """Action: carry the operations out while the role is led under this token and the conditions hold;
-    answered by written()."""
+    """Action: carry the operations out while the role is led under this token and the conditions hold.
+
+    Answered by written().
+    """
 
     serial: CallSerial
     token: int
--- a/gullhold/fleet/show.py
+++ b/gullhold/fleet/show.py
@@ -1,93 +1,126 @@
-"""`gullhold fleet members|duties|history`: what a fleet's register says, as a table or as JSON."""
+"""`gullhold fleet members|duties|history`: what a fleet's store says, as a table or as JSON.
+
+The columns keep the names that operators and their scripts know.
+"""
 
 import json
 import sys
+from collections import Counter
+from collections.abc import Callable, Iterable
 from datetime import UTC, datetime
+from typing import Any
 
 from rich.console import Console
 from rich.table import Table
 
-from gullhold.fleet import membership, schedule
-from gullhold.fleet.driver import KEYS
-from gullhold.fleet.lease import MILLION
-from gullhold.fleet.register import Register
-from gullhold.fleet.store_calls import Proof, ReadPrefix
-
-TIMEOUT_S = 3.0
+from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.fleet.store_calls import KeyValue, Proof, ReadPrefix
+from gullhold.fleet.store_client import StoreClient
+from gullhold.fleet.store_schema import (
+    MEMBERS_PREFIX,
+    ROLES_PREFIX,
+    SCHEDULED_COMMANDS_PREFIX,
+    LeaderRecord,
+    MemberRecord,
+    decode_occurrence,
+    fleet_prefix,
+    is_occurrence_key,
+)
 
+TIMEOUT_S = 3.0  # for each call of the store: a person waits
 
-def _when(unix_us):
-    moment = datetime.fromtimestamp(unix_us / MILLION, UTC)
-    return moment.isoformat(timespec="milliseconds") if unix_us else ""
+Row = dict[str, Any]
+ReadItems = Callable[[str], Iterable[KeyValue]]  # the items with a prefix; raises ConnectionError
 
 
-def rows(what, read):
-    """What is shown, a dict a row; read: items of the register by prefix."""
-    if what == "members":
-        counts = {}
-        for item in read(membership.DUTIES):
-            name = membership.written(item.value).get("owner")
-            counts[name] = counts.get(name, 0) + 1
-        return [
+def member_rows(read: ReadItems) -> list[Row]:
+    """The members, each with the number of roles that it leads."""
+    role_counts = Counter(LeaderRecord.decode(item.value).member for item in read(ROLES_PREFIX))
+    rows = []
+    for item in read(MEMBERS_PREFIX):
+        name = item.key.removeprefix(MEMBERS_PREFIX)
+        record = MemberRecord.decode(item.value, item.revision)
+        rows.append(
             {
-                "member": item.key.removeprefix(membership.MEMBERS),
-                "ready": bool(membership.written(item.value).get("ready")),
-                "incarnation": membership.since(membership.written(item.value), item.revision),
-                "duties": counts.get(item.key.removeprefix(membership.MEMBERS), 0),
+                "member": name,
+                "ready": record.is_ready,
+                "incarnation": record.incarnation,
+                "duties": role_counts[name],
             }
-            for item in read(membership.MEMBERS)
-        ]
-    if what == "duties":
-        return [
+        )
+    return rows
+
+
+def role_rows(read: ReadItems) -> list[Row]:
+    """The roles, each with its leader."""
+    return [
+        {
+            "duty": item.key.removeprefix(ROLES_PREFIX),
+            "owner": LeaderRecord.decode(item.value).member,
+            "token": item.revision,
+        }
+        for item in read(ROLES_PREFIX)
+    ]
+
+
+def occurrence_rows(read: ReadItems) -> list[Row]:
+    """The occurrences of scheduled commands that are kept, in order of time."""
+    rows = []
+    for item in read(SCHEDULED_COMMANDS_PREFIX):
+        occurrence = decode_occurrence(item.value) if is_occurrence_key(item.key) else None
+        if occurrence is None:
+            continue
+        rows.append(
             {
-                "duty": item.key.removeprefix(membership.DUTIES),
-                "owner": membership.written(item.value).get("owner"),
-                "token": item.revision,
+                "command": item.key.split("/")[1],
+                "due": _iso_time(occurrence.due_us),
+                "state": occurrence.state,
+                "tries": occurrence.attempts,
+                "by": occurrence.member,
+                "token": occurrence.token,
+                "why": occurrence.reason,
+                "count": occurrence.count,
             }
-            for item in read(membership.DUTIES)
-        ]
-    found = []
-    for item in read(schedule.PLAN):
-        record = schedule.record_of(item.value) if "/run/" in item.key else None
-        if record:
-            found.append(
-                {
-                    "command": item.key.split("/")[1],
-                    "due": _when(record.due_us),
-                    "state": record.state,
-                    "tries": record.tries,
-                    "by": record.by,
-                    "token": record.token,
-                    "why": record.why,
-                    "count": record.count,
-                }
-            )
-    return sorted(found, key=lambda row: (row["due"], row["command"]))
-
-
-def run(what, address, name, as_json):
-    """Print it; the exit status, 1 where the register does not answer."""
-    session = Register(address, f"{KEYS}{name}/", TIMEOUT_S)
-
-    def read(prefix):
+        )
+    return sorted(rows, key=lambda row: (row["due"], row["command"]))
+
+
+def _iso_time(unix_us: int) -> str:
+    if not unix_us:
+        return ""
+    return datetime.fromtimestamp(unix_us / US_PER_SECOND, UTC).isoformat(timespec="milliseconds")
+
+
+TABLES = {"members": member_rows, "duties": role_rows, "history": occurrence_rows}
+
+
+def run(subject: str, address: str, fleet_name: str, as_json: bool) -> int:
+    """Print one of the TABLES; the exit status, 1 where the store does not answer."""
+    session = StoreClient(address, fleet_prefix(fleet_name), TIMEOUT_S)
+
+    def read(prefix: str) -> Iterable[KeyValue]:
         reply = session.call(ReadPrefix(prefix))
         if reply.proof != Proof.DONE:
             raise ConnectionError
         return reply.items
 
     try:
-        found = rows(what, read)
+        rows = TABLES[subject](read)
     except ConnectionError:
         print(f"gullhold: the register at {address} does not answer", file=sys.stderr)
         return 1
     if as_json:
-        for row in found:
+        for row in rows:
             print(json.dumps(row))
-        return 0
-    table = Table(title=f"{what} of {name}")
-    for column in found[0] if found else ("nothing",):
+    else:
+        _print_table(f"{subject} of {fleet_name}", rows)
+    return 0
+
+
+def _print_table(title: str, rows: list[Row]) -> None:
+    table = Table(title=title)
+    for column in rows[0] if rows else ("nothing",):
         table.add_column(column)
-    for row in found:
+    for row in rows:
         table.add_row(*map(str, row.values()))
     Console().print(table)
-    return 0
--- /dev/null
+++ b/gullhold/fleet/store_schema.py
@@ -0,0 +1,142 @@
+"""Names of the keys that a fleet keeps in the store, and the JSON of their values.
+
+All stored words of members, roles, heartbeats and scheduled commands stand here; the rest of the package uses
+the terms of the glossary. The names are those that released versions write: they are not to be changed.
+Budgets and policies have modules for their own keys.
+"""
+
+import json
+from typing import Any, NamedTuple
+
+from gullhold.fleet.occurrence import Occurrence, OccurrenceState
+
+GULLHOLD_PREFIX = "/gullhold/"  # other programs may use the store too
+
+MEMBERS_PREFIX = "members/"  # + member: the key of a member, attached to its lease
+ROLES_PREFIX = "duties/"  # + role: the key of a role's leader, attached to the leader's lease
+HEARTBEATS_PREFIX = "beats/"  # + role: what the leader of a heartbeat role writes
+SCHEDULED_COMMANDS_PREFIX = "plan/"  # + command: the keys of a scheduled command
+
+# Names of roles, by what they are for.
+SCHEDULED_COMMAND_ROLE = "schedule/"  # + command
+HEARTBEAT_ROLE = "beat/"  # + number
+
+HANDLED_UNTIL = "upto"  # the time up to which the due times of a scheduled command have been handled
+OCCURRENCES = "run/"  # + due time, with leading zeros: one occurrence
+DUE_DIGITS = 20  # of a due time in a key: keys sort by time
+
+
+def fleet_prefix(fleet_name: str) -> str:
+    """The prefix of all keys of one fleet."""
+    return f"{GULLHOLD_PREFIX}{fleet_name}/"
+
+
+def _decode_object(text: str) -> dict[str, Any]:
+    """A JSON object; empty for a value that can't be read, written by a member that we do not know."""
+    try:
+        value = json.loads(text)
+    except ValueError:
+        return {}
+    return value if isinstance(value, dict) else {}
+
+
+class MemberRecord(NamedTuple):
+    """The value of a member's key.
+
+    nonce: tells two processes of one name apart. incarnation: the revision of the process's first joining, 0
+    in the value that it joins with.
+    """
+
+    nonce: str | None
+    is_ready: bool
+    incarnation: int
+
+    def encode(self) -> str:
+        """The stored text."""
+        return json.dumps({"nonce": self.nonce, "ready": self.is_ready, "since": self.incarnation})
+
+    @classmethod
+    def decode(cls, text: str, revision: int) -> "MemberRecord":
+        """The record in a stored text; revision: that of the key, which stands for a missing incarnation."""
+        fields = _decode_object(text)
+        return cls(fields.get("nonce"), bool(fields.get("ready")), fields.get("since") or revision)
+
+
+class LeaderRecord(NamedTuple):
+    """The value of a role's key: who leads it."""
+
+    member: str | None
+    nonce: str | None
+    incarnation: int | None
+
+    def encode(self) -> str:
+        """The stored text."""
+        return json.dumps({"owner": self.member, "nonce": self.nonce, "incarnation": self.incarnation})
+
+    @classmethod
+    def decode(cls, text: str) -> "LeaderRecord":
+        """The record in a stored text."""
+        fields = _decode_object(text)
+        return cls(fields.get("owner"), fields.get("nonce"), fields.get("incarnation"))
+
+
+def encode_heartbeat(role: str, token: int, member: str) -> str:
+    """The stored text of a heartbeat."""
+    return f'{{"duty": "{role}", "token": {token}, "by": "{member}"}}'
+
+
+def scheduled_command_prefix(name: str) -> str:
+    """The prefix of all keys of one scheduled command."""
+    return f"{SCHEDULED_COMMANDS_PREFIX}{name}/"
+
+
+def occurrence_key(prefix: str, due_us: int) -> str:
+    """The key of an occurrence; prefix: of the command's keys."""
+    return f"{prefix}{OCCURRENCES}{due_us:0{DUE_DIGITS}d}"
+
+
+def is_occurrence_key(key: str) -> bool:
+    """Whether a key, with the prefix of its command, is that of an occurrence."""
+    return f"/{OCCURRENCES}" in key
+
+
+def encode_occurrence(occurrence: Occurrence) -> str:
+    """The stored text of an occurrence."""
+    return json.dumps(
+        {
+            "due_us": occurrence.due_us,
+            "state": occurrence.state,
+            "token": occurrence.token,
+            "tries": occurrence.attempts,
+            "began_us": occurrence.started_us,
+            "by": occurrence.member,
+            "why": occurrence.reason,
+            "count": occurrence.count,
+        }
+    )
+
+
+def decode_occurrence(text: str) -> Occurrence | None:
+    """The occurrence in a stored text; None where it can't be read."""
+    try:
+        return _occurrence(**json.loads(text))
+    except (ValueError, TypeError):
+        return None
+
+
+def _occurrence(
+    due_us: int,
+    state: str,
+    token: int,
+    tries: int = 0,
+    began_us: int = 0,
+    by: str = "",
+    why: str = "",
+    count: int = 1,
+) -> Occurrence:
+    """An occurrence from its stored fields; a state of another version is left as it is."""
+    try:
+        known_state: OccurrenceState | str = OccurrenceState(state)
+    except ValueError:
+        known_state = state
+    return Occurrence(due_us, known_state, token, tries, began_us, by, why, count)
--- /dev/null
+++ b/gullhold/fleet/watcher.py
@@ -0,0 +1,82 @@
+"""A thread that follows the changes of keys in the store."""
+
+import time
+from collections.abc import Callable
+from queue import SimpleQueue
+from typing import Any, Protocol
+
+import requests
+
+from gullhold.fleet.backoff import Backoff
+from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.net.startup import start_thread
+
+OnChange = Callable[[str, str | None, int], Any]  # key, value or None where it was deleted, revision
+
+
+class WatchSession(Protocol):
+    """One session with the store, as a watcher needs it."""
+
+    def watch(self, prefix: str, revision: int, max_silence_s: float, on_change: OnChange) -> bool:
+        """Follow keys until the stream ends; False: the history back to the revision is lost."""
+        ...
+
+
+class Watcher:
+    """Follows the keys with a prefix, for ever.
+
+    on_change(key, value or None, revision) is called for each change, in order. on_gap() is called where the
+    store has no history back to the revision any more; the watcher then waits for follow(). Both are called
+    on the watcher's own thread.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        make_session: Callable[[], WatchSession],
+        prefix: str,
+        max_silence_s: float,
+        backoff: Backoff,
+        on_change: OnChange,
+        on_gap: Callable[[], Any],
+    ) -> None:
+        """max_silence_s: how long a stream may be silent before it is opened anew."""
+        self._make_session = make_session
+        self._prefix = prefix
+        self._max_silence_s = max_silence_s
+        self._backoff = backoff
+        self._on_change = on_change
+        self._on_gap = on_gap
+        self._next_revision = 0
+        self._follow_requests: SimpleQueue[int] = SimpleQueue()
+        start_thread(self._run, f"fleet watch {name}")
+
+    def follow(self, revision: int) -> None:
+        """Follow from this revision on; one that follows already goes on. May be called on any thread."""
+        self._follow_requests.put(revision)
+
+    def _run(self) -> None:
+        session = self._make_session()
+        self._next_revision = self._follow_requests.get()
+        while True:
+            while not self._follow_requests.empty():
+                self._next_revision = max(self._next_revision, self._follow_requests.get())
+            opened_at = time.monotonic()
+            try:
+                is_history_complete = session.watch(
+                    self._prefix, self._next_revision, self._max_silence_s, self._record_change
+                )
+            except (OSError, ValueError, KeyError, requests.RequestException):
+                is_history_complete = True  # silence, or a store that does not answer
+            if not is_history_complete:
+                self._on_gap()
+                self._next_revision = self._follow_requests.get()
+                continue
+            if time.monotonic() - opened_at >= self._max_silence_s:  # it was up, and nothing changed
+                self._backoff.reset()
+            else:
+                time.sleep(self._backoff.next_delay_us() / US_PER_SECOND)
+
+    def _record_change(self, key: str, value: str | None, revision: int) -> None:
+        self._next_revision = max(self._next_revision, revision + 1)
+        self._on_change(key, value, revision)
--- a/gullhold/net/service.py
+++ b/gullhold/net/service.py
@@ -123,7 +123,7 @@
         raise ConfigurationError(f"fleet needs the libraries of requirements-full.txt: {fault}") from None
     try:
         return driver.Fleet(rule, configuration, core)
-    except driver.Unusable as fault:
+    except driver.UnusableFleetError as fault:
         raise ConfigurationError(str(fault)) from None
 
 
@@ -192,7 +192,7 @@
         }
         wait_for_end(self.signals, acts, self.report, report_s)
         if self.fleet:
-            self.fleet.gone.wait(FLEET_S)
+            self.fleet.stopped.wait(FLEET_S)
         self.report()
         return 0 if self.core.stopped else 1
 
--- a/gullhold/rollout/driver.py
+++ b/gullhold/rollout/driver.py
@@ -31,7 +31,7 @@
         self.clients = {name.decode(): weight for name, weight in door.client_weights.items()} if door else {}
         self.gate = member.Gate(fleet.membership.lease, clock, guaranteed_us, self.record.cut)
         self.member = member.Member(fleet.name, self.gate, self.fits, self._figures)
-        fleet.held[change.DUTY] = change.Carrier()
+        fleet.role_states[change.DUTY] = change.Carrier()
         self.lowest = {}  # wholes while a change is open: neither old nor new parts sum to more than either
         self.given = None
         self.core.fences.append(self.gate)
@@ -45,7 +45,7 @@
         record, at_us = found
         age_us = time.time_ns() // 1000 - at_us
         left = self.record.spare - age_us
-        self.fleet.event(
+        self.fleet.log_event(
             "warning",
             "a snapshot",
             number=record.number,
@@ -70,9 +70,9 @@
         return counts["answered"], counts["failed"] + counts["shed"], counts["answered us"]
 
     def start(self, follow):
-        """follow(name, prefix, what): a watcher of these keys, whose changes come as this event."""
-        self.now = follow("policy", change.NOW, "policy_changed")
-        self.fleet.watchers[change.DUTY] = follow("words", change.ROOT, "duty_changed", change.DUTY)
+        """follow: Fleet.watch."""
+        self.now = follow("policy", change.NOW, self._changed, self._missed)
+        self.fleet.watch_role(change.DUTY, "words", change.ROOT)
 
     def step(self, now):
         """Go on with whatever is next."""
@@ -89,7 +89,7 @@
         while out := self.member.take_actions():
             for what, *told in out:
                 if what == member.CALL:
-                    self.fleet.lanes["words"].put(told[1], "policy_replied", told[0])
+                    self.fleet.lanes["words"].put(told[1], self._replied, told[0])
                 elif what == member.ADOPT:
                     self._adopt(*told)
                 elif what == member.STOP:
@@ -98,7 +98,7 @@
                     self.now.follow(told[0])
                 else:
                     level, text, facts = told
-                    self.fleet.event(level, "policy: " + text, **facts)
+                    self.fleet.log_event(level, "policy: " + text, **facts)
         self._resize()
 
     def _adopt(self, serial, record):
@@ -108,12 +108,29 @@
         wholes = records.wholes(policy, self.budgets)
         self.core.post_urgent(self._on_core, serial, terms, wholes, door, record.number)
         for name in self.schedules:
-            self.fleet.plans[PLAN + name].off = not policy.schedules.get(name, True)
+            self.fleet.scheduled_commands[PLAN + name].off = not policy.schedules.get(name, True)
         if serial and self.record.snapshot and not self.member.trial:
             try:
                 snapshot.write(self.record.snapshot, record, time.time_ns() // 1000)
             except OSError as fault:
-                self.fleet.event("warning", "policy: no snapshot", why=str(fault))
+                self.fleet.log_event("warning", "policy: no snapshot", why=str(fault))
+
+    # Events on the fleet's thread
+
+    def _replied(self, serial, reply):
+        self.member.replied(self.clock(), serial, reply)
+
+    def _adopted(self, serial):
+        self.member.adopted(self.clock(), serial)
+
+    def _heard_stopped(self, number):
+        self.member.stopped(self.clock(), number)
+
+    def _changed(self, key, value, revision):
+        self.member.changed(self.clock(), key, value, revision)
+
+    def _missed(self):
+        self.member.missed(self.clock())
 
     # On the core's thread
 
@@ -123,11 +140,11 @@
             self.fleet.budgets.purses.resize({(OF[word], tenant): whole for word, _, tenant, whole in named})
         self.core.apply_policy(terms, self.gate, *door)
         self.core.counters.add(f"policy {number}")
-        self.fleet.queue.put(("adopted", serial))
+        self.fleet.post(self._adopted, serial)
 
     def _stopped(self, number):
         """The gate is closed, and asked at each send: from here on none goes."""
-        self.fleet.queue.put(("stopped", number))
+        self.fleet.post(self._heard_stopped, number)
 
     # The divider goes by the lowest while a change is open
 
@@ -145,4 +162,6 @@
             self.lowest = {
                 name: min(whole, new[name], self.lowest.get(name, whole)) for name, whole in current.items()
             }
-        self.fleet.held[BUDGETS].resize(self.lowest)  # where it is decided: as it was, until all go by it
+        self.fleet.role_states[BUDGETS].resize(
+            self.lowest
+        )  # where it is decided: as it was, until all go by it
--- a/gullhold/rollout/show.py
+++ b/gullhold/rollout/show.py
@@ -8,9 +8,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from gullhold.fleet.driver import KEYS
-from gullhold.fleet.register import Register
 from gullhold.fleet.store_calls import Proof, Put, ReadPrefix, Transaction
+from gullhold.fleet.store_client import StoreClient
+from gullhold.fleet.store_schema import fleet_prefix
 from gullhold.rollout import change
 from gullhold.rollout import record as records
 from gullhold.rollout.record import FIRST, Record, Unfit
@@ -27,7 +27,7 @@
     """What staff do, on one session with the register. say(line): progress."""
 
     def __init__(self, address, name, say=lambda line: None):
-        self.session, self.say = Register(address, f"{KEYS}{name}/", TIMEOUT_S), say
+        self.session, self.say = StoreClient(address, fleet_prefix(name), TIMEOUT_S), say
 
     def read(self):
         """(text by key, revision by key) of all that stands of policies."""
--- a/gullhold/testing/changecheck.py
+++ b/gullhold/testing/changecheck.py
@@ -11,7 +11,7 @@
 from gullhold.rollout import change, member
 from gullhold.rollout.record import Record
 from gullhold.testing import walking
-from gullhold.testing.ownercheck import Model
+from gullhold.testing.store_model import Model
 from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
 
 NAMES = ("a", "b", "c")
--- a/gullhold/testing/child.py
+++ b/gullhold/testing/child.py
@@ -63,9 +63,9 @@
 
 def hook(point, side, act, nth):
     """Do this to ourselves at that call."""
-    from gullhold.fleet.register import Register  # noqa: PLC0415
+    from gullhold.fleet.store_client import StoreClient  # noqa: PLC0415
 
-    real, serial = Register.call, count(1)
+    real, serial = StoreClient.call, count(1)
 
     def call(self, request):
         here = point_of(request) == point and next(serial) == nth
@@ -76,7 +76,7 @@
             strike(act)
         return reply
 
-    Register.call = call
+    StoreClient.call = call
 
 
 def main():
--- a/gullhold/testing/dividecheck.py
+++ b/gullhold/testing/dividecheck.py
@@ -14,7 +14,7 @@
 from gullhold.fleet.lease import Lease
 from gullhold.fleet.store_calls import GrantLease, Proof, Put, Transaction
 from gullhold.testing import walking
-from gullhold.testing.ownercheck import Model
+from gullhold.testing.store_model import Model
 from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
 
 WINDOW_US, LINGER_US = 1_600_000, 1_100_000  # of real time: no whole number of moments
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -1,7 +1,7 @@
 """Several gateways as processes of their own, a register, engines, and relays between them, on loopback.
 
 A scenario calls it step by step: start, stop, kill, pause, resume, cut, heal. What came of it is read from
-the register's journal, the engines' records and the gateways' events by gullhold.testing.fleetcheck.
+the register's journal, the engines' records and the gateways' events by gullhold.testing.fleet_checker.
 """
 
 import json
@@ -18,7 +18,7 @@
 from gullhold.net import host_port
 from gullhold.testing import PATIENCE_S
 from gullhold.testing.deployment import config
-from gullhold.testing.fleetcheck import Check
+from gullhold.testing.fleet_checker import Check
 from gullhold.testing.relay import HELD, OPEN, Relay
 from gullhold.testing.running import ROOT, answers, free_address
 from gullhold.testing.working import WorkingEngine
--- /dev/null
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -0,0 +1,74 @@
+"""Deliberate faults in the decisions on scheduled commands: the walks find each one, or they have a gap."""
+
+from dataclasses import replace
+
+from gullhold.fleet.occurrence import Occurrence, OccurrenceState, idempotency_key
+from gullhold.fleet.scheduled_command import ScheduledCommand, WritePurpose
+from gullhold.fleet.scheduled_command_actions import SendAttempt
+from gullhold.fleet.store_calls import Reply
+from gullhold.testing import scheduled_command_explorer, walking
+
+
+class SendsFirst(ScheduledCommand):
+    """Writes the intent after the attempt is sent."""
+
+    def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
+        super()._write(purpose, occurrence, handled_until)
+        if purpose == WritePurpose.INTENT and not self.in_flight:
+            write = self.out.pop()
+            self._send(occurrence, occurrence.started_us)
+            self.out.append(write)
+
+
+class RunsAgain(ScheduledCommand):
+    """Retries whatever the profile."""
+
+    def _recover(self, occurrence: Occurrence, now: int) -> None:
+        self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
+
+
+class ForgetsWindow(ScheduledCommand):
+    """Gives a keyed command its whole client timeout, however old its key is."""
+
+    def _send(self, occurrence: Occurrence, now: int) -> None:
+        super()._send(occurrence._replace(started_us=now), now)
+
+
+class NewMark(ScheduledCommand):
+    """Makes an idempotency key for each attempt."""
+
+    def _send(self, occurrence: Occurrence, now: int) -> None:
+        super()._send(occurrence, now)
+        if self.out and isinstance(self.out[-1], SendAttempt):
+            self.out[-1] = replace(self.out[-1], idempotency_key=idempotency_key(self.member, now))
+
+
+class AnyRecord(ScheduledCommand):
+    """Writes records without comparing them with what it knows."""
+
+    def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
+        super()._write(purpose, occurrence, handled_until)
+        self.out[-1] = replace(self.out[-1], conditions=())
+
+    def records_read(self, now: int, reply: Reply) -> None:
+        """Keeps what it remembers, whatever the store says."""
+        remembered = dict(self.occurrences)
+        super().records_read(now, reply)
+        self.occurrences.update(remembered)
+
+
+class FailureIsShed(ScheduledCommand):
+    """Takes a failure for proof that nothing ran."""
+
+    def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
+        """As if it had been shed."""
+        taken_for = OccurrenceState.SHED if state == OccurrenceState.FAILED else state
+        super().attempt_ended(now, taken_for, reason)
+
+
+MUTANTS = (SendsFirst, RunsAgain, ForgetsWindow, NewMark, AnyRecord, FailureIsShed)
+
+
+def find(mutant: type[ScheduledCommand], walks: int) -> tuple[int, str] | None:
+    """(seed, what broke) of the first walk that finds it, or None."""
+    return walking.find(lambda seed: scheduled_command_explorer.walk(seed, make=mutant), walks)
--- /dev/null
+++ b/gullhold/testing/store_model.py
@@ -0,0 +1,113 @@
+"""A small model of a fleet's store, for explorers of decisions.
+
+It shares no code with the stand-in that serves the store on the wire (gullhold.testing.register).
+"""
+
+from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.fleet.store_calls import (
+    Delete,
+    Get,
+    GrantLease,
+    KeepLeaseAlive,
+    KeyValue,
+    Operation,
+    Proof,
+    Put,
+    ReadLeaseKeys,
+    ReadPrefix,
+    Reply,
+    Request,
+    RevokeLease,
+    Transaction,
+)
+from gullhold.testing.walking import TERMS
+
+Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
+
+
+class Model:
+    """Keys with revisions, leases, and the history of the keys with one prefix."""
+
+    def __init__(self, prefix: str, ttl_s: int = TERMS.ttl_s) -> None:
+        """ttl_s: what each lease is renewed for."""
+        self.prefix = prefix
+        self.ttl_s = ttl_s
+        self.revision = 1
+        self.serial = 0  # the id of the newest lease
+        self.keys: dict[str, KeyValue] = {}
+        self.leases: dict[int, int] = {}  # when each ends, us
+        self.past: list[Change] = []
+        self.accepted: dict[str, int] = {}  # the highest token under which an effect on each role came
+
+    def put(self, key: str, value: str, lease: int) -> None:
+        """Write a key in the current revision."""
+        self.keys[key] = KeyValue(key, value, self.revision, lease)
+        self._record(key, value)
+
+    def drop(self, key: str) -> None:
+        """Delete a key in the current revision."""
+        if self.keys.pop(key, None):
+            self._record(key, None)
+
+    def _record(self, key: str, value: str | None) -> None:
+        if key.startswith(self.prefix):
+            self.past.append((self.revision, key, value))
+
+    def end(self, lease: int) -> None:
+        """End a lease, and delete its keys in one revision."""
+        self.leases.pop(lease, None)
+        attached = [key for key, item in self.keys.items() if item.lease == lease]
+        if attached:
+            self.revision += 1
+        for key in attached:
+            self.drop(key)
+
+    def expire(self, now: int) -> None:
+        """End the leases that have run out."""
+        for lease in [lease for lease, end in self.leases.items() if end <= now]:
+            self.end(lease)
+
+    def call(self, request: Request, now: int) -> Reply:
+        """Carry a request out; its reply."""
+        match request:
+            case GrantLease(ttl_s):
+                self.serial += 1
+                self.leases[self.serial] = now + ttl_s * US_PER_SECOND
+                return Reply(Proof.DONE, self.revision, lease=self.serial, ttl_s=ttl_s)
+            case KeepLeaseAlive(lease):
+                if lease not in self.leases:
+                    return Reply(Proof.DONE, self.revision)
+                self.leases[lease] = now + self.ttl_s * US_PER_SECOND
+                return Reply(Proof.DONE, self.revision, ttl_s=self.ttl_s)
+            case RevokeLease(lease):
+                self.end(lease)
+                return Reply(Proof.DONE, self.revision)
+            case ReadLeaseKeys(lease):
+                attached = tuple(key for key, item in self.keys.items() if item.lease == lease)
+                return Reply(Proof.DONE, self.revision, keys=attached)
+            case ReadPrefix(prefix):
+                items = tuple(item for key, item in sorted(self.keys.items()) if key.startswith(prefix))
+                return Reply(Proof.DONE, self.revision, items=items)
+            case Transaction():
+                return self._carry_out(request)
+
+    def _carry_out(self, request: Transaction) -> Reply:
+        succeeded = all(self._revision_of(key) == revision for key, revision in request.conditions)
+        operations: tuple[Operation, ...] = request.operations if succeeded else request.otherwise
+        puts = [operation for operation in operations if isinstance(operation, Put)]
+        if any(put.lease and put.lease not in self.leases for put in puts):
+            return Reply(Proof.NOT_DONE)
+        gets = [operation for operation in operations if isinstance(operation, Get)]
+        items = tuple(self.keys[get.key] for get in gets if get.key in self.keys)
+        if len(gets) < len(operations):
+            self.revision += 1
+        for operation in operations:
+            match operation:
+                case Put(key, value, lease):
+                    self.put(key, value, lease)
+                case Delete(key):
+                    self.drop(key)
+        return Reply(Proof.DONE, self.revision, succeeded=succeeded, items=items)
+
+    def _revision_of(self, key: str) -> int:
+        return self.keys[key].revision if key in self.keys else 0
--- a/tests/faults/test_durable.py
+++ b/tests/faults/test_durable.py
@@ -8,8 +8,8 @@
 from serving import ROOT, until
 
 from faults.plan import Plan
-from gullhold.fleet.register import Register
 from gullhold.fleet.store_calls import GrantLease, Proof, Put, ReadPrefix, Transaction
+from gullhold.fleet.store_client import StoreClient
 from gullhold.testing.register.store import Store
 from gullhold.testing.running import free_address
 
@@ -28,7 +28,7 @@
 def test_nothing_told_as_done_is_undone_by_a_disk_that_fails_for_a_while_or_a_kill(tmp_path, call, error):
     plan, address = Plan(tmp_path, seed=len(call + error)), free_address()
     process = started(plan, address, tmp_path)
-    session = Register(address, "/t/", 2.0)
+    session = StoreClient(address, "/t/", 2.0)
     until(lambda: session.call(ReadPrefix("/t/")).proof == Proof.DONE)
     done, maybe = {}, {}
     try:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,8 +6,7 @@
 
 import pytest
 
-from gullhold.fleet.register import Register
-from gullhold.fleet.spread import Spread
+from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.fleet.store_calls import (
     Delete,
     Get,
@@ -21,10 +20,11 @@
     RevokeLease,
     Transaction,
 )
+from gullhold.fleet.store_client import StoreClient
 from gullhold.operator import records
 from gullhold.testing.client import Caller
 from gullhold.testing.fleet import Rig
-from gullhold.testing.fleetcheck import Check, sent
+from gullhold.testing.fleet_checker import Check, sent
 from gullhold.testing.relay import HALVED, LOST
 
 
@@ -60,7 +60,7 @@
 def register():
     """A register without members, and a session with it."""
     with Rig(members=0) as rig:
-        yield rig, Register(rig.register_address, "/t/", 1.0)
+        yield rig, StoreClient(rig.register_address, "/t/", 1.0)
 
 
 # The register: what each call proves
@@ -85,9 +85,9 @@
     old = session.call(ReadPrefix("b"))
     assert old.items == () and old.revision < session.call(ReadPrefix("b")).revision
     assert session.call(RevokeLease(lease)).proof == Proof.DONE and session.call(ReadPrefix("a")).items == ()
-    assert Register("127.0.0.1:1", "/t/", 1.0).call(GrantLease(1)).proof == Proof.NOT_DONE
+    assert StoreClient("127.0.0.1:1", "/t/", 1.0).call(GrantLease(1)).proof == Proof.NOT_DONE
     rig.faults(delay=1, delay_s=1.5)
-    assert Register(rig.register_address, "/t/", 0.2).call(GrantLease(1)).proof == Proof.UNKNOWN
+    assert StoreClient(rig.register_address, "/t/", 0.2).call(GrantLease(1)).proof == Proof.UNKNOWN
     time.sleep(1.1)
 
 
@@ -418,9 +418,9 @@
 
     with Rig(members=2, beats=3, scheduled=[scheduled("a", "read")]) as rig:
         rig.start()
-        settled = Spread(["schedule/a", "beat/0", "beat/1", "beat/2"])
-        settled.change(["n0", "n1"])  # nothing moves any more between one look and the next
-        rig.until(lambda: {duty: who for duty, (who, _) in rig.owners().items()} == settled.owner)
+        settled = RoleAssignment(["schedule/a", "beat/0", "beat/1", "beat/2"])
+        settled.update_members(["n0", "n1"])  # nothing moves any more between one look and the next
+        rig.until(lambda: {duty: who for duty, (who, _) in rig.owners().items()} == settled.leaders)
         rig.until(lambda: Check(rig.lines()).occurrences())
         found = {}
         for what in ("members", "duties", "history"):
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from gullhold.fleet.spread import Spread
+from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.testing import crowd, listening
 from gullhold.testing.budgetcheck import Parts, first_sends, further_sends, most_at_once, most_in_window
 from gullhold.testing.counting import CountingEngine
@@ -117,9 +117,9 @@
 @pytest.mark.parametrize("side, act", [("before", "kill"), ("after", "kill"), ("before", "stop")])
 def test_the_divider_ends_or_sleeps_between_taking_and_giving(side, act):
     with rig() as fleet:
-        spread = Spread(["budgets"])
-        spread.change(fleet.names)
-        divider = spread.owner["budgets"]
+        spread = RoleAssignment(["budgets"])
+        spread.update_members(fleet.names)
+        divider = spread.leaders["budgets"]
         others = [name for name in fleet.names if name != divider]
         fleet.start(divider, point="divide", side=side, act=act, nth=4)
         fleet.owner("budgets")
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gullhold.fleet.spread import Spread
+from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.fleet.store_calls import Proof, Put, ReadPrefix, Transaction
 from gullhold.rollout import record as records
 from gullhold.rollout import snapshot
@@ -119,9 +119,9 @@
 )
 def test_whoever_carries_it_ends_or_sleeps_in_the_middle(state, side, act):
     with rig() as fleet:
-        spread = Spread(["policy"])
-        spread.change(fleet.names)
-        carrier = spread.owner["policy"]
+        spread = RoleAssignment(["policy"])
+        spread.update_members(fleet.names)
+        carrier = spread.leaders["policy"]
         others = [name for name in fleet.names if name != carrier]
         fleet.start(carrier, point=state, side=side, act=act, nth=1)
         fleet.start(*others)
@@ -146,9 +146,9 @@
 @pytest.mark.parametrize("word, side", [("ready", "after"), ("still", "after"), ("still", "before")])
 def test_one_killed_after_its_word_is_started_after_the_decision_and_another_in_the_middle(word, side):
     with rig() as fleet:
-        spread = Spread(["policy"])
-        spread.change(fleet.names)
-        first, victim = sorted(fleet.names, key=lambda name: name != spread.owner["policy"])[:2]
+        spread = RoleAssignment(["policy"])
+        spread.update_members(fleet.names)
+        first, victim = sorted(fleet.names, key=lambda name: name != spread.leaders["policy"])[:2]
         other = next(name for name in fleet.names if name not in (first, victim))
         fleet.start(first)
         fleet.start(victim, point=word, side=side, act="kill", nth=1)
@@ -212,9 +212,9 @@
 
 def test_one_that_said_ready_and_is_cut_off_turns_away_when_its_lease_is_over():
     with rig() as fleet:
-        spread = Spread(["policy"])
-        spread.change(fleet.names)
-        victim = next(name for name in fleet.names if name != spread.owner["policy"])
+        spread = RoleAssignment(["policy"])
+        spread.update_members(fleet.names)
+        victim = next(name for name in fleet.names if name != spread.leaders["policy"])
         others = [name for name in fleet.names if name != victim]
         fleet.start()
         on(fleet)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -232,7 +232,7 @@
 
 
 def test_the_checker_of_journals_reads_the_stored_one(stored: Path) -> None:
-    from gullhold.testing.fleetcheck import Check  # noqa: PLC0415  nothing else reads journals
+    from gullhold.testing.fleet_checker import Check  # noqa: PLC0415  nothing else reads journals
 
     expected = rows((stored / "fleet" / "duties.printed").read_text("utf-8"))
     check = Check(lines_of(stored / "fleet"))
