--- a/gullhold/testing/register/store.py
+++ b/gullhold/testing/register/store.py
@@ -4,253 +4,264 @@
 import sqlite3
 import time
 from bisect import bisect_right
-from contextlib import contextmanager, suppress
+from collections.abc import Callable
+from contextlib import suppress
+from pathlib import Path
 from threading import Condition
+from typing import NamedTuple
 
-SCHEMA = """
-create table if not exists kv (key blob primary key, value blob, born int, changed int, version int,
-                               lease int);
-create table if not exists past (revision int, place int, key blob, value blob, lease int, born int,
-                                 version int, primary key (revision, place));
-create table if not exists leases (id integer primary key, ttl real);
-create table if not exists told (name text primary key, value int);
-"""
-HISTORY = 20_000  # changes that watches may still ask for; what is older is dropped
+from gullhold.testing.register.database import Database
+from gullhold.testing.register.store_types import (
+    CompactedError,
+    DeleteKeys,
+    KeyUpdate,
+    PutKey,
+    ReadKeys,
+    StoredChange,
+    StoredKey,
+    StoreOperation,
+    is_in_range,
+)
 
+MAX_HISTORY = 20_000  # changes that watches may still ask for; what is older is dropped
+LEASE_ID_BITS = 62
 
-class Key:
-    """One key as it is now."""
+KeyItems = list[tuple[bytes, StoredKey]]
 
-    __slots__ = ("born", "changed", "lease", "value", "version")
 
-    def __init__(self, value, born, changed, version, lease):
-        self.value, self.born, self.changed, self.version, self.lease = value, born, changed, version, lease
+class Lease:
+    """A lease and the keys attached to it."""
 
+    __slots__ = ("ends_at", "keys", "ttl_s")
 
-class Dropped(Exception):
-    """The history back to there is gone; .args[0]: the first revision that is left."""
+    def __init__(self, ttl_s: float, now: float) -> None:
+        """now: s of the store's clock."""
+        self.ttl_s = ttl_s
+        self.ends_at = now + ttl_s
+        self.keys: set[bytes] = set()
+
+
+class LeaseStatus(NamedTuple):
+    """What is known of a lease."""
+
+    left_s: float
+    keys: list[bytes]
 
 
 class Store:
-    """All state, under one lock. sync: whether each change also survives a loss of power.
+    """All state, under one lock.
 
     After a restart every lease runs for its whole time anew, as the published stores do it: late, never
     early. rate: of this store's clock against the machine's; early_s: leases end so much sooner
     (negative: later).
     """
 
-    def __init__(self, path, sync=True):
-        self.db = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
-        self.db.execute("pragma journal_mode=wal")
-        self.db.execute(f"pragma synchronous={'full' if sync else 'normal'}")
-        self.db.executescript(SCHEMA)
+    def __init__(self, path: str | Path, sync: bool = True) -> None:
+        """sync: whether each change also survives a loss of power."""
+        self.database = Database(path, sync)
         self.lock = Condition()
-        self.rate, self.early_s = 1.0, 0.0
-        told = dict(self.db.execute("select name, value from told"))
-        self.revision, self.first = told.get("revision", 1), told.get("first", 0)
-        self.kv = {
-            row[0]: Key(*row[1:])
-            for row in self.db.execute("select key, value, born, changed, version, lease from kv")
-        }
-        self.past = [
-            (row[0], row[2], *row[3:])
-            for row in self.db.execute(
-                "select revision, place, key, value, lease, born, version from past order by revision, place"
-            )
-        ]
+        self.rate = 1.0
+        self.early_s = 0.0
+        self.revision, self.first_revision = self.database.read_revisions()
+        self.keys = self.database.read_keys()
+        self.history = self.database.read_history()
         now = self.clock()
-        self.leases = {
-            ident: [ttl, now + ttl, set()] for ident, ttl in self.db.execute("select id, ttl from leases")
-        }
-        for key, item in self.kv.items():
+        self.leases = {lease_id: Lease(ttl_s, now) for lease_id, ttl_s in self.database.read_leases().items()}
+        for key, item in self.keys.items():
             if item.lease in self.leases:
-                self.leases[item.lease][2].add(key)
+                self.leases[item.lease].keys.add(key)
 
-    def clock(self):
+    def clock(self) -> float:
         """Seconds, by this store's own clock."""
         return time.monotonic() * self.rate
 
-    @contextmanager
-    def _transaction(self):
-        """All of it, or nothing, in the file. A statement or a sync that fails undoes what was begun: guards
-        against a transaction that stays open, in which no other could begin any more."""
-        self.db.execute("begin immediate")
-        try:
-            yield
-            self.db.execute("commit")
-        except BaseException:
-            with suppress(sqlite3.Error):  # some failures have undone it already
-                self.db.execute("rollback")
-            raise
-
     # Leases
 
-    def grant(self, ttl_s):
-        """A new lease's id."""
+    def grant_lease(self, ttl_s: float) -> int:
+        """Create a lease; its id."""
         with self.lock:
-            ident = secrets.randbits(62) | 1
-            self.db.execute("insert into leases values (?, ?)", (ident, ttl_s))
-            self.leases[ident] = [ttl_s, self.clock() + ttl_s, set()]
-            return ident
+            lease_id = secrets.randbits(LEASE_ID_BITS) | 1
+            self.database.add_lease(lease_id, ttl_s)
+            self.leases[lease_id] = Lease(ttl_s, self.clock())
+            return lease_id
 
-    def keep(self, ident):
-        """Its whole time anew; 0 where there is no such lease."""
+    def renew_lease(self, lease_id: int) -> float:
+        """Let it run for its whole time anew; the time in s, 0 where there is no such lease."""
         with self.lock:
-            lease = self.leases.get(ident)
+            lease = self.leases.get(lease_id)
             if not lease:
                 return 0
-            lease[1] = self.clock() + lease[0]
-            return lease[0]
+            lease.ends_at = self.clock() + lease.ttl_s
+            return lease.ttl_s
 
-    def held(self, ident):
-        """(seconds left, keys) of a lease; None."""
+    def lease_status(self, lease_id: int) -> LeaseStatus | None:
+        """What is known of a lease; None where there is no such lease."""
         with self.lock:
-            lease = self.leases.get(ident)
-            return lease and (max(0, lease[1] - self.clock()), sorted(lease[2]))
+            lease = self.leases.get(lease_id)
+            if not lease:
+                return None
+            return LeaseStatus(max(0, lease.ends_at - self.clock()), sorted(lease.keys))
 
-    def revoke(self, ident):
+    def revoke_lease(self, lease_id: int) -> bool:
         """End it, with its keys in one revision; whether there was one."""
         with self.lock:
-            lease = self.leases.get(ident)
+            lease = self.leases.get(lease_id)
             if not lease:
                 return False
-            self._apply([("delete", key, None, 0) for key in sorted(lease[2])], ident)
+            self._apply([DeleteKeys(key) for key in sorted(lease.keys)], lease_id)
             return True
 
-    def expire(self):
+    def expire_leases(self) -> list[int]:
         """End what has run out; the ids."""
         with self.lock:
             now = self.clock()
-            late = [ident for ident, lease in self.leases.items() if lease[1] - self.early_s <= now]
-            for ident in late:
-                self.revoke(ident)
-            return late
+            expired = [
+                lease_id for lease_id, lease in self.leases.items() if lease.ends_at - self.early_s <= now
+            ]
+            for lease_id in expired:
+                self.revoke_lease(lease_id)
+            return expired
 
     # Keys
 
-    def read(self, start, end, behind=0):
-        """[(key, Key)] of a range, in order; behind: as it was so many changes ago."""
+    def read(self, start: bytes, range_end: bytes, changes_ago: int = 0) -> KeyItems:
+        """The keys of a range, in order; changes_ago: as it was so many revisions ago."""
         with self.lock:
-            if behind:
-                return self._old(start, end, behind)
-            return [(key, self.kv[key]) for key in sorted(self.kv) if _within(key, start, end)]
+            if changes_ago:
+                return self._read_old(start, range_end, max(1, self.revision - changes_ago))
+            return [(key, self.keys[key]) for key in sorted(self.keys) if is_in_range(key, start, range_end)]
 
-    def _old(self, start, end, behind):
-        at = max(1, self.revision - behind)
+    def _read_old(self, start: bytes, range_end: bytes, revision: int) -> KeyItems:
         found = {}
-        for revision, key, value, lease, born, version in self.past:
-            if revision <= at and _within(key, start, end):
-                found[key] = Key(value, born, revision, version, lease)
-                if value is None:
-                    del found[key]
+        for change in self.history:
+            if change.revision > revision or not is_in_range(change.key, start, range_end):
+                continue
+            if change.value is None:
+                found.pop(change.key, None)
+            else:
+                found[change.key] = _key_after(change)
         return sorted(found.items())
 
-    def txn(self, met, acts, others):
-        """met: called under the lock with the keys, whether the comparisons hold. (held, what each act gave).
+    def transact(
+        self,
+        are_conditions_met: Callable[[dict[bytes, StoredKey]], bool],
+        operations: list[StoreOperation],
+        otherwise: list[StoreOperation],
+    ) -> tuple[bool, list[KeyItems | None]]:
+        """Carry out operations in one revision if the conditions are met, otherwise the others.
 
-        An act is ("put", key, value, lease), ("delete", key, end, 0) or ("range", key, end, 0).
+        are_conditions_met is called under the lock with all keys. (whether they were met, what each operation
+        read, None where it writes). Raises KeyError where a put names a lease that does not exist.
         """
         with self.lock:
-            held = met(self.kv)
-            acts = acts if held else others
-            for act in acts:
-                if act[0] == "put" and act[3] and act[3] not in self.leases:
-                    raise KeyError("requested lease not found")
-            writes = []
-            for act in acts:
-                if act[0] == "put":
-                    writes.append(act)
-                elif act[0] == "delete":
-                    writes += [("delete", key, None, 0) for key, _ in self.read(act[1], act[2])]
-            # Reads of a transaction see what it began with: ours never read what they write.
-            given = [self.read(act[1], act[2]) if act[0] == "range" else None for act in acts]
+            is_met = are_conditions_met(self.keys)
+            chosen = operations if is_met else otherwise
+            writes = self._writes(chosen)
+            # Reads of a transaction show what it began with: ours never read what they write.
+            read = [
+                self.read(operation.key, operation.range_end) if isinstance(operation, ReadKeys) else None
+                for operation in chosen
+            ]
             if writes:
                 self._apply(writes)
-            return held, given
-
-    def _apply(self, writes, ended=0):
-        """One revision, durable before anybody is told."""
-        revision, place, rows = self.revision + 1, 0, []
-        leases = []
-        done = set()
-        for kind, key, value, lease in writes:
-            old = self.kv.get(key)
-            if kind == "delete" and (old is None or key in done):  # deleted once in one revision
+            return is_met, read
+
+    def _writes(self, operations: list[StoreOperation]) -> list[PutKey | DeleteKeys]:
+        """The writes of a transaction, each of one key."""
+        for operation in operations:
+            if isinstance(operation, PutKey) and operation.lease and operation.lease not in self.leases:
+                raise KeyError("requested lease not found")
+        writes: list[PutKey | DeleteKeys] = []
+        for operation in operations:
+            match operation:
+                case PutKey():
+                    writes.append(operation)
+                case DeleteKeys(start, range_end):
+                    writes += [DeleteKeys(key) for key, _ in self.read(start, range_end)]
+        return writes
+
+    def _apply(self, writes: list[PutKey | DeleteKeys], ended_lease: int = 0) -> None:
+        """Write one revision, durable before any reader sees it."""
+        revision = self.revision + 1
+        changes = []
+        updates: list[KeyUpdate] = []
+        updated_keys = set()
+        for write in writes:
+            old = self.keys.get(write.key)
+            if isinstance(write, PutKey):
+                change = _put_change(write, old, revision)
+                updates.append(KeyUpdate(write.key, old, _key_after(change)))
+            elif old is None or write.key in updated_keys:  # deleted once in one revision
                 continue
-            done.add(key)
-            item = (
-                None
-                if kind == "delete"
-                else Key(value, old.born if old else revision, revision, old.version + 1 if old else 1, lease)
-            )
-            rows.append(
-                (revision, place, key, value, lease, item.born if item else 0, item.version if item else 0)
-            )
-            leases.append((key, item, old))
-            place += 1
-        if not rows and not ended:
-            return
-        with self._transaction():
-            if rows:
-                self.db.executemany("insert into past values (?, ?, ?, ?, ?, ?, ?)", rows)
-                self.db.executemany(
-                    "insert or replace into kv values (?, ?, ?, ?, ?, ?)",
-                    [
-                        (key, item.value, item.born, item.changed, item.version, item.lease)
-                        for key, item, _ in leases
-                        if item
-                    ],
-                )
-                self.db.executemany(
-                    "delete from kv where key = ?", [(key,) for key, item, _ in leases if not item]
-                )
-                self.db.execute("insert or replace into told values ('revision', ?)", (revision,))
-            if ended:
-                self.db.execute("delete from leases where id = ?", (ended,))
-        self.leases.pop(ended, None)
-        for key, item, old in leases:
-            if old and old.lease in self.leases:
-                self.leases[old.lease][2].discard(key)
-            if item:
-                self.kv[key] = item
-                if item.lease:
-                    self.leases[item.lease][2].add(key)
             else:
-                del self.kv[key]
-        if rows:
-            self.past += [(row[0], *row[2:]) for row in rows]
+                change = StoredChange(revision, write.key, None, 0, 0, 0)
+                updates.append(KeyUpdate(write.key, old, None))
+            updated_keys.add(write.key)
+            changes.append(change)
+        if not changes and not ended_lease:
+            return
+        self.database.write(revision, changes, updates, ended_lease)
+        self.leases.pop(ended_lease, None)
+        for update in updates:
+            self._set_key(update)
+        if changes:
+            self.history += changes
             self.revision = revision
-            if len(self.past) > 2 * HISTORY:
-                with suppress(sqlite3.Error):  # the change itself is told and kept; the next one tries again
-                    self.drop(self.past[-HISTORY][0])
+            if len(self.history) > 2 * MAX_HISTORY:
+                with suppress(sqlite3.Error):  # the change itself is written; the next one tries again
+                    self.compact(self.history[-MAX_HISTORY].revision)
         self.lock.notify_all()
 
+    def _set_key(self, update: KeyUpdate) -> None:
+        key, before, after = update
+        if before and before.lease in self.leases:
+            self.leases[before.lease].keys.discard(key)
+        if not after:
+            del self.keys[key]
+            return
+        self.keys[key] = after
+        if after.lease:
+            self.leases[after.lease].keys.add(key)
+
     # History
 
-    def drop(self, revision):
-        """Forget changes before this revision."""
+    def compact(self, first_revision: int) -> None:
+        """Drop the changes before this revision."""
         with self.lock:
-            revision = min(revision, self.revision)
-            with self._transaction():
-                self.db.execute("delete from past where revision < ?", (revision,))
-                self.db.execute("insert or replace into told values ('first', ?)", (revision,))
-            self.past = self.past[bisect_right(self.past, revision - 1, key=lambda row: row[0]) :]
-            self.first = revision
+            first_revision = min(first_revision, self.revision)
+            self.database.compact(first_revision)
+            self.history = self.history[self._history_index(first_revision) :]
+            self.first_revision = first_revision
             self.lock.notify_all()
 
-    def since(self, revision, start, end, seconds):
-        """(changes from this revision on, in this range; the next to ask for), waited for so long at most.
+    def changes_since(
+        self, revision: int, start: bytes, range_end: bytes, max_wait_s: float
+    ) -> tuple[list[StoredChange], int]:
+        """(changes of a range from a revision on, the next revision to ask for).
 
-        Raises Dropped where some of them are gone.
+        Waits for a change for so long at most. Raises CompactedError where some of the changes are dropped.
         """
         with self.lock:
             if self.revision < revision:
-                self.lock.wait(seconds)
-            if revision < self.first:
-                raise Dropped(self.first)
-            at = bisect_right(self.past, revision - 1, key=lambda row: row[0])
-            return [row for row in self.past[at:] if _within(row[1], start, end)], self.revision + 1
+                self.lock.wait(max_wait_s)
+            if revision < self.first_revision:
+                raise CompactedError(self.first_revision)
+            changes = self.history[self._history_index(revision) :]
+            return [
+                change for change in changes if is_in_range(change.key, start, range_end)
+            ], self.revision + 1
+
+    def _history_index(self, revision: int) -> int:
+        """Where the changes from this revision on begin."""
+        return bisect_right(self.history, revision - 1, key=lambda change: change.revision)
+
+
+def _put_change(put: PutKey, old: StoredKey | None, revision: int) -> StoredChange:
+    create_revision = old.create_revision if old else revision
+    version = old.version + 1 if old else 1
+    return StoredChange(revision, put.key, put.value, put.lease, create_revision, version)
 
 
-def _within(key, start, end):
-    return key == start if not end else start <= key and (end == b"\0" or key < end)
+def _key_after(change: StoredChange) -> StoredKey:
+    """The key as a write left it."""
+    return StoredKey(change.value, change.create_revision, change.revision, change.version, change.lease)
--- a/tests/faults/test_durable.py
+++ b/tests/faults/test_durable.py
@@ -11,6 +11,7 @@
 from gullhold.fleet.store_calls import GrantLease, Proof, Put, ReadPrefix, Transaction
 from gullhold.fleet.store_client import StoreClient
 from gullhold.testing.register.store import Store
+from gullhold.testing.register.store_types import DeleteKeys, PutKey
 from gullhold.testing.running import free_address
 
 KEYS, ROUNDS = 7, 60
@@ -101,28 +102,29 @@
 def test_a_transaction_that_fails_at_any_statement_leaves_memory_and_file_alike(tmp_path, at):
     """Its transaction stayed open: every later change failed, while reads went on as if all were well."""
     store = Store(tmp_path / "register.db", sync=False)
-    lease = store.grant(30)
+    lease = store.grant_lease(30)
     put(store, b"a", b"1", lease)
-    whole, store.db = store.db, Failing(store.db, at)
+    working = store.database.connection
+    store.database.connection = Failing(working, at)
     failed = False
     try:
-        acts = [("put", b"a", b"2", 0), ("delete", b"b", b"", 0), ("put", b"c", b"3", 0)]
-        store.txn(lambda _: True, acts, ())
-        store.revoke(lease)
+        operations = [PutKey(b"a", b"2"), DeleteKeys(b"b"), PutKey(b"c", b"3")]
+        store.transact(lambda _: True, operations, [])
+        store.revoke_lease(lease)
     except sqlite3.OperationalError:
         failed = True
-    store.db = whole
+    store.database.connection = working
     assert failed or at > 6
     put(store, b"d", b"4", 0)
     again = Store(tmp_path / "register.db", sync=False)
     for one, other in ((store, again), (again, store)):
-        assert {key: (item.value, item.changed) for key, item in one.kv.items()} == {
-            key: (item.value, item.changed) for key, item in other.kv.items()
+        assert {key: (item.value, item.mod_revision) for key, item in one.keys.items()} == {
+            key: (item.value, item.mod_revision) for key, item in other.keys.items()
         }
         assert set(one.leases) == set(other.leases) and one.revision == other.revision
-        assert one.past == other.past
+        assert one.history == other.history
 
 
 def put(store, key, value, lease):
     """Write one key."""
-    store.txn(lambda _: True, [("put", key, value, lease)], ())
+    store.transact(lambda _: True, [PutKey(key, value, lease)], [])
