--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -66,28 +66,40 @@
 
     def __init__(self, root: str) -> None:
         """root: the prefix of the role's keys."""
-        self.root, self.token, self.serials = root, 0, count(1)
+        self.root = root
+        self.token = 0  # 0: this member does not lead the role
+        self.serials = count(1)
         self.out: list[RoleAction] = []
         self.reading: CallSerial | None = None  # serials of the calls under way
         self.writing: CallSerial | None = None
-        self.again_at, self.loaded = 0, False
-        self.newest = self.known = 0  # newest revision heard of: now, and when the read was asked for
+        self.again_at = 0
+        self.loaded = False
+        self.newest = 0  # newest revision heard of ...
+        self.known = 0  # ... and what it was when the read was asked for
         self.early: list[tuple[str, str | None, int]] = []  # changes that came before the reply to a read
 
     def take_actions(self) -> list[RoleAction]:
         """What is to be done now, in order."""
-        out, self.out = self.out, []
+        out = self.out
+        self.out = []
         return out
 
     def won(self, token: int, now: int) -> None:
         """This member leads the role, under this fencing token."""
-        self.token, self.serials, self.writing, self.reading = token, count(1), None, None
-        self.loaded, self.again_at = False, 0
+        self.token = token
+        self.serials = count(1)
+        self.writing = None
+        self.reading = None
+        self.loaded = False
+        self.again_at = 0
         self.step(now)
 
     def lost(self) -> None:
         """The leadership is not certain any more: nothing is written."""
-        self.token, self.loaded, self.writing, self.reading = 0, False, None, None
+        self.token = 0
+        self.loaded = False
+        self.writing = None
+        self.reading = None
 
     def due(self, now: int) -> int:
         """When to step at the latest."""
@@ -105,7 +117,9 @@
         if self.loaded:
             self._write_next(now)
         else:
-            self.reading, self.early, self.known = (self.token, next(self.serials)), [], self.newest
+            self.reading = (self.token, next(self.serials))
+            self.early = []
+            self.known = self.newest
             self.out.append(ReadKeys(self.reading, self.root))
 
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
@@ -117,7 +131,8 @@
             self.newest = max(self.newest, reply.revision)
         else:
             self.again_at = now + RETRY_US
-        self.loaded = reply.proof == Proof.DONE and self._write_confirmed(reply) and self.loaded
+        is_known = reply.proof == Proof.DONE and self._write_confirmed(reply)
+        self.loaded = is_known and self.loaded
         self.step(now)
 
     def read(self, now: int, serial: CallSerial, reply: Reply) -> None:
@@ -129,7 +144,8 @@
         if reply.proof != Proof.DONE or reply.revision < self.known:
             self.again_at = now + RETRY_US
             return
-        self.newest, self.loaded = max(self.newest, reply.revision), True
+        self.newest = max(self.newest, reply.revision)
+        self.loaded = True
         self._on_loaded(now, reply)
         self.out.append(WatchKeys(reply.revision + 1))
         for change in self.early:
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -1,106 +1,129 @@
-"""Several gateways as processes of their own, a register, engines, and relays between them, on loopback.
+"""Several gateways as processes of their own, a store, engines, and relays between them, on loopback.
 
 A scenario calls it step by step: start, stop, kill, pause, resume, cut, heal. What came of it is read from
-the register's journal, the engines' records and the gateways' events by gullhold.testing.fleet_checker.
+the store's journal, the engines' records and the gateways' events by gullhold.testing.fleet_checker.
 """
 
-import json
-import os
-import signal
-import subprocess
-import sys
+import socket
 import tempfile
 import time
+from collections.abc import Callable, Iterable
 from pathlib import Path
+from typing import Any, NamedTuple, Self
 
 import requests
 
-from gullhold.net import host_port
 from gullhold.testing import PATIENCE_S
 from gullhold.testing.deployment import config
 from gullhold.testing.fleet_checker import Check
-from gullhold.testing.relay import HELD, OPEN, Relay
-from gullhold.testing.running import ROOT, answers, free_address
+from gullhold.testing.fleet_process import Member, StoreProcess
+from gullhold.testing.relay import BACK, HELD, OPEN, THERE
+from gullhold.testing.running import answers
 from gullhold.testing.working import WorkingEngine
 
 KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}  # profiles of the deployment
+SEEDS_PER_RIG = 1000  # the starts of one rig have seeds of their own
+POLL_S = 0.01  # between looks at what is waited for
+STORY_LINES = 40
+STORY_LINE_LENGTH = 200
+EVENT_FACTS = ("duty", "token", "why", "due")
+JOURNAL_FACTS = ("revision", "met", "lease", "acts")
 
+Facts = dict[str, Any]
+
+
+class ReceivedCommand(NamedTuple):
+    """A command that an engine was sent. at: Unix s; idempotency_key empty: it has none."""
+
+    at: float
+    idempotency_key: str
+    profile: str
+    statement: str
 
-def _records(items):
-    """Records of an operator's file."""
-    return "\n".join(
-        "{" + ", ".join(f"{key}: {value}" for key, value in item.items()) + "}," for item in items
-    )
+
+class FleetEvent(NamedTuple):
+    """An event that a gateway logged of the fleet. at: Unix s."""
+
+    at: float
+    member: str
+    text: str
+    facts: Facts
 
 
 class KeepingEngine(WorkingEngine):
-    """Keeps what it was sent and what it did: (time, mark, profile, statement, done)."""
+    """Keeps what it was sent."""
 
-    def __init__(self, **other):
-        self.kept, self.on_fetch = [], lambda *_: None
+    def __init__(self, **other: Any) -> None:
+        """other: of the working engine."""
+        self.received: list[ReceivedCommand] = []
+        self.on_fetch: Callable[[dict[bytes, bytes], bytes], Any] = lambda *_: None
         super().__init__(**other)
 
-    def _word(self, conn, words):
+    def _word(self, conn: socket.socket, words: list[bytes]) -> None:
         if words[0] == b"fetch":
             facts = dict(pair.partition(b"=")[::2] for pair in words[2].split(b","))
-            self.kept.append(
-                (time.time(), facts.get(b"i", b"").decode(), facts[b"c"].decode(), words[3].decode())
-            )
+            key = facts.get(b"i", b"").decode()
+            command = ReceivedCommand(time.time(), key, facts[b"c"].decode(), words[3].decode())
+            self.received.append(command)
             self.on_fetch(facts, words[3])
         super()._word(conn, words)
 
 
-class Member:
-    """One gateway: its files, its relay to the register, its process."""
-
-    def __init__(self, rig, name):
-        self.name, self.relay, self.process = name, Relay(rig.register_address), None
-        self.listen = free_address()
-        self.address = host_port(self.listen)
-        self.folder = rig.path / name
-        self.folder.mkdir()
-        self.log, self.events = self.folder / "log", self.folder / "events"
-        self.serial = 0
+def _operator_list(items: Iterable[dict[str, Any]]) -> str:
+    """Records of an operator's file."""
+    rows = [", ".join(f"{key}: {value}" for key, value in item.items()) for item in items]
+    return "\n".join("{" + row + "}," for row in rows)
 
 
 class Rig:
-    """From entering to leaving.
-
-    fleet: more of the operator's file, as text; lease_s: whole seconds; scheduled, budgets: dicts of the
-    operator's words; dedup_s: how long engines remember a mark; adjust(settings) changes the agreement that
-    gateways are started with; make(seed): an engine; coordinator: where the list is told.
-    """
+    """A fleet from entering to leaving."""
 
     def __init__(
         self,
-        members=3,
-        lease_s=1,
-        fleet="",
-        scheduled=(),
-        beats=0,
-        beat_ms=50,
-        engines=2,
-        seed=1,
-        timeout_s=3.0,
-        dedup_s=4.0,
-        drift="rate: 0.02, margin: 50ms",
-        settle_ms=200,
-        moves=500,
-        budgets=(),
-        policy="",
-        look="50ms",
-        coordinator=None,
-        adjust=lambda settings: None,
-        make=lambda seed: KeepingEngine(slots=32, seed=seed),
-    ):
+        members: int = 3,
+        lease_s: int = 1,
+        fleet: str = "",
+        scheduled: Iterable[dict[str, Any]] = (),
+        beats: int = 0,
+        beat_ms: int = 50,
+        engines: int = 2,
+        seed: int = 1,
+        timeout_s: float = 3.0,
+        dedup_s: float = 4.0,
+        drift: str = "rate: 0.02, margin: 50ms",
+        settle_ms: int = 200,
+        moves: int = 500,
+        budgets: Iterable[dict[str, Any]] = (),
+        policy: str = "",
+        look: str = "50ms",
+        coordinator: str | None = None,
+        adjust: Callable[[dict[str, Any]], Any] = lambda _: None,
+        make: Callable[[int], KeepingEngine] = lambda seed: KeepingEngine(slots=32, seed=seed),
+    ) -> None:
+        """Prepare it; nothing runs yet.
+
+        fleet: more of the operator's file, as text; scheduled, budgets: dicts of the operator's words;
+        beats, beat_ms: heartbeat roles and their period; dedup_s: how long engines remember an idempotency
+        key; adjust(settings) changes the agreement that gateways are started with; make(seed): an engine;
+        coordinator: address of the discovery service.
+        """
         self.folder = tempfile.TemporaryDirectory(prefix="gullhold-fleet-")
-        self.path, self.lease_s, self.seed, self.dedup_s = Path(self.folder.name), lease_s, seed, dedup_s
-        self.timeout_s, self.scheduled = timeout_s, {item["name"]: item for item in scheduled}
-        self.engines, self.adjust = [make(seed + i) for i in range(engines)], adjust
-        self.born_ms, self.budgets, self.coordinator = {}, list(budgets), coordinator
-        self.register_address, self.journal = free_address(), self.path / "journal"
-        self.register = None
-        self.operator = f"""fleet: {{
+        self.path = Path(self.folder.name)
+        self.lease_s = lease_s
+        self.seed = seed
+        self.timeout_s = timeout_s
+        self.dedup_s = dedup_s
+        self.adjust = adjust
+        self.coordinator = coordinator
+        self.budgets = list(budgets)
+        self.engines = [make(seed + number) for number in range(engines)]
+        self.born_ms: dict[int, int] = {}  # when each engine started, by its number
+        self.store_process = StoreProcess(self.path)
+        self.names = [f"n{number}" for number in range(members)]
+        self.members: dict[str, Member] = {}
+        self.began = time.time()
+        # The store's address, the budgets and the path of the events are put in at each start.
+        self._operator_template = f"""fleet: {{
             on: true, name: "rig", register: "%s", timeout: 400ms, lease: {lease_s}s, look: {look}
             budgets: [%s]
             policy: {{{policy}}}
@@ -108,222 +131,193 @@
             duties: {{moves: {moves}, settle: {settle_ms}ms, beats: {beats}, beat: {beat_ms}ms,
                      pauses: {{least: 40ms, most: 400ms}}}}
             events: "%s"
-            schedule: [{_records(scheduled)}]
+            schedule: [{_operator_list(scheduled)}]
         }}
         {fleet}
         """
-        self.names, self.members, self.began = [f"n{i}" for i in range(members)], {}, time.time()
 
-    def __enter__(self):
+    def __enter__(self) -> Self:
+        """Start the store."""
         self.start_register()
         for name in self.names:
-            self.members[name] = Member(self, name)
+            self.members[name] = Member(name, self.path, self.register_address)
         return self
 
-    def __exit__(self, *_):
-        for name in self.members:
-            self.kill(name)
+    def __exit__(self, *_: object) -> None:
+        """End all processes, and remove the files."""
+        for member in self.members.values():
+            member.kill()
         for member in self.members.values():
             member.relay.close()
-        if self.register.poll() is None:
-            self.register.kill()
-        self.register.wait()
+        self.store_process.close()
         for engine in self.engines:
             engine.close()
         self.folder.cleanup()
 
-    # The register
-
-    def start_register(self):
-        """Begin, or begin again with what it kept."""
-        self.register = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "gullhold",
-                "register",
-                "--listen",
-                self.register_address,
-                "--store",
-                str(self.path / "store"),
-                "--journal",
-                str(self.journal),
-                "--fast",
-                "--scripted",
-            ],
-            cwd=ROOT,
-            stdout=subprocess.PIPE,
-            env=os.environ | {"PYTHONPATH": str(ROOT)},
-        )
-        if not self.register.stdout.readline():
-            raise RuntimeError("the register did not come up")
-
-    def kill_register(self):
-        """SIGKILL, at whatever it is doing."""
-        self.register.kill()
-        self.register.wait()
-
-    def faults(self, **told):
-        """Ask the register for faults."""
-        requests.post(f"http://{self.register_address}/faults", json=told, timeout=PATIENCE_S)
-
-    def counts(self):
-        """Calls that the register has had, by kind."""
+    # The store
+
+    @property
+    def register_address(self) -> str:
+        """HOST:PORT of the store."""
+        return self.store_process.address
+
+    def start_register(self) -> None:
+        """Start the store, or start it again with what it has stored."""
+        self.store_process.start()
+
+    def kill_register(self) -> None:
+        """Kill the store, at whatever it is doing."""
+        self.store_process.kill()
+
+    def faults(self, **requested: Any) -> None:
+        """Ask the store for faults."""
+        requests.post(f"http://{self.register_address}/faults", json=requested, timeout=PATIENCE_S)
+
+    def counts(self) -> dict[str, int]:
+        """Calls that the store has had, by kind."""
         return requests.get(f"http://{self.register_address}/counts", timeout=PATIENCE_S).json()
 
     # Members
 
-    def start(self, *names, wait=True, operator=True, name_=None, **hooks):
-        """Start gateways; name_: under another's name; hooks: what gullhold.testing.child is asked for."""
-        for name in names or self.names:
-            member = self.members[name]
+    def start(
+        self,
+        *names: str,
+        wait: bool = True,
+        operator: bool = True,
+        name_: str | None = None,
+        **hooks: Any,
+    ) -> None:
+        """Start gateways, all without names.
+
+        wait: until they answer or end; operator: with the operator's file; name_: under another's name;
+        hooks: what gullhold.testing.child is asked for.
+        """
+        started = [self.members[name] for name in names or self.names]
+        for member in started:
             member.serial += 1
-            told = config(*self.engines) | {
-                "listen": member.listen,
-                "name": name_ or name,
-                "seed": f"{self.seed * 1000 + member.serial:x}",
-                "coordinator": self.coordinator,
-            }
-            told["settings"]["domain"]["note_period"] = 0  # these engines tell no notes
-            for item in told["settings"]["categories"]:
-                item["give_up"], item["window"] = self.timeout_s, self.dedup_s
-            self.adjust(told["settings"])
-            for i, item in enumerate(told["known"]["updates"][0]["endpoints"]["members"]):
-                item["up_since_ms"] = self.born_ms.get(i, 0)
-            (member.folder / "config.json").write_text(json.dumps(told))
-            (member.folder / "operator.cue").write_text(
-                self.operator % (member.relay.address, _records(self.budgets), member.events)
-            )
-            words = ["--operator", str(member.folder / "operator.cue")] if operator else []
-            with open(member.log, "ab") as log:
-                member.process = subprocess.Popen(
-                    [
-                        sys.executable,
-                        "-m",
-                        "gullhold.testing.child",
-                        "serve",
-                        "--config",
-                        str(member.folder / "config.json"),
-                        *words,
-                    ],
-                    cwd=ROOT,
-                    stderr=log,
-                    stdout=log,
-                    env=os.environ
-                    | {"PYTHONPATH": str(ROOT), "GULLHOLD_RIG": json.dumps(hooks), "MALLOC_ARENA_MAX": "1"},
-                )
-        for name in (names or self.names) if wait else ():
-            self.until(
-                lambda name=name: (
-                    answers(self.members[name].address) is not None
-                    or self.members[name].process.poll() is not None
-                )
-            )
-
-    def stop(self, *names):
+            operator_text = self._operator_text(member) if operator else None
+            member.start(self._configuration(member, name_ or member.name), operator_text, hooks)
+        if wait:
+            for member in started:
+                self.until(lambda member=member: answers(member.address) is not None or member.has_ended())
+
+    def _operator_text(self, member: Member) -> str:
+        budgets = _operator_list(self.budgets)
+        return self._operator_template % (member.relay.address, budgets, member.events)
+
+    def _configuration(self, member: Member, name: str) -> dict[str, Any]:
+        configuration = config(*self.engines) | {
+            "listen": member.listen,
+            "name": name,
+            "seed": f"{self.seed * SEEDS_PER_RIG + member.serial:x}",
+            "coordinator": self.coordinator,
+        }
+        settings = configuration["settings"]
+        settings["domain"]["note_period"] = 0  # these engines send no status notes
+        for category in settings["categories"]:
+            category["give_up"] = self.timeout_s
+            category["window"] = self.dedup_s
+        self.adjust(settings)
+        entries = configuration["known"]["updates"][0]["endpoints"]["members"]
+        for number, entry in enumerate(entries):
+            entry["up_since_ms"] = self.born_ms.get(number, 0)
+        return configuration
+
+    def stop(self, *names: str) -> None:
         """SIGTERM, and wait for the end."""
         for name in names:
-            self.members[name].process.terminate()
+            self.members[name].terminate()
         for name in names:
-            self.members[name].process.wait(PATIENCE_S)
+            self.members[name].wait()
 
-    def kill(self, *names):
+    def kill(self, *names: str) -> None:
         """SIGKILL."""
         for name in names:
-            process = self.members[name].process
-            if process and process.poll() is None:
-                process.kill()
-                process.wait()
+            self.members[name].kill()
 
-    def pause(self, *names):
+    def pause(self, *names: str) -> None:
         """SIGSTOP."""
         for name in names:
-            self.members[name].process.send_signal(signal.SIGSTOP)
+            self.members[name].pause()
 
-    def resume(self, *names):
+    def resume(self, *names: str) -> None:
         """SIGCONT."""
         for name in names:
-            self.members[name].process.send_signal(signal.SIGCONT)
+            self.members[name].resume()
 
-    def paused(self, name):
+    def paused(self, name: str) -> bool:
         """Whether it sleeps by a SIGSTOP."""
-        try:
-            told = Path(f"/proc/{self.members[name].process.pid}/stat").read_text()
-            return told.rpartition(")")[2][1] == "T"
-        except OSError:
-            return False
-
-    def cut(self, name, way=HELD, sides=("there", "back")):
-        """Between a gateway and the register nothing passes on these sides until heal()."""
+        return self.members[name].is_paused()
+
+    def cut(self, name: str, way: str = HELD, sides: Iterable[str] = (THERE, BACK)) -> None:
+        """Between a gateway and the store nothing passes in these directions until heal()."""
         self.members[name].relay.set(way, sides)
 
-    def heal(self, name):
+    def heal(self, name: str) -> None:
         """All passes again."""
         self.members[name].relay.set(OPEN)
 
-    # What is to be seen
+    # What can be seen
 
-    def until(self, true, seconds=PATIENCE_S):
-        """Wait for it; what is true."""
+    def until(self, condition: Callable[[], Any], seconds: float = PATIENCE_S) -> Any:
+        """Wait until a condition gives something true; what it gave. Raises AssertionError with the story."""
         end = time.monotonic() + seconds
-        while not (found := true()):
+        while not (found := condition()):
             if time.monotonic() > end:
                 raise AssertionError("waited in vain\n" + self.story())
-            time.sleep(0.01)
+            time.sleep(POLL_S)
         return found
 
-    def events(self, name=None):
-        """What gateways said of the fleet, in order of time: (time, member, event, facts)."""
-        found = []
-        for member in [self.members[name]] if name else self.members.values():
-            for line in member.events.read_text("utf-8").splitlines() if member.events.exists() else ():
-                try:
-                    told = json.loads(line)["record"]
-                except ValueError:  # cut by a kill
-                    continue
-                found.append((told["time"]["timestamp"], member.name, told["extra"]["event"], told["extra"]))
-        return sorted(found, key=lambda row: row[0])
-
-    def lines(self):
-        """The register's journal."""
-        if not self.journal.exists():
-            return []
-        return [
-            json.loads(line)
-            for line in self.journal.read_text("utf-8").splitlines(keepends=True)
-            if line.endswith("\n")
+    def events(self, name: str | None = None) -> list[FleetEvent]:
+        """What gateways logged of the fleet, in order of time; name: of one gateway alone."""
+        members = [self.members[name]] if name else self.members.values()
+        events = [
+            FleetEvent(record["time"]["timestamp"], member.name, record["extra"]["event"], record["extra"])
+            for member in members
+            for record in member.event_records()
         ]
+        return sorted(events, key=lambda event: event.at)
 
-    def owners(self):
-        """Who owns each duty by the register's journal: {duty: (member, token)}."""
+    def lines(self) -> list[dict[str, Any]]:
+        """The store's journal."""
+        return self.store_process.journal_lines()
+
+    def owners(self) -> dict[str, tuple[str, int]]:
+        """(member, token) of the leader of each role, by the store's journal."""
         return Check(self.lines()).owners()
 
-    def owner(self, duty, other_than=""):
-        """Wait until somebody owns a duty, and not this one."""
-        return self.until(lambda: (found := self.owners().get(duty)) and found[0] != other_than and found[0])
-
-    def story(self):
-        """The last of what happened, for a failure: who, when, token, revision."""
-        rows = [
-            (
-                at,
-                f"{who} {what} "
-                + " ".join(
-                    f"{key}={facts[key]}" for key in ("duty", "token", "why", "due") if facts.get(key)
-                ),
-            )
-            for at, who, what, facts in self.events()
-        ]
-        rows += [
-            (
-                line["at"],
-                f"register {line['what']} "
-                + " ".join(
-                    f"{key}={line[key]}" for key in ("revision", "met", "lease", "acts") if key in line
-                ),
-            )
-            for line in self.lines()
-            if "kept" not in line["what"]
-            and not (line.get("met") and all("/beats/" in act[1] for act in line["acts"]))
-        ]  # what went well is no part of a story
-        return "\n".join(f"{at - self.began:8.3f} {text[:200]}" for at, text in sorted(rows)[-40:])
+    def owner(self, role: str, other_than: str = "") -> str:
+        """Wait until a member leads a role, and not this one; its name."""
+
+        def new_leader() -> str | None:
+            leader = self.owners().get(role)
+            if leader is None or leader[0] == other_than:
+                return None
+            return leader[0]
+
+        return self.until(new_leader)
+
+    def story(self) -> str:
+        """The last of what happened, for a failure: when, who, what, token, revision."""
+        rows = [(event.at, _event_story(event)) for event in self.events()]
+        rows += [(line["at"], _journal_story(line)) for line in self.lines() if _is_worth_telling(line)]
+        last = sorted(rows)[-STORY_LINES:]
+        return "\n".join(f"{at - self.began:8.3f} {text[:STORY_LINE_LENGTH]}" for at, text in last)
+
+
+def _event_story(event: FleetEvent) -> str:
+    facts = [f"{key}={event.facts[key]}" for key in EVENT_FACTS if event.facts.get(key)]
+    return " ".join([event.member, event.text, *facts])
+
+
+def _journal_story(line: dict[str, Any]) -> str:
+    facts = [f"{key}={line[key]}" for key in JOURNAL_FACTS if key in line]
+    return " ".join(["register", line["what"], *facts])
+
+
+def _is_worth_telling(line: dict[str, Any]) -> bool:
+    """Whether a line of the journal is more than a renewed lease or a heartbeat that was written."""
+    if "kept" in line["what"]:
+        return False
+    is_heartbeat = line.get("met") and all("/beats/" in write[1] for write in line["acts"])
+    return not is_heartbeat
--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -1,142 +1,204 @@
-"""The checker of a fleet: reads the register's journal and the engines' records, and knows none of our code.
+"""The checker of a fleet: reads the store's journal and the engines' records, and knows none of our code.
 
-What it takes as given is how things are written: duties/NAME holds who owns a duty, the revision of its last
-change is the token, beats/ and plan/ are effects, whose transactions compare the token.
+What it takes as given is how things are stored: duties/NAME holds who leads a role, the revision of its last
+change is the fencing token, beats/ and plan/ are effects, whose transactions compare the token.
 """
 
 import json
 from collections import defaultdict
+from collections.abc import Iterable
+from itertools import pairwise
+from typing import Any, NamedTuple
+
+ROLES = "duties/"
+EFFECTS = ("beats/", "plan/")
+SCHEDULED_COMMANDS = "plan/"
+OCCURRENCES = "/run/"
+
+Line = dict[str, Any]  # of the journal
+OccurrenceKey = tuple[str, int]  # command, due time
+
+
+class Leader(NamedTuple):
+    """Who leads a role."""
+
+    member: str
+    token: int
+    lease: int
+
+
+class Acquisition(NamedTuple):
+    """A member began to lead a role."""
+
+    at: float  # Unix s
+    token: int
+    member: str
+
+
+class Handover(NamedTuple):
+    """A role passed to another member. first_effect_at None: it has had no effect yet."""
+
+    role: str
+    first_effect_at: float | None
+    acquired_at: float
 
 
 class Check:
-    """Goes through a journal once. Everything that is wrong is in `broken`, a line each."""
-
-    def __init__(self, lines):
-        self.broken, self.held, self.highest = [], {}, defaultdict(int)
-        self.late, self.effects, self.moves = 0, 0, 0
-        self.records = defaultdict(dict)  # (command, due): {revision: record}
-        self.took = defaultdict(list)  # duty: (time, token, owner)
-        self.first_effect = {}  # (duty, token): time
-        self.leases = defaultdict(set)
+    """Goes through a journal once. Everything that is wrong is in `broken`, a line each.
+
+    effects: those carried out; late: those refused, of a token that is no more; moves: changes of a role's
+    leader.
+    """
+
+    def __init__(self, lines: Iterable[Line]) -> None:
+        """lines: of the journal, in their order."""
+        self.broken: list[str] = []
+        self.late = 0
+        self.effects = 0
+        self.moves = 0
+        self._leaders: dict[str, Leader] = {}
+        self._highest_tokens: dict[str, int] = defaultdict(int)
+        self._roles_by_lease: dict[int, set[str]] = defaultdict(set)
+        self._acquisitions: dict[str, list[Acquisition]] = defaultdict(list)
+        self._first_effects: dict[tuple[str, int], float] = {}  # by role and token
+        self._occurrences: dict[OccurrenceKey, dict[int, Any]] = defaultdict(dict)  # by revision
         revision = 0
         for line in lines:
-            if line.get("revision", revision) < revision:
+            line_revision = line.get("revision", revision)
+            if line_revision < revision:
                 self.broken.append(f"the register went back from revision {revision}: {line}")
-            revision = line.get("revision", revision)
-            if line["what"] in ("lease ended", "lease revoked"):
-                for duty in self.leases.pop(line["lease"], ()):
-                    self.held.pop(duty, None)
-            elif line["what"] == "txn":
-                self._txn(line)
-            elif line["what"] == "began":
-                self._began(line["keys"])
-
-    def owners(self):
-        """{duty: (owner, token)} at the end."""
-        return {duty: (owner, token) for duty, (owner, token, _) in self.held.items()}
-
-    def _began(self, keys):
-        """A register that was killed: what it committed and had not yet written down is in its keys."""
-        found = {
-            _tail(key): (json.loads(value)["owner"], revision, lease)
-            for key, value, revision, lease in keys
-            if _tail(key).startswith("duties/")
-        }
-        self.held = {key.removeprefix("duties/"): told for key, told in found.items()}
-        self.leases = defaultdict(set)
-        for duty, (_, revision, lease) in self.held.items():
-            self.leases[lease].add(duty)
-            self.highest[duty] = max(self.highest[duty], revision)
-
-    def _txn(self, line):
-        when = {_tail(key): revision for key, revision in line["when"]}
-        tokens = {
-            key.removeprefix("duties/"): revision
-            for key, revision in when.items()
-            if key.startswith("duties/")
-        }
-        puts = [(_tail(key), value, lease) for kind, key, value, lease in line["acts"] if kind == "put"]
-        drops = [_tail(key) for kind, key, _, _ in line["acts"] if kind == "delete"]
-        effects = [key for key, _, _ in puts if key.startswith(("beats/", "plan/"))]
+            revision = line_revision
+            self._check_line(line)
+
+    def owners(self) -> dict[str, tuple[str, int]]:
+        """(member, token) of the leader of each role at the end."""
+        return {role: (leader.member, leader.token) for role, leader in self._leaders.items()}
+
+    def occurrences(self) -> dict[OccurrenceKey, Any]:
+        """The last stored record of each occurrence."""
+        return {key: records[max(records)] for key, records in self._occurrences.items()}
+
+    def handovers(self) -> list[Handover]:
+        """The changes of a role's leader."""
+        return [
+            Handover(role, self._first_effects.get((role, new.token)), new.at)
+            for role, acquisitions in self._acquisitions.items()
+            for old, new in pairwise(acquisitions)
+            if new.member != old.member
+        ]
+
+    def _check_line(self, line: Line) -> None:
+        match line["what"]:
+            case "lease ended" | "lease revoked":
+                for role in self._roles_by_lease.pop(line["lease"], ()):
+                    self._leaders.pop(role, None)
+            case "txn":
+                self._check_transaction(line)
+            case "began":
+                self._check_start(line["keys"])
+
+    def _check_start(self, keys: list[list]) -> None:
+        """A store that was killed: what it committed and had not yet written down is in its keys."""
+        self._leaders = {}
+        self._roles_by_lease = defaultdict(set)
+        for key, value, revision, lease in keys:
+            name = _without_fleet(key)
+            if not name.startswith(ROLES):
+                continue
+            role = name.removeprefix(ROLES)
+            self._leaders[role] = Leader(json.loads(value)["owner"], revision, lease)
+            self._roles_by_lease[lease].add(role)
+            self._highest_tokens[role] = max(self._highest_tokens[role], revision)
+
+    def _check_transaction(self, line: Line) -> None:
+        conditions = {_without_fleet(key): revision for key, revision in line["when"]}
+        writes = [(kind, _without_fleet(key), value, lease) for kind, key, value, lease in line["acts"]]
+        effects = [key for kind, key, _, _ in writes if kind == "put" and key.startswith(EFFECTS)]
         if effects:
-            self._effect(line, tokens, effects)
+            tokens = {
+                key.removeprefix(ROLES): revision
+                for key, revision in conditions.items()
+                if key.startswith(ROLES)
+            }
+            self._check_effect(line, tokens, effects)
         if not line["met"]:
             return
-        for key, value, lease in puts:
-            if key.startswith("duties/"):
-                self._owned(line, key.removeprefix("duties/"), json.loads(value)["owner"], lease)
-            elif key.startswith("plan/") and "/run/" in key:
-                _, command, _, due = key.split("/")
-                self.records[command, int(due)][line["revision"]] = json.loads(value)
-        for key in drops:
-            old = self.held.pop(key.removeprefix("duties/"), None) if key.startswith("duties/") else None
-            if old:
-                self.leases[old[2]].discard(key.removeprefix("duties/"))
-
-    def _owned(self, line, duty, owner, lease):
-        old = self.held.get(duty)
-        if old and old[0] != owner:
-            self.broken.append(f"{duty} was taken from {old} by {owner} at revision {line['revision']}")
-        if line["revision"] <= self.highest[duty]:
-            self.broken.append(f"the token of {duty} did not grow: {line['revision']}")
+        for kind, key, value, lease in writes:
+            if kind == "put":
+                self._check_put(line, key, value, lease)
+        for kind, key, _, _ in writes:
+            if kind == "delete":
+                self._check_delete(key)
+
+    def _check_put(self, line: Line, key: str, value: str, lease: int) -> None:
+        if key.startswith(ROLES):
+            leader = Leader(json.loads(value)["owner"], line["revision"], lease)
+            self._check_acquisition(line["at"], key.removeprefix(ROLES), leader)
+        elif key.startswith(SCHEDULED_COMMANDS) and OCCURRENCES in key:
+            _, command, _, due = key.split("/")
+            self._occurrences[command, int(due)][line["revision"]] = json.loads(value)
+
+    def _check_delete(self, key: str) -> None:
+        if not key.startswith(ROLES):
+            return
+        role = key.removeprefix(ROLES)
+        old = self._leaders.pop(role, None)
         if old:
-            self.leases[old[2]].discard(duty)
-        if self.took[duty] and self.took[duty][-1][2] != owner:
+            self._roles_by_lease[old.lease].discard(role)
+
+    def _check_acquisition(self, at: float, role: str, leader: Leader) -> None:
+        old = self._leaders.get(role)
+        if old and old.member != leader.member:
+            self.broken.append(
+                f"{role} was taken from {tuple(old)} by {leader.member} at revision {leader.token}"
+            )
+        if leader.token <= self._highest_tokens[role]:
+            self.broken.append(f"the token of {role} did not grow: {leader.token}")
+        if old:
+            self._roles_by_lease[old.lease].discard(role)
+        acquisitions = self._acquisitions[role]
+        if acquisitions and acquisitions[-1].member != leader.member:
             self.moves += 1
-        self.highest[duty] = line["revision"]
-        self.held[duty] = (owner, line["revision"], lease)
-        self.leases[lease].add(duty)
-        self.took[duty].append((line["at"], line["revision"], owner))
+        self._highest_tokens[role] = leader.token
+        self._leaders[role] = leader
+        self._roles_by_lease[leader.lease].add(role)
+        acquisitions.append(Acquisition(at, leader.token, leader.member))
 
-    def _effect(self, line, tokens, effects):
+    def _check_effect(self, line: Line, tokens: dict[str, int], effects: list[str]) -> None:
         if len(tokens) != 1:
             self.broken.append(f"an effect with {len(tokens)} tokens: {effects}")
             return
-        ((duty, token),) = tokens.items()
-        current = self.held.get(duty, ("", 0, 0))[1]
+        ((role, token),) = tokens.items()
+        leader = self._leaders.get(role)
+        current = leader.token if leader else 0
         if line["met"]:
             self.effects += 1
-            self.first_effect.setdefault((duty, token), line["at"])
+            self._first_effects.setdefault((role, token), line["at"])
             if token != current:
-                self.broken.append(f"{duty}: an effect under token {token}, now {current or 'nobody'}'s")
+                self.broken.append(f"{role}: an effect under token {token}, now {current or 'nobody'}'s")
         elif token != current:
             self.late += 1
 
-    # Occurrences
-
-    def occurrences(self):
-        """{(command, due): the last record of it}."""
-        return {key: found[max(found)] for key, found in self.records.items()}
-
-    def handovers(self):
-        """(duty, time of the first effect of who took it over, time it was taken), a change of owner each."""
-        return [
-            (duty, self.first_effect.get((duty, now[1])), now[0])
-            for duty, rows in self.took.items()
-            for old, now in zip(rows, rows[1:], strict=False)
-            if now[2] != old[2]
-        ]
-
 
-def marks(engines):
-    """What engines were sent, by mark: {mark: [(time, profile)]}."""
+def marks(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
+    """(time, profile) of what engines were sent, by idempotency key."""
     found = defaultdict(list)
     for engine in engines:
-        for at, mark, profile, _ in engine.kept:
-            if mark:
-                found[mark].append((at, profile))
+        for command in engine.received:
+            if command.idempotency_key:
+                found[command.idempotency_key].append((command.at, command.profile))
     return found
 
 
-def sent(engines):
-    """What engines were sent, by statement: {statement: [(time, profile)]}."""
+def sent(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
+    """(time, profile) of what engines were sent, by statement."""
     found = defaultdict(list)
     for engine in engines:
-        for at, _, profile, statement in engine.kept:
-            found[statement].append((at, profile))
+        for command in engine.received:
+            found[command.statement].append((command.at, command.profile))
     return found
 
 
-def _tail(key):
-    """A key without its fleet."""
+def _without_fleet(key: str) -> str:
+    """A key without the prefix of its fleet, /gullhold/NAME/."""
     return key.split("/", 3)[3]
--- a/gullhold/testing/relay.py
+++ b/gullhold/testing/relay.py
@@ -3,102 +3,113 @@
 import socket
 import threading
 import time
+from collections.abc import Iterable
 from contextlib import suppress
 
 from gullhold.net import host_port
 from gullhold.testing import listening
 
-THERE, BACK = "there", "back"  # from who connects to who listens, and the other way
+# Directions: from the side that connects to the one that listens, and the other way.
+THERE, BACK = "there", "back"
+# What becomes of the bytes of a direction.
 OPEN, HELD, LOST, HALVED = "open", "held", "lost", "halved"
-CHUNK = 65536
+CHUNK_BYTES = 65536
+CONNECT_TIMEOUT_S = 5
+CLOSE_CHECK_S = 0.5  # the most that a held connection waits between looks at whether the relay is closed
 
 
 class Relay:
-    """Passes bytes to a target until told otherwise.
+    """Passes bytes to a target until set() says otherwise.
 
-    Held bytes go on when the way is open again, as a network would deliver them late, also those of a side
-    that has given up. Lost: the connection ends in their place. Halved: half of the next bytes go on, then
-    the connection ends.
+    Held bytes go on when the direction is open again, as a network would deliver them late, also those of a
+    side that has given up. Lost: the connection ends in their place. Halved: half of the next bytes go on,
+    then the connection ends.
     """
 
-    def __init__(self, target):
-        self.target, self.delay_s = host_port(target), 0.0
-        self.ways, self.changed = {THERE: OPEN, BACK: OPEN}, threading.Condition()
-        self.conns, self.closed = set(), False
-        self.sock, self.address = listening()
+    def __init__(self, target: str) -> None:
+        """target: HOST:PORT."""
+        self.target = host_port(target)
+        self.delay_s = 0.0
+        self._modes = dict.fromkeys((THERE, BACK), OPEN)
+        self._changed = threading.Condition()
+        self._sockets: set[socket.socket] = set()
+        self._is_closed = False
+        self._listener, self.address = listening()
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def set(self, way=OPEN, sides=(THERE, BACK)):
-        """From now on what passes on these sides is open, held, lost or halved."""
-        with self.changed:
-            self.ways.update(dict.fromkeys(sides, way))
-            self.changed.notify_all()
+    def set(self, mode: str = OPEN, directions: Iterable[str] = (THERE, BACK)) -> None:
+        """From now on what passes in these directions is open, held, lost or halved."""
+        with self._changed:
+            self._modes.update(dict.fromkeys(directions, mode))
+            self._changed.notify_all()
 
-    def reset(self):
-        """Every connection ends."""
-        for sock in list(self.conns):
+    def reset(self) -> None:
+        """End every connection."""
+        for sock in list(self._sockets):
             self._end(sock)
 
-    def close(self):
-        """Refuse from now on."""
-        self.closed = True
+    def close(self) -> None:
+        """Refuse connections from now on."""
+        self._is_closed = True
         self.set(OPEN)
-        self._end(self.sock)
+        self._end(self._listener)
         self.reset()
 
-    def _accept(self):
-        while not self.closed:
+    def _accept(self) -> None:
+        while not self._is_closed:
             try:
-                near = self.sock.accept()[0]
+                near, _ = self._listener.accept()
             except OSError:
-                self.sock.close()
+                self._listener.close()
                 return
-            threading.Thread(target=self._join, args=(near,), daemon=True).start()
+            threading.Thread(target=self._connect, args=(near,), daemon=True).start()
 
-    def _join(self, near):
+    def _connect(self, near: socket.socket) -> None:
         self._wait(THERE)  # a new connection does not come up through a cut
         try:
-            far = socket.create_connection(self.target, timeout=5)
+            far = socket.create_connection(self.target, timeout=CONNECT_TIMEOUT_S)
         except OSError:
             near.close()
             return
         far.settimeout(None)
         for sock in (near, far):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.conns.add(sock)
+            self._sockets.add(sock)
         back = threading.Thread(target=self._pump, args=(far, near, BACK), daemon=True)
         back.start()
         self._pump(near, far, THERE)
         back.join()
-        for sock in (near, far):  # only now: while a thread reads there its number must not be another's
-            self.conns.discard(sock)
+        # Only now: while a thread reads there the socket's number must not become another's.
+        for sock in (near, far):
+            self._sockets.discard(sock)
             sock.close()
 
-    def _wait(self, side):
-        with self.changed:
-            while self.ways[side] == HELD and not self.closed:
-                self.changed.wait(0.5)
-            return self.ways[side]
+    def _wait(self, direction: str) -> str:
+        """Wait while a direction is held; its mode after that."""
+        with self._changed:
+            while self._modes[direction] == HELD and not self._is_closed:
+                self._changed.wait(CLOSE_CHECK_S)
+            return self._modes[direction]
 
-    def _pump(self, source, sink, side):
+    def _pump(self, source: socket.socket, sink: socket.socket, direction: str) -> None:
         with suppress(OSError):
-            while data := source.recv(CHUNK):
+            while data := source.recv(CHUNK_BYTES):
                 if self.delay_s:
                     time.sleep(self.delay_s)
-                way = self._wait(side)
-                if way == LOST:
+                mode = self._wait(direction)
+                if mode == LOST:
                     break
-                sink.sendall(data[: len(data) // 2] if way == HALVED else data)
-                if way == HALVED:
+                sink.sendall(data[: len(data) // 2] if mode == HALVED else data)
+                if mode == HALVED:
                     break
             else:  # what was sent before the end still goes on
-                self._wait(side)
+                self._wait(direction)
                 sink.shutdown(socket.SHUT_WR)
                 return
         self._end(source)
         self._end(sink)
 
-    def _end(self, sock):
-        """Both threads that read and write there come back; the one that made it closes it."""
+    def _end(self, sock: socket.socket) -> None:
+        """Both threads that read and write there return; the one that made the socket closes it."""
         with suppress(OSError):
             sock.shutdown(socket.SHUT_RDWR)
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -1,98 +1,166 @@
-"""What explorers of decisions share: calls of a small register under way, the search, and walks by chance.
+"""What explorers of decisions share: calls to a model of the store under way, the search, and random walks.
 
-An explorer's world has act(what, i), which raises Broken, actions(), and mark(), which tells states apart.
+A world has act(kind, ...), which raises Broken, actions(), and mark(), which tells states apart. An action
+is a tuple of its kind and what else act() takes.
 """
 
 import copy
 import random
 from bisect import bisect_left
+from collections.abc import Callable, Iterable, Iterator, Sequence
+from typing import Any, NamedTuple, Protocol
 
 from gullhold.fleet.lease import LeaseTerms
-from gullhold.fleet.role_state import ReadKeys, WatchKeys, WriteKeys
-from gullhold.fleet.store_calls import KeepLeaseAlive, Proof, ReadPrefix, Reply, Transaction
+from gullhold.fleet.role_state import CallSerial, ReadKeys, RoleState, WatchKeys, WriteKeys
+from gullhold.fleet.store_calls import KeepLeaseAlive, Proof, ReadPrefix, Reply, Request, Transaction
 
 OF_CALLS = ("lose the reply", "hold back", "refuse")  # faults of calls
 QUANTUM_US = 250_000  # between moments: a lease is four of them
 TERMS = LeaseTerms(1, 0.15, 0)
-RATES = (0.87, 1.1, 1.0)  # of clocks against the register's: within the drift
+RATES = (0.87, 1.1, 1.0)  # of clocks against the store's: within the drift
+START_US = 10_000_000
+FAULT_CHANCE = 0.15  # of an action of a kind that is to come seldom
+TIME_CHANCE = 0.12  # of letting time pass: otherwise no lease ever ends
 
+Action = Sequence[Any]
+Draw = Callable[[], float]  # a random fraction, from [0, 1)
+Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
+Tag = tuple[str, CallSerial]  # the method of a role state that takes the reply, the serial of the call
 
-class Broken(Exception):
-    """A promise that was not kept; the text says which."""
+
+class Broken(Exception):  # noqa: N818  the name that all explorers and benchmarks know
+    """A rule that does not hold; the text says which."""
+
+
+class StoreModel(Protocol):
+    """A model of the store, as a Pair needs it."""
+
+    revision: int
+    past: list[Change]
+
+    def call(self, request: Request, now: int) -> Reply:
+        """Carry a request out."""
+        ...
+
+    def expire(self, now: int) -> None:
+        """End the leases that have run out."""
+        ...
+
+    def put(self, key: str, value: str, lease: int) -> None:
+        """Write a key in the current revision."""
+        ...
+
+
+class SentCall(NamedTuple):
+    """A call under way, of one of the two holders."""
+
+    holder: int
+    request: Request
+    tag: Tag
+
+
+class SentReply(NamedTuple):
+    """A reply under way, to one of the two holders."""
+
+    holder: int
+    tag: Tag
+    reply: Reply
 
 
 class Pair:
-    """A world in which two processes may own one duty, and members on clocks of their own hold leases.
+    """A world in which two processes may lead one role, and members on clocks of their own hold leases.
 
-    duty: its key; told: the prefix of keys of which an owner is told; holders: the two; seen: from which
-    revision each is told. calls: (who, request, tag) under way; replies: (who, tag, reply), not heard yet;
-    ghosts: requests that were given up and may still be carried out. A kind of world has members, with
-    lease, cut and a clock to call, and _grant(member).
+    duty: the role's key; told: the prefix of the keys of which a leader is notified; holders: the two role
+    states; seen: from which revision each is notified; owner: the holder that leads. calls, replies: under
+    way; ghosts: requests that were given up and may still be carried out. A kind of world has members, with
+    lease, cut and a clock to call, _grant(member), act() and its actions' methods _do_KIND().
     """
 
-    def __init__(self, model, duty, told, holders, faults):
-        self.model, self.duty, self.told, self.holders, self.faults = model, duty, told, holders, faults
-        self.now, self.seen, self.owner = 10_000_000, [None, None], 0
-        self.members, self.calls, self.replies, self.ghosts = [], [], [], []
-
-    def clock(self, k):
-        """What the clock of holder k says."""
+    def __init__(
+        self, model: StoreModel, duty: str, told: str, holders: Sequence[RoleState], faults: int
+    ) -> None:
+        """faults: how many may happen."""
+        self.model = model
+        self.duty = duty
+        self.told = told
+        self.holders = holders
+        self.faults = faults
+        self.now = START_US
+        self.seen: list[int | None] = [None, None]
+        self.owner = 0
+        self.members: list[Any] = []
+        self.calls: list[SentCall] = []
+        self.replies: list[SentReply] = []
+        self.ghosts: list[Request] = []
+
+    def clock(self, k: int) -> int:
+        """What the clock of holder k shows."""
         return int(self.now * RATES[k + 1])
 
-    def of_calls(self):
+    # What can be next
+
+    def of_calls(self) -> list[Action]:
         """The actions that calls under way allow now."""
-        found = []
-        for i in range(len(self.calls)):
-            found.append(("carry out", i))
-            found += [(fault, i) for fault in OF_CALLS] if self.faults else []
-        found += [("reply", i) for i in range(len(self.replies))]
-        return found + [("late", i) for i in range(len(self.ghosts))]
-
-    def of_holders(self):
+        found: list[Action] = []
+        for number in range(len(self.calls)):
+            found.append(("carry out", number))
+            if self.faults:
+                found += [(fault, number) for fault in OF_CALLS]
+        found += [("reply", number) for number in range(len(self.replies))]
+        found += [("late", number) for number in range(len(self.ghosts))]
+        return found
+
+    def of_holders(self) -> list[Action]:
         """The actions that concern the two holders."""
-        found = [("tell", k) for k in range(2) if self.news(self.seen[k], self.told)]
-        found += [("elect", 0), ("miss", self.owner)] if self.faults else []
-        return found + ([("lost", 1 - self.owner)] if self.holders[1 - self.owner].token else [])
-
-    def fair(self):
+        found = self._notifications()
+        if self.faults:
+            found += [("elect", 0), ("miss", self.owner)]
+        other = 1 - self.owner
+        if self.holders[other].token:
+            found.append(("lost", other))
+        return found
+
+    def _notifications(self) -> list[Action]:
+        return [("tell", k) for k in range(2) if self.news(self.seen[k], self.told)]
+
+    def fair(self) -> Action | None:
         """What happens next where nothing is wrong; None: nothing is under way."""
         if self.calls:
             return "carry out", 0
         if self.replies:
             return "reply", 0
-        return next((("tell", k) for k in range(2) if self.news(self.seen[k], self.told)), None)
+        return next(iter(self._notifications()), None)
 
-    def news(self, since, prefix):
-        """What changed of these keys from a revision on; nothing for one that follows nothing (None)."""
+    def news(self, since: int | None, prefix: str) -> list[Change]:
+        """What changed of these keys from a revision on; None: nothing is followed."""
         if since is None:
             return []
         past = self.model.past
-        return [
-            row
-            for row in past[bisect_left(past, since, key=lambda row: row[0]) :]
-            if row[1].startswith(prefix)
-        ]
-
-    def quiet(self, most):
-        """All that is under way is carried out in turn, so many steps at most."""
+        first = bisect_left(past, since, key=lambda change: change[0])
+        return [change for change in past[first:] if change[1].startswith(prefix)]
+
+    def quiet(self, most: int) -> None:
+        """Carry out in turn all that is under way, in so many steps at most."""
         for _ in range(most):
-            todo = self.fair()
-            if not todo:
+            action = self.fair()
+            if not action:
                 break
-            self.act(*todo)
+            self.act(*action)
+
+    # What happens
 
-    def _collect(self, k):
+    def _collect(self, k: int) -> None:
         for action in self.holders[k].take_actions():
             match action:
                 case ReadKeys(serial, prefix):
-                    self.calls.append((k, ReadPrefix(prefix), ("read", serial)))
+                    self.calls.append(SentCall(k, ReadPrefix(prefix), ("read", serial)))
                 case WriteKeys(serial, token, operations, conditions):
                     request = Transaction(((self.duty, token), *conditions), operations)
-                    self.calls.append((k, request, ("written", serial)))
+                    self.calls.append(SentCall(k, request, ("written", serial)))
                 case WatchKeys(revision):
                     self.seen[k] = max(self.seen[k] or 0, revision)
 
-    def _keep(self, one):
+    def _keep(self, one: Any) -> None:
         """A moment has passed for a member's lease."""
         if not one.cut and one.lease.is_valid(one()):
             reply = self.model.call(KeepLeaseAlive(one.lease.id), self.now)
@@ -103,117 +171,144 @@
         if not one.lease.id and not one.cut:
             self._grant(one)
 
-    def _step_holders(self):
+    def _step_holders(self) -> None:
         self.model.expire(self.now)
         for k in range(2):
             self.holders[k].step(self.clock(k))
             self._collect(k)
 
-    def _held(self, who, what, *told):
-        getattr(self.holders[who], what)(self.clock(who), *told)
+    def _held(self, who: int, method: str, *arguments: Any) -> None:
+        """Call a method of a holder, and collect what it asks for."""
+        getattr(self.holders[who], method)(self.clock(who), *arguments)
         self._collect(who)
 
-    def _do_carry_out(self, i):
-        who, request, tag = self.calls.pop(i)
-        self.replies.append((who, tag, self.model.call(request, self.now)))
+    def _do_carry_out(self, i: int) -> None:
+        holder, request, tag = self.calls.pop(i)
+        self.replies.append(SentReply(holder, tag, self.model.call(request, self.now)))
 
-    def _do_lose_the_reply(self, i):
-        who, request, tag = self.calls.pop(i)
+    def _do_lose_the_reply(self, i: int) -> None:
+        holder, request, tag = self.calls.pop(i)
         self.model.call(request, self.now)
-        self.replies.append((who, tag, Reply(Proof.UNKNOWN)))
+        self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
 
-    def _do_hold_back(self, i):
-        who, request, tag = self.calls.pop(i)
+    def _do_hold_back(self, i: int) -> None:
+        holder, request, tag = self.calls.pop(i)
         self.ghosts.append(request)
-        self.replies.append((who, tag, Reply(Proof.UNKNOWN)))
+        self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
 
-    def _do_refuse(self, i):
-        who, _, tag = self.calls.pop(i)
-        self.replies.append((who, tag, Reply(Proof.NOT_DONE)))
+    def _do_refuse(self, i: int) -> None:
+        holder, _, tag = self.calls.pop(i)
+        self.replies.append(SentReply(holder, tag, Reply(Proof.NOT_DONE)))
 
-    def _do_late(self, i):
+    def _do_late(self, i: int) -> None:
         self.model.call(self.ghosts.pop(i), self.now)
 
-    def _do_tell(self, k):
+    def _do_tell(self, k: int) -> None:
+        """Notify a holder of the changes of one revision."""
         news = self.news(self.seen[k], self.told)
-        self.seen[k] = news[0][0] + 1
-        for revision, key, value in [row for row in news if row[0] == news[0][0]]:
-            self._held(k, "changed", key, value, revision)
+        first_revision = news[0][0]
+        self.seen[k] = first_revision + 1
+        for revision, key, value in news:
+            if revision == first_revision:
+                self._held(k, "changed", key, value, revision)
 
-    def _do_miss(self, k):
+    def _do_miss(self, k: int) -> None:
         self._held(k, "missed")
 
-    def _do_elect(self, _):
-        """The other one owns the duty now; who owned it does not know yet."""
+    def _do_elect(self, _: int) -> None:
+        """The other one leads the role now; the one that led before does not know yet."""
         self.model.revision += 1
         self.model.put(self.duty, "", 0)
         self.owner = 1 - self.owner
         self.holders[self.owner].won(self.model.revision, self.clock(self.owner))
         self._collect(self.owner)
 
-    def _do_lost(self, k):
+    def _do_lost(self, k: int) -> None:
         self.holders[k].lost()
 
-    def _do_cut(self, i):
+    def _do_cut(self, i: int) -> None:
         self.members[i].cut = True
 
-    def _do_heal(self, i):
+    def _do_heal(self, i: int) -> None:
         self.members[i].cut = False
 
 
-def explore(world, depth, most, seed=0):
-    """(states met, the depth that was gone through whole) from a world on; raises Broken with its story.
+class Explored(NamedTuple):
+    """How far a search came: states met, and the depth up to which all actions were tried."""
+
+    states: int
+    depth: int
+
+
+def explore(world: Any, depth: int, most: int, seed: int = 0) -> Explored:
+    """Try every action that can be next, breadth first; raises Broken with its story.
 
     most: states after which it stops. Which actions come first at one depth is drawn from the seed.
     """
     draw = random.Random(seed)
-    layer, met, whole = [(world, ())], set(), 0
+    layer: list[tuple[Any, tuple[Action, ...]]] = [(world, ())]  # worlds with their stories
+    met: set[int] = set()
     for level in range(depth):
         following = []
         for one, story in layer:
             actions = one.actions()
             draw.shuffle(actions)
             for action in actions:
-                other = copy.deepcopy(one)
-                try:
-                    other.act(*action)
-                except Broken as fault:
-                    raise Broken(f"{fault}; after {[*story, action]}") from None
+                other = _after(one, action, story)
                 mark = hash(other.mark())
                 if mark not in met:
                     met.add(mark)
                     following.append((other, (*story, action)))
                 if len(met) >= most:
-                    return len(met), whole
-        layer, whole = following, level + 1
-    return len(met), whole
+                    return Explored(len(met), level)
+        layer = following
+    return Explored(len(met), depth)
 
 
-def wild(world, draw, faults):
-    """Actions by chance, for ever; faults: kinds that come seldom."""
+def _after(world: Any, action: Action, story: tuple[Action, ...]) -> Any:
+    """A copy of a world, after an action."""
+    other = copy.deepcopy(world)
+    try:
+        other.act(*action)
+    except Broken as broken:
+        raise Broken(f"{broken}; after {[*story, action]}") from None
+    return other
+
+
+def wild(world: Any, draw: Draw, faults: Sequence[str]) -> Iterator[Action]:
+    """Random actions, for ever; faults: kinds that come seldom."""
     while True:
         actions = world.actions()
-        few = [action for action in actions if action[0] not in faults or draw() < 0.15]
-        yield actions[0] if draw() < 0.12 else few[int(draw() * len(few))]
+        chosen = [action for action in actions if action[0] not in faults or draw() < FAULT_CHANCE]
+        yield actions[0] if draw() < TIME_CHANCE else _pick(chosen, draw)
 
 
-def now_and_then(world, draw, kinds, odd, likely):
+def now_and_then(
+    world: Any, draw: Draw, kinds: Iterable[tuple[str, float]], odd: Sequence[str], likely: float
+) -> Iterator[Action]:
     """At most one action: of the first of these (kind, chance) that comes up, else, seldom, an odd one."""
     actions = world.actions()
     for kind, chance in kinds:
-        some = [action for action in actions if action[0] == kind]
-        if some and draw() < chance:
-            yield some[int(draw() * len(some))]
+        found = [action for action in actions if action[0] == kind]
+        if found and draw() < chance:
+            yield _pick(found, draw)
             return
-    some = [action for action in actions if action[0] in odd]
-    if some and draw() < likely:
-        yield some[int(draw() * len(some))]
+    found = [action for action in actions if action[0] in odd]
+    if found and draw() < likely:
+        yield _pick(found, draw)
+
 
+def _pick(actions: list[Action], draw: Draw) -> Action:
+    return actions[int(draw() * len(actions))]
 
-def follow(world, actions, steps, seed, marks):
-    """Take so many actions, then calm down and be settled; raises Broken with its story. Marks of the states
-    that were met, where asked for."""
-    story, met = [], set()
+
+def follow(world: Any, actions: Iterator[Action], steps: int, seed: int, marks: bool) -> set[int]:
+    """Take so many actions, then calm down and be settled; raises Broken with its story.
+
+    marks: whether to return those of the states that were met.
+    """
+    story: list[Action] = []
+    met: set[int] = set()
     try:
         for _ in range(steps):
             action = next(actions)
@@ -223,18 +318,18 @@
                 met.add(hash(world.mark()))
         world.calm()
         world.settled()
-    except Broken as fault:
-        raise Broken(f"seed {seed}: {fault}; after {story}") from None
+    except Broken as broken:
+        raise Broken(f"seed {seed}: {broken}; after {story}") from None
     return met
 
 
-def find(walk, walks, first=0):
+def find(walk: Callable[[int], Any], walks: int, first: int = 0) -> tuple[int, str] | None:
     """(seed, what broke) of the first of so many walks that finds something, or None."""
     for seed in range(first, first + walks):
         try:
             walk(seed)
-        except Broken as fault:
-            return seed, str(fault).partition("; after")[0]
-        except Exception as fault:  # it fell over its own state: found too
-            return seed, repr(fault)
+        except Broken as broken:
+            return seed, str(broken).partition("; after")[0]
+        except Exception as error:  # noqa: BLE001  it fell over its own state: found too
+            return seed, repr(error)
     return None
--- /dev/null
+++ b/tests/test_fleet_calendar.py
@@ -0,0 +1,38 @@
+"""When scheduled commands are due."""
+
+from datetime import datetime
+from zoneinfo import ZoneInfo
+
+import pytest
+
+from gullhold.fleet.calendar import Calendar, InvalidCalendarError
+
+S = 1_000_000  # us
+
+
+def test_daylight_saving_skips_and_repeats_no_day():
+    calendar = Calendar("30 2 * * *", "Europe/Brussels", 0)
+    zone = ZoneInfo("Europe/Brussels")
+
+    def after(*when):
+        at = calendar.after(int(datetime(*when, tzinfo=zone).timestamp()) * S)
+        return datetime.fromtimestamp(at // S, zone).strftime("%d %H:%M")
+
+    assert after(2026, 3, 28, 12) == "29 03:00"  # 02:30 does not exist that day
+    assert after(2026, 10, 24, 12) == "25 02:30"  # it comes twice, and is due once
+    assert after(2026, 10, 25, 4) == "26 02:30"
+
+
+def test_a_calendar_counts_what_was_missed_and_names_what_it_cannot_use():
+    calendar = Calendar("*/2 * * * * *", "UTC", 0)
+    assert calendar.between(1000 * S, 1009 * S) == (4, 1008 * S)
+    assert Calendar("", "UTC", 300_000).between(1000 * S, 1001 * S) == (3, 1000_800_000)
+    assert calendar.between(1000 * S, 999 * S) == (0, 1000 * S)
+    for bad in (
+        ("61 * * * *", "UTC", 0),
+        ("* * * * *", "Mars/Base", 0),
+        ("", "UTC", 0),
+        ("* * * * *", "UTC", 5),
+    ):
+        with pytest.raises(InvalidCalendarError):
+            Calendar(*bad)
--- /dev/null
+++ b/tests/test_fleet_occurrences.py
@@ -0,0 +1,83 @@
+"""Scheduled commands of a fleet of real processes, through kills and sleeps."""
+
+import time
+
+import pytest
+from fleet_runs import check_run, scheduled, soon
+
+from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet_checker import Check, sent
+
+
+@pytest.mark.parametrize(
+    "point, side, sends",
+    [("intent", "before", 1), ("intent", "after", 0), ("outcome", "before", 1), ("outcome", "after", 1)],
+)
+def test_a_non_replayable_occurrence_whose_owner_is_killed_runs_at_most_once(point, side, sends):
+    with Rig(members=2, scheduled=[scheduled("once", "once") | soon()]) as rig:
+        rig.start("n0", point=point, side=side, act="kill", nth=1)
+        rig.members["n0"].process.wait(8)
+        rig.start("n1")
+
+        def ended():
+            rows = [row for row in Check(rig.lines()).occurrences().values() if row["state"] != "skipped"]
+            return rows and rows[0]["state"] in ("answered", "failed") and rows
+
+        (row,) = rig.until(ended)
+        time.sleep(0.3)
+        fetches = sum(len(rows) for rows in sent(rig.engines).values())
+        assert fetches == sends, rig.story()
+        assert row["state"] == (
+            "answered" if (point, side) in (("intent", "before"), ("outcome", "after")) else "failed"
+        )
+        told = [facts for _, _, what, facts in rig.events() if what == "occurrence failed"]
+        assert bool(told) == (row["state"] == "failed")
+        check_run(rig)
+
+
+def test_occurrences_go_on_through_kills_and_sleeps_each_as_its_profile_allows():
+    kinds = {"plain": "read", "marked": "mark", "single": "once"}
+    with Rig(members=3, scheduled=[scheduled(name, kind, 60) for name, kind in kinds.items()]) as rig:
+        rig.start()
+        for step in range(4):
+            name = rig.owner(("schedule/plain", "schedule/marked", "schedule/single")[step % 3])
+            time.sleep(0.4)
+            if step % 2:
+                rig.kill(name)
+                time.sleep(1.2)
+                rig.start(name)
+            else:
+                rig.pause(name)
+                time.sleep(1.5)
+                rig.resume(name)
+        time.sleep(1.0)
+        check = check_run(rig, 30)
+        rows = check.occurrences()
+        assert {command for command, _ in rows} == set(kinds)
+        for engine in rig.engines:
+            for _, mark, kind, statement in engine.received:
+                assert (mark != "") or "marked" not in statement, kind
+        once = [(due, row) for (command, due), row in rows.items() if command == "single"]
+        sends = sum(len(at) for statement, at in sent(rig.engines).items() if "single" in statement)
+        assert sends <= sum(row["tries"] for _, row in once if row["state"] != "skipped")
+        marks = {}
+        for engine in rig.engines:
+            for at, mark, _, statement in engine.received:
+                if "marked" in statement:
+                    marks.setdefault(mark, []).append(at)
+        assert marks and all(max(at) - min(at) <= rig.dedup_s for at in marks.values())
+
+
+def test_at_sigterm_in_the_middle_of_a_duty_its_outcome_is_written_before_it_is_given_back():
+    with Rig(members=2, scheduled=[scheduled("long", "once", 1500, work="1500ms") | soon()]) as rig:
+        rig.start("n0")
+        rig.until(lambda: sum(len(engine.received) for engine in rig.engines))
+        rig.start("n1")  # the duty takes longer than a lease, and stays meanwhile
+        rig.stop("n0")
+        rows = rig.until(
+            lambda: [row for row in Check(rig.lines()).occurrences().values() if row["state"] == "answered"]
+        )
+        assert rows[0]["by"] == "n0" and rig.owner("schedule/long", "n0") == "n1"
+        time.sleep(0.3)
+        assert sum(len(engine.received) for engine in rig.engines) == 1
+        check_run(rig)
--- /dev/null
+++ b/tests/test_fleet_roles.py
@@ -0,0 +1,182 @@
+"""A fleet of real processes, and the failures that one leader at a time is for."""
+
+import time
+
+import pytest
+from fleet_runs import check_run
+
+from gullhold.testing.client import Caller
+from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet_checker import Check
+from gullhold.testing.relay import HALVED, LOST
+
+
+def test_an_owner_that_sleeps_between_its_check_and_its_act_is_refused_when_it_wakes():
+    with Rig(members=2, beats=2) as rig:
+        rig.start("n0", point="effect", side="before", act="stop", nth=10)
+        rig.until(lambda: rig.paused("n0"))
+        rig.start("n1")
+        assert rig.owner("beat/0", "n0") == "n1" and rig.owner("beat/1", "n0") == "n1"
+        time.sleep(0.2)
+        rig.resume("n0")
+        rig.until(lambda: Check(rig.lines()).late)
+        rig.until(lambda: any(what == "late effect refused" for _, _, what, _ in rig.events("n0")))
+        check_run(rig, 10)
+
+
+def test_the_reply_that_says_who_owns_is_lost():
+    with Rig(members=2, beats=4) as rig:
+        rig.faults(lose=8)  # of the lease, of joining, of claiming
+        rig.start()
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2 and len(rig.owners()) == 4)
+        assert sum(line["what"] == "reply lost" for line in rig.lines()) == 8
+        rig.until(lambda: check_run(rig).effects > 10)
+
+
+def test_it_is_handed_over_within_leases_after_a_kill_and_at_once_at_sigterm():
+    with Rig(members=3, beats=12) as rig:
+        rig.start()
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 3)
+        began = time.time()
+        rig.kill("n0")
+        rig.until(lambda: len(rig.owners()) == 12 and "n0" not in {who for who, _ in rig.owners().values()})
+        assert time.time() - began < 1.6 * rig.lease_s
+        went = time.time()
+        rig.members["n1"].process.terminate()
+        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n2"} and len(rig.owners()) == 12)
+        assert time.time() - went < 0.5  # far less than a lease, on a busy machine too
+        rig.stop("n1")
+        check_run(rig, 20)
+
+
+def test_cut_off_from_the_register_it_serves_on_and_acts_for_nobody():
+    with Rig(members=2, beats=4) as rig:
+        rig.start()
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        rig.cut("n0")
+        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n1"} and len(rig.owners()) == 4)
+        client = Caller(rig.members["n0"].address)
+        seq = client.ask()
+        assert client.answer() == (seq, b"a\tb\tc\n")
+        said = [what for _, _, what, _ in rig.events("n0")]
+        assert said.count("the register does not answer; served on as if alone") == 1
+        rig.heal("n0")  # what was held comes late, and is refused; then it is a member again
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        check_run(rig, 10)
+
+
+@pytest.mark.parametrize("way, sides", [(LOST, ("back",)), (HALVED, ("there",)), (HALVED, ("back",))])
+def test_cut_in_one_direction_or_in_the_middle_of_a_message_nothing_is_guessed(way, sides):
+    with Rig(members=2, beats=4) as rig:
+        rig.start()
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        rig.cut("n0", way, sides)
+        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n1"} and len(rig.owners()) == 4)
+        rig.heal("n0")
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        check_run(rig, 10)
+
+
+def test_a_register_killed_while_it_commits_and_restarted_with_leases_in_force():
+    with Rig(members=3, beats=9, beat_ms=20) as rig:
+        rig.start()
+        rig.until(lambda: len(rig.owners()) == 9)
+        for _ in range(3):
+            time.sleep(0.2)
+            rig.kill_register()
+            rig.start_register()
+        rig.faults(lose=5, stale=5, behind=3)
+        rig.until(lambda: len(rig.owners()) == 9 and check_run(rig).effects > 60)
+
+
+def test_a_register_slower_than_a_lease_has_no_owner_act_and_is_not_asked_without_pause():
+    with Rig(members=2, beats=4) as rig:
+        rig.start()
+        rig.until(lambda: len(rig.owners()) == 4)
+        rig.faults(delay=2.5, delay_s=1.5)
+        time.sleep(1.3)
+        before = sum(rig.counts().values())
+        time.sleep(1)
+        assert sum(rig.counts().values()) - before < 60
+        rig.until(
+            lambda: (
+                len(rig.owners()) == 4
+                and any(what == "the register answers again" for _, _, what, _ in rig.events())
+            )
+        )
+        rig.until(lambda: check_run(rig, 0).effects >= 1)
+
+
+def test_clocks_off_by_the_drift_bound_are_held_and_beyond_it_the_token_still_refuses():
+    with Rig(members=2, beats=4, drift="rate: 0.1, margin: 20ms") as rig:
+        rig.start("n0", rate=0.92)
+        rig.start("n1", rate=1.08)
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        for name in ("n0", "n1"):
+            rig.cut(name)
+            rig.until(lambda name=name: name not in {who for who, _ in rig.owners().values()})
+            rig.heal(name)
+        rig.stop("n0", "n1")
+        check_run(rig, 10)
+        rig.start("n0", rate=0.5)  # far beyond: it may think that it owns too long, and is refused
+        rig.owner("beat/0")
+        rig.start("n1")
+        rig.pause("n0")
+        rig.owner("beat/0", "n0")
+        rig.resume("n0")
+        time.sleep(0.3)
+        check_run(rig, 10)
+
+
+def test_all_start_at_once_and_most_are_killed_at_once():
+    with Rig(members=6, beats=24) as rig:
+        rig.start()
+        rig.until(lambda: len(rig.owners()) == 24)
+        rig.kill("n0", "n1", "n2", "n3")
+        rig.until(
+            lambda: {who for who, _ in rig.owners().values()} <= {"n4", "n5"} and len(rig.owners()) == 24
+        )
+        rig.until(lambda: check_run(rig).effects >= 24)
+
+
+def test_a_member_that_flaps_draws_no_duties_to_itself():
+    with Rig(members=2, beats=6, settle_ms=1500) as rig:
+        rig.start("n0")
+        rig.until(lambda: len(rig.owners()) == 6)
+        for _ in range(3):
+            rig.start("n1")
+            time.sleep(0.5)
+            rig.stop("n1")
+        assert check_run(rig, 6).moves == 0
+
+
+def test_of_two_processes_of_one_name_the_later_wins():
+    with Rig(members=2, beats=4) as rig:
+        rig.start("n0")
+        rig.until(lambda: len(rig.owners()) == 4)
+        twin = rig.members["n1"]
+        first = {token for _, token in rig.owners().values()}
+        rig.start("n1", name_="n0")
+        rig.until(
+            lambda: any(
+                facts.get("why") == "a later process has this name" for _, _, _, facts in rig.events()
+            )
+        )
+        rig.until(
+            lambda: len(rig.owners()) == 4 and not first & {token for _, token in rig.owners().values()}
+        )
+        assert rig.members["n0"].process.poll() is None and twin.process.poll() is None  # both serve
+        check_run(rig, 4)
+
+
+def test_the_history_is_dropped_while_a_member_sleeps():
+    with Rig(members=3, beats=6) as rig:
+        rig.start()
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 3)
+        rig.pause("n0")
+        rig.kill("n1")
+        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n2"} and len(rig.owners()) == 6)
+        rig.faults(drop=1)
+        rig.resume("n0")
+        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        check_run(rig, 6)
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -384,7 +384,7 @@
         office = Office(fleet.register_address, "rig")
 
         def warmed():
-            return sum("warm" in row[3] for row in fleet.engines[0].kept)
+            return sum("warm" in row.statement for row in fleet.engines[0].received)
 
         fleet.until(lambda: warmed() >= 3)
         record = office.propose("policy: {schedules: warm: false, clients: n0: 4}", "a", "b")
--- /dev/null
+++ b/tests/test_fleet_scheduled_commands.py
@@ -0,0 +1,182 @@
+"""The decisions on scheduled commands alone: what an open occurrence may become, and what is sent."""
+
+import json
+
+import pytest
+
+from gullhold.fleet.occurrence import Occurrence, OccurrenceState
+from gullhold.fleet.recovery import (
+    GiveUp,
+    RetryAttempt,
+    ScheduledCommandRules,
+    ScheduledProfile,
+    decide_recovery,
+)
+from gullhold.fleet.scheduled_command import KEPT_RECORDS, RETRY_DELAY_US
+from gullhold.fleet.store_calls import Proof
+from gullhold.fleet.store_schema import decode_occurrence, encode_occurrence
+from gullhold.testing import (
+    scheduled_command_explorer,
+    scheduled_command_mutants,
+)
+from gullhold.testing.scheduled_command_explorer import Play
+
+S = 1_000_000  # us
+
+REPLAY, UNIQ, ONCE = (ScheduledProfile(effect, 10 * S, 15 * S, True) for effect in range(3))
+RULE = ScheduledCommandRules("a", 60 * S, 3, False, 100_000)
+
+
+def record(state=OccurrenceState.INTENT, tries=1, began=1000 * S, due=1000 * S):
+    return Occurrence(due, state, 4, tries, began, "n0")
+
+
+@pytest.mark.parametrize(
+    "kind, state, tries, after_s, limit_s, why",
+    [
+        (REPLAY, OccurrenceState.INTENT, 1, 5, 10, ""),
+        (REPLAY, OccurrenceState.INTENT, 1, 61, 0, "its window is over"),
+        (REPLAY, OccurrenceState.INTENT, 3, 5, 0, "3 tries"),
+        (UNIQ, OccurrenceState.INTENT, 1, 2, 10, ""),
+        (UNIQ, OccurrenceState.INTENT, 1, 10, 4.9, ""),
+        (UNIQ, OccurrenceState.INTENT, 1, 14, 0, "forgotten its mark"),
+        (UNIQ._replace(is_deduplicated_everywhere=False), OccurrenceState.INTENT, 1, 2, 0, "not all engines"),
+        (ONCE, OccurrenceState.INTENT, 1, 0, 0, "check its effect by hand"),
+        (ONCE, OccurrenceState.SHED, 1, 5, 10, ""),
+        (ONCE, OccurrenceState.UNDONE, 2, 5, 10, ""),
+        (ONCE, OccurrenceState.SHED, 1, 61, 0, "its window is over"),
+    ],
+)
+def test_an_open_record_is_gone_on_with_as_its_profile_allows(kind, state, tries, after_s, limit_s, why):
+    decision = decide_recovery(RULE, kind, record(state, tries), 1000 * S + after_s * S)
+    if limit_s:
+        assert decision == RetryAttempt(limit_s * S) and isinstance(decision, RetryAttempt) and not why
+    else:
+        assert isinstance(decision, GiveUp) and why and why in decision.reason
+
+
+def test_an_occurrence_is_written_before_it_is_sent_and_after_it_is_answered():
+    play = Play(REPLAY).lead()
+    assert not play.sent and not play.store.records()
+    play.go(S)
+    assert play.states() == [(1001, "intent")] and len(play.sent) == 1
+    play.end(OccurrenceState.ANSWERED)
+    assert play.states() == [(1001, "answered")] and not play.command.in_flight
+    play.go(S)
+    assert (
+        len(play.sent) == 2 and play.sent[0].idempotency_key != play.sent[1].idempotency_key
+    )  # each has a mark of its own
+
+
+def test_one_that_is_due_while_the_last_runs_is_skipped_or_waits_and_missed_ones_are_counted():
+    play = Play(REPLAY).lead().go(S).go(S)
+    assert play.states() == [(1001, "intent"), (1002, "skipped")] and len(play.sent) == 1
+    play = Play(REPLAY, rules=RULE._replace(waits_for_previous=True)).lead().go(S).go(S)
+    assert play.states() == [(1001, "intent")]
+    play.end(OccurrenceState.ANSWERED)
+    assert play.states()[1] == (1002, "intent")
+    late = Play(REPLAY, store=play.store, member="n1")
+    play.store.token, late.now = 9, 1200 * S
+    late.lead()
+    skipped = [item for item in play.store.records() if item.state == "skipped"]
+    assert [(item.due_us // S, item.count) for item in skipped] == [(1139, 137), (1200, 60)]
+    assert late.states()[-2] == (1140, "intent")  # what is due and not too late runs
+
+
+@pytest.mark.parametrize(
+    "kind, sends, states", [(REPLAY, 1, ["answered"]), (UNIQ, 1, ["answered"]), (ONCE, 0, ["failed"])]
+)
+def test_where_the_owner_vanished_after_the_intent_the_next_one_goes_by_the_profile(kind, sends, states):
+    first = Play(kind).lead().go(S)
+    first.store.token = 9
+    second = Play(kind, store=first.store, member="n1")
+    second.now = first.now + 100_000
+    second.lead()
+    assert len(second.sent) == sends
+    if sends:
+        assert second.sent[0].idempotency_key == first.sent[0].idempotency_key  # the same mark
+        second.end(OccurrenceState.ANSWERED)
+    assert [item.state for item in first.store.records()] == states
+    assert any(event.level == "error" for event in second.logged) == (kind is ONCE)
+    first.end(OccurrenceState.ANSWERED)  # the first one wakes: its outcome is refused
+    assert [item.state for item in first.store.records()] == states and first.store.records()[
+        0
+    ].member != "n2"
+
+
+def test_a_uniqued_send_is_over_while_its_mark_is_known():
+    kind = UNIQ._replace(timeout_us=30 * S)
+    first = Play(kind).lead().go(S)
+    assert (
+        first.sent[0].time_limit_us == 15 * S - 100_000
+    )  # its limit counts from the intent, as engines may do
+    first.store.token = 9
+    second = Play(kind, store=first.store)
+    second.now = first.now + 5 * S
+    second.lead()
+    assert second.sent[0].time_limit_us == 10 * S - 100_000
+
+
+@pytest.mark.parametrize("lost", [Proof.UNKNOWN, Proof.NOT_DONE])
+def test_an_intent_whose_reply_was_lost_is_sent_once_and_not_given_up(lost):
+    play = Play(ONCE).lead()
+    play.store.next_write = lost
+    play.go(S)
+    assert not play.sent
+    play.go(RETRY_DELAY_US)
+    assert len(play.sent) == 1 and play.states()[0] == (1001, "intent")
+    play.store.next_write = lost
+    play.end(OccurrenceState.ANSWERED).go(RETRY_DELAY_US)
+    assert play.states()[0] == (1001, "answered") and len([s for s in play.sent if s.due_us == 1001 * S]) == 1
+
+
+def test_nothing_is_sent_where_the_token_no_longer_holds_when_the_intent_is_known():
+    play = Play(ONCE).lead()
+    play.may_act = False
+    play.go(S)
+    assert play.states() == [(1001, "intent")] and not play.sent
+    play.command.lost()
+    other = Play(ONCE, store=play.store)
+    play.store.token, other.now = 9, play.now
+    other.lead()
+    assert other.states()[0] == (1001, "failed") and not other.sent
+
+
+def test_a_shed_try_has_no_effect_and_is_tried_again_a_failure_promises_nothing():
+    play = Play(ONCE).lead().go(S).end(OccurrenceState.SHED)
+    assert play.states() == [(1001, "shed")]
+    play.go(RETRY_DELAY_US)
+    assert len(play.sent) == 2
+    play.end(OccurrenceState.FAILED, "reset")
+    assert play.states() == [(1001, "failed")] and play.logged[-1].level == "error"
+    play = Play(REPLAY).lead().go(S).end(OccurrenceState.FAILED)
+    assert play.states() == [(1001, "intent")]
+    play.go(RETRY_DELAY_US).end(OccurrenceState.ANSWERED)
+    assert play.states() == [(1001, "answered")] and [attempt.attempt for attempt in play.sent] == [1, 2]
+
+
+def test_while_leaving_nothing_is_begun_and_settled_records_are_bounded():
+    play = Play(REPLAY).lead()
+    for _ in range(KEPT_RECORDS + 15):
+        play.go(S).end(OccurrenceState.ANSWERED)
+    assert len(play.store.records()) <= KEPT_RECORDS + 2
+    sent = len(play.sent)
+    play.command.leave()
+    play.go(5 * S)
+    assert len(play.sent) == sent
+
+
+def test_walks_of_owners_that_vanish_and_wake_break_no_profile():
+    for seed in range(300):
+        scheduled_command_explorer.walk(seed)
+
+
+@pytest.mark.parametrize("mutant", scheduled_command_mutants.MUTANTS)
+def test_the_walks_find_plans_that_are_wrong(mutant):
+    assert scheduled_command_mutants.find(mutant, 300)
+
+
+def test_a_record_is_read_as_it_was_written_and_nonsense_is_none():
+    one = record()
+    assert decode_occurrence(encode_occurrence(one)) == one
+    assert decode_occurrence("{") is None and decode_occurrence(json.dumps({"due_us": 1})) is None
--- /dev/null
+++ b/tests/test_fleet_store.py
@@ -0,0 +1,88 @@
+"""The store of a fleet: what each call proves, on the wire."""
+
+import time
+
+import pytest
+
+from gullhold.fleet.store_calls import (
+    Delete,
+    Get,
+    GrantLease,
+    KeepLeaseAlive,
+    KeyValue,
+    Proof,
+    Put,
+    ReadLeaseKeys,
+    ReadPrefix,
+    RevokeLease,
+    Transaction,
+)
+from gullhold.fleet.store_client import StoreClient
+from gullhold.testing.fleet import Rig
+
+
+@pytest.fixture(scope="module")
+def register():
+    """A register without members, and a session with it."""
+    with Rig(members=0) as rig:
+        yield rig, StoreClient(rig.register_address, "/t/", 1.0)
+
+
+def test_what_a_call_proves_is_told_exactly(register):
+    rig, session = register
+    lease = session.call(GrantLease(5)).lease
+    first = session.call(Transaction((("a", 0),), (Put("a", "1", lease),), (Get("a"),)))
+    assert first.proof == Proof.DONE and first.succeeded
+    again = session.call(Transaction((("a", 0),), (Put("a", "2", lease),), (Get("a"),)))
+    assert not again.succeeded and again.items == (KeyValue("a", "1", first.revision, lease),)
+    assert (
+        session.call(ReadLeaseKeys(lease)).keys == ("a",) and session.call(KeepLeaseAlive(lease)).ttl_s == 5
+    )
+    assert session.call(KeepLeaseAlive(77)).ttl_s == 0
+    rig.faults(lose=1)
+    assert session.call(Transaction((), (Put("b", "1"),))).proof == Proof.UNKNOWN
+    assert session.call(ReadPrefix("b")).items[0].value == "1"  # it was carried out
+    assert session.call(Transaction((), (Put("c", "1", 77),))).proof == Proof.NOT_DONE  # no such lease
+    rig.faults(stale=1, behind=1)
+    old = session.call(ReadPrefix("b"))
+    assert old.items == () and old.revision < session.call(ReadPrefix("b")).revision
+    assert session.call(RevokeLease(lease)).proof == Proof.DONE and session.call(ReadPrefix("a")).items == ()
+    assert StoreClient("127.0.0.1:1", "/t/", 1.0).call(GrantLease(1)).proof == Proof.NOT_DONE
+    rig.faults(delay=1, delay_s=1.5)
+    assert StoreClient(rig.register_address, "/t/", 0.2).call(GrantLease(1)).proof == Proof.UNKNOWN
+    time.sleep(1.1)
+
+
+def test_a_key_that_is_deleted_twice_in_one_transaction_is_deleted_once(register):
+    _, session = register
+    session.call(Transaction((), (Put("d", "1"),)))
+    gone = session.call(Transaction((), (Delete("d"), Delete("d"), Put("e", "1"))))
+    assert gone.proof == Proof.DONE and session.call(ReadPrefix("d")).items == ()
+    assert session.call(Transaction((), (Put("e", "2"),))).revision == gone.revision + 1
+
+
+def test_a_watch_tells_all_from_a_revision_on_or_that_its_history_is_gone(register):
+    rig, session = register
+    lease = session.call(GrantLease(5)).lease
+    began = session.call(Transaction((), (Put("w/a", "1", lease),))).revision
+    session.call(RevokeLease(lease))
+    seen = []
+    with pytest.raises(Exception, match="timed out"):  # nothing more comes
+        session.watch("w/", began, 0.5, lambda *told: seen.append(told))
+    assert [told[:2] for told in seen] == [("w/a", "1"), ("w/a", None)]
+    rig.faults(drop=1)
+    assert session.watch("w/", began, 0.5, seen.append) is False
+
+
+def test_what_the_register_acknowledged_is_there_after_a_kill(register):
+    rig, session = register
+    lease = session.call(GrantLease(2)).lease
+    kept = [session.call(Transaction((), (Put(f"k/{i}", str(i), lease),))).revision for i in range(20)]
+    rig.kill_register()
+    assert session.call(ReadPrefix("k/")).proof == Proof.NOT_DONE
+    rig.start_register()
+    assert sorted(item.revision for item in session.call(ReadPrefix("k/")).items) == kept
+    assert session.call(KeepLeaseAlive(lease)).ttl_s == 2  # leases run anew: late, never early
+    rig.faults(early_s=1.5)
+    rig.until(lambda: not session.call(ReadPrefix("k/")).items, 1.5)
+    rig.faults(early_s=0)
