--- /dev/null
+++ b/benchmarks/owner_decisions.py
@@ -0,0 +1,158 @@
+"""What the decisions of members alone keep and cost, for benchmarks.owner: walks, mutants, calls, moves."""
+
+from concurrent.futures import ProcessPoolExecutor
+from typing import Any, NamedTuple
+
+from gullhold.fleet.lease import LeaseTerms
+from gullhold.fleet.membership import Membership
+from gullhold.fleet.membership_types import CallStore, MembershipRules
+from gullhold.fleet.role_assignment import RoleAssignment
+from gullhold.fleet.store_calls import (
+    GrantLease,
+    KeepLeaseAlive,
+    KeyValue,
+    Proof,
+    ReadLeaseKeys,
+    ReadPrefix,
+    Reply,
+    Request,
+)
+from gullhold.testing import (
+    membership_explorer,
+    membership_mutants,
+    scheduled_command_explorer,
+    scheduled_command_mutants,
+)
+from gullhold.testing.walking import Broken
+
+ROLES = [f"d{number}" for number in range(10_000)]
+STEPS = 160  # of a walk
+MAX_MUTANT_WALKS = 1200
+EXPLORED_DEPTH = 8
+LEASE_ID = 7
+FIRST_REVISION = 10
+SETTLED_AFTER_US = 30_000_000
+CALLS_FOR_S = 120
+MUTANT_MODULES = {"members": membership_mutants, "scheduled commands": scheduled_command_mutants}
+
+
+def moves_over_least(members: int = 12) -> float:
+    """Roles that move when one of so many members leaves, over its own."""
+    names = [f"n{number}" for number in range(members)]
+    leaver = names[3]
+    assignment = RoleAssignment(ROLES)
+    assignment.update_members(names)
+    least = sum(leader == leaver for leader in assignment.leaders.values())
+    moved = assignment.update_members([name for name in names if name != leaver])
+    return round(len(moved) / least, 3)
+
+
+class MemberCalls(NamedTuple):
+    """Calls of one member: a second once it has settled, and to claim its roles."""
+
+    settled_per_s: float
+    claiming: int
+
+
+def count_calls(members: int, lease_s: int = 5) -> MemberCalls:
+    """The calls of one member among so many that make no changes."""
+    rules = MembershipRules(LeaseTerms(lease_s, 0.01, 100_000), 0, 200, 100_000, 5_000_000, 1_000_000)
+    member = Membership("n0", "x", rules, ROLES, lambda: 0.5, 0)
+    others = tuple(
+        KeyValue(f"members/n{number}", '{"nonce": "y", "ready": true}', 2) for number in range(1, members)
+    )
+    now = 0
+    claiming = 0
+    settled = 0
+    revision = FIRST_REVISION
+    member.tick(now)
+    while now < CALLS_FOR_S * 1_000_000:
+        for action in member.take_actions():
+            if not isinstance(action, CallStore):
+                continue
+            revision += 1
+            if now >= SETTLED_AFTER_US:
+                settled += 1
+            else:
+                claiming += 1
+            reply = _reply(action.call.request, revision, others, member, lease_s)
+            member.call_replied(now, action.call, reply)
+        if not member.out:
+            now = max(now + 1000, member.due(now))
+            member.tick(now)
+    assigned = sum(leader == "n0" for leader in member.claims.assignment.leaders.values())
+    if len(member.claims.tokens) != assigned:
+        raise SystemExit(f"{len(member.claims.tokens)} of {assigned} duties were taken")
+    settled_s = CALLS_FOR_S - SETTLED_AFTER_US / 1_000_000
+    return MemberCalls(round(settled / settled_s, 3), claiming)
+
+
+def _reply(
+    request: Request, revision: int, others: tuple[KeyValue, ...], member: Membership, lease_s: int
+) -> Reply:
+    """What a store in which nobody else changes anything replies."""
+    match request:
+        case GrantLease():
+            return Reply(Proof.DONE, revision, lease=LEASE_ID, ttl_s=lease_s)
+        case KeepLeaseAlive():
+            return Reply(Proof.DONE, revision, ttl_s=lease_s)
+        case ReadPrefix():
+            return Reply(Proof.DONE, revision, items=others)
+        case ReadLeaseKeys():
+            keys = tuple(f"duties/{role}" for role in member.claims.tokens)
+            return Reply(Proof.DONE, revision, keys=keys)
+        case _:
+            return Reply(Proof.DONE, revision)
+
+
+def walk_seeds(seeds: range) -> tuple[set[int], str]:
+    """Marks of states that some walks met, and what broke."""
+    met = set()
+    for seed in seeds:
+        try:
+            met |= membership_explorer.walk(seed, STEPS)
+            scheduled_command_explorer.walk(seed)
+        except Broken as broken:
+            return met, str(broken)[:300]
+    return met, ""
+
+
+def find_mutant(job: tuple[str, int]) -> tuple[str, tuple[int, str] | None]:
+    """A mutant's name, and by which walk it is found; job: a key of MUTANT_MODULES, the mutant's number."""
+    kind, number = job
+    mutant = MUTANT_MODULES[kind].MUTANTS[number]
+    if kind == "members":
+        return mutant.__name__, membership_mutants.find(mutant, MAX_MUTANT_WALKS, STEPS)
+    return mutant.__name__, scheduled_command_mutants.find(mutant, MAX_MUTANT_WALKS)
+
+
+def explore(is_quick: bool) -> dict[str, Any]:
+    """States met, broken walks, mutants found."""
+    walks_per_job = 60 if is_quick else 2000
+    jobs = 8 if is_quick else 16
+    seeds = [range(job * walks_per_job, (job + 1) * walks_per_job) for job in range(jobs)]
+    mutants = [(kind, i) for kind, module in MUTANT_MODULES.items() for i in range(len(module.MUTANTS))]
+    with ProcessPoolExecutor() as pool:
+        walked = pool.map(walk_seeds, seeds)
+        hunted = pool.map(find_mutant, mutants)
+        systematic = pool.submit(membership_explorer.explore, EXPLORED_DEPTH, 4_000 if is_quick else 60_000)
+        met = set()
+        broken = []
+        for marks, text in walked:
+            met |= marks
+            if text:
+                broken.append(text)
+        found = dict(hunted)
+        states, depth = systematic.result()
+    for name, finding in found.items():
+        print(f"mutant {name}: {f'{finding[1][:90]} (walk {finding[0]})' if finding else 'NOT FOUND'}")
+    missed = sum(finding is None for finding in found.values())
+    return {
+        "explored_states": len(met) + states,
+        "systematic_depth_whole": depth,
+        "walks": walks_per_job * jobs,
+        "walks_broken": len(broken),
+        "mutants": len(found),
+        "mutants_found": len(found) - missed,
+        "mutants_missed": missed,
+    }
--- /dev/null
+++ b/benchmarks/owner_runs.py
@@ -0,0 +1,271 @@
+"""Runs of fleets of real processes for benchmarks.owner: under faults, at handovers, and what they cost."""
+
+import random
+import statistics
+import time
+from collections.abc import Iterable
+from typing import Any, NamedTuple
+
+from benchmarks import p95
+from gullhold.testing import crowd
+from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet_checker import Check, marks, sent
+from gullhold.testing.running import cpu_s, resident_mb
+
+PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the word in a statement's table
+COMMANDS_PER_PROFILE = 3
+INTERVAL_US = 500_000  # of a scheduled command
+NON_IDEMPOTENT = "single"
+FAULT_LINES = ("faults of ours", "faults of the module", "was not answered in time", "Traceback")
+FAULTY_MEMBERS = 6
+FAULTY_HEARTBEATS = 18
+FAULT_S = 1.7  # longer than a lease
+RECOVERY_S = 0.5
+NO_HANDOVER = 99.0  # leases, where no effect followed
+
+
+def scheduled_command(kind: str, number: int) -> dict[str, str]:
+    """An operator's words for a scheduled command; each has a statement of its own."""
+    name = f"{kind}{number}"
+    return {
+        "name": f'"{name}"',
+        "every": "500ms",
+        "profile": f'"{PROFILES[kind]}"',
+        "window": "20s",
+        "statement": f'"select 1 from {name}_1.t /* work=30 */"',
+        "work": "30ms",
+    }
+
+
+def run_faults(rounds: int, seed: int) -> dict[str, Any]:
+    """Six gateways, roles and scheduled commands under drawn faults; figures of what was kept."""
+    draw = random.Random(seed)
+    scheduled = [
+        scheduled_command(kind, number) for kind in PROFILES for number in range(COMMANDS_PER_PROFILE)
+    ]
+    roles = FAULTY_HEARTBEATS + len(scheduled)
+    rig = Rig(members=FAULTY_MEMBERS, beats=FAULTY_HEARTBEATS, beat_ms=40, scheduled=scheduled, seed=seed)
+    with rig:
+        rig.start()
+        rig.until(lambda: len(rig.owners()) == roles)
+        for turn in range(rounds):
+            _run_one_fault(rig, draw.sample(rig.names, 4), turn)
+        rig.until(lambda: len(rig.owners()) == roles)
+        time.sleep(1.5)
+        rig.stop(*rig.names)
+        return judge(rig, [item["name"].strip('"') for item in scheduled])
+
+
+def _run_one_fault(rig: Rig, names: list[str], turn: int) -> None:
+    """One is cut off one way, one both ways, one sleeps, and by turns one is killed, or the store fails."""
+    cut_one_way, cut_off, sleeper, victim = names
+    rig.cut(cut_one_way, sides=("there",))
+    rig.cut(cut_off)
+    rig.pause(sleeper)
+    if turn % 3 == 0:
+        rig.kill(victim)
+    elif turn % 3 == 1:
+        rig.faults(lose=6, stale=3, behind=4)
+    else:
+        rig.kill_register()
+        rig.start_register()
+    time.sleep(FAULT_S)
+    rig.heal(cut_one_way)
+    rig.heal(cut_off)
+    rig.resume(sleeper)
+    if turn % 3 == 0:
+        rig.start(victim)
+    time.sleep(RECOVERY_S)
+
+
+def judge(rig: Rig, commands: Iterable[str]) -> dict[str, Any]:
+    """What the store's journal and the engines' records say of a run."""
+    check = Check(rig.lines())
+    occurrences = check.occurrences()
+    late_effects = [line for line in check.broken if "token" in line or "effect" in line]
+    for line in check.broken[:5]:
+        print("broken:", line)
+    states = [record["state"] for record in occurrences.values()]
+    return {
+        "owners_accepted_at_once": len(check.broken) - len(late_effects),
+        "late_effects_accepted": len(late_effects),
+        "late_effects_tried": check.late,
+        "effects": check.effects,
+        "moves": check.moves,
+        "occurrences": len(occurrences),
+        "occurrences_lost": sum(count_missing(check, command) for command in commands),
+        "non_replayable_twice": _count_repeats(rig, occurrences),
+        "uniqued_outside_window": _count_late_repeats(rig),
+        "rules_broken": _count_faults(rig),
+        "occurrence_states": {state: states.count(state) for state in sorted(set(states))},
+    }
+
+
+def _count_repeats(rig: Rig, occurrences: dict[tuple[str, int], Any]) -> int:
+    """Attempts of non-idempotent commands beyond those that their records allow for."""
+    repeats = 0
+    for statement, attempts in sent(rig.engines).items():
+        if NON_IDEMPOTENT not in statement:
+            continue
+        table = statement.split()[3]
+        command, _, _ = table.partition("_")
+        allowed = sum(record["tries"] for (name, _), record in occurrences.items() if name == command)
+        repeats += max(0, len(attempts) - allowed)
+    return repeats
+
+
+def _count_late_repeats(rig: Rig) -> int:
+    """Idempotency keys that were sent over a longer time than engines remember them."""
+    late = 0
+    for attempts in marks(rig.engines).values():
+        times = [at for at, _ in attempts]
+        late += max(times) - min(times) > rig.dedup_s
+    return late
+
+
+def _count_faults(rig: Rig) -> int:
+    logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
+    return sum(log.count(line) for log in logs for line in FAULT_LINES)
+
+
+def count_missing(check: Check, command: str) -> int:
+    """Due times of a command without a record, between the first and the last that are recorded."""
+    recorded = sorted(
+        (due, record["count"] if record["state"] == "skipped" else 1)
+        for (name, due), record in check.occurrences().items()
+        if name == command
+    )
+    missing = 0
+    last_due = None
+    for due, count in recorded:
+        if last_due is not None:
+            missing += max(0, (due - last_due) // INTERVAL_US - count)
+        last_due = due
+    return missing
+
+
+class Handovers(NamedTuple):
+    """Times from the end of a leader to the next one's first effect, in leases, and what broke."""
+
+    kill_p95: float
+    sigterm_p95: float
+    broken: int
+
+
+def run_handovers(count: int) -> Handovers:
+    """End one leader after another, by turns with SIGKILL and SIGTERM."""
+    after_kill: list[float] = []
+    after_sigterm: list[float] = []
+    with Rig(members=4, beats=24, beat_ms=40) as rig:
+        rig.start()
+        _wait_for_leaders(rig)
+        for turn in range(count):
+            time.sleep(0.7 + 0.1 * turn)
+            is_kill = turn % 2 == 0
+            times = _run_one_handover(rig, rig.names[turn % 4], is_kill)
+            (after_kill if is_kill else after_sigterm).extend(times)
+            _wait_for_leaders(rig)
+        broken = Check(rig.lines()).broken
+    return Handovers(p95(after_kill), p95(after_sigterm), len(broken))
+
+
+def _wait_for_leaders(rig: Rig) -> None:
+    """Wait until every member leads some role."""
+    rig.until(lambda: len({member for member, _ in rig.owners().values()}) == len(rig.names))
+
+
+def _run_one_handover(rig: Rig, name: str, is_kill: bool) -> list[float]:
+    """The time of each role that the member led, in leases; then it is started again."""
+    roles = {role for role, (member, _) in rig.owners().items() if member == name}
+    ended_at = time.time()
+    if is_kill:
+        rig.kill(name)
+    else:
+        rig.members[name].terminate()
+    rig.until(lambda: all(rig.owners().get(role, (name, 0))[0] != name for role in roles))
+    time.sleep(0.3)
+    handovers = Check(rig.lines()).handovers()
+    times = []
+    for role in roles:
+        first_effects = [
+            handover.first_effect_at
+            for handover in handovers
+            if handover.role == role and handover.first_effect_at and handover.acquired_at > ended_at
+        ]
+        times.append((min(first_effects) - ended_at) / rig.lease_s if first_effects else NO_HANDOVER)
+    rig.members[name].wait()
+    rig.start(name)
+    return times
+
+
+class MemberCost(NamedTuple):
+    """What an idle member costs: calls of the store a second, and CPU share and MB more than without."""
+
+    calls: float
+    cpu: float
+    memory_mb: float
+
+
+def run_idle(seconds: float, members: int = 12) -> MemberCost:
+    """So many idle members beside a gateway without a fleet."""
+    with Rig(members=members + 1, lease_s=5, beats=36, beat_ms=3_600_000) as rig:
+        rig.start(*rig.names[:members])
+        rig.start(rig.names[members], operator=False)
+        rig.until(lambda: len(rig.owners()) == 36)
+        time.sleep(1)
+        pids = [rig.members[name].process.pid for name in rig.names]
+        calls_before = sum(rig.counts().values())
+        cpu_before = [cpu_s(pid) for pid in pids]
+        time.sleep(seconds)
+        calls = (sum(rig.counts().values()) - calls_before) / members / seconds
+        cpu_used = [cpu_s(pid) - before for pid, before in zip(pids, cpu_before, strict=True)]
+        cpu_more = statistics.mean(cpu_used[:members]) - cpu_used[members]
+        memory_mb = [resident_mb(pid) for pid in pids]
+        memory_more = statistics.mean(memory_mb[:members]) - memory_mb[members]
+    return MemberCost(round(calls, 3), round(cpu_more / seconds, 4), round(memory_more, 1))
+
+
+class ServiceShares(NamedTuple):
+    """Answered in target with the store dead over with it alive; the shares of each."""
+
+    ratio: float
+    shares: list[float]
+
+
+def run_service(seconds: float) -> ServiceShares:
+    """The same load with the store alive and dead."""
+    with Rig(members=3, beats=6) as rig:
+        rig.start()
+        clients = [
+            crowd.Client(
+                member.address,
+                "",
+                f"c{number}",
+                work_ms=20.0,
+                limit_ms=500,
+                rate=40.0,
+                manner=crowd.NOT_AT_ALL,
+                seed=number,
+            ).start()
+            for number, member in enumerate(rig.members.values())
+        ]
+        time.sleep(0.5)
+        share_alive = _answered_share(clients, seconds)
+        rig.kill_register()
+        time.sleep(1.2)  # leases end
+        share_dead = _answered_share(clients, seconds)
+        for client in clients:
+            client.stop()
+        for client in clients:
+            client.join()
+        rig.start_register()
+    return ServiceShares(round(share_dead / share_alive, 4), [round(share_alive, 4), round(share_dead, 4)])
+
+
+def _answered_share(clients: list[crowd.Client], seconds: float) -> float:
+    """The share of commands that are answered in target over so long."""
+    for client in clients:
+        client.zero()
+    time.sleep(seconds)
+    answered = sum(client.answered for client in clients)
+    return answered / max(1, sum(client.asked for client in clients))
