--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -52,8 +52,8 @@
         self, core: "Core", reader: RequestReader, on_ended: OnEnded, random_bits: Callable[[int], int]
     ) -> None:
         """on_ended is called once for each command that was sent, on the core's thread."""
-        self.core = core
-        self.reader = reader
+        self._core = core
+        self._reader = reader
         self.open: dict[int, Any] = {}
         self.waiting: dict[int, bool] = {}
         self.taken_back: set[int] = set()
@@ -90,14 +90,14 @@
         if is_repeat:
             fields[b"second"] = b"1"
         try:
-            request = self.reader.request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
+            request = self._reader.request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
         except RequestError as error:
             raise RejectedError(str(error)) from None
-        if not self.core.room.take(len(request.body)):
+        if not self._core.room.take(len(request.body)):
             raise RejectedError("no memory for its statement")
         self.waiting[number] = True
-        self.core.counters.add("fleet commands")
-        self.core.post(self.core.execute, self, number, request, counted_from)
+        self._core.counters.add("fleet commands")
+        self._core.post(self._core.execute, self, number, request, counted_from)
         return number
 
     def put(self, message: bytes) -> None:
