--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -17,7 +17,7 @@
 from gullhold.testing.deployment import config
 from gullhold.testing.fleet_checker import Check
 from gullhold.testing.fleet_process import Member, StoreProcess
-from gullhold.testing.relay import BACK, HELD, OPEN, THERE
+from gullhold.testing.relay import Direction, RelayMode
 from gullhold.testing.running import answers
 from gullhold.testing.working import WorkingEngine
 
@@ -29,6 +29,18 @@
 EVENT_FACTS = ("duty", "token", "why", "due")
 JOURNAL_FACTS = ("revision", "met", "lease", "acts")
 
+OPERATOR_FILE = """fleet: {{
+    on: true, name: "rig", register: "{register}", timeout: 400ms, lease: {lease_s}s, look: {look}
+    budgets: [{budgets}]
+    policy: {{{policy}}}
+    drift: {{{drift}}}
+    duties: {{{roles}, pauses: {{least: 40ms, most: 400ms}}}}
+    events: "{events}"
+    schedule: [{schedule}]
+}}
+{more}
+"""
+
 Facts = dict[str, Any]
 
 
@@ -122,19 +134,15 @@
         self.names = [f"n{number}" for number in range(members)]
         self.members: dict[str, Member] = {}
         self.began = time.time()
-        # The store's address, the budgets and the path of the events are put in at each start.
-        self._operator_template = f"""fleet: {{
-            on: true, name: "rig", register: "%s", timeout: 400ms, lease: {lease_s}s, look: {look}
-            budgets: [%s]
-            policy: {{{policy}}}
-            drift: {{{drift}}}
-            duties: {{moves: {moves}, settle: {settle_ms}ms, beats: {beats}, beat: {beat_ms}ms,
-                     pauses: {{least: 40ms, most: 400ms}}}}
-            events: "%s"
-            schedule: [{_operator_list(scheduled)}]
-        }}
-        {fleet}
-        """
+        self._operator_values = {
+            "lease_s": lease_s,
+            "look": look,
+            "policy": policy,
+            "drift": drift,
+            "roles": f"moves: {moves}, settle: {settle_ms}ms, beats: {beats}, beat: {beat_ms}ms",
+            "schedule": _operator_list(scheduled),
+            "more": fleet,
+        }
 
     def __enter__(self) -> Self:
         """Start the store."""
@@ -202,8 +210,12 @@
                 self.until(lambda member=member: answers(member.address) is not None or member.has_ended())
 
     def _operator_text(self, member: Member) -> str:
-        budgets = _operator_list(self.budgets)
-        return self._operator_template % (member.relay.address, budgets, member.events)
+        return OPERATOR_FILE.format(
+            register=member.relay.address,
+            budgets=_operator_list(self.budgets),
+            events=member.events,
+            **self._operator_values,
+        )
 
     def _configuration(self, member: Member, name: str) -> dict[str, Any]:
         configuration = config(*self.engines) | {
@@ -249,13 +261,15 @@
         """Whether it sleeps by a SIGSTOP."""
         return self.members[name].is_paused()
 
-    def cut(self, name: str, way: str = HELD, sides: Iterable[str] = (THERE, BACK)) -> None:
+    def cut(
+        self, name: str, way: RelayMode = RelayMode.HELD, sides: Iterable[str] = tuple(Direction)
+    ) -> None:
         """Between a gateway and the store nothing passes in these directions until heal()."""
         self.members[name].relay.set(way, sides)
 
     def heal(self, name: str) -> None:
         """All passes again."""
-        self.members[name].relay.set(OPEN)
+        self.members[name].relay.set(RelayMode.OPEN)
 
     # What can be seen
 
--- a/gullhold/testing/relay.py
+++ b/gullhold/testing/relay.py
@@ -5,19 +5,32 @@
 import time
 from collections.abc import Iterable
 from contextlib import suppress
+from enum import StrEnum
 
 from gullhold.net import host_port
 from gullhold.testing import listening
 
-# Directions: from the side that connects to the one that listens, and the other way.
-THERE, BACK = "there", "back"
-# What becomes of the bytes of a direction.
-OPEN, HELD, LOST, HALVED = "open", "held", "lost", "halved"
 CHUNK_BYTES = 65536
 CONNECT_TIMEOUT_S = 5
 CLOSE_CHECK_S = 0.5  # the most that a held connection waits between looks at whether the relay is closed
 
 
+class Direction(StrEnum):
+    """A direction of a relay."""
+
+    THERE = "there"  # from the side that connects to the one that listens
+    BACK = "back"
+
+
+class RelayMode(StrEnum):
+    """What becomes of the bytes of a direction."""
+
+    OPEN = "open"
+    HELD = "held"
+    LOST = "lost"
+    HALVED = "halved"
+
+
 class Relay:
     """Passes bytes to a target until set() says otherwise.
 
@@ -30,14 +43,14 @@
         """target: HOST:PORT."""
         self.target = host_port(target)
         self.delay_s = 0.0
-        self._modes = dict.fromkeys((THERE, BACK), OPEN)
+        self._modes = dict.fromkeys(Direction, RelayMode.OPEN)
         self._changed = threading.Condition()
         self._sockets: set[socket.socket] = set()
         self._is_closed = False
         self._listener, self.address = listening()
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def set(self, mode: str = OPEN, directions: Iterable[str] = (THERE, BACK)) -> None:
+    def set(self, mode: RelayMode = RelayMode.OPEN, directions: Iterable[str] = tuple(Direction)) -> None:
         """From now on what passes in these directions is open, held, lost or halved."""
         with self._changed:
             self._modes.update(dict.fromkeys(directions, mode))
@@ -51,7 +64,7 @@
     def close(self) -> None:
         """Refuse connections from now on."""
         self._is_closed = True
-        self.set(OPEN)
+        self.set(RelayMode.OPEN)
         self._end(self._listener)
         self.reset()
 
@@ -65,7 +78,7 @@
             threading.Thread(target=self._connect, args=(near,), daemon=True).start()
 
     def _connect(self, near: socket.socket) -> None:
-        self._wait(THERE)  # a new connection does not come up through a cut
+        self._wait(Direction.THERE)  # a new connection does not come up through a cut
         try:
             far = socket.create_connection(self.target, timeout=CONNECT_TIMEOUT_S)
         except OSError:
@@ -75,32 +88,32 @@
         for sock in (near, far):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._sockets.add(sock)
-        back = threading.Thread(target=self._pump, args=(far, near, BACK), daemon=True)
+        back = threading.Thread(target=self._pump, args=(far, near, Direction.BACK), daemon=True)
         back.start()
-        self._pump(near, far, THERE)
+        self._pump(near, far, Direction.THERE)
         back.join()
         # Only now: while a thread reads there the socket's number must not become another's.
         for sock in (near, far):
             self._sockets.discard(sock)
             sock.close()
 
-    def _wait(self, direction: str) -> str:
+    def _wait(self, direction: Direction) -> RelayMode:
         """Wait while a direction is held; its mode after that."""
         with self._changed:
-            while self._modes[direction] == HELD and not self._is_closed:
+            while self._modes[direction] == RelayMode.HELD and not self._is_closed:
                 self._changed.wait(CLOSE_CHECK_S)
             return self._modes[direction]
 
-    def _pump(self, source: socket.socket, sink: socket.socket, direction: str) -> None:
+    def _pump(self, source: socket.socket, sink: socket.socket, direction: Direction) -> None:
         with suppress(OSError):
             while data := source.recv(CHUNK_BYTES):
                 if self.delay_s:
                     time.sleep(self.delay_s)
                 mode = self._wait(direction)
-                if mode == LOST:
+                if mode == RelayMode.LOST:
                     break
-                sink.sendall(data[: len(data) // 2] if mode == HALVED else data)
-                if mode == HALVED:
+                sink.sendall(data[: len(data) // 2] if mode == RelayMode.HALVED else data)
+                if mode == RelayMode.HALVED:
                     break
             else:  # what was sent before the end still goes on
                 self._wait(direction)
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -8,7 +8,7 @@
 from gullhold.testing.client import Caller
 from gullhold.testing.fleet import Rig
 from gullhold.testing.fleet_checker import Check
-from gullhold.testing.relay import HALVED, LOST
+from gullhold.testing.relay import RelayMode
 
 
 def test_an_owner_that_sleeps_between_its_check_and_its_act_is_refused_when_it_wakes():
@@ -65,7 +65,9 @@
         check_run(rig, 10)
 
 
-@pytest.mark.parametrize("way, sides", [(LOST, ("back",)), (HALVED, ("there",)), (HALVED, ("back",))])
+@pytest.mark.parametrize(
+    "way, sides", [(RelayMode.LOST, ("back",)), (RelayMode.HALVED, ("there",)), (RelayMode.HALVED, ("back",))]
+)
 def test_cut_in_one_direction_or_in_the_middle_of_a_message_nothing_is_guessed(way, sides):
     with Rig(members=2, beats=4) as rig:
         rig.start()
