--- a/gullhold/fleet/event_log.py
+++ b/gullhold/fleet/event_log.py
@@ -5,6 +5,7 @@
 from loguru import logger
 
 from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.fleet.events import Invoke
 from gullhold.fleet.store_calls import Proof, Reply
 
 ABSENT = ("", None)  # facts that are not written out in the text of a line
@@ -35,7 +36,8 @@
 
     def log_fault(self, call: Any) -> None:
         """Write the exception that is being handled, with its trace; call: what raised it."""
-        logger.exception("fleet: {} failed", getattr(call, "__name__", call))
+        function = call.call if isinstance(call, Invoke) else call
+        logger.exception("fleet: {} failed", getattr(function, "__name__", function))
 
 
 class AvailabilityLog:
