--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -128,7 +128,7 @@
         raise ConfigurationError(f"fleet needs the libraries of requirements-full.txt: {error}") from None
     try:
         return driver.Fleet(fleet_record, configuration, core)
-    except driver.Unusable as error:
+    except driver.UnusableFleetError as error:
         raise ConfigurationError(str(error)) from None
 
 
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -68,7 +68,7 @@
         }
         handle_signals_until_end(self.signals, actions, self.log_report, report_interval_s)
         if self.fleet:
-            self.fleet.gone.wait(FLEET_END_TIMEOUT_S)
+            self.fleet.stopped.wait(FLEET_END_TIMEOUT_S)
         self.log_report()
         return 0 if self.core.stopped else 1
 
