--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -32,11 +32,7 @@
     reserve_after_us: int = 0
 
 
-class TimedAmount(NamedTuple):
-    """An amount and a time in us of the member's clock."""
-
-    at: int
-    amount: int
+TimedAmount = tuple[int, int]  # (us of the member's clock, amount): plain, as one is made for each command
 
 
 class Allocation:
@@ -74,17 +70,16 @@
         reserve = self.rule.reserve
         return reserve if reserve and now >= self.owner.started_at + self.rule.reserve_after_us else 0
 
-    def limit(self) -> int:
-        """Return what may be in use now."""
-        return self._limit_at(self.owner.clock())
-
-    def _limit_at(self, now: int) -> int:
+    def limit(self, now: int | None = None) -> int:
+        """Return what may be in use at the time, by default now."""
+        if now is None:
+            now = self.owner.clock()
         return self.available_reserve(now) + (self.allocated if self.owner.is_valid(now) else 0)
 
     def allows(self, amount: int) -> bool:
         """Whether so much more may be acquired now."""
         now = self.owner.clock()
-        if self.used(now) + amount <= self._limit_at(now):
+        if self.used(now) + amount <= self.limit(now):
             return True
         self.was_short = True
         self.owner.request_report()
@@ -94,29 +89,27 @@
         """Take an amount, after allows(). More is asked for before the allocation runs out."""
         now = self.owner.clock()
         self.in_use += amount
-        if self.rule.kind != LedgerKind.HELD:
-            self.spent.append(TimedAmount(now, amount))
-        if self.in_use > self.peak:
-            self._raise_peak(self.used(now))
-
-    def _raise_peak(self, used: int) -> None:
-        if used <= self.peak:
+        if self.rule.kind is not LedgerKind.HELD:
+            self.spent.append((now, amount))
+        if self.in_use <= self.peak:
             return
-        self.peak = used
-        if used * (HEADROOM_DIVISOR + 1) > self.allocated * HEADROOM_DIVISOR:
-            self.owner.request_report()
+        used = self.used(now)
+        if used > self.peak:
+            self.peak = used
+            if used * (HEADROOM_DIVISOR + 1) > self.allocated * HEADROOM_DIVISOR:
+                self.owner.request_report()
 
     def release(self, amount: int, confirmed: bool = True) -> None:
         """Give an amount of a held budget back. Not confirmed: the work was cancelled, and may run on.
 
         An allocation that shrank while the work ran cancelled nothing.
         """
-        if self.rule.kind != LedgerKind.HELD:
+        if self.rule.kind is not LedgerKind.HELD:
             return
         if confirmed:
             self.in_use -= amount
         else:
-            self.settling.append(TimedAmount(self.owner.clock() + self.rule.settle_us, amount))
+            self.settling.append((self.owner.clock() + self.rule.settle_us, amount))
 
     def record_rejection(self, amount: int) -> None:
         """Count an amount that was rejected for want of it."""
@@ -125,15 +118,23 @@
 
     def used(self, now: int) -> int:
         """Return what is in use, or was spent within the window."""
-        while self.settling and self.settling[0].at <= now:
-            self.in_use -= self.settling.popleft().amount
-        while self.spent and self.spent[0].at <= now - self.rule.window_us:
-            self.in_use -= self.spent.popleft().amount
+        if self.settling:
+            self._remove_until(self.settling, now)
+        if self.spent:
+            self._remove_until(self.spent, now - self.rule.window_us)
         return self.in_use
 
+    def _remove_until(self, amounts: deque[TimedAmount], until: int) -> None:
+        while amounts:
+            at, amount = amounts[0]
+            if at > until:
+                return
+            amounts.popleft()
+            self.in_use -= amount
+
     def report(self, unmet: int, now: int) -> Usage:
         """Return the usage since the last report, and count anew. unmet: what queued commands lack."""
-        if self.rule.kind == LedgerKind.WEIGHT:
+        if self.rule.kind is LedgerKind.WEIGHT:
             return Usage(0, unmet, unmet)
         in_use = self.used(now)
         peak = max(self.peak, in_use)
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -100,11 +100,15 @@
 
     def _open_ledger(self, name: str) -> Ledger | None:
         """Return the ledger of a budget; None: no rule is for it, or there are too many."""
+        ledger = self.ledgers.get(name)
+        if ledger is not None:
+            return ledger
         rule = self.rule(name)
-        if name not in self.ledgers and rule and len(self.ledgers) < MAX_BUDGETS:
-            self.ledgers[name] = rule.open_ledger()
-            self.demands[name] = {}
-        return self.ledgers.get(name)
+        if rule is None or len(self.ledgers) >= MAX_BUDGETS:
+            return None
+        self.ledgers[name] = rule.open_ledger()
+        self.demands[name] = {}
+        return self.ledgers[name]
 
     def member_left(
         self, member: str, inactive_at: int, last_usage: Mapping[str, Usage] | None = None
