--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -1,373 +1,27 @@
 """Explores the decisions of budgets alone: one leader that allocates, another that takes over, members.
 
-A world has a small store, two processes that may lead the allocator's role, members on clocks of their own
-within the stated drift, and calls under way. What is really begun is counted in the world's own time; it may
-never pass the total. Random walks end with the faults taken away: then nothing of the total may be lost.
+The search goes through all orders of actions to some depth. Random walks end with the faults taken away: then
+nothing of the total may be lost.
 """
 
 import random
-from collections.abc import Callable, Hashable, Iterator
-from dataclasses import dataclass
-from typing import Any, NamedTuple
+from collections.abc import Callable, Iterator
+from typing import Any
 
-from gullhold.budgets.allocation import AllocationRule
-from gullhold.budgets.allocations import Allocations
-from gullhold.budgets.allocator import Allocator, Budget
-from gullhold.budgets.allocator_role import ROLE, AllocatorRole
-from gullhold.budgets.budget_schema import (
-    ALLOCATIONS,
-    REPORTS,
-    ROOT,
-    UsageReport,
-    allocated_amount,
-    decode_row,
-    encode_report,
-)
 from gullhold.budgets.ledger import LedgerKind
-from gullhold.fleet.lease import Lease
-from gullhold.fleet.store_calls import GrantLease, Proof, Put, Reply, Transaction
-from gullhold.interface import BudgetKind, Demand
 from gullhold.testing import walking
-from gullhold.testing.ownercheck import Model
-from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
+from gullhold.testing.budget_world import FAULTS, Action, World
+from gullhold.testing.walking import OF_CALLS
 
-WINDOW_US = 1_600_000  # us of real time: no whole number of moments
-LINGER_US = 1_100_000  # us of real time: no whole number of moments
-TOTAL = 10
-RESERVE = 1  # of each member
-NAMES = ("a", "b", "c")
-BUDGET = "b"  # the budget's name; its one subject is 0
-KIND = BudgetKind.THREADS  # any kind will do: the ledger's kind is stated
-DEMANDS = (0, 4, TOTAL)  # of a member in turn, while demand changes
-SETTLED_DEMAND = 3  # of each member in the end
-FAULTS = (*OF_CALLS, "die", "cut", "elect", "miss", "leave")
-SETTLED = 30  # moments in which a fleet without faults has to have allocated all
-MAX_QUIET_STEPS = 60  # steps in which all that is under way is carried out
 MAX_STEPS_PER_MOMENT = 14  # calls carried out within a moment of a walk
-
-Action = tuple[Any, ...]  # (what, whom)
-
-
-@dataclass(frozen=True, slots=True)
-class Variant:
-    """What a world is made of: the product's classes and settings, or a mutant's.
-
-    compares_reports: whether a report is compared with the last one; reserve_after_us: how long after its
-    start a member may spend its reserve; drift: by which windows and lingering times are lengthened.
-    """
-
-    make_allocations: Callable[..., Allocations] = Allocations
-    make_role: Callable[..., AllocatorRole] = AllocatorRole
-    make_allocator: Callable[..., Allocator] = Allocator
-    compares_reports: bool = True
-    reserve_after_us: int = LINGER_US
-    drift: float = TERMS.drift
-
-    def lengthened(self, time_us: int) -> int:
-        """Return a time as a member's clock has to count it."""
-        return int(time_us * (1 + self.drift))
-
-    def allocation_rule(self, kind: LedgerKind) -> AllocationRule:
-        """Return the members' rule."""
-        reserve_after_us = 0
-        if self.reserve_after_us:
-            own_window_us = WINDOW_US if kind == LedgerKind.WINDOWED else 0
-            reserve_after_us = self.lengthened(max(self.reserve_after_us, own_window_us))
-        return AllocationRule(
-            kind,
-            TOTAL,
-            window_us=self.lengthened(WINDOW_US),
-            reserve=RESERVE,
-            reserve_after_us=reserve_after_us,
-        )
-
-    def budget(self, kind: LedgerKind) -> Budget:
-        """Return the allocator's rule."""
-        return Budget(
-            kind, TOTAL, self.lengthened(WINDOW_US), self.lengthened(LINGER_US), RESERVE, len(NAMES)
-        )
-
-
-class Lingering(NamedTuple):
-    """So many calls of a dead member that may run until a time in us."""
-
-    until: int
-    calls: int
-
-
-class Member:
-    """One process: its clock, lease and allocation, and what it knows of its own report.
-
-    running: when each call under way was begun; reported_revision: that of its report in the store;
-    applied_revision: of the newest row that it has taken in.
-    """
-
-    def __init__(self, world: "World", name: str, rate: float) -> None:
-        self.name = name
-        self.rate = rate
-        self.world = world
-        self.lease = Lease(TERMS)
-        self.cut = False
-        self.reported_revision = 0
-        self.applied_revision = 0
-        rule = world.variant.allocation_rule(world.kind)
-        self.allocations = world.variant.make_allocations(
-            {(KIND, 0): rule}, lambda _, subject: f"{BUDGET}/{subject}", self.lease, self
-        )
-        self.allocation = self.allocations(KIND, 0)
-        self.demand = 0
-        self.running: list[int] = []
-
-    def __call__(self) -> int:
-        """Return what its clock says."""
-        return int(self.world.now * self.rate)
-
-    def key(self) -> str:
-        """Return what tells it apart."""
-        return f"{self.name}/{self.lease.id:x}"
-
-    def state(self) -> Hashable:
-        """Return what makes two states of it the same."""
-        return (
-            self.name,
-            self.cut,
-            self.allocation.allocated,
-            self.allocation.in_use,
-            self.demand,
-            self.applied_revision,
-            max(0, self.lease.valid_until - self()),
-            len(self.allocation.spent),
-        )
-
-
-class World(Pair):
-    """Members, two processes that may lead, store, and what is under way.
-
-    act() takes one of actions(); raises Broken. spent: when each amount of a windowed budget was; lingering:
-    work of members that have died; is_settling: demand changes no more.
-    """
-
-    def __init__(self, kind: LedgerKind, faults: int = 4, **variant: Any) -> None:
-        """variant: fields of Variant."""
-        self.kind = kind
-        self.variant = Variant(**variant)
-        budgets = {BUDGET: self.variant.budget(kind)}
-        roles = [
-            self.variant.make_role(budgets, make_allocator=self.variant.make_allocator) for _ in range(2)
-        ]
-        super().__init__(Model(ROOT), "duties/" + ROLE, REPORTS, roles, faults)
-        self.spent: list[int] = []
-        self.lingering: list[Lingering] = []
-        self.is_settling = False
-        for name in NAMES:
-            self._do_come(name)
-        self._do_elect(0)
-
-    def _do_come(self, name: str) -> None:
-        """A process begins, and has a lease."""
-        member = Member(self, name, RATES[len(self.members) % len(RATES)])
-        self.members.append(member)
-        self._grant(member)
-
-    def _grant(self, member: Member) -> None:
-        member.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
-        member.reported_revision = 0
-        member.applied_revision = 0
-        member.allocations.begin_lease(member.lease.id)
-        self._report(member)
-
-    def _report(self, member: Member) -> None:
-        key = REPORTS + member.key()
-        self.calls.append((member, self._report_call(member), ("reported", key)))
-
-    def _report_call(self, member: Member, has_left: bool = False) -> Transaction:
-        usage = member.allocations.report((Demand(KIND, 0, member.demand),))
-        key = REPORTS + member.key()
-        conditions = ((key, member.reported_revision),) if self.variant.compares_reports else ()
-        text = encode_report(UsageReport(member.allocations.seen_write, usage, has_left))
-        write = Put(key, text, 0 if has_left else member.lease.id)
-        return Transaction(conditions, (write,))
-
-    def actions(self) -> list[Action]:
-        """Return all that may be next."""
-        found: list[Action] = [("time",), *self.of_calls(), *self.of_holders()]
-        for index, member in enumerate(self.members):
-            found += self._member_actions(index, member)
-        return found + [("come", name) for name in self._missing_names()]
-
-    def _member_actions(self, index: int, member: Member) -> list[Action]:
-        found: list[Action] = []
-        if member.allocation.allows(1):
-            found.append(("spend", index))
-        if member.running:
-            found.append(("end", index))
-        if not member.cut and self._rows(member):
-            found.append(("hear", index))
-        if self.may_report(member):
-            found.append(("report", index))
-        if self.faults:
-            found += [("die", index), ("leave", index), ("heal" if member.cut else "cut", index)]
-        elif member.cut:
-            found.append(("heal", index))
-        return found
-
-    def _missing_names(self) -> list[str]:
-        present = [member.name for member in self.members]
-        return [name for name in NAMES if name not in present]
-
-    def fair(self) -> Action | None:
-        """Return what happens next where nothing is wrong; None: nothing is under way."""
-        action = super().fair()
-        if action:
-            return action
-        for index, member in enumerate(self.members):
-            if not member.cut and self._rows(member):
-                return "hear", index
-        return None
-
-    def may_report(self, member: Member) -> bool:
-        """Whether a member may report: one report of it is under way at a time."""
-        is_reporting = any(caller is member for caller, *_ in self.calls)
-        return member.lease.is_valid(member()) and not is_reporting
-
-    def _rows(self, member: Member) -> list[tuple[int, str, str | None]]:
-        """Return the writes of a member's row, as (revision, key, value), that it has not taken in."""
-        key = ALLOCATIONS + member.key()
-        return [row for row in self.news(member.applied_revision + 1, key) if row[1] == key]
-
-    def act(self, what: str, whom: Any = 0) -> None:
-        """Do one thing; raises Broken."""
-        self.faults -= what in FAULTS
-        getattr(self, "_do_" + what.replace(" ", "_"))(whom)
-        self.check()
-
-    def _do_time(self, _: Any) -> None:
-        self.now += QUANTUM_US
-        for member in self.members:
-            self._keep(member)
-            while member.running and member.running[0] <= self.now - LINGER_US:  # nothing runs longer
-                member.running.pop(0)
-                member.allocation.release(1)
-        self._step_holders()
-
-    def _do_reply(self, index: int) -> None:
-        caller, (what, *context), reply = self.replies.pop(index)
-        if what != "reported":
-            self._held(caller, what, *context, reply)
-        elif caller in self.members and context[0] == REPORTS + caller.key():
-            self._reported(caller, reply)
-
-    def _reported(self, member: Member, reply: Reply) -> None:
-        if reply.proof == Proof.DONE and reply.succeeded:
-            member.reported_revision = reply.revision
-        else:  # as the driver does: what is stored is looked at, and everything is reported again
-            item = self.model.keys.get(REPORTS + member.key())
-            member.reported_revision = item.revision if item else 0
-            self._report(member)
-
-    def _do_spend(self, index: int) -> None:
-        member = self.members[index]
-        while member.allocation.allows(1):
-            member.allocation.acquire(1)
-            self.spent.append(self.now)
-            if self.kind == LedgerKind.HELD:
-                member.running.append(self.now)
-
-    def _do_end(self, index: int) -> None:
-        member = self.members[index]
-        older_half = -(-len(member.running) // 2)
-        for _ in range(older_half):
-            member.running.pop(0)
-            member.allocation.release(1)
-
-    def _do_hear(self, index: int) -> None:
-        member = self.members[index]
-        member.applied_revision, _, value = self._rows(member)[0]
-        if value is not None:
-            write, entries = decode_row(value)
-            written = {name: allocated_amount(packed) for name, packed in entries.items()}
-            member.allocations.apply_write(member.lease.id, write, written)
-
-    def _do_report(self, index: int) -> None:
-        member = self.members[index]
-        turn = self.now // QUANTUM_US + index
-        member.demand = SETTLED_DEMAND if self.is_settling else DEMANDS[turn % len(DEMANDS)]
-        self._report(member)
-
-    def _do_die(self, index: int) -> None:
-        """What it began goes on for as long as it may."""
-        member = self.members.pop(index)
-        self._drop_calls(member)
-        if member.running:
-            self.lingering.append(Lingering(self.now + LINGER_US, len(member.running)))
-
-    def _drop_calls(self, member: Member) -> None:
-        self.calls = [row for row in self.calls if row[0] is not member]
-
-    def _do_leave(self, index: int) -> None:
-        """In good order: nothing is begun any more, the last report is written, the lease ends."""
-        member = self.members[index]
-        if member.lease.is_valid(member()) and not member.cut:
-            self._drop_calls(member)
-            self.model.call(self._report_call(member, has_left=True), self.now)
-            self.model.end(member.lease.id)
-        self._do_die(self.members.index(member))
-
-    def check(self) -> None:
-        """Raise Broken where more than the total is in use, or was spent within any window."""
-        self.lingering = [row for row in self.lingering if row.until > self.now]
-        if self.kind == LedgerKind.HELD:
-            used = sum(len(member.running) for member in self.members)
-            used += sum(row.calls for row in self.lingering)
-        else:
-            self.spent = [at for at in self.spent if at > self.now - WINDOW_US]
-            used = len(self.spent)
-        if used > TOTAL:
-            raise Broken(f"{used} of {TOTAL} are in use")
-
-    def mark(self) -> Hashable:
-        """Return what makes two states the same: all but absolute time and numbers of writes."""
-        return (
-            tuple(member.state() for member in self.members),
-            tuple((key, item.value) for key, item in sorted(self.model.keys.items())),
-            tuple((tag, str(request)) for _, request, tag in self.calls),
-            tuple((tag, reply.proof, reply.succeeded) for _, tag, reply in self.replies),
-            tuple(map(str, self.ghosts)),
-            tuple(self.seen),
-            self.owner,
-            self.faults,
-            tuple((role.token, role.loaded, role.fence, role.reading, role.writing) for role in self.holders),
-            tuple(at - self.now for at in self.spent),
-            tuple((until - self.now, calls) for until, calls in self.lingering),
-        )
-
-    def calm(self) -> None:
-        """No more faults: all is carried out in turn, everybody reports, and one leader allocates."""
-        self.faults = 0
-        self.ghosts = []
-        self.is_settling = True
-        self.holders[1 - self.owner].lost()
-        for member in self.members:
-            member.cut = False
-        for _ in range(SETTLED):
-            self._calm_moment()
-
-    def _calm_moment(self) -> None:
-        self.act("time")
-        for index, member in enumerate(self.members):
-            if self.kind == LedgerKind.HELD:
-                self.act("end", index)
-            if self.may_report(member):
-                self.act("report", index)
-        for name in self._missing_names():
-            self.act("come", name)
-        self.quiet(MAX_QUIET_STEPS)
-
-    def settled(self) -> None:
-        """Raise Broken unless all that may be allocated is allocated among those who live."""
-        allocated = sum(member.allocation.allocated for member in self.members)
-        if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # one of it may be on its way
-            raise Broken(f"{allocated} are divided though nothing is wrong any more")
+# Chances within a moment of a walk.
+REPORT_CHANCE = 0.5  # that a member reports
+STOP_CHANCE = 0.05  # that what is under way waits for the next moment
+CALL_FAULT_CHANCE = 0.06  # that a call fails
+SPEND_CHANCES = (0.7, 0.5)  # that a member spends all that it may: twice in a moment
+FREQUENT_CHANCES = (("end", 0.4), ("come", 0.4), ("heal", 0.1), ("late", 0.15), ("lost", 0.1))
+RARE_ACTIONS = ("die", "cut", "elect", "miss", "leave")
+RARE_CHANCE = 0.2
 
 
 def rounds(world: World, draw: Callable[[], float]) -> Iterator[Action]:
@@ -379,31 +33,25 @@
     while True:
         yield ("time",)
         for index, member in enumerate(world.members):
-            if draw() < 0.5 and world.may_report(member):
+            if draw() < REPORT_CHANCE and world.may_report(member):
                 yield ("report", index)
         yield from _calls_carried_out(world, draw)
-        for chance in (0.7, 0.5):
+        for chance in SPEND_CHANCES:
             for index, member in enumerate(world.members):
                 if draw() < chance and member.allocation.allows(1):
                     yield ("spend", index)
             action = world.fair()
             if action and draw() < chance:
                 yield action
-        yield from walking.now_and_then(
-            world,
-            draw,
-            (("end", 0.4), ("come", 0.4), ("heal", 0.1), ("late", 0.15), ("lost", 0.1)),
-            ("die", "cut", "elect", "miss", "leave"),
-            0.2,
-        )
+        yield from walking.now_and_then(world, draw, FREQUENT_CHANCES, RARE_ACTIONS, RARE_CHANCE)
 
 
 def _calls_carried_out(world: World, draw: Callable[[], float]) -> Iterator[Action]:
     for _ in range(MAX_STEPS_PER_MOMENT):
         action = world.fair()
-        if not action or draw() < 0.05:
+        if not action or draw() < STOP_CHANCE:
             return
-        if world.calls and world.faults and draw() < 0.06:
+        if world.calls and world.faults and draw() < CALL_FAULT_CHANCE:
             fault = OF_CALLS[int(draw() * len(OF_CALLS))]
             yield fault, int(draw() * len(world.calls))
         else:
--- /dev/null
+++ b/tests/test_budget_reports.py
@@ -0,0 +1,130 @@
+"""When a member collects and reports its usage, and the rules that it takes from the operator's records."""
+
+from types import SimpleNamespace
+
+import pytest
+
+from gullhold.budgets.allocation import AllocationRule
+from gullhold.budgets.allocator import Budget
+from gullhold.budgets.budget_rules import BudgetRuleError, budget_label, budget_name, build_rules
+from gullhold.budgets.budget_schema import Usage, UsageReport
+from gullhold.budgets.ledger import LedgerKind
+from gullhold.budgets.report_state import QUIET_INTERVALS, CollectedUsage, ReportState
+from gullhold.fleet.store_calls import KeyValue, Proof, Reply
+from gullhold.interface import BudgetKind
+
+S = 1_000_000  # us
+LOOK_US = 100_000  # us between collections while something changes
+
+
+def reporting(lease_id=7):
+    """The state of a member with a lease, whose first collection is under way."""
+    state = ReportState(LOOK_US)
+    state.begin_lease(lease_id)
+    return state
+
+
+def collected(in_use=0, used=0, requested=0, allocated=10, **other):
+    usage = {"b/0": Usage(in_use, used, requested)}
+    facts = {"lease_id": 7, "seen_write": 0, "was_reduced": False} | other
+    return CollectedUsage(usage=usage, allocations={"b/0": allocated}, **facts)
+
+
+def test_a_member_reports_once_and_then_reads_its_row():
+    state = reporting()
+    report = state.collected(0, collected(), True)
+    assert report == UsageReport(0, {"b/0": Usage(0, 0, 0)})
+    assert state.collected(S, collected(used=9, requested=12), True) is None  # the first is under way
+    assert state.written(7, Reply(Proof.DONE, 5)) and state.revision == 5
+    assert state.collected(2 * S, collected(used=9, requested=12), True)
+    assert not state.written(7, Reply(Proof.DONE, 6)) and state.revision == 6  # the row is followed since
+
+
+def test_a_report_that_was_refused_is_written_again_over_what_is_stored():
+    state = reporting()
+    assert state.collected(0, collected(), True)
+    stored = KeyValue("budget/asks/a/7", "{}", 4)
+    assert not state.written(7, Reply(Proof.DONE, 9, succeeded=False, items=(stored,)))
+    assert state.revision == 4 and not state.is_row_read
+    assert state.collected(S, collected(), True)
+    assert not state.written(7, Reply(Proof.UNKNOWN)) and state.revision == 0
+    assert state.collected(2 * S, collected(), True)
+
+
+def test_nothing_is_reported_for_another_lease_or_without_one():
+    state = reporting()
+    assert state.collected(0, collected(lease_id=6), True) is None
+    assert state.collected(0, collected(), False) is None
+    assert state.collected(0, collected(), True)
+    state.begin_lease(8)
+    assert not state.written(7, Reply(Proof.DONE, 5)) and state.revision == 0
+
+
+def test_usage_is_collected_seldom_while_nothing_changes_and_soon_while_something_does():
+    state = reporting()
+    assert not state.should_collect(S, True)  # one is under way
+    state.collected(0, collected(), True)
+    assert state.due(0, False) == LOOK_US * QUIET_INTERVALS and state.due(0, True) == 0
+    assert not state.should_collect(LOOK_US, False) and state.should_collect(LOOK_US, True)
+    state.hasten()
+    assert state.should_collect(LOOK_US, False)
+    state.collected(S, collected(in_use=12), True)  # more in use than is allocated
+    assert state.due(S, False) == S + LOOK_US
+    state.collected(2 * S, collected(was_reduced=True), True)  # under way: not acknowledged yet
+    state.collected(3 * S, collected(), True)
+    assert state.due(3 * S, False) == 3 * S + LOOK_US
+
+
+def test_who_leaves_asks_for_nothing_and_reports_no_more_once_all_is_given_back():
+    state = reporting()
+    state.is_leaving = True
+    assert state.collected(0, collected(3, 3, 9), True).usage == {"b/0": Usage(3, 3, 0)}
+    state.written(7, Reply(Proof.DONE, 5))
+    state.has_given_back = True
+    assert state.collected(S, collected(0, 0, 0), True) is None
+
+
+def record(word, tenant="", **other):
+    """An operator's record of a budget."""
+    facts = {"whole": 10, "window": 0, "linger": 0, "alone": 0, "members": 0, "floor": 1, "grain": 1} | other
+    return SimpleNamespace(of=word, tenant=tenant, **facts)
+
+
+def agreement(tenants=("t0", "t1")):
+    return SimpleNamespace(
+        tenants=[SimpleNamespace(name=name) for name in tenants],
+        profiles=[SimpleNamespace(name="p0", timeout_us=3 * S), SimpleNamespace(name="p1", timeout_us=S)],
+        retry_budget_window_us=2 * S,
+        overload_window_us=0,
+    )
+
+
+def test_rules_are_lengthened_by_the_drift_and_keyed_by_subject():
+    records = [record("threads", alone=1, members=3), record("further"), record("share")]
+    budgets, allocations = build_rules(records, agreement(), 0.5)
+    assert budgets["threads"] == Budget(LedgerKind.HELD, 10, 0, 6 * S, 1, 3)
+    assert budgets["further"] == Budget(LedgerKind.WINDOWED, 10, 3 * S, 6 * S)
+    assert allocations == {
+        (BudgetKind.THREADS, None): AllocationRule(LedgerKind.HELD, 10, 0, 750_000, 1, 6 * S),
+        (BudgetKind.RETRIES, 0): AllocationRule(LedgerKind.WINDOWED, 10, 3 * S, 750_000, 0, 3 * S),
+        (BudgetKind.TRAFFIC_SHARE, 0): AllocationRule(LedgerKind.WEIGHT, 10, 0, 750_000, 0, 6 * S),
+    }
+
+
+def test_a_tenants_own_budget_goes_before_that_of_all_tenants():
+    records = [record("open", "t1", whole=3), record("open", linger=S)]
+    budgets, allocations = build_rules(records, agreement(), 0.0)
+    assert {name: budget.total for name, budget in budgets.items()} == {"open": 10, "open/t1": 3}
+    totals = {subject: rule.total for (_, subject), rule in allocations.items()}
+    assert totals == {0: 10, 1: 3}
+    assert budget_name(records[0]) == budget_label(BudgetKind.OPEN_COMMANDS, 1, ["t0", "t1"]) == "open/t1"
+    _, by_profile = build_rules([record("open")], agreement(tenants=()), 0.0)
+    assert set(by_profile) == {(BudgetKind.OPEN_COMMANDS, 0), (BudgetKind.OPEN_COMMANDS, 1)}
+
+
+@pytest.mark.parametrize(
+    "wrong, why", [(record("cold"), "states a window"), (record("open", "nobody"), "no tenant of")]
+)
+def test_a_record_that_does_not_fit_the_agreement_is_named(wrong, why):
+    with pytest.raises(BudgetRuleError, match=why):
+        build_rules([wrong], agreement(), 0.0)
