--- a/gullhold/budgets/budget_rules.py
+++ b/gullhold/budgets/budget_rules.py
@@ -76,9 +76,9 @@
     longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
     rules = BudgetRules({}, {})
     for record in sorted(records, key=lambda record: record.tenant):  # those for every tenant come first
+        budget = _budget(record, agreement, longest_timeout_us, drift)
         if record.tenant and record.tenant not in tenants:
             raise BudgetRuleError(f"fleet.budgets: {record.tenant!r} is no tenant of the agreement")
-        budget = _budget(record, agreement, longest_timeout_us, drift)
         rules.budgets[budget_name(record)] = budget
         allocation_rule = _allocation_rule(budget, drift)
         for key in _rule_keys(record, tenants):
