--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of a fleet of real processes: engines count, and never more than the whole is in use."""
+"""Budgets of a fleet of real processes: engines count, and never more than the total is in use."""
 
 import json
 import socket
@@ -21,18 +21,24 @@
 from gullhold.testing.counting import CountingEngine
 from gullhold.testing.fleet import Rig
 
-SERIAL = count(1)  # of clients: each draws its own ids
+CLIENT_SEEDS = count(1)  # each client draws its own ids
 
 
-def threads(whole=12, **other):
-    """An operator's words for a budget of threads on each engine."""
-    return {"of": '"threads"', "whole": whole, "linger": "1s"} | other
+def threads_budget(total=12, **other):
+    """An operator's record of a budget of threads on each engine."""
+    return {"of": '"threads"', "whole": total, "linger": "1s"} | other
 
 
-def rig(members=3, budgets=(), engines=1, **other):
+def make_rig(members=3, budgets=(), engines=1, **other):
     """A fleet with counting engines."""
-    make = other.pop("make", lambda seed: CountingEngine(slots=64, seed=seed))
-    return Rig(members=members, budgets=budgets or [threads()], engines=engines, make=make, **other)
+    make_engine = other.pop("make", None) or counting_engine()
+    budgets = budgets or [threads_budget()]
+    return Rig(members=members, budgets=budgets, engines=engines, make=make_engine, **other)
+
+
+def counting_engine(**facts):
+    """What makes a counting engine from a seed."""
+    return lambda seed: CountingEngine(slots=64, seed=seed, **facts)
 
 
 def client(fleet, name, rate=0.0, **facts):
@@ -43,164 +49,164 @@
         "work_ms": 60.0,
         "limit_ms": 900,
         "manner": crowd.NOT_AT_ALL,
-        "seed": next(SERIAL),
+        "seed": next(CLIENT_SEEDS),
     } | facts
     return crowd.Client(fleet.members[name].address, "", name, rate=rate, **facts).start()
 
 
-def end(*clients):
-    """They ask no more, and hear what they are owed."""
+def stop_clients(*clients):
+    """They send no more commands, and get the answers that are due."""
     for one in clients:
         one.stop()
     for one in clients:
         one.join()
 
 
-def held(fleet, whole=12, least=1):
-    """Engines never had more than the whole, parts never summed to more; the parts as they are."""
+def checked(fleet, total=12, min_attempts=1):
+    """Engines never had more than the total, allocations never summed to more; the history of them."""
     for engine in fleet.engines:
         most, when = most_at_once(engine.flights)
-        assert most <= whole, f"{most} at {when - fleet.began:.3f}\n{fleet.story()}"
-    check = AllocationHistory(fleet.lines())
-    assert check.most and max(check.most.values()) <= whole, fleet.story()
-    assert sum(len(engine.flights) for engine in fleet.engines) >= least
+        assert most <= total, f"{most} at {when - fleet.began:.3f}\n{fleet.story()}"
+    history = AllocationHistory(fleet.lines())
+    assert history.most and max(history.most.values()) <= total, fleet.story()
+    assert sum(len(engine.flights) for engine in fleet.engines) >= min_attempts
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "faults of", "not answered in time"))
-    return check
+    return history
 
 
-def parts(fleet):
-    """{member: its part of the one engine's threads}."""
-    check = AllocationHistory(fleet.lines())
-    return check.now(next(iter(check.most), ""))
+def allocations(fleet):
+    """{member: its allocation of the one engine's threads}."""
+    history = AllocationHistory(fleet.lines())
+    return history.now(next(iter(history.most), ""))
 
 
 def test_where_all_demand_is_at_one_it_gets_all_but_the_others_floors_and_then_the_next_does():
-    with rig() as fleet:
+    with make_rig() as fleet:
         fleet.start()
         one = client(fleet, "n0")
-        fleet.until(lambda: parts(fleet) == {"n0": 10, "n1": 1, "n2": 1})
+        fleet.until(lambda: allocations(fleet) == {"n0": 10, "n1": 1, "n2": 1})
         time.sleep(0.5)
-        end(one)
+        stop_clients(one)
         other = client(fleet, "n1")
-        fleet.until(lambda: parts(fleet) == {"n0": 1, "n1": 10, "n2": 1})
+        fleet.until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
         time.sleep(0.3)
         assert most_at_once(fleet.engines[0].flights)[0] == 10
-        end(other)
-        held(fleet, least=50)
+        stop_clients(other)
+        checked(fleet, min_attempts=50)
 
 
 def test_one_that_is_stopped_with_half_and_woken_after_its_part_was_given_away_begins_nothing():
-    with rig(2) as fleet:
+    with make_rig(2) as fleet:
         fleet.start()
         # Longer ones: of many short ones one may be stopped between last look and write, which nothing
         # here can refuse (docs/notes/budgets.md).
         clients = [client(fleet, name, work_ms=150.0) for name in ("n0", "n1")]
-        fleet.until(lambda: parts(fleet) == {"n0": 6, "n1": 6})
+        fleet.until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
         fleet.pause("n0")
-        fleet.until(lambda: parts(fleet).get("n1", 0) == 12)
+        fleet.until(lambda: allocations(fleet).get("n1", 0) == 12)
         fleet.until(lambda: len(fleet.engines[0].open) == 12)
         fleet.resume("n0")  # with commands ready to go
         time.sleep(0.7)
-        fleet.until(lambda: parts(fleet) == {"n0": 6, "n1": 6})
-        end(*clients)
-        held(fleet, least=100)
+        fleet.until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
+        stop_clients(*clients)
+        checked(fleet, min_attempts=100)
 
 
 def test_one_killed_with_work_still_running_is_charged_until_that_is_over():
-    with rig(2, make=lambda seed: CountingEngine(slots=64, seed=seed, runs_on=True)) as fleet:
+    with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
         fleet.start()
         clients = [client(fleet, name, work_ms=700.0, limit_ms=2500) for name in ("n0", "n1")]
         fleet.until(lambda: len(fleet.engines[0].open) == 12)
         fleet.kill("n0")
-        fleet.until(lambda: parts(fleet).get("n1", 0) == 12)
+        fleet.until(lambda: allocations(fleet).get("n1", 0) == 12)
         time.sleep(0.8)
         fleet.until(lambda: len(fleet.engines[0].open) == 12)  # fewer between two answers
-        end(*clients)
-        held(fleet, least=20)
+        stop_clients(*clients)
+        checked(fleet, min_attempts=20)
 
 
 @pytest.mark.parametrize("side, act", [("before", "kill"), ("after", "kill"), ("before", "stop")])
 def test_the_divider_ends_or_sleeps_between_taking_and_giving(side, act):
-    with rig() as fleet:
-        spread = Spread(["budgets"])
-        spread.change(fleet.names)
-        divider = spread.owner["budgets"]
-        others = [name for name in fleet.names if name != divider]
-        fleet.start(divider, point="divide", side=side, act=act, nth=4)
+    with make_rig() as fleet:
+        assignment = Spread(["budgets"])
+        assignment.change(fleet.names)
+        allocator = assignment.owner["budgets"]
+        others = [name for name in fleet.names if name != allocator]
+        fleet.start(allocator, point="divide", side=side, act=act, nth=4)
         fleet.owner("budgets")
-        clients = [client(fleet, divider, rate=40.0)]
+        clients = [client(fleet, allocator, rate=40.0)]
         fleet.start(*others)
         clients += [client(fleet, name) for name in others]
         if act == "kill":
-            fleet.members[divider].process.wait(8)
+            fleet.members[allocator].process.wait(8)
         else:
-            fleet.until(lambda: fleet.paused(divider))
-        assert fleet.owner("budgets", divider) in others
-        fleet.until(lambda: sum(parts(fleet).get(name, 0) for name in others) >= 11)
+            fleet.until(lambda: fleet.paused(allocator))
+        assert fleet.owner("budgets", allocator) in others
+        fleet.until(lambda: sum(allocations(fleet).get(name, 0) for name in others) >= 11)
         if act == "stop":
-            fleet.resume(divider)  # two believe that they divide: the late write is refused
-            fleet.until(lambda: any(what == "late effect refused" for _, _, what, _ in fleet.events(divider)))
+            fleet.resume(allocator)  # two believe that they allocate: the late write is refused
+            fleet.until(lambda: "late effect refused" in [row[2] for row in fleet.events(allocator)])
         time.sleep(0.5)
-        end(*clients)
-        held(fleet, least=50)
+        stop_clients(*clients)
+        checked(fleet, min_attempts=50)
 
 
 def test_replies_are_lost_while_parts_move_and_while_one_gives_back():
-    with rig() as fleet:
+    with make_rig() as fleet:
         fleet.start()
         for turn in range(4):
             one = client(fleet, f"n{turn % 2}")
             fleet.faults(lose=6)
             time.sleep(0.8)
-            end(one)
+            stop_clients(one)
         one = client(fleet, "n2")
         fleet.faults(lose=3)
         fleet.stop("n0")
-        fleet.until(lambda: parts(fleet).get("n2", 0) >= 11)
-        end(one)
-        assert held(fleet, least=50).moves >= 8
+        fleet.until(lambda: allocations(fleet).get("n2", 0) >= 11)
+        stop_clients(one)
+        assert checked(fleet, min_attempts=50).moves >= 8
 
 
 def test_all_have_gone_and_come_back_at_once_under_the_same_and_under_other_names():
-    with rig(4, make=lambda seed: CountingEngine(slots=64, seed=seed, runs_on=True)) as fleet:
+    with make_rig(4, make=counting_engine(runs_on=True)) as fleet:
         for names in (("n0", "n1"), ("n0", "n1"), ("n2", "n3")):
             fleet.start(*names)
             clients = [client(fleet, name, work_ms=300.0) for name in names]
-            fleet.until(lambda names=names: sum(parts(fleet).get(name, 0) for name in names) >= 12)
+            fleet.until(lambda names=names: sum(allocations(fleet).get(name, 0) for name in names) >= 12)
             time.sleep(0.3)
             fleet.kill(*names)
-            end(*clients)
-        held(fleet, least=20)
+            stop_clients(*clients)
+        checked(fleet, min_attempts=20)
 
 
 def test_most_are_replaced_at_once_and_a_partition_heals_after_parts_were_divided_anew():
-    with rig(5) as fleet:
+    with make_rig(5) as fleet:
         fleet.start()
         clients = [client(fleet, name) for name in ("n3", "n4")]
-        fleet.until(lambda: parts(fleet).get("n3", 0) + parts(fleet).get("n4", 0) >= 9)
+        fleet.until(lambda: allocations(fleet).get("n3", 0) + allocations(fleet).get("n4", 0) >= 9)
         for name in ("n0", "n1", "n2"):
             fleet.kill(name)
             fleet.start(name)
         fleet.cut("n3")
-        fleet.until(lambda: parts(fleet).get("n4", 0) >= 8)
+        fleet.until(lambda: allocations(fleet).get("n4", 0) >= 8)
         fleet.heal("n3")
-        fleet.until(lambda: parts(fleet).get("n3", 0) >= 4)
-        end(*clients)
-        held(fleet, least=50)
+        fleet.until(lambda: allocations(fleet).get("n3", 0) >= 4)
+        stop_clients(*clients)
+        checked(fleet, min_attempts=50)
 
 
 def test_the_whole_of_a_window_moves_from_one_to_the_next_and_is_spent_once():
     window_s = 3.0
     budget = {"of": '"taken"', "whole": 30, "window": "3s"}
-    with rig(budgets=[budget], drift="rate: 0.1, margin: 20ms") as fleet:
+    with make_rig(budgets=[budget], drift="rate: 0.1, margin: 20ms") as fleet:
         for i, name in enumerate(fleet.names):  # clocks off by the bound
             fleet.start(name, rate=(1.08, 1.0, 0.93)[i])
-        fleet.until(lambda: len(parts(fleet)) == 3)
+        fleet.until(lambda: len(allocations(fleet)) == 3)
         for turn in range(6):
             one = client(fleet, f"n{turn % 3}", rate=60.0, work_ms=10.0)
             time.sleep(0.9)
-            end(one)
+            stop_clients(one)
         sends = first_attempts(fleet.engines)
         most, _ = most_in_window(sends, window_s)
         assert 20 <= most <= 30 and len(sends) > 40, (most, len(sends))
@@ -209,13 +215,12 @@
 
 def test_further_sends_are_counted_for_the_fleet_over_any_window():
     budget = {"of": '"further"', "whole": 12, "window": "2s"}
-    make = lambda seed: CountingEngine(slots=64, seed=seed, fails=0.4)  # noqa: E731
-    with rig(budgets=[budget], engines=2, make=make) as fleet:
+    with make_rig(budgets=[budget], engines=2, make=counting_engine(fails=0.4)) as fleet:
         fleet.start()
         for turn in range(4):
             clients = [client(fleet, f"n{(turn + i) % 3}", rate=rate) for i, rate in enumerate((50.0, 5.0))]
             time.sleep(0.8)
-            end(*clients)
+            stop_clients(*clients)
         further = retries(fleet.engines)
         most, _ = most_in_window(further, 2.0)
         assert 6 <= most <= 12 and len(further) >= 12, (most, len(further))
@@ -233,7 +238,7 @@
                 conn.close()
 
     Thread(target=serve, daemon=True).start()
-    with rig(budgets=[budget], coordinator=address) as fleet:
+    with make_rig(budgets=[budget], coordinator=address) as fleet:
         fleet.start()  # without a budget each asks four times a second
         time.sleep(5.0)
         sock.shutdown(socket.SHUT_RDWR)
@@ -243,7 +248,7 @@
 
 
 def test_a_whole_that_is_lowered_below_what_is_out_comes_down_and_cancels_nothing():
-    with rig(2, make=lambda seed: CountingEngine(slots=64, seed=seed, runs_on=True)) as fleet:
+    with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
         fleet.start()
         clients = [client(fleet, name, work_ms=400.0, limit_ms=2000) for name in ("n0", "n1")]
         fleet.until(lambda: len(fleet.engines[0].open) == 12)
@@ -251,13 +256,13 @@
         for name in ("n1", "n0"):
             fleet.stop(name)
             fleet.start(name)
-        fleet.until(lambda: sum(parts(fleet).values()) == 4)
-        end(*clients)
+        fleet.until(lambda: sum(allocations(fleet).values()) == 4)
+        stop_clients(*clients)
         lowered = time.time() + 1.5  # what was begun under more has ended
         time.sleep(1.6)
         clients = [client(fleet, name, work_ms=100.0) for name in ("n0", "n1")]
         time.sleep(0.8)
-        end(*clients)
+        stop_clients(*clients)
         late = [row for row in fleet.engines[0].flights if row[0] > lowered]
         assert len(late) >= 8 and most_at_once(late)[0] <= 4
         assert most_at_once(fleet.engines[0].flights)[0] <= 12
@@ -267,13 +272,13 @@
     def three(settings):
         settings["domain"]["parallelism"] = [3, 1, 1]
 
-    make = lambda seed: CountingEngine(slots=64, seed=seed, threads={"read": 3})  # noqa: E731
-    with rig(budgets=[threads(4, grain=3, floor=0)], make=make, adjust=three) as fleet:
+    make = counting_engine(threads={"read": 3})
+    with make_rig(budgets=[threads_budget(4, grain=3, floor=0)], make=make, adjust=three) as fleet:
         fleet.start()
         clients = [client(fleet, name, open=3, work_ms=40.0, limit_ms=2900) for name in fleet.names]
         fleet.until(lambda: all(one.answered >= 3 for one in clients))
-        end(*clients)
-        held(fleet, whole=4, least=9)
+        stop_clients(*clients)
+        checked(fleet, total=4, min_attempts=9)
 
 
 def test_an_engine_that_starts_cold_while_members_change_is_not_pushed_over():
@@ -282,7 +287,7 @@
     def rules(settings):
         settings["rules"] |= {"cold_from": 0.05, "warm_after": 60, "fall_multiple": 1, "tip_after": 1}
 
-    with rig(budgets=[cold], adjust=rules) as fleet:
+    with make_rig(budgets=[cold], adjust=rules) as fleet:
         fleet.born_ms[0] = int(time.time() * 1000)
         fleet.start("n0", "n1")
         clients = [client(fleet, "n0", work_ms=20.0)]
@@ -293,7 +298,7 @@
         time.sleep(1.5)
         fleet.start("n1")
         time.sleep(1.0)
-        end(*clients)
+        stop_clients(*clients)
         # What it stands in a window: of its 16 cores a twentieth, growing half as fast as a line.
         grown = 0.05 + 0.95 / 2 * (time.time() - fleet.born_ms[0] / 1000) / 60
         most, _ = most_in_window([(row[0], row[4] / 1000) for row in fleet.engines[0].flights], 1.0)
@@ -302,21 +307,23 @@
 
 
 def test_demand_that_alternates_each_second_moves_parts_and_all_of_it_is_used():
-    with rig(2) as fleet:
+    with make_rig(2) as fleet:
         fleet.start()
-        fleet.until(lambda: len(parts(fleet)) == 2)
+        fleet.until(lambda: len(allocations(fleet)) == 2)
         for turn in range(6):
             one = client(fleet, f"n{turn % 2}")
             time.sleep(1.0)
-            end(one)
-        assert held(fleet, least=200).moves >= 5  # of 12 threads for 60 ms each: at most 1,200 in 6 s
+            stop_clients(one)
+        assert (
+            checked(fleet, min_attempts=200).moves >= 5
+        )  # of 12 threads for 60 ms each: at most 1,200 in 6 s
 
 
 def test_with_the_register_away_each_serves_by_what_is_kept_back_for_it():
-    with rig(2, [threads(12, alone=2, members=3)]) as fleet:
+    with make_rig(2, [threads_budget(12, alone=2, members=3)]) as fleet:
         fleet.start()
         clients = [client(fleet, "n0"), client(fleet, "n1")]
-        fleet.until(lambda: sum(parts(fleet).values()) == 6)
+        fleet.until(lambda: sum(allocations(fleet).values()) == 6)
         time.sleep(1.2)
         fleet.kill_register()
         fleet.until(lambda: len(fleet.engines[0].open) <= 4, 3)
@@ -325,38 +332,38 @@
         assert sum(one.answered for one in clients) > began + 20
         gone = time.time()
         fleet.start_register()
-        fleet.until(lambda: sum(parts(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
-        end(*clients)
-        held(fleet, least=50)
+        fleet.until(lambda: sum(allocations(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
+        stop_clients(*clients)
+        checked(fleet, min_attempts=50)
         assert time.time() - gone < 6
 
 
 def test_staff_see_budgets_a_plan_and_a_report_of_a_run(tmp_path, capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
 
-    with rig(2, [threads(12, alone=1, members=2)]) as fleet:
+    with make_rig(2, [threads_budget(12, alone=1, members=2)]) as fleet:
         fleet.start()
         one = client(fleet, "n0")
-        fleet.until(lambda: parts(fleet) == {"n0": 9, "n1": 1})
+        fleet.until(lambda: allocations(fleet) == {"n0": 9, "n1": 1})
         at = ["--register", fleet.register_address, "--name", "rig"]
 
-        def told():
+        def row_in_use():
             assert main(["fleet", "budgets", *at, "--json"]) == 0
             (row,) = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
             return row if row["used"] >= 9 else None  # the first reports came before the rush
 
-        row = fleet.until(told)
+        row = fleet.until(row_in_use)
         assert (row["whole"], row["kept back"], row["given"], row["waiting"]) == (12, 2, 10, "n0")
         assert row["parts"] == "n0 9, n1 1"
         assert main(["fleet", "report", *at, "--seconds", "0.5", "--out", str(tmp_path / "x.html")]) == 0
-        end(one)
-    told = (tmp_path / "x.html").read_text("utf-8")
-    assert "<svg" in told and row["budget"] in told and "http://kozea" not in told
+        stop_clients(one)
+    page = (tmp_path / "x.html").read_text("utf-8")
+    assert "<svg" in page and row["budget"] in page and "http://kozea" not in page
     capsys.readouterr()
-    words = ["fleet", "plan", "--members", "3", "--whole", "20", "--wants", "2,50", "--alone", "1", "--json"]
-    assert main(words) == 0
+    plan = ["fleet", "plan", "--members", "3", "--whole", "20", "--wants", "2,50", "--alone", "1", "--json"]
+    assert main(plan) == 0
     found = [json.loads(line)["part"] for line in capsys.readouterr().out.splitlines()]
-    assert found == [2, 8, 7] and main(words[:-1]) == 0
+    assert found == [2, 8, 7] and main(plan[:-1]) == 0
     assert "17 given, 3 kept back" in capsys.readouterr().out
     assert main(["fleet", "plan", "--wants", "x"]) == 2 and main(["fleet", "budgets", *at]) == 1
 
@@ -379,7 +386,7 @@
         ({"of": '"further"', "whole": 5}, "states a window"),
         ({"of": '"open"', "whole": 5, "tenant": '"nobody"'}, "no tenant of the agreement"),
     ):
-        with rig(1, [budget]) as fleet:
+        with make_rig(1, [budget]) as fleet:
             fleet.start("n0", wait=False)
             assert fleet.members["n0"].process.wait(8) == 2
             assert why in fleet.members["n0"].log.read_text()
