--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -21,11 +21,12 @@
 from gullhold.budgets.core_budgets import AllocationWrite, CoreBudgets
 from gullhold.budgets.report_state import CollectedUsage, ReportState
 from gullhold.fleet.store_calls import Get, Proof, Put, ReadPrefix, Reply, Transaction
-from gullhold.fleet.watch import Watcher
 from gullhold.interface import Agreement
 
 if TYPE_CHECKING:
-    from gullhold.fleet.driver import Fleet, Lane
+    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.lane import Lane
+    from gullhold.fleet.watcher import Watcher
     from gullhold.operator.records import FleetRecord
 
 REPORT_LANE = "reports"
@@ -42,6 +43,7 @@
         """record: the operator's; raises BudgetRuleError. clock: monotonic us."""
         self.fleet = fleet
         self.core = fleet.core
+        self.clock = clock
         rules = build_rules(record.budgets, agreement, record.drift.rate)
         tenants = tenant_names(agreement)
         self.allocations = Allocations(
@@ -49,20 +51,21 @@
             lambda kind, subject: budget_label(kind, subject, tenants),
             fleet.membership.lease,
             clock,
-            on_shortage=lambda: fleet.queue.put(("rush",)),
+            on_shortage=lambda: fleet.post(self.reports.hasten),
         )
-        fleet.held[ROLE] = AllocatorRole(rules.budgets)
+        fleet.role_states[ROLE] = AllocatorRole(rules.budgets)
         self.reports = ReportState(record.look)
         self.row: dict[str, int] = {}  # allocations by budget name, as last read
         self.unapplied: list[AllocationWrite] = []  # that the core's thread does not know yet
         self.core_budgets = CoreBudgets(
-            fleet.core, self.allocations, lambda collected: fleet.queue.put(("counted", collected))
+            fleet.core, self.allocations, lambda collected: fleet.post(self._usage_collected, collected)
         )
 
-    def start(self, watch: Callable[..., Watcher]) -> None:
+    def start(self, watch: "Callable[..., Watcher]") -> None:
         """Follow our row, and the reports where this member leads the allocator's role."""
-        self.row_watcher = watch("parts", f"{ALLOCATIONS}{self.fleet.name}/", "row_changed")
-        self.fleet.watchers[ROLE] = watch("reports", REPORTS, "duty_changed", ROLE)
+        prefix = f"{ALLOCATIONS}{self.fleet.name}/"
+        self._row_watcher = watch("parts", prefix, self._row_changed, self._read_row)
+        self.fleet.watch_role(ROLE, "reports", REPORTS)
 
     def may_call_discovery(self) -> bool:
         """Whether the discovery service may be called now. On the thread that follows the endpoint list."""
@@ -87,23 +90,19 @@
         if self.reports.is_leaving and self.core.ended and not self.reports.has_given_back:
             self._give_back()
 
-    def rush(self) -> None:
-        """An allocation runs out: collect usage as soon as may be."""
-        self.reports.hasten()
-
     def leave(self) -> None:
         """Leave in good order: the lease is kept until everything is given back."""
         self.reports.is_leaving = True
         if not self.reports.has_given_back:
             self.fleet.membership.set_busy(GIVING_BACK, True)
 
-    def counted(self, now: int, collected: CollectedUsage) -> None:
-        """Take in what the core's thread collected."""
+    def _usage_collected(self, collected: CollectedUsage) -> None:
+        now = self.clock()
         is_lease_valid = self.fleet.membership.lease.is_valid(now)
         report = self.reports.collected(now, collected, is_lease_valid)
-        if report:
+        if report is not None:
             lease_id = self.reports.lease_id
-            self._report_lane().put(self._report_call(report, lease_id), "reported", lease_id)
+            self._report_lane().put(self._report_call(report, lease_id), self._report_written, lease_id)
 
     def _report_lane(self) -> "Lane":
         return self.fleet.lanes[REPORT_LANE]
@@ -127,35 +126,34 @@
         allocations = self.allocations
         if self.reports.is_row_read and allocations.lease_id == self.reports.lease_id:
             report = UsageReport(allocations.seen_write, allocations.report(()), has_left=True)
-            self._report_lane().put(self._report_call(report, 0), "gave_back")
+            self._report_lane().put(self._report_call(report, 0), self._given_back)
         else:
-            self.gave_back(None)
+            self._given_back(None)
 
-    def gave_back(self, _reply: Reply | None) -> None:
+    def _given_back(self, _reply: Reply | None) -> None:
         """The lease may end. A last report that was refused counts as that of a member that was killed."""
         self.fleet.membership.set_busy(GIVING_BACK, False)
 
-    def reported(self, lease_id: int, reply: Reply) -> None:
-        """Take in the reply to a report."""
+    def _report_written(self, lease_id: int, reply: Reply) -> None:
         if self.reports.written(lease_id, reply):
             self._read_row()
 
     def _read_row(self) -> None:
+        """Read our row: when we joined, or when changes of it were missed."""
         request = ReadPrefix(f"{ALLOCATIONS}{self._member_key()}")
-        self._report_lane().put(request, "rows_read", self.reports.lease_id)
+        self._report_lane().put(request, self._row_read, self.reports.lease_id)
 
-    def rows_read(self, lease_id: int, reply: Reply) -> None:
-        """Take in our row as it was when we joined, or when changes were missed."""
+    def _row_read(self, lease_id: int, reply: Reply) -> None:
         if lease_id != self.reports.lease_id:
             return
         if reply.proof != Proof.DONE:
             self.reports.row_read_failed()
             return
-        self.row_watcher.follow(reply.revision + 1)
+        self._row_watcher.follow(reply.revision + 1)
         for item in reply.items:
-            self.row_changed(item.key, item.value, item.revision)
+            self._row_changed(item.key, item.value, item.revision)
 
-    def row_changed(self, key: str, value: str | None, _revision: int) -> None:
+    def _row_changed(self, key: str, value: str | None, _revision: int) -> None:
         """Take in a change of a row under our name."""
         if value is None or key != ALLOCATIONS + self._member_key():
             return
@@ -171,8 +169,4 @@
         for name in self.row.keys() | row.keys():
             if row.get(name, 0) != self.row.get(name, 0):
                 changed[name] = row.get(name, 0)
-        self.fleet.event("debug", "parts", write=write, parts=changed)
-
-    def row_missed(self) -> None:
-        """Changes of our row were missed."""
-        self._read_row()
+        self.fleet.log_event("debug", "parts", write=write, parts=changed)
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -13,9 +13,9 @@
 from gullhold.budgets.ledger import LedgerKind
 from gullhold.budgets.stored_budgets import StoredBudget, stored_budgets
 from gullhold.budgets.usage_report import budget_names, render_page, watch_budgets
-from gullhold.fleet.driver import KEYS
-from gullhold.fleet.register import Register
 from gullhold.fleet.store_calls import KeyValue, Proof, ReadPrefix
+from gullhold.fleet.store_client import StoreClient
+from gullhold.fleet.store_schema import fleet_prefix
 
 TIMEOUT_S = 3.0  # s for one call to the store
 
@@ -65,7 +65,7 @@
 
 def _reader(address: str, fleet_name: str) -> Callable[[], Sequence[KeyValue]]:
     """Return a function that reads the stored keys of budgets; it raises ConnectionError."""
-    session = Register(address, f"{KEYS}{fleet_name}/", TIMEOUT_S)
+    session = StoreClient(address, fleet_prefix(fleet_name), TIMEOUT_S)
 
     def read() -> Sequence[KeyValue]:
         reply = session.call(ReadPrefix(ROOT))
