--- /dev/null
+++ b/gullhold/budgets/member_budgets.py
@@ -0,0 +1,172 @@
+"""A member's budgets, carried out: what passes between the fleet's thread, the core and the store.
+
+The core's thread spends and counts (`core_budgets`); the fleet's thread posts to it what was read, and takes
+what was counted. The allocator's role runs on the fleet's thread, its calls on a lane of their own.
+"""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from gullhold.budgets.allocations import Allocations
+from gullhold.budgets.allocator_role import ROLE, AllocatorRole
+from gullhold.budgets.budget_rules import budget_label, build_rules, tenant_names
+from gullhold.budgets.budget_schema import (
+    ALLOCATIONS,
+    REPORTS,
+    UsageReport,
+    allocated_amount,
+    decode_row,
+    encode_report,
+)
+from gullhold.budgets.core_budgets import AllocationWrite, CoreBudgets
+from gullhold.budgets.report_state import CollectedUsage, ReportState
+from gullhold.fleet.store_calls import Get, Proof, Put, ReadPrefix, Reply, Transaction
+from gullhold.interface import Agreement
+
+if TYPE_CHECKING:
+    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.lane import Lane
+    from gullhold.fleet.watcher import Watcher
+    from gullhold.operator.records import FleetRecord
+
+REPORT_LANE = "reports"
+LANES = (REPORT_LANE, ROLE)  # of calls to the store: neither waits for the other
+GIVING_BACK = ROLE + "/spent"  # what keeps the membership from ending until the last report is written
+
+
+class MemberBudgets:
+    """One member's side, and the allocator's where this member leads that role. On the fleet's thread."""
+
+    def __init__(
+        self, fleet: "Fleet", record: "FleetRecord", agreement: Agreement, clock: Callable[[], int]
+    ) -> None:
+        """record: the operator's; raises BudgetRuleError. clock: monotonic us."""
+        self.fleet = fleet
+        self.core = fleet.core
+        self.clock = clock
+        rules = build_rules(record.budgets, agreement, record.drift.rate)
+        tenants = tenant_names(agreement)
+        self.allocations = Allocations(
+            rules.allocations,
+            lambda kind, subject: budget_label(kind, subject, tenants),
+            fleet.membership.lease,
+            clock,
+            on_shortage=lambda: fleet.post(self.reports.hasten),
+        )
+        fleet.role_states[ROLE] = AllocatorRole(rules.budgets)
+        self.reports = ReportState(record.look)
+        self.row: dict[str, int] = {}  # allocations by budget name, as last read
+        self.unapplied: list[AllocationWrite] = []  # that the core's thread does not know yet
+        self.core_budgets = CoreBudgets(
+            fleet.core, self.allocations, lambda collected: fleet.post(self._usage_collected, collected)
+        )
+
+    def start(self, watch: "Callable[..., Watcher]") -> None:
+        """Follow our row, and the reports where this member leads the allocator's role."""
+        prefix = f"{ALLOCATIONS}{self.fleet.name}/"
+        self._row_watcher = watch("parts", prefix, self._row_changed, self._read_row)
+        self.fleet.watch_role(ROLE, "reports", REPORTS)
+
+    def may_call_discovery(self) -> bool:
+        """Whether the discovery service may be called now. On the thread that follows the endpoint list."""
+        return self.core_budgets.may_call_discovery()
+
+    def due(self, now: int) -> int:
+        """Return when to step() at the latest."""
+        return self.reports.due(now, bool(self.unapplied))
+
+    def step(self, now: int) -> None:
+        """Begin to collect usage when that is due."""
+        lease = self.fleet.membership.lease
+        if lease.id and lease.id != self.reports.lease_id:
+            self.reports.begin_lease(lease.id)
+            self.row = {}
+            self.unapplied.append(AllocationWrite(lease.id, 0, {}))
+        if self.reports.should_collect(now, bool(self.unapplied)):
+            writes = self.unapplied
+            self.unapplied = []
+            self.reports.is_collecting = True
+            self.core_budgets.apply(writes)
+        if self.reports.is_leaving and self.core.ended and not self.reports.has_given_back:
+            self._give_back()
+
+    def leave(self) -> None:
+        """Leave in good order: the lease is kept until everything is given back."""
+        self.reports.is_leaving = True
+        if not self.reports.has_given_back:
+            self.fleet.membership.set_busy(GIVING_BACK, True)
+
+    def _usage_collected(self, collected: CollectedUsage) -> None:
+        now = self.clock()
+        is_lease_valid = self.fleet.membership.lease.is_valid(now)
+        report = self.reports.collected(now, collected, is_lease_valid)
+        if report is not None:
+            lease_id = self.reports.lease_id
+            self._report_lane().put(self._report_call(report, lease_id), self._report_written, lease_id)
+
+    def _report_lane(self) -> "Lane":
+        return self.fleet.lanes[REPORT_LANE]
+
+    def _member_key(self) -> str:
+        return f"{self.fleet.name}/{self.reports.lease_id:x}"
+
+    def _report_call(self, report: UsageReport, lease_id: int) -> Transaction:
+        """Compared with the last one: a call that was abandoned can't replace a newer report by an older."""
+        key = REPORTS + self._member_key()
+        write = Put(key, encode_report(report), lease_id)
+        return Transaction(((key, self.reports.revision),), (write,), (Get(key),))
+
+    def _give_back(self) -> None:
+        """Write the last report: what may still run, and what was spent within a window.
+
+        The core's thread has ended, so nothing is spent any more. The report is not attached to the lease:
+        it stays until the allocator has read it.
+        """
+        self.reports.has_given_back = True
+        allocations = self.allocations
+        if self.reports.is_row_read and allocations.lease_id == self.reports.lease_id:
+            report = UsageReport(allocations.seen_write, allocations.report(()), has_left=True)
+            self._report_lane().put(self._report_call(report, 0), self._given_back)
+        else:
+            self._given_back(None)
+
+    def _given_back(self, _reply: Reply | None) -> None:
+        """The lease may end. A last report that was refused counts as that of a member that was killed."""
+        self.fleet.membership.set_busy(GIVING_BACK, False)
+
+    def _report_written(self, lease_id: int, reply: Reply) -> None:
+        if self.reports.written(lease_id, reply):
+            self._read_row()
+
+    def _read_row(self) -> None:
+        """Read our row: when we joined, or when changes of it were missed."""
+        request = ReadPrefix(f"{ALLOCATIONS}{self._member_key()}")
+        self._report_lane().put(request, self._row_read, self.reports.lease_id)
+
+    def _row_read(self, lease_id: int, reply: Reply) -> None:
+        if lease_id != self.reports.lease_id:
+            return
+        if reply.proof != Proof.DONE:
+            self.reports.row_read_failed()
+            return
+        self._row_watcher.follow(reply.revision + 1)
+        for item in reply.items:
+            self._row_changed(item.key, item.value, item.revision)
+
+    def _row_changed(self, key: str, value: str | None, _revision: int) -> None:
+        """Take in a change of a row under our name."""
+        if value is None or key != ALLOCATIONS + self._member_key():
+            return
+        write, entries = decode_row(value)
+        row = {name: allocated_amount(packed) for name, packed in entries.items()}
+        if row != self.row:
+            self._log_row(write, row)
+        self.row = row
+        self.unapplied.append(AllocationWrite(self.reports.lease_id, write, row))
+
+    def _log_row(self, write: int, row: dict[str, int]) -> None:
+        changed = {}
+        for name in self.row.keys() | row.keys():
+            if row.get(name, 0) != self.row.get(name, 0):
+                changed[name] = row.get(name, 0)
+        self.fleet.log_event("debug", "parts", write=write, parts=changed)
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -12,9 +12,10 @@
 from threading import Event
 from typing import TYPE_CHECKING, Any
 
-from gullhold.budgets import duty as dividing
-from gullhold.budgets.driver import LANES as BUDGET_LANES
-from gullhold.budgets.driver import Budgets, Unfit
+from gullhold.budgets.allocator_role import ROLE as ALLOCATOR_ROLE
+from gullhold.budgets.budget_rules import BudgetRuleError
+from gullhold.budgets.member_budgets import LANES as BUDGET_LANES
+from gullhold.budgets.member_budgets import MemberBudgets
 from gullhold.fleet import assembly, events
 from gullhold.fleet.assembly import UnusableFleetError
 from gullhold.fleet.backoff import Backoff
@@ -103,8 +104,8 @@
         self.budgets = None
         if record.budgets:
             try:
-                self.budgets = Budgets(self, record, agreement, monotonic_us)
-            except Unfit as error:
+                self.budgets = MemberBudgets(self, record, agreement, monotonic_us)
+            except BudgetRuleError as error:
                 raise UnusableFleetError(str(error)) from None
         self.policies = None
         if record.policy.on:
@@ -116,7 +117,7 @@
         roles = list(self.scheduled_commands)
         roles += [f"{HEARTBEAT_ROLE}{number}" for number in range(self.record.duties.beats)]
         if self.record.budgets:
-            roles.append(dividing.DUTY)
+            roles.append(ALLOCATOR_ROLE)
         if self.record.policy.on:
             roles.append(ROLLOUT_ROLE)
         return roles
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -48,7 +48,7 @@
         self.configuration_reload = ConfigurationReload(path, version, discovery_client)
         discovery_client.on_stream_end = self.configuration_reload.reload_if_changed
         if self.fleet and self.fleet.budgets:
-            discovery_client.may_call = self.fleet.budgets.may_call_lists
+            discovery_client.may_call = self.fleet.budgets.may_call_discovery
 
     def start(self) -> None:
         """Start all threads. Raises ResourceError where the system keeps refusing one."""
