--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -12,9 +12,12 @@
 from benchmarks import begin_decisions, close, decided, p95
 from gullhold.fleet.role_state import ReadKeys, WriteKeys
 from gullhold.fleet.store_calls import KeyValue, Proof, Put, Reply
-from gullhold.rollout import change
-from gullhold.rollout.record import Record, Unfit
-from gullhold.rollout.show import DROPPED, IN_FORCE, Away, Office
+from gullhold.rollout.policy_change import Overlap, PolicyChange
+from gullhold.rollout.policy_client import ExitStatus, PolicyClient, StoreUnavailableError
+from gullhold.rollout.policy_version import PolicyError, PolicyVersion
+from gullhold.rollout.rollout_coordinator import RolloutCoordinator
+from gullhold.rollout.store_schema import CHANGE_KEY, CURRENT_KEY, VOTES, encode_change, encode_vote
+from gullhold.rollout.vote import Vote, VoteKind
 from gullhold.testing import changecheck, changemutants, crowd
 from gullhold.testing.budgetcheck import Parts, most_at_once
 from gullhold.testing.counting import CountingEngine
@@ -98,27 +101,27 @@
     with fleet(6, budgets=[{"of": '"threads"', "whole": WHOLE, "linger": "600ms"}], seed=seed) as rig:
         rig.start()
         settled(rig, 0, rig.names)
-        office, safe = Office(rig.register_address, "rig"), rig.names[:4]
+        client, safe = PolicyClient(rig.register_address, "rig"), rig.names[:4]
         clients = load(rig, rig.names)
         for turn in range(count):
             kind, name = turn % 6, draw.choice(rig.names[4:] if turn % 6 == 0 else rig.names)
-            mb, overlap = FIRST_MB + turn, ("strict", "loose")[turn // 6 % 2]
+            mb, overlap = FIRST_MB + turn, (Overlap.STRICT, Overlap.LOOSE)[turn // 6 % 2]
             try:
-                record = office.propose(text(mb, turn), "bench", "b", overlap=overlap, patience_us=1_500_000)
-            except (Unfit, Away):  # the last one is not closed yet
+                record = client.propose(text(mb, turn), "bench", "b", overlap=overlap, patience_us=1_500_000)
+            except (PolicyError, StoreUnavailableError):  # the last one is not closed yet
                 time.sleep(0.3)
                 continue
             time.sleep(draw.random() * 0.05)
             _break(rig, kind, name, turn)
-            office.wait(record.number, 0.2)
+            client.wait(record.number, 0.2)
             if kind < 3:
                 (lambda who: rig.start(who, wait=False), rig.resume, rig.heal)[kind](name)
-            status, _ = office.wait(record.number, 6)
+            status, _ = client.wait(record.number, 6)
             outcomes.append((record.number, status))
             if Changes(rig.lines()).outcomes.get(record.number) == "decided":
                 grants.append((mb, overlap))
         time.sleep(0.5)
-        settled(rig, office.current().number, rig.names)
+        settled(rig, client.current().number, rig.names)
         end(clients)
         return judged(rig, clients, len(safe), outcomes, grants)
 
@@ -148,7 +151,7 @@
     sends, strict, overlaps = by_policy(rig.engines, [mb for mb, _ in grants]), 0, []
     for place, (_, overlap) in enumerate(grants, 1):  # each by itself: what it found and what it brought
         wrongs, overlap_ms = mixed([(at, now >= place) for at, now in sends if now in (place - 1, place)])
-        strict += wrongs * (overlap == "strict")
+        strict += wrongs * (overlap == Overlap.STRICT)
         overlaps.append(overlap_ms)
     logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
     bad = sum(
@@ -157,11 +160,11 @@
         for word in ("faults of ours", "faults of the module", "was not answered in time", "Traceback")
     )
     over = (most_at_once(rig.engines[0].flights)[0] > WHOLE) + (max(parts.most.values(), default=0) > WHOLE)
-    told = {IN_FORCE: "decided", DROPPED: "dropped"}
+    told = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}
     return {
         "changes": len(outcomes),
-        "in_force": sum(status == IN_FORCE for _, status in outcomes),
-        "dropped": sum(status == DROPPED for _, status in outcomes),
+        "in_force": sum(status == ExitStatus.IN_FORCE for _, status in outcomes),
+        "dropped": sum(status == ExitStatus.DROPPED for _, status in outcomes),
         "split": check.split,
         "mixed_sends": strict,
         "overlap_p99_ms": p95(overlaps, 0.99),
@@ -190,15 +193,15 @@
     with fleet(members) as rig:
         rig.start()
         settled(rig, 0, rig.names)
-        office, took = Office(rig.register_address, "rig"), []
+        client, took = PolicyClient(rig.register_address, "rig"), []
         time.sleep(0.3)
         idle = sum(rig.counts().values())
         time.sleep(1.0)
         idle, before, began = sum(rig.counts().values()) - idle, sum(rig.counts().values()), time.monotonic()
         for turn in range(count):
             at = time.monotonic()
-            record = office.propose(text_of(FIRST_MB + turn), "bench", "b", overlap="strict")
-            if office.wait(record.number, 8)[0] != IN_FORCE:
+            record = client.propose(text_of(FIRST_MB + turn), "bench", "b", overlap=Overlap.STRICT)
+            if client.wait(record.number, 8).status != ExitStatus.IN_FORCE:
                 raise SystemExit(f"change {record.number} did not come through")
             took.append(time.monotonic() - at)
         seconds = time.monotonic() - began
@@ -219,17 +222,20 @@
     with fleet(3) as rig:
         rig.start()
         settled(rig, 0, rig.names)
-        office, clients, ratios = Office(rig.register_address, "rig"), load(rig, rig.names, 60.0), []
+        client, clients, ratios = PolicyClient(rig.register_address, "rig"), load(rig, rig.names, 60.0), []
         time.sleep(0.5)
         for changing in (False, True):
             before = [(one.asked, one.answered) for one in clients]
             end_at, turn = time.monotonic() + seconds, 0
             while time.monotonic() < end_at:
                 if changing:
-                    record = office.propose(
-                        text_of(FIRST_MB + turn), "bench", "b", overlap=("strict", "loose")[turn % 2]
+                    record = client.propose(
+                        text_of(FIRST_MB + turn),
+                        "bench",
+                        "b",
+                        overlap=(Overlap.STRICT, Overlap.LOOSE)[turn % 2],
                     )
-                    office.wait(record.number, 5)
+                    client.wait(record.number, 5)
                     turn += 1
                     time.sleep(0.05)
                 else:
@@ -238,8 +244,8 @@
             done = sum(one.answered for one in clients) - sum(row[1] for row in before)
             ratios.append(done / max(1, asked))
         rig.kill("n2")
-        record = office.propose(text_of(49), "bench", "b")  # less than is asked for
-        office.wait(record.number, 6)
+        record = client.propose(text_of(49), "bench", "b")  # less than is asked for
+        client.wait(record.number, 6)
         end(clients)
         began = time.time()
         rig.start("n2")
@@ -252,45 +258,60 @@
         return round(ratios[1] / ratios[0], 4), round(back, 2), wrong
 
 
+class StoreOfOne:
+    """A store that only a coordinator uses: its keys, and the calls that the coordinator makes."""
+
+    def __init__(self):
+        self.keys, self.revision, self.calls = {}, 10, 0
+
+    def put(self, key, value):
+        """Write a key; the revision."""
+        self.revision += 1
+        self.keys[key] = value
+        return self.revision
+
+    def serve(self, coordinator):
+        """Carry out what the coordinator wants, until it wants nothing."""
+        while actions := coordinator.take_actions():
+            for action in actions:
+                if isinstance(action, ReadKeys):
+                    self.calls += 1
+                    items = tuple(KeyValue(key, value, self.revision) for key, value in self.keys.items())
+                    coordinator.read(0, action.serial, Reply(Proof.DONE, self.revision, items=items))
+                elif isinstance(action, WriteKeys):
+                    self.calls += 1
+                    self.revision += 1
+                    self.apply(action.operations)
+                    coordinator.written(0, action.serial, Reply(Proof.DONE, self.revision))
+
+    def apply(self, operations):
+        """Carry out the operations of one write."""
+        for operation in operations:
+            if isinstance(operation, Put):
+                self.keys[operation.key] = operation.value
+            else:
+                self.keys.pop(operation.key)
+
+
 def calls_alone(members):
-    """By the decisions alone: (calls of the carrier for one strict change, s that it takes to decide)."""
-    carrier, calls, revision, now = change.Carrier(), 0, 10, 0
-    record, keys = Record(1, 0, "", "", 0, "policy: {}").sealed(), {}
-    keys[change.CHANGE] = change.Open(record, overlap=change.STRICT).pack()
-    for i in range(members):
-        keys[f"{change.WORDS}m{i}/1"] = change.Word(0).pack()
-    carrier.won(1, now)
+    """By the decisions alone: (calls of the coordinator for one strict change, s that it takes to decide)."""
+    coordinator, store = RolloutCoordinator(), StoreOfOne()
+    version = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
+    store.keys[CHANGE_KEY] = encode_change(PolicyChange(version, overlap=Overlap.STRICT))
+    vote_keys = [f"{VOTES}m{i}/1" for i in range(members)]
+    for key in vote_keys:
+        store.keys[key] = encode_vote(Vote(0))
+    coordinator.won(1, 0)
     began = time.perf_counter()
-
-    def go():
-        nonlocal calls, revision
-        while True:
-            rows = carrier.take_actions()
-            for row in rows:
-                calls += isinstance(row, ReadKeys | WriteKeys)
-                if isinstance(row, ReadKeys):
-                    items = tuple(KeyValue(key, value, revision) for key, value in keys.items())
-                    carrier.read(now, row.serial, Reply(Proof.DONE, revision, items=items))
-                elif isinstance(row, WriteKeys):
-                    revision += 1
-                    for act in row.operations:
-                        keys[act.key] = act.value if isinstance(act, Put) else keys.pop(act.key) and None
-                    for key in [key for key, value in keys.items() if value is None]:
-                        del keys[key]
-                    carrier.written(now, row.serial, Reply(Proof.DONE, revision))
-            if not rows:
-                return
-
-    go()
-    for word in (change.Word(0, 1, change.READY), change.Word(0, 1, change.STILL), change.Word(1)):
-        for i in range(members):
-            revision += 1
-            keys[f"{change.WORDS}m{i}/1"] = word.pack()
-            carrier.changed(now, f"{change.WORDS}m{i}/1", word.pack(), revision)
-        go()
-    if change.CHANGE in keys or change.CURRENT not in keys:
+    store.serve(coordinator)
+    for vote in (Vote(0, 1, VoteKind.READY), Vote(0, 1, VoteKind.STILL), Vote(1)):
+        for key in vote_keys:
+            value = encode_vote(vote)
+            coordinator.changed(0, key, value, store.put(key, value))
+        store.serve(coordinator)
+    if CHANGE_KEY in store.keys or CURRENT_KEY not in store.keys:
         raise SystemExit(f"among {members} the change did not come through")
-    return calls, round(time.perf_counter() - began, 2)
+    return store.calls, round(time.perf_counter() - began, 2)
 
 
 def main():
@@ -312,7 +333,7 @@
             changemutants,
             STEPS,
             (60, 8, 1000, 3000) if args.quick else (1500, 16, 6000, 60_000),
-            (change.STRICT, change.LOOSE),
+            (Overlap.STRICT, Overlap.LOOSE),
         )
         show(**several(1 if args.quick else 7, args.seed))
         show(**decided(*alone))
--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -165,7 +165,7 @@
 
         return show.run(args.what, args.register, args.name, args.json)
     if args.command == "policy":
-        from gullhold.rollout import show as policy  # noqa: PLC0415  heavy libraries
+        from gullhold.rollout import policy_commands as policy  # noqa: PLC0415  heavy libraries
 
         return policy.run(args)
     if args.command == "rehearse":
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -25,9 +25,9 @@
 from gullhold.interface import DeduplicationScope
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.startup import start_thread
-from gullhold.rollout.change import DUTY as CARRIES
-from gullhold.rollout.driver import LANES as POLICY_LANES
-from gullhold.rollout.driver import Policies
+from gullhold.rollout.member_rollout import LANES as POLICY_LANES
+from gullhold.rollout.member_rollout import MemberRollout
+from gullhold.rollout.store_schema import ROLE as ROLLOUT_ROLE
 
 KEYS = "/gullhold/"  # before a fleet's name: other programs may use the register too
 PLAN, BEAT = "schedule/", "beat/"  # duties, by what they are for
@@ -131,7 +131,7 @@
         self.commands = {PLAN + item.name: item for item in record.schedule}
         duties = [*self.plans, *(f"{BEAT}{i}" for i in range(record.duties.beats))]
         duties += [dividing.DUTY] if record.budgets else []
-        duties += [CARRIES] if record.policy.on else []
+        duties += [ROLLOUT_ROLE] if record.policy.on else []
         self.membership = membership.Membership(
             self.name, f"{self.chance.getrandbits(64):016x}", rule, duties, self.chance.random, clock()
         )
@@ -151,7 +151,7 @@
             raise Unusable(str(fault)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = Policies(self, record, configuration.agreement, clock, terms.guaranteed_us())
+            self.policies = MemberRollout(self, record, configuration.agreement, clock, terms.guaranteed_us())
 
     def _plan(self, item, agreement):
         names = [profile.name for profile in agreement.profiles]
--- a/gullhold/rollout/__init__.py
+++ b/gullhold/rollout/__init__.py
@@ -1,6 +1,8 @@
-"""A policy of the fleet, changed everywhere or nowhere: numbered records, and a change as a state machine.
+"""Rollout of a fleet's policy: a new version is in force at every gateway or at none.
 
-Decisions, free of I/O: record (what a policy may say), change (whoever carries one through), member (one
-gateway's side). Drivers: driver (threads, core), snapshot (a disk that lasts), show (the command line).
-docs/notes/change.md says why it is built so.
+Decisions, free of I/O: policy_version, policy and policy_change (what is stored), store_schema (under which
+keys and how), rollout_coordinator with vote_tally and canary (the leader that carries a change out),
+rollout_member, policy_gate and member_actions (one gateway's side). Drivers: member_rollout (threads, core),
+snapshot (the last known version on disk), policy_client and policy_commands (the command line).
+docs/notes/change.md gives the reasons for the design.
 """
--- /dev/null
+++ b/gullhold/rollout/member_rollout.py
@@ -0,0 +1,228 @@
+"""Drives a member's side of the rollout: between the fleet's thread, the core and the store.
+
+The core asks the gate at each attempt and waits for nothing: what it is to go by, or to stop for, is posted
+to it, and the fleet's thread hears when it has.
+"""
+
+import time
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from gullhold.budgets.driver import OF as BUDGET_KINDS
+from gullhold.budgets.driver import name_of as budget_name
+from gullhold.budgets.duty import DUTY as BUDGETS_ROLE
+from gullhold.fleet.lease import MILLION
+from gullhold.fleet.role_state import LogEvent
+from gullhold.interface import Agreement
+from gullhold.rollout import snapshot
+from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
+from gullhold.rollout.policy import (
+    BudgetLimits,
+    DecisionTerms,
+    Deployment,
+    Policy,
+    budget_totals,
+    decision_terms,
+    find_fault,
+    parse_policy,
+    tenant_shares,
+)
+from gullhold.rollout.policy_change import ChangeState, PolicyChange
+from gullhold.rollout.policy_gate import PolicyGate
+from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
+from gullhold.rollout.rollout_coordinator import RolloutCoordinator
+from gullhold.rollout.rollout_member import RolloutMember
+from gullhold.rollout.store_schema import ROLE, ROOT, WATCHED
+from gullhold.rollout.vote import CommandFigures
+
+if TYPE_CHECKING:
+    from gullhold.fleet.driver import Fleet
+
+SCHEDULE = "schedule/"  # before the name of a scheduled command, among roles
+VOTE_LANE = "words"  # of the member's calls
+LANES = (VOTE_LANE, ROLE)  # of calls: neither waits for the other
+AT_START = 0  # serial of an adoption that the member did not ask for and that nobody waits for
+
+
+class CorePolicy(NamedTuple):
+    """A policy as the core takes it over."""
+
+    number: int
+    terms: DecisionTerms
+    budget_totals: dict[str, int]
+    tenant_shares: list[float]
+    client_weights: dict[str, float]
+
+
+class MemberRollout:
+    """One member's side, and the coordinator's role.
+
+    Called on the fleet's thread, except for the section below that the core's thread runs.
+    """
+
+    def __init__(
+        self, fleet: "Fleet", record: Any, agreement: Agreement, clock: Callable[[], int], guaranteed_us: int
+    ) -> None:
+        """record: of the operator file's fleet; guaranteed_us: how long a lease surely holds."""
+        self.fleet = fleet
+        self.core = fleet.core
+        self.clock = clock
+        self.settings = record.policy
+        queue = self.core.door
+        self.client_weights = _weights_by_name(queue.client_weights) if queue else {}
+        budgets = {
+            budget_name(item): BudgetLimits(item.whole, item.alone * item.members) for item in record.budgets
+        }
+        schedules = [item.name for item in record.schedule]
+        self.deployment = Deployment(agreement, budgets, schedules, has_admission_queue=bool(queue))
+        self.gate = PolicyGate(fleet.membership.lease, clock, guaranteed_us, self.settings.cut)
+        self.member = RolloutMember(fleet.name, self.gate, self.fits, self._figures)
+        fleet.held[ROLE] = RolloutCoordinator()
+        # Budget totals while a change is open: neither old nor new allocations sum to more than either.
+        self.lowest_totals: dict[str, int] = {}
+        self.resized_for: tuple | None = None  # version and change that the allocator was last told of
+        self.core.fences.append(self.gate)
+        self._adopt(AT_START, INITIAL_VERSION)  # before the first command: the gate is closed
+        self._use_snapshot()
+
+    def _use_snapshot(self) -> None:
+        """Dispatch by the snapshot for as long as the operator allows, whether the store answers or not."""
+        found = snapshot.read(self.settings.snapshot) if self.settings.snapshot else None
+        if not found or not self.settings.spare:
+            return
+        version, at_us = found
+        age_us = time.time_ns() // 1000 - at_us
+        left_us = self.settings.spare - age_us
+        self.fleet.event(
+            "warning",
+            "a snapshot",
+            number=version.number,
+            age_s=round(age_us / MILLION, 1),
+            used_for_s=round(max(0, left_us) / MILLION, 1),
+        )
+        if left_us > 0 and not self.fits(version):
+            self.gate.snapshot_valid_until = self.clock() + left_us
+            self._adopt(AT_START, version)
+
+    def fits(self, version: PolicyVersion) -> str:
+        """What keeps a version from being run here, one line; "": nothing."""
+        try:
+            policy = parse_policy(version.text, f"policy {version.number}")
+        except PolicyError as error:
+            return str(error)
+        return find_fault(policy, self.deployment)
+
+    def _figures(self) -> CommandFigures:
+        """How commands fared since the start, as the core counts; shed ones have failed."""
+        counts = self.core.counters.counts
+        return CommandFigures(counts["answered"], counts["failed"] + counts["shed"], counts["answered us"])
+
+    def start(self, follow: Callable[..., Any]) -> None:
+        """Make the watchers: follow(name, prefix, event) makes one whose changes come as this event."""
+        self.watcher = follow("policy", WATCHED, "policy_changed")
+        self.fleet.watchers[ROLE] = follow("words", ROOT, "duty_changed", ROLE)
+
+    def step(self, now: int) -> None:
+        """Do what is next."""
+        lease = self.fleet.membership.lease
+        self.member.step(now, lease.id if lease.is_valid(now) else 0)
+        self._carry_out()
+
+    def due(self, now: int) -> int:
+        """When to step() at the latest."""
+        return self.member.due(now)
+
+    def _carry_out(self) -> None:
+        """Do what the member wants done."""
+        while actions := self.member.take_actions():
+            for action in actions:
+                match action:
+                    case CallStore(serial, request):
+                        self.fleet.lanes[VOTE_LANE].put(request, "policy_replied", serial)
+                    case AdoptVersion(serial, version):
+                        self._adopt(serial, version)
+                    case StopDispatching(number):
+                        self.core.post_urgent(self._confirm_stopped, number)
+                    case WatchPolicy(revision):
+                        self.watcher.follow(revision)
+                    case LogEvent(level, text, facts):
+                        self.fleet.event(level, "policy: " + text, **facts)
+        self._resize_budgets()
+
+    def _adopt(self, serial: int, version: PolicyVersion) -> None:
+        policy = parse_policy(version.text, f"policy {version.number}")
+        self.core.post_urgent(self._apply, serial, self._for_core(version, policy))
+        for name in self.deployment.scheduled_commands:
+            self.fleet.plans[SCHEDULE + name].off = not policy.schedules.get(name, True)
+        if serial != AT_START and self.settings.snapshot and not self.member.tried_change:
+            self._write_snapshot(version)
+
+    def _for_core(self, version: PolicyVersion, policy: Policy) -> CorePolicy:
+        agreement = self.deployment.agreement
+        return CorePolicy(
+            version.number,
+            decision_terms(policy, agreement),
+            budget_totals(policy, self.deployment.budgets),
+            tenant_shares(policy, agreement),
+            self.client_weights | policy.clients,
+        )
+
+    def _write_snapshot(self, version: PolicyVersion) -> None:
+        try:
+            snapshot.write(self.settings.snapshot, version, time.time_ns() // 1000)
+        except OSError as error:
+            self.fleet.event("warning", "policy: no snapshot", why=str(error))
+
+    # On the core's thread
+
+    def _apply(self, serial: int, policy: CorePolicy) -> None:
+        if self.fleet.budgets:
+            self.fleet.budgets.purses.resize(_by_kind(policy.budget_totals))
+        self.core.apply_policy(policy.terms, self.gate, policy.tenant_shares, policy.client_weights)
+        self.core.counters.add(f"policy {policy.number}")
+        self.fleet.queue.put(("adopted", serial))
+
+    def _confirm_stopped(self, number: int) -> None:
+        """The gate is closed, and asked at each attempt: from here on none is sent."""
+        self.fleet.queue.put(("stopped", number))
+
+    # The allocator of budgets, on the fleet's thread
+
+    def _resize_budgets(self) -> None:
+        """The allocator goes by the lowest totals while a change is open."""
+        version = self.member.version
+        change = self.member.change
+        progress = (version.number, change and (change.version.number, change.state))
+        if not self.fleet.budgets or progress == self.resized_for:
+            return
+        self.resized_for = progress
+        current = budget_totals(parse_policy(version.text), self.deployment.budgets)
+        if change is None or change.state == ChangeState.DROPPED:
+            self.lowest_totals = current
+        elif self._may_come_into_force(change):
+            self._lower_totals(current, change)
+        # Once it is decided, the totals stay as they were until every member goes by it.
+        self.fleet.held[BUDGETS_ROLE].resize(self.lowest_totals)
+
+    def _may_come_into_force(self, change: PolicyChange) -> bool:
+        return change.state in (ChangeState.CHECKED, ChangeState.PREPARED) and not self.fits(change.version)
+
+    def _lower_totals(self, current: dict[str, int], change: PolicyChange) -> None:
+        new = budget_totals(parse_policy(change.version.text), self.deployment.budgets)
+        self.lowest_totals = {
+            name: min(total, new[name], self.lowest_totals.get(name, total))
+            for name, total in current.items()
+        }
+
+
+def _weights_by_name(weights: Mapping[bytes, float]) -> dict[str, float]:
+    return {name.decode(): weight for name, weight in weights.items()}
+
+
+def _by_kind(totals: Mapping[str, int]) -> dict[tuple[Any, str], int]:
+    """Totals by kind of budget and tenant's name, "" for those of all tenants."""
+    found = {}
+    for name, total in totals.items():
+        kind, _, tenant = name.partition("/")
+        found[BUDGET_KINDS[kind], tenant] = total
+    return found
--- /dev/null
+++ b/gullhold/rollout/policy_change.py
@@ -0,0 +1,89 @@
+"""The one change of policy that may be open in a fleet, its states, and how one is proposed.
+
+The states form a two-phase commit through the store: every state is a value of one key, so that the next
+leader of the role goes on where the last one failed, and a single write decides.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+from gullhold.rollout.policy_version import PolicyVersion
+
+
+class ChangeState(StrEnum):
+    """State of a change, with the values that the store holds."""
+
+    PROPOSED = "proposed"  # by staff; not looked at yet
+    CHECKED = "checked"  # its digest and its parent fit; each member checks it and votes
+    CANARY = "canary"  # some members go by it for a stated time, and all report how their commands fare
+    PREPARED = "prepared"  # strict changes only: members stop dispatching
+    DECIDED = "decided"  # in force
+    DROPPED = "dropped"  # will never be in force
+
+
+NEXT_STATES: Mapping[ChangeState, tuple[ChangeState, ...]] = {
+    ChangeState.PROPOSED: (ChangeState.CHECKED, ChangeState.DROPPED),
+    ChangeState.CHECKED: (
+        ChangeState.CANARY,
+        ChangeState.PREPARED,
+        ChangeState.DECIDED,
+        ChangeState.DROPPED,
+    ),
+    ChangeState.CANARY: (ChangeState.DECIDED, ChangeState.DROPPED),
+    ChangeState.PREPARED: (ChangeState.DECIDED, ChangeState.DROPPED),
+    ChangeState.DECIDED: (),  # the key is deleted when every member goes by what is in force
+    ChangeState.DROPPED: (),
+}
+FINAL_STATES = frozenset((ChangeState.DECIDED, ChangeState.DROPPED))
+
+
+class Overlap(StrEnum):
+    """Whether attempts under the old and the new version may run at the same time."""
+
+    LOOSE = "loose"
+    STRICT = "strict"
+
+
+class OnSilence(StrEnum):
+    """What is made of members that don't vote in time: the change waits for them, or is dropped."""
+
+    WAIT = "wait"
+    DROP = "drop"
+
+
+class Canary(NamedTuple):
+    """A trial on some of the members before all go by a change.
+
+    member_share: the part of the members; duration_us: how long; the change is dropped if a greater share of
+    their commands fails than max_failed_share, or if their answers take more than max_slowdown times as long
+    as the other members'.
+    """
+
+    member_share: float
+    duration_us: int
+    max_failed_share: float = 0.05
+    max_slowdown: float = 1.5
+
+
+@dataclass(frozen=True, slots=True)
+class PolicyChange:
+    """The open change.
+
+    patience_us: how long votes are waited for where on_silence is DROP; reason: why it was dropped;
+    drop_requested: staff want it dropped; canary_members: names and leases of the members that try it.
+
+    A state, an overlap or an on_silence that this program does not know stays the text that it is: written
+    back as it was, and equal to none of the known ones.
+    """
+
+    version: PolicyVersion
+    state: ChangeState = ChangeState.PROPOSED
+    overlap: Overlap = Overlap.LOOSE
+    on_silence: OnSilence = OnSilence.DROP
+    patience_us: int = 10_000_000
+    reason: str = ""
+    drop_requested: bool = False
+    canary: Canary | None = None
+    canary_members: tuple[str, ...] = ()
--- /dev/null
+++ b/gullhold/rollout/policy_gate.py
@@ -0,0 +1,86 @@
+"""Whether the fleet's policy lets this gateway dispatch: a lease that holds, and a policy that is known."""
+
+from collections.abc import Callable
+from enum import StrEnum
+from typing import Protocol
+
+STAND_MARGIN_DIVISOR = 3  # of a lease's time, this part is left unused: a renewal was missed by then
+
+
+class CutOffRule(StrEnum):
+    """How long a member that is cut off while a change is open goes on (values of the operator file)."""
+
+    KEEP = "keep"  # until its lease ends
+    STAND = "stand"  # until a part of the lease's time is left
+
+
+class LeaseView(Protocol):
+    """This member's lease, which another thread renews and clears."""
+
+    id: int
+    valid_until: int
+
+
+class PolicyGate:
+    """Implements gullhold.interface.PolicyGate, and fences off what was decided before it was closed.
+
+    Asked on the core's thread at each attempt, and changed by the fleet's thread. clock: monotonic us;
+    guaranteed_us: how long a lease surely holds.
+    """
+
+    def __init__(
+        self, lease: LeaseView, clock: Callable[[], int], guaranteed_us: int, cut_off_rule: str
+    ) -> None:
+        self.lease = lease
+        self.clock = clock
+        self.guaranteed_us = guaranteed_us
+        self.cut_off_rule = cut_off_rule
+        self.enrolled_lease = 0  # the lease under which this member has enrolled; 0: it has not
+        self.open_change = 0  # number of the change that this member has voted ready on
+        self.is_stopped = False
+        self.stop_count = 0
+        # What is in force was read this lately: guards against a watch that hears nothing, which is no proof.
+        self.policy_known_until = 0
+        self.snapshot_valid_until = 0  # by a snapshot, where the store was unreachable at the start
+
+    def may_dispatch(self) -> bool:
+        """Whether an attempt may be sent now."""
+        # The end of the lease is read before its id: another lease may begin in between.
+        now = self.clock()
+        valid_until = self.lease.valid_until
+        if now < self.snapshot_valid_until:
+            return True
+        margin_us = 0
+        if self.cut_off_rule == CutOffRule.STAND and self.open_change:
+            margin_us = self.guaranteed_us // STAND_MARGIN_DIVISOR
+        return (
+            not self.is_stopped
+            and now < valid_until - margin_us
+            and self.lease.id == self.enrolled_lease != 0
+            and now < self.policy_known_until - margin_us
+        )
+
+    def stop(self) -> None:
+        """Close the gate. What was decided until now does not go out later either."""
+        self.is_stopped = True
+        self.stop_count += 1
+
+    def reopen(self) -> None:
+        """Open the gate again, with no change to wait for."""
+        self.is_stopped = False
+        self.open_change = 0
+
+    def fencing_token(self) -> tuple[int, int]:
+        """Under what attempts are decided now."""
+        return self.enrolled_lease, self.stop_count
+
+    def token_valid(self, token: tuple[int, int]) -> bool:
+        """Whether what was decided under a token may still go out."""
+        return self.may_dispatch() and token == self.fencing_token()
+
+    def rejects_new(self) -> bool:
+        """Whether new commands are rejected: it is not known by what to decide. Stops are short."""
+        now = self.clock()
+        if now < self.snapshot_valid_until:
+            return False
+        return not (self.enrolled_lease and now < self.lease.valid_until and now < self.policy_known_until)
--- /dev/null
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -0,0 +1,245 @@
+"""The role of carrying a change of policy through. Decisions only: fed times, replies and changed keys.
+
+All states are in the store, so that the next leader of the role goes on where the last one failed. One write
+decides; it compares the leader's token, the change as it was read, and the enrollment key, which every member
+that joins writes: so whoever joined has voted on this change, or the decision is not made. A member that is
+down has no key; it learns what is in force before it dispatches anything.
+"""
+
+from dataclasses import replace
+
+from gullhold.fleet.role_state import LogEvent, RoleState
+from gullhold.fleet.store_calls import Delete, Operation, Put, Reply
+from gullhold.rollout import canary
+from gullhold.rollout.policy_change import (
+    FINAL_STATES,
+    NEXT_STATES,
+    ChangeState,
+    OnSilence,
+    Overlap,
+    PolicyChange,
+)
+from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
+from gullhold.rollout.store_schema import (
+    CHANGE_KEY,
+    CURRENT_KEY,
+    ENROLLMENT_KEY,
+    HISTORY,
+    ROOT,
+    VOTES,
+    WATCHED,
+    HistoryEntry,
+    Outcome,
+    decode_change,
+    decode_version,
+    decode_vote,
+    encode_change,
+    encode_history_entry,
+    encode_version,
+    history_key,
+)
+from gullhold.rollout.vote import VoteKind
+from gullhold.rollout.vote_tally import VoteTally
+
+MAX_HISTORY = 50  # versions that stay in the store, for staff: one transaction deletes the rest
+MAX_NAMES = 5  # members named in a reason: it is one line
+
+
+class RolloutCoordinator(RoleState):
+    """The open change and the members' votes, while this member leads the role."""
+
+    def __init__(self) -> None:
+        super().__init__(ROOT)
+        self.revision = 0  # newest revision taken in
+        self.change_since = 0  # since when the change is in its state, us
+        self._forget()
+
+    def _forget(self) -> None:
+        self.change: PolicyChange | None = None
+        self.change_revision = 0
+        self.current: PolicyVersion = INITIAL_VERSION
+        self.current_revision = 0
+        self.enrollment_revision = 0
+        self.votes = VoteTally()
+        self.history: list[int] = []  # numbers of the versions in the store's history
+
+    def _next_write_at(self, now: int) -> int | None:
+        """What has waited longer than its time waits for votes: they come by themselves."""
+        if self.change is None:
+            return None
+        waits = [self.change.patience_us]
+        if self.change.state == ChangeState.CANARY:
+            waits.append(self.change.canary.duration_us)
+        times = [self.change_since + wait for wait in waits]
+        return min((time for time in times if time > now), default=None)
+
+    def _write_next(self, now: int) -> None:
+        if self.change is None:
+            return
+        match self.change.state:
+            case ChangeState.PROPOSED:
+                self._check_proposal()
+            case ChangeState.CHECKED:
+                self._collect_votes(now)
+            case ChangeState.CANARY:
+                self._watch_canary(now)
+            case ChangeState.PREPARED:
+                self._await_stopped(now)
+            case ChangeState.DECIDED | ChangeState.DROPPED:
+                self._close()
+            case unknown:
+                raise PolicyError(f"a change in a state that this version does not know: {unknown}")
+
+    # States
+
+    def _check_proposal(self) -> None:
+        reason = self._fault_in_proposal()
+        self._change_state(ChangeState.DROPPED if reason else ChangeState.CHECKED, reason)
+
+    def _fault_in_proposal(self) -> str:
+        version = self.change.version
+        try:
+            version.verify()
+        except PolicyError as error:
+            return str(error)
+        if version.parent != self.current.number:
+            return f"{self.current.number} is in force, not {version.parent}"
+        return ""
+
+    def _collect_votes(self, now: int) -> None:
+        if self._drop_if_refused():
+            return
+        if not self._all_support(VoteKind.READY):
+            self._drop_if_overdue(now, VoteKind.READY)
+        elif self.change.canary:
+            members = canary.choose_members(self.change, self.votes.votes)
+            self._change_state(ChangeState.CANARY, canary_members=members)
+        elif self.change.overlap == Overlap.STRICT:
+            self._change_state(ChangeState.PREPARED)
+        else:
+            self._change_state(ChangeState.DECIDED)
+
+    def _watch_canary(self, now: int) -> None:
+        """Drop the change as soon as its canary fails, whoever leads; decide it when the canary is over."""
+        if self._drop_if_refused():
+            return
+        is_over = now >= self.change_since + self.change.canary.duration_us
+        fault = canary.find_fault(self.change, self.votes.votes, is_over)
+        if fault:
+            self._change_state(ChangeState.DROPPED, "canary: " + fault)
+        elif not is_over:
+            return
+        elif self._all_support(VoteKind.READY) and canary.all_reported(self.change, self.votes.votes):
+            self._change_state(ChangeState.DECIDED)
+        else:
+            self._drop_if_overdue(now, VoteKind.READY)
+
+    def _await_stopped(self, now: int) -> None:
+        if self._drop_if_refused():
+            return
+        if self._all_support(VoteKind.STILL):
+            self._change_state(ChangeState.DECIDED)
+        else:
+            self._drop_if_overdue(now, VoteKind.STILL)
+
+    def _close(self) -> None:
+        """Every member goes by what is in force: the next change may come."""
+        if self.votes.all_under(self.current.number):
+            self._write_if_unchanged([Delete(CHANGE_KEY)])
+
+    def _all_support(self, kind: VoteKind) -> bool:
+        return self.votes.all_support(self.change.version.number, kind)
+
+    def _drop_if_refused(self) -> bool:
+        """Drop the change if staff or a member want that; whether they do."""
+        refusal = self.votes.first_refusal(self.change.version.number)
+        if self.change.drop_requested:
+            self._change_state(ChangeState.DROPPED, "dropped by staff")
+            return True
+        if refusal:
+            member, vote = refusal
+            self._change_state(ChangeState.DROPPED, f"{member}: {vote.reason}")
+            return True
+        return False
+
+    def _drop_if_overdue(self, now: int, kind: VoteKind) -> None:
+        """Votes are missing: the change waits, or is dropped after its patience, as the operator chose."""
+        is_overdue = now >= self.change_since + self.change.patience_us
+        if self.change.on_silence != OnSilence.DROP or not is_overdue:
+            return
+        missing = self.votes.missing(self.change.version.number, kind)
+        names = ", ".join(missing[:MAX_NAMES]) or "nobody is there"
+        self._change_state(ChangeState.DROPPED, f"not {kind} in time: {names}")
+
+    def _change_state(
+        self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
+    ) -> None:
+        """Write the change's new state; nothing else does."""
+        assert state in NEXT_STATES[self.change.state], f"{self.change.state} to {state}"
+        change = replace(self.change, state=state, reason=reason, canary_members=canary_members)
+        operations: list[Operation] = [Put(CHANGE_KEY, encode_change(change))]
+        if state in FINAL_STATES:
+            entry = HistoryEntry(change.version, Outcome(state, reason))
+            operations.append(Put(history_key(change.version.number), encode_history_entry(entry)))
+            operations += [Delete(history_key(number)) for number in self.history[:-MAX_HISTORY]]
+        if state == ChangeState.DECIDED:
+            operations.append(Put(CURRENT_KEY, encode_version(change.version)))
+        self._write_if_unchanged(operations)
+
+    def _write_if_unchanged(self, operations: list[Operation]) -> None:
+        conditions = (
+            (CHANGE_KEY, self.change_revision),
+            (CURRENT_KEY, self.current_revision),
+            (ENROLLMENT_KEY, self.enrollment_revision),
+        )
+        self._write(operations, conditions)
+
+    # Events
+
+    def _write_confirmed(self, _reply: Reply) -> bool:
+        """What a write did is read anew, with everything else."""
+        return False
+
+    def _on_loaded(self, now: int, reply: Reply) -> None:
+        before = self._progress()
+        self._forget()
+        self.revision = reply.revision
+        for item in reply.items:
+            self._load(item.key, item.value, item.revision)
+        if self._progress() == before:
+            return
+        self.change_since = now
+        if self.change:
+            facts = {"number": self.change.version.number, "why": self.change.reason}
+            self.out.append(LogEvent("info", "policy: change " + self.change.state, facts))
+
+    def _progress(self) -> tuple[int, ChangeState] | None:
+        """The change's number and state."""
+        return (self.change.version.number, self.change.state) if self.change else None
+
+    def _load(self, key: str, value: str, revision: int) -> None:
+        if key == CURRENT_KEY:
+            self.current = decode_version(value)
+            self.current_revision = revision
+        elif key == CHANGE_KEY:
+            self.change = decode_change(value)
+            self.change_revision = revision
+        elif key == ENROLLMENT_KEY:
+            self.enrollment_revision = revision
+        elif key.startswith(VOTES):
+            self.votes.set(key.removeprefix(VOTES), decode_vote(value))
+        elif key.startswith(HISTORY):
+            self.history.append(int(key.removeprefix(HISTORY)))
+
+    def _on_key_changed(self, _now: int, key: str, value: str | None, revision: int) -> bool:
+        if revision < self.revision:
+            return False
+        self.revision = revision
+        if key.startswith(VOTES):
+            vote = None if value is None else decode_vote(value)
+            self.votes.set(key.removeprefix(VOTES), vote)
+        elif key == ENROLLMENT_KEY:
+            self.enrollment_revision = revision
+        elif key.startswith(WATCHED) and not self.writing:
+            self.loaded = False  # while we write, it is read when the reply has come
+        return True
--- a/gullhold/rollout/snapshot.py
+++ b/gullhold/rollout/snapshot.py
@@ -1,34 +1,42 @@
-"""What an instance last knew to be in force, on a disk that lasts: written whole or not at all."""
+"""The version that a member last knew to be in force, in a file: for a start without the store."""
 
 import json
 import os
 from contextlib import suppress
+from os import PathLike
 
-from gullhold.rollout import record as records
-from gullhold.rollout.record import Unfit
+from gullhold.rollout.policy_version import PolicyError, PolicyVersion
+from gullhold.rollout.store_schema import version_from_stored, version_to_stored
 
 
-def write(path, record, at_us):
-    """Put it there; a kill at any moment leaves the old one or the new one. at_us: Unix."""
-    fresh = f"{path}.new"
-    with open(fresh, "w", encoding="utf-8") as out:
-        json.dump({"at_us": at_us, "record": record._asdict()}, out)
-        out.flush()
-        os.fsync(out.fileno())
-    os.replace(fresh, path)
-    with suppress(OSError):  # the folder's own entry; not all systems allow it
-        folder = os.open(os.path.dirname(os.path.abspath(path)), os.O_RDONLY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+def write(path: str | PathLike[str], version: PolicyVersion, at_us: int) -> None:
+    """Replace the snapshot; a kill at any moment leaves the old one or the new one. at_us: Unix time.
 
+    Raises OSError where it can't be written.
+    """
+    temporary_path = f"{path}.new"
+    with open(temporary_path, "w", encoding="utf-8") as file:
+        json.dump({"at_us": at_us, "record": version_to_stored(version)}, file)
+        file.flush()
+        os.fsync(file.fileno())
+    os.replace(temporary_path, path)
+    with suppress(OSError):  # the directory's own entry; not all systems allow it
+        _sync_directory(os.path.dirname(os.path.abspath(path)))
 
-def read(path):
-    """(record, Unix us of when it was known to be in force); None: there is none that can be used."""
+
+def _sync_directory(path: str) -> None:
+    descriptor = os.open(path, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
+
+
+def read(path: str | PathLike[str]) -> tuple[PolicyVersion, int] | None:
+    """The version and the Unix time (us) at which it was known to be in force; None: no usable snapshot."""
     try:
-        with open(path, encoding="utf-8") as source:
-            told = json.load(source)
-        return records.unpack(told["record"]), int(told["at_us"])
-    except (OSError, ValueError, KeyError, TypeError, Unfit):
+        with open(path, encoding="utf-8") as file:
+            stored = json.load(file)
+        return version_from_stored(stored["record"]), int(stored["at_us"])
+    except (OSError, ValueError, KeyError, TypeError, PolicyError):
         return None
--- /dev/null
+++ b/gullhold/rollout/store_schema.py
@@ -0,0 +1,198 @@
+"""Keys and values of the rollout in the fleet's store: the one place that knows their stored forms.
+
+Every value is a JSON object. The names of its fields, and their order, are those that earlier versions wrote.
+"""
+
+import json
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any, NamedTuple, TypeVar
+
+from gullhold.rollout.policy_change import Canary, ChangeState, OnSilence, Overlap, PolicyChange
+from gullhold.rollout.policy_version import PolicyError, PolicyVersion
+from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
+
+ROLE = "policy"  # of the member that coordinates changes
+ROOT = "policy/"  # before all keys of the rollout
+WATCHED = ROOT + "now/"  # before the keys that every member follows
+CURRENT_KEY = WATCHED + "current"  # the version in force; absent: the initial one
+CHANGE_KEY = WATCHED + "change"  # the open change; absent: none is
+ENROLLMENT_KEY = ROOT + "roll"  # every member that enrolls writes it, so that a decision notices a new one
+VOTES = ROOT + "words/"  # before a member's name and lease
+HISTORY = ROOT + "past/"  # before the number of a version that was decided on
+
+# Stored name of each field, with the attribute that it is in.
+VERSION_FIELDS = {
+    "number": "number",
+    "parent": "parent",
+    "author": "author",
+    "why": "reason",
+    "at_us": "created_at_us",
+    "text": "text",
+    "digest": "digest",
+}
+CHANGE_FIELDS = {
+    "record": "version",
+    "state": "state",
+    "overlap": "overlap",
+    "silence": "on_silence",
+    "patience_us": "patience_us",
+    "why": "reason",
+    "drop": "drop_requested",
+    "canary": "canary",
+    "trial": "canary_members",
+}
+VOTE_FIELDS = {
+    "under": "version",
+    "about": "change",
+    "word": "kind",
+    "why": "reason",
+    "figures": "figures",
+}
+
+UNREADABLE_VOTE = Vote(-1, 0, VoteKind.UNREADABLE)
+Kind = TypeVar("Kind", bound=StrEnum)
+
+
+@dataclass(frozen=True, slots=True)
+class Outcome:
+    """What became of a change, and why it was dropped."""
+
+    state: ChangeState
+    reason: str
+
+
+class HistoryEntry(NamedTuple):
+    """A version that was decided on, and what became of it."""
+
+    version: PolicyVersion
+    outcome: Outcome
+
+
+def history_key(number: int) -> str:
+    """The key under which a version stays after the decision; keys sort by number."""
+    return f"{HISTORY}{number:010d}"
+
+
+def vote_key(member: str, lease: int) -> str:
+    """The key of a member's vote. A member that gets another lease is another member."""
+    return f"{VOTES}{member}/{lease:x}"
+
+
+def version_to_stored(version: PolicyVersion) -> dict[str, Any]:
+    """A version's fields as they are stored."""
+    return _stored_fields(version, VERSION_FIELDS)
+
+
+def version_from_stored(fields: Any) -> PolicyVersion:
+    """The version with these stored fields, its digest verified. Raises PolicyError."""
+    try:
+        version = _version(fields)
+    except (ValueError, TypeError):
+        raise PolicyError("a record that can't be read") from None
+    version.verify()
+    return version
+
+
+def encode_version(version: PolicyVersion) -> str:
+    """A version as the store holds it."""
+    return json.dumps(version_to_stored(version))
+
+
+def decode_version(text: str) -> PolicyVersion:
+    """The version that was stored, its digest verified. Raises PolicyError."""
+    try:
+        fields = json.loads(text)
+    except (ValueError, TypeError):
+        raise PolicyError("a record that can't be read") from None
+    return version_from_stored(fields)
+
+
+def encode_change(change: PolicyChange) -> str:
+    """A change as the store holds it."""
+    return json.dumps(_stored_fields(change, CHANGE_FIELDS) | {"record": version_to_stored(change.version)})
+
+
+def decode_change(text: str) -> PolicyChange:
+    """The change that was stored; the digest of its version is not verified. Raises PolicyError."""
+    try:
+        fields = json.loads(text)
+        canary = fields.get("canary")
+        attributes = _attributes(fields, CHANGE_FIELDS)
+        attributes["version"] = _version(fields["record"])
+        attributes["canary"] = Canary(*canary) if canary else None
+        attributes["canary_members"] = tuple(fields.get("trial", ()))
+        _convert(attributes, "state", ChangeState)
+        _convert(attributes, "overlap", Overlap)
+        _convert(attributes, "on_silence", OnSilence)
+        return PolicyChange(**attributes)
+    except (ValueError, TypeError, KeyError):
+        raise PolicyError("a change that can't be read") from None
+
+
+def encode_vote(vote: Vote) -> str:
+    """A vote as the store holds it."""
+    return json.dumps(_stored_fields(vote, VOTE_FIELDS) | {"figures": vote.figures or ()})
+
+
+def decode_vote(text: str) -> Vote:
+    """The vote that was stored; UNREADABLE_VOTE, which supports nothing, for one that can't be read."""
+    try:
+        fields = json.loads(text)
+        figures = fields.get("figures", ())
+        attributes = _attributes(fields, VOTE_FIELDS)
+        attributes["figures"] = CommandFigures(*figures) if figures else None
+        _convert(attributes, "kind", VoteKind)
+        return Vote(**attributes)
+    except (ValueError, TypeError, AttributeError):
+        return UNREADABLE_VOTE
+
+
+def encode_history_entry(entry: HistoryEntry) -> str:
+    """A history entry as the store holds it."""
+    fields = {
+        "record": version_to_stored(entry.version),
+        "outcome": entry.outcome.state,
+        "why": entry.outcome.reason,
+    }
+    return json.dumps(fields)
+
+
+def decode_outcome(text: str) -> Outcome:
+    """The outcome in a stored history entry."""
+    fields = json.loads(text)
+    return Outcome(_known(fields["outcome"], ChangeState), fields["why"])
+
+
+def decode_history_entry(text: str) -> HistoryEntry:
+    """The history entry that was stored; the digest of its version is not verified."""
+    return HistoryEntry(_version(json.loads(text)["record"]), decode_outcome(text))
+
+
+def _version(fields: Any) -> PolicyVersion:
+    return PolicyVersion(**_attributes(fields, VERSION_FIELDS))
+
+
+def _stored_fields(item: object, names: Mapping[str, str]) -> dict[str, Any]:
+    return {stored: getattr(item, attribute) for stored, attribute in names.items()}
+
+
+def _attributes(fields: Any, names: Mapping[str, str]) -> dict[str, Any]:
+    """The attributes in a stored object. Raises TypeError unless it has only fields of these names."""
+    if not isinstance(fields, dict) or not fields.keys() <= names.keys():
+        raise TypeError("not an object with the fields that this version knows")
+    return {names[stored]: value for stored, value in fields.items()}
+
+
+def _convert(attributes: dict[str, Any], name: str, kind: type[Kind]) -> None:
+    if name in attributes:
+        attributes[name] = _known(attributes[name], kind)
+
+
+def _known(value: Any, kind: type[Kind]) -> Any:
+    """The enum's member; the value itself where a later version wrote one that this version does not know."""
+    try:
+        return kind(value)
+    except ValueError:
+        return value
--- a/gullhold/testing/changemutants.py
+++ b/gullhold/testing/changemutants.py
@@ -1,178 +1,218 @@
-"""Deliberate faults in the decisions of a change: the explorer finds each one, or it has a gap."""
-
-from gullhold.fleet.store_calls import Proof, Transaction
-from gullhold.rollout import change
-from gullhold.rollout.change import CHANGE, CHECKED, DECIDED, PREPARED, READY, ROLL, STILL, Carrier
-from gullhold.rollout.member import ENROLLING, LEARNING, ON, Gate, Member
+"""Deliberate faults in the decisions of a rollout: the explorer finds each one, or it has a gap."""
+
+from dataclasses import replace
+
+from gullhold.fleet.role_state import RoleAction, WriteKeys
+from gullhold.fleet.store_calls import Condition, Delete, Proof, Reply, Transaction
+from gullhold.rollout.member_actions import CallStore
+from gullhold.rollout.member_state import CallPurpose, MemberState
+from gullhold.rollout.policy_change import ChangeState
+from gullhold.rollout.policy_gate import PolicyGate
+from gullhold.rollout.rollout_coordinator import RolloutCoordinator
+from gullhold.rollout.rollout_member import RolloutMember
+from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES
+from gullhold.rollout.vote import VoteKind
+from gullhold.rollout.vote_publisher import VotePublisher
 from gullhold.testing import changecheck, walking
 
 
-class LeaseNotLooked(Gate):
-    """Sends on whatever the time."""
+class LeaseNotLooked(PolicyGate):
+    """Dispatches whatever the time."""
 
-    def may_dispatch(self):
-        return not self.still and self.under != 0
+    def may_dispatch(self) -> bool:
+        """As the product's, without the lease's end."""
+        return not self.is_stopped and self.enrolled_lease != 0
 
 
-class LooksForgotten(Gate):
+class LooksForgotten(PolicyGate):
     """Takes a watch that says nothing for a proof that nothing changed."""
 
-    def may_dispatch(self):
-        self.known_until = max(self.known_until, self.clock() + self.guaranteed_us)
+    def may_dispatch(self) -> bool:
+        """As the product's, with the policy always known."""
+        self.policy_known_until = max(self.policy_known_until, self.clock() + self.guaranteed_us)
         return super().may_dispatch()
 
 
-class NotStill(Gate):
-    """Says that it is still, and sends."""
+class NotStill(PolicyGate):
+    """Says that it has stopped, and dispatches."""
 
-    def may_dispatch(self):
-        self.still = False
+    def may_dispatch(self) -> bool:
+        """As the product's, never stopped."""
+        self.is_stopped = False
         return super().may_dispatch()
 
 
-class EnrolsBlind(Member):
-    """Goes on the roll without looking whether what it learned still holds."""
+class EnrolsBlind(RolloutMember):
+    """Enrolls without looking whether what it learned still holds."""
 
-    def step(self, now, lease):
+    def step(self, now: int, lease: int) -> None:
+        """As the product's, without the conditions of the enrollment."""
         super().step(now, lease)
-        if self.out and self.under_way and self.under_way[0] == "enrolled":
-            what, serial, request = self.out[-1]
-            self.out[-1] = (what, serial, Transaction((), request.operations))
+        if self.out and self.in_flight and self.in_flight.purpose == CallPurpose.ENROLL:
+            call = self.out[-1]
+            self.out[-1] = CallStore(call.serial, Transaction((), call.request.operations))
 
 
-class SendsAtOnce(Member):
+class SendsAtOnce(RolloutMember):
     """Opens its gate when it has a lease, before it has learned anything."""
 
-    def step(self, now, lease):
+    def step(self, now: int, lease: int) -> None:
+        """As the product's, with the gate open."""
         super().step(now, lease)
-        if self.state in (LEARNING, ENROLLING):
-            self.gate.under, self.gate.still, self.gate.known_until = (
-                lease,
-                False,
-                now + self.gate.guaranteed_us,
-            )
+        if self.state in (MemberState.LEARNING, MemberState.ENROLLING):
+            self.gate.enrolled_lease = lease
+            self.gate.is_stopped = False
+            self.gate.policy_known_until = now + self.gate.guaranteed_us
 
 
-class SaysYes(Member):
-    """Says ready to what does not fit, and runs it."""
+class SaysYes(RolloutMember):
+    """Votes ready on what does not fit, and runs it."""
 
-    def __init__(self, name, gate, fits):
-        super().__init__(name, gate, lambda record: "")
+    def __init__(self, name, gate, _fits, figures) -> None:  # noqa: ANN001  the product's signature
+        super().__init__(name, gate, lambda _version: "", figures)
 
 
-class DeafToDropping(Member):
-    """Stays still though the change was dropped."""
+class DeafToDropping(RolloutMember):
+    """Stays stopped though the change was dropped."""
 
-    def _heard_change(self, now):
-        if self.change is None or self.change.state != change.DROPPED:
-            super()._heard_change(now)
+    def _consider_change(self) -> None:
+        if self.change is None or self.change.state != ChangeState.DROPPED:
+            super()._consider_change()
 
 
-class StillTooSoon(Member):
-    """Says that it is still before its core is."""
+class StillTooSoon(RolloutMember):
+    """Says that it has stopped before its core has."""
 
-    def _heard_change(self, now):
-        super()._heard_change(now)
-        if self.change and self.change.state == PREPARED and self.word.word == READY:
-            self._say(self.word._replace(word=STILL))
-            self.gate.still = False
+    def _consider_change(self) -> None:
+        super()._consider_change()
+        is_prepared = self.change and self.change.state == ChangeState.PREPARED
+        if is_prepared and self.vote.kind == VoteKind.READY:
+            self._vote(self.vote._replace(kind=VoteKind.STILL))
+            self.gate.is_stopped = False
 
 
-class OldWord(Member):
-    """Takes a word whose reply was lost for said."""
+class TrustingPublisher(VotePublisher):
+    """Takes a vote whose reply was lost for stored."""
 
-    def _told(self, now, reply, word):
+    def written(self, reply: Reply) -> None:
+        """As the product's, whatever the reply proves."""
         if reply.proof != Proof.DONE:
-            self.said = word
-        super()._told(now, reply, word)
+            self._stored = self._written
+        super().written(reply)
 
 
-class AdoptsOnReady(Member):
-    """Goes by a change as soon as it has said ready."""
+class OldWord(RolloutMember):
+    """Takes a vote whose reply was lost for stored."""
 
-    def _heard_change(self, now):
-        super()._heard_change(now)
-        if self.state == ON and self.change and self.change.state == CHECKED and self.word.word == READY:
-            self._adopt(now, self.change.record)
+    def __init__(self, name, gate, fits, figures) -> None:  # noqa: ANN001  the product's signature
+        super().__init__(name, gate, fits, figures)
+        self.publisher = TrustingPublisher()
 
 
-class NotAll(Carrier):
-    """Decides when most have said their word."""
+class AdoptsOnReady(RolloutMember):
+    """Goes by a change as soon as it has voted ready."""
 
-    def _all(self, word):
-        number = self.change.record.number
-        said = sum(one.about == number and one.word in (word, STILL) for one in self.words.values())
-        return said * 2 > len(self.words)
+    def _consider_change(self) -> None:
+        super()._consider_change()
+        is_checked = self.change and self.change.state == ChangeState.CHECKED
+        if self.state == MemberState.ACTIVE and is_checked and self.vote.kind == VoteKind.READY:
+            self._adopt(0, self.change.version)
 
 
-class RollForgotten(Carrier):
-    """Decides whoever joined meanwhile."""
+class NotAll(RolloutCoordinator):
+    """Decides when most have voted."""
+
+    def _all_support(self, kind: VoteKind) -> bool:
+        number = self.change.version.number
+        votes = self.votes.votes.values()
+        count = sum(vote.change == number and vote.kind in (kind, VoteKind.STILL) for vote in votes)
+        return count * 2 > len(votes)
+
 
-    def take_actions(self):
+class UnconditionalWrites(RolloutCoordinator):
+    """Writes without some of the conditions."""
+
+    def take_actions(self) -> list[RoleAction]:
+        """As the product's, with fewer conditions."""
         return [
-            (*row[:4], tuple(pair for pair in row[4] if pair[0] != ROLL)) if len(row) == 5 else row
-            for row in super().take_actions()
+            replace(action, conditions=self._reduced(action.conditions))
+            if isinstance(action, WriteKeys)
+            else action
+            for action in super().take_actions()
         ]
 
+    def _reduced(self, conditions: tuple[Condition, ...]) -> tuple[Condition, ...]:
+        raise NotImplementedError
 
-class RefusalsForgotten(Carrier):
-    """Counts a refusal as a word like any other."""
 
-    def _refused(self, now):
-        return False
+class RollForgotten(UnconditionalWrites):
+    """Decides whoever joined meanwhile."""
 
-    def _all(self, word):
-        return all(one.about == self.change.record.number for one in self.words.values()) and bool(self.words)
+    def _reduced(self, conditions: tuple[Condition, ...]) -> tuple[Condition, ...]:
+        return tuple((key, revision) for key, revision in conditions if key != ENROLLMENT_KEY)
 
 
-class NotPrepared(Carrier):
-    """Decides a strict change without anybody being still."""
+class NotCompared(UnconditionalWrites):
+    """Writes whatever is stored: a write that was given up may come after another change."""
 
-    def _to(self, now, state, why=""):
-        super()._to(now, DECIDED if state == PREPARED else state, why)
+    def _reduced(self, conditions: tuple[Condition, ...]) -> tuple[Condition, ...]:  # noqa: ARG002  all go
+        return ()
 
 
-class ClosesEarly(Carrier):
-    """Forgets a change as soon as it is decided, whoever goes by what."""
+class RefusalsForgotten(RolloutCoordinator):
+    """Counts a refusal as a vote like any other."""
 
-    def _close(self, _now):
-        self._write((change.Drop(CHANGE),))
+    def _drop_if_refused(self) -> bool:
+        return False
+
+    def _all_support(self, kind: VoteKind) -> bool:  # noqa: ARG002  any will do
+        number = self.change.version.number
+        votes = self.votes.votes.values()
+        return bool(votes) and all(vote.change == number for vote in votes)
+
+
+class NotPrepared(RolloutCoordinator):
+    """Decides a strict change without anybody having stopped."""
 
+    def _change_state(
+        self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
+    ) -> None:
+        decided = ChangeState.DECIDED if state == ChangeState.PREPARED else state
+        super()._change_state(decided, reason, canary_members)
 
-class NotCompared(Carrier):
-    """Writes whatever stands: a write that was given up may come after another change."""
 
-    def take_actions(self):
-        return [(*row[:4], ()) if len(row) == 5 else row for row in super().take_actions()]
+class ClosesEarly(RolloutCoordinator):
+    """Forgets a change as soon as it is decided, whoever goes by what."""
+
+    def _close(self) -> None:
+        self._write([Delete(CHANGE_KEY)], ())
 
 
-class GoneForgotten(Carrier):
-    """Waits for the words of those who have gone."""
+class GoneForgotten(RolloutCoordinator):
+    """Waits for the votes of those whose lease is over."""
 
-    def changed(self, now, key, value, revision):
-        if value is not None or not key.startswith(change.WORDS):
+    def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
+        """As the product's, deaf to votes that are deleted."""
+        if value is not None or not key.startswith(VOTES):
             super().changed(now, key, value, revision)
 
 
-MUTANTS = {kind.__name__: {"gate": kind} for kind in (LeaseNotLooked, LooksForgotten, NotStill)}
-MUTANTS |= {
-    kind.__name__: {"member": kind}
-    for kind in (EnrolsBlind, SendsAtOnce, SaysYes, DeafToDropping, StillTooSoon, OldWord, AdoptsOnReady)
-}
-MUTANTS |= {
-    kind.__name__: {"carrier": kind}
-    for kind in (
-        NotAll,
-        RollForgotten,
-        RefusalsForgotten,
-        NotPrepared,
-        ClosesEarly,
-        NotCompared,
-        GoneForgotten,
-    )
-}
-
-
-def find(name, walks, steps, first=0):
+GATES = (LeaseNotLooked, LooksForgotten, NotStill)
+MEMBERS = (EnrolsBlind, SendsAtOnce, SaysYes, DeafToDropping, StillTooSoon, OldWord, AdoptsOnReady)
+COORDINATORS = (
+    NotAll,
+    RollForgotten,
+    RefusalsForgotten,
+    NotPrepared,
+    ClosesEarly,
+    NotCompared,
+    GoneForgotten,
+)
+MUTANTS = {kind.__name__: {"gate": kind} for kind in GATES}
+MUTANTS |= {kind.__name__: {"member": kind} for kind in MEMBERS}
+MUTANTS |= {kind.__name__: {"coordinator": kind} for kind in COORDINATORS}
+
+
+def find(name: str, walks: int, steps: int, first: int = 0) -> tuple[int, str] | None:
     """(seed, what broke) of the first walk that finds it, or None."""
     return walking.find(lambda seed: changecheck.walk(seed, steps, **MUTANTS[name]), walks, first)
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -9,11 +9,11 @@
 
 from gullhold.fleet.spread import Spread
 from gullhold.fleet.store_calls import Proof, Put, ReadPrefix, Transaction
-from gullhold.rollout import record as records
 from gullhold.rollout import snapshot
-from gullhold.rollout.change import CHANGE, Canary, Open, change_of, past_key
-from gullhold.rollout.record import Record, Unfit
-from gullhold.rollout.show import DROPPED, IN_FORCE, UNKNOWN, Office
+from gullhold.rollout.policy_change import Canary, OnSilence, Overlap, PolicyChange
+from gullhold.rollout.policy_client import ExitStatus, PolicyClient
+from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
+from gullhold.rollout.store_schema import CHANGE_KEY, decode_change, encode_change, history_key
 from gullhold.testing import crowd
 from gullhold.testing.budgetcheck import most_at_once
 from gullhold.testing.counting import CountingEngine
@@ -71,10 +71,10 @@
     )
 
 
-def propose(office, fleet, text, **how):
+def propose(client, fleet, text, **options):
     """Propose when the last change is closed; its record."""
-    fleet.until(lambda: CHANGE not in office.read()[0])
-    return office.propose(text, "a", "b", **how)
+    fleet.until(lambda: CHANGE_KEY not in client.read())
+    return client.propose(text, "a", "b", **options)
 
 
 def judged(fleet, grants, strict=False, overlap_ms=1200):
@@ -88,23 +88,23 @@
     return check
 
 
-@pytest.mark.parametrize("overlap", ["loose", "strict"])
+@pytest.mark.parametrize("overlap", [Overlap.LOOSE, Overlap.STRICT])
 def test_a_change_under_load_holds_everywhere_and_an_undo_is_one_like_any_other(overlap):
     with rig() as fleet:
         fleet.start()
         on(fleet)
-        office, clients = Office(fleet.register_address, "rig"), load(fleet)
+        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
         time.sleep(0.3)
         grants = [20, 21, 22, 23]
         for i, mb in enumerate(grants):
-            record = office.propose(granting(mb), "a", "b", overlap=overlap)
-            assert office.wait(record.number, 5)[0] == IN_FORCE and record.number == i + 1
+            record = client.propose(granting(mb), "a", "b", overlap=overlap)
+            assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE and record.number == i + 1
             time.sleep(0.1)
         time.sleep(0.2)
         assert end(clients) > 60 and not any(one.failed + one.lost for one in clients)
-        judged(fleet, grants, overlap == "strict", 300)
+        judged(fleet, grants, overlap == Overlap.STRICT, 300)
         assert {place for _, place in by_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
-        assert office.current().text == granting(23) and len(office.past()) == 4
+        assert client.current().text == granting(23) and len(client.history()) == 4
 
 
 @pytest.mark.parametrize(
@@ -127,10 +127,10 @@
         fleet.start(*others)
         on(fleet)
         fleet.until(lambda: fleet.owners()["policy"][0] == carrier)
-        office, clients = Office(fleet.register_address, "rig"), load(fleet, *others)
-        record = office.propose(granting(20), "a", "b", overlap="strict")
-        status, line = office.wait(record.number, 8)
-        assert status == IN_FORCE, line
+        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, *others)
+        record = client.propose(granting(20), "a", "b", overlap=Overlap.STRICT)
+        status, line = client.wait(record.number, 8)
+        assert status == ExitStatus.IN_FORCE, line
         on(fleet, 1, others)
         if act == "stop":
             fleet.resume(carrier)
@@ -153,11 +153,11 @@
         fleet.start(first)
         fleet.start(victim, point=word, side=side, act="kill", nth=1)
         on(fleet, 0, (first, victim))
-        office, clients = Office(fleet.register_address, "rig"), load(fleet, first)
-        record = office.propose(granting(20), "a", "b", overlap="strict")
+        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, first)
+        record = client.propose(granting(20), "a", "b", overlap=Overlap.STRICT)
         fleet.members[victim].process.wait(8)
         fleet.start(other)  # it enrols in the middle, before or after the decision
-        assert office.wait(record.number, 8)[0] == IN_FORCE
+        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         fleet.start(victim)
         on(fleet, 1)
         clients += load(fleet, victim, other)
@@ -170,10 +170,10 @@
     with rig() as fleet:
         fleet.start()
         on(fleet)
-        office, clients, grants = Office(fleet.register_address, "rig"), load(fleet), []
+        client, clients, grants = PolicyClient(fleet.register_address, "rig"), load(fleet), []
         for turn in range(4):
             mb = 20 + turn
-            record = office.propose(granting(mb), "a", "b", overlap=("strict", "loose")[turn % 2])
+            record = client.propose(granting(mb), "a", "b", overlap=(Overlap.STRICT, Overlap.LOOSE)[turn % 2])
             if turn % 2:
                 fleet.faults(lose=6)
             else:
@@ -181,11 +181,11 @@
                 fleet.kill_register()
                 fleet.start_register()
                 fleet.faults(drop=1)
-            status, line = office.wait(record.number, 8)
-            assert status in (IN_FORCE, DROPPED), line
-            grants += [mb] * (status == IN_FORCE)
+            status, line = client.wait(record.number, 8)
+            assert status in (ExitStatus.IN_FORCE, ExitStatus.DROPPED), line
+            grants += [mb] * (status == ExitStatus.IN_FORCE)
             time.sleep(0.2)
-        on(fleet, office.current().number)
+        on(fleet, client.current().number)
         assert end(clients) > 60
         judged(fleet, grants)
 
@@ -194,12 +194,12 @@
     with rig(4) as fleet:
         fleet.start()
         on(fleet)
-        office = Office(fleet.register_address, "rig")
+        client = PolicyClient(fleet.register_address, "rig")
         fleet.kill("n2")
         fleet.pause("n3")  # it slept, and wakes believing in what was
         clients = load(fleet, "n0", "n1", "n3")
-        record = office.propose(granting(20), "a", "b", overlap="strict")
-        assert office.wait(record.number, 8)[0] == IN_FORCE
+        record = client.propose(granting(20), "a", "b", overlap=Overlap.STRICT)
+        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         fleet.start("n2")  # with its old file
         fleet.resume("n3")
         on(fleet, 1)
@@ -218,11 +218,11 @@
         others = [name for name in fleet.names if name != victim]
         fleet.start()
         on(fleet)
-        office, clients = Office(fleet.register_address, "rig"), load(fleet)
+        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
         time.sleep(0.3)
         fleet.cut(victim)
-        record = office.propose(granting(20), "a", "b", silence="wait")
-        assert office.wait(record.number, 8)[0] == IN_FORCE
+        record = client.propose(granting(20), "a", "b", on_silence=OnSilence.WAIT)
+        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, 1, others)
         asker = clients[fleet.names.index(victim)]
         fleet.until(lambda: asker.shed > 3)  # a time to come back is not stated by this agreement
@@ -248,14 +248,16 @@
         fleet.budgets = []
         fleet.start("n2")  # another file: it knows no such budget
         on(fleet)
-        office, clients = Office(fleet.register_address, "rig"), load(fleet)
-        record = propose(office, fleet, "policy: {budgets: threads: 8, grants: read: 20}", overlap="strict")
-        status, line = office.wait(record.number, 8)
-        assert status == DROPPED and "is no budget" in line
+        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
+        record = propose(
+            client, fleet, "policy: {budgets: threads: 8, grants: read: 20}", overlap=Overlap.STRICT
+        )
+        status, line = client.wait(record.number, 8)
+        assert status == ExitStatus.DROPPED and "is no budget" in line
         fleet.pause("n1")
-        record = propose(office, fleet, granting(21), patience_us=400_000)
-        status, line = office.wait(record.number, 8)
-        assert status == DROPPED and "not ready in time: n1" in line
+        record = propose(client, fleet, granting(21), patience_us=400_000)
+        status, line = client.wait(record.number, 8)
+        assert status == ExitStatus.DROPPED and "not ready in time: n1" in line
         fleet.resume("n1")
         on(fleet, 0)
         time.sleep(0.3)
@@ -269,37 +271,42 @@
     with rig(2) as fleet:
         fleet.start()
         on(fleet)
-        office = Office(fleet.register_address, "rig")
+        client = PolicyClient(fleet.register_address, "rig")
         for text, why in (
             ("policy: sends: once: 2", "must never run twice"),
             ("policy: sends: read: 99", "the agreement allows 6"),
             ("policy: shares: nobody: 1", "no tenant"),
         ):
-            status, line = office.wait(propose(office, fleet, text).number, 5)
-            assert status == DROPPED and why in line
+            status, line = client.wait(propose(client, fleet, text).number, 5)
+            assert status == ExitStatus.DROPPED and why in line
         for text in ("policy: {", "policy: unheard: 1", "policy: grants: read: 0"):
-            with pytest.raises(Unfit):
-                office.propose(text, "a", "b")
-        spoilt = Record(9, 0, "a", "b", 0, granting(20)).sealed()._replace(why="c")
-        session = office.session
-        fleet.until(lambda: CHANGE not in office.read()[0])
-        assert session.call(Transaction(((CHANGE, 0),), (Put(CHANGE, Open(spoilt).pack()),))).succeeded
-        status, line = office.wait(9, 5)
-        assert status == DROPPED and "digest" in line
-        fleet.until(lambda: CHANGE not in office.read()[0])
-        with pytest.raises(Unfit, match="not 7"):
-            office.propose(granting(20), "a", "b", parent=7)
-        first = propose(office, fleet, granting(20))
-        with suppress(Unfit):  # the first may be in force already
-            second = office.propose(granting(21), "z", "y", parent=first.parent)
+            with pytest.raises(PolicyError):
+                client.propose(text, "a", "b")
+        spoilt = PolicyVersion(9, 0, "a", "b", 0, granting(20)).sealed()._replace(reason="c")
+        session = client.session
+        fleet.until(lambda: CHANGE_KEY not in client.read())
+        assert session.call(
+            Transaction(((CHANGE_KEY, 0),), (Put(CHANGE_KEY, encode_change(PolicyChange(spoilt))),))
+        ).succeeded
+        status, line = client.wait(9, 5)
+        assert status == ExitStatus.DROPPED and "digest" in line
+        fleet.until(lambda: CHANGE_KEY not in client.read())
+        with pytest.raises(PolicyError, match="not 7"):
+            client.propose(granting(20), "a", "b", parent=7)
+        first = propose(client, fleet, granting(20))
+        with suppress(PolicyError):  # the first may be in force already
+            second = client.propose(granting(21), "z", "y", parent=first.parent)
             raise AssertionError(f"{second.number} beside {first.number}")
-        assert office.wait(first.number, 5)[0] == IN_FORCE
+        assert client.wait(first.number, 5).status == ExitStatus.IN_FORCE
         fleet.pause("n0")
-        third = propose(office, fleet, granting(22), silence="wait", patience_us=60_000_000)
-        assert office.status(third.number)[0] == UNKNOWN
-        fleet.until(lambda: third.number == office.drop())
+        third = propose(client, fleet, granting(22), on_silence=OnSilence.WAIT, patience_us=60_000_000)
+        assert client.status(third.number).status == ExitStatus.UNKNOWN
+        fleet.until(lambda: third.number == client.drop())
         fleet.resume("n0")
-        assert office.wait(third.number, 5) == (DROPPED, f"{third.number} is dropped: dropped by staff")
+        assert client.wait(third.number, 5) == (
+            ExitStatus.DROPPED,
+            f"{third.number} is dropped: dropped by staff",
+        )
         judged(fleet, [20])
 
 
@@ -307,7 +314,7 @@
     with rig(4, budgets=[{"of": '"threads"', "whole": 12, "linger": "1s"}]) as fleet:
         fleet.start()
         on(fleet)
-        office = Office(fleet.register_address, "rig")
+        client = PolicyClient(fleet.register_address, "rig")
         clients = [
             crowd.Client(
                 fleet.members[name].address,
@@ -322,11 +329,13 @@
             for name in ("n0", "n1")
         ]
         time.sleep(0.4)
-        record = office.propose("policy: {budgets: threads: 5, grants: read: 20}", "a", "b", overlap="strict")
+        record = client.propose(
+            "policy: {budgets: threads: 5, grants: read: 20}", "a", "b", overlap=Overlap.STRICT
+        )
         for name in ("n3", "n2"):
             fleet.stop(name)
             fleet.start(name)
-        assert office.wait(record.number, 8)[0] == IN_FORCE
+        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, 1)
         decided = time.time()
         time.sleep(1.5)
@@ -341,27 +350,27 @@
     with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, fails=0.3)) as fleet:
         fleet.start()
         on(fleet)
-        office, clients = Office(fleet.register_address, "rig"), load(fleet, rate=60.0)
+        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, rate=60.0)
         canary = Canary(0.34, 6_000_000, 0.1, 9.0)
 
         def state():
-            items, _ = office.read()
-            return change_of(items[CHANGE]).state if CHANGE in items else ""
+            keys = client.read()
+            return decode_change(keys[CHANGE_KEY].value).state if CHANGE_KEY in keys else ""
 
         # Of a command that fails one in three times and is sent once, a third are not answered.
-        record = office.propose("policy: {grants: read: 20, sends: read: 1}", "a", "b", canary=canary)
+        record = client.propose("policy: {grants: read: 20, sends: read: 1}", "a", "b", canary=canary)
         fleet.until(lambda: state() == "canary")
         victim = fleet.owners()["policy"][0]
         fleet.kill(victim)
-        status, line = office.wait(record.number, 8)
-        assert status == DROPPED and "canary: " in line, line
+        status, line = client.wait(record.number, 8)
+        assert status == ExitStatus.DROPPED and "canary: " in line, line
         fleet.start(victim)
         on(fleet, 0)
         time.sleep(0.1)
         tried = [at for at, place in by_policy(fleet.engines, [20]) if place]
         assert not tried or max(tried) < time.time() - 0.05  # all are back on the parent
-        record = propose(office, fleet, granting(21), canary=Canary(0.34, 1_200_000, 0.3, 9.0))
-        assert office.wait(record.number, 8)[0] == IN_FORCE
+        record = propose(client, fleet, granting(21), canary=Canary(0.34, 1_200_000, 0.3, 9.0))
+        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, record.number)
         end(clients)
         check = Changes(fleet.lines())
@@ -381,29 +390,29 @@
     with rig(2, scheduled=[words], fleet=door) as fleet:
         fleet.start()
         on(fleet)
-        office = Office(fleet.register_address, "rig")
+        client = PolicyClient(fleet.register_address, "rig")
 
         def warmed():
             return sum("warm" in row[3] for row in fleet.engines[0].kept)
 
         fleet.until(lambda: warmed() >= 3)
-        record = office.propose("policy: {schedules: warm: false, clients: n0: 4}", "a", "b")
-        assert office.wait(record.number, 5)[0] == IN_FORCE
+        record = client.propose("policy: {schedules: warm: false, clients: n0: 4}", "a", "b")
+        assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
         time.sleep(0.3)
         before = warmed()
         time.sleep(0.7)
         assert warmed() == before
         skipped = [facts for _, _, what, facts in fleet.events() if what == "occurrence skipped"]
         assert skipped and "off by the fleet's policy" in skipped[-1]["why"]
-        record = office.propose("policy: clients: n0: 4", "a", "b")
-        assert office.wait(record.number, 5)[0] == IN_FORCE
+        record = client.propose("policy: clients: n0: 4", "a", "b")
+        assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
         fleet.until(lambda: warmed() > before + 1)
         judged(fleet, [])
 
 
 def test_a_snapshot_is_whole_or_not_there_and_is_gone_by_without_a_register_for_a_while(tmp_path):
     path = tmp_path / "last"
-    record = Record(3, 2, "a", "b", 0, granting(20)).sealed()
+    record = PolicyVersion(3, 2, "a", "b", 0, granting(20)).sealed()
     snapshot.write(path, record, 5)
     assert snapshot.read(path) == (record, 5)
     (tmp_path / "last.new").write_text("half of")  # a kill in the middle of the next one
@@ -413,8 +422,8 @@
     with rig(1, policy=f'on: true, snapshot: "{path}", spare: 3s') as fleet:
         fleet.start()
         on(fleet)
-        office = Office(fleet.register_address, "rig")
-        assert office.wait(office.propose(granting(20), "a", "b").number, 5)[0] == IN_FORCE
+        client = PolicyClient(fleet.register_address, "rig")
+        assert client.wait(client.propose(granting(20), "a", "b").number, 5).status == ExitStatus.IN_FORCE
         fleet.until(lambda: snapshot.read(path) and snapshot.read(path)[0].number == 1)
         fleet.kill("n0")
         fleet.kill_register()
@@ -440,10 +449,10 @@
         assert main(["policy", "diff", str(path), *at]) == 0
         assert "grants read: as agreed -> 20" in capsys.readouterr().out
         words = ["policy", "propose", str(path), *at, "--why", "renewal", "--author", "desk", "--wait", "5"]
-        assert main(words) == IN_FORCE
-        assert main(["policy", "status", *at, "--number", "1"]) == IN_FORCE
-        assert main(["policy", "status", *at, "--number", "7"]) == UNKNOWN
-        assert main(["policy", "undo", *at, "--wait", "5"]) == IN_FORCE
+        assert main(words) == ExitStatus.IN_FORCE
+        assert main(["policy", "status", *at, "--number", "1"]) == ExitStatus.IN_FORCE
+        assert main(["policy", "status", *at, "--number", "7"]) == ExitStatus.UNKNOWN
+        assert main(["policy", "undo", *at, "--wait", "5"]) == ExitStatus.IN_FORCE
         capsys.readouterr()
         assert main(["policy", "history", *at, "--json"]) == 0
         rows = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
@@ -455,10 +464,10 @@
         assert main(["policy", "drop", *at]) == 2
         path.write_text("policy: {")
         assert main(["policy", "propose", str(path), *at]) == 2
-        office = Office(fleet.register_address, "rig")
-        reply = office.session.call(ReadPrefix("policy/now/"))
-        assert reply.proof == Proof.DONE and office.current().text == records.FIRST.text
-        assert past_key(2) in office.read()[0]
+        client = PolicyClient(fleet.register_address, "rig")
+        reply = client.session.call(ReadPrefix("policy/now/"))
+        assert reply.proof == Proof.DONE and client.current().text == INITIAL_VERSION.text
+        assert history_key(2) in client.read()
         fleet.kill_register()
-        assert main(["policy", "status", *at]) == UNKNOWN
+        assert main(["policy", "status", *at]) == ExitStatus.UNKNOWN
         fleet.start_register()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,5 +1,7 @@
 """Policies and their changes, and the walks through them: the decisions alone."""
 
+from dataclasses import replace
+
 import pytest
 from driver import MS, Driver, make_agreement, profile
 from hypothesis import given, settings
@@ -11,11 +13,36 @@
 from gullhold.fleet.role_state import IDLE_STEP_US, RETRY_US, WriteKeys
 from gullhold.fleet.store_calls import KeyValue, Proof, Reply
 from gullhold.interface import EngineState, Idempotency, Outcome, SetTerms, Shed, Tenant
-from gullhold.rollout import change, member, record
-from gullhold.rollout.record import FIRST, Policy, Record, Unfit
-from gullhold.testing import changecheck, changemutants, dividecheck, dividemutants
+from gullhold.rollout import canary
+from gullhold.rollout.policy import (
+    BudgetLimits,
+    Deployment,
+    Policy,
+    budget_totals,
+    decision_terms,
+    differences,
+    find_fault,
+    parse_policy,
+)
+from gullhold.rollout.policy_change import Canary, ChangeState, OnSilence, Overlap, PolicyChange
+from gullhold.rollout.policy_gate import CutOffRule, PolicyGate
+from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
+from gullhold.rollout.proposal import propose
+from gullhold.rollout.rollout_coordinator import RolloutCoordinator
+from gullhold.rollout.store_schema import (
+    CHANGE_KEY,
+    VOTES,
+    decode_change,
+    decode_version,
+    encode_change,
+    encode_version,
+    encode_vote,
+)
+from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
+from gullhold.testing import change_world, changecheck, changemutants, dividecheck, dividemutants
 from gullhold.testing.policycheck import Changes, mixed
 
+VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
 AGREEMENT = make_agreement(
     profile(name="read"),
     profile(name="once", idempotency=Idempotency.NON_IDEMPOTENT),
@@ -24,17 +51,19 @@
 
 
 def test_a_record_is_what_was_sealed_or_nothing():
-    one = Record(1, 0, "a", "why", 5, "policy: {}").sealed()
-    assert record.unpack(one.pack()) == one and record.unpack(FIRST.pack()) == FIRST
+    version = PolicyVersion(1, 0, "a", "why", 5, "policy: {}").sealed()
+    stored = encode_version(version)
+    assert decode_version(stored) == version
+    assert decode_version(encode_version(INITIAL_VERSION)) == INITIAL_VERSION
     for spoilt in (
-        one.pack()[:-5],
-        one.pack().replace('"why"', '"who"', 1),
+        stored[:-5],
+        stored.replace('"why"', '"who"', 1),
         '{"number": 1}',
         "[]",
-        one._replace(text="policy: {grants: read: 1}").pack(),
+        encode_version(version._replace(text="policy: {grants: read: 1}")),
     ):
-        with pytest.raises(Unfit):
-            record.unpack(spoilt)
+        with pytest.raises(PolicyError):
+            decode_version(spoilt)
 
 
 @pytest.mark.parametrize(
@@ -50,8 +79,8 @@
     ],
 )
 def test_a_policy_that_can_not_be_read_is_one_line(text, why):
-    with pytest.raises(Unfit) as fault:
-        record.read(text)
+    with pytest.raises(PolicyError) as fault:
+        parse_policy(text)
     assert "\n" not in str(fault.value) and (not why or why in str(fault.value) or ":" in str(fault.value))
 
 
@@ -70,24 +99,22 @@
     ],
 )
 def test_a_policy_is_checked_against_the_agreement_and_the_budgets(text, why):
-    policy = record.read(f"policy: {text}")
-    found = record.check(policy, AGREEMENT, {"taken": (10, 4)})
+    policy = parse_policy(f"policy: {text}")
+    found = find_fault(policy, Deployment(AGREEMENT, {"taken": BudgetLimits(10, 4)}))
     assert (why in found) if why else not found
 
 
 def test_what_a_policy_says_is_by_index_for_the_module_and_by_name_for_staff():
-    policy = record.read("policy: {shares: b: 0.35, grants: read: 20, priorities: once: 2}")
-    weights, priorities, grants, sends = record.for_module(policy, AGREEMENT)
+    policy = parse_policy("policy: {shares: b: 0.35, grants: read: 20, priorities: once: 2}")
+    weights, priorities, grants, sends = decision_terms(policy, AGREEMENT)
     assert weights == [2.0, 1.0] and priorities == {1: 2} and grants == {0: 20} and sends == {}
-    assert record.difference(Policy(*[{}] * len(Policy._fields)), policy) == [
+    assert differences(Policy(*[{}] * len(Policy._fields)), policy) == [
         ("shares", "b", None, 0.35),
         ("priorities", "once", None, 2),
         ("grants", "read", None, 20),
     ]
-    assert record.wholes(record.read("policy: budgets: threads: 4"), {"threads": (9, 0), "cold": (5, 0)}) == {
-        "threads": 4,
-        "cold": 5,
-    }
+    budgets = {"threads": BudgetLimits(9, 0), "cold": BudgetLimits(5, 0)}
+    assert budget_totals(parse_policy("policy: budgets: threads: 4"), budgets) == {"threads": 4, "cold": 5}
 
 
 class Gate:
@@ -108,9 +135,8 @@
     world.engines((1, 0, 0, EngineState.READY, 0, 0))
 
     def adopt(text):
-        world.obey(
-            world.gateway.apply_policy(world.now, record.for_module(record.read(text), AGREEMENT), gate)
-        )
+        terms = decision_terms(parse_policy(text), AGREEMENT)
+        world.obey(world.gateway.apply_policy(world.now, terms, gate))
 
     adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
     first = world.command()
@@ -134,9 +160,8 @@
     world, gate = Driver(AGREEMENT), Gate()
     world.engines((1, 0, 0, EngineState.READY, 0, 0))
     gate.open = False
-    world.obey(
-        world.gateway.apply_policy(world.now, record.for_module(record.read("policy: {}"), AGREEMENT), gate)
-    )
+    terms = decision_terms(parse_policy("policy: {}"), AGREEMENT)
+    world.obey(world.gateway.apply_policy(world.now, terms, gate))
     for _ in range(5):
         world.command()
     world.wait(5000 * MS)  # the driver fails where one is late
@@ -146,30 +171,38 @@
 def test_the_checkers_see_what_is_mixed_and_what_was_decided_without_a_word():
     assert mixed([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
     assert mixed([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
-    opened = change.Open(Record(1, 0, "", "", 0, "policy: {}").sealed(), change.DECIDED)
+    change = PolicyChange(VERSION, ChangeState.DECIDED)
 
     def line(key, value, lease=0):
         return {"what": "txn", "met": True, "acts": [["put", f"/gullhold/rig/{key}", value, lease]]}
 
-    word = change.Word(0, 1, change.READY)
-    told = [line("policy/words/a/1", word.pack(), 1), line("policy/now/change", opened.pack())]
-    assert (Changes(told).without_all, Changes(told).turned_down) == (0, 0)
-    told[0] = line("policy/words/a/1", word._replace(word=change.REFUSED).pack(), 1)
-    assert (Changes(told).without_all, Changes(told).turned_down) == (1, 1)
-    told.insert(1, {"what": "lease ended", "lease": 1, "revision": 9})
-    assert Changes(told).without_all == 0
-    strict = opened._replace(overlap=change.STRICT)
-    assert (
-        Changes(
-            [line("policy/words/a/1", word.pack(), 1), line("policy/now/change", strict.pack())]
-        ).without_all
-        == 1
-    )
+    def journal(vote, change):
+        return [
+            line("policy/words/a/1", encode_vote(vote), 1),
+            line("policy/now/change", encode_change(change)),
+        ]
 
+    ready = Vote(0, 1, VoteKind.READY)
+    lines = journal(ready, change)
+    assert (Changes(lines).without_all, Changes(lines).turned_down) == (0, 0)
+    lines = journal(ready._replace(kind=VoteKind.REFUSED), change)
+    assert (Changes(lines).without_all, Changes(lines).turned_down) == (1, 1)
+    lines.insert(1, {"what": "lease ended", "lease": 1, "revision": 9})
+    assert Changes(lines).without_all == 0
+    strict = replace(change, overlap=Overlap.STRICT)
+    assert Changes(journal(ready, strict)).without_all == 1
 
-@pytest.mark.parametrize("text, comes", [("good", True), (changecheck.SOUR, False), (changecheck.BAD, False)])
+
+@pytest.mark.parametrize(
+    "text, comes",
+    [
+        (change_world.GOOD_TEXT, True),
+        (change_world.FAILING_TEXT, False),
+        (change_world.REFUSED_TEXT, False),
+    ],
+)
 def test_a_canary_is_tried_by_some_and_dropped_where_it_goes_bad(text, comes):
-    world = changecheck.World(change.LOOSE, faults=0)
+    world = change_world.World(Overlap.LOOSE, faults=0)
     world.calm()
     world.act("propose", text)
     seen = set()
@@ -177,104 +210,100 @@
         world.act("time")
         while todo := world.fair():
             world.act(*todo)
-        item = world.model.keys.get(change.CHANGE)
-        seen |= {change.change_of(item.value).state} if item else set()
+        item = world.model.keys.get(CHANGE_KEY)
+        if item:
+            seen.add(decode_change(item.value).state)
         tried = [one.number for one in world.members if one.number]
         assert len(tried) <= 1 or world.decided
     world.calm()
     world.settled()
-    assert world.decided == (1 if comes else 0) and (change.CANARY in seen) == (text != changecheck.BAD)
+    assert world.decided == (1 if comes else 0)
+    assert (ChangeState.CANARY in seen) == (text != change_world.REFUSED_TEXT)
 
 
 def test_a_canary_that_is_slower_than_the_others_is_out_of_its_bounds():
-    carrier = change.Carrier()
-    opened = change.Open(
-        Record(1, 0, "", "", 0, "policy: {}").sealed(),
-        change.CANARY,
-        trial=("a/1",),
-        canary=change.Canary(0.5, 1000, 0.1, 1.5),
+    change = PolicyChange(
+        VERSION, ChangeState.CANARY, canary_members=("a/1",), canary=Canary(0.5, 1000, 0.1, 1.5)
     )
-    carrier.change = opened
 
     def bad(trial, others, over=True):
-        carrier.words = {
-            "a/1": change.Word(0, 1, change.TRIAL, "", trial),
-            "b/1": change.Word(0, 1, change.READY, "", others),
+        votes = {
+            "a/1": Vote(0, 1, VoteKind.TRIAL, "", CommandFigures(*trial)),
+            "b/1": Vote(0, 1, VoteKind.READY, "", CommandFigures(*others)),
         }
-        return carrier._bad(over)
+        return canary.find_fault(change, votes, over)
 
     assert "took 200 us, the others' 100" in bad((10, 0, 2000), (10, 0, 1000))
     assert not bad((10, 0, 2000), (10, 0, 1000), over=False) and not bad((10, 0, 1500), (10, 0, 1000))
     assert "3 of 23" in bad((20, 3, 0), (0, 0, 0), over=False) and not bad((10, 3, 0), (0, 0, 0))
-    carrier.words = {"b/1": change.Word(0, 1, change.READY)}
-    assert "none of its members" in carrier._bad(False)
-    with pytest.raises(Unfit, match="can't be strict"):
-        change.propose(opened.record, {}, {}, overlap=change.STRICT, canary=opened.canary)
+    others_only = {"b/1": Vote(0, 1, VoteKind.READY)}
+    assert "none of its members" in canary.find_fault(change, others_only, False)
+    with pytest.raises(PolicyError, match="can't be strict"):
+        propose(PolicyChange(VERSION, overlap=Overlap.STRICT, canary=change.canary), {})
 
 
 def test_what_was_decided_before_a_gate_was_closed_does_not_go_out_when_it_is_open_again():
     lease, now = Lease(LeaseTerms(1000, 0.0, 0)), [0]
-    gate = member.Gate(lease, lambda: now[0], 10**9, member.KEEP)
+    gate = PolicyGate(lease, lambda: now[0], 10**9, CutOffRule.KEEP)
     lease.renew(7, 0)
-    gate.under, gate.known_until = 7, 10**9
+    gate.enrolled_lease = 7
+    gate.policy_known_until = 10**9
     before = gate.fencing_token()
     assert gate.may_dispatch() and gate.token_valid(before)
     gate.stop()
     assert not gate.may_dispatch() and not gate.token_valid(gate.fencing_token())
-    gate.still = False
+    gate.is_stopped = False
     assert gate.may_dispatch() and gate.token_valid(gate.fencing_token()) and not gate.token_valid(before)
     now[0] = 10**9
     assert not gate.token_valid(gate.fencing_token())
 
 
 def test_a_change_that_waits_longer_than_its_time_waits_for_words_and_does_not_spin():
-    opened = change.Open(
-        Record(1, 0, "", "", 0, "policy: {}").sealed(), change.CHECKED, silence=change.WAIT, patience_us=1000
-    )
-    carrier = change.Carrier()
-    carrier.won(1, 0)
-    carrier.read(
+    change = PolicyChange(VERSION, ChangeState.CHECKED, on_silence=OnSilence.WAIT, patience_us=1000)
+    coordinator = RolloutCoordinator()
+    coordinator.won(1, 0)
+    coordinator.read(
         0,
-        carrier.take_actions()[0].serial,
+        coordinator.take_actions()[0].serial,
         Reply(
             Proof.DONE,
             7,
             items=(
-                KeyValue(change.CHANGE, opened.pack(), 5),
-                KeyValue(change.WORDS + "a/1", change.Word(0).pack(), 6),
+                KeyValue(CHANGE_KEY, encode_change(change), 5),
+                KeyValue(VOTES + "a/1", encode_vote(Vote(0)), 6),
             ),
         ),
     )
-    assert carrier.due(0) == 1000 and carrier.due(999) == 1000
-    carrier.step(1000)
+    assert coordinator.due(0) == 1000 and coordinator.due(999) == 1000
+    coordinator.step(1000)
     assert (
-        not any(isinstance(row, WriteKeys) for row in carrier.take_actions())
-        and carrier.due(1000) == 1000 + IDLE_STEP_US
+        not any(isinstance(row, WriteKeys) for row in coordinator.take_actions())
+        and coordinator.due(1000) == 1000 + IDLE_STEP_US
     )
 
 
 def test_a_member_with_nothing_to_say_steps_when_it_looks_again():
-    world = changecheck.World(change.LOOSE, faults=0)
+    world = change_world.World(Overlap.LOOSE, faults=0)
     world.calm()
     for one in world.members:
         now = one()
-        assert one.member.due(now) == max(now, one.member.look_at)
+        assert one.member.due(now) == max(now, one.member.refresh_at)
         one.member.missed(now)
         assert one.member.due(now) == now + IDLE_STEP_US  # its call is under way
 
 
 def test_a_read_from_the_past_is_not_believed_by_whoever_carries_or_divides():
-    opened = change.Open(Record(1, 0, "", "", 0, "policy: {}").sealed())
-    carrier, dividing = change.Carrier(), duty.Dividing({"b": Budget("held", 5)})
-    for one in (carrier, dividing):
+    opened = encode_change(PolicyChange(VERSION))
+    coordinator, dividing = RolloutCoordinator(), duty.Dividing({"b": Budget("held", 5)})
+    for one in (coordinator, dividing):
         one.won(1, 0)
         one.read(0, one.take_actions()[0].serial, Reply(Proof.DONE, 7))
         assert one.loaded
-    carrier.changed(0, change.CHANGE, opened.pack(), 9)  # it reads what was proposed
+    coordinator.changed(0, CHANGE_KEY, opened, 9)  # it reads what was proposed
     dividing.changed(0, duty.ASKS + "a/1", duty.report_text(0, {"b/0": (0, 1, 1)}), 9)
     dividing.missed(0)
     dividing.written(0, dividing.writing, Reply(Proof.DONE, 10, succeeded=False))
-    for one in (carrier, dividing):
+    for one in (coordinator, dividing):
         serial = one.take_actions()[-1].serial
         one.read(0, serial, Reply(Proof.DONE, 7))
         assert not one.loaded and not one.take_actions()
@@ -282,12 +311,10 @@
         one.read(
             RETRY_US,
             one.take_actions()[0].serial,
-            Reply(
-                Proof.DONE, 11, items=(KeyValue(change.CHANGE, opened.pack(), 9),) if one is carrier else ()
-            ),
+            Reply(Proof.DONE, 11, items=(KeyValue(CHANGE_KEY, opened, 9),) if one is coordinator else ()),
         )
         assert one.loaded
-    assert any(isinstance(row, WriteKeys) for row in carrier.take_actions())
+    assert any(isinstance(row, WriteKeys) for row in coordinator.take_actions())
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
@@ -303,7 +330,7 @@
 
 
 def test_a_small_world_is_gone_through():
-    for overlap in (change.STRICT, change.LOOSE):
+    for overlap in (Overlap.STRICT, Overlap.LOOSE):
         states, depth = changecheck.explore(overlap, 4, 500)
         assert states >= 300 and depth >= 2
 
