--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -11,8 +11,11 @@
 from gullhold.budgets.driver import OF as BUDGET_KINDS
 from gullhold.budgets.driver import name_of as budget_name
 from gullhold.budgets.duty import DUTY as BUDGETS_ROLE
-from gullhold.fleet.lease import MILLION
+from gullhold.fleet.clocks import US_PER_SECOND
 from gullhold.fleet.role_state import LogEvent
+from gullhold.fleet.store_calls import Reply
+from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
+from gullhold.fleet.watcher import Watcher
 from gullhold.interface import Agreement
 from gullhold.rollout import snapshot
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
@@ -38,7 +41,6 @@
 if TYPE_CHECKING:
     from gullhold.fleet.driver import Fleet
 
-SCHEDULE = "schedule/"  # before the name of a scheduled command, among roles
 VOTE_LANE = "words"  # of the member's calls
 LANES = (VOTE_LANE, ROLE)  # of calls: neither waits for the other
 AT_START = 0  # serial of an adoption that the member did not ask for and that nobody waits for
@@ -77,7 +79,7 @@
         self.deployment = Deployment(agreement, budgets, schedules, has_admission_queue=bool(queue))
         self.gate = PolicyGate(fleet.membership.lease, clock, guaranteed_us, self.settings.cut)
         self.member = RolloutMember(fleet.name, self.gate, self.fits, self._figures)
-        fleet.held[ROLE] = RolloutCoordinator()
+        fleet.role_states[ROLE] = RolloutCoordinator()
         # Budget totals while a change is open: neither old nor new allocations sum to more than either.
         self.lowest_totals: dict[str, int] = {}
         self.resized_for: tuple | None = None  # version and change that the allocator was last told of
@@ -93,12 +95,12 @@
         version, at_us = found
         age_us = time.time_ns() // 1000 - at_us
         left_us = self.settings.spare - age_us
-        self.fleet.event(
+        self.fleet.log_event(
             "warning",
             "a snapshot",
             number=version.number,
-            age_s=round(age_us / MILLION, 1),
-            used_for_s=round(max(0, left_us) / MILLION, 1),
+            age_s=round(age_us / US_PER_SECOND, 1),
+            used_for_s=round(max(0, left_us) / US_PER_SECOND, 1),
         )
         if left_us > 0 and not self.fits(version):
             self.gate.snapshot_valid_until = self.clock() + left_us
@@ -117,10 +119,10 @@
         counts = self.core.counters.counts
         return CommandFigures(counts["answered"], counts["failed"] + counts["shed"], counts["answered us"])
 
-    def start(self, follow: Callable[..., Any]) -> None:
-        """Make the watchers: follow(name, prefix, event) makes one whose changes come as this event."""
-        self.watcher = follow("policy", WATCHED, "policy_changed")
-        self.fleet.watchers[ROLE] = follow("words", ROOT, "duty_changed", ROLE)
+    def start(self, watch: Callable[..., Watcher]) -> None:
+        """Make the watchers. watch: Fleet.watch."""
+        self.watcher = watch("policy", WATCHED, self._changed, self._missed)
+        self.fleet.watch_role(ROLE, "words", ROOT)
 
     def step(self, now: int) -> None:
         """Do what is next."""
@@ -138,7 +140,7 @@
             for action in actions:
                 match action:
                     case CallStore(serial, request):
-                        self.fleet.lanes[VOTE_LANE].put(request, "policy_replied", serial)
+                        self.fleet.lanes[VOTE_LANE].put(request, self._replied, serial)
                     case AdoptVersion(serial, version):
                         self._adopt(serial, version)
                     case StopDispatching(number):
@@ -146,14 +148,16 @@
                     case WatchPolicy(revision):
                         self.watcher.follow(revision)
                     case LogEvent(level, text, facts):
-                        self.fleet.event(level, "policy: " + text, **facts)
+                        self.fleet.log_event(level, "policy: " + text, **facts)
         self._resize_budgets()
 
     def _adopt(self, serial: int, version: PolicyVersion) -> None:
         policy = parse_policy(version.text, f"policy {version.number}")
         self.core.post_urgent(self._apply, serial, self._for_core(version, policy))
         for name in self.deployment.scheduled_commands:
-            self.fleet.plans[SCHEDULE + name].off = not policy.schedules.get(name, True)
+            self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE + name].off = not policy.schedules.get(
+                name, True
+            )
         if serial != AT_START and self.settings.snapshot and not self.member.tried_change:
             self._write_snapshot(version)
 
@@ -171,7 +175,24 @@
         try:
             snapshot.write(self.settings.snapshot, version, time.time_ns() // 1000)
         except OSError as error:
-            self.fleet.event("warning", "policy: no snapshot", why=str(error))
+            self.fleet.log_event("warning", "policy: no snapshot", why=str(error))
+
+    # Events, on the fleet's thread
+
+    def _replied(self, serial: int, reply: Reply) -> None:
+        self.member.replied(self.clock(), serial, reply)
+
+    def _adopted(self, serial: int) -> None:
+        self.member.adopted(self.clock(), serial)
+
+    def _stopped(self, number: int) -> None:
+        self.member.stopped(self.clock(), number)
+
+    def _changed(self, key: str, value: str | None, revision: int) -> None:
+        self.member.changed(self.clock(), key, value, revision)
+
+    def _missed(self) -> None:
+        self.member.missed(self.clock())
 
     # On the core's thread
 
@@ -180,11 +201,11 @@
             self.fleet.budgets.purses.resize(_by_kind(policy.budget_totals))
         self.core.apply_policy(policy.terms, self.gate, policy.tenant_shares, policy.client_weights)
         self.core.counters.add(f"policy {policy.number}")
-        self.fleet.queue.put(("adopted", serial))
+        self.fleet.post(self._adopted, serial)
 
     def _confirm_stopped(self, number: int) -> None:
         """The gate is closed, and asked at each attempt: from here on none is sent."""
-        self.fleet.queue.put(("stopped", number))
+        self.fleet.post(self._stopped, number)
 
     # The allocator of budgets, on the fleet's thread
 
@@ -202,7 +223,7 @@
         elif self._may_come_into_force(change):
             self._lower_totals(current, change)
         # Once it is decided, the totals stay as they were until every member goes by it.
-        self.fleet.held[BUDGETS_ROLE].resize(self.lowest_totals)
+        self.fleet.role_states[BUDGETS_ROLE].resize(self.lowest_totals)
 
     def _may_come_into_force(self, change: PolicyChange) -> bool:
         return change.state in (ChangeState.CHECKED, ChangeState.PREPARED) and not self.fits(change.version)
--- a/gullhold/rollout/policy_client.py
+++ b/gullhold/rollout/policy_client.py
@@ -6,9 +6,9 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from gullhold.fleet.driver import KEYS
-from gullhold.fleet.register import Register
 from gullhold.fleet.store_calls import KeyValue, Proof, Put, ReadPrefix, Transaction
+from gullhold.fleet.store_client import StoreClient
+from gullhold.fleet.store_schema import fleet_prefix
 from gullhold.rollout.policy import parse_policy
 from gullhold.rollout.policy_change import (
     FINAL_STATES,
@@ -68,7 +68,7 @@
 
     def __init__(self, address: str, name: str, report: Callable[[str], None] = _ignore) -> None:
         """address: of the store; name: of the fleet."""
-        self.session = Register(address, f"{KEYS}{name}/", TIMEOUT_S)
+        self.session = StoreClient(address, fleet_prefix(name), TIMEOUT_S)
         self.report = report
 
     def read(self) -> dict[str, KeyValue]:
--- a/gullhold/rollout/policy_commands.py
+++ b/gullhold/rollout/policy_commands.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from gullhold.fleet.lease import MILLION
+from gullhold.fleet.clocks import US_PER_SECOND
 from gullhold.rollout.policy import differences, parse_policy
 from gullhold.rollout.policy_change import Canary, OnSilence, Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient, StoreUnavailableError
@@ -78,7 +78,7 @@
     if arguments.canary:
         canary = Canary(
             arguments.canary,
-            int(arguments.canary_seconds * MILLION),
+            int(arguments.canary_seconds * US_PER_SECOND),
             arguments.most_failed,
             arguments.most_slower,
         )
@@ -88,7 +88,7 @@
         reason,
         overlap=Overlap(arguments.overlap),
         on_silence=OnSilence(arguments.silence),
-        patience_us=int(arguments.patience * MILLION),
+        patience_us=int(arguments.patience * US_PER_SECOND),
         canary=canary,
     )
     print(f"{version.number} is proposed on {version.parent}; digest {version.digest}")
--- a/gullhold/testing/change_world.py
+++ b/gullhold/testing/change_world.py
@@ -6,7 +6,8 @@
 
 from typing import Any
 
-from gullhold.fleet.lease import MILLION, Lease
+from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.fleet.lease import Lease
 from gullhold.fleet.store_calls import GrantLease
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
 from gullhold.rollout.policy_change import Canary, ChangeState, OnSilence, Overlap, PolicyChange
@@ -26,7 +27,7 @@
     decode_version,
 )
 from gullhold.rollout.vote import CommandFigures
-from gullhold.testing.ownercheck import Model
+from gullhold.testing.store_model import Model
 from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
 
 Action = tuple[Any, ...]  # (kind, argument of the kind)
@@ -39,7 +40,7 @@
 SETTLING_STEPS = 40  # steps of time in which a world without faults has to settle
 MAX_CALLS_IN_STEP = 80  # calls and replies that are carried out in one of them at most
 PATIENCE_US = 4 * QUANTUM_US
-MAX_OVERLAP_US = TERMS.ttl_s * MILLION  # for which members may dispatch under different versions
+MAX_OVERLAP_US = TERMS.ttl_s * US_PER_SECOND  # for which members may dispatch under different versions
 CANARY_SHARE = 0.4  # of the members: one of three
 COMMANDS_IN_REPORT = 30  # that a member's figures grow by each time they are asked for
 
