--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -17,7 +17,7 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient, StoreUnavailableError
 from gullhold.rollout.policy_version import PolicyError
 from gullhold.testing import changecheck, changemutants, crowd
-from gullhold.testing.budgetcheck import Parts, most_at_once
+from gullhold.testing.budget_checker import AllocationHistory, most_at_once
 from gullhold.testing.counting import CountingEngine
 from gullhold.testing.fleet import Rig
 from gullhold.testing.policycheck import Changes, by_policy, mixed
@@ -214,7 +214,7 @@
     strict_mixed, overlaps = mixtures(rig, applied)
     logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
     over_on_engine = most_at_once(rig.engines[0].flights)[0] > TOTAL_THREADS
-    over_allocated = max(Parts(rig.lines()).most.values(), default=0) > TOTAL_THREADS
+    over_allocated = max(AllocationHistory(rig.lines()).most.values(), default=0) > TOTAL_THREADS
     reported = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}
     return {
         "changes": len(outcomes),
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -8,9 +8,8 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from gullhold.budgets.driver import OF as BUDGET_KINDS
-from gullhold.budgets.driver import name_of as budget_name
-from gullhold.budgets.duty import DUTY as BUDGETS_ROLE
+from gullhold.budgets.allocator_role import ROLE as BUDGETS_ROLE
+from gullhold.budgets.budget_rules import BUDGET_KINDS, budget_name
 from gullhold.fleet.clocks import US_PER_SECOND
 from gullhold.fleet.role_state import LogEvent
 from gullhold.fleet.store_calls import Reply
@@ -198,7 +197,7 @@
 
     def _apply(self, serial: int, policy: CorePolicy) -> None:
         if self.fleet.budgets:
-            self.fleet.budgets.purses.resize(_by_kind(policy.budget_totals))
+            self.fleet.budgets.allocations.resize(_by_kind(policy.budget_totals))
         self.core.apply_policy(policy.terms, self.gate, policy.tenant_shares, policy.client_weights)
         self.core.counters.add(f"policy {policy.number}")
         self.fleet.post(self._adopted, serial)
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -15,7 +15,7 @@
 from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
 from gullhold.rollout.store_schema import CHANGE_KEY, decode_change, encode_change, history_key
 from gullhold.testing import crowd
-from gullhold.testing.budgetcheck import most_at_once
+from gullhold.testing.budget_checker import most_at_once
 from gullhold.testing.counting import CountingEngine
 from gullhold.testing.fleet import Rig
 from gullhold.testing.policycheck import Changes, by_policy, mixed
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,8 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold.budgets import duty
-from gullhold.budgets.divider import Budget
+from gullhold.budgets.allocator import Budget
+from gullhold.budgets.allocator_role import AllocatorRole
+from gullhold.budgets.budget_schema import REPORTS, Usage, UsageReport, encode_report
+from gullhold.budgets.ledger import LedgerKind
 from gullhold.fleet.lease import Lease, LeaseTerms
 from gullhold.fleet.role_state import IDLE_STEP_US, RETRY_US, WriteKeys
 from gullhold.fleet.store_calls import KeyValue, Proof, Reply
@@ -39,7 +41,7 @@
     encode_vote,
 )
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
-from gullhold.testing import change_world, changecheck, changemutants, dividecheck, dividemutants
+from gullhold.testing import budget_explorer, budget_mutants, change_world, changecheck, changemutants
 from gullhold.testing.policycheck import Changes, mixed
 
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
@@ -294,13 +296,13 @@
 
 def test_a_read_from_the_past_is_not_believed_by_whoever_carries_or_divides():
     opened = encode_change(PolicyChange(VERSION))
-    coordinator, dividing = RolloutCoordinator(), duty.Dividing({"b": Budget("held", 5)})
+    coordinator, dividing = RolloutCoordinator(), AllocatorRole({"b": Budget(LedgerKind.HELD, 5)})
     for one in (coordinator, dividing):
         one.won(1, 0)
         one.read(0, one.take_actions()[0].serial, Reply(Proof.DONE, 7))
         assert one.loaded
     coordinator.changed(0, CHANGE_KEY, opened, 9)  # it reads what was proposed
-    dividing.changed(0, duty.ASKS + "a/1", duty.report_text(0, {"b/0": (0, 1, 1)}), 9)
+    dividing.changed(0, REPORTS + "a/1", encode_report(UsageReport(0, {"b/0": Usage(0, 1, 1)})), 9)
     dividing.missed(0)
     dividing.written(0, dividing.writing, Reply(Proof.DONE, 10, succeeded=False))
     for one in (coordinator, dividing):
@@ -326,7 +328,7 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 2**32))
 def test_walks_through_divisions_never_pass_the_whole_and_lose_none_of_it(seed):
-    dividecheck.walk(seed, 400)
+    budget_explorer.walk(seed, 400)
 
 
 def test_a_small_world_is_gone_through():
@@ -344,9 +346,16 @@
     "name",
     [
         name
-        for name in dividemutants.MUTANTS
-        if name not in ("NoFence", "OverAtOnce", "DeafWhileReading", "MaybeIsDone", "reports not compared")
+        for name in budget_mutants.MUTANTS
+        if name
+        not in (
+            "NoFence",
+            "ForgetsExpiringOnLoad",
+            "IgnoresChangesWhileReading",
+            "TakesUnknownForDone",
+            "reports not compared",
+        )
     ],
 )
 def test_the_walks_find_divisions_that_are_wrong(name):  # those left out: benchmarks.budgets
-    assert dividemutants.find(name, 60, 800)
+    assert budget_mutants.find(name, 60, 800)
