--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,9 +1,8 @@
-"""Policies and their changes, and the walks through them: the decisions alone."""
+"""Changes of policy, and the walks through them: the decisions alone."""
 
 from dataclasses import replace
 
 import pytest
-from driver import MS, Driver, make_agreement, profile
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -14,30 +13,17 @@
 from gullhold.fleet.lease import Lease, LeaseTerms
 from gullhold.fleet.role_state import IDLE_STEP_US, RETRY_US, WriteKeys
 from gullhold.fleet.store_calls import KeyValue, Proof, Reply
-from gullhold.interface import EngineState, Idempotency, Outcome, SetTerms, Shed, Tenant
 from gullhold.rollout import canary
-from gullhold.rollout.policy import (
-    BudgetLimits,
-    Deployment,
-    Policy,
-    budget_totals,
-    decision_terms,
-    differences,
-    find_fault,
-    parse_policy,
-)
 from gullhold.rollout.policy_change import Canary, ChangeState, OnSilence, Overlap, PolicyChange
 from gullhold.rollout.policy_gate import CutOffRule, PolicyGate
-from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
+from gullhold.rollout.policy_version import PolicyError, PolicyVersion
 from gullhold.rollout.proposal import propose
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.store_schema import (
     CHANGE_KEY,
     VOTES,
     decode_change,
-    decode_version,
     encode_change,
-    encode_version,
     encode_vote,
 )
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
@@ -45,129 +31,6 @@
 from gullhold.testing.policycheck import Changes, mixed
 
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
-AGREEMENT = make_agreement(
-    profile(name="read"),
-    profile(name="once", idempotency=Idempotency.NON_IDEMPOTENT),
-    tenants=(Tenant(0.7, name="a"), Tenant(0.3, name="b")),
-)
-
-
-def test_a_record_is_what_was_sealed_or_nothing():
-    version = PolicyVersion(1, 0, "a", "why", 5, "policy: {}").sealed()
-    stored = encode_version(version)
-    assert decode_version(stored) == version
-    assert decode_version(encode_version(INITIAL_VERSION)) == INITIAL_VERSION
-    for spoilt in (
-        stored[:-5],
-        stored.replace('"why"', '"who"', 1),
-        '{"number": 1}',
-        "[]",
-        encode_version(version._replace(text="policy: {grants: read: 1}")),
-    ):
-        with pytest.raises(PolicyError):
-            decode_version(spoilt)
-
-
-@pytest.mark.parametrize(
-    "text, why",
-    [
-        ("policy: {", "line"),
-        ("policy: shares: a: 0", ""),
-        ("policy: unheard: 1", ""),
-        ("other: 1", ""),
-        ("policy: priorities: read: 9", ""),
-        ("policy: grants: read: 1.5", ""),
-        ("x" * 200_000, "characters"),
-    ],
-)
-def test_a_policy_that_can_not_be_read_is_one_line(text, why):
-    with pytest.raises(PolicyError) as fault:
-        parse_policy(text)
-    assert "\n" not in str(fault.value) and (not why or why in str(fault.value) or ":" in str(fault.value))
-
-
-@pytest.mark.parametrize(
-    "text, why",
-    [
-        ("shares: c: 1", "no tenant"),
-        ("grants: none: 1", "no profile"),
-        ("sends: once: 2", "never run twice"),
-        ("sends: read: 4", "allows 3"),
-        ("budgets: threads: 9", "is no budget"),
-        ("budgets: taken: 3", "are kept back"),
-        ("schedules: warm: false", "no scheduled command"),
-        ("clients: x: 2", "there is no door"),
-        ("{shares: a: 2, sends: {read: 3, once: 1}, budgets: taken: 9}", ""),
-    ],
-)
-def test_a_policy_is_checked_against_the_agreement_and_the_budgets(text, why):
-    policy = parse_policy(f"policy: {text}")
-    found = find_fault(policy, Deployment(AGREEMENT, {"taken": BudgetLimits(10, 4)}))
-    assert (why in found) if why else not found
-
-
-def test_what_a_policy_says_is_by_index_for_the_module_and_by_name_for_staff():
-    policy = parse_policy("policy: {shares: b: 0.35, grants: read: 20, priorities: once: 2}")
-    weights, priorities, grants, sends = decision_terms(policy, AGREEMENT)
-    assert weights == [2.0, 1.0] and priorities == {1: 2} and grants == {0: 20} and sends == {}
-    assert differences(Policy(*[{}] * len(Policy._fields)), policy) == [
-        ("shares", "b", None, 0.35),
-        ("priorities", "once", None, 2),
-        ("grants", "read", None, 20),
-    ]
-    budgets = {"threads": BudgetLimits(9, 0), "cold": BudgetLimits(5, 0)}
-    assert budget_totals(parse_policy("policy: budgets: threads: 4"), budgets) == {"threads": 4, "cold": 5}
-
-
-class Gate:
-    """A gate that a test opens and shuts."""
-
-    def __init__(self):
-        self.open, self.away = True, False
-
-    def may_dispatch(self):
-        return self.open
-
-    def rejects_new(self):
-        return self.away
-
-
-def test_the_module_goes_by_a_policy_from_the_next_send_and_sends_nothing_while_the_gate_is_closed():
-    world, gate = Driver(AGREEMENT), Gate()
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
-
-    def adopt(text):
-        terms = decision_terms(parse_policy(text), AGREEMENT)
-        world.obey(world.gateway.apply_policy(world.now, terms, gate))
-
-    adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
-    first = world.command()
-    assert SetTerms(first, 20, 2) in world.log
-    gate.open = False
-    second = world.command()
-    world.wait(100 * MS)
-    assert not world.commands[second]["out"]
-    gate.open = True
-    adopt("policy: grants: read: 30")
-    assert world.commands[second]["out"] and SetTerms(second, 30, 3) in world.log
-    adopt("policy: sends: read: 1")
-    world.end(first, Outcome.RESET)  # one send is all there is
-    assert world.commands[first]["final"] == Shed
-    gate.away = True  # it is not known by what to decide
-    third = world.command()
-    assert world.commands[third]["final"] == Shed and not world.commands[third]["sends"]
-
-
-def test_while_the_gate_is_closed_every_command_still_gets_its_answer_in_time():
-    world, gate = Driver(AGREEMENT), Gate()
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
-    gate.open = False
-    terms = decision_terms(parse_policy("policy: {}"), AGREEMENT)
-    world.obey(world.gateway.apply_policy(world.now, terms, gate))
-    for _ in range(5):
-        world.command()
-    world.wait(5000 * MS)  # the driver fails where one is late
-    assert all(cmd["final"] == Shed for cmd in world.commands.values())
 
 
 def test_the_checkers_see_what_is_mixed_and_what_was_decided_without_a_word():
