--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -213,9 +213,9 @@
 
 
 def _policy(args: argparse.Namespace) -> int:
-    from gullhold.rollout import show  # noqa: PLC0415  heavy libraries
+    from gullhold.rollout import policy_commands  # noqa: PLC0415  heavy libraries
 
-    return show.run(args)
+    return policy_commands.run(args)
 
 
 def _add_rehearse(commands: "Commands") -> None:
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -50,9 +50,9 @@
 from gullhold.fleet.watcher import OnChange, Watcher
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.startup import start_thread
-from gullhold.rollout.change import DUTY as ROLLOUT_ROLE
-from gullhold.rollout.driver import LANES as ROLLOUT_LANES
-from gullhold.rollout.driver import Policies
+from gullhold.rollout.member_rollout import LANES as ROLLOUT_LANES
+from gullhold.rollout.member_rollout import MemberRollout
+from gullhold.rollout.store_schema import ROLE as ROLLOUT_ROLE
 
 if TYPE_CHECKING:
     from gullhold.net.configuration import Configuration
@@ -109,7 +109,7 @@
                 raise UnusableFleetError(str(error)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = Policies(self, record, agreement, monotonic_us, rules.terms.guaranteed_us())
+            self.policies = MemberRollout(self, record, agreement, monotonic_us, rules.terms.guaranteed_us())
         self._parts = [part for part in (self.budgets, self.policies) if part]
 
     def _roles(self) -> list[str]:
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -25,7 +25,7 @@
 from gullhold.fleet.lease import Lease
 from gullhold.fleet.store_calls import GrantLease, Proof, Put, Reply, Transaction
 from gullhold.interface import BudgetKind, Demand
-from gullhold.testing.ownercheck import Model
+from gullhold.testing.store_model import Model
 from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
 
 WINDOW_US = 1_600_000  # us of real time: no whole number of moments
