--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -54,7 +54,11 @@
         until(lambda: played.record.counts.get("answered", 0) > 100)
         breaks = played.play(0.5)
         assert all(text.startswith("a connection ended") for text in breaks)
-        assert "Traceback" not in played.text() and played.serves()
+        assert "Traceback" not in played.text()
+        # Asked once the faults are over: while they go on, one call in a hundred of the check's own connection
+        # fails as well, which says nothing of the gateway.
+        plan.clear()
+        assert played.serves()
 
 
 def test_a_time_out_of_the_system_is_an_end_and_one_of_a_read_is_not():
