--- /dev/null
+++ b/tests/test_documentation.py
@@ -0,0 +1,163 @@
+"""Checks what the pages name against the repository: files, sub-commands, options, tests and diagrams."""
+
+import argparse
+import re
+from pathlib import Path
+
+import pytest
+
+from gullhold.__main__ import build_parser
+
+ROOT = Path(__file__).resolve().parent.parent
+PAGES = [
+    ROOT / "README.md",
+    ROOT / "docs/architecture.md",
+    ROOT / "docs/glossary.md",
+    ROOT / "docs/on-call.md",
+    *sorted((ROOT / "docs/notes").glob("*.md")),
+    *sorted((ROOT / "docs/operators").glob("*.md")),
+]
+COMMAND_PAGES = [ROOT / "README.md", *sorted((ROOT / "docs/operators").glob("*.md"))]
+FOLDERS = ("gullhold", "tests", "benchmarks", "deploy", "docs", "journal")
+FILE_ENDING = re.compile(r"\.(py|md|cue|toml|txt|lark|j2|c)$")
+# What users write themselves, or what the program makes, in examples of the pages.
+NAMES_IN_EXAMPLES = {"small.txt", "policy.json", "FILE"}
+ARCHITECTURE_LINES_MOST = 150
+DIAGRAM = re.compile(r"```mermaid\n(.*?)```", re.DOTALL)
+
+
+def quoted(text: str) -> set[str]:
+    """Return what stands in backticks on one line, without what stands in fenced blocks."""
+    without_blocks = re.sub(r"^```.*?^```", "", text, flags=re.DOTALL | re.MULTILINE)
+    return set(re.findall(r"`([^`\n]+)`", without_blocks))
+
+
+def looks_like_a_file(name: str) -> bool:
+    """Tell whether a quoted text names a file or a folder of the repository."""
+    if re.search(r"[\s*<>{}]|\.\.\.|://", name) or name.startswith(("/", "-", "~")):
+        return False
+    path = name.split("::", maxsplit=1)[0]
+    if path.split("/", maxsplit=1)[0] in FOLDERS and "/" in path:
+        return True
+    return bool(FILE_ENDING.search(path)) and path not in NAMES_IN_EXAMPLES
+
+
+def exists(name: str) -> bool:
+    """Tell whether a file is there: from the root, or in short under the package or the tests."""
+    path = name.split("::", maxsplit=1)[0]
+    return any((base / path).exists() for base in (ROOT, ROOT / "gullhold", ROOT / "tests"))
+
+
+def links(text: str) -> set[str]:
+    """Return the targets of links that stay inside the repository, without their anchors."""
+    targets = {target.split("#")[0] for target in re.findall(r"\]\(([^)\s]+)\)", text)}
+    return {target for target in targets if target and "://" not in target}
+
+
+def headings(text: str) -> set[str]:
+    """Return the anchors of a page's headings."""
+    titles = re.findall(r"^#+ (.+)$", text, re.MULTILINE)
+    return {re.sub(r"[^\w\- ]", "", title.lower()).replace(" ", "-") for title in titles}
+
+
+def subcommands() -> dict[str, argparse.ArgumentParser]:
+    """Return the parser of each sub-command."""
+    parser = build_parser()
+    (commands,) = (a for a in parser._actions if isinstance(a, argparse._SubParsersAction))
+    return dict(commands.choices)
+
+
+def named_commands(text: str) -> list[tuple[str, str]]:
+    """Return each `gullhold SUBCOMMAND ...` of a page: the sub-command and the rest of its text.
+
+    A line that is indented below a command in a block of examples goes on with it.
+    """
+    joined = re.sub(r"\n {20,}", " ", text)
+    found = re.findall(r"`gullhold ([^`\n]+)`", joined)
+    found += re.findall(r"^    (?:.*-m )?gullhold ([^#\n]+)", joined, re.MULTILINE)
+    found = [command.replace("\\|", "|") for command in found]
+    return [(words[0], " ".join(words[1:])) for words in (command.split() for command in found) if words]
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_files_that_a_page_names_exist(page: Path):
+    text = page.read_text()
+    missing = sorted(name for name in quoted(text) if looks_like_a_file(name) and not exists(name))
+    assert missing == []
+    dead = sorted(target for target in links(text) if not (page.parent / target).exists())
+    assert dead == []
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_anchors_that_a_page_links_to_exist(page: Path):
+    for target, anchor in re.findall(r"\]\(([^)\s#]*)#([^)\s]+)\)", page.read_text()):
+        if "://" in target:
+            continue
+        other = page.parent / target if target else page
+        assert anchor in headings(other.read_text()), f"{target}#{anchor}"
+
+
+@pytest.mark.parametrize("page", COMMAND_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_commands_and_options_that_a_page_names_exist(page: Path):
+    parsers = subcommands()
+    commands = named_commands(page.read_text())
+    for name, rest in commands:
+        assert name in parsers, f"gullhold {name}"
+        known = parsers[name]._option_string_actions
+        unknown = [option for option in re.findall(r"--[a-z][a-z-]*", rest) if option not in known]
+        assert unknown == [], f"gullhold {name} {rest}"
+        _check_choices(parsers[name], name, rest)
+
+
+def _check_choices(parser: argparse.ArgumentParser, name: str, rest: str) -> None:
+    """Check `a|b|c` of a command against what its first argument may be."""
+    choices = next((a.choices for a in parser._actions if not a.option_strings and a.choices), None)
+    if choices and rest and not rest.startswith("-"):
+        named = rest.split(maxsplit=1)[0].split("|")
+        assert set(named) <= set(choices), f"gullhold {name} {rest}"
+
+
+@pytest.mark.parametrize("page", COMMAND_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_options_in_backticks_are_options_of_some_command(page: Path):
+    known = {option for parser in subcommands().values() for option in parser._option_string_actions}
+    known |= {"--quick", "--why"}  # of the benchmarks, of the operators' kit
+    named = {o for text in quoted(page.read_text()) if text.startswith("--") for o in [text.split()[0]]}
+    assert sorted(named - known) == []
+
+
+def test_the_pages_name_commands_at_all():
+    """Guards against a pattern that finds nothing: the checks above would hold for any page."""
+    named = {name for page in COMMAND_PAGES for name, _ in named_commands(page.read_text())}
+    assert named >= {"try", "serve", "config", "register", "fleet", "policy", "rehearse", "check", "version"}
+    files = {name for page in PAGES for name in quoted(page.read_text()) if looks_like_a_file(name)}
+    assert len(files) > 100
+
+
+def test_tests_that_the_table_of_crossing_events_names_exist_once():
+    names = [name for file in (ROOT / "tests").rglob("test_*.py") for name in _test_functions(file)]
+    text = (ROOT / "docs/notes/crossings.md").read_text()
+    parts = [part.strip(".") for part in quoted(text) if part.count("_") > 1 and "/" not in part]
+    assert len(parts) > 40
+    for part in parts:
+        assert len([name for name in names if part in name]) == 1, part
+
+
+def _test_functions(file: Path) -> list[str]:
+    return re.findall(r"^def (test_\w+)", file.read_text(), re.MULTILINE)
+
+
+def test_the_architecture_is_one_page_with_a_diagram_for_each_way():
+    text = (ROOT / "docs/architecture.md").read_text()
+    assert len(text.splitlines()) <= ARCHITECTURE_LINES_MOST
+    for title in ("The way of a request", "The way of a configuration change"):
+        section = text.split(f"## {title}\n")[1].split("\n## ")[0]
+        assert len(DIAGRAM.findall(section)) == 1, title
+
+
+def test_modules_in_the_diagrams_exist():
+    text = (ROOT / "docs/architecture.md").read_text()
+    paths = {
+        path for diagram in DIAGRAM.findall(text) for path in re.findall(r"\b[a-z_]+/[a-z_]+\b", diagram)
+    }
+    assert paths
+    assert sorted(path for path in paths if not (ROOT / "gullhold" / f"{path}.py").exists()) == []
