--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -1,7 +1,6 @@
 """A command from its arrival to the outcome of its last attempt, and the states between."""
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 from enum import IntEnum
 from typing import TYPE_CHECKING
 
@@ -51,7 +50,6 @@
     """A command was to change to a state that does not follow its present one."""
 
 
-@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Command:
     """One command. Times are in microseconds; the state changes only through change_state().
 
@@ -59,32 +57,80 @@
     have run; None: none has.
     """
 
-    id: int
-    profile_index: int
-    profile: Profile
-    tenant: int
-    key: int
-    need_mb: float
-    dataset: int
-    order: int  # of arrival
-    work: float  # estimate, core-us
-    admitted_at: int  # 0: it widens no retry budget
-    target_at: int  # end of its latency objective
-    is_short: bool
-    last_start_at: int  # after it no attempt is started
-    worthwhile_until: int  # while an answer still earns
-    threads: int
-    state: CommandState = CommandState.BLOCKED
-    queue_entry: int = 0  # number of its newest entry in the queue; older ones are void
-    attempts: int = 0
-    engine: "Engine | None" = None
-    sent_at: int = 0
-    first_run_engine: "Engine | None" = None
-    first_run_at: int = 0
-    progress: float = 0.0  # share done, as the engine reported it for the open attempt; 0: not reported
-    is_stalled: bool = False  # its attempt is open for so long that nothing new goes to that engine
-    attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # until its attempt ends
-    admission_shares: Sequence[BudgetShare] = ()  # until the command ends
+    __slots__ = (
+        "id",
+        "profile_index",
+        "profile",
+        "tenant",
+        "key",
+        "need_mb",
+        "dataset",
+        "order",
+        "work",
+        "admitted_at",
+        "target_at",
+        "is_short",
+        "last_start_at",
+        "worthwhile_until",
+        "threads",
+        "state",
+        "queue_entry",
+        "attempts",
+        "engine",
+        "sent_at",
+        "first_run_engine",
+        "first_run_at",
+        "progress",
+        "is_stalled",
+        "attempt_claims",
+        "admission_shares",
+    )
+
+    def __init__(
+        self,
+        id: int,
+        profile_index: int,
+        profile: Profile,
+        tenant: int,
+        key: int,
+        need_mb: float,
+        dataset: int,
+        order: int,  # of arrival
+        work: float,  # estimate, core-us
+        admitted_at: int,  # 0: it widens no retry budget
+        target_at: int,  # end of its latency objective
+        is_short: bool,
+        last_start_at: int,  # after it no attempt is started
+        worthwhile_until: int,  # while an answer still earns
+        threads: int,
+    ) -> None:
+        """Create a command that has arrived and has no attempt yet."""
+        self.id = id
+        self.profile_index = profile_index
+        self.profile = profile
+        self.tenant = tenant
+        self.key = key
+        self.need_mb = need_mb
+        self.dataset = dataset
+        self.order = order
+        self.work = work
+        self.admitted_at = admitted_at
+        self.target_at = target_at
+        self.is_short = is_short
+        self.last_start_at = last_start_at
+        self.worthwhile_until = worthwhile_until
+        self.threads = threads
+        self.state: CommandState = CommandState.BLOCKED
+        self.queue_entry: int = 0  # number of its newest entry in the queue; older ones are void
+        self.attempts: int = 0
+        self.engine: Engine | None = None
+        self.sent_at: int = 0
+        self.first_run_engine: Engine | None = None
+        self.first_run_at: int = 0
+        self.progress: float = 0.0  # share done, as reported for the open attempt; 0: not reported
+        self.is_stalled: bool = False  # its attempt is open for so long that nothing new goes to that engine
+        self.attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # until its attempt ends
+        self.admission_shares: Sequence[BudgetShare] = ()  # until the command ends
 
     def change_state(self, state: CommandState) -> None:
         """Enter a state. Raises InvalidTransitionError where it does not follow the present one."""
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -1,9 +1,8 @@
 """Health of engines: failure rate, attempts that stall, and pace against the fleet's."""
 
-from statistics import median
-
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.estimators import Estimates
+from gullhold.decisions.median import median
 from gullhold.decisions.moving_average import STEP, remaining
 from gullhold.decisions.ranking import EngineList
 from gullhold.interface import Outcome
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -4,9 +4,12 @@
 `decisions.Gateway(seed, agreement, now)` for each gateway process and calls its methods. Every call takes the
 time in whole microseconds first and returns a list of the result types below. Absent figures are zero; absent
 limits are None.
+
+The results are NamedTuples: each start imports this module, and a frozen dataclass costs several times as
+much to create, both the class and its objects. Two results of different types compare equal where their
+fields do, so tell them apart by type.
 """
 
-from dataclasses import dataclass
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
@@ -78,8 +81,7 @@
     DISCOVERY_CALLS = 7
 
 
-@dataclass(frozen=True, slots=True)
-class Dispatch:
+class Dispatch(NamedTuple):
     """Result: send the command to the engine; the attempt must not begin after the deadline."""
 
     command: int
@@ -87,8 +89,7 @@
     deadline_us: int
 
 
-@dataclass(frozen=True, slots=True)
-class SetTerms:
+class SetTerms(NamedTuple):
     """Result: memory granted to further attempts of a command, and its priority, also of an open attempt."""
 
     command: int
@@ -96,16 +97,14 @@
     priority: int
 
 
-@dataclass(frozen=True, slots=True)
-class CancelAttempt:
+class CancelAttempt(NamedTuple):
     """Result: cancel one attempt of a command, by its number."""
 
     command: int
     attempt: int
 
 
-@dataclass(frozen=True, slots=True)
-class Shed:
+class Shed(NamedTuple):
     """Result: the final answer is that the command was shed; a retry does no harm.
 
     retry_after_us: the longest wait that the client may be asked for; 0: none.
@@ -115,23 +114,20 @@
     retry_after_us: int
 
 
-@dataclass(frozen=True, slots=True)
-class Fail:
+class Fail(NamedTuple):
     """Result: the final answer is a failure; the command may have run."""
 
     command: int
 
 
-@dataclass(frozen=True, slots=True)
-class StartTimer:
+class StartTimer(NamedTuple):
     """Result: call timer_fired() with the token after the delay."""
 
     delay_us: int
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class LogLine:
+class LogLine(NamedTuple):
     """Result: a line for the log."""
 
     text: str
@@ -145,8 +141,7 @@
     amount: int
 
 
-@dataclass(frozen=True, slots=True)
-class ReportDemand:
+class ReportDemand(NamedTuple):
     """Result: the demand for budgets of the fleet."""
 
     demands: tuple[Demand, ...]
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -1,8 +1,7 @@
 """Building the parts of one gateway process from its configuration and the operator's records."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from gullhold.admission.client_identity import Whose
 from gullhold.admission.queue import Door
@@ -29,16 +28,14 @@
 RESULTS_PER_MESSAGE = 2  # results for which the largest message has room, with its other fields
 
 
-@dataclass(frozen=True, slots=True)
-class Admission:
+class Admission(NamedTuple):
     """The admission queue, and what tells clients apart for it."""
 
     queue: Door
     client_identity: Whose
 
 
-@dataclass(frozen=True, slots=True)
-class GatewayParts:
+class GatewayParts(NamedTuple):
     """The parts of a gateway that run in threads of their own; the listener's socket is open."""
 
     core: Core
--- a/gullhold/net/configuration.py
+++ b/gullhold/net/configuration.py
@@ -2,8 +2,7 @@
 
 import json
 import os
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from gullhold.agreement import read_agreement
 from gullhold.interface import Agreement
@@ -24,8 +23,7 @@
     """A configuration or operator file that can't be used; the message is one plain line."""
 
 
-@dataclass(frozen=True, slots=True)
-class Configuration:
+class Configuration(NamedTuple):
     """What a configuration file states.
 
     list_changes: the endpoint list at the start; engine_ids: the numbers given to the engines' names so far;
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -1,8 +1,7 @@
 """The periodic look at connections to engines: those that fell silent, and those no longer needed."""
 
-from dataclasses import dataclass
 from math import isqrt
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from gullhold.interface import Agreement, EngineState, Outcome
 from gullhold.net import engine_protocol
@@ -15,8 +14,7 @@
 LEAST_SWEEP_US = 100_000  # us between looks, at the least
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionLimits:
+class ConnectionLimits(NamedTuple):
     """Times and numbers that hold for all connections to engines, from the settings."""
 
     sweep_interval_us: int  # between looks: the time to come up
--- a/tests/decisions/test_attempt_review.py
+++ b/tests/decisions/test_attempt_review.py
@@ -15,7 +15,7 @@
         world.end(ident, Outcome.ANSWERED)
     ident = world.command()
     world.wait(400 * MS)
-    assert CancelAttempt(ident, 0) in world.log
+    assert CancelAttempt(ident, 0) in world.results_of(CancelAttempt)
     world.end(ident, Outcome.CANCELLED)
     assert len(world.commands[ident]["sends"]) == 2
 
@@ -36,4 +36,4 @@
     world.wait(500 * MS)
     world.gateway.attempt_status(world.now, ident, 0, StatusKind.PROGRESS, 0.02)
     world.wait(600 * MS)
-    assert CancelAttempt(ident, 0) in world.log
+    assert CancelAttempt(ident, 0) in world.results_of(CancelAttempt)
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -105,7 +105,7 @@
     world.engines()
     assert not world.gateway.parts.thread_use.running_on and not world.gateway.parts.thread_use.total
     assert not any(engine.threads or engine.attempts for engine in world.gateway.parts.engines.by_slot)
-    return world.log
+    return [(type(result), result) for result in world.log]
 
 
 @pytest.mark.parametrize("agreement", AGREEMENTS)
@@ -129,7 +129,7 @@
     assert world.gateway.attempt_ended(world.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
     assert world.gateway.client_left(world.now, 77) == []
     unknown = world.gateway.submit(world.now, 900, 5, 0, 0, world.now + MS, 0, 0.0, 0, False)
-    assert unknown == [Fail(900)]
+    assert unknown == [Fail(900)] and type(unknown[0]) is Fail
     world.command(0, tenant=9, work=0)
     assert len(world.out()) == 1
 
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -31,7 +31,7 @@
     world.end(ident, Outcome.OVERLOADED)
     assert world.out() == [ident] and not any(isinstance(result, Shed) for result in world.log)
     world.end(ident, Outcome.ERROR)
-    assert Fail(ident) in world.log
+    assert Fail(ident) in world.results_of(Fail)
 
 
 def test_what_bad_clients_ask_widens_no_budget_and_no_share_of_the_fleet():
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -228,6 +228,10 @@
                     self.agreement.supports_cancel and command["out"] and command["out"][2] == result.attempt
                 )
 
+    def results_of(self, result_type):
+        """The results of one type so far: those of other types may have equal fields."""
+        return [result for result in self.log if type(result) is result_type]
+
     def check_final(self, final, command):
         """Rules 1 and 2: one answer in time; shed only where a repeat does no harm."""
         assert not command["over"] and self.now <= command["timeout_at"] and not command["out"]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -126,14 +126,14 @@
 
     adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
     first = world.command()
-    assert SetTerms(first, 20, 2) in world.log
+    assert SetTerms(first, 20, 2) in world.results_of(SetTerms)
     gate.open = False
     second = world.command()
     world.wait(100 * MS)
     assert not world.commands[second]["out"]
     gate.open = True
     adopt("policy: grants: read: 30")
-    assert world.commands[second]["out"] and SetTerms(second, 30, 3) in world.log
+    assert world.commands[second]["out"] and SetTerms(second, 30, 3) in world.results_of(SetTerms)
     adopt("policy: sends: read: 1")
     world.end(first, Outcome.RESET)  # one send is all there is
     assert world.commands[first]["final"] == Shed
