--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -87,7 +87,7 @@
             self.unapplied = []
             self.reports.is_collecting = True
             self.core_budgets.apply(writes)
-        if self.reports.is_leaving and self.core.ended and not self.reports.has_given_back:
+        if self.reports.is_leaving and self.core.has_ended and not self.reports.has_given_back:
             self._give_back()
 
     def leave(self) -> None:
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -95,7 +95,7 @@
             raise ProtocolError(f"request {seq} after {self.last_seq}")
         self.last_seq = seq
         self.counters.add("taken")
-        if self.core.closed:  # at the end: nothing goes on from here, so this costs the core nothing
+        if self.core.is_rejecting:  # at the end: nothing goes on from here, so this costs the core nothing
             self.rejections.append(thrift.shed(seq, {}))
             return
         if self.client.open_count() >= OPEN_MOST:
@@ -138,7 +138,7 @@
             return None
 
     def _hand_to_core(self, seq: int, request: Request, received_at_us: int) -> None:
-        if not self.core.room.take(len(request.body)):
+        if not self.core.statement_memory.take(len(request.body)):
             self.counters.add("no memory for a statement")
             self.rejections.append(thrift.shed(seq, {}))
             return
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -79,7 +79,7 @@
         So it does for one that does not read, where many don't; harm: one that reads slowly while others
         don't read at all ends with them.
         """
-        is_crowding = self.pipe.size > RESULT_MOST and self.core.room.crowded()
+        is_crowding = self.pipe.size > RESULT_MOST and self.core.statement_memory.crowded()
         is_sent = not is_crowding and self.pipe.put(message) >= 0
         if not is_sent and (self.pipe.dead or not self.pipe.finishing):
             self.core.counters.add("answers that could not go")
@@ -192,7 +192,7 @@
 
     def _end_if_settled(self) -> None:
         """It was dismissed, and its stream is at its end."""
-        if self.core.closed:
+        if self.core.is_rejecting:
             self._end_soon()
         elif not self.busy():
             self._request_end()
@@ -201,7 +201,7 @@
     def _answer_rejected(self) -> None:
         if not self.write_rejections():
             self.backpressure.nothing_rejected()
-        elif self.core.closed:
+        elif self.core.is_rejecting:
             self._end_soon()
         else:
             self.backpressure.rejected()
@@ -241,7 +241,7 @@
             return True
         if is_pausing and not is_full:
             self.backpressure.size_bytes += count
-        if count and self.core.closed:
+        if count and self.core.is_rejecting:
             self._receive_rest()
         return count > 0
 
@@ -281,4 +281,4 @@
         """Ask the core, which knows what is open, to end this for idleness: behind all that was asked."""
         if not self.end_requested:
             self.end_requested = True
-            self.core.post(self.core.rest, self)
+            self.core.post(self.core.close_if_idle, self)
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -17,7 +17,7 @@
 from gullhold.net.decision_results import Decisions
 from gullhold.net.discovery import FIRST_EVENT_TIMEOUT_US
 from gullhold.net.endpoint_list import EndpointList
-from gullhold.net.engine_connection import EngineConnection, EngineEndpoint
+from gullhold.net.engine_connection import EngineConnection
 from gullhold.net.engine_health import ConnectionLimits, EngineHealth
 from gullhold.net.engine_pool import EnginePool
 from gullhold.net.engine_replies import EngineReplies
@@ -55,9 +55,10 @@
 class Core(EventLoop):
     """Owns the gateway's state. Only run() and what it calls touch it; other threads use post().
 
-    gateway: the decision module. message_most: bytes of the largest message. links_most: how many connections
-    to engines may hold a descriptor. room: the memory for statements, of all clients. door: the admission
-    queue, where there is one. come_back: the field of Shed that tells when to ask again; empty: none.
+    gateway: the decision module. max_message_bytes: bytes of the largest message. max_connections: how many
+    connections to engines may hold a descriptor. statement_memory: the memory for statements, of all clients.
+    door: the admission queue, where there is one. retry_after_field: the field of Shed that tells when to ask
+    again; empty: none.
 
     Whoever drives a core without threads overrides clock() and connect, and calls begin() and turn().
     """
@@ -71,25 +72,25 @@
         gateway: "Gateway",
         agreement: Agreement,
         counters: Counters,
-        message_most: int,
-        links_most: int,
-        room: StatementMemory,
+        max_message_bytes: int,
+        max_connections: int,
+        statement_memory: StatementMemory,
         door: "Door | None" = None,
-        come_back: str = "",
+        retry_after_field: str = "",
     ) -> None:
         super().__init__(counters)
         self.gateway = gateway
         self.agreement = agreement
-        self.message_most = message_most
-        self.room = room
+        self.max_message_bytes = max_message_bytes
+        self.statement_memory = statement_memory
         self.door = door
-        self.retry_after_field = come_back.encode()
+        self.retry_after_field = retry_after_field.encode()
         self.flusher: Flusher | None = None  # goes on with writes that the system did not take at once
         self.events = EventLog()
-        self.list_known = Event()  # the discovery service told what changed since the configuration, or can't
-        self.leaving_at = 0  # when the graceful shutdown began; 0: it did not
-        self.closed = False  # what comes now is rejected at once
-        self.ended = False  # the core's thread is over
+        self.list_received = Event()  # what changed since the configuration was received, or can't be
+        self.shutdown_began_at = 0  # when the graceful shutdown began; 0: it did not
+        self.is_rejecting = False  # what comes now is rejected at once
+        self.has_ended = False  # the core's thread is over
         # Set by the listener: ends all clients' connections, once what has come is answered.
         self.close_clients: Callable[[], None] = lambda: None
         # Set by a fleet: who hears of the demand for budgets, the gate of its policy, and its fences.
@@ -101,7 +102,7 @@
         self.requests = PendingRequests(self)
         self.admission = RequestAdmission(self)
         self.attempts = Attempts(self)
-        self.pool = EnginePool(self, links_most)
+        self.pool = EnginePool(self, max_connections)
         self.replies = EngineReplies(self)
         self.health = EngineHealth(self)
         self.endpoint_list = EndpointList(self)
@@ -117,30 +118,15 @@
         """The same by the id that the client gave."""
         return self.requests.by_txn
 
-    @property
-    def engines(self) -> dict[int, EngineEndpoint]:
-        """The engines that there are connections to, or may be."""
-        return self.pool.endpoints
-
-    @property
-    def links(self) -> set[EngineConnection]:
-        """Connections to engines."""
-        return self.pool.connections
-
-    @property
-    def holding(self) -> set[EngineConnection]:
-        """Connections to engines that hold a descriptor."""
-        return self.pool.holding
-
     # The thread
 
     def run(self, known: list[tuple]) -> None:
         """Serve until the graceful shutdown is done. known: changes of the list, of the configuration."""
         # Guards against sends to what has left since the configuration was written: a start takes a second.
-        self.list_known.wait((self.agreement.connect_timeout_us + 2 * FIRST_EVENT_TIMEOUT_US) / 1e6)
+        self.list_received.wait((self.agreement.connect_timeout_us + 2 * FIRST_EVENT_TIMEOUT_US) / 1e6)
         self.begin(known)
         self.run_until_stopped()
-        self.ended = True  # this thread touches nothing any more
+        self.has_ended = True  # this thread touches nothing any more
 
     def begin(self, known: list[tuple]) -> None:
         """Apply the list of the configuration; from here on there is always a timer."""
@@ -178,12 +164,12 @@
 
     def check(self, client: Client, seq: int) -> None:
         """Whether we serve is asked: this answer comes from the thread that does."""
-        is_serving = self.endpoint_list.is_known and not self.leaving_at
+        is_serving = self.endpoint_list.is_known and not self.shutdown_began_at
         if is_serving and self.gate:
             is_serving = not self.gate.rejects_new()
         client.put(thrift.answer("check", seq, good=is_serving))
 
-    def rest(self, client: "ClientConnection") -> None:
+    def close_if_idle(self, client: "ClientConnection") -> None:
         """A connection is idle: it ends, unless something came meanwhile."""
         if client.busy():
             client.end_requested = False
@@ -219,6 +205,6 @@
         """
         return all(fence.token_valid(token) for fence, token in zip(self.fences, tokens, strict=True))
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """A planned restart was asked for."""
         self.shutdown.start()
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -101,14 +101,14 @@
         self._address_changed.clear()
         address = self._address  # read after the clearing: a move from here on sets the event again
         if address is None:
-            self._core.list_known.set()
+            self._core.list_received.set()
             self._address_changed.wait()
             return
         if not self.may_call():
             self._address_changed.wait(retry_interval_s)
             return
         end, detail = self._follow_until_end(address, retry_interval_s)
-        self._core.list_known.set()  # the service can't be asked: the list that we have must do
+        self._core.list_received.set()  # the service can't be asked: the list that we have must do
         self._core.counters.add(f"coordinator: {end.value}")
         logger.warning("coordinator: {} {}; following on from event {}", end.value, detail, self._last_index)
         self.on_stream_end()
@@ -135,10 +135,10 @@
                 stream = EventStream(self._last_index, self._max_line_bytes)
                 # A service that has new events sends them at once.
                 if not is_readable_within(sock, FIRST_EVENT_TIMEOUT_US):
-                    self._core.list_known.set()
+                    self._core.list_received.set()
                 while address == self._address and self._receive(stream, sock):
                     self._apply_events(stream)
-                    self._core.list_known.set()
+                    self._core.list_received.set()
                 return ConnectionEnd.CLOSED if address == self._address else ConnectionEnd.RETIRED
             finally:
                 self._is_receiving = False
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -153,7 +153,7 @@
         self.write_buffer.finish(now=True)
         if connection is not None:
             connection.close()
-        self.core.holding.discard(self)
+        self.core.pool.holding.discard(self)
         self.core.post(self.core.pool.connection_ended, self, self.end_by_us or end, text)
 
     def _run(self) -> None:
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -108,7 +108,7 @@
         return 0 < self.agreement.idle_timeout_us < idle_us + 2 * self.core.limits.sweep_interval_us
 
     def _open(self, endpoint: EngineEndpoint) -> EngineConnection | None:
-        most = self.core.message_most
+        most = self.core.max_message_bytes
         connection = self.core.connect(endpoint, self.core, most, OPEN_MOST * most, self.core.now)
         self.holding.add(connection)
         try:
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -114,7 +114,7 @@
         check_page(rows)
         attempt.pages.append(rows)
         attempt.result_bytes += len(rows)
-        if attempt.result_bytes > self.core.message_most or attempt.page_count > RESULT_MOST:
+        if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > RESULT_MOST:
             raise ProtocolError("a result of an absurd size")
         if len(attempt.pages) < attempt.page_count:
             self.core.pool.send_control(connection, engine_protocol.MORE, txn, b"%d" % len(attempt.pages))
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -36,7 +36,7 @@
         self.max_message_bytes = max_message_bytes
         self.max_clients = max_clients
         self.reader = RequestReader(agreement, client_identity, core.retry_after_field)
-        self.clients = core.room.clients
+        self.clients = core.statement_memory.clients
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(host_port(address))
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -103,7 +103,7 @@
         elif request.txn in self.by_txn:
             self.counters.add("failed")
             self.answer(pending, thrift.fault(seq, "this txn is open already"))
-        elif self.core.closed or self._is_over_open_limit():
+        elif self.core.is_rejecting or self._is_over_open_limit():
             self.counters.add("over the open cap")
             self.answer(pending, thrift.shed(seq, {}))
         else:
@@ -199,7 +199,7 @@
     def forget(self, pending: PendingRequest) -> None:
         """It is answered, and no attempt of it is out."""
         if pending.statement_bytes:
-            self.core.room.give(pending.statement_bytes)
+            self.core.statement_memory.give(pending.statement_bytes)
             pending.statement_bytes = 0
         if self.by_number.pop(pending.number, None):
             self.by_txn.pop(pending.request.txn, None)
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -74,7 +74,7 @@
 
     def begin_shutdown(self) -> None:
         """Begin a graceful shutdown."""
-        self.core.post_urgent(self.core.leave)
+        self.core.post_urgent(self.core.begin_shutdown)
         if self.fleet:
             self.fleet.leave()
 
--- a/gullhold/net/shutdown.py
+++ b/gullhold/net/shutdown.py
@@ -27,9 +27,9 @@
     def start(self) -> None:
         """A planned restart was asked for; a second call does nothing."""
         core = self.core
-        if core.leaving_at:
+        if core.shutdown_began_at:
             return
-        core.leaving_at = core.now
+        core.shutdown_began_at = core.now
         logger.info("leaving: {} commands open", len(core.pending))
         timeouts_us = (profile.timeout_us for profile in core.agreement.profiles)
         longest_us = min(max(timeouts_us, default=0), LONGEST_TIMEOUT_US)
@@ -65,7 +65,7 @@
 
         Guards against clients that go on asking on open connections: they kept a gateway from ending.
         """
-        self.core.closed = True
+        self.core.is_rejecting = True
         self.core.admission.close()
 
     def _stop(self) -> None:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -202,7 +202,7 @@
     def accept(self, end: End) -> None:
         """A client connects at this end."""
         self.ends.append(end)
-        self.core.room.clients.add(SimulatedClientConnection(end, self.core, self.reader))
+        self.core.statement_memory.clients.add(SimulatedClientConnection(end, self.core, self.reader))
 
     def feed(self, data: bytes) -> None:
         """Bytes of the discovery service's stream."""
@@ -257,7 +257,7 @@
             "threads": census.engine_threads,
             "running": census.engine_attempts,
             "held": census.queued_tenants,
-            "sends": sum(len(connection.open) for connection in core.links),
-            "bytes": core.room.used,
+            "sends": sum(len(connection.open) for connection in core.pool.connections),
+            "bytes": core.statement_memory.used,
         }
         return {name: size for name, size in sizes.items() if size}
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -60,7 +60,7 @@
         self.listener.sock.close()
         assert not self.count("faults of ours") and not self.count("overdue")
         assert not self.core.pending and not self.core.pending_by_txn and not self.core.gateway.commands
-        assert not self.core.room.used
+        assert not self.core.statement_memory.used
 
 
 def write_configuration(tmp_path, configuration):
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -143,15 +143,15 @@
     """Thirty-two of the largest on each of ten connections were sixty megabytes, of a limit of eighty."""
     engine = Engine(endless)
     gateway, client = start(engine)
-    assert gateway.core.room.max_bytes == 192 * 2**20 // 8
-    gateway.core.room.max_bytes = 10_000
+    assert gateway.core.statement_memory.max_bytes == 192 * 2**20 // 8
+    gateway.core.statement_memory.max_bytes = 10_000
     asked = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
     until(lambda: len(engine.words(b"fetch")) == 2)
     other = Caller(gateway.address)
     big = other.ask(body=b"select 1 from sales_3.t" + b" " * 4000)
     assert other.answer() == (big, "shed") and gateway.count("no memory for a statement") == 1
     client.interrupt(asked[0])
-    until(lambda: gateway.core.room.used < 5000)
+    until(lambda: gateway.core.statement_memory.used < 5000)
     other.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000)
     until(lambda: len(engine.words(b"fetch")) == 3)
 
@@ -159,7 +159,7 @@
 def test_answers_that_are_not_read_hold_no_more_than_their_part_of_the_memory(start):
     """A connection may hold eight megabytes, and there may be hundreds."""
     gateway, client = start(Engine())
-    room, frame = gateway.core.room, thrift.answer("execute", 1, b"x\ty\tz\n" * 8000)
+    room, frame = gateway.core.statement_memory, thrift.answer("execute", 1, b"x\ty\tz\n" * 8000)
     room.max_bytes = 2_000_000
     crowd = []
     for _ in range(12):
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -18,7 +18,7 @@
     gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": feed.address})
     client = Caller(gateway.address)
     seq = client.ask(limit=7000)
-    until(lambda: gateway.core.links)
+    until(lambda: gateway.core.pool.connections)
     feed.say(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[what])))
     until(lambda: gateway.count("sends moot"))
     conn = late.come_up()
@@ -34,7 +34,7 @@
     late = Late()
     gateway, client = start(late, connect_timeout=5.0, cancel=cancel)
     client.ask(limit=7000, txn=b"f%015x" % 1)
-    until(lambda: gateway.core.links)
+    until(lambda: gateway.core.pool.connections)
     client.sock.close()
     until(lambda: gateway.count(CLIENT_CLOSED) == 1)
     conn = late.come_up()
@@ -76,7 +76,7 @@
     gateway, client = start(late, connect_timeout=5.0)
     gateway.core.fences.append(check)
     seq = client.ask("once", limit=4000)
-    until(lambda: gateway.core.links)
+    until(lambda: gateway.core.pool.connections)
     check.now = 2
     conn = late.come_up()
     assert conn.recv(1000).count(b"fetch") == 1  # the one that was decided under the second
@@ -111,10 +111,10 @@
     gateway.core.pool.connections_most = 1
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
-    (link,) = gateway.core.links
+    (link,) = gateway.core.pool.connections
     gateway.core.post(gateway.core.pool.drop, link, connection_ends.ConnectionEnd.SILENT)
-    until(lambda: not gateway.core.links)
+    until(lambda: not gateway.core.pool.connections)
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed") and gateway.count("no descriptor for a link")
     late.come_up().close()
-    until(lambda: not gateway.core.holding)
+    until(lambda: not gateway.core.pool.holding)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -146,7 +146,7 @@
     address = f"127.0.0.1:{gateway.address[1]}"
     assert main(["version"]) == 0 and capsys.readouterr().out.startswith("gullhold 0.")
     assert main(["check", address]) == 0 and capsys.readouterr().out == "serves\n"
-    gateway.core.leaving_at = 1
+    gateway.core.shutdown_began_at = 1
     assert main(["check", address]) == 1 and capsys.readouterr().out == "does not serve\n"
     with socket.create_server(("127.0.0.1", 0)) as sock:
         silent = f"127.0.0.1:{sock.getsockname()[1]}"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -553,7 +553,7 @@
         seq = client.ask()
         assert client.answer() == (seq, b"a\tb\tc\n")
         feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
-    until(lambda: not gateway.core.engines and not gateway.core.links)
+    until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
     assert not gateway.core.gateway.parts.engines.by_id and not gateway.coordinator.engine_ids.ids_by_name
     gateway.end()
 
