--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -6,6 +6,7 @@
 
 from gullhold.fleet.occurrence import OccurrenceState
 from gullhold.net import thrift
+from gullhold.net.pending_requests import PeerAddress
 from gullhold.net.request_reader import RequestError, RequestReader
 
 if TYPE_CHECKING:
@@ -46,7 +47,7 @@
     connection; answers come on the core's thread.
     """
 
-    peer = ("", CLIENT_NAME)  # where it connects from, as other clients have it
+    peer = PeerAddress("", CLIENT_NAME)  # where it connects from, as other clients have it
 
     def __init__(
         self, core: "Core", reader: RequestReader, on_ended: OnEnded, random_bits: Callable[[int], int]
@@ -55,11 +56,11 @@
         self._core = core
         self._reader = reader
         self.open: dict[int, Any] = {}
-        self.waiting: dict[int, bool] = {}
-        self.taken_back: set[int] = set()
-        self.settled = 0
-        self.left = False
-        self.pipe = _WriteBuffer()
+        self.unseen: dict[int, bool] = {}
+        self.interrupted: set[int] = set()
+        self.settled_count = 0
+        self.has_left = False
+        self.write_buffer = _WriteBuffer()
         self._on_ended = on_ended
         self._random_bits = random_bits
         self._numbers = count(1)
@@ -95,7 +96,7 @@
             raise RejectedError(str(error)) from None
         if not self._core.statement_memory.take(len(request.body)):
             raise RejectedError("no memory for its statement")
-        self.waiting[number] = True
+        self.unseen[number] = True
         self._core.counters.add("fleet commands")
         self._core.post(self._core.execute, self, number, request, counted_from)
         return number
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -68,13 +68,13 @@
             self.counters.add("taken")
             self.counters.add("interrupted")
             return
-        if client.waiting.pop(seq, None) is not None:
+        if client.unseen.pop(seq, None) is not None:
             return  # the core passes it over when it comes to it
-        client.taken_back.add(seq)  # no longer open, though the core has yet to settle it
+        client.interrupted.add(seq)  # no longer open, though the core has yet to settle it
         if seq in client.open:
             self.core.post_urgent(self.core.interrupt, client, seq)
         else:  # answered before, or never asked
-            client.taken_back.discard(seq)
+            client.interrupted.discard(seq)
 
     def _take(self, call: thrift.Message, received_at_us: int) -> None:
         if call.kind != thrift.CALL:
@@ -142,6 +142,6 @@
             self.counters.add("no memory for a statement")
             self.rejections.append(thrift.shed(seq, {}))
             return
-        self.client.taken += 1
-        self.client.waiting[seq] = True
+        self.client.handed_over_count += 1
+        self.client.unseen[seq] = True
         self.core.post(self.core.execute, self.client, seq, request, received_at_us)
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -12,7 +12,7 @@
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.idle_timer import IdleTimer
-from gullhold.net.pending_requests import PendingRequest
+from gullhold.net.pending_requests import PeerAddress, PendingRequest
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.write_buffer import WriteBuffer
 
@@ -28,13 +28,14 @@
 PAUSE_MARGIN_US = 1000  # us that a read waits beyond the end of a pause, so that it is over then
 CROSS_S = 0.1  # s in which what was sent has come: twice the page's time for crossings
 DISMISS_S = 0.01  # s between looks at one that is dismissed: the page's time for crossings is 50 ms
+UNKNOWN_PEER = PeerAddress("", "")  # of a connection that has no address
 
 
 class ClientConnection:
     """One connection of a client. Its reader thread feeds the core, which answers through its write buffer.
 
-    peer: its address, and a name for this connection alone. open, waiting, taken_back, settled, left and pipe
-    are as in pending_requests.Client; of the others the core touches end_requested and busy().
+    peer, open, unseen, interrupted, settled_count, has_left and write_buffer are as in
+    pending_requests.Client; of the others the core touches end_requested and is_busy().
     """
 
     def __init__(
@@ -43,20 +44,20 @@
         core: "Core",
         reader: RequestReader,
         most: int,
-        peer: tuple[str, str] = ("", ""),
+        peer: PeerAddress = UNKNOWN_PEER,
     ) -> None:
         self.connection = Connection(sock)
         self.core = core
         self.peer = peer
         self.decoder = thrift.Decoder(most)
-        self.pipe = WriteBuffer(OPEN_MOST * (RESULT_MOST + most), core.counters, core.flusher)
+        self.write_buffer = WriteBuffer(OPEN_MOST * (RESULT_MOST + most), core.counters, core.flusher)
         self.open: dict[int, PendingRequest] = {}  # by sequence number
-        self.waiting: dict[int, bool] = {}  # sequence numbers that the core has yet to see
-        self.taken_back: set[int] = set()  # those of open requests whose interrupts wait for the core
-        self.taken = 0  # requests that were handed to the core
-        self.settled = 0  # those of them that are answered, or taken back
-        self.over = False  # it is read no more, or is to end
-        self.left = False  # it closed, or its connection broke: it waits for nothing any more
+        self.unseen: dict[int, bool] = {}  # sequence numbers that the core has yet to see
+        self.interrupted: set[int] = set()  # those of open requests whose interrupts wait for the core
+        self.handed_over_count = 0  # requests that were handed to the core
+        self.settled_count = 0  # those of them that are answered, or taken back
+        self.is_ending = False  # it is read no more, or is to end
+        self.has_left = False  # it closed, or its connection broke: it waits for nothing any more
         self.is_dismissed = False  # to end when nothing is open
         self.end_requested = False  # the core was asked to end it for idleness
         self.end_by_us: tuple[ConnectionEnd, str] | None = None
@@ -66,7 +67,7 @@
         self.read_timeout_us = LOOK_US
         set_no_delay(sock)
         set_read_timeout(sock, LOOK_US)
-        self.pipe.attach(self.connection)
+        self.write_buffer.attach(self.connection)
 
     @property
     def quiet_at(self) -> float:
@@ -79,32 +80,32 @@
         So it does for one that does not read, where many don't; harm: one that reads slowly while others
         don't read at all ends with them.
         """
-        is_crowding = self.pipe.size > RESULT_MOST and self.core.statement_memory.crowded()
-        is_sent = not is_crowding and self.pipe.put(message) >= 0
-        if not is_sent and (self.pipe.dead or not self.pipe.finishing):
+        is_crowding = self.write_buffer.size > RESULT_MOST and self.core.statement_memory.crowded()
+        is_sent = not is_crowding and self.write_buffer.put(message) >= 0
+        if not is_sent and (self.write_buffer.dead or not self.write_buffer.finishing):
             self.core.counters.add("answers that could not go")
-            self.end(ConnectionEnd.RESET if self.pipe.dead else ConnectionEnd.BACKED_UP, "")
+            self.end(ConnectionEnd.RESET if self.write_buffer.dead else ConnectionEnd.BACKED_UP, "")
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """End it from our side, now; the reader wakes and reports."""
         self.end_by_us = self.end_by_us or (end, text)
-        self.over = True
-        self.pipe.finish(now=True)
+        self.is_ending = True
+        self.write_buffer.finish(now=True)
 
     def dismiss(self) -> None:
         """End it for idleness, or at the end; what has come, read or not, is answered first, in no pause."""
-        self.over = True
+        self.is_ending = True
         self.is_dismissed = True
         self.backpressure.stop()
         self.connection.shutdown(socket.SHUT_RD)
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether something of it is still to be answered."""
-        return self.taken != self.settled or len(self.backpressure.calls) > 0
+        return self.handed_over_count != self.settled_count or len(self.backpressure.calls) > 0
 
     def open_count(self) -> int:
         """How many requests it has open."""
-        return self.taken - self.settled - len(self.taken_back)
+        return self.handed_over_count - self.settled_count - len(self.interrupted)
 
     def run(self) -> None:
         """Read until the connection ends, then close it."""
@@ -117,13 +118,13 @@
         """From the reader: tell the core that the connection is read no more."""
         if self.end_by_us:
             end, text = self.end_by_us
-        self.over = True
+        self.is_ending = True
         if end in connection_ends.CLIENT_STILL_WAITS:  # behind its own requests: each gets its answer
             self.calls.reject_deferred()
             self.write_rejections()
             self.core.post(self.core.client_ended, self, end, text)
         else:  # ahead of all: nothing must go out for it any more
-            self.left = True
+            self.has_left = True
             self.core.post_urgent(self.core.client_ended, self, end, text)
 
     def write_rejections(self) -> bool:
@@ -137,8 +138,8 @@
         text = ""
         try:
             end = self._read()
-            if self.pipe.error:  # a write broke it, and the reader was only woken
-                end, text = connection_ends.caught(self.pipe.error)
+            if self.write_buffer.error:  # a write broke it, and the reader was only woken
+                end, text = connection_ends.caught(self.write_buffer.error)
         # A fault of ours ends this connection, not the program.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
             end, text = connection_ends.caught(error)
@@ -155,20 +156,20 @@
         is_end_awaited = False
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(DISMISS_S * 1e6))
-            while time.monotonic() < end_at and not self.pipe.dead:
-                if self.pipe.is_end_sent and not is_end_awaited:
+            while time.monotonic() < end_at and not self.write_buffer.dead:
+                if self.write_buffer.is_end_sent and not is_end_awaited:
                     is_end_awaited = True
                     end_at = min(end_at, time.monotonic() + CROSS_S)
                 if self._has_other_side_closed():
                     break
-        self.pipe.finish(now=True)
+        self.write_buffer.finish(now=True)
 
     def _has_other_side_closed(self) -> bool:
         try:
             has_more = len(self.connection.sock.recv(ENDING_MOST)) > 0
         except BlockingIOError:
             return False
-        if not has_more and self.pipe.is_end_sent and not self.is_dismissed:
+        if not has_more and self.write_buffer.is_end_sent and not self.is_dismissed:
             return True
         time.sleep(DISMISS_S)  # one that goes on writing must not keep the others waiting
         return False
@@ -177,7 +178,7 @@
         while True:
             has_more = self._receive()
             received_at_us = self.core.clock()
-            if self.pipe.finishing:
+            if self.write_buffer.finishing:
                 return ConnectionEnd.IDLE
             if not has_more and not self.is_dismissed:
                 return ConnectionEnd.CLOSED
@@ -194,7 +195,7 @@
         """It was dismissed, and its stream is at its end."""
         if self.core.is_rejecting:
             self._end_soon()
-        elif not self.busy():
+        elif not self.is_busy():
             self._request_end()
         time.sleep(DISMISS_S)  # something came just then: more of it may come
 
@@ -209,8 +210,8 @@
     def _check_idle(self) -> None:
         """Guards against those who connect and say nothing, never come to an end, or take all back."""
         is_cut = len(self.decoder.buffer) > 0
-        is_busy = self.busy()
-        was_answered = self.pipe.queued > 0
+        is_busy = self.is_busy()
+        was_answered = self.write_buffer.queued > 0
         limit_s = IDLE_S if was_answered and not is_cut else SAY_S
         if self.idle_timer.idle_s(is_cut, is_busy, was_answered) <= limit_s:
             return
@@ -272,10 +273,10 @@
         What follows is then asked elsewhere. One that waits for answers is read slowly, and ends with the
         last of them.
         """
-        if self.busy():
+        if self.is_busy():
             self.backpressure.hold_off(CLOSED_PAUSE_S)
         else:
-            self.pipe.finish()
+            self.write_buffer.finish()
 
     def _request_end(self) -> None:
         """Ask the core, which knows what is open, to end this for idleness: behind all that was asked."""
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -171,10 +171,10 @@
 
     def close_if_idle(self, client: "ClientConnection") -> None:
         """A connection is idle: it ends, unless something came meanwhile."""
-        if client.busy():
+        if client.is_busy():
             client.end_requested = False
         else:
-            client.pipe.finish()
+            client.write_buffer.finish()
 
     # The fleet
 
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -11,6 +11,7 @@
 from gullhold.net import host_port
 from gullhold.net.client_connection import CROSS_S, DISMISS_S, ClientConnection
 from gullhold.net.core import Core
+from gullhold.net.pending_requests import PeerAddress
 from gullhold.net.request_reader import RequestReader
 
 FREE_SHARE = 8  # one in so many places is kept free, so that nobody waits for another to go
@@ -79,7 +80,7 @@
             time.sleep(DISMISS_S)
         host, port = peer
         client = ClientConnection(
-            sock, self.core, self.reader, self.max_message_bytes, (host, f"{host}:{port}")
+            sock, self.core, self.reader, self.max_message_bytes, PeerAddress(host, f"{host}:{port}")
         )
         self.clients.add(client)  # before its thread runs, which may end at once
         try:
@@ -116,10 +117,10 @@
         idle = [
             client
             for client in list(self.clients)
-            if not client.busy() and not client.over and client.quiet_at < latest_s
+            if not client.is_busy() and not client.is_ending and client.quiet_at < latest_s
         ]
         if idle:
             self.core.counters.add("idle ones closed for room")
             # First those that were never sent anything, of these the one that has been quiet the longest.
-            min(idle, key=lambda client: (client.pipe.queued > 0, client.quiet_at)).dismiss()
+            min(idle, key=lambda client: (client.write_buffer.queued > 0, client.quiet_at)).dismiss()
         return len(self.clients) < self.max_clients
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -1,6 +1,6 @@
 """Requests that were taken from clients: from their arrival to the one final answer that each gets."""
 
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from loguru import logger
 
@@ -17,6 +17,13 @@
 MS_US = 1000  # us in a millisecond
 
 
+class PeerAddress(NamedTuple):
+    """Where a client connects from: its host, and a name for this connection alone."""
+
+    host: str
+    connection: str
+
+
 class ClientOutput(Protocol):
     """The way out of a client's connection, as far as the core touches it."""
 
@@ -30,18 +37,18 @@
 class Client(Protocol):
     """What the core needs of whoever asks: a client's connection, or the fleet's own commands.
 
-    open: pending requests by sequence number. waiting: sequence numbers that the core has yet to see.
-    taken_back: those whose interrupts wait for the core. settled: how many got their answer. left: it waits
-    for nothing any more.
+    open: pending requests by sequence number. unseen: sequence numbers that the core has yet to see.
+    interrupted: those of open requests whose interrupts wait for the core. settled_count: how many are
+    answered or were interrupted. has_left: it waits for nothing any more.
     """
 
-    peer: tuple[str, str]
+    peer: PeerAddress
     open: dict[int, "PendingRequest"]
-    waiting: dict[int, bool]
-    taken_back: set[int]
-    settled: int
-    left: bool
-    pipe: ClientOutput
+    unseen: dict[int, bool]
+    interrupted: set[int]
+    settled_count: int
+    has_left: bool
+    write_buffer: ClientOutput
 
     def put(self, message: bytes) -> None:
         """Send whole frames."""
@@ -97,7 +104,7 @@
         client.open[seq] = pending  # first: an interrupt finds it in one place or the other
         # Taken back before we came to it; or its client has left; or it came after we had said our end, so
         # that its client asks elsewhere.
-        if client.waiting.pop(seq, None) is None or client.left or client.pipe.finishing:
+        if client.unseen.pop(seq, None) is None or client.has_left or client.write_buffer.finishing:
             self.counters.add("interrupted")
             self._settle(pending)
         elif request.txn in self.by_txn:
@@ -128,7 +135,7 @@
             self.core.now,
             EventKind.CLOSE,
             f"{end.value} {text}".rstrip(),
-            connection=f"client {client.peer[1]}",
+            connection=f"client {client.peer.connection}",
             before="open",
             after="closed",
             open=len(client.open),
@@ -139,7 +146,7 @@
                 self.give_up(pending)
             else:
                 self._abandoned_by_client(pending)
-        client.pipe.finish()  # what is under way goes out; the reader closes
+        client.write_buffer.finish()  # what is under way goes out; the reader closes
 
     def answer(self, pending: PendingRequest, message: bytes) -> None:
         """Give a request its final answer."""
@@ -238,7 +245,7 @@
             EventKind.REFUSAL,
             reason,
             pending.request.txn,
-            pending.client.peer[1],
+            pending.client.peer.connection,
             "sent" if pending.attempt else "held",
             "answered",
         )
@@ -254,8 +261,8 @@
         """No answer is expected any more."""
         client = pending.client
         client.open.pop(pending.seq, None)
-        client.settled += 1
-        client.taken_back.discard(pending.seq)
+        client.settled_count += 1
+        client.interrupted.discard(pending.seq)
         pending.client = None
         self.settled_at_us = self.core.now
         if not pending.attempt:
--- a/gullhold/net/statement_memory.py
+++ b/gullhold/net/statement_memory.py
@@ -37,4 +37,4 @@
 
     def crowded(self) -> bool:
         """Whether answers that clients have not read yet take more than as much memory again."""
-        return sum(client.pipe.size for client in list(self.clients)) > self.max_bytes
+        return sum(client.write_buffer.size for client in list(self.clients)) > self.max_bytes
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -27,7 +27,7 @@
         until(lambda: inside.end_requested)  # it asks the core for its end
         monkeypatch.setattr(client_connection, "IDLE_S", 60)
         seq = client.ask()
-        until(lambda: inside.taken == 1)
+        until(lambda: inside.handed_over_count == 1)
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert not gateway.count("client connection: idle, closed by us")
 
@@ -38,10 +38,10 @@
     gateway, client = start(engine)
     inside = idle(gateway, client)
     monkeypatch.setattr(client_connection, "CROSS_S", 2.0)
-    inside.pipe.finish()
+    inside.write_buffer.finish()
     client.ask()
     assert half_reading(client) == (b"", True)
-    until(lambda: len(inside.decoder.buffer) or inside.over)
+    until(lambda: len(inside.decoder.buffer) or inside.is_ending)
     client.sock.close()
     until(lambda: not gateway.listener.clients)
     assert not engine.told and gateway.core.gateway.submitted == 0
@@ -53,8 +53,8 @@
     inside = idle(gateway, client)
     with Blocked(gateway.core):
         client.ask()
-        until(lambda: inside.taken == 1)
-        inside.pipe.finish()  # as it would be, had the core looked an instant earlier
+        until(lambda: inside.handed_over_count == 1)
+        inside.write_buffer.finish()  # as it would be, had the core looked an instant earlier
     until(lambda: gateway.count("interrupted") == 1)
     assert half_reading(client) == (b"", True) and not engine.told
 
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -60,9 +60,9 @@
             client.ask()
         until(lambda: len(gateway.listener.clients) == 1)
         (inside,) = gateway.listener.clients
-        until(lambda: inside.taken == 20)
+        until(lambda: inside.handed_over_count == 20)
         client.sock.close()
-        until(lambda: inside.over)
+        until(lambda: inside.is_ending)
     until(lambda: gateway.count("interrupted") == 20)
     assert gateway.core.gateway.submitted == 0 and not engine.told
 
@@ -134,7 +134,7 @@
     )
     # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
     client.sock.close()
-    until(lambda: inside.left)
+    until(lambda: inside.has_left)
     assert time.monotonic() - began < 0.5
     until(lambda: not gateway.listener.clients)
 
@@ -167,13 +167,13 @@
         crowd[-1].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     until(lambda: len(gateway.listener.clients) == 13)
     asks = client.sock.getsockname()[1]
-    inside = [one for one in list(gateway.listener.clients) if one.peer[1] != f"127.0.0.1:{asks}"]
+    inside = [one for one in list(gateway.listener.clients) if one.peer.connection != f"127.0.0.1:{asks}"]
     most = 0
     for _ in range(400):
         for one in inside:
-            if not one.pipe.dead:
+            if not one.write_buffer.dead:
                 one.put(frame)
-        most = max(most, sum(one.pipe.size for one in inside))
+        most = max(most, sum(one.write_buffer.size for one in inside))
     assert room.max_bytes < most < room.max_bytes + 12 * 2 * len(frame)
     assert 0 < gateway.count("answers that could not go") <= 12
     seq = client.ask()
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -123,7 +123,7 @@
     seq = client.ask()
     until(lambda: gateway.count("answered") == 1)
     (inside,) = gateway.listener.clients
-    inside.pipe.finish()
+    inside.write_buffer.finish()
     inside.put(thrift.shed(99, {}))  # too late: passed over, no fault
     assert client.answer() == (seq, b"x\ty\tz\n" * 800) and half_reading(client) == (b"", True)
     assert not gateway.count("answers that could not go")
