--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -94,7 +94,7 @@
             request = self._reader.request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
         except RequestError as error:
             raise RejectedError(str(error)) from None
-        if not self._core.statement_memory.take(len(request.body)):
+        if not self._core.statement_memory.reserve(len(request.body)):
             raise RejectedError("no memory for its statement")
         self.unseen[number] = True
         self._core.counters.add("fleet commands")
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -138,7 +138,7 @@
             return None
 
     def _hand_to_core(self, seq: int, request: Request, received_at_us: int) -> None:
-        if not self.core.statement_memory.take(len(request.body)):
+        if not self.core.statement_memory.reserve(len(request.body)):
             self.counters.add("no memory for a statement")
             self.rejections.append(thrift.shed(seq, {}))
             return
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -80,7 +80,7 @@
         So it does for one that does not read, where many don't; harm: one that reads slowly while others
         don't read at all ends with them.
         """
-        is_crowding = self.write_buffer.size > RESULT_MOST and self.core.statement_memory.crowded()
+        is_crowding = self.write_buffer.size > RESULT_MOST and self.core.statement_memory.is_crowded()
         is_sent = not is_crowding and self.write_buffer.put(message) >= 0
         if not is_sent and (self.write_buffer.dead or not self.write_buffer.finishing):
             self.core.counters.add("answers that could not go")
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -206,7 +206,7 @@
     def forget(self, pending: PendingRequest) -> None:
         """It is answered, and no attempt of it is out."""
         if pending.statement_bytes:
-            self.core.statement_memory.give(pending.statement_bytes)
+            self.core.statement_memory.release(pending.statement_bytes)
             pending.statement_bytes = 0
         if self.by_number.pop(pending.number, None):
             self.by_txn.pop(pending.request.txn, None)
--- a/gullhold/net/statement_memory.py
+++ b/gullhold/net/statement_memory.py
@@ -22,19 +22,19 @@
         self.lock = Lock()
         self.clients: set[ClientConnection] = set()
 
-    def take(self, size: int) -> bool:
-        """Reserve so many bytes for a statement; False where they exceed the limit. give() returns them."""
+    def reserve(self, size: int) -> bool:
+        """Reserve bytes for a statement; False where they exceed the limit. release() returns them."""
         with self.lock:
             if self.used + size > self.max_bytes:
                 return False
             self.used += size
             return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Return the bytes of a statement that needs them no more."""
         with self.lock:
             self.used -= size
 
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """Whether answers that clients have not read yet take more than as much memory again."""
         return sum(client.write_buffer.size for client in list(self.clients)) > self.max_bytes
