--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -68,13 +68,13 @@
             self.counters.add("taken")
             self.counters.add("interrupted")
             return
-        if client.waiting.pop(seq, None) is not None:
+        if client.unseen.pop(seq, None) is not None:
             return  # the core passes it over when it comes to it
-        client.taken_back.add(seq)  # no longer open, though the core has yet to settle it
+        client.interrupted.add(seq)  # no longer open, though the core has yet to settle it
         if seq in client.open:
             self.core.post_urgent(self.core.interrupt, client, seq)
         else:  # answered before, or never asked
-            client.taken_back.discard(seq)
+            client.interrupted.discard(seq)
 
     def _take(self, call: thrift.Message, received_at_us: int) -> None:
         if call.kind != thrift.CALL:
@@ -95,7 +95,7 @@
             raise ProtocolError(f"request {seq} after {self.last_seq}")
         self.last_seq = seq
         self.counters.add("taken")
-        if self.core.closed:  # at the end: nothing goes on from here, so this costs the core nothing
+        if self.core.is_rejecting:  # at the end: nothing goes on from here, so this costs the core nothing
             self.rejections.append(thrift.shed(seq, {}))
             return
         if self.client.open_count() >= OPEN_MOST:
@@ -138,10 +138,10 @@
             return None
 
     def _hand_to_core(self, seq: int, request: Request, received_at_us: int) -> None:
-        if not self.core.room.take(len(request.body)):
+        if not self.core.statement_memory.reserve(len(request.body)):
             self.counters.add("no memory for a statement")
             self.rejections.append(thrift.shed(seq, {}))
             return
-        self.client.taken += 1
-        self.client.waiting[seq] = True
+        self.client.handed_over_count += 1
+        self.client.unseen[seq] = True
         self.core.post(self.core.execute, self.client, seq, request, received_at_us)
