--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -1,5 +1,7 @@
 """Changes of commands' states, and what follows from each in the other parts."""
 
+from typing import cast
+
 from gullhold.decisions.command import WAITING_STATES, Command, CommandState
 from gullhold.decisions.decision_call import DecisionCall
 from gullhold.decisions.engine import Engine
@@ -50,7 +52,7 @@
         was_waiting = command.state in WAITING_STATES
         command.change_state(state)
         if state == CommandState.DISPATCHED:
-            self._thread_use.occupy(command.engine, command.threads)
+            self._thread_use.occupy(cast("Engine", command.engine), command.threads)
         elif state in (CommandState.QUEUED, CommandState.ENDED) and not was_waiting:
             self._close_attempt(command)
         if state == CommandState.QUEUED:
@@ -80,10 +82,11 @@
 
     def _close_attempt(self, command: Command) -> None:
         """The command's attempt is open no more."""
-        self._thread_use.vacate(command.engine, command.threads)
+        engine = cast("Engine", command.engine)  # each attempt has one
+        self._thread_use.vacate(engine, command.threads)
         if command.is_stalled:
             command.is_stalled = False
-            self._health.count_stalled(command.engine, -1)
+            self._health.count_stalled(engine, -1)
 
     def _forget(self, command: Command) -> None:
         """A command has ended: what it held is free, and a command that it blocked is queued."""
--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -1,5 +1,7 @@
 """Reviews that are due, then queued commands in turn for as long as there is room."""
 
+from typing import cast
+
 from gullhold.decisions.attempt_review import Verdict
 from gullhold.decisions.command import WAITING_STATES, Command, CommandState
 from gullhold.decisions.command_lifecycle import CommandLifecycle
@@ -143,4 +145,4 @@
     def _mark_stalled(self, command: Command) -> None:
         if not command.is_stalled:
             command.is_stalled = True
-            self._health.count_stalled(command.engine, 1)
+            self._health.count_stalled(cast("Engine", command.engine), 1)
--- a/gullhold/decisions/fleet_budgets.py
+++ b/gullhold/decisions/fleet_budgets.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 from math import ceil
+from typing import TypeVar
 
 from gullhold.decisions.command import Command
 from gullhold.decisions.engine import Engine
@@ -11,6 +12,7 @@
 from gullhold.interface import BudgetKind, BudgetShare, Demand, ReportDemand
 
 ShareLookup = Callable[[BudgetKind, int], BudgetShare | None]
+Amount = TypeVar("Amount", int, float)  # whole ones stay whole
 Claim = tuple[BudgetShare, int]  # a share and the amount that an attempt takes of it
 
 ADMISSION_BUDGETS = (BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS)
@@ -90,7 +92,7 @@
         return ReportDemand(tuple(demands))
 
 
-def _even_part(amounts: list[int] | list[float], engines: int) -> float:
+def _even_part(amounts: list[Amount], engines: int) -> Amount | int:
     """An even part of the amounts for each engine, or the largest amount."""
     if not amounts:
         return 0
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Iterable, Mapping, Sequence
+from typing import cast
 
 from gullhold.decisions.census import Census, take_census
 from gullhold.decisions.command import OPEN_ATTEMPT_STATES, WAITING_STATES, Command, CommandState
@@ -199,7 +200,7 @@
         command = self._lifecycle.with_attempt(command_id, attempt, OPEN_ATTEMPT_STATES)
         if command is None:
             return self._call.results
-        engine = command.engine
+        engine = cast("Engine", command.engine)  # an open attempt has one
         is_unawaited = command.state in (CommandState.ORPHANED, CommandState.STREAMING)
         self._release_claims(command, outcome)
         self.parts.loads.record(engine, report, outcome, now)
--- a/gullhold/decisions/memory_grants.py
+++ b/gullhold/decisions/memory_grants.py
@@ -1,10 +1,15 @@
 """Memory that attempts are granted on engines."""
 
+from typing import TYPE_CHECKING
+
 from gullhold.decisions.command import Command
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.estimators import Estimates
 from gullhold.interface import Agreement
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 
 class MemoryGrants:
     """Grants by the estimated need, bounded by the engine's memory and the policy."""
@@ -13,7 +18,7 @@
         self._memory_mb_by_kind = agreement.memory_mb_by_kind
         self._max_share = agreement.max_grant_share
         self._estimates = estimates
-        self.most_mb: dict[int, float] = {}  # by profile, where the policy sets it
+        self.most_mb: Mapping[int, float] = {}  # by profile, where the policy sets it
 
     def grant_mb(self, command: Command, engine: Engine) -> float:
         """MB that an attempt of the command is granted there."""
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -2,12 +2,16 @@
 
 from bisect import insort
 from collections import deque
+from typing import TYPE_CHECKING
 
 from gullhold.decisions.command import Command
 from gullhold.decisions.fleet_budgets import FleetBudgets
 from gullhold.decisions.key_order import KeyOrder
 from gullhold.interface import Agreement, BudgetKind, DeduplicationScope
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 MARGIN_US = 30_000  # us before a client timeout or window ends at which we stop: over one tick
 CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each attempt of a profile earns
 CREDIT_MOST = 4.0  # and the most saved up
@@ -23,7 +27,7 @@
         self._ended: deque[int] = deque()  # arrival times of ended commands that widen the budget, ascending
         self._retries: deque[int] = deque()  # times of retries, ascending
         self._cancel_credit = [CREDIT_MOST] * len(agreement.profiles)
-        self.attempts_most: dict[int, int] = {}  # by profile, where the policy sets it
+        self.attempts_most: Mapping[int, int] = {}  # by profile, where the policy sets it
 
     def may_retry(self, command: Command, now: int) -> bool:
         """Whether one more attempt can ever be allowed: attempts, idempotency, deduplication window."""
