--- a/gullhold/rollout/canary.py
+++ b/gullhold/rollout/canary.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Iterable, Mapping
 from hashlib import blake2s
+from typing import cast
 
-from gullhold.rollout.policy_change import PolicyChange
+from gullhold.rollout.policy_change import Canary, PolicyChange
 from gullhold.rollout.vote import CommandFigures, Vote
 
 MIN_COMMANDS = 20  # of the canary's members together: below, the share that failed says nothing
@@ -12,7 +13,7 @@
 def choose_members(change: PolicyChange, members: Iterable[str]) -> tuple[str, ...]:
     """The members that try the change: at least one, and others for each change."""
     ranked = sorted(members, key=lambda member: _rank(change.version.number, member))
-    count = max(1, round(change.canary.member_share * len(ranked)))
+    count = max(1, round(cast("Canary", change.canary).member_share * len(ranked)))
     return tuple(ranked[:count])
 
 
@@ -29,7 +30,7 @@
     """Why the canary fails, one line; "": it does not. is_over: its time has passed, so that speed counts."""
     if not any(member in change.canary_members for member in votes):
         return "none of its members is left"
-    canary = change.canary
+    canary = cast("Canary", change.canary)
     tried = _total(change, votes, in_canary=True)
     others = _total(change, votes, in_canary=False)
     finished = tried.answered + tried.failed
@@ -51,5 +52,5 @@
     for member, vote in votes.items():
         is_counted = vote.change == change.version.number and vote.figures
         if is_counted and (member in change.canary_members) == in_canary:
-            total = total.plus(vote.figures)
+            total = total.plus(cast("CommandFigures", vote.figures))
     return total
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -6,7 +6,7 @@
 
 import time
 from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple, cast
 
 from gullhold.budgets.allocator_role import ROLE as BUDGETS_ROLE
 from gullhold.budgets.budget_rules import BUDGET_KINDS, budget_name
@@ -38,6 +38,7 @@
 from gullhold.rollout.vote import CommandFigures
 
 if TYPE_CHECKING:
+    from gullhold.budgets.allocator_role import AllocatorRole
     from gullhold.fleet.driver import Fleet
 
 VOTE_LANE = "words"  # of the member's calls
@@ -222,7 +223,8 @@
         elif self._may_come_into_force(change):
             self._lower_totals(current, change)
         # Once it is decided, the totals stay as they were until every member goes by it.
-        self.fleet.role_states[BUDGETS_ROLE].resize(self.lowest_totals)
+        allocator_role = cast("AllocatorRole", self.fleet.role_states[BUDGETS_ROLE])
+        allocator_role.resize(self.lowest_totals)
 
     def _may_come_into_force(self, change: PolicyChange) -> bool:
         return change.state in (ChangeState.CHECKED, ChangeState.PREPARED) and not self.fits(change.version)
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -74,7 +74,7 @@
         """Under what attempts are decided now."""
         return self.enrolled_lease, self.stop_count
 
-    def token_valid(self, token: tuple[int, int]) -> bool:
+    def token_valid(self, token: object) -> bool:
         """Whether what was decided under a token may still go out."""
         return self.may_dispatch() and token == self.fencing_token()
 
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -7,6 +7,7 @@
 """
 
 from dataclasses import replace
+from typing import cast
 
 from gullhold.fleet.role_state import LogEvent, RoleState
 from gullhold.fleet.store_calls import Delete, Operation, Put, Reply
@@ -14,6 +15,7 @@
 from gullhold.rollout.policy_change import (
     FINAL_STATES,
     NEXT_STATES,
+    Canary,
     ChangeState,
     OnSilence,
     Overlap,
@@ -69,7 +71,7 @@
             return None
         waits = [self.change.patience_us]
         if self.change.state == ChangeState.CANARY:
-            waits.append(self.change.canary.duration_us)
+            waits.append(cast("Canary", self.change.canary).duration_us)
         times = [self.change_since + wait for wait in waits]
         return min((time for time in times if time > now), default=None)
 
@@ -92,12 +94,17 @@
 
     # States
 
+    @property
+    def _open_change(self) -> PolicyChange:
+        """The change, where there is one: in all of its states."""
+        return cast("PolicyChange", self.change)
+
     def _check_proposal(self) -> None:
         reason = self._fault_in_proposal()
         self._change_state(ChangeState.DROPPED if reason else ChangeState.CHECKED, reason)
 
     def _fault_in_proposal(self) -> str:
-        version = self.change.version
+        version = self._open_change.version
         try:
             version.verify()
         except PolicyError as error:
@@ -111,10 +118,10 @@
             return
         if not self._all_support(VoteKind.READY):
             self._drop_if_overdue(now, VoteKind.READY)
-        elif self.change.canary:
-            members = canary.choose_members(self.change, self.votes.votes)
+        elif self._open_change.canary:
+            members = canary.choose_members(self._open_change, self.votes.votes)
             self._change_state(ChangeState.CANARY, canary_members=members)
-        elif self.change.overlap == Overlap.STRICT:
+        elif self._open_change.overlap == Overlap.STRICT:
             self._change_state(ChangeState.PREPARED)
         else:
             self._change_state(ChangeState.DECIDED)
@@ -123,13 +130,13 @@
         """Drop the change as soon as its canary fails, whoever leads; decide it when the canary is over."""
         if self._drop_if_refused():
             return
-        is_over = now >= self.change_since + self.change.canary.duration_us
-        fault = canary.find_fault(self.change, self.votes.votes, is_over)
+        is_over = now >= self.change_since + cast("Canary", self._open_change.canary).duration_us
+        fault = canary.find_fault(self._open_change, self.votes.votes, is_over)
         if fault:
             self._change_state(ChangeState.DROPPED, "canary: " + fault)
         elif not is_over:
             return
-        elif self._all_support(VoteKind.READY) and canary.all_reported(self.change, self.votes.votes):
+        elif self._all_support(VoteKind.READY) and canary.all_reported(self._open_change, self.votes.votes):
             self._change_state(ChangeState.DECIDED)
         else:
             self._drop_if_overdue(now, VoteKind.READY)
@@ -148,12 +155,12 @@
             self._write_if_unchanged([Delete(CHANGE_KEY)])
 
     def _all_support(self, kind: VoteKind) -> bool:
-        return self.votes.all_support(self.change.version.number, kind)
+        return self.votes.all_support(self._open_change.version.number, kind)
 
     def _drop_if_refused(self) -> bool:
         """Drop the change if staff or a member want that; whether they do."""
-        refusal = self.votes.first_refusal(self.change.version.number)
-        if self.change.drop_requested:
+        refusal = self.votes.first_refusal(self._open_change.version.number)
+        if self._open_change.drop_requested:
             self._change_state(ChangeState.DROPPED, "dropped by staff")
             return True
         if refusal:
@@ -164,10 +171,10 @@
 
     def _drop_if_overdue(self, now: int, kind: VoteKind) -> None:
         """Votes are missing: the change waits, or is dropped after its patience, as the operator chose."""
-        is_overdue = now >= self.change_since + self.change.patience_us
-        if self.change.on_silence != OnSilence.DROP or not is_overdue:
+        is_overdue = now >= self.change_since + self._open_change.patience_us
+        if self._open_change.on_silence != OnSilence.DROP or not is_overdue:
             return
-        missing = self.votes.missing(self.change.version.number, kind)
+        missing = self.votes.missing(self._open_change.version.number, kind)
         names = ", ".join(missing[:MAX_NAMES]) or "nobody is there"
         self._change_state(ChangeState.DROPPED, f"not {kind} in time: {names}")
 
@@ -175,8 +182,8 @@
         self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
     ) -> None:
         """Write the change's new state; nothing else does."""
-        assert state in NEXT_STATES[self.change.state], f"{self.change.state} to {state}"
-        change = replace(self.change, state=state, reason=reason, canary_members=canary_members)
+        assert state in NEXT_STATES[self._open_change.state], f"{self._open_change.state} to {state}"
+        change = replace(self._open_change, state=state, reason=reason, canary_members=canary_members)
         operations: list[Operation] = [Put(CHANGE_KEY, encode_change(change))]
         if state in FINAL_STATES:
             entry = HistoryEntry(change.version, Outcome(state, reason))
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -6,6 +6,7 @@
 """
 
 from collections.abc import Callable
+from typing import cast
 
 from gullhold.fleet.role_state import IDLE_STEP_US, RETRY_US, LogEvent
 from gullhold.fleet.store_calls import Get, Proof, Put, Reply, Transaction
@@ -147,7 +148,7 @@
         change = self.change
         if change is None or change.state != ChangeState.CANARY:
             return False
-        return self.vote.change == change.version.number
+        return self._enrolled_vote.change == change.version.number
 
     def _report_figures(self, now: int) -> None:
         if not self._reports_figures() or now < self.report_at:
@@ -156,7 +157,7 @@
         figures = self.figures()
         if self.figures_before is None:
             self.figures_before = figures
-        self._vote(self.vote._replace(figures=figures.since(self.figures_before)))
+        self._vote(self._enrolled_vote._replace(figures=figures.since(self.figures_before)))
 
     def _call(self, now: int, purpose: CallPurpose, request: Transaction) -> None:
         self.last_serial += 1
@@ -173,6 +174,11 @@
         """The vote that it casts, stored or not; None: it has not enrolled."""
         return self.publisher.vote
 
+    @property
+    def _enrolled_vote(self) -> Vote:
+        """The vote, where this member has enrolled."""
+        return cast("Vote", self.publisher.vote)
+
     def _vote(self, vote: Vote) -> None:
         self.publisher.vote = vote
 
@@ -291,7 +297,7 @@
             self._become(MemberState.ENROLLING)
         elif self.state == MemberState.ACTIVE and self.tried_change:
             self.gate.is_stopped = False
-            self._vote(self.vote._replace(kind=VoteKind.TRIAL))
+            self._vote(self._enrolled_vote._replace(kind=VoteKind.TRIAL))
             self._log("info", "tries", number=self.tried_change)
         elif self.state == MemberState.ACTIVE:
             self._vote(Vote(self.version.number))
@@ -337,7 +343,7 @@
             return
         if change.state == ChangeState.DROPPED:
             self._leave_dropped(change)
-        elif change.state in VOTING_STATES and self.vote.change != change.version.number:
+        elif change.state in VOTING_STATES and self._enrolled_vote.change != change.version.number:
             self._check_change(change)
         if change.state == ChangeState.CANARY:
             self._join_canary(change)
@@ -375,12 +381,12 @@
 
     def _join_canary(self, change: PolicyChange) -> None:
         is_chosen = self.key().removeprefix(VOTES) in change.canary_members
-        if is_chosen and not self.tried_change and self.vote.kind == VoteKind.READY:
+        if is_chosen and not self.tried_change and self._enrolled_vote.kind == VoteKind.READY:
             self.tried_change = change.version.number
             self._hand_to_core(change.version)
 
     def _stop_for(self, change: PolicyChange) -> None:
-        if self.vote.kind == VoteKind.READY:
+        if self._enrolled_vote.kind == VoteKind.READY:
             self.gate.stop()
             self.out.append(StopDispatching(change.version.number))
 
--- a/gullhold/rollout/vote_publisher.py
+++ b/gullhold/rollout/vote_publisher.py
@@ -1,5 +1,7 @@
 """A member's vote and the stored copy of it, kept equal by conditional writes."""
 
+from typing import cast
+
 from gullhold.fleet.store_calls import Get, Proof, Put, Reply, Transaction
 from gullhold.rollout.store_schema import encode_vote
 from gullhold.rollout.vote import Vote
@@ -32,7 +34,7 @@
         """The write of the vote; until written(), it is not known what is stored."""
         self._stored = None
         self._written = self.vote
-        operations = (Put(key, encode_vote(self.vote), lease),)
+        operations = (Put(key, encode_vote(cast("Vote", self.vote)), lease),)
         return Transaction(((key, self._revision),), operations, (Get(key),))
 
     def written(self, reply: Reply) -> None:
