--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -95,7 +95,7 @@
         """Return the lease under which the last amount was allowed; 0: under none."""
         return self.lease_id if self.was_valid else 0
 
-    def token_valid(self, token: int) -> bool:
+    def token_valid(self, token: object) -> bool:
         """Whether what was allowed under a token still is. From any thread: it reads nothing that changes."""
         valid_until = self.lease.valid_until
         return not token or (self.clock() < valid_until and self.lease.id == token)
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from heapq import heappop, heappush
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, cast
 
 from gullhold.budgets.budget_schema import NO_USAGE, Usage
 from gullhold.budgets.demand import MemberDemand
@@ -98,6 +98,10 @@
         """Return the operator's rule for a budget; None: there is none."""
         return self.budgets.get(name) or self.budgets.get(name.partition("/")[0])
 
+    def _known_rule(self, name: str) -> Budget:
+        """Return the rule for a budget that has a ledger, and so a rule."""
+        return cast("Budget", self.rule(name))
+
     def _open_ledger(self, name: str) -> Ledger | None:
         """Return the ledger of a budget; None: no rule is for it, or there are too many."""
         ledger = self.ledgers.get(name)
@@ -199,7 +203,7 @@
 
     def _credited_demands(self, name: str, now: int) -> dict[str, int]:
         ledger = self.ledgers[name]
-        rule = self.rule(name)
+        rule = self._known_rule(name)
         credited = {}
         for member, demand in self.demands[name].items():
             entry = ledger.entries.get(member)
@@ -212,7 +216,7 @@
 
     def _targets(self, name: str, demands: Mapping[str, int]) -> Mapping[str, int]:
         ledger = self.ledgers[name]
-        rule = self.rule(name)
+        rule = self._known_rule(name)
         rotation = self.rotations.get(name)
         shares = max_min_shares(
             max(0, ledger.total - ledger.reserve),
@@ -254,7 +258,7 @@
 
         Guards against the same members going without for ever.
         """
-        granularity = self.rule(name).granularity
+        granularity = self._known_rule(name).granularity
         is_any_unserved = any(
             demand > 0 and targets.get(member, 0) < min(demand, granularity)
             for member, demand in demands.items()
@@ -274,7 +278,7 @@
         """Set totals by name or word for a kind; what is allocated beyond one comes down by itself."""
         self.budgets = resized(self.budgets, totals)
         for name, ledger in self.ledgers.items():
-            total = self.rule(name).total
+            total = self._known_rule(name).total
             if ledger.total != total:
                 ledger.total = total
                 self.changed[name] = None
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -6,6 +6,7 @@
 """
 
 from collections.abc import Callable, Mapping
+from typing import cast
 
 from gullhold.budgets.allocator import Allocator, Budget, resized
 from gullhold.budgets.budget_schema import (
@@ -65,16 +66,21 @@
         super().lost()
         self.allocator = None
 
+    @property
+    def _acting_allocator(self) -> Allocator:
+        """The allocator, where all has been read: the role's keys are written and followed only then."""
+        return cast("Allocator", self.allocator)
+
     def _next_write_at(self, _now: int) -> int | None:
-        has_writes = self.rows_to_write or self.members_to_delete or self.allocator.departed
-        at = 0 if has_writes else self.allocator.due()
+        has_writes = self.rows_to_write or self.members_to_delete or self._acting_allocator.departed
+        at = 0 if has_writes else self._acting_allocator.due()
         return None if at is None else max(at, self.last_write_at + MIN_WRITE_INTERVAL_US)
 
     def _write_next(self, now: int) -> None:
         if now < self.last_write_at + MIN_WRITE_INTERVAL_US:
             return
         write = self.token * WRITES_PER_TOKEN + next(self.serials)
-        for member in self.allocator.allocate(write, now):
+        for member in self._acting_allocator.allocate(write, now):
             self.rows_to_write[member] = None
         self._take_departed()
         if not self.rows_to_write and not self.members_to_delete:
@@ -85,8 +91,8 @@
 
     def _take_departed(self) -> None:
         """The keys of members of whom nothing is charged any more are deleted."""
-        departed = self.allocator.departed
-        self.allocator.departed = set()
+        departed = self._acting_allocator.departed
+        self._acting_allocator.departed = set()
         self.members_to_delete |= dict.fromkeys(departed)
         for member in departed:
             self.rows_to_write.pop(member, None)
@@ -98,7 +104,7 @@
         members = list(self.rows_to_write)[:MAX_MEMBERS_PER_WRITE]
         deleted = list(self.members_to_delete)[: MAX_MEMBERS_PER_WRITE - len(members)]
         for member in members:
-            row = self.allocator.row(member)
+            row = self._acting_allocator.row(member)
             key = ALLOCATIONS + member
             operations.append(Put(key, encode_row(write, row)) if row else Delete(key))
             del self.rows_to_write[member]
@@ -145,8 +151,8 @@
         member = key.removeprefix(REPORTS)
         if value is not None:
             self._take_report(member, value, now)
-        elif member in self.allocator.present:
-            self.allocator.member_left(member, now)
+        elif member in self._acting_allocator.present:
+            self._acting_allocator.member_left(member, now)
             self._delete_if_not_charged(member)
         return True
 
@@ -155,11 +161,11 @@
         if report is None:
             self.out.append(LogEvent("warning", "a report that can't be read", {"of": member}))
         elif report.has_left:  # in good order
-            self.allocator.member_left(member, now, report.usage)
+            self._acting_allocator.member_left(member, now, report.usage)
             self._delete_if_not_charged(member)
         else:
-            self.allocator.report(member, report.seen_write, report.usage, now)
+            self._acting_allocator.report(member, report.seen_write, report.usage, now)
 
     def _delete_if_not_charged(self, member: str) -> None:
-        if member not in self.allocator.rows:
+        if member not in self._acting_allocator.rows:
             self.members_to_delete[member] = None
