--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -6,6 +6,7 @@
 """
 
 from collections.abc import Callable, Iterable
+from typing import cast
 
 from gullhold.fleet.identity import Identity
 from gullhold.fleet.lease import Lease
@@ -27,6 +28,7 @@
     Condition,
     GrantLease,
     KeepLeaseAlive,
+    KeyValue,
     Operation,
     PendingCall,
     Proof,
@@ -347,7 +349,7 @@
         if reply.proof != Proof.DONE:
             return
         if reply.ttl_s > 0:
-            self.lease.renew(call.request.lease, call.sent_at)
+            self.lease.renew(cast("KeepLeaseAlive", call.request).lease, call.sent_at)
         else:
             self._lose_lease(now, "its lease ended")
 
@@ -361,12 +363,14 @@
         self.must_read_members = False
         is_ours = own_record is not None and own_record.nonce == self.identity.nonce
         is_others = own_record is not None and not is_ours
-        if self.identity.incarnation and is_others and own_record.incarnation > self.identity.incarnation:
+        record = cast("MemberRecord", own_record)  # where it is ours or another's
+        item = cast("KeyValue", own_item)  # as the record
+        if self.identity.incarnation and is_others and record.incarnation > self.identity.incarnation:
             self._superseded(now)
             return
         self._emit(WatchMembers(reply.revision + 1))
-        if is_ours and own_item.lease == self.lease.id:  # also where the reply to our joining was lost
-            self._joined(now, own_item.revision, own_record.is_ready)
+        if is_ours and item.lease == self.lease.id:  # also where the reply to our joining was lost
+            self._joined(now, item.revision, record.is_ready)
         elif self.state == MemberState.IN:
             self._lose_lease(now, KEY_ENDED)
         else:
--- a/gullhold/fleet/occurrence.py
+++ b/gullhold/fleet/occurrence.py
@@ -36,7 +36,7 @@
     started_us: int = 0
     member: str = ""
     reason: str = ""
-    count: int = 1
+    count: int = 1  # type: ignore[assignment]  # hides tuple.count(), which nobody calls
 
     @property
     def is_open(self) -> bool:
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Callable, Iterable
+from typing import cast
 
 from gullhold.fleet import store_calls
 from gullhold.fleet.backoff import Backoff
@@ -264,9 +265,9 @@
         self.own_keys.pop(role, None)
         if is_ours and is_assigned:
             # The reply to a call was lost: the key is written anew, so that no older call can undo it.
-            self.own_keys[role] = item.revision
+            self.own_keys[role] = cast("KeyValue", item).revision
             self.wanted[role] = now
         elif is_ours:
-            self.excess[role] = item.revision
+            self.excess[role] = cast("KeyValue", item).revision
         elif is_assigned:
             self.wanted[role] = now if item is None else now + self.claim_backoff.next_delay_us()
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any, Protocol
+from typing import Any, Protocol, cast
 
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState, idempotency_key
 from gullhold.fleet.recovery import (
@@ -40,7 +40,8 @@
 RELOAD_DELAY_US = RETRY_DELAY_US // 2  # us until the records are read after a write that may not stand
 MIN_STEP_US = 20_000  # us between steps at least: calendars are in seconds
 
-LOG_LEVELS = {OccurrenceState.FAILED: "error", OccurrenceState.SKIPPED: "warning"}  # all others: info
+# By state; all others: info.
+LOG_LEVELS: dict[str, str] = {OccurrenceState.FAILED: "error", OccurrenceState.SKIPPED: "warning"}
 
 
 class DueTimes(Protocol):
@@ -161,7 +162,7 @@
             self._begin_next(now)
 
     def _settle_outcome(self, now: int) -> None:
-        outcome = self.outcome
+        outcome = cast("Occurrence", self.outcome)
         self.outcome = None
         known = self.occurrences.get(outcome.due_us)
         if (
@@ -308,10 +309,11 @@
 
     def _write_not_confirmed(self, write: PendingWrite, now: int) -> None:
         """A write was refused, or may not have been carried out: the records are read anew."""
+        settled = cast("Occurrence", write.occurrence)  # but for WritePurpose.START
         if write.purpose == WritePurpose.INTENT:  # whether or not it stands: no attempt was sent for it
             self.unsent_intent = write.occurrence
             self.out.append(SetBusy(False))
-        elif write.purpose == WritePurpose.SETTLE and write.occurrence.due_us in self.occurrences:
+        elif write.purpose == WritePurpose.SETTLE and settled.due_us in self.occurrences:
             self.outcome = write.occurrence  # written again, unless a read shows that another went on with it
         self.is_loaded = False
         self.pause_until = now + RELOAD_DELAY_US
--- a/gullhold/fleet/store_client.py
+++ b/gullhold/fleet/store_client.py
@@ -85,7 +85,8 @@
         )
         with response:
             response.raise_for_status()
-            for line in response.iter_lines(chunk_size=None):
+            # requests' own code takes None for "as it comes"; its annotations name only whole numbers.
+            for line in response.iter_lines(chunk_size=None):  # type: ignore[call-overload]
                 if not line.strip():
                     continue
                 result = json.loads(line)["result"]
@@ -157,7 +158,7 @@
         key = _encode(self.prefix + operation.key)
         match operation:
             case Put(_, value, lease):
-                put = {"key": key, "value": _encode(value)}
+                put: Json = {"key": key, "value": _encode(value)}
                 if lease:
                     put["lease"] = lease
                 return {"request_put": put}
