--- a/gullhold/operator/evaluation.py
+++ b/gullhold/operator/evaluation.py
@@ -1,6 +1,6 @@
 """Evaluation: from the syntax tree of a file to values, and from these to plain Python."""
 
-from typing import Any
+from typing import Any, cast, overload
 
 from gullhold.operator.errors import OperatorFileError
 from gullhold.operator.nodes import (
@@ -52,7 +52,15 @@
     """Evaluates nodes under the definitions of a file (names that begin with #)."""
 
     def __init__(self, root: RecordNode) -> None:
-        self._definitions = {field.name: field.node for field in root.fields if field.is_definition()}
+        self._definitions = {
+            cast("str", field.name): field.node for field in root.fields if field.is_definition()
+        }
+
+    @overload
+    def evaluate(self, node: RecordNode, path: Path = (), depth: int = 0) -> Record: ...
+
+    @overload
+    def evaluate(self, node: Node, path: Path = (), depth: int = 0) -> Value: ...
 
     def evaluate(self, node: Node, path: Path = (), depth: int = 0) -> Value:
         """Return what a node stands for. Raises OperatorFileError."""
@@ -127,20 +135,21 @@
             if field.label is LabelKind.EVERY:
                 rules.append(self._evaluate_rule(field, path, depth))
                 continue
-            inner_path = (*path, field.name)
+            name = cast("str", field.name)
+            inner_path = (*path, name)
             value = self.evaluate(field.node, inner_path, depth + 1)
             is_optional = field.is_optional
-            earlier = fields.get(field.name)
+            earlier = fields.get(name)
             if earlier is not None:
                 value = unify(earlier.value, value, inner_path)
                 is_optional = is_optional and earlier.is_optional
-            fields[field.name] = RecordField(value, is_optional, field.place)
+            fields[name] = RecordField(value, is_optional, field.place)
         return Record(fields, tuple(rules), is_closed and not rules, node.place)
 
     def _evaluate_rule(self, field: Field, path: Path, depth: int) -> NameRule:
         inner_path = (*path, EVERY_FIELD)
         value = self.evaluate(field.node, inner_path, depth + 1)
-        names = self.evaluate(field.name, inner_path, depth + 1)
+        names = self.evaluate(cast("Node", field.name), inner_path, depth + 1)
         return NameRule(names, value)
 
 
--- a/gullhold/operator/nodes.py
+++ b/gullhold/operator/nodes.py
@@ -1,7 +1,7 @@
 """The syntax tree of an operator file: what was written, each node with its place."""
 
 from enum import Enum, StrEnum
-from typing import NamedTuple, TypeAlias
+from typing import NamedTuple, TypeAlias, cast
 
 from gullhold.operator.errors import Place
 
@@ -79,7 +79,7 @@
 
     def is_definition(self) -> bool:
         """Whether it defines a name (#name) instead of a field."""
-        return self.label is LabelKind.NAMED and self.name.startswith("#")
+        return self.label is LabelKind.NAMED and cast("str", self.name).startswith("#")
 
 
 class RecordNode(NamedTuple):
--- a/gullhold/operator/parser.py
+++ b/gullhold/operator/parser.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from functools import cache
 from importlib.resources import files
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from gullhold.operator.errors import OperatorFileError, Place
 from gullhold.operator.nodes import (
@@ -71,7 +71,7 @@
         place = Place(file_name, source.count("\n") + 1, len(source) - source.rfind("\n"))
     unexpected = "the end of the file"
     if isinstance(error, UnexpectedCharacters):
-        unexpected = repr(source[error.pos_in_stream])
+        unexpected = repr(source[cast("int", error.pos_in_stream)])
     elif isinstance(error, UnexpectedToken) and error.token.type != END_OF_FILE:
         unexpected = repr(str(error.token)) if error.token.strip() else "the end of the line"
     return OperatorFileError(place, (), f"{unexpected} can't stand here")
@@ -99,14 +99,14 @@
     is_optional = len(label_tree.children) > 1
     match label:
         case LabelKind.EVERY:
-            name = _parse_node(label_tree.children[0], file_name)
+            name: str | Node = _parse_node(label_tree.children[0], file_name)
             is_optional = False
         case LabelKind.QUOTED:
             name = _parse_string(str(label_tree.children[0]), place)
         case LabelKind.NAMED:
             name = str(label_tree.children[0])
     if value_tree.data == "field":  # a: b: c is a: {b: c}
-        node = RecordNode((_parse_field(value_tree, file_name),), _place(value_tree, file_name))
+        node: Node = RecordNode((_parse_field(value_tree, file_name),), _place(value_tree, file_name))
     else:
         node = _parse_node(value_tree, file_name)
     return Field(label, name, is_optional, node, place)
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -291,7 +291,7 @@
             return None
 
 
-def lines(record: OperatorRecord, path: str = "") -> Iterator[str]:
+def lines(record: BaseModel, path: str = "") -> Iterator[str]:
     """Iterate over the lines that show a record, one for each setting."""
     for name, value in record:
         inner_path = f"{path}{type(record).model_fields[name].alias or name}"
--- a/gullhold/operator/unification.py
+++ b/gullhold/operator/unification.py
@@ -5,7 +5,7 @@
 
 import operator
 import re
-from typing import Any
+from typing import Any, cast
 
 from gullhold.operator.errors import OperatorFileError
 from gullhold.operator.nodes import ScalarType
@@ -85,7 +85,7 @@
 
 def _format_known(scalar: Scalar) -> str:
     """Return a known value as it would be written; it has one type."""
-    return format_scalar(next(iter(scalar.types)), scalar.value)
+    return format_scalar(next(iter(cast("frozenset[ScalarType]", scalar.types))), scalar.value)
 
 
 def _is_within(value: Any, bound: ValueBound) -> bool:
@@ -152,7 +152,7 @@
             items = tuple(unify(rule, item, (*path, str(i))) for i, item in enumerate(items))
     item_rule = rules[0] if rules else None
     if len(rules) > 1:
-        item_rule = unify(expected.item_rule, found.item_rule, (*path, "[]"))
+        item_rule = unify(cast("Value", expected.item_rule), cast("Value", found.item_rule), (*path, "[]"))
     return List(items, item_rule, found.place)
 
 
