--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -4,11 +4,12 @@
 import socket
 from hashlib import blake2b
 
+from gullhold.admission_interface import UNKNOWN_TENANT
+
 NAME_MOST = 48  # bytes of a client's name that are kept as they are; longer ones count by their hash
-CLOSED = -1  # a tenant that this door does not know
 
 
-class Whose:
+class ClientIdentifier:
     """Tells flows apart by the operator's rule.
 
     rule: a ClientRule record (field, networks, otherwise); tenants: names by index; others: the index of the
@@ -27,13 +28,13 @@
                 self.networks[mapped(ipaddress.ip_network(net.net, strict=False))] = net.name, net.each
 
     def tenant(self, name):
-        """(tenant's index or CLOSED, what goes before a client's name in the flow)."""
+        """(tenant's index or UNKNOWN_TENANT, what goes before a client's name in the flow)."""
         known = self.tenants.get(name.decode("utf-8", "replace"))
         if known is not None:
             return known, None
         if not self.tenants:
             return 0, None
-        return (self.others, name) if self.others is not None else (CLOSED, None)
+        return (self.others, name) if self.others is not None else (UNKNOWN_TENANT, None)
 
     def flow(self, fields, stranger, address, connection):
         """A client's name: in the part of others it is the unknown tenant's, whatever its clients are."""
--- a/gullhold/admission/flows.py
+++ b/gullhold/admission/flows.py
@@ -17,7 +17,7 @@
         self.back, self.new, self.work = deque(), deque(), 0.0
 
     def head(self):
-        """The ticket that is next."""
+        """The command that is next."""
         return self.back[0] if self.back else self.new[0]
 
 
@@ -65,50 +65,50 @@
             self.drains[profile] = Drain(now)
         return self.drains[profile]
 
-    def put(self, now, flow, ticket, first, is_open):
-        """A ticket waits in its flow; first: before those who are new; is_open: its profile may go now."""
-        new = ticket.profile not in flow.lanes
+    def put(self, now, flow, command, first, is_open):
+        """A command waits in its flow; first: before those who are new; is_open: its profile may go now."""
+        new = command.profile not in flow.lanes
         if new:
-            flow.lanes[ticket.profile] = Lane()
-        lane = flow.lanes[ticket.profile]
-        (lane.back if first else lane.new).append(ticket)
-        lane.work, flow.queued, self.queued = lane.work + ticket.work, flow.queued + 1, self.queued + 1
-        self.drain(ticket.profile, now).come(now)
+            flow.lanes[command.profile] = Lane()
+        lane = flow.lanes[command.profile]
+        (lane.back if first else lane.new).append(command)
+        lane.work, flow.queued, self.queued = lane.work + command.work, flow.queued + 1, self.queued + 1
+        self.drain(command.profile, now).come(now)
         if flow.names is not None:
-            flow.names[ticket.name] = flow.names.get(ticket.name, 0) + 1
+            flow.names[command.name] = flow.names.get(command.name, 0) + 1
         if self.fair.state[flow.slot] == IDLE:
             self.fair.join(flow.slot)
         elif self.fair.state[flow.slot] == PARKED and is_open:
             self.fair.unpark(flow.slot)
         elif self.fair.state[flow.slot] == PARKED and new:
-            self._wait_for(flow, ticket.profile)
+            self._wait_for(flow, command.profile)
 
-    def take(self, now, flow, ticket, went):
-        """A ticket leaves its flow, from wherever it stands; went: on to the module."""
-        lane = flow.lanes[ticket.profile]
-        if lane.head() is ticket:
+    def take(self, now, flow, command, went):
+        """A command leaves its flow, from wherever it stands; went: on to the module."""
+        lane = flow.lanes[command.profile]
+        if lane.head() is command:
             (lane.back or lane.new).popleft()
         else:
-            (lane.back if ticket in lane.back else lane.new).remove(ticket)
-        lane.work -= ticket.work
+            (lane.back if command in lane.back else lane.new).remove(command)
+        lane.work -= command.work
         if not lane.back and not lane.new:
-            del flow.lanes[ticket.profile]
+            del flow.lanes[command.profile]
         flow.queued, self.queued = flow.queued - 1, self.queued - 1
-        self.drain(ticket.profile, now).go(now, ticket.work if went else 0.0)
+        self.drain(command.profile, now).go(now, command.work if went else 0.0)
         if flow.names is not None:
-            flow.names[ticket.name] -= 1
-            if not flow.names[ticket.name]:
-                del flow.names[ticket.name]
+            flow.names[command.name] -= 1
+            if not flow.names[command.name]:
+                del flow.names[command.name]
         if not flow.queued:
             self.fair.leave(flow.slot)
 
     def next(self, is_open):
-        """(flow, ticket) whose turn it is among profiles that are open, or None. Flows that can't go park."""
+        """(flow, command) whose turn it is among open profiles, or None. Flows that can't go park."""
         while (slot := self.fair.pick()) >= 0:
             flow = self.by_slot[slot]
             heads = [lane.head() for profile, lane in flow.lanes.items() if is_open(self.index, profile)]
             if heads:
-                return flow, min(heads, key=lambda ticket: ticket.order)
+                return flow, min(heads, key=lambda command: command.order)
             self.fair.park(slot)
             self.serial += 1
             flow.parked = self.serial
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -1,14 +1,15 @@
 """The door: who waits, who goes on to the module and when, who is turned away and told when to come back.
 
 Free of I/O and of sockets; one owner calls it, each call with the time in whole microseconds. Results are
-(HAND, ident): hand the command to the module; (REFUSE, ident, come_back_us): its final answer, a shed,
-which is always true here since it never went out; come_back_us 0: nothing can be promised.
+Forward, to pass the command on to the decision module, and Reject, its final answer: a shed, which is always
+true here since the command never went out.
 
 What the door turns away is a limit of its own: its queues are full, or the command's time is up. What the
 module holds, sends, sends again or turns away stays the module's.
 """
 
 from collections import OrderedDict, deque
+from enum import IntEnum
 from heapq import heapify, heappop, heappush
 from itertools import islice
 from random import Random
@@ -17,10 +18,27 @@
 from gullhold.admission.flows import Queues
 from gullhold.admission.retry_after import Promises
 from gullhold.admission.sketch import WIDTH, Sketch
+from gullhold.admission_interface import Forward, KnownRejection, Reject, RejectedFlow
 
-HAND, REFUSE = range(2)
-BEHIND, WAITING, HANDED, OUT, OVER = range(5)
-MOVES = {BEHIND: (WAITING, OVER), WAITING: (HANDED, OVER), HANDED: (OUT, OVER), OUT: (HANDED, OVER), OVER: ()}
+
+class CommandState(IntEnum):
+    """Where a command is between its arrival and its end."""
+
+    BLOCKED = 0  # behind an earlier command of its ordering key
+    QUEUED = 1  # in its flow's queue
+    FORWARDED = 2  # with the decision module, no attempt is open
+    RUNNING = 3  # an attempt is open
+    ENDED = 4
+
+
+NEXT_STATES = {
+    CommandState.BLOCKED: (CommandState.QUEUED, CommandState.ENDED),
+    CommandState.QUEUED: (CommandState.FORWARDED, CommandState.ENDED),
+    CommandState.FORWARDED: (CommandState.RUNNING, CommandState.ENDED),
+    CommandState.RUNNING: (CommandState.FORWARDED, CommandState.ENDED),
+    CommandState.ENDED: (),
+}
+STATES_IN_QUEUE = (CommandState.BLOCKED, CommandState.QUEUED)  # the decision module has not heard of it
 
 MARGIN_US = 40_000  # us before its client timeout at which it is answered: two looks, a crossing
 FREE_PART = 0.5  # part of the free room that one flow may fill: room is left for others, always
@@ -34,14 +52,14 @@
 COMPACT = 1024  # rows of the time table that are never worth a clean-up
 
 
-class Ticket:
-    """One command from its arrival to its end; changes state only in Door._move."""
+class QueuedCommand:
+    """One command from its arrival to its end; changes state only in AdmissionQueue._move."""
 
     __slots__ = (
         "charged",
         "cost",
         "flow",
-        "ident",
+        "number",
         "key",
         "last_at",
         "name",
@@ -54,14 +72,14 @@
         "work",
     )
 
-    def __init__(self, ident, order, profile, key, work, size, last_at, name):
-        self.ident, self.order, self.profile, self.key, self.work = ident, order, profile, key, work
+    def __init__(self, number, order, profile, key, work, size, last_at, name):
+        self.number, self.order, self.profile, self.key, self.work = number, order, profile, key, work
         self.size, self.last_at, self.name = size, last_at, name
-        self.state, self.flow, self.queues = BEHIND, None, None
+        self.state, self.flow, self.queues = CommandState.BLOCKED, None, None
         self.charged, self.ran, self.cost = 0.0, False, 0
 
 
-class Door:
+class AdmissionQueue:
     """Fair queues in front of one module.
 
     rule: a DoorRecord of the operator file; weights: shares of the agreement's tenants by index (empty: one
@@ -79,25 +97,31 @@
         )
         self.usual = 0.0
         self.root, self.by_slot, self.tenants = FairQueue(FIRST_WORK), {}, OrderedDict()
-        self.tickets, self.lines, self.due, self.lanes = {}, {}, [], {}
-        self.waiting, self.bytes, self.handed, self.order, self.exact = 0, 0, 0, 0, 0
+        self.commands, self.commands_by_key, self.due, self.forwarded_by_lane = {}, {}, [], {}
+        self.queued_count, self.queued_bytes, self.forwarded_count, self.order, self.exact_flow_count = (
+            0,
+            0,
+            0,
+            0,
+            0,
+        )
         self.sketch, self.epoch, self.redeal_at = Sketch(self._salt()), 0, now + rule.redeal
         self.now = now
-        self.reweigh(weights, rule.weights)
+        self.set_weights(weights, rule.weights)
         # (tenant, name, profile): until when its newcomers are turned away with no word; the first promise of
         # its flow. Read by other threads: entries are replaced whole, never changed.
-        self.shut = {}
+        self.known_rejections = {}
 
     # Events
 
-    def arrive(self, now, ident, tenant, name, profile, key, work, size, timeout_at, repeat):
+    def submit(self, now, number, tenant, name, profile, key, work, size, timeout_at, repeat):
         """A command came. tenant: index; name: its flow's, bytes; work: us; size: bytes it holds here."""
         self.now = now
         self._redeal(now)
         self.order += 1
         work = float(work or self.usual or FIRST_WORK)
-        ticket = Ticket(
-            ident,
+        command = QueuedCommand(
+            number,
             self.order,
             profile,
             key if self.profiles[profile].ordered else 0,
@@ -108,108 +132,108 @@
         )
         queues = self._queues(tenant)
         flow, came_back = self._flow(queues, name, work, now, repeat)
-        ticket.queues, ticket.flow = queues, flow
-        ticket.work = work * flow.bias
-        wait = self._wait(now, ticket)
-        late = 0 if came_back else self._late(now, wait, ticket)
-        if now >= ticket.last_at or late or self._full(flow, size):
-            told = self._come_back(now, wait, ticket, repeat)
+        command.queues, command.flow = queues, flow
+        command.work = work * flow.bias
+        wait = self._wait(now, command)
+        late = 0 if came_back else self._late(now, wait, command)
+        if now >= command.last_at or late or self._full(flow, size):
+            told = self._come_back(now, wait, command, repeat)
             if late and not told:
-                self._shut(ticket, now, late)
-            return [(REFUSE, ident, told)]
-        self.tickets[ident] = ticket
-        self.waiting, self.bytes = self.waiting + 1, self.bytes + size
-        self._remember(ticket)
-        line = self.lines.setdefault((profile, ticket.key), deque()) if ticket.key else None
+                self._record_rejection(command, now, late)
+            return [Reject(number, told)]
+        self.commands[number] = command
+        self.queued_count, self.queued_bytes = self.queued_count + 1, self.queued_bytes + size
+        self._remember(command)
+        line = self.commands_by_key.setdefault((profile, command.key), deque()) if command.key else None
         if line is not None:
-            line.append(ticket)
+            line.append(command)
         flow.behind += 1
-        if line is None or line[0] is ticket:
-            self._enter(ticket, came_back)
+        if line is None or line[0] is command:
+            self._enter(command, came_back)
         return []
 
-    def hand(self, now):
-        """What the module can make use of now: [(HAND, ident)]. To be called after every event."""
+    def take_ready(self, now):
+        """What the module can make use of now: [Forward(number)]. To be called after every event."""
         self.now = now
         results = []
-        while self.handed < self.rule.held and (slot := self.root.pick()) >= 0:
+        while self.forwarded_count < self.rule.held and (slot := self.root.pick()) >= 0:
             queues = self.by_slot[slot]
             found = queues.next(self._open)
             if found is None:
                 self.root.park(slot)
                 continue
-            flow, ticket = found
-            self._charge(ticket, ticket.work)
-            self._move(ticket, HANDED)
-            results.append((HAND, ticket.ident))
-            if self._open(queues.index, ticket.profile):
-                self._opened(queues.index, ticket.profile)
+            flow, command = found
+            self._charge(command, command.work)
+            self._move(command, CommandState.FORWARDED)
+            results.append(Forward(command.number))
+            if self._open(queues.index, command.profile):
+                self._opened(queues.index, command.profile)
         return results
 
-    def sent(self, ident):
+    def attempt_sent(self, number):
         """The module sent it: it holds it no longer."""
-        ticket = self.tickets.get(ident)
-        if ticket is not None and ticket.state == HANDED:
-            self._move(ticket, OUT)
+        command = self.commands.get(number)
+        if command is not None and command.state == CommandState.FORWARDED:
+            self._move(command, CommandState.RUNNING)
 
-    def back(self, now, ident, cost, ran):
+    def attempt_ended(self, now, number, cost, ran):
         """A send ended; the module may hold the command again. cost: us, 0: not told; ran: may have."""
         self.now = now
-        ticket = self.tickets.get(ident)
-        if ticket is not None and ticket.state == OUT:
-            ticket.cost, ticket.ran = ticket.cost + cost, ticket.ran or ran
-            self._move(ticket, HANDED)
+        command = self.commands.get(number)
+        if command is not None and command.state == CommandState.RUNNING:
+            command.cost, command.ran = command.cost + cost, command.ran or ran
+            self._move(command, CommandState.FORWARDED)
 
-    def over(self, now, ident):
+    def command_ended(self, now, number):
         """Nothing is owed for it and nothing is out: what it needed is known."""
         self.now = now
-        ticket = self.tickets.get(ident)
-        if ticket is None:
+        command = self.commands.get(number)
+        if command is None:
             return
-        state = ticket.state
-        self._move(ticket, OVER)
-        if state in (HANDED, OUT):
-            if ticket.cost:
-                self._learn(ticket)
-                self._charge(ticket, ticket.cost - ticket.charged)
-            elif not ticket.ran:  # it cost the engines nothing
-                self._charge(ticket, -ticket.charged)
+        state = command.state
+        self._move(command, CommandState.ENDED)
+        if state in (CommandState.FORWARDED, CommandState.RUNNING):
+            if command.cost:
+                self._learn(command)
+                self._charge(command, command.cost - command.charged)
+            elif not command.ran:  # it cost the engines nothing
+                self._charge(command, -command.charged)
         self._tidy(now)
 
-    def waits(self, ident):
+    def is_queued(self, number):
         """Whether it is still here, so that the module has never heard of it."""
-        ticket = self.tickets.get(ident)
-        return ticket is not None and ticket.state in (BEHIND, WAITING)
+        command = self.commands.get(number)
+        return command is not None and command.state in STATES_IN_QUEUE
 
-    def time(self, now):
-        """What is due at its client timeout is answered: [(REFUSE, ident, come_back_us)]."""
+    def expire(self, now):
+        """What is due at its client timeout is answered: [Reject(number, retry_after_us)]."""
         self.now = now
         results = []
         while self.due and self.due[0][0] <= now:
-            _, _, ticket = heappop(self.due)
-            if ticket.state in (BEHIND, WAITING):
-                results.append(self._turn_away(ticket, now))
+            _, _, command = heappop(self.due)
+            if command.state in STATES_IN_QUEUE:
+                results.append(self._turn_away(command, now))
         self._redeal(now)
         self._tidy(now)
         return results
 
-    def close(self, now):
+    def reject_all(self, now):
         """The gateway leaves: all that waits is turned away, with no time to come back to this one."""
         self.now = now
         return [
-            (REFUSE, ticket.ident, 0)
-            for ticket in list(self.tickets.values())
-            if ticket.state in (BEHIND, WAITING) and not self._move(ticket, OVER)
+            Reject(command.number, 0)
+            for command in list(self.commands.values())
+            if command.state in STATES_IN_QUEUE and not self._move(command, CommandState.ENDED)
         ]
 
-    def told(self, now, ident):
+    def retry_after_us(self, now, number):
         """What a client whose command the module turned away may be told: us, 0: nothing."""
-        ticket = self.tickets.get(ident)
-        if ticket is None:
+        command = self.commands.get(number)
+        if command is None:
             return 0
-        return self._come_back(now, self._wait(now, ticket), ticket, False)
+        return self._come_back(now, self._wait(now, command), command, False)
 
-    def reweigh(self, tenant_weights, client_weights):
+    def set_weights(self, tenant_weights, client_weights):
         """New weights, also for flows that are backlogged; what was used stays used."""
         least = min((w for w in tenant_weights if w > 0), default=1.0)
         self.weights = [w / least if w > 0 else 1.0 for w in tenant_weights] or [1.0]
@@ -222,46 +246,46 @@
 
     # State
 
-    def _move(self, ticket, to):
-        """Every change of a ticket's state, and the counts that hang on it."""
-        assert to in MOVES[ticket.state], f"command {ticket.ident}: {ticket.state} to {to}"
-        left, lane = ticket.state, (ticket.queues.index, ticket.profile)
-        ticket.state = to
-        ticket.flow.behind -= left == BEHIND
-        if to == WAITING:
+    def _move(self, command, to):
+        """Every change of a command's state, and the counts that hang on it."""
+        assert to in NEXT_STATES[command.state], f"command {command.number}: {command.state} to {to}"
+        left, lane = command.state, (command.queues.index, command.profile)
+        command.state = to
+        command.flow.behind -= left == CommandState.BLOCKED
+        if to == CommandState.QUEUED:
             return
-        if left == WAITING:
-            ticket.queues.take(self.now, ticket.flow, ticket, to == HANDED)
-            if not ticket.queues.queued:
-                self.root.leave(ticket.queues.slot)
-        if left in (BEHIND, WAITING):
-            self.waiting, self.bytes = self.waiting - 1, self.bytes - ticket.size
-            if ticket.key:
-                self._next_in_line(ticket)
-        step = (to == HANDED) - (left == HANDED)
+        if left == CommandState.QUEUED:
+            command.queues.take(self.now, command.flow, command, to == CommandState.FORWARDED)
+            if not command.queues.queued:
+                self.root.leave(command.queues.slot)
+        if left in STATES_IN_QUEUE:
+            self.queued_count, self.queued_bytes = self.queued_count - 1, self.queued_bytes - command.size
+            if command.key:
+                self._next_in_line(command)
+        step = (to == CommandState.FORWARDED) - (left == CommandState.FORWARDED)
         if step:
-            self.handed += step
-            held = self.lanes[lane] = self.lanes.get(lane, 0) + step
+            self.forwarded_count += step
+            held = self.forwarded_by_lane[lane] = self.forwarded_by_lane.get(lane, 0) + step
             if not held:
-                del self.lanes[lane]
+                del self.forwarded_by_lane[lane]
             if step < 0 and self._open(*lane):
                 self._opened(*lane)
-        if to == OVER:
-            del self.tickets[ticket.ident]
+        if to == CommandState.ENDED:
+            del self.commands[command.number]
 
-    def _next_in_line(self, ticket):
+    def _next_in_line(self, command):
         """Guards the order of a key: a later command enters its queue when the earlier has left the door."""
-        line = self.lines[ticket.profile, ticket.key]
-        line.remove(ticket)
+        line = self.commands_by_key[command.profile, command.key]
+        line.remove(command)
         if not line:
-            del self.lines[ticket.profile, ticket.key]
-        elif line[0].state == BEHIND:
+            del self.commands_by_key[command.profile, command.key]
+        elif line[0].state == CommandState.BLOCKED:
             self._enter(line[0], True)  # it has waited: not behind those that came after it
 
-    def _enter(self, ticket, first):
-        self._move(ticket, WAITING)
-        queues = ticket.queues
-        queues.put(self.now, ticket.flow, ticket, first, self._open(queues.index, ticket.profile))
+    def _enter(self, command, first):
+        self._move(command, CommandState.QUEUED)
+        queues = command.queues
+        queues.put(self.now, command.flow, command, first, self._open(queues.index, command.profile))
         if self.root.state[queues.slot] == IDLE:
             self.root.join(queues.slot)
         elif queues.fair.ready:
@@ -269,7 +293,7 @@
 
     def _open(self, tenant, profile):
         """Whether the module can make use of more of this tenant's profile."""
-        return self.lanes.get((tenant, profile), 0) < self.rule.window
+        return self.forwarded_by_lane.get((tenant, profile), 0) < self.rule.window
 
     def _opened(self, tenant, profile):
         queues = self.tenants.get(tenant)
@@ -278,10 +302,10 @@
             if queues.fair.ready:
                 self.root.unpark(queues.slot)
 
-    def _turn_away(self, ticket, now):
-        told = self._come_back(now, self._wait(now, ticket), ticket, False)
-        self._move(ticket, OVER)
-        return REFUSE, ticket.ident, told
+    def _turn_away(self, command, now):
+        told = self._come_back(now, self._wait(now, command), command, False)
+        self._move(command, CommandState.ENDED)
+        return Reject(command.number, told)
 
     # Queues in bounded memory
 
@@ -304,10 +328,10 @@
             queues.flows.move_to_end(name)  # it has a queue of its own: nothing is to be estimated
         else:
             recent, known = self.sketch.recent(), self.sketch.add(name, work)
-            heavy = known > recent * max(NOISE / WIDTH, HEAVY * self.exact / self.rule.exact**2)
+            heavy = known > recent * max(NOISE / WIDTH, HEAVY * self.exact_flow_count / self.rule.exact**2)
             if (heavy or name[2:] in self.client_weights) and self._exact_room():
                 flow = queues.flow(name, self._weight(name), shared=False)
-                self.exact += 1
+                self.exact_flow_count += 1
         buckets = (
             ()
             if flow is not None and not repeat
@@ -327,7 +351,7 @@
 
     def _exact_room(self):
         """Whether one more flow may have a queue of its own; for it an idle one may go."""
-        return self.exact < self.rule.exact or any(
+        return self.exact_flow_count < self.rule.exact or any(
             self._idle(queues, flow) and flow.names is None and not self._forget(queues, flow)
             for queues in islice(self.tenants.values(), LOOK[0])
             for flow in self._oldest(queues)
@@ -343,7 +367,7 @@
         return not flow.behind and queues.fair.state[flow.slot] == IDLE and not flow.book.open
 
     def _forget(self, queues, flow):
-        self.exact -= flow.names is None
+        self.exact_flow_count -= flow.names is None
         queues.forget(flow)
 
     def _tidy(self, now):
@@ -366,10 +390,10 @@
                 self.root.drop(queues.slot)
                 del self.tenants[index], self.by_slot[queues.slot]
 
-    def _remember(self, ticket):
-        heappush(self.due, (ticket.last_at, ticket.order, ticket))
-        if len(self.due) > 2 * self.waiting + COMPACT:  # guards against a table of commands long gone on
-            self.due = [row for row in self.due if row[2].state in (BEHIND, WAITING)]
+    def _remember(self, command):
+        heappush(self.due, (command.last_at, command.order, command))
+        if len(self.due) > 2 * self.queued_count + COMPACT:  # guards against a table of commands long gone on
+            self.due = [row for row in self.due if row[2].state in STATES_IN_QUEUE]
             heapify(self.due)
 
     def _salt(self):
@@ -382,72 +406,79 @@
 
     # Work
 
-    def _charge(self, ticket, work):
-        ticket.charged += work
-        queues, flow = ticket.queues, ticket.flow
+    def _charge(self, command, work):
+        command.charged += work
+        queues, flow = command.queues, command.flow
         if self.by_slot.get(queues.slot) is queues:
             self.root.charge(queues.slot, work)
             if queues.by_slot.get(flow.slot) is flow:
                 queues.fair.charge(flow.slot, work)
 
-    def _learn(self, ticket):
+    def _learn(self, command):
         """What an answer tells of its flow's estimates, and of commands at large."""
-        flow, said = ticket.flow, ticket.work / ticket.flow.bias
-        right = min(max(ticket.cost / max(said, 1.0), BIAS[0]), BIAS[1])
+        flow, said = command.flow, command.work / command.flow.bias
+        right = min(max(command.cost / max(said, 1.0), BIAS[0]), BIAS[1])
         flow.bias += EASE * (right - flow.bias)
-        self.usual += EASE * (ticket.cost - self.usual) if self.usual else ticket.cost
+        self.usual += EASE * (command.cost - self.usual) if self.usual else command.cost
 
-    def _rate(self, now, ticket):
-        """Work in a us that the ticket's flow gets of its profile while it is backlogged; 0: not known.
+    def _rate(self, now, command):
+        """Work in a us that the command's flow gets of its profile while it is backlogged; 0: not known.
 
         From the drain of all that the tenant has of the profile, and the flow's part of the tenant.
         """
-        return ticket.queues.drain(ticket.profile, now).rate(now) * ticket.queues.fair.share(ticket.flow.slot)
+        return command.queues.drain(command.profile, now).rate(now) * command.queues.fair.share(
+            command.flow.slot
+        )
 
-    def _wait(self, now, ticket):
+    def _wait(self, now, command):
         """Expected us until one that came now would go on; 0 where the drain is not known or none waits."""
-        rate, backlog = self._rate(now, ticket), ticket.flow.backlog(ticket.profile)
-        return (backlog + ticket.work) / rate if rate and backlog else 0.0
+        rate, backlog = self._rate(now, command), command.flow.backlog(command.profile)
+        return (backlog + command.work) / rate if rate and backlog else 0.0
 
-    def _late(self, now, wait, ticket):
+    def _late(self, now, wait, command):
         """By how many us a newcomer would wait too long, with those to come back let in before it; 0: not."""
         if not wait:
             return 0
-        kind, flow = self.profiles[ticket.profile], ticket.flow
-        target = kind.target_us + kind.target_stretch * ticket.work / kind.threads
-        allowed = min(self.rule.patience * target, ticket.last_at - now)
-        each = wait * ticket.work / (flow.backlog(ticket.profile) + ticket.work)  # us that one command takes
+        kind, flow = self.profiles[command.profile], command.flow
+        target = kind.target_us + kind.target_stretch * command.work / kind.threads
+        allowed = min(self.rule.patience * target, command.last_at - now)
+        each = (
+            wait * command.work / (flow.backlog(command.profile) + command.work)
+        )  # us that one command takes
         coming = flow.book.within(now, allowed) * each
         return max(0, int(wait + min(coming, self.rule.come_back.part * allowed) - allowed))
 
-    def _shut(self, ticket, now, late):
+    def _record_rejection(self, command, now, late):
         """Until its line has gone so far, newcomers of this name would be turned away alike: say so to those
         who read, so that they need not ask. Guards the one thread against a crowd that asks again at once.
         """
-        if len(self.shut) >= 2 * self.rule.exact:
-            self.shut = {key: told for key, told in self.shut.items() if told[0] > now}
-        if len(self.shut) < 2 * self.rule.exact:
-            book = ticket.flow.book
-            self.shut[ticket.queues.index, ticket.name, ticket.profile] = (
+        if len(self.known_rejections) >= 2 * self.rule.exact:
+            self.known_rejections = {
+                key: told for key, told in self.known_rejections.items() if told.until_us > now
+            }
+        if len(self.known_rejections) < 2 * self.rule.exact:
+            book = command.flow.book
+            rejected = RejectedFlow(command.queues.index, command.name, command.profile)
+            self.known_rejections[rejected] = KnownRejection(
                 now + min(late, SHUT_US),
                 book.open[0][0] if book.open else None,
             )
 
     def _full(self, flow, size):
         """No room: in all, or for one flow, which may fill a part of what is free (and always a little)."""
-        free = self.rule.waiting - self.waiting
+        free = self.rule.waiting - self.queued_count
         return (
             free <= 0
-            or self.bytes + size > self.rule.bytes
+            or self.queued_bytes + size > self.rule.bytes
             or (flow.queued >= max(4, FREE_PART * free * (len(flow.names) if flow.names else 1)))
         )
 
-    def _come_back(self, now, wait, ticket, repeat):
+    def _come_back(self, now, wait, command, repeat):
         """When to come back: from the place in line and the drain of that flow and of all; 0: no word."""
         if not self.rule.come_back.field:
             return 0
-        book, rate = ticket.flow.book, self._rate(now, ticket)
+        book, rate = command.flow.book, self._rate(now, command)
         if repeat and book.open:
             return self.promises.again(book, now)
-        gap = ticket.work / (rate * self.rule.come_back.part) if rate else 0
+        gap = command.work / (rate * self.rule.come_back.part) if rate else 0
         return self.promises.give(book, now, wait, gap) if rate else 0
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -4,8 +4,6 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from gullhold.admission.client_identity import Whose
-from gullhold.admission.queue import Door
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import Agreement
 from gullhold.net.client_connection import RESULT_MOST
@@ -19,6 +17,8 @@
 from gullhold.net.statement_memory import StatementMemory
 
 if TYPE_CHECKING:  # heavy, and needed only where an operator file asks for it
+    from gullhold.admission.client_identity import ClientIdentifier
+    from gullhold.admission.queue import AdmissionQueue
     from gullhold.fleet.driver import Fleet
     from gullhold.operator.records import DoorRecord, FleetRecord
 
@@ -33,8 +33,8 @@
 class Admission:
     """The admission queue, and what tells clients apart for it."""
 
-    queue: Door
-    client_identity: Whose
+    queue: "AdmissionQueue"
+    client_identity: "ClientIdentifier"
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,6 +92,9 @@
 
 def build_admission(door_record: "DoorRecord", agreement: Agreement, seed: int) -> Admission:
     """Build the admission queue that an operator's record asks for. Raises ConfigurationError."""
+    from gullhold.admission.client_identity import ClientIdentifier  # noqa: PLC0415  only where it is on
+    from gullhold.admission.queue import AdmissionQueue  # noqa: PLC0415  only where it is on
+
     tenant_names = [tenant.name for tenant in agreement.tenants]
     tenant_of_others = None
     if door_record.tenants == "open":
@@ -99,10 +102,10 @@
             raise ConfigurationError(f"door.others: {door_record.others!r} is no tenant of the agreement")
         tenant_of_others = tenant_names.index(door_record.others)
     try:
-        client_identity = Whose(door_record.client, tenant_names, tenant_of_others)
+        client_identity = ClientIdentifier(door_record.client, tenant_names, tenant_of_others)
     except ValueError as error:
         raise ConfigurationError(f"door.client.networks: {error}") from None
-    queue = Door(
+    queue = AdmissionQueue(
         seed,
         door_record,
         [tenant.share for tenant in agreement.tenants],
--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -50,8 +50,8 @@
         pending.attempt = attempt
         if attempt.number:
             self._log_retry(pending)
-        if core.door:
-            core.door.sent(dispatch.command)
+        if core.admission_queue:
+            core.admission_queue.attempt_sent(dispatch.command)
         connection = core.pool.connection_for(dispatch.engine, pending.request.txn)
         if connection is None:
             # Reported as late as a connection that does not come up: no spinning on the same want. We are
@@ -78,8 +78,10 @@
         pending.last_outcome = OUTCOME_TEXTS[outcome]
         self.counters.add(f"sends {pending.last_outcome}")
         is_answered = pending.client is None
-        if core.door:
-            core.door.back(core.now, pending.number, attempt.resources.work_us, outcome not in NEVER_RAN)
+        if core.admission_queue:
+            core.admission_queue.attempt_ended(
+                core.now, pending.number, attempt.resources.work_us, outcome not in NEVER_RAN
+            )
         if is_answered:
             core.requests.forget(pending)
         core.decisions.call(
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -116,10 +116,12 @@
 
     def _is_rejected_early(self, seq: int, fields: dict, received_at_us: int) -> bool:
         """Whether the admission queue would reject it with no more than is known here."""
-        queue = self.core.door
-        if not queue or not queue.shut:
+        queue = self.core.admission_queue
+        if not queue or not queue.known_rejections:
             return False
-        shed_fields = self.reader.shut(fields, self.client.peer, queue.shut, received_at_us)
+        shed_fields = self.reader.known_rejection(
+            fields, self.client.peer, queue.known_rejections, received_at_us
+        )
         if not shed_fields:
             return False
         self.counters.add("turned away at the door, unasked")
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -30,7 +30,7 @@
 from gullhold.net.statement_memory import StatementMemory
 
 if TYPE_CHECKING:
-    from gullhold.admission.queue import Door
+    from gullhold.admission.queue import AdmissionQueue
     from gullhold.decisions.gateway import Gateway
     from gullhold.net.client_connection import ClientConnection
     from gullhold.net.flusher import Flusher
@@ -56,8 +56,8 @@
     """Owns the gateway's state. Only run() and what it calls touch it; other threads use post().
 
     gateway: the decision module. message_most: bytes of the largest message. links_most: how many connections
-    to engines may hold a descriptor. room: the memory for statements, of all clients. door: the admission
-    queue, where there is one. come_back: the field of Shed that tells when to ask again; empty: none.
+    to engines may hold a descriptor. room: the memory for statements, of all clients. admission_queue:
+    where there is one. come_back: the field of Shed that tells when to ask again; empty: none.
 
     Whoever drives a core without threads overrides clock() and connect, and calls begin() and turn().
     """
@@ -74,7 +74,7 @@
         message_most: int,
         links_most: int,
         room: StatementMemory,
-        door: "Door | None" = None,
+        admission_queue: "AdmissionQueue | None" = None,
         come_back: str = "",
     ) -> None:
         super().__init__(counters)
@@ -82,7 +82,7 @@
         self.agreement = agreement
         self.message_most = message_most
         self.room = room
-        self.door = door
+        self.admission_queue = admission_queue
         self.retry_after_field = come_back.encode()
         self.flusher: Flusher | None = None  # goes on with writes that the system did not take at once
         self.events = EventLog()
@@ -198,8 +198,8 @@
         gate: asked at each attempt; shares, clients: the weights of the admission queue.
         """
         self.gate = gate
-        if self.door:
-            self.door.reweigh(shares, clients)
+        if self.admission_queue:
+            self.admission_queue.set_weights(shares, clients)
         self.decisions.call(None, self.gateway.apply_policy, terms, gate)
 
     def apply_budgets(self, parts: object, lacking: Callable[[tuple[Demand, ...]], None]) -> None:
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -3,16 +3,19 @@
 import socket
 import time
 from threading import Thread
+from typing import TYPE_CHECKING
 
 from loguru import logger
 
-from gullhold.admission.client_identity import Whose
 from gullhold.interface import Agreement
 from gullhold.net import host_port
 from gullhold.net.client_connection import CROSS_S, DISMISS_S, ClientConnection
 from gullhold.net.core import Core
 from gullhold.net.request_reader import RequestReader
 
+if TYPE_CHECKING:
+    from gullhold.admission.client_identity import ClientIdentifier
+
 FREE_SHARE = 8  # one in so many places is kept free, so that nobody waits for another to go
 
 
@@ -29,7 +32,7 @@
         agreement: Agreement,
         max_message_bytes: int,
         max_clients: int,
-        client_identity: Whose | None = None,
+        client_identity: "ClientIdentifier | None" = None,
     ) -> None:
         """Listen on HOST:PORT. Raises OSError, or ValueError for an address of another form."""
         self.core = core
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -203,8 +203,8 @@
             pending.statement_bytes = 0
         if self.by_number.pop(pending.number, None):
             self.by_txn.pop(pending.request.txn, None)
-            if self.core.door:
-                self.core.door.over(self.core.now, pending.number)
+            if self.core.admission_queue:
+                self.core.admission_queue.command_ended(self.core.now, pending.number)
 
     def unanswered(self) -> list[PendingRequest]:
         """Those whose clients still wait."""
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from gullhold.admission.queue import HAND
+from gullhold.admission_interface import AdmissionDecision, Forward, Reject
 from gullhold.net.pending_requests import Client, PendingRequest
 
 if TYPE_CHECKING:
@@ -20,17 +20,17 @@
 
     def start(self) -> None:
         """Begin to look at the queue from time to time."""
-        if self.core.door:
+        if self.core.admission_queue:
             self._poll()
 
     def arrived(self, pending: PendingRequest) -> None:
         """A request was taken."""
-        queue = self.core.door
+        queue = self.core.admission_queue
         if not queue:
             self._submit(pending)
             return
         request = pending.request
-        decided = queue.arrive(
+        decided = queue.submit(
             self.core.now,
             pending.number,
             request.tenant,
@@ -46,45 +46,46 @@
 
     def hand_over(self) -> bool:
         """Let go on what the module has room for now; whether anything did."""
-        queue = self.core.door
-        decided = queue.hand(self.core.now) if queue else None
+        queue = self.core.admission_queue
+        decided = queue.take_ready(self.core.now) if queue else None
         if decided:
             self._carry_out(decided)
         return bool(decided)
 
     def close(self) -> None:
         """Answer all that is queued."""
-        if self.core.door:
-            self._carry_out(self.core.door.close(self.core.now))
+        if self.core.admission_queue:
+            self._carry_out(self.core.admission_queue.reject_all(self.core.now))
 
     def is_queued(self, number: int) -> bool:
         """Whether a request has yet to go to the module."""
-        return bool(self.core.door and self.core.door.waits(number))
+        return bool(self.core.admission_queue and self.core.admission_queue.is_queued(number))
 
     def queued_count(self) -> int:
         """How many requests have yet to go to the module."""
-        return self.core.door.waiting if self.core.door else 0
+        return self.core.admission_queue.queued_count if self.core.admission_queue else 0
 
     def retry_after_us(self, number: int) -> int:
         """When the client of a request that is shed may ask again; 0: not known."""
-        if self.core.door and self.core.retry_after_field:
-            return self.core.door.told(self.core.now, number)
+        if self.core.admission_queue and self.core.retry_after_field:
+            return self.core.admission_queue.retry_after_us(self.core.now, number)
         return 0
 
-    def _carry_out(self, decided: list) -> None:
+    def _carry_out(self, decided: list[AdmissionDecision]) -> None:
         """Requests go on to the module, or are rejected: thousands at once cost one write a connection."""
         requests = self.core.requests
         frames: dict[Client, list[bytes]] = {}
-        for action, number, *retry_after_us in decided:
-            pending = requests.by_number.get(number)
+        for decision in decided:
+            pending = requests.by_number.get(decision.command)
             if pending is None or not pending.client:
                 continue
-            if action == HAND:
-                self._submit(pending)
-                continue
-            client = pending.client
-            frame = requests.settle_rejected(pending, *retry_after_us)
-            frames.setdefault(client, []).append(frame)
+            match decision:
+                case Forward():
+                    self._submit(pending)
+                case Reject(retry_after_us=retry_after_us):
+                    client = pending.client
+                    frame = requests.settle_rejected(pending, retry_after_us)
+                    frames.setdefault(client, []).append(frame)
         for client, parts in frames.items():
             client.put(b"".join(parts))
 
@@ -108,5 +109,5 @@
     def _poll(self) -> None:
         """Guards what waits in the queue beyond its time: it is due at its client timeout."""
         self.core.call_later(self.core.now + QUEUE_POLL_US, self._poll)
-        self._carry_out(self.core.door.time(self.core.now))
-        self.core.counters.peak("waiting at the door", self.core.door.waiting)
+        self._carry_out(self.core.admission_queue.expire(self.core.now))
+        self.core.counters.peak("waiting at the door", self.core.admission_queue.queued_count)
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -3,13 +3,16 @@
 import re
 from collections.abc import Mapping
 from enum import StrEnum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 from zlib import crc32
 
-from gullhold.admission.client_identity import CLOSED, Whose
+from gullhold.admission_interface import UNKNOWN_TENANT, KnownRejection, RejectedFlow
 from gullhold.interface import Agreement, Idempotency
 from gullhold.net.statement import table_group
 
+if TYPE_CHECKING:
+    from gullhold.admission.client_identity import ClientIdentifier
+
 FIGURE = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
 TRANSACTION_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}\Z")
 IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-+\--<>-~]*\Z")  # printable, but no separators of RESP field lists
@@ -17,8 +20,7 @@
 TIMEOUT_ROUNDING = 2  # clients may round a profile's timeout up: at most to twice as much
 NO_ORDERING_KEY = 0
 
-ShutFlows = Mapping[tuple[int, bytes, int | None], tuple[int, int | None]]
-# By tenant, flow and profile: until when the admission queue rejects, and the first Retry-After time (us).
+KnownRejections = Mapping[RejectedFlow, KnownRejection]
 
 
 class Request(NamedTuple):
@@ -63,7 +65,10 @@
     """
 
     def __init__(
-        self, agreement: Agreement, client_identity: Whose | None = None, retry_after_field: bytes = b""
+        self,
+        agreement: Agreement,
+        client_identity: "ClientIdentifier | None" = None,
+        retry_after_field: bytes = b"",
     ) -> None:
         self._agreement = agreement
         self._client_identity = client_identity
@@ -76,11 +81,11 @@
         self._max_work_ms = self._max_timeout_ms * max(agreement.cores_by_kind, default=1.0)
         self._max_memory_mb = max(agreement.memory_mb_by_kind, default=float("inf"))
 
-    def shut(
+    def known_rejection(
         self,
         fields: Mapping[bytes, bytes],
         peer: tuple[str, str],
-        shut: ShutFlows,
+        known_rejections: KnownRejections,
         now_us: int,
     ) -> tuple[dict[bytes, bytes]] | None:
         """Decide whether the admission queue is known to reject this request, without asking it.
@@ -90,7 +95,7 @@
         tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
         flow = self._client_identity.flow(fields, unknown_tenant, *peer)
         profile = self._profiles.get(fields.get(b"verb"))
-        rejects_until_us, retry_at_us = shut.get((tenant, flow, profile), (0, None))
+        rejects_until_us, retry_at_us = known_rejections.get((tenant, flow, profile), (0, None))
         if now_us >= rejects_until_us or not _has_transaction_id(fields):
             return None
         if b"second" not in fields or retry_at_us is None:
@@ -147,9 +152,9 @@
         if self._client_identity:
             tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
         else:
-            tenant = self._tenants.get(fields.get(b"team"), CLOSED if self._tenants else 0)
+            tenant = self._tenants.get(fields.get(b"team"), UNKNOWN_TENANT if self._tenants else 0)
             unknown_tenant = None
-        if tenant == CLOSED:
+        if tenant == UNKNOWN_TENANT:
             raise RequestError(RequestFault.UNKNOWN, b"team")
         return tenant, unknown_tenant
 
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -69,7 +69,7 @@
         self.core = fleet.core
         self.clock = clock
         self.settings = record.policy
-        queue = self.core.door
+        queue = self.core.admission_queue
         self.client_weights = _weights_by_name(queue.client_weights) if queue else {}
         budgets = {
             budget_name(item): BudgetLimits(item.whole, item.alone * item.members) for item in record.budgets
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,9 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold.admission.client_identity import CLOSED, Whose
-from gullhold.admission.queue import HAND, Door
+from gullhold.admission.client_identity import ClientIdentifier
+from gullhold.admission.queue import AdmissionQueue, CommandState
 from gullhold.admission.sketch import Sketch
+from gullhold.admission_interface import UNKNOWN_TENANT, Forward, Reject
 from gullhold.operator import records
 
 MS = 1000
@@ -28,7 +29,9 @@
     def __init__(self, text="", weights=(0.6, 0.4), ordered=(False, False), slots=4, seed=1, checked=True):
         self.checked, self.names = checked, {}
         self.rule, self.now, self.slots, self.serial, self.seed = rule(text), SECOND, slots, 0, seed
-        self.door = Door(seed, self.rule, weights, [profile(ordered=each) for each in ordered], 0, self.now)
+        self.queue = AdmissionQueue(
+            seed, self.rule, weights, [profile(ordered=each) for each in ordered], 0, self.now
+        )
         self.ordered, self.draw = ordered, random.Random(seed)
         self.open, self.held, self.out, self.ended = {}, [], [], {}
         self.done, self.told, self.kept, self.log = Counter(), {}, Counter(), []
@@ -60,7 +63,7 @@
         }
         self.names[ident] = name
         self.obey(
-            self.door.arrive(
+            self.queue.submit(
                 self.now, ident, tenant, name, kind, key, int(work * says), 100, self.now + limit, repeat
             )
         )
@@ -68,11 +71,12 @@
         return ident
 
     def obey(self, results):
-        for verb, ident, *told in results:
+        for decision in results:
+            ident = decision.command
             cmd = self.open[ident]
-            self.log.append((self.now, verb, ident, *told))
+            self.log.append((self.now, decision))
             assert cmd["state"] == "door", "decided twice"
-            if verb == HAND:
+            if isinstance(decision, Forward):
                 if self.ordered[cmd["profile"]] and cmd["key"]:
                     earlier = [
                         other
@@ -90,9 +94,10 @@
                 )
                 assert lane <= self.rule.window and len(self.held) <= self.rule.held
             else:
+                assert isinstance(decision, Reject)
                 assert self.now <= cmd["timeout_at"], "too late"
-                assert told[0] <= self.rule.come_back.most
-                self.told[ident] = told[0]
+                assert decision.retry_after_us <= self.rule.come_back.most
+                self.told[ident] = decision.retry_after_us
                 self.end(ident, "refused")
 
     def end(self, ident, how):
@@ -106,8 +111,8 @@
                 ident = self.held.pop(0)
                 self.open[ident]["state"] = "out"
                 self.out.append([self.now + int(self.open[ident]["work"]), ident])
-                self.door.sent(ident)
-            results = self.door.hand(self.now)
+                self.queue.attempt_sent(ident)
+            results = self.queue.take_ready(self.now)
             if not results:
                 break
             self.obey(results)
@@ -126,11 +131,11 @@
                 self.out.remove(row)
                 ident, cmd = row[1], self.open[row[1]]
                 self.done[cmd["name"]] += cmd["work"]
-                self.door.back(self.now, ident, int(cmd["work"]), True)
-                self.door.over(self.now, ident)
+                self.queue.attempt_ended(self.now, ident, int(cmd["work"]), True)
+                self.queue.command_ended(self.now, ident)
                 self.end(ident, "answered")
             if at == look:
-                self.obey(self.door.time(self.now))
+                self.obey(self.queue.expire(self.now))
             self.settle()
         self.now = until
 
@@ -140,30 +145,30 @@
         self.out = [row for row in self.out if row[1] != ident]
         self.held = [other for other in self.held if other != ident]
         if state == "out":
-            self.door.back(self.now, ident, 0, True)
-        self.door.over(self.now, ident)
+            self.queue.attempt_ended(self.now, ident, 0, True)
+        self.queue.command_ended(self.now, ident)
         self.end(ident, "gone")
         self.settle()
 
     def check(self):
         if not self.checked:  # long runs
             return
-        door = self.door
+        queue = self.queue
         here = [ident for ident, cmd in self.open.items() if cmd["state"] == "door"]
-        assert door.waiting == len(here) <= self.rule.waiting and set(door.tickets) == set(self.open)
-        assert door.handed == len(self.held) and door.bytes == 100 * len(here)
+        assert queue.queued_count == len(here) <= self.rule.waiting and set(queue.commands) == set(self.open)
+        assert queue.forwarded_count == len(self.held) and queue.queued_bytes == 100 * len(here)
         for ident in here:
             assert self.now <= self.open[ident]["timeout_at"]
-        queued = sum(flow.queued for queues in door.tenants.values() for flow in queues.flows.values())
-        behind = sum(ticket.state == 0 for ticket in door.tickets.values())
+        queued = sum(flow.queued for queues in queue.tenants.values() for flow in queues.flows.values())
+        behind = sum(command.state is CommandState.BLOCKED for command in queue.commands.values())
         assert queued + behind == len(here)
         assert (
-            sum(flow.names is None for queues in door.tenants.values() for flow in queues.flows.values())
-            == door.exact
+            sum(flow.names is None for queues in queue.tenants.values() for flow in queues.flows.values())
+            == queue.exact_flow_count
             <= self.rule.exact
         )
         if not self.open:
-            assert not door.lines and not door.lanes and not door.handed
+            assert not queue.commands_by_key and not queue.forwarded_by_lane and not queue.forwarded_count
 
 
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 7), st.integers(0, 1), st.integers(0, 3))
@@ -194,7 +199,7 @@
         elif act == 8 and world.open:
             world.leave(sorted(world.open)[client % len(world.open)])
         else:
-            world.door.reweigh((0.1 + key, 0.5), {str(client): 1.0 + key})
+            world.queue.set_weights((0.1 + key, 0.5), {str(client): 1.0 + key})
     world.wait(10 * SECOND)
     assert not world.open and len(world.ended) == world.serial
 
@@ -224,7 +229,7 @@
     world = World("door: weights: {one: 3}", weights=(1.0,), checked=False)
     crowd(world, 6 * SECOND, **{"c:one": 20, "c:two": 20})
     assert abs(world.done[b"c:one"] / world.done.total() - 0.75) <= 0.05
-    world.door.reweigh((1.0,), {"two": 9})
+    world.queue.set_weights((1.0,), {"two": 9})
     crowd(world, 6 * SECOND, **{"c:one": 20, "c:two": 20})
     assert abs(world.done[b"c:two"] / world.done.total() - 0.9) <= 0.05
 
@@ -248,16 +253,18 @@
 def test_thousands_of_tenants_that_send_once_leave_nothing_behind():
     world = World(weights=[1.0] * 5000, slots=8)
     for tenant in range(5000):
-        world.door.arrive(
+        world.queue.submit(
             world.now, tenant, tenant, b"c:%d" % tenant, 0, 0, 100, 10, world.now + SECOND, False
         )
-        for _, ident in world.door.hand(world.now):
-            world.door.sent(ident)
-            world.door.back(world.now, ident, 100, True)
-            world.door.over(world.now, ident)
+        for decision in world.queue.take_ready(world.now):
+            assert isinstance(decision, Forward)
+            ident = decision.command
+            world.queue.attempt_sent(ident)
+            world.queue.attempt_ended(world.now, ident, 100, True)
+            world.queue.command_ended(world.now, ident)
         world.now += 100
-        assert len(world.door.tenants) < 600 and len(world.door.lanes) <= world.rule.held
-    assert world.door.exact <= 2, "one-off clients took queues of their own"
+        assert len(world.queue.tenants) < 600 and len(world.queue.forwarded_by_lane) <= world.rule.held
+    assert world.queue.exact_flow_count <= 2, "one-off clients took queues of their own"
 
 
 def test_names_made_up_at_full_speed_fill_no_table_and_push_out_nobody():
@@ -271,9 +278,9 @@
             made += 1
             world.ask(b"c:made up %d" % made, limit=2 * SECOND)
         world.wait(10 * MS)
-        (queues,) = world.door.tenants.values()
+        (queues,) = world.queue.tenants.values()
         assert len(queues.flows) <= 16 + 2 * 8 + 16 and queues.fair.start.__len__() <= 64
-    assert world.door.exact <= 2
+    assert world.queue.exact_flow_count <= 2
     assert world.done[b"c:desk"] >= 0.08 * world.done.total(), "as much as one of the eight shared queues"
 
 
@@ -316,7 +323,7 @@
     first = [world.ask(work=SECOND, limit=3 * SECOND) for _ in range(8)]
     world.wait(8 * SECOND)
     assert set(first) <= set(world.ended) and "refused" in world.ended.values()
-    at = [row[0] for row in world.log if row[1] != HAND]
+    at = [at for at, decision in world.log if isinstance(decision, Reject)]
     assert all(SECOND + 2900 * MS <= when <= 4 * SECOND for when in at)
 
 
@@ -326,8 +333,8 @@
     for ident in reversed(many):
         if ident in world.open:
             world.leave(ident)
-    assert not world.door.tickets and not world.door.waiting and not world.door.handed
-    assert world.door.root.backlogged == 0
+    assert not world.queue.commands and not world.queue.queued_count and not world.queue.forwarded_count
+    assert world.queue.root.backlogged == 0
 
 
 def test_one_profile_that_can_not_go_does_not_hold_up_another():
@@ -375,7 +382,7 @@
 def test_those_who_come_back_when_told_mostly_succeed_those_at_once_do_not(seed):
     told, many, world = overload("told", seed)
     assert many > 50 and told >= 0.9, (told, many)
-    assert world.door.promises.count <= world.rule.come_back.all
+    assert world.queue.promises.count <= world.rule.come_back.all
     at_once, others, _ = overload("at once", seed)
     assert others > many and at_once < told
 
@@ -385,8 +392,8 @@
     crowd(world, 3 * SECOND, a=60)
     refused = [ident for ident, how in world.ended.items() if how == "refused" and world.told[ident]]
     assert refused
-    book = next(iter(world.door.tenants.values())).flows[b"a"].book
-    while world.door.promises.kept(book, world.now):  # those that are due by now
+    book = next(iter(world.queue.tenants.values())).flows[b"a"].book
+    while world.queue.promises.kept(book, world.now):  # those that are due by now
         pass
     before = list(book.open), book.next_at
     early = world.serial
@@ -400,15 +407,15 @@
     made = rule("""door: client: {field: "desk", networks: [
         {net: "10.0.0.0/8", name: "offices"}, {net: "10.1.0.0/16", name: "nat", each: "connection"},
         {net: "10.1.2.0/24", name: "desks", each: "address"}, {net: "2001:db8::/32", name: "six"}]}""").client
-    whose = Whose(made, ["a", "b"])
-    flow = lambda fields, address: whose.flow(fields, None, address, address + ":1")  # noqa: E731
+    identifier = ClientIdentifier(made, ["a", "b"])
+    flow = lambda fields, address: identifier.flow(fields, None, address, address + ":1")  # noqa: E731
     assert flow({b"desk": b"7"}, "10.9.9.9") == flow({b"desk": b"7"}, "10.1.1.1") == b"c:7"
     assert flow({}, "10.9.9.9") == flow({}, "10.8.1.1") == b"n:offices"
     assert flow({}, "10.1.9.9") == b"n:10.1.9.9:1" and flow({}, "10.1.2.3") == b"n:10.1.2.3"
     assert flow({}, "2001:db8::5") == b"n:six" and flow({}, "192.0.2.1") == b"a:192.0.2.1:1"
     assert len(flow({b"desk": b"x" * 5000}, "10.9.9.9")) < 20
-    assert whose.tenant(b"b") == (1, None) and whose.tenant(b"zz") == (CLOSED, None)
-    opened = Whose(made, ["a", "b"], others=1)
+    assert identifier.tenant(b"b") == (1, None) and identifier.tenant(b"zz") == (UNKNOWN_TENANT, None)
+    opened = ClientIdentifier(made, ["a", "b"], others=1)
     assert opened.tenant(b"zz") == (1, b"zz") and opened.flow({}, b"zz", "10.9.9.9", "x") == b"t:zz"
 
 
@@ -432,20 +439,22 @@
 def test_what_is_shut_is_only_what_would_be_turned_away_with_no_word_and_only_shortly():
     world = World("door: come_back: each: 1", weights=(1.0,), slots=1)
     crowd(world, 3 * SECOND, **{"c:a": 60})
-    assert set(world.door.shut) == {(0, b"c:a", 0)}
-    until, first = world.door.shut[0, b"c:a", 0]
+    assert set(world.queue.known_rejections) == {(0, b"c:a", 0)}
+    until, first = world.queue.known_rejections[0, b"c:a", 0]
     assert until <= world.now + 50 * MS and (first is None or first > 0)
     for i in range(3000):  # bounded whatever the names
-        ticket = next(iter(world.door.tickets.values()))
-        ticket.name = b"%d" % i
-        world.door._shut(ticket, world.now, 1000)
-    assert len(world.door.shut) <= 2 * world.rule.exact
+        command = next(iter(world.queue.commands.values()))
+        command.name = b"%d" % i
+        world.queue._record_rejection(command, world.now, 1000)
+    assert len(world.queue.known_rejections) <= 2 * world.rule.exact
 
 
 def test_one_client_on_a_thousand_connections_is_one_client():
     made = rule('door: client: field: "desk"').client
-    whose = Whose(made, ["a"])
-    names = {whose.flow({b"desk": b"many"}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)}
+    identifier = ClientIdentifier(made, ["a"])
+    names = {
+        identifier.flow({b"desk": b"many"}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)
+    }
     assert len(names) == 1
     world = World(weights=(1.0,), checked=False)
     crowd(world, 5 * SECOND, **{names.pop().decode(): 1000, "c:one": 12})
@@ -455,16 +464,16 @@
 @pytest.mark.parametrize("each, flows", [("address", 1), ("connection", 1000)])
 def test_a_thousand_clients_behind_one_address_are_told_apart_only_if_the_operator_says_so(each, flows):
     made = rule(f'door: client: networks: [{{net: "10.0.0.0/8", name: "nat", each: "{each}"}}]')
-    whose = Whose(made.client, ["a"])
-    names = [whose.flow({}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)]
+    identifier = ClientIdentifier(made.client, ["a"])
+    names = [identifier.flow({}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)]
     assert len(set(names)) == flows
     world = World("door: {exact: 64, shared: 16}", weights=(1.0,), slots=16, checked=False)
     for i in range(4000):
         world.ask(names[i % 1000], work=20 * MS)
         if i % 3 == 0:
             world.wait(2 * MS)
-        assert world.door.exact <= 64
-    (queues,) = world.door.tenants.values()
+        assert world.queue.exact_flow_count <= 64
+    (queues,) = world.queue.tenants.values()
     assert len(queues.flows) <= 64 + 2 * 16
     world.wait(6 * SECOND)
     assert not world.open
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -33,8 +33,13 @@
     yield make
     for gateway in made:
         gateway.end()
-        door = gateway.core.door
-        assert not door.tickets and not door.waiting and not door.handed and not door.lines
+        door = gateway.core.admission_queue
+        assert (
+            not door.commands
+            and not door.queued_count
+            and not door.forwarded_count
+            and not door.commands_by_key
+        )
     for engine in engines:
         engine.close()
 
@@ -45,10 +50,11 @@
         client.ask(limit=600, client=b"one")
     until(
         lambda: (
-            gateway.core.door.waiting and len(gateway.core.gateway.commands) + gateway.core.door.waiting == 30
+            gateway.core.admission_queue.queued_count
+            and len(gateway.core.gateway.commands) + gateway.core.admission_queue.queued_count == 30
         )
     )
-    assert len(gateway.core.gateway.commands) <= 4 * 2 * 16 + gateway.core.door.rule.window
+    assert len(gateway.core.gateway.commands) <= 4 * 2 * 16 + gateway.core.admission_queue.rule.window
     began = time.monotonic()
     answers = [client.answer()[1] for _ in range(30)]
     assert set(answers) == {"shed"} and time.monotonic() - began < 0.7
@@ -60,7 +66,7 @@
     seqs = [client.ask(client=b"one") for _ in range(30)]
     for _ in range(20):
         other.ask(client=b"two")
-    until(lambda: gateway.core.door.waiting + len(gateway.core.gateway.commands) == 50)
+    until(lambda: gateway.core.admission_queue.queued_count + len(gateway.core.gateway.commands) == 50)
     for seq in seqs:
         client.interrupt(seq)
     other.sock.close()
@@ -92,7 +98,7 @@
     gateway, client = start(Engine(), tenants=tenants)
     client.ask(team=b"never heard of")
     assert client.answer() == (1, "fault")
-    assert not gateway.core.door.tenants
+    assert not gateway.core.admission_queue.tenants
 
 
 def test_inside_one_tenant_a_crowding_client_takes_no_more_than_its_share():
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from gullhold.admission.client_identity import Whose
+from gullhold.admission.client_identity import ClientIdentifier
+from gullhold.admission_interface import KnownRejection, RejectedFlow
 from gullhold.agreement import read_agreement
 from gullhold.net import request_reader
 from gullhold.operator import records
@@ -72,16 +73,23 @@
 
 
 def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
-    whose = Whose(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
+    identifier = ClientIdentifier(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
     agreement = read_agreement(agreed(deployment.settings(), (("acme", 1.0),)))
-    reader, peer = request_reader.RequestReader(agreement, whose, b"back"), ("127.0.0.1", "127.0.0.1:5")
+    reader, peer = request_reader.RequestReader(agreement, identifier, b"back"), ("127.0.0.1", "127.0.0.1:5")
     fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
-    shut = {(0, b"c:d", 0): (1000, 5_000_000)}
-    assert reader.shut(fields, peer, shut, 999) == ({},)
-    assert reader.shut(fields, peer, shut, 1000) is None  # its time is over
-    assert reader.shut(fields | {b"desk": b"other"}, peer, shut, 5) is None
-    assert reader.shut(fields | {b"verb": b"mark"}, peer, shut, 5) is None
-    assert reader.shut(fields | {b"txn": b"no"}, peer, shut, 5) is None  # unusable: that is the answer
+    known = {RejectedFlow(0, b"c:d", 0): KnownRejection(1000, 5_000_000)}
+    assert reader.known_rejection(fields, peer, known, 999) == ({},)
+    assert reader.known_rejection(fields, peer, known, 1000) is None  # its time is over
+    assert reader.known_rejection(fields | {b"desk": b"other"}, peer, known, 5) is None
+    assert reader.known_rejection(fields | {b"verb": b"mark"}, peer, known, 5) is None
+    assert (
+        reader.known_rejection(fields | {b"txn": b"no"}, peer, known, 5) is None
+    )  # unusable: that is the answer
     # A repeat is told the time of the first promise; once that has come, the door decides.
-    assert reader.shut(fields | {b"second": b"1"}, peer, shut, 0) == ({b"back": b"5000"},)
-    assert reader.shut(fields | {b"second": b"1"}, peer, {(0, b"c:d", 0): (1000, 5)}, 6) is None
+    assert reader.known_rejection(fields | {b"second": b"1"}, peer, known, 0) == ({b"back": b"5000"},)
+    assert (
+        reader.known_rejection(
+            fields | {b"second": b"1"}, peer, {RejectedFlow(0, b"c:d", 0): KnownRejection(1000, 5)}, 6
+        )
+        is None
+    )
