--- a/gullhold/admission/__init__.py
+++ b/gullhold/admission/__init__.py
@@ -1,6 +1,7 @@
-"""Fair queues at the door: a stage between a front and the decision module.
+"""The admission queue: commands wait fairly, by tenant and client, before the decision module gets them.
 
-A crowd waits here, cheaply, by tenant and client; the module is handed only what it can make use of. fair.py
-shares work out, flows.py keeps queues in bounded memory, promises.py says when to come back, whose.py tells
-clients apart, door.py puts them together. None of them does I/O; a front owns one Door and calls it.
+queue.py is what the network code calls; it puts the parts together: the choice among tenants and flows
+(fair_queue, tenant_queue, flow), bounded tables (flow_table, sketch), Retry-After times (drain_rate,
+wait_estimate, retry_after, rejection_table) and the charging of work (work_accounting). client_identity
+tells clients apart. None of them does I/O.
 """
--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -1,69 +1,112 @@
-"""Whose command it is: the tenant, and inside it the client, as bytes that stay short."""
+"""Which flow a command belongs to: its tenant, and inside it the client, as bytes that stay short."""
 
 import ipaddress
 import socket
+from collections.abc import Mapping, Sequence
+from enum import Enum
 from hashlib import blake2b
+from typing import TYPE_CHECKING, NamedTuple
 
 from gullhold.admission_interface import UNKNOWN_TENANT
 
-NAME_MOST = 48  # bytes of a client's name that are kept as they are; longer ones count by their hash
+if TYPE_CHECKING:
+    from gullhold.operator.records import ClientRule
+
+MAX_PLAIN_NAME_BYTES = 48  # names up to this length are kept as they are; longer ones count by their hash
+NAME_HASH_BYTES = 16
+IPV6_BITS = 128
+IPV4_MAPPED_PREFIX_BITS = 96  # of ::ffff:0:0/96
+
+
+class NameKind(bytes, Enum):
+    """First byte of a flow's name: what the rest names, so that names of two kinds never meet."""
+
+    TENANT = b"t"
+    CLIENT = b"c"
+    NETWORK = b"n"
+    ADDRESS = b"a"  # or connection
+
+
+class NetworkRule(NamedTuple):
+    """How clients of a network are told apart; each: "network", "address" or "connection"."""
+
+    name: str
+    each: str
 
 
 class ClientIdentifier:
-    """Tells flows apart by the operator's rule.
+    """Identifies tenants and clients by the operator's rule.
 
-    rule: a ClientRule record (field, networks, otherwise); tenants: names by index; others: the index of the
-    tenant in whose part unknown names share, or None where only known tenants may come.
+    rule: the operator's record; tenants: names by index; tenant_of_others: the index of the tenant in whose
+    share unknown names take part, or None where only known tenants are accepted.
     """
 
-    def __init__(self, rule, tenants, others=None):
-        self.tenants, self.others = {name: i for i, name in enumerate(tenants)}, others
-        self.field, self.each_address = rule.field.encode(), rule.otherwise == "address"
-        self.networks = None
+    def __init__(
+        self, rule: "ClientRule", tenants: Sequence[str], tenant_of_others: int | None = None
+    ) -> None:
+        self._tenants = {name: index for index, name in enumerate(tenants)}
+        self._tenant_of_others = tenant_of_others
+        self._field = rule.field.encode()
+        self._is_by_address = rule.otherwise == "address"
+        self._networks = None
         if rule.networks:
             import pytricia  # noqa: PLC0415  needed only where networks are named
 
-            self.networks = pytricia.PyTricia(128, socket.AF_INET6)
-            for net in rule.networks:
-                self.networks[mapped(ipaddress.ip_network(net.net, strict=False))] = net.name, net.each
+            self._networks = pytricia.PyTricia(IPV6_BITS, socket.AF_INET6)
+            for network in rule.networks:
+                prefix = _as_ipv6(ipaddress.ip_network(network.net, strict=False))
+                self._networks[prefix] = NetworkRule(network.name, network.each)
 
-    def tenant(self, name):
-        """(tenant's index or UNKNOWN_TENANT, what goes before a client's name in the flow)."""
-        known = self.tenants.get(name.decode("utf-8", "replace"))
-        if known is not None:
-            return known, None
-        if not self.tenants:
+    def tenant(self, name: bytes) -> tuple[int, bytes | None]:
+        """Return a tenant's index or UNKNOWN_TENANT, and the name where it shares in the part of others."""
+        known_tenant = self._tenants.get(name.decode("utf-8", "replace"))
+        if known_tenant is not None:
+            return known_tenant, None
+        if not self._tenants:
             return 0, None
-        return (self.others, name) if self.others is not None else (UNKNOWN_TENANT, None)
-
-    def flow(self, fields, stranger, address, connection):
-        """A client's name: in the part of others it is the unknown tenant's, whatever its clients are."""
-        if stranger is not None:
-            return short(b"t", stranger)
-        named = fields.get(self.field) if self.field else None
-        if named:
-            return short(b"c", named)
-        if self.networks is not None:
-            try:
-                found = self.networks.get(mapped(ipaddress.ip_network(address)))
-            except ValueError:
-                found = None
-            if found is not None:
-                name, each = found
-                what = {"network": name, "address": address}.get(each, connection)
-                return short(b"n", str(what).encode())
-        return short(b"a", str(address if self.each_address else connection).encode())
-
-
-def mapped(net):
-    """A network as IPv6 text, IPv4 inside its mapped range: one table serves both."""
-    if net.version == 6:
-        return str(net)
-    return f"::ffff:{net.network_address}/{96 + net.prefixlen}"
-
-
-def short(kind, name):
-    """A name as a key of bounded size; kinds never meet."""
-    if len(name) > NAME_MOST:
-        return kind + b"#" + blake2b(name, digest_size=16).digest()
+        if self._tenant_of_others is not None:
+            return self._tenant_of_others, name
+        return UNKNOWN_TENANT, None
+
+    def flow(
+        self, fields: Mapping[bytes, bytes], unknown_tenant: bytes | None, address: str, connection: str
+    ) -> bytes:
+        """Return the name of a command's flow.
+
+        An unknown tenant is one flow, whatever its clients are.
+        """
+        if unknown_tenant is not None:
+            return _flow_name(NameKind.TENANT, unknown_tenant)
+        client = fields.get(self._field) if self._field else None
+        if client:
+            return _flow_name(NameKind.CLIENT, client)
+        network = self._network_rule(address)
+        if network is not None:
+            names = {"network": network.name, "address": address}
+            name = names.get(network.each, connection)
+            return _flow_name(NameKind.NETWORK, str(name).encode())
+        name = address if self._is_by_address else connection
+        return _flow_name(NameKind.ADDRESS, str(name).encode())
+
+    def _network_rule(self, address: str) -> NetworkRule | None:
+        """Return the rule of the smallest network that an address is in."""
+        if self._networks is None:
+            return None
+        try:
+            return self._networks.get(_as_ipv6(ipaddress.ip_network(address)))
+        except ValueError:  # no IP address
+            return None
+
+
+def _as_ipv6(network: ipaddress.IPv4Network | ipaddress.IPv6Network) -> str:
+    """Return a network as IPv6 text, IPv4 inside its mapped range: one table serves both."""
+    if network.version == 6:
+        return str(network)
+    return f"::ffff:{network.network_address}/{IPV4_MAPPED_PREFIX_BITS + network.prefixlen}"
+
+
+def _flow_name(kind: NameKind, name: bytes) -> bytes:
+    """Return a key of bounded size for a name."""
+    if len(name) > MAX_PLAIN_NAME_BYTES:
+        return kind + b"#" + blake2b(name, digest_size=NAME_HASH_BYTES).digest()
     return kind + b":" + name
--- a/gullhold/admission/drain_rate.py
+++ b/gullhold/admission/drain_rate.py
@@ -1,40 +1,46 @@
-"""How fast a line drains, seen only while somebody waits in it. Free of I/O."""
+"""How fast a queue drains, measured only while something waits in it."""
 
 from math import exp
 
-DRAIN_US = 2_000_000  # us of waiting over which the drain is seen: some commands' times, less than a trouble
-KNOWN_US = 200_000  # us of waiting seen before it says anything
+FADING_TIME_US = 2_000_000  # some commands' times, but less than a disturbance lasts
+MIN_MEASURED_US = 200_000  # time with something queued below which the rate is not known
 
 
-class Drain:
-    """Work handed on while commands wait, over the time in which they wait.
+class DrainRate:
+    """Work taken from a queue while commands wait, over the time in which they wait; both fade.
 
-    Time in which nobody waits says nothing: what went on then was the demand, not what the engines can do.
+    Time in which nothing waits is not counted: what went on then was the demand, not what engines can do.
     """
 
-    __slots__ = ("at", "busy", "waiting", "work")
-
-    def __init__(self, now):
-        self.at, self.busy, self.waiting, self.work = now, 0.0, 0, 0.0
-
-    def come(self, now):
-        """One more waits."""
-        self._pass(now)
-        self.waiting += 1
-
-    def go(self, now, work):
-        """One that waited has gone on, with so much work (us); 0: it was turned away or left."""
-        self._pass(now)
-        self.waiting -= 1
-        self.work += work
-
-    def rate(self, now):
-        """Work handed on in a us; 0: not known yet."""
-        self._pass(now)
-        return self.work / self.busy if self.busy >= KNOWN_US else 0.0
-
-    def _pass(self, now):
-        if self.waiting and now > self.at:
-            fade = exp((self.at - now) / DRAIN_US)
-            self.work, self.busy = self.work * fade, self.busy * fade + DRAIN_US * (1 - fade)
-        self.at = max(self.at, now)
+    __slots__ = ("_busy_us", "_queued_count", "_updated_us", "_work_us")
+
+    def __init__(self, now_us: int) -> None:
+        self._updated_us = now_us
+        self._busy_us = 0.0
+        self._queued_count = 0
+        self._work_us = 0.0
+
+    def record_queued(self, now_us: int) -> None:
+        """Count a command that begins to wait."""
+        self._advance(now_us)
+        self._queued_count += 1
+
+    def record_removed(self, now_us: int, work_us: float) -> None:
+        """Count a command that waits no more; work_us: its work, 0 where it was rejected or withdrawn."""
+        self._advance(now_us)
+        self._queued_count -= 1
+        self._work_us += work_us
+
+    def rate(self, now_us: int) -> float:
+        """Return the work (us) taken in a us; 0: not known yet."""
+        self._advance(now_us)
+        if self._busy_us < MIN_MEASURED_US:
+            return 0.0
+        return self._work_us / self._busy_us
+
+    def _advance(self, now_us: int) -> None:
+        if self._queued_count and now_us > self._updated_us:
+            fading = exp((self._updated_us - now_us) / FADING_TIME_US)
+            self._work_us *= fading
+            self._busy_us = self._busy_us * fading + FADING_TIME_US * (1 - fading)
+        self._updated_us = max(self._updated_us, now_us)
--- a/gullhold/admission/sketch.py
+++ b/gullhold/admission/sketch.py
@@ -1,44 +1,59 @@
-"""Who is heavy, in fixed memory: a count-min sketch of recent work by name, under a salt that is redrawn.
+"""Which clients are heavy, in fixed memory: a count-min sketch of recent work by name, under a changing salt.
 
-The salt is secret (drawn from the seeded generator), so names can't be built to collide. When it is redrawn
+The salt is secret (drawn from the seeded generator), so names can't be built to collide. When it is replaced
 the last sketch stays beside the new one, and what is older is forgotten.
 """
 
 from array import array
 from hashlib import blake2b
 
-ROWS, WIDTH = 4, 2048  # 64 KB each; an estimate is over by e/2048 of all work at most, but for 1 name in 50
+ROWS = 4
+WIDTH = 2048  # 64 KB in all; an estimate is over by e/2048 of all work at most, but for 1 name in 50
+BITS_PER_ROW = 16  # of the hash, for the place in a row
+HASH_BYTES = ROWS * BITS_PER_ROW // 8
 
 
-class Sketch:
-    """Recent work by name. Estimates are never too low; conservative updates keep them close."""
+def _empty_counts() -> array:
+    return array("d", bytes(array("d").itemsize * ROWS * WIDTH))
 
-    def __init__(self, salt):
-        self.salt, self.last_salt = salt, salt
-        self.counts, self.total = array("d", bytes(8 * ROWS * WIDTH)), 0.0
-        self.last, self.last_total = self.counts[:], 0.0
 
-    def places(self, name, salt):
-        """Where a name counts, one place a row."""
-        word = int.from_bytes(blake2b(name, digest_size=8, key=salt).digest(), "little")
-        return [row * WIDTH + (word >> 16 * row) % WIDTH for row in range(ROWS)]
+class Sketch:
+    """Recent work by name. Estimates are never too low; conservative updates keep them close."""
 
-    def add(self, name, work):
-        """Count work; the name's recent work before this."""
+    def __init__(self, salt: bytes) -> None:
+        self.salt = salt
+        self.previous_salt = salt
+        self._counts = _empty_counts()
+        self._total = 0.0
+        self._previous_counts = _empty_counts()
+        self._previous_total = 0.0
+
+    def places(self, name: bytes, salt: bytes) -> list[int]:
+        """Return the places where a name counts under a salt, one for each row."""
+        digest = int.from_bytes(blake2b(name, digest_size=HASH_BYTES, key=salt).digest(), "little")
+        return [row * WIDTH + (digest >> BITS_PER_ROW * row) % WIDTH for row in range(ROWS)]
+
+    def add(self, name: bytes, work: float) -> float:
+        """Count work; return the name's recent work before this."""
         places = self.places(name, self.salt)
-        known = min(self.counts[place] for place in places)
+        known_work = min(self._counts[place] for place in places)
         for place in places:
-            self.counts[place] = max(self.counts[place], known + work)
-        self.total += work
-        if self.last_total:
-            known += min(self.last[place] for place in self.places(name, self.last_salt))
-        return known
-
-    def recent(self):
-        """All recent work."""
-        return self.total + self.last_total
-
-    def redeal(self, salt):
-        """A new salt; the counts so far are the past, those before them are forgotten."""
-        self.last, self.last_total, self.last_salt = self.counts, self.total, self.salt
-        self.counts, self.total, self.salt = array("d", bytes(8 * ROWS * WIDTH)), 0.0, salt
+            self._counts[place] = max(self._counts[place], known_work + work)
+        self._total += work
+        if self._previous_total:
+            previous_places = self.places(name, self.previous_salt)
+            known_work += min(self._previous_counts[place] for place in previous_places)
+        return known_work
+
+    def total_work(self) -> float:
+        """Return all recent work."""
+        return self._total + self._previous_total
+
+    def replace_salt(self, salt: bytes) -> None:
+        """Begin anew under a salt; the counts so far are the past, those before them are forgotten."""
+        self._previous_counts = self._counts
+        self._previous_total = self._total
+        self.previous_salt = self.salt
+        self._counts = _empty_counts()
+        self._total = 0.0
+        self.salt = salt
--- /dev/null
+++ b/gullhold/admission/tenant_queue.py
@@ -0,0 +1,128 @@
+"""The flows of one tenant and the fair choice among them."""
+
+from collections import OrderedDict
+from collections.abc import Callable
+from heapq import heapify, heappop, heappush
+from typing import NamedTuple
+
+from gullhold.admission.drain_rate import DrainRate
+from gullhold.admission.fair_queue import IDLE, PARKED, STALE_ROWS_ALLOWED, Child, FairQueue
+from gullhold.admission.flow import Flow, SharedFlowKey
+from gullhold.admission.queued_command import QueuedCommand
+
+
+class ParkedRow(NamedTuple):
+    """A parked flow, in the order of its turns; rows with the same parking are of the same flow."""
+
+    due: float
+    parking: int
+    flow: Flow
+
+
+class TenantQueue:
+    """A tenant's flows: exact ones for the clients that matter now, shared ones for the rest.
+
+    tenant: index in the agreement; tenants: the fair queue of all tenants, weight: the tenant's in it;
+    min_quantum: of the choice among flows, in work.
+    """
+
+    def __init__(
+        self, tenant: int, weight: float, tenants: FairQueue["TenantQueue"], min_quantum: float
+    ) -> None:
+        self.tenant = tenant
+        self.child: Child[TenantQueue] = tenants.add(self, weight)
+        self.fair_queue: FairQueue[Flow] = FairQueue(min_quantum)
+        self.flows: OrderedDict[bytes | SharedFlowKey, Flow] = OrderedDict()  # the longest unused first
+        self.queued_count = 0
+        self._parked: dict[int, list[ParkedRow]] = {}  # heaps by profile
+        self._last_parking = 0
+        self._drain_rates: dict[int, DrainRate] = {}  # by profile
+
+    def flow(self, key: bytes | SharedFlowKey, weight: float) -> Flow:
+        """Return the flow of a key, made if need be."""
+        flow = self.flows.get(key)
+        if flow is None:
+            flow = self.flows[key] = Flow(key, weight, self.fair_queue)
+        return flow
+
+    def has(self, flow: Flow) -> bool:
+        """Whether a flow was not forgotten."""
+        return self.flows.get(flow.key) is flow
+
+    def forget(self, flow: Flow) -> None:
+        """Forget an idle flow, with what it owes."""
+        assert flow.child.state is IDLE
+        del self.flows[flow.key]
+
+    def drain_rate(self, profile: int, now_us: int) -> DrainRate:
+        """Return how fast the tenant's commands of a profile are forwarded."""
+        if profile not in self._drain_rates:
+            self._drain_rates[profile] = DrainRate(now_us)
+        return self._drain_rates[profile]
+
+    def add(self, now_us: int, command: QueuedCommand, goes_first: bool, is_open: bool) -> None:
+        """Queue a command in its flow; is_open: its profile may be forwarded now."""
+        flow = command.flow
+        is_only = flow.add(command, goes_first)
+        self.queued_count += 1
+        self.drain_rate(command.profile, now_us).record_queued(now_us)
+        if flow.child.state is IDLE:
+            self.fair_queue.join(flow.child)
+        elif flow.child.state is PARKED and is_open:
+            self.fair_queue.unpark(flow.child)
+        elif flow.child.state is PARKED and is_only:
+            self._await_profile(flow, command.profile)
+
+    def remove(self, now_us: int, command: QueuedCommand, is_forwarded: bool) -> None:
+        """Remove a command from its flow, wherever it stands."""
+        flow = command.flow
+        flow.remove(command)
+        self.queued_count -= 1
+        work_us = command.work_us if is_forwarded else 0.0
+        self.drain_rate(command.profile, now_us).record_removed(now_us, work_us)
+        if not flow.queued_count:
+            self.fair_queue.leave(flow.child)
+
+    def next_command(self, is_open: Callable[[int, int], bool]) -> QueuedCommand | None:
+        """Return the command whose turn it is among open profiles, or None.
+
+        is_open: whether commands of a tenant and a profile may be forwarded. Flows with none are parked.
+        """
+        while (child := self.fair_queue.pick()) is not None:
+            flow = child.owner
+            heads = [head for profile, head in flow.heads() if is_open(self.tenant, profile)]
+            if heads:
+                return min(heads, key=lambda command: command.order)
+            self._park(flow)
+        return None
+
+    def profile_opened(self, profile: int) -> None:
+        """Commands of a profile may be forwarded: the parked flow whose turn is first may be picked again."""
+        heap = self._parked.get(profile)
+        while heap:
+            row = heappop(heap)
+            if self._is_current(row) and profile in row.flow.profiles:
+                self.fair_queue.unpark(row.flow.child)
+                break
+        if not heap:
+            self._parked.pop(profile, None)
+
+    def _park(self, flow: Flow) -> None:
+        self.fair_queue.park(flow.child)
+        self._last_parking += 1
+        flow.parking = self._last_parking
+        for profile in flow.profiles:
+            self._await_profile(flow, profile)
+
+    def _await_profile(self, flow: Flow, profile: int) -> None:
+        """A parked flow is found again when a profile opens."""
+        heap = self._parked.setdefault(profile, [])
+        heappush(heap, ParkedRow(self.fair_queue.due(flow.child), flow.parking, flow))
+        if len(heap) > 2 * len(self.flows) + STALE_ROWS_ALLOWED:
+            heap[:] = [row for row in heap if self._is_current(row)]
+            heapify(heap)
+
+    def _is_current(self, row: ParkedRow) -> bool:
+        """Guards turns: a parking before a flow's last turn says nothing of when its next one is due."""
+        flow = row.flow
+        return flow.parking == row.parking and self.has(flow) and flow.child.state is PARKED
--- /dev/null
+++ b/gullhold/admission/wait_estimate.py
@@ -0,0 +1,39 @@
+"""How long a new command would wait, and by how much that would be too long."""
+
+from gullhold.admission.queued_command import QueuedCommand
+from gullhold.admission.settings import AdmissionSettings
+from gullhold.interface import Profile
+
+
+def service_rate(command: QueuedCommand, now_us: int) -> float:
+    """Return the work in a us that a command's flow gets of its profile while backlogged; 0: not known.
+
+    From the drain rate of all that the tenant has of the profile, and the flow's share of the tenant.
+    """
+    tenant_queue = command.tenant_queue
+    drain_rate = tenant_queue.drain_rate(command.profile, now_us).rate(now_us)
+    return drain_rate * tenant_queue.fair_queue.share(command.flow.child)
+
+
+def expected_wait_us(command: QueuedCommand, now_us: int) -> float:
+    """Return the time until a new command would be forwarded; 0: the rate is not known or none waits."""
+    rate = service_rate(command, now_us)
+    backlog_us = command.flow.backlog_us(command.profile)
+    if not rate or not backlog_us:
+        return 0.0
+    return (backlog_us + command.work_us) / rate
+
+
+def lateness_us(
+    command: QueuedCommand, wait_us: float, profile: Profile, settings: AdmissionSettings, now_us: int
+) -> int:
+    """Return by how much a new command would wait too long, with timely retries let in before it; 0: not."""
+    if not wait_us:
+        return 0
+    flow = command.flow
+    target_us = profile.target_us + profile.target_stretch * command.work_us / profile.threads
+    allowed_us = min(settings.patience * target_us, command.expires_us - now_us)
+    wait_per_command_us = wait_us * command.work_us / (flow.backlog_us(command.profile) + command.work_us)
+    retries_us = flow.retries.count_within(now_us, allowed_us) * wait_per_command_us
+    reserved_us = settings.retry_after.reserved_share * allowed_us
+    return max(0, int(wait_us + min(retries_us, reserved_us) - allowed_us))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from gullhold.admission.client_identity import ClientIdentifier
-from gullhold.admission.queue import AdmissionQueue, CommandState
+from gullhold.admission.queue import AdmissionQueue
+from gullhold.admission.queued_command import CommandState
 from gullhold.admission.sketch import Sketch
 from gullhold.admission_interface import UNKNOWN_TENANT, Forward, Reject
 from gullhold.operator import records
@@ -159,12 +160,20 @@
         assert queue.forwarded_count == len(self.held) and queue.queued_bytes == 100 * len(here)
         for ident in here:
             assert self.now <= self.open[ident]["timeout_at"]
-        queued = sum(flow.queued for queues in queue.tenants.values() for flow in queues.flows.values())
+        queued = sum(
+            flow.queued_count
+            for queues in queue.flow_table.tenants.values()
+            for flow in queues.flows.values()
+        )
         behind = sum(command.state is CommandState.BLOCKED for command in queue.commands.values())
         assert queued + behind == len(here)
         assert (
-            sum(flow.names is None for queues in queue.tenants.values() for flow in queues.flows.values())
-            == queue.exact_flow_count
+            sum(
+                flow.is_exact
+                for queues in queue.flow_table.tenants.values()
+                for flow in queues.flows.values()
+            )
+            == queue.flow_table.exact_flow_count
             <= self.rule.exact
         )
         if not self.open:
@@ -263,8 +272,11 @@
             world.queue.attempt_ended(world.now, ident, 100, True)
             world.queue.command_ended(world.now, ident)
         world.now += 100
-        assert len(world.queue.tenants) < 600 and len(world.queue.forwarded_by_lane) <= world.rule.held
-    assert world.queue.exact_flow_count <= 2, "one-off clients took queues of their own"
+        assert (
+            len(world.queue.flow_table.tenants) < 600
+            and len(world.queue.forwarded_by_lane) <= world.rule.held
+        )
+    assert world.queue.flow_table.exact_flow_count <= 2, "one-off clients took queues of their own"
 
 
 def test_names_made_up_at_full_speed_fill_no_table_and_push_out_nobody():
@@ -278,9 +290,12 @@
             made += 1
             world.ask(b"c:made up %d" % made, limit=2 * SECOND)
         world.wait(10 * MS)
-        (queues,) = world.queue.tenants.values()
-        assert len(queues.flows) <= 16 + 2 * 8 + 16 and queues.fair.start.__len__() <= 64
-    assert world.queue.exact_flow_count <= 2
+        (queues,) = world.queue.flow_table.tenants.values()
+        assert len(queues.flows) <= 16 + 2 * 8 + 16
+        rows = queues.fair_queue.ahead + queues.fair_queue.eligible
+        children = [row.child for row in rows] + [flow.child for flow in queues.flows.values()]
+        assert len({id(child) for child in children}) <= 64, "children that are held, also by stale rows"
+    assert world.queue.flow_table.exact_flow_count <= 2
     assert world.done[b"c:desk"] >= 0.08 * world.done.total(), "as much as one of the eight shared queues"
 
 
@@ -291,7 +306,7 @@
         if sketch.places(b"%d" % i, sketch.salt)[0] % 128 == at:
             names.append(b"%d" % i)
     assert len(names) > 100
-    sketch.redeal(b"1" * 16)
+    sketch.replace_salt(b"1" * 16)
     places = Counter(sketch.places(name, sketch.salt)[0] % 128 for name in [b"victim", *names])
     assert places.most_common(1)[0][1] < len(names) / 8
 
@@ -334,7 +349,7 @@
         if ident in world.open:
             world.leave(ident)
     assert not world.queue.commands and not world.queue.queued_count and not world.queue.forwarded_count
-    assert world.queue.root.backlogged == 0
+    assert world.queue.flow_table.fair_queue.backlogged_count == 0
 
 
 def test_one_profile_that_can_not_go_does_not_hold_up_another():
@@ -382,7 +397,7 @@
 def test_those_who_come_back_when_told_mostly_succeed_those_at_once_do_not(seed):
     told, many, world = overload("told", seed)
     assert many > 50 and told >= 0.9, (told, many)
-    assert world.queue.promises.count <= world.rule.come_back.all
+    assert world.queue.retry_scheduler.window_count <= world.rule.come_back.all
     at_once, others, _ = overload("at once", seed)
     assert others > many and at_once < told
 
@@ -392,14 +407,14 @@
     crowd(world, 3 * SECOND, a=60)
     refused = [ident for ident, how in world.ended.items() if how == "refused" and world.told[ident]]
     assert refused
-    book = next(iter(world.queue.tenants.values())).flows[b"a"].book
-    while world.queue.promises.kept(book, world.now):  # those that are due by now
+    book = next(iter(world.queue.flow_table.tenants.values())).flows[b"a"].retries
+    while world.queue.retry_scheduler.use_window(book, world.now):  # those that are due by now
         pass
-    before = list(book.open), book.next_at
+    before = list(book.windows), book.next_begin_us
     early = world.serial
     for _ in range(20):
         world.ask(b"a", repeat=True)
-        assert (list(book.open), book.next_at) == before
+        assert (list(book.windows), book.next_begin_us) == before
     assert "refused" in [how for ident, how in world.ended.items() if ident > early]
 
 
@@ -415,7 +430,7 @@
     assert flow({}, "2001:db8::5") == b"n:six" and flow({}, "192.0.2.1") == b"a:192.0.2.1:1"
     assert len(flow({b"desk": b"x" * 5000}, "10.9.9.9")) < 20
     assert identifier.tenant(b"b") == (1, None) and identifier.tenant(b"zz") == (UNKNOWN_TENANT, None)
-    opened = ClientIdentifier(made, ["a", "b"], others=1)
+    opened = ClientIdentifier(made, ["a", "b"], tenant_of_others=1)
     assert opened.tenant(b"zz") == (1, b"zz") and opened.flow({}, b"zz", "10.9.9.9", "x") == b"t:zz"
 
 
@@ -444,8 +459,8 @@
     assert until <= world.now + 50 * MS and (first is None or first > 0)
     for i in range(3000):  # bounded whatever the names
         command = next(iter(world.queue.commands.values()))
-        command.name = b"%d" % i
-        world.queue._record_rejection(command, world.now, 1000)
+        command.client = b"%d" % i
+        world.queue.rejections.record(command, world.now, 1000)
     assert len(world.queue.known_rejections) <= 2 * world.rule.exact
 
 
@@ -472,8 +487,8 @@
         world.ask(names[i % 1000], work=20 * MS)
         if i % 3 == 0:
             world.wait(2 * MS)
-        assert world.queue.exact_flow_count <= 64
-    (queues,) = world.queue.tenants.values()
+        assert world.queue.flow_table.exact_flow_count <= 64
+    (queues,) = world.queue.flow_table.tenants.values()
     assert len(queues.flows) <= 64 + 2 * 16
     world.wait(6 * SECOND)
     assert not world.open
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -54,7 +54,10 @@
             and len(gateway.core.gateway.commands) + gateway.core.admission_queue.queued_count == 30
         )
     )
-    assert len(gateway.core.gateway.commands) <= 4 * 2 * 16 + gateway.core.admission_queue.rule.window
+    assert (
+        len(gateway.core.gateway.commands)
+        <= 4 * 2 * 16 + gateway.core.admission_queue.settings.max_forwarded_per_lane
+    )
     began = time.monotonic()
     answers = [client.answer()[1] for _ in range(30)]
     assert set(answers) == {"shed"} and time.monotonic() - began < 0.7
@@ -98,7 +101,7 @@
     gateway, client = start(Engine(), tenants=tenants)
     client.ask(team=b"never heard of")
     assert client.answer() == (1, "fault")
-    assert not gateway.core.admission_queue.tenants
+    assert not gateway.core.admission_queue.flow_table.tenants
 
 
 def test_inside_one_tenant_a_crowding_client_takes_no_more_than_its_share():
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -19,18 +19,18 @@
 def test_no_child_that_stays_backlogged_lags_by_more_than_one_largest_command_and_one_quantum(steps, weights):
     """Against the work that an ideal, endlessly divisible sharing would have given it meanwhile."""
     fair = FairQueue(QUANTUM)
-    slots = [fair.add(weight) for weight in weights]
-    weight = dict(zip(slots, weights, strict=True))
-    queue = {slot: [] for slot in slots}
+    children = [fair.add(name, weight) for name, weight in enumerate(weights)]
+    weight = dict(zip(children, weights, strict=True))
+    queue = {child: [] for child in children}
     behind, largest = {}, 0.0  # ideal less real work since a child became backlogged
-    for act, child, work in steps:
-        slot = slots[child]
+    for act, index, work in steps:
+        child = children[index]
         if act < 5:
-            queue[slot].append(work)
-            if fair.state[slot] == IDLE:
-                fair.join(slot)
-                behind[slot] = 0.0
-        elif (picked := fair.pick()) >= 0:
+            queue[child].append(work)
+            if child.state == IDLE:
+                fair.join(child)
+                behind[child] = 0.0
+        elif (picked := fair.pick()) is not None:
             size = queue[picked].pop(0)
             largest = max(largest, size)
             total = sum(weight[other] for other in behind)
@@ -41,14 +41,14 @@
             if not queue[picked]:
                 fair.leave(picked)
                 del behind[picked]
-        assert {slot for slot in slots if fair.state[slot] != IDLE} == set(behind)
-        assert fair.ready == len(behind) and len(fair.ahead) + len(fair.eligible) <= 2 * 6 + 2 * 64
+        assert {child for child in children if child.state != IDLE} == set(behind)
+        assert fair.ready_count == len(behind) and len(fair.ahead) + len(fair.eligible) <= 2 * 6 + 2 * 64
         for other, lag in behind.items():
             assert lag <= largest + max(largest, QUANTUM) + 1e-6, (other, lag)
 
 
-def played(fair, slots, size, rounds):
-    done = dict.fromkeys(slots, 0.0)
+def played(fair, children, size, rounds):
+    done = dict.fromkeys(children, 0.0)
     for _ in range(rounds):
         picked = fair.pick()
         work = size(picked)
@@ -59,20 +59,20 @@
 
 def test_shares_are_of_work_not_of_counts():
     fair = FairQueue(QUANTUM)
-    big, small = fair.add(1.0), fair.add(1.0)
+    big, small = fair.add(None, 1.0), fair.add(None, 1.0)
     fair.join(big)
     fair.join(small)
-    done = played(fair, (big, small), lambda slot: 100.0 if slot == big else 1.0, 2000)
+    done = played(fair, (big, small), lambda child: 100.0 if child == big else 1.0, 2000)
     assert abs(done[big] - done[small]) <= 100 + QUANTUM
 
 
 def test_what_an_estimate_left_out_is_charged_when_the_answer_tells():
     """Estimates that lie tenfold either way: shares of real work are still even in the long run."""
     fair, draw = FairQueue(QUANTUM), random.Random(3)
-    low, high, true = (fair.add(1.0) for _ in range(3))
+    low, high, true = (fair.add(None, 1.0) for _ in range(3))
     said = {low: 1.0, high: 100.0, true: 10.0}
-    for slot in said:
-        fair.join(slot)
+    for child in said:
+        fair.join(child)
     real, late = dict.fromkeys(said, 0.0), []
     for _ in range(6000):
         picked = fair.pick()
@@ -80,14 +80,14 @@
         real[picked] += 10.0
         late.append(picked)
         if len(late) > 8:  # eight are out at once
-            slot = late.pop(draw.randrange(8))
-            fair.charge(slot, 10.0 - said[slot])
+            child = late.pop(draw.randrange(8))
+            fair.charge(child, 10.0 - said[child])
     assert max(real.values()) - min(real.values()) < 0.02 * sum(real.values())
 
 
 def test_idleness_earns_no_credit_and_debts_are_kept():
     fair = FairQueue(QUANTUM)
-    one, other = fair.add(1.0), fair.add(1.0)
+    one, other = fair.add(None, 1.0), fair.add(None, 1.0)
     fair.join(one)
     played(fair, (one,), lambda _: 10.0, 500)  # an hour alone
     fair.join(other)
@@ -95,7 +95,7 @@
     assert abs(done[one] - done[other]) <= 20  # no burst for the one that was away
     fair.charge(one, 200.0)  # a command that needed far more than was said
     fair.leave(one)
-    assert not fair.settled(one)  # to be remembered: leaving and coming back must not clear it
+    assert not fair.owes_nothing(one)  # to be remembered: leaving and coming back must not clear it
     fair.join(one)
     done = played(fair, (one, other), lambda _: 10.0, 10)
     assert done[one] == 0
@@ -103,24 +103,24 @@
 
 def test_weights_change_while_children_are_backlogged():
     fair = FairQueue(QUANTUM)
-    slots = [fair.add(1.0) for _ in range(3)]
-    for slot in slots:
-        fair.join(slot)
-    played(fair, slots, lambda _: 10.0, 99)
-    fair.reweigh(slots[0], 4.0)
-    done = played(fair, slots, lambda _: 10.0, 600)
-    assert abs(done[slots[0]] / done[slots[1]] - 4) < 0.2 and fair.total == 6.0
+    children = [fair.add(None, 1.0) for _ in range(3)]
+    for child in children:
+        fair.join(child)
+    played(fair, children, lambda _: 10.0, 99)
+    fair.set_weight(children[0], 4.0)
+    done = played(fair, children, lambda _: 10.0, 600)
+    assert abs(done[children[0]] / done[children[1]] - 4) < 0.2 and fair.total_weight == 6.0
 
 
 def test_a_parked_child_keeps_its_turn():
     fair = FairQueue(QUANTUM)
-    one, other = fair.add(1.0), fair.add(1.0)
+    one, other = fair.add(None, 1.0), fair.add(None, 1.0)
     fair.join(one)
     fair.join(other)
     fair.park(one)
-    assert fair.state[one] == PARKED
+    assert one.state == PARKED
     played(fair, (one, other), lambda _: 10.0, 4)
     fair.unpark(one)
-    assert fair.state[one] == READY
+    assert one.state == READY
     done = played(fair, (one, other), lambda _: 10.0, 3)
     assert done[one] == 30  # what it missed, first
