--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -25,6 +25,7 @@
     QUEUED,
     RUNNING,
     CommandState,
+    Lane,
     QueuedCommand,
 )
 from gullhold.admission.rejection_table import RejectionTable
@@ -46,13 +47,6 @@
 REJECTIONS_PER_EXACT_FLOW = 2
 
 
-class Lane(NamedTuple):
-    """The commands of one profile of one tenant."""
-
-    tenant: int
-    profile: int
-
-
 class KeyLine(NamedTuple):
     """The commands of a profile that must run one after the other."""
 
@@ -175,7 +169,7 @@
             self._work.charge(command, command.work_us)
             self._move(command, FORWARDED)
             decisions.append(Forward(command.number))
-            self._lane_changed(Lane(child.owner.tenant, command.profile))
+            self._lane_changed(command.lane)
         return decisions
 
     def attempt_sent(self, number: int) -> None:
@@ -277,7 +271,7 @@
             self.queued_bytes -= command.size
             if command.key:
                 self._unblock_next(command)
-        lane = Lane(command.tenant_queue.tenant, command.profile)
+        lane = command.lane
         if new_state is FORWARDED:
             self._count_forwarded(lane, 1)
         elif old_state is FORWARDED:
--- a/gullhold/admission/queued_command.py
+++ b/gullhold/admission/queued_command.py
@@ -1,7 +1,7 @@
 """One command at the admission queue, from its arrival to its end."""
 
 from enum import IntEnum
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     from gullhold.admission.flow import Flow
@@ -34,6 +34,13 @@
 }
 
 
+class Lane(NamedTuple):
+    """The commands of one profile of one tenant."""
+
+    tenant: int
+    profile: int
+
+
 class QueuedCommand:
     """One command; its state is changed only by the AdmissionQueue."""
 
@@ -44,6 +51,7 @@
         "expires_us",
         "flow",
         "key",
+        "lane",
         "may_have_run",
         "number",
         "order",
@@ -76,6 +84,7 @@
         self.expires_us = expires_us  # when it is answered, if it still waits
         self.tenant_queue = tenant_queue
         self.flow = flow
+        self.lane = Lane(tenant_queue.tenant, profile)
         self.work_us = work_us  # estimated
         self.charged_us = 0.0
         self.cost_us = 0  # that answers stated
