--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -30,7 +30,7 @@
 from gullhold.net.statement_memory import StatementMemory
 
 if TYPE_CHECKING:
-    from gullhold.admission.queue import Door
+    from gullhold.admission.queue import AdmissionQueue
     from gullhold.decisions.gateway import Gateway
     from gullhold.net.client_connection import ClientConnection
     from gullhold.net.flusher import Flusher
@@ -57,7 +57,7 @@
 
     gateway: the decision module. max_message_bytes: bytes of the largest message. max_connections: how many
     connections to engines may hold a descriptor. statement_memory: the memory for statements, of all clients.
-    door: the admission queue, where there is one. retry_after_field: the field of Shed that tells when to ask
+    admission_queue: None: there is none. retry_after_field: the field of Shed that tells when to ask
     again; empty: none.
 
     Whoever drives a core without threads overrides clock() and connect, and calls begin() and turn().
@@ -75,7 +75,7 @@
         max_message_bytes: int,
         max_connections: int,
         statement_memory: StatementMemory,
-        door: "Door | None" = None,
+        admission_queue: "AdmissionQueue | None" = None,
         retry_after_field: str = "",
     ) -> None:
         super().__init__(counters)
@@ -83,7 +83,7 @@
         self.agreement = agreement
         self.max_message_bytes = max_message_bytes
         self.statement_memory = statement_memory
-        self.door = door
+        self.admission_queue = admission_queue
         self.retry_after_field = retry_after_field.encode()
         self.flusher: Flusher | None = None  # goes on with writes that the system did not take at once
         self.events = EventLog()
@@ -184,8 +184,8 @@
         gate: asked at each attempt; shares, clients: the weights of the admission queue.
         """
         self.gate = gate
-        if self.door:
-            self.door.reweigh(shares, clients)
+        if self.admission_queue:
+            self.admission_queue.set_weights(shares, clients)
         self.decisions.call(None, self.gateway.apply_policy, terms, gate)
 
     def apply_budgets(self, parts: object, lacking: Callable[[tuple[Demand, ...]], None]) -> None:
