--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -11,7 +11,7 @@
 from gullhold.budgets.ledger import LedgerKind
 from gullhold.testing import walking
 from gullhold.testing.budget_world import FAULTS, Action, World
-from gullhold.testing.walking import OF_CALLS
+from gullhold.testing.walking import CALL_FAULTS, ActionKind
 
 MAX_STEPS_PER_MOMENT = 14  # calls carried out within a moment of a walk
 # Chances within a moment of a walk.
@@ -19,8 +19,14 @@
 STOP_CHANCE = 0.05  # that what is under way waits for the next moment
 CALL_FAULT_CHANCE = 0.06  # that a call fails
 SPEND_CHANCES = (0.7, 0.5)  # that a member spends all that it may: twice in a moment
-FREQUENT_CHANCES = (("end", 0.4), ("come", 0.4), ("heal", 0.1), ("late", 0.15), ("lost", 0.1))
-RARE_ACTIONS = ("die", "cut", "elect", "miss", "leave")
+FREQUENT_CHANCES = (
+    (ActionKind.END, 0.4),
+    (ActionKind.COME, 0.4),
+    (ActionKind.HEAL, 0.1),
+    (ActionKind.LATE, 0.15),
+    (ActionKind.LOST, 0.1),
+)
+RARE_ACTIONS = (ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.LEAVE)
 RARE_CHANCE = 0.2
 
 
@@ -31,28 +37,28 @@
     something breaks. What was held back comes some moments later.
     """
     while True:
-        yield ("time",)
+        yield (ActionKind.TIME,)
         for index, member in enumerate(world.members):
             if draw() < REPORT_CHANCE and world.may_report(member):
-                yield ("report", index)
+                yield (ActionKind.REPORT, index)
         yield from _calls_carried_out(world, draw)
         for chance in SPEND_CHANCES:
             for index, member in enumerate(world.members):
                 if draw() < chance and member.allocation.allows(1):
-                    yield ("spend", index)
-            action = world.fair()
+                    yield (ActionKind.SPEND, index)
+            action = world.next_orderly_action()
             if action and draw() < chance:
                 yield action
-        yield from walking.now_and_then(world, draw, FREQUENT_CHANCES, RARE_ACTIONS, RARE_CHANCE)
+        yield from walking.occasional_action(world, draw, FREQUENT_CHANCES, RARE_ACTIONS, RARE_CHANCE)
 
 
 def _calls_carried_out(world: World, draw: Callable[[], float]) -> Iterator[Action]:
     for _ in range(MAX_STEPS_PER_MOMENT):
-        action = world.fair()
+        action = world.next_orderly_action()
         if not action or draw() < STOP_CHANCE:
             return
         if world.calls and world.faults and draw() < CALL_FAULT_CHANCE:
-            fault = OF_CALLS[int(draw() * len(OF_CALLS))]
+            fault = CALL_FAULTS[int(draw() * len(CALL_FAULTS))]
             yield fault, int(draw() * len(world.calls))
         else:
             yield action
@@ -66,7 +72,7 @@
     draw = random.Random(seed).random
     world = World((LedgerKind.HELD, LedgerKind.WINDOWED)[seed % 2], faults, **variant)
     is_in_rounds = seed // 2 % 4 != 0  # three walks of four; the others take any action
-    actions = rounds(world, draw) if is_in_rounds else walking.wild(world, draw, FAULTS)
+    actions = rounds(world, draw) if is_in_rounds else walking.random_actions(world, draw, FAULTS)
     return walking.follow(world, actions, steps, seed, marks)
 
 
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -26,7 +26,15 @@
 from gullhold.fleet.store_calls import GrantLease, Proof, Put, Reply, Transaction
 from gullhold.interface import BudgetKind, Demand
 from gullhold.testing.store_model import Model
-from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, InvariantError, Pair
+from gullhold.testing.walking import (
+    CALL_FAULTS,
+    QUANTUM_US,
+    RATES,
+    TERMS,
+    ActionKind,
+    InvariantError,
+    RolePairWorld,
+)
 
 WINDOW_US = 1_600_000  # us of real time: no whole number of moments
 LINGER_US = 1_100_000  # us of real time: no whole number of moments
@@ -37,7 +45,7 @@
 KIND = BudgetKind.THREADS  # any kind will do: the ledger's kind is stated
 DEMANDS = (0, 4, TOTAL)  # of a member in turn, while demand changes
 SETTLED_DEMAND = 3  # of each member in the end
-FAULTS = (*OF_CALLS, "die", "cut", "elect", "miss", "leave")
+FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.LEAVE)
 SETTLED = 30  # moments in which a fleet without faults has to have allocated all
 MAX_QUIET_STEPS = 60  # steps in which all that is under way is carried out
 
@@ -136,7 +144,7 @@
         )
 
 
-class World(Pair):
+class World(RolePairWorld):
     """Members, two processes that may lead, store, and what is under way.
 
     act() takes one of actions(); raises InvariantError.
@@ -187,39 +195,43 @@
 
     def actions(self) -> list[Action]:
         """Return all that may be next."""
-        found: list[Action] = [("time",), *self.of_calls(), *self.of_holders()]
+        found: list[Action] = [(ActionKind.TIME,), *self.call_actions(), *self.holder_actions()]
         for index, member in enumerate(self.members):
             found += self._member_actions(index, member)
-        return found + [("come", name) for name in self._missing_names()]
+        return found + [(ActionKind.COME, name) for name in self._missing_names()]
 
     def _member_actions(self, index: int, member: Member) -> list[Action]:
         found: list[Action] = []
         if member.allocation.allows(1):
-            found.append(("spend", index))
+            found.append((ActionKind.SPEND, index))
         if member.running:
-            found.append(("end", index))
+            found.append((ActionKind.END, index))
         if not member.cut and self._rows(member):
-            found.append(("hear", index))
+            found.append((ActionKind.HEAR, index))
         if self.may_report(member):
-            found.append(("report", index))
+            found.append((ActionKind.REPORT, index))
         if self.faults:
-            found += [("die", index), ("leave", index), ("heal" if member.cut else "cut", index)]
+            found += [
+                (ActionKind.DIE, index),
+                (ActionKind.LEAVE, index),
+                (ActionKind.HEAL if member.cut else ActionKind.CUT, index),
+            ]
         elif member.cut:
-            found.append(("heal", index))
+            found.append((ActionKind.HEAL, index))
         return found
 
     def _missing_names(self) -> list[str]:
         present = [member.name for member in self.members]
         return [name for name in NAMES if name not in present]
 
-    def fair(self) -> Action | None:
+    def next_orderly_action(self) -> Action | None:
         """Return what happens next where nothing is wrong; None: nothing is under way."""
-        action = super().fair()
+        action = super().next_orderly_action()
         if action:
             return action
         for index, member in enumerate(self.members):
             if not member.cut and self._rows(member):
-                return "hear", index
+                return ActionKind.HEAR, index
         return None
 
     def may_report(self, member: Member) -> bool:
@@ -230,18 +242,18 @@
     def _rows(self, member: Member) -> list[tuple[int, str, str | None]]:
         """Return the writes of a member's row, as (revision, key, value), that it has not taken in."""
         key = ALLOCATIONS + member.key()
-        return [row for row in self.news(member.applied_revision + 1, key) if row[1] == key]
+        return [row for row in self.changes_since(member.applied_revision + 1, key) if row[1] == key]
 
-    def act(self, what: str, whom: Any = 0) -> None:
+    def act(self, what: ActionKind, whom: Any = 0) -> None:
         """Do one thing; raises InvariantError."""
         self.faults -= what in FAULTS
-        getattr(self, "_do_" + what.replace(" ", "_"))(whom)
+        self.HANDLERS[what](self, whom)
         self.check()
 
     def _do_time(self, _: Any) -> None:
         self.now += QUANTUM_US
         for member in self.members:
-            self._keep(member)
+            self._renew_lease(member)
             while member.running and member.running[0] <= self.now - LINGER_US:  # nothing runs longer
                 member.running.pop(0)
                 member.allocation.release(1)
@@ -250,7 +262,7 @@
     def _do_reply(self, index: int) -> None:
         caller, (what, *context), reply = self.replies.pop(index)
         if what != "reported":
-            self._held(caller, what, *context, reply)
+            self._call_holder(caller, what, *context, reply)
         elif caller in self.members and context[0] == REPORTS + caller.key():
             self._reported(caller, reply)
 
@@ -329,9 +341,9 @@
             tuple((key, item.value) for key, item in sorted(self.model.keys.items())),
             tuple((tag, str(request)) for _, request, tag in self.calls),
             tuple((tag, reply.proof, reply.succeeded) for _, tag, reply in self.replies),
-            tuple(map(str, self.ghosts)),
-            tuple(self.seen),
-            self.owner,
+            tuple(map(str, self.delayed_requests)),
+            tuple(self.watched_from),
+            self.leader,
             self.faults,
             tuple((role.token, role.loaded, role.fence, role.reading, role.writing) for role in self.holders),
             tuple(at - self.now for at in self.spent),
@@ -341,27 +353,39 @@
     def calm(self) -> None:
         """No more faults: all is carried out in turn, everybody reports, and one leader allocates."""
         self.faults = 0
-        self.ghosts = []
+        self.delayed_requests = []
         self.is_settling = True
-        self.holders[1 - self.owner].lost()
+        self.holders[1 - self.leader].lost()
         for member in self.members:
             member.cut = False
         for _ in range(SETTLED):
             self._calm_moment()
 
     def _calm_moment(self) -> None:
-        self.act("time")
+        self.act(ActionKind.TIME)
         for index, member in enumerate(self.members):
             if self.kind == LedgerKind.HELD:
-                self.act("end", index)
+                self.act(ActionKind.END, index)
             if self.may_report(member):
-                self.act("report", index)
+                self.act(ActionKind.REPORT, index)
         for name in self._missing_names():
-            self.act("come", name)
-        self.quiet(MAX_QUIET_STEPS)
+            self.act(ActionKind.COME, name)
+        self.finish_calls(MAX_QUIET_STEPS)
 
     def settled(self) -> None:
         """Raise InvariantError unless all that may be allocated is allocated among those who live."""
         allocated = sum(member.allocation.allocated for member in self.members)
         if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # one of it may be on its way
             raise InvariantError(f"{allocated} are divided though nothing is wrong any more")
+
+    HANDLERS = RolePairWorld.HANDLERS | {
+        ActionKind.COME: _do_come,
+        ActionKind.TIME: _do_time,
+        ActionKind.REPLY: _do_reply,
+        ActionKind.SPEND: _do_spend,
+        ActionKind.END: _do_end,
+        ActionKind.HEAR: _do_hear,
+        ActionKind.REPORT: _do_report,
+        ActionKind.DIE: _do_die,
+        ActionKind.LEAVE: _do_leave,
+    }
--- a/gullhold/testing/change_world.py
+++ b/gullhold/testing/change_world.py
@@ -28,12 +28,20 @@
 )
 from gullhold.rollout.vote import CommandFigures
 from gullhold.testing.store_model import Model
-from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, InvariantError, Pair
+from gullhold.testing.walking import (
+    CALL_FAULTS,
+    QUANTUM_US,
+    RATES,
+    TERMS,
+    ActionKind,
+    InvariantError,
+    RolePairWorld,
+)
 
 Action = tuple[Any, ...]  # (kind, argument of the kind)
 NAMES = ("a", "b", "c")
 REFUSING_NAME = "b"  # the member that refuses REFUSED_TEXT
-FAULTS = (*OF_CALLS, "die", "cut", "elect", "miss", "deaf")
+FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.DEAF)
 GOOD_TEXT = "good"
 REFUSED_TEXT = "bad"  # a policy that one member refuses
 FAILING_TEXT = "sour"  # a policy under which commands fail
@@ -79,7 +87,7 @@
         return CommandFigures(self.answered, self.failed, self.answered)
 
 
-class World(Pair):
+class World(RolePairWorld):
     """Members, coordinators, the store, and calls under way.
 
     act() takes one of actions(); raises InvariantError.
@@ -127,7 +135,7 @@
         self._collect_member(one)
 
     def _hears(self, one: SimulatedMember) -> bool:
-        return not one.cut and bool(self.news(one.watched_from, WATCHED))
+        return not one.cut and bool(self.changes_since(one.watched_from, WATCHED))
 
     def _missing_names(self) -> list[str]:
         present = {one.name for one in self.members}
@@ -137,49 +145,53 @@
 
     def actions(self) -> list[Action]:
         """All that may be next."""
-        found: list[Action] = [("time",)]
-        found += self.of_calls() + self.of_holders()
+        found: list[Action] = [(ActionKind.TIME,)]
+        found += self.call_actions() + self.holder_actions()
         if self.may_propose():
-            found += [("propose", GOOD_TEXT), ("propose", REFUSED_TEXT)]
+            found += [(ActionKind.PROPOSE, GOOD_TEXT), (ActionKind.PROPOSE, REFUSED_TEXT)]
         for i, one in enumerate(self.members):
             found += self._actions_of(i, one)
-        found += [("come", name) for name in self._missing_names()]
+        found += [(ActionKind.COME, name) for name in self._missing_names()]
         return found
 
     def _actions_of(self, i: int, one: SimulatedMember) -> list[Action]:
         found: list[Action] = []
         if one.gate.may_dispatch():
-            found.append(("send", i))
+            found.append((ActionKind.SEND, i))
         if one.core_queue:
-            found.append(("core", i))
+            found.append((ActionKind.CORE, i))
         if self._hears(one):
-            found.append(("hear", i))
+            found.append((ActionKind.HEAR, i))
         if self.faults:
-            found += [("die", i), ("heal" if one.cut else "cut", i), ("deaf", i)]
+            found += [
+                (ActionKind.DIE, i),
+                (ActionKind.HEAL if one.cut else ActionKind.CUT, i),
+                (ActionKind.DEAF, i),
+            ]
         elif one.cut:
-            found.append(("heal", i))
+            found.append((ActionKind.HEAL, i))
         return found
 
-    def fair(self) -> Action | None:
+    def next_orderly_action(self) -> Action | None:
         """What happens next where nothing is wrong; None: nothing is under way."""
-        action = super().fair()
+        action = super().next_orderly_action()
         if action:
             return action
         for i, one in enumerate(self.members):
             if one.core_queue:
-                return "core", i
+                return ActionKind.CORE, i
             if self._hears(one):
-                return "hear", i
+                return ActionKind.HEAR, i
         return None
 
     def may_propose(self) -> bool:
         """One change is open at a time."""
         return CHANGE_KEY not in self.model.keys
 
-    def act(self, what: str, i: Any = 0) -> None:
+    def act(self, what: ActionKind, i: Any = 0) -> None:
         """Do one thing; raises InvariantError."""
         self.faults -= what in FAULTS
-        getattr(self, "_do_" + what.replace(" ", "_"))(i)
+        self.HANDLERS[what](self, i)
         self._look_at_store()
         self.check()
 
@@ -248,7 +260,7 @@
     def _do_time(self, _: int) -> None:
         self.now += QUANTUM_US
         for one in self.members:
-            self._keep(one)
+            self._renew_lease(one)
             self._step(one)
         self._step_holders()
 
@@ -259,14 +271,14 @@
     def _do_reply(self, i: int) -> None:
         who, (what, *about), reply = self.replies.pop(i)
         if what != "replied":
-            self._held(who, what, *about, reply)
+            self._call_holder(who, what, *about, reply)
         elif who in self.members:
             who.member.replied(who(), *about, reply)
             self._collect_member(who)
 
     def _do_hear(self, i: int) -> None:
         one = self.members[i]
-        news = self.news(one.watched_from, WATCHED)
+        news = self.changes_since(one.watched_from, WATCHED)
         first_revision = news[0][0]
         one.watched_from = first_revision + 1
         for revision, key, value in news:
@@ -325,9 +337,9 @@
             tuple((key, item.value, item.revision) for key, item in sorted(self.model.keys.items())),
             tuple((tag[0], str(request)) for _, request, tag in self.calls),
             tuple((tag[0], reply.proof, reply.succeeded) for _, tag, reply in self.replies),
-            tuple(str(request) for request in self.ghosts),
-            tuple(self.seen),
-            self.owner,
+            tuple(str(request) for request in self.delayed_requests),
+            tuple(self.watched_from),
+            self.leader,
             self.faults,
             tuple(self._mark_of_coordinator(coordinator) for coordinator in self.holders),
         )
@@ -362,15 +374,15 @@
     def calm(self) -> None:
         """No more faults: all is carried out in turn, missing members come, one coordinator leads."""
         self.faults = 0
-        self.ghosts = []
-        self.holders[1 - self.owner].lost()
+        self.delayed_requests = []
+        self.holders[1 - self.leader].lost()
         for one in self.members:
             one.cut = False
         for name in self._missing_names():
-            self.act("come", name)
+            self.act(ActionKind.COME, name)
         for _ in range(SETTLING_STEPS):
-            self.act("time")
-            self.quiet(MAX_CALLS_IN_STEP)
+            self.act(ActionKind.TIME)
+            self.finish_calls(MAX_CALLS_IN_STEP)
 
     def settled(self) -> None:
         """Raises InvariantError unless every member goes by what is in force, and no change is left open."""
@@ -388,3 +400,15 @@
                 raise InvariantError(
                     f"{one.name} is {one.member.state} under {one.number}, {self.decided} in force"
                 )
+
+    HANDLERS = RolePairWorld.HANDLERS | {
+        ActionKind.SEND: _do_send,
+        ActionKind.TIME: _do_time,
+        ActionKind.REPLY: _do_reply,
+        ActionKind.HEAR: _do_hear,
+        ActionKind.CORE: _do_core,
+        ActionKind.DEAF: _do_deaf,
+        ActionKind.PROPOSE: _do_propose,
+        ActionKind.COME: _do_come,
+        ActionKind.DIE: _do_die,
+    }
--- a/gullhold/testing/changecheck.py
+++ b/gullhold/testing/changecheck.py
@@ -11,7 +11,7 @@
 from gullhold.rollout.policy_gate import CutOffRule
 from gullhold.testing import walking
 from gullhold.testing.change_world import FAULTS, GOOD_TEXT, REFUSED_TEXT, Action, World
-from gullhold.testing.walking import OF_CALLS
+from gullhold.testing.walking import CALL_FAULTS, ActionKind
 
 
 def rounds(world: World, draw: Callable[[], float]) -> Iterator[Action]:
@@ -21,21 +21,21 @@
     was held back comes some steps later.
     """
     while True:
-        yield ("time",)
+        yield (ActionKind.TIME,)
         if world.may_propose() and draw() < 0.6:
-            yield ("propose", REFUSED_TEXT if draw() < 0.2 else GOOD_TEXT)
+            yield (ActionKind.PROPOSE, REFUSED_TEXT if draw() < 0.2 else GOOD_TEXT)
         for _ in range(int(draw() * 40)):
-            action = world.fair()
+            action = world.next_orderly_action()
             if not action:
                 break
             if world.calls and world.faults and draw() < 0.05:
-                action = (OF_CALLS[int(draw() * 3)], int(draw() * len(world.calls)))
+                action = (CALL_FAULTS[int(draw() * 3)], int(draw() * len(world.calls)))
             yield action
-        yield from walking.now_and_then(
+        yield from walking.occasional_action(
             world,
             draw,
-            (("come", 0.5), ("heal", 0.2), ("late", 0.2), ("lost", 0.1)),
-            ("die", "cut", "elect", "miss", "deaf"),
+            ((ActionKind.COME, 0.5), (ActionKind.HEAL, 0.2), (ActionKind.LATE, 0.2), (ActionKind.LOST, 0.1)),
+            (ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.DEAF),
             0.25,
         )
 
@@ -49,7 +49,7 @@
     overlap = (Overlap.STRICT, Overlap.LOOSE)[seed % 2]
     cut_off_rule = (CutOffRule.KEEP, CutOffRule.STAND)[seed // 2 % 2]
     world = World(overlap, faults, **{"cut": cut_off_rule} | make)
-    actions = rounds(world, draw) if seed // 4 % 4 else walking.wild(world, draw, FAULTS)
+    actions = rounds(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
     return walking.follow(world, actions, steps, seed, marks)
 
 
@@ -59,6 +59,6 @@
     """(states met, the depth that was explored completely) from a fleet with one change just proposed."""
     world = World(overlap, 0, **make)
     world.calm()
-    world.act("propose", GOOD_TEXT)
+    world.act(ActionKind.PROPOSE, GOOD_TEXT)
     world.faults = faults
     return walking.explore(world, depth, most, seed)
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -7,15 +7,14 @@
 import copy
 import random
 from bisect import bisect_left
-from collections.abc import Callable, Iterable, Iterator, Sequence
+from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
 from enum import StrEnum
-from typing import Any, NamedTuple, Protocol
+from typing import Any, ClassVar, NamedTuple, Protocol
 
 from gullhold.fleet.lease import LeaseTerms
 from gullhold.fleet.role_state import CallSerial, ReadKeys, RoleState, WatchKeys, WriteKeys
 from gullhold.fleet.store_calls import KeepLeaseAlive, Proof, ReadPrefix, Reply, Request, Transaction
 
-OF_CALLS = ("lose the reply", "hold back", "refuse")  # faults of calls
 QUANTUM_US = 250_000  # between moments: a lease is four of them
 TERMS = LeaseTerms(1, 0.15, 0)
 RATES = (0.87, 1.1, 1.0)  # of clocks against the store's: within the drift
@@ -23,6 +22,39 @@
 FAULT_CHANCE = 0.15  # of an action of a kind that is to come seldom
 TIME_CHANCE = 0.12  # of letting time pass: otherwise no lease ever ends
 
+
+class ActionKind(StrEnum):
+    """What can happen next in a world with a store and leaders."""
+
+    TIME = "time"  # time passes
+    CARRY_OUT = "carry out"  # the store carries a call out
+    REPLY = "reply"  # a reply arrives
+    LOSE_THE_REPLY = "lose the reply"  # carried out, and the reply is lost
+    HOLD_BACK = "hold back"  # given up by its caller; carried out later or never
+    REFUSE = "refuse"  # certainly not carried out
+    LATE = "late"  # a call that was held back is carried out
+    TELL = "tell"  # a leader is notified of a change
+    MISS = "miss"  # a leader missed changes
+    ELECT = "elect"  # the other process leads the role
+    LOST = "lost"  # a process learns that it lost the role
+    PROPOSE = "propose"  # a policy change is proposed
+    COME = "come"  # a member joins
+    DIE = "die"  # a process ends without a word
+    LEAVE = "leave"  # a member leaves in order
+    CUT = "cut"  # a member is cut off from the store
+    HEAL = "heal"  # ... and reaches it again
+    SEND = "send"  # a member dispatches a command
+    CORE = "core"  # a member applies its policy
+    HEAR = "hear"  # a member is notified of a change
+    DEAF = "deaf"  # a watch goes silent
+    SPEND = "spend"  # a member acquires from its allocation
+    END = "end"  # ... and releases
+    REPORT = "report"  # a member reports its usage
+
+
+# Faults of a call to the store.
+CALL_FAULTS = (ActionKind.LOSE_THE_REPLY, ActionKind.HOLD_BACK, ActionKind.REFUSE)
+
 Action = Sequence[Any]
 Draw = Callable[[], float]  # a random fraction, from [0, 1)
 Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
@@ -34,7 +66,7 @@
 
 
 class StoreModel(Protocol):
-    """A model of the store, as a Pair needs it."""
+    """A model of the store, as a RolePairWorld needs it."""
 
     revision: int
     past: list[Change]
@@ -68,31 +100,32 @@
     reply: Reply
 
 
-class Pair:
+class RolePairWorld:
     """A world in which two processes may lead one role, and members on clocks of their own hold leases.
 
-    duty: the role's key; told: the prefix of the keys of which a leader is notified; holders: the two role
-    states; seen: from which revision each is notified; owner: the holder that leads. calls, replies: under
-    way; ghosts: requests that were given up and may still be carried out. A kind of world has members, with
-    lease, cut and a clock to call, _grant(member), act() and its actions' methods _do_KIND().
+    role_key: the role's key in the store; watched_prefix: of the keys of which a leader is notified;
+    holders: the two role states; watched_from: the revision from which each is notified; leader: the index
+    of the holder that leads; calls, replies: under way; delayed_requests: given up by their callers, and may
+    still be carried out. A subclass has members, with lease, cut and a clock to call, _grant(member), act(),
+    and HANDLERS: this table with the methods of its own kinds of action.
     """
 
     def __init__(
-        self, model: StoreModel, duty: str, told: str, holders: Sequence[RoleState], faults: int
+        self, model: StoreModel, role_key: str, watched_prefix: str, holders: Sequence[RoleState], faults: int
     ) -> None:
         """faults: how many may happen."""
         self.model = model
-        self.duty = duty
-        self.told = told
+        self.role_key = role_key
+        self.watched_prefix = watched_prefix
         self.holders = holders
         self.faults = faults
         self.now = START_US
-        self.seen: list[int | None] = [None, None]
-        self.owner = 0
+        self.watched_from: list[int | None] = [None, None]
+        self.leader = 0
         self.members: list[Any] = []
         self.calls: list[SentCall] = []
         self.replies: list[SentReply] = []
-        self.ghosts: list[Request] = []
+        self.delayed_requests: list[Request] = []
 
     def clock(self, k: int) -> int:
         """What the clock of holder k shows."""
@@ -100,39 +133,43 @@
 
     # What can be next
 
-    def of_calls(self) -> list[Action]:
+    def call_actions(self) -> list[Action]:
         """The actions that calls under way allow now."""
         found: list[Action] = []
         for number in range(len(self.calls)):
-            found.append(("carry out", number))
+            found.append((ActionKind.CARRY_OUT, number))
             if self.faults:
-                found += [(fault, number) for fault in OF_CALLS]
-        found += [("reply", number) for number in range(len(self.replies))]
-        found += [("late", number) for number in range(len(self.ghosts))]
+                found += [(fault, number) for fault in CALL_FAULTS]
+        found += [(ActionKind.REPLY, number) for number in range(len(self.replies))]
+        found += [(ActionKind.LATE, number) for number in range(len(self.delayed_requests))]
         return found
 
-    def of_holders(self) -> list[Action]:
+    def holder_actions(self) -> list[Action]:
         """The actions that concern the two holders."""
         found = self._notifications()
         if self.faults:
-            found += [("elect", 0), ("miss", self.owner)]
-        other = 1 - self.owner
+            found += [(ActionKind.ELECT, 0), (ActionKind.MISS, self.leader)]
+        other = 1 - self.leader
         if self.holders[other].token:
-            found.append(("lost", other))
+            found.append((ActionKind.LOST, other))
         return found
 
     def _notifications(self) -> list[Action]:
-        return [("tell", k) for k in range(2) if self.news(self.seen[k], self.told)]
+        return [
+            (ActionKind.TELL, k)
+            for k in range(2)
+            if self.changes_since(self.watched_from[k], self.watched_prefix)
+        ]
 
-    def fair(self) -> Action | None:
+    def next_orderly_action(self) -> Action | None:
         """What happens next where nothing is wrong; None: nothing is under way."""
         if self.calls:
-            return "carry out", 0
+            return ActionKind.CARRY_OUT, 0
         if self.replies:
-            return "reply", 0
+            return ActionKind.REPLY, 0
         return next(iter(self._notifications()), None)
 
-    def news(self, since: int | None, prefix: str) -> list[Change]:
+    def changes_since(self, since: int | None, prefix: str) -> list[Change]:
         """What changed of these keys from a revision on; None: nothing is followed."""
         if since is None:
             return []
@@ -140,10 +177,10 @@
         first = bisect_left(past, since, key=lambda change: change[0])
         return [change for change in past[first:] if change[1].startswith(prefix)]
 
-    def quiet(self, most: int) -> None:
+    def finish_calls(self, most: int) -> None:
         """Carry out in turn all that is under way, in so many steps at most."""
         for _ in range(most):
-            action = self.fair()
+            action = self.next_orderly_action()
             if not action:
                 break
             self.act(*action)
@@ -156,12 +193,12 @@
                 case ReadKeys(serial, prefix):
                     self.calls.append(SentCall(k, ReadPrefix(prefix), ("read", serial)))
                 case WriteKeys(serial, token, operations, conditions):
-                    request = Transaction(((self.duty, token), *conditions), operations)
+                    request = Transaction(((self.role_key, token), *conditions), operations)
                     self.calls.append(SentCall(k, request, ("written", serial)))
                 case WatchKeys(revision):
-                    self.seen[k] = max(self.seen[k] or 0, revision)
+                    self.watched_from[k] = max(self.watched_from[k] or 0, revision)
 
-    def _keep(self, one: Any) -> None:
+    def _renew_lease(self, one: Any) -> None:
         """A moment has passed for a member's lease."""
         if not one.cut and one.lease.is_valid(one()):
             reply = self.model.call(KeepLeaseAlive(one.lease.id), self.now)
@@ -178,7 +215,7 @@
             self.holders[k].step(self.clock(k))
             self._collect(k)
 
-    def _held(self, who: int, method: str, *arguments: Any) -> None:
+    def _call_holder(self, who: int, method: str, *arguments: Any) -> None:
         """Call a method of a holder, and collect what it asks for."""
         getattr(self.holders[who], method)(self.clock(who), *arguments)
         self._collect(who)
@@ -194,7 +231,7 @@
 
     def _do_hold_back(self, i: int) -> None:
         holder, request, tag = self.calls.pop(i)
-        self.ghosts.append(request)
+        self.delayed_requests.append(request)
         self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
 
     def _do_refuse(self, i: int) -> None:
@@ -202,27 +239,27 @@
         self.replies.append(SentReply(holder, tag, Reply(Proof.NOT_DONE)))
 
     def _do_late(self, i: int) -> None:
-        self.model.call(self.ghosts.pop(i), self.now)
+        self.model.call(self.delayed_requests.pop(i), self.now)
 
     def _do_tell(self, k: int) -> None:
         """Notify a holder of the changes of one revision."""
-        news = self.news(self.seen[k], self.told)
+        news = self.changes_since(self.watched_from[k], self.watched_prefix)
         first_revision = news[0][0]
-        self.seen[k] = first_revision + 1
+        self.watched_from[k] = first_revision + 1
         for revision, key, value in news:
             if revision == first_revision:
-                self._held(k, "changed", key, value, revision)
+                self._call_holder(k, "changed", key, value, revision)
 
     def _do_miss(self, k: int) -> None:
-        self._held(k, "missed")
+        self._call_holder(k, "missed")
 
     def _do_elect(self, _: int) -> None:
         """The other one leads the role now; the one that led before does not know yet."""
         self.model.revision += 1
-        self.model.put(self.duty, "", 0)
-        self.owner = 1 - self.owner
-        self.holders[self.owner].won(self.model.revision, self.clock(self.owner))
-        self._collect(self.owner)
+        self.model.put(self.role_key, "", 0)
+        self.leader = 1 - self.leader
+        self.holders[self.leader].won(self.model.revision, self.clock(self.leader))
+        self._collect(self.leader)
 
     def _do_lost(self, k: int) -> None:
         self.holders[k].lost()
@@ -233,6 +270,20 @@
     def _do_heal(self, i: int) -> None:
         self.members[i].cut = False
 
+    HANDLERS: ClassVar[Mapping[ActionKind, Callable[..., None]]] = {
+        ActionKind.CARRY_OUT: _do_carry_out,
+        ActionKind.LOSE_THE_REPLY: _do_lose_the_reply,
+        ActionKind.HOLD_BACK: _do_hold_back,
+        ActionKind.REFUSE: _do_refuse,
+        ActionKind.LATE: _do_late,
+        ActionKind.TELL: _do_tell,
+        ActionKind.MISS: _do_miss,
+        ActionKind.ELECT: _do_elect,
+        ActionKind.LOST: _do_lost,
+        ActionKind.CUT: _do_cut,
+        ActionKind.HEAL: _do_heal,
+    }
+
 
 class Explored(NamedTuple):
     """How far a search came: states met, and the depth up to which all actions were tried."""
@@ -276,7 +327,7 @@
     return other
 
 
-def wild(world: Any, draw: Draw, faults: Sequence[str]) -> Iterator[Action]:
+def random_actions(world: Any, draw: Draw, faults: Sequence[str]) -> Iterator[Action]:
     """Random actions, for ever; faults: kinds that come seldom."""
     while True:
         actions = world.actions()
@@ -284,7 +335,7 @@
         yield actions[0] if draw() < TIME_CHANCE else _pick(chosen, draw)
 
 
-def now_and_then(
+def occasional_action(
     world: Any, draw: Draw, kinds: Iterable[tuple[str, float]], odd: Sequence[str], likely: float
 ) -> Iterator[Action]:
     """At most one action: of the first of these (kind, chance) that comes up, else, seldom, an odd one."""
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -29,7 +29,7 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 from gullhold.testing import budget_explorer, budget_mutants, change_world, changecheck, changemutants
 from gullhold.testing.policycheck import Changes, mixed
-from gullhold.testing.walking import FindingKind
+from gullhold.testing.walking import ActionKind, FindingKind
 
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
 
@@ -70,11 +70,11 @@
 def test_a_canary_is_tried_by_some_and_dropped_where_it_goes_bad(text, comes):
     world = change_world.World(Overlap.LOOSE, faults=0)
     world.calm()
-    world.act("propose", text)
+    world.act(ActionKind.PROPOSE, text)
     seen = set()
     for _ in range(16):
-        world.act("time")
-        while todo := world.fair():
+        world.act(ActionKind.TIME)
+        while todo := world.next_orderly_action():
             world.act(*todo)
         item = world.model.keys.get(CHANGE_KEY)
         if item:
