--- a/gullhold/simulation/endpoints.py
+++ b/gullhold/simulation/endpoints.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect_right
 
-from gullhold.simulation.streams import CLOSED, RESET, Wire
+from gullhold.simulation.streams import DuplexStream, StreamEnd
 
 
 class End:
@@ -27,12 +27,12 @@
         """When the byte at this offset was written."""
         return self.times[bisect_right(self.starts, offset) - 1]
 
-    def finish(self, how=CLOSED):
+    def finish(self, how=StreamEnd.CLOSED):
         """Nothing more is written; closed: after what is kept, reset: at once and all is lost."""
         self.finishing = True
-        if how == RESET:
+        if how == StreamEnd.RESET:
             self.kept.clear()
-            self.out.finish(RESET)
+            self.out.finish(StreamEnd.RESET)
         else:
             self.room()
 
@@ -44,7 +44,7 @@
                 return
             del self.kept[:taken]
         if self.finishing and not self.kept:
-            self.out.finish(CLOSED)
+            self.out.finish(StreamEnd.CLOSED)
 
     def came(self, data):
         """Bytes of the other side."""
@@ -59,7 +59,7 @@
 
 
 def join(clock, chance, near, far, there, back):
-    """The wire between two ends; there, back: the Ways of its directions."""
-    wire = Wire(clock, chance, near, far, there, back)
+    """The wire between two ends; there, back: the conditions of its directions."""
+    wire = DuplexStream(clock, chance, near, far, there, back)
     near.out, far.out = wire.there, wire.back
     return wire
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -20,7 +20,7 @@
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.statement_memory import StatementMemory
 from gullhold.simulation.endpoints import End
-from gullhold.simulation.streams import CLOSED, RESET
+from gullhold.simulation.streams import StreamEnd
 
 if TYPE_CHECKING:
     from gullhold.simulation.play import World
@@ -45,11 +45,11 @@
 
     def shutdown(self, _sides: int) -> None:
         """Our side says its end."""
-        self.end.finish(CLOSED)
+        self.end.finish(StreamEnd.CLOSED)
 
     def close(self) -> None:
         """As a process gives a descriptor back."""
-        self.end.finish(CLOSED)
+        self.end.finish(StreamEnd.CLOSED)
 
     def setsockopt(self, *_option: object) -> None:
         """Nothing that a wire has."""
@@ -96,7 +96,7 @@
 
     def is_left(self, _end: End, end_kind: str) -> None:
         """The engine's side has ended."""
-        self.fail(ConnectionEnd.CLOSED if end_kind == CLOSED else ConnectionEnd.RESET)
+        self.fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def fail(self, end: ConnectionEnd, text: str = "") -> None:
         """Its reader is over."""
@@ -134,7 +134,7 @@
 
     def is_left(self, _end: End, end_kind: str) -> None:
         """The client's side has ended."""
-        self._fail(ConnectionEnd.CLOSED if end_kind == CLOSED else ConnectionEnd.RESET)
+        self._fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """End it from our side, now."""
@@ -228,7 +228,7 @@
         self.alive = False
         for end in self.ends:
             if not end.out.over:
-                end.finish(RESET)
+                end.finish(StreamEnd.RESET)
             end.over = True
 
     def _turns(self) -> None:
--- a/gullhold/simulation/peers.py
+++ b/gullhold/simulation/peers.py
@@ -9,7 +9,7 @@
 
 from gullhold.net import resp, thrift
 from gullhold.simulation.endpoints import End
-from gullhold.simulation.streams import CLOSED, RESET
+from gullhold.simulation.streams import StreamEnd
 
 NOTE_US = 120_000  # us between notes on a send: more often than the settings promise
 ROWS = 12  # rows of a page
@@ -86,7 +86,7 @@
                 self.stop(conn, txn)
             conn.end.over = True
             if not conn.end.out.over:
-                conn.end.finish(RESET)
+                conn.end.finish(StreamEnd.RESET)
         self.conns, self.marks = [], {}
 
     def word(self, conn, words, written_at):
@@ -205,6 +205,6 @@
         self.gone = True
         self.world.checker.left(self.world.clock.now, self, list(self.open.values()))
         if not self.end.finishing and not self.end.out.over:
-            self.end.finish(CLOSED)
+            self.end.finish(StreamEnd.CLOSED)
         if again:
             self.world.client(self.member.name, self.verbs, self.gap_us)
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -15,7 +15,7 @@
 from gullhold.simulation.gateway import Member
 from gullhold.simulation.peers import Client, Engine
 from gullhold.simulation.script import drawn
-from gullhold.simulation.streams import Way
+from gullhold.simulation.streams import StreamConditions
 from gullhold.testing.deployment import event, settings
 
 SPAN_US = 6_000_000  # in which clients ask, and faults begin
@@ -84,7 +84,9 @@
         self.checker = Checker(self, self.agreement.max_attempts, self.window_us)
         self.engines = [Engine(self, f"s-{i}", f"10.0.0.{i + 1}:5050", 4) for i in range(size.engines)]
         self.at = {engine.address: engine for engine in self.engines}
-        self.ways = {engine.address: (Way(WAY_US), Way(WAY_US)) for engine in self.engines}
+        self.ways = {
+            engine.address: (StreamConditions(WAY_US), StreamConditions(WAY_US)) for engine in self.engines
+        }
         self.wires = {engine.address: [] for engine in self.engines}
         self.phases = {engine.id: "ready" for engine in self.engines}
         self.members, self.clients, self.numbers = {}, [], 0
@@ -130,7 +132,7 @@
         client = Client(self, self.numbers, member, verbs, gap_us)
         near, far = End(self.clock, client), End(self.clock, None)
         client.end = near
-        join(self.clock, self.chance, near, far, Way(WAY_US), Way(WAY_US))
+        join(self.clock, self.chance, near, far, StreamConditions(WAY_US), StreamConditions(WAY_US))
         member.accept(far)
         self.clients.append(client)
         self.clock.after(int(self.chance() * gap_us), client.ask)
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -36,7 +36,7 @@
         faults = script.faults_of(Path(replay).read_text("utf-8")) if replay else None
         if not seeds:
             raise ValueError("no seed")
-    except (OSError, ValueError, script.Bad) as fault:
+    except (OSError, ValueError, script.ScriptError) as fault:
         print(f"gullhold: {replay or seeds}: {fault}", file=sys.stderr)
         return 2
     console = Console()
--- a/gullhold/simulation/streams.py
+++ b/gullhold/simulation/streams.py
@@ -1,103 +1,165 @@
 """Byte streams on virtual time: slow, uneven, cut, reset, silent or full, as networks are.
 
-A Stream is one direction; a Wire is two, between ends that are told what comes: came(data), ended(how).
+A Stream is one direction; a DuplexStream is two, between ends that have came(data), ended(how) and room().
 """
 
 from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Protocol
 
-CLOSED, RESET = "closed", "reset"  # how the other side's part of a wire ended
+from gullhold.simulation.clock import Clock
 
 
-class Way:
-    """How one direction behaves; all may be changed while it is in use. Times in us, sizes in bytes.
+class StreamEnd(StrEnum):
+    """How one side of a connection ended it."""
 
-    delay_us, jitter_us: of each piece; piece: the most that arrives at once, 0: all; window: what may be
-    under way before a writer is held back; silent: nothing arrives, and nobody is told.
-    """
+    CLOSED = "closed"  # after all that was written
+    RESET = "reset"  # at once; what is under way is lost
 
-    def __init__(self, delay_us=100, jitter_us=0, piece=0, window=65_536, silent=False):
-        self.delay_us, self.jitter_us, self.piece = delay_us, jitter_us, piece
-        self.window, self.silent = window, silent
+
+class Endpoint(Protocol):
+    """One end of a duplex stream."""
+
+    def came(self, data: bytes) -> None:
+        """Bytes of the other side arrived."""
+        ...
+
+    def ended(self, how: StreamEnd) -> None:
+        """The other side has ended."""
+        ...
+
+    def room(self) -> None:
+        """The stream takes more bytes."""
+        ...
+
+
+@dataclass(slots=True)
+class StreamConditions:
+    """How one direction behaves; all may be changed while it is in use. Times in us, sizes in bytes."""
+
+    delay_us: int = 100  # of each piece
+    jitter_us: int = 0  # the most that is added to it, by chance
+    piece: int = 0  # the most that arrives at once; 0: all
+    window: int = 65_536  # what may be under way before a writer is held back
+    silent: bool = False  # nothing arrives, and neither end is notified
 
 
 class Stream:
     """One direction. write() takes what the window allows, as a socket does; order is kept at any jitter."""
 
-    def __init__(self, clock, chance, way, came, ended, room):
-        self.clock, self.chance, self.way = clock, chance, way
-        self.came, self.ended, self.room = came, ended, room
-        self.under_way, self.last_at, self.kept, self.held = 0, 0, deque(), False
-        self.over, self.lost = False, False  # nothing more is written; what is under way does not arrive
-
-    def write(self, data):
-        """So many bytes of it were taken; 0: the window is full, room() is called when it is not any more."""
+    def __init__(
+        self,
+        clock: Clock,
+        chance: Callable[[], float],
+        conditions: StreamConditions,
+        source: Endpoint,
+        destination: Endpoint,
+    ) -> None:
+        """chance: draws a random fraction, from [0, 1)."""
+        self.clock = clock
+        self.chance = chance
+        self.conditions = conditions
+        self.source = source
+        self.destination = destination
+        self.bytes_under_way = 0
+        self.last_arrival_us = 0
+        self.silenced: deque[bytes | StreamEnd] = deque()  # arrives when the stream is healed
+        self.is_writer_blocked = False
+        self.over = False  # nothing more is written
+        self.is_lost = False  # what is under way does not arrive
+
+    def write(self, data: bytes) -> int:
+        """So many bytes of it were taken; 0: the window is full, room() is called when it is not any more.
+
+        Raises BrokenPipeError after finish().
+        """
         if self.over:
             raise BrokenPipeError
-        taken = data[: max(0, self.way.window - self.under_way)]
-        self.held = len(taken) < len(data)
-        size = self.way.piece or len(taken) or 1
-        for at in range(0, len(taken), size):
-            self._send(taken[at : at + size])
+        taken = data[: max(0, self.conditions.window - self.bytes_under_way)]
+        self.is_writer_blocked = len(taken) < len(data)
+        size = self.conditions.piece or len(taken) or 1
+        for start in range(0, len(taken), size):
+            self._send(taken[start : start + size])
         return len(taken)
 
-    def finish(self, how=CLOSED):
+    def finish(self, how: StreamEnd = StreamEnd.CLOSED) -> None:
         """Nothing more is written. Closed: after what is under way; reset: what is under way is lost."""
         if self.over:
             return
-        self.over, self.lost = True, how == RESET
+        self.over = True
+        self.is_lost = how == StreamEnd.RESET
         self._post(how)
 
-    def heal(self):
-        """No longer silent: what was kept arrives."""
-        self.way.silent = False
-        while self.kept:
-            self._schedule(self.kept.popleft())
+    def heal(self) -> None:
+        """No longer silent: what was held back arrives."""
+        self.conditions.silent = False
+        while self.silenced:
+            self._schedule(self.silenced.popleft())
 
-    def _send(self, piece):
-        self.under_way += len(piece)
+    def _send(self, piece: bytes) -> None:
+        self.bytes_under_way += len(piece)
         self._post(piece)
 
-    def _post(self, what):
-        (self.kept.append if self.way.silent and what != RESET else self._schedule)(what)
+    def _is_silenced(self, item: bytes | StreamEnd) -> bool:
+        return self.conditions.silent and item != StreamEnd.RESET
+
+    def _post(self, item: bytes | StreamEnd) -> None:
+        if self._is_silenced(item):
+            self.silenced.append(item)
+        else:
+            self._schedule(item)
 
-    def _schedule(self, what):
-        way = self.way
-        self.last_at = max(self.last_at, self.clock.now + way.delay_us + int(way.jitter_us * self.chance()))
-        self.clock.at(self.last_at, self._arrive, what)
+    def _schedule(self, item: bytes | StreamEnd) -> None:
+        jitter_us = int(self.conditions.jitter_us * self.chance())
+        arrival_us = self.clock.now + self.conditions.delay_us + jitter_us
+        self.last_arrival_us = max(self.last_arrival_us, arrival_us)
+        self.clock.at(self.last_arrival_us, self._arrive, item)
 
-    def _arrive(self, what):
-        if self.way.silent and what != RESET:
-            self.kept.append(what)
+    def _arrive(self, item: bytes | StreamEnd) -> None:
+        if self._is_silenced(item):
+            self.silenced.append(item)
             return
-        if isinstance(what, str):
-            self.ended(what)
+        if isinstance(item, StreamEnd):
+            self.destination.ended(item)
             return
-        if self.lost:
+        if self.is_lost:
             return
-        self.under_way -= len(what)
-        self.came(what)
-        if self.held and self.under_way < self.way.window:
-            self.held = False
-            self.room()
-
-
-class Wire:
-    """Two directions between two ends, each with came(data), ended(how) and room()."""
-
-    def __init__(self, clock, chance, near, far, there=None, back=None):
-        self.there = Stream(clock, chance, there or Way(), far.came, far.ended, near.room)
-        self.back = Stream(clock, chance, back or Way(), near.came, near.ended, far.room)
-
-    def reset(self):
-        """Both ends are told, what is under way is lost."""
+        self.bytes_under_way -= len(item)
+        self.destination.came(item)
+        if self.is_writer_blocked and self.bytes_under_way < self.conditions.window:
+            self.is_writer_blocked = False
+            self.source.room()
+
+
+class DuplexStream:
+    """A connection: two directions between two ends."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        chance: Callable[[], float],
+        near: Endpoint,
+        far: Endpoint,
+        there: StreamConditions | None = None,
+        back: StreamConditions | None = None,
+    ) -> None:
+        """there: conditions from near to far; back: from far to near."""
+        self.there = Stream(clock, chance, there or StreamConditions(), near, far)
+        self.back = Stream(clock, chance, back or StreamConditions(), far, near)
+
+    def reset(self) -> None:
+        """Both ends are notified, what is under way is lost."""
         for stream in (self.there, self.back):
-            stream.finish(RESET)
+            stream.finish(StreamEnd.RESET)
 
-    def silence(self):
-        """The machine at the other end has vanished, or the path: nothing arrives, nobody is told."""
-        self.there.way.silent = self.back.way.silent = True
+    def silence(self) -> None:
+        """The machine at the other end has vanished, or the path: nothing arrives, no end is notified."""
+        self.there.conditions.silent = True
+        self.back.conditions.silent = True
 
-    def heal(self):
+    def heal(self) -> None:
         """All passes again."""
         self.there.heal()
         self.back.heal()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -12,8 +12,8 @@
 from gullhold.__main__ import main
 from gullhold.simulation import mutants, play, script, show
 from gullhold.simulation.clock import Clock, Stuck
-from gullhold.simulation.script import Bad, Fault
-from gullhold.simulation.streams import CLOSED, RESET, Way, Wire
+from gullhold.simulation.script import Fault, ScriptError
+from gullhold.simulation.streams import DuplexStream, StreamConditions, StreamEnd
 from gullhold.testing.running import ROOT
 
 # Deliberate faults that are found soon, and the seed; others are hunted by hand (docs/notes/rehearsal.md).
@@ -96,7 +96,12 @@
 
 def wire(seed=1, **way):
     clock, near, far = Clock(), End(), End()
-    return clock, near, far, Wire(clock, Random(seed).random, near, far, Way(**way), Way())
+    return (
+        clock,
+        near,
+        far,
+        DuplexStream(clock, Random(seed).random, near, far, StreamConditions(**way), StreamConditions()),
+    )
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -108,7 +113,7 @@
         clock.run(clock.now + 70)
     both.there.finish()
     clock.run(10**7)
-    assert far.data == b"".join(parts) and far.how == CLOSED
+    assert far.data == b"".join(parts) and far.how == StreamEnd.CLOSED
 
 
 def test_a_full_window_holds_a_writer_back_until_something_has_arrived():
@@ -126,7 +131,11 @@
     both.back.write(b"answer")
     both.reset()
     clock.run(5000)
-    assert (near.how, far.how) == (RESET, RESET) and far.data == b"first" and near.data == b""
+    assert (
+        (near.how, far.how) == (StreamEnd.RESET, StreamEnd.RESET)
+        and far.data == b"first"
+        and near.data == b""
+    )
     with pytest.raises(BrokenPipeError):
         both.there.write(b"more")
 
@@ -140,7 +149,7 @@
     assert far.data == b"" and near.how is None
     both.heal()
     clock.run(2 * 10**6)
-    assert far.data == b"is anybody there" and near.how == CLOSED
+    assert far.data == b"is anybody there" and near.how == StreamEnd.CLOSED
 
 
 PLACES = {"wire": 6, "engine": 4, "gateway": 3, "client": 2, "coordinator": 1}
@@ -167,7 +176,7 @@
     ],
 )
 def test_a_script_that_can_not_be_played_is_one_line_with_its_number(line, why):
-    with pytest.raises(Bad, match=why):
+    with pytest.raises(ScriptError, match=why):
         script.faults_of(line)
 
 
