--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -1,130 +1,194 @@
-"""Judges a rehearsal by what passed on its streams alone; it shares no bookkeeping with what it judges.
+"""Judges a simulation by what passed on its streams alone; it shares no bookkeeping with what it judges.
 
-Rules: one answer to each command, in time, its rows whole; no further send of what must not run twice, or of
-a marked command outside its window; never two sends out at once; no more sends than the cap; nothing new to
-an engine that left, nor for a client that left, after the grace of each. Times in us.
+Rules: one answer to each command, in time, its rows complete; no retry of what must not run twice, or of a
+keyed command outside its deduplication window; never two attempts open at once; no more attempts than the
+cap; nothing new to an engine that left, nor for a client that left, after the grace of each. Times in us.
 """
 
 from collections import defaultdict
+from collections.abc import Iterable
+from enum import StrEnum
 from hashlib import sha256
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-from gullhold.simulation.peers import pages_of, rows
+from gullhold.simulation.peers import Client, Conn, Engine, pages_of, rows
 
-GRACE_US = 550_000  # from the word that an engine leaves to the last send that may begin, with slack
-GONE_US = 100_000  # from the news that a client left to the last send that may begin for it
+if TYPE_CHECKING:
+    from gullhold.simulation.gateway import Member
+    from gullhold.simulation.play import World
+
+GRACE_US = 550_000  # from the notice that an engine leaves to the last attempt that may begin, with slack
+GONE_US = 100_000  # from the notice that a client left to the last attempt that may begin for it
 SLACK_US = 50_000  # on sockets, beyond a client timeout
 
 
-class Asked:
-    """One command as its client sees it."""
+class Rule(StrEnum):
+    """The rules, by the names that reports and scripts have for them."""
+
+    OPEN_ONCE = "two at once"
+    RUNS_ONCE = "must not run twice"
+    DEDUPLICATION_WINDOW = "outside its window"
+    ATTEMPTS_CAP = "over the cap"
+    DRAIN = "drain"
+    CLIENT_LEFT = "client gone"
+    ONE_ANSWER = "one answer"
+    IN_TIME = "in time"
+    INTACT = "intact"
+    CENSUS = "census"
+
+
+class Violation(NamedTuple):
+    """A rule that broke, when, and a line about it."""
 
-    def __init__(self, at, client, verb, limit_us):
-        self.at, self.client, self.verb, self.until = at, client, verb, at + limit_us
-        self.sends, self.answers, self.left_at, self.void = [], 0, None, False
+    at_us: int
+    rule: Rule
+    text: str
 
 
-class Send:
-    """One send as it came to an engine; ran: not turned away."""
+class ObservedAttempt:
+    """One attempt as it came to an engine; ran: not rejected."""
 
-    def __init__(self, at, engine, conn, ran):
-        self.at, self.engine, self.conn, self.ran, self.over = at, engine, conn, ran, not ran
+    def __init__(self, at: int, engine: Engine, conn: Conn, ran: bool) -> None:
+        self.at = at
+        self.engine = engine
+        self.conn = conn
+        self.ran = ran
+        self.is_over = not ran
 
-    def out(self):
+    def is_open(self) -> bool:
         """Whether it still is: not ended here, and its gateway has not closed the connection."""
-        return not self.over and not self.conn.near.finishing
+        return not self.is_over and not self.conn.near.finishing
 
 
-class Checker:
-    """What was seen so far, and the rules that broke: (time, rule, text)."""
+class ObservedCommand:
+    """One command as its client sees it."""
 
-    def __init__(self, world, sends_cap, window_us):
-        self.world, self.cap, self.window_us = world, sends_cap, window_us
-        self.commands, self.broken, self.leaving = {}, [], {}
-        self.hash, self.counts = sha256(), defaultdict(int)
+    def __init__(self, at: int, client: Client, verb: bytes, limit_us: int) -> None:
+        self.at = at
+        self.client = client
+        self.verb = verb
+        self.until = at + limit_us
+        self.attempts: list[ObservedAttempt] = []
+        self.answers = 0
+        self.left_at: int | None = None
+        self.is_void = False  # its gateway was killed: it is owed no answer
 
-    def seen(self, *what):
-        """Into the trace."""
-        self.hash.update(repr(what).encode())
-        self.counts[what[1]] += 1
 
-    def breaks(self, at, rule, text):
+class Checker:
+    """What was seen so far, and the violations."""
+
+    def __init__(self, world: "World", attempts_cap: int, window_us: int) -> None:
+        """window_us: the deduplication window of the engines."""
+        self.world = world
+        self.attempts_cap = attempts_cap
+        self.window_us = window_us
+        self.commands: dict[bytes, ObservedCommand] = {}
+        self.broken: list[Violation] = []
+        self.leaving: dict[tuple[str, str], int] = {}  # by gateway and engine: when it was notified
+        self.hash = sha256()
+        self.counts: defaultdict[str, int] = defaultdict(int)
+
+    def seen(self, at: int, event: str, *details: Any) -> None:
+        """Add an event to the trace."""
+        self.hash.update(repr((at, event, *details)).encode())
+        self.counts[event] += 1
+
+    def breaks(self, at: int, rule: Rule, text: str) -> None:
         """A rule broke."""
-        self.broken.append((at, rule, text))
+        self.broken.append(Violation(at, rule, text))
 
-    def told(self, at, member, ident, phase):
-        """A gateway was told of an engine's state."""
+    def told(self, at: int, member: "Member", ident: str, phase: str) -> None:
+        """A gateway was notified of an engine's state."""
         self.seen(at, "told", member.name, ident, phase)
         if phase == "ready":
             self.leaving.pop((member.name, ident), None)
         else:
             self.leaving.setdefault((member.name, ident), at)
 
-    def asked(self, at, client, txn, verb, limit_us):
+    def asked(self, at: int, client: Client, txn: bytes, verb: bytes, limit_us: int) -> None:
         """A client wrote a command."""
         self.seen(at, "asked", txn, verb)
-        self.commands[txn] = Asked(at, client, verb, limit_us)
+        self.commands[txn] = ObservedCommand(at, client, verb, limit_us)
 
-    def fetched(self, at, written_at, engine, conn, txn, mark, ran):
-        """A send came whole to an engine."""
+    def fetched(
+        self, at: int, written_at: int, engine: Engine, conn: Conn, txn: bytes, mark: bytes, ran: bool
+    ) -> None:
+        """An attempt arrived at an engine; mark: its idempotency key."""
         self.seen(at, "fetched", engine.id, txn, ran)
-        cmd = self.commands[txn]
-        earlier = [send for send in cmd.sends if send.ran]
-        if any(send.out() for send in cmd.sends):
-            self.breaks(at, "two at once", f"{txn} at {engine.id}")
-        if earlier and cmd.verb == b"once":
-            self.breaks(at, "must not run twice", f"{txn} at {engine.id}")
-        if earlier and cmd.verb == b"mark" and (written_at >= earlier[0].at + self.window_us or not mark):
-            self.breaks(at, "outside its window", f"{txn} {at - earlier[0].at} us after its first")
-        if len(cmd.sends) >= self.cap:
-            self.breaks(at, "over the cap", f"{txn}")
-        left = self.leaving.get((cmd.client.member.name, engine.id))
+        command = self.commands[txn]
+        self._check_repeat(at, written_at, engine, txn, mark)
+        if len(command.attempts) >= self.attempts_cap:
+            self.breaks(at, Rule.ATTEMPTS_CAP, f"{txn}")
+        self._check_leaving(at, written_at, engine, txn)
+        command.attempts.append(ObservedAttempt(at, engine, conn, ran))
+
+    def _check_repeat(self, at: int, written_at: int, engine: Engine, txn: bytes, mark: bytes) -> None:
+        command = self.commands[txn]
+        earlier = [attempt for attempt in command.attempts if attempt.ran]
+        if any(attempt.is_open() for attempt in command.attempts):
+            self.breaks(at, Rule.OPEN_ONCE, f"{txn} at {engine.id}")
+        if earlier and command.verb == b"once":
+            self.breaks(at, Rule.RUNS_ONCE, f"{txn} at {engine.id}")
+        if earlier and command.verb == b"mark":
+            is_too_late = written_at >= earlier[0].at + self.window_us
+            if is_too_late or not mark:
+                text = f"{txn} {at - earlier[0].at} us after its first"
+                self.breaks(at, Rule.DEDUPLICATION_WINDOW, text)
+
+    def _check_leaving(self, at: int, written_at: int, engine: Engine, txn: bytes) -> None:
+        command = self.commands[txn]
+        left = self.leaving.get((command.client.member.name, engine.id))
         if left is not None and written_at > left + GRACE_US:
-            self.breaks(at, "drain", f"{txn} to {engine.id}, {written_at - left} us after the word")
-        if cmd.left_at is not None and written_at > cmd.left_at + GONE_US:
-            self.breaks(at, "client gone", f"{txn}, {written_at - cmd.left_at} us after it left")
-        cmd.sends.append(Send(at, engine, conn, ran))
+            self.breaks(at, Rule.DRAIN, f"{txn} to {engine.id}, {written_at - left} us after the word")
+        if command.left_at is not None and written_at > command.left_at + GONE_US:
+            text = f"{txn}, {written_at - command.left_at} us after it left"
+            self.breaks(at, Rule.CLIENT_LEFT, text)
 
-    def over(self, at, engine, txn):
-        """A send ended at an engine, or was given up there."""
+    def over(self, at: int, engine: Engine, txn: bytes) -> None:
+        """An attempt ended at an engine, or was given up there."""
         self.seen(at, "over", engine.id, txn)
-        for send in self.commands[txn].sends:
-            if send.engine is engine:
-                send.over = True
+        for attempt in self.commands[txn].attempts:
+            if attempt.engine is engine:
+                attempt.is_over = True
 
-    def answered(self, at, client, txn, body):
-        """An answer came to a client; body: None: turned away, or failed."""
+    def answered(self, at: int, client: Client, txn: bytes | None, body: bytes | None) -> None:
+        """An answer came to a client; txn: None: to nothing open; body: None: rejected, or failed."""
         self.seen(at, "answered" if body is not None else "refused", txn)
         if txn is None:
-            self.breaks(at, "one answer", f"client {client.number}: an answer to nothing that is open")
+            text = f"client {client.number}: an answer to nothing that is open"
+            self.breaks(at, Rule.ONE_ANSWER, text)
             return
-        cmd = self.commands[txn]
-        cmd.answers += 1
-        late = at - cmd.until - SLACK_US - 2 * self.world.client_way_us
-        if late > 0:
-            self.breaks(at, "in time", f"{txn} {late} us late")
-        if body is not None and body != b"".join(rows(txn, page) for page in range(pages_of(txn))):
-            self.breaks(at, "intact", f"{txn}: {len(body)} bytes")
-        if body is not None and not any(send.ran for send in cmd.sends):
-            self.breaks(at, "intact", f"{txn}: no engine made it")
-
-    def left(self, at, client, txns):
-        """A client closed; its gateway hears of it a way later."""
+        command = self.commands[txn]
+        command.answers += 1
+        late_us = at - command.until - SLACK_US - 2 * self.world.client_way_us
+        if late_us > 0:
+            self.breaks(at, Rule.IN_TIME, f"{txn} {late_us} us late")
+        if body is None:
+            return
+        if body != b"".join(rows(txn, page) for page in range(pages_of(txn))):
+            self.breaks(at, Rule.INTACT, f"{txn}: {len(body)} bytes")
+        if not any(attempt.ran for attempt in command.attempts):
+            self.breaks(at, Rule.INTACT, f"{txn}: no engine made it")
+
+    def left(self, at: int, client: Client, txns: Iterable[bytes]) -> None:
+        """A client closed; its gateway is notified a one-way delay later."""
         self.seen(at, "left", client.number)
         for txn in txns:
             self.commands[txn].left_at = at + self.world.client_way_us
 
-    def killed(self, member):
-        """A gateway was killed: what it held is nobody's."""
-        for cmd in self.commands.values():
-            if cmd.client.member is member and not cmd.answers:
-                cmd.void = True
+    def killed(self, member: "Member") -> None:
+        """A gateway was killed: what it held is owed no answer."""
+        for command in self.commands.values():
+            if command.client.member is member and not command.answers:
+                command.is_void = True
 
-    def finish(self, members):
+    def finish(self, members: Iterable["Member"]) -> list[Violation]:
         """At the end: every command had its answer, and no table holds anything."""
-        for txn, cmd in self.commands.items():
-            if not cmd.answers and cmd.left_at is None and not cmd.void:
-                self.breaks(cmd.until, "one answer", f"{txn} never had one")
+        for txn, command in self.commands.items():
+            if not command.answers and command.left_at is None and not command.is_void:
+                self.breaks(command.until, Rule.ONE_ANSWER, f"{txn} never had one")
         for member in members:
-            if member.alive and (found := member.left_over()):
-                self.breaks(self.world.clock.now, "census", f"{member.name}: {found}")
+            found = member.left_over() if member.alive else None
+            if found:
+                self.breaks(self.world.clock.now, Rule.CENSUS, f"{member.name}: {found}")
         return self.broken
--- a/gullhold/simulation/endpoints.py
+++ b/gullhold/simulation/endpoints.py
@@ -1,65 +1,95 @@
-"""Ends of wires: what writes there, and what is told of what comes."""
+"""Ends of simulated connections: they write, and hand on to their owners what arrives."""
 
 from bisect import bisect_right
+from collections.abc import Callable
+from typing import Protocol
 
-from gullhold.simulation.streams import DuplexStream, StreamEnd
+from gullhold.simulation.clock import Clock
+from gullhold.simulation.streams import DuplexStream, Stream, StreamConditions, StreamEnd
+
+
+class Owner(Protocol):
+    """Who reads what arrives at an end."""
+
+    def hears(self, end: "End", data: bytes) -> None:
+        """Bytes of the other side."""
+        ...
+
+    def is_left(self, end: "End", how: StreamEnd) -> None:
+        """The other side has ended."""
+        ...
 
 
 class End:
-    """One end of a wire. Keeps what the wire has no room for; owner: hears(end, data), is_left(end, how)."""
+    """One end of a connection. Buffers what the stream has no room for."""
 
-    def __init__(self, clock, owner):
-        self.clock, self.owner, self.out = clock, owner, None
-        self.kept, self.finishing, self.over = bytearray(), False, False
-        self.size, self.starts, self.times = 0, [], []  # of all that was written: bytes; when which began
+    def __init__(self, clock: Clock, owner: Owner | None) -> None:
+        """owner: None where it is set before the first event."""
+        self.clock = clock
+        self.owner = owner
+        self.out: Stream | None = None  # set by join()
+        self.buffered = bytearray()
+        self.finishing = False  # nothing more is written here
+        self.over = False  # the other side has ended, or nobody reads here any more
+        self.size = 0  # bytes of all that was written
+        self.starts: list[int] = []  # the offset of each write ...
+        self.times: list[int] = []  # ... and when it was made
 
-    def write(self, data):
+    def write(self, data: bytes) -> None:
         """Queue these bytes; BrokenPipeError where this side has ended."""
         if self.finishing or self.out.over:
             raise BrokenPipeError
         self.starts.append(self.size)
         self.times.append(self.clock.now)
         self.size += len(data)
-        self.kept += data
+        self.buffered += data
         self.room()
 
-    def written_at(self, offset):
+    def written_at(self, offset: int) -> int:
         """When the byte at this offset was written."""
         return self.times[bisect_right(self.starts, offset) - 1]
 
-    def finish(self, how=StreamEnd.CLOSED):
-        """Nothing more is written; closed: after what is kept, reset: at once and all is lost."""
+    def finish(self, how: StreamEnd = StreamEnd.CLOSED) -> None:
+        """Nothing more is written; closed: after what is buffered, reset: at once and all is lost."""
         self.finishing = True
         if how == StreamEnd.RESET:
-            self.kept.clear()
+            self.buffered.clear()
             self.out.finish(StreamEnd.RESET)
         else:
             self.room()
 
-    def room(self):
-        """The wire takes more."""
-        while self.kept and not self.out.over:
-            taken = self.out.write(bytes(self.kept))
+    def room(self) -> None:
+        """The stream takes more."""
+        while self.buffered and not self.out.over:
+            taken = self.out.write(bytes(self.buffered))
             if not taken:
                 return
-            del self.kept[:taken]
-        if self.finishing and not self.kept:
+            del self.buffered[:taken]
+        if self.finishing and not self.buffered:
             self.out.finish(StreamEnd.CLOSED)
 
-    def came(self, data):
+    def came(self, data: bytes) -> None:
         """Bytes of the other side."""
         if not self.over:
             self.owner.hears(self, data)
 
-    def ended(self, how):
+    def ended(self, how: StreamEnd) -> None:
         """The other side has ended."""
         if not self.over:
             self.over = True
             self.owner.is_left(self, how)
 
 
-def join(clock, chance, near, far, there, back):
-    """The wire between two ends; there, back: the conditions of its directions."""
-    wire = DuplexStream(clock, chance, near, far, there, back)
-    near.out, far.out = wire.there, wire.back
-    return wire
+def join(
+    clock: Clock,
+    chance: Callable[[], float],
+    near: End,
+    far: End,
+    there: StreamConditions,
+    back: StreamConditions,
+) -> DuplexStream:
+    """The connection between two ends; there, back: the conditions of its directions."""
+    connection = DuplexStream(clock, chance, near, far, there, back)
+    near.out = connection.there
+    far.out = connection.back
+    return connection
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -11,7 +11,7 @@
 
 from gullhold.__main__ import main
 from gullhold.simulation import mutants, play, script, show
-from gullhold.simulation.clock import Clock, Stuck
+from gullhold.simulation.clock import Clock, StuckError
 from gullhold.simulation.script import Fault, ScriptError
 from gullhold.simulation.streams import DuplexStream, StreamConditions, StreamEnd
 from gullhold.testing.running import ROOT
@@ -74,7 +74,7 @@
         clock.after(0, again)
 
     clock.after(0, again)
-    with pytest.raises(Stuck):
+    with pytest.raises(StuckError):
         clock.run(1)
 
 
