--- a/gullhold/simulation/__init__.py
+++ b/gullhold/simulation/__init__.py
@@ -1,5 +1,6 @@
-"""Rehearsal: several gateways in one process on virtual time, against scripted faults. In hand.
+"""Deterministic simulation: several gateways in one process on virtual time, against scripted faults.
 
-So far: clock (virtual time and the order of events at one instant), streams (byte streams that are slow, cut,
-reset or silent), script (faults as typed data). docs/notes/rehearsal.md says what follows.
+clock: virtual time; streams, endpoints: connections; script, fault_injection: faults; peers: engines and
+clients; gateway: the product on virtual time; play: a world and its run; checker: the rules; mutants:
+deliberate faults; show: the command `gullhold rehearse`. docs/notes/rehearsal.md tells how it is used.
 """
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -3,6 +3,7 @@
 import os
 import sys
 from collections import Counter
+from collections.abc import Callable
 from multiprocessing import get_context
 from pathlib import Path
 
@@ -14,22 +15,22 @@
 from gullhold.simulation import play, script
 
 
-def _one(seed):
+def _one(seed: int) -> tuple[int, play.Result, list[script.Fault]]:
     logger.remove()  # what gateways log of their faults is no news here
     return seed, play.play(seed), play.faults_of(seed, play.Size())
 
 
-def _span(text):
+def _span(text: str) -> range:
     first, found, last = text.partition(":")
     return range(int(first), int(last)) if found else range(int(first), int(first) + 1)
 
 
-def _failing(rule, seed):
+def _failing(rule: str, seed: int) -> Callable[[list[script.Fault]], bool]:
     """Whether a script still breaks this rule."""
     return lambda faults: any(broken[1] == rule for broken in play.play(seed, faults).broken)
 
 
-def run(seeds, jobs, replay, shrink):
+def run(seeds: str, jobs: int | None, replay: str | None, shrink: str | None) -> int:
     """The exit status: 0 no rule broken, 1 one was, 2 what was asked for can't be played."""
     try:
         seeds = _span(seeds)
@@ -63,8 +64,10 @@
     return 1 if broken else 0
 
 
-def _table(console, found):
-    kinds, pairs, counts = Counter(), set(), Counter()
+def _table(console: Console, found: list[tuple[int, play.Result, list[script.Fault]]]) -> None:
+    kinds = Counter()
+    pairs = set()
+    counts = Counter()
     for _, result, faults in found:
         kinds.update({fault.kind for fault in faults})
         pairs |= script.pairs(faults)
