--- a/gullhold/testing/change_world.py
+++ b/gullhold/testing/change_world.py
@@ -28,12 +28,20 @@
 )
 from gullhold.rollout.vote import CommandFigures
 from gullhold.testing.store_model import Model
-from gullhold.testing.walking import OF_CALLS, QUANTUM_US, RATES, TERMS, Broken, Pair
+from gullhold.testing.walking import (
+    CALL_FAULTS,
+    QUANTUM_US,
+    RATES,
+    TERMS,
+    ActionKind,
+    InvariantError,
+    RolePairWorld,
+)
 
 Action = tuple[Any, ...]  # (kind, argument of the kind)
 NAMES = ("a", "b", "c")
 REFUSING_NAME = "b"  # the member that refuses REFUSED_TEXT
-FAULTS = (*OF_CALLS, "die", "cut", "elect", "miss", "deaf")
+FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.DEAF)
 GOOD_TEXT = "good"
 REFUSED_TEXT = "bad"  # a policy that one member refuses
 FAILING_TEXT = "sour"  # a policy under which commands fail
@@ -79,10 +87,11 @@
         return CommandFigures(self.answered, self.failed, self.answered)
 
 
-class World(Pair):
+class World(RolePairWorld):
     """Members, coordinators, the store, and calls under way.
 
-    act() takes one of actions(); raises Broken. make: what to make of "member", "gate", "coordinator": the
+    act() takes one of actions(); raises InvariantError.
+    make: what to make of "member", "gate", "coordinator": the
     product's, or a mutant's; cut: the members' rule.
     """
 
@@ -126,7 +135,7 @@
         self._collect_member(one)
 
     def _hears(self, one: SimulatedMember) -> bool:
-        return not one.cut and bool(self.news(one.watched_from, WATCHED))
+        return not one.cut and bool(self.changes_since(one.watched_from, WATCHED))
 
     def _missing_names(self) -> list[str]:
         present = {one.name for one in self.members}
@@ -136,49 +145,53 @@
 
     def actions(self) -> list[Action]:
         """All that may be next."""
-        found: list[Action] = [("time",)]
-        found += self.of_calls() + self.of_holders()
+        found: list[Action] = [(ActionKind.TIME,)]
+        found += self.call_actions() + self.holder_actions()
         if self.may_propose():
-            found += [("propose", GOOD_TEXT), ("propose", REFUSED_TEXT)]
+            found += [(ActionKind.PROPOSE, GOOD_TEXT), (ActionKind.PROPOSE, REFUSED_TEXT)]
         for i, one in enumerate(self.members):
             found += self._actions_of(i, one)
-        found += [("come", name) for name in self._missing_names()]
+        found += [(ActionKind.COME, name) for name in self._missing_names()]
         return found
 
     def _actions_of(self, i: int, one: SimulatedMember) -> list[Action]:
         found: list[Action] = []
         if one.gate.may_dispatch():
-            found.append(("send", i))
+            found.append((ActionKind.SEND, i))
         if one.core_queue:
-            found.append(("core", i))
+            found.append((ActionKind.CORE, i))
         if self._hears(one):
-            found.append(("hear", i))
+            found.append((ActionKind.HEAR, i))
         if self.faults:
-            found += [("die", i), ("heal" if one.cut else "cut", i), ("deaf", i)]
+            found += [
+                (ActionKind.DIE, i),
+                (ActionKind.HEAL if one.cut else ActionKind.CUT, i),
+                (ActionKind.DEAF, i),
+            ]
         elif one.cut:
-            found.append(("heal", i))
+            found.append((ActionKind.HEAL, i))
         return found
 
-    def fair(self) -> Action | None:
+    def next_orderly_action(self) -> Action | None:
         """What happens next where nothing is wrong; None: nothing is under way."""
-        action = super().fair()
+        action = super().next_orderly_action()
         if action:
             return action
         for i, one in enumerate(self.members):
             if one.core_queue:
-                return "core", i
+                return ActionKind.CORE, i
             if self._hears(one):
-                return "hear", i
+                return ActionKind.HEAR, i
         return None
 
     def may_propose(self) -> bool:
         """One change is open at a time."""
         return CHANGE_KEY not in self.model.keys
 
-    def act(self, what: str, i: Any = 0) -> None:
-        """Do one thing; raises Broken."""
+    def act(self, what: ActionKind, i: Any = 0) -> None:
+        """Do one thing; raises InvariantError."""
         self.faults -= what in FAULTS
-        getattr(self, "_do_" + what.replace(" ", "_"))(i)
+        self.HANDLERS[what](self, i)
         self._look_at_store()
         self.check()
 
@@ -204,7 +217,7 @@
         """Staff hear that the version is in force everywhere."""
         late = [one.name for one in self.members if one.gate.may_dispatch() and one.number != current.number]
         if late:
-            raise Broken(
+            raise InvariantError(
                 f"{late} go by another than {current.number}, which is said to be in force everywhere"
             )
 
@@ -212,7 +225,7 @@
         if current.text != REFUSED_TEXT:
             return
         if any(one.name == REFUSING_NAME and one.gate.may_dispatch() for one in self.members):
-            raise Broken(f"{current.number} is in force though {REFUSING_NAME} turned it down")
+            raise InvariantError(f"{current.number} is in force though {REFUSING_NAME} turned it down")
 
     def check(self) -> None:
         """All that could dispatch now would go by what may be gone by."""
@@ -225,16 +238,16 @@
         one = self.members[i]
         if one.number not in self.order:
             if not self._is_canary(one):
-                raise Broken(f"{one.name} sends under {one.number}, which was never decided")
+                raise InvariantError(f"{one.name} sends under {one.number}, which was never decided")
             return
         if one.number == self.order[-1]:
             return
         if self.overlap == Overlap.STRICT:
-            raise Broken(f"{one.name} sends under {one.number} when {self.order[-1]} is in force")
+            raise InvariantError(f"{one.name} sends under {one.number} when {self.order[-1]} is in force")
         successor = self.order[self.order.index(one.number) + 1]
         late_us = self.now - self.decided_at[successor]
         if late_us > MAX_OVERLAP_US:
-            raise Broken(f"{one.name} sends under {one.number} {late_us} us after it was over")
+            raise InvariantError(f"{one.name} sends under {one.number} {late_us} us after it was over")
 
     def _is_canary(self, one: SimulatedMember) -> bool:
         """Whether it may go by a version that is not decided, as a member of a canary that may still run."""
@@ -247,7 +260,7 @@
     def _do_time(self, _: int) -> None:
         self.now += QUANTUM_US
         for one in self.members:
-            self._keep(one)
+            self._renew_lease(one)
             self._step(one)
         self._step_holders()
 
@@ -258,14 +271,14 @@
     def _do_reply(self, i: int) -> None:
         who, (what, *about), reply = self.replies.pop(i)
         if what != "replied":
-            self._held(who, what, *about, reply)
+            self._call_holder(who, what, *about, reply)
         elif who in self.members:
             who.member.replied(who(), *about, reply)
             self._collect_member(who)
 
     def _do_hear(self, i: int) -> None:
         one = self.members[i]
-        news = self.news(one.watched_from, WATCHED)
+        news = self.changes_since(one.watched_from, WATCHED)
         first_revision = news[0][0]
         one.watched_from = first_revision + 1
         for revision, key, value in news:
@@ -324,9 +337,9 @@
             tuple((key, item.value, item.revision) for key, item in sorted(self.model.keys.items())),
             tuple((tag[0], str(request)) for _, request, tag in self.calls),
             tuple((tag[0], reply.proof, reply.succeeded) for _, tag, reply in self.replies),
-            tuple(str(request) for request in self.ghosts),
-            tuple(self.seen),
-            self.owner,
+            tuple(str(request) for request in self.delayed_requests),
+            tuple(self.watched_from),
+            self.leader,
             self.faults,
             tuple(self._mark_of_coordinator(coordinator) for coordinator in self.holders),
         )
@@ -361,27 +374,41 @@
     def calm(self) -> None:
         """No more faults: all is carried out in turn, missing members come, one coordinator leads."""
         self.faults = 0
-        self.ghosts = []
-        self.holders[1 - self.owner].lost()
+        self.delayed_requests = []
+        self.holders[1 - self.leader].lost()
         for one in self.members:
             one.cut = False
         for name in self._missing_names():
-            self.act("come", name)
+            self.act(ActionKind.COME, name)
         for _ in range(SETTLING_STEPS):
-            self.act("time")
-            self.quiet(MAX_CALLS_IN_STEP)
+            self.act(ActionKind.TIME)
+            self.finish_calls(MAX_CALLS_IN_STEP)
 
     def settled(self) -> None:
-        """Raises Broken unless every member goes by what is in force, and no change is left open."""
+        """Raises InvariantError unless every member goes by what is in force, and no change is left open."""
         keys = self.model.keys
         if CHANGE_KEY in keys:
-            raise Broken(f"a change stays {keys[CHANGE_KEY].value[-120:]}")
+            raise InvariantError(f"a change stays {keys[CHANGE_KEY].value[-120:]}")
         # It may have been decided while the member that refuses it was down.
         is_refused = CURRENT_KEY in keys and decode_version(keys[CURRENT_KEY].value).text == REFUSED_TEXT
         for one in self.members:
             may_dispatch = one.gate.may_dispatch()
             if is_refused and one.name == REFUSING_NAME:
                 if may_dispatch:
-                    raise Broken(f"{one.name} sends though it can't run what is in force")
+                    raise InvariantError(f"{one.name} sends though it can't run what is in force")
             elif not may_dispatch or one.number != self.decided:
-                raise Broken(f"{one.name} is {one.member.state} under {one.number}, {self.decided} in force")
+                raise InvariantError(
+                    f"{one.name} is {one.member.state} under {one.number}, {self.decided} in force"
+                )
+
+    HANDLERS = RolePairWorld.HANDLERS | {
+        ActionKind.SEND: _do_send,
+        ActionKind.TIME: _do_time,
+        ActionKind.REPLY: _do_reply,
+        ActionKind.HEAR: _do_hear,
+        ActionKind.CORE: _do_core,
+        ActionKind.DEAF: _do_deaf,
+        ActionKind.PROPOSE: _do_propose,
+        ActionKind.COME: _do_come,
+        ActionKind.DIE: _do_die,
+    }
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -1,20 +1,21 @@
 """What explorers of decisions share: calls to a model of the store under way, the search, and random walks.
 
-A world has act(kind, ...), which raises Broken, actions(), and mark(), which tells states apart. An action
-is a tuple of its kind and what else act() takes.
+A world has act(kind, ...), which raises InvariantError, actions(), and mark(), which tells states apart.
+An action is a tuple of its kind and what else act() takes.
 """
 
 import copy
 import random
 from bisect import bisect_left
-from collections.abc import Callable, Iterable, Iterator, Sequence
-from typing import Any, NamedTuple, Protocol
+from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
+from enum import StrEnum
+from typing import Any, ClassVar, NamedTuple, Protocol
 
 from gullhold.fleet.lease import LeaseTerms
 from gullhold.fleet.role_state import CallSerial, ReadKeys, RoleState, WatchKeys, WriteKeys
 from gullhold.fleet.store_calls import KeepLeaseAlive, Proof, ReadPrefix, Reply, Request, Transaction
+from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
 
-OF_CALLS = ("lose the reply", "hold back", "refuse")  # faults of calls
 QUANTUM_US = 250_000  # between moments: a lease is four of them
 TERMS = LeaseTerms(1, 0.15, 0)
 RATES = (0.87, 1.1, 1.0)  # of clocks against the store's: within the drift
@@ -28,12 +29,12 @@
 Tag = tuple[str, CallSerial]  # the method of a role state that takes the reply, the serial of the call
 
 
-class Broken(Exception):  # noqa: N818  the name that all explorers and benchmarks know
+class InvariantError(Exception):
     """A rule that does not hold; the text says which."""
 
 
 class StoreModel(Protocol):
-    """A model of the store, as a Pair needs it."""
+    """A model of the store, as a RolePairWorld needs it."""
 
     revision: int
     past: list[Change]
@@ -67,31 +68,32 @@
     reply: Reply
 
 
-class Pair:
+class RolePairWorld:
     """A world in which two processes may lead one role, and members on clocks of their own hold leases.
 
-    duty: the role's key; told: the prefix of the keys of which a leader is notified; holders: the two role
-    states; seen: from which revision each is notified; owner: the holder that leads. calls, replies: under
-    way; ghosts: requests that were given up and may still be carried out. A kind of world has members, with
-    lease, cut and a clock to call, _grant(member), act() and its actions' methods _do_KIND().
+    role_key: the role's key in the store; watched_prefix: of the keys of which a leader is notified;
+    holders: the two role states; watched_from: the revision from which each is notified; leader: the index
+    of the holder that leads; calls, replies: under way; delayed_requests: given up by their callers, and may
+    still be carried out. A subclass has members, with lease, cut and a clock to call, _grant(member), act(),
+    and HANDLERS: this table with the methods of its own kinds of action.
     """
 
     def __init__(
-        self, model: StoreModel, duty: str, told: str, holders: Sequence[RoleState], faults: int
+        self, model: StoreModel, role_key: str, watched_prefix: str, holders: Sequence[RoleState], faults: int
     ) -> None:
         """faults: how many may happen."""
         self.model = model
-        self.duty = duty
-        self.told = told
+        self.role_key = role_key
+        self.watched_prefix = watched_prefix
         self.holders = holders
         self.faults = faults
         self.now = START_US
-        self.seen: list[int | None] = [None, None]
-        self.owner = 0
+        self.watched_from: list[int | None] = [None, None]
+        self.leader = 0
         self.members: list[Any] = []
         self.calls: list[SentCall] = []
         self.replies: list[SentReply] = []
-        self.ghosts: list[Request] = []
+        self.delayed_requests: list[Request] = []
 
     def clock(self, k: int) -> int:
         """What the clock of holder k shows."""
@@ -99,39 +101,43 @@
 
     # What can be next
 
-    def of_calls(self) -> list[Action]:
+    def call_actions(self) -> list[Action]:
         """The actions that calls under way allow now."""
         found: list[Action] = []
         for number in range(len(self.calls)):
-            found.append(("carry out", number))
+            found.append((ActionKind.CARRY_OUT, number))
             if self.faults:
-                found += [(fault, number) for fault in OF_CALLS]
-        found += [("reply", number) for number in range(len(self.replies))]
-        found += [("late", number) for number in range(len(self.ghosts))]
+                found += [(fault, number) for fault in CALL_FAULTS]
+        found += [(ActionKind.REPLY, number) for number in range(len(self.replies))]
+        found += [(ActionKind.LATE, number) for number in range(len(self.delayed_requests))]
         return found
 
-    def of_holders(self) -> list[Action]:
+    def holder_actions(self) -> list[Action]:
         """The actions that concern the two holders."""
         found = self._notifications()
         if self.faults:
-            found += [("elect", 0), ("miss", self.owner)]
-        other = 1 - self.owner
+            found += [(ActionKind.ELECT, 0), (ActionKind.MISS, self.leader)]
+        other = 1 - self.leader
         if self.holders[other].token:
-            found.append(("lost", other))
+            found.append((ActionKind.LOST, other))
         return found
 
     def _notifications(self) -> list[Action]:
-        return [("tell", k) for k in range(2) if self.news(self.seen[k], self.told)]
+        return [
+            (ActionKind.TELL, k)
+            for k in range(2)
+            if self.changes_since(self.watched_from[k], self.watched_prefix)
+        ]
 
-    def fair(self) -> Action | None:
+    def next_orderly_action(self) -> Action | None:
         """What happens next where nothing is wrong; None: nothing is under way."""
         if self.calls:
-            return "carry out", 0
+            return ActionKind.CARRY_OUT, 0
         if self.replies:
-            return "reply", 0
+            return ActionKind.REPLY, 0
         return next(iter(self._notifications()), None)
 
-    def news(self, since: int | None, prefix: str) -> list[Change]:
+    def changes_since(self, since: int | None, prefix: str) -> list[Change]:
         """What changed of these keys from a revision on; None: nothing is followed."""
         if since is None:
             return []
@@ -139,10 +145,10 @@
         first = bisect_left(past, since, key=lambda change: change[0])
         return [change for change in past[first:] if change[1].startswith(prefix)]
 
-    def quiet(self, most: int) -> None:
+    def finish_calls(self, most: int) -> None:
         """Carry out in turn all that is under way, in so many steps at most."""
         for _ in range(most):
-            action = self.fair()
+            action = self.next_orderly_action()
             if not action:
                 break
             self.act(*action)
@@ -155,12 +161,12 @@
                 case ReadKeys(serial, prefix):
                     self.calls.append(SentCall(k, ReadPrefix(prefix), ("read", serial)))
                 case WriteKeys(serial, token, operations, conditions):
-                    request = Transaction(((self.duty, token), *conditions), operations)
+                    request = Transaction(((self.role_key, token), *conditions), operations)
                     self.calls.append(SentCall(k, request, ("written", serial)))
                 case WatchKeys(revision):
-                    self.seen[k] = max(self.seen[k] or 0, revision)
+                    self.watched_from[k] = max(self.watched_from[k] or 0, revision)
 
-    def _keep(self, one: Any) -> None:
+    def _renew_lease(self, one: Any) -> None:
         """A moment has passed for a member's lease."""
         if not one.cut and one.lease.is_valid(one()):
             reply = self.model.call(KeepLeaseAlive(one.lease.id), self.now)
@@ -177,7 +183,7 @@
             self.holders[k].step(self.clock(k))
             self._collect(k)
 
-    def _held(self, who: int, method: str, *arguments: Any) -> None:
+    def _call_holder(self, who: int, method: str, *arguments: Any) -> None:
         """Call a method of a holder, and collect what it asks for."""
         getattr(self.holders[who], method)(self.clock(who), *arguments)
         self._collect(who)
@@ -193,7 +199,7 @@
 
     def _do_hold_back(self, i: int) -> None:
         holder, request, tag = self.calls.pop(i)
-        self.ghosts.append(request)
+        self.delayed_requests.append(request)
         self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
 
     def _do_refuse(self, i: int) -> None:
@@ -201,27 +207,27 @@
         self.replies.append(SentReply(holder, tag, Reply(Proof.NOT_DONE)))
 
     def _do_late(self, i: int) -> None:
-        self.model.call(self.ghosts.pop(i), self.now)
+        self.model.call(self.delayed_requests.pop(i), self.now)
 
     def _do_tell(self, k: int) -> None:
         """Notify a holder of the changes of one revision."""
-        news = self.news(self.seen[k], self.told)
+        news = self.changes_since(self.watched_from[k], self.watched_prefix)
         first_revision = news[0][0]
-        self.seen[k] = first_revision + 1
+        self.watched_from[k] = first_revision + 1
         for revision, key, value in news:
             if revision == first_revision:
-                self._held(k, "changed", key, value, revision)
+                self._call_holder(k, "changed", key, value, revision)
 
     def _do_miss(self, k: int) -> None:
-        self._held(k, "missed")
+        self._call_holder(k, "missed")
 
     def _do_elect(self, _: int) -> None:
         """The other one leads the role now; the one that led before does not know yet."""
         self.model.revision += 1
-        self.model.put(self.duty, "", 0)
-        self.owner = 1 - self.owner
-        self.holders[self.owner].won(self.model.revision, self.clock(self.owner))
-        self._collect(self.owner)
+        self.model.put(self.role_key, "", 0)
+        self.leader = 1 - self.leader
+        self.holders[self.leader].won(self.model.revision, self.clock(self.leader))
+        self._collect(self.leader)
 
     def _do_lost(self, k: int) -> None:
         self.holders[k].lost()
@@ -232,6 +238,20 @@
     def _do_heal(self, i: int) -> None:
         self.members[i].cut = False
 
+    HANDLERS: ClassVar[Mapping[ActionKind, Callable[..., None]]] = {
+        ActionKind.CARRY_OUT: _do_carry_out,
+        ActionKind.LOSE_THE_REPLY: _do_lose_the_reply,
+        ActionKind.HOLD_BACK: _do_hold_back,
+        ActionKind.REFUSE: _do_refuse,
+        ActionKind.LATE: _do_late,
+        ActionKind.TELL: _do_tell,
+        ActionKind.MISS: _do_miss,
+        ActionKind.ELECT: _do_elect,
+        ActionKind.LOST: _do_lost,
+        ActionKind.CUT: _do_cut,
+        ActionKind.HEAL: _do_heal,
+    }
+
 
 class Explored(NamedTuple):
     """How far a search came: states met, and the depth up to which all actions were tried."""
@@ -241,7 +261,7 @@
 
 
 def explore(world: Any, depth: int, most: int, seed: int = 0) -> Explored:
-    """Try every action that can be next, breadth first; raises Broken with its story.
+    """Try every action that can be next, breadth first; raises InvariantError with its story.
 
     most: states after which it stops. Which actions come first at one depth is drawn from the seed.
     """
@@ -270,12 +290,12 @@
     other = copy.deepcopy(world)
     try:
         other.act(*action)
-    except Broken as broken:
-        raise Broken(f"{broken}; after {[*story, action]}") from None
+    except InvariantError as violation:
+        raise InvariantError(f"{violation}; after {[*story, action]}") from None
     return other
 
 
-def wild(world: Any, draw: Draw, faults: Sequence[str]) -> Iterator[Action]:
+def random_actions(world: Any, draw: Draw, faults: Sequence[str]) -> Iterator[Action]:
     """Random actions, for ever; faults: kinds that come seldom."""
     while True:
         actions = world.actions()
@@ -283,7 +303,7 @@
         yield actions[0] if draw() < TIME_CHANCE else _pick(chosen, draw)
 
 
-def now_and_then(
+def occasional_action(
     world: Any, draw: Draw, kinds: Iterable[tuple[str, float]], odd: Sequence[str], likely: float
 ) -> Iterator[Action]:
     """At most one action: of the first of these (kind, chance) that comes up, else, seldom, an odd one."""
@@ -303,7 +323,7 @@
 
 
 def follow(world: Any, actions: Iterator[Action], steps: int, seed: int, marks: bool) -> set[int]:
-    """Take so many actions, then calm down and be settled; raises Broken with its story.
+    """Take so many actions, then calm down and be settled; raises InvariantError with its story.
 
     marks: whether to return those of the states that were met.
     """
@@ -318,18 +338,34 @@
                 met.add(hash(world.mark()))
         world.calm()
         world.settled()
-    except Broken as broken:
-        raise Broken(f"seed {seed}: {broken}; after {story}") from None
+    except InvariantError as violation:
+        raise InvariantError(f"seed {seed}: {violation}; after {story}") from None
     return met
 
 
-def find(walk: Callable[[int], Any], walks: int, first: int = 0) -> tuple[int, str] | None:
-    """(seed, what broke) of the first of so many walks that finds something, or None."""
+class FindingKind(StrEnum):
+    """How a walk showed that something is wrong."""
+
+    VIOLATION = "violation"  # a rule did not hold
+    CRASH = "crash"  # the code under test raised an exception of its own: no rule was judged
+
+
+class Finding(NamedTuple):
+    """The first walk that showed something: its seed, the rule that broke or the exception, and which."""
+
+    seed: int
+    text: str
+    kind: FindingKind
+
+
+def find(walk: Callable[[int], Any], walks: int, first: int = 0) -> Finding | None:
+    """Take walks of consecutive seeds up to the first that finds something; None: none of them did."""
     for seed in range(first, first + walks):
         try:
             walk(seed)
-        except Broken as broken:
-            return seed, str(broken).partition("; after")[0]
-        except Exception as error:  # noqa: BLE001  it fell over its own state: found too
-            return seed, repr(error)
+        except InvariantError as violation:
+            rule = str(violation).partition("; after")[0]
+            return Finding(seed, rule, FindingKind.VIOLATION)
+        except Exception as error:  # noqa: BLE001  a mutant may raise anything; reported as a crash
+            return Finding(seed, repr(error), FindingKind.CRASH)
     return None
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -29,6 +29,7 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 from gullhold.testing import budget_explorer, budget_mutants, change_world, changecheck, changemutants
 from gullhold.testing.policycheck import Changes, mixed
+from gullhold.testing.walking import ActionKind, FindingKind
 
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
 
@@ -69,11 +70,11 @@
 def test_a_canary_is_tried_by_some_and_dropped_where_it_goes_bad(text, comes):
     world = change_world.World(Overlap.LOOSE, faults=0)
     world.calm()
-    world.act("propose", text)
+    world.act(ActionKind.PROPOSE, text)
     seen = set()
     for _ in range(16):
-        world.act("time")
-        while todo := world.fair():
+        world.act(ActionKind.TIME)
+        while todo := world.next_orderly_action():
             world.act(*todo)
         item = world.model.keys.get(CHANGE_KEY)
         if item:
@@ -202,7 +203,12 @@
 
 @pytest.mark.parametrize("name", [name for name in changemutants.MUTANTS if name != "IgnoresEnrollment"])
 def test_the_walks_find_changes_that_are_wrong(name):  # the one left out takes 610 walks: benchmarks.change
-    assert changemutants.find(name, 250, 500)
+    finding = changemutants.find(name, 250, 500)
+    assert finding is not None and finding.kind is FindingKind.VIOLATION, finding
+
+
+# Mutants that fall over their own state before a rule is broken: known from a crash only.
+FOUND_BY_A_CRASH = frozenset(("ForgetsLedgers",))
 
 
 @pytest.mark.parametrize(
@@ -221,4 +227,7 @@
     ],
 )
 def test_the_walks_find_divisions_that_are_wrong(name):  # those left out: benchmarks.budgets
-    assert budget_mutants.find(name, 60, 800)
+    finding = budget_mutants.find(name, 60, 800)
+    assert finding is not None
+    if name not in FOUND_BY_A_CRASH:
+        assert finding.kind is FindingKind.VIOLATION, finding
