--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -1,6 +1,7 @@
 """The calls of one client: deferred, rejected at once, answered with an error, or handed to the core."""
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
+from weakref import ref
 
 from gullhold.net import thrift
 from gullhold.net.client_limits import OPEN_MOST
@@ -18,10 +19,12 @@
 class ClientCalls:
     """Takes the calls of one connection, in its reader's thread."""
 
-    __slots__ = ("backpressure", "client", "core", "counters", "last_seq", "reader", "rejections")
+    __slots__ = ("_client", "backpressure", "core", "counters", "last_seq", "reader", "rejections")
 
     def __init__(self, client: "ClientConnection", reader: RequestReader) -> None:
-        self.client = client
+        # Weak: guards against a cycle of references, which kept each connection that had ended, and its
+        # buffers, until the garbage collector came round.
+        self._client = ref(client)
         self.core = client.core
         self.counters = client.core.counters
         self.backpressure = client.backpressure
@@ -29,6 +32,11 @@
         self.last_seq = 0
         self.rejections: list[bytes] = []  # answers to what was read just now and is rejected at once
 
+    @property
+    def client(self) -> "ClientConnection":
+        """The connection: it owns this object, and lives while one of its calls is taken."""
+        return cast("ClientConnection", self._client())
+
     def received(self, call: thrift.Message, received_at_us: int) -> None:
         """A call was read: taken now, or after the pause; what takes another back is never put off."""
         if call.method == "interrupt":
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -1,6 +1,8 @@
 """The end of a client's connection, for idleness or by noise, and what crosses it."""
 
+import gc
 import socket
+from weakref import ref
 
 from crossings import Blocked, half_reading
 from serving import until
@@ -94,3 +96,18 @@
     assert gateway.listener.clients and inside.connection.fileno() >= 0
     until(lambda: not gateway.listener.clients)
     assert inside.connection.fileno() < 0
+
+
+def test_a_connection_that_ended_is_freed_without_the_garbage_collector(start):
+    """A cycle of references once kept each, with its buffers, until the collector came round."""
+    gateway, client = start(Engine())
+    seq = client.ask()
+    assert client.answer() == (seq, b"a\tb\tc\n")
+    inside = ref(next(iter(gateway.listener.clients)))
+    gc.collect()
+    gc.disable()
+    try:
+        client.sock.close()
+        until(lambda: inside() is None)
+    finally:
+        gc.enable()
