--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -205,21 +205,7 @@
             while out < 8 and sent < count:
                 seq, out, name = seq + 1, out + 1, b"t%d" % (first + sent)
                 sent += 1
-                burst.append(
-                    crowd.frame(
-                        seq,
-                        {
-                            b"verb": b"read",
-                            b"txn": b"%016x" % draw.getrandbits(64),
-                            b"limit": b"4000",
-                            b"cpu": b"1",
-                            b"memory": b"50",
-                            b"team": name,
-                            b"client": name,
-                        },
-                        statement(1),
-                    )
-                )
+                burst.append(small_read(seq, draw, name))
             if burst:
                 sock.sendall(b"".join(burst))
             if out:
@@ -232,6 +218,20 @@
         row[0].close()
 
 
+def small_read(seq, draw, name):
+    """A frame that asks for 1 ms of work, by a tenant and a client of this name."""
+    fields = {
+        b"verb": b"read",
+        b"txn": b"%016x" % draw.getrandbits(64),
+        b"limit": b"4000",
+        b"cpu": b"1",
+        b"memory": b"50",
+        b"team": name,
+        b"client": name,
+    }
+    return crowd.frame(seq, fields, statement(1))
+
+
 def tenants(many):
     """Memory and CPU of the whole path as open tenants grow: growth in MB, again, CPU ratio."""
     with Running(
@@ -273,21 +273,7 @@
             burst = []
             while out < 32 and seq < count:
                 seq, out, name = seq + 1, out + 1, b"u%d" % (seq % 2)
-                burst.append(
-                    crowd.frame(
-                        seq,
-                        {
-                            b"verb": b"read",
-                            b"txn": b"%016x" % draw.getrandbits(64),
-                            b"limit": b"4000",
-                            b"cpu": b"1",
-                            b"memory": b"50",
-                            b"team": name,
-                            b"client": name,
-                        },
-                        statement(1),
-                    )
-                )
+                burst.append(small_read(seq, draw, name))
             if burst:
                 sock.sendall(b"".join(burst))
             machine.buffer.receive(sock)
--- a/gullhold/fleet/rate_limit.py
+++ b/gullhold/fleet/rate_limit.py
@@ -1,6 +1,6 @@
 """A token bucket that bounds how many roles a member gives up in a second. Decisions only."""
 
-US_PER_SECOND = 1e6
+from gullhold.fleet.clocks import US_PER_SECOND
 
 
 class RateLimit:
--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from gullhold.fleet.occurrence import OccurrenceState
-from gullhold.net import thrift
+from gullhold.net import US_PER_MS, thrift
 from gullhold.net.pending_requests import PeerAddress
 from gullhold.net.request_reader import RequestError, RequestReader
 
@@ -13,7 +13,6 @@
     from gullhold.net.core import Core
     from gullhold.operator.records import Scheduled
 
-US_PER_MS = 1000
 TRANSACTION_ID_BITS = 64
 CLIENT_NAME = "fleet"  # the client and the host that a scheduled command seems to come from
 
--- a/gullhold/net/__init__.py
+++ b/gullhold/net/__init__.py
@@ -5,6 +5,7 @@
 from contextlib import suppress
 
 MAX_OPTION_ATTEMPTS = 8  # to set one option of a socket; a refusal lasts for a moment at most
+US_PER_MS = 1000
 US_PER_S = 1_000_000
 
 
@@ -14,6 +15,11 @@
     return host, int(port)
 
 
+def ceil_to_ms(duration_us: int) -> int:
+    """Whole milliseconds, rounded up."""
+    return -(-duration_us // US_PER_MS)
+
+
 def set_read_timeout(sock: socket.socket, timeout_us: int) -> None:
     """Let a read wait so long at most (0: for ever), then raise BlockingIOError; writes are not affected.
 
--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from gullhold.interface import NEVER_RAN, Dispatch, Outcome
-from gullhold.net import engine_protocol, resp
+from gullhold.net import ceil_to_ms, engine_protocol, resp
 from gullhold.net.engine_connection import NO_RESOURCES, Attempt, EngineConnection
 from gullhold.net.eventlog import EventKind, LoggedEvent
 from gullhold.net.write_buffer import Rejection
@@ -23,7 +23,6 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.NOT_STARTED: "moot",
 }
-MS_US = 1000  # us in a millisecond
 LEAST_DEADLINE_MS = 1  # the least that a fetch may tell, also of a deadline that is past
 
 
@@ -243,4 +242,4 @@
 
 def remaining_ms(now_us: int, deadline_us: int) -> bytes:
     """The field of a fetch that tells how long we will wait; for a deadline that is past: the least."""
-    return b"%d" % max(LEAST_DEADLINE_MS, (deadline_us - now_us + MS_US - 1) // MS_US)
+    return b"%d" % max(LEAST_DEADLINE_MS, ceil_to_ms(deadline_us - now_us))
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from gullhold.net import connection_ends, host_port
+from gullhold.net import US_PER_MS, US_PER_S, connection_ends, host_port
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.engine_ids import EngineIds
@@ -26,8 +26,6 @@
 BATCH_INTERVAL_S = 0.01  # events are gathered for so long while they follow each other as closely
 FAILURE_DELAY_S = 0.1  # until the stream is followed again after a fault of ours
 SILENCE_LIMIT_US = 2_000_000  # two of the bare indexes, which by the protocol come once a second
-US_PER_S = 1e6
-US_PER_MS = 1000
 
 
 def is_readable_within(sock: socket.socket, timeout_us: int) -> bool:
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from gullhold.interface import Outcome, StatusKind
-from gullhold.net import engine_protocol, resp
+from gullhold.net import US_PER_MS, engine_protocol, resp
 from gullhold.net.client_limits import RESULT_MOST
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.engine_connection import Attempt, EngineConnection, ResourceUse
@@ -22,7 +22,6 @@
 TABS_PER_ROW = 2  # rows of three columns, from the protocol
 LEAST_STRINGS = 2  # in any array of an engine: the id of the command, and the kind of reply
 MOST_STRINGS = 4  # id, kind of reply, fields, body
-MS_US = 1000  # us in a millisecond
 
 
 class EngineReplies:
@@ -148,7 +147,7 @@
             load = [float(loads.get(name, 0)) for name in self.report_fields]
         if not all(map(isfinite, (work_ms, memory_mb, *load))):
             raise ProtocolError("a figure that is none")
-        return ResourceUse(int(work_ms * MS_US), memory_mb, tuple(load))
+        return ResourceUse(int(work_ms * US_PER_MS), memory_mb, tuple(load))
 
 
 def check_page(rows: bytes) -> None:
--- a/gullhold/net/list_change.py
+++ b/gullhold/net/list_change.py
@@ -4,7 +4,7 @@
 
 from gullhold.agreement import index_of
 from gullhold.interface import Agreement, EngineEntry, EngineState
-from gullhold.net import host_port
+from gullhold.net import US_PER_MS, host_port
 from gullhold.net.connection_ends import ProtocolError
 from gullhold.net.engine_ids import EngineIds
 
@@ -15,7 +15,6 @@
     REMOVED_PHASE: EngineState.REMOVED,
 }
 DEFAULT_WEIGHT = 1.0
-US_PER_MS = 1000
 
 
 class ListChange(NamedTuple):
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from gullhold.interface import Outcome
-from gullhold.net import connection_ends, thrift
+from gullhold.net import ceil_to_ms, connection_ends, thrift
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.eventlog import EventKind, LoggedEvent
 from gullhold.net.request_reader import Request
@@ -14,8 +14,6 @@
     from gullhold.net.core import Core
     from gullhold.net.engine_connection import Attempt
 
-MS_US = 1000  # us in a millisecond
-
 
 class PeerAddress(NamedTuple):
     """Where a client connects from: its host, and a name for this connection alone."""
@@ -274,8 +272,3 @@
             self.counters.add("overdue")
             logger.error("command {} was not answered in time", pending.number)
             self.give_up(pending)
-
-
-def ceil_to_ms(duration_us: int) -> int:
-    """Whole milliseconds, rounded up."""
-    return -(-duration_us // MS_US)
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -8,6 +8,7 @@
 
 from gullhold.admission_interface import UNKNOWN_TENANT, KnownRejection, RejectedFlow
 from gullhold.interface import Agreement, Idempotency
+from gullhold.net import US_PER_MS, ceil_to_ms
 from gullhold.net.statement import table_group
 
 if TYPE_CHECKING:
@@ -16,7 +17,6 @@
 FIGURE = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
 TRANSACTION_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}\Z")
 IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-+\--<>-~]*\Z")  # printable, but no separators of RESP field lists
-US_PER_MS = 1000
 TIMEOUT_ROUNDING = 2  # clients may round a profile's timeout up: at most to twice as much
 NO_ORDERING_KEY = 0
 
@@ -138,8 +138,7 @@
 
     def _retry_after(self, wait_us: int) -> dict[bytes, bytes]:
         """Return the fields of a Shed that asks for a wait, rounded up to whole milliseconds."""
-        wait_ms = -(-wait_us // US_PER_MS)
-        return {self._retry_after_field: b"%d" % wait_ms}
+        return {self._retry_after_field: b"%d" % ceil_to_ms(wait_us)}
 
     def _profile(self, fields: Mapping[bytes, bytes]) -> int:
         profile = self._profiles.get(fields.get(b"verb", b""))
--- a/gullhold/simulator_adapter/actions.py
+++ b/gullhold/simulator_adapter/actions.py
@@ -2,11 +2,11 @@
 
 from struct import Struct
 
+from gullhold.agreement import MICROSECONDS
 from gullhold.interface import CancelAttempt, Dispatch, Fail, LogLine, Result, SetTerms, Shed, StartTimer
 from gullhold.simulator_adapter import wire
 from gullhold.simulator_adapter.wire import ActionCode
 
-MICROSECONDS = 1e6  # in a second
 TEXT_MOST = 60_000  # bytes of a text: under the 65535 that its length field holds
 
 
