--- a/gullhold/testing/change_world.py
+++ b/gullhold/testing/change_world.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from gullhold.fleet.clocks import US_PER_SECOND
-from gullhold.fleet.lease import Lease
 from gullhold.fleet.store_calls import GrantLease
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
 from gullhold.rollout.policy_change import Canary, ChangeState, OnSilence, Overlap, PolicyChange
@@ -26,7 +25,7 @@
     decode_change,
     decode_version,
 )
-from gullhold.rollout.vote import CommandFigures
+from gullhold.testing.simulated_rollout_member import SimulatedMember
 from gullhold.testing.store_model import Model
 from gullhold.testing.walking import (
     CALL_FAULTS,
@@ -44,47 +43,11 @@
 FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.DEAF)
 GOOD_TEXT = "good"
 REFUSED_TEXT = "bad"  # a policy that one member refuses
-FAILING_TEXT = "sour"  # a policy under which commands fail
 SETTLING_STEPS = 40  # steps of time in which a world without faults has to settle
 MAX_CALLS_IN_STEP = 80  # calls and replies that are carried out in one of them at most
 PATIENCE_US = 4 * QUANTUM_US
 MAX_OVERLAP_US = TERMS.ttl_s * US_PER_SECOND  # for which members may dispatch under different versions
 CANARY_SHARE = 0.4  # of the members: one of three
-COMMANDS_IN_REPORT = 30  # that a member's figures grow by each time they are asked for
-
-
-class SimulatedMember:
-    """One gateway: clock, lease, decisions, and the version that its core goes by."""
-
-    def __init__(self, world: "World", name: str, rate: float) -> None:
-        """rate: of its clock against the world's."""
-        self.world = world
-        self.name = name
-        self.rate = rate
-        self.cut = False
-        self.lease = Lease(TERMS)
-        self.core_queue: list[AdoptVersion | StopDispatching] = []  # what the core's thread has yet to do
-        self.watched_from: int | None = None  # revision from which it follows changes; None: it does not
-        self.number = 0
-        self.text = ""
-        self.answered = 0
-        self.failed = 0
-        gate = world.make["gate"]
-        member = world.make["member"]
-        self.gate = gate(self.lease, self, TERMS.guaranteed_us(), world.make["cut"])
-        self.member = member(name, self.gate, lambda version: world.fits(version, name), self.figures)
-
-    def __call__(self) -> int:
-        """Its clock, us."""
-        return int(self.world.now * self.rate)
-
-    def figures(self) -> CommandFigures:
-        """More commands at each call, which fail under FAILING_TEXT."""
-        if self.text == FAILING_TEXT:
-            self.failed += COMMANDS_IN_REPORT
-        else:
-            self.answered += COMMANDS_IN_REPORT
-        return CommandFigures(self.answered, self.failed, self.answered)
 
 
 class World(RolePairWorld):
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -12,15 +12,8 @@
 from gullhold.fleet.membership import Membership
 from gullhold.fleet.membership_types import CallPurpose
 from gullhold.testing import walking
-from gullhold.testing.membership_world import (
-    CALL_FAULTS,
-    NAMES,
-    ROLES,
-    Action,
-    ActionKind,
-    MakeMember,
-    World,
-)
+from gullhold.testing.membership_actions import CALL_FAULTS, Action, ActionKind
+from gullhold.testing.membership_world import NAMES, ROLES, MakeMember, World
 
 Draw = Callable[[], float]  # a random fraction, from [0, 1)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -27,7 +27,14 @@
     encode_vote,
 )
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
-from gullhold.testing import budget_explorer, budget_mutants, change_world, changecheck, changemutants
+from gullhold.testing import (
+    budget_explorer,
+    budget_mutants,
+    change_world,
+    changecheck,
+    changemutants,
+    simulated_rollout_member,
+)
 from gullhold.testing.policycheck import Changes, mixed
 from gullhold.testing.walking import ActionKind, FindingKind
 
@@ -63,7 +70,7 @@
     "text, comes",
     [
         (change_world.GOOD_TEXT, True),
-        (change_world.FAILING_TEXT, False),
+        (simulated_rollout_member.FAILING_TEXT, False),
         (change_world.REFUSED_TEXT, False),
     ],
 )
