--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -23,7 +23,7 @@
 from gullhold.net.engine_replies import EngineReplies
 from gullhold.net.event_loop import EventLoop
 from gullhold.net.eventlog import EventLog
-from gullhold.net.pending_requests import Client, PendingRequest, PendingRequests
+from gullhold.net.pending_requests import Client, PendingRequests
 from gullhold.net.request_admission import RequestAdmission
 from gullhold.net.request_reader import Request
 from gullhold.net.shutdown import GracefulShutdown
@@ -108,16 +108,6 @@
         self.endpoint_list = EndpointList(self)
         self.shutdown = GracefulShutdown(self)
 
-    @property
-    def pending(self) -> dict[int, PendingRequest]:
-        """Requests that are not answered yet, or of which an attempt is out, by number."""
-        return self.requests.by_number
-
-    @property
-    def pending_by_txn(self) -> dict[bytes, PendingRequest]:
-        """The same by the id that the client gave."""
-        return self.requests.by_txn
-
     # The thread
 
     def run(self, known: list[tuple]) -> None:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -251,8 +251,8 @@
         core = self.core
         census = core.gateway.census()
         sizes = {
-            "owed": len(core.pending),
-            "txns": len(core.pending_by_txn),
+            "owed": len(core.requests.by_number),
+            "txns": len(core.requests.by_txn),
             "commands": census.commands,
             "threads": census.engine_threads,
             "running": census.engine_attempts,
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -54,12 +54,16 @@
 
     def end(self):
         """End it; it must have nothing open or reserved by then."""
-        until(lambda: not self.core.pending)
+        until(lambda: not self.core.requests.by_number)
         self.core.post(setattr, self.core, "stopped", True)
         until(lambda: self.core.stopped)
         self.listener.sock.close()
         assert not self.count("faults of ours") and not self.count("overdue")
-        assert not self.core.pending and not self.core.pending_by_txn and not self.core.gateway.commands
+        assert (
+            not self.core.requests.by_number
+            and not self.core.requests.by_txn
+            and not self.core.gateway.commands
+        )
         assert not self.core.statement_memory.used
 
 
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -34,7 +34,7 @@
     gateway, client, feed = listless()
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
-    until(lambda: gateway.core.pending)
+    until(lambda: gateway.core.requests.by_number)
     if how == "closes":
         client.sock.close()
     elif how == "ends its side":
@@ -43,7 +43,7 @@
         resets(client.sock, b"fetch")
     else:
         client.interrupt(seq)
-    until(lambda: not gateway.core.pending)
+    until(lambda: not gateway.core.requests.by_number)
     feed.say(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask(txn=b"f%015x" % 7)
     assert other.answer() == (seq, b"a\tb\tc\n")
@@ -73,7 +73,7 @@
     gateway, client, feed = listless(connect_timeout=3.0)
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
-    until(lambda: gateway.core.pending)
+    until(lambda: gateway.core.requests.by_number)
     client.ask("odd")  # unusable: whoever asks so is not listened to for a while
     assert client.answer()[1] == "fault"
     began = time.monotonic()
@@ -81,7 +81,7 @@
         client.sock.close()
     else:
         client.interrupt(seq)
-    until(lambda: not gateway.core.pending)
+    until(lambda: not gateway.core.requests.by_number)
     assert time.monotonic() - began < 1
     feed.say(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask()
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -73,7 +73,7 @@
     for seq in seqs:
         client.interrupt(seq)
     other.sock.close()
-    until(lambda: not gateway.core.pending)
+    until(lambda: not gateway.core.requests.by_number)
 
 
 def test_an_engine_that_drains_gets_nothing_of_what_waits(start):
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -38,12 +38,12 @@
     client.sock.close()
     until(lambda: gateway.count(CLIENT_CLOSED) == 1)
     conn = late.come_up()
-    until(lambda: gateway.count("links up") == 1 and not gateway.core.pending)
+    until(lambda: gateway.count("links up") == 1 and not gateway.core.requests.by_number)
     other = Caller(gateway.address)
     seq = other.ask(txn=b"f%015x" % 2)
     assert b"f%015x" % 1 not in (first := conn.recv(1000)) and b"f%015x" % 2 in first
     other.interrupt(seq)
-    until(lambda: not any(cmd.client for cmd in gateway.core.pending.values()))
+    until(lambda: not any(cmd.client for cmd in gateway.core.requests.by_number.values()))
     conn.close()
 
 
@@ -82,7 +82,7 @@
     assert conn.recv(1000).count(b"fetch") == 1  # the one that was decided under the second
     assert gateway.count("sends taken back") == gateway.count("sends moot") == 1
     client.interrupt(seq)
-    until(lambda: not any(cmd.client for cmd in gateway.core.pending.values()))
+    until(lambda: not any(cmd.client for cmd in gateway.core.requests.by_number.values()))
     conn.close()
 
 
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -44,7 +44,7 @@
     gateway, client = start(engine)
     client.ask()
     until(lambda: engine.words(b"done") or engine.words(b"abort"))
-    until(lambda: not gateway.core.pending)
+    until(lambda: not gateway.core.requests.by_number)
     assert len(engine.words(b"fetch")) == 1
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -275,7 +275,7 @@
     until(lambda: engine.words(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
     assert client.answer() is None  # no answer is owed, and our side ends too
-    until(lambda: engine.words(b"abort") and not gateway.core.pending)
+    until(lambda: engine.words(b"abort") and not gateway.core.requests.by_number)
     assert len(engine.words(b"fetch")) == 1 and not gateway.count("answered")
 
 
@@ -450,7 +450,7 @@
 
 def client_open(gateway):
     """Numbers of all that clients have open."""
-    return {cmd.seq for cmd in gateway.core.pending.values() if cmd.client}
+    return {cmd.seq for cmd in gateway.core.requests.by_number.values() if cmd.client}
 
 
 def test_a_send_of_which_nothing_is_heard_on_a_link_that_works_goes_again(start):
