--- a/tests/decisions/test_command.py
+++ b/tests/decisions/test_command.py
@@ -28,6 +28,8 @@
     for engine, now in ((first, START), (second, START + MS)):
         command.begin_attempt(engine, now)
         command.mark_run()
-    assert command.attempts == 2 and command.engine is second
-    assert command.first_run_engine is first and command.first_run_at == START
+    assert command.attempts == 2
+    assert command.engine is second
+    assert command.first_run_engine is first
+    assert command.first_run_at == START
     assert command.deduplication_until == START + 1500 * MS
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -61,7 +61,8 @@
         for ident in world.out()[:3]:
             world.end(ident, Outcome.ANSWERED, cost=1000 * MS)
         most = max(most, world.gateway.parts.limits.pressure_share)
-    assert world.gateway.parts.queue.by_tenant and 1.0 < most <= 1.5
+    assert world.gateway.parts.queue.by_tenant
+    assert 1.0 < most <= 1.5
 
 
 def test_time_outs_leave_long_commands_less_of_the_bound_until_answers_give_it_back():
@@ -97,4 +98,5 @@
     world.engines()
     after = part()
     answered(world, 400, 1.0)
-    assert after < 0.6 * before and part() > 0.9 * before
+    assert after < 0.6 * before
+    assert part() > 0.9 * before
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -38,7 +38,8 @@
     assert set(queue.by_tenant) == {7, 70_000, 99_999}
     while driver.out():
         driver.end(driver.out()[0], Outcome.ANSWERED)
-    assert not queue.by_tenant and set(queue.latency_sums) | set(queue.dispatched) | set(queue.quotas) <= {
+    assert not queue.by_tenant
+    assert set(queue.latency_sums) | set(queue.dispatched) | set(queue.quotas) <= {
         7,
         70_000,
         99_999,
@@ -62,6 +63,7 @@
     queue.push(high, 0.5)  # its benefit has shrunk: the entry before is void
     assert queue.first(heap) is low
     low.state = high.state = CommandState.ENDED
-    assert queue.first(heap) is None and not heap
+    assert queue.first(heap) is None
+    assert not heap
     queue.drop_if_empty(0)
     assert not queue.by_tenant
--- a/tests/decisions/test_decisions_fleet_budgets.py
+++ b/tests/decisions/test_decisions_fleet_budgets.py
@@ -65,7 +65,8 @@
 def test_a_part_under_one_command_sends_none_of_it():
     world, allot = parted(make_agreement(profile(threads=3)), threads=Part(2))
     world.command()
-    assert not world.out() and allot()[BudgetKind.THREADS, 1] == 3
+    assert not world.out()
+    assert allot()[BudgetKind.THREADS, 1] == 3
 
 
 def test_further_sends_and_commands_taken_of_a_tenant_are_the_fleets():
@@ -84,16 +85,19 @@
     world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
     world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))
     first, second, third = (world.command() for _ in range(3))
-    assert world.commands[third]["final"] == Shed and opened.turned_away == taken.turned_away == 1
+    assert world.commands[third]["final"] == Shed
+    assert opened.turned_away == taken.turned_away == 1
     for one in (first, second):
         world.end(one, Outcome.RESET)
     world.wait(10 * MS)
-    assert len(world.out()) == 1 and further.out == 1
+    assert len(world.out()) == 1
+    assert further.out == 1
     lacks = world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))[-1].demands
     assert (BudgetKind.RETRIES, 0, 1) in lacks
     world.leave(second)
     world.end(world.out()[0], Outcome.ANSWERED)
-    assert opened.out == 0 and taken.out == 0
+    assert opened.out == 0
+    assert taken.out == 0
 
 
 def test_memory_and_cold_work_are_asked_for_and_a_share_sets_the_bound():
@@ -102,13 +106,11 @@
     world.engines((1, 0, 0, EngineState.READY, 0, world.now))
     first = [world.command() for _ in range(3)]
     granted = memory.out
-    assert (
-        0 < granted <= 100 and 0 < cold.out <= 100_000 and world.gateway.parts.limits.share(world.now) == 0.5
-    )
+    assert 0 < granted <= 100
+    assert 0 < cold.out <= 100_000
+    assert world.gateway.parts.limits.share(world.now) == 0.5
     lacks = allot()
-    assert (
-        lacks[BudgetKind.MEMORY, 1] >= 64
-        and lacks[BudgetKind.WARMUP, 1] > 0
-        and lacks[BudgetKind.TRAFFIC_SHARE, 0] >= 3
-    )
+    assert lacks[BudgetKind.MEMORY, 1] >= 64
+    assert lacks[BudgetKind.WARMUP, 1] > 0
+    assert lacks[BudgetKind.TRAFFIC_SHARE, 0] >= 3
     assert len(world.out()) < len(first)
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -50,10 +50,12 @@
     world.wait(5000 * MS)
     for ident in world.out():
         world.end(ident, Outcome.RESET)
-    assert not world.gateway.commands and not world.gateway.parts.key_order.by_key
+    assert not world.gateway.commands
+    assert not world.gateway.parts.key_order.by_key
     world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
     world.engines()
-    assert not world.gateway.parts.thread_use.running_on and not world.gateway.parts.thread_use.total
+    assert not world.gateway.parts.thread_use.running_on
+    assert not world.gateway.parts.thread_use.total
     assert not any(engine.threads or engine.attempts for engine in world.gateway.parts.engines.by_slot)
     return [(type(result), result) for result in world.log]
 
@@ -79,7 +81,8 @@
     assert world.gateway.attempt_ended(world.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
     assert world.gateway.client_left(world.now, 77) == []
     unknown = world.gateway.submit(world.now, 900, 5, 0, 0, world.now + MS, 0, 0.0, 0, False)
-    assert unknown == [Fail(900)] and type(unknown[0]) is Fail
+    assert unknown == [Fail(900)]
+    assert type(unknown[0]) is Fail
     world.command(0, tenant=9, work=0)
     assert len(world.out()) == 1
 
@@ -93,6 +96,5 @@
         if world.commands[ident]["out"]:
             world.end(ident, Outcome.ANSWERED)
     world.wait(8000 * MS)
-    assert world.gateway.parts.estimates.by_profile[0].work_bias > 0 and all(
-        cmd["over"] or cmd["final"] for cmd in world.commands.values()
-    )
+    assert world.gateway.parts.estimates.by_profile[0].work_bias > 0
+    assert all(cmd["over"] or cmd["final"] for cmd in world.commands.values())
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -62,12 +62,14 @@
                 return True
         return False
 
-    assert use(Outcome.RESET, 100) and use(Outcome.ANSWERED, 100)
+    assert use(Outcome.RESET, 100)
+    assert use(Outcome.ANSWERED, 100)
     first_engine = world.gateway.parts.engines.by_id[0]
     first_engine.failure_rate = 0.0
     while use(Outcome.RESET, 100):
         world.now += MS
-    assert 0.15 < first_engine.failure_rate < 0.5 and not use(Outcome.ANSWERED, 100)
+    assert 0.15 < first_engine.failure_rate < 0.5
+    assert not use(Outcome.ANSWERED, 100)
 
 
 def test_an_engine_with_a_send_that_never_ends_gets_nothing_new_where_sends_cannot_be_cancelled():
@@ -125,4 +127,5 @@
     for _ in range(30):  # more than the others' caps
         world.command()
     went = [world.commands[ident]["out"][0] for ident in world.out()]
-    assert len(went) > 4 and (1 in went) == supports_cancel  # where it can be cut off, it has its part
+    assert len(went) > 4
+    assert (1 in went) == supports_cancel
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -19,7 +19,8 @@
         while world.commands[other]["out"]:
             world.end(other, Outcome.ANSWERED)
     engines = world.gateway.parts.engines
-    assert len(engines.by_slot) <= 12 and len(engines.by_id) <= 6
+    assert len(engines.by_slot) <= 12
+    assert len(engines.by_id) <= 6
     assert [engine.slot for engine in engines.by_slot] == list(range(len(engines.by_slot)))
 
 
@@ -27,14 +28,20 @@
     engines = EngineRegistry(make_agreement())
     first = engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
     other = engines.update(EngineEntry(8, 1, 1.0, 1, EngineState.READY, 0, 0))
-    assert engines.ready_cores == 6.0 and list(engines.local) == [first]
+    assert engines.ready_cores == 6.0
+    assert list(engines.local) == [first]
     engines.remove_all_but({other})
-    assert engines.ready_cores == 2.0 and engines.has_removed()
+    assert engines.ready_cores == 2.0
+    assert engines.has_removed()
     now = START + 10_001 * MS
-    assert engines.forget_removed(now, {first}) == [] and 7 in engines.by_id
-    assert engines.forget_removed(now, set()) == [first] and 7 not in engines.by_id
+    assert engines.forget_removed(now, {first}) == []
+    assert 7 in engines.by_id
+    assert engines.forget_removed(now, set()) == [first]
+    assert 7 not in engines.by_id
     new = engines.update(EngineEntry(9, 0, 1.0, 0, EngineState.READY, 0, 0))
-    assert new is not first and new.slot == first.slot and new.sequence > other.sequence
+    assert new is not first
+    assert new.slot == first.slot
+    assert new.sequence > other.sequence
 
 
 def test_a_restart_voids_what_an_engine_showed():
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -38,11 +38,13 @@
         ident = world.command(timeout_us=160 * MS)
         world.wait(20 * MS)
         world.end(ident, Outcome.TIMED_OUT)
-    assert estimate.pace == before[1] and gateway.parts.limits.fleet_slowness == before[0]
+    assert estimate.pace == before[1]
+    assert gateway.parts.limits.fleet_slowness == before[0]
     ident = world.command(timeout_us=3000 * MS)
     world.wait(900 * MS)
     world.end(ident, Outcome.TIMED_OUT)  # a jam is not hidden
-    assert estimate.pace > before[1] and gateway.parts.health.slowness(engine, world.now) > 1
+    assert estimate.pace > before[1]
+    assert gateway.parts.health.slowness(engine, world.now) > 1
 
 
 def test_work_of_a_command_without_an_estimate_is_the_usual_of_its_profile():
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -15,7 +15,8 @@
     assert order.remove(other) is None
     assert order.remove(first) is second
     second.state = CommandState.QUEUED
-    assert order.remove(second) is None and not order.by_key
+    assert order.remove(second) is None
+    assert not order.by_key
 
 
 def test_a_key_is_at_rest_after_an_attempt_of_unknown_end():
@@ -23,4 +24,5 @@
     order.record_outcome(command, Outcome.ERROR, START)
     assert not order.is_settling(command, START)
     order.record_outcome(command, Outcome.RESET, START)
-    assert order.is_settling(command, START + 299 * MS) and not order.is_settling(command, START + 300 * MS)
+    assert order.is_settling(command, START + 299 * MS)
+    assert not order.is_settling(command, START + 300 * MS)
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -37,10 +37,8 @@
     world = reporting()
     answered(world, 20, 0.2)
     answered(world, 5, told)
-    assert (
-        0.0 <= world.gateway.parts.loads.fleet_utilization <= 1.0
-        and 0.0 <= world.gateway.parts.engines.by_slot[0].load <= 1.0
-    )
+    assert 0.0 <= world.gateway.parts.loads.fleet_utilization <= 1.0
+    assert 0.0 <= world.gateway.parts.engines.by_slot[0].load <= 1.0
     ident = world.command()
     world.end(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
     assert out_of(world) > 0
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -32,7 +32,8 @@
     world = Driver(make_agreement())
     world.engines(*[(ident, 0, 0, EngineState.READY, 0, START - 1) for ident in range(2000)])
     world.command(work=2_000_000)  # too much for any of them while it is cold
-    assert not world.out() and 0 < len(looked) < 1000
+    assert not world.out()
+    assert 0 < len(looked) < 1000
 
 
 def test_a_note_of_waiting_for_a_load_keeps_its_data_set_off():
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -20,7 +20,8 @@
         world.give_up(ident)
         final = next(result for result in world.log if isinstance(result, Shed | Fail))
         assert (type(final), final.command) == (verb, ident)
-        assert not world.gateway.commands and not world.gateway.parts.thread_use.total
+        assert not world.gateway.commands
+        assert not world.gateway.parts.thread_use.total
 
 
 def test_a_non_replayable_send_that_was_turned_away_unseen_goes_again():
@@ -29,7 +30,8 @@
     world.engines(*READY4)
     ident = world.command()
     world.end(ident, Outcome.OVERLOADED)
-    assert world.out() == [ident] and not any(isinstance(result, Shed) for result in world.log)
+    assert world.out() == [ident]
+    assert not any(isinstance(result, Shed) for result in world.log)
     world.end(ident, Outcome.ERROR)
     assert Fail(ident) in world.results_of(Fail)
 
@@ -47,7 +49,8 @@
             world.leave(ident)
         while world.commands[ident]["out"]:
             world.end(ident, Outcome.CANCELLED if i % 2 else Outcome.ERROR)
-    assert len(world.extras) == 3 and world.gateway.parts.traffic.count < 40
+    assert len(world.extras) == 3
+    assert world.gateway.parts.traffic.count < 40
     world.wait(40_000 * MS)
     for _ in range(8):
         world.end(world.command(), Outcome.ANSWERED)
@@ -68,5 +71,6 @@
             used.append(world.commands[ident]["out"][0])
             world.end(ident, Outcome.ERROR)
         assert world.commands[ident]["final"] == Shed
-        assert len(set(used)) == 2 and used[-1] not in used[:-1]
+        assert len(set(used)) == 2
+        assert used[-1] not in used[:-1]
         world.wait(60_000 * MS)  # its marks fade
--- a/tests/decisions/test_review_schedule.py
+++ b/tests/decisions/test_review_schedule.py
@@ -19,7 +19,8 @@
     world = Driver(make_agreement(profile()))
     world.engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
     world.command(timeout_us=WORK // 2)
-    assert not world.out() and not world.gateway.commands
+    assert not world.out()
+    assert not world.gateway.commands
     ident = world.command(timeout_us=WORK + 100 * MS)
     assert world.out() == [ident]
 
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -30,13 +30,15 @@
 
 def test_what_may_run_on_is_over_once_its_engine_began_anew():
     world, _ = jammed()
-    assert world.gateway.parts.thread_use.total >= 4 and world.gateway.parts.thread_use.running_on
+    assert world.gateway.parts.thread_use.total >= 4
+    assert world.gateway.parts.thread_use.running_on
     for ident in world.out():
         world.end(ident, Outcome.RESET)
     born = world.now - 20_000 * MS  # seen anew and warm
     world.engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
     out = sum(world.commands[ident]["kind"].threads for ident in world.out())
-    assert world.gateway.parts.thread_use.total == out and not world.gateway.parts.thread_use.running_on
+    assert world.gateway.parts.thread_use.total == out
+    assert not world.gateway.parts.thread_use.running_on
 
 
 def test_threads_of_a_timed_out_attempt_are_held_for_two_ages():
@@ -45,7 +47,8 @@
     use.release_ended(START + 299 * MS)
     assert (use.total, engine.threads, engine.attempts) == (3, 3, 1)
     use.release_ended(START + 300 * MS)
-    assert (use.total, engine.threads, engine.attempts) == (0, 0, 0) and not use.running_on
+    assert (use.total, engine.threads, engine.attempts) == (0, 0, 0)
+    assert not use.running_on
 
 
 def test_threads_that_ran_on_are_free_once_their_engine_has_restarted():
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -224,9 +224,9 @@
                 command["until"] = min(result.deadline_us, command["timeout_at"])
                 command["sends"].append(self.now)
             elif isinstance(result, CancelAttempt):
-                assert (
-                    self.agreement.supports_cancel and command["out"] and command["out"][2] == result.attempt
-                )
+                assert self.agreement.supports_cancel
+                assert command["out"]
+                assert command["out"][2] == result.attempt
 
     def results_of(self, result_type):
         """The results of one type so far: those of other types may have equal fields."""
@@ -234,12 +234,12 @@
 
     def check_final(self, final, command):
         """Rules 1 and 2: one answer in time; shed only where a repeat does no harm."""
-        assert not command["over"] and self.now <= command["timeout_at"] and not command["out"]
+        assert not command["over"]
+        assert self.now <= command["timeout_at"]
+        assert not command["out"]
         if final == Shed and command["ran"] and command["kind"].idempotency != Idempotency.IDEMPOTENT:
-            assert (
-                command["kind"].idempotency == Idempotency.KEYED
-                and command["kind"].dedup_scope == DeduplicationScope.FLEET
-            )
+            assert command["kind"].idempotency == Idempotency.KEYED
+            assert command["kind"].dedup_scope == DeduplicationScope.FLEET
             assert self.now < command["ran"][1] + command["kind"].dedup_window_us
 
     def check_send(self, ident, command, engine):
@@ -247,14 +247,14 @@
         agreement = self.agreement
         kind = command["kind"]
         listed = self.fleet[engine]
-        assert not command["over"] and self.now < command["timeout_at"]
+        assert not command["over"]
+        assert self.now < command["timeout_at"]
         assert not command["out"], "two attempts at once"
         assert len(command["sends"]) < agreement.max_attempts
         assert listed["state"] == EngineState.READY, "dispatched to an engine that drains or is removed"
         if command["ran"] and kind.idempotency != Idempotency.IDEMPOTENT:
-            assert (
-                kind.idempotency == Idempotency.KEYED and self.now < command["ran"][1] + kind.dedup_window_us
-            )
+            assert kind.idempotency == Idempotency.KEYED
+            assert self.now < command["ran"][1] + kind.dedup_window_us
             first = self.fleet[command["ran"][0]]
             for scope, name in ((DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")):
                 assert kind.dedup_scope != scope or first[name] == listed[name], (
--- a/tests/faults/test_clock.py
+++ b/tests/faults/test_clock.py
@@ -32,7 +32,8 @@
         until(lambda: first.fetches >= 60)  # within a second or so, in which it stands next to nothing
         cold, share = second.fetches, second.fetches / first.fetches
         until(lambda: second.fetches >= cold + 30)  # what it stands grows from the first second on
-        assert share <= 0.35 and not played.play(0.1)
+        assert share <= 0.35
+        assert not played.play(0.1)
 
 
 @pytest.mark.parametrize("step_s", [-HOUR_S, 5, HOUR_S])
@@ -42,8 +43,10 @@
         played.ask(4)
         time.sleep(0.4)
         plan.step_wall_clock(step_s)
-        assert not played.play(0.8) and played.record.counts["answered"] > 100
+        assert not played.play(0.8)
+        assert played.record.counts["answered"] > 100
         assert set(played.record.counts) == {"answered"}
         began = time.monotonic()
         played.process.send_signal(signal.SIGTERM)
-        assert played.process.wait(PATIENCE) == 0 and time.monotonic() - began < 4
+        assert played.process.wait(PATIENCE) == 0
+        assert time.monotonic() - began < 4
--- a/tests/faults/test_descriptors.py
+++ b/tests/faults/test_descriptors.py
@@ -18,6 +18,8 @@
         played.ask(16, burst=2, size=10 * PART)
         played.ask(8, leaves=0.5, pages=2)
         breaks = played.play(2.5)
-        assert plan.hits("send") > 100 and played.record.counts["answered"] > 50
+        assert plan.hits("send") > 100
+        assert played.record.counts["answered"] > 50
         assert not breaks
-        assert played.process.poll() is None and "Traceback" not in played.text()
+        assert played.process.poll() is None
+        assert "Traceback" not in played.text()
--- a/tests/faults/test_durable.py
+++ b/tests/faults/test_durable.py
@@ -121,7 +121,8 @@
         assert {key: (item.value, item.mod_revision) for key, item in one.keys.items()} == {
             key: (item.value, item.mod_revision) for key, item in other.keys.items()
         }
-        assert set(one.leases) == set(other.leases) and one.revision == other.revision
+        assert set(one.leases) == set(other.leases)
+        assert one.revision == other.revision
         assert one.history == other.history
 
 
--- a/tests/faults/test_refusals.py
+++ b/tests/faults/test_refusals.py
@@ -18,7 +18,8 @@
         played.ask(6, limit_ms=4000)
         until(lambda: plan.hits("thread") > 10 and played.record.counts.get("answered", 0) > 100)
         breaks = played.play(0.5)
-        assert not breaks and "Traceback" not in played.text()
+        assert not breaks
+        assert "Traceback" not in played.text()
 
 
 @pytest.mark.parametrize(
@@ -40,6 +41,7 @@
         plan.clear()
         until(played.serves)
         played.ask(2)
-        assert not played.play(0.5) and played.record.counts["answered"] > 4
+        assert not played.play(0.5)
+        assert played.record.counts["answered"] > 4
         played.process.send_signal(signal.SIGTERM)
         assert played.process.wait(PATIENCE) == 0
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -82,4 +82,5 @@
         for client in clients:
             client.join(PATIENCE)
         assert [client.lost() for client in clients] == [[]] * len(clients)
-        assert not played.record.breaks and "Traceback" not in played.text()
+        assert not played.record.breaks
+        assert "Traceback" not in played.text()
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -58,12 +58,11 @@
         self.core.post(setattr, self.core, "stopped", True)
         until(lambda: self.core.stopped)
         self.listener.sock.close()
-        assert not self.count("faults of ours") and not self.count("overdue")
-        assert (
-            not self.core.requests.by_number
-            and not self.core.requests.by_txn
-            and not self.core.gateway.commands
-        )
+        assert not self.count("faults of ours")
+        assert not self.count("overdue")
+        assert not self.core.requests.by_number
+        assert not self.core.requests.by_txn
+        assert not self.core.gateway.commands
         assert not self.core.statement_memory.used
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -93,7 +93,8 @@
                     (self.open[i]["tenant"], self.open[i]["profile"]) == (cmd["tenant"], cmd["profile"])
                     for i in self.held
                 )
-                assert lane <= self.rule.window and len(self.held) <= self.rule.held
+                assert lane <= self.rule.window
+                assert len(self.held) <= self.rule.held
             else:
                 assert isinstance(decision, Reject)
                 assert self.now <= cmd["timeout_at"], "too late"
@@ -156,8 +157,10 @@
             return
         queue = self.queue
         here = [ident for ident, cmd in self.open.items() if cmd["state"] == "door"]
-        assert queue.queued_count == len(here) <= self.rule.waiting and set(queue.commands) == set(self.open)
-        assert queue.forwarded_count == len(self.held) and queue.queued_bytes == 100 * len(here)
+        assert queue.queued_count == len(here) <= self.rule.waiting
+        assert set(queue.commands) == set(self.open)
+        assert queue.forwarded_count == len(self.held)
+        assert queue.queued_bytes == 100 * len(here)
         for ident in here:
             assert self.now <= self.open[ident]["timeout_at"]
         queued = sum(
@@ -177,7 +180,9 @@
             <= self.rule.exact
         )
         if not self.open:
-            assert not queue.commands_by_key and not queue.forwarded_by_lane and not queue.forwarded_count
+            assert not queue.commands_by_key
+            assert not queue.forwarded_by_lane
+            assert not queue.forwarded_count
 
 
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 7), st.integers(0, 1), st.integers(0, 3))
@@ -210,7 +215,8 @@
         else:
             world.queue.set_weights((0.1 + key, 0.5), {str(client): 1.0 + key})
     world.wait(10 * SECOND)
-    assert not world.open and len(world.ended) == world.serial
+    assert not world.open
+    assert len(world.ended) == world.serial
 
 
 def crowd(world, span, **clients):
@@ -272,10 +278,8 @@
             world.queue.attempt_ended(world.now, ident, 100, True)
             world.queue.command_ended(world.now, ident)
         world.now += 100
-        assert (
-            len(world.queue.flow_table.tenants) < 600
-            and len(world.queue.forwarded_by_lane) <= world.rule.held
-        )
+        assert len(world.queue.flow_table.tenants) < 600
+        assert len(world.queue.forwarded_by_lane) <= world.rule.held
     assert world.queue.flow_table.exact_flow_count <= 2, "one-off clients took queues of their own"
 
 
@@ -321,7 +325,8 @@
         assert known >= true[name] - 1
     heavy = [name for name, count in true.items() if count > 200]
     light = [name for name, count in true.items() if count < 3]
-    assert all(sketch.add(name, 0.0) < 60 for name in light) and len(heavy) > 5
+    assert all(sketch.add(name, 0.0) < 60 for name in light)
+    assert len(heavy) > 5
 
 
 def test_a_flow_idle_for_an_hour_returns_with_a_burst_and_gets_its_share_only():
@@ -337,7 +342,8 @@
     world = World(weights=(1.0,), slots=1)
     first = [world.ask(work=SECOND, limit=3 * SECOND) for _ in range(8)]
     world.wait(8 * SECOND)
-    assert set(first) <= set(world.ended) and "refused" in world.ended.values()
+    assert set(first) <= set(world.ended)
+    assert "refused" in world.ended.values()
     at = [at for at, decision in world.log if isinstance(decision, Reject)]
     assert all(SECOND + 2900 * MS <= when <= 4 * SECOND for when in at)
 
@@ -348,7 +354,9 @@
     for ident in reversed(many):
         if ident in world.open:
             world.leave(ident)
-    assert not world.queue.commands and not world.queue.queued_count and not world.queue.forwarded_count
+    assert not world.queue.commands
+    assert not world.queue.queued_count
+    assert not world.queue.forwarded_count
     assert world.queue.flow_table.fair_queue.backlogged_count == 0
 
 
@@ -399,7 +407,8 @@
     assert many > 50 and told >= 0.9, (told, many)
     assert world.queue.retry_scheduler.window_count <= world.rule.come_back.all
     at_once, others, _ = overload("at once", seed)
-    assert others > many and at_once < told
+    assert others > many
+    assert at_once < told
 
 
 def test_one_who_comes_back_too_early_gains_nothing_and_pushes_nobody_back():
@@ -426,12 +435,16 @@
     flow = lambda fields, address: identifier.flow(fields, None, address, address + ":1")  # noqa: E731
     assert flow({b"desk": b"7"}, "10.9.9.9") == flow({b"desk": b"7"}, "10.1.1.1") == b"c:7"
     assert flow({}, "10.9.9.9") == flow({}, "10.8.1.1") == b"n:offices"
-    assert flow({}, "10.1.9.9") == b"n:10.1.9.9:1" and flow({}, "10.1.2.3") == b"n:10.1.2.3"
-    assert flow({}, "2001:db8::5") == b"n:six" and flow({}, "192.0.2.1") == b"a:192.0.2.1:1"
+    assert flow({}, "10.1.9.9") == b"n:10.1.9.9:1"
+    assert flow({}, "10.1.2.3") == b"n:10.1.2.3"
+    assert flow({}, "2001:db8::5") == b"n:six"
+    assert flow({}, "192.0.2.1") == b"a:192.0.2.1:1"
     assert len(flow({b"desk": b"x" * 5000}, "10.9.9.9")) < 20
-    assert identifier.tenant(b"b") == (1, None) and identifier.tenant(b"zz") == (UNKNOWN_TENANT, None)
+    assert identifier.tenant(b"b") == (1, None)
+    assert identifier.tenant(b"zz") == (UNKNOWN_TENANT, None)
     opened = ClientIdentifier(made, ["a", "b"], tenant_of_others=1)
-    assert opened.tenant(b"zz") == (1, b"zz") and opened.flow({}, b"zz", "10.9.9.9", "x") == b"t:zz"
+    assert opened.tenant(b"zz") == (1, b"zz")
+    assert opened.flow({}, b"zz", "10.9.9.9", "x") == b"t:zz"
 
 
 def test_a_flow_parked_again_and_again_does_not_take_the_turn_of_one_that_asks_rarely():
@@ -448,7 +461,8 @@
             asked[world.ask(b"c:polite")] = world.now
         world.wait(2 * MS)
         waits += [world.now - asked.pop(ident) for ident in list(asked) if ident in world.ended]
-    assert len(waits) > 30 and sorted(waits)[int(0.95 * len(waits))] <= 110 * MS
+    assert len(waits) > 30
+    assert sorted(waits)[int(0.95 * len(waits))] <= 110 * MS
 
 
 def test_what_is_shut_is_only_what_would_be_turned_away_with_no_word_and_only_shortly():
@@ -456,7 +470,8 @@
     crowd(world, 3 * SECOND, **{"c:a": 60})
     assert set(world.queue.known_rejections) == {(0, b"c:a", 0)}
     until, first = world.queue.known_rejections[0, b"c:a", 0]
-    assert until <= world.now + 50 * MS and (first is None or first > 0)
+    assert until <= world.now + 50 * MS
+    assert first is None or first > 0
     for i in range(3000):  # bounded whatever the names
         command = next(iter(world.queue.commands.values()))
         command.client = b"%d" % i
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -52,16 +52,13 @@
     said = read_agreement(tree)
     assert said == read_agreement(parse_tree("\n".join(lines(tree)).replace("True", "true")))
     first = said.profiles[0]
-    assert (
-        first.zones == {1}
-        and first.engine_kinds == {1}
-        and first.ordered
-        and first.loads_dataset
-        and first.threads == 2
-    )
-    assert (
-        said.connect_timeout_us == 250_000
-        and said.report_fields == ("inflight", "x0")
-        and said.retry_budget_base == 3.0
-    )
-    assert read_agreement({}).profiles == () and read_agreement({}).retry_budget_base is None
+    assert first.zones == {1}
+    assert first.engine_kinds == {1}
+    assert first.ordered
+    assert first.loads_dataset
+    assert first.threads == 2
+    assert said.connect_timeout_us == 250_000
+    assert said.report_fields == ("inflight", "x0")
+    assert said.retry_budget_base == 3.0
+    assert read_agreement({}).profiles == ()
+    assert read_agreement({}).retry_budget_base is None
--- a/tests/test_budget_allocations.py
+++ b/tests/test_budget_allocations.py
@@ -15,12 +15,18 @@
 def test_an_allocation_holds_while_its_lease_does_and_cancels_nothing():
     clock = Clock()
     allocations, allocation, lease = allocation_of(LedgerKind.HELD, clock, reserve=1, settle_us=S)
-    assert spend(allocation) and not spend(allocation)  # its reserve
+    assert spend(allocation)
+    assert not spend(allocation)
     allocations.begin_lease(7)
     allocations.apply_write(7, 5, {"b/0": 3})
-    assert spend(allocation) and spend(allocation) and spend(allocation) and not spend(allocation)
+    assert spend(allocation)
+    assert spend(allocation)
+    assert spend(allocation)
+    assert not spend(allocation)
     allocations.apply_write(7, 6, {"b/0": 1})
-    assert allocation.in_use == 4 and not allocation.allows(1) and allocations.was_reduced
+    assert allocation.in_use == 4
+    assert not allocation.allows(1)
+    assert allocations.was_reduced
     # Three of its allocation, four at once, one more wanted.
     assert allocations.report(()) == {"b/0": Usage(3, 4, 5)}
     allocations.apply_write(7, 5, {"b/0": 9})  # an older write
@@ -28,11 +34,13 @@
     allocation.release(1)
     allocation.release(1)
     allocation.release(1, confirmed=False)
-    assert allocation.used(clock.now) == 2 and allocation.used(S) == 1  # cancelled work counts for a while
+    assert allocation.used(clock.now) == 2
+    assert allocation.used(S) == 1
     clock.now = S
     assert allocation.allows(1)
     lease.clear()
-    assert allocation.limit() == allocation.available_reserve(clock.now) == 1 and not allocation.allows(1)
+    assert allocation.limit() == allocation.available_reserve(clock.now) == 1
+    assert not allocation.allows(1)
     lease.renew(8, S)  # another lease: what was read under the first holds no more
     assert allocation.limit() == 1
     allocations.begin_lease(8)
@@ -68,18 +76,22 @@
     allocations.apply_write(7, 1, {"b/0": 2})
     assert spend(allocation)
     clock.now = S
-    assert spend(allocation) and not spend(allocation)  # the reserve may still be an earlier process's
+    assert spend(allocation)
+    assert not spend(allocation)
     clock.now = 4 * S
-    assert spend(allocation) and not spend(allocation)
+    assert spend(allocation)
+    assert not spend(allocation)
     clock.now = 5 * S
-    assert spend(allocation) and allocations.report(())["b/0"][:2] == (2, 3)
+    assert spend(allocation)
+    assert allocations.report(())["b/0"][:2] == (2, 3)
 
 
 def test_an_allocation_that_is_too_small_for_one_command_counts_as_used():
     allocations, allocation, _ = allocation_of(LedgerKind.HELD)
     allocations.begin_lease(7)
     allocations.apply_write(7, 1, {"b/0": 2})
-    assert not allocation.allows(3) and allocations.report((Demand(KIND, 0, 3),)) == {"b/0": Usage(0, 2, 3)}
+    assert not allocation.allows(3)
+    assert allocations.report((Demand(KIND, 0, 3),)) == {"b/0": Usage(0, 2, 3)}
     assert allocations.report(()) == {"b/0": NO_USAGE}
 
 
@@ -99,7 +111,8 @@
     assert allocations(KIND, 5).allocated == 3  # the last write holds until the next
     allocations(KIND, 6).release(1)
     allocations.report(())
-    assert allocations.report(()) == {} and not allocations.allocations
+    assert allocations.report(()) == {}
+    assert not allocations.allocations
 
 
 def test_a_report_is_worth_a_write_when_others_could_have_more_or_it_lacks():
@@ -139,4 +152,5 @@
     assert demand.credited(IDLE_TIMEOUT_US) == 0
     assert demand.due() == IDLE_TIMEOUT_US
     demand.report(6, 100, 10, IDLE_TIMEOUT_US)
-    assert demand.credited(9 * IDLE_TIMEOUT_US) == 100 and demand.due() is None
+    assert demand.credited(9 * IDLE_TIMEOUT_US) == 100
+    assert demand.due() is None
--- a/tests/test_budget_allocator.py
+++ b/tests/test_budget_allocator.py
@@ -30,14 +30,16 @@
 def test_where_all_demand_is_at_one_of_six_it_gets_nearly_all_and_even_demand_is_served_evenly():
     names = [f"m{i}" for i in range(6)]
     allocations = settle(fleet(*names), {"m2": 500})
-    assert allocations["m2"] / 60 >= 0.9 and sum(allocations.values()) == 60
+    assert allocations["m2"] / 60 >= 0.9
+    assert sum(allocations.values()) == 60
     assert set(settle(fleet(*names), dict.fromkeys(names, 500)).values()) == {10}
 
 
 def test_a_fleet_at_rest_writes_nothing_and_who_wants_less_gives_up_what_others_want():
     allocator = fleet("a", "b")
     settle(allocator, {"a": 100})
-    assert not allocator.changed and allocator.allocate(9, 0) == {}
+    assert not allocator.changed
+    assert allocator.allocate(9, 0) == {}
     allocator.report("a", 9, {"b": NO_USAGE}, 0)
     allocator.report("b", 9, {"b": Usage(0, 1, 100)}, 0)
     assert allocator.allocate(10, 0) == {"a": {"b": 1}}
@@ -66,7 +68,8 @@
         "b", 1, {f"b{i}": Usage(0, 9, 9) for i in range(50)}, 0
     )  # a does not know of its reductions
     seen = [set(allocator.allocate(2 + turn, 0, max_budgets=20).get("a", ())) for turn in range(3)]
-    assert [len(names) for names in seen] == [20, 20, 10] and len(set.union(*seen)) == 50
+    assert [len(names) for names in seen] == [20, 20, 10]
+    assert len(set.union(*seen)) == 50
 
 
 def test_demand_that_alternates_moves_parts_and_never_more_than_the_whole():
@@ -87,10 +90,12 @@
 def test_a_thousand_members_share_a_whole_of_a_hundred_and_the_next_divider_goes_on():
     allocator = fleet(*(f"m{i}" for i in range(1000)), b=Budget(LedgerKind.HELD, 100, linger_us=S))
     allocations = settle(allocator, {f"m{i}": 1 for i in range(500, 600)})
-    assert sum(allocations.values()) == 100 and sum(allocations[f"m{i}"] for i in range(500, 600)) == 100
+    assert sum(allocations.values()) == 100
+    assert sum(allocations[f"m{i}"] for i in range(500, 600)) == 100
     other = Allocator({"b": Budget(LedgerKind.HELD, 100, linger_us=S)})
     other.load({member: allocator.row(member) for member in allocator.present}, 0)
-    assert other.ledgers["b"].charged(0) == 100 and len(other.rows) == 100
+    assert other.ledgers["b"].charged(0) == 100
+    assert len(other.rows) == 100
     other.member_left("m550", 0)
     other.report("new", 0, {"b": Usage(0, 0, 5)}, 0)
     other.allocate(50, 0)
@@ -125,10 +130,14 @@
     assert allocator.ledgers["threads/7"].allocations() == {"a": 3}
     allocator.report("a", 1, {"threads/7": Usage(0, 1, 1)}, 0)
     allocator.allocate(2, 0, max_budgets=1000)
-    assert allocator.row("a")["threads/8"][0] == 0 and len(allocator.ledgers) == 300  # it may not know yet
+    assert allocator.row("a")["threads/8"][0] == 0
+    assert len(allocator.ledgers) == 300
     allocator.report("a", 2, {"threads/7": Usage(0, 1, 1)}, 0)
     allocator.allocate(3, 0, max_budgets=1000)
-    assert set(allocator.ledgers) == {"threads/7"} and set(allocator.row("a")) == {"threads/7"}
+    assert set(allocator.ledgers) == {"threads/7"}
+    assert set(allocator.row("a")) == {"threads/7"}
     allocator.member_left("a", 0, {})
     allocator.allocate(4, 0)
-    assert not allocator.ledgers and allocator.departed == {"a"} and allocator.row("a") == {}
+    assert not allocator.ledgers
+    assert allocator.departed == {"a"}
+    assert allocator.row("a") == {}
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -23,7 +23,8 @@
     ledger.report("a", 2, 7, 0)  # it has, and still has seven in use
     assert ledger.reallocate({"a": 4, "b": 6}, 3, 0) == {"b": 3}
     ledger.report("a", 2, 4, 0)
-    assert ledger.reallocate({"a": 4, "b": 6}, 4, 0) == {"b": 6} and ledger.charged(0) == 10
+    assert ledger.reallocate({"a": 4, "b": 6}, 4, 0) == {"b": 6}
+    assert ledger.charged(0) == 10
     ledger.report("a", 1, 0, 0)  # an older report
     assert ledger.available(0) == 0
 
@@ -57,14 +58,17 @@
     assert ledger.reallocate({"a/2": 10}, 2, 7 * S) == {"a/2": 10}
     ledger.report("a/2", 2, 0, 7 * S)
     ledger.member_left("a/2", 7 * S, spent=0)
-    assert ledger.available(7 * S) == 10 and not ledger.reallocate({}, 3, 7 * S) and ledger.entries == {}
+    assert ledger.available(7 * S) == 10
+    assert not ledger.reallocate({}, 3, 7 * S)
+    assert ledger.entries == {}
 
 
 def test_a_whole_lowered_below_what_is_out_gives_nothing_until_it_has_come_down():
     ledger = Ledger(LedgerKind.HELD, 10)
     ledger.reallocate({"a": 10}, 1, 0)
     ledger.total = 4
-    assert ledger.available(0) == -6 and ledger.reallocate({"a": 4, "b": 1}, 2, 0) == {"a": 4}
+    assert ledger.available(0) == -6
+    assert ledger.reallocate({"a": 4, "b": 1}, 2, 0) == {"a": 4}
     assert ledger.reallocate({"a": 4, "b": 1}, 2, 0) == {}
     ledger.report("a", 2, 8, 0)
     assert ledger.reallocate({"a": 4, "b": 1}, 3, 0) == {}
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -35,9 +35,11 @@
     report = state.collected(0, collected(), True)
     assert report == UsageReport(0, {"b/0": Usage(0, 0, 0)})
     assert state.collected(S, collected(used=9, requested=12), True) is None  # the first is under way
-    assert state.written(7, Reply(Proof.DONE, 5)) and state.revision == 5
+    assert state.written(7, Reply(Proof.DONE, 5))
+    assert state.revision == 5
     assert state.collected(2 * S, collected(used=9, requested=12), True)
-    assert not state.written(7, Reply(Proof.DONE, 6)) and state.revision == 6  # the row is followed since
+    assert not state.written(7, Reply(Proof.DONE, 6))
+    assert state.revision == 6
 
 
 def test_a_report_that_was_refused_is_written_again_over_what_is_stored():
@@ -45,9 +47,11 @@
     assert state.collected(0, collected(), True)
     stored = KeyValue("budget/asks/a/7", "{}", 4)
     assert not state.written(7, Reply(Proof.DONE, 9, succeeded=False, items=(stored,)))
-    assert state.revision == 4 and not state.is_row_read
+    assert state.revision == 4
+    assert not state.is_row_read
     assert state.collected(S, collected(), True)
-    assert not state.written(7, Reply(Proof.UNKNOWN)) and state.revision == 0
+    assert not state.written(7, Reply(Proof.UNKNOWN))
+    assert state.revision == 0
     assert state.collected(2 * S, collected(), True)
 
 
@@ -57,15 +61,18 @@
     assert state.collected(0, collected(), False) is None
     assert state.collected(0, collected(), True)
     state.begin_lease(8)
-    assert not state.written(7, Reply(Proof.DONE, 5)) and state.revision == 0
+    assert not state.written(7, Reply(Proof.DONE, 5))
+    assert state.revision == 0
 
 
 def test_usage_is_collected_seldom_while_nothing_changes_and_soon_while_something_does():
     state = reporting()
     assert not state.should_collect(S, True)  # one is under way
     state.collected(0, collected(), True)
-    assert state.due(0, False) == LOOK_US * QUIET_INTERVALS and state.due(0, True) == 0
-    assert not state.should_collect(LOOK_US, False) and state.should_collect(LOOK_US, True)
+    assert state.due(0, False) == LOOK_US * QUIET_INTERVALS
+    assert state.due(0, True) == 0
+    assert not state.should_collect(LOOK_US, False)
+    assert state.should_collect(LOOK_US, True)
     state.hasten()
     assert state.should_collect(LOOK_US, False)
     state.collected(S, collected(in_use=12), True)  # more in use than is allocated
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -47,7 +47,8 @@
 def test_a_part_under_one_command_is_of_no_use_and_turns_go_round():
     demands = dict.fromkeys("abcd", 3)
     shares = max_min_shares(10, demands, even("abcd"), 1, granularity=3)
-    assert sorted(shares.values()) == [0, 3, 3, 4] and sum(shares.values()) == 10
+    assert sorted(shares.values()) == [0, 3, 3, 4]
+    assert sum(shares.values()) == 10
     assert max_min_shares(2, demands, even("abcd"), 0, first=2) == {"a": 0, "b": 0, "c": 1, "d": 1}
     assert sum(max_min_shares(2, demands, even("abcd"), 0, granularity=3).values()) == 2
 
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -46,7 +46,8 @@
     until(lambda: len(inside.decoder.buffer) or inside.is_ending)
     client.sock.close()
     until(lambda: not gateway.listener.clients)
-    assert not engine.told and gateway.core.gateway.submitted == 0
+    assert not engine.told
+    assert gateway.core.gateway.submitted == 0
 
 
 def test_a_request_read_just_before_the_end_is_said_and_handed_on_after_it_goes_nowhere(start):
@@ -58,7 +59,8 @@
         until(lambda: inside.handed_over_count == 1)
         inside.write_buffer.finish()  # as it would be, had the core looked an instant earlier
     until(lambda: gateway.count("interrupted") == 1)
-    assert half_reading(client) == (b"", True) and not engine.told
+    assert half_reading(client) == (b"", True)
+    assert not engine.told
 
 
 def test_a_check_that_waits_in_the_cores_queue_is_answered_before_an_end_for_idleness(start):
@@ -71,7 +73,8 @@
         until(lambda: inside.quiet_at > quiet)
         inside.dismiss()
         until(lambda: inside.end_requested)
-    assert client.answer() == (seq, b"") and half_reading(client) == (b"", True)
+    assert client.answer() == (seq, b"")
+    assert half_reading(client) == (b"", True)
 
 
 def test_an_end_over_unread_bytes_takes_no_answer_along(start):
@@ -83,7 +86,8 @@
     until(lambda: gateway.count("answered") == 30)
     client.sock.sendall(b"\xff\xff\xff\xff" + b"noise" * 20_000)
     answers = [client.answer() for _ in asked]
-    assert {seq for seq, _ in answers} == set(asked) and all(body == rows * 8 for _, body in answers)
+    assert {seq for seq, _ in answers} == set(asked)
+    assert all(body == rows * 8 for _, body in answers)
     assert half_reading(client) == (b"", True)
 
 
@@ -93,7 +97,8 @@
     inside = idle(gateway, client)
     inside.dismiss()
     assert half_reading(client) == (b"", True)
-    assert gateway.listener.clients and inside.connection.fileno() >= 0
+    assert gateway.listener.clients
+    assert inside.connection.fileno() >= 0
     until(lambda: not gateway.listener.clients)
     assert inside.connection.fileno() < 0
 
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -5,10 +5,10 @@
 
 
 def test_how_a_connection_ended_says_whether_a_send_may_have_run():
-    assert outcome(True) == Outcome.RESET and outcome(False) == Outcome.CONNECT_FAILED
-    assert outcome(False) in NEVER_RAN and outcome(True) not in NEVER_RAN
+    assert outcome(True) == Outcome.RESET
+    assert outcome(False) == Outcome.CONNECT_FAILED
+    assert outcome(False) in NEVER_RAN
+    assert outcome(True) not in NEVER_RAN
     assert of_error(ConnectionRefusedError(), True) == ConnectionEnd.REFUSED
-    assert (
-        of_error(TimeoutError(), True) == ConnectionEnd.NOT_UP
-        and of_error(ConnectionResetError()) == ConnectionEnd.RESET
-    )
+    assert of_error(TimeoutError(), True) == ConnectionEnd.NOT_UP
+    assert of_error(ConnectionResetError()) == ConnectionEnd.RESET
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -20,4 +20,5 @@
     environment = os.environ | {"PYTHONDONTWRITEBYTECODE": "1"}
     start = subprocess.run(words, cwd=tmp_path, env=environment, capture_output=True, text=True, check=True)
     loaded = [line for line in start.stderr.splitlines() if "code object from" in line and "gullhold" in line]
-    assert len(loaded) > 15 and not [line for line in loaded if line.strip("'").endswith(".py")]
+    assert len(loaded) > 15
+    assert not [line for line in loaded if line.strip("'").endswith(".py")]
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -34,12 +34,10 @@
     for gateway in made:
         gateway.end()
         door = gateway.core.admission_queue
-        assert (
-            not door.commands
-            and not door.queued_count
-            and not door.forwarded_count
-            and not door.commands_by_key
-        )
+        assert not door.commands
+        assert not door.queued_count
+        assert not door.forwarded_count
+        assert not door.commands_by_key
     for engine in engines:
         engine.close()
 
@@ -60,7 +58,8 @@
     )
     began = time.monotonic()
     answers = [client.answer()[1] for _ in range(30)]
-    assert set(answers) == {"shed"} and time.monotonic() - began < 0.7
+    assert set(answers) == {"shed"}
+    assert time.monotonic() - began < 0.7
 
 
 def test_a_client_that_leaves_or_takes_back_frees_the_door(start):
@@ -89,7 +88,8 @@
     core.list_changed(*parse_event(event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds()))
     answers = [client.answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
-    assert len(later.words(b"fetch")) >= 10 and engine.done + len(later.words(b"fetch")) == 20
+    assert len(later.words(b"fetch")) >= 10
+    assert engine.done + len(later.words(b"fetch")) == 20
     later.close()
 
 
@@ -120,7 +120,8 @@
         for client in made:
             client.join()
         assert abs(counts[0] / sum(counts) - 0.5) <= 0.1, counts
-        assert made[1].told > 0 and not made[0].lost + made[1].lost
+        assert made[1].told > 0
+        assert not made[0].lost + made[1].lost
 
 
 def test_at_sigterm_ten_thousand_wait_and_clients_go_on_asking_it_ends_in_time():
@@ -148,6 +149,7 @@
         for client in made:
             client.join()
         assert running.process.returncode == 0 and took < 3.7, took
-        assert "overdue" not in running.text() and "faults of ours" not in running.text()
+        assert "overdue" not in running.text()
+        assert "faults of ours" not in running.text()
         # Each command that was taken is answered; what crossed the end was never taken.
         assert sum(client.shed for client in made) > 9_000
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -28,7 +28,8 @@
     gateway.go("core", "coordinator")
     feed.say(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     assert client.answer() == (seq, b"a\tb\tc\n")
-    assert not old.told and len(new.words(b"fetch")) == 1
+    assert not old.told
+    assert len(new.words(b"fetch")) == 1
     gateway.end()
 
 
@@ -40,7 +41,8 @@
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": feed.address})
     client, began = Caller(gateway.address), time.monotonic()
     seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n") and time.monotonic() - began < 0.6
+    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert time.monotonic() - began < 0.6
     gateway.end()
 
 
@@ -91,7 +93,8 @@
         old.say(line[40:], event(3, ("s-0", engines[0].address, "gone")))
     new.say(event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("list changes") == 3)
-    assert new.asked == [b"follow 1\n"] and len(gateway.core.gateway.parts.engines.ready) == 2
+    assert new.asked == [b"follow 1\n"]
+    assert len(gateway.core.gateway.parts.engines.ready) == 2
     gateway.end()
 
 
@@ -104,7 +107,9 @@
     until(lambda: gateway.count("list changes") == 2)
     client = Caller(gateway.address)
     seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n") and not old.told and feed.asked[1] == b"follow 1\n"
+    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert not old.told
+    assert feed.asked[1] == b"follow 1\n"
     gateway.end()
 
 
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -28,10 +28,10 @@
     agreement = read_agreement({"dcs": ["west", "east"], "kinds": ["std"]})
     entries, addresses, whole = parse_event(json.loads(EVENT % (5, MEMBER)), agreement, EngineIds())
     ident = entries[0][0]
-    assert entries == [(ident, 1, 4.0, 0, EngineState.READY, 2, 9000)] and addresses == {
-        ident: "127.1.0.9:5050"
-    }
-    assert not whole and ident == EngineIds().id_for("s-00c41f7a")
+    assert entries == [(ident, 1, 4.0, 0, EngineState.READY, 2, 9000)]
+    assert addresses == {ident: "127.1.0.9:5050"}
+    assert not whole
+    assert ident == EngineIds().id_for("s-00c41f7a")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -42,7 +42,8 @@
                 fair.leave(picked)
                 del behind[picked]
         assert {child for child in children if child.state != IDLE} == set(behind)
-        assert fair.ready_count == len(behind) and len(fair.ahead) + len(fair.eligible) <= 2 * 6 + 2 * 64
+        assert fair.ready_count == len(behind)
+        assert len(fair.ahead) + len(fair.eligible) <= 2 * 6 + 2 * 64
         for other, lag in behind.items():
             assert lag <= largest + max(largest, QUANTUM) + 1e-6, (other, lag)
 
@@ -109,7 +110,8 @@
     played(fair, children, lambda _: 10.0, 99)
     fair.set_weight(children[0], 4.0)
     done = played(fair, children, lambda _: 10.0, 600)
-    assert abs(done[children[0]] / done[children[1]] - 4) < 0.2 and fair.total_weight == 6.0
+    assert abs(done[children[0]] / done[children[1]] - 4) < 0.2
+    assert fair.total_weight == 6.0
 
 
 def test_a_parked_child_keeps_its_turn():
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -264,7 +264,8 @@
         time.sleep(0.8)
         stop_clients(*clients)
         late = [row for row in fleet.engines[0].flights if row[0] > lowered]
-        assert len(late) >= 8 and most_at_once(late)[0] <= 4
+        assert len(late) >= 8
+        assert most_at_once(late)[0] <= 4
         assert most_at_once(fleet.engines[0].flights)[0] <= 12
 
 
@@ -358,14 +359,18 @@
         assert main(["fleet", "report", *at, "--seconds", "0.5", "--out", str(tmp_path / "x.html")]) == 0
         stop_clients(one)
     page = (tmp_path / "x.html").read_text("utf-8")
-    assert "<svg" in page and row["budget"] in page and "http://kozea" not in page
+    assert "<svg" in page
+    assert row["budget"] in page
+    assert "http://kozea" not in page
     capsys.readouterr()
     plan = ["fleet", "plan", "--members", "3", "--whole", "20", "--wants", "2,50", "--alone", "1", "--json"]
     assert main(plan) == 0
     found = [json.loads(line)["part"] for line in capsys.readouterr().out.splitlines()]
-    assert found == [2, 8, 7] and main(plan[:-1]) == 0
+    assert found == [2, 8, 7]
+    assert main(plan[:-1]) == 0
     assert "17 given, 3 kept back" in capsys.readouterr().out
-    assert main(["fleet", "plan", "--wants", "x"]) == 2 and main(["fleet", "budgets", *at]) == 1
+    assert main(["fleet", "plan", "--wants", "x"]) == 2
+    assert main(["fleet", "budgets", *at]) == 1
 
 
 def test_a_budget_that_does_not_fit_is_one_line(tmp_path):
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -11,9 +11,11 @@
     lease = Lease(LeaseTerms(10, 0.1, 500_000))
     assert not lease.is_valid(0)
     lease.renew(7, sent_at=1 * S)
-    assert lease.is_valid(9_499_999) and not lease.is_valid(9_500_000)
+    assert lease.is_valid(9_499_999)
+    assert not lease.is_valid(9_500_000)
     lease.renew(7, sent_at=0)  # a reply that comes out of turn takes nothing back
-    assert lease.valid_until == 9_500_000 and lease.renew_at() < 4 * S + 200_000
+    assert lease.valid_until == 9_500_000
+    assert lease.renew_at() < 4 * S + 200_000
     lease.renew(8, sent_at=2 * S)
     assert lease.valid_until == 10_500_000
     lease.clear()
@@ -26,5 +28,7 @@
     backoff.reset()
     assert backoff.next_delay_us() == 75
     limit = RateLimit(10, 0)
-    assert limit.take(0, 50) == 10 and limit.take(50_000, 50) == 0 and limit.ready_at(50_000) > 50_000
+    assert limit.take(0, 50) == 10
+    assert limit.take(50_000, 50) == 0
+    assert limit.ready_at(50_000) > 50_000
     assert sum(limit.take(at, 50) for at in range(100_000, 2_000_001, 50_000)) <= 20
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -24,7 +24,8 @@
 
 def test_every_order_of_a_few_events_is_gone_through_from_a_fleet_that_has_settled():
     met, whole = membership_explorer.explore(3, 600)
-    assert met >= 300 and whole >= 2
+    assert met >= 300
+    assert whole >= 2
 
 
 @pytest.mark.parametrize(
@@ -60,7 +61,8 @@
     ):
         (call,) = calls(one)
         one.call_replied(now, call, reply)
-    assert one.state == MemberState.IN and one.claims.tokens == dict.fromkeys(roles, 3)
+    assert one.state == MemberState.IN
+    assert one.claims.tokens == dict.fromkeys(roles, 3)
     return one
 
 
@@ -75,7 +77,8 @@
     one.call_replied(0, calls(one)[0], Reply(Proof.DONE, 9, lease=5, ttl_s=1))
     (read,) = calls(one)
     one.call_replied(0, read, Reply(Proof.DONE, 4, items=(KeyValue("members/ghost", '{"ready": true}', 3),)))
-    assert one.state == MemberState.READING and not one.members
+    assert one.state == MemberState.READING
+    assert not one.members
 
 
 def test_a_key_that_a_lost_call_left_behind_is_found_by_the_audit_and_let_go():
@@ -92,17 +95,19 @@
     assert look.request.operations == (Get("duties/e"),)
     one.call_replied(6 * S, look, Reply(Proof.DONE, 9, items=(KeyValue("duties/e", '{"nonce": "x"}', 8, 5),)))
     (release,) = calls(one)
-    assert release.request.conditions == (("duties/e", 8),) and release.request.operations == (
-        Delete("duties/e"),
-    )
+    assert release.request.conditions == (("duties/e", 8),)
+    assert release.request.operations == (Delete("duties/e"),)
 
 
 def test_an_effect_compares_the_token_and_nothing_is_begun_on_a_lease_that_is_not_sure():
     one = joined()
-    assert one.fencing_token("d", 0) == 3 and one.fencing_token("other", 0) == 0
+    assert one.fencing_token("d", 0) == 3
+    assert one.fencing_token("other", 0) == 0
     request = one.fenced_transaction("d", 3, (Put("k", "v"),), (("k", 0),))
-    assert request.conditions == (("duties/d", 3), ("k", 0)) and request.operations == (Put("k", "v"),)
-    assert one.fencing_token("d", 900_000 - 1) == 3 and one.fencing_token("d", 900_000) == 0
+    assert request.conditions == (("duties/d", 3), ("k", 0))
+    assert request.operations == (Put("k", "v"),)
+    assert one.fencing_token("d", 900_000 - 1) == 3
+    assert one.fencing_token("d", 900_000) == 0
     one.tick(900_000)
     assert RoleLost("d", "its lease is not sure") in one.take_actions()
 
@@ -115,8 +120,10 @@
     one.set_busy("d", True)
     one.leave(0)
     (release,) = calls(one)
-    assert release.purpose == "release" and release.about == ("e",)
-    assert one.fencing_token("d", 0) and not one.fencing_token("e", 0)
+    assert release.purpose == "release"
+    assert release.about == ("e",)
+    assert one.fencing_token("d", 0)
+    assert not one.fencing_token("e", 0)
     one.call_replied(0, release, Reply(Proof.DONE, 7))
     one.tick(400_000)  # it keeps its lease meanwhile
     assert [call.purpose for call in calls(one)] == ["keep"]
--- a/tests/test_fleet_occurrences.py
+++ b/tests/test_fleet_occurrences.py
@@ -65,7 +65,8 @@
             for at, mark, _, statement in engine.received:
                 if "marked" in statement:
                     marks.setdefault(mark, []).append(at)
-        assert marks and all(max(at) - min(at) <= rig.dedup_s for at in marks.values())
+        assert marks
+        assert all(max(at) - min(at) <= rig.dedup_s for at in marks.values())
 
 
 def test_at_sigterm_in_the_middle_of_a_duty_its_outcome_is_written_before_it_is_given_back():
@@ -77,7 +78,8 @@
         rows = rig.until(
             lambda: [row for row in Check(rig.lines()).occurrences().values() if row["state"] == "answered"]
         )
-        assert rows[0]["by"] == "n0" and rig.owner("schedule/long", "n0") == "n1"
+        assert rows[0]["by"] == "n0"
+        assert rig.owner("schedule/long", "n0") == "n1"
         time.sleep(0.3)
         assert sum(len(engine.received) for engine in rig.engines) == 1
         check_run(rig)
--- a/tests/test_fleet_operator.py
+++ b/tests/test_fleet_operator.py
@@ -26,7 +26,9 @@
         with pytest.raises(records.OperatorFileError, match=why):
             records.read(text, "x.cue")
     read = records.read('fleet: schedule: [{name: "a", at: "0 6 * * *", profile: "p", statement: "s"}]', "x")
-    assert not read.fleet.on and read.fleet.schedule[0].window == 60_000_000 and read.fleet.lease == 5_000_000
+    assert not read.fleet.on
+    assert read.fleet.schedule[0].window == 60_000_000
+    assert read.fleet.lease == 5_000_000
 
 
 @pytest.mark.parametrize(
@@ -59,7 +61,8 @@
             words = ["fleet", what, "--register", rig.register_address, "--name", "rig"]
             assert main([*words, "--json"]) == 0
             found[what] = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
-            assert main(words) == 0 and what in capsys.readouterr().out
+            assert main(words) == 0
+            assert what in capsys.readouterr().out
         assert {row["member"] for row in found["members"]} == {"n0", "n1"}
         assert sum(row["duties"] for row in found["members"]) == len(found["duties"]) == 4
         assert found["history"][0]["command"] == "a"
--- a/tests/test_fleet_role_assignment.py
+++ b/tests/test_fleet_role_assignment.py
@@ -28,4 +28,5 @@
     assignment.update_members([f"n{i}" for i in range(12)])
     counts = [list(assignment.leaders.values()).count(f"n{i}") for i in range(12)]
     assert max(counts) < 1.2 * 10_000 / 12
-    assert len(assignment.update_members([])) == 10_000 and assignment.leaders == {}
+    assert len(assignment.update_members([])) == 10_000
+    assert assignment.leaders == {}
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -16,7 +16,8 @@
         rig.start("n0", point="effect", side="before", act="stop", nth=10)
         rig.until(lambda: rig.paused("n0"))
         rig.start("n1")
-        assert rig.owner("beat/0", "n0") == "n1" and rig.owner("beat/1", "n0") == "n1"
+        assert rig.owner("beat/0", "n0") == "n1"
+        assert rig.owner("beat/1", "n0") == "n1"
         time.sleep(0.2)
         rig.resume("n0")
         rig.until(lambda: Check(rig.lines()).late)
@@ -167,7 +168,8 @@
         rig.until(
             lambda: len(rig.owners()) == 4 and not first & {token for _, token in rig.owners().values()}
         )
-        assert rig.members["n0"].process.poll() is None and twin.process.poll() is None  # both serve
+        assert rig.members["n0"].process.poll() is None
+        assert twin.process.poll() is None
         check_run(rig, 4)
 
 
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -98,13 +98,16 @@
         grants = [20, 21, 22, 23]
         for i, mb in enumerate(grants):
             record = client.propose(granting(mb), "a", "b", overlap=overlap)
-            assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE and record.number == i + 1
+            assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
+            assert record.number == i + 1
             time.sleep(0.1)
         time.sleep(0.2)
-        assert end(clients) > 60 and not any(one.failed + one.lost for one in clients)
+        assert end(clients) > 60
+        assert not any(one.failed + one.lost for one in clients)
         judged(fleet, grants, overlap == Overlap.STRICT, 300)
         assert {place for _, place in by_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
-        assert client.current().text == granting(23) and len(client.history()) == 4
+        assert client.current().text == granting(23)
+        assert len(client.history()) == 4
 
 
 @pytest.mark.parametrize(
@@ -253,11 +256,13 @@
             client, fleet, "policy: {budgets: threads: 8, grants: read: 20}", overlap=Overlap.STRICT
         )
         status, line = client.wait(record.number, 8)
-        assert status == ExitStatus.DROPPED and "is no budget" in line
+        assert status == ExitStatus.DROPPED
+        assert "is no budget" in line
         fleet.pause("n1")
         record = propose(client, fleet, granting(21), patience_us=400_000)
         status, line = client.wait(record.number, 8)
-        assert status == ExitStatus.DROPPED and "not ready in time: n1" in line
+        assert status == ExitStatus.DROPPED
+        assert "not ready in time: n1" in line
         fleet.resume("n1")
         on(fleet, 0)
         time.sleep(0.3)
@@ -278,7 +283,8 @@
             ("policy: shares: nobody: 1", "no tenant"),
         ):
             status, line = client.wait(propose(client, fleet, text).number, 5)
-            assert status == ExitStatus.DROPPED and why in line
+            assert status == ExitStatus.DROPPED
+            assert why in line
         for text in ("policy: {", "policy: unheard: 1", "policy: grants: read: 0"):
             with pytest.raises(PolicyError):
                 client.propose(text, "a", "b")
@@ -289,7 +295,8 @@
             Transaction(((CHANGE_KEY, 0),), (Put(CHANGE_KEY, encode_change(PolicyChange(spoilt))),))
         ).succeeded
         status, line = client.wait(9, 5)
-        assert status == ExitStatus.DROPPED and "digest" in line
+        assert status == ExitStatus.DROPPED
+        assert "digest" in line
         fleet.until(lambda: CHANGE_KEY not in client.read())
         with pytest.raises(PolicyError, match="not 7"):
             client.propose(granting(20), "a", "b", parent=7)
@@ -374,7 +381,8 @@
         on(fleet, record.number)
         end(clients)
         check = Changes(fleet.lines())
-        assert check.outcomes == {1: "dropped", 2: "decided"} and not check.without_all
+        assert check.outcomes == {1: "dropped", 2: "decided"}
+        assert not check.without_all
 
 
 def test_schedules_and_weights_at_the_door_are_changed_with_the_rest():
@@ -403,7 +411,8 @@
         time.sleep(0.7)
         assert warmed() == before
         skipped = [facts for _, _, what, facts in fleet.events() if what == "occurrence skipped"]
-        assert skipped and "off by the fleet's policy" in skipped[-1]["why"]
+        assert skipped
+        assert "off by the fleet's policy" in skipped[-1]["why"]
         record = client.propose("policy: clients: n0: 4", "a", "b")
         assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
         fleet.until(lambda: warmed() > before + 1)
@@ -418,7 +427,8 @@
     (tmp_path / "last.new").write_text("half of")  # a kill in the middle of the next one
     assert snapshot.read(path) == (record, 5)
     path.write_text(path.read_text()[:-9])
-    assert snapshot.read(path) is None and snapshot.read(tmp_path / "none") is None
+    assert snapshot.read(path) is None
+    assert snapshot.read(tmp_path / "none") is None
     with rig(1, policy=f'on: true, snapshot: "{path}", spare: 3s') as fleet:
         fleet.start()
         on(fleet)
@@ -460,13 +470,15 @@
             (1, 0, "decided"),
             (2, 1, "decided"),
         ]
-        assert rows[0]["why"] == "renewal" and main(["policy", "history", *at]) == 0
+        assert rows[0]["why"] == "renewal"
+        assert main(["policy", "history", *at]) == 0
         assert main(["policy", "drop", *at]) == 2
         path.write_text("policy: {")
         assert main(["policy", "propose", str(path), *at]) == 2
         client = PolicyClient(fleet.register_address, "rig")
         reply = client.session.call(ReadPrefix("policy/now/"))
-        assert reply.proof == Proof.DONE and client.current().text == INITIAL_VERSION.text
+        assert reply.proof == Proof.DONE
+        assert client.current().text == INITIAL_VERSION.text
         assert history_key(2) in client.read()
         fleet.kill_register()
         assert main(["policy", "status", *at]) == ExitStatus.UNKNOWN
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -51,27 +51,34 @@
 def test_an_open_record_is_gone_on_with_as_its_profile_allows(kind, state, tries, after_s, limit_s, why):
     decision = decide_recovery(RULE, kind, record(state, tries), 1000 * S + after_s * S)
     if limit_s:
-        assert decision == RetryAttempt(limit_s * S) and isinstance(decision, RetryAttempt) and not why
+        assert decision == RetryAttempt(limit_s * S)
+        assert isinstance(decision, RetryAttempt)
+        assert not why
     else:
-        assert isinstance(decision, GiveUp) and why and why in decision.reason
+        assert isinstance(decision, GiveUp)
+        assert why
+        assert why in decision.reason
 
 
 def test_an_occurrence_is_written_before_it_is_sent_and_after_it_is_answered():
     play = Play(REPLAY).lead()
-    assert not play.sent and not play.store.records()
+    assert not play.sent
+    assert not play.store.records()
     play.go(S)
-    assert play.states() == [(1001, "intent")] and len(play.sent) == 1
+    assert play.states() == [(1001, "intent")]
+    assert len(play.sent) == 1
     play.end(OccurrenceState.ANSWERED)
-    assert play.states() == [(1001, "answered")] and not play.command.in_flight
+    assert play.states() == [(1001, "answered")]
+    assert not play.command.in_flight
     play.go(S)
-    assert (
-        len(play.sent) == 2 and play.sent[0].idempotency_key != play.sent[1].idempotency_key
-    )  # each has a mark of its own
+    assert len(play.sent) == 2
+    assert play.sent[0].idempotency_key != play.sent[1].idempotency_key
 
 
 def test_one_that_is_due_while_the_last_runs_is_skipped_or_waits_and_missed_ones_are_counted():
     play = Play(REPLAY).lead().go(S).go(S)
-    assert play.states() == [(1001, "intent"), (1002, "skipped")] and len(play.sent) == 1
+    assert play.states() == [(1001, "intent"), (1002, "skipped")]
+    assert len(play.sent) == 1
     play = Play(REPLAY, rules=RULE._replace(waits_for_previous=True)).lead().go(S).go(S)
     assert play.states() == [(1001, "intent")]
     play.end(OccurrenceState.ANSWERED)
@@ -100,9 +107,8 @@
     assert [item.state for item in first.store.records()] == states
     assert any(event.level == "error" for event in second.logged) == (kind is ONCE)
     first.end(OccurrenceState.ANSWERED)  # the first one wakes: its outcome is refused
-    assert [item.state for item in first.store.records()] == states and first.store.records()[
-        0
-    ].member != "n2"
+    assert [item.state for item in first.store.records()] == states
+    assert first.store.records()[0].member != "n2"
 
 
 def test_a_uniqued_send_is_over_while_its_mark_is_known():
@@ -125,22 +131,26 @@
     play.go(S)
     assert not play.sent
     play.go(RETRY_DELAY_US)
-    assert len(play.sent) == 1 and play.states()[0] == (1001, "intent")
+    assert len(play.sent) == 1
+    assert play.states()[0] == (1001, "intent")
     play.store.next_write = lost
     play.end(OccurrenceState.ANSWERED).go(RETRY_DELAY_US)
-    assert play.states()[0] == (1001, "answered") and len([s for s in play.sent if s.due_us == 1001 * S]) == 1
+    assert play.states()[0] == (1001, "answered")
+    assert len([s for s in play.sent if s.due_us == 1001 * S]) == 1
 
 
 def test_nothing_is_sent_where_the_token_no_longer_holds_when_the_intent_is_known():
     play = Play(ONCE).lead()
     play.may_act = False
     play.go(S)
-    assert play.states() == [(1001, "intent")] and not play.sent
+    assert play.states() == [(1001, "intent")]
+    assert not play.sent
     play.command.lost()
     other = Play(ONCE, store=play.store)
     play.store.token, other.now = 9, play.now
     other.lead()
-    assert other.states()[0] == (1001, "failed") and not other.sent
+    assert other.states()[0] == (1001, "failed")
+    assert not other.sent
 
 
 def test_a_shed_try_has_no_effect_and_is_tried_again_a_failure_promises_nothing():
@@ -149,11 +159,13 @@
     play.go(RETRY_DELAY_US)
     assert len(play.sent) == 2
     play.end(OccurrenceState.FAILED, "reset")
-    assert play.states() == [(1001, "failed")] and play.logged[-1].level == "error"
+    assert play.states() == [(1001, "failed")]
+    assert play.logged[-1].level == "error"
     play = Play(REPLAY).lead().go(S).end(OccurrenceState.FAILED)
     assert play.states() == [(1001, "intent")]
     play.go(RETRY_DELAY_US).end(OccurrenceState.ANSWERED)
-    assert play.states() == [(1001, "answered")] and [attempt.attempt for attempt in play.sent] == [1, 2]
+    assert play.states() == [(1001, "answered")]
+    assert [attempt.attempt for attempt in play.sent] == [1, 2]
 
 
 def test_while_leaving_nothing_is_begun_and_settled_records_are_bounded():
@@ -181,4 +193,5 @@
 def test_a_record_is_read_as_it_was_written_and_nonsense_is_none():
     one = record()
     assert decode_occurrence(encode_occurrence(one)) == one
-    assert decode_occurrence("{") is None and decode_occurrence(json.dumps({"due_us": 1})) is None
+    assert decode_occurrence("{") is None
+    assert decode_occurrence(json.dumps({"due_us": 1})) is None
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -32,12 +32,13 @@
     rig, session = register
     lease = session.call(GrantLease(5)).lease
     first = session.call(Transaction((("a", 0),), (Put("a", "1", lease),), (Get("a"),)))
-    assert first.proof == Proof.DONE and first.succeeded
+    assert first.proof == Proof.DONE
+    assert first.succeeded
     again = session.call(Transaction((("a", 0),), (Put("a", "2", lease),), (Get("a"),)))
-    assert not again.succeeded and again.items == (KeyValue("a", "1", first.revision, lease),)
-    assert (
-        session.call(ReadLeaseKeys(lease)).keys == ("a",) and session.call(KeepLeaseAlive(lease)).ttl_s == 5
-    )
+    assert not again.succeeded
+    assert again.items == (KeyValue("a", "1", first.revision, lease),)
+    assert session.call(ReadLeaseKeys(lease)).keys == ("a",)
+    assert session.call(KeepLeaseAlive(lease)).ttl_s == 5
     assert session.call(KeepLeaseAlive(77)).ttl_s == 0
     rig.faults(lose=1)
     assert session.call(Transaction((), (Put("b", "1"),))).proof == Proof.UNKNOWN
@@ -45,8 +46,10 @@
     assert session.call(Transaction((), (Put("c", "1", 77),))).proof == Proof.NOT_DONE  # no such lease
     rig.faults(stale=1, behind=1)
     old = session.call(ReadPrefix("b"))
-    assert old.items == () and old.revision < session.call(ReadPrefix("b")).revision
-    assert session.call(RevokeLease(lease)).proof == Proof.DONE and session.call(ReadPrefix("a")).items == ()
+    assert old.items == ()
+    assert old.revision < session.call(ReadPrefix("b")).revision
+    assert session.call(RevokeLease(lease)).proof == Proof.DONE
+    assert session.call(ReadPrefix("a")).items == ()
     assert StoreClient("127.0.0.1:1", "/t/", 1.0).call(GrantLease(1)).proof == Proof.NOT_DONE
     rig.faults(delay=1, delay_s=1.5)
     assert StoreClient(rig.register_address, "/t/", 0.2).call(GrantLease(1)).proof == Proof.UNKNOWN
@@ -57,7 +60,8 @@
     _, session = register
     session.call(Transaction((), (Put("d", "1"),)))
     gone = session.call(Transaction((), (Delete("d"), Delete("d"), Put("e", "1"))))
-    assert gone.proof == Proof.DONE and session.call(ReadPrefix("d")).items == ()
+    assert gone.proof == Proof.DONE
+    assert session.call(ReadPrefix("d")).items == ()
     assert session.call(Transaction((), (Put("e", "2"),))).revision == gone.revision + 1
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -94,7 +94,9 @@
     (tmp_path / "KNOWN-RED.txt").write_text(f"{RED} | {field}", encoding="utf-8")
     assert known_red.main(tmp_path, sys.executable, ["-p", "no:cacheprovider"]) == 1
     printed = capfd.readouterr().out.splitlines()
-    assert len(printed) == 1 and says in printed[0] and repr(field) in printed[0]
+    assert len(printed) == 1
+    assert says in printed[0]
+    assert repr(field) in printed[0]
 
 
 @pytest.mark.parametrize("line", [RED, RED + " | 7 of 9"])
--- a/tests/test_logsink.py
+++ b/tests/test_logsink.py
@@ -28,4 +28,5 @@
     stream.go.set()
     until(sink.lines.empty)
     sink.finish(PATIENCE)
-    assert stream.text.startswith("0\n1\n2\n") and not sink.thread.is_alive()
+    assert stream.text.startswith("0\n1\n2\n")
+    assert not sink.thread.is_alive()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -15,7 +15,9 @@
 
 def test_an_empty_file_is_all_defaults_and_records_are_frozen():
     told = records.read("", "f.cue")
-    assert not told.door.on and told.door.redeal == 10_000_000 and told.door.client.networks == ()
+    assert not told.door.on
+    assert told.door.redeal == 10_000_000
+    assert told.door.client.networks == ()
     with pytest.raises(ValidationError):
         told.door.window = 3
 
@@ -38,8 +40,11 @@
     """,
         "f.cue",
     ).door
-    assert told.on and told.come_back.least == 250_000 and told.come_back.most == 2_500_000
-    assert told.bytes == 1 << 20 and told.waiting == 5000
+    assert told.on
+    assert told.come_back.least == 250_000
+    assert told.come_back.most == 2_500_000
+    assert told.bytes == 1 << 20
+    assert told.waiting == 5000
     assert [net.each for net in told.client.networks] == ["network", "address"]
     assert told.weights == {"big desk": 2.0, "small": 0.5}
 
@@ -70,7 +75,9 @@
 def test_a_bad_file_is_one_line_with_its_place_its_path_and_the_bound(written, want):
     with pytest.raises(OperatorFileError) as fault:
         records.read(written, "f.cue")
-    assert want in str(fault.value) and "\n" not in str(fault.value) and str(fault.value).startswith("f.cue:")
+    assert want in str(fault.value)
+    assert "\n" not in str(fault.value)
+    assert str(fault.value).startswith("f.cue:")
 
 
 def value(source):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -67,7 +67,8 @@
 def test_a_policy_that_can_not_be_read_is_one_line(text, why):
     with pytest.raises(PolicyError) as fault:
         parse_policy(text)
-    assert "\n" not in str(fault.value) and (not why or why in str(fault.value) or ":" in str(fault.value))
+    assert "\n" not in str(fault.value)
+    assert not why or why in str(fault.value) or ":" in str(fault.value)
 
 
 @pytest.mark.parametrize(
@@ -93,7 +94,10 @@
 def test_what_a_policy_says_is_by_index_for_the_module_and_by_name_for_staff():
     policy = parse_policy("policy: {shares: b: 0.35, grants: read: 20, priorities: once: 2}")
     weights, priorities, grants, sends = decision_terms(policy, AGREEMENT)
-    assert weights == [2.0, 1.0] and priorities == {1: 2} and grants == {0: 20} and sends == {}
+    assert weights == [2.0, 1.0]
+    assert priorities == {1: 2}
+    assert grants == {0: 20}
+    assert sends == {}
     assert differences(Policy(*[{}] * len(Policy._fields)), policy) == [
         ("shares", "b", None, 0.35),
         ("priorities", "once", None, 2),
@@ -133,13 +137,15 @@
     assert not world.commands[second]["out"]
     gate.open = True
     adopt("policy: grants: read: 30")
-    assert world.commands[second]["out"] and SetTerms(second, 30, 3) in world.results_of(SetTerms)
+    assert world.commands[second]["out"]
+    assert SetTerms(second, 30, 3) in world.results_of(SetTerms)
     adopt("policy: sends: read: 1")
     world.end(first, Outcome.RESET)  # one send is all there is
     assert world.commands[first]["final"] == Shed
     gate.away = True  # it is not known by what to decide
     third = world.command()
-    assert world.commands[third]["final"] == Shed and not world.commands[third]["sends"]
+    assert world.commands[third]["final"] == Shed
+    assert not world.commands[third]["sends"]
 
 
 def test_while_the_gate_is_closed_every_command_still_gets_its_answer_in_time():
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -41,10 +41,13 @@
     assert other.answer() == (seq, b"a\tb\tc\n")
     other.send("check", b"\x02\0\1\1")
     assert other.answer()[1] == "unfit"
-    assert client.answer() == (long, "fault") and 2.5 < time.monotonic() - began < 3.7
+    assert client.answer() == (long, "fault")
+    assert 2.5 < time.monotonic() - began < 3.7
     assert process.wait(PATIENCE) == 0
     log = process.stderr.read()
-    assert log.count("taken: 1") == 1 and log.count("taken: 2") == 1 and "resident" in log
+    assert log.count("taken: 1") == 1
+    assert log.count("taken: 2") == 1
+    assert "resident" in log
 
 
 def test_sighup_moves_to_the_coordinator_of_the_new_file_and_a_bad_file_changes_nothing(launch, tmp_path):
@@ -65,8 +68,10 @@
     time.sleep(0.2)
     client = Caller(("127.0.0.1", port))
     seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n") and process.poll() is None
-    assert old.asked == [b"follow 1\n"] and new.asked == [b"follow 2\n"]
+    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert process.poll() is None
+    assert old.asked == [b"follow 1\n"]
+    assert new.asked == [b"follow 2\n"]
 
 
 UNINTERRUPTED = """
@@ -92,7 +97,8 @@
     process.send_signal(signal.SIGHUP)
     until(lambda: new.asked)
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0 and time.monotonic() - began < 3
+    assert process.wait(PATIENCE) == 0
+    assert time.monotonic() - began < 3
     assert process.stderr.read().count("counters: ") == 1  # at the end alone
 
 
@@ -110,7 +116,8 @@
     process.terminate()
     assert process.wait(PATIENCE) == 0
     log = process.stderr.read()
-    assert log.count("can't be used, the old one holds") == 1 and log.count("configuration read again") == 1
+    assert log.count("can't be used, the old one holds") == 1
+    assert log.count("configuration read again") == 1
 
 
 @pytest.mark.parametrize(
@@ -130,7 +137,8 @@
     spoil(config(), path)
     assert service.serve(path) == 2
     err = capsys.readouterr().err
-    assert err.startswith("gullhold: ") and err.count("\n") == 1
+    assert err.startswith("gullhold: ")
+    assert err.count("\n") == 1
 
 
 def test_an_address_in_use_is_one_plain_line(tmp_path, capsys):
@@ -144,13 +152,17 @@
 def test_the_other_sub_commands(start, tmp_path, capsys):
     gateway, _ = start(Engine())
     address = f"127.0.0.1:{gateway.address[1]}"
-    assert main(["version"]) == 0 and capsys.readouterr().out.startswith("gullhold 0.")
-    assert main(["check", address]) == 0 and capsys.readouterr().out == "serves\n"
+    assert main(["version"]) == 0
+    assert capsys.readouterr().out.startswith("gullhold 0.")
+    assert main(["check", address]) == 0
+    assert capsys.readouterr().out == "serves\n"
     gateway.core.shutdown_began_at = 1
-    assert main(["check", address]) == 1 and capsys.readouterr().out == "does not serve\n"
+    assert main(["check", address]) == 1
+    assert capsys.readouterr().out == "does not serve\n"
     with socket.create_server(("127.0.0.1", 0)) as sock:
         silent = f"127.0.0.1:{sock.getsockname()[1]}"
-        assert main(["check", silent, "--timeout", "0.1"]) == 1 and main(["check", "x"]) == 1
+        assert main(["check", silent, "--timeout", "0.1"]) == 1
+        assert main(["check", "x"]) == 1
     capsys.readouterr()
     assert main(["config", "--config", str(tmp_path / "config.json")]) == 0
     assert "name='mark'" in capsys.readouterr().out
@@ -169,7 +181,8 @@
         assert all(word in (b"a\tb\tc\n", "shed") for _, word in answers)
     status = dict(row.split(":", 1) for row in Path(f"/proc/{process.pid}/status").read_text().splitlines())
     assert int(status["VmHWM"].split()[0]) < 100_000  # kB; the limit of scored days is 192 MB
-    assert len(os.listdir(f"/proc/{process.pid}/fd")) < 600 and int(status["Threads"]) < 600
+    assert len(os.listdir(f"/proc/{process.pid}/fd")) < 600
+    assert int(status["Threads"]) < 600
     for caller in callers:
         caller.sock.close()
     until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220)  # links stay a while
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -38,12 +38,16 @@
         17,
         True,
     )
-    assert got.key == 0 and got.unique == b"" and got.profile == got.tenant == 0
+    assert got.key == 0
+    assert got.unique == b""
+    assert got.profile == got.tenant == 0
     one, other = (
         reader.request({**ASKED, b"verb": b"load", b"unique": b"5c"}, b"insert into a_1.%s" % t)
         for t in (b"x", b"y")
     )
-    assert one.key and other.key and one.key != other.key
+    assert one.key
+    assert other.key
+    assert one.key != other.key
     bare = reader.request({k: v for k, v in ASKED.items() if k not in (b"cpu", b"memory")}, b"")
     assert bare.work_us == bare.need_mb == bare.group == 0
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -107,8 +107,10 @@
         return canary.find_fault(change, votes, over)
 
     assert "took 200 us, the others' 100" in bad((10, 0, 2000), (10, 0, 1000))
-    assert not bad((10, 0, 2000), (10, 0, 1000), over=False) and not bad((10, 0, 1500), (10, 0, 1000))
-    assert "3 of 23" in bad((20, 3, 0), (0, 0, 0), over=False) and not bad((10, 3, 0), (0, 0, 0))
+    assert not bad((10, 0, 2000), (10, 0, 1000), over=False)
+    assert not bad((10, 0, 1500), (10, 0, 1000))
+    assert "3 of 23" in bad((20, 3, 0), (0, 0, 0), over=False)
+    assert not bad((10, 3, 0), (0, 0, 0))
     others_only = {"b/1": Vote(0, 1, VoteKind.READY)}
     assert "none of its members" in canary.find_fault(change, others_only, False)
     with pytest.raises(PolicyError, match="can't be strict"):
@@ -122,11 +124,15 @@
     gate.enrolled_lease = 7
     gate.policy_known_until = 10**9
     before = gate.fencing_token()
-    assert gate.may_dispatch() and gate.token_valid(before)
+    assert gate.may_dispatch()
+    assert gate.token_valid(before)
     gate.stop()
-    assert not gate.may_dispatch() and not gate.token_valid(gate.fencing_token())
+    assert not gate.may_dispatch()
+    assert not gate.token_valid(gate.fencing_token())
     gate.is_stopped = False
-    assert gate.may_dispatch() and gate.token_valid(gate.fencing_token()) and not gate.token_valid(before)
+    assert gate.may_dispatch()
+    assert gate.token_valid(gate.fencing_token())
+    assert not gate.token_valid(before)
     now[0] = 10**9
     assert not gate.token_valid(gate.fencing_token())
 
@@ -147,12 +153,11 @@
             ),
         ),
     )
-    assert coordinator.due(0) == 1000 and coordinator.due(999) == 1000
+    assert coordinator.due(0) == 1000
+    assert coordinator.due(999) == 1000
     coordinator.step(1000)
-    assert (
-        not any(isinstance(row, WriteKeys) for row in coordinator.take_actions())
-        and coordinator.due(1000) == 1000 + IDLE_STEP_US
-    )
+    assert not any(isinstance(row, WriteKeys) for row in coordinator.take_actions())
+    assert coordinator.due(1000) == 1000 + IDLE_STEP_US
 
 
 def test_a_member_with_nothing_to_say_steps_when_it_looks_again():
@@ -179,7 +184,8 @@
     for one in (coordinator, dividing):
         serial = one.take_actions()[-1].serial
         one.read(0, serial, Reply(Proof.DONE, 7))
-        assert not one.loaded and not one.take_actions()
+        assert not one.loaded
+        assert not one.take_actions()
         one.step(RETRY_US)
         one.read(
             RETRY_US,
@@ -205,7 +211,8 @@
 def test_a_small_world_is_gone_through():
     for overlap in (Overlap.STRICT, Overlap.LOOSE):
         states, depth = changecheck.explore(overlap, 4, 500)
-        assert states >= 300 and depth >= 2
+        assert states >= 300
+        assert depth >= 2
 
 
 @pytest.mark.parametrize("name", [name for name in changemutants.MUTANTS if name != "IgnoresEnrollment"])
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -39,10 +39,14 @@
     gone = clock.after(15, seen.append, "never")
     clock.cancel(gone)
     clock.run(15)
-    assert seen == ["a", "b"] and clock.now == 15 and clock.due() == 20
+    assert seen == ["a", "b"]
+    assert clock.now == 15
+    assert clock.due() == 20
     clock.at(3, seen.append, "late")  # not before now
     clock.run(100)
-    assert seen == ["a", "b", "late", "c"] and clock.now == 100 and not clock.step()
+    assert seen == ["a", "b", "late", "c"]
+    assert clock.now == 100
+    assert not clock.step()
 
 
 def test_a_search_chooses_among_what_is_due_at_one_instant():
@@ -113,14 +117,17 @@
         clock.run(clock.now + 70)
     both.there.finish()
     clock.run(10**7)
-    assert far.data == b"".join(parts) and far.how == StreamEnd.CLOSED
+    assert far.data == b"".join(parts)
+    assert far.how == StreamEnd.CLOSED
 
 
 def test_a_full_window_holds_a_writer_back_until_something_has_arrived():
     clock, near, far, both = wire(window=10, piece=4)
-    assert both.there.write(b"x" * 25) == 10 and both.there.write(b"y") == 0
+    assert both.there.write(b"x" * 25) == 10
+    assert both.there.write(b"y") == 0
     clock.run(1000)
-    assert far.data == b"x" * 10 and near.rooms == 1
+    assert far.data == b"x" * 10
+    assert near.rooms == 1
     assert both.there.write(b"z" * 3) == 3
 
 
@@ -131,11 +138,9 @@
     both.back.write(b"answer")
     both.reset()
     clock.run(5000)
-    assert (
-        (near.how, far.how) == (StreamEnd.RESET, StreamEnd.RESET)
-        and far.data == b"first"
-        and near.data == b""
-    )
+    assert (near.how, far.how) == (StreamEnd.RESET, StreamEnd.RESET)
+    assert far.data == b"first"
+    assert near.data == b""
     with pytest.raises(BrokenPipeError):
         both.there.write(b"more")
 
@@ -146,10 +151,12 @@
     both.there.write(b"is anybody there")
     both.back.finish()
     clock.run(10**6)
-    assert far.data == b"" and near.how is None
+    assert far.data == b""
+    assert near.how is None
     both.heal()
     clock.run(2 * 10**6)
-    assert far.data == b"is anybody there" and near.how == StreamEnd.CLOSED
+    assert far.data == b"is anybody there"
+    assert near.how == StreamEnd.CLOSED
 
 
 PLACES = {"wire": 6, "engine": 4, "gateway": 3, "client": 2, "coordinator": 1}
@@ -189,7 +196,8 @@
         tries.append(1)
         return needed <= set(some)
 
-    assert set(script.shrunk(faults, fails)) == needed and len(tries) < 160
+    assert set(script.shrunk(faults, fails)) == needed
+    assert len(tries) < 160
     assert script.shrunk([Fault(1, "reset", 0, 0)], lambda some: True) == []
     assert len(script.pairs([Fault(1, "reset", 0, 0), Fault(2, "kill", 0, 0), Fault(3, "kill", 1, 0)])) == 1
 
@@ -201,7 +209,8 @@
     for seed in range(6):
         result = play.play(seed)
         assert not result.broken, (seed, result.broken)
-        assert result.counts["answered"] > 200 and result.counts["fetched"] > 200
+        assert result.counts["answered"] > 200
+        assert result.counts["fetched"] > 200
 
 
 def test_a_seed_plays_alike_in_another_process_under_another_hash_seed():
@@ -231,7 +240,8 @@
     with mutants.applied("a drain that is heard and not obeyed"):
         faults = play.faults_of(1, play.Size())
         fewer = script.shrunk(faults, show._failing("drain", 1))
-        assert 0 < len(fewer) < len(faults) and "drain" in {fault.kind for fault in fewer}
+        assert 0 < len(fewer) < len(faults)
+        assert "drain" in {fault.kind for fault in fewer}
         path.write_text(script.text_of(fewer))
         assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 1
         assert f"again: gullhold rehearse --seeds 1 --replay {path}" in capsys.readouterr().out
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -182,7 +182,10 @@
     (code, fields), *others = actions(
         Host().reply(batch(FIRST_S, 7, [record(1, "IQI", 3, 1, len(text), more=text)]))
     )
-    assert not others and code == 4 and fields[:4] == b"\0\0\0\3" and b"ValueError" in fields
+    assert not others
+    assert code == 4
+    assert fields[:4] == b"\0\0\0\3"
+    assert b"ValueError" in fields
 
 
 def test_events_of_unknown_instances_with_times_that_cannot_be_are_passed_over():
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -44,7 +44,8 @@
     assert started(starts, NOW, 1, 0) == 0
     started(starts, NOW, 2, NOW - S)
     starts.forget(2)
-    assert not starts.start_times and not starts.unconfirmed
+    assert not starts.start_times
+    assert not starts.unconfirmed
 
 
 @pytest.mark.parametrize("off_s", [-3600, 3600])
@@ -53,7 +54,8 @@
     started(starts, NOW + off, 1, NOW - 3 * S, news=False)
     news = starts.corrected(NOW + S + off, [row(2, NOW + S - 1000)], news=True)
     found = {entry.id: entry.started_us for entry in news}
-    assert 0 <= NOW + S + off - found[1] <= 4 * S and found[1] == NOW + off - 3 * S + 1000
+    assert 0 <= NOW + S + off - found[1] <= 4 * S
+    assert found[1] == NOW + off - 3 * S + 1000
 
 
 def test_starts_of_the_configuration_stay_as_they_are_where_the_clock_is_right():
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -143,7 +143,8 @@
     found = printed("config", "--config", str(path))
     assert found.splitlines()[0] == expected.splitlines()[0]
     for word in ("name='read'", "name='mark'", "name='once'", "3000000", "65536.0"):
-        assert word in expected and word in found
+        assert word in expected
+        assert word in found
 
 
 @pytest.mark.parametrize("name, settings", [("first", 2), ("refused", 1), ("second", 3), ("open", 1)])
@@ -159,7 +160,8 @@
     kinds = {json.loads(line)["kind"] for line in path.read_text("utf-8").splitlines() if line[0] != "#"}
     table = printed("rehearse", "--seeds", "1", "--replay", str(path))
     met = {kind for kind, scripts in re.findall(r"│ ([a-z ]+?) +│ (\d+) +│", table) if scripts == "1"}
-    assert met == kinds and kinds
+    assert met == kinds
+    assert kinds
 
 
 # The register
@@ -171,7 +173,8 @@
         where = ("--register", address, "--name", "rig")
         for what in ("members", "duties", "history", "budgets"):
             expected = rows((folder / f"{what}.printed").read_text("utf-8"))
-            assert rows(printed("fleet", what, "--json", *where)) == expected and expected
+            assert rows(printed("fleet", what, "--json", *where)) == expected
+            assert expected
         expected = rows((folder / "policies.printed").read_text("utf-8"))
         assert rows(printed("policy", "history", "--json", *where)) == expected
         assert [row["outcome"] for row in expected] == ["decided", "dropped", "decided"]
@@ -213,7 +216,8 @@
     after = (folder / "register.journal").read_text("utf-8")
     assert after.startswith(before)
     began, *_ = rows(after.removeprefix(before))
-    assert began["what"] == "began" and began["revision"] == rows(before)[-1]["revision"]
+    assert began["what"] == "began"
+    assert began["revision"] == rows(before)[-1]["revision"]
     kept = {record["key"]: (record["value"], record["revision"]) for record in records_of(folder)}
     assert {key: (value, revision) for key, value, revision, _ in began["keys"]} == kept
     assert replayed(rows(before)) == kept
@@ -311,14 +315,16 @@
 
         until(lambda: run("policy", "status", "--number", "4", *where).returncode == 0, story)
         audits = until(lambda: settled_audits(printed("fleet", "history", "--json", *where)), story)
-        assert audits[0]["state"] == "failed" and "it may have run" in audits[0]["why"]
+        assert audits[0]["state"] == "failed"
+        assert "it may have run" in audits[0]["why"]
 
         def new_duties() -> list[Row]:
             found = rows(printed("fleet", "duties", "--json", *where))
             return found if len(found) == len(old_tokens) else []
 
         for row in until(new_duties, story):
-            assert row["token"] > old_tokens[row["duty"]] and row["owner"] in ("n0", "n1")
+            assert row["token"] > old_tokens[row["duty"]]
+            assert row["owner"] in ("n0", "n1")
         history = rows(printed("policy", "history", "--json", *where))
         assert [(row["number"], row["outcome"]) for row in history][-1] == (4, "decided")
         until(lambda: json.loads((folder / "snapshot").read_text("utf-8"))["record"]["number"] == 4, story)
