--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -196,7 +196,7 @@
     for _ in range(connections):
         sock = socket.create_connection(address, timeout=8)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        socks.append([sock, thrift.Decoder(crowd.FRAME_MOST), 0, 0])
+        socks.append([sock, thrift.Decoder(crowd.MAX_FRAME_BYTES), 0, 0])
     sent, answered, at = 0, 0, 0
     while answered < count:
         for row in socks:
@@ -266,7 +266,7 @@
 def two(running):
     """CPU us of a command where two tenants send all of them."""
     cpu, count = running.cpu_s(), 1000
-    draw, machine = random.Random(5), thrift.Decoder(crowd.FRAME_MOST)
+    draw, machine = random.Random(5), thrift.Decoder(crowd.MAX_FRAME_BYTES)
     with socket.create_connection(running.address, timeout=8) as sock:
         seq = out = 0
         while seq < count or out:
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -81,7 +81,7 @@
         try:
             while buffer.receive(self.caller.sock):
                 for frame in decoder.frames():
-                    message = thrift.read(frame, thrift.REPLY, thrift.EXCEPTION)
+                    message = thrift.decode_message(frame, thrift.REPLY, thrift.EXCEPTION)
                     self.answered += (0, thrift.STRUCT) in message.args
         except OSError:  # the end
             return
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -18,21 +18,21 @@
 from gullhold.interface import Agreement, BudgetKind
 
 THREADS_PER_CORE = 2.0  # threads; the design's start for the limits
-ENGINE_WIDENING_MOST = 4.0  # times that reported room widens the limit of an engine
-FLEET_WIDENING_MOST = 2.0  # and that over the fleet
+MAX_ENGINE_WIDENING = 4.0  # times that reported room widens the limit of an engine
+MAX_FLEET_WIDENING = 2.0  # and that over the fleet
 CHANCE_DEVIATIONS = 1.0  # deviations of our threads by chance that the limit over the fleet allows
 PRESSURE = 1.8  # pace against the best seen that is pressure: sharing cores in turn explains less
 STEADY_COMMANDS = 4.0  # long commands' work that outweighs the newest in the fleet's pace: few end
-SLOWNESS_MOST = 10.0  # of one attempt against the best pace: bounds what a single one can say
-PRESSURE_SHARE_LEAST = 0.5  # of our share that pressure leaves: one thread a core
-PRESSURE_SHARE_MOST = 1.25  # more jams all engines
-LONG_SHARE_LEAST = 0.3  # of a limit, for long commands
-LONG_SHARE_MOST = 0.8
+MAX_SLOWNESS = 10.0  # of one attempt against the best pace: bounds what a single one can say
+MIN_PRESSURE_SHARE = 0.5  # of our share that pressure leaves: one thread a core
+MAX_PRESSURE_SHARE = 1.25  # more jams all engines
+MIN_LONG_SHARE = 0.3  # of a limit, for long commands
+MAX_LONG_SHARE = 0.8
 LONG_SHARE_LOSS = 0.7  # what a loss leaves of it
 LONG_SHARE_GAIN = 0.0015  # what an answer gives back
 REFIT_US = 10_000_000  # us between fits, from the design
 SAMPLE_US = 800_000  # us of one sample: a few commands end
-SAMPLED_LIMIT_LEAST = 4  # threads of a limit worth sampling
+MIN_SAMPLED_LIMIT = 4  # threads of a limit worth sampling
 SAMPLE_PARTS = {  # of the limit, far apart
     SampleStage.AT_LIMIT: 1.0,
     SampleStage.AT_UPPER: 0.7,
@@ -70,7 +70,7 @@
         self._thread_use = thread_use
         self.pressure_share = 1.0  # of our share, as pressure leaves it
         self.fleet_slowness = 1.0  # pace against the best pace, over all engines
-        self.long_share = LONG_SHARE_MOST  # of a limit, for long commands
+        self.long_share = MAX_LONG_SHARE  # of a limit, for long commands
         self._sampled: Engine | None = None  # one at a time: no swing in step
 
     def share(self, now: int) -> float:
@@ -84,7 +84,7 @@
         """The limit on our threads there; under pressure the fit, or the sample being taken."""
         budget = self._budgets.share(BudgetKind.THREADS, engine.id)
         limit = budget.limit() if budget is not None else THREADS_PER_CORE * engine.cores * self.share(now)
-        widening = room(self._loads.utilization(engine, now), ENGINE_WIDENING_MOST)
+        widening = room(self._loads.utilization(engine, now), MAX_ENGINE_WIDENING)
         limit *= widening / max(1.0, self._health.slowness(engine, now))
         if engine.sample_stage and self.is_under_pressure(engine, now):
             return limit * SAMPLE_PARTS[engine.sample_stage]
@@ -106,7 +106,7 @@
             return True  # each engine's threads are held by the fleet's budget
         limit = THREADS_PER_CORE * self.share(now) * self._engines.ready_cores
         limit += CHANCE_DEVIATIONS * (limit * self._most_threads) ** 0.5
-        limit *= room(self._loads.fleet_utilization, FLEET_WIDENING_MOST)
+        limit *= room(self._loads.fleet_utilization, MAX_FLEET_WIDENING)
         threads = self._thread_use.total
         return not threads or threads + command.threads <= self.long_command_limit(limit, command)
 
@@ -127,27 +127,27 @@
 
     def record_loss(self) -> None:
         """An engine rejected an attempt as overloaded, or let it time out."""
-        self.long_share = max(LONG_SHARE_LEAST, self.long_share * LONG_SHARE_LOSS)
+        self.long_share = max(MIN_LONG_SHARE, self.long_share * LONG_SHARE_LOSS)
 
     def record_answer(self) -> None:
         """An attempt was answered."""
-        self.long_share = min(LONG_SHARE_MOST, self.long_share + LONG_SHARE_GAIN)
+        self.long_share = min(MAX_LONG_SHARE, self.long_share + LONG_SHARE_GAIN)
 
     def record_pace(self, work: float, pace: float, best_pace: float) -> float:
         """An attempt of so much work ended at this pace; returns its weight in the fleet's figures."""
         engines_each = max(1.0, len(self._engines.ready) / self._gateways)
         steady = STEADY_COMMANDS * self._estimates.largest_usual_work() * engines_each
         weight = work / (work + steady)
-        slowness = min(pace / min(pace, best_pace), SLOWNESS_MOST)
+        slowness = min(pace / min(pace, best_pace), MAX_SLOWNESS)
         self.fleet_slowness += weight * (slowness - self.fleet_slowness)
         return weight
 
     def adapt(self, engine: Engine, weight: float, has_queued: bool, now: int) -> None:
         """After an attempt there: our share under pressure, and the samples."""
         if self.is_under_pressure(engine, now):
-            self.pressure_share = max(PRESSURE_SHARE_LEAST, self.pressure_share * (1 - weight))
+            self.pressure_share = max(MIN_PRESSURE_SHARE, self.pressure_share * (1 - weight))
         elif has_queued:
-            self.pressure_share = min(PRESSURE_SHARE_MOST, self.pressure_share + weight)
+            self.pressure_share = min(MAX_PRESSURE_SHARE, self.pressure_share + weight)
         self._sample(engine, now)
 
     def stop_sampling(self, engine: Engine) -> None:
@@ -174,7 +174,7 @@
     def _may_begin_samples(self, engine: Engine, now: int) -> bool:
         if self._sampled is not None or now < engine.next_fit_at:
             return False
-        return self.engine_limit(engine, now) > SAMPLED_LIMIT_LEAST
+        return self.engine_limit(engine, now) > MIN_SAMPLED_LIMIT
 
     def _begin_sample(self, engine: Engine, stage: SampleStage, now: int) -> None:
         if stage:
--- a/gullhold/decisions/dataset_engines.py
+++ b/gullhold/decisions/dataset_engines.py
@@ -4,12 +4,12 @@
 
 from gullhold.decisions.engine import Engine
 
-PREFERRED_LEAST = 3  # engines that any data set prefers
+MIN_PREFERRED_ENGINES = 3  # engines that any data set prefers
 COUNT_FIRST = 20  # commands that the popularity starts from: few are no ground for many engines
 POPULARITY_SPREAD = 2.0  # share of the engines preferred, against the share of the commands
-COUNT_MOST = 400  # commands after which all counts are halved
+MAX_COUNTED_COMMANDS = 400  # commands after which all counts are halved
 RECENT_ENGINES = 4  # engines remembered for a data set: about what one gateway has open for it
-RECENT_DATASETS_MOST = 512  # data sets that they are remembered for
+MAX_RECENT_DATASETS = 512  # data sets that they are remembered for
 
 
 class DatasetPopularity:
@@ -23,14 +23,14 @@
         """A command for a data set arrived."""
         self._counts[dataset] = self._counts.get(dataset, 0.0) + 1
         self._total += 1
-        if self._total > COUNT_MOST:
+        if self._total > MAX_COUNTED_COMMANDS:
             self._counts = {each: count / 2 for each, count in self._counts.items() if count > 0.5}
-            self._total = COUNT_MOST / 2
+            self._total = MAX_COUNTED_COMMANDS / 2
 
     def preferred_engines(self, dataset: int, engines: int) -> int:
         """How many of so many engines the data set prefers."""
         share = self._counts.get(dataset, 0.0) / (self._total + COUNT_FIRST)
-        return min(engines, PREFERRED_LEAST + int(share * engines * POPULARITY_SPREAD))
+        return min(engines, MIN_PREFERRED_ENGINES + int(share * engines * POPULARITY_SPREAD))
 
 
 class RecentEngines:
@@ -44,7 +44,7 @@
 
     def record_answer(self, dataset: int, engine: Engine) -> None:
         """An engine has answered for a data set."""
-        if len(self._slots) >= RECENT_DATASETS_MOST:
+        if len(self._slots) >= MAX_RECENT_DATASETS:
             self._slots.clear()
         slots = self._slots.setdefault(dataset, deque(maxlen=RECENT_ENGINES))
         if engine.slot not in slots:
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -13,7 +13,7 @@
 SILENT_STEP = 0.3  # weight of a failure without an answer of the engine: it costs the most time
 NO_FAILURE_RATE = 1e-4  # failure rate, as it fades, that is none
 OVERLOADED_US = 2_000_000  # us that an overloaded engine gets nothing new: a few status notes
-SLOWNESS_MOST = 10.0  # of one attempt: bounds what a single one can say
+MAX_SLOWNESS = 10.0  # of one attempt: bounds what a single one can say
 
 FAILURES = frozenset((Outcome.ERROR, Outcome.RESET))
 
@@ -79,7 +79,7 @@
     def record_pace(self, engine: Engine, work: float, pace: float, usual_pace: float, now: int) -> None:
         """An attempt of so much work ended there at this pace."""
         fresh = remaining(engine.completed_at, now)
-        slowness = min(pace / usual_pace, SLOWNESS_MOST)
+        slowness = min(pace / usual_pace, MAX_SLOWNESS)
         engine.completed_at = now
         engine.completed_work = engine.completed_work * fresh + work
         engine.completed_slow_work = engine.completed_slow_work * fresh + work * slowness
--- a/gullhold/decisions/estimators.py
+++ b/gullhold/decisions/estimators.py
@@ -13,11 +13,11 @@
 FIRST_NEED_RATIO = 1.1  # first mean of memory need over estimate
 FIRST_NEED_DEVIATION = 0.2  # and how far it lies off
 GRANTED_DEVIATIONS = 2.0  # deviations of the need that are granted too: spilling costs more
-WORK_TIMEOUTS_MOST = 100  # client timeouts of work that no estimate is believed beyond
-WORK_RATIO_LEAST = 0.2  # of work over its estimate, as one answer counts
-WORK_RATIO_MOST = 5.0
-PACE_LEAST = 0.01  # of any attempt: keeps ratios of paces finite
-PACE_GROWTH_MOST = 3  # times the usual pace that one attempt counts as at the most
+MAX_WORK_TIMEOUTS = 100  # client timeouts of work that no estimate is believed beyond
+MIN_WORK_RATIO = 0.2  # of work over its estimate, as one answer counts
+MAX_WORK_RATIO = 5.0
+MIN_PACE = 0.01  # of any attempt: keeps ratios of paces finite
+MAX_PACE_GROWTH = 3  # times the usual pace that one attempt counts as at the most
 BEST_PACE_STEP = STEP / 10  # the best pace forgets slowly
 
 
@@ -43,13 +43,13 @@
 
     def record_answer(self, work: float, estimated_work: float, pace: float) -> None:
         """An attempt was answered."""
-        ratio = min(max(work / estimated_work, WORK_RATIO_LEAST), WORK_RATIO_MOST)
+        ratio = min(max(work / estimated_work, MIN_WORK_RATIO), MAX_WORK_RATIO)
         self.work_bias += STEP * (ratio - 1.0) * self.work_bias
         self.best_pace = min(pace, self.best_pace + BEST_PACE_STEP * (pace - self.best_pace))
 
     def record_pace(self, pace: float, step: float) -> None:
         """The pace of an attempt, also of one that was cut off."""
-        self.pace += step * (min(pace, PACE_GROWTH_MOST * self.pace) - self.pace)
+        self.pace += step * (min(pace, MAX_PACE_GROWTH * self.pace) - self.pace)
 
 
 class Estimates:
@@ -68,7 +68,7 @@
         profile = self._profiles[profile_index]
         estimate = self.by_profile[profile_index]
         if stated_work > 0:
-            work = min(stated_work * estimate.work_bias, WORK_TIMEOUTS_MOST * profile.timeout_us)
+            work = min(stated_work * estimate.work_bias, MAX_WORK_TIMEOUTS * profile.timeout_us)
         else:
             work = estimate.usual_work
         work = work or FIRST_RUN_SHARE * profile.target_us * profile.threads
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -13,9 +13,9 @@
 from gullhold.decisions.moving_average import STEP, relative_deviation
 from gullhold.interface import Agreement
 
-FACTOR_LEAST = 1.0  # commands a round of the smallest tenant
+MIN_FACTOR = 1.0  # commands a round of the smallest tenant
 FACTOR_FIRST = 2.0
-FACTOR_MOST = 8.0
+MAX_FACTOR = 8.0
 UNFAIRNESS_LIMIT = 0.5  # half the mean count of a tenant
 VARIABILITY_LIMIT = 1.0  # a deviation of latency like its mean
 FORGOTTEN_COUNT = 0.02  # commands of a tenant's fading count that no figure would show any more
@@ -113,10 +113,10 @@
         unfairness = self._unfairness()
         variability = max(self._deviations, 0.0) / len(self.latency_sums) if self.latency_sums else 0.0
         if unfairness < UNFAIRNESS_LIMIT / 2 and variability < VARIABILITY_LIMIT / 2:
-            self._factor = min(self._factor + 1, FACTOR_MOST)
+            self._factor = min(self._factor + 1, MAX_FACTOR)
             self._factor_rose = True
         elif self._factor_rose and (unfairness > UNFAIRNESS_LIMIT or variability > VARIABILITY_LIMIT):
-            self._factor = max(self._factor / 2, FACTOR_LEAST)
+            self._factor = max(self._factor / 2, MIN_FACTOR)
             self._factor_rose = False
         self.quotas = {}
         self._rounds += 1
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -30,8 +30,8 @@
     StatusKind,
 )
 
-PROGRESS_LEAST = 0.01  # share done that a report of less counts as
-LOAD_WAIT_LEAST = 2  # value of a WAITING status from which the attempt waits for a load of its data set
+MIN_PROGRESS = 0.01  # share done that a report of less counts as
+MIN_LOAD_WAIT = 2  # value of a WAITING status from which the attempt waits for a load of its data set
 LOAD_WAIT_US = OVERLOADED_US  # us that such a status keeps us off
 
 PolicyValues = tuple[Sequence[float], Mapping[int, int], Mapping[int, float], Mapping[int, int]]
@@ -146,11 +146,11 @@
         terms: weights of tenants, then by profile priorities, most MB of a grant and most attempts.
         """
         self._call.begin(now)
-        weights, priorities, grants_mb, attempts_most = terms
+        weights, priorities, grants_mb, max_attempts = terms
         self.parts.queue.apply_weights(weights)
         self.parts.policy.apply(gate, priorities)
         self.parts.grants.most_mb = grants_mb
-        self.parts.retries.attempts_most = attempts_most
+        self.parts.retries.max_attempts = max_attempts
         return self._dispatcher.run()
 
     def answer_began(
@@ -174,8 +174,8 @@
             return []
         is_open = command.state == CommandState.DISPATCHED and attempt == command.attempts - 1
         if is_open and kind == StatusKind.PROGRESS:
-            command.progress = max(value, PROGRESS_LEAST)
-        elif kind == StatusKind.WAITING and value >= LOAD_WAIT_LEAST and command.engine:
+            command.progress = max(value, MIN_PROGRESS)
+        elif kind == StatusKind.WAITING and value >= MIN_LOAD_WAIT and command.engine:
             # The load of another gateway, which we would not know of.
             self.parts.placement.locks.lock(command.engine, command.dataset, now + LOAD_WAIT_US)
         return []
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -10,16 +10,16 @@
 UTILIZATION_FIELD = "util"  # name of the figure in the reports
 FULL = 0.7  # utilisation that leaves no room
 LOAD_FADE_US = 1_000_000  # us in which one engine's report fades to the fleet's mean
-UTILIZATION_LEAST = 0.01  # keeps the room finite
+MIN_UTILIZATION = 0.01  # keeps the room finite
 DISTRUST_FAILURE_RATE = 0.1  # from which a report counts as full: below that of an outlier
 DISTRUST_SLOWNESS = 1.5  # from which a report counts as full
 
 
-def room(utilization: float, widening_most: float) -> float:
-    """How far a limit widens under this utilisation, 1 to widening_most."""
+def room(utilization: float, max_widening: float) -> float:
+    """How far a limit widens under this utilisation, 1 to max_widening."""
     if utilization >= FULL:
         return 1.0
-    return min(widening_most, max(1.0, FULL / max(utilization, UTILIZATION_LEAST)))
+    return min(max_widening, max(1.0, FULL / max(utilization, MIN_UTILIZATION)))
 
 
 class LoadReports:
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -4,7 +4,7 @@
 from gullhold.decisions.concurrency_limit import ConcurrencyLimit
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.engine_health import EngineHealth
-from gullhold.decisions.estimators import PACE_LEAST, Estimates
+from gullhold.decisions.estimators import MIN_PACE, Estimates
 from gullhold.decisions.fair_queue import FairQueue
 from gullhold.decisions.moving_average import STEP
 from gullhold.decisions.placement import Placement
@@ -78,7 +78,7 @@
         if need_mb and command.need_mb:
             estimate.record_need(need_mb / command.need_mb, step)
         # Of an attempt that was cut off too: a jam is not to be hidden.
-        pace = max(latency_us * command.threads / work, PACE_LEAST)
+        pace = max(latency_us * command.threads / work, MIN_PACE)
         # Cut off sooner than the usual run, it says nothing: it would count as fast. Guards against clients
         # that give up early, whose attempts made jammed engines look idle to every gateway.
         if outcome != Outcome.ANSWERED and pace < estimate.pace:
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -12,13 +12,13 @@
 from gullhold.decisions.engine_registry import EngineRegistry
 from gullhold.decisions.fleet_budgets import FleetBudgets
 from gullhold.decisions.load_report import LoadReports
-from gullhold.decisions.ranking import RANKED_MOST, EngineList, Ranking, RingView
+from gullhold.decisions.ranking import MAX_RANKED_ENGINES, EngineList, Ranking, RingView
 from gullhold.decisions.slow_start import SlowStart
 from gullhold.interface import Agreement, BudgetKind, DeduplicationScope, EngineState
 
-LARGE_FLEET = RANKED_MOST  # engines beyond which a gateway goes back to those that it has used
-WALK_MOST = 128  # engines looked at from a point drawn at random: more than most fleets have
-DRAWS_MOST = 4  # engines drawn by chance before the walk
+LARGE_FLEET = MAX_RANKED_ENGINES  # engines beyond which a gateway goes back to those that it has used
+MAX_WALKED_ENGINES = 128  # engines looked at from a point drawn at random: more than most fleets have
+MAX_RANDOM_DRAWS = 4  # engines drawn by chance before the walk
 CANDIDATES = 2  # engines drawn from the preferred ones: the choice of two
 WARM_THREADS_WEIGHT = 0.7  # of a command's threads at a preferred engine: it reads less there, warm
 
@@ -184,8 +184,8 @@
         """
         size = len(places)
         start = int(self._draw() * size)
-        draws = [int(self._draw() * size) for _ in range(min(DRAWS_MOST, size))]
-        for place in chain(draws, range(start, start + min(size, WALK_MOST))):
+        draws = [int(self._draw() * size) for _ in range(min(MAX_RANDOM_DRAWS, size))]
+        for place in chain(draws, range(start, start + min(size, MAX_WALKED_ENGINES))):
             if len(found) >= wanted:
                 break
             engine = order.at(places[place % size])
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -9,10 +9,12 @@
 
 from gullhold.decisions.engine import Engine
 
-RANKED_MOST = 256  # engines of a list for which each data set ranks all; larger ones share one ring
+MAX_RANKED_ENGINES = 256  # engines of a list for which each data set ranks all; larger ones share one ring
 RING_SALT = -1  # what ids of engines are mixed with for the ring
 RING_START_SALT = -2  # what data sets are mixed with for their start on the ring
-RANKINGS_MOST = 512  # data sets whose ranks are cached; beyond it all are ranked anew when they are asked for
+MAX_CACHED_RANKINGS = (
+    512  # data sets whose ranks are cached; beyond it all are ranked anew when they are asked for
+)
 
 
 def mix(one: int, other: int) -> int:
@@ -135,13 +137,13 @@
             del self.engines[at]
         self.changes.append((is_present, engine))
         self._serial += 1
-        if len(self.changes) > len(self.engines) + RANKINGS_MOST:  # no more than to rank all anew
+        if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:  # no more than to rank all anew
             self.changes.clear()
             self.rankings.clear()
 
     def ranked(self, dataset: int) -> Ranking | RingView:
         """The engines in order for a data set."""
-        if len(self.engines) > RANKED_MOST:
+        if len(self.engines) > MAX_RANKED_ENGINES:
             return RingView(self._ranking(RING_SALT), dataset)
         return self._ranking(dataset)
 
@@ -149,7 +151,7 @@
         """The Ranking for a data set, with all changes up to now."""
         ranking = self.rankings.get(dataset)
         if ranking is None:
-            if len(self.rankings) >= RANKINGS_MOST:
+            if len(self.rankings) >= MAX_CACHED_RANKINGS:
                 self.rankings.clear()
             ranking = Ranking(dataset)
             self.rankings[dataset] = ranking
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -14,7 +14,7 @@
 
 MARGIN_US = 30_000  # us before a client timeout or window ends at which we stop: over one tick
 CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each attempt of a profile earns
-CREDIT_MOST = 4.0  # and the most saved up
+MAX_CREDIT = 4.0  # and the most saved up
 
 
 class RetryPolicy:
@@ -26,13 +26,13 @@
         self._key_order = key_order
         self._ended: deque[int] = deque()  # arrival times of ended commands that widen the budget, ascending
         self._retries: deque[int] = deque()  # times of retries, ascending
-        self._cancel_credit = [CREDIT_MOST] * len(agreement.profiles)
-        self.attempts_most: Mapping[int, int] = {}  # by profile, where the policy sets it
+        self._cancel_credit = [MAX_CREDIT] * len(agreement.profiles)
+        self.max_attempts: Mapping[int, int] = {}  # by profile, where the policy sets it
 
     def may_retry(self, command: Command, now: int) -> bool:
         """Whether one more attempt can ever be allowed: attempts, idempotency, deduplication window."""
-        attempts_most = self.attempts_most.get(command.profile_index, self.agreement.max_attempts)
-        if 0 < attempts_most <= command.attempts:
+        max_attempts = self.max_attempts.get(command.profile_index, self.agreement.max_attempts)
+        if 0 < max_attempts <= command.attempts:
             return False
         if not command.may_have_run or command.is_idempotent:
             return True
@@ -59,7 +59,7 @@
         if command.attempts:
             self._retries.append(now)
         credit = self._cancel_credit[command.profile_index] + CREDIT_PER_ATTEMPT
-        self._cancel_credit[command.profile_index] = min(CREDIT_MOST, credit)
+        self._cancel_credit[command.profile_index] = min(MAX_CREDIT, credit)
 
     def record_ended(self, command: Command) -> None:
         """A command ended: it widens the budget now that it is known to be no bad client's."""
--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -104,7 +104,7 @@
         """Take whole frames, an answer each. Called on the core's thread."""
         while message:
             size = thrift.I32S.unpack(message[:4])[0] + 4
-            answer = thrift.read(message[4:size], thrift.REPLY, thrift.EXCEPTION)
+            answer = thrift.decode_message(message[4:size], thrift.REPLY, thrift.EXCEPTION)
             message = message[size:]
             self._on_ended(answer.seq, *_outcome(answer.args))
 
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -5,7 +5,7 @@
 
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import Agreement
-from gullhold.net.client_connection import RESULT_MOST
+from gullhold.net.client_connection import MAX_RESULT_BYTES
 from gullhold.net.configuration import Configuration, ConfigurationError
 from gullhold.net.core import Core
 from gullhold.net.counters import Counters
@@ -61,7 +61,7 @@
         admission = build_admission(door_record, configuration.agreement, configuration.seed)
     # An even part of the memory for each connection, and always room for a result.
     max_message_bytes = max(
-        configuration.memory_bytes // configuration.max_sockets, RESULTS_PER_MESSAGE * RESULT_MOST
+        configuration.memory_bytes // configuration.max_sockets, RESULTS_PER_MESSAGE * MAX_RESULT_BYTES
     )
     max_clients = configuration.max_sockets // CLIENT_SOCKETS_DIVISOR
     core = Core(
--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 from gullhold.net import thrift
-from gullhold.net.client_limits import OPEN_MOST
+from gullhold.net.client_limits import MAX_OPEN_REQUESTS
 from gullhold.net.request_reader import FIGURE
 
-DEFERRED_MOST_BYTES = 32_768  # bytes of calls deferred in a pause: 32 of usual size
+MAX_DEFERRED_BYTES = 32_768  # bytes of calls deferred in a pause: 32 of usual size
 DEFERRED_PART = 0.4  # of the time that its client waits, for which a call is deferred at most
 # s, least and most, until the next read after something was rejected at once
 LEAST_PAUSE_S = 0.05
@@ -70,7 +70,7 @@
 
     def is_full(self) -> bool:
         """Whether as much is deferred as a usual client has open."""
-        return len(self.calls) >= OPEN_MOST or self.size_bytes > DEFERRED_MOST_BYTES
+        return len(self.calls) >= MAX_OPEN_REQUESTS or self.size_bytes > MAX_DEFERRED_BYTES
 
     def defer(self, call: thrift.Message, received_at_us: int) -> None:
         """Keep a call for later."""
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -4,7 +4,7 @@
 from weakref import ref
 
 from gullhold.net import thrift
-from gullhold.net.client_limits import OPEN_MOST
+from gullhold.net.client_limits import MAX_OPEN_REQUESTS
 from gullhold.net.connection_ends import ProtocolError
 from gullhold.net.request_reader import Request, RequestError, RequestReader
 
@@ -46,7 +46,7 @@
         elif call.method == "execute" and self.backpressure.is_full():
             self.counters.add("taken")
             self.counters.add("turned away in a pause")
-            self.rejections.append(thrift.shed(call.seq, {}))
+            self.rejections.append(thrift.encode_shed(call.seq, {}))
         else:
             self.backpressure.defer(call, received_at_us)
 
@@ -68,7 +68,7 @@
         """The connection is read no more: each request that is deferred is shed."""
         for deferred in self.backpressure.calls:
             if deferred.call.method == "execute":
-                self.rejections.append(thrift.shed(deferred.call.seq, {}))
+                self.rejections.append(thrift.encode_shed(deferred.call.seq, {}))
 
     def _interrupt(self, seq: int) -> None:
         client = self.client
@@ -94,7 +94,9 @@
         else:
             self.counters.add("calls unknown")
             text = "unknown method"
-            self.client.put(thrift.exception(call.method, call.seq, thrift.UNKNOWN_METHOD, text))
+            self.client.put(
+                thrift.encode_application_exception(call.method, call.seq, thrift.UNKNOWN_METHOD, text)
+            )
 
     def _execute(self, call: thrift.Message, received_at_us: int) -> None:
         """What can't be used is answered here and never reaches the core."""
@@ -104,17 +106,19 @@
         self.last_seq = seq
         self.counters.add("taken")
         if self.core.is_rejecting:  # at the end: nothing goes on from here, so this costs the core nothing
-            self.rejections.append(thrift.shed(seq, {}))
+            self.rejections.append(thrift.encode_shed(seq, {}))
             return
-        if self.client.open_count() >= OPEN_MOST:
+        if self.client.open_count() >= MAX_OPEN_REQUESTS:
             self.counters.add("over 32 open on a connection")
-            self.client.put(thrift.shed(seq, {}))
+            self.client.put(thrift.encode_shed(seq, {}))
             return
         fields = call.args.get(FIRST_MAP)
         body = call.args.get(SECOND_STRING)
         if fields is None or body is None:
             self.counters.add("unusable")
-            self.client.put(thrift.exception("execute", seq, thrift.PROTOCOL_ERROR, "missing argument"))
+            self.client.put(
+                thrift.encode_application_exception("execute", seq, thrift.PROTOCOL_ERROR, "missing argument")
+            )
             return
         if self._is_rejected_early(seq, fields, received_at_us):
             return
@@ -133,7 +137,7 @@
         if not shed_fields:
             return False
         self.counters.add("turned away at the door, unasked")
-        self.rejections.append(thrift.shed(seq, *shed_fields))
+        self.rejections.append(thrift.encode_shed(seq, *shed_fields))
         return True
 
     def _read(self, seq: int, fields: dict, body: bytes) -> Request | None:
@@ -142,7 +146,7 @@
             return self.reader.request(fields, body, *self.client.peer)
         except RequestError as error:
             self.counters.add("unusable")
-            self.client.put(thrift.fault(seq, str(error)))
+            self.client.put(thrift.encode_fault(seq, str(error)))
             # Guards against those who ask the same again at once.
             self.backpressure.hold_off(self.core.agreement.connect_timeout_us / 1e6)
             return None
@@ -150,7 +154,7 @@
     def _hand_to_core(self, seq: int, request: Request, received_at_us: int) -> None:
         if not self.core.statement_memory.reserve(len(request.body)):
             self.counters.add("no memory for a statement")
-            self.rejections.append(thrift.shed(seq, {}))
+            self.rejections.append(thrift.encode_shed(seq, {}))
             return
         self.client.handed_over_count += 1
         self.client.unseen[seq] = True
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -8,7 +8,7 @@
 from gullhold.net import connection_ends, set_no_delay, set_read_timeout, thrift
 from gullhold.net.backpressure import Backpressure
 from gullhold.net.client_calls import ClientCalls
-from gullhold.net.client_limits import OPEN_MOST, RESULT_MOST
+from gullhold.net.client_limits import MAX_OPEN_REQUESTS, MAX_RESULT_BYTES
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.idle_timer import IdleTimer
@@ -20,7 +20,9 @@
     from gullhold.net.core import Core
 
 CLOSED_PAUSE_S = 0.5  # s between reads of a connection that waits for answers, once nothing is taken
-ENDING_MOST = 65_536  # bytes of a connection that are read at once at the end: 32 requests of usual size
+MAX_CLOSING_READ_BYTES = (
+    65_536  # bytes of a connection that are read at once at the end: 32 requests of usual size
+)
 FULL_POLL_S = 0.05  # s between reads in a pause once much is deferred: half of what a leaving may take
 SAY_S = 2.0  # s in which a connection says something whole; the page wants an end within 3 s
 IDLE_S = 5.0  # s without a request; usual clients close their own after 4 s
@@ -50,7 +52,9 @@
         self.core = core
         self.peer = peer
         self.decoder = thrift.Decoder(most)
-        self.write_buffer = WriteBuffer(OPEN_MOST * (RESULT_MOST + most), core.counters, core.flusher)
+        self.write_buffer = WriteBuffer(
+            MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + most), core.counters, core.flusher
+        )
         self.open: dict[int, PendingRequest] = {}  # by sequence number
         self.unseen: dict[int, bool] = {}  # sequence numbers that the core has yet to see
         self.interrupted: set[int] = set()  # those of open requests whose interrupts wait for the core
@@ -80,7 +84,7 @@
         So it does for one that does not read, where many don't; harm: one that reads slowly while others
         don't read at all ends with them.
         """
-        is_crowding = self.write_buffer.size > RESULT_MOST and self.core.statement_memory.is_crowded()
+        is_crowding = self.write_buffer.size > MAX_RESULT_BYTES and self.core.statement_memory.is_crowded()
         is_sent = not is_crowding and self.write_buffer.put(message) >= 0
         if not is_sent and (self.write_buffer.dead or not self.write_buffer.finishing):
             self.core.counters.add("answers that could not go")
@@ -166,7 +170,7 @@
 
     def _has_other_side_closed(self) -> bool:
         try:
-            has_more = len(self.connection.sock.recv(ENDING_MOST)) > 0
+            has_more = len(self.connection.sock.recv(MAX_CLOSING_READ_BYTES)) > 0
         except BlockingIOError:
             return False
         if not has_more and self.write_buffer.is_end_sent and not self.is_dismissed:
@@ -263,7 +267,7 @@
     def _receive_rest(self) -> None:
         """At the end, all that has come, before it is answered: what comes later crosses the end."""
         buffer = self.decoder.buffer
-        while len(buffer) < ENDING_MOST and self.connection.readable():
+        while len(buffer) < MAX_CLOSING_READ_BYTES and self.connection.readable():
             if not buffer.receive(self.connection.sock):
                 return
 
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -157,7 +157,7 @@
         is_serving = self.endpoint_list.is_known and not self.shutdown_began_at
         if is_serving and self.gate:
             is_serving = not self.gate.rejects_new()
-        client.put(thrift.answer("check", seq, good=is_serving))
+        client.put(thrift.encode_answer("check", seq, good=is_serving))
 
     def close_if_idle(self, client: "ClientConnection") -> None:
         """A connection is idle: it ends, unless something came meanwhile."""
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -89,16 +89,21 @@
 class EngineConnection:
     """One connection. Its thread connects, reads and closes; all but `connection` is the core thread's.
 
-    message_most, buffer_most: bytes of the largest answer, and of what may wait to be written.
+    max_message_bytes, max_buffered_bytes: bytes of the largest answer, and of what may wait to be written.
     """
 
     def __init__(
-        self, endpoint: EngineEndpoint, core: "Core", message_most: int, buffer_most: int, now: int
+        self,
+        endpoint: EngineEndpoint,
+        core: "Core",
+        max_message_bytes: int,
+        max_buffered_bytes: int,
+        now: int,
     ) -> None:
         self.endpoint = endpoint
         self.core = core
-        self.decoder = resp.Decoder(message_most)
-        self.write_buffer = WriteBuffer(buffer_most, core.counters, core.flusher)
+        self.decoder = resp.Decoder(max_message_bytes)
+        self.write_buffer = WriteBuffer(max_buffered_bytes, core.counters, core.flusher)
         self.open: dict[bytes, Attempt] = {}  # by the id of the command
         self.given_up: set[bytes] = set()  # ids to which a late answer may come
         self.confirmations: dict[bytes, Attempt] = {}  # by tag: those that are awaited
@@ -115,13 +120,13 @@
         """Connect and read, in a thread of its own. RuntimeError where there is no thread to be had."""
         Thread(target=self._run, daemon=True, name="link").start()
 
-    def accepts(self, txn: bytes, streams_most: int) -> bool:
+    def accepts(self, txn: bytes, max_streams: int) -> bool:
         """Whether an attempt of this id may go out here: a late answer to an earlier one must not meet it."""
         if self.is_ended or self.is_retired or self.write_buffer.dead:
             return False
         if self.probed_at:  # it fell silent
             return False
-        return len(self.open) < streams_most and txn not in self.given_up
+        return len(self.open) < max_streams and txn not in self.given_up
 
     def shut(self, end: ConnectionEnd) -> None:
         """End it from our side; the reader wakes and reports."""
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -4,7 +4,7 @@
 
 from gullhold.interface import EngineState, Outcome
 from gullhold.net import connection_ends, resp
-from gullhold.net.client_limits import OPEN_MOST
+from gullhold.net.client_limits import MAX_OPEN_REQUESTS
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.engine_connection import Attempt, EngineConnection, EngineEndpoint
 from gullhold.net.eventlog import EventKind, LoggedEvent
@@ -20,14 +20,14 @@
     """All connections to engines. On the core's thread only, but for `holding`.
 
     holding: connections that hold a descriptor, ended or not; their threads take them out.
-    connections_most: how many may hold one.
+    max_connections: how many may hold one.
     """
 
-    def __init__(self, core: "Core", connections_most: int) -> None:
+    def __init__(self, core: "Core", max_connections: int) -> None:
         self.core = core
         self.agreement = core.agreement
         self.counters = core.counters
-        self.connections_most = connections_most
+        self.max_connections = max_connections
         self.endpoints: dict[int, EngineEndpoint] = {}
         self.connections: set[EngineConnection] = set()
         self.holding: set[EngineConnection] = set()
@@ -37,21 +37,21 @@
         endpoint = self.endpoints.get(engine_id)
         if endpoint is None:
             return None
-        streams_most = self.agreement.streams_per_connection
+        max_streams = self.agreement.streams_per_connection
         usable = [
             connection
             for connection in endpoint.connections
-            if connection.accepts(txn, streams_most) and not self.is_idle(connection)
+            if connection.accepts(txn, max_streams) and not self.is_idle(connection)
         ]
         # One attempt a connection while descriptors last: guards against one spoilt answer, reset, or request
         # that an engine can't read taking down what else is open there. But some engines close a connection
         # when they have answered and nothing else is open on it, be pages or a fetch still to come: there
         # attempts share.
-        preferred_most = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
-        preferred = [connection for connection in usable if len(connection.open) < preferred_most]
+        max_preferred_open = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
+        preferred = [connection for connection in usable if len(connection.open) < max_preferred_open]
         if preferred:  # the fullest; of idle ones the one used last, so that the others may be closed
             return max(preferred, key=lambda connection: (len(connection.open), connection.used_at))
-        if len(self.holding) < self.connections_most:
+        if len(self.holding) < self.max_connections:
             return self._open(endpoint)
         if usable:
             return min(usable, key=lambda connection: len(connection.open))
@@ -109,7 +109,7 @@
 
     def _open(self, endpoint: EngineEndpoint) -> EngineConnection | None:
         most = self.core.max_message_bytes
-        connection = self.core.connect(endpoint, self.core, most, OPEN_MOST * most, self.core.now)
+        connection = self.core.connect(endpoint, self.core, most, MAX_OPEN_REQUESTS * most, self.core.now)
         self.holding.add(connection)
         try:
             connection.start()
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -5,7 +5,7 @@
 
 from gullhold.interface import Outcome, StatusKind
 from gullhold.net import US_PER_MS, engine_protocol, resp
-from gullhold.net.client_limits import RESULT_MOST
+from gullhold.net.client_limits import MAX_RESULT_BYTES
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.engine_connection import Attempt, EngineConnection, ResourceUse
 
@@ -113,7 +113,7 @@
         check_page(rows)
         attempt.pages.append(rows)
         attempt.result_bytes += len(rows)
-        if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > RESULT_MOST:
+        if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > MAX_RESULT_BYTES:
             raise ProtocolError("a result of an absurd size")
         if len(attempt.pages) < attempt.page_count:
             self.core.pool.send_control(connection, engine_protocol.MORE, txn, b"%d" % len(attempt.pages))
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-NEWEST_MOST = 400  # events kept in memory: some 100 KB
+MAX_RECENT_EVENTS = 400  # events kept in memory: some 100 KB
 BURST = 20  # lines of one kind that may be logged at once ...
 RATE_PER_S = 2.0  # ... and those a second that are allowed from then on
 
@@ -55,7 +55,7 @@
     """Takes events from the core's thread."""
 
     def __init__(self) -> None:
-        self.newest: deque[LoggedEvent] = deque(maxlen=NEWEST_MOST)
+        self.newest: deque[LoggedEvent] = deque(maxlen=MAX_RECENT_EVENTS)
         self.left_out = 0  # events since the last line that was logged
         self.lines_allowed: dict[EventKind, float] = {}  # that may be logged now
         self.counted_at_us: dict[EventKind, int] = {}  # when the above was true
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -14,7 +14,7 @@
 
 from gullhold.net.write_buffer import WriteBuffer
 
-READ_MOST = 4096  # bytes of one read of the wake-up pipe
+MAX_READ_BYTES = 4096  # bytes of one read of the wake-up pipe
 FAULT_WAIT_S = 0.01  # s after a wait that the system refused, until the next
 
 
@@ -58,7 +58,7 @@
         ready = [descriptor for descriptor, _ in poll.poll()]
         if self.wake_out in ready:
             with suppress(BlockingIOError):
-                os.read(self.wake_out, READ_MOST)
+                os.read(self.wake_out, MAX_READ_BYTES)
         is_all_written = True
         for descriptor in ready:
             for buffer in by_descriptor.get(descriptor, ()):
--- a/gullhold/net/health_check.py
+++ b/gullhold/net/health_check.py
@@ -17,11 +17,11 @@
     decoder = thrift.Decoder(thrift.MAX_CHECK_REPLY_BYTES)
     try:
         with socket.create_connection(address, timeout=timeout_s) as sock:
-            sock.sendall(thrift.check_call(SEQUENCE_NUMBER))
+            sock.sendall(thrift.encode_check_call(SEQUENCE_NUMBER))
             frame = next(decoder.frames(), None)
             while frame is None and decoder.buffer.receive(sock):
                 frame = next(decoder.frames(), None)
-            return frame is not None and thrift.is_good(frame)
+            return frame is not None and thrift.is_good_answer(frame)
     except ConnectionRefusedError:
         return None
 
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -107,10 +107,10 @@
             self._settle(pending)
         elif request.txn in self.by_txn:
             self.counters.add("failed")
-            self.answer(pending, thrift.fault(seq, "this txn is open already"))
+            self.answer(pending, thrift.encode_fault(seq, "this txn is open already"))
         elif self.core.is_rejecting or self._is_over_open_limit():
             self.counters.add("over the open cap")
-            self.answer(pending, thrift.shed(seq, {}))
+            self.answer(pending, thrift.encode_shed(seq, {}))
         else:
             self._admit(pending)
 
@@ -158,7 +158,7 @@
         if self.core.gate:  # a canary is judged by it
             limit_us = pending.request.limit_us
             self.counters.add("answered us", self.core.now - pending.timeout_at_us + limit_us)
-        self.answer(pending, thrift.answer("execute", pending.seq, rows))
+        self.answer(pending, thrift.encode_answer("execute", pending.seq, rows))
 
     def answer_shed(self, number: int, longest_retry_after_us: int) -> None:
         """The final answer is that the request was shed; 0: no bound on when its client may ask again."""
@@ -167,20 +167,20 @@
         if longest_retry_after_us:
             retry_after_us = min(retry_after_us, longest_retry_after_us)
         if pending:
-            message = thrift.shed(pending.seq, self.shed_fields(retry_after_us))
+            message = thrift.encode_shed(pending.seq, self.shed_fields(retry_after_us))
             self._refuse(pending, "shed", message)
 
     def answer_failed(self, number: int) -> None:
         """The final answer is a failure, which promises nothing."""
         pending = self._waiting_for_answer(number)
         if pending:
-            self._refuse(pending, "failed", thrift.fault(pending.seq, "failed"))
+            self._refuse(pending, "failed", thrift.encode_fault(pending.seq, "failed"))
 
     def settle_rejected(self, pending: PendingRequest, retry_after_us: int) -> bytes:
         """The admission queue rejected a request; the frame that its client is to get (0: no Retry-After)."""
         self.counters.add("turned away at the door")
         self._log_refusal(pending, "turned away at the door")
-        frame = thrift.shed(pending.seq, self.shed_fields(retry_after_us))
+        frame = thrift.encode_shed(pending.seq, self.shed_fields(retry_after_us))
         self._settle(pending)
         return frame
 
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -5,8 +5,8 @@
 from gullhold.net.buffer import Buffer
 from gullhold.net.connection_ends import ProtocolError
 
-HEAD_MOST = 16  # bytes of a length line: more digits than any length that fits a buffer
-STRINGS_MOST = 64  # strings in one array: several times what the protocol has
+MAX_HEADER_BYTES = 16  # bytes of a length line: more digits than any length that fits a buffer
+MAX_STRINGS_PER_ARRAY = 64  # strings in one array: several times what the protocol has
 LINE_END = b"\r\n"
 ARRAY_MARK = b"*"
 STRING_MARK = b"$"
@@ -45,7 +45,7 @@
             return False
         size, used = head
         self.buffer.drop(used)
-        if not 0 < size <= STRINGS_MOST:
+        if not 0 < size <= MAX_STRINGS_PER_ARRAY:
             raise ProtocolError(f"an array of {size}")
         self.strings = []
         self.missing = size
@@ -57,7 +57,7 @@
         if head is None:
             return None
         size, used = head
-        if not 0 <= size <= self.buffer.most - HEAD_MOST:
+        if not 0 <= size <= self.buffer.most - MAX_HEADER_BYTES:
             raise ProtocolError(f"a string of {size}")
         body = self.buffer.peek(size + len(LINE_END), used)
         if body is None:
@@ -70,8 +70,8 @@
     def _head(self, mark: bytes) -> tuple[int, int] | None:
         """The number after a mark, and how many bytes its line takes, which is left in place."""
         end = self.buffer.find(LINE_END)
-        if end < 0 or end > HEAD_MOST:
-            if len(self.buffer) > HEAD_MOST or end >= 0:
+        if end < 0 or end > MAX_HEADER_BYTES:
+            if len(self.buffer) > MAX_HEADER_BYTES or end >= 0:
                 raise ProtocolError("a length without its line end")
             if len(self.buffer) and self.buffer.peek(1) != mark:
                 raise ProtocolError("not an array of bulk strings")
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -215,7 +215,7 @@
 
     def calls(self) -> Iterator[Message]:
         """Iterate over the calls that are complete. Raises ProtocolError."""
-        return map(decode, self.frames())
+        return map(decode_call, self.frames())
 
     def frames(self) -> Iterator[bytes]:
         """Iterate over the frames that are complete, without their lengths. Raises ProtocolError."""
@@ -230,7 +230,7 @@
             yield frame
 
 
-def read(frame: bytes, *kinds: int) -> Message:
+def decode_message(frame: bytes, *kinds: int) -> Message:
     """Decode the message in one frame. Raises ProtocolError, also where its type is none of these."""
     scan = Scan(frame)
     version, _, kind = MESSAGE_HEADER.unpack(scan.take(MESSAGE_HEADER.size))
@@ -244,9 +244,9 @@
     return Message(method, kind, seq, scan.fields())
 
 
-def decode(frame: bytes) -> Message:
+def decode_call(frame: bytes) -> Message:
     """Decode the call in one frame. Raises ProtocolError."""
-    return read(frame, CALL, ONEWAY)
+    return decode_message(frame, CALL, ONEWAY)
 
 
 def encode_string(data: bytes) -> bytes:
@@ -267,7 +267,7 @@
     return I32S.pack(len(message)) + message
 
 
-def answer(method: str, seq: int, body: bytes = b"", good: bool = True) -> bytes:
+def encode_answer(method: str, seq: int, body: bytes = b"", good: bool = True) -> bytes:
     """Encode a reply with an Answer: its body, no fields, and whether all is well."""
     return encode_message(
         REPLY,
@@ -285,12 +285,12 @@
     )
 
 
-def shed(seq: int, fields: Mapping[bytes, bytes]) -> bytes:
+def encode_shed(seq: int, fields: Mapping[bytes, bytes]) -> bytes:
     """Encode a reply to execute that throws a Shed with these fields."""
     return _thrown(seq, RESULT_SHED, fields)
 
 
-def fault(seq: int, reason: str) -> bytes:
+def encode_fault(seq: int, reason: str) -> bytes:
     """Encode a reply to execute that throws a Fault."""
     return _thrown(seq, RESULT_FAULT, {b"reason": reason.encode()})
 
@@ -308,7 +308,7 @@
     )
 
 
-def exception(method: str, seq: int, kind: int, text: str) -> bytes:
+def encode_application_exception(method: str, seq: int, kind: int, text: str) -> bytes:
     """Encode an application exception."""
     return encode_message(
         EXCEPTION,
@@ -322,14 +322,14 @@
     )
 
 
-def check_call(seq: int) -> bytes:
+def encode_check_call(seq: int) -> bytes:
     """Encode a call of check, with which a client asks whether we serve."""
     return encode_message(
         CALL, "check", seq, FIELD_HEADER.pack(BOOL, CHECK_UNUSED) + bytes((1,)) + END_OF_STRUCT
     )
 
 
-def is_good(frame: bytes) -> bool:
+def is_good_answer(frame: bytes) -> bool:
     """Whether a frame holds an Answer whose `good` is true. Raises ProtocolError."""
-    answer_fields = read(frame, REPLY, EXCEPTION).args.get((RESULT_SUCCESS, STRUCT), {})
+    answer_fields = decode_message(frame, REPLY, EXCEPTION).args.get((RESULT_SUCCESS, STRUCT), {})
     return answer_fields.get((ANSWER_GOOD, BOOL), False)
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -25,10 +25,10 @@
 if TYPE_CHECKING:
     from gullhold.simulation.play import World
 
-MESSAGE_MOST = 192 << 10  # bytes of the largest message, as a small deployment has it
-CONNECTIONS_MOST = 200  # to engines, of one gateway
+MAX_MESSAGE_BYTES = 192 << 10  # bytes of the largest message, as a small deployment has it
+MAX_CONNECTIONS = 200  # to engines, of one gateway
 STATEMENT_MEMORY = 24 << 20  # bytes of statements that wait
-DISCOVERY_LINE_MOST = 1 << 20  # bytes of one line of the discovery service
+MAX_DISCOVERY_LINE_BYTES = 1 << 20  # bytes of one line of the discovery service
 SERIALS = count()  # by which connections are ordered
 
 
@@ -109,7 +109,7 @@
     """A connection of a client whose reader is an end of a wire."""
 
     def __init__(self, end: End, core: Core, reader: RequestReader) -> None:
-        super().__init__(WireSocket(end), core, reader, MESSAGE_MOST)
+        super().__init__(WireSocket(end), core, reader, MAX_MESSAGE_BYTES)
         self.serial = next(SERIALS)
         self.has_reported = False
         end.owner = self
@@ -189,13 +189,13 @@
             Gateway(configuration.seed, agreement, now),
             agreement,
             Counters(),
-            MESSAGE_MOST,
-            CONNECTIONS_MOST,
+            MAX_MESSAGE_BYTES,
+            MAX_CONNECTIONS,
             StatementMemory(STATEMENT_MEMORY),
         )
         self.reader = RequestReader(agreement, None, self.core.retry_after_field)
         self.names = configuration.engine_ids
-        self.follow = event_stream.EventStream(configuration.last_event, DISCOVERY_LINE_MOST)
+        self.follow = event_stream.EventStream(configuration.last_event, MAX_DISCOVERY_LINE_BYTES)
         self.core.begin(configuration.list_changes)
         self.wake()
 
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -158,7 +158,7 @@
         "client gone", EnginePool, "connection_up", _not_looked_again
     ),
     "what is taken back goes out": Mutant("two at once", WriteBuffer, "withdraw", _not_taken_back),
-    "answers to another's number": Mutant("one answer", thrift, "answer", _mixed),
+    "answers to another's number": Mutant("one answer", thrift, "encode_answer", _mixed),
     "a second copy kept": Mutant("intact", EngineReplies, "_received_array", _copy_kept),
 }
 
--- a/gullhold/simulation/peers.py
+++ b/gullhold/simulation/peers.py
@@ -20,8 +20,8 @@
 
 NOTE_US = 120_000  # us between notes on a send: more often than the settings promise
 ROWS = 12  # rows of a page
-PAGE_MOST = 3  # pages of a result
-MESSAGE_MOST = 1 << 18  # bytes of one message
+MAX_PAGES = 3  # pages of a result
+MAX_MESSAGE_BYTES = 1 << 18  # bytes of one message
 KNOWN_KEY_WORK_US = 1000  # to answer a repeat that is dropped
 REJECT_FACTOR = 4  # attempts per core beyond which an engine answers that it is overloaded
 MAX_OPEN = 30  # commands of a client at once
@@ -34,7 +34,7 @@
 
 def pages_of(txn: bytes) -> int:
     """How many pages a command's result has."""
-    return 1 + int(txn, 16) % PAGE_MOST
+    return 1 + int(txn, 16) % MAX_PAGES
 
 
 class Run:
@@ -57,7 +57,7 @@
         self.engine = engine
         self.end = end
         self.near = near
-        self.decoder = resp.Decoder(MESSAGE_MOST)
+        self.decoder = resp.Decoder(MAX_MESSAGE_BYTES)
         self.total = 0  # bytes received
         self.runs: dict[bytes, Run] = {}
         self.done: set[bytes] = set()  # answered, with pages that may still be fetched
@@ -204,7 +204,7 @@
         self.member = member
         self.verbs = verbs
         self.gap_us = gap_us
-        self.decoder = thrift.Decoder(MESSAGE_MOST)
+        self.decoder = thrift.Decoder(MAX_MESSAGE_BYTES)
         self.seq = 0
         self.open: dict[int, bytes] = {}  # transaction ids by sequence number
         self.end: End | None = None
--- a/gullhold/simulator_adapter/actions.py
+++ b/gullhold/simulator_adapter/actions.py
@@ -7,12 +7,12 @@
 from gullhold.simulator_adapter import wire
 from gullhold.simulator_adapter.wire import ActionCode
 
-TEXT_MOST = 60_000  # bytes of a text: under the 65535 that its length field holds
+MAX_TEXT_BYTES = 60_000  # bytes of a text: under the 65535 that its length field holds
 
 
 def text_record(code: ActionCode, instance: int, text: str) -> bytes:
     """A log line (DEBUG) or the report of a fault (BUG)."""
-    raw = text.encode("utf-8", "replace")[:TEXT_MOST]
+    raw = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
     fields_size = wire.TEXT.size - wire.RECORD_HEADER.size + len(raw)
     return wire.TEXT.pack(code, fields_size, instance, len(raw)) + raw
 
--- a/gullhold/testing/crowd.py
+++ b/gullhold/testing/crowd.py
@@ -33,8 +33,8 @@
     "again_shed",
     "twice",
 )
-OPEN_MOST = 32  # open on one connection, from the protocol
-FRAME_MOST = 100_000  # bytes of an answer
+MAX_OPEN_REQUESTS = 32  # open on one connection, from the protocol
+MAX_FRAME_BYTES = 100_000  # bytes of an answer
 PAUSE_S = 0.02  # s that a client told nothing waits before it asks for something else
 WHEN_TOLD, AT_ONCE, NOT_AT_ALL = range(3)
 
@@ -80,7 +80,7 @@
         come_back=b"retry_ms",
     ):
         self.address, self.tenant, self.name, self.open = address, tenant, name, open
-        self.work_ms, self.says, self.manner, self.tries_most = work_ms, says, manner, tries
+        self.work_ms, self.says, self.manner, self.max_tries = work_ms, says, manner, tries
         self.limit_ms, self.verb, self.field, self.rate = limit_ms, verb, field, rate
         self.come_back = come_back
         self.draw, self.lock = Random(f"{seed} {tenant} {name}"), Lock()
@@ -144,7 +144,7 @@
 
     def _run(self, index, connections):
         quota = self.open // connections + (index < self.open % connections)
-        machine, seq, out, later = thrift.Decoder(FRAME_MOST), 0, {}, []
+        machine, seq, out, later = thrift.Decoder(MAX_FRAME_BYTES), 0, {}, []
         rate, next_at, order = self.rate / connections, time.monotonic() + self.draw.random() * 0.05, 0
         fresh = deque()
         try:
@@ -162,7 +162,7 @@
                         fresh.append(heappop(later)[2])
                     while not self.stopped and not rate and len(out) + len(later) + len(fresh) < quota:
                         fresh.append(Ask(now, now, 1, False))
-                    while fresh and len(out) < OPEN_MOST and not self.stopped:
+                    while fresh and len(out) < MAX_OPEN_REQUESTS and not self.stopped:
                         seq, ask = seq + 1, fresh.popleft()._replace(sent_at=now)
                         out[seq] = ask
                         data.append(self._call(seq, ask))
@@ -182,7 +182,7 @@
             self.lost += len(out)
 
     def _answered(self, answer, out, later, order):
-        message, now = thrift.read(answer, thrift.REPLY, thrift.EXCEPTION), time.monotonic()
+        message, now = thrift.decode_message(answer, thrift.REPLY, thrift.EXCEPTION), time.monotonic()
         ask = out.pop(message.seq, None)
         if ask is None:
             with self.lock:
@@ -208,7 +208,7 @@
             self.told += word is not None
         if (
             self.manner == NOT_AT_ALL
-            or ask.tries >= self.tries_most
+            or ask.tries >= self.max_tries
             or (self.manner == WHEN_TOLD and word is None)
         ):  # told nothing: it gives this ask up
             if not self.rate:
--- a/gullhold/testing/swarm.py
+++ b/gullhold/testing/swarm.py
@@ -8,9 +8,9 @@
 from gullhold.net import resp
 from gullhold.testing import LOOPBACK
 
-MESSAGE_MOST = 200_000  # bytes of one message of the gateway
+MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway
 BACKLOG = 16  # connections of one engine that wait to be taken
-READ_MOST = 65_536  # bytes of one read
+MAX_READ_BYTES = 65_536  # bytes of one read
 
 
 class Swarm:
@@ -48,11 +48,11 @@
         conn = listener.accept()[0]
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.accepted += 1
-        self.selector.register(conn, selectors.EVENT_READ, resp.Decoder(MESSAGE_MOST))
+        self.selector.register(conn, selectors.EVENT_READ, resp.Decoder(MAX_MESSAGE_BYTES))
 
     def _read(self, conn, machine):
         try:
-            data = conn.recv(READ_MOST)
+            data = conn.recv(MAX_READ_BYTES)
         except ConnectionError:
             data = b""
         if not data:
--- a/gullhold/testing/working.py
+++ b/gullhold/testing/working.py
@@ -18,7 +18,7 @@
 
 WORK = re.compile(rb"/\* work=([0-9.]+) \*/")
 WORK_MS = 20.0  # of a statement that does not say
-MESSAGE_MOST = 200_000  # bytes of one message of the gateway: far over any statement here
+MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway: far over any statement here
 
 
 def statement(work_ms, group=1):
@@ -64,7 +64,7 @@
             Thread(target=self._serve, args=(conn,), daemon=True).start()
 
     def _serve(self, conn):
-        machine = resp.Decoder(MESSAGE_MOST)
+        machine = resp.Decoder(MAX_MESSAGE_BYTES)
         with suppress(OSError):
             while machine.buffer.receive(conn):
                 for words in machine.arrays():
--- a/tests/decisions/test_dataset_engines.py
+++ b/tests/decisions/test_dataset_engines.py
@@ -2,15 +2,16 @@
 
 from driver import START
 
-from gullhold.decisions.dataset_engines import COUNT_MOST, DatasetPopularity, RecentEngines
+from gullhold.decisions.dataset_engines import MAX_COUNTED_COMMANDS, DatasetPopularity, RecentEngines
 from gullhold.decisions.dataset_locks import DatasetLocks
 from gullhold.decisions.engine import Engine
 
 
 def test_popular_data_sets_prefer_more_engines_and_counts_fade_by_halves():
     popularity = DatasetPopularity()
-    assert popularity.preferred_engines(1, 100) == 3 and popularity.preferred_engines(1, 2) == 2
-    for _ in range(COUNT_MOST):
+    assert popularity.preferred_engines(1, 100) == 3
+    assert popularity.preferred_engines(1, 2) == 2
+    for _ in range(MAX_COUNTED_COMMANDS):
         popularity.record(1)
     assert popularity.preferred_engines(1, 50) == 50
     popularity.record(2)
@@ -22,11 +23,13 @@
     recent = RecentEngines()
     for slot in (1, 2, 2, 3, 4, 5):
         recent.record_answer(9, Engine(slot, slot, slot))
-    assert list(recent.slots(9)) == [2, 3, 4, 5] and recent.slots(8) is None
+    assert list(recent.slots(9)) == [2, 3, 4, 5]
+    assert recent.slots(8) is None
 
 
 def test_a_data_set_is_locked_until_its_load_ends():
     locks, engine = DatasetLocks(), Engine(1, 0, 1)
     locks.lock(engine, 5, START)
-    assert locks.is_locked(engine, 5, START - 1) and not locks.is_locked(engine, 6, START - 1)
+    assert locks.is_locked(engine, 5, START - 1)
+    assert not locks.is_locked(engine, 6, START - 1)
     assert not locks.is_locked(engine, 5, START)
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -23,7 +23,7 @@
 from gullhold.testing.deployment import config
 from gullhold.testing.running import free_address
 
-MESSAGE_MOST = 200_000  # bytes of one message of the gateway
+MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway
 PAGE_ROWS = 200  # rows of a page: under the protocol's 6,000 bytes
 PAUSE_S = 0.005  # s between connections of a client: the machine has other tests to run
 GRACE_S = 0.5  # s after a request's time in which its answer earns nothing, but is not lost
@@ -86,7 +86,7 @@
                 Thread(target=self._serve, args=(conn,), daemon=True).start()
 
     def _serve(self, conn):
-        machine = resp.Decoder(MESSAGE_MOST)
+        machine = resp.Decoder(MAX_MESSAGE_BYTES)
         try:
             while machine.buffer.receive(conn):
                 if self.draw() < self.resets:  # in the middle of a request
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -64,7 +64,8 @@
         client.sock.close()
         until(lambda: inside.is_ending)
     until(lambda: gateway.count("interrupted") == 20)
-    assert gateway.core.gateway.submitted == 0 and not engine.told
+    assert gateway.core.gateway.submitted == 0
+    assert not engine.told
 
 
 @pytest.mark.parametrize("how", ["closes", "interrupts"])
@@ -85,7 +86,8 @@
     assert time.monotonic() - began < 1
     feed.say(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask()
-    assert other.answer() == (seq, b"a\tb\tc\n") and len(engine.words(b"fetch")) == 1
+    assert other.answer() == (seq, b"a\tb\tc\n")
+    assert len(engine.words(b"fetch")) == 1
     engine.close()
 
 
@@ -100,10 +102,12 @@
     client.interrupt(back)
     check = client.send("check", b"\x02\0\1\1")
     answers = [client.answer() for _ in range(4)]
-    assert answers[0] == (bad, "fault") and time.monotonic() - began >= 0.5
+    assert answers[0] == (bad, "fault")
+    assert time.monotonic() - began >= 0.5
     assert set(answers[1:]) == {(first, b"a\tb\tc\n"), (last, b"a\tb\tc\n"), (check, b"")}
     assert sorted(words[2] for words in engine.words(b"fetch")[1:]) == [b"f%015x" % n for n in (1, 3)]
-    assert gateway.count("taken") == 5 and gateway.count("interrupted") == 1
+    assert gateway.count("taken") == 5
+    assert gateway.count("interrupted") == 1
     client.interrupt(held)
 
 
@@ -117,21 +121,17 @@
         client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
     until(
         lambda: (
-            len(inside.backpressure.calls) >= client_limits.OPEN_MOST
-            or inside.backpressure.size_bytes > backpressure.DEFERRED_MOST_BYTES
+            len(inside.backpressure.calls) >= client_limits.MAX_OPEN_REQUESTS
+            or inside.backpressure.size_bytes > backpressure.MAX_DEFERRED_BYTES
         )
     )
-    assert (
-        inside.backpressure.size_bytes <= 2 * backpressure.DEFERRED_MOST_BYTES
-        and len(inside.backpressure.calls) <= client_limits.OPEN_MOST
-    )
+    assert inside.backpressure.size_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
+    assert len(inside.backpressure.calls) <= client_limits.MAX_OPEN_REQUESTS
     # The rest is read slowly, a buffer at a time, and turned away: an interrupt may stand behind it.
     turned, began = gateway.count("turned away in a pause"), time.monotonic()
     until(lambda: gateway.count("turned away in a pause") > turned)
-    assert (
-        inside.backpressure.size_bytes <= 2 * backpressure.DEFERRED_MOST_BYTES
-        and len(inside.backpressure.calls) <= client_limits.OPEN_MOST
-    )
+    assert inside.backpressure.size_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
+    assert len(inside.backpressure.calls) <= client_limits.MAX_OPEN_REQUESTS
     # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
     client.sock.close()
     until(lambda: inside.has_left)
@@ -149,7 +149,8 @@
     until(lambda: len(engine.words(b"fetch")) == 2)
     other = Caller(gateway.address)
     big = other.ask(body=b"select 1 from sales_3.t" + b" " * 4000)
-    assert other.answer() == (big, "shed") and gateway.count("no memory for a statement") == 1
+    assert other.answer() == (big, "shed")
+    assert gateway.count("no memory for a statement") == 1
     client.interrupt(asked[0])
     until(lambda: gateway.core.statement_memory.used < 5000)
     other.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000)
@@ -159,7 +160,7 @@
 def test_answers_that_are_not_read_hold_no_more_than_their_part_of_the_memory(start):
     """A connection may hold eight megabytes, and there may be hundreds."""
     gateway, client = start(Engine())
-    room, frame = gateway.core.statement_memory, thrift.answer("execute", 1, b"x\ty\tz\n" * 8000)
+    room, frame = gateway.core.statement_memory, thrift.encode_answer("execute", 1, b"x\ty\tz\n" * 8000)
     room.max_bytes = 2_000_000
     crowd = []
     for _ in range(12):
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -22,7 +22,7 @@
 FILE_ENDING = re.compile(r"\.(py|md|cue|toml|txt|lark|j2|c)$")
 # What users write themselves, or what the program makes, in examples of the pages.
 NAMES_IN_EXAMPLES = {"small.txt", "policy.json", "FILE"}
-ARCHITECTURE_LINES_MOST = 150
+MAX_ARCHITECTURE_LINES = 150
 DIAGRAM = re.compile(r"```mermaid\n(.*?)```", re.DOTALL)
 
 
@@ -160,7 +160,7 @@
 
 def test_the_architecture_is_one_page_with_a_diagram_for_each_way():
     text = (ROOT / "docs/architecture.md").read_text()
-    assert len(text.splitlines()) <= ARCHITECTURE_LINES_MOST
+    assert len(text.splitlines()) <= MAX_ARCHITECTURE_LINES
     for title in ("The way of a request", "The way of a configuration change"):
         section = text.split(f"## {title}\n")[1].split("\n## ")[0]
         assert len(DIAGRAM.findall(section)) == 1, title
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -41,7 +41,8 @@
     until(lambda: gateway.count("links up") == 1 and not gateway.core.requests.by_number)
     other = Caller(gateway.address)
     seq = other.ask(txn=b"f%015x" % 2)
-    assert b"f%015x" % 1 not in (first := conn.recv(1000)) and b"f%015x" % 2 in first
+    assert b"f%015x" % 1 not in (first := conn.recv(1000))
+    assert b"f%015x" % 2 in first
     other.interrupt(seq)
     until(lambda: not any(cmd.client for cmd in gateway.core.requests.by_number.values()))
     conn.close()
@@ -99,7 +100,8 @@
         machine.buffer.receive(conn)
     verb, txn, facts, _ = arrays[0]
     left = 3500 - 700 - 1000 * (time.monotonic() - began)  # ms, at most: it was waited for before that
-    assert verb == b"fetch" and 0 < int(resp.fields(facts)[b"w"]) <= left + 150
+    assert verb == b"fetch"
+    assert 0 < int(resp.fields(facts)[b"w"]) <= left + 150
     conn.sendall(resp.encode(txn, b"200", b"pages=1,cost=5,need=10", b"a\tb\tc\n"))
     assert client.answer()[1] == b"a\tb\tc\n"
 
@@ -108,13 +110,14 @@
     """A link that is given up while it connects holds its descriptor until its thread has closed it."""
     late = Late()
     gateway, client = start(late, connect_timeout=5.0)
-    gateway.core.pool.connections_most = 1
+    gateway.core.pool.max_connections = 1
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
     (link,) = gateway.core.pool.connections
     gateway.core.post(gateway.core.pool.drop, link, connection_ends.ConnectionEnd.SILENT)
     until(lambda: not gateway.core.pool.connections)
     seq = client.ask("once", limit=400)
-    assert client.answer() == (seq, "shed") and gateway.count("no descriptor for a link")
+    assert client.answer() == (seq, "shed")
+    assert gateway.count("no descriptor for a link")
     late.come_up().close()
     until(lambda: not gateway.core.pool.holding)
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -19,10 +19,10 @@
         log.add(LoggedEvent(1_000_000 + n * 1000, EventKind.RETRY, f"reset {n}"))
     assert eventlog.BURST <= len(logged) <= eventlog.BURST + eventlog.RATE_PER_S + 1
     log.add(LoggedEvent(9_000_000, EventKind.RETRY, "the last"))
-    assert "left_out=" in logged[-1] and "reason=the_last" in logged[-1]
-    assert len(log.lines()) == eventlog.NEWEST_MOST and log.lines()[-1].startswith(
-        "at_us=9000000 event=retry"
-    )
+    assert "left_out=" in logged[-1]
+    assert "reason=the_last" in logged[-1]
+    assert len(log.lines()) == eventlog.MAX_RECENT_EVENTS
+    assert log.lines()[-1].startswith("at_us=9000000 event=retry")
 
 
 def test_a_kind_that_comes_often_keeps_no_other_from_the_log(monkeypatch):
@@ -53,5 +53,6 @@
     address = engine.address
     assert f"event=close connection=engine_{address} from=open to=closed open=1 reason=reset" in text
     assert "event=retry request=00000000000000ab from=held to=sent reason=reset" in text
-    assert all(len(line) < 300 for line in text.splitlines()) and "Traceback" not in text
+    assert all(len(line) < 300 for line in text.splitlines())
+    assert "Traceback" not in text
     engine.close()
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -27,7 +27,8 @@
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": feed.address})
     client = Caller(gateway.address)
     seq = client.ask("once")
-    assert client.answer() == (seq, b"1\t2\t3\n4\t5\t6\n") and len(engine.words(b"fetch")) == 1
+    assert client.answer() == (seq, b"1\t2\t3\n4\t5\t6\n")
+    assert len(engine.words(b"fetch")) == 1
     gateway.end()
 
 
@@ -75,7 +76,8 @@
     assert process.wait(PATIENCE) == 0
     for thread in threads:
         thread.join()
-    assert ends.count((b"", True)) >= 10 and len(engine.words(b"fetch")) == sent
+    assert ends.count((b"", True)) >= 10
+    assert len(engine.words(b"fetch")) == sent
     assert [end for end in ends if end[0]] == []
 
 
@@ -111,10 +113,12 @@
     time.sleep(0.3)
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0 and time.monotonic() - began < 1.0 + 0.7
+    assert process.wait(PATIENCE) == 0
+    assert time.monotonic() - began < 1.0 + 0.7
     for thread in threads:
         thread.join(PATIENCE)
-    assert not broken and not odd
+    assert not broken
+    assert not odd
 
 
 def test_frames_read_by_clients_are_whole_however_their_connection_ends(start):
@@ -124,6 +128,7 @@
     until(lambda: gateway.count("answered") == 1)
     (inside,) = gateway.listener.clients
     inside.write_buffer.finish()
-    inside.put(thrift.shed(99, {}))  # too late: passed over, no fault
-    assert client.answer() == (seq, b"x\ty\tz\n" * 800) and half_reading(client) == (b"", True)
+    inside.put(thrift.encode_shed(99, {}))  # too late: passed over, no fault
+    assert client.answer() == (seq, b"x\ty\tz\n" * 800)
+    assert half_reading(client) == (b"", True)
     assert not gateway.count("answers that could not go")
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -7,8 +7,8 @@
 
 from gullhold.decisions import ranking
 from gullhold.decisions.ranking import (
-    RANKED_MOST,
-    RANKINGS_MOST,
+    MAX_CACHED_RANKINGS,
+    MAX_RANKED_ENGINES,
     RING_SALT,
     RING_START_SALT,
     EngineList,
@@ -41,10 +41,11 @@
         assert list(kept) == sorted(truth.values(), key=lambda one: one.sequence)
         assert len(kept) == len(truth)
         if random.random() < 0.4:
-            dataset = random.randrange(RANKINGS_MOST + 20) if step % 3 else 5
+            dataset = random.randrange(MAX_CACHED_RANKINGS + 20) if step % 3 else 5
             found = kept.ranked(dataset)
             want = sorted((mix(one.id, dataset), one.slot) for one in truth.values())
-            assert found.keys == want and found.engines == [truth[slot] for _, slot in want]
+            assert found.keys == want
+            assert found.engines == [truth[slot] for _, slot in want]
             for at, (_, slot) in enumerate(want):
                 assert found.is_within(range(at, at + 1), truth[slot])
                 assert not found.is_within(range(at), truth[slot])
@@ -56,7 +57,7 @@
     engines = [Listed(slot * 7919, slot, slot) for slot in range(3200)]
     for engine in engines:
         kept.set_present(engine, True)
-    monkeypatch.setattr(ranking, "RANKED_MOST", 10_000)
+    monkeypatch.setattr(ranking, "MAX_RANKED_ENGINES", 10_000)
     build = Ranking.build
     monkeypatch.setattr(
         Ranking, "build", lambda self, members: (built.append(len(members)), build(self, members))
@@ -76,11 +77,12 @@
         oldest = present.pop((step + 1) % places, None)
         if oldest:
             kept.set_present(oldest, False)
-    assert len(kept.changes) <= len(kept) + RANKINGS_MOST + 1 and len(kept) < places
+    assert len(kept.changes) <= len(kept) + MAX_CACHED_RANKINGS + 1
+    assert len(kept) < places
 
 
 def test_in_a_large_list_each_data_set_has_its_own_stretch_of_one_order():
-    kept, size = EngineList(), 2 * RANKED_MOST
+    kept, size = EngineList(), 2 * MAX_RANKED_ENGINES
     engines = [Listed(slot * 7919, slot, slot) for slot in range(size)]
     for engine in engines:
         kept.set_present(engine, True)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -28,9 +28,13 @@
     assert client.answer() == (seq, b"1\t2\t3\n" * 800 + b"4\t5\t6\n" * 900 + b"7\t8\t9\n")
     ((_, _, txn, fields, body, _),) = engine.words(b"fetch")
     fields = resp.fields(fields)
-    assert txn == b"9b1f03aa5c7e2d41" and body == "select 'é\r\n' from a_1.b".encode()
-    assert fields[b"c"] == b"mark" and fields[b"i"] == b"5c0f" and 0 < int(fields[b"mem"]) < 200
-    assert 2000 < int(fields[b"w"]) <= 3000 and fields[b"prio"] in (b"1", b"3")
+    assert txn == b"9b1f03aa5c7e2d41"
+    assert body == "select 'é\r\n' from a_1.b".encode()
+    assert fields[b"c"] == b"mark"
+    assert fields[b"i"] == b"5c0f"
+    assert 0 < int(fields[b"mem"]) < 200
+    assert 2000 < int(fields[b"w"]) <= 3000
+    assert fields[b"prio"] in (b"1", b"3")
     until(lambda: engine.words(b"done"))
     assert [words[3] for words in engine.words(b"more")] == [b"1", b"2"]
     until(lambda: gateway.count("answered") == 1)
@@ -61,7 +65,8 @@
     asked = {client.ask() for _ in range(32)}
     time.sleep(0.2)  # a client that reads late: nothing may be mixed up or lost
     answers = [client.answer() for _ in range(32)]
-    assert {seq for seq, _ in answers} == asked and all(body == page * 8 for _, body in answers)
+    assert {seq for seq, _ in answers} == asked
+    assert all(body == page * 8 for _, body in answers)
 
 
 @pytest.mark.parametrize(
@@ -134,7 +139,8 @@
     assert client.answer() == (seq, "fault")
     assert 0.5 < time.monotonic() - began < 1.0
     until(lambda: engine.words(b"abort"))
-    assert engine.words(b"alive") and gateway.count("sends timed out") == 1
+    assert engine.words(b"alive")
+    assert gateway.count("sends timed out") == 1
 
 
 @pytest.mark.parametrize("step_s", [-5, 5])
@@ -242,7 +248,7 @@
         b"\xff\xff\xff\xff",
         b"\x7f\xff\xff\xff",
         b"\0\0\0\x08GET / HT",
-        thrift.answer("execute", 1),
+        thrift.encode_answer("execute", 1),
     ):
         other = Caller(gateway.address)
         other.sock.sendall(data)
@@ -276,7 +282,8 @@
     client.sock.shutdown(socket.SHUT_WR)
     assert client.answer() is None  # no answer is owed, and our side ends too
     until(lambda: engine.words(b"abort") and not gateway.core.requests.by_number)
-    assert len(engine.words(b"fetch")) == 1 and not gateway.count("answered")
+    assert len(engine.words(b"fetch")) == 1
+    assert not gateway.count("answered")
 
 
 def test_names_of_one_agreement_mean_nothing_to_another_gateway_of_the_same_process(tmp_path):
@@ -338,14 +345,16 @@
     for _ in range(4):
         client.ask()
         client.answer()
-    assert len(old.words(b"fetch")) == 1 and len(new.words(b"fetch")) == 4
+    assert len(old.words(b"fetch")) == 1
+    assert len(new.words(b"fetch")) == 4
     feed.say(b"{bad\n")  # followed anew from the last good event; the list holds
     until(lambda: len(feed.asked) == 2)
     assert feed.asked == [b"follow 1\n", b"follow 3\n"]
     feed.say(event(3, ("s-9", new.address, "gone")), event(4, ("s-7", new.address, "ready"), whole=True))
     until(lambda: gateway.count("list changes") == 4)
     seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n") and len(new.words(b"fetch")) == 5
+    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert len(new.words(b"fetch")) == 5
     assert len({words[0] for words in new.words(b"fetch")}) == 2  # another engine: another link
     gateway.end()
 
@@ -366,18 +375,24 @@
     ours, theirs = tcp_pair()
     pipe, connection = WriteBuffer(50_000_000, Counters(), flushing()), Connection(ours)
     waits = b"w" * 10
-    assert pipe.put(waits) == 10 and not pipe.is_written(10)
-    assert pipe.withdraw(waits) and not pipe.withdraw(waits)  # the connection is not up yet
+    assert pipe.put(waits) == 10
+    assert not pipe.is_written(10)
+    assert pipe.withdraw(waits)
+    assert not pipe.withdraw(waits)
     pipe.attach(connection)
     large, last = b"x" * 9_000_000, b"y" * 10
     end = pipe.put(large)  # more than the system takes: a writer goes on with it
     pipe.put(last)
-    assert not pipe.is_written(end) and not pipe.withdraw(large) and pipe.withdraw(last)
+    assert not pipe.is_written(end)
+    assert not pipe.withdraw(large)
+    assert pipe.withdraw(last)
     assert not pipe.finish()
     got = bytearray()
     while data := theirs.recv(1 << 20):  # to the end: our side is shut once all is out
         got += data
-    assert bytes(got) == large and pipe.is_written(end) and pipe.put(b"z") == -1
+    assert bytes(got) == large
+    assert pipe.is_written(end)
+    assert pipe.put(b"z") == -1
     theirs.close()
 
 
@@ -385,13 +400,17 @@
     ours, theirs = tcp_pair()
     pipe, connection = WriteBuffer(10_000_000, Counters(), flushing()), Connection(ours)
     pipe.attach(connection)
-    assert pipe.put(b"x" * 9_000_000) > 0 and pipe.put(b"x" * 9_000_000) == -1
-    assert pipe.flusher.waiting and pipe.finish(now=True)
+    assert pipe.put(b"x" * 9_000_000) > 0
+    assert pipe.put(b"x" * 9_000_000) == -1
+    assert pipe.flusher.waiting
+    assert pipe.finish(now=True)
     until(lambda: not pipe.flusher.waiting)
     assert ours.recv(1) == b""  # the reader wakes, and closes: until then the number is nobody else's
-    assert ours.fileno() >= 0 and connection.fileno() >= 0
+    assert ours.fileno() >= 0
+    assert connection.fileno() >= 0
     connection.close()
-    assert ours.fileno() < 0 and connection.fileno() < 0
+    assert ours.fileno() < 0
+    assert connection.fileno() < 0
     theirs.close()
 
 
@@ -423,7 +442,8 @@
         seq = client.ask()
         assert client.answer() == (seq, page + more)
     until(lambda: gateway.count("second copies") >= 6)
-    assert gateway.count("links up") == 1 and not gateway.count("sends reset")
+    assert gateway.count("links up") == 1
+    assert not gateway.count("sends reset")
 
 
 @pytest.mark.parametrize(
@@ -443,8 +463,10 @@
     until(lambda: engine.words(b"fetch"))
     began = time.monotonic()
     seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n") and time.monotonic() - began < 1
-    assert gateway.count("link: malformed bytes") == 1 and first in client_open(gateway)
+    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert time.monotonic() - began < 1
+    assert gateway.count("link: malformed bytes") == 1
+    assert first in client_open(gateway)
     client.interrupt(first)
 
 
@@ -458,7 +480,8 @@
     gateway, client = start(engine, cancel=False)
     seq = client.ask(limit=3500, cpu=b"900")
     assert client.answer() == (seq, b"a\tb\tc\n")
-    assert gateway.count("answers lost") == 1 and gateway.count("links up") <= 2
+    assert gateway.count("answers lost") == 1
+    assert gateway.count("links up") <= 2
     (first, second), (abort,) = engine.words(b"fetch"), engine.words(b"abort")
     assert first[-1] < abort[-1] < second[-1]  # never two at once
 
@@ -481,7 +504,8 @@
     crowd = [Caller(gateway.address) for _ in range(40)]
     asks = Caller(gateway.address)
     seq = asks.send("check", b"\x02\0\1\1")
-    assert asks.answer() == (seq, b"") and gateway.count("idle ones closed for room") >= 31
+    assert asks.answer() == (seq, b"")
+    assert gateway.count("idle ones closed for room") >= 31
     assert all(caller.answer() is None for caller in crowd[:30])
 
 
@@ -493,7 +517,8 @@
         assert client.answer() == (seq, "fault")
     assert not engine.told
     seq = client.ask()  # an id that no engine knows: an error on each
-    assert client.answer() == (seq, "shed") and len(engine.words(b"fetch")) <= 6
+    assert client.answer() == (seq, "shed")
+    assert len(engine.words(b"fetch")) <= 6
     many = Caller(gateway.address)
     engine.acts[:] = [endless]
     for _ in range(60):
@@ -554,7 +579,8 @@
         assert client.answer() == (seq, b"a\tb\tc\n")
         feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
-    assert not gateway.core.gateway.parts.engines.by_id and not gateway.coordinator.engine_ids.ids_by_name
+    assert not gateway.core.gateway.parts.engines.by_id
+    assert not gateway.coordinator.engine_ids.ids_by_name
     gateway.end()
 
 
--- a/tests/test_thrift.py
+++ b/tests/test_thrift.py
@@ -39,7 +39,7 @@
         + b"\x02\x00\x0c\x01"
     )
     frame = call(fields={b"a": b"b"}, extra=extra)
-    assert thrift.decode(frame[4:]).args[1, thrift.MAP] == {b"a": b"b"}
+    assert thrift.decode_call(frame[4:]).args[1, thrift.MAP] == {b"a": b"b"}
 
 
 @pytest.mark.parametrize(
@@ -88,18 +88,20 @@
 
 def test_answers_are_whole_strict_frames():
     for message, kind in (
-        (thrift.answer("execute", 7, b"a\tb\tc\n"), thrift.REPLY),
-        (thrift.shed(7, {}), thrift.REPLY),
-        (thrift.fault(7, "no"), thrift.REPLY),
-        (thrift.exception("x", 7, thrift.UNKNOWN_METHOD, "?"), thrift.EXCEPTION),
+        (thrift.encode_answer("execute", 7, b"a\tb\tc\n"), thrift.REPLY),
+        (thrift.encode_shed(7, {}), thrift.REPLY),
+        (thrift.encode_fault(7, "no"), thrift.REPLY),
+        (thrift.encode_application_exception("x", 7, thrift.UNKNOWN_METHOD, "?"), thrift.EXCEPTION),
     ):
         size, version, _, found = struct.unpack(">iHBB", message[:8])
-        assert size == len(message) - 4 and version == 0x8001 and found == kind
+        assert size == len(message) - 4
+        assert version == 0x8001
+        assert found == kind
         scan = thrift.Scan(message[8:])
         scan.string()
         assert scan.number(thrift.I32S) == 7
         result = scan.fields()
         assert scan.at == len(scan.data)
-        if message == thrift.answer("execute", 7, b"a\tb\tc\n"):
+        if message == thrift.encode_answer("execute", 7, b"a\tb\tc\n"):
             assert result[0, thrift.STRUCT][1, thrift.STRING] == b"a\tb\tc\n"
             assert result[0, thrift.STRUCT][3, thrift.BOOL] is True
