--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -246,7 +246,10 @@
 
 
 def test_one_that_refuses_last_drops_it_for_all_and_one_that_is_silent_as_the_operator_chose():
-    with rig(budgets=[{"of": '"threads"', "whole": 12, "linger": "1s"}]) as fleet:
+    budgets = [{"of": '"threads"', "whole": 12, "linger": "1s"}]
+    # A lease that outlives the test's pause and the change's patience: guards against the silent member's
+    # lease ending first, as it is no member then and its vote is not waited for.
+    with rig(budgets=budgets, lease_s=4) as fleet:
         fleet.start("n0", "n1")
         fleet.budgets = []
         fleet.start("n2")  # another file: it knows no such budget
@@ -258,6 +261,8 @@
         status, line = client.wait(record.number, 8)
         assert status == ExitStatus.DROPPED
         assert "is no budget" in line
+        # The change closes when n1 has voted, or its lease has ended.
+        fleet.until(lambda: CHANGE_KEY not in client.read())
         fleet.pause("n1")
         record = propose(client, fleet, granting(21), patience_us=400_000)
         status, line = client.wait(record.number, 8)
