--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -4,6 +4,7 @@
 """
 
 import argparse
+import gc
 import os
 import sys
 from collections.abc import Sequence
@@ -33,8 +34,12 @@
 
 
 def _serve(args: argparse.Namespace) -> int:
+    # What is imported stays until the end: the collector need not look at it, now or later.
+    gc.disable()
     from gullhold.net import service  # noqa: PLC0415  only this needs what it imports
 
+    gc.freeze()
+    gc.enable()
     return service.serve(args.config, args.report, args.operator)
 
 
