--- a/deploy/fleet.cue
+++ b/deploy/fleet.cue
@@ -1,5 +1,5 @@
 // An operator file for a fleet on one machine: gullhold register, then serve --operator deploy/fleet.cue on each gateway.
-// Not named in `run`: this platform forbids talk between managers (docs/operators/owner.md).
+// Not named in `run`: this platform forbids talk between managers (docs/operators/leadership.md).
 fleet: {
 	on:       true
 	register: "127.0.0.1:2379"
--- a/deploy/operator.cue
+++ b/deploy/operator.cue
@@ -1,4 +1,4 @@
-// The operator file of this installation: serve --operator deploy/operator.cue (docs/operators/door.md).
+// The operator file of this installation: serve --operator deploy/operator.cue (docs/operators/admission-queue.md).
 // Not named in `run`: this platform's protocol has no field for a client, and its days show no gain.
 door: {
 	on: true
--- a/gullhold/fleet/__init__.py
+++ b/gullhold/fleet/__init__.py
@@ -6,5 +6,5 @@
 wire, by a library), role_driver, scheduled_command_driver, scheduled_command_client, heartbeats, event_log,
 assembly (from the operator's record) and show (the command line). store_schema has the names of the stored
 keys and the JSON of their values. Nothing here is imported where the operator file does not switch it on.
-docs/notes/owner.md says why it is built so.
+docs/notes/leadership.md says why it is built so.
 """
--- a/gullhold/operator/schema.cue
+++ b/gullhold/operator/schema.cue
@@ -63,7 +63,7 @@
 	all:  *20000 | (int & >=1 & <=1000000)
 }
 
-// Work on behalf of several gateways, through a register: one owner at a time (docs/operators/owner.md).
+// Work on behalf of several gateways, through a register: one owner at a time (docs/operators/leadership.md).
 #Fleet: {
 	on: *false | bool
 	// Which fleet, where several share a register.
@@ -151,7 +151,7 @@
 	grain: *1 | (int & >=1 & <=1000000000000)
 }
 
-// Changes of policy that take hold everywhere or nowhere (docs/operators/change.md).
+// Changes of policy that take hold everywhere or nowhere (docs/operators/policy-rollout.md).
 #Policy: {
 	on: *false | bool
 	// Cut off from the register with a change open: serve while the lease surely holds, or stop sooner.
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -16,7 +16,8 @@
 from gullhold.simulation.streams import DuplexStream, StreamConditions, StreamEnd
 from gullhold.testing.running import ROOT
 
-# Deliberate faults that are found soon, and the seed; others are hunted by hand (docs/notes/rehearsal.md).
+# Deliberate faults that are found soon, and the seed; others are hunted by hand
+# (docs/notes/deterministic-simulation.md).
 QUICK = {
     "every answer twice": 0,
     "a drain that is heard and not obeyed": 1,
