--- a/deploy/budgets.cue
+++ b/deploy/budgets.cue
@@ -1,4 +1,4 @@
-// An operator file for a fleet on one machine whose gateways share budgets: gullhold register, then
+// An operator file for a fleet on one machine whose gateways share budgets: gullhold store, then
 // serve --operator deploy/budgets.cue on each gateway.
 // Not named in `run`: this platform forbids talk between managers (docs/operators/budgets.md).
 fleet: {
--- a/deploy/change.cue
+++ b/deploy/change.cue
@@ -1,4 +1,4 @@
-// An operator file for a fleet on one machine whose policy is changed everywhere or nowhere: gullhold register, then
+// An operator file for a fleet on one machine whose policy is changed everywhere or nowhere: gullhold store, then
 // serve --operator deploy/change.cue on each gateway, then gullhold policy propose FILE.
 // Not named in `run`: this platform forbids talk between managers (docs/operators/policy-rollout.md).
 fleet: {
--- a/deploy/fleet.cue
+++ b/deploy/fleet.cue
@@ -1,4 +1,4 @@
-// An operator file for a fleet on one machine: gullhold register, then serve --operator deploy/fleet.cue on each gateway.
+// An operator file for a fleet on one machine: gullhold store, then serve --operator deploy/fleet.cue on each gateway.
 // Not named in `run`: this platform forbids talk between managers (docs/operators/leadership.md).
 fleet: {
 	on:       true
--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -17,6 +17,9 @@
 CONFIGURATION_VARIABLE = "GW_CONFIG"
 STATUS_UNUSABLE = 2
 DEMO_RUNS = {"both": (False, True), "on": (True,), "off": (False,)}  # whether each has an admission queue
+EARLIER_COMMAND_NAMES = {"try": "demo", "register": "store", "rehearse": "simulate"}  # they still work
+FLEET_SUBJECTS = ("members", "roles", "history", "budgets", "plan", "report")
+EARLIER_FLEET_SUBJECTS = ("duties",)  # the roles
 
 
 def _add_serve(commands: "Commands") -> None:
@@ -74,39 +77,54 @@
     return health_check.check(args.address, args.timeout)
 
 
-def _add_try(commands: "Commands") -> None:
-    parser = commands.add_parser("try", help="stand-ins and a gateway on loopback, without and with a door")
-    parser.add_argument("--seconds", type=float, default=10, help="how long each run takes (10)")
-    parser.add_argument("--door", choices=("both", "on", "off"), default="both", help="the runs (both)")
-    parser.add_argument("--seed", type=int, default=1, help="for chance (1)")
-    parser.set_defaults(run=_try)
+def _add_demo(commands: "Commands") -> None:
+    parser = commands.add_parser(
+        "demo", help="run test engines and a gateway on loopback, without and with the admission queue"
+    )
+    parser.add_argument("--seconds", type=float, default=10, help="duration of each run (10)")
+    parser.add_argument("--admission-queue", choices=DEMO_RUNS, default="both", help="which runs (both)")
+    parser.add_argument(
+        "--door",  # the earlier name of the option
+        dest="admission_queue",
+        choices=DEMO_RUNS,
+        default=argparse.SUPPRESS,
+        help=argparse.SUPPRESS,
+    )
+    parser.add_argument("--seed", type=int, default=1, help="seed of the random numbers (1)")
+    parser.set_defaults(run=_demo)
 
 
-def _try(args: argparse.Namespace) -> int:
+def _demo(args: argparse.Namespace) -> int:
     from gullhold import demo  # noqa: PLC0415  heavy libraries
 
-    return demo.run(args.seconds, DEMO_RUNS[args.door], args.seed)
+    return demo.run(args.seconds, DEMO_RUNS[args.admission_queue], args.seed)
 
 
-def _add_register(commands: "Commands") -> None:
-    parser = commands.add_parser("register", help="a register for the fleet on one machine")
-    parser.add_argument("--listen", default="127.0.0.1:2379", metavar="HOST:PORT", help="(127.0.0.1:2379)")
-    parser.add_argument("--store", default="register.db", metavar="FILE", help="what it keeps (register.db)")
-    parser.add_argument("--journal", metavar="FILE", help="add a line for each change to this file")
-    parser.add_argument("--fast", action="store_true", help="a loss of power may undo the last changes")
-    parser.add_argument("--scripted", action="store_true", help="faults may be asked for: for tests alone")
-    parser.set_defaults(run=_register)
+def _add_store(commands: "Commands") -> None:
+    parser = commands.add_parser("store", help="serve the store of a fleet on one machine")
+    parser.add_argument(
+        "--listen", default="127.0.0.1:2379", metavar="HOST:PORT", help="listen address (127.0.0.1:2379)"
+    )
+    parser.add_argument("--store", default="register.db", metavar="FILE", help="database (register.db)")
+    parser.add_argument("--journal", metavar="FILE", help="append a line for each change to this file")
+    parser.add_argument("--fast", action="store_true", help="a power failure may lose the last changes")
+    parser.add_argument("--scripted", action="store_true", help="clients may request faults: for tests only")
+    parser.set_defaults(run=_store)
 
 
-def _register(args: argparse.Namespace) -> int:
+def _store(args: argparse.Namespace) -> int:
     from gullhold.testing.register import server  # noqa: PLC0415
 
     return server.main(args.listen, args.store, not args.fast, args.journal, args.scripted)
 
 
 def _add_fleet(commands: "Commands") -> None:
-    parser = commands.add_parser("fleet", help="what a fleet's register says")
-    parser.add_argument("what", choices=("members", "duties", "history", "budgets", "plan", "report"))
+    parser = commands.add_parser("fleet", help="print what the store of a fleet holds")
+    parser.add_argument(
+        "what",
+        choices=FLEET_SUBJECTS + EARLIER_FLEET_SUBJECTS,
+        metavar="{" + ",".join(FLEET_SUBJECTS) + "}",
+    )
     parser.add_argument("--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="(127.0.0.1:2379)")
     parser.add_argument("--name", default="main", help="which fleet (main)")
     parser.add_argument("--json", action="store_true", help="a JSON object a line, for scripts")
@@ -218,21 +236,23 @@
     return policy_commands.run(args)
 
 
-def _add_rehearse(commands: "Commands") -> None:
-    parser = commands.add_parser("rehearse", help="play scripted faults on virtual time")
-    parser.add_argument("--seeds", default="0:20", metavar="A:B", help="each draws a script (0:20)")
-    parser.add_argument("--jobs", type=int, default=0, help="processes at once (as there are cores)")
-    parser.add_argument("--replay", metavar="FILE", help="play this script, with the first of the seeds")
+def _add_simulate(commands: "Commands") -> None:
+    parser = commands.add_parser("simulate", help="run gateways on virtual time against scripted faults")
+    parser.add_argument(
+        "--seeds", default="0:20", metavar="A:B", help="each seed generates a script (0:20, without 20)"
+    )
+    parser.add_argument("--jobs", type=int, default=0, help="parallel processes (one for each core)")
+    parser.add_argument("--replay", metavar="FILE", help="run this script, with the first of the seeds")
     parser.add_argument(
-        "--shrink", metavar="FILE", help="cut the first script that breaks a rule down, and write it there"
+        "--shrink", metavar="FILE", help="minimize the first script that breaks a rule, and write it there"
     )
-    parser.set_defaults(run=_rehearse)
+    parser.set_defaults(run=_simulate)
 
 
-def _rehearse(args: argparse.Namespace) -> int:
+def _simulate(args: argparse.Namespace) -> int:
     from gullhold.simulation import show  # noqa: PLC0415  heavy libraries
 
-    return show.run(args.seeds, args.jobs, args.replay, args.shrink)
+    return show.run(args.seeds, args.jobs, args.replay, args.shrink, args.command)
 
 
 def _add_version(commands: "Commands") -> None:
@@ -248,16 +268,18 @@
 def build_parser() -> argparse.ArgumentParser:
     """Build the parser with all sub-commands; `run` of what it parses runs the one that was named."""
     parser = argparse.ArgumentParser(prog="gullhold", description="A query gateway: what runs, where, when.")
-    commands = parser.add_subparsers(dest="command", required=True)
+    commands = parser.add_subparsers(dest="command", metavar="COMMAND", required=True)
     _add_serve(commands)
     _add_config(commands)
     _add_check(commands)
-    _add_try(commands)
-    _add_register(commands)
+    _add_demo(commands)
+    _add_store(commands)
     _add_fleet(commands)
     _add_policy(commands)
-    _add_rehearse(commands)
+    _add_simulate(commands)
     _add_version(commands)
+    for earlier_name, name in EARLIER_COMMAND_NAMES.items():
+        commands.choices[earlier_name] = commands.choices[name]  # `aliases` would list it in the help
     return parser
 
 
--- a/gullhold/demo.py
+++ b/gullhold/demo.py
@@ -1,4 +1,4 @@
-"""The command `try`: test engines, a gateway and three tenants' clients on loopback.
+"""The command `demo`: test engines, a gateway and three tenants' clients on loopback.
 
 It runs without and with an admission queue, and prints what each client got.
 """
--- a/gullhold/fleet/show.py
+++ b/gullhold/fleet/show.py
@@ -1,4 +1,4 @@
-"""`gullhold fleet members|duties|history`: what a fleet's store says, as a table or as JSON.
+"""`gullhold fleet members|roles|history`: what a fleet's store says, as a table or as JSON.
 
 The columns keep the names that operators and their scripts know.
 """
@@ -91,7 +91,12 @@
     return datetime.fromtimestamp(unix_us / US_PER_SECOND, UTC).isoformat(timespec="milliseconds")
 
 
-TABLES = {"members": member_rows, "duties": role_rows, "history": occurrence_rows}
+TABLES = {
+    "members": member_rows,
+    "roles": role_rows,
+    "duties": role_rows,  # the earlier name
+    "history": occurrence_rows,
+}
 
 
 def run(subject: str, address: str, fleet_name: str, as_json: bool) -> int:
--- a/gullhold/simulation/__init__.py
+++ b/gullhold/simulation/__init__.py
@@ -2,6 +2,6 @@
 
 clock: virtual time; streams, endpoints: connections; script, fault_injection: faults; peers: engines and
 clients; gateway: the product on virtual time; play: a world and its run; checker: the rules; mutants:
-deliberate faults; show: the command `gullhold rehearse`. docs/notes/deterministic-simulation.md tells how it
+deliberate faults; show: the command `gullhold simulate`. docs/notes/deterministic-simulation.md tells how it
 is used.
 """
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -1,4 +1,4 @@
-"""`gullhold rehearse`: plays scripts, prints what was met and what broke, cuts a failing script down."""
+"""`gullhold simulate`: plays scripts, prints what was met and what broke, cuts a failing script down."""
 
 import os
 import sys
@@ -30,8 +30,11 @@
     return lambda faults: any(broken[1] == rule for broken in play.play(seed, faults).broken)
 
 
-def run(seeds: str, jobs: int | None, replay: str | None, shrink: str | None) -> int:
-    """The exit status: 0 no rule broken, 1 one was, 2 what was asked for can't be played."""
+def run(seeds: str, jobs: int | None, replay: str | None, shrink: str | None, command: str) -> int:
+    """The exit status: 0 no rule broken, 1 one was, 2 what was asked for can't be played.
+
+    `command` is the sub-command's name in the printed lines that say how to run a script again.
+    """
     try:
         seeds = _span(seeds)
         faults = script.faults_of(Path(replay).read_text("utf-8")) if replay else None
@@ -51,7 +54,7 @@
     broken = [(seed, result.broken, faults) for seed, result, faults in found if result.broken]
     for seed, rules, _ in broken:
         at, rule, text = rules[0]
-        again = f"gullhold rehearse --seeds {seed}" + (f" --replay {replay}" if replay else "")
+        again = f"gullhold {command} --seeds {seed}" + (f" --replay {replay}" if replay else "")
         print(f"seed {seed}: {rule} at {at} us: {text} ({len(rules)} in all); again: {again}")
     if broken and shrink:
         seed, rules, faults = broken[0]
@@ -59,7 +62,7 @@
         Path(shrink).write_text(f"# seed {seed}: {rules[0][1]}\n" + script.text_of(fewer), "utf-8")
         print(
             f"{len(fewer)} of {len(faults)} faults left in {shrink}; again: "
-            f"gullhold rehearse --seeds {seed} --replay {shrink}"
+            f"gullhold {command} --seeds {seed} --replay {shrink}"
         )
     return 1 if broken else 0
 
--- a/gullhold/testing/__init__.py
+++ b/gullhold/testing/__init__.py
@@ -1,7 +1,7 @@
 """Stand-ins for what the gateway talks to, on loopback: engines, clients, coordinator, a deployment's file.
 
 They are written from the platform's published protocol, share no state with the gateway, and serve tests,
-benchmarks and `gullhold try`. Every further protocol gets its stand-ins here.
+benchmarks and `gullhold demo`. Every further protocol gets its stand-ins here.
 """
 
 import socket
--- a/gullhold/testing/register/server.py
+++ b/gullhold/testing/register/server.py
@@ -203,7 +203,7 @@
 
 
 def main(listen: str, path: str, sync: bool, journal: str | None, scripted: bool) -> int:
-    """`gullhold register`: serve until SIGTERM or SIGINT; the exit status."""
+    """`gullhold store`: serve until SIGTERM or SIGINT; the exit status."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         serve(listen, path, sync, journal, scripted, lambda: print(f"register on {listen}", flush=True))
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gullhold.__main__ import build_parser
+from gullhold.__main__ import EARLIER_COMMAND_NAMES, EARLIER_FLEET_SUBJECTS, build_parser
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGES = [
@@ -103,6 +103,7 @@
     commands = named_commands(page.read_text())
     for name, rest in commands:
         assert name in parsers, f"gullhold {name}"
+        assert name not in EARLIER_COMMAND_NAMES, f"gullhold {name}"
         known = parsers[name]._option_string_actions
         unknown = [option for option in re.findall(r"--[a-z][a-z-]*", rest) if option not in known]
         assert unknown == [], f"gullhold {name} {rest}"
@@ -114,7 +115,7 @@
     choices = next((a.choices for a in parser._actions if not a.option_strings and a.choices), None)
     if choices and rest and not rest.startswith("-"):
         named = rest.split(maxsplit=1)[0].split("|")
-        assert set(named) <= set(choices), f"gullhold {name} {rest}"
+        assert set(named) <= set(choices) - set(EARLIER_FLEET_SUBJECTS), f"gullhold {name} {rest}"
 
 
 @pytest.mark.parametrize("page", COMMAND_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
@@ -128,7 +129,7 @@
 def test_the_pages_name_commands_at_all():
     """Guards against a pattern that finds nothing: the checks above would hold for any page."""
     named = {name for page in COMMAND_PAGES for name, _ in named_commands(page.read_text())}
-    assert named >= {"try", "serve", "config", "register", "fleet", "policy", "rehearse", "check", "version"}
+    assert named >= {"demo", "serve", "config", "store", "fleet", "policy", "simulate", "check", "version"}
     files = {name for page in PAGES for name in quoted(page.read_text()) if looks_like_a_file(name)}
     assert len(files) > 100
 
--- a/tests/test_fleet_operator.py
+++ b/tests/test_fleet_operator.py
@@ -57,12 +57,13 @@
         rig.until(lambda: {duty: who for duty, (who, _) in rig.owners().items()} == settled.leaders)
         rig.until(lambda: Check(rig.lines()).occurrences())
         found = {}
-        for what in ("members", "duties", "history"):
+        for what in ("members", "duties", "roles", "history"):
             words = ["fleet", what, "--register", rig.register_address, "--name", "rig"]
             assert main([*words, "--json"]) == 0
             found[what] = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
             assert main(words) == 0
             assert what in capsys.readouterr().out
+        assert found["roles"] == found["duties"]
         assert {row["member"] for row in found["members"]} == {"n0", "n1"}
         assert sum(row["duties"] for row in found["members"]) == len(found["duties"]) == 4
         assert found["history"][0]["command"] == "a"
