--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -14,6 +14,7 @@
 if TYPE_CHECKING:
     Commands = argparse._SubParsersAction[argparse.ArgumentParser]
 
+PROGRAM = "gullhold"
 CONFIGURATION_VARIABLE = "GW_CONFIG"
 STATUS_UNUSABLE = 2
 DEMO_RUNS = {"both": (False, True), "on": (True,), "off": (False,)}  # whether each has an admission queue
@@ -267,8 +268,8 @@
 
 def build_parser() -> argparse.ArgumentParser:
     """Build the parser with all sub-commands; `run` of what it parses runs the one that was named."""
-    parser = argparse.ArgumentParser(prog="gullhold", description="A query gateway: what runs, where, when.")
-    commands = parser.add_subparsers(dest="command", metavar="COMMAND", required=True)
+    parser = argparse.ArgumentParser(prog=PROGRAM, description="A query gateway: what runs, where, when.")
+    commands = parser.add_subparsers(prog=PROGRAM, dest="command", metavar="COMMAND", required=True)
     _add_serve(commands)
     _add_config(commands)
     _add_check(commands)
