--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -23,6 +23,8 @@
 # What users write themselves, or what the program makes, in examples of the pages.
 NAMES_IN_EXAMPLES = {"small.txt", "policy.json", "FILE"}
 MAX_ARCHITECTURE_LINES = 150
+GLOSSARY_COLUMNS = 4
+GLOSSARY_TITLE = "term in the code"
 DIAGRAM = re.compile(r"```mermaid\n(.*?)```", re.DOTALL)
 
 
@@ -174,3 +176,39 @@
     }
     assert paths
     assert sorted(path for path in paths if not (ROOT / "gullhold" / f"{path}.py").exists()) == []
+
+
+def glossary_rows() -> list[tuple[str, str]]:
+    """Return (term in the code, where) of each row of the glossary's tables of terms."""
+    lines = (ROOT / "docs/glossary.md").read_text().splitlines()
+    cells = [line.strip("|").split(" | ") for line in lines if line.startswith("| ")]
+    return [(row[2], row[3]) for row in cells if len(row) == GLOSSARY_COLUMNS and row[2] != GLOSSARY_TITLE]
+
+
+def source_of(path: str) -> str:
+    """Return the Python source of a file or of a whole package, named from the root or from the package."""
+    place = next(base / path for base in (ROOT, ROOT / "gullhold") if (base / path).exists())
+    files = place.rglob("*.py") if place.is_dir() else [place]
+    return "\n".join(file.read_text() for file in files)
+
+
+def test_names_of_the_glossary_stand_in_the_files_that_it_says():
+    rows = glossary_rows()
+    missing = []
+    names_found = 0
+    for term, where in rows:
+        source = "".join(source_of(path) for path in re.findall(r"`([^`]+)`", where))
+        names = [part for name in re.findall(r"`([^`]+?)(?:\(\))?`", term) for part in name.split(".")]
+        missing += [(name, where) for name in names if not re.search(rf"\b{re.escape(name)}\b", source)]
+        names_found += len(names)
+    assert missing == []
+    assert len(rows) > 100
+    assert names_found > 100
+
+
+def test_the_glossary_names_all_earlier_commands():
+    section = (ROOT / "docs/glossary.md").read_text().split("## Commands\n")[1].split("\n## ")[0]
+    for earlier, current in EARLIER_COMMAND_NAMES.items():
+        assert re.search(rf"\| `{earlier}`[^|]*\| `{current}`", section), earlier
+    for subject in EARLIER_FLEET_SUBJECTS:
+        assert f"`fleet {subject}`" in section
