--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -43,7 +43,7 @@
 
 
 def _add_config(commands: "Commands") -> None:
-    parser = commands.add_parser("config", help="read a configuration and print what was understood")
+    parser = commands.add_parser("config", help="read a configuration and print it as understood")
     _add_file_options(parser)
     parser.set_defaults(run=_config)
 
@@ -62,11 +62,13 @@
         metavar="FILE",
         help="the configuration (default: the file that GW_CONFIG names)",
     )
-    parser.add_argument("--operator", metavar="FILE", help="the operator file: what this installation adds")
+    parser.add_argument("--operator", metavar="FILE", help="the operator file: settings of this installation")
 
 
 def _add_check(commands: "Commands") -> None:
-    parser = commands.add_parser("check", help="ask a running gateway whether it serves; exit status 0 if so")
+    parser = commands.add_parser(
+        "check", help="ask a running gateway whether it serves; exit status 0 if it does"
+    )
     parser.add_argument("address", help="where it listens, as HOST:PORT")
     parser.add_argument("--timeout", type=float, default=2.0, metavar="SECONDS", help="how long to wait (2)")
     parser.set_defaults(run=_check)
@@ -126,18 +128,22 @@
         choices=FLEET_SUBJECTS + EARLIER_FLEET_SUBJECTS,
         metavar="{" + ",".join(FLEET_SUBJECTS) + "}",
     )
-    parser.add_argument("--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="(127.0.0.1:2379)")
-    parser.add_argument("--name", default="main", help="which fleet (main)")
+    parser.add_argument(
+        "--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="the store (127.0.0.1:2379)"
+    )
+    parser.add_argument("--name", default="main", help="name of the fleet (main)")
     parser.add_argument("--json", action="store_true", help="a JSON object a line, for scripts")
     group = parser.add_argument_group("plan, report")
-    group.add_argument("--members", type=int, default=2, metavar="N", help="plan: for so many (2)")
-    group.add_argument("--whole", type=int, default=0, metavar="X", help="plan: of so much")
-    group.add_argument("--wants", default="", metavar="A,B,...", help="plan: what they want (each the whole)")
-    group.add_argument("--floor", type=int, default=1, help="plan: least part of each (1)")
-    group.add_argument("--grain", type=int, default=1, help="plan: least part that is of use (1)")
-    group.add_argument("--alone", type=int, default=0, help="plan: kept back for each (0)")
-    group.add_argument("--seconds", type=float, default=30, help="report: watched for so long (30)")
-    group.add_argument("--out", default="budgets.html", metavar="FILE", help="report: (budgets.html)")
+    group.add_argument("--members", type=int, default=2, metavar="N", help="plan: number of members (2)")
+    group.add_argument("--whole", type=int, default=0, metavar="X", help="plan: total of the budget")
+    group.add_argument("--wants", default="", metavar="A,B,...", help="plan: demand of each (the total)")
+    group.add_argument("--floor", type=int, default=1, help="plan: least allocation of each (1)")
+    group.add_argument("--grain", type=int, default=1, help="plan: granularity of allocations (1)")
+    group.add_argument("--alone", type=int, default=0, help="plan: reserve of each (0)")
+    group.add_argument("--seconds", type=float, default=30, help="report: how long to watch (30)")
+    group.add_argument(
+        "--out", default="budgets.html", metavar="FILE", help="report: the page to write (budgets.html)"
+    )
     parser.set_defaults(run=_fleet)
 
 
@@ -171,35 +177,39 @@
 
 
 def _add_policy(commands: "Commands") -> None:
-    parser = commands.add_parser("policy", help="change the policy of a fleet, everywhere or nowhere")
+    parser = commands.add_parser("policy", help="roll out a policy to a fleet, everywhere or nowhere")
     parser.add_argument("what", choices=("propose", "diff", "status", "history", "drop", "undo", "check"))
-    parser.add_argument("file", nargs="?", help="propose, diff, check: the policy")
-    parser.add_argument("--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="(127.0.0.1:2379)")
-    parser.add_argument("--name", default="main", help="which fleet (main)")
-    parser.add_argument("--why", default="", help="for those who read the history")
-    parser.add_argument("--author", default="", help="(who runs this)")
+    parser.add_argument("file", nargs="?", help="propose, diff, check: the policy file")
+    parser.add_argument(
+        "--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="the store (127.0.0.1:2379)"
+    )
+    parser.add_argument("--name", default="main", help="name of the fleet (main)")
+    parser.add_argument("--why", default="", help="reason, shown in the history")
+    parser.add_argument("--author", default="", help="author (the user who runs this)")
     parser.add_argument(
         "--overlap",
         choices=("loose", "strict"),
         default="loose",
-        help="strict: no two sends under different policies at one moment (loose)",
+        help="strict: no two attempts under different policies at one moment (loose)",
     )
     parser.add_argument(
         "--silence",
         choices=("wait", "drop"),
         default="drop",
-        help="what becomes of it where a gateway says nothing in time (drop)",
+        help="whether to wait for gateways that do not vote in time, or to drop the change (drop)",
+    )
+    parser.add_argument(
+        "--patience", type=float, default=10, metavar="SECONDS", help="time in which gateways must vote (10)"
     )
-    parser.add_argument("--patience", type=float, default=10, metavar="SECONDS", help="in time: (10)")
     parser.add_argument(
         "--wait",
         type=float,
         default=0,
         metavar="SECONDS",
-        help="wait for what becomes of it; status 0 in force, 3 dropped, 4 not known yet",
+        help="wait for the result; status 0 in force, 3 dropped, 4 not known yet",
     )
     _add_canary_options(parser)
-    parser.add_argument("--number", type=int, default=0, help="status: of this one")
+    parser.add_argument("--number", type=int, default=0, help="status: of this version")
     parser.add_argument("--json", action="store_true", help="history: a JSON object a line")
     parser.set_defaults(run=_policy)
 
@@ -210,24 +220,24 @@
         type=float,
         default=0,
         metavar="PART",
-        help="so great a part of the gateways goes by it first (0: none)",
+        help="fraction of the gateways that apply it first (0: none)",
     )
     parser.add_argument(
-        "--canary-seconds", type=float, default=30, metavar="SECONDS", help="for so long (30)"
+        "--canary-seconds", type=float, default=30, metavar="SECONDS", help="duration of the canary (30)"
     )
     parser.add_argument(
         "--most-failed",
         type=float,
         default=0.05,
         metavar="SHARE",
-        help="dropped where more of their commands fail (0.05)",
+        help="drop the change if a larger share of the canary's commands fails (0.05)",
     )
     parser.add_argument(
         "--most-slower",
         type=float,
         default=1.5,
         metavar="TIMES",
-        help="dropped where answers take so many times as long as the others' (1.5)",
+        help="drop the change if the canary is slower than the others by more than this factor (1.5)",
     )
 
 
