--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -15,9 +15,13 @@
 if TYPE_CHECKING:
     Commands = argparse._SubParsersAction[argparse.ArgumentParser]
 
+PROGRAM = "gullhold"
 CONFIGURATION_VARIABLE = "GW_CONFIG"
 STATUS_UNUSABLE = 2
 DEMO_RUNS = {"both": (False, True), "on": (True,), "off": (False,)}  # whether each has an admission queue
+EARLIER_COMMAND_NAMES = {"try": "demo", "register": "store", "rehearse": "simulate"}  # they still work
+FLEET_SUBJECTS = ("members", "roles", "history", "budgets", "plan", "report")
+EARLIER_FLEET_SUBJECTS = ("duties",)  # the roles
 
 
 def _add_serve(commands: "Commands") -> None:
@@ -44,7 +48,7 @@
 
 
 def _add_config(commands: "Commands") -> None:
-    parser = commands.add_parser("config", help="read a configuration and print what was understood")
+    parser = commands.add_parser("config", help="read a configuration and print it as understood")
     _add_file_options(parser)
     parser.set_defaults(run=_config)
 
@@ -63,11 +67,13 @@
         metavar="FILE",
         help="the configuration (default: the file that GW_CONFIG names)",
     )
-    parser.add_argument("--operator", metavar="FILE", help="the operator file: what this installation adds")
+    parser.add_argument("--operator", metavar="FILE", help="the operator file: settings of this installation")
 
 
 def _add_check(commands: "Commands") -> None:
-    parser = commands.add_parser("check", help="ask a running gateway whether it serves; exit status 0 if so")
+    parser = commands.add_parser(
+        "check", help="ask a running gateway whether it serves; exit status 0 if it does"
+    )
     parser.add_argument("address", help="where it listens, as HOST:PORT")
     parser.add_argument("--timeout", type=float, default=2.0, metavar="SECONDS", help="how long to wait (2)")
     parser.set_defaults(run=_check)
@@ -79,51 +85,70 @@
     return health_check.check(args.address, args.timeout)
 
 
-def _add_try(commands: "Commands") -> None:
-    parser = commands.add_parser("try", help="stand-ins and a gateway on loopback, without and with a door")
-    parser.add_argument("--seconds", type=float, default=10, help="how long each run takes (10)")
-    parser.add_argument("--door", choices=("both", "on", "off"), default="both", help="the runs (both)")
-    parser.add_argument("--seed", type=int, default=1, help="for chance (1)")
-    parser.set_defaults(run=_try)
+def _add_demo(commands: "Commands") -> None:
+    parser = commands.add_parser(
+        "demo", help="run test engines and a gateway on loopback, without and with the admission queue"
+    )
+    parser.add_argument("--seconds", type=float, default=10, help="duration of each run (10)")
+    parser.add_argument("--admission-queue", choices=DEMO_RUNS, default="both", help="which runs (both)")
+    parser.add_argument(
+        "--door",  # the earlier name of the option
+        dest="admission_queue",
+        choices=DEMO_RUNS,
+        default=argparse.SUPPRESS,
+        help=argparse.SUPPRESS,
+    )
+    parser.add_argument("--seed", type=int, default=1, help="seed of the random numbers (1)")
+    parser.set_defaults(run=_demo)
 
 
-def _try(args: argparse.Namespace) -> int:
+def _demo(args: argparse.Namespace) -> int:
     from gullhold import demo  # noqa: PLC0415  heavy libraries
 
-    return demo.run(args.seconds, DEMO_RUNS[args.door], args.seed)
+    return demo.run(args.seconds, DEMO_RUNS[args.admission_queue], args.seed)
 
 
-def _add_register(commands: "Commands") -> None:
-    parser = commands.add_parser("register", help="a register for the fleet on one machine")
-    parser.add_argument("--listen", default="127.0.0.1:2379", metavar="HOST:PORT", help="(127.0.0.1:2379)")
-    parser.add_argument("--store", default="register.db", metavar="FILE", help="what it keeps (register.db)")
-    parser.add_argument("--journal", metavar="FILE", help="add a line for each change to this file")
-    parser.add_argument("--fast", action="store_true", help="a loss of power may undo the last changes")
-    parser.add_argument("--scripted", action="store_true", help="faults may be asked for: for tests alone")
-    parser.set_defaults(run=_register)
+def _add_store(commands: "Commands") -> None:
+    parser = commands.add_parser("store", help="serve the store of a fleet on one machine")
+    parser.add_argument(
+        "--listen", default="127.0.0.1:2379", metavar="HOST:PORT", help="listen address (127.0.0.1:2379)"
+    )
+    parser.add_argument("--store", default="register.db", metavar="FILE", help="database (register.db)")
+    parser.add_argument("--journal", metavar="FILE", help="append a line for each change to this file")
+    parser.add_argument("--fast", action="store_true", help="a power failure may lose the last changes")
+    parser.add_argument("--scripted", action="store_true", help="clients may request faults: for tests only")
+    parser.set_defaults(run=_store)
 
 
-def _register(args: argparse.Namespace) -> int:
+def _store(args: argparse.Namespace) -> int:
     from gullhold.testing.register import server  # noqa: PLC0415
 
     return server.main(args.listen, args.store, not args.fast, args.journal, args.scripted)
 
 
 def _add_fleet(commands: "Commands") -> None:
-    parser = commands.add_parser("fleet", help="what a fleet's register says")
-    parser.add_argument("what", choices=("members", "duties", "history", "budgets", "plan", "report"))
-    parser.add_argument("--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="(127.0.0.1:2379)")
-    parser.add_argument("--name", default="main", help="which fleet (main)")
+    parser = commands.add_parser("fleet", help="print what the store of a fleet holds")
+    parser.add_argument(
+        "what",
+        choices=FLEET_SUBJECTS + EARLIER_FLEET_SUBJECTS,
+        metavar="{" + ",".join(FLEET_SUBJECTS) + "}",
+    )
+    parser.add_argument(
+        "--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="the store (127.0.0.1:2379)"
+    )
+    parser.add_argument("--name", default="main", help="name of the fleet (main)")
     parser.add_argument("--json", action="store_true", help="a JSON object a line, for scripts")
     group = parser.add_argument_group("plan, report")
-    group.add_argument("--members", type=int, default=2, metavar="N", help="plan: for so many (2)")
-    group.add_argument("--whole", type=int, default=0, metavar="X", help="plan: of so much")
-    group.add_argument("--wants", default="", metavar="A,B,...", help="plan: what they want (each the whole)")
-    group.add_argument("--floor", type=int, default=1, help="plan: least part of each (1)")
-    group.add_argument("--grain", type=int, default=1, help="plan: least part that is of use (1)")
-    group.add_argument("--alone", type=int, default=0, help="plan: kept back for each (0)")
-    group.add_argument("--seconds", type=float, default=30, help="report: watched for so long (30)")
-    group.add_argument("--out", default="budgets.html", metavar="FILE", help="report: (budgets.html)")
+    group.add_argument("--members", type=int, default=2, metavar="N", help="plan: number of members (2)")
+    group.add_argument("--whole", type=int, default=0, metavar="X", help="plan: total of the budget")
+    group.add_argument("--wants", default="", metavar="A,B,...", help="plan: demand of each (the total)")
+    group.add_argument("--floor", type=int, default=1, help="plan: least allocation of each (1)")
+    group.add_argument("--grain", type=int, default=1, help="plan: granularity of allocations (1)")
+    group.add_argument("--alone", type=int, default=0, help="plan: reserve of each (0)")
+    group.add_argument("--seconds", type=float, default=30, help="report: how long to watch (30)")
+    group.add_argument(
+        "--out", default="budgets.html", metavar="FILE", help="report: the page to write (budgets.html)"
+    )
     parser.set_defaults(run=_fleet)
 
 
@@ -157,35 +182,39 @@
 
 
 def _add_policy(commands: "Commands") -> None:
-    parser = commands.add_parser("policy", help="change the policy of a fleet, everywhere or nowhere")
+    parser = commands.add_parser("policy", help="roll out a policy to a fleet, everywhere or nowhere")
     parser.add_argument("what", choices=("propose", "diff", "status", "history", "drop", "undo", "check"))
-    parser.add_argument("file", nargs="?", help="propose, diff, check: the policy")
-    parser.add_argument("--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="(127.0.0.1:2379)")
-    parser.add_argument("--name", default="main", help="which fleet (main)")
-    parser.add_argument("--why", default="", help="for those who read the history")
-    parser.add_argument("--author", default="", help="(who runs this)")
+    parser.add_argument("file", nargs="?", help="propose, diff, check: the policy file")
+    parser.add_argument(
+        "--register", default="127.0.0.1:2379", metavar="HOST:PORT", help="the store (127.0.0.1:2379)"
+    )
+    parser.add_argument("--name", default="main", help="name of the fleet (main)")
+    parser.add_argument("--why", default="", help="reason, shown in the history")
+    parser.add_argument("--author", default="", help="author (the user who runs this)")
     parser.add_argument(
         "--overlap",
         choices=("loose", "strict"),
         default="loose",
-        help="strict: no two sends under different policies at one moment (loose)",
+        help="strict: no two attempts under different policies at one moment (loose)",
     )
     parser.add_argument(
         "--silence",
         choices=("wait", "drop"),
         default="drop",
-        help="what becomes of it where a gateway says nothing in time (drop)",
+        help="whether to wait for gateways that do not vote in time, or to drop the change (drop)",
+    )
+    parser.add_argument(
+        "--patience", type=float, default=10, metavar="SECONDS", help="time in which gateways must vote (10)"
     )
-    parser.add_argument("--patience", type=float, default=10, metavar="SECONDS", help="in time: (10)")
     parser.add_argument(
         "--wait",
         type=float,
         default=0,
         metavar="SECONDS",
-        help="wait for what becomes of it; status 0 in force, 3 dropped, 4 not known yet",
+        help="wait for the result; status 0 in force, 3 dropped, 4 not known yet",
     )
     _add_canary_options(parser)
-    parser.add_argument("--number", type=int, default=0, help="status: of this one")
+    parser.add_argument("--number", type=int, default=0, help="status: of this version")
     parser.add_argument("--json", action="store_true", help="history: a JSON object a line")
     parser.set_defaults(run=_policy)
 
@@ -196,24 +225,24 @@
         type=float,
         default=0,
         metavar="PART",
-        help="so great a part of the gateways goes by it first (0: none)",
+        help="fraction of the gateways that apply it first (0: none)",
     )
     parser.add_argument(
-        "--canary-seconds", type=float, default=30, metavar="SECONDS", help="for so long (30)"
+        "--canary-seconds", type=float, default=30, metavar="SECONDS", help="duration of the canary (30)"
     )
     parser.add_argument(
         "--most-failed",
         type=float,
         default=0.05,
         metavar="SHARE",
-        help="dropped where more of their commands fail (0.05)",
+        help="drop the change if a larger share of the canary's commands fails (0.05)",
     )
     parser.add_argument(
         "--most-slower",
         type=float,
         default=1.5,
         metavar="TIMES",
-        help="dropped where answers take so many times as long as the others' (1.5)",
+        help="drop the change if the canary is slower than the others by more than this factor (1.5)",
     )
 
 
@@ -223,21 +252,23 @@
     return policy_commands.run(args)
 
 
-def _add_rehearse(commands: "Commands") -> None:
-    parser = commands.add_parser("rehearse", help="play scripted faults on virtual time")
-    parser.add_argument("--seeds", default="0:20", metavar="A:B", help="each draws a script (0:20)")
-    parser.add_argument("--jobs", type=int, default=0, help="processes at once (as there are cores)")
-    parser.add_argument("--replay", metavar="FILE", help="play this script, with the first of the seeds")
+def _add_simulate(commands: "Commands") -> None:
+    parser = commands.add_parser("simulate", help="run gateways on virtual time against scripted faults")
+    parser.add_argument(
+        "--seeds", default="0:20", metavar="A:B", help="each seed generates a script (0:20, without 20)"
+    )
+    parser.add_argument("--jobs", type=int, default=0, help="parallel processes (one for each core)")
+    parser.add_argument("--replay", metavar="FILE", help="run this script, with the first of the seeds")
     parser.add_argument(
-        "--shrink", metavar="FILE", help="cut the first script that breaks a rule down, and write it there"
+        "--shrink", metavar="FILE", help="minimize the first script that breaks a rule, and write it there"
     )
-    parser.set_defaults(run=_rehearse)
+    parser.set_defaults(run=_simulate)
 
 
-def _rehearse(args: argparse.Namespace) -> int:
+def _simulate(args: argparse.Namespace) -> int:
     from gullhold.simulation import show  # noqa: PLC0415  heavy libraries
 
-    return show.run(args.seeds, args.jobs, args.replay, args.shrink)
+    return show.run(args.seeds, args.jobs, args.replay, args.shrink, args.command)
 
 
 def _add_version(commands: "Commands") -> None:
@@ -252,17 +283,19 @@
 
 def build_parser() -> argparse.ArgumentParser:
     """Build the parser with all sub-commands; `run` of what it parses runs the one that was named."""
-    parser = argparse.ArgumentParser(prog="gullhold", description="A query gateway: what runs, where, when.")
-    commands = parser.add_subparsers(dest="command", required=True)
+    parser = argparse.ArgumentParser(prog=PROGRAM, description="A query gateway: what runs, where, when.")
+    commands = parser.add_subparsers(prog=PROGRAM, dest="command", metavar="COMMAND", required=True)
     _add_serve(commands)
     _add_config(commands)
     _add_check(commands)
-    _add_try(commands)
-    _add_register(commands)
+    _add_demo(commands)
+    _add_store(commands)
     _add_fleet(commands)
     _add_policy(commands)
-    _add_rehearse(commands)
+    _add_simulate(commands)
     _add_version(commands)
+    for earlier_name, name in EARLIER_COMMAND_NAMES.items():
+        commands.choices[earlier_name] = commands.choices[name]  # `aliases` would list it in the help
     return parser
 
 
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gullhold.__main__ import build_parser
+from gullhold.__main__ import EARLIER_COMMAND_NAMES, EARLIER_FLEET_SUBJECTS, build_parser
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGES = [
@@ -23,6 +23,8 @@
 # What users write themselves, or what the program makes, in examples of the pages.
 NAMES_IN_EXAMPLES = {"small.txt", "policy.json", "FILE"}
 MAX_ARCHITECTURE_LINES = 150
+GLOSSARY_COLUMNS = 4
+GLOSSARY_TITLE = "term in the code"
 DIAGRAM = re.compile(r"```mermaid\n(.*?)```", re.DOTALL)
 
 
@@ -103,6 +105,7 @@
     commands = named_commands(page.read_text())
     for name, rest in commands:
         assert name in parsers, f"gullhold {name}"
+        assert name not in EARLIER_COMMAND_NAMES, f"gullhold {name}"
         known = parsers[name]._option_string_actions
         unknown = [option for option in re.findall(r"--[a-z][a-z-]*", rest) if option not in known]
         assert unknown == [], f"gullhold {name} {rest}"
@@ -114,7 +117,7 @@
     choices = next((a.choices for a in parser._actions if not a.option_strings and a.choices), None)
     if choices and rest and not rest.startswith("-"):
         named = rest.split(maxsplit=1)[0].split("|")
-        assert set(named) <= set(choices), f"gullhold {name} {rest}"
+        assert set(named) <= set(choices) - set(EARLIER_FLEET_SUBJECTS), f"gullhold {name} {rest}"
 
 
 @pytest.mark.parametrize("page", COMMAND_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
@@ -128,7 +131,7 @@
 def test_the_pages_name_commands_at_all():
     """Guards against a pattern that finds nothing: the checks above would hold for any page."""
     named = {name for page in COMMAND_PAGES for name, _ in named_commands(page.read_text())}
-    assert named >= {"try", "serve", "config", "register", "fleet", "policy", "rehearse", "check", "version"}
+    assert named >= {"demo", "serve", "config", "store", "fleet", "policy", "simulate", "check", "version"}
     files = {name for page in PAGES for name in quoted(page.read_text()) if looks_like_a_file(name)}
     assert len(files) > 100
 
@@ -173,3 +176,39 @@
     }
     assert paths
     assert sorted(path for path in paths if not (ROOT / "gullhold" / f"{path}.py").exists()) == []
+
+
+def glossary_rows() -> list[tuple[str, str]]:
+    """Return (term in the code, where) of each row of the glossary's tables of terms."""
+    lines = (ROOT / "docs/glossary.md").read_text().splitlines()
+    cells = [line.strip("|").split(" | ") for line in lines if line.startswith("| ")]
+    return [(row[2], row[3]) for row in cells if len(row) == GLOSSARY_COLUMNS and row[2] != GLOSSARY_TITLE]
+
+
+def source_of(path: str) -> str:
+    """Return the Python source of a file or of a whole package, named from the root or from the package."""
+    place = next(base / path for base in (ROOT, ROOT / "gullhold") if (base / path).exists())
+    files = place.rglob("*.py") if place.is_dir() else [place]
+    return "\n".join(file.read_text() for file in files)
+
+
+def test_names_of_the_glossary_stand_in_the_files_that_it_says():
+    rows = glossary_rows()
+    missing = []
+    names_found = 0
+    for term, where in rows:
+        source = "".join(source_of(path) for path in re.findall(r"`([^`]+)`", where))
+        names = [part for name in re.findall(r"`([^`]+?)(?:\(\))?`", term) for part in name.split(".")]
+        missing += [(name, where) for name in names if not re.search(rf"\b{re.escape(name)}\b", source)]
+        names_found += len(names)
+    assert missing == []
+    assert len(rows) > 100
+    assert names_found > 100
+
+
+def test_the_glossary_names_all_earlier_commands():
+    section = (ROOT / "docs/glossary.md").read_text().split("## Commands\n")[1].split("\n## ")[0]
+    for earlier, current in EARLIER_COMMAND_NAMES.items():
+        assert re.search(rf"\| `{earlier}`[^|]*\| `{current}`", section), earlier
+    for subject in EARLIER_FLEET_SUBJECTS:
+        assert f"`fleet {subject}`" in section
