--- a/tests/driver.py
+++ b/tests/driver.py
@@ -285,7 +285,8 @@
             ids = self.ids_by_key[command["key"]]
             for other in ids[: ids.index(ident)]:
                 earlier = self.commands[other]
-                assert earlier["over"] and not earlier["out"], "out of order"
+                assert earlier["over"], "out of order"
+                assert not earlier["out"], "out of order"
             assert command["sends"] or self.now >= self.settles_until.get(command["key"], 0), (
                 "the key has not settled"
             )
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -68,9 +68,11 @@
 def judged(fleet, grants, strict=False, overlap_ms=1200):
     """Nothing is mixed beyond what is stated, and nothing was decided that should not be."""
     check = Changes(fleet.lines())
-    assert not check.without_all and not check.turned_down, fleet.story()
+    assert not check.without_all, fleet.story()
+    assert not check.turned_down, fleet.story()
     wrong, overlap = mixed(by_policy(fleet.engines, grants))
-    assert not (strict and wrong) and overlap <= overlap_ms, (wrong, overlap, fleet.story())
+    assert not (strict and wrong), (wrong, overlap, fleet.story())
+    assert overlap <= overlap_ms, (wrong, overlap, fleet.story())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "faults of", "not answered in time"))
     return check
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -148,7 +148,8 @@
             client.stop()
         for client in made:
             client.join()
-        assert running.process.returncode == 0 and took < 3.7, took
+        assert running.process.returncode == 0, took
+        assert took < 3.7, took
         assert "overdue" not in running.text()
         assert "faults of ours" not in running.text()
         # Each command that was taken is answered; what crossed the end was never taken.
--- a/tests/test_admission_retry_after.py
+++ b/tests/test_admission_retry_after.py
@@ -32,7 +32,8 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_those_who_come_back_when_told_mostly_succeed_those_at_once_do_not(seed):
     told, many, world = overload("told", seed)
-    assert many > 50 and told >= 0.9, (told, many)
+    assert many > 50, (told, many)
+    assert told >= 0.9, (told, many)
     assert world.queue.retry_scheduler.window_count <= world.rule.come_back.all
     at_once, others, _ = overload("at once", seed)
     assert others > many
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -68,7 +68,8 @@
         most, when = most_at_once(engine.flights)
         assert most <= total, f"{most} at {when - fleet.began:.3f}\n{fleet.story()}"
     history = AllocationHistory(fleet.lines())
-    assert history.most and max(history.most.values()) <= total, fleet.story()
+    assert history.most, fleet.story()
+    assert max(history.most.values()) <= total, fleet.story()
     assert sum(len(engine.flights) for engine in fleet.engines) >= min_attempts
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "faults of", "not answered in time"))
@@ -209,7 +210,8 @@
             stop_clients(one)
         sends = first_attempts(fleet.engines)
         most, _ = most_in_window(sends, window_s)
-        assert 20 <= most <= 30 and len(sends) > 40, (most, len(sends))
+        assert 20 <= most <= 30, (most, len(sends))
+        assert len(sends) > 40, (most, len(sends))
         assert AllocationHistory(fleet.lines()).moves >= 5
 
 
@@ -223,7 +225,8 @@
             stop_clients(*clients)
         further = retries(fleet.engines)
         most, _ = most_in_window(further, 2.0)
-        assert 6 <= most <= 12 and len(further) >= 12, (most, len(further))
+        assert 6 <= most <= 12, (most, len(further))
+        assert len(further) >= 12, (most, len(further))
 
 
 def test_calls_to_the_lists_service_are_counted_for_the_fleet_where_it_ends_every_stream():
@@ -244,7 +247,8 @@
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
     most, _ = most_in_window(calls, 2.0)
-    assert 3 <= most <= 6 and len(calls) >= 8, (most, len(calls))
+    assert 3 <= most <= 6, (most, len(calls))
+    assert len(calls) >= 8, (most, len(calls))
 
 
 def test_a_whole_that_is_lowered_below_what_is_out_comes_down_and_cancels_nothing():
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -41,7 +41,8 @@
 )
 def test_the_walks_find_decisions_that_are_wrong(mutant):
     finding = membership_mutants.find(mutant, 60, 160)
-    assert finding is not None and finding.kind is FindingKind.VIOLATION, finding
+    assert finding is not None, finding
+    assert finding.kind is FindingKind.VIOLATION, finding
 
 
 def member(roles=("d",), settle_us=0):
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -126,7 +126,8 @@
         victim = fleet.owners()["policy"][0]
         fleet.kill(victim)
         status, line = client.wait(record.number, 8)
-        assert status == ExitStatus.DROPPED and "canary: " in line, line
+        assert status == ExitStatus.DROPPED, line
+        assert "canary: " in line, line
         fleet.start(victim)
         on(fleet, 0)
         time.sleep(0.1)
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -187,7 +187,8 @@
 @pytest.mark.parametrize("mutant", scheduled_command_mutants.MUTANTS)
 def test_the_walks_find_plans_that_are_wrong(mutant):
     finding = scheduled_command_mutants.find(mutant, 300)
-    assert finding is not None and finding.kind is FindingKind.VIOLATION, finding
+    assert finding is not None, finding
+    assert finding.kind is FindingKind.VIOLATION, finding
 
 
 def test_a_record_is_read_as_it_was_written_and_nonsense_is_none():
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -218,7 +218,8 @@
 @pytest.mark.parametrize("name", [name for name in changemutants.MUTANTS if name != "IgnoresEnrollment"])
 def test_the_walks_find_changes_that_are_wrong(name):  # the one left out takes 610 walks: benchmarks.change
     finding = changemutants.find(name, 250, 500)
-    assert finding is not None and finding.kind is FindingKind.VIOLATION, finding
+    assert finding is not None, finding
+    assert finding.kind is FindingKind.VIOLATION, finding
 
 
 # Mutants that fall over their own state before a rule is broken: known from a crash only.
