--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -81,7 +81,7 @@
     assert 0.5 < time.monotonic() - began < 1.0
     until(lambda: engine.words(b"abort"))
     assert engine.words(b"alive")
-    assert gateway.count("sends timed out") == 1
+    assert gateway.count("attempts_ended_timed_out") == 1
 
 
 def test_a_client_that_stops_waiting_is_owed_nothing_and_its_late_answer_is_passed_over(start):
@@ -98,7 +98,7 @@
     first = client.ask()
     until(lambda: late)
     client.interrupt(first)
-    until(lambda: gateway.count("late or unknown answers"))
+    until(lambda: gateway.count("unmatched_replies"))
     second = client.ask()
     assert client.answer() == (second, b"a\tb\tc\n")
 
@@ -126,7 +126,7 @@
     seq = client.ask(limit=4000, cpu=b"20")
     assert client.answer() == (seq, b"j\tu\tst\n")
     assert len(engine.words(b"fetch")) == 1
-    until(lambda: gateway.count("sends answered") == 1)
+    until(lambda: gateway.count("attempts_ended_answered") == 1)
 
 
 def test_nothing_new_goes_out_on_a_link_that_fell_silent(start):
@@ -138,7 +138,7 @@
     gone.refuse()
     until(lambda: gone.words(b"alive"))
     client.ask(limit=3000)
-    until(lambda: gateway.count("sends no connection"))
+    until(lambda: gateway.count("attempts_ended_connect_failed"))
     assert len(gone.words(b"fetch")) == 1
 
 
@@ -157,9 +157,9 @@
     for _ in range(3):
         seq = client.ask()
         assert client.answer() == (seq, page + more)
-    until(lambda: gateway.count("second copies") >= 6)
-    assert gateway.count("links up") == 1
-    assert not gateway.count("sends reset")
+    until(lambda: gateway.count("duplicate_pages") >= 6)
+    assert gateway.count("engine_connections_opened") == 1
+    assert not gateway.count("attempts_ended_reset")
 
 
 @pytest.mark.parametrize(
@@ -181,7 +181,7 @@
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert time.monotonic() - began < 1
-    assert gateway.count("link: malformed bytes") == 1
+    assert gateway.count("engine_connections_ended_malformed") == 1
     assert first in client_open(gateway)
     client.interrupt(first)
 
@@ -191,8 +191,8 @@
     gateway, client = start(engine, cancel=False)
     seq = client.ask(limit=3500, cpu=b"900")
     assert client.answer() == (seq, b"a\tb\tc\n")
-    assert gateway.count("answers lost") == 1
-    assert gateway.count("links up") <= 2
+    assert gateway.count("attempts_unanswered") == 1
+    assert gateway.count("engine_connections_opened") <= 2
     (first, second), (abort,) = engine.words(b"fetch"), engine.words(b"abort")
     assert first[-1] < abort[-1] < second[-1]  # never two at once
 
@@ -206,12 +206,12 @@
     gateway, client = start(apart)
     for _ in range(2):
         client.ask("once")
-    until(lambda: gateway.count("links up") == 2)
+    until(lambda: gateway.count("engine_connections_opened") == 2)
     gateway, client = start(together, streams_per_conn=9)
     client.ask("once")
     client.answer()
-    until(lambda: gateway.count("link: closed by the other side") == 1)
+    until(lambda: gateway.count("engine_connections_ended_closed_by_peer") == 1)
     for number in range(5):
         client.ask("once")
         until(lambda: len(together.words(b"fetch")) == 2 + number)  # noqa: B023
-    assert gateway.count("links up") == 1 + 2  # three to a link: a reset takes no more along
+    assert gateway.count("engine_connections_opened") == 1 + 2  # three to a link: a reset takes no more along
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -27,7 +27,7 @@
     cut.sock.close()
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
-    assert gateway.count("client connection: malformed bytes") == 4
+    assert gateway.count("client_connections_ended_malformed") == 4
 
 
 def test_a_sequence_number_that_is_open_ends_the_connection_and_its_work(start):
@@ -64,7 +64,7 @@
     assert idle.answer() is None
     assert client.answer() == (seq, "fault")  # long after the time for idle ones
     assert client.answer() is None
-    until(lambda: gateway.count("client connection: idle, closed by us") == 2)
+    until(lambda: gateway.count("client_connections_ended_idle") == 2)
 
 
 def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
@@ -86,7 +86,7 @@
     asks = Caller(gateway.address)
     seq = asks.send("check", b"\x02\0\1\1")
     assert asks.answer() == (seq, b"")
-    assert gateway.count("idle ones closed for room") >= 31
+    assert gateway.count("idle_clients_closed") >= 31
     assert all(caller.answer() is None for caller in crowd[:30])
 
 
@@ -104,9 +104,9 @@
     engine.acts[:] = [endless]
     for _ in range(60):
         many.ask()
-    until(lambda: gateway.count("over 32 open on a connection") == 28)
+    until(lambda: gateway.count("rejected_connection_limit") == 28)
     many.ask(seq=7)  # a number that was there before
-    until(lambda: gateway.count("client connection: malformed bytes") == 1)
+    until(lambda: gateway.count("client_connections_ended_malformed") == 1)
 
 
 def test_hundreds_taken_back_before_the_core_comes_to_them_never_reach_the_module(start):
@@ -152,7 +152,7 @@
         client.interrupt(seq)
         client.ask()
     until(lambda: len(client_open(gateway)) == 32 and gateway.count("interrupted") == 5)
-    assert not gateway.count("over 32 open on a connection")
+    assert not gateway.count("rejected_connection_limit")
 
 
 def test_a_client_that_ends_before_the_listener_goes_on_holds_no_room(start, monkeypatch):
@@ -161,9 +161,9 @@
             self.run()  # it is over before start() returns
 
     gateway, client = start(Engine())
-    until(lambda: gateway.count("client connections") == 1)
+    until(lambda: gateway.count("client_connections_accepted") == 1)
     monkeypatch.setattr(listener, "Thread", Inline)
     for _ in range(3):
         Caller(gateway.address).sock.close()
-    until(lambda: gateway.count("client connections") == 4)
+    until(lambda: gateway.count("client_connections_accepted") == 4)
     assert len(gateway.listener.clients) == 1
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -148,4 +148,4 @@
     gateway.core.gateway.submit = fails
     bad, good = client.ask("once"), client.ask()
     assert {client.answer(), client.answer()} == {(bad, "fault"), (good, b"a\tb\tc\n")}
-    assert gateway.count("faults of the module") == 1
+    assert gateway.count("decision_faults") == 1
