--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -1,14 +1,12 @@
-"""Reads a deployment's settings tree, once, into an Agreement; the same for every driver.
+"""Reads a deployment's settings tree into an Agreement, in the same way for every driver.
 
-The keys are those of the settings that the users' pages give; settings that nothing reads are ignored.
+The keys are those of the settings format; settings that nothing reads are ignored.
 """
 
 from collections.abc import Sequence
 from typing import Any
 
-from gullhold.interface import Agreement, DeduplicationScope, Idempotency, Profile, Tenant
-
-MICROSECONDS = 1e6  # in a second
+from gullhold.interface import US_PER_SECOND, Agreement, DeduplicationScope, Idempotency, Profile, Tenant
 
 IDEMPOTENCY_BY_SETTING = {
     "pure": Idempotency.IDEMPOTENT,
@@ -23,12 +21,12 @@
 
 
 def microseconds(seconds: float) -> int:
-    """Seconds as whole microseconds."""
-    return round(seconds * MICROSECONDS)
+    """Convert seconds to integer microseconds."""
+    return round(seconds * US_PER_SECOND)
 
 
 def parse_tree(text: str) -> dict[str, Any]:
-    """The nested tree that `path=value` lines describe; a list's items stand under 0, 1 and so on."""
+    """Parse lines `path=value` into a nested tree; the items of a list have the keys 0, 1 and so on."""
     tree: dict[str, Any] = {}
     for line in text.splitlines():
         path, separator, value = line.partition("=")
@@ -44,21 +42,24 @@
 
 
 class SettingsNode:
-    """One place in the tree. Values may be typed or text; lists may be lists, joined text or numbered."""
+    """One node of the tree.
+
+    Values may be typed or text; lists may be lists, comma-separated text, or nodes with numbered keys.
+    """
 
     def __init__(self, tree: object) -> None:
         self.tree: dict[str, Any] = tree if isinstance(tree, dict) else {}
 
     def child(self, key: str) -> "SettingsNode":
-        """The node below; empty where there is none."""
+        """The child node; an empty one if there is none."""
         return SettingsNode(self.tree.get(key))
 
     def has(self, key: str) -> bool:
-        """Whether the settings name it."""
+        """Whether the key is present."""
         return key in self.tree
 
     def number(self, key: str, default: float = 0.0) -> float:
-        """A number; the default where it is absent or no number."""
+        """A number; the default if it is absent or not a number."""
         try:
             return float(self.tree[key])
         except (KeyError, TypeError, ValueError):
@@ -77,7 +78,7 @@
         return str(self.tree.get(key, ""))
 
     def texts(self, key: str) -> list[str]:
-        """A list of plain values, as text."""
+        """A list of scalar values, as text."""
         value = self.tree.get(key)
         if isinstance(value, str):
             return [item for item in value.split(",") if item]
@@ -93,7 +94,7 @@
 
 
 def index_of(names: Sequence[str], name: str, default: int = -1) -> int:
-    """The index of a name in its list; an index stands for itself."""
+    """The index of a name in its list; a number in place of a name is taken as the index."""
     if name in names:
         return names.index(name)
     try:
@@ -103,7 +104,7 @@
 
 
 def read_agreement(tree: object) -> Agreement:
-    """The Agreement that a settings tree states."""
+    """Read the Agreement from a settings tree."""
     settings = SettingsNode(tree)
     domain, limits, rules = settings.child("domain"), settings.child("limits"), settings.child("rules")
     zone_names, kind_names = settings.texts("dcs"), settings.texts("kinds")
--- a/gullhold/decisions/attempt_review.py
+++ b/gullhold/decisions/attempt_review.py
@@ -1,4 +1,4 @@
-"""What becomes of an open attempt of an idempotent command that takes far longer than usual."""
+"""Review of open attempts of idempotent commands: cancel, mark as stalled or leave alone."""
 
 from enum import Enum, auto
 
@@ -7,26 +7,27 @@
 from gullhold.decisions.retry_policy import RetryPolicy
 from gullhold.interface import Agreement
 
-REVIEW_RUNS = 0.6  # usual runs between reviews of an attempt
-SLOW_RUNS = 1.8  # usual runs after which an attempt is slow (a bad plan, a slow engine)
-STALLED_RUNS = 3.0  # usual runs after which one is stalled, or that its progress leaves where it is slow
+# In usual run times of a command.
+REVIEW_RUNS = 0.6  # between reviews of an attempt
+SLOW_RUNS = 1.8  # age from which an attempt is slow (a bad plan, a slow engine)
+STALLED_RUNS = 3.0  # age from which it is stalled; also the remaining time, by its progress, that is slow
 
 
 class Verdict(Enum):
-    """What a review comes to."""
+    """Result of a review."""
 
-    CANCEL = auto()  # to start the command afresh
-    STALLED = auto()  # it stays open, and its engine gets nothing new
+    CANCEL = auto()  # and dispatch the command again
+    STALLED = auto()  # it stays open, and its engine gets no new attempts
     REVIEW_AGAIN = auto()
     LEAVE_ALONE = auto()  # a new attempt would be too late
 
 
 class AttemptReview:
-    """Reviews of open attempts against the usual run.
+    """Compares open attempts with the usual run time.
 
-    What can't be started afresh (no cancels, none left) stays open until its end is known, and its engine
-    gets nothing new: guards against engines that take work and answer nothing, or crawl. Harm: one bad plan
-    closes an engine to us while it runs.
+    An attempt that can't be cancelled (not supported, no credit) stays open until its end is known, and its
+    engine gets no new attempts: guards against engines that accept work and never answer, or crawl.
+    Harm: one bad plan closes an engine to us while it runs.
     """
 
     def __init__(self, agreement: Agreement, estimates: Estimates, retries: RetryPolicy) -> None:
@@ -35,15 +36,15 @@
         self._retries = retries
 
     def first_at(self, run_us: float, now: int) -> int:
-        """When an attempt that starts now is reviewed first."""
+        """Time of the first review of an attempt that starts now."""
         return int(now + REVIEW_RUNS * run_us)
 
     def next_at(self, command: Command, now: int) -> int:
-        """When an attempt that was reviewed now is reviewed again."""
+        """Time of the next review of an attempt that is reviewed now."""
         return int(now + REVIEW_RUNS * self._estimates.run_us(command)) + 1
 
     def verdict(self, command: Command, now: int) -> Verdict:
-        """What is to become of the command's attempt."""
+        """Review the command's open attempt."""
         run_us = self._estimates.run_us(command)
         if now + run_us > command.worthwhile_until:
             return Verdict.LEAVE_ALONE
@@ -54,7 +55,7 @@
         return Verdict.REVIEW_AGAIN
 
     def _is_slow(self, command: Command, run_us: float, now: int) -> bool:
-        """By its progress, where the engine reported any, else by its age."""
+        """By the progress that the engine reported, if any, else by its age."""
         age_us = now - command.sent_at
         if command.progress:
             return age_us * (1 / command.progress - 1) > STALLED_RUNS * run_us
--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -47,14 +47,14 @@
 
 
 class InvalidTransitionError(RuntimeError):
-    """A command was to change to a state that does not follow its present one."""
+    """A change of a command's state that TRANSITIONS does not allow."""
 
 
 class Command:
     """One command. Times are in microseconds; the state changes only through change_state().
 
-    engine and sent_at: of the newest attempt. first_run_engine, first_run_at: of the first attempt that may
-    have run; None: none has.
+    engine, sent_at: of the newest attempt. first_run_engine, first_run_at: of the first attempt that may have
+    run; first_run_engine is None while none may have.
     """
 
     __slots__ = (
@@ -97,11 +97,11 @@
         dataset: int,
         order: int,  # of arrival
         work: float,  # estimate, core-us
-        admitted_at: int,  # 0: it widens no retry budget
+        admitted_at: int,  # 0: it does not widen the retry budget
         target_at: int,  # end of its latency objective
         is_short: bool,
-        last_start_at: int,  # after it no attempt is started
-        worthwhile_until: int,  # while an answer still earns
+        last_start_at: int,  # no attempt is started later
+        worthwhile_until: int,  # an answer after it has no benefit
         threads: int,
     ) -> None:
         """Create a command that has arrived and has no attempt yet."""
@@ -121,32 +121,32 @@
         self.worthwhile_until = worthwhile_until
         self.threads = threads
         self.state: CommandState = CommandState.BLOCKED
-        self.queue_entry: int = 0  # number of its newest entry in the queue; older ones are void
+        self.queue_entry: int = 0  # number of its newest entry in the queue; older ones are invalid
         self.attempts: int = 0
         self.engine: Engine | None = None
         self.sent_at: int = 0
         self.first_run_engine: Engine | None = None
         self.first_run_at: int = 0
         self.progress: float = 0.0  # share done, as reported for the open attempt; 0: not reported
-        self.is_stalled: bool = False  # its attempt is open for so long that nothing new goes to that engine
-        self.attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # until its attempt ends
-        self.admission_shares: Sequence[BudgetShare] = ()  # until the command ends
+        self.is_stalled: bool = False  # its open attempt keeps the engine from getting new ones
+        self.attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # released when its attempt ends
+        self.admission_shares: Sequence[BudgetShare] = ()  # released when the command ends
 
     def change_state(self, state: CommandState) -> None:
-        """Enter a state. Raises InvalidTransitionError where it does not follow the present one."""
+        """Enter a state. Raises InvalidTransitionError if TRANSITIONS does not allow it."""
         if state not in TRANSITIONS[self.state]:
             raise InvalidTransitionError(f"command {self.id}: {self.state.name} to {state.name}")
         self.state = state
 
     def begin_attempt(self, engine: "Engine", now: int) -> None:
-        """A further attempt begins on the engine."""
+        """Record that a new attempt begins on the engine."""
         self.engine = engine
         self.sent_at = now
         self.progress = 0.0
         self.attempts += 1
 
     def mark_run(self) -> None:
-        """The newest attempt may have run."""
+        """Record that the newest attempt may have run."""
         if self.first_run_engine is None:
             self.first_run_engine = self.engine
             self.first_run_at = self.sent_at
--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -1,11 +1,11 @@
-"""Makes a Command of what a client submitted: bounds its estimates and sets its times."""
+"""Creates a Command from what a client submitted: bounds its estimates and sets its times."""
 
 from gullhold.decisions.command import Command
 from gullhold.decisions.estimators import Estimates
 from gullhold.decisions.retry_policy import MARGIN_US
 from gullhold.interface import Agreement
 
-SHORT_TARGETS = 2.5  # times the shortest latency objective that a short command is allowed in all
+MAX_SHORT_TARGETS = 2.5  # longest objective of a short command, in times the shortest of any profile
 
 
 class CommandIntake:
@@ -16,7 +16,7 @@
         self._has_tenants = bool(agreement.tenants)
         self._estimates = estimates
         shortest_target_us = min([profile.target_us for profile in agreement.profiles], default=0)
-        self._short_us = SHORT_TARGETS * shortest_target_us
+        self._max_short_us = MAX_SHORT_TARGETS * shortest_target_us
         self.submitted = 0  # commands so far
 
     def new_command(
@@ -32,7 +32,7 @@
         need_mb: float,
         dataset: int,
     ) -> Command:
-        """The command; tenants: how many there are, one beyond them counts as the first."""
+        """Create a command. tenants: how many there are; a tenant's index beyond them counts as the first."""
         profile = self._profiles[profile_index]
         if not self._has_tenants:
             tenant = profile_index
@@ -53,7 +53,7 @@
             work=work,
             admitted_at=now,
             target_at=target_at,
-            is_short=allowed_us <= self._short_us,
+            is_short=allowed_us <= self._max_short_us,
             last_start_at=last_start_at,
             worthwhile_until=last_start_at if profile.late_benefit else target_at,
             threads=profile.threads,
--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -1,39 +1,39 @@
-"""Changes of commands' states, and what follows from each in the other parts."""
+"""Changes of commands' states, and their effects on the other components."""
 
 from typing import cast
 
 from gullhold.decisions.command import WAITING_STATES, Command, CommandState
+from gullhold.decisions.components import Components
 from gullhold.decisions.decision_call import DecisionCall
 from gullhold.decisions.engine import Engine
-from gullhold.decisions.parts import Parts
 from gullhold.decisions.retry_policy import MARGIN_US
 from gullhold.interface import Agreement, Fail, Shed
 
 
 class CommandLifecycle:
-    """The commands that wait or have an open attempt; every change of a state goes through it."""
+    """The commands that wait or have an open attempt; the only place that changes their states."""
 
-    def __init__(self, agreement: Agreement, parts: Parts, call: DecisionCall) -> None:
+    def __init__(self, agreement: Agreement, components: Components, call: DecisionCall) -> None:
         self._max_retry_after_us = agreement.max_retry_after_us
         self._call = call
-        self._estimates = parts.estimates
-        self._health = parts.health
-        self._key_order = parts.key_order
-        self._queue = parts.queue
-        self._retries = parts.retries
-        self._reviews = parts.reviews
-        self._thread_use = parts.thread_use
+        self._estimates = components.estimates
+        self._health = components.health
+        self._key_order = components.key_order
+        self._queue = components.queue
+        self._retries = components.retries
+        self._reviews = components.reviews
+        self._thread_use = components.thread_use
         self.commands: dict[int, Command] = {}
 
     def add(self, command: Command) -> None:
-        """A new command: it is queued, or blocked by an earlier one of its ordered key."""
+        """Add a new command: it is queued, or blocked by an earlier one of its ordered key."""
         self.commands[command.id] = command
         if self._key_order.add(command):
             self.change_state(command, CommandState.QUEUED)
         self._reviews.add_last_start(command)
 
     def with_attempt(self, command_id: int, attempt: int, states: tuple[CommandState, ...]) -> Command | None:
-        """The command if this is its newest attempt and its state is one of these."""
+        """Return the command if this is its newest attempt and its state is one of these."""
         command = self.commands.get(command_id)
         if command is None or attempt != command.attempts - 1 or command.state not in states:
             return None
@@ -48,7 +48,7 @@
         return in_use
 
     def change_state(self, command: Command, state: CommandState) -> None:
-        """Have a command enter a state. Raises InvalidTransitionError where that can't be."""
+        """Change the state of a command. Raises InvalidTransitionError if that is not allowed."""
         was_waiting = command.state in WAITING_STATES
         command.change_state(state)
         if state == CommandState.DISPATCHED:
@@ -61,7 +61,7 @@
             self._forget(command)
 
     def enqueue(self, command: Command) -> None:
-        """Queue a command and plan the reviews at which it is out of time."""
+        """Queue a command, and schedule the reviews for when it runs out of time."""
         now = self._call.now
         run_us = self._estimates.run_us(command)
         is_late = now > command.target_at - run_us
@@ -73,7 +73,7 @@
         self._queue.push(command, profile.benefit * (profile.late_benefit if is_late else 1.0))
 
     def finish(self, command: Command, state: CommandState = CommandState.ENDED) -> None:
-        """The final answer: shed where a retry does no harm, else failed."""
+        """Give the final answer: Shed where a retry does no harm, else Fail."""
         if self._retries.may_shed(command, self._call.now):
             self._call.results.append(Shed(command.id, self._max_retry_after_us))
         else:
@@ -81,7 +81,7 @@
         self.change_state(command, state)
 
     def _close_attempt(self, command: Command) -> None:
-        """The command's attempt is open no more."""
+        """Release the threads of the command's attempt, which has ended."""
         engine = cast("Engine", command.engine)  # each attempt has one
         self._thread_use.vacate(engine, command.threads)
         if command.is_stalled:
@@ -89,7 +89,7 @@
             self._health.count_stalled(engine, -1)
 
     def _forget(self, command: Command) -> None:
-        """A command has ended: what it held is free, and a command that it blocked is queued."""
+        """Release what an ended command held, and queue the command that it blocked."""
         for share in command.admission_shares:
             share.release(1)
         self._retries.record_ended(command)
--- a/gullhold/decisions/parts.py
+++ b/gullhold/decisions/components.py
@@ -1,4 +1,4 @@
-"""The parts of one gateway's decisions, each with its own state, and how they are joined."""
+"""The components of one gateway's decisions, each with its own state, and how they are wired together."""
 
 from collections.abc import Callable
 from random import Random
@@ -24,8 +24,8 @@
 from gullhold.interface import Agreement
 
 
-class Parts:
-    """One of each part. seed: of all random draws; now: the start of the gateway (us)."""
+class Components:
+    """One instance of each component. seed: of all random draws; now: start of the gateway (us)."""
 
     def __init__(self, seed: int, agreement: Agreement, now: int) -> None:
         draw = Random(seed).random
@@ -44,11 +44,11 @@
         self.queue = FairQueue(agreement)
         self.reviews = ReviewSchedule()
         self.attempt_review = AttemptReview(agreement, self.estimates, self.retries)
-        self.limits = self._limits(agreement)
-        self.placement = self._placement(agreement, draw)
-        self.outcomes = self._outcomes(agreement)
+        self.limits = self._new_limits(agreement)
+        self.placement = self._new_placement(agreement, draw)
+        self.outcomes = self._new_outcomes(agreement)
 
-    def _limits(self, agreement: Agreement) -> ConcurrencyLimit:
+    def _new_limits(self, agreement: Agreement) -> ConcurrencyLimit:
         return ConcurrencyLimit(
             agreement,
             self.engines,
@@ -60,7 +60,7 @@
             self.thread_use,
         )
 
-    def _placement(self, agreement: Agreement, draw: Callable[[], float]) -> Placement:
+    def _new_placement(self, agreement: Agreement, draw: Callable[[], float]) -> Placement:
         return Placement(
             agreement,
             draw,
@@ -72,7 +72,7 @@
             self.budgets,
         )
 
-    def _outcomes(self, agreement: Agreement) -> OutcomeRecorder:
+    def _new_outcomes(self, agreement: Agreement) -> OutcomeRecorder:
         return OutcomeRecorder(
             agreement,
             self.estimates,
--- a/gullhold/decisions/decision_call.py
+++ b/gullhold/decisions/decision_call.py
@@ -1,10 +1,10 @@
-"""The call of the driver that is being decided on."""
+"""The current call of the driver."""
 
 from gullhold.interface import Result
 
 
 class DecisionCall:
-    """Its time (us), and the results so far; they stand also after the call has raised an exception."""
+    """Its time (us) and the results so far, which remain available if the call raises an exception."""
 
     __slots__ = ("now", "results")
 
@@ -13,6 +13,6 @@
         self.results: list[Result] = []
 
     def begin(self, now: int) -> None:
-        """A new call begins."""
+        """Begin a new call."""
         self.now = now
         self.results = []
--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -1,43 +1,43 @@
-"""Reviews that are due, then queued commands in turn for as long as there is room."""
+"""Runs the reviews that are due, then dispatches queued commands in turn while there is capacity."""
 
 from typing import cast
 
 from gullhold.decisions.attempt_review import Verdict
 from gullhold.decisions.command import WAITING_STATES, Command, CommandState
 from gullhold.decisions.command_lifecycle import CommandLifecycle
+from gullhold.decisions.components import Components
 from gullhold.decisions.decision_call import DecisionCall
 from gullhold.decisions.engine import Engine
-from gullhold.decisions.fair_queue import Entry
-from gullhold.decisions.parts import Parts
+from gullhold.decisions.fair_queue import QueueEntry
 from gullhold.interface import Agreement, CancelAttempt, Dispatch, Result, SetTerms, StartTimer
 
 
 class Dispatcher:
-    """Ends each call that may have changed what can be dispatched."""
+    """The last step of each call that may have changed what can be dispatched."""
 
     def __init__(
-        self, agreement: Agreement, parts: Parts, lifecycle: CommandLifecycle, call: DecisionCall
+        self, agreement: Agreement, components: Components, lifecycle: CommandLifecycle, call: DecisionCall
     ) -> None:
         self._sends_terms = agreement.honors_grants or agreement.honors_priority
         self._call = call
         self._lifecycle = lifecycle
-        self._attempt_review = parts.attempt_review
-        self._budgets = parts.budgets
-        self._estimates = parts.estimates
-        self._grants = parts.grants
-        self._health = parts.health
-        self._placement = parts.placement
-        self._policy = parts.policy
-        self._queue = parts.queue
-        self._retries = parts.retries
-        self._reviews = parts.reviews
-        self._slow_start = parts.slow_start
-        self._thread_use = parts.thread_use
+        self._attempt_review = components.attempt_review
+        self._budgets = components.budgets
+        self._estimates = components.estimates
+        self._grants = components.grants
+        self._health = components.health
+        self._placement = components.placement
+        self._policy = components.policy
+        self._queue = components.queue
+        self._retries = components.retries
+        self._reviews = components.reviews
+        self._slow_start = components.slow_start
+        self._thread_use = components.thread_use
 
     def run(self) -> list[Result]:
-        """What is due first (after a stall its timer may be last); then queued commands while there is room.
+        """Run due reviews, then dispatch queued commands while there is capacity; return the call's results.
 
-        Returns the results of the call.
+        Reviews that are due are run on every call: after a pause of the process their timer may fire last.
         """
         now = self._call.now
         while due := self._reviews.pop_due(now):
@@ -55,14 +55,14 @@
         return self._call.results
 
     def _dispatch_next(self) -> int | None:
-        """Dispatch one command; returns its tenant, None: none can go."""
+        """Dispatch one command; return its tenant, None if no command can be dispatched."""
         for tenant in self._queue.tenants_in_turn():
             if self._dispatch_of_tenant(tenant):
                 return tenant
         return None
 
     def _dispatch_of_tenant(self, tenant: int) -> bool:
-        """Dispatch the tenant's best queued command that fits anywhere; whether one went."""
+        """Dispatch the tenant's best queued command that an engine may take; whether there was one."""
         is_dispatched = False
         for heap in self._queue.queues_of(tenant):
             if self._dispatch_first(heap):
@@ -71,8 +71,8 @@
         self._queue.drop_if_empty(tenant)
         return is_dispatched
 
-    def _dispatch_first(self, heap: list[Entry]) -> bool:
-        """Dispatch the first command of a queue, if it may go anywhere."""
+    def _dispatch_first(self, heap: list[QueueEntry]) -> bool:
+        """Dispatch the first command of a queue if an engine may take it; whether one did."""
         command = self._queue.first(heap)
         if command is None or not self._retries.may_start(command, self._call.now):
             return False
@@ -103,7 +103,7 @@
             self._reviews.add(self._attempt_review.first_at(run_us, now), command)
 
     def _acquire_claims(self, command: Command, engine: Engine) -> None:
-        """Take what the attempt needs of the fleet's budgets."""
+        """Acquire what the attempt needs of the fleet's budgets."""
         if not self._budgets.is_active:
             return
         command.attempt_claims = self._budgets.claims(command, engine, self._call.now)
@@ -111,14 +111,14 @@
             share.acquire(amount)
 
     def _review(self, command: Command, attempts: int) -> None:
-        """A command's review is due; attempts: those that it had when the review was planned."""
+        """Review a command. attempts: how many it had when the review was scheduled."""
         if command.state in WAITING_STATES:
             self._review_waiting(command)
         elif command.state == CommandState.DISPATCHED and attempts == command.attempts:
             self._review_attempt(command)
 
     def _review_waiting(self, command: Command) -> None:
-        """A command whose time is up, or that can't make its latency objective any more."""
+        """Finish a waiting command that is out of time, or queue it again with its lower benefit."""
         now = self._call.now
         is_worthless = now + self._estimates.run_us(command) > command.worthwhile_until
         if is_worthless or now >= command.last_start_at or not self._retries.may_retry(command, now):
@@ -127,7 +127,7 @@
             self._lifecycle.enqueue(command)
 
     def _review_attempt(self, command: Command) -> None:
-        """An open attempt that may be far slower than usual."""
+        """Act on an open attempt that may be far slower than usual."""
         now = self._call.now
         match self._attempt_review.verdict(command, now):
             case Verdict.CANCEL:
--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one engine."""
+"""The state that a gateway keeps for one engine."""
 
 from collections import deque
 from enum import IntEnum
@@ -16,10 +16,10 @@
 
 
 class Engine:
-    """One engine: its entry in the endpoint list and what its attempts showed.
+    """One engine: its entry in the endpoint list, and observations from its attempts.
 
-    slot: a dense number, given to another engine once this one is forgotten. sequence: order of discovery.
-    Only the part that a group of fields is named after writes to it.
+    slot: a dense number, reused for another engine once this one is forgotten. sequence: order of discovery.
+    Each group of fields is written only by the component that it is named after.
     """
 
     __slots__ = (
@@ -68,14 +68,14 @@
         # Thread use: of our attempts.
         self.threads = 0
         self.attempts = 0
-        # Health: rates and sums fade from the time beside them.
+        # Health: rates and sums fade exponentially from the time given with them.
         self.failure_rate = 0.0
         self.failure_rate_at = 0
         self.overloaded_until = 0
         self.stalled_attempts = 0
         self.completed_at = 0
         self.completed_work = 0.0  # core-us
-        self.completed_slow_work = 0.0  # the same, each times its slowness
+        self.completed_slow_work = 0.0  # the same, each attempt's work times its slowness
         # Concurrency limit.
         self.fitted_limit: float | None = None
         self.sample_stage = SampleStage.NONE
@@ -92,7 +92,7 @@
         self.load_at = 0
 
     def forget_observations(self) -> None:
-        """Its process has restarted: what its attempts showed is void."""
+        """Discard observations after the engine's process has restarted."""
         self.completed_work = 0.0
         self.completed_slow_work = 0.0
         self.failure_rate = 0.0
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -3,17 +3,18 @@
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.estimators import Estimates
 from gullhold.decisions.median import median
-from gullhold.decisions.moving_average import STEP, remaining
+from gullhold.decisions.moving_average import STEP, fade_factor
 from gullhold.decisions.ranking import EngineList
 from gullhold.interface import Outcome
 
-OUTLIER_RATE = 0.15  # share of failures, over the median below, from which an engine is an outlier
-OUTLIER_MEDIANS = 2  # medians of the fleet's failure rate that are no outlier yet
-CAUTIOUS_PART = 0.7  # of OUTLIER_RATE, for long commands and those that may not be repeated
+# An engine is an outlier from OUTLIER_RATE above OUTLIER_MEDIANS times the fleet's median failure rate.
+OUTLIER_RATE = 0.15  # share of failures
+OUTLIER_MEDIANS = 2
+CAUTIOUS_FACTOR = 0.7  # of OUTLIER_RATE, for long commands and those that may not be repeated
 SILENT_STEP = 0.3  # weight of a failure without an answer of the engine: it costs the most time
-NO_FAILURE_RATE = 1e-4  # failure rate, as it fades, that is none
-OVERLOADED_US = 2_000_000  # us that an overloaded engine gets nothing new: a few status notes
-MAX_SLOWNESS = 10.0  # of one attempt: bounds what a single one can say
+MIN_FAILURE_RATE = 1e-4  # a failure rate that has faded to less counts as none
+OVERLOADED_US = 2_000_000  # us without new attempts for an overloaded engine: a few status notes
+MAX_SLOWNESS = 10.0  # of one attempt: bounds the influence of a single one
 
 FAILURES = frozenset((Outcome.ERROR, Outcome.RESET))
 
@@ -29,40 +30,40 @@
         self.usual_failure_rate = 0.0  # median of the ready engines
 
     def note_listed(self, engine: Engine) -> None:
-        """An engine's entry changed; one that is ready again counts in the median again."""
+        """Take an engine that has become ready again into account for the median."""
         if engine in self._ready and engine.failure_rate:
             self._failing.add(engine)
 
     def forget(self, engine: Engine) -> None:
-        """Nothing refers to the engine any more."""
+        """Forget an engine that nothing refers to any more."""
         self._failing.discard(engine)
         self._stalled.discard(engine)
 
     def failure_rate(self, engine: Engine, now: int) -> float:
-        """Share of failures there, as it fades."""
+        """Share of failures of the engine, faded to the present."""
         if not engine.failure_rate:
             return 0.0
-        return engine.failure_rate * remaining(engine.failure_rate_at, now)
+        return engine.failure_rate * fade_factor(engine.failure_rate_at, now)
 
     def slowness(self, engine: Engine, now: int) -> float:
-        """How much slower than the fleet, each profile against its usual; what ended there fades."""
+        """How much slower the engine is than usual for the profiles of its attempts; fades to 1."""
         if not engine.completed_work:
             return 1.0
-        fresh = remaining(engine.completed_at, now)
+        fade = fade_factor(engine.completed_at, now)
         least_work = self._estimates.least_usual_work  # keeps the ratio near 1 while little was observed
-        slow_work = least_work + engine.completed_slow_work * fresh
-        return slow_work / (least_work + engine.completed_work * fresh)
+        slow_work = least_work + engine.completed_slow_work * fade
+        return slow_work / (least_work + engine.completed_work * fade)
 
     def is_outlier(self, engine: Engine, is_robust: bool, now: int) -> bool:
-        """Whether it fails far more than the fleet's median.
+        """Whether the engine fails far more often than the fleet's median.
 
-        is_robust: for a short command that may be repeated, which stands a failure.
+        is_robust: asked for a short command that may be repeated, which tolerates a failure.
         """
-        tolerance = OUTLIER_RATE * (1 if is_robust else CAUTIOUS_PART)
+        tolerance = OUTLIER_RATE * (1 if is_robust else CAUTIOUS_FACTOR)
         return self.failure_rate(engine, now) > tolerance + OUTLIER_MEDIANS * self.usual_failure_rate
 
     def record_outcome(self, engine: Engine, outcome: Outcome, runs_on: bool, now: int) -> None:
-        """An attempt ended. runs_on: it timed out and its work goes on there."""
+        """Record how an attempt ended. runs_on: it timed out, and its work goes on on the engine."""
         is_silent = runs_on or outcome == Outcome.CONNECT_FAILED
         is_failure = is_silent or outcome in FAILURES
         if is_failure or outcome == Outcome.ANSWERED:
@@ -77,15 +78,15 @@
             engine.overloaded_until = now + OVERLOADED_US
 
     def record_pace(self, engine: Engine, work: float, pace: float, usual_pace: float, now: int) -> None:
-        """An attempt of so much work ended there at this pace."""
-        fresh = remaining(engine.completed_at, now)
+        """Record the pace of an attempt that ended on the engine. work: of the attempt (core-us)."""
+        fade = fade_factor(engine.completed_at, now)
         slowness = min(pace / usual_pace, MAX_SLOWNESS)
         engine.completed_at = now
-        engine.completed_work = engine.completed_work * fresh + work
-        engine.completed_slow_work = engine.completed_slow_work * fresh + work * slowness
+        engine.completed_work = engine.completed_work * fade + work
+        engine.completed_slow_work = engine.completed_slow_work * fade + work * slowness
 
     def count_stalled(self, engine: Engine, change: int) -> None:
-        """An attempt there stalled (1), or a stalled one ended (-1)."""
+        """Count a stalled attempt on the engine (change 1), or one that has ended (-1)."""
         engine.stalled_attempts += change
         if engine.stalled_attempts > 0:
             self._stalled.add(engine)
@@ -93,19 +94,19 @@
             self._stalled.discard(engine)
 
     def is_stalled(self, engine: Engine) -> bool:
-        """Whether attempts stall there while they do not on most of the fleet."""
+        """Whether attempts stall on the engine but not on most of the fleet."""
         if not engine.stalled_attempts:
             return False
         stalled = sum(each in self._ready for each in self._stalled)
         return 2 * stalled < len(self._ready)
 
     def _median_failure_rate(self, now: int) -> float:
-        """Of the ready engines. While fewer than half have failures it is 0, and nothing is walked."""
+        """Median over the ready engines; 0, without a scan, while fewer than half have failures."""
         if 2 * len(self._failing) >= len(self._ready):
             self._failing = {
                 engine
                 for engine in self._failing
-                if engine in self._ready and self.failure_rate(engine, now) > NO_FAILURE_RATE
+                if engine in self._ready and self.failure_rate(engine, now) > MIN_FAILURE_RATE
             }
         if not self._ready or 2 * len(self._failing) < len(self._ready):
             return 0.0
--- a/gullhold/decisions/engine_registry.py
+++ b/gullhold/decisions/engine_registry.py
@@ -20,7 +20,7 @@
         self._sequence = 0
 
     def update(self, entry: EngineEntry) -> Engine:
-        """Take one entry of the endpoint list over."""
+        """Apply one entry of the endpoint list."""
         engine = self.by_id.get(entry.id)
         if engine is None:
             engine = self._add(entry.id)
@@ -38,7 +38,7 @@
         return engine
 
     def remove_all_but(self, listed: set[Engine]) -> None:
-        """Engines that a full endpoint list does not hold are removed."""
+        """Mark engines that a full endpoint list does not contain as removed."""
         for engine in self.by_id.values():
             if engine not in listed:
                 self._subtract_cores(engine)
@@ -46,11 +46,11 @@
                 self._enlist(engine)
 
     def has_removed(self) -> bool:
-        """Whether any engine is removed and not forgotten yet."""
+        """Whether any engine has been removed and not yet forgotten."""
         return bool(self._removed)
 
     def forget_removed(self, now: int, in_use: set[Engine | None]) -> list[Engine]:
-        """Forget removed engines that nothing refers to; returns them."""
+        """Forget removed engines that nothing refers to, and return them."""
         forgotten = [
             engine
             for engine in self._removed
@@ -75,12 +75,12 @@
         return engine
 
     def _subtract_cores(self, engine: Engine) -> None:
-        """Before an entry changes: what it adds to the sum."""
+        """Take the engine's cores out of the sum, before its entry changes."""
         if engine in self.ready:
             self.ready_cores -= engine.cores
 
     def _enlist(self, engine: Engine) -> None:
-        """After an entry has changed: the lists that the engine belongs to."""
+        """Update the lists and the sum of cores, after an engine's entry has changed."""
         is_ready = engine.state == EngineState.READY
         self.ready.set_present(engine, is_ready)
         self.local.set_present(engine, is_ready and engine.zone == self._agreement.zone)
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -1,9 +1,8 @@
 """Queued commands: weighted round-robin over tenants, each with an adaptive quota in a round (the paper).
 
 A round's quota of a tenant is its weight times a factor. The factor grows while tenants are treated evenly
-and latency is steady, and is halved once either is not. Of a tenant, short and long commands have a queue
-each, and those with the most benefit for their work go first. Where the agreement names no tenants, profiles
-stand in for them.
+and latency is steady, and is halved once either is not. Each tenant has a queue of short commands and one of
+long commands, ordered by benefit over work. If the agreement names no tenants, profiles take their place.
 """
 
 from collections.abc import Sequence
@@ -13,42 +12,46 @@
 from gullhold.decisions.moving_average import STEP, relative_deviation
 from gullhold.interface import Agreement
 
-MIN_FACTOR = 1.0  # commands a round of the smallest tenant
-FACTOR_FIRST = 2.0
+# The factor: commands of the smallest tenant in a round.
+MIN_FACTOR = 1.0
+INITIAL_FACTOR = 2.0
 MAX_FACTOR = 8.0
-UNFAIRNESS_LIMIT = 0.5  # half the mean count of a tenant
-VARIABILITY_LIMIT = 1.0  # a deviation of latency like its mean
-FORGOTTEN_COUNT = 0.02  # commands of a tenant's fading count that no figure would show any more
 
-Entry = tuple[float, int, int, Command]  # negative benefit by work, order of arrival, number of the entry
-TenantQueues = tuple[list[Entry], list[Entry]]  # heaps of short and of long commands
+MAX_UNFAIRNESS = 0.5  # deviation of a tenant's count from the mean, over the mean
+MAX_VARIABILITY = 1.0  # deviation of latency, over its mean
+MIN_KEPT_COUNT = 0.02  # commands; a fading count that has fallen below is dropped
+
+# Plain tuples, as heapq compares them: minus benefit over work, order of arrival, entry number, command.
+QueueEntry = tuple[float, int, int, Command]
+TenantQueues = tuple[list[QueueEntry], list[QueueEntry]]  # heaps of short and of long commands
 
 
 class FairQueue:
-    """Commands that may be dispatched, by tenant; only tenants with any cost time and memory."""
+    """Commands that may be dispatched, by tenant; tenants without any take no time and no memory."""
 
     def __init__(self, agreement: Agreement) -> None:
         shares = [tenant.share for tenant in agreement.tenants]
-        least = min((share for share in shares if share > 0), default=1.0)
-        self.weights: Sequence[float] = [share / least for share in shares] or [1.0] * len(agreement.profiles)
+        smallest = min((share for share in shares if share > 0), default=1.0)
+        weights = [share / smallest for share in shares]
+        self.weights: Sequence[float] = weights or [1.0] * len(agreement.profiles)
         self._weighted_tenants = sum(weight > 0 for weight in self.weights)
         self.by_tenant: dict[int, TenantQueues] = {}
         self.dispatched: dict[int, float] = {}  # fading counts by tenant
-        self.quotas: dict[int, float] = {}  # left in this round; absent: all of it
-        self.latency_sums: dict[int, Sequence[float]] = {}  # fading sums of ones, paces and squares
-        self._deviations = 0.0  # sum of the relative deviations of latency
-        self._factor = FACTOR_FIRST
+        self.quotas: dict[int, float] = {}  # what is left in this round; absent: all of it
+        self.latency_sums: dict[int, Sequence[float]] = {}  # fading sums: (count, paces, squared paces)
+        self._deviations = 0.0  # sum over tenants of the relative deviation of latency
+        self._factor = INITIAL_FACTOR
         self._factor_rose = False
         self._rounds = 0
-        self._turn = 0  # tenant that is next
+        self._turn = 0  # the tenant whose turn is next
 
     def apply_weights(self, weights: Sequence[float]) -> None:
-        """Weights of a policy; they hold from the next round on."""
+        """Apply the weights of a policy, from the next round on."""
         self.weights = weights
         self._weighted_tenants = sum(weight > 0 for weight in weights)
 
     def push(self, command: Command, benefit: float) -> None:
-        """Queue a command; an entry that it has already is void."""
+        """Queue a command; an entry that it already has becomes invalid."""
         command.queue_entry += 1
         rank = -benefit / max(command.work, 1.0)
         queues = self.by_tenant.setdefault(command.tenant, ([], []))
@@ -56,19 +59,19 @@
         heappush(heap, (rank, command.order, command.queue_entry, command))
 
     def tenants_in_turn(self) -> list[int]:
-        """Tenants with queued commands; whoever has no quota left is last, for what others can't use."""
+        """Tenants with queued commands, in turn; those without quota come last, for unused capacity."""
         if len(self.by_tenant) <= 1:
             return list(self.by_tenant)
         weights = len(self.weights)
         turn = self._turn
         return sorted(self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - turn) % weights))
 
-    def queues_of(self, tenant: int) -> list[list[Entry]]:
-        """The two queues of a tenant, the one with the best first command before the other."""
+    def queues_of(self, tenant: int) -> list[list[QueueEntry]]:
+        """The two queues of a tenant, the one with the better first command first."""
         return sorted(self.by_tenant[tenant], key=lambda heap: heap[0][0] if heap else 0.0)
 
-    def first(self, heap: list[Entry]) -> Command | None:
-        """The first command of a queue, once void entries are dropped."""
+    def first(self, heap: list[QueueEntry]) -> Command | None:
+        """Drop invalid entries at the head of a queue, and return its first command."""
         while heap:
             _, _, entry, command = heap[0]
             if command.state == CommandState.QUEUED and command.queue_entry == entry:
@@ -76,17 +79,17 @@
             heappop(heap)
         return None
 
-    def pop(self, heap: list[Entry]) -> None:
+    def pop(self, heap: list[QueueEntry]) -> None:
         """Remove the first command of a queue."""
         heappop(heap)
 
     def drop_if_empty(self, tenant: int) -> None:
-        """Nothing is walked for a tenant that queues nothing."""
+        """Drop a tenant's queues once both are empty."""
         if not any(self.by_tenant[tenant]):
             del self.by_tenant[tenant]
 
     def record_dispatch(self, tenant: int) -> None:
-        """A command of the tenant was dispatched: its quota shrinks, and may end the round."""
+        """Charge a dispatched command to its tenant's quota; begin a new round if all quotas are used up."""
         self.quotas[tenant] = self._quota(tenant) - 1
         self.dispatched[tenant] = self.dispatched.get(tenant, 0.0) + 1
         self._turn = tenant if self.quotas[tenant] > 0 else (tenant + 1) % len(self.weights)
@@ -94,7 +97,7 @@
             self._begin_round()
 
     def record_pace(self, tenant: int, pace: float) -> None:
-        """An attempt of a tenant's command ended at this pace."""
+        """Record the pace of an attempt of a tenant's command."""
         before = self.latency_sums.get(tenant, (0.0, 0.0, 0.0))
         observed = (1.0, pace, pace * pace)
         after = [old + STEP * (new - old) for old, new in zip(before, observed, strict=True)]
@@ -102,30 +105,30 @@
         self._deviations = self._deviations + relative_deviation(*after) - relative_deviation(*before)
 
     def _quota(self, tenant: int) -> float:
-        """What is left to a tenant in this round, at least one at its start; before the first it is 0."""
+        """What is left of a tenant's quota in this round, which is at least 1; 0 before the first round."""
         quota = self.quotas.get(tenant)
         if quota is not None:
             return quota
         return max(1, round(self.weights[tenant] * self._factor)) if self._rounds else 0
 
     def _begin_round(self) -> None:
-        """Give new quotas; the factor follows unfairness and variability of latency."""
+        """Reset the quotas, and adapt the factor to unfairness and variability of latency."""
         unfairness = self._unfairness()
         variability = max(self._deviations, 0.0) / len(self.latency_sums) if self.latency_sums else 0.0
-        if unfairness < UNFAIRNESS_LIMIT / 2 and variability < VARIABILITY_LIMIT / 2:
+        if unfairness < MAX_UNFAIRNESS / 2 and variability < MAX_VARIABILITY / 2:
             self._factor = min(self._factor + 1, MAX_FACTOR)
             self._factor_rose = True
-        elif self._factor_rose and (unfairness > UNFAIRNESS_LIMIT or variability > VARIABILITY_LIMIT):
+        elif self._factor_rose and (unfairness > MAX_UNFAIRNESS or variability > MAX_VARIABILITY):
             self._factor = max(self._factor / 2, MIN_FACTOR)
             self._factor_rose = False
         self.quotas = {}
         self._rounds += 1
         self.dispatched = {
-            tenant: count * (1 - STEP) for tenant, count in self.dispatched.items() if count > FORGOTTEN_COUNT
+            tenant: count * (1 - STEP) for tenant, count in self.dispatched.items() if count > MIN_KEPT_COUNT
         }
 
     def _unfairness(self) -> float:
-        """How far the counts of tenants, by weight, lie from their mean, against the mean."""
+        """The largest deviation of the tenants' counts over weight from their mean, relative to the mean."""
         counts = [
             count / self.weights[tenant]
             for tenant, count in self.dispatched.items()
--- a/gullhold/decisions/fleet_budgets.py
+++ b/gullhold/decisions/fleet_budgets.py
@@ -1,4 +1,4 @@
-"""This gateway's shares of the budgets of its fleet; without a fleet there are none."""
+"""This gateway's shares of its fleet's budgets; without a fleet there are none."""
 
 from collections.abc import Callable
 from math import ceil
@@ -12,14 +12,14 @@
 from gullhold.interface import BudgetKind, BudgetShare, Demand, ReportDemand
 
 ShareLookup = Callable[[BudgetKind, int], BudgetShare | None]
-Amount = TypeVar("Amount", int, float)  # whole ones stay whole
-Claim = tuple[BudgetShare, int]  # a share and the amount that an attempt takes of it
+Amount = TypeVar("Amount", int, float)  # integers stay integers
+Claim = tuple[BudgetShare, int]  # a share, and the amount that an attempt needs of it
 
 ADMISSION_BUDGETS = (BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS)
 
 
 class FleetBudgets:
-    """The shares, as the last lookup that the driver gave knows them."""
+    """The shares, found through the lookup that the driver passed last."""
 
     def __init__(self, slow_start: SlowStart, grants: MemoryGrants) -> None:
         self._slow_start = slow_start
@@ -28,19 +28,19 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether budgets of a fleet bind."""
+        """Whether budgets of a fleet are in force."""
         return self._lookup is not None
 
     def apply(self, lookup: ShareLookup | None) -> None:
-        """Have the shares of this lookup bind."""
+        """Use the shares of this lookup; None: no budgets are in force."""
         self._lookup = lookup
 
     def share(self, budget: BudgetKind, subject: int) -> BudgetShare | None:
-        """Our share of one budget; None: there is none."""
+        """Our share of one budget, None if there is none."""
         return self._lookup(budget, subject) if self._lookup else None
 
     def admit(self, command: Command, is_open: bool) -> bool:
-        """Whether the command's tenant may have one more open; if so, it is acquired.
+        """Acquire what a new command needs; whether it was admitted.
 
         is_open: whether the policy admits new commands at all.
         """
@@ -51,19 +51,19 @@
             if is_admitted:
                 share.acquire(1)
             else:
-                share.record_rejection(1)  # a rejection is demand
+                share.record_rejection(1)  # a rejection counts as demand
         if is_admitted:
             command.admission_shares = shares
         return is_admitted
 
     def claims(self, command: Command, engine: Engine, now: int) -> list[Claim]:
-        """What an attempt there takes of our shares."""
+        """What an attempt on the engine needs of our shares."""
         amounts = [
             (BudgetKind.THREADS, engine.id, command.threads),
             (BudgetKind.MEMORY, engine.id, ceil(self._grants.grant_mb(command, engine))),
         ]
         if self._slow_start.is_warming(engine, now):
-            amount = self._slow_start.budget_part(command.work, engine, now)
+            amount = self._slow_start.budget_millionths(command.work, engine, now)
             amounts.append((BudgetKind.WARMUP, engine.id, amount))
         if command.attempts:
             amounts.append((BudgetKind.RETRIES, 0, 1))
@@ -73,12 +73,12 @@
     def demand(self, queued: list[Command], ready: EngineList, traffic: float, now: int) -> ReportDemand:
         """What queued commands would need of the budgets; traffic: our fading count of arrivals.
 
-        Each engine could take an even part of what is queued, or the largest of it.
+        The demand for each engine is an even share of what is queued, and at least the largest command.
         """
         engines = max(1, len(ready))
-        threads = _even_part([command.threads for command in queued], engines)
-        memory = _even_part([ceil(command.need_mb) for command in queued], engines)
-        work = _even_part([command.work for command in queued], engines)
+        threads = _even_share([command.threads for command in queued], engines)
+        memory = _even_share([ceil(command.need_mb) for command in queued], engines)
+        work = _even_share([command.work for command in queued], engines)
         demands = [
             Demand(BudgetKind.RETRIES, 0, sum([command.attempts > 0 for command in queued])),
             Demand(BudgetKind.TRAFFIC_SHARE, 0, ceil(traffic)),
@@ -87,13 +87,13 @@
             demands.append(Demand(BudgetKind.THREADS, engine.id, threads))
             demands.append(Demand(BudgetKind.MEMORY, engine.id, memory))
             if self._slow_start.is_warming(engine, now):
-                amount = self._slow_start.budget_part(work, engine, now)
+                amount = self._slow_start.budget_millionths(work, engine, now)
                 demands.append(Demand(BudgetKind.WARMUP, engine.id, amount))
         return ReportDemand(tuple(demands))
 
 
-def _even_part(amounts: list[Amount], engines: int) -> Amount | int:
-    """An even part of the amounts for each engine, or the largest amount."""
+def _even_share(amounts: list[Amount], engines: int) -> Amount | int:
+    """The larger of an even share of the amounts for each engine and the largest amount."""
     if not amounts:
         return 0
     return max(*amounts, ceil(sum(amounts) / engines))
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -1,23 +1,23 @@
 """The decisions of one gateway: turns calls of a driver into results.
 
-A driver makes one Gateway(seed, agreement, now) and calls its public methods, each with the time in whole
-microseconds. gullhold/interface.py defines the Agreement and the results that return.
+A driver creates one Gateway(seed, agreement, now) and calls its public methods, each with the time in whole
+microseconds. gullhold/interface.py defines the Agreement and the results.
 """
 
-from collections.abc import Iterable, Mapping, Sequence
-from typing import cast
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, cast
 
 from gullhold.decisions.census import Census, take_census
 from gullhold.decisions.command import OPEN_ATTEMPT_STATES, WAITING_STATES, Command, CommandState
 from gullhold.decisions.command_intake import CommandIntake
 from gullhold.decisions.command_lifecycle import CommandLifecycle
+from gullhold.decisions.components import Components
 from gullhold.decisions.decision_call import DecisionCall
 from gullhold.decisions.dispatcher import Dispatcher
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.engine_health import OVERLOADED_US
 from gullhold.decisions.fleet_budgets import ShareLookup
 from gullhold.decisions.key_order import UNKNOWN_END
-from gullhold.decisions.parts import Parts
 from gullhold.interface import (
     NEVER_RAN,
     Agreement,
@@ -30,11 +30,12 @@
     StatusKind,
 )
 
-MIN_PROGRESS = 0.01  # share done that a report of less counts as
-MIN_LOAD_WAIT = 2  # value of a WAITING status from which the attempt waits for a load of its data set
-LOAD_WAIT_US = OVERLOADED_US  # us that such a status keeps us off
+if TYPE_CHECKING:
+    from gullhold.decisions.decision_terms import DecisionTerms
 
-PolicyValues = tuple[Sequence[float], Mapping[int, int], Mapping[int, float], Mapping[int, int]]
+MIN_PROGRESS = 0.01  # share done; a report of less counts as this
+MIN_LOAD_WAIT = 2  # value of a WAITING status from which the attempt waits for a load of its data set
+LOAD_WAIT_US = OVERLOADED_US  # us for which such a status locks the data set
 
 
 class Gateway:
@@ -42,16 +43,16 @@
 
     def __init__(self, seed: int, agreement: Agreement, now: int) -> None:
         self.agreement = agreement
-        self.parts = Parts(seed, agreement, now)
+        self.components = Components(seed, agreement, now)
         self._call = DecisionCall(now)
-        self._lifecycle = CommandLifecycle(agreement, self.parts, self._call)
-        self._dispatcher = Dispatcher(agreement, self.parts, self._lifecycle, self._call)
-        self._intake = CommandIntake(agreement, self.parts.estimates)
+        self._lifecycle = CommandLifecycle(agreement, self.components, self._call)
+        self._dispatcher = Dispatcher(agreement, self.components, self._lifecycle, self._call)
+        self._intake = CommandIntake(agreement, self.components.estimates)
         self.commands = self._lifecycle.commands  # by id: those that wait or have an open attempt
 
     @property
     def results(self) -> list[Result]:
-        """What the newest call has decided, also where it has raised an exception."""
+        """Results of the newest call, also if it has raised an exception."""
         return self._call.results
 
     @results.setter
@@ -60,27 +61,27 @@
 
     @property
     def submitted(self) -> int:
-        """How many commands there have been."""
+        """Number of commands submitted so far."""
         return self._intake.submitted
 
     def census(self) -> Census:
-        """Counts of what the gateway holds."""
-        return take_census(self.parts, self._lifecycle)
+        """Counts of the gateway's state, for tests and simulations."""
+        return take_census(self.components, self._lifecycle)
 
     def update_engines(self, now: int, entries: Iterable[EngineEntry], full: bool) -> list[Result]:
-        """The endpoint list changed; full: engines that are not among the entries are removed."""
+        """Apply a change of the endpoint list. full: engines that are not among the entries are removed."""
         self._call.begin(now)
         listed = set()
         for entry in entries:
-            engine = self.parts.engines.update(entry)
+            engine = self.components.engines.update(entry)
             listed.add(engine)
-            self.parts.limits.stop_sampling(engine)
-            self.parts.health.note_listed(engine)
+            self.components.limits.stop_sampling(engine)
+            self.components.health.note_listed(engine)
         if full:
-            self.parts.engines.remove_all_but(listed)
+            self.components.engines.remove_all_but(listed)
         self._forget_removed_engines()
-        self.parts.placement.locks.forget_released(now)
-        self.parts.key_order.forget_settled(now)
+        self.components.placement.locks.forget_released(now)
+        self.components.key_order.forget_settled(now)
         return self._dispatcher.run()
 
     def submit(
@@ -94,72 +95,71 @@
         work: float,
         need_mb: float,
         dataset: int,
-        is_repeat: bool,  # noqa: ARG002  drivers give it; no decision depends on it
+        is_repeat: bool,  # noqa: ARG002  drivers pass it; no decision depends on it
     ) -> list[Result]:
-        """A command arrived; work, need_mb: its estimates, of any value, 0: none."""
+        """Take a command that has arrived.
+
+        work (core-us), need_mb: the client's estimates, of any value; 0: none.
+        """
         self._call.begin(now)
         if command_id in self.commands:
             return []
         if profile_index >= len(self.agreement.profiles):
             return [Fail(command_id)]
-        self.parts.traffic.record_arrival(now)
+        self.components.traffic.record_arrival(now)
         command = self._intake.new_command(
             now,
             command_id,
             profile_index,
             tenant,
-            len(self.parts.queue.weights),
+            len(self.components.queue.weights),
             key,
             timeout_at,
             work,
             need_mb,
             dataset,
         )
-        self.parts.placement.popularity.record(dataset)
+        self.components.placement.popularity.record(dataset)
         self._lifecycle.add(command)
-        # What can't end in time at the best pace seen is shed, not sent: guards against clients that give up
-        # early, whose attempts would only take threads. Harm: one that finds all it reads warm.
-        may_end_in_time = now + self.parts.estimates.best_run_us(command) < command.last_start_at
-        if may_end_in_time and self.parts.budgets.admit(command, self.parts.policy.admits_new()):
+        # A command that can't end in time even at the best pace seen is shed: guards against clients that
+        # give up early, whose attempts would only take threads. Harm: one that would find its data cached.
+        may_end_in_time = now + self.components.estimates.best_run_us(command) < command.last_start_at
+        if may_end_in_time and self.components.budgets.admit(command, self.components.policy.admits_new()):
             return self._dispatcher.run()
         self._lifecycle.finish(command)
         return self._call.results
 
     def apply_budgets(self, now: int, shares: ShareLookup | None) -> list[Result]:
-        """Budgets of the fleet bind, in place of even shares; called again when a share has changed.
+        """Use budgets of the fleet in place of even shares; called again whenever a share has changed.
 
-        shares(budget, subject) is our BudgetShare; None: the fleet has no such budget, and we go on as
-        without. The last result tells what queued commands lack.
+        shares(budget, subject) returns our BudgetShare, or None if the fleet has no such budget; shares None:
+        the fleet has no budgets. The last result reports what queued commands lack.
         """
         self._call.begin(now)
-        self.parts.budgets.apply(shares)
+        self.components.budgets.apply(shares)
         self._dispatcher.run()
         queued = [command for command in self.commands.values() if command.state == CommandState.QUEUED]
-        ready = self.parts.engines.ready
-        demand = self.parts.budgets.demand(queued, ready, self.parts.traffic.count, now)
+        ready = self.components.engines.ready
+        demand = self.components.budgets.demand(queued, ready, self.components.traffic.count, now)
         self._call.results.append(demand)
         return self._call.results
 
-    def apply_policy(self, now: int, terms: PolicyValues, gate: PolicyGate) -> list[Result]:
-        """A policy of the fleet: shares hold from the next round on, all else from the next attempt.
-
-        terms: weights of tenants, then by profile priorities, most MB of a grant and most attempts.
-        """
+    def apply_policy(self, now: int, terms: "DecisionTerms", gate: PolicyGate) -> list[Result]:
+        """Apply a policy of the fleet: weights from the next round on, all else from the next attempt."""
         self._call.begin(now)
-        weights, priorities, grants_mb, max_attempts = terms
-        self.parts.queue.apply_weights(weights)
-        self.parts.policy.apply(gate, priorities)
-        self.parts.grants.most_mb = grants_mb
-        self.parts.retries.max_attempts = max_attempts
+        self.components.queue.apply_weights(terms.weights)
+        self.components.policy.apply(gate, terms.priorities)
+        self.components.grants.max_mb_by_profile = terms.grants_mb
+        self.components.retries.max_attempts_by_profile = terms.max_attempts
         return self._dispatcher.run()
 
     def answer_began(
         self,
-        now: int,  # noqa: ARG002  as all calls have it
+        now: int,  # noqa: ARG002  all calls take the time
         command_id: int,
         attempt: int,
     ) -> list[Result]:
-        """An attempt's answer has begun: it now belongs to the client."""
+        """Record that an attempt's answer has begun: it now belongs to the client."""
         command = self._lifecycle.with_attempt(command_id, attempt, (CommandState.DISPATCHED,))
         if command:
             self._lifecycle.change_state(command, CommandState.STREAMING)
@@ -168,7 +168,7 @@
     def attempt_status(
         self, now: int, command_id: int, attempt: int, kind: StatusKind, value: float
     ) -> list[Result]:
-        """A status note on an open attempt."""
+        """Take a status note on an open attempt."""
         command = self.commands.get(command_id)
         if command is None:
             return []
@@ -176,8 +176,8 @@
         if is_open and kind == StatusKind.PROGRESS:
             command.progress = max(value, MIN_PROGRESS)
         elif kind == StatusKind.WAITING and value >= MIN_LOAD_WAIT and command.engine:
-            # The load of another gateway, which we would not know of.
-            self.parts.placement.locks.lock(command.engine, command.dataset, now + LOAD_WAIT_US)
+            # The load may be another gateway's, which we would not know of otherwise.
+            self.components.placement.locks.lock(command.engine, command.dataset, now + LOAD_WAIT_US)
         return []
 
     def attempt_ended(
@@ -192,9 +192,10 @@
         need_mb: float,
         report: tuple[float, ...],
     ) -> list[Result]:
-        """An attempt ended; is_closed: the command has its final answer or its client has left.
+        """Record that an attempt has ended.
 
-        cost: its work (core-us), need_mb: its memory, each 0: unknown. report: the engine's load report.
+        is_closed: the command has its final answer, or its client has left. cost: its work (core-us),
+        need_mb: its memory; 0: unknown. report: the engine's load report.
         """
         self._call.begin(now)
         command = self._lifecycle.with_attempt(command_id, attempt, OPEN_ATTEMPT_STATES)
@@ -203,13 +204,13 @@
         engine = cast("Engine", command.engine)  # an open attempt has one
         is_unawaited = command.state in (CommandState.ORPHANED, CommandState.STREAMING)
         self._release_claims(command, outcome)
-        self.parts.loads.record(engine, report, outcome, now)
-        self.parts.outcomes.record(command, engine, outcome, latency_us, cost, need_mb, now)
+        self.components.loads.record(engine, report, outcome, now)
+        self.components.outcomes.record(command, engine, outcome, latency_us, cost, need_mb, now)
         if outcome == Outcome.ERROR:
             command.admitted_at = 0
         if outcome not in NEVER_RAN:
             command.mark_run()
-        self.parts.key_order.record_outcome(command, outcome, now)
+        self.components.key_order.record_outcome(command, outcome, now)
         if is_closed or is_unawaited or outcome == Outcome.ANSWERED:
             self._lifecycle.change_state(command, CommandState.ENDED)
         elif self._may_go_on(command, engine, outcome):
@@ -219,20 +220,20 @@
         return self._dispatcher.run()
 
     def client_left(self, now: int, command_id: int) -> list[Result]:
-        """The client left; an attempt that is still open is cancelled."""
+        """Record that the client has left; an attempt that is still open is cancelled."""
         self._call.begin(now)
         command = self.commands.get(command_id)
         if command and command.state == CommandState.DISPATCHED and self.agreement.supports_cancel:
             self._call.results.append(CancelAttempt(command_id, command.attempts - 1))
         if command and command.state != CommandState.ORPHANED:
-            self.parts.traffic.withdraw_arrival()
+            self.components.traffic.withdraw_arrival()
             command.admitted_at = 0
             is_waiting = command.state in WAITING_STATES
             self._lifecycle.change_state(command, CommandState.ENDED if is_waiting else CommandState.ORPHANED)
         return self._dispatcher.run()
 
     def abandon(self, now: int, command_id: int) -> list[Result]:
-        """The driver must end this command now: its final answer, also while an attempt is open."""
+        """Give a command its final answer now, also while an attempt is open: the driver must end it."""
         self._call.begin(now)
         command = self.commands.get(command_id)
         if command is None:
@@ -245,33 +246,33 @@
         return self._call.results
 
     def timer_fired(self, now: int, token: int) -> list[Result]:
-        """A moment at which something is due, or at which queued commands are to be looked at."""
+        """Handle a timer: reviews are due, or queued commands are to be considered again."""
         self._call.begin(now)
-        self.parts.reviews.timer_fired(token)
+        self.components.reviews.timer_fired(token)
         return self._dispatcher.run()
 
     def _release_claims(self, command: Command, outcome: Outcome) -> None:
-        """Give back what an ended attempt took of the fleet's budgets; it may run on for a moment."""
+        """Release what an ended attempt had acquired of the fleet's budgets; it may run on for a moment."""
         for share, amount in command.attempt_claims:
             share.release(amount, outcome not in UNKNOWN_END)
         command.attempt_claims = ()
 
     def _may_go_on(self, command: Command, engine: Engine, outcome: Outcome) -> bool:
-        """Whether a further attempt may follow one that ended so on this engine.
+        """Whether another attempt may follow one that ended with this outcome on this engine.
 
-        An error on a second engine too is the command's fault, as what bad clients ask.
+        An error on a second engine too is taken as a fault of the command, as from a misbehaving client.
         """
         now = self._call.now
-        if now >= command.last_start_at or not self.parts.retries.may_retry(command, now):
+        if now >= command.last_start_at or not self.components.retries.may_retry(command, now):
             return False
         return outcome != Outcome.ERROR or engine is command.first_run_engine
 
     def _forget_removed_engines(self) -> None:
-        """Forget removed engines that no command and no thread refers to."""
-        if not self.parts.engines.has_removed():
+        """Forget removed engines that no command and no attempt running on refers to."""
+        if not self.components.engines.has_removed():
             return
         in_use = self._lifecycle.engines_in_use()
-        in_use.update(attempt.engine for attempt in self.parts.thread_use.running_on)
-        for engine in self.parts.engines.forget_removed(self._call.now, in_use):
-            self.parts.limits.stop_sampling(engine)
-            self.parts.health.forget(engine)
+        in_use.update(attempt.engine for attempt in self.components.thread_use.running_on)
+        for engine in self.components.engines.forget_removed(self._call.now, in_use):
+            self.components.limits.stop_sampling(engine)
+            self.components.health.forget(engine)
--- a/gullhold/decisions/key_order.py
+++ b/gullhold/decisions/key_order.py
@@ -1,4 +1,4 @@
-"""Commands with an ordered key run one after the other, each key at rest after an attempt of unknown end."""
+"""Commands with an ordered key run one after the other; after an attempt of unknown end the key settles."""
 
 from collections import deque
 
@@ -9,7 +9,7 @@
 
 
 class KeyOrder:
-    """Commands by their ordered key, in order of arrival, and keys that settle."""
+    """Commands by their ordered key, in order of arrival, and keys that are settling."""
 
     def __init__(self, settle_us: int) -> None:
         self._settle_us = settle_us
@@ -17,7 +17,7 @@
         self._settles_until: dict[int, int] = {}
 
     def add(self, command: Command) -> bool:
-        """Add a command; whether it is the first of its key, or has none."""
+        """Add a command; whether it may be queued: it is the first of its key, or has no ordered key."""
         if not (command.profile.ordered and command.key):
             return True
         commands = self.by_key.setdefault(command.key, deque())
@@ -25,7 +25,7 @@
         return commands[0] is command
 
     def remove(self, command: Command) -> Command | None:
-        """Remove a command that has ended; returns the one that it blocked, if any."""
+        """Remove a command that has ended; return the one that it blocked, if any."""
         commands = self.by_key.get(command.key) if command.profile.ordered else None
         if not commands:
             return None
@@ -36,14 +36,14 @@
         return commands[0] if commands[0].state == CommandState.BLOCKED else None
 
     def record_outcome(self, command: Command, outcome: Outcome, now: int) -> None:
-        """An attempt ended; where its work may run on, the key is at rest for a while."""
+        """Record how an attempt ended: while its work may run on, no attempt for the key is started."""
         if command.profile.ordered and command.key and outcome in UNKNOWN_END:
             self._settles_until[command.key] = now + self._settle_us
 
     def is_settling(self, command: Command, now: int) -> bool:
-        """Whether the command's key is at rest."""
+        """Whether work of an earlier attempt for the command's key may still run on."""
         return command.profile.ordered and now < self._settles_until.get(command.key, 0)
 
     def forget_settled(self, now: int) -> None:
-        """Drop keys that are at rest no more."""
+        """Drop keys that have settled."""
         self._settles_until = {key: until for key, until in self._settles_until.items() if until > now}
--- a/gullhold/decisions/memory_grants.py
+++ b/gullhold/decisions/memory_grants.py
@@ -1,4 +1,4 @@
-"""Memory that attempts are granted on engines."""
+"""Memory granted to attempts."""
 
 from typing import TYPE_CHECKING
 
@@ -12,20 +12,20 @@
 
 
 class MemoryGrants:
-    """Grants by the estimated need, bounded by the engine's memory and the policy."""
+    """Grants the estimated need, bounded by the engine's memory and by the fleet's policy."""
 
     def __init__(self, agreement: Agreement, estimates: Estimates) -> None:
         self._memory_mb_by_kind = agreement.memory_mb_by_kind
         self._max_share = agreement.max_grant_share
         self._estimates = estimates
-        self.most_mb: Mapping[int, float] = {}  # by profile, where the policy sets it
+        self.max_mb_by_profile: Mapping[int, float] = {}  # profiles that the fleet's policy names
 
     def grant_mb(self, command: Command, engine: Engine) -> float:
-        """MB that an attempt of the command is granted there."""
+        """MB granted to an attempt of the command on the engine."""
         by_kind = self._memory_mb_by_kind
         memory_mb = by_kind[engine.kind] if engine.kind < len(by_kind) else 0.0
         return min(
             self._estimates.need_mb(command),
             self._max_share * memory_mb or float("inf"),
-            self.most_mb.get(command.profile_index, float("inf")),
+            self.max_mb_by_profile.get(command.profile_index, float("inf")),
         )
--- a/gullhold/decisions/moving_average.py
+++ b/gullhold/decisions/moving_average.py
@@ -1,18 +1,18 @@
-"""How fast moving figures follow what is observed."""
+"""Constants and functions of moving averages and of sums that fade over time."""
 
 from math import exp
 
 STEP = 0.1  # weight of the newest observation in moving averages: about ten count
-OBSERVATION_FADE_US = 12_000_000  # us in which what an engine showed fades: some long commands, not a trouble
+OBSERVATION_FADE_US = 12_000_000  # us; longer than some long commands, shorter than a fault of an engine
 
 
-def remaining(observed_at: int, now: int) -> float:
-    """What is left now of what an engine showed then, 0 to 1."""
+def fade_factor(observed_at: int, now: int) -> float:
+    """The factor, 0 to 1, with which an observation of an engine still counts now."""
     return exp((observed_at - now) / OBSERVATION_FADE_US)
 
 
 def relative_deviation(count: float, total: float, squares: float) -> float:
-    """Standard deviation over mean, from fading sums of ones, values and squares; 0: nothing observed."""
+    """Standard deviation over mean, from fading sums of ones, values and squares; 0 if total is 0."""
     if not total:
         return 0.0
     return max(squares * count / total**2 - 1, 0.0) ** 0.5
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt tells of its engine, its profile and the fleet."""
+"""Updates the estimates for an engine, a profile and the fleet when an attempt has ended."""
 
 from gullhold.decisions.command import Command, CommandState
 from gullhold.decisions.concurrency_limit import ConcurrencyLimit
@@ -11,11 +11,12 @@
 from gullhold.decisions.thread_use import ThreadUse
 from gullhold.interface import Agreement, Outcome
 
+# Outcomes after which the run time of the attempt is known.
 TIMED_OUTCOMES = frozenset((Outcome.ANSWERED, Outcome.TIMED_OUT, Outcome.CANCELLED))
 
 
 class OutcomeRecorder:
-    """Passes ended attempts on to the parts that learn from them, in a fixed order."""
+    """Passes ended attempts on to the components that learn from them, in a fixed order."""
 
     def __init__(
         self,
@@ -45,10 +46,10 @@
         need_mb: float,
         now: int,
     ) -> None:
-        """An attempt ended; cost: its work (core-us), 0: unknown. need_mb: memory, 0: unknown.
+        """Record an ended attempt. cost: its work (core-us), need_mb: its memory; 0: unknown.
 
-        A timeout where work goes on tells of its engine and holds its threads. Where we cut slow attempts
-        off it tells of a crowd.
+        If attempts can't be cancelled, the work of a timed-out one goes on: it counts against its engine and
+        keeps its threads. If they can, a timeout is a sign of overload only.
         """
         runs_on = outcome == Outcome.TIMED_OUT and not self._supports_cancel
         if runs_on:
@@ -71,16 +72,16 @@
         need_mb: float,
         now: int,
     ) -> None:
-        """An attempt that nobody took back has run for a known time."""
+        """Learn from an attempt whose run time is known and whose client has not left."""
         estimate = self._estimates.by_profile[command.profile_index]
         estimate.attempts += 1
         step = max(STEP, 1 / (2 + estimate.attempts))
         if need_mb and command.need_mb:
             estimate.record_need(need_mb / command.need_mb, step)
-        # Of an attempt that was cut off too: a jam is not to be hidden.
+        # Attempts without an answer have a pace too: otherwise an overload would be hidden.
         pace = max(latency_us * command.threads / work, MIN_PACE)
-        # Cut off sooner than the usual run, it says nothing: it would count as fast. Guards against clients
-        # that give up early, whose attempts made jammed engines look idle to every gateway.
+        # One that ended sooner than the usual run is ignored, as it would count as fast. Guards against
+        # clients that give up early, whose attempts made overloaded engines look idle to every gateway.
         if outcome != Outcome.ANSWERED and pace < estimate.pace:
             return
         if outcome == Outcome.ANSWERED:
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Choice of an engine for a command: two drawn from its data set's preferred ones, one from all others."""
+"""Choice of an engine for a command: the least busy of some drawn from the preferred and from all engines."""
 
 from collections.abc import Callable
 from itertools import chain
@@ -16,15 +16,15 @@
 from gullhold.decisions.slow_start import SlowStart
 from gullhold.interface import Agreement, BudgetKind, DeduplicationScope, EngineState
 
-LARGE_FLEET = MAX_RANKED_ENGINES  # engines beyond which a gateway goes back to those that it has used
-MAX_WALKED_ENGINES = 128  # engines looked at from a point drawn at random: more than most fleets have
-MAX_RANDOM_DRAWS = 4  # engines drawn by chance before the walk
-CANDIDATES = 2  # engines drawn from the preferred ones: the choice of two
-WARM_THREADS_WEIGHT = 0.7  # of a command's threads at a preferred engine: it reads less there, warm
+LARGE_FLEET = MAX_RANKED_ENGINES  # with more engines a gateway returns to those that it used recently
+MAX_RANDOM_DRAWS = 4  # engines drawn independently
+MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most fleets have
+CANDIDATES = 2  # engines drawn from the preferred ones: the power of two choices
+WARM_THREADS_WEIGHT = 0.7  # of a command's threads on a preferred engine, which has its data cached
 
 
 class Placement:
-    """Which engines may take a command, and which of them does."""
+    """Decides which engines may take a command, and chooses one of them."""
 
     def __init__(
         self,
@@ -49,38 +49,39 @@
         self.popularity = DatasetPopularity()
         self.recent = RecentEngines()
         self.locks = DatasetLocks()
-        self._engine_limits: dict[Engine, float] = {}  # none changes while commands are dispatched
+        self._engine_limits: dict[Engine, float] = {}  # cached: none changes while commands are dispatched
 
     def begin_dispatching(self) -> None:
-        """Forget limits that were computed before."""
+        """Drop cached limits."""
         self._engine_limits = {}
 
     def record_answer(self, dataset: int, engine: Engine) -> None:
-        """An engine has answered for a data set."""
+        """Record that an engine has answered for a data set."""
         if len(self._engines.ready) > LARGE_FLEET:
             self.recent.record_answer(dataset, engine)
 
     def choose(self, command: Command, now: int) -> Engine | None:
-        """The engine that the command is to be dispatched to now; None: none may take it."""
+        """Choose the engine to dispatch the command to now; None: none may take it."""
         ready = self._engines.ready
-        if not self._limits.fleet_has_room(command, now) or not ready:
+        if not self._limits.fleet_has_capacity(command, now) or not ready:
             return None
         pool = self._pool()
         ranking = pool.ranked(command.dataset)
-        preferred, others = self._places(command, len(pool))
+        preferred, others = self._positions(command, len(pool))
         wanted = CANDIDATES
         if not command.is_short and self._limits.engine_limit(pool[0], now) < command.threads:
-            wanted += 1  # counts of threads say nothing where one command is over the limit
+            wanted += 1  # counts of threads do not compare engines if one command exceeds the limit
         seen: set[Engine] = set()
         found = self._recent_engine(command, len(pool), seen, now)
         self._draw_engines(command, ranking, preferred, wanted, found, seen, now)
-        self._draw_engines(command, ranking, others, max(2, wanted - 1 + len(found)), found, seen, now)
+        wanted_in_total = max(CANDIDATES, wanted - 1 + len(found))
+        self._draw_engines(command, ranking, others, wanted_in_total, found, seen, now)
         if not found:
             self._draw_engines(command, ready, range(len(ready)), CANDIDATES, found, seen, now)
         return self._least_busy(command, found, ranking, preferred, now)
 
     def may_take(self, command: Command, engine: Engine, now: int) -> bool:
-        """Whether the engine may be given the command: room, rules, health and budgets."""
+        """Whether the engine may be given the command: capacity, rules, health and budgets."""
         limit = self._limit(command, engine, now)
         if now < engine.overloaded_until or self._health.is_stalled(engine):
             return False
@@ -118,7 +119,7 @@
         return self._slow_start.may_take(engine, command.work, has_budget, now)
 
     def _is_in_deduplication_scope(self, command: Command, engine: Engine) -> bool:
-        """Whether engines that drop a repeat of a keyed command include this one."""
+        """Whether this engine would drop a repeat of the keyed command."""
         first = command.first_run_engine
         if first is None or not command.is_keyed:
             return True
@@ -131,32 +132,35 @@
                 return True
 
     def _pool(self) -> EngineList:
-        """Engines to draw from: of our zone where crossings cost.
+        """Engines to draw from: those of our zone, if traffic across zones has a cost.
 
-        Under pressure those of all zones: guards against one that is busier than the others. Harm: crossings.
+        Under pressure those of all zones: guards against a zone that is busier than the others. Harm: cost of
+        traffic across zones.
         """
         if not self._agreement.cross_zone_costs or not self._engines.local or self._limits.is_fleet_slow():
             return self._engines.ready
         return self._engines.local
 
-    def _places(self, command: Command, size: int) -> tuple[range, range]:
-        """Places of the preferred engines and of all for the command, in the order of its data set.
+    def _positions(self, command: Command, size: int) -> tuple[range, range]:
+        """Positions of the preferred and of all engines for the command, in the order of its data set.
 
-        Where commands wait for loads, those that load keep to the second half of the engines.
+        If commands wait for loads, commands that load use only the second half of the engines, and all others
+        only the first half.
         """
         preferred = range(self.popularity.preferred_engines(command.dataset, size))
-        places = range(size)
+        positions = range(size)
         half = size // 2
         if not half or not self._has_loads:
-            return preferred, places
+            return preferred, positions
         if command.profile.loads_dataset:
-            return places[half:], places[half:]
-        return preferred[:half], places[:half]
+            return positions[half:], positions[half:]
+        return preferred[:half], positions[:half]
 
     def _recent_engine(self, command: Command, size: int, seen: set[Engine], now: int) -> list[Engine]:
-        """In a large fleet, one that answered last for the data set, if it may take the command.
+        """In a large fleet, an engine that answered recently for the data set, if it may take the command.
 
-        Guards against a connection for each command. It goes first only where no other is less busy.
+        Guards against a new connection for each command. It is chosen only if no other candidate is less
+        busy.
         """
         slots = self.recent.slots(command.dataset) if size > LARGE_FLEET else None
         if not slots:
@@ -171,24 +175,24 @@
         self,
         command: Command,
         order: EngineList | Ranking | RingView,
-        places: range,
+        positions: range,
         wanted: int,
         found: list[Engine],
         seen: set[Engine],
         now: int,
     ) -> None:
-        """Add engines drawn by chance from these places, until so many are found.
+        """Append engines at these positions that may take the command to found, until it has `wanted`.
 
-        Where few may take the command, by a walk from a point drawn at random, as far as it may go: the work
-        must not grow with the fleet.
+        A few are drawn independently, then engines are scanned from a random start, up to a bound: the work
+        must not grow with the fleet. seen: engines considered before; they are skipped, and new ones added.
         """
-        size = len(places)
+        size = len(positions)
         start = int(self._draw() * size)
         draws = [int(self._draw() * size) for _ in range(min(MAX_RANDOM_DRAWS, size))]
-        for place in chain(draws, range(start, start + min(size, MAX_WALKED_ENGINES))):
+        for position in chain(draws, range(start, start + min(size, MAX_SCANNED_ENGINES))):
             if len(found) >= wanted:
                 break
-            engine = order.at(places[place % size])
+            engine = order.at(positions[position % size])
             if engine in seen:
                 continue
             seen.add(engine)
@@ -198,18 +202,18 @@
     def _least_busy(
         self, command: Command, found: list[Engine], order: Ranking | RingView, preferred: range, now: int
     ) -> Engine | None:
-        """The engine with the least of our threads and reported load.
+        """The engine with the lowest sum of our threads and reported load.
 
-        One on which a load locks the data set is last.
+        An engine on which a load locks the data set is chosen last.
         """
         profile = command.profile
-        minds_locks = profile.loads_dataset or profile.waits_for_loads
+        considers_locks = profile.loads_dataset or profile.waits_for_loads
 
         def busyness(engine: Engine) -> tuple[bool, float]:
-            is_locked = minds_locks and self.locks.is_locked(engine, command.dataset, now)
+            is_locked = considers_locks and self.locks.is_locked(engine, command.dataset, now)
             is_preferred = order.is_within(preferred, engine)
             threads = command.threads * (WARM_THREADS_WEIGHT if is_preferred else 1.0)
-            ours = (engine.threads + threads) * self._health.slowness(engine, now) / engine.cores
-            return is_locked, ours + self._loads.utilization(engine, now)
+            own_load = (engine.threads + threads) * self._health.slowness(engine, now) / engine.cores
+            return is_locked, own_load + self._loads.utilization(engine, now)
 
         return min(found, default=None, key=busyness)
--- a/gullhold/decisions/policy_terms.py
+++ b/gullhold/decisions/policy_terms.py
@@ -1,12 +1,13 @@
-"""What a policy of the fleet says of the gateway itself: whether it may work, and priorities."""
+"""The fleet's policy in force: whether this gateway may work, and the priorities of commands."""
 
 from collections.abc import Mapping
 
 from gullhold.decisions.command import Command
 from gullhold.interface import PolicyGate
 
-SHORT_PRIORITY = 3  # of short commands, where the policy sets none
-LONG_PRIORITY = 1
+# Priorities on engines, where the policy sets none.
+SHORT_PRIORITY = 3  # of short commands
+LONG_PRIORITY = 1  # of long commands
 
 
 class PolicyTerms:
@@ -14,12 +15,12 @@
 
     def __init__(self) -> None:
         self._gate: PolicyGate | None = None
-        self._priorities: Mapping[int, int] = {}  # by profile
+        self._priority_by_profile: Mapping[int, int] = {}
 
-    def apply(self, gate: PolicyGate, priorities: Mapping[int, int]) -> None:
-        """Terms of a new policy."""
+    def apply(self, gate: PolicyGate, priority_by_profile: Mapping[int, int]) -> None:
+        """Apply a new policy."""
         self._gate = gate
-        self._priorities = priorities
+        self._priority_by_profile = priority_by_profile
 
     def may_dispatch(self) -> bool:
         """Whether an attempt may be dispatched now."""
@@ -31,5 +32,5 @@
 
     def priority(self, command: Command) -> int:
         """The priority of a command on its engine."""
-        usual = SHORT_PRIORITY if command.is_short else LONG_PRIORITY
-        return self._priorities.get(command.profile_index, usual)
+        default = SHORT_PRIORITY if command.is_short else LONG_PRIORITY
+        return self._priority_by_profile.get(command.profile_index, default)
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -1,7 +1,8 @@
-"""Engines that commands may go to, in order, and their ranks for each data set, kept up to date by changes.
+"""Lists of engines, and their order for each data set, updated incrementally.
 
-Every gateway ranks alike: rendezvous hashing in small fleets, consistent hashing on one ring in large ones.
-The work follows the changes, not the number of engines: a fleet of thousands changes one engine at a time.
+All gateways have the same order: rendezvous hashing in small fleets, consistent hashing on one ring in large
+ones. The work depends on the number of changes, not of engines: a fleet of thousands changes one engine at a
+time.
 """
 
 from bisect import bisect_left, insort
@@ -9,17 +10,18 @@
 
 from gullhold.decisions.engine import Engine
 
-MAX_RANKED_ENGINES = 256  # engines of a list for which each data set ranks all; larger ones share one ring
-RING_SALT = -1  # what ids of engines are mixed with for the ring
-RING_START_SALT = -2  # what data sets are mixed with for their start on the ring
-MAX_CACHED_RANKINGS = (
-    512  # data sets whose ranks are cached; beyond it all are ranked anew when they are asked for
-)
+MAX_RANKED_ENGINES = 256  # the longest list that each data set ranks for itself; longer ones share one ring
+RING_SALT = -1  # hashed with ids of engines, for their positions on the ring
+RING_START_SALT = -2  # hashed with data sets, for their start on the ring
+MAX_CACHED_RANKINGS = 512  # data sets whose ranking is cached; if there are more, all are dropped
 
 
-def mix(one: int, other: int) -> int:
-    """A number of 32 bits that looks random, the same everywhere for the same two."""
-    mixed = (one ^ other * 0x9E3779B1) * 0x85EBCA6B & 0xFFFFFFFF
+def hash_pair(value: int, salt: int) -> int:
+    """A 32-bit hash of two integers, the same on all gateways.
+
+    The multipliers are 2**32 over the golden ratio and those of MurmurHash3's finalizer.
+    """
+    mixed = (value ^ salt * 0x9E3779B1) * 0x85EBCA6B & 0xFFFFFFFF
     return (mixed ^ mixed >> 15) * 0xC2B2AE35 & 0xFFFFFFFF
 
 
@@ -28,21 +30,21 @@
 
     def __init__(self, dataset: int) -> None:
         self.dataset = dataset
-        self.serial = 0  # of the last change of the list that is in it
+        self.serial = 0  # of the last change of the list that it includes
         self.keys: list[tuple[int, int]] = []  # (rank, slot), ascending
         self.engines: list[Engine] = []  # the engines of these keys
 
     def key(self, engine: Engine) -> tuple[int, int]:
-        """What an engine is sorted by."""
-        return mix(engine.id, self.dataset), engine.slot
+        """The sort key of an engine."""
+        return hash_pair(engine.id, self.dataset), engine.slot
 
     def build(self, members: Iterable[Engine]) -> None:
-        """Rank all anew."""
-        spread = self.dataset * 0x9E3779B1
+        """Rank all members."""
+        salt_product = self.dataset * 0x9E3779B1
         ranked = []
         for engine in members:
-            # mix() in line: a fleet of thousands is ranked in a few ms.
-            mixed = (engine.id ^ spread) * 0x85EBCA6B & 0xFFFFFFFF
+            # hash_pair() inlined, so that thousands of engines are ranked in a few ms.
+            mixed = (engine.id ^ salt_product) * 0x85EBCA6B & 0xFFFFFFFF
             rank = (mixed ^ mixed >> 15) * 0xC2B2AE35 & 0xFFFFFFFF
             ranked.append(((rank, engine.slot), engine))
         ranked.sort(key=lambda pair: pair[0])
@@ -50,7 +52,7 @@
         self.engines = [engine for _, engine in ranked]
 
     def change(self, is_added: bool, engine: Engine) -> None:
-        """One engine is added or removed."""
+        """Add or remove one engine."""
         key = self.key(engine)
         at = bisect_left(self.keys, key)
         if is_added:
@@ -60,39 +62,39 @@
             del self.keys[at]
             del self.engines[at]
 
-    def at(self, place: int) -> Engine:
-        """The engine at a place."""
-        return self.engines[place]
+    def at(self, position: int) -> Engine:
+        """The engine at a position."""
+        return self.engines[position]
 
-    def place(self, engine: Engine) -> int | None:
-        """Where an engine stands; None: it is not ranked."""
+    def position_of(self, engine: Engine) -> int | None:
+        """The position of an engine, None if it is not ranked."""
         key = self.key(engine)
         at = bisect_left(self.keys, key)
         return at if at < len(self.keys) and self.keys[at] == key else None
 
-    def is_within(self, places: range, engine: Engine) -> bool:
-        """Whether an engine stands at one of these places."""
-        return self.place(engine) in places
+    def is_within(self, positions: range, engine: Engine) -> bool:
+        """Whether the engine's position is one of these."""
+        return self.position_of(engine) in positions
 
 
 class RingView:
-    """The ring that data sets of a large list share, from a point of its own on (consistent hashing).
+    """The order of a large list for one data set: the shared ring, from the data set's own start on.
 
-    Ranks of its own for each data set cost a sort and some hundred KB each at thousands of engines.
+    Separate rankings at thousands of engines would cost a sort and some hundred KB for each data set.
     """
 
     def __init__(self, ring: Ranking, dataset: int) -> None:
         self.ring = ring
-        self.start = bisect_left(ring.keys, (mix(dataset, RING_START_SALT), 0))
+        self.start = bisect_left(ring.keys, (hash_pair(dataset, RING_START_SALT), 0))
 
-    def at(self, place: int) -> Engine:
-        """The engine at a place."""
-        return self.ring.engines[(self.start + place) % len(self.ring.engines)]
+    def at(self, position: int) -> Engine:
+        """The engine at a position."""
+        return self.ring.engines[(self.start + position) % len(self.ring.engines)]
 
-    def is_within(self, places: range, engine: Engine) -> bool:
-        """Whether an engine stands at one of these places."""
-        at = self.ring.place(engine)
-        return at is not None and (at - self.start) % len(self.ring.engines) in places
+    def is_within(self, positions: range, engine: Engine) -> bool:
+        """Whether the engine's position is one of these."""
+        at = self.ring.position_of(engine)
+        return at is not None and (at - self.start) % len(self.ring.engines) in positions
 
 
 class EngineList:
@@ -103,7 +105,7 @@
         self._members: set[Engine] = set()
         self._sequences: list[int] = []  # of the engines, in the same order
         self.rankings: dict[int, Ranking] = {}  # by data set
-        self.changes: list[tuple[bool, Engine]] = []  # the last of them, up to the serial
+        self.changes: list[tuple[bool, Engine]] = []  # the latest ones: (is added, engine)
         self._serial = 0  # of the last change
 
     def __len__(self) -> int:
@@ -112,18 +114,18 @@
     def __iter__(self) -> Iterator[Engine]:
         return iter(self.engines)
 
-    def __getitem__(self, place: int) -> Engine:
-        return self.engines[place]
+    def __getitem__(self, position: int) -> Engine:
+        return self.engines[position]
 
-    def at(self, place: int) -> Engine:
-        """The engine at a place."""
-        return self.engines[place]
+    def at(self, position: int) -> Engine:
+        """The engine at a position."""
+        return self.engines[position]
 
     def __contains__(self, engine: Engine) -> bool:
         return engine in self._members
 
     def set_present(self, engine: Engine, is_present: bool) -> None:
-        """Have an engine be in the list, or not."""
+        """Add an engine to the list or remove it; no change if it is so already."""
         if is_present == (engine in self._members):
             return
         if is_present:
@@ -137,7 +139,7 @@
             del self.engines[at]
         self.changes.append((is_present, engine))
         self._serial += 1
-        if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:  # no more than to rank all anew
+        if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:  # ranking all anew costs less
             self.changes.clear()
             self.rankings.clear()
 
@@ -148,7 +150,7 @@
         return self._ranking(dataset)
 
     def _ranking(self, dataset: int) -> Ranking:
-        """The Ranking for a data set, with all changes up to now."""
+        """The ranking for a data set, with all changes so far."""
         ranking = self.rankings.get(dataset)
         if ranking is None:
             if len(self.rankings) >= MAX_CACHED_RANKINGS:
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -12,13 +12,13 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MARGIN_US = 30_000  # us before a client timeout or window ends at which we stop: over one tick
+MARGIN_US = 30_000  # us before the end of a client timeout or window from which nothing is started
 CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each attempt of a profile earns
-MAX_CREDIT = 4.0  # and the most saved up
+MAX_CREDIT = 4.0  # cancels saved up at the most
 
 
 class RetryPolicy:
-    """Rules for attempts, and the times that the agreement's retry budget counts."""
+    """Rules for attempts, and the agreement's retry budget."""
 
     def __init__(self, agreement: Agreement, budgets: FleetBudgets, key_order: KeyOrder) -> None:
         self.agreement = agreement
@@ -27,11 +27,12 @@
         self._ended: deque[int] = deque()  # arrival times of ended commands that widen the budget, ascending
         self._retries: deque[int] = deque()  # times of retries, ascending
         self._cancel_credit = [MAX_CREDIT] * len(agreement.profiles)
-        self.max_attempts: Mapping[int, int] = {}  # by profile, where the policy sets it
+        self.max_attempts_by_profile: Mapping[int, int] = {}  # profiles that the fleet's policy names
 
     def may_retry(self, command: Command, now: int) -> bool:
         """Whether one more attempt can ever be allowed: attempts, idempotency, deduplication window."""
-        max_attempts = self.max_attempts.get(command.profile_index, self.agreement.max_attempts)
+        default = self.agreement.max_attempts
+        max_attempts = self.max_attempts_by_profile.get(command.profile_index, default)
         if 0 < max_attempts <= command.attempts:
             return False
         if not command.may_have_run or command.is_idempotent:
@@ -39,7 +40,7 @@
         return command.is_keyed and now + MARGIN_US < command.deduplication_until
 
     def may_start(self, command: Command, now: int) -> bool:
-        """Whether an attempt is allowed now: key at rest, retry budget."""
+        """Whether an attempt is allowed now: last start, settling key, retry budget."""
         self._forget_old(now)
         if now >= command.last_start_at or not self.may_retry(command, now):
             return False
@@ -55,14 +56,14 @@
         return command.is_keyed and has_fleet_scope and now < command.deduplication_until
 
     def record_attempt(self, command: Command, now: int) -> None:
-        """An attempt is dispatched (command.attempts: the ones before it)."""
+        """Record that an attempt is dispatched; command.attempts does not count it yet."""
         if command.attempts:
             self._retries.append(now)
         credit = self._cancel_credit[command.profile_index] + CREDIT_PER_ATTEMPT
         self._cancel_credit[command.profile_index] = min(MAX_CREDIT, credit)
 
     def record_ended(self, command: Command) -> None:
-        """A command ended: it widens the budget now that it is known to be no bad client's."""
+        """Record that a command has ended: only now may it widen the budget, as its outcome is known."""
         insort(self._ended, command.admitted_at)
 
     def has_cancel_credit(self, command: Command) -> bool:
@@ -70,7 +71,7 @@
         return self._cancel_credit[command.profile_index] >= 1
 
     def spend_cancel_credit(self, command: Command) -> None:
-        """A slow attempt is cancelled."""
+        """Record that a slow attempt is cancelled."""
         self._cancel_credit[command.profile_index] -= 1
 
     def _has_retry_budget(self) -> bool:
--- a/gullhold/decisions/review_schedule.py
+++ b/gullhold/decisions/review_schedule.py
@@ -1,42 +1,42 @@
-"""Moments at which a command is to be looked at again, and the one timer for the next of them."""
+"""Times at which commands are reviewed, and the one timer for the next of them."""
 
 from heapq import heappop, heappush
 
 from gullhold.decisions.command import Command, CommandState
 
-TICK_US = 50_000  # us between looks while commands are queued; far below any latency objective
+TICK_US = 50_000  # us between reviews while commands are queued; far below any latency objective
 AT_LAST_START = -1  # in place of a number of attempts: the review at the command's last start
 
 
 class ReviewSchedule:
-    """Reviews by time. Each names the attempts that its command then had: later ones void it."""
+    """Reviews by time, each with the number of attempts of its command: later attempts invalidate it."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Command, int]] = []  # (time, order of arrival, command, attempts)
         self._timer_at: int | None = None
 
     def add(self, at: int, command: Command) -> None:
-        """Look at the command at this time, for its newest attempt."""
+        """Schedule a review of the command, for its newest attempt."""
         heappush(self._heap, (at, command.order, command, command.attempts))
 
     def add_last_start(self, command: Command) -> None:
-        """Look at the command when no attempt may be started any more."""
+        """Schedule a review of the command for when no attempt may be started any more."""
         heappush(self._heap, (command.last_start_at, command.order, command, AT_LAST_START))
 
     def pop_due(self, now: int) -> tuple[Command, int] | None:
-        """The next command whose time has come, and the attempts that it had; None: none is due."""
+        """Remove and return the next due command and its number of attempts then; None if none is due."""
         if not self._heap or self._heap[0][0] > now:
             return None
         _, _, command, attempts = heappop(self._heap)
         return command, attempts
 
     def timer_fired(self, token: int) -> None:
-        """A timer has fired; the token is the time that it was for."""
+        """Record that a timer has fired; the token is the time that it was set for."""
         if token == self._timer_at:
             self._timer_at = None
 
     def next_timer(self, now: int, has_queued: bool) -> int | None:
-        """The time for which a timer is to be started; None: the one that runs will do."""
+        """The time for which a timer is to be started; None: the running one is early enough."""
         while self._heap and self._heap[0][2].state == CommandState.ENDED:
             heappop(self._heap)
         at = self._heap[0][0] if self._heap else 0
--- a/gullhold/decisions/thread_use.py
+++ b/gullhold/decisions/thread_use.py
@@ -1,10 +1,10 @@
-"""Threads of engines that this gateway's attempts hold, also those that run on after a timeout."""
+"""Threads of engines in use by this gateway's attempts, also by those that run on after a timeout."""
 
 from typing import NamedTuple
 
 from gullhold.decisions.engine import Engine
 
-RUN_ON_AGES = 2.0  # ages that a timed-out attempt is taken to run on, where none can be cancelled
+RUN_ON_AGES = 2.0  # assumed time that a timed-out attempt runs on, in its ages, if none can be cancelled
 
 
 class RunningOn(NamedTuple):
@@ -17,41 +17,42 @@
 
 
 class ThreadUse:
-    """The threads held, by engine (in Engine.threads) and in all."""
+    """Threads in use, by engine (in Engine.threads) and in total."""
 
     def __init__(self) -> None:
         self.total = 0
         self.running_on: list[RunningOn] = []
 
     def occupy(self, engine: Engine, threads: int) -> None:
-        """An attempt holds threads of an engine."""
+        """Count the threads of an attempt that begins."""
         engine.threads += threads
         engine.attempts += 1
         self.total += threads
 
     def vacate(self, engine: Engine, threads: int) -> None:
-        """An attempt holds them no more."""
+        """Release the threads of an attempt that has ended."""
         engine.threads -= threads
         engine.attempts -= 1
         self.total -= threads
 
     def hold_timed_out(self, engine: Engine, threads: int, sent_at: int, now: int) -> None:
-        """An attempt timed out where none can be cancelled: its work goes on for a while.
+        """Keep the threads of a timed-out attempt in use for a while, as its work can't be cancelled.
 
-        Guards against feeding an engine that jams. Harm: what a dead engine lost holds room.
+        Guards against new work for an overloaded engine. Harm: work that a dead engine has lost takes
+        capacity.
         """
         until = now + RUN_ON_AGES * (now - sent_at)
         self.running_on.append(RunningOn(until, engine, engine.started_us, threads))
         self.occupy(engine, threads)
 
     def release_ended(self, now: int) -> None:
-        """What has run on until now has ended, as has what ran on an engine that has restarted."""
+        """Release the threads of attempts that ran on until now, or on an engine that has restarted."""
         if not self.running_on:
             return
-        left = []
+        remaining = []
         for attempt in self.running_on:
             if attempt.until <= now or attempt.started_us != attempt.engine.started_us:
                 self.vacate(attempt.engine, attempt.threads)
             else:
-                left.append(attempt)
-        self.running_on = left
+                remaining.append(attempt)
+        self.running_on = remaining
--- a/gullhold/decisions/throughput_fit.py
+++ b/gullhold/decisions/throughput_fit.py
@@ -6,14 +6,19 @@
 
 from math import exp
 
-BISECTION_STEPS = 60  # halvings of the interval of gamma: beyond the precision of a float
-PEAK_STEPS = 64  # points between the smallest and the largest sample at which a peak is looked for
+BISECTION_STEPS = 60  # halvings of the interval of gamma: enough for the precision of a float
+PEAK_STEPS = 64  # intervals between the smallest and the largest sample in the search for a peak
+MIN_EXPONENT = 1e-6  # bounds of gamma times a distance between samples
+MAX_EXPONENT = 50
 
 
 def fit_concurrency_limit(
     threads0: float, rate0: float, threads1: float, rate1: float, threads2: float, rate2: float
 ) -> float | None:
-    """The first local maximum of the curve through three samples (threads, throughput); None: no fit."""
+    """The first local maximum of the curve through three samples (threads, rate); None if none fits.
+
+    rate: throughput at that number of threads, in any unit.
+    """
     if min(rate0, rate1, rate2) <= 0 or not 0 < threads0 < threads1 < threads2 or threads1 <= 1:
         return None
     excess1 = (threads1 * rate0 / rate1 - threads0) / (threads0 * (threads1 - 1))
@@ -36,8 +41,8 @@
 
 def _solve_gamma(distance1: float, distance2: float, ratio: float) -> float:
     """The gamma at which the two excesses have this ratio, by bisection."""
-    low = 1e-6 / distance2
-    high = 50 / distance1
+    low = MIN_EXPONENT / distance2
+    high = MAX_EXPONENT / distance1
     gamma = low
     for _ in range(BISECTION_STEPS):
         gamma = (low + high) / 2
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -2,33 +2,33 @@
 
 from math import exp
 
-from gullhold.interface import Agreement
+from gullhold.interface import US_PER_SECOND, Agreement
 
-TRAFFIC_US = 15_000_000  # us over which traffic is counted for our share: longer than a burst
-LEAST_SHARE = 0.1  # of an even share of the fleet, which a gateway without traffic keeps
+TRAFFIC_US = 15_000_000  # us in which the count of arrivals fades: longer than a burst
+MIN_SHARE = 0.1  # of an even share of the fleet, for a gateway without traffic
 
 
 class TrafficMeter:
-    """A fading count of arrivals, and what share of the whole traffic it is."""
+    """A fading count of arrivals, and its share of the fleet's traffic."""
 
     def __init__(self, agreement: Agreement, now: int) -> None:
         self._gateways = agreement.gateways
         self._allowance = sum(tenant.allowance for tenant in agreement.tenants)  # commands/s of the fleet
-        self.count = self._allowance / agreement.gateways * TRAFFIC_US / 1e6
+        self.count = self._allowance / agreement.gateways * TRAFFIC_US / US_PER_SECOND
         self._counted_at = now
 
     def record_arrival(self, now: int) -> None:
-        """A command arrived."""
+        """Count a command that arrived."""
         self.count = self.count * exp((self._counted_at - now) / TRAFFIC_US) + 1
         self._counted_at = now
 
     def withdraw_arrival(self) -> None:
-        """A client took its command back: it was no traffic."""
+        """Uncount a command whose client has left."""
         self.count = max(0.0, self.count - 1)
 
     def share_of(self, scale: float, now: int) -> float:
-        """Our share of the fleet times scale: by traffic where all of it is stated, else an even one."""
+        """Our share of the fleet, times scale: by traffic if tenants' allowances are stated, else even."""
         if not self._allowance:
             return scale / self._gateways
-        rate = self.count * exp((self._counted_at - now) / TRAFFIC_US) * 1e6 / TRAFFIC_US
-        return scale * min(1.0, max(LEAST_SHARE / self._gateways, rate / self._allowance))
+        rate = self.count * exp((self._counted_at - now) / TRAFFIC_US) * US_PER_SECOND / TRAFFIC_US
+        return scale * min(1.0, max(MIN_SHARE / self._gateways, rate / self._allowance))
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -1,25 +1,28 @@
-"""Types shared by the decision module and whatever drives it: settings, engine entries, events and results.
+"""Types shared by the decisions and their drivers: settings, engine entries, events and results.
 
-A driver (the service on sockets, the simulator adapter) reads an Agreement once, makes one
-`decisions.Gateway(seed, agreement, now)` for each gateway process and calls its methods. Every call takes the
-time in whole microseconds first and returns a list of the result types below. Absent figures are zero; absent
-limits are None.
+A driver (the service on sockets, the simulator adapter) reads an Agreement once, creates one
+`decisions.gateway.Gateway(seed, agreement, now)` for each gateway process and calls its methods. Every call
+takes the time in integer microseconds first and returns a list of the result types below. Absent figures are
+zero; absent limits are None.
 
 The results are NamedTuples: each start imports this module, and a frozen dataclass costs several times as
-much to create, both the class and its objects. Two results of different types compare equal where their
-fields do, so tell them apart by type.
+much to create, both the class and its objects. Two results of different types are equal if their fields are,
+so distinguish them by type.
 """
 
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
+US_PER_SECOND = 1e6
+MILLIONTHS = 1e6  # in 1; the unit of some budgets
+
 
 class Idempotency(IntEnum):
     """Whether the commands of a profile may run more than once."""
 
     IDEMPOTENT = 0  # any number of times
     KEYED = 1  # a repeat carries the same idempotency key; engines that know the key drop it
-    NON_IDEMPOTENT = 2  # once at the most
+    NON_IDEMPOTENT = 2  # at most once
 
 
 class DeduplicationScope(IntEnum):
@@ -55,20 +58,19 @@
 
 
 class StatusKind(IntEnum):
-    """What a status note on an open attempt tells."""
+    """Kind of a status note on an open attempt; the meaning of its value."""
 
-    PROGRESS = 0  # the share done, 0 to 1
-    SPILLING = 1  # the memory that it lacks, MB
-    WAITING = 2  # what it waits for
+    PROGRESS = 0  # share done, 0 to 1
+    SPILLING = 1  # memory that it lacks, MB
+    WAITING = 2  # code of what it waits for
 
 
 class BudgetKind(IntEnum):
-    """Budgets of a fleet, each with the unit of its amounts and what its subject is.
+    """Budgets of a fleet. Their subject is the id of an engine, the index of a tenant, or 0.
 
-    Held in use: THREADS and MEMORY (MB) on an engine, OPEN_COMMANDS of a tenant. Spent over a window:
-    RETRIES; WARMUP, millionths of what a warming engine can take; ADMISSIONS of a tenant; DISCOVERY_CALLS.
-    By weight: TRAFFIC_SHARE, millionths of the traffic. The subject is an engine's id, a tenant's
-    index, or 0.
+    In use at the same time: THREADS and MEMORY (MB) of an engine, OPEN_COMMANDS of a tenant. Spent over a
+    window: RETRIES; WARMUP, millionths of what a warming engine can take; ADMISSIONS of a tenant;
+    DISCOVERY_CALLS. By weight: TRAFFIC_SHARE, millionths of the traffic.
     """
 
     THREADS = 0
@@ -82,7 +84,7 @@
 
 
 class Dispatch(NamedTuple):
-    """Result: send the command to the engine; the attempt must not begin after the deadline."""
+    """Result: start an attempt of the command on the engine, not later than the deadline."""
 
     command: int
     engine: int
@@ -90,7 +92,7 @@
 
 
 class SetTerms(NamedTuple):
-    """Result: memory granted to further attempts of a command, and its priority, also of an open attempt."""
+    """Result: memory granted to later attempts of a command, and its priority, also of an open attempt."""
 
     command: int
     grant_mb: float
@@ -107,7 +109,7 @@
 class Shed(NamedTuple):
     """Result: the final answer is that the command was shed; a retry does no harm.
 
-    retry_after_us: the longest wait that the client may be asked for; 0: none.
+    retry_after_us: the longest Retry-After that the client may be given; 0: none.
     """
 
     command: int
@@ -134,7 +136,7 @@
 
 
 class Demand(NamedTuple):
-    """What held commands would need of one budget, beyond what is in use."""
+    """What queued commands would need of one budget, beyond what is in use."""
 
     budget: BudgetKind
     subject: int
@@ -151,7 +153,7 @@
 
 
 class EngineEntry(NamedTuple):
-    """One engine as the endpoint list tells it. zone, kind: indexes of the agreement's names; -1: unknown."""
+    """One engine in the endpoint list. zone, kind: indexes of the agreement's names; -1: unknown."""
 
     id: int
     zone: int
@@ -159,30 +161,30 @@
     kind: int
     state: EngineState
     cell: int
-    started_us: int  # Unix time, us; 0: it has long been up
+    started_us: int  # Unix time, us; 0: long ago
 
 
 class BudgetShare(Protocol):
     """This gateway's share of one budget of the fleet."""
 
     def limit(self) -> int:
-        """The most that may be in use now."""
+        """The largest amount that may be in use now."""
         ...
 
     def allows(self, amount: int) -> bool:
-        """Whether so much more may be acquired now."""
+        """Whether this amount may be acquired now."""
         ...
 
     def acquire(self, amount: int) -> None:
-        """Take an amount, after allows()."""
+        """Acquire an amount, after allows()."""
         ...
 
     def release(self, amount: int, confirmed: bool = True) -> None:
-        """Give an amount back. Not confirmed: the work was cancelled and may run on for a moment."""
+        """Release an amount. Not confirmed: the work was cancelled and may run on for a moment."""
         ...
 
     def record_rejection(self, amount: int) -> None:
-        """Count an amount that was rejected for want of it."""
+        """Count an amount that could not be acquired."""
         ...
 
 
@@ -190,7 +192,7 @@
     """Whether the fleet's policy lets this gateway work at the moment."""
 
     def may_dispatch(self) -> bool:
-        """Whether an attempt may be sent now."""
+        """Whether an attempt may be started now."""
         ...
 
     def rejects_new(self) -> bool:
@@ -211,11 +213,11 @@
     dedup_scope: DeduplicationScope
     dedup_window_us: int
     ordered: bool
-    zones: frozenset | None
-    engine_kinds: frozenset | None
+    zones: frozenset[int] | None  # that may run it; None: all
+    engine_kinds: frozenset[int] | None  # that may run it; None: all
     loads_dataset: bool  # locks its data set on its engine while it runs
     waits_for_loads: bool  # waits while its data set is locked
-    name: str = ""  # for drivers only: what clients and engines call it
+    name: str = ""  # for drivers only: its name in requests
 
 
 class Tenant(NamedTuple):
@@ -246,7 +248,7 @@
     overload_multiple: float
     overload_window_us: int
     key_settle_us: int
-    retry_budget_base: float | None  # retries allowed in any window; None: no budget
+    retry_budget_base: float | None  # retries allowed in any window whatever the traffic; None: no budget
     retry_budget_share: float
     retry_budget_window_us: int
     cross_zone_costs: bool
@@ -258,4 +260,4 @@
     streams_per_connection: int = 1  # attempts that one connection to an engine carries
     connect_timeout_us: int = 0
     idle_timeout_us: int = 0  # after which the engine closes an idle connection
-    max_open_commands: int = 0  # commands owed or out at once; 0: no limit
+    max_open_commands: int = 0  # commands without a final answer, at once; 0: no limit
--- a/gullhold/rollout/policy.py
+++ b/gullhold/rollout/policy.py
@@ -5,6 +5,7 @@
 from importlib.resources import files
 from typing import NamedTuple
 
+from gullhold.decisions.decision_terms import DecisionTerms
 from gullhold.interface import Agreement, Idempotency, Profile
 from gullhold.operator.errors import OperatorFileError
 from gullhold.operator.evaluation import concretize, evaluate_file
@@ -50,15 +51,6 @@
     has_admission_queue: bool = False
 
 
-class DecisionTerms(NamedTuple):
-    """A policy for the decision module: weights by tenant; the others by the index of a profile."""
-
-    weights: list[float]
-    priorities: dict[int, int]
-    grants_mb: dict[int, int]
-    max_attempts: dict[int, int]
-
-
 class Difference(NamedTuple):
     """One setting that differs between two policies; None: not set."""
 
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -24,7 +24,7 @@
         world.now += (100 if i < 50 else 900) * MS
         while world.commands[ident]["out"]:
             world.end(ident, Outcome.ANSWERED)
-    assert world.gateway.parts.limits.share(world.now) >= 0.25
+    assert world.gateway.components.limits.share(world.now) >= 0.25
 
 
 def test_one_of_hundreds_of_gateways_holds_its_part_of_the_fleet():
@@ -38,12 +38,12 @@
 def test_a_busy_gateway_gets_a_larger_share_and_loses_it_again():
     world = Driver(make_agreement(gateways=300, tenants=CROWD))
     world.engines(*FLEET)
-    first = world.gateway.parts.limits.share(world.now)
+    first = world.gateway.components.limits.share(world.now)
     for _ in range(1000):
         world.end(world.command(), Outcome.ANSWERED)
         world.now += 10 * MS
-    assert world.gateway.parts.limits.share(world.now) > 10 * first
-    assert world.gateway.parts.limits.share(world.now + 120_000 * MS) < first
+    assert world.gateway.components.limits.share(world.now) > 10 * first
+    assert world.gateway.components.limits.share(world.now + 120_000 * MS) < first
 
 
 def test_our_share_stays_near_our_part_of_the_traffic_however_long_commands_wait():
@@ -60,8 +60,8 @@
         world.now += 20 * MS
         for ident in world.out()[:3]:
             world.end(ident, Outcome.ANSWERED, cost=1000 * MS)
-        most = max(most, world.gateway.parts.limits.pressure_share)
-    assert world.gateway.parts.queue.by_tenant
+        most = max(most, world.gateway.components.limits.pressure_share)
+    assert world.gateway.components.queue.by_tenant
     assert 1.0 < most <= 1.5
 
 
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -34,7 +34,7 @@
     for tenant in (7, 70_000, 99_999):
         for _ in range(30):
             driver.command(tenant=tenant)
-    queue = driver.gateway.parts.queue
+    queue = driver.gateway.components.queue
     assert set(queue.by_tenant) == {7, 70_000, 99_999}
     while driver.out():
         driver.end(driver.out()[0], Outcome.ANSWERED)
--- a/tests/decisions/test_decisions_fleet_budgets.py
+++ b/tests/decisions/test_decisions_fleet_budgets.py
@@ -108,7 +108,7 @@
     granted = memory.out
     assert 0 < granted <= 100
     assert 0 < cold.out <= 100_000
-    assert world.gateway.parts.limits.share(world.now) == 0.5
+    assert world.gateway.components.limits.share(world.now) == 0.5
     lacks = allot()
     assert lacks[BudgetKind.MEMORY, 1] >= 64
     assert lacks[BudgetKind.WARMUP, 1] > 0
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -51,12 +51,12 @@
     for ident in world.out():
         world.end(ident, Outcome.RESET)
     assert not world.gateway.commands
-    assert not world.gateway.parts.key_order.by_key
+    assert not world.gateway.components.key_order.by_key
     world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
     world.engines()
-    assert not world.gateway.parts.thread_use.running_on
-    assert not world.gateway.parts.thread_use.total
-    assert not any(engine.threads or engine.attempts for engine in world.gateway.parts.engines.by_slot)
+    assert not world.gateway.components.thread_use.running_on
+    assert not world.gateway.components.thread_use.total
+    assert not any(engine.threads or engine.attempts for engine in world.gateway.components.engines.by_slot)
     return [(type(result), result) for result in world.log]
 
 
@@ -96,5 +96,5 @@
         if world.commands[ident]["out"]:
             world.end(ident, Outcome.ANSWERED)
     world.wait(8000 * MS)
-    assert world.gateway.parts.estimates.by_profile[0].work_bias > 0
+    assert world.gateway.components.estimates.by_profile[0].work_bias > 0
     assert all(cmd["over"] or cmd["final"] for cmd in world.commands.values())
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -25,13 +25,13 @@
 def test_an_avoided_engine_is_no_outlier_for_good():
     world = Driver(make_agreement())
     world.engines(*READY4)
-    engine = world.gateway.parts.engines.by_id[2]
-    world.gateway.parts.estimates.least_usual_work = WORK
+    engine = world.gateway.components.engines.by_id[2]
+    world.gateway.components.estimates.least_usual_work = WORK
     engine.completed_at = START
     engine.completed_work = 10 * WORK
     engine.completed_slow_work = 90 * WORK
-    assert world.gateway.parts.health.slowness(engine, world.now) > 5
-    assert world.gateway.parts.health.slowness(engine, world.now + 90_000 * MS) < 1.5
+    assert world.gateway.components.health.slowness(engine, world.now) > 5
+    assert world.gateway.components.health.slowness(engine, world.now + 90_000 * MS) < 1.5
 
 
 def test_one_failed_connection_keeps_off_until_it_fades():
@@ -42,8 +42,8 @@
     world.end(ident, Outcome.CONNECT_FAILED)
     after = [world.command() for _ in range(6)]
     assert all(world.commands[one]["out"][0] != engine for one in [ident, *after])
-    known = world.gateway.parts.engines.by_id[engine]
-    assert world.gateway.parts.health.failure_rate(known, world.now + 30_000 * MS) < 0.05
+    known = world.gateway.components.engines.by_id[engine]
+    assert world.gateway.components.health.failure_rate(known, world.now + 30_000 * MS) < 0.05
 
 
 def test_one_reset_keeps_no_engine_out_but_several_do():
@@ -64,7 +64,7 @@
 
     assert use(Outcome.RESET, 100)
     assert use(Outcome.ANSWERED, 100)
-    first_engine = world.gateway.parts.engines.by_id[0]
+    first_engine = world.gateway.components.engines.by_id[0]
     first_engine.failure_rate = 0.0
     while use(Outcome.RESET, 100):
         world.now += MS
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -18,7 +18,7 @@
         world.end(other, Outcome.RESET)  # what may have run holds its engine's location
         while world.commands[other]["out"]:
             world.end(other, Outcome.ANSWERED)
-    engines = world.gateway.parts.engines
+    engines = world.gateway.components.engines
     assert len(engines.by_slot) <= 12
     assert len(engines.by_id) <= 6
     assert [engine.slot for engine in engines.by_slot] == list(range(len(engines.by_slot)))
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -14,13 +14,13 @@
         ident = world.command()
         world.now += 150 * MS
         world.end(ident, Outcome.ANSWERED)
-    pace = world.gateway.parts.estimates.by_profile[0].pace
+    pace = world.gateway.components.estimates.by_profile[0].pace
     for _ in range(100):
         ident = world.command()
         world.leave(ident)
         world.end(ident, Outcome.CANCELLED)
-    assert world.gateway.parts.estimates.by_profile[0].pace == pace
-    assert world.gateway.parts.limits.fleet_slowness < 2
+    assert world.gateway.components.estimates.by_profile[0].pace == pace
+    assert world.gateway.components.limits.fleet_slowness < 2
 
 
 def test_a_send_cut_off_sooner_than_the_usual_run_tells_nothing_of_its_engine():
@@ -32,19 +32,19 @@
         world.wait(300 * MS)
         world.end(ident, Outcome.ANSWERED)
     gateway = world.gateway
-    engine, estimate = gateway.parts.engines.by_id[0], gateway.parts.estimates.by_profile[0]
-    before = gateway.parts.limits.fleet_slowness, estimate.pace
+    engine, estimate = gateway.components.engines.by_id[0], gateway.components.estimates.by_profile[0]
+    before = gateway.components.limits.fleet_slowness, estimate.pace
     for _ in range(10):
         ident = world.command(timeout_us=160 * MS)
         world.wait(20 * MS)
         world.end(ident, Outcome.TIMED_OUT)
     assert estimate.pace == before[1]
-    assert gateway.parts.limits.fleet_slowness == before[0]
+    assert gateway.components.limits.fleet_slowness == before[0]
     ident = world.command(timeout_us=3000 * MS)
     world.wait(900 * MS)
     world.end(ident, Outcome.TIMED_OUT)  # a jam is not hidden
     assert estimate.pace > before[1]
-    assert gateway.parts.health.slowness(engine, world.now) > 1
+    assert gateway.components.health.slowness(engine, world.now) > 1
 
 
 def test_work_of_a_command_without_an_estimate_is_the_usual_of_its_profile():
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -4,7 +4,7 @@
 from driver import MS, WORK, Driver, make_agreement, profile
 from scenarios import answered, out_of, reporting
 
-from gullhold.decisions.load_report import FULL, room
+from gullhold.decisions.load_report import FULL_UTILIZATION, widening_factor
 from gullhold.interface import EngineState, Outcome
 
 
@@ -21,7 +21,7 @@
 def test_an_engine_that_turns_us_away_or_says_nothing_counts_as_full():
     world = reporting()
     answered(world, 40, 0.1)
-    assert world.gateway.parts.loads.fleet_utilization < 0.2
+    assert world.gateway.components.loads.fleet_utilization < 0.2
     for outcome in [Outcome.OVERLOADED, Outcome.TIMED_OUT] * 15:
         ident = world.command()
         if ident in world.out():
@@ -29,7 +29,7 @@
         world.wait(3000 * MS)
         for other in world.out():
             world.end(other, Outcome.ANSWERED)
-    assert world.gateway.parts.loads.fleet_utilization > 0.7
+    assert world.gateway.components.loads.fleet_utilization > 0.7
 
 
 @pytest.mark.parametrize("told", [float("nan"), -0.5, float("inf"), float("-inf"), 1e30])
@@ -37,8 +37,8 @@
     world = reporting()
     answered(world, 20, 0.2)
     answered(world, 5, told)
-    assert 0.0 <= world.gateway.parts.loads.fleet_utilization <= 1.0
-    assert 0.0 <= world.gateway.parts.engines.by_slot[0].load <= 1.0
+    assert 0.0 <= world.gateway.components.loads.fleet_utilization <= 1.0
+    assert 0.0 <= world.gateway.components.engines.by_slot[0].load <= 1.0
     ident = world.command()
     world.end(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
     assert out_of(world) > 0
@@ -77,6 +77,6 @@
 
 
 def test_room_widens_a_limit_below_full_utilisation_only():
-    assert room(FULL, 4.0) == room(1.0, 4.0) == 1.0
-    assert room(FULL / 2, 4.0) == 2.0
-    assert room(0.0, 4.0) == 4.0
+    assert widening_factor(FULL_UTILIZATION, 4.0) == widening_factor(1.0, 4.0) == 1.0
+    assert widening_factor(FULL_UTILIZATION / 2, 4.0) == 2.0
+    assert widening_factor(0.0, 4.0) == 4.0
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -51,8 +51,8 @@
     for size in (10, 200):
         world = Driver(make_agreement(gateways=300, tenants=CROWD))
         world.engines(*[(ident, 0, 0, EngineState.READY, 0, 0) for ident in range(size)])
-        may_take, count = world.gateway.parts.placement.may_take, [0]
-        world.gateway.parts.placement.may_take = lambda *args, may_take=may_take, count=count: (
+        may_take, count = world.gateway.components.placement.may_take, [0]
+        world.gateway.components.placement.may_take = lambda *args, may_take=may_take, count=count: (
             count.append(0),
             may_take(*args),
         )[1]
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -21,7 +21,7 @@
         final = next(result for result in world.log if isinstance(result, Shed | Fail))
         assert (type(final), final.command) == (verb, ident)
         assert not world.gateway.commands
-        assert not world.gateway.parts.thread_use.total
+        assert not world.gateway.components.thread_use.total
 
 
 def test_a_non_replayable_send_that_was_turned_away_unseen_goes_again():
@@ -50,14 +50,14 @@
         while world.commands[ident]["out"]:
             world.end(ident, Outcome.CANCELLED if i % 2 else Outcome.ERROR)
     assert len(world.extras) == 3
-    assert world.gateway.parts.traffic.count < 40
+    assert world.gateway.components.traffic.count < 40
     world.wait(40_000 * MS)
     for _ in range(8):
         world.end(world.command(), Outcome.ANSWERED)
     for _ in range(9):
         ident = world.command()
         world.end(ident, Outcome.OVERLOADED) if world.commands[ident]["out"] else None
-        for engine in world.gateway.parts.engines.by_slot:
+        for engine in world.gateway.components.engines.by_slot:
             engine.overloaded_until = 0
     assert len(world.extras) == 3 + 7  # three, and half of those answered
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -65,7 +65,7 @@
     for seed in range(managers):
         for start in range(4):
             world = Driver(agreement, 4 * seed + start)
-            world.gateway.parts.slow_start.gateway_started_at = world.now = (
+            world.gateway.components.slow_start.gateway_started_at = world.now = (
                 START + (1 + 500 * start) * MS
             )  # the engine is there before
             world.engines((1, 0, 0, EngineState.READY, 0, START))
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -30,15 +30,15 @@
 
 def test_what_may_run_on_is_over_once_its_engine_began_anew():
     world, _ = jammed()
-    assert world.gateway.parts.thread_use.total >= 4
-    assert world.gateway.parts.thread_use.running_on
+    assert world.gateway.components.thread_use.total >= 4
+    assert world.gateway.components.thread_use.running_on
     for ident in world.out():
         world.end(ident, Outcome.RESET)
     born = world.now - 20_000 * MS  # seen anew and warm
     world.engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
     out = sum(world.commands[ident]["kind"].threads for ident in world.out())
-    assert world.gateway.parts.thread_use.total == out
-    assert not world.gateway.parts.thread_use.running_on
+    assert world.gateway.components.thread_use.total == out
+    assert not world.gateway.components.thread_use.running_on
 
 
 def test_threads_of_a_timed_out_attempt_are_held_for_two_ages():
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -94,7 +94,7 @@
     new.say(event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("list changes") == 3)
     assert new.asked == [b"follow 1\n"]
-    assert len(gateway.core.gateway.parts.engines.ready) == 2
+    assert len(gateway.core.gateway.components.engines.ready) == 2
     gateway.end()
 
 
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -13,7 +13,7 @@
     RING_START_SALT,
     EngineList,
     Ranking,
-    mix,
+    hash_pair,
 )
 
 
@@ -43,7 +43,7 @@
         if random.random() < 0.4:
             dataset = random.randrange(MAX_CACHED_RANKINGS + 20) if step % 3 else 5
             found = kept.ranked(dataset)
-            want = sorted((mix(one.id, dataset), one.slot) for one in truth.values())
+            want = sorted((hash_pair(one.id, dataset), one.slot) for one in truth.values())
             assert found.keys == want
             assert found.engines == [truth[slot] for _, slot in want]
             for at, (_, slot) in enumerate(want):
@@ -86,10 +86,10 @@
     engines = [Listed(slot * 7919, slot, slot) for slot in range(size)]
     for engine in engines:
         kept.set_present(engine, True)
-    order = sorted(engines, key=lambda one: (mix(one.id, RING_SALT), one.slot))
+    order = sorted(engines, key=lambda one: (hash_pair(one.id, RING_SALT), one.slot))
     for dataset in range(20):
         found, homes = kept.ranked(dataset), range(30)
-        start = sum(mix(one.id, RING_SALT) < mix(dataset, RING_START_SALT) for one in engines)
+        start = sum(hash_pair(one.id, RING_SALT) < hash_pair(dataset, RING_START_SALT) for one in engines)
         assert [found.at(place) for place in range(size)] == order[start:] + order[:start]
         for place in range(size):
             one = found.at(place)
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -12,6 +12,7 @@
 from driver import MS, Driver, make_agreement, profile
 from recording import Recorder
 
+from gullhold.decisions.decision_terms import DecisionTerms
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import (
     Agreement,
@@ -203,8 +204,8 @@
 
     def policy(self) -> None:
         if self.draw.random() < 0.3:
-            weights = [self.draw.choice((1.0, 2.0, 0.5)) for _ in self.world.gateway.parts.queue.weights]
-            terms = (weights, {0: 2}, {0: 48.0}, {0: self.draw.choice((1, 2, 3))})
+            weights = [self.draw.choice((1.0, 2.0, 0.5)) for _ in self.world.gateway.components.queue.weights]
+            terms = DecisionTerms(weights, {0: 2}, {0: 48.0}, {0: self.draw.choice((1, 2, 3))})
             self.world.obey(self.world.gateway.apply_policy(self.world.now, terms, Gate(self.draw)))
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -498,7 +498,7 @@
     for caller in (client, half, back):
         assert caller.answer() is None
     # What was taken back at once counts for no share of the fleet.
-    assert gateway.core.gateway.parts.traffic.count < 1
+    assert gateway.core.gateway.components.traffic.count < 1
     monkeypatch.setattr(client_connection, "SAY_S", 60)
     gateway.listener.max_clients = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
@@ -579,7 +579,7 @@
         assert client.answer() == (seq, b"a\tb\tc\n")
         feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
-    assert not gateway.core.gateway.parts.engines.by_id
+    assert not gateway.core.gateway.components.engines.by_id
     assert not gateway.coordinator.engine_ids.ids_by_name
     gateway.end()
 
