--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -79,7 +79,7 @@
     for caller in (client, half, back):
         assert caller.answer() is None
     # What was taken back at once counts for no share of the fleet.
-    assert gateway.core.gateway.parts.traffic.count < 1
+    assert gateway.core.gateway.components.traffic.count < 1
     monkeypatch.setattr(client_connection, "SAY_S", 60)
     gateway.listener.max_clients = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -94,7 +94,7 @@
     new.say(event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("endpoint_list_events") == 3)
     assert new.asked == [b"follow 1\n"]
-    assert len(gateway.core.gateway.parts.engines.ready) == 2
+    assert len(gateway.core.gateway.components.engines.ready) == 2
     gateway.end()
 
 
@@ -167,6 +167,6 @@
         assert client.answer() == (seq, b"a\tb\tc\n")
         feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
-    assert not gateway.core.gateway.parts.engines.by_id
+    assert not gateway.core.gateway.components.engines.by_id
     assert not gateway.coordinator.engine_ids.ids_by_name
     gateway.end()
