--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -82,7 +82,7 @@
             while buffer.receive(self.caller.sock):
                 for frame in decoder.frames():
                     message = thrift.decode_message(frame, thrift.REPLY, thrift.EXCEPTION)
-                    self.answered += (0, thrift.STRUCT) in message.args
+                    self.answered += (0, thrift.STRUCT) in message.fields
         except OSError:  # the end
             return
 
--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -33,7 +33,7 @@
 class _WriteBuffer:
     """What the core asks of a connection's write buffer: this one never dies and holds nothing back."""
 
-    dead = finishing = False
+    is_dead = is_finishing = False
 
     def finish(self, now: bool = False) -> None:
         """Nothing to close."""
@@ -55,7 +55,7 @@
         self._core = core
         self._reader = reader
         self.open: dict[int, Any] = {}
-        self.unseen: dict[int, bool] = {}
+        self.undelivered: dict[int, bool] = {}
         self.interrupted: set[int] = set()
         self.settled_count = 0
         self.has_left = False
@@ -93,9 +93,9 @@
             request = self._reader.request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
         except RequestError as error:
             raise RejectedError(str(error)) from None
-        if not self._core.statement_memory.reserve(len(request.body)):
+        if not self._core.statement_memory.reserve(len(request.statement)):
             raise RejectedError("no memory for its statement")
-        self.unseen[number] = True
+        self.undelivered[number] = True
         self._core.counters.add("fleet commands")
         self._core.post(self._core.execute, self, number, request, counted_from)
         return number
@@ -106,7 +106,7 @@
             size = thrift.I32S.unpack(message[:4])[0] + 4
             answer = thrift.decode_message(message[4:size], thrift.REPLY, thrift.EXCEPTION)
             message = message[size:]
-            self._on_ended(answer.seq, *_outcome(answer.args))
+            self._on_ended(answer.sequence_id, *_outcome(answer.fields))
 
 
 def _outcome(args: dict[tuple[int, int], Any]) -> tuple[OccurrenceState, str]:
--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -23,7 +23,7 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.NOT_STARTED: "moot",
 }
-LEAST_DEADLINE_MS = 1  # the least that a fetch may tell, also of a deadline that is past
+MIN_DEADLINE_MS = 1  # the least that a fetch may tell, also of a deadline that is past
 
 
 class Attempts:
@@ -51,7 +51,7 @@
             self._log_retry(pending)
         if core.admission_queue:
             core.admission_queue.attempt_sent(dispatch.command)
-        connection = core.pool.connection_for(dispatch.engine, pending.request.txn)
+        connection = core.pool.connection_for(dispatch.engine, pending.request.transaction_id)
         if connection is None:
             # Reported as late as a connection that does not come up: no spinning on the same want. We are
             # short of a descriptor or a thread: guards against blaming the engine for it.
@@ -65,13 +65,13 @@
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
         """An attempt is over: the decision module hears of it, once."""
         core = self.core
-        pending = attempt.request
+        pending = attempt.pending
         connection = attempt.connection
         if pending.attempt is not attempt:
             return
         pending.attempt = None
-        if connection and connection.open.get(pending.request.txn) is attempt:
-            del connection.open[pending.request.txn]
+        if connection and connection.open.get(pending.request.transaction_id) is attempt:
+            del connection.open[pending.request.transaction_id]
             connection.used_at = core.now
         attempt.release()
         pending.last_outcome = OUTCOME_TEXTS[outcome]
@@ -102,9 +102,9 @@
         behind the abort has been answered; by then no late answer can come either.
         """
         connection = attempt.connection
-        txn = attempt.request.request.txn
-        self._log_given_up(attempt, outcome)
-        if connection and connection.open.get(txn) is attempt:
+        transaction_id = attempt.pending.request.transaction_id
+        self._log_abandoned(attempt, outcome)
+        if connection and connection.open.get(transaction_id) is attempt:
             if connection.write_buffer.withdraw(attempt.message):
                 outcome = Outcome.NOT_STARTED
             elif self._needs_confirmation(attempt, outcome):
@@ -113,7 +113,7 @@
                 return
             else:
                 self._abort_without_confirmation(attempt)
-            del connection.open[txn]
+            del connection.open[transaction_id]
         self.core.defer(self.end, attempt, outcome)
 
     def cancel_confirmed(self, connection: EngineConnection, tag: bytes) -> None:
@@ -123,11 +123,11 @@
         """
         attempt = connection.confirmations.pop(tag, None)
         if attempt:
-            connection.given_up.discard(attempt.request.request.txn)
+            connection.abandoned_ids.discard(attempt.pending.request.transaction_id)
             self.end(attempt, attempt.outcome_once_confirmed)
 
     def _report_never_started(self, attempt: Attempt) -> None:
-        pending = attempt.request
+        pending = attempt.pending
         self.core.defer(
             self.core.decisions.call,
             pending,
@@ -142,32 +142,34 @@
 
     def _send(self, attempt: Attempt, connection: EngineConnection) -> None:
         core = self.core
-        request = attempt.request.request
-        fixed_fields = self._fixed_fields(attempt.request)
+        request = attempt.pending.request
+        fixed_fields = self._fixed_fields(attempt.pending)
 
-        def encoded(now_us: int) -> bytes:
+        def encode_fetch(now_us: int) -> bytes:
             fields = [*fixed_fields, (b"w", remaining_ms(now_us, attempt.deadline_us))]
-            return resp.encode(engine_protocol.FETCH, request.txn, resp.field_list(fields), request.body)
+            return resp.encode(
+                engine_protocol.FETCH, request.transaction_id, resp.encode_fields(fields), request.statement
+            )
 
-        attempt.message = encoded(core.now)
+        attempt.message = encode_fetch(core.now)
         attempt.connection = connection
         connection.used_at = core.now
-        connection.open[request.txn] = attempt
+        connection.open[request.transaction_id] = attempt
         tokens = attempt.fencing_tokens
         # Guards against a deadline that was true when the attempt was decided and not when it goes out: its
         # connection may come up late, or what is before it may be read late.
         attempt.end_offset = connection.write_buffer.put(
             attempt.message,
             (lambda: core.are_tokens_valid(tokens)) if tokens else None,
-            lambda: encoded(core.clock()),
+            lambda: encode_fetch(core.clock()),
         )
         if attempt.end_offset < 0:
-            self._not_taken(attempt, connection)
+            self._handle_rejected_write(attempt, connection)
             return
         self.counters.add("sends")
         core.call_later(attempt.deadline_us, self._deadline_passed, attempt)
 
-    def _not_taken(self, attempt: Attempt, connection: EngineConnection) -> None:
+    def _handle_rejected_write(self, attempt: Attempt, connection: EngineConnection) -> None:
         """Nothing of it goes out."""
         if attempt.end_offset == Rejection.NOT_ALLOWED:
             self.core.defer(self.end, attempt, Outcome.NOT_STARTED)
@@ -177,9 +179,9 @@
 
     def _fixed_fields(self, pending: "PendingRequest") -> list[tuple[bytes, bytes]]:
         """The fields of a fetch that do not change while it waits."""
-        fields = [(b"c", pending.request.verb)]
-        if pending.request.unique:
-            fields.append((b"i", pending.request.unique))
+        fields = [(b"c", pending.request.profile_name)]
+        if pending.request.idempotency_key:
+            fields.append((b"i", pending.request.idempotency_key))
         if pending.grant_mb > 0 and self.agreement.honors_grants:
             fields.append((b"mem", b"%d" % ceil(pending.grant_mb)))
         if self.agreement.honors_priority:
@@ -188,7 +190,7 @@
 
     def _needs_confirmation(self, attempt: Attempt, outcome: Outcome) -> bool:
         """Whether a retry may follow this attempt."""
-        may_be_retried = outcome in (Outcome.CANCELLED, Outcome.RESET) and attempt.request.client
+        may_be_retried = outcome in (Outcome.CANCELLED, Outcome.RESET) and attempt.pending.client
         return bool(may_be_retried) and not attempt.pages
 
     def _cancel_with_confirmation(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -197,22 +199,22 @@
         tag = b"~%d" % self.last_confirmation
         attempt.outcome_once_confirmed = outcome
         connection.confirmations[tag] = attempt
-        self.core.pool.send_control(connection, engine_protocol.ABORT, attempt.request.request.txn)
+        self.core.pool.send_control(connection, engine_protocol.ABORT, attempt.pending.request.transaction_id)
         self.core.pool.send_control(connection, engine_protocol.ALIVE, tag)
 
     def _abort_without_confirmation(self, attempt: Attempt) -> None:
         connection = attempt.connection
-        txn = attempt.request.request.txn
+        transaction_id = attempt.pending.request.transaction_id
         if attempt.outcome_once_confirmed is None:  # else the abort has gone already
             self.core.pool.send_control(
-                connection, engine_protocol.DONE if attempt.pages else engine_protocol.ABORT, txn
+                connection, engine_protocol.DONE if attempt.pages else engine_protocol.ABORT, transaction_id
             )
-        connection.given_up.add(txn)
-        if len(connection.given_up) >= self.agreement.streams_per_connection:
+        connection.abandoned_ids.add(transaction_id)
+        if len(connection.abandoned_ids) >= self.agreement.streams_per_connection:
             connection.is_retired = True
 
     def _deadline_passed(self, attempt: Attempt) -> None:
-        if attempt.request.attempt is attempt:
+        if attempt.pending.attempt is attempt:
             self.stop(attempt, Outcome.TIMED_OUT)
 
     def _log_retry(self, pending: "PendingRequest") -> None:
@@ -220,19 +222,19 @@
             self.core.now,
             EventKind.RETRY,
             pending.last_outcome,
-            pending.request.txn,
+            pending.request.transaction_id,
             before="held",
             after="sent",
         )
         self.core.events.add(event)
 
-    def _log_given_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _log_abandoned(self, attempt: Attempt, outcome: Outcome) -> None:
         connection = attempt.connection
         event = LoggedEvent(
             self.core.now,
             EventKind.GIVEN_UP,
             OUTCOME_TEXTS[outcome],
-            attempt.request.request.txn,
+            attempt.pending.request.transaction_id,
             f"engine {connection.endpoint.address}" if connection else "",
             "streaming" if attempt.pages else "sent",
             "given up",
@@ -242,4 +244,4 @@
 
 def remaining_ms(now_us: int, deadline_us: int) -> bytes:
     """The field of a fetch that tells how long we will wait; for a deadline that is past: the least."""
-    return b"%d" % max(LEAST_DEADLINE_MS, ceil_to_ms(deadline_us - now_us))
+    return b"%d" % max(MIN_DEADLINE_MS, ceil_to_ms(deadline_us - now_us))
--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -11,8 +11,8 @@
 MAX_DEFERRED_BYTES = 32_768  # bytes of calls deferred in a pause: 32 of usual size
 DEFERRED_PART = 0.4  # of the time that its client waits, for which a call is deferred at most
 # s, least and most, until the next read after something was rejected at once
-LEAST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.4
+MIN_PAUSE_S = 0.05
+MAX_PAUSE_S = 0.4
 
 
 class DeferredCall(NamedTuple):
@@ -29,44 +29,44 @@
     once.
     """
 
-    __slots__ = ("calls", "is_stopped", "pause_s", "resume_at", "size_bytes")
+    __slots__ = ("calls", "is_stopped", "pause_s", "resume_at_s", "size_bytes")
 
     def __init__(self) -> None:
         self.calls: deque[DeferredCall] = deque()
         self.size_bytes = 0  # read in this pause
         self.pause_s = 0.0  # the last pause after a rejection
-        self.resume_at = 0.0  # when the pause is over, by the monotonic clock
+        self.resume_at_s = 0.0  # when the pause is over, by the monotonic clock
         self.is_stopped = False
 
     def stop(self) -> None:
         """The connection is to end: there are no pauses any more. From any thread."""
         self.is_stopped = True
 
-    def hold_off(self, seconds: float) -> None:
+    def pause_for(self, seconds: float) -> None:
         """Defer what is read for so long."""
-        self.resume_at = time.monotonic() + seconds
+        self.resume_at_s = time.monotonic() + seconds
 
-    def remaining_s(self) -> float:
+    def remaining_pause_s(self) -> float:
         """Until the pause is over; zero or less: there is none."""
-        return 0.0 if self.is_stopped else self.resume_at - time.monotonic()
+        return 0.0 if self.is_stopped else self.resume_at_s - time.monotonic()
 
-    def rejected(self) -> None:
+    def record_rejected(self) -> None:
         """Something was rejected at once.
 
         Guards all others against those who ask again at once: the pause grows while they do.
         """
-        if time.monotonic() >= self.resume_at:  # else what is deferred would wait longer and longer
-            self.pause_s = min(max(2 * self.pause_s, LEAST_PAUSE_S), LONGEST_PAUSE_S)
-            self.hold_off(self.pause_s)
+        if time.monotonic() >= self.resume_at_s:  # else what is deferred would wait longer and longer
+            self.pause_s = min(max(2 * self.pause_s, MIN_PAUSE_S), MAX_PAUSE_S)
+            self.pause_for(self.pause_s)
 
-    def nothing_rejected(self) -> None:
+    def record_accepted(self) -> None:
         """What was read last was taken: the next pause is shorter."""
-        if self.pause_s and time.monotonic() >= self.resume_at:
-            self.pause_s = self.pause_s / 2 if self.pause_s > LEAST_PAUSE_S else 0.0
+        if self.pause_s and time.monotonic() >= self.resume_at_s:
+            self.pause_s = self.pause_s / 2 if self.pause_s > MIN_PAUSE_S else 0.0
 
     def must_defer(self) -> bool:
         """Whether a call that was read now waits: there is a pause, or others wait from one."""
-        return len(self.calls) > 0 or self.remaining_s() > 0
+        return len(self.calls) > 0 or self.remaining_pause_s() > 0
 
     def is_full(self) -> bool:
         """Whether as much is deferred as a usual client has open."""
@@ -78,14 +78,14 @@
 
     def take_due(self, now_us: int) -> DeferredCall | None:
         """The oldest deferred call, if it need not, or must not, wait any longer; there must be one."""
-        if self.remaining_s() <= 0 or self.oldest_remaining_s(now_us) <= 0:
+        if self.remaining_pause_s() <= 0 or self.oldest_remaining_s(now_us) <= 0:
             return self.calls.popleft()
         return None
 
-    def take_back(self, seq: int) -> bool:
+    def remove_request(self, sequence_id: int) -> bool:
         """Remove the deferred request of this number; whether there was one."""
         for position, deferred in enumerate(self.calls):
-            if deferred.call.seq == seq and deferred.call.method == "execute":
+            if deferred.call.sequence_id == sequence_id and deferred.call.method == "execute":
                 del self.calls[position]
                 return True
         return False
@@ -96,7 +96,7 @@
         Guards against pauses, one behind the other, that outlast it.
         """
         call, received_at_us = self.calls[0]
-        fields = call.args.get((1, thrift.MAP))
+        fields = call.fields.get((1, thrift.MAP))
         limit_ms = fields.get(b"limit", b"") if isinstance(fields, dict) else b""
         limit_s = float(limit_ms) / 1000 if FIGURE.match(limit_ms) else 0.0
         return DEFERRED_PART * limit_s - (now_us - received_at_us) / 1e6
--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -4,15 +4,15 @@
 
 from gullhold.net.connection_ends import ProtocolError
 
-FIRST = 4096  # bytes: a page of memory, enough for most messages
+INITIAL_BYTES = 4096  # bytes: a page of memory, enough for most messages
 
 
 class Buffer:
-    """Bytes that came and were not yet used: data[start:end]. most: bytes of the largest message."""
+    """Bytes that came and were not yet used: data[start:end]. max_bytes: bytes of the largest message."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.data = bytearray(FIRST)
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.data = bytearray(INITIAL_BYTES)
         self.start = 0
         self.end = 0
 
@@ -33,37 +33,37 @@
         self.data[self.end : self.end + len(data)] = data
         self.end += len(data)
 
-    def peek(self, size: int, at: int = 0) -> bytes | None:
+    def peek(self, size: int, offset: int = 0) -> bytes | None:
         """The next bytes from an offset on, if all are there."""
-        first = self.start + at
+        first = self.start + offset
         return bytes(self.data[first : first + size]) if first + size <= self.end else None
 
-    def find(self, mark: bytes, at: int = 0) -> int:
+    def find(self, mark: bytes, offset: int = 0) -> int:
         """The offset of a mark, or -1."""
-        found = self.data.find(mark, self.start + at, self.end)
+        found = self.data.find(mark, self.start + offset, self.end)
         return found - self.start if found >= 0 else -1
 
-    def drop(self, size: int) -> None:
+    def consume(self, size: int) -> None:
         """These bytes are used."""
         self.start += size
         if self.start < self.end:
             return
         self.start = 0
         self.end = 0
-        if len(self.data) > FIRST:
-            self.data = bytearray(FIRST)
+        if len(self.data) > INITIAL_BYTES:
+            self.data = bytearray(INITIAL_BYTES)
 
     def _make_room(self, size: int) -> None:
         if self.end + size <= len(self.data):
             return
         used = len(self)
-        if used + size > self.most:
-            raise ProtocolError(f"a message of over {self.most} bytes")
+        if used + size > self.max_bytes:
+            raise ProtocolError(f"a message of over {self.max_bytes} bytes")
         if self.start:
             self.data[:used] = self.data[self.start : self.end]
             self.start = 0
             self.end = used
-        if used + max(size, FIRST) > len(self.data):
+        if used + max(size, INITIAL_BYTES) > len(self.data):
             wanted = max(len(self.data), size)
-            growth = min(wanted, max(self.most - len(self.data), size))
+            growth = min(wanted, max(self.max_bytes - len(self.data), size))
             self.data.extend(bytes(growth))
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -19,7 +19,7 @@
 class ClientCalls:
     """Takes the calls of one connection, in its reader's thread."""
 
-    __slots__ = ("_client", "backpressure", "core", "counters", "last_seq", "reader", "rejections")
+    __slots__ = ("_client", "backpressure", "core", "counters", "last_sequence_id", "reader", "rejections")
 
     def __init__(self, client: "ClientConnection", reader: RequestReader) -> None:
         # Weak: guards against a cycle of references, which kept each connection that had ended, and its
@@ -29,7 +29,7 @@
         self.counters = client.core.counters
         self.backpressure = client.backpressure
         self.reader = reader
-        self.last_seq = 0
+        self.last_sequence_id = 0
         self.rejections: list[bytes] = []  # answers to what was read just now and is rejected at once
 
     @property
@@ -37,16 +37,16 @@
         """The connection: it owns this object, and lives while one of its calls is taken."""
         return cast("ClientConnection", self._client())
 
-    def received(self, call: thrift.Message, received_at_us: int) -> None:
+    def handle(self, call: thrift.Message, received_at_us: int) -> None:
         """A call was read: taken now, or after the pause; what takes another back is never put off."""
         if call.method == "interrupt":
-            self._interrupt(call.args.get(FIRST_NUMBER))
+            self._interrupt(call.fields.get(FIRST_NUMBER))
         elif not self.backpressure.must_defer():
             self._take(call, received_at_us)
         elif call.method == "execute" and self.backpressure.is_full():
             self.counters.add("taken")
             self.counters.add("turned away in a pause")
-            self.rejections.append(thrift.encode_shed(call.seq, {}))
+            self.rejections.append(thrift.encode_shed(call.sequence_id, {}))
         else:
             self.backpressure.defer(call, received_at_us)
 
@@ -68,65 +68,69 @@
         """The connection is read no more: each request that is deferred is shed."""
         for deferred in self.backpressure.calls:
             if deferred.call.method == "execute":
-                self.rejections.append(thrift.encode_shed(deferred.call.seq, {}))
+                self.rejections.append(thrift.encode_shed(deferred.call.sequence_id, {}))
 
-    def _interrupt(self, seq: int) -> None:
+    def _interrupt(self, sequence_id: int) -> None:
         client = self.client
-        if self.backpressure.take_back(seq):
+        if self.backpressure.remove_request(sequence_id):
             self.counters.add("taken")
             self.counters.add("interrupted")
             return
-        if client.unseen.pop(seq, None) is not None:
+        if client.undelivered.pop(sequence_id, None) is not None:
             return  # the core passes it over when it comes to it
-        client.interrupted.add(seq)  # no longer open, though the core has yet to settle it
-        if seq in client.open:
-            self.core.post_urgent(self.core.interrupt, client, seq)
+        client.interrupted.add(sequence_id)  # no longer open, though the core has yet to settle it
+        if sequence_id in client.open:
+            self.core.post_urgent(self.core.interrupt, client, sequence_id)
         else:  # answered before, or never asked
-            client.interrupted.discard(seq)
+            client.interrupted.discard(sequence_id)
 
     def _take(self, call: thrift.Message, received_at_us: int) -> None:
-        if call.kind != thrift.CALL:
+        if call.message_type != thrift.CALL:
             return
         if call.method == "execute":
             self._execute(call, received_at_us)
         elif call.method == "check":
-            self.core.post(self.core.check, self.client, call.seq)
+            self.core.post(self.core.check, self.client, call.sequence_id)
         else:
             self.counters.add("calls unknown")
             text = "unknown method"
             self.client.put(
-                thrift.encode_application_exception(call.method, call.seq, thrift.UNKNOWN_METHOD, text)
+                thrift.encode_application_exception(
+                    call.method, call.sequence_id, thrift.UNKNOWN_METHOD, text
+                )
             )
 
     def _execute(self, call: thrift.Message, received_at_us: int) -> None:
         """What can't be used is answered here and never reaches the core."""
-        seq = call.seq
-        if seq <= self.last_seq:
-            raise ProtocolError(f"request {seq} after {self.last_seq}")
-        self.last_seq = seq
+        sequence_id = call.sequence_id
+        if sequence_id <= self.last_sequence_id:
+            raise ProtocolError(f"request {sequence_id} after {self.last_sequence_id}")
+        self.last_sequence_id = sequence_id
         self.counters.add("taken")
         if self.core.is_rejecting:  # at the end: nothing goes on from here, so this costs the core nothing
-            self.rejections.append(thrift.encode_shed(seq, {}))
+            self.rejections.append(thrift.encode_shed(sequence_id, {}))
             return
         if self.client.open_count() >= MAX_OPEN_REQUESTS:
             self.counters.add("over 32 open on a connection")
-            self.client.put(thrift.encode_shed(seq, {}))
+            self.client.put(thrift.encode_shed(sequence_id, {}))
             return
-        fields = call.args.get(FIRST_MAP)
-        body = call.args.get(SECOND_STRING)
-        if fields is None or body is None:
+        fields = call.fields.get(FIRST_MAP)
+        statement = call.fields.get(SECOND_STRING)
+        if fields is None or statement is None:
             self.counters.add("unusable")
             self.client.put(
-                thrift.encode_application_exception("execute", seq, thrift.PROTOCOL_ERROR, "missing argument")
+                thrift.encode_application_exception(
+                    "execute", sequence_id, thrift.PROTOCOL_ERROR, "missing argument"
+                )
             )
             return
-        if self._is_rejected_early(seq, fields, received_at_us):
+        if self._is_rejected_early(sequence_id, fields, received_at_us):
             return
-        request = self._read(seq, fields, body)
+        request = self._read(sequence_id, fields, statement)
         if request:
-            self._hand_to_core(seq, request, received_at_us)
+            self._hand_to_core(sequence_id, request, received_at_us)
 
-    def _is_rejected_early(self, seq: int, fields: dict, received_at_us: int) -> bool:
+    def _is_rejected_early(self, sequence_id: int, fields: dict, received_at_us: int) -> bool:
         """Whether the admission queue would reject it with no more than is known here."""
         queue = self.core.admission_queue
         if not queue or not queue.known_rejections:
@@ -137,25 +141,25 @@
         if not shed_fields:
             return False
         self.counters.add("turned away at the door, unasked")
-        self.rejections.append(thrift.encode_shed(seq, *shed_fields))
+        self.rejections.append(thrift.encode_shed(sequence_id, *shed_fields))
         return True
 
-    def _read(self, seq: int, fields: dict, body: bytes) -> Request | None:
+    def _read(self, sequence_id: int, fields: dict, statement: bytes) -> Request | None:
         """The request; None where it can't be used, which its client hears."""
         try:
-            return self.reader.request(fields, body, *self.client.peer)
+            return self.reader.request(fields, statement, *self.client.peer)
         except RequestError as error:
             self.counters.add("unusable")
-            self.client.put(thrift.encode_fault(seq, str(error)))
+            self.client.put(thrift.encode_fault(sequence_id, str(error)))
             # Guards against those who ask the same again at once.
-            self.backpressure.hold_off(self.core.agreement.connect_timeout_us / 1e6)
+            self.backpressure.pause_for(self.core.agreement.connect_timeout_us / 1e6)
             return None
 
-    def _hand_to_core(self, seq: int, request: Request, received_at_us: int) -> None:
-        if not self.core.statement_memory.reserve(len(request.body)):
+    def _hand_to_core(self, sequence_id: int, request: Request, received_at_us: int) -> None:
+        if not self.core.statement_memory.reserve(len(request.statement)):
             self.counters.add("no memory for a statement")
-            self.rejections.append(thrift.encode_shed(seq, {}))
+            self.rejections.append(thrift.encode_shed(sequence_id, {}))
             return
         self.client.handed_over_count += 1
-        self.client.unseen[seq] = True
-        self.core.post(self.core.execute, self.client, seq, request, received_at_us)
+        self.client.undelivered[sequence_id] = True
+        self.core.post(self.core.execute, self.client, sequence_id, request, received_at_us)
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -19,24 +19,24 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-CLOSED_PAUSE_S = 0.5  # s between reads of a connection that waits for answers, once nothing is taken
-MAX_CLOSING_READ_BYTES = (
-    65_536  # bytes of a connection that are read at once at the end: 32 requests of usual size
+CLOSING_PAUSE_S = (
+    0.5  # between reads of a connection that waits for answers, once nothing is accepted any more
 )
-FULL_POLL_S = 0.05  # s between reads in a pause once much is deferred: half of what a leaving may take
-SAY_S = 2.0  # s in which a connection says something whole; the page wants an end within 3 s
-IDLE_S = 5.0  # s without a request; usual clients close their own after 4 s
-LOOK_US = 500_000  # us between looks at these two
-PAUSE_MARGIN_US = 1000  # us that a read waits beyond the end of a pause, so that it is over then
-CROSS_S = 0.1  # s in which what was sent has come: twice the page's time for crossings
-DISMISS_S = 0.01  # s between looks at one that is dismissed: the page's time for crossings is 50 ms
+MAX_CLOSING_READ_BYTES = 65_536  # read at once during the shutdown: 32 requests of usual size
+FULL_POLL_INTERVAL_S = 0.05  # between reads in a pause once much is deferred: half of the time to see a leave
+MESSAGE_TIMEOUT_S = 2.0  # in which a peer completes a message; the protocol wants an end within 3 s
+IDLE_TIMEOUT_S = 5.0  # without a request; usual clients close their own connection after 4 s
+MAX_READ_WAIT_US = 500_000  # between checks of the two timeouts above
+PAUSE_MARGIN_US = 1000  # that a read waits beyond the end of a pause, so that the pause is over then
+CROSSING_TIME_S = 0.1  # in which what was sent has arrived: twice the protocol's time for crossing messages
+POLL_INTERVAL_S = 0.01  # between checks of a dismissed connection: the protocol's crossing time is 50 ms
 UNKNOWN_PEER = PeerAddress("", "")  # of a connection that has no address
 
 
 class ClientConnection:
     """One connection of a client. Its reader thread feeds the core, which answers through its write buffer.
 
-    peer, open, unseen, interrupted, settled_count, has_left and write_buffer are as in
+    peer, open, undelivered, interrupted, settled_count, has_left and write_buffer are as in
     pending_requests.Client; of the others the core touches end_requested and is_busy().
     """
 
@@ -45,18 +45,18 @@
         sock: socket.socket,
         core: "Core",
         reader: RequestReader,
-        most: int,
+        max_message_bytes: int,
         peer: PeerAddress = UNKNOWN_PEER,
     ) -> None:
         self.connection = Connection(sock)
         self.core = core
         self.peer = peer
-        self.decoder = thrift.Decoder(most)
+        self.decoder = thrift.Decoder(max_message_bytes)
         self.write_buffer = WriteBuffer(
-            MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + most), core.counters, core.flusher
+            MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + max_message_bytes), core.counters, core.flusher
         )
         self.open: dict[int, PendingRequest] = {}  # by sequence number
-        self.unseen: dict[int, bool] = {}  # sequence numbers that the core has yet to see
+        self.undelivered: dict[int, bool] = {}  # sequence ids posted to the core that it has yet to process
         self.interrupted: set[int] = set()  # those of open requests whose interrupts wait for the core
         self.handed_over_count = 0  # requests that were handed to the core
         self.settled_count = 0  # those of them that are answered, or taken back
@@ -64,19 +64,19 @@
         self.has_left = False  # it closed, or its connection broke: it waits for nothing any more
         self.is_dismissed = False  # to end when nothing is open
         self.end_requested = False  # the core was asked to end it for idleness
-        self.end_by_us: tuple[ConnectionEnd, str] | None = None
+        self.local_end: tuple[ConnectionEnd, str] | None = None
         self.backpressure = Backpressure()
         self.calls = ClientCalls(self, reader)
         self.idle_timer = IdleTimer()
-        self.read_timeout_us = LOOK_US
+        self.read_timeout_us = MAX_READ_WAIT_US
         set_no_delay(sock)
-        set_read_timeout(sock, LOOK_US)
+        set_read_timeout(sock, MAX_READ_WAIT_US)
         self.write_buffer.attach(self.connection)
 
     @property
-    def quiet_at(self) -> float:
+    def last_active_at(self) -> float:
         """When something last came or was open, by the monotonic clock."""
-        return self.idle_timer.quiet_at
+        return self.idle_timer.last_active_at
 
     def put(self, message: bytes) -> None:
         """Send it whole frames; where that can't be, the connection ends.
@@ -86,13 +86,13 @@
         """
         is_crowding = self.write_buffer.size > MAX_RESULT_BYTES and self.core.statement_memory.is_crowded()
         is_sent = not is_crowding and self.write_buffer.put(message) >= 0
-        if not is_sent and (self.write_buffer.dead or not self.write_buffer.finishing):
+        if not is_sent and (self.write_buffer.is_dead or not self.write_buffer.is_finishing):
             self.core.counters.add("answers that could not go")
-            self.end(ConnectionEnd.RESET if self.write_buffer.dead else ConnectionEnd.BACKED_UP, "")
+            self.end(ConnectionEnd.RESET if self.write_buffer.is_dead else ConnectionEnd.BACKED_UP, "")
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """End it from our side, now; the reader wakes and reports."""
-        self.end_by_us = self.end_by_us or (end, text)
+        self.local_end = self.local_end or (end, text)
         self.is_ending = True
         self.write_buffer.finish(now=True)
 
@@ -120,8 +120,8 @@
 
     def report_end(self, end: ConnectionEnd, text: str) -> None:
         """From the reader: tell the core that the connection is read no more."""
-        if self.end_by_us:
-            end, text = self.end_by_us
+        if self.local_end:
+            end, text = self.local_end
         self.is_ending = True
         if end in connection_ends.CLIENT_STILL_WAITS:  # behind its own requests: each gets its answer
             self.calls.reject_deferred()
@@ -143,10 +143,10 @@
         try:
             end = self._read()
             if self.write_buffer.error:  # a write broke it, and the reader was only woken
-                end, text = connection_ends.caught(self.write_buffer.error)
+                end, text = connection_ends.classify_exception(self.write_buffer.error)
         # A fault of ours ends this connection, not the program.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
-            end, text = connection_ends.caught(error)
+            end, text = connection_ends.classify_exception(error)
         self.report_end(end, text)
         self._linger()
 
@@ -156,33 +156,33 @@
         Guards answers on their way against the reset that a close over unread bytes sends. What is read here
         came after our end was said, so a client sends it again elsewhere: it is never taken.
         """
-        end_at = time.monotonic() + SAY_S  # for what is still to go out
+        end_at = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to go out
         is_end_awaited = False
         with suppress(OSError):
-            set_read_timeout(self.connection.sock, int(DISMISS_S * 1e6))
-            while time.monotonic() < end_at and not self.write_buffer.dead:
+            set_read_timeout(self.connection.sock, int(POLL_INTERVAL_S * 1e6))
+            while time.monotonic() < end_at and not self.write_buffer.is_dead:
                 if self.write_buffer.is_end_sent and not is_end_awaited:
                     is_end_awaited = True
-                    end_at = min(end_at, time.monotonic() + CROSS_S)
-                if self._has_other_side_closed():
+                    end_at = min(end_at, time.monotonic() + CROSSING_TIME_S)
+                if self._has_peer_closed():
                     break
         self.write_buffer.finish(now=True)
 
-    def _has_other_side_closed(self) -> bool:
+    def _has_peer_closed(self) -> bool:
         try:
             has_more = len(self.connection.sock.recv(MAX_CLOSING_READ_BYTES)) > 0
         except BlockingIOError:
             return False
         if not has_more and self.write_buffer.is_end_sent and not self.is_dismissed:
             return True
-        time.sleep(DISMISS_S)  # one that goes on writing must not keep the others waiting
+        time.sleep(POLL_INTERVAL_S)  # one that goes on writing must not keep the others waiting
         return False
 
     def _read(self) -> ConnectionEnd:
         while True:
             has_more = self._receive()
             received_at_us = self.core.clock()
-            if self.write_buffer.finishing:
+            if self.write_buffer.is_finishing:
                 return ConnectionEnd.IDLE
             if not has_more and not self.is_dismissed:
                 return ConnectionEnd.CLOSED
@@ -191,7 +191,7 @@
             self.calls.take_deferred()
             for call in self.decoder.calls():
                 self.idle_timer.call_received()
-                self.calls.received(call, received_at_us)
+                self.calls.handle(call, received_at_us)
             self._answer_rejected()
             self._check_idle()
 
@@ -201,22 +201,22 @@
             self._end_soon()
         elif not self.is_busy():
             self._request_end()
-        time.sleep(DISMISS_S)  # something came just then: more of it may come
+        time.sleep(POLL_INTERVAL_S)  # something came just then: more of it may come
 
     def _answer_rejected(self) -> None:
         if not self.write_rejections():
-            self.backpressure.nothing_rejected()
+            self.backpressure.record_accepted()
         elif self.core.is_rejecting:
             self._end_soon()
         else:
-            self.backpressure.rejected()
+            self.backpressure.record_rejected()
 
     def _check_idle(self) -> None:
         """Guards against those who connect and say nothing, never come to an end, or take all back."""
         is_cut = len(self.decoder.buffer) > 0
         is_busy = self.is_busy()
-        was_answered = self.write_buffer.queued > 0
-        limit_s = IDLE_S if was_answered and not is_cut else SAY_S
+        was_answered = self.write_buffer.end_offset > 0
+        limit_s = IDLE_TIMEOUT_S if was_answered and not is_cut else MESSAGE_TIMEOUT_S
         if self.idle_timer.idle_s(is_cut, is_busy, was_answered) <= limit_s:
             return
         if is_cut:
@@ -232,12 +232,12 @@
         is read slowly, so that a client that asks without end is held back by its own connection; that it has
         left is seen at once all the same.
         """
-        pause_s = self.backpressure.remaining_s()
+        pause_s = self.backpressure.remaining_pause_s()
         is_pausing = pause_s > 0
         is_full = is_pausing and self.backpressure.is_full()
         if not is_pausing:
             self.backpressure.size_bytes = 0
-        elif is_full and self.connection.left(min(pause_s, FULL_POLL_S)):
+        elif is_full and self.connection.has_peer_closed(min(pause_s, FULL_POLL_INTERVAL_S)):
             return False  # whatever it asked before: guards against sends for one that has left
         self._set_read_timeout(self._read_wait_us(pause_s))
         try:
@@ -253,11 +253,11 @@
     def _read_wait_us(self, pause_s: float) -> int:
         """For how long the next read may wait."""
         if pause_s <= 0:
-            return int(DISMISS_S * 1e6) if self.end_requested else LOOK_US
+            return int(POLL_INTERVAL_S * 1e6) if self.end_requested else MAX_READ_WAIT_US
         if self.backpressure.calls:
             oldest_s = self.backpressure.oldest_remaining_s(self.core.clock())
-            pause_s = min(pause_s, max(oldest_s, DISMISS_S))
-        return int(min(pause_s * 1e6 + PAUSE_MARGIN_US, LOOK_US))
+            pause_s = min(pause_s, max(oldest_s, POLL_INTERVAL_S))
+        return int(min(pause_s * 1e6 + PAUSE_MARGIN_US, MAX_READ_WAIT_US))
 
     def _set_read_timeout(self, wait_us: int) -> None:
         if wait_us != self.read_timeout_us:
@@ -267,7 +267,7 @@
     def _receive_rest(self) -> None:
         """At the end, all that has come, before it is answered: what comes later crosses the end."""
         buffer = self.decoder.buffer
-        while len(buffer) < MAX_CLOSING_READ_BYTES and self.connection.readable():
+        while len(buffer) < MAX_CLOSING_READ_BYTES and self.connection.is_readable():
             if not buffer.receive(self.connection.sock):
                 return
 
@@ -278,7 +278,7 @@
         last of them.
         """
         if self.is_busy():
-            self.backpressure.hold_off(CLOSED_PAUSE_S)
+            self.backpressure.pause_for(CLOSING_PAUSE_S)
         else:
             self.write_buffer.finish()
 
--- a/gullhold/net/connection.py
+++ b/gullhold/net/connection.py
@@ -21,17 +21,17 @@
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.lock = Lock()
-        self.closed = False
+        self.is_closed = False
 
     def fileno(self) -> int:
         """Its descriptor's number for a wait, or -1; by the time it is used it may be another's."""
         with self.lock:
-            return -1 if self.closed else self.sock.fileno()
+            return -1 if self.is_closed else self.sock.fileno()
 
     def send(self, data: bytes | memoryview) -> int:
         """Hand bytes to the system without waiting; how many it took. OSError where the connection ended."""
         with self.lock:
-            if self.closed:
+            if self.is_closed:
                 raise BrokenPipeError("the connection is closed")
             try:
                 return self.sock.send(data, socket.MSG_DONTWAIT)
@@ -43,19 +43,19 @@
     def shutdown(self, sides: int = socket.SHUT_RDWR) -> None:
         """End one side or both; a reader that waits comes back. Nothing where it has ended already."""
         with self.lock, suppress(OSError):
-            if not self.closed:
+            if not self.is_closed:
                 self.sock.shutdown(sides)
 
-    def readable(self) -> bool:
+    def is_readable(self) -> bool:
         """Whether something is there to be read, or the end."""
         with self.lock:
-            if self.closed:
+            if self.is_closed:
                 return False
             poll = select.poll()
             poll.register(self.sock, select.POLLIN)
             return bool(poll.poll(0))
 
-    def left(self, wait_s: float) -> bool:
+    def has_peer_closed(self, wait_s: float) -> bool:
         """From the reader: whether the other side has ended, or does so in this time, unread bytes or not."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
@@ -64,6 +64,6 @@
     def close(self) -> None:
         """From the reader alone: give the descriptor back; a second call does nothing."""
         with self.lock:
-            if not self.closed:
-                self.closed = True
+            if not self.is_closed:
+                self.is_closed = True
                 self.sock.close()
--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -63,17 +63,17 @@
     return Outcome.RESET if is_written else Outcome.CONNECT_FAILED
 
 
-def caught(error: Exception, connecting: bool = False) -> tuple[ConnectionEnd, str]:
+def classify_exception(error: Exception, connecting: bool = False) -> tuple[ConnectionEnd, str]:
     """The end and its text for what a reader caught; all that no protocol or system explains is our fault."""
     if isinstance(error, ProtocolError):
         return ConnectionEnd.MALFORMED, str(error)
     if isinstance(error, OSError):
-        return of_error(error, connecting), str(error)
+        return classify_os_error(error, connecting), str(error)
     logger.opt(exception=error).error("a reader failed")
     return ConnectionEnd.FAULT, ""
 
 
-def of_error(error: OSError, connecting: bool = False) -> ConnectionEnd:
+def classify_os_error(error: OSError, connecting: bool = False) -> ConnectionEnd:
     """The end that an operating system's error stands for."""
     if isinstance(error, ConnectionRefusedError):
         return ConnectionEnd.REFUSED
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -63,9 +63,8 @@
     Whoever drives a core without threads overrides clock() and connect, and calls begin() and turn().
     """
 
-    connect = (
-        EngineConnection  # a class: of (endpoint, core, most bytes of a message, and of its buffer, now)
-    )
+    # Makes a connection of (endpoint, core, max_message_bytes, max_buffered_bytes, now).
+    connect = EngineConnection
 
     def __init__(
         self,
@@ -129,35 +128,35 @@
 
     def after_event(self) -> None:
         """What an event makes room for leaves the admission queue, and makes more or less room in turn."""
-        while self.admission.hand_over():
+        while self.admission.forward_ready():
             self.run_deferred()
 
     def list_changed(
-        self, entries: list[EngineEntry], addresses: dict[int, str], whole: bool, events: int = 1
+        self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, events: int = 1
     ) -> None:
         """From the discovery thread: the endpoint list changed, by so many watch events."""
-        self.post_urgent(self.endpoint_list.apply, entries, addresses, whole, events)
+        self.post_urgent(self.endpoint_list.apply, entries, addresses, is_complete, events)
 
     # Clients
 
-    def execute(self, client: Client, seq: int, request: Request, at: int) -> None:
+    def execute(self, client: Client, sequence_id: int, request: Request, received_at_us: int) -> None:
         """A client asks for a command, which was read at this time (us)."""
-        self.requests.execute(client, seq, request, at)
+        self.requests.execute(client, sequence_id, request, received_at_us)
 
-    def interrupt(self, client: Client, seq: int) -> None:
+    def interrupt(self, client: Client, sequence_id: int) -> None:
         """A client stops waiting."""
-        self.requests.interrupt(client, seq)
+        self.requests.interrupt(client, sequence_id)
 
     def client_ended(self, client: Client, end: ConnectionEnd, text: str) -> None:
         """A client's connection is read no more."""
         self.requests.client_ended(client, end, text)
 
-    def check(self, client: Client, seq: int) -> None:
+    def check(self, client: Client, sequence_id: int) -> None:
         """Whether we serve is asked: this answer comes from the thread that does."""
         is_serving = self.endpoint_list.is_known and not self.shutdown_began_at
         if is_serving and self.gate:
             is_serving = not self.gate.rejects_new()
-        client.put(thrift.encode_answer("check", seq, good=is_serving))
+        client.put(thrift.encode_answer("check", sequence_id, good=is_serving))
 
     def close_if_idle(self, client: "ClientConnection") -> None:
         """A connection is idle: it ends, unless something came meanwhile."""
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -81,7 +81,7 @@
         if attempt and attempt.connection and is_priority_changed and self.core.agreement.honors_priority:
             priority = b"%d" % terms.priority
             self.core.pool.send_control(
-                attempt.connection, engine_protocol.RENICE, pending.request.txn, priority
+                attempt.connection, engine_protocol.RENICE, pending.request.transaction_id, priority
             )
         pending.grant_mb = terms.grant_mb
         pending.priority = terms.priority
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -20,9 +20,8 @@
 if TYPE_CHECKING:  # the core imports this module
     from gullhold.net.core import Core
 
-FIRST_EVENT_TIMEOUT_US = (
-    100_000  # twice the protocol's time for messages that cross: later, there are no news
-)
+# Twice the protocol's time for messages that cross: a service that has new events sends one by then.
+FIRST_EVENT_TIMEOUT_US = 100_000
 BATCH_INTERVAL_S = 0.01  # events are gathered for so long while they follow each other as closely
 FAILURE_DELAY_S = 0.1  # until the stream is followed again after a fault of ours
 SILENCE_LIMIT_US = 2_000_000  # two of the bare indexes, which by the protocol come once a second
@@ -78,7 +77,7 @@
         try:
             connection = self._connection
             # In this order: the bytes are in the socket, and after that in this object.
-            return bool(connection and connection.readable()) or self._is_receiving
+            return bool(connection and connection.is_readable()) or self._is_receiving
         except (OSError, ValueError):  # the connection ends just now
             return False
 
@@ -122,7 +121,7 @@
         except TimeoutError:
             return ConnectionEnd.SILENT, ""
         except Exception as error:  # noqa: BLE001  the old list holds, and the stream is followed anew
-            return connection_ends.caught(error, connecting=True)
+            return connection_ends.classify_exception(error, connecting=True)
 
     def _follow(self, address: tuple[str, int], connect_timeout_s: float) -> ConnectionEnd:
         sock = socket.create_connection(address, timeout=connect_timeout_s or None)
--- a/gullhold/net/endpoint_list.py
+++ b/gullhold/net/endpoint_list.py
@@ -24,7 +24,7 @@
     ) -> None:
         """The list changed, by so many watch events. is_complete: engines that are not in it are removed."""
         self._update_addresses(addresses)
-        entries = self.start_times.corrected(self.core.now, entries, self.is_known)
+        entries = self.start_times.correct(self.core.now, entries, self.is_known)
         self.core.counters.add("list changes", events)
         states = {entry.id: entry.state for entry in entries}
         changed = list(self.endpoints) if is_complete else states  # the work follows what changed
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -16,9 +16,9 @@
     from gullhold.net.core import Core
     from gullhold.net.pending_requests import PendingRequest
 
-RETRY_S = 0.02  # s between tries to connect where this machine is short of something
+CONNECT_RETRY_INTERVAL_S = 0.02  # s between tries to connect where this machine is short of something
 # Also tried again: a route that is gone for a moment. ip(7), connect(2).
-RETRIED_ERRORS = connection_ends.SHORT_HERE | {errno.ENETUNREACH}
+RETRIED_ERRNOS = connection_ends.SHORT_HERE | {errno.ENETUNREACH}
 
 
 class ResourceUse(NamedTuple):
@@ -58,14 +58,14 @@
         "outcome_once_confirmed",
         "page_count",
         "pages",
-        "request",
+        "pending",
         "resources",
         "result_bytes",
         "sent_at",
     )
 
-    def __init__(self, request: "PendingRequest", number: int, now: int) -> None:
-        self.request = request
+    def __init__(self, pending: "PendingRequest", number: int, now: int) -> None:
+        self.pending = pending
         self.number = number
         self.sent_at = now
         self.last_reply_at = now
@@ -105,14 +105,14 @@
         self.decoder = resp.Decoder(max_message_bytes)
         self.write_buffer = WriteBuffer(max_buffered_bytes, core.counters, core.flusher)
         self.open: dict[bytes, Attempt] = {}  # by the id of the command
-        self.given_up: set[bytes] = set()  # ids to which a late answer may come
+        self.abandoned_ids: set[bytes] = set()  # ids to which a late answer may come
         self.confirmations: dict[bytes, Attempt] = {}  # by tag: those that are awaited
         self.is_ended = False
         self.is_retired = False  # takes no further attempt
         self.last_reply_at = now
         self.used_at = now
         self.probed_at = 0  # when it was asked for a sign of life that has not come; 0: it was not
-        self.end_by_us: ConnectionEnd | None = None
+        self.local_end: ConnectionEnd | None = None
         self.connection: Connection | None = None  # once it is up
         self.address = host_port(endpoint.address)
 
@@ -120,25 +120,25 @@
         """Connect and read, in a thread of its own. RuntimeError where there is no thread to be had."""
         Thread(target=self._run, daemon=True, name="link").start()
 
-    def accepts(self, txn: bytes, max_streams: int) -> bool:
+    def accepts(self, transaction_id: bytes, max_streams: int) -> bool:
         """Whether an attempt of this id may go out here: a late answer to an earlier one must not meet it."""
-        if self.is_ended or self.is_retired or self.write_buffer.dead:
+        if self.is_ended or self.is_retired or self.write_buffer.is_dead:
             return False
         if self.probed_at:  # it fell silent
             return False
-        return len(self.open) < max_streams and txn not in self.given_up
+        return len(self.open) < max_streams and transaction_id not in self.abandoned_ids
 
-    def shut(self, end: ConnectionEnd) -> None:
+    def begin_close(self, end: ConnectionEnd) -> None:
         """End it from our side; the reader wakes and reports."""
         self.is_retired = True
-        self.end_by_us = self.end_by_us or end
+        self.local_end = self.local_end or end
         if self.connection is not None:
             self.connection.shutdown()
 
     def connected(self, connection: Connection) -> bool:
         """From the reader: the connection is up; False where it was ended meanwhile."""
         self.connection = connection
-        if self.end_by_us:
+        if self.local_end:
             return False
         # The core looks once more at what waits here, and lets it go out.
         self.core.post_urgent(self.core.pool.connection_up, self)
@@ -151,15 +151,15 @@
             arrays.extend(self.decoder.arrays())
         finally:  # what was complete before bytes that make no sense holds
             if arrays:
-                self.core.post(self.core.replies.received, self, arrays)
+                self.core.post(self.core.replies.handle, self, arrays)
 
     def reader_ended(self, end: ConnectionEnd, text: str, connection: Connection | None) -> None:
         """From the reader, last: give the descriptor back and report."""
         self.write_buffer.finish(now=True)
         if connection is not None:
             connection.close()
-        self.core.pool.holding.discard(self)
-        self.core.post(self.core.pool.connection_ended, self, self.end_by_us or end, text)
+        self.core.pool.holding_descriptor.discard(self)
+        self.core.post(self.core.pool.connection_ended, self, self.local_end or end, text)
 
     def _run(self) -> None:
         end = ConnectionEnd.FAULT
@@ -169,16 +169,16 @@
             try:
                 connection = Connection(self._connect_in_time())
             except OSError as error:
-                end, text = connection_ends.caught(error, connecting=True)
+                end, text = connection_ends.classify_exception(error, connecting=True)
                 return
             if not self.connected(connection):
                 return
             end = self._read(connection.sock)
             if self.write_buffer.error:  # a write broke it, and the reader was only woken
-                end, text = connection_ends.caught(self.write_buffer.error)
+                end, text = connection_ends.classify_exception(self.write_buffer.error)
         # A fault of ours ends this connection, not the program.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
-            end, text = connection_ends.caught(error)
+            end, text = connection_ends.classify_exception(error)
         finally:
             self.reader_ended(end, text, connection)
 
@@ -190,15 +190,15 @@
         wait_s = self.core.agreement.connect_timeout_us / 1e6
         end_at = time.monotonic() + (wait_s or self.core.limits.sweep_interval_us / 1e6)
         while True:
-            left_s = max(end_at - time.monotonic(), RETRY_S) if wait_s else 0
+            left_s = max(end_at - time.monotonic(), CONNECT_RETRY_INTERVAL_S) if wait_s else 0
             try:
                 return self._connect(left_s)
             except OSError as error:
-                is_last = time.monotonic() + RETRY_S >= end_at
-                if error.errno not in RETRIED_ERRORS or self.end_by_us or is_last:
+                is_last = time.monotonic() + CONNECT_RETRY_INTERVAL_S >= end_at
+                if error.errno not in RETRIED_ERRNOS or self.local_end or is_last:
                     raise
             self.core.counters.add("connects tried again")
-            time.sleep(RETRY_S)
+            time.sleep(CONNECT_RETRY_INTERVAL_S)
 
     def _connect(self, wait_s: float) -> socket.socket:
         """One try, for so many seconds at most (0: no limit)."""
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-LEAST_SWEEP_US = 100_000  # us between looks, at the least
+MIN_SWEEP_INTERVAL_US = 100_000  # us between looks, at the least
 
 
 class ConnectionLimits(NamedTuple):
@@ -25,7 +25,7 @@
     @classmethod
     def from_agreement(cls, agreement: Agreement) -> "ConnectionLimits":
         """The limits that follow from a deployment's settings."""
-        sweep_interval_us = max(agreement.connect_timeout_us, LEAST_SWEEP_US)
+        sweep_interval_us = max(agreement.connect_timeout_us, MIN_SWEEP_INTERVAL_US)
         note_interval_us = agreement.status_interval_us
         silent_after_us = note_interval_us + sweep_interval_us
         return cls(
@@ -56,9 +56,9 @@
             if connection.open:
                 self._check_silence(connection)
             elif connection.is_retired or connection.endpoint.state != EngineState.READY:
-                connection.shut(ConnectionEnd.RETIRED)
+                connection.begin_close(ConnectionEnd.RETIRED)
             elif self.core.pool.is_idle(connection):
-                connection.shut(ConnectionEnd.IDLE)
+                connection.begin_close(ConnectionEnd.IDLE)
 
     def _check_silence(self, connection: EngineConnection) -> None:
         now = self.core.now
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -30,9 +30,9 @@
         self.max_connections = max_connections
         self.endpoints: dict[int, EngineEndpoint] = {}
         self.connections: set[EngineConnection] = set()
-        self.holding: set[EngineConnection] = set()
+        self.holding_descriptor: set[EngineConnection] = set()
 
-    def connection_for(self, engine_id: int, txn: bytes) -> EngineConnection | None:
+    def connection_for(self, engine_id: int, transaction_id: bytes) -> EngineConnection | None:
         """A connection for an attempt of this id, a new one if need be; None where there is none."""
         endpoint = self.endpoints.get(engine_id)
         if endpoint is None:
@@ -41,7 +41,7 @@
         usable = [
             connection
             for connection in endpoint.connections
-            if connection.accepts(txn, max_streams) and not self.is_idle(connection)
+            if connection.accepts(transaction_id, max_streams) and not self.is_idle(connection)
         ]
         # One attempt a connection while descriptors last: guards against one spoilt answer, reset, or request
         # that an engine can't read taking down what else is open there. But some engines close a connection
@@ -51,7 +51,7 @@
         preferred = [connection for connection in usable if len(connection.open) < max_preferred_open]
         if preferred:  # the fullest; of idle ones the one used last, so that the others may be closed
             return max(preferred, key=lambda connection: (len(connection.open), connection.used_at))
-        if len(self.holding) < self.max_connections:
+        if len(self.holding_descriptor) < self.max_connections:
             return self._open(endpoint)
         if usable:
             return min(usable, key=lambda connection: len(connection.open))
@@ -64,7 +64,7 @@
         What waits in it was decided a while ago: whatever may forbid an attempt (engine, client, time, what
         it was decided under) is looked at once more right before its first byte.
         """
-        if connection.is_ended or connection.end_by_us:
+        if connection.is_ended or connection.local_end:
             return
         self.counters.add("links up")
         for attempt in list(connection.open.values()):
@@ -84,7 +84,7 @@
 
     def drop(self, connection: EngineConnection, end: ConnectionEnd, text: str = "") -> None:
         """End a connection from our side, now."""
-        connection.shut(end)
+        connection.begin_close(end)
         self.connection_ended(connection, end, text)
 
     def connection_ended(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
@@ -108,13 +108,15 @@
         return 0 < self.agreement.idle_timeout_us < idle_us + 2 * self.core.limits.sweep_interval_us
 
     def _open(self, endpoint: EngineEndpoint) -> EngineConnection | None:
-        most = self.core.max_message_bytes
-        connection = self.core.connect(endpoint, self.core, most, MAX_OPEN_REQUESTS * most, self.core.now)
-        self.holding.add(connection)
+        max_message_bytes = self.core.max_message_bytes
+        connection = self.core.connect(
+            endpoint, self.core, max_message_bytes, MAX_OPEN_REQUESTS * max_message_bytes, self.core.now
+        )
+        self.holding_descriptor.add(connection)
         try:
             connection.start()
         except RuntimeError:  # no thread to be had
-            self.holding.discard(connection)
+            self.holding_descriptor.discard(connection)
             self.counters.add("no thread for a link")
             return None
         endpoint.connections.append(connection)
@@ -126,12 +128,12 @@
         """There is no descriptor left: idle ones go, for the next that asks."""
         for connection in self.connections:
             if not connection.open and not connection.is_ended:
-                connection.shut(ConnectionEnd.RETIRED)
+                connection.begin_close(ConnectionEnd.RETIRED)
         self.counters.add("no descriptor for a link")
 
     def _may_still_go(self, connection: EngineConnection, attempt: Attempt) -> bool:
         return bool(
-            attempt.request.client
+            attempt.pending.client
             and connection.endpoint.state == EngineState.READY
             and attempt.deadline_us > self.core.now
             and self.core.are_tokens_valid(attempt.fencing_tokens)
@@ -167,7 +169,7 @@
         for attempt in list(connection.open.values()):
             outcome = self._outcome(connection, attempt, end)
             if delay_us > 0:
-                del connection.open[attempt.request.request.txn]
+                del connection.open[attempt.pending.request.transaction_id]
                 self.core.call_later(self.core.now + delay_us, self.core.attempts.end, attempt, outcome)
             else:
                 self.core.attempts.end(attempt, outcome)
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -18,10 +18,10 @@
     b"held": StatusKind.WAITING,
 }
 PAGE_REPLIES = (engine_protocol.ANSWER, engine_protocol.CHUNK)
-PAGE_MOST_BYTES = 6_000  # of a page, from the protocol
+MAX_PAGE_BYTES = 6_000  # of a page, from the protocol
 TABS_PER_ROW = 2  # rows of three columns, from the protocol
-LEAST_STRINGS = 2  # in any array of an engine: the id of the command, and the kind of reply
-MOST_STRINGS = 4  # id, kind of reply, fields, body
+MIN_STRINGS = 2  # in any array of an engine: the id of the command, and the kind of reply
+MAX_STRINGS = 4  # id, kind of reply, fields, body
 
 
 class EngineReplies:
@@ -32,7 +32,7 @@
         self.counters = core.counters
         self.report_fields = [name.encode() for name in core.agreement.report_fields]
 
-    def received(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
+    def handle(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
         """Arrays of an engine came."""
         connection.last_reply_at = self.core.now
         connection.probed_at = 0
@@ -45,24 +45,24 @@
             self.core.pool.drop(connection, ConnectionEnd.MALFORMED, str(error))
 
     def _received_array(self, connection: EngineConnection, array: list[bytes]) -> None:
-        if len(array) < LEAST_STRINGS:
+        if len(array) < MIN_STRINGS:
             raise ProtocolError(f"an answer of {len(array)} words")
-        txn, reply, encoded_fields, body = (*array, b"", b"")[:MOST_STRINGS]
+        transaction_id, reply, encoded_fields, body = (*array, b"", b"")[:MAX_STRINGS]
         if reply == engine_protocol.ALIVE:
-            self.core.attempts.cancel_confirmed(connection, txn)
+            self.core.attempts.cancel_confirmed(connection, transaction_id)
             return
-        attempt = connection.open.get(txn)
+        attempt = connection.open.get(transaction_id)
         if attempt is None:  # a late reply to an attempt that was given up, or nothing of ours
             self.counters.add("late or unknown answers")
             if reply in engine_protocol.FINAL_REPLIES:
-                connection.given_up.discard(txn)
+                connection.abandoned_ids.discard(transaction_id)
             return
-        fields = resp.fields(encoded_fields)
+        fields = resp.decode_fields(encoded_fields)
         attempt.last_reply_at = self.core.now
         if reply == engine_protocol.STATUS:
-            self._status(attempt, fields)
+            self._handle_status(attempt, fields)
         elif reply in PAGE_REPLIES:
-            self._answer_or_chunk(connection, attempt, reply, fields, body)
+            self._handle_page(connection, attempt, reply, fields, body)
         elif reply == engine_protocol.ERROR or (reply in engine_protocol.FINAL_REPLIES and not attempt.pages):
             # Once it has begun to answer, it ran: from there on only an error may follow.
             attempt.resources = self._resources(fields)
@@ -70,7 +70,7 @@
         else:
             raise ProtocolError(f"{reply!r} out of turn")
 
-    def _answer_or_chunk(
+    def _handle_page(
         self,
         connection: EngineConnection,
         attempt: Attempt,
@@ -93,15 +93,15 @@
         else:
             raise ProtocolError(f"{reply!r} out of turn")
 
-    def _status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
+    def _handle_status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
         kind = STATUS_NOTES.get(fields.get(b"note"))
         if kind is None:
             return
         self.counters.add("notes")
         self.core.decisions.call(
-            attempt.request,
+            attempt.pending,
             self.core.gateway.attempt_status,
-            attempt.request.number,
+            attempt.pending.number,
             attempt.number,
             kind,
             float(fields.get(b"v", 0)),
@@ -109,19 +109,21 @@
 
     def _add_page(self, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
         """One more page came; after the last the result goes to the client."""
-        txn = attempt.request.request.txn
+        transaction_id = attempt.pending.request.transaction_id
         check_page(rows)
         attempt.pages.append(rows)
         attempt.result_bytes += len(rows)
         if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > MAX_RESULT_BYTES:
             raise ProtocolError("a result of an absurd size")
         if len(attempt.pages) < attempt.page_count:
-            self.core.pool.send_control(connection, engine_protocol.MORE, txn, b"%d" % len(attempt.pages))
+            self.core.pool.send_control(
+                connection, engine_protocol.MORE, transaction_id, b"%d" % len(attempt.pages)
+            )
             return
         if attempt.page_count > 1:
-            self.core.pool.send_control(connection, engine_protocol.DONE, txn)
-        if attempt.request.client:
-            self.core.requests.answer_result(attempt.request, b"".join(attempt.pages))
+            self.core.pool.send_control(connection, engine_protocol.DONE, transaction_id)
+        if attempt.pending.client:
+            self.core.requests.answer_result(attempt.pending, b"".join(attempt.pages))
         self.core.attempts.end(attempt, Outcome.ANSWERED)
 
     @staticmethod
@@ -152,7 +154,7 @@
 
 def check_page(rows: bytes) -> None:
     """ProtocolError unless a page is whole rows of three columns: others are never passed on as served."""
-    is_too_long = len(rows) > PAGE_MOST_BYTES
+    is_too_long = len(rows) > MAX_PAGE_BYTES
     has_other_columns = rows.count(b"\t") != TABS_PER_ROW * rows.count(b"\n")
     is_cut = bool(rows) and not rows.endswith(b"\n")
     if is_too_long or has_other_columns or is_cut:
--- a/gullhold/net/event_stream.py
+++ b/gullhold/net/event_stream.py
@@ -25,7 +25,7 @@
         """Iterate over the new events. Raises ProtocolError at a gap or a bad line."""
         while (end := self.buffer.find(LINE_END)) >= 0:
             line = self.buffer.peek(end)
-            self.buffer.drop(end + len(LINE_END))
+            self.buffer.consume(end + len(LINE_END))
             if not line.strip():
                 continue
             event, index = _parse_line(line)
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -55,19 +55,19 @@
     """Takes events from the core's thread."""
 
     def __init__(self) -> None:
-        self.newest: deque[LoggedEvent] = deque(maxlen=MAX_RECENT_EVENTS)
-        self.left_out = 0  # events since the last line that was logged
+        self.recent: deque[LoggedEvent] = deque(maxlen=MAX_RECENT_EVENTS)
+        self.suppressed_count = 0  # events since the last line that was logged
         self.lines_allowed: dict[EventKind, float] = {}  # that may be logged now
         self.counted_at_us: dict[EventKind, int] = {}  # when the above was true
 
     def add(self, event: LoggedEvent, is_unusual: bool = False) -> None:
         """Keep an event, and log it if its kind's rate allows; an unusual one as a warning."""
-        self.newest.append(event)
+        self.recent.append(event)
         if not self._may_log(event):
-            self.left_out += 1
+            self.suppressed_count += 1
             return
-        left_out = f" left_out={self.left_out}" if self.left_out else ""
-        self.left_out = 0
+        left_out = f" left_out={self.suppressed_count}" if self.suppressed_count else ""
+        self.suppressed_count = 0
         if is_unusual:
             logger.warning("{}{}", event.line(), left_out)
         else:
@@ -75,7 +75,7 @@
 
     def lines(self) -> list[str]:
         """All that are kept, the oldest first."""
-        return [f"at_us={event.at_us} {event.line()}" for event in list(self.newest)]
+        return [f"at_us={event.at_us} {event.line()}" for event in list(self.recent)]
 
     def _may_log(self, event: LoggedEvent) -> bool:
         passed_s = (event.at_us - self.counted_at_us.get(event.kind, event.at_us)) / 1e6
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -24,15 +24,15 @@
     def __init__(self) -> None:
         self.lock = Lock()
         self.waiting: dict[WriteBuffer, bool] = {}  # a set, in the order in which they came
-        self.wake_out, self.wake_in = os.pipe()
-        os.set_blocking(self.wake_out, False)
-        os.set_blocking(self.wake_in, False)
+        self.wake_read_end, self.wake_write_end = os.pipe()
+        os.set_blocking(self.wake_read_end, False)
+        os.set_blocking(self.wake_write_end, False)
 
     def watch(self, buffer: WriteBuffer) -> None:
         """From any thread: write on there as soon as there is room."""
-        self._wait_for(buffer)
+        self._add(buffer)
         with suppress(BlockingIOError):  # full: there is enough to wake for
-            os.write(self.wake_in, b"w")
+            os.write(self.wake_write_end, b"w")
 
     def run(self) -> None:
         """For ever."""
@@ -47,18 +47,18 @@
     def turn(self) -> None:
         """Wait until somewhere there is room, and write on there."""
         poll = select.poll()
-        poll.register(self.wake_out, select.POLLIN)
+        poll.register(self.wake_read_end, select.POLLIN)
         by_descriptor: dict[int, list[WriteBuffer]] = {}
         for buffer in self._take_all():
             descriptor = buffer.descriptor()
             if descriptor >= 0:
-                self._wait_for(buffer)
+                self._add(buffer)
                 by_descriptor.setdefault(descriptor, []).append(buffer)
                 poll.register(descriptor, select.POLLOUT)
         ready = [descriptor for descriptor, _ in poll.poll()]
-        if self.wake_out in ready:
+        if self.wake_read_end in ready:
             with suppress(BlockingIOError):
-                os.read(self.wake_out, MAX_READ_BYTES)
+                os.read(self.wake_read_end, MAX_READ_BYTES)
         is_all_written = True
         for descriptor in ready:
             for buffer in by_descriptor.get(descriptor, ()):
@@ -74,6 +74,6 @@
             self.waiting = {}
         return taken
 
-    def _wait_for(self, buffer: WriteBuffer) -> None:
+    def _add(self, buffer: WriteBuffer) -> None:
         with self.lock:
             self.waiting[buffer] = True
--- a/gullhold/net/idle_timer.py
+++ b/gullhold/net/idle_timer.py
@@ -4,18 +4,21 @@
 
 
 class IdleTimer:
-    """Times of one connection, by the monotonic clock. On its reader's thread; quiet_at is read by others."""
+    """Times of one connection, by the monotonic clock.
 
-    __slots__ = ("connected_at", "is_cut", "quiet_at")
+    Used by the connection's reader thread; other threads read last_active_at.
+    """
+
+    __slots__ = ("connected_at", "is_cut", "last_active_at")
 
     def __init__(self) -> None:
         self.connected_at = time.monotonic()
-        self.quiet_at = self.connected_at  # when something last came or was open
+        self.last_active_at = self.connected_at  # when something last came or was open
         self.is_cut = False  # in the middle of a message
 
     def call_received(self) -> None:
         """A call was read."""
-        self.quiet_at = time.monotonic()
+        self.last_active_at = time.monotonic()
 
     def idle_s(self, is_cut: bool, is_busy: bool, was_answered: bool) -> float:
         """For how long it has been idle; one that was never answered: since it connected.
@@ -25,5 +28,5 @@
         now = time.monotonic()
         if is_cut != self.is_cut or is_busy:
             self.is_cut = is_cut
-            self.quiet_at = now
-        return now - (self.quiet_at if was_answered or is_busy else self.connected_at)
+            self.last_active_at = now
+        return now - (self.last_active_at if was_answered or is_busy else self.connected_at)
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -9,7 +9,7 @@
 
 from gullhold.interface import Agreement
 from gullhold.net import host_port
-from gullhold.net.client_connection import CROSS_S, DISMISS_S, ClientConnection
+from gullhold.net.client_connection import CROSSING_TIME_S, POLL_INTERVAL_S, ClientConnection
 from gullhold.net.core import Core
 from gullhold.net.pending_requests import PeerAddress
 from gullhold.net.request_reader import RequestReader
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from gullhold.admission.client_identity import ClientIdentifier
 
-FREE_SHARE = 8  # one in so many places is kept free, so that nobody waits for another to go
+RESERVED_PLACES_DIVISOR = 8  # one in so many places is kept free, so that nobody waits for another to go
 
 
 class Listener:
@@ -62,8 +62,8 @@
             except Exception as error:  # noqa: BLE001  of any kind: without this thread nobody accepts connections
                 if self.sock.fileno() < 0:
                     return
-                self._put_off(error)
-                time.sleep(DISMISS_S)
+                self._handle_accept_error(error)
+                time.sleep(POLL_INTERVAL_S)
 
     def end_clients(self) -> None:
         """Answer what has arrived on all connections, then end them; called from the core at the shutdown.
@@ -80,7 +80,7 @@
         """
         while not self._make_room():
             self.core.counters.add("accepts put off")
-            time.sleep(DISMISS_S)
+            time.sleep(POLL_INTERVAL_S)
         host, port = peer
         client = ClientConnection(
             sock, self.core, self.reader, self.max_message_bytes, PeerAddress(host, f"{host}:{port}")
@@ -92,7 +92,7 @@
             self.clients.discard(client)
             raise
 
-    def _put_off(self, error: Exception) -> None:
+    def _handle_accept_error(self, error: Exception) -> None:
         """Count a connection that could not be served now; a broken one is closed, another is tried again."""
         if self._accepted and isinstance(error, OSError):  # the client left before we could serve it
             sock, _ = self._accepted
@@ -114,16 +114,18 @@
 
         Guards against hundreds that say nothing, or ask once and stay, while others wait outside.
         """
-        if len(self.clients) < self.max_clients * (FREE_SHARE - 1) // FREE_SHARE:
+        if len(self.clients) < self.max_clients * (RESERVED_PLACES_DIVISOR - 1) // RESERVED_PLACES_DIVISOR:
             return True
-        latest_s = time.monotonic() - CROSS_S  # one that came later is about to ask
+        latest_s = time.monotonic() - CROSSING_TIME_S  # one that came later is about to ask
         idle = [
             client
             for client in list(self.clients)
-            if not client.is_busy() and not client.is_ending and client.quiet_at < latest_s
+            if not client.is_busy() and not client.is_ending and client.last_active_at < latest_s
         ]
         if idle:
             self.core.counters.add("idle ones closed for room")
             # First those that were never sent anything, of these the one that has been quiet the longest.
-            min(idle, key=lambda client: (client.write_buffer.queued > 0, client.quiet_at)).dismiss()
+            min(
+                idle, key=lambda client: (client.write_buffer.end_offset > 0, client.last_active_at)
+            ).dismiss()
         return len(self.clients) < self.max_clients
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -25,7 +25,7 @@
 class ClientOutput(Protocol):
     """The way out of a client's connection, as far as the core touches it."""
 
-    finishing: bool
+    is_finishing: bool
 
     def finish(self, now: bool = False) -> bool:
         """Take no more messages; the other side reads to the end."""
@@ -35,14 +35,16 @@
 class Client(Protocol):
     """What the core needs of whoever asks: a client's connection, or the fleet's own commands.
 
-    open: pending requests by sequence number. unseen: sequence numbers that the core has yet to see.
-    interrupted: those of open requests whose interrupts wait for the core. settled_count: how many are
-    answered or were interrupted. has_left: it waits for nothing any more.
+    open: pending requests by sequence id.
+    undelivered: sequence ids of requests that were posted to the core and that it has yet to process.
+    interrupted: sequence ids of open requests whose interrupts the core has yet to process.
+    settled_count: how many requests were answered or interrupted.
+    has_left: the client waits for no answer any more.
     """
 
     peer: PeerAddress
     open: dict[int, "PendingRequest"]
-    unseen: dict[int, bool]
+    undelivered: dict[int, bool]
     interrupted: set[int]
     settled_count: int
     has_left: bool
@@ -65,22 +67,24 @@
         "number",
         "priority",
         "request",
-        "seq",
+        "sequence_id",
         "statement_bytes",
         "timeout_at_us",
     )
 
-    def __init__(self, number: int, client: Client, seq: int, request: Request, timeout_at_us: int) -> None:
+    def __init__(
+        self, number: int, client: Client, sequence_id: int, request: Request, timeout_at_us: int
+    ) -> None:
         self.number = number
         self.client: Client | None = client
-        self.seq = seq
+        self.sequence_id = sequence_id
         self.request = request
         self.timeout_at_us = timeout_at_us
         self.grant_mb = 0.0
         self.priority = 1
         self.attempt: Attempt | None = None
         self.attempts_started = 0
-        self.statement_bytes = len(request.body)  # held in the memory for statements
+        self.statement_bytes = len(request.statement)  # held in the memory for statements
         self.last_outcome = ""  # of its last attempt, as text for the event log
 
 
@@ -91,32 +95,38 @@
         self.core = core
         self.counters = core.counters
         self.by_number: dict[int, PendingRequest] = {}
-        self.by_txn: dict[bytes, PendingRequest] = {}
+        self.by_transaction_id: dict[bytes, PendingRequest] = {}
         self.last_number = 0
         self.settled_at_us = 0  # when the last one was answered, or taken back
 
-    def execute(self, client: Client, seq: int, request: Request, received_at_us: int) -> None:
+    def execute(self, client: Client, sequence_id: int, request: Request, received_at_us: int) -> None:
         """A client asks for a command; received_at_us: when it was read, from which its timeout counts."""
         self.last_number += 1
-        pending = PendingRequest(self.last_number, client, seq, request, received_at_us + request.limit_us)
-        client.open[seq] = pending  # first: an interrupt finds it in one place or the other
+        pending = PendingRequest(
+            self.last_number, client, sequence_id, request, received_at_us + request.timeout_us
+        )
+        client.open[sequence_id] = pending  # first: an interrupt finds it in one place or the other
         # Taken back before we came to it; or its client has left; or it came after we had said our end, so
         # that its client asks elsewhere.
-        if client.unseen.pop(seq, None) is None or client.has_left or client.write_buffer.finishing:
+        if (
+            client.undelivered.pop(sequence_id, None) is None
+            or client.has_left
+            or client.write_buffer.is_finishing
+        ):
             self.counters.add("interrupted")
             self._settle(pending)
-        elif request.txn in self.by_txn:
+        elif request.transaction_id in self.by_transaction_id:
             self.counters.add("failed")
-            self.answer(pending, thrift.encode_fault(seq, "this txn is open already"))
+            self.answer(pending, thrift.encode_fault(sequence_id, "this txn is open already"))
         elif self.core.is_rejecting or self._is_over_open_limit():
             self.counters.add("over the open cap")
-            self.answer(pending, thrift.encode_shed(seq, {}))
+            self.answer(pending, thrift.encode_shed(sequence_id, {}))
         else:
             self._admit(pending)
 
-    def interrupt(self, client: Client, seq: int) -> None:
+    def interrupt(self, client: Client, sequence_id: int) -> None:
         """A client stops waiting: no answer is expected any more."""
-        pending = client.open.get(seq)
+        pending = client.open.get(sequence_id)
         if pending:
             self.counters.add("interrupted")
             self._abandoned_by_client(pending)
@@ -156,31 +166,31 @@
         """The rows of a result are the final answer."""
         self.counters.add("answered")
         if self.core.gate:  # a canary is judged by it
-            limit_us = pending.request.limit_us
-            self.counters.add("answered us", self.core.now - pending.timeout_at_us + limit_us)
-        self.answer(pending, thrift.encode_answer("execute", pending.seq, rows))
+            timeout_us = pending.request.timeout_us
+            self.counters.add("answered us", self.core.now - pending.timeout_at_us + timeout_us)
+        self.answer(pending, thrift.encode_answer("execute", pending.sequence_id, rows))
 
     def answer_shed(self, number: int, longest_retry_after_us: int) -> None:
         """The final answer is that the request was shed; 0: no bound on when its client may ask again."""
-        pending = self._waiting_for_answer(number)
+        pending = self._unanswered_request(number)
         retry_after_us = self.core.admission.retry_after_us(number)
         if longest_retry_after_us:
             retry_after_us = min(retry_after_us, longest_retry_after_us)
         if pending:
-            message = thrift.encode_shed(pending.seq, self.shed_fields(retry_after_us))
-            self._refuse(pending, "shed", message)
+            message = thrift.encode_shed(pending.sequence_id, self.shed_fields(retry_after_us))
+            self._reject(pending, "shed", message)
 
     def answer_failed(self, number: int) -> None:
         """The final answer is a failure, which promises nothing."""
-        pending = self._waiting_for_answer(number)
+        pending = self._unanswered_request(number)
         if pending:
-            self._refuse(pending, "failed", thrift.encode_fault(pending.seq, "failed"))
+            self._reject(pending, "failed", thrift.encode_fault(pending.sequence_id, "failed"))
 
     def settle_rejected(self, pending: PendingRequest, retry_after_us: int) -> bytes:
         """The admission queue rejected a request; the frame that its client is to get (0: no Retry-After)."""
         self.counters.add("turned away at the door")
-        self._log_refusal(pending, "turned away at the door")
-        frame = thrift.encode_shed(pending.seq, self.shed_fields(retry_after_us))
+        self._log_rejection(pending, "turned away at the door")
+        frame = thrift.encode_shed(pending.sequence_id, self.shed_fields(retry_after_us))
         self._settle(pending)
         return frame
 
@@ -207,7 +217,7 @@
             self.core.statement_memory.release(pending.statement_bytes)
             pending.statement_bytes = 0
         if self.by_number.pop(pending.number, None):
-            self.by_txn.pop(pending.request.txn, None)
+            self.by_transaction_id.pop(pending.request.transaction_id, None)
             if self.core.admission_queue:
                 self.core.admission_queue.command_ended(self.core.now, pending.number)
 
@@ -221,28 +231,28 @@
 
     def _admit(self, pending: PendingRequest) -> None:
         self.by_number[pending.number] = pending
-        self.by_txn[pending.request.txn] = pending
+        self.by_transaction_id[pending.request.transaction_id] = pending
         self.counters.peak("owed", len(self.by_number))
-        self.core.call_later(pending.timeout_at_us, self._overdue, pending)
-        self.core.admission.arrived(pending)
+        self.core.call_later(pending.timeout_at_us, self._check_answered, pending)
+        self.core.admission.submit(pending)
 
-    def _waiting_for_answer(self, number: int) -> PendingRequest | None:
+    def _unanswered_request(self, number: int) -> PendingRequest | None:
         pending = self.by_number.get(number)
         return pending if pending and pending.client else None
 
-    def _refuse(self, pending: PendingRequest, reason: str, message: bytes) -> None:
+    def _reject(self, pending: PendingRequest, reason: str, message: bytes) -> None:
         self.counters.add(reason)
-        self._log_refusal(pending, reason)
+        self._log_rejection(pending, reason)
         self.answer(pending, message)
         if pending.attempt:  # given up with the request
             self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
 
-    def _log_refusal(self, pending: PendingRequest, reason: str) -> None:
+    def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
         event = LoggedEvent(
             self.core.now,
             EventKind.REFUSAL,
             reason,
-            pending.request.txn,
+            pending.request.transaction_id,
             pending.client.peer.connection,
             "sent" if pending.attempt else "held",
             "answered",
@@ -258,15 +268,15 @@
     def _settle(self, pending: PendingRequest) -> None:
         """No answer is expected any more."""
         client = pending.client
-        client.open.pop(pending.seq, None)
+        client.open.pop(pending.sequence_id, None)
         client.settled_count += 1
-        client.interrupted.discard(pending.seq)
+        client.interrupted.discard(pending.sequence_id)
         pending.client = None
         self.settled_at_us = self.core.now
         if not pending.attempt:
             self.forget(pending)
 
-    def _overdue(self, pending: PendingRequest) -> None:
+    def _check_answered(self, pending: PendingRequest) -> None:
         """Guards the rule of one answer in time against any fault of ours: the module answers well before."""
         if pending.client:
             self.counters.add("overdue")
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -23,36 +23,36 @@
         if self.core.admission_queue:
             self._poll()
 
-    def arrived(self, pending: PendingRequest) -> None:
+    def submit(self, pending: PendingRequest) -> None:
         """A request was taken."""
         queue = self.core.admission_queue
         if not queue:
-            self._submit(pending)
+            self._submit_to_decisions(pending)
             return
         request = pending.request
-        decided = queue.submit(
+        decisions = queue.submit(
             self.core.now,
             pending.number,
             request.tenant,
             request.flow,
             request.profile,
-            request.key,
+            request.ordering_key,
             request.work_us,
-            len(request.body) + QUEUED_REQUEST_BYTES,
+            len(request.statement) + QUEUED_REQUEST_BYTES,
             pending.timeout_at_us,
-            request.repeat,
+            request.is_retry,
         )
-        self._carry_out(decided)
+        self._carry_out(decisions)
 
-    def hand_over(self) -> bool:
+    def forward_ready(self) -> bool:
         """Let go on what the module has room for now; whether anything did."""
         queue = self.core.admission_queue
-        decided = queue.take_ready(self.core.now) if queue else None
-        if decided:
-            self._carry_out(decided)
-        return bool(decided)
+        decisions = queue.take_ready(self.core.now) if queue else None
+        if decisions:
+            self._carry_out(decisions)
+        return bool(decisions)
 
-    def close(self) -> None:
+    def reject_queued(self) -> None:
         """Answer all that is queued."""
         if self.core.admission_queue:
             self._carry_out(self.core.admission_queue.reject_all(self.core.now))
@@ -71,17 +71,17 @@
             return self.core.admission_queue.retry_after_us(self.core.now, number)
         return 0
 
-    def _carry_out(self, decided: list[AdmissionDecision]) -> None:
+    def _carry_out(self, decisions: list[AdmissionDecision]) -> None:
         """Requests go on to the module, or are rejected: thousands at once cost one write a connection."""
         requests = self.core.requests
         frames: dict[Client, list[bytes]] = {}
-        for decision in decided:
+        for decision in decisions:
             pending = requests.by_number.get(decision.command)
             if pending is None or not pending.client:
                 continue
             match decision:
                 case Forward():
-                    self._submit(pending)
+                    self._submit_to_decisions(pending)
                 case Reject(retry_after_us=retry_after_us):
                     client = pending.client
                     frame = requests.settle_rejected(pending, retry_after_us)
@@ -89,7 +89,7 @@
         for client, parts in frames.items():
             client.put(b"".join(parts))
 
-    def _submit(self, pending: PendingRequest) -> None:
+    def _submit_to_decisions(self, pending: PendingRequest) -> None:
         """The decision module decides from here on."""
         request = pending.request
         self.core.decisions.call(
@@ -98,12 +98,12 @@
             pending.number,
             request.profile,
             request.tenant,
-            request.key,
+            request.ordering_key,
             pending.timeout_at_us,
             request.work_us,
-            request.need_mb,
-            request.group,
-            request.repeat,
+            request.memory_mb,
+            request.table_group,
+            request.is_retry,
         )
 
     def _poll(self) -> None:
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -26,18 +26,18 @@
 class Request(NamedTuple):
     """A command as a client asked for it, in the decision module's units."""
 
-    txn: bytes  # transaction id
-    verb: bytes  # name of the profile
-    body: bytes  # statement
-    unique: bytes  # idempotency key
-    profile: int
-    tenant: int
-    key: int  # ordering key; 0: none
-    limit_us: int  # client timeout
+    transaction_id: bytes
+    profile_name: bytes
+    statement: bytes
+    idempotency_key: bytes
+    profile: int  # index of the profile in the agreement
+    tenant: int  # index of the tenant in the agreement
+    ordering_key: int  # 0: none
+    timeout_us: int  # client timeout
     work_us: int  # estimated work on one core
-    need_mb: float  # estimated memory
-    group: int  # group of the tables; 0: none
-    repeat: bool  # the client has asked for it before
+    memory_mb: float  # estimated memory
+    table_group: int  # 0: none
+    is_retry: bool  # the client has asked for it before
     flow: bytes = b""  # the client inside its tenant, where there is an admission queue
 
 
@@ -106,7 +106,7 @@
         return None
 
     def request(
-        self, fields: Mapping[bytes, bytes], body: bytes, address: str = "", connection: str = ""
+        self, fields: Mapping[bytes, bytes], statement: bytes, address: str = "", connection: str = ""
     ) -> Request:
         """Read a request from a client at an address, on a connection. Raises RequestError."""
         if not _has_transaction_id(fields):
@@ -119,20 +119,20 @@
         idempotency_key = self._idempotency_key(fields, profile)
         timeout_ms = _figure(fields, b"limit", self._max_timeout_ms, default=b"")
         work_ms = _figure(fields, b"cpu", self._max_work_ms)
-        group, table = table_group(body.decode("utf-8", "replace"))
+        group, table = table_group(statement.decode("utf-8", "replace"))
         return Request(
-            txn=fields[b"txn"],
-            verb=fields.get(b"verb", b""),
-            body=body,
-            unique=idempotency_key,
+            transaction_id=fields[b"txn"],
+            profile_name=fields.get(b"verb", b""),
+            statement=statement,
+            idempotency_key=idempotency_key,
             profile=profile,
             tenant=tenant,
-            key=self._ordering_key(profile, table),
-            limit_us=int(timeout_ms * US_PER_MS),
+            ordering_key=self._ordering_key(profile, table),
+            timeout_us=int(timeout_ms * US_PER_MS),
             work_us=int(work_ms * US_PER_MS),
-            need_mb=_figure(fields, b"memory", self._max_memory_mb),
-            group=group,
-            repeat=b"second" in fields,
+            memory_mb=_figure(fields, b"memory", self._max_memory_mb),
+            table_group=group,
+            is_retry=b"second" in fields,
             flow=flow,
         )
 
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -13,61 +13,61 @@
 
 
 class Decoder:
-    """Bytes of one connection in, arrays of byte strings out. most: bytes of the largest array."""
+    """Bytes of one connection in, arrays of byte strings out. max_bytes: bytes of the largest array."""
 
-    def __init__(self, most: int) -> None:
-        self.buffer = Buffer(most)
+    def __init__(self, max_bytes: int) -> None:
+        self.buffer = Buffer(max_bytes)
         self.strings: list[bytes] = []  # of the array that has begun
-        self.missing = 0  # strings that it still lacks
+        self.missing_count = 0  # strings that it still lacks
 
     @property
     def is_cut(self) -> bool:
         """Whether an array has begun and is not complete."""
-        return bool(self.missing or len(self.buffer))
+        return bool(self.missing_count or len(self.buffer))
 
     def arrays(self) -> Iterator[list[bytes]]:
         """The arrays that are complete; ProtocolError behind them for bytes that make no sense."""
         while True:
-            if not self.missing and not self._begin_array():
+            if not self.missing_count and not self._begin_array():
                 return
-            while self.missing:
-                string = self._string()
+            while self.missing_count:
+                string = self._read_string()
                 if string is None:
                     return
                 self.strings.append(string)
-                self.missing -= 1
+                self.missing_count -= 1
             yield self.strings
 
     def _begin_array(self) -> bool:
         """Read the head of an array; False if it is not there yet."""
-        head = self._head(ARRAY_MARK)
-        if head is None:
+        header = self._peek_header(ARRAY_MARK)
+        if header is None:
             return False
-        size, used = head
-        self.buffer.drop(used)
+        size, used = header
+        self.buffer.consume(used)
         if not 0 < size <= MAX_STRINGS_PER_ARRAY:
             raise ProtocolError(f"an array of {size}")
         self.strings = []
-        self.missing = size
+        self.missing_count = size
         return True
 
-    def _string(self) -> bytes | None:
+    def _read_string(self) -> bytes | None:
         """The next string, if all of it is there."""
-        head = self._head(STRING_MARK)
-        if head is None:
+        header = self._peek_header(STRING_MARK)
+        if header is None:
             return None
-        size, used = head
-        if not 0 <= size <= self.buffer.most - MAX_HEADER_BYTES:
+        size, used = header
+        if not 0 <= size <= self.buffer.max_bytes - MAX_HEADER_BYTES:
             raise ProtocolError(f"a string of {size}")
         body = self.buffer.peek(size + len(LINE_END), used)
         if body is None:
             return None
         if body[size:] != LINE_END:
             raise ProtocolError("a string longer than its length")
-        self.buffer.drop(used + len(body))
+        self.buffer.consume(used + len(body))
         return body[:size]
 
-    def _head(self, mark: bytes) -> tuple[int, int] | None:
+    def _peek_header(self, mark: bytes) -> tuple[int, int] | None:
         """The number after a mark, and how many bytes its line takes, which is left in place."""
         end = self.buffer.find(LINE_END)
         if end < 0 or end > MAX_HEADER_BYTES:
@@ -89,13 +89,13 @@
     )
 
 
-def fields(encoded: bytes) -> dict[bytes, bytes]:
+def decode_fields(encoded: bytes) -> dict[bytes, bytes]:
     """A list name=value,name=value as a dict; `-` is none."""
     if encoded in (b"-", b""):
         return {}
     return dict(pair.partition(b"=")[::2] for pair in encoded.split(b","))
 
 
-def field_list(pairs: Iterable[tuple[bytes, bytes]]) -> bytes:
+def encode_fields(pairs: Iterable[tuple[bytes, bytes]]) -> bytes:
     """The list of these pairs."""
     return b",".join(b"%s=%s" % pair for pair in pairs) or b"-"
--- a/gullhold/net/shutdown.py
+++ b/gullhold/net/shutdown.py
@@ -12,7 +12,7 @@
     from gullhold.net.core import Core
 
 NEW_REQUESTS_US = 600_000  # us for which new requests still come
-LONGEST_TIMEOUT_US = 3_000_000  # us of the longest client timeout that count
+MAX_COUNTED_TIMEOUT_US = 3_000_000  # us of the longest client timeout that count
 FLUSH_US = 350_000  # us left for answers that are still to be written: half of the 0.7 s
 CLOSING_US = 600_000  # us before the last answers from which nothing is taken: thousands to be answered
 RECHECK_US = FLUSH_US // 4  # us between looks at whether all is answered
@@ -32,14 +32,14 @@
         core.shutdown_began_at = core.now
         logger.info("leaving: {} commands open", len(core.requests.by_number))
         timeouts_us = (profile.timeout_us for profile in core.agreement.profiles)
-        longest_us = min(max(timeouts_us, default=0), LONGEST_TIMEOUT_US)
+        longest_us = min(max(timeouts_us, default=0), MAX_COUNTED_TIMEOUT_US)
         # With short deadlines the kill comes soon, and requests come until then: guards against an end before
         # the last of them is read and answered.
         last_at_us = core.now + max(longest_us, min(NEW_REQUESTS_US, longest_us + FLUSH_US))
         no_more_new_at_us = core.now + NEW_REQUESTS_US
         close_at_us = min(max(no_more_new_at_us, last_at_us - CLOSING_US), last_at_us)
         core.call_later(no_more_new_at_us, self._end_if_done)
-        core.call_later(close_at_us, self._close)
+        core.call_later(close_at_us, self._stop_accepting)
         core.call_later(last_at_us, self._end_now)
 
     def _end_if_done(self) -> None:
@@ -47,7 +47,7 @@
         is_settled = core.now >= core.requests.settled_at_us + FLUSH_US
         if is_settled and not core.requests.unanswered():
             core.call_later(core.now + FLUSH_US // 2, self._stop)
-            self._close()
+            self._stop_accepting()
             core.close_clients()
         else:
             core.call_later(core.now + RECHECK_US, self._end_if_done)
@@ -60,13 +60,13 @@
             core.requests.give_up(pending)
         core.close_clients()
 
-    def _close(self) -> None:
+    def _stop_accepting(self) -> None:
         """Nothing goes on to the decision module any more: what waits is answered, and what comes is at once.
 
         Guards against clients that go on asking on open connections: they kept a gateway from ending.
         """
         self.core.is_rejecting = True
-        self.core.admission.close()
+        self.core.admission.reject_queued()
 
     def _stop(self) -> None:
         self.core.stopped = True
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -11,7 +11,7 @@
 
 from gullhold.interface import EngineEntry
 
-PLAUSIBLE_US = 10_000_000  # us that news may take: over the 7 s of the protocol
+MAX_NEWS_DELAY_US = 10_000_000  # us that news may take: over the 7 s of the protocol
 
 
 class StartTime(NamedTuple):
@@ -25,17 +25,20 @@
     """Corrects the starts (us of Unix time, 0: it has long been up) of engines as the list tells them."""
 
     def __init__(self) -> None:
-        self.ahead_us: int | None = None  # the most that our clock is ahead of who tells; None: unknown
+        self.clock_lead_us: int | None = None  # the most that our clock is ahead of who tells; None: unknown
         self.start_times: dict[int, StartTime] = {}  # by engine
         self.unconfirmed: dict[int, EngineEntry] = {}  # by engine: entries that were not told as news
 
-    def corrected(self, now: int, entries: Sequence[EngineEntry], news: bool) -> list[EngineEntry]:
-        """These entries, and others that they show to be wrong. news: not of a configuration's list."""
-        if news:
+    def correct(self, now: int, entries: Sequence[EngineEntry], is_news: bool) -> list[EngineEntry]:
+        """Return these entries with their starts corrected, and others that they show to be wrong.
+
+        is_news: the entries are from a watch event, not from the configuration's list.
+        """
+        if is_news:
             for entry in entries:
                 self._learn(now, entry)
-        found = [self._entry(now, entry, news) for entry in entries]
-        return found + self._unchecked(now, {entry.id for entry in entries})
+        found = [self._correct_entry(now, entry, is_news) for entry in entries]
+        return found + self._correct_unconfirmed(now, {entry.id for entry in entries})
 
     def forget(self, engine_id: int) -> None:
         """The engine was removed."""
@@ -49,34 +52,34 @@
         if not entry.started_us or is_known:
             return
         age_us = now - entry.started_us
-        self.ahead_us = age_us if self.ahead_us is None else min(self.ahead_us, age_us)
+        self.clock_lead_us = age_us if self.clock_lead_us is None else min(self.clock_lead_us, age_us)
 
-    def _unchecked(self, now: int, but: set[int]) -> list[EngineEntry]:
+    def _correct_unconfirmed(self, now: int, excluded_ids: set[int]) -> list[EngineEntry]:
         """Entries of the configuration's list with their starts corrected.
 
         Once news shows that our clock is off by more than news takes.
         """
-        if not self.unconfirmed or self.ahead_us is None or 0 <= self.ahead_us <= PLAUSIBLE_US:
+        if not self.unconfirmed or self.clock_lead_us is None or 0 <= self.clock_lead_us <= MAX_NEWS_DELAY_US:
             return []
-        rows = [row for engine_id, row in self.unconfirmed.items() if engine_id not in but]
+        rows = [row for engine_id, row in self.unconfirmed.items() if engine_id not in excluded_ids]
         self.unconfirmed = {}
         for row in rows:
             del self.start_times[row.id]
-        return [self._entry(now, row, True) for row in rows]
+        return [self._correct_entry(now, row, True) for row in rows]
 
-    def _entry(self, now: int, entry: EngineEntry, news: bool) -> EngineEntry:
+    def _correct_entry(self, now: int, entry: EngineEntry, is_news: bool) -> EngineEntry:
         listed_us = entry.started_us
         if not listed_us:
             self.forget(entry.id)
             return entry
-        ahead_us = self.ahead_us if news and self.ahead_us is not None else 0
-        start_us = min(now, listed_us + ahead_us)
+        clock_lead_us = self.clock_lead_us if is_news and self.clock_lead_us is not None else 0
+        start_us = min(now, listed_us + clock_lead_us)
         last = self.start_times.get(entry.id)
         if last is not None and last.listed_us == listed_us:
             # The same start, told again: what is known since can only make it older.
             start_us = min(start_us, last.corrected_us)
         self.start_times[entry.id] = StartTime(listed_us, start_us)
-        if news:
+        if is_news:
             self.unconfirmed.pop(entry.id, None)
         else:
             self.unconfirmed[entry.id] = entry
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -100,12 +100,12 @@
 
 
 class Message(NamedTuple):
-    """One message: a call, or a reply to one. args: the struct of its arguments or of its result."""
+    """One message: a call, or a reply to one. fields: the struct of its arguments or of its result."""
 
     method: str
-    kind: int  # a MessageType
-    seq: int
-    args: Fields
+    message_type: int  # a MessageType
+    sequence_id: int
+    fields: Fields
 
 
 class Scan:
@@ -113,78 +113,80 @@
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0  # position of the next byte
+        self.position = 0  # position of the next byte
 
-    def take(self, size: int) -> bytes:
+    def read(self, size: int) -> bytes:
         """Read the next bytes."""
-        if size < 0 or self.at + size > len(self.data):
+        if size < 0 or self.position + size > len(self.data):
             raise ProtocolError("a value runs past its frame")
-        self.at += size
-        return self.data[self.at - size : self.at]
+        self.position += size
+        return self.data[self.position - size : self.position]
 
-    def number(self, form: struct.Struct) -> int:
+    def read_number(self, form: struct.Struct) -> int:
         """Read the next number, of the given form."""
-        return form.unpack(self.take(form.size))[0]
+        return form.unpack(self.read(form.size))[0]
 
-    def string(self) -> bytes:
+    def read_string(self) -> bytes:
         """Read the next string."""
-        return self.take(self.number(I32S))
+        return self.read(self.read_number(I32S))
 
-    def value(self, kind: int, depth: int = 0) -> Any:
+    def read_value(self, value_type: int, depth: int = 0) -> Any:
         """Read the next value of a type.
 
         Numbers that no message of ours holds (I8, I16, I64, DOUBLE) are returned as their bytes.
         """
         if depth > MAX_NESTING:
             raise ProtocolError("structs too deep")
-        if kind in SIZE_BY_FIXED_TYPE:
-            return self._fixed_value(kind)
-        if kind == STRING:
-            return self.string()
-        if kind == STRUCT:
-            return self.fields(depth + 1)
-        if kind == MAP:
-            return self._map(depth)
-        if kind in SEQUENCE_TYPES:
-            item_type = self.take(1)[0]
-            size = self._container_size(item_type)
-            return [self.value(item_type, depth + 1) for _ in range(size)]
-        raise ProtocolError(f"unknown type {kind}")
-
-    def fields(self, depth: int = 0) -> Fields:
+        if value_type in SIZE_BY_FIXED_TYPE:
+            return self._read_fixed(value_type)
+        if value_type == STRING:
+            return self.read_string()
+        if value_type == STRUCT:
+            return self.read_struct(depth + 1)
+        if value_type == MAP:
+            return self._read_map(depth)
+        if value_type in SEQUENCE_TYPES:
+            item_type = self.read(1)[0]
+            size = self._read_container_size(item_type)
+            return [self.read_value(item_type, depth + 1) for _ in range(size)]
+        raise ProtocolError(f"unknown type {value_type}")
+
+    def read_struct(self, depth: int = 0) -> Fields:
         """Read a struct."""
         fields: Fields = {}
-        while kind := self.take(1)[0]:
-            field_id = self.number(I16S)
-            fields[field_id, kind] = self.value(kind, depth)
+        while value_type := self.read(1)[0]:
+            field_id = self.read_number(I16S)
+            fields[field_id, value_type] = self.read_value(value_type, depth)
         return fields
 
-    def _fixed_value(self, kind: int) -> int | bool | bytes:
-        data = self.take(SIZE_BY_FIXED_TYPE[kind])
-        if kind == I32:
+    def _read_fixed(self, value_type: int) -> int | bool | bytes:
+        data = self.read(SIZE_BY_FIXED_TYPE[value_type])
+        if value_type == I32:
             return I32S.unpack(data)[0]
-        if kind == BOOL:
+        if value_type == BOOL:
             return data != b"\0"
         return data
 
-    def _map(self, depth: int) -> dict[Any, Any]:
-        key_type, value_type = self.take(2)
+    def _read_map(self, depth: int) -> dict[Any, Any]:
+        key_type, value_type = self.read(2)
         if key_type == STRING and value_type == STRING:
-            return self._string_map()
-        size = self._container_size(key_type, value_type)
-        return {self._map_key(key_type, depth): self.value(value_type, depth + 1) for _ in range(size)}
-
-    def _map_key(self, kind: int, depth: int) -> Any:
-        key = self.value(kind, depth + 1)
+            return self._read_string_map()
+        size = self._read_container_size(key_type, value_type)
+        return {
+            self._read_map_key(key_type, depth): self.read_value(value_type, depth + 1) for _ in range(size)
+        }
+
+    def _read_map_key(self, key_type: int, depth: int) -> Any:
+        key = self.read_value(key_type, depth + 1)
         return str(key) if isinstance(key, dict | list) else key
 
-    def _string_map(self) -> dict[bytes, bytes]:
+    def _read_string_map(self) -> dict[bytes, bytes]:
         """Read a map of strings to strings. Nearly every call consists of one, hence few calls inside."""
         strings: dict[bytes, bytes] = {}
         data = self.data
         end = len(data)
-        at = self.at + LENGTH_SIZE
-        for _ in range(self._container_size(STRING, STRING)):
+        at = self.position + LENGTH_SIZE
+        for _ in range(self._read_container_size(STRING, STRING)):
             pair = []
             for _ in (0, 1):
                 if at + LENGTH_SIZE > end:
@@ -195,12 +197,12 @@
                     raise ProtocolError("a value runs past its frame")
                 pair.append(data[at - size : at])
             strings[pair[0]] = pair[1]
-        self.at = at
+        self.position = at
         return strings
 
-    def _container_size(self, *item_types: int) -> int:
-        size = self.number(I32S)
-        if size < 0 or size > len(self.data) - self.at:  # no value is shorter than a byte
+    def _read_container_size(self, *item_types: int) -> int:
+        size = self.read_number(I32S)
+        if size < 0 or size > len(self.data) - self.position:  # no value is shorter than a byte
             raise ProtocolError(f"a container of {size}")
         if size and not VALUE_TYPES.issuperset(item_types):
             raise ProtocolError("unknown type in a container")
@@ -221,27 +223,27 @@
         """Iterate over the frames that are complete, without their lengths. Raises ProtocolError."""
         while (length := self.buffer.peek(LENGTH_SIZE)) is not None:
             size = I32S.unpack(length)[0]
-            if not MESSAGE_HEADER.size <= size <= self.buffer.most - LENGTH_SIZE:
+            if not MESSAGE_HEADER.size <= size <= self.buffer.max_bytes - LENGTH_SIZE:
                 raise ProtocolError(f"a frame of {size} bytes")
             frame = self.buffer.peek(size, LENGTH_SIZE)
             if frame is None:
                 return
-            self.buffer.drop(LENGTH_SIZE + size)
+            self.buffer.consume(LENGTH_SIZE + size)
             yield frame
 
 
-def decode_message(frame: bytes, *kinds: int) -> Message:
+def decode_message(frame: bytes, *message_types: int) -> Message:
     """Decode the message in one frame. Raises ProtocolError, also where its type is none of these."""
     scan = Scan(frame)
-    version, _, kind = MESSAGE_HEADER.unpack(scan.take(MESSAGE_HEADER.size))
-    if version != VERSION_1 or kind not in kinds:
+    version, _, message_type = MESSAGE_HEADER.unpack(scan.read(MESSAGE_HEADER.size))
+    if version != VERSION_1 or message_type not in message_types:
         raise ProtocolError("not a strict binary message of its kind")
     try:
-        method = scan.string().decode()
+        method = scan.read_string().decode()
     except UnicodeDecodeError:
         raise ProtocolError("a method name that is no text") from None
-    seq = scan.number(I32S)
-    return Message(method, kind, seq, scan.fields())
+    sequence_id = scan.read_number(I32S)
+    return Message(method, message_type, sequence_id, scan.read_struct())
 
 
 def decode_call(frame: bytes) -> Message:
@@ -260,19 +262,19 @@
     return MAP_HEADER.pack(STRING, STRING, len(strings)) + pairs
 
 
-def encode_message(kind: int, method: str, seq: int, body: bytes) -> bytes:
+def encode_message(message_type: int, method: str, sequence_id: int, body: bytes) -> bytes:
     """Encode a frame with one message, whose arguments or result, a whole struct, is the body."""
-    header = MESSAGE_HEADER.pack(VERSION_1, 0, kind)
-    message = header + encode_string(method.encode()) + I32S.pack(seq) + body
+    header = MESSAGE_HEADER.pack(VERSION_1, 0, message_type)
+    message = header + encode_string(method.encode()) + I32S.pack(sequence_id) + body
     return I32S.pack(len(message)) + message
 
 
-def encode_answer(method: str, seq: int, body: bytes = b"", good: bool = True) -> bytes:
+def encode_answer(method: str, sequence_id: int, body: bytes = b"", good: bool = True) -> bytes:
     """Encode a reply with an Answer: its body, no fields, and whether all is well."""
     return encode_message(
         REPLY,
         method,
-        seq,
+        sequence_id,
         FIELD_HEADER.pack(STRUCT, RESULT_SUCCESS)
         + FIELD_HEADER.pack(STRING, ANSWER_BODY)
         + encode_string(body)
@@ -285,21 +287,21 @@
     )
 
 
-def encode_shed(seq: int, fields: Mapping[bytes, bytes]) -> bytes:
+def encode_shed(sequence_id: int, fields: Mapping[bytes, bytes]) -> bytes:
     """Encode a reply to execute that throws a Shed with these fields."""
-    return _thrown(seq, RESULT_SHED, fields)
+    return _encode_exception(sequence_id, RESULT_SHED, fields)
 
 
-def encode_fault(seq: int, reason: str) -> bytes:
+def encode_fault(sequence_id: int, reason: str) -> bytes:
     """Encode a reply to execute that throws a Fault."""
-    return _thrown(seq, RESULT_FAULT, {b"reason": reason.encode()})
+    return _encode_exception(sequence_id, RESULT_FAULT, {b"reason": reason.encode()})
 
 
-def _thrown(seq: int, result_field: int, fields: Mapping[bytes, bytes]) -> bytes:
+def _encode_exception(sequence_id: int, result_field: int, fields: Mapping[bytes, bytes]) -> bytes:
     return encode_message(
         REPLY,
         "execute",
-        seq,
+        sequence_id,
         FIELD_HEADER.pack(STRUCT, result_field)
         + FIELD_HEADER.pack(MAP, THROWN_FIELDS)
         + encode_string_map(fields)
@@ -308,28 +310,28 @@
     )
 
 
-def encode_application_exception(method: str, seq: int, kind: int, text: str) -> bytes:
+def encode_application_exception(method: str, sequence_id: int, error_type: int, text: str) -> bytes:
     """Encode an application exception."""
     return encode_message(
         EXCEPTION,
         method,
-        seq,
+        sequence_id,
         FIELD_HEADER.pack(STRING, APPLICATION_ERROR_MESSAGE)
         + encode_string(text.encode())
         + FIELD_HEADER.pack(I32, APPLICATION_ERROR_TYPE)
-        + I32S.pack(kind)
+        + I32S.pack(error_type)
         + END_OF_STRUCT,
     )
 
 
-def encode_check_call(seq: int) -> bytes:
+def encode_check_call(sequence_id: int) -> bytes:
     """Encode a call of check, with which a client asks whether we serve."""
     return encode_message(
-        CALL, "check", seq, FIELD_HEADER.pack(BOOL, CHECK_UNUSED) + bytes((1,)) + END_OF_STRUCT
+        CALL, "check", sequence_id, FIELD_HEADER.pack(BOOL, CHECK_UNUSED) + bytes((1,)) + END_OF_STRUCT
     )
 
 
 def is_good_answer(frame: bytes) -> bool:
     """Whether a frame holds an Answer whose `good` is true. Raises ProtocolError."""
-    answer_fields = decode_message(frame, REPLY, EXCEPTION).args.get((RESULT_SUCCESS, STRUCT), {})
+    answer_fields = decode_message(frame, REPLY, EXCEPTION).fields.get((RESULT_SUCCESS, STRUCT), {})
     return answer_fields.get((ANSWER_GOOD, BOOL), False)
--- a/gullhold/net/write_buffer.py
+++ b/gullhold/net/write_buffer.py
@@ -24,36 +24,37 @@
 class BufferedMessage:
     """One message in a write buffer: as it was put, what is left of it, and how it is encoded anew."""
 
-    __slots__ = ("data", "end_offset", "is_begun", "left", "renew")
+    __slots__ = ("data", "end_offset", "is_started", "remaining", "renew")
 
     def __init__(self, data: bytes, end_offset: int, renew: Callable[[], bytes] | None) -> None:
         self.data = data
-        self.left: bytes | memoryview = data
+        self.remaining: bytes | memoryview = data
         self.end_offset = end_offset
         self.renew = renew
-        self.is_begun = False
+        self.is_started = False
 
 
 class WriteBuffer:
     """Whole messages in order, never interleaved; put() never blocks. Waits until it is given its connection.
 
-    most: bytes that may wait; flusher: goes on with what the system did not take at once. From any thread.
+    max_bytes: bytes that may wait; flusher: goes on with what the system did not take at once.
+    All methods may be called from any thread.
     """
 
-    def __init__(self, most: int, counters: Counters, flusher: "Flusher | None") -> None:
-        self.most = most
+    def __init__(self, max_bytes: int, counters: Counters, flusher: "Flusher | None") -> None:
+        self.max_bytes = max_bytes
         self.counters = counters
         self.flusher = flusher
         self.connection: Connection | None = None
         self.lock = Lock()
         self.pending: deque[BufferedMessage] = deque()
         self.size = 0  # bytes that wait
-        self.queued = 0  # offset behind all messages that were ever put
+        self.end_offset = 0  # offset behind all messages that were ever put
         self.broken_at: int | None = None  # the end of the first message that was lost
         self.error: OSError | None = None  # by which a write ended the connection
-        self.flushing = False  # the flusher goes on with it
-        self.dead = False  # nothing goes out any more
-        self.finishing = False  # it takes no more
+        self.is_flushing = False  # the flusher goes on with it
+        self.is_dead = False  # nothing goes out any more
+        self.is_finishing = False  # it takes no more
         self.is_end_sent = False  # our side is shut: all is out
 
     def attach(self, connection: Connection) -> None:
@@ -74,17 +75,17 @@
         when its first byte goes out, asked where it had to wait.
         """
         with self.lock:
-            if self.dead or self.finishing or self.size + len(data) > self.most:
+            if self.is_dead or self.is_finishing or self.size + len(data) > self.max_bytes:
                 return Rejection.CLOSED_OR_FULL
             if is_allowed and self.connection is not None and not is_allowed():
                 return Rejection.NOT_ALLOWED
-            self.queued += len(data)
+            self.end_offset += len(data)
             self.size += len(data)
-            must_wait = self.flushing or self.connection is None
-            self.pending.append(BufferedMessage(data, self.queued, renew if must_wait else None))
+            must_wait = self.is_flushing or self.connection is None
+            self.pending.append(BufferedMessage(data, self.end_offset, renew if must_wait else None))
             if not must_wait:
                 self._write(renew)
-            return self.queued
+            return self.end_offset
 
     def is_written(self, offset: int) -> bool:
         """Whether all up to this offset was handed to the system."""
@@ -96,9 +97,9 @@
         """Take back a message of which no byte has gone; whether it could be."""
         with self.lock:
             for position, message in enumerate(self.pending):
-                if message.data is data and not message.is_begun:
+                if message.data is data and not message.is_started:
                     del self.pending[position]
-                    self.size -= len(message.left)
+                    self.size -= len(message.remaining)
                     return True
             return False
 
@@ -109,25 +110,25 @@
         the connection, and takes along what the other side has yet to read.
         """
         with self.lock:
-            self.finishing = True
+            self.is_finishing = True
             if now:
                 self._end_now()
             elif not self.pending:
                 self._send_end()
-            return self.is_end_sent or self.dead
+            return self.is_end_sent or self.is_dead
 
     def flush(self) -> int:
         """From the flusher: write on; how many bytes went out."""
         with self.lock:
             before = self.size
-            self.flushing = False
+            self.is_flushing = False
             self._write()
             return before - self.size
 
     def descriptor(self) -> int:
         """The number to wait for until more can be written; -1: there is nothing to wait for any more."""
         with self.lock:
-            return self.connection.fileno() if self.flushing and not self.dead else -1
+            return self.connection.fileno() if self.is_flushing and not self.is_dead else -1
 
     def _send_end(self) -> None:
         """With the lock held: the other side reads to the end."""
@@ -137,10 +138,10 @@
 
     def _end_now(self) -> None:
         """With the lock held: nothing more goes out, and the reader, which closes, wakes."""
-        if self.pending and not self.dead:
+        if self.pending and not self.is_dead:
             self.broken_at = self.pending[0].end_offset
-        self.dead = True
-        self.flushing = False
+        self.is_dead = True
+        self.is_flushing = False
         self.pending.clear()
         self.size = 0
         if self.connection is not None:
@@ -151,22 +152,22 @@
 
         renew: of the last message, should nothing of it go out now.
         """
-        while self.pending and self.connection is not None and not self.dead:
+        while self.pending and self.connection is not None and not self.is_dead:
             message = self.pending[0]
             if message.renew:
                 self._renew(message)
             try:
-                count = self.connection.send(message.left)
+                count = self.connection.send(message.remaining)
             except OSError as error:
                 self.error = error
                 self._end_now()
                 return
             self.size -= count
-            if count < len(message.left):
+            if count < len(message.remaining):
                 self._leave_to_flusher(message, count, renew)
                 return
             self.pending.popleft()
-        if self.finishing and not self.pending and not self.dead:
+        if self.is_finishing and not self.pending and not self.is_dead:
             self._send_end()
 
     def _leave_to_flusher(
@@ -174,17 +175,17 @@
     ) -> None:
         """With the lock held: the system took only so many bytes of a message."""
         if count:
-            message.is_begun = True
+            message.is_started = True
             message.renew = None
-            message.left = memoryview(message.left)[count:]
+            message.remaining = memoryview(message.remaining)[count:]
         else:
             message.renew = message.renew or renew
-        self.flushing = True
+        self.is_flushing = True
         self.counters.add("writes put off")
         self.flusher.watch(self)
 
     def _renew(self, message: BufferedMessage) -> None:
         """With the lock held: the message as it is to be now."""
         renewed = message.renew()
-        self.size += len(renewed) - len(message.left)
-        message.left = renewed
+        self.size += len(renewed) - len(message.remaining)
+        message.remaining = renewed
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -76,11 +76,11 @@
     def up(self, end: End) -> None:
         """The connection stands."""
         if not self.connected(Connection(WireSocket(end))):
-            self.fail(self.end_by_us)
+            self.fail(self.local_end)
 
-    def shut(self, end: ConnectionEnd) -> None:
+    def begin_close(self, end: ConnectionEnd) -> None:
         """End it from our side; its reader reports a moment later."""
-        super().shut(end)
+        super().begin_close(end)
         if self.connection is not None:
             self.core.world.clock.after(0, self.fail, end)
 
@@ -127,7 +127,7 @@
         try:
             self.decoder.buffer.put(data)
             for call in self.decoder.calls():
-                self.calls.received(call, self.core.clock())
+                self.calls.handle(call, self.core.clock())
         except ProtocolError as error:
             self._fail(ConnectionEnd.MALFORMED, str(error))
         self.write_rejections()
@@ -252,7 +252,7 @@
         census = core.gateway.census()
         sizes = {
             "owed": len(core.requests.by_number),
-            "txns": len(core.requests.by_txn),
+            "txns": len(core.requests.by_transaction_id),
             "commands": census.commands,
             "threads": census.engine_threads,
             "running": census.engine_attempts,
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -43,11 +43,11 @@
 
 def _not_awaited(_stop: Method) -> Method:
     def call(self: Attempts, attempt: Attempt, outcome: Outcome) -> None:
-        connection, txn = attempt.connection, attempt.request.request.txn
+        connection, txn = attempt.connection, attempt.pending.request.transaction_id
         is_open = connection and connection.open.get(txn) is attempt
         if is_open and not connection.write_buffer.withdraw(attempt.message):
             self.core.pool.send_control(connection, engine_protocol.ABORT, txn)
-            connection.given_up.add(txn)
+            connection.abandoned_ids.add(txn)
             del connection.open[txn]
         self.core.defer(self.end, attempt, outcome)
 
--- a/gullhold/simulation/peers.py
+++ b/gullhold/simulation/peers.py
@@ -125,7 +125,7 @@
         verb, txn, *arguments = words
         match verb:
             case b"fetch":
-                self._fetch(conn, txn, resp.fields(arguments[0]), arguments[1], written_at)
+                self._fetch(conn, txn, resp.decode_fields(arguments[0]), arguments[1], written_at)
             case b"abort":
                 self.stop(conn, txn)
             case b"alive":
@@ -239,10 +239,10 @@
         self.decoder.buffer.put(data)
         for frame in self.decoder.frames():
             scan = thrift.Scan(frame)
-            kind = scan.take(4)[3]
-            scan.string()
-            seq = struct.unpack(">i", scan.take(4))[0]
-            result = scan.fields()
+            kind = scan.read(4)[3]
+            scan.read_string()
+            seq = struct.unpack(">i", scan.read(4))[0]
+            result = scan.read_struct()
             found = result.get((0, thrift.STRUCT))
             body = found[1, thrift.STRING] if kind == thrift.REPLY and found else None
             self.world.checker.answered(self.world.clock.now, self, self.open.pop(seq, None), body)
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -58,9 +58,9 @@
         size = struct.unpack(">i", self.buffer[:4])[0]
         scan = thrift.Scan(self.buffer[4 : 4 + size])
         self.buffer = self.buffer[4 + size :]
-        kind = scan.take(4)[3]
-        scan.string()
-        seq, result = scan.number(thrift.I32S), scan.fields()
+        kind = scan.read(4)[3]
+        scan.read_string()
+        seq, result = scan.read_number(thrift.I32S), scan.read_struct()
         if kind == thrift.EXCEPTION:
             return seq, "exception"
         if (0, thrift.STRUCT) in result:
--- a/gullhold/testing/crowd.py
+++ b/gullhold/testing/crowd.py
@@ -183,14 +183,14 @@
 
     def _answered(self, answer, out, later, order):
         message, now = thrift.decode_message(answer, thrift.REPLY, thrift.EXCEPTION), time.monotonic()
-        ask = out.pop(message.seq, None)
+        ask = out.pop(message.sequence_id, None)
         if ask is None:
             with self.lock:
                 self.twice += 1
             return
-        shed = message.args.get((1, thrift.STRUCT)) if message.kind == thrift.REPLY else None
+        shed = message.fields.get((1, thrift.STRUCT)) if message.message_type == thrift.REPLY else None
         with self.lock:
-            if (0, thrift.STRUCT) in message.args:
+            if (0, thrift.STRUCT) in message.fields:
                 self.answered += 1
                 self.latencies.append(now - ask.sent_at)
                 if ask.tries > 1:
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -63,8 +63,11 @@
 
 def test_a_time_out_of_the_system_is_an_end_and_one_of_a_read_is_not():
     """ETIMEDOUT on an open connection was taken for idleness: the client's requests were still answered."""
-    assert connection_ends.of_error(TimeoutError(110, "ETIMEDOUT")) == ConnectionEnd.RESET
-    assert connection_ends.of_error(TimeoutError(110, "ETIMEDOUT"), connecting=True) == ConnectionEnd.NOT_UP
-    assert connection_ends.of_error(BlockingIOError(11, "EAGAIN")) == ConnectionEnd.IDLE
-    assert connection_ends.of_error(OSError(113, "EHOSTUNREACH")) == ConnectionEnd.RESET
-    assert connection_ends.of_error(OSError(105, "ENOBUFS"), connecting=True) == ConnectionEnd.SHORT
+    assert connection_ends.classify_os_error(TimeoutError(110, "ETIMEDOUT")) == ConnectionEnd.RESET
+    assert (
+        connection_ends.classify_os_error(TimeoutError(110, "ETIMEDOUT"), connecting=True)
+        == ConnectionEnd.NOT_UP
+    )
+    assert connection_ends.classify_os_error(BlockingIOError(11, "EAGAIN")) == ConnectionEnd.IDLE
+    assert connection_ends.classify_os_error(OSError(113, "EHOSTUNREACH")) == ConnectionEnd.RESET
+    assert connection_ends.classify_os_error(OSError(105, "ENOBUFS"), connecting=True) == ConnectionEnd.SHORT
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -61,7 +61,7 @@
         assert not self.count("faults of ours")
         assert not self.count("overdue")
         assert not self.core.requests.by_number
-        assert not self.core.requests.by_txn
+        assert not self.core.requests.by_transaction_id
         assert not self.core.gateway.commands
         assert not self.core.statement_memory.used
 
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -9,13 +9,13 @@
 def test_a_buffer_grows_compacts_gives_room_back_and_has_an_end():
     one = buffer.Buffer(20_000)
     one.put(b"x" * 9000)
-    one.drop(8000)
+    one.consume(8000)
     size = len(one.data)
     one.put(b"y" * (size - 1500))  # fits once what was used has made room
     assert len(one.data) == size
     assert one.peek(1001) == b"x" * 1000 + b"y"
     with pytest.raises(ProtocolError):
         one.put(b"z" * 20_000)
-    one.drop(len(one))
-    assert len(one.data) == buffer.FIRST
+    one.consume(len(one))
+    assert len(one.data) == buffer.INITIAL_BYTES
     assert len(one) == 0
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -25,9 +25,9 @@
     gateway, client = start(engine)
     inside = idle(gateway, client)
     with Blocked(gateway.core):
-        monkeypatch.setattr(client_connection, "IDLE_S", 0.0)
+        monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.0)
         until(lambda: inside.end_requested)  # it asks the core for its end
-        monkeypatch.setattr(client_connection, "IDLE_S", 60)
+        monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 60)
         seq = client.ask()
         until(lambda: inside.handed_over_count == 1)
     assert client.answer() == (seq, b"a\tb\tc\n")
@@ -39,7 +39,7 @@
     engine = Engine()
     gateway, client = start(engine)
     inside = idle(gateway, client)
-    monkeypatch.setattr(client_connection, "CROSS_S", 2.0)
+    monkeypatch.setattr(client_connection, "CROSSING_TIME_S", 2.0)
     inside.write_buffer.finish()
     client.ask()
     assert half_reading(client) == (b"", True)
@@ -68,9 +68,9 @@
     gateway, client = start(Engine())
     inside = idle(gateway, client)
     with Blocked(gateway.core):
-        quiet = inside.quiet_at
+        quiet = inside.last_active_at
         seq = client.send("check", b"\x02\0\1\1")
-        until(lambda: inside.quiet_at > quiet)
+        until(lambda: inside.last_active_at > quiet)
         inside.dismiss()
         until(lambda: inside.end_requested)
     assert client.answer() == (seq, b"")
@@ -93,7 +93,7 @@
 
 def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(start, monkeypatch):
     gateway, client = start(Engine())
-    monkeypatch.setattr(client_connection, "CROSS_S", 1.0)
+    monkeypatch.setattr(client_connection, "CROSSING_TIME_S", 1.0)
     inside = idle(gateway, client)
     inside.dismiss()
     assert half_reading(client) == (b"", True)
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -1,7 +1,7 @@
 """How a connection ended, and what that is to the decision module."""
 
 from gullhold.interface import NEVER_RAN, Outcome
-from gullhold.net.connection_ends import ConnectionEnd, of_error, outcome
+from gullhold.net.connection_ends import ConnectionEnd, classify_os_error, outcome
 
 
 def test_how_a_connection_ended_says_whether_a_send_may_have_run():
@@ -9,6 +9,6 @@
     assert outcome(False) == Outcome.CONNECT_FAILED
     assert outcome(False) in NEVER_RAN
     assert outcome(True) not in NEVER_RAN
-    assert of_error(ConnectionRefusedError(), True) == ConnectionEnd.REFUSED
-    assert of_error(TimeoutError(), True) == ConnectionEnd.NOT_UP
-    assert of_error(ConnectionResetError()) == ConnectionEnd.RESET
+    assert classify_os_error(ConnectionRefusedError(), True) == ConnectionEnd.REFUSED
+    assert classify_os_error(TimeoutError(), True) == ConnectionEnd.NOT_UP
+    assert classify_os_error(ConnectionResetError()) == ConnectionEnd.RESET
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -101,7 +101,7 @@
     verb, txn, facts, _ = arrays[0]
     left = 3500 - 700 - 1000 * (time.monotonic() - began)  # ms, at most: it was waited for before that
     assert verb == b"fetch"
-    assert 0 < int(resp.fields(facts)[b"w"]) <= left + 150
+    assert 0 < int(resp.decode_fields(facts)[b"w"]) <= left + 150
     conn.sendall(resp.encode(txn, b"200", b"pages=1,cost=5,need=10", b"a\tb\tc\n"))
     assert client.answer()[1] == b"a\tb\tc\n"
 
@@ -120,4 +120,4 @@
     assert client.answer() == (seq, "shed")
     assert gateway.count("no descriptor for a link")
     late.come_up().close()
-    until(lambda: not gateway.core.pool.holding)
+    until(lambda: not gateway.core.pool.holding_descriptor)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -31,25 +31,25 @@
 def test_a_request_is_read_in_the_modules_units():
     reader = request_reader.RequestReader(AGREEMENT)
     got = reader.request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
-    assert (got.limit_us, got.work_us, got.need_mb, got.group, got.repeat) == (
+    assert (got.timeout_us, got.work_us, got.memory_mb, got.table_group, got.is_retry) == (
         1_500_000,
         820_500,
         96.0,
         17,
         True,
     )
-    assert got.key == 0
-    assert got.unique == b""
+    assert got.ordering_key == 0
+    assert got.idempotency_key == b""
     assert got.profile == got.tenant == 0
     one, other = (
         reader.request({**ASKED, b"verb": b"load", b"unique": b"5c"}, b"insert into a_1.%s" % t)
         for t in (b"x", b"y")
     )
-    assert one.key
-    assert other.key
-    assert one.key != other.key
+    assert one.ordering_key
+    assert other.ordering_key
+    assert one.ordering_key != other.ordering_key
     bare = reader.request({k: v for k, v in ASKED.items() if k not in (b"cpu", b"memory")}, b"")
-    assert bare.work_us == bare.need_mb == bare.group == 0
+    assert bare.work_us == bare.memory_mb == bare.table_group == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -45,10 +45,10 @@
 
 
 def test_resp_field_lists():
-    assert resp.fields(b"-") == {}
-    assert resp.fields(b"a=1,load=inflight:7;util:0.6") == {
+    assert resp.decode_fields(b"-") == {}
+    assert resp.decode_fields(b"a=1,load=inflight:7;util:0.6") == {
         b"a": b"1",
         b"load": b"inflight:7;util:0.6",
     }
-    assert resp.field_list([]) == b"-"
-    assert resp.field_list([(b"c", b"x"), (b"w", b"5")]) == b"c=x,w=5"
+    assert resp.encode_fields([]) == b"-"
+    assert resp.encode_fields([(b"c", b"x"), (b"w", b"5")]) == b"c=x,w=5"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -27,7 +27,7 @@
     )
     assert client.answer() == (seq, b"1\t2\t3\n" * 800 + b"4\t5\t6\n" * 900 + b"7\t8\t9\n")
     ((_, _, txn, fields, body, _),) = engine.words(b"fetch")
-    fields = resp.fields(fields)
+    fields = resp.decode_fields(fields)
     assert txn == b"9b1f03aa5c7e2d41"
     assert body == "select 'é\r\n' from a_1.b".encode()
     assert fields[b"c"] == b"mark"
@@ -415,8 +415,8 @@
 
 
 def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start, monkeypatch):
-    monkeypatch.setattr(client_connection, "IDLE_S", 0.1)
-    monkeypatch.setattr(client_connection, "SAY_S", 0.1)
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.1)
     gateway, client = start(Engine(endless))
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
@@ -472,7 +472,7 @@
 
 def client_open(gateway):
     """Numbers of all that clients have open."""
-    return {cmd.seq for cmd in gateway.core.requests.by_number.values() if cmd.client}
+    return {cmd.sequence_id for cmd in gateway.core.requests.by_number.values() if cmd.client}
 
 
 def test_a_send_of_which_nothing_is_heard_on_a_link_that_works_goes_again(start):
@@ -489,7 +489,7 @@
 def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
     start, monkeypatch
 ):
-    monkeypatch.setattr(client_connection, "SAY_S", 0.2)
+    monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.2)
     gateway, client = start(Engine(endless))
     half, back = Caller(gateway.address), Caller(gateway.address)
     half.sock.sendall(b"\0\0\1\0\x80\1")
@@ -499,7 +499,7 @@
         assert caller.answer() is None
     # What was taken back at once counts for no share of the fleet.
     assert gateway.core.gateway.parts.traffic.count < 1
-    monkeypatch.setattr(client_connection, "SAY_S", 60)
+    monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 60)
     gateway.listener.max_clients = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
     asks = Caller(gateway.address)
@@ -589,7 +589,7 @@
     gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
-    time.sleep(client_connection.CROSS_S + 0.05)
+    time.sleep(client_connection.CROSSING_TIME_S + 0.05)
     new = [Caller(gateway.address) for _ in range(5)]
     for caller in new:
         seq = caller.ask()
--- a/tests/test_thrift.py
+++ b/tests/test_thrift.py
@@ -18,8 +18,8 @@
         call(seq=i, fields={b"txn": b"%d" % i, b"verb": b""}, body=body) for i, body in enumerate(bodies)
     )
     calls = feed(thrift.Decoder(MOST), thrift.Decoder.calls, data, cuts)
-    assert [(c.seq, c.args[2, thrift.STRING]) for c in calls] == list(enumerate(bodies))
-    assert all(c.args[1, thrift.MAP] == {b"txn": b"%d" % c.seq, b"verb": b""} for c in calls)
+    assert [(c.sequence_id, c.fields[2, thrift.STRING]) for c in calls] == list(enumerate(bodies))
+    assert all(c.fields[1, thrift.MAP] == {b"txn": b"%d" % c.sequence_id, b"verb": b""} for c in calls)
 
 
 def test_thrift_steps_over_fields_that_it_does_not_know():
@@ -39,7 +39,7 @@
         + b"\x02\x00\x0c\x01"
     )
     frame = call(fields={b"a": b"b"}, extra=extra)
-    assert thrift.decode_call(frame[4:]).args[1, thrift.MAP] == {b"a": b"b"}
+    assert thrift.decode_call(frame[4:]).fields[1, thrift.MAP] == {b"a": b"b"}
 
 
 @pytest.mark.parametrize(
@@ -98,10 +98,10 @@
         assert version == 0x8001
         assert found == kind
         scan = thrift.Scan(message[8:])
-        scan.string()
-        assert scan.number(thrift.I32S) == 7
-        result = scan.fields()
-        assert scan.at == len(scan.data)
+        scan.read_string()
+        assert scan.read_number(thrift.I32S) == 7
+        result = scan.read_struct()
+        assert scan.position == len(scan.data)
         if message == thrift.encode_answer("execute", 7, b"a\tb\tc\n"):
             assert result[0, thrift.STRUCT][1, thrift.STRING] == b"a\tb\tc\n"
             assert result[0, thrift.STRUCT][3, thrift.BOOL] is True
