--- a/gullhold/admission/fair_queue.py
+++ b/gullhold/admission/fair_queue.py
@@ -10,7 +10,7 @@
 
 from enum import IntEnum
 from heapq import heapify, heappop, heappush
-from typing import Generic, NamedTuple, TypeVar
+from typing import Any, Generic, NamedTuple, TypeVar
 
 STALE_ROWS_ALLOWED = 64  # heap rows; fewer stale ones than this are never worth a clean-up
 NOT_IN_HEAP = 0  # entry of a child that no heap row stands for; serial numbers begin at 1
@@ -51,7 +51,7 @@
 
     virtual_time: float  # the child's start, or the end of its quantum
     serial: int
-    child: Child
+    child: Child[Any]
 
     def is_stale(self) -> bool:
         """Whether the child has a newer row or none."""
--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -58,7 +58,7 @@
         for tenant_queue in self.tenants.values():
             self.fair_queue.set_weight(tenant_queue.child, self._tenant_weights[tenant_queue.tenant])
             for flow in tenant_queue.flows.values():
-                if flow.is_exact:
+                if isinstance(flow.key, bytes):  # an exact flow
                     tenant_queue.fair_queue.set_weight(flow.child, self._client_weight(flow.key))
 
     def tenant_queue(self, tenant: int) -> TenantQueue:
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -34,7 +34,7 @@
 from gullhold.admission.tenant_queue import TenantQueue
 from gullhold.admission.wait_estimate import expected_wait_us, lateness_us, service_rate
 from gullhold.admission.work_accounting import WorkAccounting
-from gullhold.admission_interface import Forward, KnownRejection, Reject, RejectedFlow
+from gullhold.admission_interface import Forward, KnownRejections, Reject
 from gullhold.interface import Profile
 
 if TYPE_CHECKING:
@@ -85,7 +85,7 @@
         self.queued_count = 0  # with those that are blocked
         self.queued_bytes = 0
         self.forwarded_count = 0
-        self.forwarded_by_lane: dict[Lane, int] = {}
+        self.forwarded_by_lane: dict[tuple[int, int], int] = {}  # by Lane
         self._profiles = profiles
         self._expiries: list[ExpiryRow] = []  # a heap
         self._last_order = 0
@@ -98,7 +98,7 @@
         self.set_weights(tenant_weights, self.settings.client_weights)
 
     @property
-    def known_rejections(self) -> Mapping[RejectedFlow, KnownRejection]:
+    def known_rejections(self) -> KnownRejections:
         """Flows whose new commands are rejected for a moment. May be read from any thread."""
         return self.rejections.entries
 
--- a/gullhold/admission/rejection_table.py
+++ b/gullhold/admission/rejection_table.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, max_entries: int) -> None:
-        self.entries: dict[RejectedFlow, KnownRejection] = {}
+        self.entries: dict[tuple[int, bytes, int | None], KnownRejection] = {}  # by RejectedFlow
         self._max_entries = max_entries
 
     def record(self, command: QueuedCommand, now_us: int, late_us: int) -> None:
--- a/gullhold/admission/sketch.py
+++ b/gullhold/admission/sketch.py
@@ -13,7 +13,7 @@
 HASH_BYTES = ROWS * BITS_PER_ROW // 8
 
 
-def _empty_counts() -> array:
+def _empty_counts() -> "array[float]":
     return array("d", bytes(array("d").itemsize * ROWS * WIDTH))
 
 
--- a/gullhold/admission_interface.py
+++ b/gullhold/admission_interface.py
@@ -3,6 +3,7 @@
 They stand apart from gullhold.admission so that a gateway without an admission queue never imports it.
 """
 
+from collections.abc import Mapping
 from typing import NamedTuple
 
 UNKNOWN_TENANT = -1  # index of a tenant whose commands are not accepted
@@ -37,3 +38,7 @@
 
     until_us: int
     first_retry_at_us: int | None  # when the first Retry-After time of the flow begins; None: there is none
+
+
+KnownRejections = Mapping[tuple[int, bytes, int | None], KnownRejection]
+"""Known rejections by RejectedFlow; a plain tuple, which is made faster, finds the same entry."""
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -44,6 +44,7 @@
 
     def background_threads(self) -> dict[str, Callable[[], None]]:
         """Return what the threads beside the core's run, by thread name, in the order of their start."""
+        assert self.core.flusher is not None, "build_parts() has made it"
         return {
             "listener": self.listener.run,
             "coordinator": self.discovery_client.run,
--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -109,10 +109,10 @@
                 outcome = Outcome.NOT_STARTED
             elif self._needs_confirmation(attempt, outcome):
                 if attempt.outcome_once_confirmed is None:
-                    self._cancel_with_confirmation(attempt, outcome)
+                    self._cancel_with_confirmation(attempt, connection, outcome)
                 return
             else:
-                self._abort_without_confirmation(attempt)
+                self._abort_without_confirmation(attempt, connection)
             del connection.open[transaction_id]
         self.core.defer(self.end, attempt, outcome)
 
@@ -122,7 +122,7 @@
         tag: of the confirmation; unknown ones are passed over.
         """
         attempt = connection.confirmations.pop(tag, None)
-        if attempt:
+        if attempt and attempt.outcome_once_confirmed is not None:
             connection.abandoned_ids.discard(attempt.pending.request.transaction_id)
             self.end(attempt, attempt.outcome_once_confirmed)
 
@@ -193,8 +193,9 @@
         may_be_retried = outcome in (Outcome.CANCELLED, Outcome.RESET) and attempt.pending.client
         return bool(may_be_retried) and not attempt.pages
 
-    def _cancel_with_confirmation(self, attempt: Attempt, outcome: Outcome) -> None:
-        connection = attempt.connection
+    def _cancel_with_confirmation(
+        self, attempt: Attempt, connection: EngineConnection, outcome: Outcome
+    ) -> None:
         self.last_confirmation += 1
         tag = b"~%d" % self.last_confirmation
         attempt.outcome_once_confirmed = outcome
@@ -202,8 +203,7 @@
         self.core.pool.send_control(connection, engine_protocol.ABORT, attempt.pending.request.transaction_id)
         self.core.pool.send_control(connection, engine_protocol.ALIVE, tag)
 
-    def _abort_without_confirmation(self, attempt: Attempt) -> None:
-        connection = attempt.connection
+    def _abort_without_confirmation(self, attempt: Attempt, connection: EngineConnection) -> None:
         transaction_id = attempt.pending.request.transaction_id
         if attempt.outcome_once_confirmed is None:  # else the abort has gone already
             self.core.pool.send_control(
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -40,7 +40,9 @@
     def handle(self, call: thrift.Message, received_at_us: int) -> None:
         """A call was read: taken now, or after the pause; what takes another back is never put off."""
         if call.method == "interrupt":
-            self._interrupt(call.fields.get(FIRST_NUMBER))
+            sequence_id = call.fields.get(FIRST_NUMBER)
+            if sequence_id is not None:
+                self._interrupt(sequence_id)
         elif not self.backpressure.must_defer():
             self._take(call, received_at_us)
         elif call.method == "execute" and self.backpressure.is_full():
@@ -130,7 +132,7 @@
         if request:
             self._hand_to_core(sequence_id, request, received_at_us)
 
-    def _is_rejected_early(self, sequence_id: int, fields: dict, received_at_us: int) -> bool:
+    def _is_rejected_early(self, sequence_id: int, fields: dict[bytes, bytes], received_at_us: int) -> bool:
         """Whether the admission queue would reject it with no more than is known here."""
         queue = self.core.admission_queue
         if not queue or not queue.known_rejections:
@@ -144,7 +146,7 @@
         self.rejections.append(thrift.encode_shed(sequence_id, *shed_fields))
         return True
 
-    def _read(self, sequence_id: int, fields: dict, statement: bytes) -> Request | None:
+    def _read(self, sequence_id: int, fields: dict[bytes, bytes], statement: bytes) -> Request | None:
         """The request; None where it can't be used, which its client hears."""
         try:
             return self.reader.request(fields, statement, *self.client.peer)
--- a/gullhold/net/configuration_command.py
+++ b/gullhold/net/configuration_command.py
@@ -30,6 +30,8 @@
 
 def _operator_file_lines(path: str) -> list[str]:
     operator_file = load_operator_file(path)
+    if operator_file is None:  # no path was given
+        return []
     from gullhold.operator import records  # noqa: PLC0415  heavy: only where there is such a file
 
     return list(records.lines(operator_file))
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -30,10 +30,14 @@
 from gullhold.net.statement_memory import StatementMemory
 
 if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
     from gullhold.admission.queue import AdmissionQueue
-    from gullhold.decisions.gateway import Gateway
+    from gullhold.decisions.fleet_budgets import ShareLookup
+    from gullhold.decisions.gateway import Gateway, PolicyValues
     from gullhold.net.client_connection import ClientConnection
     from gullhold.net.flusher import Flusher
+    from gullhold.net.list_change import ListChange
 
 
 class Fence(Protocol):
@@ -109,15 +113,15 @@
 
     # The thread
 
-    def run(self, known: list[tuple]) -> None:
-        """Serve until the graceful shutdown is done. known: changes of the list, of the configuration."""
+    def run(self, known: "Sequence[ListChange]") -> None:
+        """Serve until the graceful shutdown is done. known: the endpoint list of the configuration."""
         # Guards against sends to what has left since the configuration was written: a start takes a second.
         self.list_received.wait((self.agreement.connect_timeout_us + 2 * FIRST_EVENT_TIMEOUT_US) / 1e6)
         self.begin(known)
         self.run_until_stopped()
         self.has_ended = True  # this thread touches nothing any more
 
-    def begin(self, known: list[tuple]) -> None:
+    def begin(self, known: "Sequence[ListChange]") -> None:
         """Apply the list of the configuration; from here on there is always a timer."""
         self.tick()
         for change in known:
@@ -167,26 +171,34 @@
 
     # The fleet
 
-    def apply_policy(self, terms: object, gate: PolicyGate, shares: object, clients: object) -> None:
-        """A policy of the fleet holds from here on.
+    def apply_policy(
+        self,
+        terms: "PolicyValues",
+        gate: PolicyGate,
+        tenant_weights: "Sequence[float]",
+        client_weights: "Mapping[str, float]",
+    ) -> None:
+        """Apply a policy of the fleet from here on.
 
-        gate: asked at each attempt; shares, clients: the weights of the admission queue.
+        gate: asked at each attempt; tenant_weights, client_weights: of the admission queue.
         """
         self.gate = gate
         if self.admission_queue:
-            self.admission_queue.set_weights(shares, clients)
+            self.admission_queue.set_weights(tenant_weights, client_weights)
         self.decisions.call(None, self.gateway.apply_policy, terms, gate)
 
-    def apply_budgets(self, parts: object, lacking: Callable[[tuple[Demand, ...]], None]) -> None:
-        """The fleet's budgets bind, or have changed; lacking() hears of the demand of held commands."""
-        self.report_demand = lacking
-        self.decisions.call(None, self.gateway.apply_budgets, parts)
+    def apply_budgets(
+        self, shares: "ShareLookup", report_demand: Callable[[tuple[Demand, ...]], None]
+    ) -> None:
+        """Apply the fleet's budgets, or their changes; report_demand: gets the demand of queued commands."""
+        self.report_demand = report_demand
+        self.decisions.call(None, self.gateway.apply_budgets, shares)
 
-    def fencing_tokens(self) -> tuple:
+    def fencing_tokens(self) -> tuple[object, ...]:
         """What attempts are decided under now."""
         return tuple(fence.fencing_token() for fence in self.fences)
 
-    def are_tokens_valid(self, tokens: tuple) -> bool:
+    def are_tokens_valid(self, tokens: tuple[object, ...]) -> bool:
         """Whether what was decided under these may still go out. From any thread.
 
         Guards against a process that slept between decision and write: what it was made under may be
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -30,7 +30,9 @@
     def __init__(self, core: "Core") -> None:
         self.core = core
 
-    def call(self, pending: "PendingRequest | None", method: Callable[..., list], *args: object) -> None:
+    def call(
+        self, pending: "PendingRequest | None", method: Callable[..., list[Result]], *args: object
+    ) -> None:
         """Call a method of the module; if it fails, the request of this call gets its one final answer."""
         core = self.core
         core.gateway.results = []  # of a call that fails only its own results hold
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -73,7 +73,7 @@
         self.message = b""
         self.end_offset = 0  # of its fetch in the write buffer; negative: a Rejection
         self.deadline_us = 0  # it must not begin after it
-        self.fencing_tokens: tuple = ()  # what it was decided under
+        self.fencing_tokens: tuple[object, ...] = ()  # what it was decided under
         self.pages: list[bytes] = []
         self.page_count = 0
         self.result_bytes = 0
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -64,7 +64,7 @@
         What waits in it was decided a while ago: whatever may forbid an attempt (engine, client, time, what
         it was decided under) is looked at once more right before its first byte.
         """
-        if connection.is_ended or connection.local_end:
+        if connection.is_ended or connection.local_end or connection.connection is None:
             return
         self.counters.add("links up")
         for attempt in list(connection.open.values()):
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -94,7 +94,7 @@
             raise ProtocolError(f"{reply!r} out of turn")
 
     def _handle_status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
-        kind = STATUS_NOTES.get(fields.get(b"note"))
+        kind = STATUS_NOTES.get(fields.get(b"note", b""))
         if kind is None:
             return
         self.counters.add("notes")
--- a/gullhold/net/event_loop.py
+++ b/gullhold/net/event_loop.py
@@ -20,13 +20,16 @@
 FAULT_WAIT_S = 0.001  # s after a step that failed, until the next
 CLOCK_OFFSET_NS = time.time_ns() - time.monotonic_ns()  # Unix ns, as this process began, at monotonic zero
 
+BoundCall = tuple[Callable[..., None], tuple[object, ...]]
+"""A call and its arguments."""
+
 
 class PostedEvent(NamedTuple):
     """A call that another thread asked for, and when."""
 
     posted_at_us: int
     call: Callable[..., None]
-    args: tuple
+    args: tuple[object, ...]
 
 
 class Timer(NamedTuple):
@@ -35,7 +38,7 @@
     due_at_us: int
     serial: int
     call: Callable[..., None]
-    args: tuple
+    args: tuple[object, ...]
 
 
 class EventLoop:
@@ -48,8 +51,8 @@
     def __init__(self, counters: Counters) -> None:
         self.counters = counters
         self.queue: SimpleQueue[PostedEvent] = SimpleQueue()
-        self.urgent: deque[tuple[Callable[..., None], tuple]] = deque()
-        self.deferred: deque[tuple[Callable[..., None], tuple]] = deque()
+        self.urgent: deque[BoundCall] = deque()
+        self.deferred: deque[BoundCall] = deque()
         self.timers: list[Timer] = []
         self.timer_serial = 0
         self.now = self.clock()
--- a/gullhold/net/event_stream.py
+++ b/gullhold/net/event_stream.py
@@ -24,7 +24,7 @@
     def events(self) -> Iterator[dict[str, Any]]:
         """Iterate over the new events. Raises ProtocolError at a gap or a bad line."""
         while (end := self.buffer.find(LINE_END)) >= 0:
-            line = self.buffer.peek(end)
+            line = self.buffer.peek(end) or b""  # complete: its end was found
             self.buffer.consume(end + len(LINE_END))
             if not line.strip():
                 continue
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -158,8 +158,7 @@
 
     def answer(self, pending: PendingRequest, message: bytes) -> None:
         """Give a request its final answer."""
-        client = pending.client
-        self._settle(pending)  # first: its next request may come as soon as it has this answer
+        client = self._settle(pending)  # first: its next request may come as soon as it has this answer
         client.put(message)
 
     def answer_result(self, pending: PendingRequest, rows: bytes) -> None:
@@ -253,7 +252,7 @@
             EventKind.REFUSAL,
             reason,
             pending.request.transaction_id,
-            pending.client.peer.connection,
+            pending.client.peer.connection if pending.client else "",
             "sent" if pending.attempt else "held",
             "answered",
         )
@@ -265,9 +264,10 @@
         if not is_queued:
             self.core.decisions.call(pending, self.core.gateway.client_left, pending.number)
 
-    def _settle(self, pending: PendingRequest) -> None:
-        """No answer is expected any more."""
+    def _settle(self, pending: PendingRequest) -> Client:
+        """No answer is expected any more; return the client that waited for it."""
         client = pending.client
+        assert client is not None, "a request is settled once"
         client.open.pop(pending.sequence_id, None)
         client.settled_count += 1
         client.interrupted.discard(pending.sequence_id)
@@ -275,6 +275,7 @@
         self.settled_at_us = self.core.now
         if not pending.attempt:
             self.forget(pending)
+        return client
 
     def _check_answered(self, pending: PendingRequest) -> None:
         """Guards the rule of one answer in time against any fault of ours: the module answers well before."""
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -32,8 +32,9 @@
         # Before the file is read: one that is replaced meanwhile has another version.
         version = file_version(path) if path else None
         self.configuration = load_configuration(path)
+        assert path, "load_configuration() rejects an empty path"
         operator_file = load_operator_file(operator_path)
-        self._parts = build_parts(self.configuration, operator_file and operator_file.door)
+        self._parts = build_parts(self.configuration, operator_file.door if operator_file else None)
         self.core = self._parts.core
         self.fleet = None
         if operator_file:
@@ -60,7 +61,7 @@
 
     def run(self, report_interval_s: float) -> int:
         """Serve until the core has ended; return the exit status. An interval of 0 means: no reports."""
-        actions = {
+        actions: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.begin_shutdown,
             signal.SIGINT: self.begin_shutdown,
             signal.SIGHUP: self.configuration_reload.reload,
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -1,5 +1,6 @@
 """The way of a request from its arrival to the decision module, through the admission queue if any."""
 
+from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
 from gullhold.admission_interface import AdmissionDecision, Forward, Reject
@@ -20,8 +21,7 @@
 
     def start(self) -> None:
         """Begin to look at the queue from time to time."""
-        if self.core.admission_queue:
-            self._poll()
+        self._poll()
 
     def submit(self, pending: PendingRequest) -> None:
         """A request was taken."""
@@ -71,7 +71,7 @@
             return self.core.admission_queue.retry_after_us(self.core.now, number)
         return 0
 
-    def _carry_out(self, decisions: list[AdmissionDecision]) -> None:
+    def _carry_out(self, decisions: Sequence[AdmissionDecision]) -> None:
         """Requests go on to the module, or are rejected: thousands at once cost one write a connection."""
         requests = self.core.requests
         frames: dict[Client, list[bytes]] = {}
@@ -108,6 +108,9 @@
 
     def _poll(self) -> None:
         """Guards what waits in the queue beyond its time: it is due at its client timeout."""
+        queue = self.core.admission_queue
+        if queue is None:
+            return
         self.core.call_later(self.core.now + QUEUE_POLL_US, self._poll)
-        self._carry_out(self.core.admission_queue.expire(self.core.now))
-        self.core.counters.peak("waiting at the door", self.core.admission_queue.queued_count)
+        self._carry_out(queue.expire(self.core.now))
+        self.core.counters.peak("waiting at the door", queue.queued_count)
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 from zlib import crc32
 
-from gullhold.admission_interface import UNKNOWN_TENANT, KnownRejection, RejectedFlow
+from gullhold.admission_interface import UNKNOWN_TENANT, KnownRejections
 from gullhold.interface import Agreement, Idempotency
 from gullhold.net import US_PER_MS, ceil_to_ms
 from gullhold.net.statement import table_group
@@ -20,8 +20,6 @@
 TIMEOUT_ROUNDING = 2  # clients may round a profile's timeout up: at most to twice as much
 NO_ORDERING_KEY = 0
 
-KnownRejections = Mapping[RejectedFlow, KnownRejection]
-
 
 class Request(NamedTuple):
     """A command as a client asked for it, in the decision module's units."""
@@ -73,8 +71,13 @@
         self._agreement = agreement
         self._client_identity = client_identity
         self._retry_after_field = retry_after_field
-        self._profiles = {profile.name.encode(): i for i, profile in enumerate(agreement.profiles)}
-        self._tenants = {tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)}
+        # Indexes by name; a name may be absent from a request, which finds nothing.
+        self._profiles: dict[bytes | None, int] = {
+            profile.name.encode(): i for i, profile in enumerate(agreement.profiles)
+        }
+        self._tenants: dict[bytes | None, int] = {
+            tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)
+        }
         # What this deployment can do at most bounds what a request may state.
         longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
         self._max_timeout_ms = TIMEOUT_ROUNDING * longest_timeout_us / US_PER_MS or float("inf")
@@ -92,6 +95,8 @@
 
         Returns the fields of the Shed in a tuple, or None where the request has to be read.
         """
+        if self._client_identity is None:  # there is no admission queue
+            return None
         tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
         flow = self._client_identity.flow(fields, unknown_tenant, *peer)
         profile = self._profiles.get(fields.get(b"verb"))
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -76,7 +76,7 @@
             if len(self.buffer) and self.buffer.peek(1) != mark:
                 raise ProtocolError("not an array of bulk strings")
             return None
-        line = self.buffer.peek(end)
+        line = self.buffer.peek(end) or b""  # complete: its end was found
         if line[:1] != mark or not line[1:].isdigit():
             raise ProtocolError("not an array of bulk strings")
         return int(line[1:]), end + len(LINE_END)
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -60,7 +60,7 @@
 UNKNOWN_METHOD = ApplicationErrorType.UNKNOWN_METHOD
 PROTOCOL_ERROR = ApplicationErrorType.PROTOCOL_ERROR
 
-SIZE_BY_FIXED_TYPE = {
+SIZE_BY_FIXED_TYPE: dict[int, int] = {
     FieldType.BOOL: 1,
     FieldType.I8: 1,
     FieldType.DOUBLE: 8,
--- a/gullhold/net/write_buffer.py
+++ b/gullhold/net/write_buffer.py
@@ -128,7 +128,9 @@
     def descriptor(self) -> int:
         """The number to wait for until more can be written; -1: there is nothing to wait for any more."""
         with self.lock:
-            return self.connection.fileno() if self.is_flushing and not self.is_dead else -1
+            if self.connection is None or not self.is_flushing or self.is_dead:
+                return -1
+            return self.connection.fileno()
 
     def _send_end(self) -> None:
         """With the lock held: the other side reads to the end."""
@@ -155,7 +157,7 @@
         while self.pending and self.connection is not None and not self.is_dead:
             message = self.pending[0]
             if message.renew:
-                self._renew(message)
+                self._replace(message, message.renew())
             try:
                 count = self.connection.send(message.remaining)
             except OSError as error:
@@ -182,10 +184,10 @@
             message.renew = message.renew or renew
         self.is_flushing = True
         self.counters.add("writes put off")
+        assert self.flusher is not None, "a write buffer of a socket has a flusher"
         self.flusher.watch(self)
 
-    def _renew(self, message: BufferedMessage) -> None:
-        """With the lock held: the message as it is to be now."""
-        renewed = message.renew()
-        self.size += len(renewed) - len(message.remaining)
-        message.remaining = renewed
+    def _replace(self, message: BufferedMessage, data: bytes) -> None:
+        """With the lock held: a message of which nothing has gone out consists of these bytes from now on."""
+        self.size += len(data) - len(message.remaining)
+        message.remaining = data
