--- a/gullhold/admission/__init__.py
+++ b/gullhold/admission/__init__.py
@@ -1,4 +1,4 @@
-"""The admission queue: commands wait fairly, by tenant and client, before the decision module gets them.
+"""The admission queue: fair queueing of commands, by tenant and client, in front of the decision module.
 
 queue.py is what the network code calls; it puts the parts together: the choice among tenants and flows
 (fair_queue, tenant_queue, flow), bounded tables (flow_table, sketch), Retry-After times (drain_rate,
--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -1,4 +1,4 @@
-"""Which flow a command belongs to: its tenant, and inside it the client, as bytes that stay short."""
+"""Determines the flow of a command: its tenant, and the client inside it, as a name of bounded size."""
 
 import ipaddress
 import socket
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from gullhold.operator.records import ClientRule
 
-MAX_PLAIN_NAME_BYTES = 48  # names up to this length are kept as they are; longer ones count by their hash
+MAX_PLAIN_NAME_BYTES = 48  # longer names are replaced by their hash
 NAME_HASH_BYTES = 16
 IPV6_BITS = 128
 IPV4_MAPPED_PREFIX_BITS = 96  # of ::ffff:0:0/96
 
 
 class NameKind(bytes, Enum):
-    """First byte of a flow's name: what the rest names, so that names of two kinds never meet."""
+    """First byte of a flow's name: what the rest names, so that names of two kinds never collide."""
 
     TENANT = b"t"
     CLIENT = b"c"
@@ -37,8 +37,8 @@
 class ClientIdentifier:
     """Identifies tenants and clients by the operator's rule.
 
-    rule: the operator's record; tenants: names by index; tenant_of_others: the index of the tenant in whose
-    share unknown names take part, or None where only known tenants are accepted.
+    rule: the operator's record; tenants: names by index; tenant_of_others: the index of the tenant whose
+    share unknown tenants use, or None where only known tenants are accepted.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
                 self._networks[prefix] = NetworkRule(network.name, network.each)
 
     def tenant(self, name: bytes) -> tuple[int, bytes | None]:
-        """Return a tenant's index or UNKNOWN_TENANT, and the name where it shares in the part of others."""
+        """Return a tenant's index or UNKNOWN_TENANT, and the name of an unknown tenant that is accepted."""
         known_tenant = self._tenants.get(name.decode("utf-8", "replace"))
         if known_tenant is not None:
             return known_tenant, None
--- a/gullhold/admission/drain_rate.py
+++ b/gullhold/admission/drain_rate.py
@@ -2,14 +2,14 @@
 
 from math import exp
 
-FADING_TIME_US = 2_000_000  # some commands' times, but less than a disturbance lasts
-MIN_MEASURED_US = 200_000  # time with something queued below which the rate is not known
+FADING_TIME_US = 2_000_000  # longer than a few commands take, shorter than disturbances last
+MIN_MEASURED_US = 200_000  # time with queued commands, below which the rate is not known
 
 
 class DrainRate:
-    """Work taken from a queue while commands wait, over the time in which they wait; both fade.
+    """Work taken from a queue while commands wait, divided by that time; both decay exponentially.
 
-    Time in which nothing waits is not counted: what went on then was the demand, not what engines can do.
+    Time in which nothing waits is not counted: then the rate is the clients' demand, not what engines can do.
     """
 
     __slots__ = ("_busy_us", "_queued_count", "_updated_us", "_work_us")
@@ -21,18 +21,18 @@
         self._work_us = 0.0
 
     def record_queued(self, now_us: int) -> None:
-        """Count a command that begins to wait."""
+        """Count a command that is queued."""
         self._advance(now_us)
         self._queued_count += 1
 
     def record_removed(self, now_us: int, work_us: float) -> None:
-        """Count a command that waits no more; work_us: its work, 0 where it was rejected or withdrawn."""
+        """Count a command that left the queue; work_us: its work, 0 where it was rejected or withdrawn."""
         self._advance(now_us)
         self._queued_count -= 1
         self._work_us += work_us
 
     def rate(self, now_us: int) -> float:
-        """Return the work (us) taken in a us; 0: not known yet."""
+        """Return the work (us) taken per us; 0: not known yet."""
         self._advance(now_us)
         if self._busy_us < MIN_MEASURED_US:
             return 0.0
--- a/gullhold/admission/fair_queue.py
+++ b/gullhold/admission/fair_queue.py
@@ -59,7 +59,7 @@
 
 
 class FairQueue(Generic[Owner]):
-    """Children with positive weights; O(log n) a call, n the children that are backlogged.
+    """Children with positive weights. Each call is O(log n) for n backlogged children.
 
     min_quantum: the least quantum, in work.
     """
@@ -80,11 +80,11 @@
         return Child(owner, weight, self.virtual_time)
 
     def owes_nothing(self, child: Child[Owner]) -> bool:
-        """Whether a child is idle and not ahead of its share: nobody could tell if it were forgotten."""
+        """Whether a child is idle and not ahead of its share, so that forgetting it changes nothing."""
         return child.state is IDLE and child.start <= self.virtual_time
 
     def join(self, child: Child[Owner]) -> None:
-        """An idle child has work: it starts from now, with no credit for the time it was idle."""
+        """Mark an idle child as backlogged; it gets no credit for the time in which it was idle."""
         assert child.state is IDLE
         child.start = max(child.start, self.virtual_time)
         self.total_weight += child.weight
@@ -94,7 +94,7 @@
         self._enter(child)
 
     def leave(self, child: Child[Owner]) -> None:
-        """A child has no work any more."""
+        """Mark a child as idle."""
         if child.state is IDLE:
             return
         if child.state is READY:
@@ -106,18 +106,18 @@
         if not self.backlogged_count:
             self.total_weight = 0.0  # exactly: no rounding errors of sums and differences remain
             self.quantum = self.min_quantum
-        else:  # what it is ahead of its share, the others are behind theirs: it is still due to them
+        else:  # the others are still owed what it was ahead of its share
             self.virtual_time -= child.weight * (child.start - self.virtual_time) / self.total_weight
 
     def park(self, child: Child[Owner]) -> None:
-        """A child stays backlogged, but is not to be picked until unpark()."""
+        """Keep a backlogged child from being picked until unpark()."""
         if child.state is READY:
             child.state = PARKED
             child.entry = NOT_IN_HEAP
             self.ready_count -= 1
 
     def unpark(self, child: Child[Owner]) -> None:
-        """A parked child may be picked again."""
+        """Let a parked child be picked again."""
         if child.state is PARKED:
             self._enter(child)
 
@@ -184,7 +184,7 @@
         else:
             heappush(self.ahead, HeapRow(child.start, child.entry, child))
         max_rows = 2 * self.ready_count + STALE_ROWS_ALLOWED
-        for heap in (self.ahead, self.eligible):  # guards against heaps full of what corrections made stale
+        for heap in (self.ahead, self.eligible):  # guards against heaps full of stale rows
             if len(heap) > max_rows:
                 heap[:] = [row for row in heap if not row.is_stale()]
                 heapify(heap)
--- a/gullhold/admission/flow.py
+++ b/gullhold/admission/flow.py
@@ -21,7 +21,7 @@
 
 
 class ProfileQueue:
-    """The commands of one profile in a flow: those that go first, as retries in time do, and the others."""
+    """The commands of one profile in a flow: those that go first, as timely retries do, and the others."""
 
     __slots__ = ("first", "others", "work_us")
 
@@ -55,7 +55,7 @@
 
 
 class Flow:
-    """One queue of a tenant: of a client that matters now, or shared by the clients that hash to it.
+    """One queue of a tenant: of one heavy client, or shared by the clients that hash to it.
 
     key: the client's name, or a SharedFlowKey.
     """
@@ -77,7 +77,7 @@
         self.child: Child[Flow] = fair_queue.add(self, weight)
         self.profiles: dict[int, ProfileQueue] = {}  # those that are not empty
         self.queued_count = 0
-        self.blocked_count = 0  # commands that will be queued once an earlier one of their key has gone
+        self.blocked_count = 0  # commands behind an earlier one of their ordering key
         self.estimate_bias = 1.0  # real work divided by estimates
         self.client_counts: dict[bytes, int] | None = None  # of a shared flow: queued commands by client
         if isinstance(key, SharedFlowKey):
@@ -91,7 +91,7 @@
         return self.client_counts is None
 
     def backlog_us(self, profile: int) -> float:
-        """Return the work that waits here, of a profile."""
+        """Return the queued work of a profile."""
         queue = self.profiles.get(profile)
         return queue.work_us if queue is not None else 0.0
 
--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -13,11 +13,11 @@
 from gullhold.admission.sketch import WIDTH, Sketch
 from gullhold.admission.tenant_queue import TenantQueue
 
-MIN_QUANTUM_US = 50_000.0  # of work: that of a command of which nothing is known
-HEAVY_SHARE = 0.5  # part of an even share among exact flows, were all taken, that makes a flow heavy
-SKETCH_NOISE = 2.8  # of all work over the sketch's width: an estimate may be of other names alone up to it
-TENANTS_PER_EVENT = 2  # that are looked at for what may be forgotten
-FLOWS_PER_TENANT = 4  # that are looked at for each of them
+MIN_QUANTUM_US = 50_000.0  # the work of a command whose work is not known
+HEAVY_SHARE = 0.5  # of an even share among max_exact_flows, from which on a client is heavy
+SKETCH_NOISE = 2.8  # e, rounded up: an estimate may be too high by this part of all work / WIDTH
+TENANTS_PER_EVENT = 2  # that are checked for idle flows
+FLOWS_PER_TENANT = 4  # that are checked for each of them
 NAME_KIND_BYTES = 2  # before a client's name in the name of its flow
 SALT_BITS = 128
 DEFAULT_WEIGHT = 1.0
@@ -82,7 +82,7 @@
         """Return the flow of a client, made if need be; work_us: of its new command."""
         flow = tenant_queue.flows.get(client)
         if flow is not None:
-            tenant_queue.flows.move_to_end(client)  # it has a queue of its own: nothing is to be estimated
+            tenant_queue.flows.move_to_end(client)  # it has an exact flow: nothing is to be estimated
         elif self._deserves_exact_flow(client, work_us) and self._make_room_for_exact_flow():
             flow = tenant_queue.flow(client, self._client_weight(client))
             self.exact_flow_count += 1
@@ -102,9 +102,9 @@
             self._sketch.replace_salt(self._draw_salt())
 
     def forget_idle(self, now_us: int) -> None:
-        """Guards memory: what is idle and owes nothing goes, and over a limit all that is idle.
+        """Forget idle flows and tenants that owe nothing; over the limits also those that owe something.
 
-        A little at each event, more than one event can add, in turn over all: nothing walks the tables.
+        Checks a few at each call, in rotation: more than one event can add, without walking the whole tables.
         """
         for _ in range(min(TENANTS_PER_EVENT, len(self.tenants))):
             tenant, tenant_queue = next(iter(self.tenants.items()))
@@ -140,7 +140,7 @@
         return known_work > total_work * heavy_share or client[NAME_KIND_BYTES:] in self.client_weights
 
     def _make_room_for_exact_flow(self) -> bool:
-        """Whether one more flow may have a queue of its own; for it an idle one may be forgotten."""
+        """Whether one more flow may have a queue of its own; an idle one may be forgotten for it."""
         if self.exact_flow_count < self._settings.max_exact_flows:
             return True
         for tenant_queue, flow in self._longest_unused_flows():
@@ -157,10 +157,10 @@
     def _use_retry_window(
         self, tenant_queue: TenantQueue, flow: Flow, shared_keys: Sequence[SharedFlowKey], now_us: int
     ) -> bool:
-        """Whether a client that retries now does so in time.
+        """Whether a client that retries now does so in time; its window is then used up.
 
-        The window was given out by the flow it was in then: its own, or a shared one, perhaps of the last
-        salt.
+        The window was given out by the flow in which the client was then: its own, or a shared one, perhaps
+        under the previous salt.
         """
         candidates: list[FlowRetries] = [flow.retries]
         for key in shared_keys:
@@ -192,5 +192,5 @@
 
 
 def _is_idle(flow: Flow) -> bool:
-    """Whether nothing waits in a flow or is to come to it, and no client was asked to retry in it."""
+    """Whether nothing is queued or blocked in a flow, and no client has a retry window in it."""
     return not flow.blocked_count and flow.child.state is IDLE and not flow.retries.windows
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -40,10 +40,10 @@
 if TYPE_CHECKING:
     from gullhold.operator.records import DoorRecord
 
-EXPIRY_MARGIN_US = 40_000  # before its client timeout at which a command is answered: two polls, a crossing
-FREE_PART_OF_FLOW = 0.5  # part of the free places that one flow may fill: some are left for others, always
+EXPIRY_MARGIN_US = 40_000  # before the client timeout: two polls and the time of a crossing message
+FREE_PART_OF_FLOW = 0.5  # part of the free places that one flow may take
 MIN_PLACES_OF_FLOW = 4  # commands that a flow may always queue while any place is free
-STALE_EXPIRIES_ALLOWED = 1024  # rows; fewer stale ones than this are never worth a clean-up
+STALE_EXPIRIES_ALLOWED = 1024  # rows; fewer stale ones are not cleaned up
 REJECTIONS_PER_EXACT_FLOW = 2
 
 
@@ -157,7 +157,7 @@
         return []
 
     def take_ready(self, now_us: int) -> list[Forward]:
-        """Return what the decision module has room for now. To be called after every event."""
+        """Return what the decision module has room for now. Must be called after every event."""
         self._now_us = now_us
         decisions = []
         tenants = self.flow_table.fair_queue
@@ -173,13 +173,13 @@
         return decisions
 
     def attempt_sent(self, number: int) -> None:
-        """The decision module sent a command: it is not queued there any longer."""
+        """Note that the decision module started an attempt of a command."""
         command = self.commands.get(number)
         if command is not None and command.state is FORWARDED:
             self._move(command, RUNNING)
 
     def attempt_ended(self, now_us: int, number: int, cost_us: int, may_have_run: bool) -> None:
-        """An attempt ended; the decision module may queue the command again. cost_us: 0: not stated."""
+        """Note that an attempt ended; the command may be queued there again. cost_us: 0: not stated."""
         self._now_us = now_us
         command = self.commands.get(number)
         if command is not None and command.state is RUNNING:
@@ -188,7 +188,7 @@
             self._move(command, FORWARDED)
 
     def command_ended(self, now_us: int, number: int) -> None:
-        """A command has its final answer and no attempt is open: what it needed is known."""
+        """Forget a command that is answered and has no open attempt; correct what it was charged."""
         self._now_us = now_us
         command = self.commands.get(number)
         if command is None:
@@ -200,12 +200,12 @@
         self.flow_table.forget_idle(now_us)
 
     def is_queued(self, number: int) -> bool:
-        """Whether a command is still here, so that the decision module has never heard of it."""
+        """Whether a command still waits here, unknown to the decision module."""
         command = self.commands.get(number)
         return command is not None and command.is_waiting
 
     def expire(self, now_us: int) -> list[Reject]:
-        """Reject what still waits shortly before its client timeout. To be called from time to time."""
+        """Reject what still waits shortly before its client timeout. Must be called periodically."""
         self._now_us = now_us
         decisions = []
         while self._expiries and self._expiries[0].expires_us <= now_us:
@@ -219,7 +219,7 @@
         return decisions
 
     def reject_all(self, now_us: int) -> list[Reject]:
-        """Reject all that waits, with no Retry-After time: the gateway shuts down."""
+        """Reject all that waits, without a Retry-After time: the gateway shuts down."""
         self._now_us = now_us
         decisions = []
         for command in list(self.commands.values()):
@@ -255,7 +255,7 @@
         self._enqueue(command, goes_first)
 
     def _move(self, command: QueuedCommand, new_state: CommandState) -> None:
-        """Every change of a command's state, and the counts that depend on it."""
+        """Change a command's state, and the counts that depend on it."""
         old_state = command.state
         assert new_state in NEXT_STATES[old_state], f"command {command.number}: {old_state} to {new_state}"
         was_waiting = command.is_waiting
@@ -298,14 +298,14 @@
             self.flow_table.fair_queue.leave(tenant_queue.child)
 
     def _unblock_next(self, command: QueuedCommand) -> None:
-        """Guards the order of a key: a later command is queued only when the earlier one waits no more."""
+        """Queue the next command of an ordering key, once the earlier one waits no more."""
         key_line = KeyLine(command.profile, command.key)
         line = self.commands_by_key[key_line]
         line.remove(command)
         if not line:
             del self.commands_by_key[key_line]
         elif line[0].state is BLOCKED:
-            self._enqueue(line[0], goes_first=True)  # it has waited: not behind those that came after it
+            self._enqueue(line[0], goes_first=True)  # it has waited, and goes before later arrivals
 
     def _count_forwarded(self, lane: Lane, change: int) -> None:
         self.forwarded_count += change
@@ -320,7 +320,7 @@
         return self.forwarded_by_lane.get((tenant, profile), 0) < self.settings.max_forwarded_per_lane
 
     def _lane_changed(self, lane: Lane) -> None:
-        """Where a lane is open now, the flow whose turn it is may be picked again."""
+        """Let the flow whose turn it is be picked again, where the lane is open now."""
         if not self._is_open(*lane):
             return
         tenant_queue = self.flow_table.tenants.get(lane.tenant)
@@ -334,7 +334,7 @@
 
     def _remember_expiry(self, command: QueuedCommand) -> None:
         heappush(self._expiries, ExpiryRow(command.expires_us, command.order, command))
-        # Guards against a table of commands that have long been forwarded.
+        # Guards against a heap full of commands that were forwarded long ago.
         if len(self._expiries) > 2 * self.queued_count + STALE_EXPIRIES_ALLOWED:
             self._expiries = [row for row in self._expiries if row.command.is_waiting]
             heapify(self._expiries)
@@ -342,7 +342,7 @@
     # Rejections
 
     def _is_full(self, flow: Flow, size: int) -> bool:
-        """Whether there is no place: in all, or for one flow, which may fill a part of what is free."""
+        """Whether the queue is full, or the flow has its part of the free places."""
         free_places = self.settings.max_queued - self.queued_count
         if free_places <= 0 or self.queued_bytes + size > self.settings.max_queued_bytes:
             return True
--- a/gullhold/admission/queued_command.py
+++ b/gullhold/admission/queued_command.py
@@ -93,5 +93,5 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether it is still here, so that the decision module has never heard of it."""
+        """Whether the command still waits here, unknown to the decision module."""
         return self.state <= QUEUED
--- a/gullhold/admission/rejection_table.py
+++ b/gullhold/admission/rejection_table.py
@@ -3,14 +3,14 @@
 from gullhold.admission.queued_command import QueuedCommand
 from gullhold.admission_interface import KnownRejection, RejectedFlow
 
-MAX_REJECTION_US = 50_000  # for which a flow is known to be rejected at the most: little of any objective
+MAX_REJECTION_US = 50_000  # longest time of an entry: little of any latency objective
 
 
 class RejectionTable:
     """Known rejections by flow, at most max_entries of them.
 
-    Until a flow's queue has drained so far, its new commands would be rejected alike: readers of requests
-    look here, so that they need not ask. Guards the one thread against a crowd that asks again at once.
+    Until a flow's queue has drained by a rejected command's lateness, its new commands would be rejected
+    alike. Reader threads look here first, which relieves the core's thread of clients that retry at once.
 
     entries is read by other threads: an entry is replaced as one object, never changed.
     """
@@ -20,7 +20,7 @@
         self._max_entries = max_entries
 
     def record(self, command: QueuedCommand, now_us: int, late_us: int) -> None:
-        """A command was rejected without a Retry-After time; late_us: by how much it would be too late."""
+        """Record a rejection without a Retry-After time; late_us: by how much it would be too late."""
         if len(self.entries) >= self._max_entries:
             self.entries = {
                 flow: rejection for flow, rejection in self.entries.items() if rejection.until_us > now_us
--- a/gullhold/admission/retry_after.py
+++ b/gullhold/admission/retry_after.py
@@ -39,7 +39,7 @@
         return False
 
     def count_within(self, now_us: int, span_us: float) -> int:
-        """Count the windows that begin inside a span from now; in open ones nobody may ever retry."""
+        """Count the windows that begin within a span from now; an open one may never be used."""
         return sum(now_us < window.begin_us <= now_us + span_us for window in self.windows)
 
     def first_begin_us(self) -> int | None:
--- a/gullhold/admission/settings.py
+++ b/gullhold/admission/settings.py
@@ -29,8 +29,8 @@
     max_queued_bytes: int
     max_forwarded: int  # commands that the decision module may hold
     max_forwarded_per_lane: int  # the same of one profile of one tenant
-    max_exact_flows: int  # clients with a queue of their own
-    shared_flows: int  # queues of a tenant's other clients
+    max_exact_flows: int  # flows of one client each
+    shared_flows: int  # shared flows of a tenant's other clients
     salt_interval_us: int  # after which clients are distributed anew over shared flows
     patience: float  # wait, in latency objectives, over which new commands are rejected
     client_weights: dict[str, float]
--- a/gullhold/admission/tenant_queue.py
+++ b/gullhold/admission/tenant_queue.py
@@ -12,7 +12,7 @@
 
 
 class ParkedRow(NamedTuple):
-    """A parked flow, in the order of its turns; rows with the same parking are of the same flow."""
+    """Row of a heap of parked flows, by the time of their turns; a parking is of one flow."""
 
     due: float
     parking: int
@@ -20,7 +20,7 @@
 
 
 class TenantQueue:
-    """A tenant's flows: exact ones for the clients that matter now, shared ones for the rest.
+    """A tenant's flows: exact ones for heavy clients, shared ones for the rest.
 
     tenant: index in the agreement; tenants: the fair queue of all tenants, weight: the tenant's in it;
     min_quantum: of the choice among flows, in work.
@@ -115,7 +115,7 @@
             self._await_profile(flow, profile)
 
     def _await_profile(self, flow: Flow, profile: int) -> None:
-        """A parked flow is found again when a profile opens."""
+        """Remember a parked flow for the time when a profile opens."""
         heap = self._parked.setdefault(profile, [])
         heappush(heap, ParkedRow(self.fair_queue.due(flow.child), flow.parking, flow))
         if len(heap) > 2 * len(self.flows) + STALE_ROWS_ALLOWED:
@@ -123,6 +123,6 @@
             heapify(heap)
 
     def _is_current(self, row: ParkedRow) -> bool:
-        """Guards turns: a parking before a flow's last turn says nothing of when its next one is due."""
+        """Whether a row is of its flow's last parking; older rows have an outdated turn."""
         flow = row.flow
         return flow.parking == row.parking and self.has(flow) and flow.child.state is PARKED
--- a/gullhold/admission/work_accounting.py
+++ b/gullhold/admission/work_accounting.py
@@ -1,12 +1,12 @@
-"""Work of commands: what is estimated, what is charged to their flows, and what is learnt from answers."""
+"""Work of commands: estimates, charges to flows, and their correction by answers."""
 
 from gullhold.admission.flow_table import FlowTable
 from gullhold.admission.queued_command import QueuedCommand
 
-DEFAULT_WORK_US = 50_000.0  # of a command that states none, before any answer stated it
-EASING = 0.1  # weight of the newest answer in a flow's bias and in the usual work
-MIN_BIAS = 0.1  # estimates are known to be off by as much as this ...
-MAX_BIAS = 10.0  # ... and this
+DEFAULT_WORK_US = 50_000.0  # of a command that states none, until answers have stated costs
+EASING = 0.1  # weight of the newest answer in the moving averages
+MIN_BIAS = 0.1  # bounds of a flow's bias: the factors by which estimates are known to be off
+MAX_BIAS = 10.0
 MIN_ESTIMATE_US = 1.0
 
 
--- a/gullhold/net/__init__.py
+++ b/gullhold/net/__init__.py
@@ -21,9 +21,9 @@
 
 
 def set_read_timeout(sock: socket.socket, timeout_us: int) -> None:
-    """Let a read wait so long at most (0: for ever), then raise BlockingIOError; writes are not affected.
+    """Set how long a read waits (0: no limit) before it raises BlockingIOError; writes are not affected.
 
-    Attempted several times: where the system refuses for a moment, a connection with open requests would end.
+    Attempted several times, so that a short refusal of the system ends no connection with open requests.
     Raises OSError where it keeps refusing.
     """
     seconds_and_us = struct.pack("ll", *divmod(timeout_us, US_PER_S))
@@ -37,6 +37,6 @@
 
 
 def set_no_delay(sock: socket.socket) -> None:
-    """Send small writes at once. Where the system refuses, they go out a little later: no reason to fail."""
+    """Send small writes at once. A refusal of the system is ignored: they are only sent a little later."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -22,9 +22,9 @@
     from gullhold.operator.records import DoorRecord, FleetRecord
 
 LISTEN_RETRY_LIMIT_S = 5.0  # for an address that is still taken, or a socket
-STATEMENT_MEMORY_DIVISOR = 8  # this part of the memory for statements that wait, as much for unread answers
+STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory is for waiting statements, as much again for unread answers
 RESERVED_DESCRIPTORS = 16  # beside both kinds of connections: standard ones, listener, discovery, spare
-CLIENT_SOCKETS_DIVISOR = 2  # usual clients hold a third of the sockets at most; others must find room too
+CLIENT_SOCKETS_DIVISOR = 2  # half for clients: usual ones need a third of the sockets at most
 RESULTS_PER_MESSAGE = 2  # results for which the largest message has room, with its other fields
 
 
@@ -60,7 +60,7 @@
     admission = None
     if door_record and door_record.on:
         admission = build_admission(door_record, configuration.agreement, configuration.seed)
-    # An even part of the memory for each connection, and always room for a result.
+    # An even share of the memory for each connection, and at least room for a result.
     max_message_bytes = max(
         configuration.memory_bytes // configuration.max_sockets, RESULTS_PER_MESSAGE * MAX_RESULT_BYTES
     )
--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests on engines: how one starts, ends, and is given up or cancelled with confirmation."""
+"""Attempts of requests on engines: how one starts, ends, and is abandoned or cancelled with confirmation."""
 
 from math import ceil
 from typing import TYPE_CHECKING
@@ -23,7 +23,7 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.NOT_STARTED: "moot",
 }
-MIN_DEADLINE_MS = 1  # the least that a fetch may tell, also of a deadline that is past
+MIN_DEADLINE_MS = 1  # the lowest timeout that a fetch states, also where the deadline has passed
 
 
 class Attempts:
@@ -33,10 +33,10 @@
         self.core = core
         self.agreement = core.agreement
         self.counters = core.counters
-        self.last_confirmation = 0  # number of the last confirmation that was asked for
+        self.last_confirmation = 0  # serial number of the last confirmation that was requested
 
     def start(self, dispatch: Dispatch) -> None:
-        """Send a request to an engine, as the decision module says."""
+        """Start the attempt that the decision module decided on."""
         core = self.core
         pending = core.requests.by_number.get(dispatch.command)
         if pending is None:
@@ -53,8 +53,8 @@
             core.admission_queue.attempt_sent(dispatch.command)
         connection = core.pool.connection_for(dispatch.engine, pending.request.transaction_id)
         if connection is None:
-            # Reported as late as a connection that does not come up: no spinning on the same want. We are
-            # short of a descriptor or a thread: guards against blaming the engine for it.
+            # We lack a descriptor or a thread, which is no fault of the engine. Reported only after the
+            # connect timeout, so that the same request is not dispatched again at once, over and over.
             reported_at_us = min(core.now + self.agreement.connect_timeout_us, dispatch.deadline_us)
             core.call_later(reported_at_us, self.end, attempt, Outcome.NOT_STARTED)
             return
@@ -63,7 +63,7 @@
         self._send(attempt, connection)
 
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt is over: the decision module hears of it, once."""
+        """End an attempt and report its outcome to the decision module; a second call does nothing."""
         core = self.core
         pending = attempt.pending
         connection = attempt.connection
@@ -95,11 +95,11 @@
         )
 
     def stop(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Give an attempt up: taken back if none of it has gone out, else the engine is told.
+        """Abandon an attempt: withdraw it if nothing of it was sent, else tell the engine.
 
-        Guards against two attempts out at once: an abort and the fetch that follows it elsewhere travel on
-        different connections. So while a retry may follow, the module hears of the end only when an `alive`
-        behind the abort has been answered; by then no late answer can come either.
+        Guards against two attempts running at once: an abort and the fetch of the retry travel on different
+        connections. So while a retry may follow, the end is reported to the decision module only once an
+        `alive` sent behind the abort has been answered; by then no late answer can arrive either.
         """
         connection = attempt.connection
         transaction_id = attempt.pending.request.transaction_id
@@ -117,9 +117,9 @@
         self.core.defer(self.end, attempt, outcome)
 
     def cancel_confirmed(self, connection: EngineConnection, tag: bytes) -> None:
-        """An abort has come to its engine, and all that the engine said of the attempt before has come to us.
+        """Handle a confirmation: the engine has the abort, and all its earlier replies have arrived here.
 
-        tag: of the confirmation; unknown ones are passed over.
+        tag: of the confirmation; unknown ones are ignored.
         """
         attempt = connection.confirmations.pop(tag, None)
         if attempt and attempt.outcome_once_confirmed is not None:
@@ -136,7 +136,7 @@
             attempt.number,
             Outcome.NOT_STARTED,
             not pending.client,
-            0,  # us that it took
+            0,  # duration in us
             *NO_RESOURCES,
         )
 
@@ -156,8 +156,8 @@
         connection.used_at = core.now
         connection.open[request.transaction_id] = attempt
         tokens = attempt.fencing_tokens
-        # Guards against a deadline that was true when the attempt was decided and not when it goes out: its
-        # connection may come up late, or what is before it may be read late.
+        # The remaining time is encoded again where the message has to wait: its connection may come up late,
+        # or the messages before it may be read late.
         attempt.end_offset = connection.write_buffer.put(
             attempt.message,
             (lambda: core.are_tokens_valid(tokens)) if tokens else None,
@@ -170,7 +170,7 @@
         core.call_later(attempt.deadline_us, self._deadline_passed, attempt)
 
     def _handle_rejected_write(self, attempt: Attempt, connection: EngineConnection) -> None:
-        """Nothing of it goes out."""
+        """End an attempt whose fetch the write buffer did not accept."""
         if attempt.end_offset == Rejection.NOT_ALLOWED:
             self.core.defer(self.end, attempt, Outcome.NOT_STARTED)
             return
@@ -178,7 +178,7 @@
         self.core.defer(self.end, attempt, Outcome.CONNECT_FAILED)
 
     def _fixed_fields(self, pending: "PendingRequest") -> list[tuple[bytes, bytes]]:
-        """The fields of a fetch that do not change while it waits."""
+        """Return the fields of a fetch that do not change while it waits."""
         fields = [(b"c", pending.request.profile_name)]
         if pending.request.idempotency_key:
             fields.append((b"i", pending.request.idempotency_key))
@@ -205,7 +205,7 @@
 
     def _abort_without_confirmation(self, attempt: Attempt, connection: EngineConnection) -> None:
         transaction_id = attempt.pending.request.transaction_id
-        if attempt.outcome_once_confirmed is None:  # else the abort has gone already
+        if attempt.outcome_once_confirmed is None:  # else the abort was sent before
             self.core.pool.send_control(
                 connection, engine_protocol.DONE if attempt.pages else engine_protocol.ABORT, transaction_id
             )
@@ -243,5 +243,5 @@
 
 
 def remaining_ms(now_us: int, deadline_us: int) -> bytes:
-    """The field of a fetch that tells how long we will wait; for a deadline that is past: the least."""
+    """Return the field of a fetch that states how long we will wait, at least MIN_DEADLINE_MS."""
     return b"%d" % max(MIN_DEADLINE_MS, ceil_to_ms(deadline_us - now_us))
--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -1,4 +1,4 @@
-"""Backpressure on one client: pauses in which its calls are deferred, and what was deferred."""
+"""Backpressure on one client: pauses in which its calls are deferred, and the deferred calls."""
 
 import time
 from collections import deque
@@ -8,9 +8,9 @@
 from gullhold.net.client_limits import MAX_OPEN_REQUESTS
 from gullhold.net.request_reader import FIGURE
 
-MAX_DEFERRED_BYTES = 32_768  # bytes of calls deferred in a pause: 32 of usual size
-DEFERRED_PART = 0.4  # of the time that its client waits, for which a call is deferred at most
-# s, least and most, until the next read after something was rejected at once
+MAX_DEFERRED_BYTES = 32_768  # of calls deferred in a pause: 32 of usual size
+DEFERRED_PART = 0.4  # of the client timeout, for which a call is deferred at most
+# Bounds of the pause (s) after a rejection that needed no decision.
 MIN_PAUSE_S = 0.05
 MAX_PAUSE_S = 0.4
 
@@ -25,8 +25,7 @@
 class Backpressure:
     """The pauses of one connection. On its reader's thread only, but for stop().
 
-    A pause only puts off what is asked: what takes a request back, and the client's leaving, are seen at
-    once.
+    A pause only defers new requests: interrupts and the end of the connection are handled at once.
     """
 
     __slots__ = ("calls", "is_stopped", "pause_s", "resume_at_s", "size_bytes")
@@ -39,51 +38,51 @@
         self.is_stopped = False
 
     def stop(self) -> None:
-        """The connection is to end: there are no pauses any more. From any thread."""
+        """End the pause, and begin no further one: the connection is to end. From any thread."""
         self.is_stopped = True
 
     def pause_for(self, seconds: float) -> None:
-        """Defer what is read for so long."""
+        """Defer what is read in the next seconds."""
         self.resume_at_s = time.monotonic() + seconds
 
     def remaining_pause_s(self) -> float:
-        """Until the pause is over; zero or less: there is none."""
+        """Return the time until the pause is over; zero or less: there is no pause."""
         return 0.0 if self.is_stopped else self.resume_at_s - time.monotonic()
 
     def record_rejected(self) -> None:
-        """Something was rejected at once.
+        """Begin a pause after an immediate rejection.
 
-        Guards all others against those who ask again at once: the pause grows while they do.
+        Guards other clients against one that retries at once: its pauses grow exponentially.
         """
-        if time.monotonic() >= self.resume_at_s:  # else what is deferred would wait longer and longer
+        if time.monotonic() >= self.resume_at_s:  # else deferred calls would wait longer and longer
             self.pause_s = min(max(2 * self.pause_s, MIN_PAUSE_S), MAX_PAUSE_S)
             self.pause_for(self.pause_s)
 
     def record_accepted(self) -> None:
-        """What was read last was taken: the next pause is shorter."""
+        """Shorten the next pause: nothing of the last read was rejected."""
         if self.pause_s and time.monotonic() >= self.resume_at_s:
             self.pause_s = self.pause_s / 2 if self.pause_s > MIN_PAUSE_S else 0.0
 
     def must_defer(self) -> bool:
-        """Whether a call that was read now waits: there is a pause, or others wait from one."""
+        """Whether a call that is read now must wait: in a pause, or behind calls deferred in one."""
         return len(self.calls) > 0 or self.remaining_pause_s() > 0
 
     def is_full(self) -> bool:
-        """Whether as much is deferred as a usual client has open."""
+        """Whether as much is deferred as a usual client has open requests."""
         return len(self.calls) >= MAX_OPEN_REQUESTS or self.size_bytes > MAX_DEFERRED_BYTES
 
     def defer(self, call: thrift.Message, received_at_us: int) -> None:
-        """Keep a call for later."""
+        """Defer a call."""
         self.calls.append(DeferredCall(call, received_at_us))
 
     def take_due(self, now_us: int) -> DeferredCall | None:
-        """The oldest deferred call, if it need not, or must not, wait any longer; there must be one."""
+        """Remove and return the oldest deferred call if it is due; None: it is not. There must be one."""
         if self.remaining_pause_s() <= 0 or self.oldest_remaining_s(now_us) <= 0:
             return self.calls.popleft()
         return None
 
     def remove_request(self, sequence_id: int) -> bool:
-        """Remove the deferred request of this number; whether there was one."""
+        """Remove the deferred request with this sequence id; return whether there was one."""
         for position, deferred in enumerate(self.calls):
             if deferred.call.sequence_id == sequence_id and deferred.call.method == "execute":
                 del self.calls[position]
@@ -91,9 +90,9 @@
         return False
 
     def oldest_remaining_s(self, now_us: int) -> float:
-        """For how long the oldest deferred call may still wait: a part of the time that its client waits.
+        """Return for how long the oldest deferred call may still wait: part of its client timeout.
 
-        Guards against pauses, one behind the other, that outlast it.
+        Guards against several pauses in a row that outlast the timeout.
         """
         call, received_at_us = self.calls[0]
         fields = call.fields.get((1, thrift.MAP))
--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -1,4 +1,4 @@
-"""The read buffer of a connection: grows as it needs, is compacted in place, gives room back when empty."""
+"""The read buffer of a connection: grows as needed, is compacted in place, and shrinks when empty."""
 
 import socket
 
@@ -8,7 +8,7 @@
 
 
 class Buffer:
-    """Bytes that came and were not yet used: data[start:end]. max_bytes: bytes of the largest message."""
+    """Bytes that arrived and are not consumed yet: data[start:end]. max_bytes: of the largest message."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -20,7 +20,7 @@
         return self.end - self.start
 
     def receive(self, sock: socket.socket) -> int:
-        """Read once from a socket into the free tail; how many bytes came."""
+        """Read once from a socket; return the number of bytes, 0 at the end of the stream."""
         self._make_room(1)
         with memoryview(self.data) as view, view[self.end :] as tail:
             count = sock.recv_into(tail)
@@ -28,23 +28,23 @@
         return count
 
     def put(self, data: bytes) -> None:
-        """Take bytes that are at hand."""
+        """Append bytes. Raises ProtocolError where they exceed max_bytes."""
         self._make_room(len(data))
         self.data[self.end : self.end + len(data)] = data
         self.end += len(data)
 
     def peek(self, size: int, offset: int = 0) -> bytes | None:
-        """The next bytes from an offset on, if all are there."""
+        """Return so many bytes from an offset on, None unless all have arrived."""
         first = self.start + offset
         return bytes(self.data[first : first + size]) if first + size <= self.end else None
 
     def find(self, mark: bytes, offset: int = 0) -> int:
-        """The offset of a mark, or -1."""
+        """Return the offset of a mark, or -1."""
         found = self.data.find(mark, self.start + offset, self.end)
         return found - self.start if found >= 0 else -1
 
     def consume(self, size: int) -> None:
-        """These bytes are used."""
+        """Discard the first bytes, which are read."""
         self.start += size
         if self.start < self.end:
             return
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -1,4 +1,4 @@
-"""The calls of one client: deferred, rejected at once, answered with an error, or handed to the core."""
+"""The calls of one client: each is deferred, rejected, answered with an error, or handed to the core."""
 
 from typing import TYPE_CHECKING, cast
 from weakref import ref
@@ -17,28 +17,28 @@
 
 
 class ClientCalls:
-    """Takes the calls of one connection, in its reader's thread."""
+    """Handles the calls of one connection, in its reader thread."""
 
     __slots__ = ("_client", "backpressure", "core", "counters", "last_sequence_id", "reader", "rejections")
 
     def __init__(self, client: "ClientConnection", reader: RequestReader) -> None:
-        # Weak: guards against a cycle of references, which kept each connection that had ended, and its
-        # buffers, until the garbage collector came round.
+        # Weak: a cycle of references would keep each ended connection, and its buffers, until the garbage
+        # collector runs.
         self._client = ref(client)
         self.core = client.core
         self.counters = client.core.counters
         self.backpressure = client.backpressure
         self.reader = reader
         self.last_sequence_id = 0
-        self.rejections: list[bytes] = []  # answers to what was read just now and is rejected at once
+        self.rejections: list[bytes] = []  # frames for requests of the last read that are rejected at once
 
     @property
     def client(self) -> "ClientConnection":
-        """The connection: it owns this object, and lives while one of its calls is taken."""
+        """The connection. It owns this object, and lives while one of its calls is handled."""
         return cast("ClientConnection", self._client())
 
     def handle(self, call: thrift.Message, received_at_us: int) -> None:
-        """A call was read: taken now, or after the pause; what takes another back is never put off."""
+        """Handle a call that was read, or defer it until the pause is over; interrupts are never deferred."""
         if call.method == "interrupt":
             sequence_id = call.fields.get(FIRST_NUMBER)
             if sequence_id is not None:
@@ -53,7 +53,7 @@
             self.backpressure.defer(call, received_at_us)
 
     def take_deferred(self) -> None:
-        """Take what was deferred and is due."""
+        """Handle the deferred calls that are due."""
         while self.backpressure.calls:
             deferred = self.backpressure.take_due(self.core.clock())
             if deferred is None:
@@ -61,13 +61,13 @@
             self._take(deferred.call, deferred.received_at_us)
 
     def take_rejections(self) -> list[bytes]:
-        """The answers to what was rejected at once since the last call."""
+        """Remove and return the frames of rejections since the last call."""
         rejections = self.rejections
         self.rejections = []
         return rejections
 
     def reject_deferred(self) -> None:
-        """The connection is read no more: each request that is deferred is shed."""
+        """Shed each deferred request: the connection is not read any more."""
         for deferred in self.backpressure.calls:
             if deferred.call.method == "execute":
                 self.rejections.append(thrift.encode_shed(deferred.call.sequence_id, {}))
@@ -79,11 +79,11 @@
             self.counters.add("interrupted")
             return
         if client.undelivered.pop(sequence_id, None) is not None:
-            return  # the core passes it over when it comes to it
+            return  # the core ignores it when it gets to it
         client.interrupted.add(sequence_id)  # no longer open, though the core has yet to settle it
         if sequence_id in client.open:
             self.core.post_urgent(self.core.interrupt, client, sequence_id)
-        else:  # answered before, or never asked
+        else:  # answered before, or never received
             client.interrupted.discard(sequence_id)
 
     def _take(self, call: thrift.Message, received_at_us: int) -> None:
@@ -103,13 +103,13 @@
             )
 
     def _execute(self, call: thrift.Message, received_at_us: int) -> None:
-        """What can't be used is answered here and never reaches the core."""
+        """Hand a request to the core; an unusable or rejected one is answered here."""
         sequence_id = call.sequence_id
         if sequence_id <= self.last_sequence_id:
             raise ProtocolError(f"request {sequence_id} after {self.last_sequence_id}")
         self.last_sequence_id = sequence_id
         self.counters.add("taken")
-        if self.core.is_rejecting:  # at the end: nothing goes on from here, so this costs the core nothing
+        if self.core.is_rejecting:  # late in the shutdown: costs the core nothing
             self.rejections.append(thrift.encode_shed(sequence_id, {}))
             return
         if self.client.open_count() >= MAX_OPEN_REQUESTS:
@@ -133,7 +133,7 @@
             self._hand_to_core(sequence_id, request, received_at_us)
 
     def _is_rejected_early(self, sequence_id: int, fields: dict[bytes, bytes], received_at_us: int) -> bool:
-        """Whether the admission queue would reject it with no more than is known here."""
+        """Reject a request that the admission queue is known to reject; return whether it was rejected."""
         queue = self.core.admission_queue
         if not queue or not queue.known_rejections:
             return False
@@ -147,13 +147,13 @@
         return True
 
     def _read(self, sequence_id: int, fields: dict[bytes, bytes], statement: bytes) -> Request | None:
-        """The request; None where it can't be used, which its client hears."""
+        """Read a request; an unusable one is answered with a Fault, and None is returned."""
         try:
             return self.reader.request(fields, statement, *self.client.peer)
         except RequestError as error:
             self.counters.add("unusable")
             self.client.put(thrift.encode_fault(sequence_id, str(error)))
-            # Guards against those who ask the same again at once.
+            # Guards against clients that repeat an unusable request at once.
             self.backpressure.pause_for(self.core.agreement.connect_timeout_us / 1e6)
             return None
 
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -19,9 +19,7 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-CLOSING_PAUSE_S = (
-    0.5  # between reads of a connection that waits for answers, once nothing is accepted any more
-)
+CLOSING_PAUSE_S = 0.5  # between reads of a connection that waits for its last answers
 MAX_CLOSING_READ_BYTES = 65_536  # read at once during the shutdown: 32 requests of usual size
 FULL_POLL_INTERVAL_S = 0.05  # between reads in a pause once much is deferred: half of the time to see a leave
 MESSAGE_TIMEOUT_S = 2.0  # in which a peer completes a message; the protocol wants an end within 3 s
@@ -60,10 +58,10 @@
         self.interrupted: set[int] = set()  # those of open requests whose interrupts wait for the core
         self.handed_over_count = 0  # requests that were handed to the core
         self.settled_count = 0  # those of them that are answered, or taken back
-        self.is_ending = False  # it is read no more, or is to end
-        self.has_left = False  # it closed, or its connection broke: it waits for nothing any more
-        self.is_dismissed = False  # to end when nothing is open
-        self.end_requested = False  # the core was asked to end it for idleness
+        self.is_ending = False  # it is not read any more, or is to end
+        self.has_left = False  # it closed, or its connection broke: it waits for no answer any more
+        self.is_dismissed = False  # to end once nothing is open
+        self.end_requested = False  # the core was asked to end it because it is idle
         self.local_end: tuple[ConnectionEnd, str] | None = None
         self.backpressure = Backpressure()
         self.calls = ClientCalls(self, reader)
@@ -75,14 +73,14 @@
 
     @property
     def last_active_at(self) -> float:
-        """When something last came or was open, by the monotonic clock."""
+        """When something last arrived or was open, by the monotonic clock."""
         return self.idle_timer.last_active_at
 
     def put(self, message: bytes) -> None:
-        """Send it whole frames; where that can't be, the connection ends.
+        """Send complete frames; the connection ends where that is not possible.
 
-        So it does for one that does not read, where many don't; harm: one that reads slowly while others
-        don't read at all ends with them.
+        While the unread answers of all clients take too much memory, a connection that has some ends as well.
+        Drawback: one that only reads slowly ends together with those that do not read at all.
         """
         is_crowding = self.write_buffer.size > MAX_RESULT_BYTES and self.core.statement_memory.is_crowded()
         is_sent = not is_crowding and self.write_buffer.put(message) >= 0
@@ -91,24 +89,24 @@
             self.end(ConnectionEnd.RESET if self.write_buffer.is_dead else ConnectionEnd.BACKED_UP, "")
 
     def end(self, end: ConnectionEnd, text: str) -> None:
-        """End it from our side, now; the reader wakes and reports."""
+        """End the connection from our side, now; its reader thread wakes and reports the end."""
         self.local_end = self.local_end or (end, text)
         self.is_ending = True
         self.write_buffer.finish(now=True)
 
     def dismiss(self) -> None:
-        """End it for idleness, or at the end; what has come, read or not, is answered first, in no pause."""
+        """End the connection as idle, or for a shutdown; what has arrived is answered first."""
         self.is_ending = True
         self.is_dismissed = True
         self.backpressure.stop()
         self.connection.shutdown(socket.SHUT_RD)
 
     def is_busy(self) -> bool:
-        """Whether something of it is still to be answered."""
+        """Whether a request of this client is still to be answered."""
         return self.handed_over_count != self.settled_count or len(self.backpressure.calls) > 0
 
     def open_count(self) -> int:
-        """How many requests it has open."""
+        """Return how many requests the client has open."""
         return self.handed_over_count - self.settled_count - len(self.interrupted)
 
     def run(self) -> None:
@@ -119,20 +117,20 @@
             self.connection.close()
 
     def report_end(self, end: ConnectionEnd, text: str) -> None:
-        """From the reader: tell the core that the connection is read no more."""
+        """From the reader thread: tell the core that the connection is not read any more."""
         if self.local_end:
             end, text = self.local_end
         self.is_ending = True
-        if end in connection_ends.CLIENT_STILL_WAITS:  # behind its own requests: each gets its answer
+        if end in connection_ends.CLIENT_STILL_WAITS:  # posted behind its own requests: each gets its answer
             self.calls.reject_deferred()
             self.write_rejections()
             self.core.post(self.core.client_ended, self, end, text)
-        else:  # ahead of all: nothing must go out for it any more
+        else:  # ahead of all events: nothing must be sent to engines for it any more
             self.has_left = True
             self.core.post_urgent(self.core.client_ended, self, end, text)
 
     def write_rejections(self) -> bool:
-        """From the reader: answer what is rejected at once, in one write; whether there was anything."""
+        """From the reader thread: send the pending rejections in one write; return whether there were any."""
         if not self.calls.rejections:
             return False
         self.put(b"".join(self.calls.take_rejections()))
@@ -142,7 +140,7 @@
         text = ""
         try:
             end = self._read()
-            if self.write_buffer.error:  # a write broke it, and the reader was only woken
+            if self.write_buffer.error:  # a write failed, and the reader was only woken
                 end, text = connection_ends.classify_exception(self.write_buffer.error)
         # A fault of ours ends this connection, not the program.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
@@ -151,12 +149,12 @@
         self._linger()
 
     def _linger(self) -> None:
-        """Read on, for nobody, until the other side has closed too or has had the time to.
+        """Read and discard until the peer has closed too, or has had the time to.
 
-        Guards answers on their way against the reset that a close over unread bytes sends. What is read here
-        came after our end was said, so a client sends it again elsewhere: it is never taken.
+        Closing a socket with unread bytes sends a reset, which can destroy answers on their way. What is read
+        here arrived after our end of stream, so the client sends it again elsewhere: it is never handled.
         """
-        end_at = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to go out
+        end_at = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to be written
         is_end_awaited = False
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(POLL_INTERVAL_S * 1e6))
@@ -175,7 +173,7 @@
             return False
         if not has_more and self.write_buffer.is_end_sent and not self.is_dismissed:
             return True
-        time.sleep(POLL_INTERVAL_S)  # one that goes on writing must not keep the others waiting
+        time.sleep(POLL_INTERVAL_S)  # a peer that goes on writing must not take up the processor
         return False
 
     def _read(self) -> ConnectionEnd:
@@ -196,12 +194,12 @@
             self._check_idle()
 
     def _end_if_settled(self) -> None:
-        """It was dismissed, and its stream is at its end."""
+        """End a dismissed connection whose stream is at its end, once nothing is open."""
         if self.core.is_rejecting:
             self._end_soon()
         elif not self.is_busy():
             self._request_end()
-        time.sleep(POLL_INTERVAL_S)  # something came just then: more of it may come
+        time.sleep(POLL_INTERVAL_S)  # more may still arrive
 
     def _answer_rejected(self) -> None:
         if not self.write_rejections():
@@ -212,7 +210,7 @@
             self.backpressure.record_rejected()
 
     def _check_idle(self) -> None:
-        """Guards against those who connect and say nothing, never come to an end, or take all back."""
+        """End an idle connection; guards against clients that send nothing, or never complete a message."""
         is_cut = len(self.decoder.buffer) > 0
         is_busy = self.is_busy()
         was_answered = self.write_buffer.end_offset > 0
@@ -225,12 +223,11 @@
             self._request_end()
 
     def _receive(self) -> bool:
-        """Wait for bytes, in a pause no longer than that lasts; False at the end of the stream.
+        """Read what arrives, waiting no longer than a pause lasts; return False at the end of the stream.
 
-        A pause only puts off what is asked: guards against a client's leaving, or its taking a command back,
-        being read when the pause is over, while that command goes out. Where as much is deferred as may be it
-        is read slowly, so that a client that asks without end is held back by its own connection; that it has
-        left is seen at once all the same.
+        A pause only defers requests. The connection is still read, so that an interrupt, or that the client
+        has left, is noticed before its command goes to an engine. Once the deferred calls are full it is read
+        slowly, so that its own connection holds the client back; that it has left is still noticed at once.
         """
         pause_s = self.backpressure.remaining_pause_s()
         is_pausing = pause_s > 0
@@ -238,7 +235,7 @@
         if not is_pausing:
             self.backpressure.size_bytes = 0
         elif is_full and self.connection.has_peer_closed(min(pause_s, FULL_POLL_INTERVAL_S)):
-            return False  # whatever it asked before: guards against sends for one that has left
+            return False  # whatever it sent before: nothing is attempted for a client that has left
         self._set_read_timeout(self._read_wait_us(pause_s))
         try:
             count = self.decoder.buffer.receive(self.connection.sock)
@@ -251,7 +248,7 @@
         return count > 0
 
     def _read_wait_us(self, pause_s: float) -> int:
-        """For how long the next read may wait."""
+        """Return how long the next read may wait."""
         if pause_s <= 0:
             return int(POLL_INTERVAL_S * 1e6) if self.end_requested else MAX_READ_WAIT_US
         if self.backpressure.calls:
@@ -265,17 +262,17 @@
             set_read_timeout(self.connection.sock, wait_us)
 
     def _receive_rest(self) -> None:
-        """At the end, all that has come, before it is answered: what comes later crosses the end."""
+        """In the shutdown, read all that has arrived before it is answered; the rest crosses our end."""
         buffer = self.decoder.buffer
         while len(buffer) < MAX_CLOSING_READ_BYTES and self.connection.is_readable():
             if not buffer.receive(self.connection.sock):
                 return
 
     def _end_soon(self) -> None:
-        """Nothing is taken any more, and all that had come is answered: say the end.
+        """Say the end of our stream: all that had arrived is answered, and nothing is accepted any more.
 
-        What follows is then asked elsewhere. One that waits for answers is read slowly, and ends with the
-        last of them.
+        The client sends later requests elsewhere. A connection that waits for answers is read slowly, and
+        ends with the last of them.
         """
         if self.is_busy():
             self.backpressure.pause_for(CLOSING_PAUSE_S)
@@ -283,7 +280,7 @@
             self.write_buffer.finish()
 
     def _request_end(self) -> None:
-        """Ask the core, which knows what is open, to end this for idleness: behind all that was asked."""
+        """Ask the core, which knows what is open, to end this idle connection; posted behind its requests."""
         if not self.end_requested:
             self.end_requested = True
             self.core.post(self.core.close_if_idle, self)
--- a/gullhold/net/connection.py
+++ b/gullhold/net/connection.py
@@ -1,8 +1,8 @@
-"""A socket that several threads use, and the one rule by which its descriptor is given back.
+"""A socket that several threads use, and the rule by which its descriptor is closed.
 
-One thread, the reader, makes the calls that may block, and it alone closes. All other threads make calls that
-do not block, with the lock held that closing takes as well. So no thread can be about to use the number of a
-descriptor that has been closed: the system gives that number to the next connection that comes up.
+Only the reader thread makes calls that may block, and only it closes the socket. All other threads make
+calls that do not block, under the lock that closing takes as well. So no thread can use the number of a
+descriptor that was closed, and that the system has given to another connection since.
 """
 
 import errno
@@ -11,12 +11,12 @@
 from contextlib import suppress
 from threading import Lock
 
-# What a send may end with for a moment, on a connection that is well: socket(7), send(2).
+# Temporary errors of a send on an intact connection: socket(7), send(2).
 MOMENTARY = frozenset((errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Connection:
-    """One TCP connection. close() is the reader's alone; everything else may be called from any thread."""
+    """One TCP connection. Only the reader thread may call close() and has_peer_closed()."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -24,12 +24,12 @@
         self.is_closed = False
 
     def fileno(self) -> int:
-        """Its descriptor's number for a wait, or -1; by the time it is used it may be another's."""
+        """Return the descriptor to poll, or -1; by its use it may be another connection's."""
         with self.lock:
             return -1 if self.is_closed else self.sock.fileno()
 
     def send(self, data: bytes | memoryview) -> int:
-        """Hand bytes to the system without waiting; how many it took. OSError where the connection ended."""
+        """Send without blocking; return how many bytes the system took. Raises OSError after the end."""
         with self.lock:
             if self.is_closed:
                 raise BrokenPipeError("the connection is closed")
@@ -41,13 +41,13 @@
                 raise
 
     def shutdown(self, sides: int = socket.SHUT_RDWR) -> None:
-        """End one side or both; a reader that waits comes back. Nothing where it has ended already."""
+        """Shut one direction or both, which wakes the reader; does nothing where that was done before."""
         with self.lock, suppress(OSError):
             if not self.is_closed:
                 self.sock.shutdown(sides)
 
     def is_readable(self) -> bool:
-        """Whether something is there to be read, or the end."""
+        """Whether bytes, or the end of the stream, can be read now."""
         with self.lock:
             if self.is_closed:
                 return False
@@ -56,13 +56,13 @@
             return bool(poll.poll(0))
 
     def has_peer_closed(self, wait_s: float) -> bool:
-        """From the reader: whether the other side has ended, or does so in this time, unread bytes or not."""
+        """Whether the peer has closed its side, or does so in this time, whether or not bytes are unread."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
         return bool(poll.poll(wait_s * 1000))
 
     def close(self) -> None:
-        """From the reader alone: give the descriptor back; a second call does nothing."""
+        """Close the descriptor; a second call does nothing."""
         with self.lock:
             if not self.is_closed:
                 self.is_closed = True
--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection ends, and what that, or an engine's word, means for an attempt."""
+"""All ways in which a connection ends, and what each means for an attempt."""
 
 import errno
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class ConnectionEnd(Enum):
-    """How a connection ended; the text is what staff read."""
+    """How a connection ended; the value is the text for logs and counters."""
 
     REFUSED = "refused"
     NOT_UP = "not up in time"
@@ -29,8 +29,8 @@
     FAULT = "fault of ours"
 
 
-# What socket() and connect() say where this machine is short of something, for a moment: socket(2),
-# connect(2), ip(7). It proves nothing about the other side.
+# Errors of socket() and connect() for a temporary shortage on this machine: socket(2), connect(2), ip(7).
+# They say nothing about the peer.
 SHORT_HERE = frozenset(
     (
         errno.EAGAIN,
@@ -45,26 +45,26 @@
 )
 
 
-# Ends that we bring about while something is open.
+# Ends that we cause while something is open.
 CAUSED_BY_US = frozenset(
     (ConnectionEnd.MALFORMED, ConnectionEnd.SILENT, ConnectionEnd.BACKED_UP, ConnectionEnd.FAULT)
 )
-# Ends at which what never went out is no failure of the other side.
+# Ends that are no fault of the peer where nothing was written.
 NO_BLAME = frozenset((ConnectionEnd.RETIRED, ConnectionEnd.SHORT))
-# Ends of a client's connection at which the client is still there, and waits for what it asked.
+# Ends of a client's connection after which the client is still there and waits for its answers.
 CLIENT_STILL_WAITS = frozenset((ConnectionEnd.IDLE, ConnectionEnd.MALFORMED, ConnectionEnd.FAULT))
 
 
 def outcome(is_written: bool) -> Outcome:
-    """What the end of a connection, however it came, is to an attempt whose fetch was or was not written.
+    """Return the outcome of an attempt whose connection ended, by whether its fetch was written.
 
-    One that never went out whole never ran.
+    An attempt whose fetch was not written completely never ran.
     """
     return Outcome.RESET if is_written else Outcome.CONNECT_FAILED
 
 
 def classify_exception(error: Exception, connecting: bool = False) -> tuple[ConnectionEnd, str]:
-    """The end and its text for what a reader caught; all that no protocol or system explains is our fault."""
+    """Return the end and its detail for an exception of a reader; an unexpected one is a fault of ours."""
     if isinstance(error, ProtocolError):
         return ConnectionEnd.MALFORMED, str(error)
     if isinstance(error, OSError):
@@ -74,7 +74,7 @@
 
 
 def classify_os_error(error: OSError, connecting: bool = False) -> ConnectionEnd:
-    """The end that an operating system's error stands for."""
+    """Return the end that an error of the operating system stands for."""
     if isinstance(error, ConnectionRefusedError):
         return ConnectionEnd.REFUSED
     if connecting and error.errno in SHORT_HERE:
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -1,7 +1,7 @@
 """The core of a gateway: the parts that one thread runs, joined.
 
-Reader threads post events; nothing here waits for a socket. What runs, where and when is decided by the
-decision module. The stages of a request each have a module: pending_requests, request_admission,
+Reader threads post events; nothing here waits for a socket. The decision module decides what runs, where and
+when. The stages of a request each have a module: pending_requests, request_admission,
 decision_results, attempts, engine_pool, engine_replies.
 """
 
@@ -41,19 +41,19 @@
 
 
 class Fence(Protocol):
-    """A part of the fleet under whose token attempts are decided."""
+    """A part of the fleet whose fencing token must still be valid when an attempt is sent."""
 
     def fencing_token(self) -> object:
-        """What is decided now is decided under this."""
+        """Return the token under which attempts are decided now."""
         ...
 
     def token_valid(self, token: object) -> bool:
-        """Whether what was decided under a token may still go out. From any thread."""
+        """Whether attempts that were decided under a token may still be sent. From any thread."""
         ...
 
 
 def _ignore_demand(_demands: tuple[Demand, ...]) -> None:
-    """Without a fleet nobody hears of the demand for budgets."""
+    """Without a fleet the demand for budgets is reported to nobody."""
 
 
 class Core(EventLoop):
@@ -61,10 +61,10 @@
 
     gateway: the decision module. max_message_bytes: bytes of the largest message. max_connections: how many
     connections to engines may hold a descriptor. statement_memory: the memory for statements, of all clients.
-    admission_queue: None: there is none. retry_after_field: the field of Shed that tells when to ask
-    again; empty: none.
+    admission_queue: None: there is none. retry_after_field: the field of Shed with the Retry-After time;
+    empty: there is none.
 
-    Whoever drives a core without threads overrides clock() and connect, and calls begin() and turn().
+    To drive a core without threads, override clock() and connect, and call begin() and turn().
     """
 
     # Makes a connection of (endpoint, core, max_message_bytes, max_buffered_bytes, now).
@@ -88,15 +88,15 @@
         self.statement_memory = statement_memory
         self.admission_queue = admission_queue
         self.retry_after_field = retry_after_field.encode()
-        self.flusher: Flusher | None = None  # goes on with writes that the system did not take at once
+        self.flusher: Flusher | None = None  # completes writes that the system did not take at once
         self.events = EventLog()
-        self.list_received = Event()  # what changed since the configuration was received, or can't be
+        self.list_received = Event()  # set once changes since the configuration were received, or can't be
         self.shutdown_began_at = 0  # when the graceful shutdown began; 0: it did not
-        self.is_rejecting = False  # what comes now is rejected at once
+        self.is_rejecting = False  # new requests are rejected at once
         self.has_ended = False  # the core's thread is over
-        # Set by the listener: ends all clients' connections, once what has come is answered.
+        # Set by build_parts(): ends all clients' connections, once what has arrived is answered.
         self.close_clients: Callable[[], None] = lambda: None
-        # Set by a fleet: who hears of the demand for budgets, the gate of its policy, and its fences.
+        # Set by a fleet: receives the demand for budgets; the gate of its policy; its fences.
         self.report_demand: Callable[[tuple[Demand, ...]], None] = _ignore_demand
         self.gate: PolicyGate | None = None
         self.fences: list[Fence] = []
@@ -115,14 +115,14 @@
 
     def run(self, known: "Sequence[ListChange]") -> None:
         """Serve until the graceful shutdown is done. known: the endpoint list of the configuration."""
-        # Guards against sends to what has left since the configuration was written: a start takes a second.
+        # Guards against attempts on engines that have left since the configuration was written.
         self.list_received.wait((self.agreement.connect_timeout_us + 2 * FIRST_EVENT_TIMEOUT_US) / 1e6)
         self.begin(known)
         self.run_until_stopped()
         self.has_ended = True  # this thread touches nothing any more
 
     def begin(self, known: "Sequence[ListChange]") -> None:
-        """Apply the list of the configuration; from here on there is always a timer."""
+        """Apply the configuration's endpoint list; from here on there is always a timer."""
         self.tick()
         for change in known:
             self.run_guarded(self.endpoint_list.apply, *change)
@@ -131,7 +131,7 @@
         self.admission.start()
 
     def after_event(self) -> None:
-        """What an event makes room for leaves the admission queue, and makes more or less room in turn."""
+        """Forward queued requests to the decision module, as long as there is room for more."""
         while self.admission.forward_ready():
             self.run_deferred()
 
@@ -144,26 +144,26 @@
     # Clients
 
     def execute(self, client: Client, sequence_id: int, request: Request, received_at_us: int) -> None:
-        """A client asks for a command, which was read at this time (us)."""
+        """Execute a client's request; received_at_us: when it was read."""
         self.requests.execute(client, sequence_id, request, received_at_us)
 
     def interrupt(self, client: Client, sequence_id: int) -> None:
-        """A client stops waiting."""
+        """Handle an interrupt: the client waits for this answer no more."""
         self.requests.interrupt(client, sequence_id)
 
     def client_ended(self, client: Client, end: ConnectionEnd, text: str) -> None:
-        """A client's connection is read no more."""
+        """Handle the end of a client's connection: it is not read any more."""
         self.requests.client_ended(client, end, text)
 
     def check(self, client: Client, sequence_id: int) -> None:
-        """Whether we serve is asked: this answer comes from the thread that does."""
+        """Answer whether we serve; answered by the core's thread because it is the one that serves."""
         is_serving = self.endpoint_list.is_known and not self.shutdown_began_at
         if is_serving and self.gate:
             is_serving = not self.gate.rejects_new()
         client.put(thrift.encode_answer("check", sequence_id, good=is_serving))
 
     def close_if_idle(self, client: "ClientConnection") -> None:
-        """A connection is idle: it ends, unless something came meanwhile."""
+        """End an idle connection, unless something has arrived meanwhile."""
         if client.is_busy():
             client.end_requested = False
         else:
@@ -195,17 +195,16 @@
         self.decisions.call(None, self.gateway.apply_budgets, shares)
 
     def fencing_tokens(self) -> tuple[object, ...]:
-        """What attempts are decided under now."""
+        """Return the tokens under which attempts are decided now."""
         return tuple(fence.fencing_token() for fence in self.fences)
 
     def are_tokens_valid(self, tokens: tuple[object, ...]) -> bool:
-        """Whether what was decided under these may still go out. From any thread.
+        """Whether attempts that were decided under these may still be sent. From any thread.
 
-        Guards against a process that slept between decision and write: what it was made under may be
-        another's by now.
+        Guards against a process that slept between decision and write: another member may hold the role now.
         """
         return all(fence.token_valid(token) for fence, token in zip(self.fences, tokens, strict=True))
 
     def begin_shutdown(self) -> None:
-        """A planned restart was asked for."""
+        """Begin the graceful shutdown of a planned restart."""
         self.shutdown.start()
--- a/gullhold/net/counters.py
+++ b/gullhold/net/counters.py
@@ -1,4 +1,4 @@
-"""What the gateway took in, sent and answered: for staff, and to judge a canary of a rollout."""
+"""Counts of what the gateway received, sent and answered, for operators and to judge a rollout's canary."""
 
 from collections import Counter
 from threading import Lock
@@ -18,13 +18,13 @@
             self.counts[name] += step
 
     def peak(self, name: str, value: int) -> None:
-        """Keep the highest value."""
+        """Keep the highest value of a name."""
         if value > self.peaks.get(name, 0):
             with self.lock:
                 self.peaks[name] = max(value, self.peaks.get(name, 0))
 
     def lines(self) -> list[str]:
-        """All of them as text, by name."""
+        """Return all counts and peaks as text, sorted by name."""
         with self.lock:
             rows = list(self.counts.items())
             rows += [(f"most {name}", value) for name, value in self.peaks.items()]
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -1,4 +1,4 @@
-"""Calls of the decision module, and the carrying out of the results that each call returns."""
+"""Calls the decision module and carries out the results that each call returns."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -25,7 +25,7 @@
 
 
 class Decisions:
-    """Asks the decision module, and carries out what it decides. On the core's thread only."""
+    """Calls the decision module and carries out its decisions. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
@@ -33,16 +33,16 @@
     def call(
         self, pending: "PendingRequest | None", method: Callable[..., list[Result]], *args: object
     ) -> None:
-        """Call a method of the module; if it fails, the request of this call gets its one final answer."""
+        """Call a method of the module; if it raises, the request of this call is answered as failed."""
         core = self.core
-        core.gateway.results = []  # of a call that fails only its own results hold
+        core.gateway.results = []  # so that a failing call leaves only its own results
         try:
             results = method(core.now, *args)
-        # Guards against one odd command taking all others down with it.
+        # Guards the other commands against one that makes the module fail.
         except Exception:  # noqa: BLE001  a fault of the module ends one request, not the event
             core.counters.add("faults of the module")
             logger.exception("the module failed in {}", method.__name__)
-            results = list(core.gateway.results)  # what it had decided until then holds
+            results = list(core.gateway.results)  # the decisions until then hold
             if pending and pending.client and not pending.attempt:
                 core.defer(core.requests.give_up, pending)
         for result in results:
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: follows the endpoint list's events from the last one that we have."""
+"""The client of the discovery service: follows the endpoint list's events from the last known one."""
 
 import select
 import socket
@@ -22,7 +22,7 @@
 
 # Twice the protocol's time for messages that cross: a service that has new events sends one by then.
 FIRST_EVENT_TIMEOUT_US = 100_000
-BATCH_INTERVAL_S = 0.01  # events are gathered for so long while they follow each other as closely
+BATCH_INTERVAL_S = 0.01  # events that follow each other this closely are gathered for as long
 FAILURE_DELAY_S = 0.1  # until the stream is followed again after a fault of ours
 SILENCE_LIMIT_US = 2_000_000  # two of the bare indexes, which by the protocol come once a second
 
@@ -35,7 +35,7 @@
 
 
 class DiscoveryClient:
-    """Follows the stream for ever and hands the changes of the endpoint list to the core.
+    """Follows the event stream for ever and hands the changes of the endpoint list to the core.
 
     address: HOST:PORT, None: the list never changes; last_index: the last event that is known;
     max_line_bytes: the longest line that is accepted.
@@ -68,7 +68,7 @@
         """Follow the stream at this HOST:PORT from now on, after the last event; from any thread."""
         self._address = host_port(address)
         self._address_changed.set()
-        connection = self._connection  # one that comes up after this line sees the new address itself
+        connection = self._connection  # one that is opened after this line uses the new address
         if connection is not None:
             connection.shutdown()
 
@@ -105,7 +105,7 @@
             self._address_changed.wait(retry_interval_s)
             return
         end, detail = self._follow_until_end(address, retry_interval_s)
-        self._core.list_received.set()  # the service can't be asked: the list that we have must do
+        self._core.list_received.set()  # the service is unreachable: serve with the known list
         self._core.counters.add(f"coordinator: {end.value}")
         logger.warning("coordinator: {} {}; following on from event {}", end.value, detail, self._last_index)
         self.on_stream_end()
--- a/gullhold/net/endpoint_list.py
+++ b/gullhold/net/endpoint_list.py
@@ -17,17 +17,20 @@
         self.core = core
         self.endpoints = core.pool.endpoints
         self.start_times = StartTimes()
-        self.is_known = False  # the configuration's list was applied: what comes now is news
+        self.is_known = False  # the configuration's list was applied: all later changes are watch events
 
     def apply(
         self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, events: int = 1
     ) -> None:
-        """The list changed, by so many watch events. is_complete: engines that are not in it are removed."""
+        """Apply a change of the list, of so many watch events.
+
+        is_complete: engines that are not among the entries are removed.
+        """
         self._update_addresses(addresses)
         entries = self.start_times.correct(self.core.now, entries, self.is_known)
         self.core.counters.add("list changes", events)
         states = {entry.id: entry.state for entry in entries}
-        changed = list(self.endpoints) if is_complete else states  # the work follows what changed
+        changed = list(self.endpoints) if is_complete else states  # only what changed
         for engine_id in changed:
             endpoint = self.endpoints.get(engine_id)
             if endpoint is not None:
@@ -35,7 +38,7 @@
         self.core.decisions.call(None, self.core.gateway.update_engines, entries, is_complete)
 
     def forget_if_removed(self, endpoint: EngineEndpoint) -> None:
-        """An engine that was removed and has no connection left is forgotten."""
+        """Forget an engine that was removed, once it has no connection."""
         if endpoint.state != EngineState.REMOVED:
             return
         self.start_times.forget(endpoint.id)
@@ -45,7 +48,7 @@
     def _update_addresses(self, addresses: dict[int, str]) -> None:
         for engine_id, address in addresses.items():
             endpoint = self.endpoints.setdefault(engine_id, EngineEndpoint(engine_id, address))
-            if endpoint.address != address:  # connections to where it was are not connections to it
+            if endpoint.address != address:  # connections to the old address are not used any more
                 endpoint.address = address
                 for connection in endpoint.connections:
                     connection.is_retired = True
@@ -57,7 +60,7 @@
         self.forget_if_removed(endpoint)
 
     def _withdraw_unsent(self, endpoint: EngineEndpoint) -> None:
-        """What has not begun to go out must not go any more."""
+        """End the attempts of which nothing was sent: they must not go to this engine any more."""
         for connection in list(endpoint.connections):
             for attempt in list(connection.open.values()):
                 if connection.write_buffer.withdraw(attempt.message):
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -16,13 +16,13 @@
     from gullhold.net.core import Core
     from gullhold.net.pending_requests import PendingRequest
 
-CONNECT_RETRY_INTERVAL_S = 0.02  # s between tries to connect where this machine is short of something
-# Also tried again: a route that is gone for a moment. ip(7), connect(2).
+CONNECT_RETRY_INTERVAL_S = 0.02  # between connect attempts while this machine is short of resources
+# Errors after which connecting is retried; the last is a missing route. ip(7), connect(2).
 RETRIED_ERRNOS = connection_ends.SHORT_HERE | {errno.ENETUNREACH}
 
 
 class ResourceUse(NamedTuple):
-    """What an engine says that an attempt needed, and its load report in the order of the settings."""
+    """Resources that an attempt used, and the engine's load report in the order of the settings."""
 
     work_us: int
     memory_mb: float
@@ -33,19 +33,19 @@
 
 
 class EngineEndpoint:
-    """An engine by its identity, where it listens, and our connections to it."""
+    """An engine: its id, its address, and our connections to it."""
 
     def __init__(self, engine_id: int, address: str) -> None:
         self.id = engine_id
         self.address = address
         self.connections: list[EngineConnection] = []
         self.state = EngineState.REMOVED
-        # Connections that it closed in good order, less those that broke; never below zero.
+        # Connections that the engine closed in order, minus those that broke; never below zero.
         self.orderly_closes = 0
 
 
 class Attempt:
-    """One attempt of a request on its connection, from its fetch to its last page."""
+    """One attempt of a request, from its fetch to the last page of its result."""
 
     __slots__ = (
         "connection",
@@ -72,22 +72,22 @@
         self.connection: EngineConnection | None = None
         self.message = b""
         self.end_offset = 0  # of its fetch in the write buffer; negative: a Rejection
-        self.deadline_us = 0  # it must not begin after it
-        self.fencing_tokens: tuple[object, ...] = ()  # what it was decided under
+        self.deadline_us = 0  # it must not be sent later
+        self.fencing_tokens: tuple[object, ...] = ()  # under which it was decided
         self.pages: list[bytes] = []
         self.page_count = 0
         self.result_bytes = 0
-        self.outcome_once_confirmed: Outcome | None = None  # set once an abort went, to be confirmed
+        self.outcome_once_confirmed: Outcome | None = None  # set with an abort that is to be confirmed
         self.resources = NO_RESOURCES
 
     def release(self) -> None:
-        """It is over: let go of what takes memory."""
+        """Free the message and the pages; the attempt has ended."""
         self.message = b""
         self.pages = []
 
 
 class EngineConnection:
-    """One connection. Its thread connects, reads and closes; all but `connection` is the core thread's.
+    """One connection. Its reader thread connects, reads and closes; the core's thread owns all other state.
 
     max_message_bytes, max_buffered_bytes: bytes of the largest answer, and of what may wait to be written.
     """
@@ -105,56 +105,56 @@
         self.decoder = resp.Decoder(max_message_bytes)
         self.write_buffer = WriteBuffer(max_buffered_bytes, core.counters, core.flusher)
         self.open: dict[bytes, Attempt] = {}  # by the id of the command
-        self.abandoned_ids: set[bytes] = set()  # ids to which a late answer may come
-        self.confirmations: dict[bytes, Attempt] = {}  # by tag: those that are awaited
+        self.abandoned_ids: set[bytes] = set()  # transaction ids for which late replies may arrive
+        self.confirmations: dict[bytes, Attempt] = {}  # by the tag that confirms the abort
         self.is_ended = False
-        self.is_retired = False  # takes no further attempt
+        self.is_retired = False  # gets no further attempts
         self.last_reply_at = now
         self.used_at = now
-        self.probed_at = 0  # when it was asked for a sign of life that has not come; 0: it was not
+        self.probed_at = 0  # when a health check was sent that is not answered yet; 0: none
         self.local_end: ConnectionEnd | None = None
         self.connection: Connection | None = None  # once it is up
         self.address = host_port(endpoint.address)
 
     def start(self) -> None:
-        """Connect and read, in a thread of its own. RuntimeError where there is no thread to be had."""
+        """Connect and read in a new thread. Raises RuntimeError where it can't be started."""
         Thread(target=self._run, daemon=True, name="link").start()
 
     def accepts(self, transaction_id: bytes, max_streams: int) -> bool:
-        """Whether an attempt of this id may go out here: a late answer to an earlier one must not meet it."""
+        """Whether an attempt may be sent here; not while late replies to one of its id may arrive."""
         if self.is_ended or self.is_retired or self.write_buffer.is_dead:
             return False
-        if self.probed_at:  # it fell silent
+        if self.probed_at:  # it is silent
             return False
         return len(self.open) < max_streams and transaction_id not in self.abandoned_ids
 
     def begin_close(self, end: ConnectionEnd) -> None:
-        """End it from our side; the reader wakes and reports."""
+        """Begin to close the connection from our side; the reader thread wakes and reports the end."""
         self.is_retired = True
         self.local_end = self.local_end or end
         if self.connection is not None:
             self.connection.shutdown()
 
     def connected(self, connection: Connection) -> bool:
-        """From the reader: the connection is up; False where it was ended meanwhile."""
+        """From the reader thread: the connection is open. Returns False where it was closed meanwhile."""
         self.connection = connection
         if self.local_end:
             return False
-        # The core looks once more at what waits here, and lets it go out.
+        # The core checks once more what waits here before it is sent.
         self.core.post_urgent(self.core.pool.connection_up, self)
         return True
 
     def deliver(self) -> None:
-        """From the reader: hand what is complete in the decoder to the core."""
+        """From the reader thread: hand the complete arrays to the core."""
         arrays: list[list[bytes]] = []
         try:
             arrays.extend(self.decoder.arrays())
-        finally:  # what was complete before bytes that make no sense holds
+        finally:  # arrays before malformed bytes count
             if arrays:
                 self.core.post(self.core.replies.handle, self, arrays)
 
     def reader_ended(self, end: ConnectionEnd, text: str, connection: Connection | None) -> None:
-        """From the reader, last: give the descriptor back and report."""
+        """From the reader thread, at its end: close the descriptor and report the end to the core."""
         self.write_buffer.finish(now=True)
         if connection is not None:
             connection.close()
@@ -174,7 +174,7 @@
             if not self.connected(connection):
                 return
             end = self._read(connection.sock)
-            if self.write_buffer.error:  # a write broke it, and the reader was only woken
+            if self.write_buffer.error:  # a write failed, and the reader was only woken
                 end, text = connection_ends.classify_exception(self.write_buffer.error)
         # A fault of ours ends this connection, not the program.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
@@ -183,9 +183,9 @@
             self.reader_ended(end, text, connection)
 
     def _connect_in_time(self) -> socket.socket:
-        """A socket that is connected; OSError where there is none in time.
+        """Return a connected socket. Raises OSError where there is none in time.
 
-        What this machine refuses for a moment is tried again: guards against blaming an engine for it.
+        Temporary refusals of this machine are retried, so that no engine is blamed for them.
         """
         wait_s = self.core.agreement.connect_timeout_us / 1e6
         end_at = time.monotonic() + (wait_s or self.core.limits.sweep_interval_us / 1e6)
@@ -201,7 +201,7 @@
             time.sleep(CONNECT_RETRY_INTERVAL_S)
 
     def _connect(self, wait_s: float) -> socket.socket:
-        """One try, for so many seconds at most (0: no limit)."""
+        """Connect once, within a timeout (0: none). Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.settimeout(wait_s or None)
@@ -224,6 +224,6 @@
                 return ConnectionEnd.CLOSED
             self.deliver()
             if self.decoder.is_cut != is_cut:
-                # In the middle of an answer the next bytes come soon, or never.
+                # In the middle of an array the next bytes arrive soon, or never.
                 is_cut = self.decoder.is_cut
                 set_read_timeout(sock, self.core.agreement.connect_timeout_us if is_cut else 0)
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -1,4 +1,4 @@
-"""The periodic look at connections to engines: those that fell silent, and those no longer needed."""
+"""The periodic check of engine connections: for silent ones, and for those no longer needed."""
 
 from math import isqrt
 from typing import TYPE_CHECKING, NamedTuple
@@ -11,20 +11,20 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-MIN_SWEEP_INTERVAL_US = 100_000  # us between looks, at the least
+MIN_SWEEP_INTERVAL_US = 100_000  # the shortest interval between checks
 
 
 class ConnectionLimits(NamedTuple):
-    """Times and numbers that hold for all connections to engines, from the settings."""
+    """Times and limits for all engine connections, derived from the settings."""
 
-    sweep_interval_us: int  # between looks: the time to come up
-    attempts_when_shared: int  # on a shared connection: few connections, few attempts lost with one
-    silent_after_us: int  # a connection with an attempt out says something by then
-    lost_after_us: int  # two notes missed: none will come; 0: engines send no notes
+    sweep_interval_us: int  # between checks: the connect timeout
+    attempts_when_shared: int  # on one connection; few, so that few are lost with it
+    silent_after_us: int  # a connection with an open attempt has a reply by then
+    lost_after_us: int  # two status notes were missed; 0: engines send none
 
     @classmethod
     def from_agreement(cls, agreement: Agreement) -> "ConnectionLimits":
-        """The limits that follow from a deployment's settings."""
+        """Return the limits for a deployment's settings."""
         sweep_interval_us = max(agreement.connect_timeout_us, MIN_SWEEP_INTERVAL_US)
         note_interval_us = agreement.status_interval_us
         silent_after_us = note_interval_us + sweep_interval_us
@@ -37,18 +37,18 @@
 
 
 class EngineHealth:
-    """Looks at all connections to engines from time to time. On the core's thread only."""
+    """Checks all engine connections periodically. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
         self.limits = core.limits
 
     def schedule(self) -> None:
-        """Look again when the interval is over."""
+        """Schedule the next check."""
         self.core.call_later(self.core.now + self.limits.sweep_interval_us, self.sweep)
 
     def sweep(self) -> None:
-        """Look at all connections once."""
+        """Check all connections once, and schedule the next check."""
         self.schedule()
         for connection in list(self.core.pool.connections):
             if connection.connection is None:
@@ -73,7 +73,7 @@
             self._probe(connection)
 
     def _stop_lost_attempts(self, connection: EngineConnection) -> None:
-        """Guards against an answer that never comes, or comes after its time, on a connection that works."""
+        """Stop attempts without any reply for too long, although their connection works."""
         for attempt in list(connection.open.values()):
             is_lost = self.core.now - attempt.last_reply_at >= self.limits.lost_after_us
             if is_lost and attempt.outcome_once_confirmed is None:
@@ -81,7 +81,7 @@
                 self.core.attempts.stop(attempt, Outcome.RESET)
 
     def _probe(self, connection: EngineConnection) -> None:
-        """Guards against a machine that vanished or was cut off: its connections stay open and silent."""
+        """Send a health check: connections to a machine that vanished stay open and silent."""
         if not connection.probed_at:
             connection.probed_at = self.core.now
             self.core.pool.send_control(connection, engine_protocol.ALIVE, engine_protocol.ALIVE)
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -1,4 +1,4 @@
-"""Connections to engines: which one takes an attempt, when one is opened, and what its end means."""
+"""Connections to engines: which one an attempt uses, when one is opened, and what its end means."""
 
 from typing import TYPE_CHECKING
 
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-# Ends of a connection that may take along other attempts than the one that caused it.
+# Ends of a connection that may hit other attempts than the one that caused it.
 BROKE_OTHERS = frozenset((ConnectionEnd.MALFORMED, ConnectionEnd.RESET, ConnectionEnd.SILENT))
 
 
 class EnginePool:
-    """All connections to engines. On the core's thread only, but for `holding`.
+    """All connections to engines. On the core's thread only, except `holding_descriptor`.
 
-    holding: connections that hold a descriptor, ended or not; their threads take them out.
+    holding_descriptor: connections that hold a descriptor, ended or not; their reader threads remove them.
     max_connections: how many may hold one.
     """
 
@@ -33,7 +33,7 @@
         self.holding_descriptor: set[EngineConnection] = set()
 
     def connection_for(self, engine_id: int, transaction_id: bytes) -> EngineConnection | None:
-        """A connection for an attempt of this id, a new one if need be; None where there is none."""
+        """Return a connection for an attempt of this id, opened if need be; None: there is none."""
         endpoint = self.endpoints.get(engine_id)
         if endpoint is None:
             return None
@@ -43,13 +43,12 @@
             for connection in endpoint.connections
             if connection.accepts(transaction_id, max_streams) and not self.is_idle(connection)
         ]
-        # One attempt a connection while descriptors last: guards against one spoilt answer, reset, or request
-        # that an engine can't read taking down what else is open there. But some engines close a connection
-        # when they have answered and nothing else is open on it, be pages or a fetch still to come: there
-        # attempts share.
+        # One attempt on each connection while descriptors last, so that a malformed reply, a reset, or a
+        # request that an engine can't read costs no other attempt. But some engines close a connection once
+        # nothing else is open on it, although pages or a fetch are still to come: their attempts share them.
         max_preferred_open = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
         preferred = [connection for connection in usable if len(connection.open) < max_preferred_open]
-        if preferred:  # the fullest; of idle ones the one used last, so that the others may be closed
+        if preferred:  # the fullest; of idle ones the last used, so that others can be closed
             return max(preferred, key=lambda connection: (len(connection.open), connection.used_at))
         if len(self.holding_descriptor) < self.max_connections:
             return self._open(endpoint)
@@ -59,10 +58,10 @@
         return None
 
     def connection_up(self, connection: EngineConnection) -> None:
-        """A connection came up.
+        """Send what waits for a connection that has just opened.
 
-        What waits in it was decided a while ago: whatever may forbid an attempt (engine, client, time, what
-        it was decided under) is looked at once more right before its first byte.
+        Its attempts were decided a while ago: all that may forbid one (engine, client, time, fencing tokens)
+        is checked once more right before its first byte.
         """
         if connection.is_ended or connection.local_end or connection.connection is None:
             return
@@ -75,20 +74,20 @@
         connection.write_buffer.attach(connection.connection)
 
     def send_control(self, connection: EngineConnection, *strings: bytes) -> None:
-        """Send a message beside a fetch: an abort, a confirmation, a page asked for.
+        """Send another message than a fetch: an abort, a health check, a request for a page.
 
-        If it can't go the connection ends: a lost abort would leave an attempt out.
+        Where it can't be sent the connection ends: after a lost abort an attempt would run on.
         """
         if connection.write_buffer.put(resp.encode(*strings)) < 0 and not connection.is_ended:
             self.core.defer(self.drop, connection, ConnectionEnd.BACKED_UP)
 
     def drop(self, connection: EngineConnection, end: ConnectionEnd, text: str = "") -> None:
-        """End a connection from our side, now."""
+        """Close a connection from our side, and end its attempts now."""
         connection.begin_close(end)
         self.connection_ended(connection, end, text)
 
     def connection_ended(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
-        """A connection is over, however that came; so are its attempts. A second call does nothing."""
+        """Remove a connection that has ended, and end its attempts. A second call does nothing."""
         if connection.is_ended:
             return
         connection.is_ended = True
@@ -101,7 +100,7 @@
         self._end_attempts(connection, end)
 
     def is_idle(self, connection: EngineConnection) -> bool:
-        """Whether the engine may be about to close it for idleness: we close first."""
+        """Whether the engine may be about to close an idle connection: we close first."""
         if connection.open:
             return False
         idle_us = self.core.now - connection.used_at
@@ -115,7 +114,7 @@
         self.holding_descriptor.add(connection)
         try:
             connection.start()
-        except RuntimeError:  # no thread to be had
+        except RuntimeError:  # the thread can't be started
             self.holding_descriptor.discard(connection)
             self.counters.add("no thread for a link")
             return None
@@ -125,7 +124,7 @@
         return connection
 
     def _close_idle_ones(self) -> None:
-        """There is no descriptor left: idle ones go, for the next that asks."""
+        """Close idle connections: the next attempt needs a descriptor."""
         for connection in self.connections:
             if not connection.open and not connection.is_ended:
                 connection.begin_close(ConnectionEnd.RETIRED)
@@ -141,7 +140,7 @@
 
     @staticmethod
     def _count_close(connection: EngineConnection, end: ConnectionEnd) -> None:
-        """Learn whether this engine closes connections in good order."""
+        """Learn whether this engine closes connections in order."""
         endpoint = connection.endpoint
         is_cut = end == ConnectionEnd.CLOSED and connection.decoder.is_cut
         if is_cut or end in BROKE_OTHERS:
@@ -164,7 +163,7 @@
         self.core.events.add(event, not is_routine)
 
     def _end_attempts(self, connection: EngineConnection, end: ConnectionEnd) -> None:
-        """Where we closed, the engine learns of it later: until then its attempts are still out there."""
+        """End the open attempts; where we closed, only after the engine has had the time to notice."""
         delay_us = self.agreement.connect_timeout_us if end in connection_ends.CAUSED_BY_US else 0
         for attempt in list(connection.open.values()):
             outcome = self._outcome(connection, attempt, end)
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -1,4 +1,4 @@
-"""What engines say on their connections: answers and their pages, status notes, confirmations."""
+"""Handles the replies of engines: answers and their pages, status notes, confirmations."""
 
 from math import isfinite
 from typing import TYPE_CHECKING
@@ -20,12 +20,12 @@
 PAGE_REPLIES = (engine_protocol.ANSWER, engine_protocol.CHUNK)
 MAX_PAGE_BYTES = 6_000  # of a page, from the protocol
 TABS_PER_ROW = 2  # rows of three columns, from the protocol
-MIN_STRINGS = 2  # in any array of an engine: the id of the command, and the kind of reply
-MAX_STRINGS = 4  # id, kind of reply, fields, body
+MIN_STRINGS = 2  # in any reply: transaction id and kind of reply
+MAX_STRINGS = 4  # transaction id, kind of reply, fields, body
 
 
 class EngineReplies:
-    """Carries out what engines say. On the core's thread only."""
+    """Handles the replies of engines. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
@@ -33,7 +33,7 @@
         self.report_fields = [name.encode() for name in core.agreement.report_fields]
 
     def handle(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
-        """Arrays of an engine came."""
+        """Handle the arrays that arrived from an engine."""
         connection.last_reply_at = self.core.now
         connection.probed_at = 0
         try:
@@ -52,7 +52,7 @@
             self.core.attempts.cancel_confirmed(connection, transaction_id)
             return
         attempt = connection.open.get(transaction_id)
-        if attempt is None:  # a late reply to an attempt that was given up, or nothing of ours
+        if attempt is None:  # a late reply to an abandoned attempt, or an unknown id
             self.counters.add("late or unknown answers")
             if reply in engine_protocol.FINAL_REPLIES:
                 connection.abandoned_ids.discard(transaction_id)
@@ -64,7 +64,7 @@
         elif reply in PAGE_REPLIES:
             self._handle_page(connection, attempt, reply, fields, body)
         elif reply == engine_protocol.ERROR or (reply in engine_protocol.FINAL_REPLIES and not attempt.pages):
-            # Once it has begun to answer, it ran: from there on only an error may follow.
+            # An attempt that has begun to answer did run: only pages or an error may follow.
             attempt.resources = self._resources(fields)
             self.core.attempts.end(attempt, engine_protocol.FINAL_REPLIES[reply])
         else:
@@ -78,12 +78,12 @@
         fields: dict[bytes, bytes],
         rows: bytes,
     ) -> None:
-        """The first page of a result comes with the answer, each further one as a chunk."""
+        """Handle a page: the first comes with the answer, each further one as a chunk."""
         is_answer = reply == engine_protocol.ANSWER
         if is_answer and self._was_cancelled_between_pages(attempt, fields):
             return
         if self._is_known_page(attempt, fields):
-            self.counters.add("second copies")  # of a page that we have: passed over
+            self.counters.add("second copies")  # of a page that we have: ignored
         elif is_answer:
             attempt.resources = self._resources(fields)
             attempt.page_count = max(1, int(fields.get(b"pages", 1)))
@@ -108,7 +108,7 @@
         )
 
     def _add_page(self, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
-        """One more page came; after the last the result goes to the client."""
+        """Add a page, and request the next; after the last the client gets the result."""
         transaction_id = attempt.pending.request.transaction_id
         check_page(rows)
         attempt.pages.append(rows)
@@ -128,7 +128,7 @@
 
     @staticmethod
     def _was_cancelled_between_pages(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
-        """It ended just before our abort came, which gave its further pages up."""
+        """Whether the attempt was answered just before our abort, which discarded its further pages."""
         return attempt.outcome_once_confirmed is not None and int(fields.get(b"pages", 1)) > 1
 
     @staticmethod
@@ -140,7 +140,7 @@
         return bool(attempt.pages) and int(fields.get(b"page", -1)) == len(attempt.pages)
 
     def _resources(self, fields: dict[bytes, bytes]) -> ResourceUse:
-        """Work and memory that an attempt needed, and its load report; what is absent is zero."""
+        """Return the resources that an attempt used, and the load report; absent values are zero."""
         work_ms = float(fields.get(b"cost", 0))
         memory_mb = float(fields.get(b"need", 0))
         load: list[float] = []
@@ -153,7 +153,7 @@
 
 
 def check_page(rows: bytes) -> None:
-    """ProtocolError unless a page is whole rows of three columns: others are never passed on as served."""
+    """Raise ProtocolError unless a page consists of complete rows of three columns."""
     is_too_long = len(rows) > MAX_PAGE_BYTES
     has_other_columns = rows.count(b"\t") != TABS_PER_ROW * rows.count(b"\n")
     is_cut = bool(rows) and not rows.endswith(b"\n")
--- a/gullhold/net/event_loop.py
+++ b/gullhold/net/event_loop.py
@@ -14,10 +14,10 @@
 
 from gullhold.net.counters import Counters
 
-STALL_US = 100_000  # us beyond any wait that are a stall: far more than a step, a fifth of usual graces
-CATCH_UP_US = 500_000  # us that the discovery thread may read after a stall, on a machine that let us sleep
-CATCH_UP_POLL_S = 0.001  # s between looks at whether the endpoint list is up to date after a stall
-FAULT_WAIT_S = 0.001  # s after a step that failed, until the next
+STALL_US = 100_000  # of lateness: far more than a step takes, a fifth of usual grace times
+CATCH_UP_US = 500_000  # that we wait for the discovery thread after a stall
+CATCH_UP_POLL_S = 0.001  # between checks whether the endpoint list is up to date after a stall
+FAULT_WAIT_S = 0.001  # between a step that failed and the next
 CLOCK_OFFSET_NS = time.time_ns() - time.monotonic_ns()  # Unix ns, as this process began, at monotonic zero
 
 BoundCall = tuple[Callable[..., None], tuple[object, ...]]
@@ -25,7 +25,7 @@
 
 
 class PostedEvent(NamedTuple):
-    """A call that another thread asked for, and when."""
+    """A call that another thread posted, and when."""
 
     posted_at_us: int
     call: Callable[..., None]
@@ -45,7 +45,7 @@
     """Runs events, deferred calls and timers, one at a time.
 
     post(), post_urgent() and clock() may be called from any thread; all else belongs to the loop's thread.
-    Whoever drives a loop without threads overrides clock() and calls turn().
+    To drive a loop without threads, override clock() and call turn().
     """
 
     def __init__(self, counters: Counters) -> None:
@@ -57,15 +57,15 @@
         self.timer_serial = 0
         self.now = self.clock()
         self.stopped = False
-        # Whether the discovery thread has yet to hand on events that have come.
+        # Whether the discovery thread has received events that it has not posted yet.
         self.discovery_lags: Callable[[], bool] = lambda: False
 
     @staticmethod
     def clock() -> int:
-        """Unix time in whole microseconds: as it was at the start, gone on by the clock that nobody sets.
+        """Return Unix time in us: the wall-clock time of the start, advanced by the monotonic clock.
 
-        Guards against a wall clock that is set back while commands wait: their time-outs stood still with it.
-        Harm: after a step of the wall clock the starts of engines are off by it.
+        Guards against a wall clock that is set back while commands wait, which would stop their timeouts.
+        Drawback: after a step of the wall clock the start times of engines are off by it.
         """
         return (CLOCK_OFFSET_NS + time.monotonic_ns()) // 1000
 
@@ -74,12 +74,12 @@
         self.queue.put(PostedEvent(self.clock(), call, args))
 
     def post_urgent(self, call: Callable[..., None], *args: object) -> None:
-        """From any thread: have the loop make this call ahead of all else that waits."""
+        """From any thread: have the loop make this call before all others that wait."""
         self.urgent.append((call, args))
         self.post(self._wake)
 
     def defer(self, call: Callable[..., None], *args: object) -> None:
-        """Make this call when the current event is handled, before the next one."""
+        """Make this call once the current event is handled, before the next one."""
         self.deferred.append((call, args))
 
     def call_later(self, due_at_us: int, call: Callable[..., None], *args: object) -> None:
@@ -92,14 +92,14 @@
         while not self.stopped:
             try:
                 self._step()
-            # Guards against a loop that dies and leaves a process that looks alive.
+            # A loop that died would leave a process that only looks alive.
             except Exception:  # noqa: BLE001  the outermost loop of the thread
                 self.counters.add("faults of ours")
                 logger.exception("a step failed")
                 time.sleep(FAULT_WAIT_S)
 
     def turn(self, event: PostedEvent | None) -> None:
-        """All of a step but its wait: urgent calls, this event if there is one, timers that are due."""
+        """Run urgent calls, this event if there is one, and the timers that are due."""
         while self.urgent:
             call, args = self.urgent.popleft()
             self.run_guarded(call, *args)
@@ -113,7 +113,7 @@
             self.run_guarded(timer.call, *timer.args)
 
     def next_event(self, wait_us: int = 0) -> PostedEvent | None:
-        """The next posted event; None where none comes in this time."""
+        """Return the next posted event; None where none comes within this time."""
         try:
             if wait_us > 0:
                 return self.queue.get(timeout=wait_us / 1e6)
@@ -122,11 +122,11 @@
             return None
 
     def next_timer_at_us(self) -> int:
-        """When the next timer is due."""
+        """Return when the next timer is due."""
         return self.timers[0].due_at_us
 
     def tick(self) -> None:
-        """Read the clock; the loop's time never goes back."""
+        """Update `now`, which never goes back."""
         self.now = max(self.now, self.clock())
 
     def run_guarded(self, call: Callable[..., None], *args: object) -> None:
@@ -143,7 +143,7 @@
         """Called when an event and its deferred calls are handled; for subclasses."""
 
     def run_deferred(self) -> None:
-        """Make the calls that were put off until the event is handled."""
+        """Make the deferred calls."""
         while self.deferred:
             call, args = self.deferred.popleft()
             call(*args)
@@ -158,10 +158,10 @@
         self.turn(event)
 
     def _catch_up(self) -> None:
-        """After a stall, wait until the discovery thread has read what came meanwhile.
+        """After a stall, wait until the discovery thread has read what arrived meanwhile.
 
-        Guards against a process that stood still, or a step that took long: all that came meanwhile is there
-        at once, and requests would go out to engines that left before the change of the list is read.
+        After a suspended process, or a long step, all that arrived meanwhile is there at once: requests would
+        be sent to engines that have left, before the change of the endpoint list is read.
         """
         self.counters.add("stalls")
         end = self.now + CATCH_UP_US
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -1,7 +1,7 @@
-"""What became of requests and connections, and why: an event a line, at a bounded rate; the last are kept.
+"""Events of requests and connections with their reasons, a line each, at a bounded rate.
 
-Every close, retry, refusal and given-up attempt is an event. The newest are kept in memory and are written
-out on SIGUSR1; as they happen they are logged as far as their rate allows, others are counted.
+Every close, retry, rejection and abandoned attempt is an event. The newest are kept in memory and are logged
+on SIGUSR1; as they happen they are logged as far as their rate allows, and the others are counted.
 """
 
 from collections import deque
@@ -11,8 +11,8 @@
 from loguru import logger
 
 MAX_RECENT_EVENTS = 400  # events kept in memory: some 100 KB
-BURST = 20  # lines of one kind that may be logged at once ...
-RATE_PER_S = 2.0  # ... and those a second that are allowed from then on
+BURST = 20  # lines of one kind that may be logged at once
+RATE_PER_S = 2.0  # lines of one kind that may be logged after that
 
 
 class EventKind(StrEnum):
@@ -37,7 +37,7 @@
     open: int = 0  # requests or attempts that were open on a connection that closed
 
     def line(self) -> str:
-        """As it is logged: key=value pairs, in an order that does not change."""
+        """Return the line as it is logged: key=value pairs in a fixed order."""
         pairs = {
             "event": self.kind.value,
             "request": self.request.decode("ascii", "replace"),
@@ -52,7 +52,7 @@
 
 
 class EventLog:
-    """Takes events from the core's thread."""
+    """The recent events. Used by the core's thread; lines() by any thread."""
 
     def __init__(self) -> None:
         self.recent: deque[LoggedEvent] = deque(maxlen=MAX_RECENT_EVENTS)
@@ -74,7 +74,7 @@
             logger.info("{}{}", event.line(), left_out)
 
     def lines(self) -> list[str]:
-        """All that are kept, the oldest first."""
+        """Return the lines of the kept events, the oldest first."""
         return [f"at_us={event.at_us} {event.line()}" for event in list(self.recent)]
 
     def _may_log(self, event: LoggedEvent) -> bool:
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -1,7 +1,6 @@
-"""One thread that goes on with the writes that the system did not take at once, for all connections.
+"""One thread that completes the writes that the system did not take at once, for all connections.
 
-Guards against a thread that can't be started in the middle of a write: its connection was never written to
-again.
+It is started before any connection: a thread for each blocked write might not be started when it is needed.
 """
 
 import os
@@ -14,12 +13,12 @@
 
 from gullhold.net.write_buffer import WriteBuffer
 
-MAX_READ_BYTES = 4096  # bytes of one read of the wake-up pipe
-FAULT_WAIT_S = 0.01  # s after a wait that the system refused, until the next
+MAX_READ_BYTES = 4096  # of one read of the wake-up pipe
+FAULT_WAIT_S = 0.01  # after a failure, until the next turn
 
 
 class Flusher:
-    """Write buffers that wait for room in their connections; run() is the thread's, watch() anyone's."""
+    """Write buffers that wait until their sockets are writable. watch() may be called from any thread."""
 
     def __init__(self) -> None:
         self.lock = Lock()
@@ -29,23 +28,23 @@
         os.set_blocking(self.wake_write_end, False)
 
     def watch(self, buffer: WriteBuffer) -> None:
-        """From any thread: write on there as soon as there is room."""
+        """From any thread: flush this buffer as soon as its socket is writable."""
         self._add(buffer)
-        with suppress(BlockingIOError):  # full: there is enough to wake for
+        with suppress(BlockingIOError):  # full: there are enough bytes to wake the thread
             os.write(self.wake_write_end, b"w")
 
     def run(self) -> None:
-        """For ever."""
+        """Flush buffers for ever."""
         while True:
             try:
                 self.turn()
-            # Guards against a flusher that dies and leaves connections silent.
+            # Without this thread, connections would stay blocked.
             except Exception:  # noqa: BLE001  the outermost loop of the thread
                 logger.exception("the flusher failed, and goes on")
                 time.sleep(FAULT_WAIT_S)
 
     def turn(self) -> None:
-        """Wait until somewhere there is room, and write on there."""
+        """Wait until some sockets are writable, and flush their buffers."""
         poll = select.poll()
         poll.register(self.wake_read_end, select.POLLIN)
         by_descriptor: dict[int, list[WriteBuffer]] = {}
@@ -62,13 +61,13 @@
         is_all_written = True
         for descriptor in ready:
             for buffer in by_descriptor.get(descriptor, ()):
-                count = buffer.flush()  # put off once more, it comes in anew
+                count = buffer.flush()  # where something remains, the buffer calls watch() again
                 is_all_written = is_all_written and count > 0
-        if not is_all_written:  # there is room, yet nothing was taken: the system is short of something
+        if not is_all_written:  # writable, yet nothing was taken: a shortage
             time.sleep(FAULT_WAIT_S)
 
     def _take_all(self) -> list[WriteBuffer]:
-        """All that wait, out of the list: what still has to comes back, by _wait_for()."""
+        """Remove and return all waiting buffers; those that still wait are added again by _add()."""
         with self.lock:
             taken = list(self.waiting)
             self.waiting = {}
--- a/gullhold/net/idle_timer.py
+++ b/gullhold/net/idle_timer.py
@@ -1,4 +1,4 @@
-"""How long a connection of a client has been idle."""
+"""Measures how long a client connection has been idle."""
 
 import time
 
@@ -13,15 +13,15 @@
 
     def __init__(self) -> None:
         self.connected_at = time.monotonic()
-        self.last_active_at = self.connected_at  # when something last came or was open
+        self.last_active_at = self.connected_at  # when something last arrived or was open
         self.is_cut = False  # in the middle of a message
 
     def call_received(self) -> None:
-        """A call was read."""
+        """Note that a call was read."""
         self.last_active_at = time.monotonic()
 
     def idle_s(self, is_cut: bool, is_busy: bool, was_answered: bool) -> float:
-        """For how long it has been idle; one that was never answered: since it connected.
+        """Return how long the connection has been idle; one that was never answered: since it connected.
 
         is_cut: it is in the middle of a message. is_busy: something is still to be answered.
         """
--- a/gullhold/net/logsink.py
+++ b/gullhold/net/logsink.py
@@ -6,7 +6,7 @@
 
 from gullhold.net.counters import Counters
 
-MAX_QUEUED_LINES = 2000  # some seconds of the most that a gateway in trouble logs
+MAX_QUEUED_LINES = 2000  # some seconds of the most that a failing gateway logs
 
 
 class LogSink:
@@ -36,5 +36,5 @@
             try:
                 self.stream.write(text)
                 self.stream.flush()
-            except Exception:  # noqa: BLE001  no reader any more, or memory is short: the gateway serves on
+            except Exception:  # noqa: BLE001  the reader has gone, or memory is short: the gateway goes on
                 self.counters.add("log writes failed")
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests that were taken from clients: from their arrival to the one final answer that each gets."""
+"""Requests of clients, from their arrival to the one final answer that each gets."""
 
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
@@ -16,24 +16,24 @@
 
 
 class PeerAddress(NamedTuple):
-    """Where a client connects from: its host, and a name for this connection alone."""
+    """Where a client connects from: its host, and HOST:PORT, which names this connection only."""
 
     host: str
     connection: str
 
 
 class ClientOutput(Protocol):
-    """The way out of a client's connection, as far as the core touches it."""
+    """The part of a client's write buffer that the core uses."""
 
     is_finishing: bool
 
     def finish(self, now: bool = False) -> bool:
-        """Take no more messages; the other side reads to the end."""
+        """Accept no more messages; the peer gets the rest, then the end of the stream."""
         ...
 
 
 class Client(Protocol):
-    """What the core needs of whoever asks: a client's connection, or the fleet's own commands.
+    """What the core needs of a client: a client connection, or the sender of the fleet's own commands.
 
     open: pending requests by sequence id.
     undelivered: sequence ids of requests that were posted to the core and that it has yet to process.
@@ -51,12 +51,12 @@
     write_buffer: ClientOutput
 
     def put(self, message: bytes) -> None:
-        """Send whole frames."""
+        """Send complete frames."""
         ...
 
 
 class PendingRequest:
-    """A request that was taken: its client (None once answered), and its attempt that is out."""
+    """A request with its client (None once answered) and its open attempt, if any."""
 
     __slots__ = (
         "attempt",
@@ -84,12 +84,12 @@
         self.priority = 1
         self.attempt: Attempt | None = None
         self.attempts_started = 0
-        self.statement_bytes = len(request.statement)  # held in the memory for statements
+        self.statement_bytes = len(request.statement)  # reserved in the memory for statements
         self.last_outcome = ""  # of its last attempt, as text for the event log
 
 
 class PendingRequests:
-    """The table of pending requests, and the one final answer of each. On the core's thread only."""
+    """The table of pending requests; gives each its one final answer. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
@@ -97,17 +97,18 @@
         self.by_number: dict[int, PendingRequest] = {}
         self.by_transaction_id: dict[bytes, PendingRequest] = {}
         self.last_number = 0
-        self.settled_at_us = 0  # when the last one was answered, or taken back
+        self.settled_at_us = 0  # when the last one was answered or interrupted
 
     def execute(self, client: Client, sequence_id: int, request: Request, received_at_us: int) -> None:
-        """A client asks for a command; received_at_us: when it was read, from which its timeout counts."""
+        """Execute a client's request; received_at_us: when it was read, from which its timeout counts."""
         self.last_number += 1
         pending = PendingRequest(
             self.last_number, client, sequence_id, request, received_at_us + request.timeout_us
         )
-        client.open[sequence_id] = pending  # first: an interrupt finds it in one place or the other
-        # Taken back before we came to it; or its client has left; or it came after we had said our end, so
-        # that its client asks elsewhere.
+        # Before the pop below, so that an interrupt finds it in one place or the other.
+        client.open[sequence_id] = pending
+        # Interrupted before it was processed; or its client has left; or it arrived after our end of stream,
+        # so that the client sends it elsewhere.
         if (
             client.undelivered.pop(sequence_id, None) is None
             or client.has_left
@@ -125,17 +126,17 @@
             self._admit(pending)
 
     def interrupt(self, client: Client, sequence_id: int) -> None:
-        """A client stops waiting: no answer is expected any more."""
+        """Handle an interrupt: no answer is expected any more."""
         pending = client.open.get(sequence_id)
         if pending:
             self.counters.add("interrupted")
             self._abandoned_by_client(pending)
 
     def client_ended(self, client: Client, end: ConnectionEnd, text: str) -> None:
-        """A client's connection is read no more.
+        """Handle the end of a client's connection.
 
-        One that closed, or broke, has left: nothing of it goes out any more. One that sent what makes no
-        sense is still there: each of its requests gets its answer.
+        A client that closed, or whose connection broke, has left: its requests are dropped. One that sent
+        malformed bytes is still there: each of its requests gets an answer.
         """
         self.counters.add(f"client connection: {end.value}")
         is_unusual = bool(client.open) and end in connection_ends.CAUSED_BY_US
@@ -154,15 +155,15 @@
                 self.give_up(pending)
             else:
                 self._abandoned_by_client(pending)
-        client.write_buffer.finish()  # what is under way goes out; the reader closes
+        client.write_buffer.finish()  # buffered answers are still written; the reader closes
 
     def answer(self, pending: PendingRequest, message: bytes) -> None:
-        """Give a request its final answer."""
-        client = self._settle(pending)  # first: its next request may come as soon as it has this answer
+        """Send a request's final answer."""
+        client = self._settle(pending)  # before the answer, after which its next one may arrive
         client.put(message)
 
     def answer_result(self, pending: PendingRequest, rows: bytes) -> None:
-        """The rows of a result are the final answer."""
+        """Answer a request with the rows of its result."""
         self.counters.add("answered")
         if self.core.gate:  # a canary is judged by it
             timeout_us = pending.request.timeout_us
@@ -170,7 +171,7 @@
         self.answer(pending, thrift.encode_answer("execute", pending.sequence_id, rows))
 
     def answer_shed(self, number: int, longest_retry_after_us: int) -> None:
-        """The final answer is that the request was shed; 0: no bound on when its client may ask again."""
+        """Answer a request with a Shed; longest_retry_after_us: bound on its Retry-After time, 0: none."""
         pending = self._unanswered_request(number)
         retry_after_us = self.core.admission.retry_after_us(number)
         if longest_retry_after_us:
@@ -180,13 +181,13 @@
             self._reject(pending, "shed", message)
 
     def answer_failed(self, number: int) -> None:
-        """The final answer is a failure, which promises nothing."""
+        """Answer a request with a Fault: the command may have run."""
         pending = self._unanswered_request(number)
         if pending:
             self._reject(pending, "failed", thrift.encode_fault(pending.sequence_id, "failed"))
 
     def settle_rejected(self, pending: PendingRequest, retry_after_us: int) -> bytes:
-        """The admission queue rejected a request; the frame that its client is to get (0: no Retry-After)."""
+        """Settle a request that the admission queue rejected; return the frame for its client."""
         self.counters.add("turned away at the door")
         self._log_rejection(pending, "turned away at the door")
         frame = thrift.encode_shed(pending.sequence_id, self.shed_fields(retry_after_us))
@@ -194,24 +195,24 @@
         return frame
 
     def shed_fields(self, retry_after_us: int) -> dict[bytes, bytes]:
-        """The fields of a Shed: in how many ms to ask again, where that is known."""
+        """Return the fields of a Shed: the Retry-After time in ms, where it is known."""
         field = self.core.retry_after_field
         if not retry_after_us or not field:
             return {}
         return {field: b"%d" % ceil_to_ms(retry_after_us)}
 
     def give_up(self, pending: PendingRequest) -> None:
-        """The request must end now: the final answer is the decision module's, else a failure."""
+        """End a request now: the decision module answers it; if it does not, it fails."""
         if not pending.client:
             return
         if self.core.admission.is_queued(pending.number):
-            self.answer_shed(pending.number, 0)  # it never went out
+            self.answer_shed(pending.number, 0)  # it was never attempted
             return
         self.core.decisions.call(None, self.core.gateway.abandon, pending.number)
-        self.answer_failed(pending.number)  # for a module that fails on this command again
+        self.answer_failed(pending.number)  # in case the module raises for this command again
 
     def forget(self, pending: PendingRequest) -> None:
-        """It is answered, and no attempt of it is out."""
+        """Forget a request that is answered and has no open attempt."""
         if pending.statement_bytes:
             self.core.statement_memory.release(pending.statement_bytes)
             pending.statement_bytes = 0
@@ -221,7 +222,7 @@
                 self.core.admission_queue.command_ended(self.core.now, pending.number)
 
     def unanswered(self) -> list[PendingRequest]:
-        """Those whose clients still wait."""
+        """Return the requests whose clients still wait."""
         return [pending for pending in self.by_number.values() if pending.client]
 
     def _is_over_open_limit(self) -> bool:
@@ -243,7 +244,7 @@
         self.counters.add(reason)
         self._log_rejection(pending, reason)
         self.answer(pending, message)
-        if pending.attempt:  # given up with the request
+        if pending.attempt:  # it ends with the request
             self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
 
     def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
@@ -265,7 +266,7 @@
             self.core.decisions.call(pending, self.core.gateway.client_left, pending.number)
 
     def _settle(self, pending: PendingRequest) -> Client:
-        """No answer is expected any more; return the client that waited for it."""
+        """Count a request as answered or interrupted; return its client."""
         client = pending.client
         assert client is not None, "a request is settled once"
         client.open.pop(pending.sequence_id, None)
@@ -278,7 +279,7 @@
         return client
 
     def _check_answered(self, pending: PendingRequest) -> None:
-        """Guards the rule of one answer in time against any fault of ours: the module answers well before."""
+        """Answer a request that is overdue by a fault of ours: the module answers well before."""
         if pending.client:
             self.counters.add("overdue")
             logger.error("command {} was not answered in time", pending.number)
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -1,4 +1,4 @@
-"""The life of one gateway process: its threads, its signals, its reports and its end."""
+"""One gateway process: its threads, signals, reports and end."""
 
 import os
 import signal
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -1,4 +1,4 @@
-"""The way of a request from its arrival to the decision module, through the admission queue if any."""
+"""Passes requests on to the decision module, through the admission queue if there is one."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
@@ -9,22 +9,22 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-QUEUE_POLL_US = 20_000  # us between looks at the queue for what is due: half of its margin
-QUEUED_REQUEST_BYTES = 2000  # bytes that a queued request takes beside its statement, measured
+QUEUE_POLL_US = 20_000  # between checks for requests that expire in the queue: half of its margin
+QUEUED_REQUEST_BYTES = 2000  # memory of a queued request beside its statement, measured
 
 
 class RequestAdmission:
-    """Carries out what the admission queue decides; without one every request goes to the module at once."""
+    """Carries out the admission queue's decisions; without a queue all requests go on at once."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
 
     def start(self) -> None:
-        """Begin to look at the queue from time to time."""
+        """Begin to check the queue periodically."""
         self._poll()
 
     def submit(self, pending: PendingRequest) -> None:
-        """A request was taken."""
+        """Queue a request, or pass it on at once where there is no queue."""
         queue = self.core.admission_queue
         if not queue:
             self._submit_to_decisions(pending)
@@ -45,7 +45,7 @@
         self._carry_out(decisions)
 
     def forward_ready(self) -> bool:
-        """Let go on what the module has room for now; whether anything did."""
+        """Pass on what the decision module has room for; return whether there was anything."""
         queue = self.core.admission_queue
         decisions = queue.take_ready(self.core.now) if queue else None
         if decisions:
@@ -53,26 +53,26 @@
         return bool(decisions)
 
     def reject_queued(self) -> None:
-        """Answer all that is queued."""
+        """Reject all queued requests."""
         if self.core.admission_queue:
             self._carry_out(self.core.admission_queue.reject_all(self.core.now))
 
     def is_queued(self, number: int) -> bool:
-        """Whether a request has yet to go to the module."""
+        """Whether a request is still queued."""
         return bool(self.core.admission_queue and self.core.admission_queue.is_queued(number))
 
     def queued_count(self) -> int:
-        """How many requests have yet to go to the module."""
+        """Return how many requests are queued."""
         return self.core.admission_queue.queued_count if self.core.admission_queue else 0
 
     def retry_after_us(self, number: int) -> int:
-        """When the client of a request that is shed may ask again; 0: not known."""
+        """Return the Retry-After time for a request that is shed; 0: not known."""
         if self.core.admission_queue and self.core.retry_after_field:
             return self.core.admission_queue.retry_after_us(self.core.now, number)
         return 0
 
     def _carry_out(self, decisions: Sequence[AdmissionDecision]) -> None:
-        """Requests go on to the module, or are rejected: thousands at once cost one write a connection."""
+        """Pass requests on or reject them; thousands of rejections cost one write for each connection."""
         requests = self.core.requests
         frames: dict[Client, list[bytes]] = {}
         for decision in decisions:
@@ -90,7 +90,7 @@
             client.put(b"".join(parts))
 
     def _submit_to_decisions(self, pending: PendingRequest) -> None:
-        """The decision module decides from here on."""
+        """Pass a request on to the decision module."""
         request = pending.request
         self.core.decisions.call(
             pending,
@@ -107,7 +107,7 @@
         )
 
     def _poll(self) -> None:
-        """Guards what waits in the queue beyond its time: it is due at its client timeout."""
+        """Reject queued requests shortly before their client timeouts; repeats itself."""
         queue = self.core.admission_queue
         if queue is None:
             return
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -78,7 +78,7 @@
         self._tenants: dict[bytes | None, int] = {
             tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)
         }
-        # What this deployment can do at most bounds what a request may state.
+        # A request may state no more than this deployment can do.
         longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
         self._max_timeout_ms = TIMEOUT_ROUNDING * longest_timeout_us / US_PER_MS or float("inf")
         self._max_work_ms = self._max_timeout_ms * max(agreement.cores_by_kind, default=1.0)
@@ -105,7 +105,7 @@
             return None
         if b"second" not in fields or retry_at_us is None:
             return ({},)
-        # A repeat that comes before the time that it was given is told that time again.
+        # A retry before its Retry-After time gets the rest of that time again.
         if now_us < retry_at_us and self._retry_after_field:
             return (self._retry_after(retry_at_us - now_us),)
         return None
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -1,24 +1,24 @@
-"""RESP arrays of bulk strings: what engines say from bytes, and the bytes of what they are told."""
+"""RESP arrays of bulk strings: decodes the replies of engines and encodes commands to them."""
 
 from collections.abc import Iterable, Iterator
 
 from gullhold.net.buffer import Buffer
 from gullhold.net.connection_ends import ProtocolError
 
-MAX_HEADER_BYTES = 16  # bytes of a length line: more digits than any length that fits a buffer
-MAX_STRINGS_PER_ARRAY = 64  # strings in one array: several times what the protocol has
+MAX_HEADER_BYTES = 16  # of a length line: more digits than any length that fits a buffer
+MAX_STRINGS_PER_ARRAY = 64  # several times what the protocol has
 LINE_END = b"\r\n"
 ARRAY_MARK = b"*"
 STRING_MARK = b"$"
 
 
 class Decoder:
-    """Bytes of one connection in, arrays of byte strings out. max_bytes: bytes of the largest array."""
+    """Splits the bytes of one connection into arrays of byte strings. max_bytes: of the largest array."""
 
     def __init__(self, max_bytes: int) -> None:
         self.buffer = Buffer(max_bytes)
-        self.strings: list[bytes] = []  # of the array that has begun
-        self.missing_count = 0  # strings that it still lacks
+        self.strings: list[bytes] = []  # of the array that is being read
+        self.missing_count = 0  # strings of it that have not arrived
 
     @property
     def is_cut(self) -> bool:
@@ -26,7 +26,7 @@
         return bool(self.missing_count or len(self.buffer))
 
     def arrays(self) -> Iterator[list[bytes]]:
-        """The arrays that are complete; ProtocolError behind them for bytes that make no sense."""
+        """Iterate over the complete arrays. Raises ProtocolError at malformed bytes behind them."""
         while True:
             if not self.missing_count and not self._begin_array():
                 return
@@ -39,7 +39,7 @@
             yield self.strings
 
     def _begin_array(self) -> bool:
-        """Read the head of an array; False if it is not there yet."""
+        """Read the header of an array; return False if it is not complete."""
         header = self._peek_header(ARRAY_MARK)
         if header is None:
             return False
@@ -52,7 +52,7 @@
         return True
 
     def _read_string(self) -> bytes | None:
-        """The next string, if all of it is there."""
+        """Read the next string; return None if it is not complete."""
         header = self._peek_header(STRING_MARK)
         if header is None:
             return None
@@ -68,7 +68,7 @@
         return body[:size]
 
     def _peek_header(self, mark: bytes) -> tuple[int, int] | None:
-        """The number after a mark, and how many bytes its line takes, which is left in place."""
+        """Return the number after a mark and the size of its line, not consumed; None: not complete."""
         end = self.buffer.find(LINE_END)
         if end < 0 or end > MAX_HEADER_BYTES:
             if len(self.buffer) > MAX_HEADER_BYTES or end >= 0:
@@ -83,19 +83,19 @@
 
 
 def encode(*strings: bytes) -> bytes:
-    """One array."""
+    """Encode one array."""
     return b"*%d\r\n" % len(strings) + b"".join(
         b"$%d\r\n%s\r\n" % (len(string), string) for string in strings
     )
 
 
 def decode_fields(encoded: bytes) -> dict[bytes, bytes]:
-    """A list name=value,name=value as a dict; `-` is none."""
+    """Decode a list name=value,name=value; `-` is the empty list."""
     if encoded in (b"-", b""):
         return {}
     return dict(pair.partition(b"=")[::2] for pair in encoded.split(b","))
 
 
 def encode_fields(pairs: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """The list of these pairs."""
+    """Encode pairs as a list name=value,name=value."""
     return b",".join(b"%s=%s" % pair for pair in pairs) or b"-"
--- a/gullhold/net/shutdown.py
+++ b/gullhold/net/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: a planned restart serves what comes and is open, then ends.
+"""Graceful shutdown: for a planned restart, serves open and new requests for a while, then ends.
 
-Times are from the protocol's page on planned restarts: new requests come for 0.6 s; the end comes 0.7 s after
-the longest client timeout, of which 3 s at most count.
+The times are the protocol's for planned restarts: new requests arrive for 0.6 s; the process is killed 0.7 s
+after the longest client timeout, of which 3 s at most count.
 """
 
 from typing import TYPE_CHECKING
@@ -11,21 +11,21 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-NEW_REQUESTS_US = 600_000  # us for which new requests still come
-MAX_COUNTED_TIMEOUT_US = 3_000_000  # us of the longest client timeout that count
-FLUSH_US = 350_000  # us left for answers that are still to be written: half of the 0.7 s
-CLOSING_US = 600_000  # us before the last answers from which nothing is taken: thousands to be answered
-RECHECK_US = FLUSH_US // 4  # us between looks at whether all is answered
+NEW_REQUESTS_US = 600_000  # in which new requests still arrive
+MAX_COUNTED_TIMEOUT_US = 3_000_000  # of the longest client timeout
+FLUSH_US = 350_000  # for answers that are still to be written: half of the 0.7 s
+CLOSING_US = 600_000  # before the last answers, in which all new requests are rejected
+RECHECK_US = FLUSH_US // 4  # between checks whether all is answered
 
 
 class GracefulShutdown:
-    """Ends the core in time. On the core's thread only."""
+    """Stops the core in time. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
 
     def start(self) -> None:
-        """A planned restart was asked for; a second call does nothing."""
+        """Begin the shutdown; a second call does nothing."""
         core = self.core
         if core.shutdown_began_at:
             return
@@ -33,7 +33,7 @@
         logger.info("leaving: {} commands open", len(core.requests.by_number))
         timeouts_us = (profile.timeout_us for profile in core.agreement.profiles)
         longest_us = min(max(timeouts_us, default=0), MAX_COUNTED_TIMEOUT_US)
-        # With short deadlines the kill comes soon, and requests come until then: guards against an end before
+        # With short client timeouts the kill comes soon, and requests arrive until then: do not end before
         # the last of them is read and answered.
         last_at_us = core.now + max(longest_us, min(NEW_REQUESTS_US, longest_us + FLUSH_US))
         no_more_new_at_us = core.now + NEW_REQUESTS_US
@@ -53,17 +53,17 @@
             core.call_later(core.now + RECHECK_US, self._end_if_done)
 
     def _end_now(self) -> None:
-        """What is still open is answered before the kill."""
+        """Answer all open requests before the kill."""
         core = self.core
-        core.call_later(core.now + FLUSH_US // 2, self._stop)  # first: a fault below must not keep us
+        core.call_later(core.now + FLUSH_US // 2, self._stop)  # first: a fault below must not prevent the end
         for pending in core.requests.unanswered():
             core.requests.give_up(pending)
         core.close_clients()
 
     def _stop_accepting(self) -> None:
-        """Nothing goes on to the decision module any more: what waits is answered, and what comes is at once.
+        """Reject queued and new requests; nothing is passed on to the decision module any more.
 
-        Guards against clients that go on asking on open connections: they kept a gateway from ending.
+        Guards against clients that go on sending requests, which would keep the gateway from ending.
         """
         self.core.is_rejecting = True
         self.core.admission.reject_queued()
--- a/gullhold/net/signals.py
+++ b/gullhold/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals as bytes in a pipe, read by one thread: no wait of another thread is interrupted by them."""
+"""Signals as bytes in a pipe that one thread reads, so that they interrupt no other thread."""
 
 import os
 import select
@@ -6,16 +6,15 @@
 from collections.abc import Iterable
 from contextlib import suppress
 
-CORE_ENDED = 0  # not a signal number: the byte that wake() writes
+CORE_ENDED = 0  # no signal number: the byte that wake() writes
 READ_SIZE = 4096  # bytes of one read, a signal each
 
 
 class Signals:
     """The signals of this process as a stream that wait() reads. To be made in the main thread.
 
-    Guards against a wait that signals do not interrupt: Python runs a handler only when the main thread comes
-    back from what it waits in, and a signal taken by another thread, or a wait that is redirected, does
-    not bring it back. The byte is written by the interpreter's own handler, in whichever thread that runs.
+    Python runs a handler only when the main thread returns from its wait, and a signal that another thread
+    receives does not make it return. The byte is written by the interpreter's own handler, in any thread.
     """
 
     def __init__(self, signal_numbers: Iterable[int]) -> None:
--- a/gullhold/net/statement_memory.py
+++ b/gullhold/net/statement_memory.py
@@ -1,4 +1,4 @@
-"""The memory that the statements of waiting requests may take, for all clients together."""
+"""The memory for statements of waiting requests, of all clients together."""
 
 from threading import Lock
 from typing import TYPE_CHECKING
@@ -10,8 +10,8 @@
 class StatementMemory:
     """Bytes of statements that all clients together may have waiting, and whether answers are read too late.
 
-    Guards the limit of memory, which is for all of them, against a few that ask much at once or never read:
-    what one connection may hold is small, what hundreds may is not. From any thread.
+    Guards the memory limit of the process against many clients that send much at once or never read: what one
+    connection may buffer is small, what hundreds may is not. May be used from any thread.
 
     clients: the open client connections, kept by the listener.
     """
@@ -31,10 +31,10 @@
             return True
 
     def release(self, size: int) -> None:
-        """Return the bytes of a statement that needs them no more."""
+        """Return the reserved bytes of a statement."""
         with self.lock:
             self.used -= size
 
     def is_crowded(self) -> bool:
-        """Whether answers that clients have not read yet take more than as much memory again."""
+        """Whether unread answers of all clients take more than max_bytes."""
         return sum(client.write_buffer.size for client in list(self.clients)) > self.max_bytes
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -72,7 +72,7 @@
 VALUE_TYPES = frozenset(FieldType) - {FieldType.STOP}
 
 VERSION_1 = 0x8001  # of the strict encoding
-MAX_NESTING = 16  # levels of containers that are followed; no message of ours has more than three
+MAX_NESTING = 16  # levels of containers; no message of ours has more than three
 LENGTH_SIZE = 4  # bytes of a length
 MESSAGE_HEADER = struct.Struct(">HBB")  # version, an unused byte, message type
 FIELD_HEADER = struct.Struct(">Bh")  # type, field id
@@ -109,7 +109,7 @@
 
 
 class Scan:
-    """A reader of the values in one frame. All methods raise ProtocolError for bytes that make no sense."""
+    """A reader of the values in one frame. All methods raise ProtocolError for malformed bytes."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
--- a/gullhold/net/write_buffer.py
+++ b/gullhold/net/write_buffer.py
@@ -1,4 +1,4 @@
-"""The write buffer of a connection: writes at once what fits; the flusher goes on with the rest."""
+"""The write buffer of a connection: writes at once what the system takes; the flusher writes the rest."""
 
 import socket
 from collections import deque
@@ -15,14 +15,14 @@
 
 
 class Rejection(IntEnum):
-    """Why put() took nothing of a message; offsets, which it returns else, are positive."""
+    """Why put() rejected a message; the offsets that it returns otherwise are positive."""
 
     CLOSED_OR_FULL = -1
-    NOT_ALLOWED = -2  # the check at the last moment said no
+    NOT_ALLOWED = -2  # is_allowed() returned False
 
 
 class BufferedMessage:
-    """One message in a write buffer: as it was put, what is left of it, and how it is encoded anew."""
+    """A message in a write buffer. renew: encodes it again for the time at which it is written."""
 
     __slots__ = ("data", "end_offset", "is_started", "remaining", "renew")
 
@@ -35,9 +35,9 @@
 
 
 class WriteBuffer:
-    """Whole messages in order, never interleaved; put() never blocks. Waits until it is given its connection.
+    """Writes complete messages in order; put() never blocks. Nothing is written before attach().
 
-    max_bytes: bytes that may wait; flusher: goes on with what the system did not take at once.
+    max_bytes: bytes that may wait; flusher: writes what the system did not take at once.
     All methods may be called from any thread.
     """
 
@@ -48,17 +48,17 @@
         self.connection: Connection | None = None
         self.lock = Lock()
         self.pending: deque[BufferedMessage] = deque()
-        self.size = 0  # bytes that wait
-        self.end_offset = 0  # offset behind all messages that were ever put
-        self.broken_at: int | None = None  # the end of the first message that was lost
-        self.error: OSError | None = None  # by which a write ended the connection
-        self.is_flushing = False  # the flusher goes on with it
-        self.is_dead = False  # nothing goes out any more
-        self.is_finishing = False  # it takes no more
-        self.is_end_sent = False  # our side is shut: all is out
+        self.size = 0  # of the messages that wait, in bytes
+        self.end_offset = 0  # behind all messages that were ever put
+        self.broken_at: int | None = None  # end offset of the first message that was lost
+        self.error: OSError | None = None  # of the write that ended the connection
+        self.is_flushing = False  # the flusher waits to write on
+        self.is_dead = False  # nothing is written any more
+        self.is_finishing = False  # no message is accepted any more
+        self.is_end_sent = False  # all is written, and our side is shut down
 
     def attach(self, connection: Connection) -> None:
-        """The connection is up: what waits goes out."""
+        """Begin to write: the connection is open."""
         with self.lock:
             self.connection = connection
             self._write()
@@ -69,10 +69,10 @@
         is_allowed: Callable[[], bool] | None = None,
         renew: Callable[[], bytes] | None = None,
     ) -> int:
-        """Queue one message; the offset of its end, or a Rejection.
+        """Queue one message; return the offset of its end, or a Rejection.
 
-        is_allowed(): asked at the last moment before it would go out. renew(): the message as it is to be
-        when its first byte goes out, asked where it had to wait.
+        is_allowed(): called right before the message would be written. renew(): called where the message had
+        to wait, returns it as it is to be written.
         """
         with self.lock:
             if self.is_dead or self.is_finishing or self.size + len(data) > self.max_bytes:
@@ -88,13 +88,13 @@
             return self.end_offset
 
     def is_written(self, offset: int) -> bool:
-        """Whether all up to this offset was handed to the system."""
+        """Whether all bytes up to this offset were written."""
         with self.lock:
             first_left = self.pending[0].end_offset if self.pending else self.broken_at
             return first_left is None or offset < first_left
 
     def withdraw(self, data: bytes) -> bool:
-        """Take back a message of which no byte has gone; whether it could be."""
+        """Remove a message of which nothing was written; return whether it was removed."""
         with self.lock:
             for position, message in enumerate(self.pending):
                 if message.data is data and not message.is_started:
@@ -104,10 +104,10 @@
             return False
 
     def finish(self, now: bool = False) -> bool:
-        """Take no more; once all is out the other side is told so. now: end it, whatever waits.
+        """Accept no more messages; once all is written, shut down our side. now: discard what waits.
 
-        Whether that is done yet. The reader closes after the other side has: a close over unread bytes resets
-        the connection, and takes along what the other side has yet to read.
+        Returns whether that is done. The reader closes after the peer has: closing over unread bytes resets
+        the connection, which discards what the peer has not read yet.
         """
         with self.lock:
             self.is_finishing = True
@@ -118,7 +118,7 @@
             return self.is_end_sent or self.is_dead
 
     def flush(self) -> int:
-        """From the flusher: write on; how many bytes went out."""
+        """From the flusher: write on; return how many bytes were written."""
         with self.lock:
             before = self.size
             self.is_flushing = False
@@ -126,20 +126,20 @@
             return before - self.size
 
     def descriptor(self) -> int:
-        """The number to wait for until more can be written; -1: there is nothing to wait for any more."""
+        """Return the descriptor to poll until more can be written; -1: nothing waits any more."""
         with self.lock:
             if self.connection is None or not self.is_flushing or self.is_dead:
                 return -1
             return self.connection.fileno()
 
     def _send_end(self) -> None:
-        """With the lock held: the other side reads to the end."""
+        """With the lock held: shut down our side, which the peer reads as the end of the stream."""
         if self.connection is not None and not self.is_end_sent:
             self.connection.shutdown(socket.SHUT_WR)
         self.is_end_sent = True
 
     def _end_now(self) -> None:
-        """With the lock held: nothing more goes out, and the reader, which closes, wakes."""
+        """With the lock held: discard what waits, and wake the reader, which closes the connection."""
         if self.pending and not self.is_dead:
             self.broken_at = self.pending[0].end_offset
         self.is_dead = True
@@ -150,9 +150,9 @@
             self.connection.shutdown()
 
     def _write(self, renew: Callable[[], bytes] | None = None) -> None:
-        """With the lock held: as much as the system takes now; the rest is the flusher's.
+        """With the lock held: write as much as the system takes now, and leave the rest to the flusher.
 
-        renew: of the last message, should nothing of it go out now.
+        renew: of the last message, kept in case that nothing of it is written now.
         """
         while self.pending and self.connection is not None and not self.is_dead:
             message = self.pending[0]
@@ -175,7 +175,7 @@
     def _leave_to_flusher(
         self, message: BufferedMessage, count: int, renew: Callable[[], bytes] | None
     ) -> None:
-        """With the lock held: the system took only so many bytes of a message."""
+        """With the lock held: have the flusher write all but the first count bytes of a message."""
         if count:
             message.is_started = True
             message.renew = None
@@ -188,6 +188,6 @@
         self.flusher.watch(self)
 
     def _replace(self, message: BufferedMessage, data: bytes) -> None:
-        """With the lock held: a message of which nothing has gone out consists of these bytes from now on."""
+        """With the lock held: replace the bytes of a message of which nothing was written."""
         self.size += len(data) - len(message.remaining)
         message.remaining = data
