--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests on engines: how one starts, ends, and is given up or cancelled with confirmation."""
+"""Attempts of requests on engines: how one starts, ends, and is abandoned or cancelled with confirmation."""
 
 from math import ceil
 from typing import TYPE_CHECKING
@@ -23,7 +23,7 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.NOT_STARTED: "not_started",
 }
-LEAST_DEADLINE_MS = 1  # the least that a fetch may tell, also of a deadline that is past
+MIN_DEADLINE_MS = 1  # the lowest timeout that a fetch states, also where the deadline has passed
 
 
 class Attempts:
@@ -33,10 +33,10 @@
         self.core = core
         self.agreement = core.agreement
         self.counters = core.counters
-        self.last_confirmation = 0  # number of the last confirmation that was asked for
+        self.last_confirmation = 0  # serial number of the last confirmation that was requested
 
     def start(self, dispatch: Dispatch) -> None:
-        """Send a request to an engine, as the decision module says."""
+        """Start the attempt that the decision module decided on."""
         core = self.core
         pending = core.requests.by_number.get(dispatch.command)
         if pending is None:
@@ -51,10 +51,10 @@
             self._log_retry(pending)
         if core.admission_queue:
             core.admission_queue.attempt_sent(dispatch.command)
-        connection = core.pool.connection_for(dispatch.engine, pending.request.txn)
+        connection = core.pool.connection_for(dispatch.engine, pending.request.transaction_id)
         if connection is None:
-            # Reported as late as a connection that does not come up: no spinning on the same want. We are
-            # short of a descriptor or a thread: guards against blaming the engine for it.
+            # We lack a descriptor or a thread, which is no fault of the engine. Reported only after the
+            # connect timeout, so that the same request is not dispatched again at once, over and over.
             reported_at_us = min(core.now + self.agreement.connect_timeout_us, dispatch.deadline_us)
             core.call_later(reported_at_us, self.end, attempt, Outcome.NOT_STARTED)
             return
@@ -63,15 +63,15 @@
         self._send(attempt, connection)
 
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt is over: the decision module hears of it, once."""
+        """End an attempt and report its outcome to the decision module; a second call does nothing."""
         core = self.core
-        pending = attempt.request
+        pending = attempt.pending
         connection = attempt.connection
         if pending.attempt is not attempt:
             return
         pending.attempt = None
-        if connection and connection.open.get(pending.request.txn) is attempt:
-            del connection.open[pending.request.txn]
+        if connection and connection.open.get(pending.request.transaction_id) is attempt:
+            del connection.open[pending.request.transaction_id]
             connection.used_at = core.now
         attempt.release()
         pending.last_outcome = OUTCOME_TEXTS[outcome]
@@ -95,39 +95,39 @@
         )
 
     def stop(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Give an attempt up: taken back if none of it has gone out, else the engine is told.
+        """Abandon an attempt: withdraw it if nothing of it was sent, else tell the engine.
 
-        Guards against two attempts out at once: an abort and the fetch that follows it elsewhere travel on
-        different connections. So while a retry may follow, the module hears of the end only when an `alive`
-        behind the abort has been answered; by then no late answer can come either.
+        Guards against two attempts running at once: an abort and the fetch of the retry travel on different
+        connections. So while a retry may follow, the end is reported to the decision module only once an
+        `alive` sent behind the abort has been answered; by then no late answer can arrive either.
         """
         connection = attempt.connection
-        txn = attempt.request.request.txn
-        self._log_given_up(attempt, outcome)
-        if connection and connection.open.get(txn) is attempt:
+        transaction_id = attempt.pending.request.transaction_id
+        self._log_abandoned(attempt, outcome)
+        if connection and connection.open.get(transaction_id) is attempt:
             if connection.write_buffer.withdraw(attempt.message):
                 outcome = Outcome.NOT_STARTED
             elif self._needs_confirmation(attempt, outcome):
                 if attempt.outcome_once_confirmed is None:
-                    self._cancel_with_confirmation(attempt, outcome)
+                    self._cancel_with_confirmation(attempt, connection, outcome)
                 return
             else:
-                self._abort_without_confirmation(attempt)
-            del connection.open[txn]
+                self._abort_without_confirmation(attempt, connection)
+            del connection.open[transaction_id]
         self.core.defer(self.end, attempt, outcome)
 
     def cancel_confirmed(self, connection: EngineConnection, tag: bytes) -> None:
-        """An abort has come to its engine, and all that the engine said of the attempt before has come to us.
+        """Handle a confirmation: the engine has the abort, and all its earlier replies have arrived here.
 
-        tag: of the confirmation; unknown ones are passed over.
+        tag: of the confirmation; unknown ones are ignored.
         """
         attempt = connection.confirmations.pop(tag, None)
-        if attempt:
-            connection.given_up.discard(attempt.request.request.txn)
+        if attempt and attempt.outcome_once_confirmed is not None:
+            connection.abandoned_ids.discard(attempt.pending.request.transaction_id)
             self.end(attempt, attempt.outcome_once_confirmed)
 
     def _report_never_started(self, attempt: Attempt) -> None:
-        pending = attempt.request
+        pending = attempt.pending
         self.core.defer(
             self.core.decisions.call,
             pending,
@@ -136,39 +136,41 @@
             attempt.number,
             Outcome.NOT_STARTED,
             not pending.client,
-            0,  # us that it took
+            0,  # duration in us
             *NO_RESOURCES,
         )
 
     def _send(self, attempt: Attempt, connection: EngineConnection) -> None:
         core = self.core
-        request = attempt.request.request
-        fixed_fields = self._fixed_fields(attempt.request)
+        request = attempt.pending.request
+        fixed_fields = self._fixed_fields(attempt.pending)
 
-        def encoded(now_us: int) -> bytes:
+        def encode_fetch(now_us: int) -> bytes:
             fields = [*fixed_fields, (b"w", remaining_ms(now_us, attempt.deadline_us))]
-            return resp.encode(engine_protocol.FETCH, request.txn, resp.field_list(fields), request.body)
+            return resp.encode(
+                engine_protocol.FETCH, request.transaction_id, resp.encode_fields(fields), request.statement
+            )
 
-        attempt.message = encoded(core.now)
+        attempt.message = encode_fetch(core.now)
         attempt.connection = connection
         connection.used_at = core.now
-        connection.open[request.txn] = attempt
+        connection.open[request.transaction_id] = attempt
         tokens = attempt.fencing_tokens
-        # Guards against a deadline that was true when the attempt was decided and not when it goes out: its
-        # connection may come up late, or what is before it may be read late.
+        # The remaining time is encoded again where the message has to wait: its connection may come up late,
+        # or the messages before it may be read late.
         attempt.end_offset = connection.write_buffer.put(
             attempt.message,
             (lambda: core.are_tokens_valid(tokens)) if tokens else None,
-            lambda: encoded(core.clock()),
+            lambda: encode_fetch(core.clock()),
         )
         if attempt.end_offset < 0:
-            self._not_taken(attempt, connection)
+            self._handle_rejected_write(attempt, connection)
             return
         self.counters.add("attempts_sent")
         core.call_later(attempt.deadline_us, self._deadline_passed, attempt)
 
-    def _not_taken(self, attempt: Attempt, connection: EngineConnection) -> None:
-        """Nothing of it goes out."""
+    def _handle_rejected_write(self, attempt: Attempt, connection: EngineConnection) -> None:
+        """End an attempt whose fetch the write buffer did not accept."""
         if attempt.end_offset == Rejection.NOT_ALLOWED:
             self.core.defer(self.end, attempt, Outcome.NOT_STARTED)
             return
@@ -176,10 +178,10 @@
         self.core.defer(self.end, attempt, Outcome.CONNECT_FAILED)
 
     def _fixed_fields(self, pending: "PendingRequest") -> list[tuple[bytes, bytes]]:
-        """The fields of a fetch that do not change while it waits."""
-        fields = [(b"c", pending.request.verb)]
-        if pending.request.unique:
-            fields.append((b"i", pending.request.unique))
+        """Return the fields of a fetch that do not change while it waits."""
+        fields = [(b"c", pending.request.profile_name)]
+        if pending.request.idempotency_key:
+            fields.append((b"i", pending.request.idempotency_key))
         if pending.grant_mb > 0 and self.agreement.honors_grants:
             fields.append((b"mem", b"%d" % ceil(pending.grant_mb)))
         if self.agreement.honors_priority:
@@ -188,31 +190,31 @@
 
     def _needs_confirmation(self, attempt: Attempt, outcome: Outcome) -> bool:
         """Whether a retry may follow this attempt."""
-        may_be_retried = outcome in (Outcome.CANCELLED, Outcome.RESET) and attempt.request.client
+        may_be_retried = outcome in (Outcome.CANCELLED, Outcome.RESET) and attempt.pending.client
         return bool(may_be_retried) and not attempt.pages
 
-    def _cancel_with_confirmation(self, attempt: Attempt, outcome: Outcome) -> None:
-        connection = attempt.connection
+    def _cancel_with_confirmation(
+        self, attempt: Attempt, connection: EngineConnection, outcome: Outcome
+    ) -> None:
         self.last_confirmation += 1
         tag = b"~%d" % self.last_confirmation
         attempt.outcome_once_confirmed = outcome
         connection.confirmations[tag] = attempt
-        self.core.pool.send_control(connection, engine_protocol.ABORT, attempt.request.request.txn)
+        self.core.pool.send_control(connection, engine_protocol.ABORT, attempt.pending.request.transaction_id)
         self.core.pool.send_control(connection, engine_protocol.ALIVE, tag)
 
-    def _abort_without_confirmation(self, attempt: Attempt) -> None:
-        connection = attempt.connection
-        txn = attempt.request.request.txn
-        if attempt.outcome_once_confirmed is None:  # else the abort has gone already
+    def _abort_without_confirmation(self, attempt: Attempt, connection: EngineConnection) -> None:
+        transaction_id = attempt.pending.request.transaction_id
+        if attempt.outcome_once_confirmed is None:  # else the abort was sent before
             self.core.pool.send_control(
-                connection, engine_protocol.DONE if attempt.pages else engine_protocol.ABORT, txn
+                connection, engine_protocol.DONE if attempt.pages else engine_protocol.ABORT, transaction_id
             )
-        connection.given_up.add(txn)
-        if len(connection.given_up) >= self.agreement.streams_per_connection:
+        connection.abandoned_ids.add(transaction_id)
+        if len(connection.abandoned_ids) >= self.agreement.streams_per_connection:
             connection.is_retired = True
 
     def _deadline_passed(self, attempt: Attempt) -> None:
-        if attempt.request.attempt is attempt:
+        if attempt.pending.attempt is attempt:
             self.stop(attempt, Outcome.TIMED_OUT)
 
     def _log_retry(self, pending: "PendingRequest") -> None:
@@ -220,19 +222,19 @@
             self.core.now,
             EventKind.RETRY,
             pending.last_outcome,
-            pending.request.txn,
+            pending.request.transaction_id,
             before="queued",
             after="sent",
         )
         self.core.events.add(event)
 
-    def _log_given_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _log_abandoned(self, attempt: Attempt, outcome: Outcome) -> None:
         connection = attempt.connection
         event = LoggedEvent(
             self.core.now,
             EventKind.GIVEN_UP,
             OUTCOME_TEXTS[outcome],
-            attempt.request.request.txn,
+            attempt.pending.request.transaction_id,
             f"engine {connection.endpoint.address}" if connection else "",
             "streaming" if attempt.pages else "sent",
             "abandoned",
@@ -241,5 +243,5 @@
 
 
 def remaining_ms(now_us: int, deadline_us: int) -> bytes:
-    """The field of a fetch that tells how long we will wait; for a deadline that is past: the least."""
-    return b"%d" % max(LEAST_DEADLINE_MS, ceil_to_ms(deadline_us - now_us))
+    """Return the field of a fetch that states how long we will wait, at least MIN_DEADLINE_MS."""
+    return b"%d" % max(MIN_DEADLINE_MS, ceil_to_ms(deadline_us - now_us))
--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -1,18 +1,18 @@
-"""The read buffer of a connection: grows as it needs, is compacted in place, gives room back when empty."""
+"""The read buffer of a connection: grows as needed, is compacted in place, and shrinks when empty."""
 
 import socket
 
 from gullhold.net.connection_ends import ProtocolError
 
-FIRST = 4096  # bytes: a page of memory, enough for most messages
+INITIAL_BYTES = 4096  # bytes: a page of memory, enough for most messages
 
 
 class Buffer:
-    """Bytes that came and were not yet used: data[start:end]. most: bytes of the largest message."""
+    """Bytes that arrived and are not consumed yet: data[start:end]. max_bytes: of the largest message."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.data = bytearray(FIRST)
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.data = bytearray(INITIAL_BYTES)
         self.start = 0
         self.end = 0
 
@@ -20,7 +20,7 @@
         return self.end - self.start
 
     def receive(self, sock: socket.socket) -> int:
-        """Read once from a socket into the free tail; how many bytes came."""
+        """Read once from a socket; return the number of bytes, 0 at the end of the stream."""
         self._make_room(1)
         with memoryview(self.data) as view, view[self.end :] as tail:
             count = sock.recv_into(tail)
@@ -28,42 +28,42 @@
         return count
 
     def put(self, data: bytes) -> None:
-        """Take bytes that are at hand."""
+        """Append bytes. Raises ProtocolError where they exceed max_bytes."""
         self._make_room(len(data))
         self.data[self.end : self.end + len(data)] = data
         self.end += len(data)
 
-    def peek(self, size: int, at: int = 0) -> bytes | None:
-        """The next bytes from an offset on, if all are there."""
-        first = self.start + at
+    def peek(self, size: int, offset: int = 0) -> bytes | None:
+        """Return so many bytes from an offset on, None unless all have arrived."""
+        first = self.start + offset
         return bytes(self.data[first : first + size]) if first + size <= self.end else None
 
-    def find(self, mark: bytes, at: int = 0) -> int:
-        """The offset of a mark, or -1."""
-        found = self.data.find(mark, self.start + at, self.end)
+    def find(self, mark: bytes, offset: int = 0) -> int:
+        """Return the offset of a mark, or -1."""
+        found = self.data.find(mark, self.start + offset, self.end)
         return found - self.start if found >= 0 else -1
 
-    def drop(self, size: int) -> None:
-        """These bytes are used."""
+    def consume(self, size: int) -> None:
+        """Discard the first bytes, which are read."""
         self.start += size
         if self.start < self.end:
             return
         self.start = 0
         self.end = 0
-        if len(self.data) > FIRST:
-            self.data = bytearray(FIRST)
+        if len(self.data) > INITIAL_BYTES:
+            self.data = bytearray(INITIAL_BYTES)
 
     def _make_room(self, size: int) -> None:
         if self.end + size <= len(self.data):
             return
         used = len(self)
-        if used + size > self.most:
-            raise ProtocolError(f"a message of over {self.most} bytes")
+        if used + size > self.max_bytes:
+            raise ProtocolError(f"a message of over {self.max_bytes} bytes")
         if self.start:
             self.data[:used] = self.data[self.start : self.end]
             self.start = 0
             self.end = used
-        if used + max(size, FIRST) > len(self.data):
+        if used + max(size, INITIAL_BYTES) > len(self.data):
             wanted = max(len(self.data), size)
-            growth = min(wanted, max(self.most - len(self.data), size))
+            growth = min(wanted, max(self.max_bytes - len(self.data), size))
             self.data.extend(bytes(growth))
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -1,4 +1,4 @@
-"""The calls of one client: deferred, rejected at once, answered with an error, or handed to the core."""
+"""The calls of one client: each is deferred, rejected, answered with an error, or handed to the core."""
 
 from typing import TYPE_CHECKING, cast
 from weakref import ref
@@ -17,41 +17,43 @@
 
 
 class ClientCalls:
-    """Takes the calls of one connection, in its reader's thread."""
+    """Handles the calls of one connection, in its reader thread."""
 
-    __slots__ = ("_client", "backpressure", "core", "counters", "last_seq", "reader", "rejections")
+    __slots__ = ("_client", "backpressure", "core", "counters", "last_sequence_id", "reader", "rejections")
 
     def __init__(self, client: "ClientConnection", reader: RequestReader) -> None:
-        # Weak: guards against a cycle of references, which kept each connection that had ended, and its
-        # buffers, until the garbage collector came round.
+        # Weak: a cycle of references would keep each ended connection, and its buffers, until the garbage
+        # collector runs.
         self._client = ref(client)
         self.core = client.core
         self.counters = client.core.counters
         self.backpressure = client.backpressure
         self.reader = reader
-        self.last_seq = 0
-        self.rejections: list[bytes] = []  # answers to what was read just now and is rejected at once
+        self.last_sequence_id = 0
+        self.rejections: list[bytes] = []  # frames for requests of the last read that are rejected at once
 
     @property
     def client(self) -> "ClientConnection":
-        """The connection: it owns this object, and lives while one of its calls is taken."""
+        """The connection. It owns this object, and lives while one of its calls is handled."""
         return cast("ClientConnection", self._client())
 
-    def received(self, call: thrift.Message, received_at_us: int) -> None:
-        """A call was read: taken now, or after the pause; what takes another back is never put off."""
+    def handle(self, call: thrift.Message, received_at_us: int) -> None:
+        """Handle a call that was read, or defer it until the pause is over; interrupts are never deferred."""
         if call.method == "interrupt":
-            self._interrupt(call.args.get(FIRST_NUMBER))
+            sequence_id = call.fields.get(FIRST_NUMBER)
+            if sequence_id is not None:
+                self._interrupt(sequence_id)
         elif not self.backpressure.must_defer():
             self._take(call, received_at_us)
         elif call.method == "execute" and self.backpressure.is_full():
             self.counters.add("requests_received")
             self.counters.add("rejected_backpressure")
-            self.rejections.append(thrift.encode_shed(call.seq, {}))
+            self.rejections.append(thrift.encode_shed(call.sequence_id, {}))
         else:
             self.backpressure.defer(call, received_at_us)
 
     def take_deferred(self) -> None:
-        """Take what was deferred and is due."""
+        """Handle the deferred calls that are due."""
         while self.backpressure.calls:
             deferred = self.backpressure.take_due(self.core.clock())
             if deferred is None:
@@ -59,75 +61,79 @@
             self._take(deferred.call, deferred.received_at_us)
 
     def take_rejections(self) -> list[bytes]:
-        """The answers to what was rejected at once since the last call."""
+        """Remove and return the frames of rejections since the last call."""
         rejections = self.rejections
         self.rejections = []
         return rejections
 
     def reject_deferred(self) -> None:
-        """The connection is read no more: each request that is deferred is shed."""
+        """Shed each deferred request: the connection is not read any more."""
         for deferred in self.backpressure.calls:
             if deferred.call.method == "execute":
-                self.rejections.append(thrift.encode_shed(deferred.call.seq, {}))
+                self.rejections.append(thrift.encode_shed(deferred.call.sequence_id, {}))
 
-    def _interrupt(self, seq: int) -> None:
+    def _interrupt(self, sequence_id: int) -> None:
         client = self.client
-        if self.backpressure.take_back(seq):
+        if self.backpressure.remove_request(sequence_id):
             self.counters.add("requests_received")
             self.counters.add("interrupted")
             return
-        if client.unseen.pop(seq, None) is not None:
-            return  # the core passes it over when it comes to it
-        client.interrupted.add(seq)  # no longer open, though the core has yet to settle it
-        if seq in client.open:
-            self.core.post_urgent(self.core.interrupt, client, seq)
-        else:  # answered before, or never asked
-            client.interrupted.discard(seq)
+        if client.undelivered.pop(sequence_id, None) is not None:
+            return  # the core ignores it when it gets to it
+        client.interrupted.add(sequence_id)  # no longer open, though the core has yet to settle it
+        if sequence_id in client.open:
+            self.core.post_urgent(self.core.interrupt, client, sequence_id)
+        else:  # answered before, or never received
+            client.interrupted.discard(sequence_id)
 
     def _take(self, call: thrift.Message, received_at_us: int) -> None:
-        if call.kind != thrift.CALL:
+        if call.message_type != thrift.CALL:
             return
         if call.method == "execute":
             self._execute(call, received_at_us)
         elif call.method == "check":
-            self.core.post(self.core.check, self.client, call.seq)
+            self.core.post(self.core.check, self.client, call.sequence_id)
         else:
             self.counters.add("unknown_calls")
             text = "unknown method"
             self.client.put(
-                thrift.encode_application_exception(call.method, call.seq, thrift.UNKNOWN_METHOD, text)
+                thrift.encode_application_exception(
+                    call.method, call.sequence_id, thrift.UNKNOWN_METHOD, text
+                )
             )
 
     def _execute(self, call: thrift.Message, received_at_us: int) -> None:
-        """What can't be used is answered here and never reaches the core."""
-        seq = call.seq
-        if seq <= self.last_seq:
-            raise ProtocolError(f"request {seq} after {self.last_seq}")
-        self.last_seq = seq
+        """Hand a request to the core; an unusable or rejected one is answered here."""
+        sequence_id = call.sequence_id
+        if sequence_id <= self.last_sequence_id:
+            raise ProtocolError(f"request {sequence_id} after {self.last_sequence_id}")
+        self.last_sequence_id = sequence_id
         self.counters.add("requests_received")
-        if self.core.is_rejecting:  # at the end: nothing goes on from here, so this costs the core nothing
-            self.rejections.append(thrift.encode_shed(seq, {}))
+        if self.core.is_rejecting:  # late in the shutdown: costs the core nothing
+            self.rejections.append(thrift.encode_shed(sequence_id, {}))
             return
         if self.client.open_count() >= MAX_OPEN_REQUESTS:
             self.counters.add("rejected_connection_limit")
-            self.client.put(thrift.encode_shed(seq, {}))
+            self.client.put(thrift.encode_shed(sequence_id, {}))
             return
-        fields = call.args.get(FIRST_MAP)
-        body = call.args.get(SECOND_STRING)
-        if fields is None or body is None:
+        fields = call.fields.get(FIRST_MAP)
+        statement = call.fields.get(SECOND_STRING)
+        if fields is None or statement is None:
             self.counters.add("invalid_requests")
             self.client.put(
-                thrift.encode_application_exception("execute", seq, thrift.PROTOCOL_ERROR, "missing argument")
+                thrift.encode_application_exception(
+                    "execute", sequence_id, thrift.PROTOCOL_ERROR, "missing argument"
+                )
             )
             return
-        if self._is_rejected_early(seq, fields, received_at_us):
+        if self._is_rejected_early(sequence_id, fields, received_at_us):
             return
-        request = self._read(seq, fields, body)
+        request = self._read(sequence_id, fields, statement)
         if request:
-            self._hand_to_core(seq, request, received_at_us)
+            self._hand_to_core(sequence_id, request, received_at_us)
 
-    def _is_rejected_early(self, seq: int, fields: dict, received_at_us: int) -> bool:
-        """Whether the admission queue would reject it with no more than is known here."""
+    def _is_rejected_early(self, sequence_id: int, fields: dict[bytes, bytes], received_at_us: int) -> bool:
+        """Reject a request that the admission queue is known to reject; return whether it was rejected."""
         queue = self.core.admission_queue
         if not queue or not queue.known_rejections:
             return False
@@ -137,25 +143,25 @@
         if not shed_fields:
             return False
         self.counters.add("rejected_admission_early")
-        self.rejections.append(thrift.encode_shed(seq, *shed_fields))
+        self.rejections.append(thrift.encode_shed(sequence_id, *shed_fields))
         return True
 
-    def _read(self, seq: int, fields: dict, body: bytes) -> Request | None:
-        """The request; None where it can't be used, which its client hears."""
+    def _read(self, sequence_id: int, fields: dict[bytes, bytes], statement: bytes) -> Request | None:
+        """Read a request; an unusable one is answered with a Fault, and None is returned."""
         try:
-            return self.reader.request(fields, body, *self.client.peer)
+            return self.reader.request(fields, statement, *self.client.peer)
         except RequestError as error:
             self.counters.add("invalid_requests")
-            self.client.put(thrift.encode_fault(seq, str(error)))
-            # Guards against those who ask the same again at once.
-            self.backpressure.hold_off(self.core.agreement.connect_timeout_us / 1e6)
+            self.client.put(thrift.encode_fault(sequence_id, str(error)))
+            # Guards against clients that repeat an unusable request at once.
+            self.backpressure.pause_for(self.core.agreement.connect_timeout_us / 1e6)
             return None
 
-    def _hand_to_core(self, seq: int, request: Request, received_at_us: int) -> None:
-        if not self.core.statement_memory.reserve(len(request.body)):
+    def _hand_to_core(self, sequence_id: int, request: Request, received_at_us: int) -> None:
+        if not self.core.statement_memory.reserve(len(request.statement)):
             self.counters.add("rejected_statement_memory")
-            self.rejections.append(thrift.encode_shed(seq, {}))
+            self.rejections.append(thrift.encode_shed(sequence_id, {}))
             return
         self.client.handed_over_count += 1
-        self.client.unseen[seq] = True
-        self.core.post(self.core.execute, self.client, seq, request, received_at_us)
+        self.client.undelivered[sequence_id] = True
+        self.core.post(self.core.execute, self.client, sequence_id, request, received_at_us)
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -1,4 +1,4 @@
-"""What engines say on their connections: answers and their pages, status notes, confirmations."""
+"""Handles the replies of engines: answers and their pages, status notes, confirmations."""
 
 from math import isfinite
 from typing import TYPE_CHECKING
@@ -18,22 +18,22 @@
     b"held": StatusKind.WAITING,
 }
 PAGE_REPLIES = (engine_protocol.ANSWER, engine_protocol.CHUNK)
-PAGE_MOST_BYTES = 6_000  # of a page, from the protocol
+MAX_PAGE_BYTES = 6_000  # of a page, from the protocol
 TABS_PER_ROW = 2  # rows of three columns, from the protocol
-LEAST_STRINGS = 2  # in any array of an engine: the id of the command, and the kind of reply
-MOST_STRINGS = 4  # id, kind of reply, fields, body
+MIN_STRINGS = 2  # in any reply: transaction id and kind of reply
+MAX_STRINGS = 4  # transaction id, kind of reply, fields, body
 
 
 class EngineReplies:
-    """Carries out what engines say. On the core's thread only."""
+    """Handles the replies of engines. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
         self.counters = core.counters
         self.report_fields = [name.encode() for name in core.agreement.report_fields]
 
-    def received(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
-        """Arrays of an engine came."""
+    def handle(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
+        """Handle the arrays that arrived from an engine."""
         connection.last_reply_at = self.core.now
         connection.probed_at = 0
         try:
@@ -45,32 +45,32 @@
             self.core.pool.drop(connection, ConnectionEnd.MALFORMED, str(error))
 
     def _received_array(self, connection: EngineConnection, array: list[bytes]) -> None:
-        if len(array) < LEAST_STRINGS:
+        if len(array) < MIN_STRINGS:
             raise ProtocolError(f"an answer of {len(array)} words")
-        txn, reply, encoded_fields, body = (*array, b"", b"")[:MOST_STRINGS]
+        transaction_id, reply, encoded_fields, body = (*array, b"", b"")[:MAX_STRINGS]
         if reply == engine_protocol.ALIVE:
-            self.core.attempts.cancel_confirmed(connection, txn)
+            self.core.attempts.cancel_confirmed(connection, transaction_id)
             return
-        attempt = connection.open.get(txn)
-        if attempt is None:  # a late reply to an attempt that was given up, or nothing of ours
+        attempt = connection.open.get(transaction_id)
+        if attempt is None:  # a late reply to an abandoned attempt, or an unknown id
             self.counters.add("unmatched_replies")
             if reply in engine_protocol.FINAL_REPLIES:
-                connection.given_up.discard(txn)
+                connection.abandoned_ids.discard(transaction_id)
             return
-        fields = resp.fields(encoded_fields)
+        fields = resp.decode_fields(encoded_fields)
         attempt.last_reply_at = self.core.now
         if reply == engine_protocol.STATUS:
-            self._status(attempt, fields)
+            self._handle_status(attempt, fields)
         elif reply in PAGE_REPLIES:
-            self._answer_or_chunk(connection, attempt, reply, fields, body)
+            self._handle_page(connection, attempt, reply, fields, body)
         elif reply == engine_protocol.ERROR or (reply in engine_protocol.FINAL_REPLIES and not attempt.pages):
-            # Once it has begun to answer, it ran: from there on only an error may follow.
+            # An attempt that has begun to answer did run: only pages or an error may follow.
             attempt.resources = self._resources(fields)
             self.core.attempts.end(attempt, engine_protocol.FINAL_REPLIES[reply])
         else:
             raise ProtocolError(f"{reply!r} out of turn")
 
-    def _answer_or_chunk(
+    def _handle_page(
         self,
         connection: EngineConnection,
         attempt: Attempt,
@@ -78,12 +78,12 @@
         fields: dict[bytes, bytes],
         rows: bytes,
     ) -> None:
-        """The first page of a result comes with the answer, each further one as a chunk."""
+        """Handle a page: the first comes with the answer, each further one as a chunk."""
         is_answer = reply == engine_protocol.ANSWER
         if is_answer and self._was_cancelled_between_pages(attempt, fields):
             return
         if self._is_known_page(attempt, fields):
-            self.counters.add("duplicate_pages")  # of a page that we have: passed over
+            self.counters.add("duplicate_pages")  # of a page that we have: ignored
         elif is_answer:
             attempt.resources = self._resources(fields)
             attempt.page_count = max(1, int(fields.get(b"pages", 1)))
@@ -93,40 +93,42 @@
         else:
             raise ProtocolError(f"{reply!r} out of turn")
 
-    def _status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
-        kind = STATUS_NOTES.get(fields.get(b"note"))
+    def _handle_status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
+        kind = STATUS_NOTES.get(fields.get(b"note", b""))
         if kind is None:
             return
         self.counters.add("status_notes")
         self.core.decisions.call(
-            attempt.request,
+            attempt.pending,
             self.core.gateway.attempt_status,
-            attempt.request.number,
+            attempt.pending.number,
             attempt.number,
             kind,
             float(fields.get(b"v", 0)),
         )
 
     def _add_page(self, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
-        """One more page came; after the last the result goes to the client."""
-        txn = attempt.request.request.txn
+        """Add a page, and request the next; after the last the client gets the result."""
+        transaction_id = attempt.pending.request.transaction_id
         check_page(rows)
         attempt.pages.append(rows)
         attempt.result_bytes += len(rows)
         if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > MAX_RESULT_BYTES:
             raise ProtocolError("a result of an absurd size")
         if len(attempt.pages) < attempt.page_count:
-            self.core.pool.send_control(connection, engine_protocol.MORE, txn, b"%d" % len(attempt.pages))
+            self.core.pool.send_control(
+                connection, engine_protocol.MORE, transaction_id, b"%d" % len(attempt.pages)
+            )
             return
         if attempt.page_count > 1:
-            self.core.pool.send_control(connection, engine_protocol.DONE, txn)
-        if attempt.request.client:
-            self.core.requests.answer_result(attempt.request, b"".join(attempt.pages))
+            self.core.pool.send_control(connection, engine_protocol.DONE, transaction_id)
+        if attempt.pending.client:
+            self.core.requests.answer_result(attempt.pending, b"".join(attempt.pages))
         self.core.attempts.end(attempt, Outcome.ANSWERED)
 
     @staticmethod
     def _was_cancelled_between_pages(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
-        """It ended just before our abort came, which gave its further pages up."""
+        """Whether the attempt was answered just before our abort, which discarded its further pages."""
         return attempt.outcome_once_confirmed is not None and int(fields.get(b"pages", 1)) > 1
 
     @staticmethod
@@ -138,7 +140,7 @@
         return bool(attempt.pages) and int(fields.get(b"page", -1)) == len(attempt.pages)
 
     def _resources(self, fields: dict[bytes, bytes]) -> ResourceUse:
-        """Work and memory that an attempt needed, and its load report; what is absent is zero."""
+        """Return the resources that an attempt used, and the load report; absent values are zero."""
         work_ms = float(fields.get(b"cost", 0))
         memory_mb = float(fields.get(b"need", 0))
         load: list[float] = []
@@ -151,8 +153,8 @@
 
 
 def check_page(rows: bytes) -> None:
-    """ProtocolError unless a page is whole rows of three columns: others are never passed on as served."""
-    is_too_long = len(rows) > PAGE_MOST_BYTES
+    """Raise ProtocolError unless a page consists of complete rows of three columns."""
+    is_too_long = len(rows) > MAX_PAGE_BYTES
     has_other_columns = rows.count(b"\t") != TABS_PER_ROW * rows.count(b"\n")
     is_cut = bool(rows) and not rows.endswith(b"\n")
     if is_too_long or has_other_columns or is_cut:
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -1,7 +1,7 @@
-"""What became of requests and connections, and why: an event a line, at a bounded rate; the last are kept.
+"""Events of requests and connections with their reasons, a line each, at a bounded rate.
 
-Every close, retry, refusal and given-up attempt is an event. The newest are kept in memory and are written
-out on SIGUSR1; as they happen they are logged as far as their rate allows, others are counted.
+Every close, retry, rejection and abandoned attempt is an event. The newest are kept in memory and are logged
+on SIGUSR1; as they happen they are logged as far as their rate allows, and the others are counted.
 """
 
 from collections import deque
@@ -11,8 +11,8 @@
 from loguru import logger
 
 MAX_RECENT_EVENTS = 400  # events kept in memory: some 100 KB
-BURST = 20  # lines of one kind that may be logged at once ...
-RATE_PER_S = 2.0  # ... and those a second that are allowed from then on
+BURST = 20  # lines of one kind that may be logged at once
+RATE_PER_S = 2.0  # lines of one kind that may be logged after that
 
 
 class EventKind(StrEnum):
@@ -38,7 +38,7 @@
     detail: str = ""  # what the system or the protocol said beside the reason
 
     def line(self) -> str:
-        """As it is logged: key=value pairs, in an order that does not change."""
+        """Return the line as it is logged: key=value pairs in a fixed order."""
         pairs = {
             "event": self.kind.value,
             "request": self.request.decode("ascii", "replace"),
@@ -54,30 +54,30 @@
 
 
 class EventLog:
-    """Takes events from the core's thread."""
+    """The recent events. Used by the core's thread; lines() by any thread."""
 
     def __init__(self) -> None:
-        self.newest: deque[LoggedEvent] = deque(maxlen=MAX_RECENT_EVENTS)
-        self.left_out = 0  # events since the last line that was logged
+        self.recent: deque[LoggedEvent] = deque(maxlen=MAX_RECENT_EVENTS)
+        self.suppressed_count = 0  # events since the last line that was logged
         self.lines_allowed: dict[EventKind, float] = {}  # that may be logged now
         self.counted_at_us: dict[EventKind, int] = {}  # when the above was true
 
     def add(self, event: LoggedEvent, is_unusual: bool = False) -> None:
         """Keep an event, and log it if its kind's rate allows; an unusual one as a warning."""
-        self.newest.append(event)
+        self.recent.append(event)
         if not self._may_log(event):
-            self.left_out += 1
+            self.suppressed_count += 1
             return
-        left_out = f" suppressed={self.left_out}" if self.left_out else ""
-        self.left_out = 0
+        left_out = f" suppressed={self.suppressed_count}" if self.suppressed_count else ""
+        self.suppressed_count = 0
         if is_unusual:
             logger.warning("{}{}", event.line(), left_out)
         else:
             logger.info("{}{}", event.line(), left_out)
 
     def lines(self) -> list[str]:
-        """All that are kept, the oldest first."""
-        return [f"at_us={event.at_us} {event.line()}" for event in list(self.newest)]
+        """Return the lines of the kept events, the oldest first."""
+        return [f"at_us={event.at_us} {event.line()}" for event in list(self.recent)]
 
     def _may_log(self, event: LoggedEvent) -> bool:
         passed_s = (event.at_us - self.counted_at_us.get(event.kind, event.at_us)) / 1e6
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 from zlib import crc32
 
-from gullhold.admission_interface import UNKNOWN_TENANT, KnownRejection, RejectedFlow
+from gullhold.admission_interface import UNKNOWN_TENANT, KnownRejections
 from gullhold.interface import Agreement, Idempotency
 from gullhold.net import US_PER_MS, ceil_to_ms
 from gullhold.net.statement import table_group
@@ -20,24 +20,22 @@
 TIMEOUT_ROUNDING = 2  # clients may round a profile's timeout up: at most to twice as much
 NO_ORDERING_KEY = 0
 
-KnownRejections = Mapping[RejectedFlow, KnownRejection]
-
 
 class Request(NamedTuple):
     """A command as a client asked for it, in the decision module's units."""
 
-    txn: bytes  # transaction id
-    verb: bytes  # name of the profile
-    body: bytes  # statement
-    unique: bytes  # idempotency key
-    profile: int
-    tenant: int
-    key: int  # ordering key; 0: none
-    limit_us: int  # client timeout
+    transaction_id: bytes
+    profile_name: bytes
+    statement: bytes
+    idempotency_key: bytes
+    profile: int  # index of the profile in the agreement
+    tenant: int  # index of the tenant in the agreement
+    ordering_key: int  # 0: none
+    timeout_us: int  # client timeout
     work_us: int  # estimated work on one core
-    need_mb: float  # estimated memory
-    group: int  # group of the tables; 0: none
-    repeat: bool  # the client has asked for it before
+    memory_mb: float  # estimated memory
+    table_group: int  # 0: none
+    is_retry: bool  # the client has asked for it before
     flow: bytes = b""  # the client inside its tenant, where there is an admission queue
 
 
@@ -73,9 +71,14 @@
         self._agreement = agreement
         self._client_identity = client_identity
         self._retry_after_field = retry_after_field
-        self._profiles = {profile.name.encode(): i for i, profile in enumerate(agreement.profiles)}
-        self._tenants = {tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)}
-        # What this deployment can do at most bounds what a request may state.
+        # Indexes by name; a name may be absent from a request, which finds nothing.
+        self._profiles: dict[bytes | None, int] = {
+            profile.name.encode(): i for i, profile in enumerate(agreement.profiles)
+        }
+        self._tenants: dict[bytes | None, int] = {
+            tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)
+        }
+        # A request may state no more than this deployment can do.
         longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
         self._max_timeout_ms = TIMEOUT_ROUNDING * longest_timeout_us / US_PER_MS or float("inf")
         self._max_work_ms = self._max_timeout_ms * max(agreement.cores_by_kind, default=1.0)
@@ -92,6 +95,8 @@
 
         Returns the fields of the Shed in a tuple, or None where the request has to be read.
         """
+        if self._client_identity is None:  # there is no admission queue
+            return None
         tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
         flow = self._client_identity.flow(fields, unknown_tenant, *peer)
         profile = self._profiles.get(fields.get(b"verb"))
@@ -100,13 +105,13 @@
             return None
         if b"second" not in fields or retry_at_us is None:
             return ({},)
-        # A repeat that comes before the time that it was given is told that time again.
+        # A retry before its Retry-After time gets the rest of that time again.
         if now_us < retry_at_us and self._retry_after_field:
             return (self._retry_after(retry_at_us - now_us),)
         return None
 
     def request(
-        self, fields: Mapping[bytes, bytes], body: bytes, address: str = "", connection: str = ""
+        self, fields: Mapping[bytes, bytes], statement: bytes, address: str = "", connection: str = ""
     ) -> Request:
         """Read a request from a client at an address, on a connection. Raises RequestError."""
         if not _has_transaction_id(fields):
@@ -119,20 +124,20 @@
         idempotency_key = self._idempotency_key(fields, profile)
         timeout_ms = _figure(fields, b"limit", self._max_timeout_ms, default=b"")
         work_ms = _figure(fields, b"cpu", self._max_work_ms)
-        group, table = table_group(body.decode("utf-8", "replace"))
+        group, table = table_group(statement.decode("utf-8", "replace"))
         return Request(
-            txn=fields[b"txn"],
-            verb=fields.get(b"verb", b""),
-            body=body,
-            unique=idempotency_key,
+            transaction_id=fields[b"txn"],
+            profile_name=fields.get(b"verb", b""),
+            statement=statement,
+            idempotency_key=idempotency_key,
             profile=profile,
             tenant=tenant,
-            key=self._ordering_key(profile, table),
-            limit_us=int(timeout_ms * US_PER_MS),
+            ordering_key=self._ordering_key(profile, table),
+            timeout_us=int(timeout_ms * US_PER_MS),
             work_us=int(work_ms * US_PER_MS),
-            need_mb=_figure(fields, b"memory", self._max_memory_mb),
-            group=group,
-            repeat=b"second" in fields,
+            memory_mb=_figure(fields, b"memory", self._max_memory_mb),
+            table_group=group,
+            is_retry=b"second" in fields,
             flow=flow,
         )
 
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -61,7 +61,7 @@
         assert not self.count("internal_faults")
         assert not self.count("requests_overdue")
         assert not self.core.requests.by_number
-        assert not self.core.requests.by_txn
+        assert not self.core.requests.by_transaction_id
         assert not self.core.gateway.commands
         assert not self.core.statement_memory.used
 
@@ -102,4 +102,4 @@
 
 def client_open(gateway):
     """Numbers of all that clients have open."""
-    return {cmd.seq for cmd in gateway.core.requests.by_number.values() if cmd.client}
+    return {cmd.sequence_id for cmd in gateway.core.requests.by_number.values() if cmd.client}
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -56,8 +56,8 @@
 
 
 def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start, monkeypatch):
-    monkeypatch.setattr(client_connection, "IDLE_S", 0.1)
-    monkeypatch.setattr(client_connection, "SAY_S", 0.1)
+    monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.1)
     gateway, client = start(Engine(endless))
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
@@ -70,7 +70,7 @@
 def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
     start, monkeypatch
 ):
-    monkeypatch.setattr(client_connection, "SAY_S", 0.2)
+    monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.2)
     gateway, client = start(Engine(endless))
     half, back = Caller(gateway.address), Caller(gateway.address)
     half.sock.sendall(b"\0\0\1\0\x80\1")
@@ -80,7 +80,7 @@
         assert caller.answer() is None
     # What was taken back at once counts for no share of the fleet.
     assert gateway.core.gateway.components.traffic.count < 1
-    monkeypatch.setattr(client_connection, "SAY_S", 60)
+    monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 60)
     gateway.listener.max_clients = 10
     crowd = [Caller(gateway.address) for _ in range(40)]
     asks = Caller(gateway.address)
@@ -135,7 +135,7 @@
     gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
-    time.sleep(client_connection.CROSS_S + 0.05)
+    time.sleep(client_connection.CROSSING_TIME_S + 0.05)
     new = [Caller(gateway.address) for _ in range(5)]
     for caller in new:
         seq = caller.ask()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,7 @@
     )
     assert client.answer() == (seq, b"1\t2\t3\n" * 800 + b"4\t5\t6\n" * 900 + b"7\t8\t9\n")
     ((_, _, txn, fields, body, _),) = engine.words(b"fetch")
-    fields = resp.fields(fields)
+    fields = resp.decode_fields(fields)
     assert txn == b"9b1f03aa5c7e2d41"
     assert body == "select 'é\r\n' from a_1.b".encode()
     assert fields[b"c"] == b"mark"
