--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -25,10 +25,10 @@
 from gullhold.net.buffer import Buffer
 from gullhold.testing import PATIENCE_S
 from gullhold.testing.client import Caller
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
+from gullhold.testing.discovery_service import DiscoveryService
+from gullhold.testing.many_engines import ManyEngines
 from gullhold.testing.running import answers, cpu_s, free_address
-from gullhold.testing.swarm import Swarm
 
 SIZES = (80, 3200)
 CORES = 1280.0  # of all engines together: the same at every size
@@ -116,7 +116,7 @@
                 index + 2, (f"s-{first_new + n}", addresses[first_new + n], "ready"), started_ms=started_ms
             ),
         ):
-            feed.say(news)
+            feed.send(news)
             told += len(json.dumps(news)) + 1
         index += 2
     return told
@@ -124,8 +124,8 @@
 
 def played(size, seed):
     """Figures of one gateway over so many engines."""
-    feed, extra = Feed(), int(size * REPLACED)
-    swarm = Swarm(size + extra)
+    feed, extra = DiscoveryService(), int(size * REPLACED)
+    swarm = ManyEngines(size + extra)
     try:
         told = config() | {"listen": free_address(), "coordinator": feed.address}
         members = [(f"s-{n}", swarm.addresses[n], "ready") for n in range(size)]
--- a/gullhold/testing/__init__.py
+++ b/gullhold/testing/__init__.py
@@ -1,16 +1,17 @@
-"""Stand-ins for what the gateway talks to, on loopback: engines, clients, coordinator, a deployment's file.
+"""Test doubles for what a gateway talks to: engines, clients, the discovery service, a fleet's store.
 
-They are written from the platform's published protocol, share no state with the gateway, and serve tests,
-benchmarks and `gullhold try`. Every further protocol gets its stand-ins here.
+They implement the platform's published protocols, share no state with the gateway, and listen on loopback
+only. Tests, benchmarks and the commands `gullhold try` and `gullhold register` use them.
 """
 
 import socket
 
-LOOPBACK = "127.0.0.1"  # the only place where a stand-in listens or connects
-PATIENCE_S = 8.0  # s until a wait of a stand-in fails: far more than any answer takes
+LOOPBACK = "127.0.0.1"  # the only address on which a test double listens or connects
+PATIENCE_S = 8.0  # s until a wait of a test double fails: far more than any answer takes
+LISTEN_BACKLOG = 512  # connections that wait to be accepted
 
 
-def listening():
-    """(socket, address) of a stand-in that listens."""
-    sock = socket.create_server((LOOPBACK, 0), backlog=512)
+def listening() -> tuple[socket.socket, str]:
+    """Open a listening socket on a free port; return it with its address, HOST:PORT."""
+    sock = socket.create_server((LOOPBACK, 0), backlog=LISTEN_BACKLOG)
     return sock, f"{LOOPBACK}:{sock.getsockname()[1]}"
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -1,31 +1,59 @@
-"""A client's connection that asks and reads one thing at a time; for tests, which look at each answer."""
+"""A client connection that sends and reads one message at a time, for tests that look at each answer."""
 
 import socket
 import struct
+from typing import NamedTuple
 
 from gullhold.net import thrift
 from gullhold.testing import PATIENCE_S
 
+READ_BYTES = 100_000
+LENGTH_SIZE = 4  # bytes of the length of a frame
+DEFAULT_BODY = b"select 1 from sales_3.t"
+
+
+class Answer(NamedTuple):
+    """A reply to a call.
+
+    result: the body of a good answer; "unfit" for an answer marked as not good; else "shed", "fault" or
+    "exception".
+    """
+
+    sequence_number: int
+    result: bytes | str
+
 
 class Caller:
-    """A client's connection."""
+    """A client's connection. Command numbers are unique among all callers of the process."""
 
     serial = 0
 
-    def __init__(self, address):
+    def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address, timeout=PATIENCE_S)
-        self.buffer, self.seq = b"", 0
+        self.buffer = b""
+        self.seq = 0
 
-    def send(self, method, body, kind=thrift.CALL, seq=None):
-        """One frame; its sequence number."""
+    def send(self, method: str, body: bytes, kind: int = thrift.CALL, seq: int | None = None) -> int:
+        """Send one message; body: its fields without the end of the struct. Return its sequence number."""
         self.seq += 1
         seq = seq or self.seq
-        message = thrift.encode_message(kind, method, seq, body + b"\0")
-        self.sock.sendall(message)
+        self.sock.sendall(thrift.encode_message(kind, method, seq, body + thrift.END_OF_STRUCT))
         return seq
 
-    def ask(self, verb="read", limit=3000, seq=None, txn=None, body=b"select 1 from sales_3.t", **other):
-        """Ask for a command; its sequence number."""
+    def ask(
+        self,
+        verb: str = "read",
+        limit: int = 3000,
+        seq: int | None = None,
+        txn: bytes | None = None,
+        body: bytes = DEFAULT_BODY,
+        **other: bytes,
+    ) -> int:
+        """Send a command; return its sequence number.
+
+        verb: its profile; limit: its timeout in ms; txn: its number, by default a new one; other: further
+        fields.
+        """
         Caller.serial += 1
         txn = txn or b"%016x" % Caller.serial
         fields = {
@@ -38,32 +66,52 @@
         if verb == "mark":
             fields[b"unique"] = txn * 2
         fields |= {key.encode(): value for key, value in other.items()}
-        args = b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
-        return self.send("execute", args, seq=seq)
+        return self.send("execute", execute_arguments(fields, body), seq=seq)
 
-    def interrupt(self, seq):
-        """Stop waiting."""
+    def interrupt(self, seq: int) -> None:
+        """Withdraw the command with this sequence number."""
         self.send("interrupt", b"\x08\0\1" + struct.pack(">i", seq), kind=thrift.ONEWAY)
 
-    def answer(self):
-        """(sequence number, what) of the next answer; None at the end of the connection."""
-        while len(self.buffer) < 4 or len(self.buffer) < 4 + struct.unpack(">i", self.buffer[:4])[0]:
+    def answer(self) -> Answer | None:
+        """Return the next answer; None at the end of the connection."""
+        frame = self._read_frame()
+        if frame is None:
+            return None
+        scan = thrift.Scan(frame)
+        kind = scan.take(4)[3]
+        scan.string()
+        seq = scan.number(thrift.I32S)
+        result = scan.fields()
+        if kind == thrift.EXCEPTION:
+            return Answer(seq, "exception")
+        if (thrift.RESULT_SUCCESS, thrift.STRUCT) in result:
+            found = result[thrift.RESULT_SUCCESS, thrift.STRUCT]
+            is_good = found[thrift.ANSWER_GOOD, thrift.BOOL]
+            return Answer(seq, found[thrift.ANSWER_BODY, thrift.STRING] if is_good else "unfit")
+        return Answer(seq, "shed" if (thrift.RESULT_SHED, thrift.STRUCT) in result else "fault")
+
+    def _read_frame(self) -> bytes | None:
+        """Read one frame without its length; None at the end of the connection."""
+        while not self._has_frame():
             try:
-                data = self.sock.recv(100_000)
+                data = self.sock.recv(READ_BYTES)
             except ConnectionError:
                 data = b""
             if not data:
                 return None
             self.buffer += data
-        size = struct.unpack(">i", self.buffer[:4])[0]
-        scan = thrift.Scan(self.buffer[4 : 4 + size])
-        self.buffer = self.buffer[4 + size :]
-        kind = scan.take(4)[3]
-        scan.string()
-        seq, result = scan.number(thrift.I32S), scan.fields()
-        if kind == thrift.EXCEPTION:
-            return seq, "exception"
-        if (0, thrift.STRUCT) in result:
-            found = result[0, thrift.STRUCT]
-            return seq, found[1, thrift.STRING] if found[3, thrift.BOOL] else "unfit"
-        return seq, "shed" if (1, thrift.STRUCT) in result else "fault"
+        end = LENGTH_SIZE + self._frame_size()
+        frame = self.buffer[LENGTH_SIZE:end]
+        self.buffer = self.buffer[end:]
+        return frame
+
+    def _has_frame(self) -> bool:
+        return len(self.buffer) >= LENGTH_SIZE and len(self.buffer) >= LENGTH_SIZE + self._frame_size()
+
+    def _frame_size(self) -> int:
+        return struct.unpack(">i", self.buffer[:LENGTH_SIZE])[0]
+
+
+def execute_arguments(fields: dict[bytes, bytes], body: bytes) -> bytes:
+    """Encode the arguments of an execute call, without the end of their struct."""
+    return b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
--- a/gullhold/testing/deployment.py
+++ b/gullhold/testing/deployment.py
@@ -1,33 +1,31 @@
-"""The file that a gateway is started with, for a small deployment of stand-ins.
+"""The configuration that a gateway is started with, for a small deployment of test doubles.
 
-The settings tree and the list's events are written in the platform's words, as the gateway reads them.
+The settings and the events of the endpoint list have the keys and the shape that the gateway reads.
 """
 
+from typing import Any, Protocol
+
 from gullhold.testing import LOOPBACK
 
+# Profiles of the deployment: name, idempotency, client timeout in s, latency objective in s.
+PROFILES = (("read", "pure", 4.0, 0.2), ("mark", "token", 4.0, 1.0), ("once", "side_effect", 4.0, 1.0))
+
+
+class Addressed(Protocol):
+    """A test double of an engine: it listens on an address, HOST:PORT."""
+
+    address: str
 
-def settings(**other):
-    """The settings tree of a small deployment."""
-    kinds = (("read", "pure", 4.0, 0.2), ("mark", "token", 4.0, 1.0), ("once", "side_effect", 4.0, 1.0))
+
+def settings(**limits: Any) -> dict[str, Any]:
+    """Return the settings of a small deployment; limits: replaced keys of its "limits"."""
     return {
         "balancers": 1,
         "my_zone": 0,
         "dcs": ["x"],
         "kinds": ["k"],
         "registry_mode": "push",
-        "categories": [
-            {
-                "name": name,
-                "aim": aim,
-                "give_up": late,
-                "idempotency": effect,
-                "value": 1.0,
-                "dedup_scope": "all",
-                "window": 5.0,
-                "late_worth": 0.5,
-            }
-            for name, effect, late, aim in kinds
-        ],
+        "categories": [_category(*profile) for profile in PROFILES],
         "domain": {
             "parallelism": [1, 1, 1],
             "cores_by_kind": [16],
@@ -45,44 +43,66 @@
             "conn_idle": 15.0,
             "max_open": 1000,
         }
-        | other,
+        | limits,
         "rules": {"drain_grace": 0.5, "cold_from": 0.3, "warm_after": 1, "fall_multiple": 3, "tip_after": 1},
         "telemetry": {"fields": ["inflight", "x1", "x0"]},
     }
 
 
-def event(index, *members, whole=False, started_ms=0):
-    """One event of the coordinator; started_ms: of all its members."""
+def _category(name: str, idempotency: str, timeout_s: float, target_s: float) -> dict[str, Any]:
+    """Return the settings of one profile."""
+    return {
+        "name": name,
+        "aim": target_s,
+        "give_up": timeout_s,
+        "idempotency": idempotency,
+        "value": 1.0,
+        "dedup_scope": "all",
+        "window": 5.0,
+        "late_worth": 0.5,
+    }
+
+
+def event(
+    index: int, *members: tuple[str, str, str], whole: bool = False, started_ms: int = 0
+) -> dict[str, Any]:
+    """Return one event of the endpoint list.
+
+    members: (engine id, address, phase) of each; whole: whether the event is the complete list; started_ms:
+    the start time of all its members, in Unix ms.
+    """
     return {
         "index": index,
         "endpoints": {
             "revision": index,
             "complete": whole,
-            "members": [
-                {
-                    "id": ident,
-                    "host_port": address,
-                    "locality": "x",
-                    "flavor": "k",
-                    "cell": 0,
-                    "phase": phase,
-                    "size": 1,
-                    "up_since_ms": started_ms,
-                }
-                for ident, address, phase in members
-            ],
+            "members": [_list_entry(*member, started_ms) for member in members],
         },
     }
 
 
-def config(*engines, **other):
-    """A configuration that knows these engines."""
-    members = [(f"s-{i}", engine.address, "ready") for i, engine in enumerate(engines)]
+def _list_entry(engine_id: str, address: str, phase: str, started_ms: int) -> dict[str, Any]:
+    """Return the entry of one engine in the endpoint list."""
+    return {
+        "id": engine_id,
+        "host_port": address,
+        "locality": "x",
+        "flavor": "k",
+        "cell": 0,
+        "phase": phase,
+        "size": 1,
+        "up_since_ms": started_ms,
+    }
+
+
+def config(*engines: Addressed, **limits: Any) -> dict[str, Any]:
+    """Return the configuration of a gateway that knows these engines; limits: as for settings()."""
+    members = [(f"s-{number}", engine.address, "ready") for number, engine in enumerate(engines)]
     return {
         "name": "n0",
         "listen": f"{LOOPBACK}:0",
         "seed": "ff",
-        "settings": settings(**other),
+        "settings": settings(**limits),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "coordinator": None,
         "known": {"index": 1, "updates": [event(1, *members, whole=True)]},
--- a/gullhold/testing/scripted.py
+++ b/gullhold/testing/scripted.py
@@ -1,104 +1,141 @@
-"""An engine that does as it is told: it keeps what it hears and answers by acts, one a fetch.
+"""A test engine that follows a script: it keeps what it receives, and answers by steps, one for each fetch.
 
-An act is a function (connection, verb, *words of the request); the last one given stays for ever.
+A step is a function of a connection and the words of a message: step(connection, verb, *words). It is called
+for the fetch that it is taken for and for the messages that follow on the connection, except alives. The last
+step stays in use.
 """
 
 import socket
 import struct
 import time
+from collections.abc import Callable
 from threading import Thread
+from typing import Any
 
 from gullhold.net import resp
 from gullhold.testing import listening
 
+MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway
+DEFAULT_PAGE = b"a\tb\tc\n"
+DEFAULT_FIELDS = b"cost=20.5,need=64,load=inflight:7;x0:0.5"
+
+Step = Callable[..., Any]
+# (number of the connection from 1, verb, *words, monotonic time in s); an answer to an alive is kept as
+# (number of the connection, b"alive answered", monotonic time in s).
+ReceivedMessage = tuple[Any, ...]
 
-class Engine:
-    """Listens, keeps what it is told, and answers as its `acts` say: one a fetch, the last for ever."""
 
-    def __init__(self, *acts):
-        self.acts, self.told, self.conns, self.slow = list(acts) or [ok()], [], [], 0
-        self.sock, self.address = listening()
+class Engine:
+    """Listens until close(), keeps the messages that it receives, and answers by its script.
+
+    script: the steps still to be taken; received: all messages so far; alive_delay_s: delay of the answer to
+    an alive.
+    """
+
+    def __init__(self, *script: Step) -> None:
+        self.script = list(script) or [ok()]
+        self.received: list[ReceivedMessage] = []
+        self.connections: list[socket.socket] = []
+        self.alive_delay_s = 0.0
+        self.listener, self.address = listening()
         Thread(target=self._accept, daemon=True).start()
 
-    def _accept(self):
+    def _accept(self) -> None:
         while True:
             try:
-                conn = self.sock.accept()[0]
+                connection = self.listener.accept()[0]
             except OSError:
                 return
-            self.conns.append(conn)
-            Thread(target=self._serve, args=(conn,), daemon=True).start()
+            self.connections.append(connection)
+            Thread(target=self._serve, args=(connection,), daemon=True).start()
 
-    def _serve(self, conn):
-        machine, act, where = resp.Decoder(200_000), None, len(self.conns)
+    def _serve(self, connection: socket.socket) -> None:
+        decoder = resp.Decoder(MAX_MESSAGE_BYTES)
+        step: Step | None = None
+        number = len(self.connections)
         try:
-            while machine.buffer.receive(conn):
-                for words in machine.arrays():
-                    self.told.append((where, *words, time.monotonic()))
+            while decoder.buffer.receive(connection):
+                for words in decoder.arrays():
+                    self.received.append((number, *words, time.monotonic()))
                     if words[0] == b"fetch":
-                        act = self.acts.pop(0) if len(self.acts) > 1 else self.acts[0]
-                    if words[0] == b"alive" and act is not mute:
-                        time.sleep(self.slow)
-                        self.told.append((where, b"alive answered", time.monotonic()))
-                        conn.sendall(resp.encode(words[1], b"alive"))
-                    elif act:
-                        act(conn, *words)
+                        step = self._next_step()
+                    if words[0] == b"alive" and step is not mute:
+                        self._answer_alive(connection, number, words[1])
+                    elif step:
+                        step(connection, *words)
         except OSError:
             pass
 
-    def words(self, verb):
-        """All that it was told with this verb."""
-        return [words for words in self.told if words[1] == verb]
+    def _next_step(self) -> Step:
+        return self.script.pop(0) if len(self.script) > 1 else self.script[0]
 
-    def refuse(self):
-        """No new connection comes up."""
-        self.sock.shutdown(socket.SHUT_RDWR)  # closing alone would leave the accept that waits
-        self.sock.close()
+    def _answer_alive(self, connection: socket.socket, number: int, txn: bytes) -> None:
+        time.sleep(self.alive_delay_s)
+        self.received.append((number, b"alive answered", time.monotonic()))
+        connection.sendall(resp.encode(txn, b"alive"))
 
-    def close(self):
-        """The process dies."""
-        if self.sock.fileno() >= 0:
-            self.refuse()
-        for conn in self.conns:
-            if conn.fileno() >= 0:
-                resets(conn, b"fetch")
+    def messages(self, verb: bytes) -> list[ReceivedMessage]:
+        """Return the messages received with this verb."""
+        return [message for message in self.received if message[1] == verb]
 
+    def stop_listening(self) -> None:
+        """Refuse connections from now on."""
+        self.listener.shutdown(socket.SHUT_RDWR)  # closing alone would leave the accept that waits
+        self.listener.close()
 
-def ok(*pages, fields=b"cost=20.5,need=64,load=inflight:7;x0:0.5"):
-    """An act: serve these pages."""
-    pages = pages or (b"a\tb\tc\n",)
+    def close(self) -> None:
+        """Stop listening, and reset all connections, as at the process's end."""
+        if self.listener.fileno() >= 0:
+            self.stop_listening()
+        for connection in self.connections:
+            if connection.fileno() >= 0:
+                resets(connection, b"fetch")
 
-    def act(conn, verb, *words):
+
+def ok(*pages: bytes, fields: bytes = DEFAULT_FIELDS) -> Step:
+    """Return a step that serves these pages, by default one."""
+    pages = pages or (DEFAULT_PAGE,)
+
+    def step(connection: socket.socket, verb: bytes, *words: bytes) -> None:
         if verb == b"fetch":
-            conn.sendall(resp.encode(words[0], b"200", b"pages=%d,%s" % (len(pages), fields), pages[0]))
+            header = b"pages=%d,%s" % (len(pages), fields)
+            connection.sendall(resp.encode(words[0], b"200", header, pages[0]))
         if verb == b"more":
-            conn.sendall(resp.encode(words[0], b"chunk", b"page=" + words[1], pages[int(words[1])]))
+            connection.sendall(resp.encode(words[0], b"chunk", b"page=" + words[1], pages[int(words[1])]))
 
-    return act
+    return step
 
 
-def says(word, *rest):
-    """An act: answer this to a fetch."""
-    return lambda conn, verb, *words: (
-        verb == b"fetch" and conn.sendall(resp.encode(words[0], word, *rest, b"-", b""))
-    )
+def says(word: bytes, *rest: bytes) -> Step:
+    """Return a step that answers a fetch with these words and no page."""
 
+    def step(connection: socket.socket, verb: bytes, *words: bytes) -> None:
+        if verb == b"fetch":
+            connection.sendall(resp.encode(words[0], word, *rest, b"-", b""))
+
+    return step
+
+
+def raw(data: bytes) -> Step:
+    """Return a step that answers a fetch with these bytes, whatever they are."""
+
+    def step(connection: socket.socket, verb: bytes, *_words: bytes) -> None:
+        if verb == b"fetch":
+            connection.sendall(data)
 
-def raw(data):
-    """An act: these bytes, whatever they are."""
-    return lambda conn, verb, *_: verb == b"fetch" and conn.sendall(data)
+    return step
 
 
-def resets(conn, verb, *_):
-    """An act: the process dies with the send open."""
+def resets(connection: socket.socket, verb: bytes, *_words: bytes) -> None:
+    """Step: reset the connection at a fetch, as a process that dies with the request open."""
     if verb == b"fetch":
-        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        conn.close()
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        connection.close()
 
 
-def mute(*_):
-    """An act: nothing, as a machine that vanished."""
+def mute(*_message: Any) -> None:
+    """Step: answer nothing, not even an alive, as a machine that vanished."""
 
 
-def endless(*_):
-    """An act: a query that never ends, on a connection that works."""
+def endless(*_message: Any) -> None:
+    """Step: a query that never ends, on a connection that works."""
--- a/tests/faults/test_clock.py
+++ b/tests/faults/test_clock.py
@@ -8,8 +8,8 @@
 
 from faults.plan import Plan
 from faults.traffic import Played
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import event
+from gullhold.testing.discovery_service import DiscoveryService
 
 HOUR_S = 3600
 WARM_S = 30.0  # s that engines take to warm up here: they stay cold while these tests look
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("off_s", [-HOUR_S, HOUR_S])
 def test_an_engine_that_starts_is_cold_for_its_time_whatever_the_wall_clock_says(tmp_path, off_s):
     """With a clock ahead it was flooded at once, with one behind it got nothing for an hour."""
-    plan, feed = Plan(tmp_path), Feed()
+    plan, feed = Plan(tmp_path), DiscoveryService()
     plan.step_wall_clock(off_s)
     played = Played(tmp_path, plan, engines=2)
     first, second = played.engines
@@ -27,7 +27,7 @@
     played.told["settings"]["rules"] |= {"warm_after": WARM_S, "cold_from": 0.002, "tip_after": 1.0}
     played.told["coordinator"] = feed.address
     with played:
-        feed.say(event(2, ("s-1", second.address, "ready"), started_ms=int(time.time() * 1000)))
+        feed.send(event(2, ("s-1", second.address, "ready"), started_ms=int(time.time() * 1000)))
         played.ask(6, burst=1)
         until(lambda: first.fetches >= 60)  # within a second or so, in which it stands next to nothing
         cold, share = second.fetches, second.fetches / first.fetches
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -46,7 +46,7 @@
     until(lambda: len(inside.decoder.buffer) or inside.is_ending)
     client.sock.close()
     until(lambda: not gateway.listener.clients)
-    assert not engine.told
+    assert not engine.received
     assert gateway.core.gateway.submitted == 0
 
 
@@ -60,7 +60,7 @@
         inside.write_buffer.finish()  # as it would be, had the core looked an instant earlier
     until(lambda: gateway.count("interrupted") == 1)
     assert half_reading(client) == (b"", True)
-    assert not engine.told
+    assert not engine.received
 
 
 def test_a_check_that_waits_in_the_cores_queue_is_answered_before_an_end_for_idleness(start):
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -9,18 +9,18 @@
 
 from gullhold.net import backpressure, client_limits, thrift
 from gullhold.testing.client import Caller
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
+from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import Engine, endless, ok, resets
 
 
 @pytest.fixture
 def listless(tmp_path):
-    """A gateway that knows no engine until its coordinator, a Feed, tells of one: what is asked is held."""
+    """A gateway that knows no engine until its discovery service tells of one: what is asked is held."""
     made = []
 
     def make(**other):
-        feed = Feed()
+        feed = DiscoveryService()
         made.append(Gateway(tmp_path, config(**other) | {"coordinator": feed.address}))
         return made[-1], Caller(made[-1].address), feed
 
@@ -44,10 +44,10 @@
     else:
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
-    feed.say(event(2, ("s-0", engine.address, "ready")))
+    feed.send(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask(txn=b"f%015x" % 7)
     assert other.answer() == (seq, b"a\tb\tc\n")
-    assert [words[2] for words in engine.words(b"fetch")] == [b"f%015x" % 7]
+    assert [words[2] for words in engine.messages(b"fetch")] == [b"f%015x" % 7]
     engine.close()
 
 
@@ -65,7 +65,7 @@
         until(lambda: inside.is_ending)
     until(lambda: gateway.count("interrupted") == 20)
     assert gateway.core.gateway.submitted == 0
-    assert not engine.told
+    assert not engine.received
 
 
 @pytest.mark.parametrize("how", ["closes", "interrupts"])
@@ -84,10 +84,10 @@
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
     assert time.monotonic() - began < 1
-    feed.say(event(2, ("s-0", engine.address, "ready")))
+    feed.send(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask()
     assert other.answer() == (seq, b"a\tb\tc\n")
-    assert len(engine.words(b"fetch")) == 1
+    assert len(engine.messages(b"fetch")) == 1
     engine.close()
 
 
@@ -95,7 +95,7 @@
     engine = Engine(endless, ok())
     gateway, client = start(engine, connect_timeout=0.5)
     held = client.ask("once")
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
     bad = client.ask("odd")
     first, back, last = (client.ask(txn=b"f%015x" % n) for n in (1, 2, 3))
@@ -105,7 +105,7 @@
     assert answers[0] == (bad, "fault")
     assert time.monotonic() - began >= 0.5
     assert set(answers[1:]) == {(first, b"a\tb\tc\n"), (last, b"a\tb\tc\n"), (check, b"")}
-    assert sorted(words[2] for words in engine.words(b"fetch")[1:]) == [b"f%015x" % n for n in (1, 3)]
+    assert sorted(words[2] for words in engine.messages(b"fetch")[1:]) == [b"f%015x" % n for n in (1, 3)]
     assert gateway.count("taken") == 5
     assert gateway.count("interrupted") == 1
     client.interrupt(held)
@@ -146,7 +146,7 @@
     assert gateway.core.statement_memory.max_bytes == 192 * 2**20 // 8
     gateway.core.statement_memory.max_bytes = 10_000
     asked = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
-    until(lambda: len(engine.words(b"fetch")) == 2)
+    until(lambda: len(engine.messages(b"fetch")) == 2)
     other = Caller(gateway.address)
     big = other.ask(body=b"select 1 from sales_3.t" + b" " * 4000)
     assert other.answer() == (big, "shed")
@@ -154,7 +154,7 @@
     client.interrupt(asked[0])
     until(lambda: gateway.core.statement_memory.used < 5000)
     other.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000)
-    until(lambda: len(engine.words(b"fetch")) == 3)
+    until(lambda: len(engine.messages(b"fetch")) == 3)
 
 
 def test_answers_that_are_not_read_hold_no_more_than_their_part_of_the_memory(start):
@@ -188,7 +188,7 @@
     other = Caller(gateway.address)
     kept = other.ask("once", limit=2000)
     asked = [client.ask(), client.ask("once")]
-    until(lambda: len(engine.words(b"fetch")) == 3)
+    until(lambda: len(engine.messages(b"fetch")) == 3)
     client.sock.sendall(b"\xff\xff\xff\xff" * 10)
     assert {client.answer(), client.answer()} == {(asked[0], "shed"), (asked[1], "fault")}
     assert client.answer() is None
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -88,8 +88,8 @@
     core.list_changed(*parse_event(event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds()))
     answers = [client.answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
-    assert len(later.words(b"fetch")) >= 10
-    assert engine.done + len(later.words(b"fetch")) == 20
+    assert len(later.messages(b"fetch")) >= 10
+    assert engine.done + len(later.messages(b"fetch")) == 20
     later.close()
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -13,29 +13,29 @@
 from serving import PATIENCE, Gateway, free_port, listens, until
 
 from gullhold.testing.client import Caller
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
+from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import Engine
 
 
 def test_what_left_while_a_gateway_started_gets_nothing_from_it(tmp_path):
     """The configuration's list is a second old by then: sends went out before the stream had said a word."""
-    feed, old, new = Feed(), Engine(), Engine()
+    feed, old, new = DiscoveryService(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address}, held=("core", "coordinator"))
     client = Caller(gateway.address)
     seq = client.ask()
     until(lambda: gateway.core.queue.qsize() == 1)
     gateway.go("core", "coordinator")
-    feed.say(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
+    feed.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     assert client.answer() == (seq, b"a\tb\tc\n")
-    assert not old.told
-    assert len(new.words(b"fetch")) == 1
+    assert not old.received
+    assert len(new.messages(b"fetch")) == 1
     gateway.end()
 
 
 @pytest.mark.parametrize("how", ["refuses", "says nothing"])
 def test_a_start_waits_for_no_coordinator_that_is_down(tmp_path, how):
-    feed, engine = Feed(), Engine()
+    feed, engine = DiscoveryService(), Engine()
     if how == "refuses":
         feed.close()
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": feed.address})
@@ -56,7 +56,7 @@
 
 def test_what_left_while_a_process_slept_gets_nothing_when_it_wakes(launch):
     """All that came meanwhile is there at once; requests are many, and the list's word is one."""
-    feed, old, new, port = Feed(), Engine(), Engine(), free_port()
+    feed, old, new, port = DiscoveryService(), Engine(), Engine(), free_port()
     process = launch(config(old) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address})
     until(lambda: listens(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(20)]
@@ -66,65 +66,65 @@
     for turn in range(5):
         here, there = (old, new) if turn % 2 == 0 else (new, old)
         names = ("s-0", "s-1") if turn % 2 == 0 else ("s-1", "s-0")
-        before = len(here.words(b"fetch"))
+        before = len(here.messages(b"fetch"))
         process.send_signal(signal.SIGSTOP)
         until(lambda: all_stopped(process.pid))  # a busy machine takes its time
         asked = [caller.ask() for caller in callers]
-        feed.say(event(2 + turn, (names[0], here.address, "draining"), (names[1], there.address, "ready")))
+        feed.send(event(2 + turn, (names[0], here.address, "draining"), (names[1], there.address, "ready")))
         time.sleep(0.6)  # longer than the grace
         process.send_signal(signal.SIGCONT)
         for caller, seq in zip(callers, asked, strict=True):
             assert caller.answer() == (seq, b"a\tb\tc\n")
-        assert len(here.words(b"fetch")) == before
+        assert len(here.messages(b"fetch")) == before
     process.send_signal(signal.SIGTERM)
     assert process.wait(PATIENCE) == 0
 
 
 def test_an_event_cut_in_two_by_a_move_is_heard_once_and_the_old_stream_no_more(tmp_path):
-    old, new, engines = Feed(), Feed(), [Engine(), Engine()]
+    old, new, engines = DiscoveryService(), DiscoveryService(), [Engine(), Engine()]
     gateway = Gateway(tmp_path, config() | {"coordinator": old.address})
     line = json.dumps(event(2, ("s-0", engines[0].address, "ready"))).encode() + b"\n"
-    old.say(line[:40])
+    old.send(line[:40])
     gateway.coordinator.move(new.address)
-    until(lambda: new.asked)
-    new.say(line, b"2\n")
+    until(lambda: new.follow_requests)
+    new.send(line, b"2\n")
     until(lambda: gateway.count("list changes") == 2)
     with contextlib.suppress(OSError):  # it was closed
-        old.say(line[40:], event(3, ("s-0", engines[0].address, "gone")))
-    new.say(event(3, ("s-1", engines[1].address, "ready")))
+        old.send(line[40:], event(3, ("s-0", engines[0].address, "gone")))
+    new.send(event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("list changes") == 3)
-    assert new.asked == [b"follow 1\n"]
+    assert new.follow_requests == [b"follow 1\n"]
     assert len(gateway.core.gateway.parts.engines.ready) == 2
     gateway.end()
 
 
 def test_a_stream_that_falls_silent_is_followed_anew_from_its_last_event(tmp_path):
-    feed, old, new = Feed(), Engine(), Engine()
+    feed, old, new = DiscoveryService(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address})
-    feed.say(b"1\n")
-    until(lambda: len(feed.asked) == 2)  # two of its lines missed
-    feed.say(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
+    feed.send(b"1\n")
+    until(lambda: len(feed.follow_requests) == 2)  # two of its lines missed
+    feed.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     until(lambda: gateway.count("list changes") == 2)
     client = Caller(gateway.address)
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
-    assert not old.told
-    assert feed.asked[1] == b"follow 1\n"
+    assert not old.received
+    assert feed.follow_requests[1] == b"follow 1\n"
     gateway.end()
 
 
 def test_idle_clients_that_fill_the_descriptors_do_not_keep_the_list_from_being_followed(launch):
     """The stream needs a descriptor just when clients hold all that they can get."""
-    feed, engine, port = Feed(), Engine(), free_port()
+    feed, engine, port = DiscoveryService(), Engine(), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address}
     told["limits"]["sockets"] = 60
     process = launch(told)
     until(lambda: listens(port))
-    until(lambda: feed.asked)
+    until(lambda: feed.follow_requests)
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (60, 60))
     crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(120)]
-    feed.conn.close()
-    until(lambda: len(feed.asked) >= 2)
+    feed.connection.close()
+    until(lambda: len(feed.follow_requests) >= 2)
     assert len(os.listdir(f"/proc/{process.pid}/fd")) < 60
     for sock in crowd:
         sock.close()
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -8,18 +8,18 @@
 
 from gullhold.net import connection_ends, resp
 from gullhold.testing.client import Caller
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
+from gullhold.testing.discovery_service import DiscoveryService
 
 
 @pytest.mark.parametrize("what", ["drains", "is gone"])
 def test_nothing_goes_out_on_a_connection_that_comes_up_after_its_engine_left(tmp_path, what):
-    feed, late = Feed(), Late()
+    feed, late = DiscoveryService(), Late()
     gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": feed.address})
     client = Caller(gateway.address)
     seq = client.ask(limit=7000)
     until(lambda: gateway.core.pool.connections)
-    feed.say(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[what])))
+    feed.send(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[what])))
     until(lambda: gateway.count("sends moot"))
     conn = late.come_up()
     assert conn.recv(100) == b""  # closed with nothing said
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -9,17 +9,17 @@
 
 from gullhold.net import resp, thrift
 from gullhold.testing.client import Caller
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
+from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import Engine, ok
 
 
 def test_a_drain_between_two_pages_costs_no_answer(tmp_path):
-    feed = Feed()
+    feed = DiscoveryService()
 
     def drains(conn, verb, *words):
         if verb == b"more":
-            feed.say(event(2, ("s-0", engine.address, "draining")))
+            feed.send(event(2, ("s-0", engine.address, "draining")))
             until(lambda: gateway.count("list changes") == 2)
         ok(b"1\t2\t3\n", b"4\t5\t6\n")(conn, verb, *words)
 
@@ -28,7 +28,7 @@
     client = Caller(gateway.address)
     seq = client.ask("once")
     assert client.answer() == (seq, b"1\t2\t3\n4\t5\t6\n")
-    assert len(engine.words(b"fetch")) == 1
+    assert len(engine.messages(b"fetch")) == 1
     gateway.end()
 
 
@@ -44,9 +44,9 @@
     engine = Engine(leaves)
     gateway, client = start(engine)
     client.ask()
-    until(lambda: engine.words(b"done") or engine.words(b"abort"))
+    until(lambda: engine.messages(b"done") or engine.messages(b"abort"))
     until(lambda: not gateway.core.requests.by_number)
-    assert len(engine.words(b"fetch")) == 1
+    assert len(engine.messages(b"fetch")) == 1
 
 
 def test_the_end_of_a_process_says_so_and_resets_no_connection(launch):
@@ -59,7 +59,7 @@
         seq = caller.ask()
         assert caller.answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGTERM)
-    ends, sent = [], len(engine.words(b"fetch"))
+    ends, sent = [], len(engine.messages(b"fetch"))
 
     def rests(caller):
         """Reads to the end that the gateway says, and asks in that very moment."""
@@ -77,7 +77,7 @@
     for thread in threads:
         thread.join()
     assert ends.count((b"", True)) >= 10
-    assert len(engine.words(b"fetch")) == sent
+    assert len(engine.messages(b"fetch")) == sent
     assert [end for end in ends if end[0]] == []
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,8 +15,8 @@
 from gullhold.__main__ import main
 from gullhold.net import service
 from gullhold.testing.client import Caller
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
+from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import Engine, endless, ok
 
 
@@ -31,7 +31,7 @@
     client.send("check", b"\x02\0\1\1")
     assert client.answer()[1] == b""
     long = client.ask("once", limit=7000)
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     process.send_signal(signal.SIGUSR1)
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
@@ -51,27 +51,27 @@
 
 
 def test_sighup_moves_to_the_coordinator_of_the_new_file_and_a_bad_file_changes_nothing(launch, tmp_path):
-    old, new, engine, port = Feed(), Feed(), Engine(), free_port()
+    old, new, engine, port = DiscoveryService(), DiscoveryService(), Engine(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
     process = launch(told)
-    until(lambda: old.asked)
+    until(lambda: old.follow_requests)
     path = tmp_path / "config.json"
     for text in ("{", "[]", '{"coordinator": "nowhere"}', '{"coordinator": 5}'):
         path.write_text(text)
         process.send_signal(signal.SIGHUP)
         time.sleep(0.05)
-    old.say(event(2, ("s-0", "127.0.0.1:1", "ready")))
+    old.send(event(2, ("s-0", "127.0.0.1:1", "ready")))
     path.write_text(json.dumps(told | {"coordinator": new.address}))
     process.send_signal(signal.SIGHUP)
-    until(lambda: new.asked)
-    new.say(event(3, ("s-9", engine.address, "ready"), whole=True))
+    until(lambda: new.follow_requests)
+    new.send(event(3, ("s-9", engine.address, "ready"), whole=True))
     time.sleep(0.2)
     client = Caller(("127.0.0.1", port))
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert process.poll() is None
-    assert old.asked == [b"follow 1\n"]
-    assert new.asked == [b"follow 2\n"]
+    assert old.follow_requests == [b"follow 1\n"]
+    assert new.follow_requests == [b"follow 2\n"]
 
 
 UNINTERRUPTED = """
@@ -88,14 +88,14 @@
 
 def test_signals_take_effect_at_once_where_they_interrupt_no_wait(launch, tmp_path):
     """They did when the next report was due, as the main thread's wait went on: 7.5 s on an old list."""
-    old, new, port = Feed(), Feed(), free_port()
+    old, new, port = DiscoveryService(), DiscoveryService(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
     process = launch(told, "-c", UNINTERRUPTED, "serve", "--report", "30")
-    until(lambda: old.asked)
+    until(lambda: old.follow_requests)
     (tmp_path / "config.json").write_text(json.dumps(told | {"coordinator": new.address}))
     began = time.monotonic()
     process.send_signal(signal.SIGHUP)
-    until(lambda: new.asked)
+    until(lambda: new.follow_requests)
     process.send_signal(signal.SIGTERM)
     assert process.wait(PATIENCE) == 0
     assert time.monotonic() - began < 3
@@ -103,16 +103,16 @@
 
 
 def test_a_coordinator_that_refuses_is_looked_for_in_the_file_without_a_signal(launch, tmp_path):
-    old, new, port = Feed(), Feed(), free_port()
+    old, new, port = DiscoveryService(), DiscoveryService(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
     process = launch(told)
-    until(lambda: old.conn)
+    until(lambda: old.connection)
     path = tmp_path / "config.json"
     path.write_text("{")
     old.close()
     time.sleep(0.6)
     path.write_text(json.dumps(told | {"coordinator": new.address}))
-    until(lambda: new.asked)
+    until(lambda: new.follow_requests)
     process.terminate()
     assert process.wait(PATIENCE) == 0
     log = process.stderr.read()
@@ -193,7 +193,7 @@
 def test_a_log_that_nobody_reads_stops_nobody(launch):
     """A full pipe behind standard error would have held up the thread that owns the gateway."""
     dead, engine, port = Engine(), Engine(), free_port()
-    dead.refuse()
+    dead.stop_listening()
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     process = launch(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=writing)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,8 +14,8 @@
 from gullhold.net.flusher import Flusher
 from gullhold.net.write_buffer import WriteBuffer
 from gullhold.testing.client import Caller
-from gullhold.testing.coordinator import Feed
 from gullhold.testing.deployment import config, event
+from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import Engine, endless, mute, ok, raw, resets, says
 
 
@@ -26,7 +26,7 @@
         "mark", unique=b"5c0f", txn=b"9b1f03aa5c7e2d41", body="select 'é\r\n' from a_1.b".encode()
     )
     assert client.answer() == (seq, b"1\t2\t3\n" * 800 + b"4\t5\t6\n" * 900 + b"7\t8\t9\n")
-    ((_, _, txn, fields, body, _),) = engine.words(b"fetch")
+    ((_, _, txn, fields, body, _),) = engine.messages(b"fetch")
     fields = resp.fields(fields)
     assert txn == b"9b1f03aa5c7e2d41"
     assert body == "select 'é\r\n' from a_1.b".encode()
@@ -35,8 +35,8 @@
     assert 0 < int(fields[b"mem"]) < 200
     assert 2000 < int(fields[b"w"]) <= 3000
     assert fields[b"prio"] in (b"1", b"3")
-    until(lambda: engine.words(b"done"))
-    assert [words[3] for words in engine.words(b"more")] == [b"1", b"2"]
+    until(lambda: engine.messages(b"done"))
+    assert [words[3] for words in engine.messages(b"more")] == [b"1", b"2"]
     until(lambda: gateway.count("answered") == 1)
 
 
@@ -95,17 +95,17 @@
     gateway, client = start(engine)
     seq = client.ask(verb)
     assert client.answer() == (seq, want)
-    assert len(engine.words(b"fetch")) == (1 if want == "fault" else 2)
+    assert len(engine.messages(b"fetch")) == (1 if want == "fault" else 2)
 
 
 def test_a_refused_connection_proves_that_nothing_ran(start):
     dead, engine = Engine(), Engine()
-    dead.refuse()
+    dead.stop_listening()
     gateway, client = start(dead, engine)
     for _ in range(6):
         seq = client.ask("once")
         assert client.answer() == (seq, b"a\tb\tc\n")
-    assert len(engine.words(b"fetch")) == 6
+    assert len(engine.messages(b"fetch")) == 6
 
 
 @pytest.mark.parametrize(
@@ -138,8 +138,8 @@
     seq = client.ask("once", limit=700)
     assert client.answer() == (seq, "fault")
     assert 0.5 < time.monotonic() - began < 1.0
-    until(lambda: engine.words(b"abort"))
-    assert engine.words(b"alive")
+    until(lambda: engine.messages(b"abort"))
+    assert engine.messages(b"alive")
     assert gateway.count("sends timed out") == 1
 
 
@@ -162,7 +162,7 @@
     for limit in (0, 10):
         seq = client.ask(limit=limit)
         assert client.answer() == (seq, "shed")
-    assert not engine.told
+    assert not engine.received
 
 
 def test_a_client_that_stops_waiting_is_owed_nothing_and_its_late_answer_is_passed_over(start):
@@ -188,11 +188,11 @@
     """The two travel on different connections: once in some hundred the fetch overtook the abort."""
     engines = [Engine(endless, ok()), Engine(endless, ok())]
     for engine in engines:
-        engine.slow = 0.2
+        engine.alive_delay_s = 0.2
     gateway, client = start(*engines)
     seq = client.ask(limit=4000, cpu=b"20")  # far past the usual: started afresh
     assert client.answer() == (seq, b"a\tb\tc\n")
-    told = sorted((words for engine in engines for words in engine.told), key=lambda words: words[-1])
+    told = sorted((words for engine in engines for words in engine.received), key=lambda words: words[-1])
     order = [words[1] for words in told if words[1] in (b"fetch", b"abort", b"alive answered")]
     assert order[:4] == [b"fetch", b"abort", b"alive answered", b"fetch"]
 
@@ -206,7 +206,7 @@
     gateway, client = start(engine)
     seq = client.ask(limit=4000, cpu=b"20")
     assert client.answer() == (seq, b"j\tu\tst\n")
-    assert len(engine.words(b"fetch")) == 1
+    assert len(engine.messages(b"fetch")) == 1
     until(lambda: gateway.count("sends answered") == 1)
 
 
@@ -215,12 +215,12 @@
     gone = Engine(mute)
     gateway, client = start(gone)
     client.ask("once", limit=3000)
-    until(lambda: gone.words(b"fetch"))
-    gone.refuse()
-    until(lambda: gone.words(b"alive"))
+    until(lambda: gone.messages(b"fetch"))
+    gone.stop_listening()
+    until(lambda: gone.messages(b"alive"))
     client.ask(limit=3000)
     until(lambda: gateway.count("sends no connection"))
-    assert len(gone.words(b"fetch")) == 1
+    assert len(gone.messages(b"fetch")) == 1
 
 
 def test_bad_requests_are_answered_and_nothing_is_sent(start):
@@ -239,7 +239,7 @@
     assert client.answer() == (seq, "exception")
     seq = client.send("check", b"\x02\0\1\1")
     assert client.answer() == (seq, b"")
-    assert not engine.told
+    assert not engine.received
 
 
 def test_a_broken_frame_ends_that_connection_alone(start):
@@ -265,11 +265,11 @@
     engine = Engine(endless)
     gateway, client = start(engine)
     client.ask(seq=5)
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     client.ask(seq=5)
     assert client.answer() == (5, "shed")  # what it had asked gets its one answer, and only that
     assert client.answer() is None
-    until(lambda: engine.words(b"abort"))
+    until(lambda: engine.messages(b"abort"))
 
 
 def test_a_client_that_ends_its_side_has_gone_and_what_it_had_open_is_given_up(start):
@@ -278,11 +278,11 @@
     engine = Engine(endless)
     gateway, client = start(engine)
     client.ask("once")
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
     assert client.answer() is None  # no answer is owed, and our side ends too
-    until(lambda: engine.words(b"abort") and not gateway.core.requests.by_number)
-    assert len(engine.words(b"fetch")) == 1
+    until(lambda: engine.messages(b"abort") and not gateway.core.requests.by_number)
+    assert len(engine.messages(b"fetch")) == 1
     assert not gateway.count("answered")
 
 
@@ -314,9 +314,9 @@
     gateway, client = start(engine, max_open=2)
     asked = [client.ask() for _ in range(3)]
     assert client.answer() == (asked[2], "shed")
-    until(lambda: len(engine.words(b"fetch")) == 2)  # what is not out yet is taken back instead
+    until(lambda: len(engine.messages(b"fetch")) == 2)  # what is not out yet is taken back instead
     client.sock.close()
-    until(lambda: len(engine.words(b"abort")) == 2)
+    until(lambda: len(engine.messages(b"abort")) == 2)
 
 
 def test_a_module_that_fails_costs_one_command_its_answer_and_no_other(start):
@@ -335,27 +335,27 @@
 
 
 def test_the_list_of_engines_is_followed_and_a_drain_stops_sends(tmp_path):
-    feed, old, new = Feed(), Engine(), Engine()
+    feed, old, new = DiscoveryService(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address})
     client = Caller(gateway.address)
     client.ask()
     client.answer()
-    feed.say(event(2, ("s-9", new.address, "ready")), event(3, ("s-0", old.address, "draining")), b"3\n")
+    feed.send(event(2, ("s-9", new.address, "ready")), event(3, ("s-0", old.address, "draining")), b"3\n")
     until(lambda: gateway.count("list changes") == 3)
     for _ in range(4):
         client.ask()
         client.answer()
-    assert len(old.words(b"fetch")) == 1
-    assert len(new.words(b"fetch")) == 4
-    feed.say(b"{bad\n")  # followed anew from the last good event; the list holds
-    until(lambda: len(feed.asked) == 2)
-    assert feed.asked == [b"follow 1\n", b"follow 3\n"]
-    feed.say(event(3, ("s-9", new.address, "gone")), event(4, ("s-7", new.address, "ready"), whole=True))
+    assert len(old.messages(b"fetch")) == 1
+    assert len(new.messages(b"fetch")) == 4
+    feed.send(b"{bad\n")  # followed anew from the last good event; the list holds
+    until(lambda: len(feed.follow_requests) == 2)
+    assert feed.follow_requests == [b"follow 1\n", b"follow 3\n"]
+    feed.send(event(3, ("s-9", new.address, "gone")), event(4, ("s-7", new.address, "ready"), whole=True))
     until(lambda: gateway.count("list changes") == 4)
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
-    assert len(new.words(b"fetch")) == 5
-    assert len({words[0] for words in new.words(b"fetch")}) == 2  # another engine: another link
+    assert len(new.messages(b"fetch")) == 5
+    assert len({words[0] for words in new.messages(b"fetch")}) == 2  # another engine: another link
     gateway.end()
 
 
@@ -460,7 +460,7 @@
     engine = Engine(endless, spoilt if callable(spoilt) else raw(spoilt), ok())
     gateway, client = start(engine)
     first = client.ask("once", limit=3000)
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
@@ -482,7 +482,7 @@
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert gateway.count("answers lost") == 1
     assert gateway.count("links up") <= 2
-    (first, second), (abort,) = engine.words(b"fetch"), engine.words(b"abort")
+    (first, second), (abort,) = engine.messages(b"fetch"), engine.messages(b"abort")
     assert first[-1] < abort[-1] < second[-1]  # never two at once
 
 
@@ -515,12 +515,12 @@
     for name, word in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
         seq = client.ask(**{name: word})
         assert client.answer() == (seq, "fault")
-    assert not engine.told
+    assert not engine.received
     seq = client.ask()  # an id that no engine knows: an error on each
     assert client.answer() == (seq, "shed")
-    assert len(engine.words(b"fetch")) <= 6
+    assert len(engine.messages(b"fetch")) <= 6
     many = Caller(gateway.address)
-    engine.acts[:] = [endless]
+    engine.script[:] = [endless]
     for _ in range(60):
         many.ask()
     until(lambda: gateway.count("over 32 open on a connection") == 28)
@@ -565,19 +565,19 @@
     until(lambda: gateway.count("link: closed by the other side") == 1)
     for number in range(5):
         client.ask("once")
-        until(lambda: len(together.words(b"fetch")) == 2 + number)  # noqa: B023
+        until(lambda: len(together.messages(b"fetch")) == 2 + number)  # noqa: B023
     assert gateway.count("links up") == 1 + 2  # three to a link: a reset takes no more along
 
 
 def test_engines_that_are_gone_are_forgotten_with_their_names_and_links(tmp_path):
-    feed, engines = Feed(), [Engine() for _ in range(8)]
+    feed, engines = DiscoveryService(), [Engine() for _ in range(8)]
     gateway = Gateway(tmp_path, config() | {"coordinator": feed.address})
     client = Caller(gateway.address)
     for i, engine in enumerate(engines):  # each at its own address, then gone
-        feed.say(event(2 * i + 2, (f"s-{i}", engine.address, "ready")))
+        feed.send(event(2 * i + 2, (f"s-{i}", engine.address, "ready")))
         seq = client.ask()
         assert client.answer() == (seq, b"a\tb\tc\n")
-        feed.say(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
+        feed.send(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
     assert not gateway.core.gateway.parts.engines.by_id
     assert not gateway.coordinator.engine_ids.ids_by_name
