--- a/benchmarks/budget_rigs.py
+++ b/benchmarks/budget_rigs.py
@@ -5,9 +5,9 @@
 from typing import Any, NamedTuple
 
 from benchmarks import p95
-from gullhold.testing import crowd
+from gullhold.testing import load_client
 from gullhold.testing.budget_checker import AllocationHistory, most_at_once, most_in_window, retries
-from gullhold.testing.counting import CountingEngine
+from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 from gullhold.testing.running import cpu_s
 
@@ -71,19 +71,19 @@
     )
 
 
-def start_client(rig: Rig, name: str, seed: int, **facts: Any) -> crowd.Client:
+def start_client(rig: Rig, name: str, seed: int, **facts: Any) -> load_client.LoadClient:
     """A client of one gateway, started."""
     facts = {
         "open": 60,
         "connections": 2,
         "work_ms": 100.0,
         "limit_ms": 1500,
-        "manner": crowd.NOT_AT_ALL,
+        "retry_rule": load_client.RetryRule.NEVER,
     } | facts
-    return crowd.Client(rig.members[name].address, "", f"c{seed}", seed=seed, **facts).start()
+    return load_client.LoadClient(rig.members[name].address, "", f"c{seed}", seed=seed, **facts).start()
 
 
-def stop_clients(clients: list[crowd.Client]) -> None:
+def stop_clients(clients: list[load_client.LoadClient]) -> None:
     """They send no more commands, and get the answers that are due."""
     for client in clients:
         client.stop()
@@ -103,7 +103,7 @@
     def __init__(self, rig: Rig, draw: random.Random) -> None:
         self.rig = rig
         self.draw = draw
-        self.clients: list[crowd.Client] = []
+        self.clients: list[load_client.LoadClient] = []
         self.client_count = 0
 
     def turn(self, number: int) -> None:
@@ -142,7 +142,7 @@
     def figures(self) -> dict[str, Any]:
         """What engines counted, the journal shows and logs say."""
         rig = self.rig
-        peaks = [most_at_once(engine.flights).amount for engine in rig.engines]
+        peaks = [most_at_once(engine.attempts).amount for engine in rig.engines]
         retried = retries(rig.engines)
         most_retries = most_in_window(retried, RETRY_WINDOW_S).amount
         history = AllocationHistory(rig.lines())
@@ -157,7 +157,7 @@
             "further_sends": len(retried),
             "most_at_once": peaks,
             "most_further": most_retries,
-            "fetches": sum(len(engine.flights) for engine in rig.engines),
+            "fetches": sum(len(engine.attempts) for engine in rig.engines),
         }
 
 
@@ -170,7 +170,7 @@
     ]
 
     def make_engine(seed: int) -> CountingEngine:
-        return CountingEngine(slots=64, seed=seed, fails=0.1, runs_on=True)
+        return CountingEngine(slots=64, seed=seed, failure_rate=0.1, runs_on=True)
 
     with make_rig(MEMBERS, budgets, engines=2, seed=seed, make=make_engine) as rig:
         rig.start()
@@ -185,9 +185,9 @@
 def _share_in_use(rig: Rig, began: float, ended: float) -> float:
     """The mean of what was in the first engine between two times, as a share of the total."""
     in_use = 0.0
-    for flight in rig.engines[0].flights:
-        flight_end = min(flight[1] or ended, ended)
-        in_use += max(0.0, flight_end - max(flight[0], began))
+    for flight in rig.engines[0].attempts:
+        flight_end = min(flight.ended_at or ended, ended)
+        in_use += max(0.0, flight_end - max(flight.started_at, began))
     return in_use / (ended - began) / TOTAL
 
 
@@ -274,7 +274,7 @@
 
     Its capacity grows half as fast as a line.
     """
-    work = [(flight[0], flight[4] / 1000) for flight in rig.engines[engine].flights]
+    work = [(flight.started_at, flight.work_ms / 1000) for flight in rig.engines[engine].attempts]
     started = rig.born_ms[engine] / 1000
     overloads = 0
     for at, _ in work:
@@ -296,10 +296,12 @@
             clients.append(start_client(rig, f"n{number}", 1 + number, rate=4.0, work_ms=250.0, limit_ms=900))
         time.sleep(1.0)
         for client in clients:
-            client.zero()
+            client.reset_counts()
         time.sleep(seconds)
-        in_target = sum(latency <= LATENCY_TARGET_S for client in clients for latency in client.latencies)
-        asked = sum(client.asked for client in clients)
+        in_target = sum(
+            latency <= LATENCY_TARGET_S for client in clients for latency in client.counts.latencies_s
+        )
+        asked = sum(client.counts.sent for client in clients)
         stop_clients(clients)
         return Gain(in_target / max(1, asked), _overloads(rig, 2))
 
@@ -316,10 +318,10 @@
         rig.kill_register()
         time.sleep(1.3)
         for client in clients:
-            client.zero()
+            client.reset_counts()
         time.sleep(seconds)
-        answered = sum(client.answered for client in clients)
-        ratio = answered / max(1, sum(client.asked for client in clients))
+        answered = sum(client.counts.answered for client in clients)
+        ratio = answered / max(1, sum(client.counts.sent for client in clients))
         stop_clients(clients)
         rig.start_register()
         return ratio
@@ -339,12 +341,12 @@
     def begin(self) -> None:
         """A period begins."""
         self.cpu_s -= cpu_s(self.pid)
-        self.answered -= self.client.answered
+        self.answered -= self.client.counts.answered
 
     def end(self) -> None:
         """A period ends."""
         self.cpu_s += cpu_s(self.pid)
-        self.answered += self.client.answered
+        self.answered += self.client.counts.answered
 
     def cost_s(self) -> float:
         """CPU of a command."""
--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -16,9 +16,9 @@
 from gullhold.rollout.policy_change import Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient, StoreUnavailableError
 from gullhold.rollout.policy_version import PolicyError
-from gullhold.testing import changecheck, changemutants, crowd
+from gullhold.testing import changecheck, changemutants, load_client
 from gullhold.testing.budget_checker import AllocationHistory, most_at_once
-from gullhold.testing.counting import CountingEngine
+from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 from gullhold.testing.policycheck import Changes, by_policy, mixed
 
@@ -98,14 +98,14 @@
 def load(rig, names, rate=25.0):
     """A client of each of these gateways."""
     return [
-        crowd.Client(
+        load_client.LoadClient(
             rig.members[name].address,
             "",
             f"{name}{i}",
             rate=rate,
             work_ms=10.0,
             limit_ms=900,
-            manner=crowd.NOT_AT_ALL,
+            retry_rule=load_client.RetryRule.NEVER,
             seed=i + 1,
         ).start()
         for i, name in enumerate(names)
@@ -213,7 +213,7 @@
     check = Changes(rig.lines())
     strict_mixed, overlaps = mixtures(rig, applied)
     logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
-    over_on_engine = most_at_once(rig.engines[0].flights)[0] > TOTAL_THREADS
+    over_on_engine = most_at_once(rig.engines[0].attempts)[0] > TOTAL_THREADS
     over_allocated = max(AllocationHistory(rig.lines()).most.values(), default=0) > TOTAL_THREADS
     reported = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}
     return {
@@ -230,11 +230,11 @@
             status in reported and check.outcomes.get(number) != reported[status]
             for number, status in outcomes
         ),
-        "commands_lost": sum(one.lost for one in clients[:SURVIVING_MEMBERS]),
-        "answered_twice": sum(one.twice for one in clients),
+        "commands_lost": sum(one.counts.unanswered for one in clients[:SURVIVING_MEMBERS]),
+        "answered_twice": sum(one.counts.duplicate_answers for one in clients),
         "rules_broken": sum(log.count(line) for log in logs for line in FAULT_LINES),
         "over_whole": over_on_engine + over_allocated,
-        "asked": sum(one.asked for one in clients),
+        "asked": sum(one.counts.sent for one in clients),
     }
 
 
@@ -311,7 +311,7 @@
         clients = load(rig, ["n2"], 60.0)
         rig.until(lambda: any(attempt.at > began for attempt in by_policy(rig.engines, [MAX_MB])))
         time.sleep(0.3)
-        first_at = next(row[0] for row in rig.engines[0].flights if row[0] > began)
+        first_at = next(row.started_at for row in rig.engines[0].attempts if row.started_at > began)
         end(clients)
         wrong = sum(at > began and not place for at, place in by_policy(rig.engines, [MAX_MB]))
         return round(ratio, 4), round(first_at - began, 2), wrong
@@ -319,14 +319,14 @@
 
 def answered_ratio(clients, seconds, act):
     """Answered over asked while act(turn) is called again and again for so long."""
-    asked_before = sum(one.asked for one in clients)
-    answered_before = sum(one.answered for one in clients)
+    asked_before = sum(one.counts.sent for one in clients)
+    answered_before = sum(one.counts.answered for one in clients)
     end_at, turn = time.monotonic() + seconds, 0
     while time.monotonic() < end_at:
         act(turn)
         turn += 1
-    asked = sum(one.asked for one in clients) - asked_before
-    done = sum(one.answered for one in clients) - answered_before
+    asked = sum(one.counts.sent for one in clients) - asked_before
+    done = sum(one.counts.answered for one in clients) - answered_before
     return done / max(1, asked)
 
 
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -25,9 +25,9 @@
     Tenant,
 )
 from gullhold.net import thrift
-from gullhold.testing import crowd
-from gullhold.testing.running import DOOR, ROOT, Running
-from gullhold.testing.working import statement
+from gullhold.testing import load_client
+from gullhold.testing.running import ADMISSION_RULES, ROOT, RunningDeployment
+from gullhold.testing.working_engine import statement
 
 EARLIER = "a6dbb5f"  # the last commit before the door and the change to the module
 WORK_MS = 50.0  # of a command; two engines of four slots do 160 of them a second
@@ -55,13 +55,13 @@
         client.start()
     time.sleep(WARM_S)
     for client in clients:
-        client.zero()
+        client.reset_counts()
     cpu, began = running.cpu_s(), time.monotonic()
     time.sleep(seconds)
     used, took = running.cpu_s() - cpu, time.monotonic() - began
     for client in clients:
-        (client.stop if finish else client.cut)()
-    counts = [(client.answered, client.shed) for client in clients]
+        (client.stop if finish else client.disconnect)()
+    counts = [(client.counts.answered, client.counts.shed) for client in clients]
     for client in clients:
         client.join()
     return used, took, counts
@@ -69,7 +69,7 @@
 
 def p95(clients):
     """Of all their answers, s."""
-    ordered = sorted(latency for client in clients for latency in client.latencies)
+    ordered = sorted(latency for client in clients for latency in client.counts.latencies_s)
     return ordered[int(0.95 * (len(ordered) - 1))] if ordered else None
 
 
@@ -79,20 +79,22 @@
     for way, operator, root in ways:
         largest, middle = 0.0, []
         for many, connections in ((160, 8), (1600, 50)):
-            with Running(operator=operator, tenants=(("one", 1.0),), root=root) as running:
+            with RunningDeployment(operator=operator, tenants=(("one", 1.0),), root=root) as running:
                 # Turned away, each asks for something else: all stay backlogged.
                 clients = [
-                    crowd.Client(running.address, "one", f"polite-{i}", open=16, manner=crowd.NOT_AT_ALL)
+                    load_client.LoadClient(
+                        running.address, "one", f"polite-{i}", open=16, retry_rule=load_client.RetryRule.NEVER
+                    )
                     for i in range(3)
                 ]
                 clients.append(
-                    crowd.Apart(
+                    load_client.LoadClientProcess(
                         running.address,
                         "one",
                         "crowding",
                         open=many,
                         connections=connections,
-                        manner=crowd.NOT_AT_ALL,
+                        retry_rule=load_client.RetryRule.NEVER,
                     )
                 )
                 _, _, counts = during(running, clients, seconds)
@@ -114,17 +116,19 @@
     for way, operator, root in ways:
         seen = []
         for many in (0, 160):
-            with Running(operator=operator, tenants=(("one", 1.0),), root=root) as running:
-                clients = [crowd.Client(running.address, "one", f"polite-{i}", rate=8.0) for i in range(4)]
+            with RunningDeployment(operator=operator, tenants=(("one", 1.0),), root=root) as running:
+                clients = [
+                    load_client.LoadClient(running.address, "one", f"polite-{i}", rate=8.0) for i in range(4)
+                ]
                 crowding = (
                     [
-                        crowd.Apart(
+                        load_client.LoadClientProcess(
                             running.address,
                             "one",
                             "crowding",
                             open=many,
                             connections=8,
-                            manner=crowd.NOT_AT_ALL,
+                            retry_rule=load_client.RetryRule.NEVER,
                         )
                     ]
                     if many
@@ -143,19 +147,23 @@
 def came_back(seconds):
     """Of those who came back at twice what the engines can do: the part answered, told and at once."""
     found = {}
-    for manner, name in ((crowd.WHEN_TOLD, "told"), (crowd.AT_ONCE, "at once")):
-        with Running(operator=DOOR, tenants=(("one", 1.0),)) as running:
+    for rule, name in (
+        (load_client.RetryRule.AFTER_WAIT, "told"),
+        (load_client.RetryRule.IMMEDIATELY, "at once"),
+    ):
+        with RunningDeployment(operator=ADMISSION_RULES, tenants=(("one", 1.0),)) as running:
             clients = [
-                crowd.Client(running.address, "one", f"client-{i}", rate=16.0, manner=manner)
+                load_client.LoadClient(running.address, "one", f"client-{i}", rate=16.0, retry_rule=rule)
                 for i in range(20)
             ]  # 320 a second where 160 can be done
             during(running, clients, seconds, finish=True)
-        good = sum(client.back_answered + client.again_answered for client in clients)
-        back = good + sum(client.back_shed + client.again_shed for client in clients)
+        good = sum(client.counts.waited_answered + client.counts.early_answered for client in clients)
+        back = good + sum(client.counts.waited_shed + client.counts.early_shed for client in clients)
         found[name] = good / back if back else None
         print(
             f"came back {name}: {good} of {back} answered; answers in all "
-            f"{sum(client.answered for client in clients)}, told {sum(client.told for client in clients)}",
+            f"{sum(client.counts.answered for client in clients)}, "
+            f"told {sum(client.counts.retry_after_received for client in clients)}",
             flush=True,
         )
     return found
@@ -163,20 +171,22 @@
 
 def refusals(seconds):
     """CPU of one refusal over that of one served command."""
-    with Running(operator=DOOR, tenants=(("one", 1.0),)) as running:
-        clients = [crowd.Client(running.address, "one", f"client-{i}", rate=10.0) for i in range(10)]
+    with RunningDeployment(operator=ADMISSION_RULES, tenants=(("one", 1.0),)) as running:
+        clients = [
+            load_client.LoadClient(running.address, "one", f"client-{i}", rate=10.0) for i in range(10)
+        ]
         used, _, counts = during(running, clients, seconds)
         served = used / sum(answered for answered, _ in counts)
-    with Running(operator=DOOR, tenants=(("one", 1.0),)) as running:
+    with RunningDeployment(operator=ADMISSION_RULES, tenants=(("one", 1.0),)) as running:
         clients = [
-            crowd.Apart(
+            load_client.LoadClientProcess(
                 running.address,
                 "one",
                 "crowding",
                 open=640,
                 connections=20,
-                manner=crowd.AT_ONCE,
-                tries=10**9,
+                retry_rule=load_client.RetryRule.IMMEDIATELY,
+                max_attempts=10**9,
             )
         ]
         used, _, counts = during(running, clients, seconds)
@@ -196,7 +206,7 @@
     for _ in range(connections):
         sock = socket.create_connection(address, timeout=8)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        socks.append([sock, thrift.Decoder(crowd.MAX_FRAME_BYTES), 0, 0])
+        socks.append([sock, thrift.Decoder(load_client.MAX_FRAME_BYTES), 0, 0])
     sent, answered, at = 0, 0, 0
     while answered < count:
         for row in socks:
@@ -229,13 +239,13 @@
         b"team": name,
         b"client": name,
     }
-    return crowd.frame(seq, fields, statement(1))
+    return load_client.frame(seq, fields, statement(1))
 
 
 def tenants(many):
     """Memory and CPU of the whole path as open tenants grow: growth in MB, again, CPU ratio."""
-    with Running(
-        operator=DOOR + OPEN, tenants=(("known", 0.5), ("others", 0.5)), slots=64, cores=32
+    with RunningDeployment(
+        operator=ADMISSION_RULES + OPEN, tenants=(("known", 0.5), ("others", 0.5)), slots=64, cores=32
     ) as running:
 
         def step(first, count):
@@ -266,7 +276,7 @@
 def two(running):
     """CPU us of a command where two tenants send all of them."""
     cpu, count = running.cpu_s(), 1000
-    draw, machine = random.Random(5), thrift.Decoder(crowd.MAX_FRAME_BYTES)
+    draw, machine = random.Random(5), thrift.Decoder(load_client.MAX_FRAME_BYTES)
     with socket.create_connection(running.address, timeout=8) as sock:
         seq = out = 0
         while seq < count or out:
@@ -350,7 +360,7 @@
     args.add_argument("--quick", action="store_true", help="under a minute: shorter, fewer tenants")
     quick = args.parse_args(argv).quick
     with earlier(EARLIER) as old:
-        ways = [("door", DOOR, ROOT), ("no door", "", ROOT)]
+        ways = [("door", ADMISSION_RULES, ROOT), ("no door", "", ROOT)]
         if old is not None and not quick:
             ways.append(("earlier", "", old))
         begun = time.monotonic()
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -28,7 +28,7 @@
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.many_engines import ManyEngines
-from gullhold.testing.running import answers, cpu_s, free_address
+from gullhold.testing.running import cpu_s, free_address, serving_status
 
 SIZES = (80, 3200)
 CORES = 1280.0  # of all engines together: the same at every size
@@ -152,7 +152,7 @@
         )
     try:
         end = time.monotonic() + PATIENCE_S
-        while not answers((host, int(port))):
+        while not serving_status((host, int(port))):
             if time.monotonic() > end:
                 raise RuntimeError(f"the gateway did not come up: {(folder / 'log').read_text()}")
             time.sleep(0.05)
--- a/benchmarks/owner_runs.py
+++ b/benchmarks/owner_runs.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from benchmarks import p95
-from gullhold.testing import crowd
+from gullhold.testing import load_client
 from gullhold.testing.fleet import Rig
 from gullhold.testing.fleet_checker import Check, marks, sent
 from gullhold.testing.running import cpu_s, resident_mb
@@ -237,14 +237,14 @@
     with Rig(members=3, beats=6) as rig:
         rig.start()
         clients = [
-            crowd.Client(
+            load_client.LoadClient(
                 member.address,
                 "",
                 f"c{number}",
                 work_ms=20.0,
                 limit_ms=500,
                 rate=40.0,
-                manner=crowd.NOT_AT_ALL,
+                retry_rule=load_client.RetryRule.NEVER,
                 seed=number,
             ).start()
             for number, member in enumerate(rig.members.values())
@@ -262,10 +262,10 @@
     return ServiceShares(round(share_dead / share_alive, 4), [round(share_alive, 4), round(share_dead, 4)])
 
 
-def _answered_share(clients: list[crowd.Client], seconds: float) -> float:
+def _answered_share(clients: list[load_client.LoadClient], seconds: float) -> float:
     """The share of commands that are answered in target over so long."""
     for client in clients:
-        client.zero()
+        client.reset_counts()
     time.sleep(seconds)
-    answered = sum(client.answered for client in clients)
-    return answered / max(1, sum(client.asked for client in clients))
+    answered = sum(client.counts.answered for client in clients)
+    return answered / max(1, sum(client.counts.sent for client in clients))
--- a/gullhold/demo.py
+++ b/gullhold/demo.py
@@ -10,8 +10,8 @@
 from rich.live import Live
 from rich.table import Table
 
-from gullhold.testing import crowd
-from gullhold.testing.running import DOOR, Running
+from gullhold.testing.load_client import LoadClient
+from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
 
 CROWDED_TENANT = "nightly"
 TENANTS = (("north", 1 / 3), ("south", 1 / 3), (CROWDED_TENANT, 1 / 3))
@@ -27,16 +27,16 @@
 TEXT_COLUMNS = ("tenant", "client")
 
 
-def make_clients(address: tuple[str, int], seed: int) -> list[crowd.Client]:
+def make_clients(address: tuple[str, int], seed: int) -> list[LoadClient]:
     """Make four desks with a few open commands, and two jobs in one tenant of which one crowds the other."""
     desks = [
-        crowd.Client(address, tenant, name, open=DESK_OPEN_COMMANDS, work_ms=WORK_MS, seed=seed)
+        LoadClient(address, tenant, name, open=DESK_OPEN_COMMANDS, work_ms=WORK_MS, seed=seed)
         for tenant, name in DESKS
     ]
-    small_job = crowd.Client(
+    small_job = LoadClient(
         address, CROWDED_TENANT, "small-job", open=SMALL_JOB_OPEN_COMMANDS, work_ms=WORK_MS, seed=seed
     )
-    big_job = crowd.Client(
+    big_job = LoadClient(
         address,
         CROWDED_TENANT,
         "big-job",
@@ -48,21 +48,21 @@
     return [*desks, small_job, big_job]
 
 
-def count_in_target(client: crowd.Client) -> int:
+def count_in_target(client: LoadClient) -> int:
     """Count the answers within the latency objective."""
-    return sum(latency <= TARGET_S for latency in client.latencies)
+    return sum(latency <= TARGET_S for latency in client.counts.latencies_s)
 
 
-def format_p95_ms(client: crowd.Client) -> str:
+def format_p95_ms(client: LoadClient) -> str:
     """Return the 95th percentile of the latencies in ms; "-" where there is none."""
-    latencies = sorted(client.latencies)
+    latencies = sorted(client.counts.latencies_s)
     if not latencies:
         return "-"
     index = int(0.95 * (len(latencies) - 1))
     return f"{latencies[index] * 1000:.0f}"
 
 
-def result_table(title: str, clients: Iterable[crowd.Client]) -> Table:
+def result_table(title: str, clients: Iterable[LoadClient]) -> Table:
     """Return a table with a row for each client."""
     table = Table(title=title)
     for name in COLUMNS:
@@ -71,19 +71,19 @@
         table.add_row(
             client.tenant,
             client.name,
-            str(client.asked),
+            str(client.counts.sent),
             str(count_in_target(client)),
             format_p95_ms(client),
-            str(client.shed),
-            str(client.came_back),
-            str(client.back_answered),
+            str(client.counts.shed),
+            str(client.counts.waited_retries),
+            str(client.counts.waited_answered),
         )
     return table
 
 
-def run_once(title: str, operator: str, duration_s: float, seed: int, console: Console) -> list[crowd.Client]:
+def run_once(title: str, operator: str, duration_s: float, seed: int, console: Console) -> list[LoadClient]:
     """Run the gateway under the text of an operator file; return the clients with their counts."""
-    with Running(tenants=TENANTS, operator=operator, target_s=TARGET_S, seed=seed) as running:
+    with RunningDeployment(tenants=TENANTS, operator=operator, target_s=TARGET_S, seed=seed) as running:
         clients = [client.start() for client in make_clients(running.address, seed)]
         show_progress(title, clients, duration_s, console)
         for client in clients:
@@ -94,12 +94,12 @@
     return clients
 
 
-def show_progress(title: str, clients: list[crowd.Client], duration_s: float, console: Console) -> None:
+def show_progress(title: str, clients: list[LoadClient], duration_s: float, console: Console) -> None:
     """Show the clients' counts until the time is over."""
     end_s = time.monotonic() + duration_s
     with Live(console=console, refresh_per_second=1 / REFRESH_INTERVAL_S, transient=True) as live:
         while (left_s := end_s - time.monotonic()) > 0:
-            counts = [f"{client.name} {client.answered}/{client.asked}" for client in clients]
+            counts = [f"{client.name} {client.counts.answered}/{client.counts.sent}" for client in clients]
             live.update("   ".join([f"{title}, {left_s:4.1f} s left:", *counts]))
             time.sleep(min(REFRESH_INTERVAL_S, left_s))
 
@@ -113,8 +113,8 @@
     status = 0
     for has_admission in admission_choices:
         title = "with the door" if has_admission else "without a door"
-        operator = DOOR if has_admission else ""
+        operator = ADMISSION_RULES if has_admission else ""
         clients = run_once(title, operator, duration_s, seed, console)
-        if not all(client.answered for client in clients):
+        if not all(client.counts.answered for client in clients):
             status = 1
     return status
--- a/gullhold/testing/budget_checker.py
+++ b/gullhold/testing/budget_checker.py
@@ -7,16 +7,19 @@
 import json
 from collections import defaultdict
 from collections.abc import Iterable, Mapping, Sequence
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Protocol
+
+from gullhold.testing.attempt_record import AttemptRecord
 
 ALLOCATIONS = "budget/parts/"
 REPORTS = "budget/asks/"
-END_COLUMN = 1  # of a flight: (began, ended or None, threads, transaction, work)
-THREADS_COLUMN = 2
-TRANSACTION_COLUMN = 3
 FLEET_KEY_PARTS = 3  # "/", the program's name and the fleet's, before a key of the fleet
 
-Flight = Sequence[Any]  # a call as a counting engine notes it
+
+class CountingEngine(Protocol):
+    """An engine that records each attempt."""
+
+    attempts: Sequence[AttemptRecord]
 
 
 class Peak(NamedTuple):
@@ -48,20 +51,16 @@
     usage: Mapping[str, Sequence[int]]
 
 
-def most_at_once(flights: Iterable[Flight], column: int = THREADS_COLUMN, now: float | None = None) -> Peak:
-    """Return the peak of what was in an engine at one instant.
+def most_at_once(attempts: Iterable[AttemptRecord]) -> Peak:
+    """Return the peak of the threads that ran in an engine at one instant.
 
-    column: the one that is summed. now: when flights that have not ended are taken to end. What came and
-    went at one instant is taken to have gone first.
+    An attempt that ends at the instant at which another starts is taken to have ended first.
     """
     steps = []
-    for flight in flights:
-        began = flight[0]
-        ended = flight[END_COLUMN]
-        if ended is None:
-            ended = now or float("inf")
-        steps.append((began, 1, flight[column]))
-        steps.append((ended, 0, -flight[column]))
+    for attempt in attempts:
+        ended_at = float("inf") if attempt.ended_at is None else attempt.ended_at
+        steps.append((attempt.started_at, 1, attempt.threads))
+        steps.append((ended_at, 0, -attempt.threads))
     total = 0
     peak = Peak(0, 0.0)
     for at, _, step in sorted(steps):
@@ -75,7 +74,7 @@
     """Return the peak of what fell into any window, and when that ended; rows: (time, amount)."""
     rows = sorted(rows)
     first = 0
-    total = 0
+    total: float = 0
     peak = Peak(0, 0.0)
     for at, amount in rows:
         total += amount
@@ -87,27 +86,27 @@
     return peak
 
 
-def _sends(engines: Iterable[Any]) -> list[tuple[float, str]]:
-    """Return (time, transaction) of all attempts over all engines, in order."""
-    return sorted((flight[0], flight[TRANSACTION_COLUMN]) for engine in engines for flight in engine.flights)
+def _starts(engines: Iterable[CountingEngine]) -> list[tuple[float, bytes]]:
+    """Return (start, number of the command) of all attempts over all engines, in order."""
+    return sorted((attempt.started_at, attempt.txn) for engine in engines for attempt in engine.attempts)
 
 
-def retries(engines: Iterable[Any]) -> list[TimedAmount]:
+def retries(engines: Iterable[CountingEngine]) -> list[TimedAmount]:
     """Return all attempts of a command but its first, over all engines."""
-    seen = set()
+    seen: set[bytes] = set()
     found = []
-    for at, transaction in _sends(engines):
-        if transaction in seen:
+    for at, txn in _starts(engines):
+        if txn in seen:
             found.append(TimedAmount(at, 1))
-        seen.add(transaction)
+        seen.add(txn)
     return found
 
 
-def first_attempts(engines: Iterable[Any]) -> list[TimedAmount]:
+def first_attempts(engines: Iterable[CountingEngine]) -> list[TimedAmount]:
     """Return the first attempt of each command."""
-    first: dict[str, float] = {}
-    for at, transaction in _sends(engines):
-        first.setdefault(transaction, at)
+    first: dict[bytes, float] = {}
+    for at, txn in _starts(engines):
+        first.setdefault(txn, at)
     return [TimedAmount(at, 1) for at in first.values()]
 
 
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -4,10 +4,10 @@
 the store's journal, the engines' records and the gateways' events by gullhold.testing.fleet_checker.
 """
 
-import socket
 import tempfile
 import time
 from collections.abc import Callable, Iterable
+from functools import partial
 from pathlib import Path
 from typing import Any, NamedTuple, Self
 
@@ -17,9 +17,9 @@
 from gullhold.testing.deployment import config
 from gullhold.testing.fleet_checker import Check
 from gullhold.testing.fleet_process import Member, StoreProcess
+from gullhold.testing.recording_engine import RecordingEngine
 from gullhold.testing.relay import Direction, RelayMode
-from gullhold.testing.running import answers
-from gullhold.testing.working import WorkingEngine
+from gullhold.testing.running import serving_status
 
 KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}  # profiles of the deployment
 SEEDS_PER_RIG = 1000  # the starts of one rig have seeds of their own
@@ -44,15 +44,6 @@
 Facts = dict[str, Any]
 
 
-class ReceivedCommand(NamedTuple):
-    """A command that an engine was sent. at: Unix s; idempotency_key empty: it has none."""
-
-    at: float
-    idempotency_key: str
-    profile: str
-    statement: str
-
-
 class FleetEvent(NamedTuple):
     """An event that a gateway logged of the fleet. at: Unix s."""
 
@@ -62,25 +53,6 @@
     facts: Facts
 
 
-class KeepingEngine(WorkingEngine):
-    """Keeps what it was sent."""
-
-    def __init__(self, **other: Any) -> None:
-        """other: of the working engine."""
-        self.received: list[ReceivedCommand] = []
-        self.on_fetch: Callable[[dict[bytes, bytes], bytes], Any] = lambda *_: None
-        super().__init__(**other)
-
-    def _word(self, conn: socket.socket, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            facts = dict(pair.partition(b"=")[::2] for pair in words[2].split(b","))
-            key = facts.get(b"i", b"").decode()
-            command = ReceivedCommand(time.time(), key, facts[b"c"].decode(), words[3].decode())
-            self.received.append(command)
-            self.on_fetch(facts, words[3])
-        super()._word(conn, words)
-
-
 def _operator_list(items: Iterable[dict[str, Any]]) -> str:
     """Records of an operator's file."""
     rows = [", ".join(f"{key}: {value}" for key, value in item.items()) for item in items]
@@ -110,7 +82,7 @@
         look: str = "50ms",
         coordinator: str | None = None,
         adjust: Callable[[dict[str, Any]], Any] = lambda _: None,
-        make: Callable[[int], KeepingEngine] = lambda seed: KeepingEngine(slots=32, seed=seed),
+        make: Callable[[int], RecordingEngine] = lambda seed: RecordingEngine(slots=32, seed=seed),
     ) -> None:
         """Prepare it; nothing runs yet.
 
@@ -207,7 +179,7 @@
             member.start(self._configuration(member, name_ or member.name), operator_text, hooks)
         if wait:
             for member in started:
-                self.until(lambda member=member: answers(member.address) is not None or member.has_ended())
+                self.until(partial(_has_started_or_ended, member))
 
     def _operator_text(self, member: Member) -> str:
         return OPERATOR_FILE.format(
@@ -319,6 +291,10 @@
         return "\n".join(f"{at - self.began:8.3f} {text[:STORY_LINE_LENGTH]}" for at, text in last)
 
 
+def _has_started_or_ended(member: Member) -> bool:
+    return serving_status(member.address) is not None or member.has_ended()
+
+
 def _event_story(event: FleetEvent) -> str:
     facts = [f"{key}={event.facts[key]}" for key in EVENT_FACTS if event.facts.get(key)]
     return " ".join([event.member, event.text, *facts])
--- /dev/null
+++ b/gullhold/testing/load_client.py
@@ -0,0 +1,420 @@
+"""Clients under load: each keeps commands open over its connections, and counts what became of them."""
+
+import multiprocessing
+import socket
+import time
+from collections import deque
+from dataclasses import dataclass, field, replace
+from enum import Enum, StrEnum, auto
+from heapq import heappop, heappush
+from multiprocessing.connection import Connection
+from random import Random
+from threading import Lock, Thread
+from typing import Any, NamedTuple, Self
+
+from gullhold.net import thrift
+from gullhold.net.connection_ends import ProtocolError
+from gullhold.testing import PATIENCE_S
+from gullhold.testing.client import execute_arguments
+from gullhold.testing.working_engine import statement
+
+MAX_OPEN_REQUESTS = 32  # open on one connection, from the protocol
+MAX_FRAME_BYTES = 100_000  # bytes of an answer
+READ_TIMEOUT_S = 0.01  # s for which a connection waits for an answer before it looks what it may send
+GRACE_S = 0.5  # s after the commands' timeout for which open ones are read once the client is stopped
+SHED_DELAY_S = 0.02  # s that a client waits between a command that it gives up and the next one
+FIRST_DELAY_S = 0.05  # s until the first command of a rate, at most
+RETRY_JITTER = 0.1  # fraction of Retry-After that is added to it at random, at most
+TABLE_GROUPS = 5  # groups of tables that the statements read in turn
+
+
+class RetryRule(Enum):
+    """What a client does with a command that is shed."""
+
+    AFTER_WAIT = auto()  # retry after the time that the answer states, give up without one
+    IMMEDIATELY = auto()
+    NEVER = auto()
+
+
+class Attempt(NamedTuple):
+    """An attempt of a command. first_sent_at, sent_at: of the command and of this attempt, monotonic s.
+
+    number: from 1; has_waited: whether it is a retry after the time that an answer stated.
+    """
+
+    first_sent_at: float
+    sent_at: float
+    number: int
+    has_waited: bool
+
+
+class ScheduledAttempt(NamedTuple):
+    """An attempt to be sent at a time in monotonic s; serial: orders those of one time."""
+
+    at: float
+    serial: int
+    attempt: Attempt
+
+
+@dataclass
+class LoadCounts:
+    """What became of a client's commands since its counts were reset.
+
+    sent: first attempts; attempts: all; answered, shed, failed: answers by their kind; unanswered: attempts
+    open at their connection's end; retry_after_received: shed answers that state a time; waited_*: retries
+    after that time; early_*: retries before it; duplicate_answers: answers to what is not open; latencies_s:
+    of good answers, from their attempt.
+    """
+
+    sent: int = 0
+    attempts: int = 0
+    answered: int = 0
+    shed: int = 0
+    failed: int = 0
+    unanswered: int = 0
+    retry_after_received: int = 0
+    waited_retries: int = 0
+    waited_answered: int = 0
+    waited_shed: int = 0
+    early_retries: int = 0
+    early_answered: int = 0
+    early_shed: int = 0
+    duplicate_answers: int = 0
+    latencies_s: list[float] = field(default_factory=list)
+
+    def add_sent(self, attempt: Attempt) -> None:
+        """Count an attempt that is sent."""
+        self.attempts += 1
+        if attempt.number == 1:
+            self.sent += 1
+        elif attempt.has_waited:
+            self.waited_retries += 1
+        else:
+            self.early_retries += 1
+
+    def add_answered(self, attempt: Attempt, now: float) -> None:
+        """Count a good answer. now: monotonic s."""
+        self.answered += 1
+        self.latencies_s.append(now - attempt.sent_at)
+        if attempt.number > 1:
+            self.waited_answered += attempt.has_waited
+            self.early_answered += not attempt.has_waited
+
+    def add_shed(self, attempt: Attempt, has_retry_after: bool) -> None:
+        """Count an answer that shed a command."""
+        self.shed += 1
+        if attempt.number > 1:
+            self.waited_shed += attempt.has_waited
+            self.early_shed += not attempt.has_waited
+        self.retry_after_received += has_retry_after
+
+
+def frame(seq: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
+    """Encode one execute call."""
+    return thrift.encode_message(
+        thrift.CALL, "execute", seq, execute_arguments(fields, body) + thrift.END_OF_STRUCT
+    )
+
+
+class LoadClient:
+    """One client of a tenant, on a thread for each connection, until stop() or disconnect().
+
+    `lock` guards the counts and the serial number of commands.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        tenant: str,
+        name: str,
+        open: int = 4,
+        connections: int = 1,
+        work_ms: float = 50.0,
+        estimate_factor: float = 1.0,
+        retry_rule: RetryRule = RetryRule.AFTER_WAIT,
+        max_attempts: int = 3,
+        limit_ms: int = 4000,
+        verb: str = "read",
+        name_field: bytes = b"client",
+        rate: float = 0.0,
+        seed: int = 1,
+        retry_after_field: bytes = b"retry_ms",
+    ) -> None:
+        """Prepare it; nothing runs yet.
+
+        tenant: empty for none; open: commands at once in all, unless there is a rate; work_ms: that a command
+        takes; estimate_factor: of its estimate to its work; limit_ms: its timeout; verb: its profile; rate:
+        commands a second in all, 0 for a fixed number open; name_field, retry_after_field: names of the
+        fields that hold the client's name and, in ms, Retry-After.
+        """
+        self.address = address
+        self.tenant = tenant
+        self.name = name
+        self.open = open
+        self.work_ms = work_ms
+        self.estimate_factor = estimate_factor
+        self.retry_rule = retry_rule
+        self.max_attempts = max_attempts
+        self.limit_ms = limit_ms
+        self.verb = verb
+        self.name_field = name_field
+        self.rate = rate
+        self.retry_after_field = retry_after_field
+        self.draw = Random(f"{seed} {tenant} {name}")
+        self.lock = Lock()
+        self.is_stopped = False
+        self.is_disconnected = False
+        self.serial = 0
+        self.counts = LoadCounts()
+        self.threads = [
+            Thread(target=self._run, args=(index, connections), daemon=True) for index in range(connections)
+        ]
+
+    def start(self) -> Self:
+        """Send commands until stop()."""
+        for thread in self.threads:
+            thread.start()
+        return self
+
+    def stop(self) -> None:
+        """Send nothing more; answers to what is open are still read, for a while."""
+        self.is_stopped = True
+
+    def disconnect(self) -> None:
+        """Close all connections now, whatever is open."""
+        self.is_stopped = True
+        self.is_disconnected = True
+
+    def join(self) -> None:
+        """Wait until all connections have ended."""
+        for thread in self.threads:
+            thread.join(PATIENCE_S)
+
+    def reset_counts(self) -> None:
+        """Set all counts to zero: a measurement begins."""
+        with self.lock:
+            self.counts = LoadCounts()
+
+    def copy_counts(self) -> LoadCounts:
+        """Return a copy of the counts of now."""
+        with self.lock:
+            return replace(self.counts, latencies_s=list(self.counts.latencies_s))
+
+    def encode_call(self, seq: int, attempt: Attempt) -> bytes:
+        """Count an attempt that is about to be sent; return the bytes of its call."""
+        with self.lock:
+            self.serial += 1
+            self.counts.add_sent(attempt)
+        txn = b"%016x" % self.draw.getrandbits(64)
+        fields = {
+            b"verb": self.verb.encode(),
+            b"txn": txn,
+            b"limit": b"%d" % self.limit_ms,
+            b"cpu": b"%g" % (self.work_ms * self.estimate_factor),
+            b"memory": b"50",
+            self.name_field: self.name.encode(),
+        }
+        if self.tenant:
+            fields[b"team"] = self.tenant.encode()
+        if attempt.number > 1:
+            fields[b"second"] = b"1"
+        return frame(seq, fields, statement(self.work_ms, 1 + self.serial % TABLE_GROUPS))
+
+    def _run(self, index: int, connections: int) -> None:
+        """Thread: serve one connection."""
+        _LoadConnection(self, index, connections).run()
+
+
+class _LoadConnection:
+    """One connection of a client, used by one thread.
+
+    open: attempts by their sequence number; scheduled: those to be sent later, a heap; ready: those to be
+    sent as soon as there are few enough open.
+    """
+
+    def __init__(self, client: LoadClient, index: int, connections: int) -> None:
+        """Connection number index of so many."""
+        self.client = client
+        self.max_open = client.open // connections + (index < client.open % connections)
+        self.rate = client.rate / connections
+        self.next_at = time.monotonic() + client.draw.random() * FIRST_DELAY_S
+        self.decoder = thrift.Decoder(MAX_FRAME_BYTES)
+        self.sequence_number = 0
+        self.answers = 0
+        self.open: dict[int, Attempt] = {}
+        self.scheduled: list[ScheduledAttempt] = []
+        self.ready: deque[Attempt] = deque()
+
+    def run(self) -> None:
+        """Connect, and send and read until the client is stopped or the connection ends."""
+        try:
+            with socket.create_connection(self.client.address, timeout=PATIENCE_S) as sock:
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                sock.settimeout(READ_TIMEOUT_S)
+                self._serve(sock)
+        except (OSError, ProtocolError):
+            pass
+        with self.client.lock:
+            self.client.counts.unanswered += len(self.open)
+
+    def _serve(self, sock: socket.socket) -> None:
+        end = 0.0
+        while self._goes_on(end):
+            now = time.monotonic()
+            if not self.client.is_stopped or not end:
+                end = now + self.client.limit_ms / 1000 + GRACE_S
+            self._schedule(now)
+            calls = self._take_calls(now)
+            if calls:
+                sock.sendall(b"".join(calls))
+            try:
+                if not self.decoder.buffer.receive(sock):
+                    break
+            except (TimeoutError, BlockingIOError):
+                continue
+            for answer in self.decoder.frames():
+                self.answers += 1
+                self._take_answer(answer)
+
+    def _goes_on(self, end: float) -> bool:
+        if not self.client.is_stopped:
+            return True
+        return bool(self.open) and not self.client.is_disconnected and time.monotonic() < end
+
+    def _schedule(self, now: float) -> None:
+        """Make ready what is due: new commands at the rate or up to the number open, and retries."""
+        client = self.client
+        while not client.is_stopped and self.rate and self.next_at <= now:
+            self.next_at += client.draw.expovariate(self.rate)
+            self.ready.append(_first_attempt(now))
+        while self.scheduled and self.scheduled[0].at <= now:
+            self.ready.append(heappop(self.scheduled).attempt)
+        while not client.is_stopped and not self.rate and self._command_count() < self.max_open:
+            self.ready.append(_first_attempt(now))
+
+    def _command_count(self) -> int:
+        return len(self.open) + len(self.scheduled) + len(self.ready)
+
+    def _take_calls(self, now: float) -> list[bytes]:
+        """Return the calls to be sent now."""
+        calls = []
+        while self.ready and len(self.open) < MAX_OPEN_REQUESTS and not self.client.is_stopped:
+            self.sequence_number += 1
+            attempt = self.ready.popleft()._replace(sent_at=now)
+            self.open[self.sequence_number] = attempt
+            calls.append(self.client.encode_call(self.sequence_number, attempt))
+        return calls
+
+    def _take_answer(self, answer: bytes) -> None:
+        """Count an answer, and schedule what follows from it."""
+        message = thrift.decode_message(answer, thrift.REPLY, thrift.EXCEPTION)
+        now = time.monotonic()
+        attempt = self.open.pop(message.seq, None)
+        shed_fields = _shed_fields(message)
+        retry_after = None if shed_fields is None else shed_fields.get(self.client.retry_after_field)
+        with self.client.lock:
+            counts = self.client.counts
+            if attempt is None:
+                counts.duplicate_answers += 1
+                return
+            if (thrift.RESULT_SUCCESS, thrift.STRUCT) in message.args:
+                counts.add_answered(attempt, now)
+                return
+            if shed_fields is None:
+                counts.failed += 1
+                return
+            counts.add_shed(attempt, retry_after is not None)
+        self._schedule_after_shed(attempt, retry_after, now)
+
+    def _schedule_after_shed(self, attempt: Attempt, retry_after: bytes | None, now: float) -> None:
+        """Schedule the retry of a command that was shed, or a new command in its place."""
+        if not self._is_retried(attempt, retry_after):
+            if not self.rate:
+                self._schedule_at(now + SHED_DELAY_S, _first_attempt(now))
+            return
+        delay_s = 0.0
+        waits = self.client.retry_rule == RetryRule.AFTER_WAIT
+        if waits and retry_after is not None:
+            delay_s = float(retry_after) / 1000 * (1 + RETRY_JITTER * self.client.draw.random())
+        self._schedule_at(now + delay_s, attempt._replace(number=attempt.number + 1, has_waited=waits))
+
+    def _is_retried(self, attempt: Attempt, retry_after: bytes | None) -> bool:
+        rule = self.client.retry_rule
+        if rule == RetryRule.NEVER or attempt.number >= self.client.max_attempts:
+            return False
+        return rule == RetryRule.IMMEDIATELY or retry_after is not None
+
+    def _schedule_at(self, at: float, attempt: Attempt) -> None:
+        heappush(self.scheduled, ScheduledAttempt(at, self.answers, attempt))
+
+
+def _first_attempt(now: float) -> Attempt:
+    return Attempt(now, now, 1, False)
+
+
+def _shed_fields(message: thrift.Message) -> dict[bytes, bytes] | None:
+    """Return the fields of an answer that sheds its command; None: it is another answer."""
+    shed = message.args.get((thrift.RESULT_SHED, thrift.STRUCT)) if message.kind == thrift.REPLY else None
+    return None if shed is None else shed.get((thrift.THROWN_FIELDS, thrift.MAP), {})
+
+
+class ClientOrder(StrEnum):
+    """What the process of a client is told to do: the client's method of this name."""
+
+    START = "start"
+    RESET_COUNTS = "reset_counts"
+    STOP = "stop"
+    DISCONNECT = "disconnect"
+    JOIN = "join"
+
+
+class LoadClientProcess:
+    """A client in a process of its own, so that its work slows nobody else's clock; used like a LoadClient.
+
+    counts: as of the last call.
+    """
+
+    def __init__(self, *arguments: Any, **options: Any) -> None:
+        """Prepare the process; arguments, options: of the LoadClient."""
+        context = multiprocessing.get_context("spawn")
+        self.pipe, child_pipe = context.Pipe()
+        self.process = context.Process(target=_run_client, args=(child_pipe, arguments, options), daemon=True)
+        self.counts = LoadCounts()
+
+    def _give_order(self, order: ClientOrder) -> None:
+        """Wait until the process has carried an order out."""
+        self.pipe.send(order)
+        self.counts = self.pipe.recv()
+
+    def start(self) -> Self:
+        """Send commands until stop(); return once it has begun."""
+        self.process.start()
+        self._give_order(ClientOrder.START)
+        return self
+
+    def reset_counts(self) -> None:
+        """Set all counts to zero."""
+        self._give_order(ClientOrder.RESET_COUNTS)
+
+    def stop(self) -> None:
+        """Send nothing more."""
+        self._give_order(ClientOrder.STOP)
+
+    def disconnect(self) -> None:
+        """Close all connections now."""
+        self._give_order(ClientOrder.DISCONNECT)
+
+    def join(self) -> None:
+        """Wait until all connections have ended; the counts are final."""
+        self._give_order(ClientOrder.JOIN)
+        self.process.join(PATIENCE_S)
+
+
+def _run_client(pipe: Connection, arguments: tuple[Any, ...], options: dict[str, Any]) -> None:
+    """The process of a client: carry out orders until it has joined."""
+    client = LoadClient(*arguments, **options)
+    order = None
+    while order != ClientOrder.JOIN:
+        order = pipe.recv()
+        getattr(client, order.value)()
+        pipe.send(client.copy_counts())
--- a/gullhold/testing/policycheck.py
+++ b/gullhold/testing/policycheck.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, NamedTuple, Protocol
 
-ENGINE_AT = 0  # place of a flight's time in an engine's record of it, s
-ENGINE_GRANT_MB = 5  # place of the memory granted to it
+from gullhold.testing.attempt_record import AttemptRecord
+
 CHANGE_KEY = "policy/now/change"
 VOTES = "policy/words/"
 SUFFICIENT_WORDS = {"strict": ("still",), "loose": ("ready", "trial", "still")}  # by overlap
@@ -21,7 +21,7 @@
 class Engine(Protocol):
     """An engine that keeps a record of each attempt that it was sent."""
 
-    flights: Sequence[Sequence[Any]]
+    attempts: Sequence[AttemptRecord]
 
 
 class Dispatched(NamedTuple):
@@ -43,11 +43,11 @@
 
     grants: MB that each policy grants, in the order in which they came into force, from place 1 on.
     """
-    places = {mb: place for place, mb in enumerate(grants, 1)}
+    places = {float(mb): place for place, mb in enumerate(grants, 1)}
     attempts = [
-        Dispatched(flight[ENGINE_AT], places.get(flight[ENGINE_GRANT_MB], 0))
+        Dispatched(attempt.started_at, places.get(attempt.memory_mb, 0))
         for engine in engines
-        for flight in engine.flights
+        for attempt in engine.attempts
     ]
     return sorted(attempts)
 
--- a/gullhold/testing/running.py
+++ b/gullhold/testing/running.py
@@ -1,4 +1,4 @@
-"""A small deployment that runs: working engines here, one gateway as a process of its own, on loopback."""
+"""A small deployment that runs: working engines in this process, one gateway as a process, on loopback."""
 
 import json
 import os
@@ -7,139 +7,180 @@
 import sys
 import tempfile
 import time
+from collections.abc import Iterable
 from pathlib import Path
+from typing import Any, Self
 
 from gullhold.net import health_check
 from gullhold.testing import LOOPBACK, PATIENCE_S
 from gullhold.testing.deployment import config
-from gullhold.testing.working import WorkingEngine
+from gullhold.testing.working_engine import WorkingEngine
 
 ROOT = Path(__file__).resolve().parents[2]
-TICKS = os.sysconf("SC_CLK_TCK")
-DOOR = """
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+HEALTH_CHECK_TIMEOUT_S = 1.0
+POLL_S = 0.05  # between looks whether the gateway serves
+# An operator file with an admission queue. Clients are known by a field, and get Retry-After in a field.
+ADMISSION_RULES = """
 door: {
     on: true
     client: field: "client"
     come_back: field: "retry_ms"
 }
-"""  # the operator file of a trial: clients are told by a field, and are told when to come back
+"""
 
 
-def free_address():
-    """An address that nobody listens on at this moment."""
+def free_address() -> str:
+    """Return a HOST:PORT that nobody listens on at this moment."""
     with socket.socket() as sock:
         sock.bind((LOOPBACK, 0))
         return f"{LOOPBACK}:{sock.getsockname()[1]}"
 
 
-def agreed(tree, tenants=(), cores=2, timeout_s=4.0, target_s=0.5):
-    """A settings tree with these tenants (name, share), cores an engine, and times of all profiles."""
-    tree["tenants"] = [{"name": name, "fraction": share} for name, share in tenants]
-    tree["domain"]["cores_by_kind"] = [cores]
-    for item in tree["categories"]:
-        item["give_up"], item["aim"] = timeout_s, target_s
-    return tree
+def adjust_settings(
+    settings: dict[str, Any],
+    tenants: Iterable[tuple[str, float]] = (),
+    cores: int = 2,
+    timeout_s: float = 4.0,
+    target_s: float = 0.5,
+) -> dict[str, Any]:
+    """Change settings in place and return them.
+
+    tenants: (name, share); cores: of an engine; timeout_s, target_s: client timeout and latency objective of
+    all profiles.
+    """
+    settings["tenants"] = [{"name": name, "fraction": share} for name, share in tenants]
+    settings["domain"]["cores_by_kind"] = [cores]
+    for profile in settings["categories"]:
+        profile["give_up"] = timeout_s
+        profile["aim"] = target_s
+    return settings
 
 
-def cpu_s(pid):
-    """CPU seconds that a process has used."""
+def cpu_s(pid: int) -> float:
+    """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def resident_mb(pid):
-    """Memory of a process now."""
+def resident_mb(pid: int) -> float:
+    """Return the resident memory of a process in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-def answers(address):
-    """Whether a gateway says that it serves; None: nobody there, or one that takes connections and does not
-    answer yet: on a busy machine it may take its time, and who waits for it has a limit of its own."""
+def serving_status(address: tuple[str, int]) -> bool | None:
+    """Return whether a gateway says that it serves; None: nobody answers there yet.
+
+    A gateway that accepts connections may take its time to answer on a busy machine; callers have a limit of
+    their own.
+    """
     try:
-        return health_check.is_serving(address, 1.0)
+        return health_check.is_serving(address, HEALTH_CHECK_TIMEOUT_S)
     except TimeoutError:
         return None
 
 
-class Running:
-    """Engines and a gateway, from entering to leaving.
-
-    operator: text of an operator file, "" for none; root: the program's folder, for an earlier version;
-    limits: what the gateway may have.
-    """
+class RunningDeployment:
+    """Engines and a gateway, from entering to leaving. address: (host, port) of the gateway."""
 
     def __init__(
         self,
-        engines=2,
-        slots=4,
-        tenants=(),
-        operator="",
-        root=ROOT,
-        cores=2,
-        timeout_s=4.0,
-        target_s=0.5,
-        spread=0.1,
-        seed=1,
-        memory_mb=192,
-        sockets=1024,
-        max_open=20000,
-    ):
-        self.engines = [WorkingEngine(slots, spread=spread, seed=seed + i) for i in range(engines)]
-        self.folder, self.root, self.process = tempfile.TemporaryDirectory(prefix="gullhold-"), root, None
+        engines: int = 2,
+        slots: int = 4,
+        tenants: Iterable[tuple[str, float]] = (),
+        operator: str = "",
+        root: Path = ROOT,
+        cores: int = 2,
+        timeout_s: float = 4.0,
+        target_s: float = 0.5,
+        spread: float = 0.1,
+        seed: int = 1,
+        memory_mb: int = 192,
+        sockets: int = 1024,
+        max_open: int = 20000,
+    ) -> None:
+        """Start the engines and write the gateway's files; the gateway starts at entering.
+
+        engines, slots, spread, seed: number of engines and what each is made with; tenants, cores, timeout_s,
+        target_s: as for adjust_settings(); operator: text of an operator file, "" for none; root: folder of
+        the program, for an earlier version; memory_mb, sockets: limits of the gateway; max_open: its open
+        commands.
+        """
+        self.engines = [WorkingEngine(slots, spread=spread, seed=seed + number) for number in range(engines)]
+        self.folder = tempfile.TemporaryDirectory(prefix="gullhold-")
+        self.root = root
+        self.process: subprocess.Popen | None = None
         listen = free_address()
         self.address = (LOOPBACK, int(listen.rpartition(":")[2]))
-        told = config(*self.engines, max_open=max_open) | {
+        configuration = config(*self.engines, max_open=max_open) | {
             "listen": listen,
             "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
         }
-        agreed(told["settings"], tenants, cores, timeout_s, target_s)
+        adjust_settings(configuration["settings"], tenants, cores, timeout_s, target_s)
         path = Path(self.folder.name)
-        (path / "config.json").write_text(json.dumps(told))
-        (path / "operator.cue").write_text(operator)
         self.log = path / "log"
-        self.words = ["--config", str(path / "config.json")]
-        self.words += ["--operator", str(path / "operator.cue")] if operator else []
+        self.arguments = _write_files(path, configuration, operator)
 
-    def __enter__(self):
+    def __enter__(self) -> Self:
+        environment = {"MALLOC_ARENA_MAX": "1", "PYTHONPATH": str(self.root), "GULLHOLD_LOG": "INFO"}
         with open(self.log, "wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "gullhold", "serve", *self.words],
+                [sys.executable, "-m", "gullhold", "serve", *self.arguments],
                 cwd=self.root,
                 stderr=log,
-                env=os.environ
-                | {"MALLOC_ARENA_MAX": "1", "PYTHONPATH": str(self.root), "GULLHOLD_LOG": "INFO"},
+                env=os.environ | environment,
             )
         end = time.monotonic() + PATIENCE_S
-        while answers(self.address) is None:
+        while serving_status(self.address) is None:
             if time.monotonic() > end or self.process.poll() is not None:
                 self.__exit__()
-                raise RuntimeError(f"the gateway did not come up: {self.text()}")
-            time.sleep(0.05)
+                raise RuntimeError(f"the gateway did not come up: {self.log_text()}")
+            time.sleep(POLL_S)
         return self
 
-    def __exit__(self, *_):
+    def __exit__(self, *_: object) -> None:
         if self.process and self.process.poll() is None:
-            self.process.terminate()
-            try:
-                self.process.wait(PATIENCE_S)
-            except subprocess.TimeoutExpired:
-                self.process.kill()
-                self.process.wait()
+            self._end_process(self.process)
         for engine in self.engines:
             engine.close()
         self.folder.cleanup()
 
-    def text(self):
-        """What the gateway logged so far."""
+    @staticmethod
+    def _end_process(process: subprocess.Popen) -> None:
+        process.terminate()
+        try:
+            process.wait(PATIENCE_S)
+        except subprocess.TimeoutExpired:
+            process.kill()
+            process.wait()
+
+    def log_text(self) -> str:
+        """Return what the gateway has logged so far."""
         return self.log.read_text("utf-8", "replace")
 
-    def cpu_s(self):
-        """CPU seconds that the gateway has used."""
-        return cpu_s(self.process.pid)
-
-    def resident_mb(self):
-        """Memory of the gateway now."""
-        return resident_mb(self.process.pid)
+    def cpu_s(self) -> float:
+        """Return the CPU seconds that the gateway has used."""
+        return cpu_s(self._pid())
+
+    def resident_mb(self) -> float:
+        """Return the resident memory of the gateway in MB."""
+        return resident_mb(self._pid())
+
+    def _pid(self) -> int:
+        assert self.process is not None
+        return self.process.pid
+
+
+def _write_files(folder: Path, configuration: dict[str, Any], operator: str) -> list[str]:
+    """Write a gateway's files; return the arguments that name them."""
+    configuration_path = folder / "config.json"
+    configuration_path.write_text(json.dumps(configuration))
+    operator_path = folder / "operator.cue"
+    operator_path.write_text(operator)
+    arguments = ["--config", str(configuration_path)]
+    if operator:
+        arguments += ["--operator", str(operator_path)]
+    return arguments
--- a/tests/test_door_service.py
+++ b/tests/test_door_service.py
@@ -9,12 +9,12 @@
 from gullhold.net.engine_ids import EngineIds
 from gullhold.net.list_change import parse_event
 from gullhold.operator import records
-from gullhold.testing import crowd
+from gullhold.testing import load_client
 from gullhold.testing.client import Caller
 from gullhold.testing.deployment import config, event
-from gullhold.testing.running import DOOR, Running, agreed
+from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, adjust_settings
 from gullhold.testing.scripted import Engine, endless
-from gullhold.testing.working import WorkingEngine, statement
+from gullhold.testing.working_engine import WorkingEngine, statement
 
 
 @pytest.fixture
@@ -23,9 +23,9 @@
     made, engines = [], []
 
     def make(*parts, more="", tenants=(), cores=2, **other):
-        rule = records.read(DOOR + more, "test.cue").door
+        rule = records.read(ADMISSION_RULES + more, "test.cue").door
         told = config(*parts, **other)
-        agreed(told["settings"], tenants, cores)
+        adjust_settings(told["settings"], tenants, cores)
         made.append(Gateway(tmp_path, told, door_record=rule))
         engines.extend(parts)
         return made[-1], Caller(made[-1].address)
@@ -80,7 +80,7 @@
     gateway, client = start(engine, cores=1, more="door: patience: 100")
     for _ in range(20):
         client.ask(limit=4000, client=b"one", body=statement(30))
-    until(lambda: engine.done >= 2)
+    until(lambda: engine.completed >= 2)
     core = gateway.core
     core.list_changed(
         *parse_event(event(2, ("s-0", engine.address, "draining")), core.agreement, EngineIds())
@@ -89,7 +89,7 @@
     answers = [client.answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
     assert len(later.messages(b"fetch")) >= 10
-    assert engine.done + len(later.messages(b"fetch")) == 20
+    assert engine.completed + len(later.messages(b"fetch")) == 20
     later.close()
 
 
@@ -105,37 +105,47 @@
 
 
 def test_inside_one_tenant_a_crowding_client_takes_no_more_than_its_share():
-    with Running(operator=DOOR, tenants=(("one", 1.0),), memory_mb=192) as running:
+    with RunningDeployment(operator=ADMISSION_RULES, tenants=(("one", 1.0),), memory_mb=192) as running:
         made = [
-            crowd.Client(running.address, "one", "polite", open=16).start(),
-            crowd.Client(running.address, "one", "crowding", open=160, connections=8).start(),
+            load_client.LoadClient(running.address, "one", "polite", open=16).start(),
+            load_client.LoadClient(running.address, "one", "crowding", open=160, connections=8).start(),
         ]
         time.sleep(1.5)
         for client in made:
-            client.zero()
+            client.reset_counts()
         time.sleep(3)
-        counts = [client.answered for client in made]
+        counts = [client.counts.answered for client in made]
         for client in made:
             client.stop()
         for client in made:
             client.join()
         assert abs(counts[0] / sum(counts) - 0.5) <= 0.1, counts
-        assert made[1].told > 0
-        assert not made[0].lost + made[1].lost
+        assert made[1].counts.retry_after_received > 0
+        assert not made[0].counts.unanswered + made[1].counts.unanswered
 
 
 def test_at_sigterm_ten_thousand_wait_and_clients_go_on_asking_it_ends_in_time():
     """Without an end to what it takes, a gateway had not ended 10 s after SIGTERM."""
     more = "door: {patience: 1000, waiting: 30000}"
-    with Running(operator=DOOR + more, slots=0, timeout_s=8.0, max_open=30000) as running:
+    with RunningDeployment(
+        operator=ADMISSION_RULES + more, slots=0, timeout_s=8.0, max_open=30000
+    ) as running:
         made = [
-            crowd.Client(
-                running.address, "", f"c{i}", open=320, connections=10, limit_ms=8000, manner=crowd.NOT_AT_ALL
+            load_client.LoadClient(
+                running.address,
+                "",
+                f"c{i}",
+                open=320,
+                connections=10,
+                limit_ms=8000,
+                retry_rule=load_client.RetryRule.NEVER,
             ).start()
             for i in range(32)
         ]
         deadline = time.monotonic() + 8
-        while sum(c.tries - c.answered - c.shed - c.failed for c in made) < 9_900:
+        while (
+            sum(c.counts.attempts - c.counts.answered - c.counts.shed - c.counts.failed for c in made) < 9_900
+        ):
             assert time.monotonic() < deadline
             time.sleep(0.05)
         began = time.monotonic()
@@ -149,7 +159,7 @@
         for client in made:
             client.join()
         assert running.process.returncode == 0 and took < 3.7, took
-        assert "overdue" not in running.text()
-        assert "faults of ours" not in running.text()
+        assert "overdue" not in running.log_text()
+        assert "faults of ours" not in running.log_text()
         # Each command that was taken is answered; what crossed the end was never taken.
-        assert sum(client.shed for client in made) > 9_000
+        assert sum(client.counts.shed for client in made) > 9_000
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -10,7 +10,7 @@
 import pytest
 
 from gullhold.fleet.role_assignment import RoleAssignment
-from gullhold.testing import crowd, listening
+from gullhold.testing import listening, load_client
 from gullhold.testing.budget_checker import (
     AllocationHistory,
     first_attempts,
@@ -18,7 +18,7 @@
     most_in_window,
     retries,
 )
-from gullhold.testing.counting import CountingEngine
+from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 
 CLIENT_SEEDS = count(1)  # each client draws its own ids
@@ -48,10 +48,10 @@
         "connections": 2,
         "work_ms": 60.0,
         "limit_ms": 900,
-        "manner": crowd.NOT_AT_ALL,
+        "retry_rule": load_client.RetryRule.NEVER,
         "seed": next(CLIENT_SEEDS),
     } | facts
-    return crowd.Client(fleet.members[name].address, "", name, rate=rate, **facts).start()
+    return load_client.LoadClient(fleet.members[name].address, "", name, rate=rate, **facts).start()
 
 
 def stop_clients(*clients):
@@ -65,11 +65,11 @@
 def checked(fleet, total=12, min_attempts=1):
     """Engines never had more than the total, allocations never summed to more; the history of them."""
     for engine in fleet.engines:
-        most, when = most_at_once(engine.flights)
+        most, when = most_at_once(engine.attempts)
         assert most <= total, f"{most} at {when - fleet.began:.3f}\n{fleet.story()}"
     history = AllocationHistory(fleet.lines())
     assert history.most and max(history.most.values()) <= total, fleet.story()
-    assert sum(len(engine.flights) for engine in fleet.engines) >= min_attempts
+    assert sum(len(engine.attempts) for engine in fleet.engines) >= min_attempts
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "faults of", "not answered in time"))
     return history
@@ -91,7 +91,7 @@
         other = client(fleet, "n1")
         fleet.until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
         time.sleep(0.3)
-        assert most_at_once(fleet.engines[0].flights)[0] == 10
+        assert most_at_once(fleet.engines[0].attempts)[0] == 10
         stop_clients(other)
         checked(fleet, min_attempts=50)
 
@@ -215,7 +215,7 @@
 
 def test_further_sends_are_counted_for_the_fleet_over_any_window():
     budget = {"of": '"further"', "whole": 12, "window": "2s"}
-    with make_rig(budgets=[budget], engines=2, make=counting_engine(fails=0.4)) as fleet:
+    with make_rig(budgets=[budget], engines=2, make=counting_engine(failure_rate=0.4)) as fleet:
         fleet.start()
         for turn in range(4):
             clients = [client(fleet, f"n{(turn + i) % 3}", rate=rate) for i, rate in enumerate((50.0, 5.0))]
@@ -263,10 +263,10 @@
         clients = [client(fleet, name, work_ms=100.0) for name in ("n0", "n1")]
         time.sleep(0.8)
         stop_clients(*clients)
-        late = [row for row in fleet.engines[0].flights if row[0] > lowered]
+        late = [row for row in fleet.engines[0].attempts if row.started_at > lowered]
         assert len(late) >= 8
         assert most_at_once(late)[0] <= 4
-        assert most_at_once(fleet.engines[0].flights)[0] <= 12
+        assert most_at_once(fleet.engines[0].attempts)[0] <= 12
 
 
 def test_a_part_under_one_command_goes_round_and_each_is_served():
@@ -277,7 +277,7 @@
     with make_rig(budgets=[threads_budget(4, grain=3, floor=0)], make=make, adjust=three) as fleet:
         fleet.start()
         clients = [client(fleet, name, open=3, work_ms=40.0, limit_ms=2900) for name in fleet.names]
-        fleet.until(lambda: all(one.answered >= 3 for one in clients))
+        fleet.until(lambda: all(one.counts.answered >= 3 for one in clients))
         stop_clients(*clients)
         checked(fleet, total=4, min_attempts=9)
 
@@ -292,7 +292,7 @@
         fleet.born_ms[0] = int(time.time() * 1000)
         fleet.start("n0", "n1")
         clients = [client(fleet, "n0", work_ms=20.0)]
-        fleet.until(lambda: len(fleet.engines[0].flights) > 8)
+        fleet.until(lambda: len(fleet.engines[0].attempts) > 8)
         fleet.kill("n1")
         fleet.start("n2")
         clients.append(client(fleet, "n2", work_ms=20.0))
@@ -302,9 +302,11 @@
         stop_clients(*clients)
         # What it stands in a window: of its 16 cores a twentieth, growing half as fast as a line.
         grown = 0.05 + 0.95 / 2 * (time.time() - fleet.born_ms[0] / 1000) / 60
-        most, _ = most_in_window([(row[0], row[4] / 1000) for row in fleet.engines[0].flights], 1.0)
+        most, _ = most_in_window(
+            [(row.started_at, row.work_ms / 1000) for row in fleet.engines[0].attempts], 1.0
+        )
         assert 0.1 <= most <= 16 * grown, (most, 16 * grown)
-        assert len(fleet.engines[0].flights) > 20
+        assert len(fleet.engines[0].attempts) > 20
 
 
 def test_demand_that_alternates_each_second_moves_parts_and_all_of_it_is_used():
@@ -328,9 +330,9 @@
         time.sleep(1.2)
         fleet.kill_register()
         fleet.until(lambda: len(fleet.engines[0].open) <= 4, 3)
-        began = sum(one.answered for one in clients)
+        began = sum(one.counts.answered for one in clients)
         time.sleep(0.6)
-        assert sum(one.answered for one in clients) > began + 20
+        assert sum(one.counts.answered for one in clients) > began + 20
         gone = time.time()
         fleet.start_register()
         fleet.until(lambda: sum(allocations(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -14,9 +14,9 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
 from gullhold.rollout.store_schema import CHANGE_KEY, decode_change, encode_change, history_key
-from gullhold.testing import crowd
+from gullhold.testing import load_client
 from gullhold.testing.budget_checker import most_at_once
-from gullhold.testing.counting import CountingEngine
+from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 from gullhold.testing.policycheck import Changes, by_policy, mixed
 
@@ -40,14 +40,14 @@
 def load(fleet, *names, rate=40.0):
     """A client of each gateway."""
     return [
-        crowd.Client(
+        load_client.LoadClient(
             fleet.members[name].address,
             "",
             name,
             rate=rate,
             work_ms=10.0,
             limit_ms=900,
-            manner=crowd.NOT_AT_ALL,
+            retry_rule=load_client.RetryRule.NEVER,
             seed=next(SERIAL),
         ).start()
         for name in names or fleet.names
@@ -60,7 +60,7 @@
         one.stop()
     for one in clients:
         one.join()
-    return sum(one.answered for one in clients)
+    return sum(one.counts.answered for one in clients)
 
 
 def on(fleet, number=0, names=None):
@@ -103,7 +103,7 @@
             time.sleep(0.1)
         time.sleep(0.2)
         assert end(clients) > 60
-        assert not any(one.failed + one.lost for one in clients)
+        assert not any(one.counts.failed + one.counts.unanswered for one in clients)
         judged(fleet, grants, overlap == Overlap.STRICT, 300)
         assert {place for _, place in by_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
         assert client.current().text == granting(23)
@@ -228,7 +228,7 @@
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, 1, others)
         asker = clients[fleet.names.index(victim)]
-        fleet.until(lambda: asker.shed > 3)  # a time to come back is not stated by this agreement
+        fleet.until(lambda: asker.counts.shed > 3)  # a time to come back is not stated by this agreement
         assert service_good(fleet, victim) is False
         fleet.heal(victim)
         on(fleet, 1)  # its word stands at the register a moment before the reply that opens its gate
@@ -323,14 +323,14 @@
         on(fleet)
         client = PolicyClient(fleet.register_address, "rig")
         clients = [
-            crowd.Client(
+            load_client.LoadClient(
                 fleet.members[name].address,
                 "",
                 name,
                 open=20,
                 work_ms=60.0,
                 limit_ms=800,
-                manner=crowd.NOT_AT_ALL,
+                retry_rule=load_client.RetryRule.NEVER,
                 seed=next(SERIAL),
             ).start()
             for name in ("n0", "n1")
@@ -347,14 +347,14 @@
         decided = time.time()
         time.sleep(1.5)
         end(clients)
-        flights = fleet.engines[0].flights
+        flights = fleet.engines[0].attempts
         assert most_at_once(flights)[0] <= 12
-        assert 3 <= most_at_once([row for row in flights if row[0] > decided + 0.5])[0] <= 5
+        assert 3 <= most_at_once([row for row in flights if row.started_at > decided + 0.5])[0] <= 5
         judged(fleet, [20], strict=True)
 
 
 def test_a_canary_that_goes_bad_as_its_carrier_dies_is_dropped_and_a_good_one_comes():
-    with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, fails=0.3)) as fleet:
+    with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
         fleet.start()
         on(fleet)
         client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, rate=60.0)
@@ -439,9 +439,9 @@
         fleet.kill_register()
         fleet.start("n0")
         clients = load(fleet)
-        fleet.until(lambda: clients[0].answered > 5)
-        assert {row[5] for row in fleet.engines[0].flights} == {20}
-        fleet.until(lambda: clients[0].shed > 5)  # the time for which it may be gone by is over
+        fleet.until(lambda: clients[0].counts.answered > 5)
+        assert {row.memory_mb for row in fleet.engines[0].attempts} == {20}
+        fleet.until(lambda: clients[0].counts.shed > 5)  # the time for which it may be gone by is over
         end(clients)
         fleet.start_register()
 
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -8,7 +8,7 @@
 from gullhold.net import request_reader
 from gullhold.operator import records
 from gullhold.testing import deployment
-from gullhold.testing.running import agreed
+from gullhold.testing.running import adjust_settings
 
 AGREEMENT = read_agreement(
     {
@@ -78,7 +78,7 @@
 
 def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
     identifier = ClientIdentifier(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
-    agreement = read_agreement(agreed(deployment.settings(), (("acme", 1.0),)))
+    agreement = read_agreement(adjust_settings(deployment.settings(), (("acme", 1.0),)))
     reader, peer = request_reader.RequestReader(agreement, identifier, b"back"), ("127.0.0.1", "127.0.0.1:5")
     fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
     known = {RejectedFlow(0, b"c:d", 0): KnownRejection(1000, 5_000_000)}
