--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -16,11 +16,11 @@
 from gullhold.rollout.policy_change import Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient, StoreUnavailableError
 from gullhold.rollout.policy_version import PolicyError
-from gullhold.testing import changecheck, changemutants, load_client
+from gullhold.testing import load_client, rollout_explorer, rollout_mutants
 from gullhold.testing.budget_checker import AllocationHistory, most_at_once
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
-from gullhold.testing.policycheck import Changes, by_policy, mixed
+from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
 BOUNDS = {
     "changes": (40, "least"),
@@ -124,7 +124,7 @@
     """Wait until these members go by a version."""
 
     def all_are():
-        versions = Changes(rig.lines()).under()
+        versions = RolloutChecker(rig.lines()).adopted_versions()
         return all(versions.get(name) == number for name in names)
 
     rig.until(all_are)
@@ -152,7 +152,7 @@
                 continue
             number, status, overlap = change
             outcomes.append((number, status))
-            if Changes(rig.lines()).outcomes.get(number) == "decided":
+            if RolloutChecker(rig.lines()).outcomes.get(number) == "decided":
                 applied.append(Applied(FIRST_MB + turn, overlap))
         time.sleep(0.5)
         wait_until_under(rig, policies.current().number, rig.names)
@@ -210,7 +210,7 @@
 
 def judged(rig, clients, outcomes, applied):
     """What engines, clients, the store's journal and the gateways' logs say of a run."""
-    check = Changes(rig.lines())
+    check = RolloutChecker(rig.lines())
     strict_mixed, overlaps = mixtures(rig, applied)
     logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
     over_on_engine = most_at_once(rig.engines[0].attempts)[0] > TOTAL_THREADS
@@ -224,8 +224,8 @@
         "mixed_sends": strict_mixed,
         "overlap_p99_ms": p95(overlaps, 0.99),
         "overlap_most_ms": max(overlaps),
-        "in_force_without_all_ready": check.without_all,
-        "turned_down_in_force": check.turned_down,
+        "in_force_without_all_ready": check.decided_without_all,
+        "turned_down_in_force": check.decided_though_refused,
         "unknown_reported_as_known": sum(
             status in reported and check.outcomes.get(number) != reported[status]
             for number, status in outcomes
@@ -244,9 +244,9 @@
     strict_mixed, overlaps = 0, []
     for place, change in enumerate(applied, 1):  # each by itself: what it found and what it brought
         pair = [(at, now >= place) for at, now in attempts if now in (place - 1, place)]
-        mixture = mixed(pair)
+        mixture = measure_mixture(pair)
         if change.overlap == Overlap.STRICT:
-            strict_mixed += mixture.count
+            strict_mixed += mixture.stale_attempts
         overlaps.append(mixture.overlap_ms)
     return strict_mixed, overlaps
 
@@ -282,7 +282,7 @@
         seconds = time.monotonic() - began
         polls = count * CALLS_TO_PROPOSE + sum(took) / POLL_INTERVAL_S
         calls = (calls_of(rig) - before - idle_per_s * seconds - polls) / members / count
-        held_s = Changes(rig.lines()).held_s
+        held_s = RolloutChecker(rig.lines()).stopped_s
         return Quiet(round(p95(held_s, 0.99) * 1000, 1), p95(took), round(calls, 2))
 
 
@@ -353,8 +353,8 @@
     with ProcessPoolExecutor(3) as pool:  # beside what no other work can spoil
         alone = begin_decisions(
             pool,
-            changecheck,
-            changemutants,
+            rollout_explorer,
+            rollout_mutants,
             WALK_STEPS,
             (60, 8, 1000, 3000) if args.quick else (1500, 16, 6000, 60_000),
             (Overlap.STRICT, Overlap.LOOSE),
--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -10,8 +10,8 @@
 
 from gullhold.budgets.ledger import LedgerKind
 from gullhold.testing import walking
+from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
 from gullhold.testing.budget_world import FAULTS, Action, World
-from gullhold.testing.walking import CALL_FAULTS, ActionKind
 
 MAX_STEPS_PER_MOMENT = 14  # calls carried out within a moment of a walk
 # Chances within a moment of a walk.
@@ -73,7 +73,7 @@
     world = World((LedgerKind.HELD, LedgerKind.WINDOWED)[seed % 2], faults, **variant)
     is_in_rounds = seed // 2 % 4 != 0  # three walks of four; the others take any action
     actions = rounds(world, draw) if is_in_rounds else walking.random_actions(world, draw, FAULTS)
-    return walking.follow(world, actions, steps, seed, marks)
+    return walking.run_walk(world, actions, steps, seed, marks)
 
 
 def explore(
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -25,16 +25,10 @@
 from gullhold.fleet.lease import Lease
 from gullhold.fleet.store_calls import GrantLease, Proof, Put, Reply, Transaction
 from gullhold.interface import BudgetKind, Demand
+from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
+from gullhold.testing.role_pair_world import QUANTUM_US, RATES, TERMS, RolePairWorld
 from gullhold.testing.store_model import Model
-from gullhold.testing.walking import (
-    CALL_FAULTS,
-    QUANTUM_US,
-    RATES,
-    TERMS,
-    ActionKind,
-    InvariantError,
-    RolePairWorld,
-)
+from gullhold.testing.walking import InvariantError
 
 WINDOW_US = 1_600_000  # us of real time: no whole number of moments
 LINGER_US = 1_100_000  # us of real time: no whole number of moments
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -170,7 +170,7 @@
         """Start gateways, all without names.
 
         wait: until they answer or end; operator: with the operator's file; name_: under another's name;
-        hooks: what gullhold.testing.child is asked for.
+        hooks: what gullhold.testing.hooked_gateway is asked for.
         """
         started = [self.members[name] for name in names or self.names]
         for member in started:
--- a/gullhold/testing/fleet_process.py
+++ b/gullhold/testing/fleet_process.py
@@ -77,7 +77,10 @@
         self.serial = 0  # of its starts
 
     def start(self, configuration: dict[str, Any], operator: str | None, hooks: dict[str, Any]) -> None:
-        """Start the process. operator: text of its file, or None; hooks: for gullhold.testing.child."""
+        """Start the process.
+
+        operator: text of its file, or None; hooks: for gullhold.testing.hooked_gateway.
+        """
         configuration_path = self.folder / "config.json"
         configuration_path.write_text(json.dumps(configuration))
         words = ["serve", "--config", str(configuration_path)]
@@ -92,7 +95,7 @@
         }
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "gullhold.testing.child", *words],
+                [sys.executable, "-m", "gullhold.testing.hooked_gateway", *words],
                 cwd=ROOT,
                 stderr=log,
                 stdout=log,
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -61,7 +61,7 @@
     draw = random.Random(seed).random
     world = settled_world(make, faults=faults)
     strategy = STRATEGIES[seed % len(STRATEGIES)](draw)
-    return walking.follow(world, _chosen(strategy, world), steps, seed, marks=True)
+    return walking.run_walk(world, _chosen(strategy, world), steps, seed, marks=True)
 
 
 class Strategy(Protocol):
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -218,6 +218,6 @@
 )
 
 
-def find(mutant: Callable[..., Membership], walks: int, steps: int) -> tuple[int, str] | None:
+def find(mutant: Callable[..., Membership], walks: int, steps: int) -> walking.Finding | None:
     """(seed, what broke) of the first walk that finds it, or None."""
     return walking.find(lambda seed: membership_explorer.walk(seed, steps, mutant), walks)
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -28,8 +28,9 @@
     SentEffect,
     SentReply,
 )
+from gullhold.testing.role_pair_world import QUANTUM_US, TERMS
 from gullhold.testing.store_model import Change, Model
-from gullhold.testing.walking import QUANTUM_US, TERMS, InvariantError
+from gullhold.testing.walking import InvariantError
 
 CLOCK_RATES = (0.87, 1.0, 1.1)  # of members' clocks against the store's: within the drift of 0.15
 # Of these roles "a" leads the first alone, and "c" the second until "b" joins.
--- /dev/null
+++ b/gullhold/testing/role_pair_world.py
@@ -0,0 +1,243 @@
+"""A world of two processes that may lead one role: calls to a model of the store that are under way.
+
+Explorers act in it, one action at a time. An action is a tuple of its kind and what else act() takes.
+"""
+
+from bisect import bisect_left
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any, ClassVar, NamedTuple, Protocol
+
+from gullhold.fleet.lease import LeaseTerms
+from gullhold.fleet.role_state import CallSerial, ReadKeys, RoleState, WatchKeys, WriteKeys
+from gullhold.fleet.store_calls import KeepLeaseAlive, Proof, ReadPrefix, Reply, Request, Transaction
+from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
+from gullhold.testing.walking import Action
+
+QUANTUM_US = 250_000  # of one step of time: a lease lasts four of them
+TERMS = LeaseTerms(1, 0.15, 0)
+RATES = (0.87, 1.1, 1.0)  # of clocks against the store's: within the drift
+START_US = 10_000_000
+
+Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
+Tag = tuple[str, CallSerial]  # the method of a role state that takes the reply, the serial of the call
+
+
+class StoreModel(Protocol):
+    """A model of the store, as a RolePairWorld needs it."""
+
+    revision: int
+    past: list[Change]
+
+    def call(self, request: Request, now: int) -> Reply:
+        """Carry a request out."""
+        ...
+
+    def expire(self, now: int) -> None:
+        """End the leases that have run out."""
+        ...
+
+    def put(self, key: str, value: str, lease: int) -> None:
+        """Write a key in the current revision."""
+        ...
+
+
+class SentCall(NamedTuple):
+    """A call under way, of one of the two holders."""
+
+    holder: int
+    request: Request
+    tag: Tag
+
+
+class SentReply(NamedTuple):
+    """A reply under way, to one of the two holders."""
+
+    holder: int
+    tag: Tag
+    reply: Reply
+
+
+class RolePairWorld:
+    """A world in which two processes may lead one role, and members on clocks of their own hold leases.
+
+    role_key: the role's key in the store; watched_prefix: of the keys of which a leader is notified;
+    holders: the two role states; watched_from: the revision from which each is notified; leader: the index
+    of the holder that leads; calls, replies: under way; delayed_requests: given up by their callers, and may
+    still be carried out. A subclass has members, with lease, cut and a clock to call, _grant(member), act(),
+    and HANDLERS: this table with the methods of its own kinds of action.
+    """
+
+    def __init__(
+        self, model: StoreModel, role_key: str, watched_prefix: str, holders: Sequence[RoleState], faults: int
+    ) -> None:
+        """faults: how many may happen."""
+        self.model = model
+        self.role_key = role_key
+        self.watched_prefix = watched_prefix
+        self.holders = holders
+        self.faults = faults
+        self.now = START_US
+        self.watched_from: list[int | None] = [None, None]
+        self.leader = 0
+        self.members: list[Any] = []
+        self.calls: list[SentCall] = []
+        self.replies: list[SentReply] = []
+        self.delayed_requests: list[Request] = []
+
+    def clock(self, holder: int) -> int:
+        """Return what the clock of a holder shows, in us."""
+        return int(self.now * RATES[holder + 1])
+
+    # What can be next
+
+    def call_actions(self) -> list[Action]:
+        """The actions that calls under way allow now."""
+        found: list[Action] = []
+        for number in range(len(self.calls)):
+            found.append((ActionKind.CARRY_OUT, number))
+            if self.faults:
+                found += [(fault, number) for fault in CALL_FAULTS]
+        found += [(ActionKind.REPLY, number) for number in range(len(self.replies))]
+        found += [(ActionKind.LATE, number) for number in range(len(self.delayed_requests))]
+        return found
+
+    def holder_actions(self) -> list[Action]:
+        """The actions that concern the two holders."""
+        found = self._notifications()
+        if self.faults:
+            found += [(ActionKind.ELECT, 0), (ActionKind.MISS, self.leader)]
+        other = 1 - self.leader
+        if self.holders[other].token:
+            found.append((ActionKind.LOST, other))
+        return found
+
+    def _notifications(self) -> list[Action]:
+        return [
+            (ActionKind.TELL, holder)
+            for holder in range(2)
+            if self.changes_since(self.watched_from[holder], self.watched_prefix)
+        ]
+
+    def next_orderly_action(self) -> Action | None:
+        """What happens next where nothing is wrong; None: nothing is under way."""
+        if self.calls:
+            return ActionKind.CARRY_OUT, 0
+        if self.replies:
+            return ActionKind.REPLY, 0
+        return next(iter(self._notifications()), None)
+
+    def changes_since(self, since: int | None, prefix: str) -> list[Change]:
+        """Return the changes of these keys from a revision on; None: nothing is watched."""
+        if since is None:
+            return []
+        past = self.model.past
+        first = bisect_left(past, since, key=lambda change: change[0])
+        return [change for change in past[first:] if change[1].startswith(prefix)]
+
+    def finish_calls(self, max_actions: int) -> None:
+        """Carry out in turn all that is under way, in so many actions at most."""
+        for _ in range(max_actions):
+            action = self.next_orderly_action()
+            if not action:
+                break
+            self.act(*action)
+
+    # What happens
+
+    def _collect(self, holder: int) -> None:
+        """Take what a holder asks for: its calls are under way from now on."""
+        for action in self.holders[holder].take_actions():
+            match action:
+                case ReadKeys(serial, prefix):
+                    self.calls.append(SentCall(holder, ReadPrefix(prefix), ("read", serial)))
+                case WriteKeys(serial, token, operations, conditions):
+                    request = Transaction(((self.role_key, token), *conditions), operations)
+                    self.calls.append(SentCall(holder, request, ("written", serial)))
+                case WatchKeys(revision):
+                    self.watched_from[holder] = max(self.watched_from[holder] or 0, revision)
+
+    def _renew_lease(self, member: Any) -> None:
+        """Do what a member does for its lease in each step of time: renew, clear or acquire it."""
+        if not member.cut and member.lease.is_valid(member()):
+            reply = self.model.call(KeepLeaseAlive(member.lease.id), self.now)
+            if reply.ttl_s:
+                member.lease.renew(member.lease.id, member())
+        if member.lease.id and not member.lease.is_valid(member()):
+            member.lease.clear()
+        if not member.lease.id and not member.cut:
+            self._grant(member)
+
+    def _step_holders(self) -> None:
+        self.model.expire(self.now)
+        for holder in range(2):
+            self.holders[holder].step(self.clock(holder))
+            self._collect(holder)
+
+    def _call_holder(self, holder: int, method: str, *arguments: Any) -> None:
+        """Call a method of a holder, and collect what it asks for."""
+        getattr(self.holders[holder], method)(self.clock(holder), *arguments)
+        self._collect(holder)
+
+    def _do_carry_out(self, index: int) -> None:
+        holder, request, tag = self.calls.pop(index)
+        self.replies.append(SentReply(holder, tag, self.model.call(request, self.now)))
+
+    def _do_lose_the_reply(self, index: int) -> None:
+        holder, request, tag = self.calls.pop(index)
+        self.model.call(request, self.now)
+        self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
+
+    def _do_hold_back(self, index: int) -> None:
+        holder, request, tag = self.calls.pop(index)
+        self.delayed_requests.append(request)
+        self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
+
+    def _do_refuse(self, index: int) -> None:
+        holder, _, tag = self.calls.pop(index)
+        self.replies.append(SentReply(holder, tag, Reply(Proof.NOT_DONE)))
+
+    def _do_late(self, index: int) -> None:
+        self.model.call(self.delayed_requests.pop(index), self.now)
+
+    def _do_tell(self, holder: int) -> None:
+        """Notify a holder of the changes of one revision."""
+        changes = self.changes_since(self.watched_from[holder], self.watched_prefix)
+        first_revision = changes[0][0]
+        self.watched_from[holder] = first_revision + 1
+        for revision, key, value in changes:
+            if revision == first_revision:
+                self._call_holder(holder, "changed", key, value, revision)
+
+    def _do_miss(self, holder: int) -> None:
+        self._call_holder(holder, "missed")
+
+    def _do_elect(self, _: int) -> None:
+        """The other one leads the role now; the one that led before does not know yet."""
+        self.model.revision += 1
+        self.model.put(self.role_key, "", 0)
+        self.leader = 1 - self.leader
+        self.holders[self.leader].won(self.model.revision, self.clock(self.leader))
+        self._collect(self.leader)
+
+    def _do_lost(self, holder: int) -> None:
+        self.holders[holder].lost()
+
+    def _do_cut(self, index: int) -> None:
+        self.members[index].cut = True
+
+    def _do_heal(self, index: int) -> None:
+        self.members[index].cut = False
+
+    HANDLERS: ClassVar[Mapping[ActionKind, Callable[..., None]]] = {
+        ActionKind.CARRY_OUT: _do_carry_out,
+        ActionKind.LOSE_THE_REPLY: _do_lose_the_reply,
+        ActionKind.HOLD_BACK: _do_hold_back,
+        ActionKind.REFUSE: _do_refuse,
+        ActionKind.LATE: _do_late,
+        ActionKind.TELL: _do_tell,
+        ActionKind.MISS: _do_miss,
+        ActionKind.ELECT: _do_elect,
+        ActionKind.LOST: _do_lost,
+        ActionKind.CUT: _do_cut,
+        ActionKind.HEAL: _do_heal,
+    }
--- a/gullhold/testing/policycheck.py
+++ b/gullhold/testing/rollout_checker.py
@@ -34,7 +34,7 @@
 class Mixture(NamedTuple):
     """Attempts under an older policy after the first one under a newer, and the longest such overlap."""
 
-    count: int
+    stale_attempts: int
     overlap_ms: float
 
 
@@ -52,7 +52,7 @@
     return sorted(attempts)
 
 
-def mixed(attempts: Iterable[tuple[float, int]]) -> Mixture:
+def measure_mixture(attempts: Iterable[tuple[float, int]]) -> Mixture:
     """How far policies were mixed in attempts in order of time: (time in s, place of its policy)."""
     first_at: dict[int, float] = {}
     last_at: dict[int, float] = {}
@@ -71,28 +71,28 @@
     return Mixture(count, round(longest_s * 1000, 1))
 
 
-class Changes:
+class RolloutChecker:
     """Goes through a store's journal: what was decided, and what members had voted by then.
 
-    without_all: decisions made while an enrolled member had not voted ready, or still for a strict change;
-    turned_down: decisions on what a member had refused; split: ended changes after which not all members went
-    by one version; held_s: for each member and strict change, from its being prepared to the member's going
-    by it; outcomes: {number: "decided" or "dropped"}.
+    decided_without_all: decisions made while an enrolled member had not voted ready, or still for a strict
+    change; decided_though_refused: decisions on what a member had refused; split: ended changes after which
+    not all members had adopted one version; stopped_s: for each member and strict change, the time from its
+    preparation to its adoption by the member; outcomes: {number: "decided" or "dropped"}.
     """
 
     def __init__(self, lines: Journal) -> None:
-        self.without_all = 0
-        self.turned_down = 0
+        self.decided_without_all = 0
+        self.decided_though_refused = 0
         self.split = 0
-        self.held_s: list[float] = []
+        self.stopped_s: list[float] = []
         self.outcomes: dict[int, str] = {}
         self._votes: dict[str, dict[str, Any]] = {}  # stored values by member (name and lease)
         self._members: dict[int, set[str]] = {}  # by lease
         self._prepared_at = 0.0
         for line in lines:
-            self._take_in(line, line.get("at", 0.0))
+            self._apply(line, line.get("at", 0.0))
 
-    def _take_in(self, line: Mapping[str, Any], at: float) -> None:
+    def _apply(self, line: Mapping[str, Any], at: float) -> None:
         match line["what"]:
             case "lease ended" | "lease revoked":
                 for member in self._members.pop(line["lease"], ()):
@@ -104,9 +104,9 @@
                     self._put(_relative(key), value, lease, at)
             case "txn" if line["met"]:
                 for kind, key, value, lease in line["acts"]:
-                    self._carry_out(kind, _relative(key), value, lease, at)
+                    self._apply_write(kind, _relative(key), value, lease, at)
 
-    def _carry_out(self, kind: str, key: str, value: str, lease: int, at: float) -> None:
+    def _apply_write(self, kind: str, key: str, value: str, lease: int, at: float) -> None:
         if kind == "put":
             self._put(key, value, lease, at)
             if key == CHANGE_KEY:
@@ -122,7 +122,7 @@
         vote = json.loads(value)
         was_stopped = self._votes.get(member, {}).get("word") == "still"
         if was_stopped and vote["word"] == "under":
-            self.held_s.append(at - self._prepared_at)
+            self.stopped_s.append(at - self._prepared_at)
         self._votes[member] = vote
         self._members.setdefault(lease, set()).add(member)
 
@@ -138,11 +138,15 @@
 
     def _decided(self, number: int, sufficient: Sequence[str]) -> None:
         votes = self._votes.values()
-        self.without_all += any(vote["about"] != number or vote["word"] not in sufficient for vote in votes)
-        self.turned_down += any(vote["about"] == number and vote["word"] == "refused" for vote in votes)
-
-    def under(self) -> dict[str, int]:
-        """By member's name, the number of the version that it goes by."""
+        self.decided_without_all += any(
+            vote["about"] != number or vote["word"] not in sufficient for vote in votes
+        )
+        self.decided_though_refused += any(
+            vote["about"] == number and vote["word"] == "refused" for vote in votes
+        )
+
+    def adopted_versions(self) -> dict[str, int]:
+        """Return the number of the version that each member has adopted, by the member's name."""
         return {member.partition("/")[0]: vote["under"] for member, vote in self._votes.items()}
 
 
--- a/gullhold/testing/changecheck.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -10,8 +10,8 @@
 from gullhold.rollout.policy_change import Overlap
 from gullhold.rollout.policy_gate import CutOffRule
 from gullhold.testing import walking
-from gullhold.testing.change_world import FAULTS, GOOD_TEXT, REFUSED_TEXT, Action, World
-from gullhold.testing.walking import CALL_FAULTS, ActionKind
+from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
+from gullhold.testing.rollout_world import FAULTS, GOOD_TEXT, REFUSED_TEXT, Action, World
 
 
 def rounds(world: World, draw: Callable[[], float]) -> Iterator[Action]:
@@ -50,13 +50,13 @@
     cut_off_rule = (CutOffRule.KEEP, CutOffRule.STAND)[seed // 2 % 2]
     world = World(overlap, faults, **{"cut": cut_off_rule} | make)
     actions = rounds(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
-    return walking.follow(world, actions, steps, seed, marks)
+    return walking.run_walk(world, actions, steps, seed, marks)
 
 
 def explore(
     overlap: Overlap, depth: int, most: int, faults: int = 1, seed: int = 0, **make: Any
-) -> tuple[int, int]:
-    """(states met, the depth that was explored completely) from a fleet with one change just proposed."""
+) -> walking.Explored:
+    """Explore from a fleet with one change just proposed; most: states after which it stops."""
     world = World(overlap, 0, **make)
     world.calm()
     world.act(ActionKind.PROPOSE, GOOD_TEXT)
--- a/gullhold/testing/changemutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -13,7 +13,7 @@
 from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES
 from gullhold.rollout.vote import VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
-from gullhold.testing import changecheck, walking
+from gullhold.testing import rollout_explorer, walking
 
 
 class IgnoresLease(PolicyGate):
@@ -221,6 +221,6 @@
 MUTANTS |= {kind.__name__: {"coordinator": kind} for kind in COORDINATORS}
 
 
-def find(name: str, walks: int, steps: int, first: int = 0) -> tuple[int, str] | None:
-    """(seed, what broke) of the first walk that finds it, or None."""
-    return walking.find(lambda seed: changecheck.walk(seed, steps, **MUTANTS[name]), walks, first)
+def find(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
+    """Return the first walk that finds a mutant; None: none of them does."""
+    return walking.find(lambda seed: rollout_explorer.walk(seed, steps, **MUTANTS[name]), walks, first)
--- a/gullhold/testing/change_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -1,4 +1,4 @@
-"""The world in which changecheck explores rollouts: members, coordinators, a store, and what must hold.
+"""The world in which rollouts are explored: members, coordinators, a store, and what must hold.
 
 What a member's core really goes by, and when it dispatches, is kept by the world; what members say of
 themselves is not believed.
@@ -25,17 +25,11 @@
     decode_change,
     decode_version,
 )
+from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
+from gullhold.testing.role_pair_world import QUANTUM_US, RATES, TERMS, RolePairWorld
 from gullhold.testing.simulated_rollout_member import SimulatedMember
 from gullhold.testing.store_model import Model
-from gullhold.testing.walking import (
-    CALL_FAULTS,
-    QUANTUM_US,
-    RATES,
-    TERMS,
-    ActionKind,
-    InvariantError,
-    RolePairWorld,
-)
+from gullhold.testing.walking import InvariantError
 
 Action = tuple[Any, ...]  # (kind, argument of the kind)
 NAMES = ("a", "b", "c")
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -5,10 +5,10 @@
 from gullhold.fleet.lease import Lease
 from gullhold.rollout.member_actions import AdoptVersion, StopDispatching
 from gullhold.rollout.vote import CommandFigures
-from gullhold.testing.walking import TERMS
+from gullhold.testing.role_pair_world import TERMS
 
 if TYPE_CHECKING:
-    from gullhold.testing.change_world import World
+    from gullhold.testing.rollout_world import World
 
 FAILING_TEXT = "sour"  # a policy under which commands fail
 COMMANDS_IN_REPORT = 30  # that a member's figures grow by each time they are asked for
--- a/gullhold/testing/store_model.py
+++ b/gullhold/testing/store_model.py
@@ -20,7 +20,7 @@
     RevokeLease,
     Transaction,
 )
-from gullhold.testing.walking import TERMS
+from gullhold.testing.role_pair_world import TERMS
 
 Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
 
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -18,7 +18,7 @@
 from gullhold.testing.budget_checker import most_at_once
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
-from gullhold.testing.policycheck import Changes, by_policy, mixed
+from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
 SERIAL = count(1)
 
@@ -67,7 +67,14 @@
     """Wait until all of these go by this policy."""
     names = set(names or fleet.names)
     fleet.until(
-        lambda: {name for name, under in Changes(fleet.lines()).under().items() if under == number} >= names
+        lambda: (
+            {
+                name
+                for name, under in RolloutChecker(fleet.lines()).adopted_versions().items()
+                if under == number
+            }
+            >= names
+        )
     )
 
 
@@ -79,9 +86,9 @@
 
 def judged(fleet, grants, strict=False, overlap_ms=1200):
     """Nothing is mixed beyond what is stated, and nothing was decided that should not be."""
-    check = Changes(fleet.lines())
-    assert not check.without_all and not check.turned_down, fleet.story()
-    wrong, overlap = mixed(by_policy(fleet.engines, grants))
+    check = RolloutChecker(fleet.lines())
+    assert not check.decided_without_all and not check.decided_though_refused, fleet.story()
+    wrong, overlap = measure_mixture(by_policy(fleet.engines, grants))
     assert not (strict and wrong) and overlap <= overlap_ms, (wrong, overlap, fleet.story())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "faults of", "not answered in time"))
@@ -380,9 +387,9 @@
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, record.number)
         end(clients)
-        check = Changes(fleet.lines())
+        check = RolloutChecker(fleet.lines())
         assert check.outcomes == {1: "dropped", 2: "decided"}
-        assert not check.without_all
+        assert not check.decided_without_all
 
 
 def test_schedules_and_weights_at_the_door_are_changed_with_the_rest():
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -30,20 +30,21 @@
 from gullhold.testing import (
     budget_explorer,
     budget_mutants,
-    change_world,
-    changecheck,
-    changemutants,
+    rollout_explorer,
+    rollout_mutants,
+    rollout_world,
     simulated_rollout_member,
 )
-from gullhold.testing.policycheck import Changes, mixed
-from gullhold.testing.walking import ActionKind, FindingKind
+from gullhold.testing.action_kind import ActionKind
+from gullhold.testing.rollout_checker import RolloutChecker, measure_mixture
+from gullhold.testing.walking import FindingKind
 
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
 
 
 def test_the_checkers_see_what_is_mixed_and_what_was_decided_without_a_word():
-    assert mixed([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
-    assert mixed([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
+    assert measure_mixture([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
+    assert measure_mixture([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
     change = PolicyChange(VERSION, ChangeState.DECIDED)
 
     def line(key, value, lease=0):
@@ -57,25 +58,25 @@
 
     ready = Vote(0, 1, VoteKind.READY)
     lines = journal(ready, change)
-    assert (Changes(lines).without_all, Changes(lines).turned_down) == (0, 0)
+    assert (RolloutChecker(lines).decided_without_all, RolloutChecker(lines).decided_though_refused) == (0, 0)
     lines = journal(ready._replace(kind=VoteKind.REFUSED), change)
-    assert (Changes(lines).without_all, Changes(lines).turned_down) == (1, 1)
+    assert (RolloutChecker(lines).decided_without_all, RolloutChecker(lines).decided_though_refused) == (1, 1)
     lines.insert(1, {"what": "lease ended", "lease": 1, "revision": 9})
-    assert Changes(lines).without_all == 0
+    assert RolloutChecker(lines).decided_without_all == 0
     strict = replace(change, overlap=Overlap.STRICT)
-    assert Changes(journal(ready, strict)).without_all == 1
+    assert RolloutChecker(journal(ready, strict)).decided_without_all == 1
 
 
 @pytest.mark.parametrize(
     "text, comes",
     [
-        (change_world.GOOD_TEXT, True),
+        (rollout_world.GOOD_TEXT, True),
         (simulated_rollout_member.FAILING_TEXT, False),
-        (change_world.REFUSED_TEXT, False),
+        (rollout_world.REFUSED_TEXT, False),
     ],
 )
 def test_a_canary_is_tried_by_some_and_dropped_where_it_goes_bad(text, comes):
-    world = change_world.World(Overlap.LOOSE, faults=0)
+    world = rollout_world.World(Overlap.LOOSE, faults=0)
     world.calm()
     world.act(ActionKind.PROPOSE, text)
     seen = set()
@@ -91,7 +92,7 @@
     world.calm()
     world.settled()
     assert world.decided == (1 if comes else 0)
-    assert (ChangeState.CANARY in seen) == (text != change_world.REFUSED_TEXT)
+    assert (ChangeState.CANARY in seen) == (text != rollout_world.REFUSED_TEXT)
 
 
 def test_a_canary_that_is_slower_than_the_others_is_out_of_its_bounds():
@@ -161,7 +162,7 @@
 
 
 def test_a_member_with_nothing_to_say_steps_when_it_looks_again():
-    world = change_world.World(Overlap.LOOSE, faults=0)
+    world = rollout_world.World(Overlap.LOOSE, faults=0)
     world.calm()
     for one in world.members:
         now = one()
@@ -199,7 +200,7 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 2**32))
 def test_walks_through_changes_keep_everywhere_or_nowhere(seed):
-    changecheck.walk(seed, 200)
+    rollout_explorer.walk(seed, 200)
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
@@ -210,14 +211,14 @@
 
 def test_a_small_world_is_gone_through():
     for overlap in (Overlap.STRICT, Overlap.LOOSE):
-        states, depth = changecheck.explore(overlap, 4, 500)
+        states, depth = rollout_explorer.explore(overlap, 4, 500)
         assert states >= 300
         assert depth >= 2
 
 
-@pytest.mark.parametrize("name", [name for name in changemutants.MUTANTS if name != "IgnoresEnrollment"])
+@pytest.mark.parametrize("name", [name for name in rollout_mutants.MUTANTS if name != "IgnoresEnrollment"])
 def test_the_walks_find_changes_that_are_wrong(name):  # the one left out takes 610 walks: benchmarks.change
-    finding = changemutants.find(name, 250, 500)
+    finding = rollout_mutants.find(name, 250, 500)
     assert finding is not None and finding.kind is FindingKind.VIOLATION, finding
 
 
