--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -7,6 +7,7 @@
 import tempfile
 import time
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from typing import Any, NamedTuple, Self
@@ -59,62 +60,86 @@
     return "\n".join("{" + row + "}," for row in rows)
 
 
+def _make_recording_engine(seed: int) -> RecordingEngine:
+    return RecordingEngine(slots=32, seed=seed)
+
+
+def _leave_unchanged(_settings: dict[str, Any]) -> None:
+    """Change nothing in the settings."""
+
+
+@dataclass(frozen=True, kw_only=True)
+class RigOptions:
+    """What a rig is made of.
+
+    members, engines: their numbers; lease_s: of a member; fleet: more of the operator's file, as text;
+    scheduled, budgets: records of the operator's file; beats, beat_ms: heartbeat roles and their period;
+    timeout_s: of all commands; dedup_s: how long engines remember an idempotency key; drift, policy, look:
+    text of the operator's file under these keys; settle_ms: of roles; moves: of roles, a second;
+    coordinator: address of the discovery service; adjust(settings): changes the settings that gateways are
+    started with; make(seed): makes an engine.
+    """
+
+    members: int = 3
+    lease_s: int = 1
+    fleet: str = ""
+    scheduled: Iterable[dict[str, Any]] = ()
+    beats: int = 0
+    beat_ms: int = 50
+    engines: int = 2
+    seed: int = 1
+    timeout_s: float = 3.0
+    dedup_s: float = 4.0
+    drift: str = "rate: 0.02, margin: 50ms"
+    settle_ms: int = 200
+    moves: int = 500
+    budgets: Iterable[dict[str, Any]] = ()
+    policy: str = ""
+    look: str = "50ms"
+    coordinator: str | None = None
+    adjust: Callable[[dict[str, Any]], Any] = _leave_unchanged
+    make: Callable[[int], RecordingEngine] = _make_recording_engine
+
+    def operator_values(self) -> dict[str, Any]:
+        """Return the values in the operator's file that are the same for all members."""
+        return {
+            "lease_s": self.lease_s,
+            "look": self.look,
+            "policy": self.policy,
+            "drift": self.drift,
+            "roles": (
+                f"moves: {self.moves}, settle: {self.settle_ms}ms, "
+                f"beats: {self.beats}, beat: {self.beat_ms}ms"
+            ),
+            "schedule": _operator_list(self.scheduled),
+            "more": self.fleet,
+        }
+
+
 class Rig:
-    """A fleet from entering to leaving."""
+    """A fleet from entering to leaving.
 
-    def __init__(
-        self,
-        members: int = 3,
-        lease_s: int = 1,
-        fleet: str = "",
-        scheduled: Iterable[dict[str, Any]] = (),
-        beats: int = 0,
-        beat_ms: int = 50,
-        engines: int = 2,
-        seed: int = 1,
-        timeout_s: float = 3.0,
-        dedup_s: float = 4.0,
-        drift: str = "rate: 0.02, margin: 50ms",
-        settle_ms: int = 200,
-        moves: int = 500,
-        budgets: Iterable[dict[str, Any]] = (),
-        policy: str = "",
-        look: str = "50ms",
-        coordinator: str | None = None,
-        adjust: Callable[[dict[str, Any]], Any] = lambda _: None,
-        make: Callable[[int], RecordingEngine] = lambda seed: RecordingEngine(slots=32, seed=seed),
-    ) -> None:
-        """Prepare it; nothing runs yet.
+    born_ms: start times of engines in Unix ms, by the engine's number; began: Unix s; budgets: may be changed
+    before a member's start.
+    """
 
-        fleet: more of the operator's file, as text; scheduled, budgets: dicts of the operator's words;
-        beats, beat_ms: heartbeat roles and their period; dedup_s: how long engines remember an idempotency
-        key; adjust(settings) changes the agreement that gateways are started with; make(seed): an engine;
-        coordinator: address of the discovery service.
-        """
+    def __init__(self, **options: Any) -> None:
+        """Prepare it; nothing runs yet. options: fields of RigOptions."""
+        self.options = RigOptions(**options)
+        self.lease_s = self.options.lease_s
+        self.dedup_s = self.options.dedup_s
         self.folder = tempfile.TemporaryDirectory(prefix="gullhold-fleet-")
         self.path = Path(self.folder.name)
-        self.lease_s = lease_s
-        self.seed = seed
-        self.timeout_s = timeout_s
-        self.dedup_s = dedup_s
-        self.adjust = adjust
-        self.coordinator = coordinator
-        self.budgets = list(budgets)
-        self.engines = [make(seed + number) for number in range(engines)]
-        self.born_ms: dict[int, int] = {}  # when each engine started, by its number
+        self.budgets = list(self.options.budgets)
+        self.engines = [
+            self.options.make(self.options.seed + number) for number in range(self.options.engines)
+        ]
+        self.born_ms: dict[int, int] = {}
         self.store_process = StoreProcess(self.path)
-        self.names = [f"n{number}" for number in range(members)]
+        self.names = [f"n{number}" for number in range(self.options.members)]
         self.members: dict[str, Member] = {}
         self.began = time.time()
-        self._operator_values = {
-            "lease_s": lease_s,
-            "look": look,
-            "policy": policy,
-            "drift": drift,
-            "roles": f"moves: {moves}, settle: {settle_ms}ms, beats: {beats}, beat: {beat_ms}ms",
-            "schedule": _operator_list(scheduled),
-            "more": fleet,
-        }
+        self._operator_values = self.options.operator_values()
 
     def __enter__(self) -> Self:
         """Start the store."""
@@ -193,15 +218,15 @@
         configuration = config(*self.engines) | {
             "listen": member.listen,
             "name": name,
-            "seed": f"{self.seed * SEEDS_PER_RIG + member.serial:x}",
-            "coordinator": self.coordinator,
+            "seed": f"{self.options.seed * SEEDS_PER_RIG + member.serial:x}",
+            "coordinator": self.options.coordinator,
         }
         settings = configuration["settings"]
         settings["domain"]["note_period"] = 0  # these engines send no status notes
         for category in settings["categories"]:
-            category["give_up"] = self.timeout_s
+            category["give_up"] = self.options.timeout_s
             category["window"] = self.dedup_s
-        self.adjust(settings)
+        self.options.adjust(settings)
         entries = configuration["known"]["updates"][0]["endpoints"]["members"]
         for number, entry in enumerate(entries):
             entry["up_since_ms"] = self.born_ms.get(number, 0)
