--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -16,11 +16,11 @@
 from gullhold.rollout.policy_change import Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient, StoreUnavailableError
 from gullhold.rollout.policy_version import PolicyError
-from gullhold.testing import changecheck, changemutants, crowd
+from gullhold.testing import load_client, rollout_explorer, rollout_mutants
 from gullhold.testing.budget_checker import AllocationHistory, most_at_once
-from gullhold.testing.counting import CountingEngine
+from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
-from gullhold.testing.policycheck import Changes, by_policy, mixed
+from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
 BOUNDS = {
     "changes": (40, "least"),
@@ -98,14 +98,14 @@
 def load(rig, names, rate=25.0):
     """A client of each of these gateways."""
     return [
-        crowd.Client(
+        load_client.LoadClient(
             rig.members[name].address,
             "",
             f"{name}{i}",
             rate=rate,
             work_ms=10.0,
             limit_ms=900,
-            manner=crowd.NOT_AT_ALL,
+            retry_rule=load_client.RetryRule.NEVER,
             seed=i + 1,
         ).start()
         for i, name in enumerate(names)
@@ -124,7 +124,7 @@
     """Wait until these members go by a version."""
 
     def all_are():
-        versions = Changes(rig.lines()).under()
+        versions = RolloutChecker(rig.lines()).adopted_versions()
         return all(versions.get(name) == number for name in names)
 
     rig.until(all_are)
@@ -152,7 +152,7 @@
                 continue
             number, status, overlap = change
             outcomes.append((number, status))
-            if Changes(rig.lines()).outcomes.get(number) == "decided":
+            if RolloutChecker(rig.lines()).outcomes.get(number) == "decided":
                 applied.append(Applied(FIRST_MB + turn, overlap))
         time.sleep(0.5)
         wait_until_under(rig, policies.current().number, rig.names)
@@ -210,10 +210,10 @@
 
 def judged(rig, clients, outcomes, applied):
     """What engines, clients, the store's journal and the gateways' logs say of a run."""
-    check = Changes(rig.lines())
+    check = RolloutChecker(rig.lines())
     strict_mixed, overlaps = mixtures(rig, applied)
     logs = [member.log.read_text("utf-8", "replace") for member in rig.members.values()]
-    over_on_engine = most_at_once(rig.engines[0].flights)[0] > TOTAL_THREADS
+    over_on_engine = most_at_once(rig.engines[0].attempts)[0] > TOTAL_THREADS
     over_allocated = max(AllocationHistory(rig.lines()).most.values(), default=0) > TOTAL_THREADS
     reported = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}
     return {
@@ -224,17 +224,17 @@
         "mixed_sends": strict_mixed,
         "overlap_p99_ms": p95(overlaps, 0.99),
         "overlap_most_ms": max(overlaps),
-        "in_force_without_all_ready": check.without_all,
-        "turned_down_in_force": check.turned_down,
+        "in_force_without_all_ready": check.decided_without_all,
+        "turned_down_in_force": check.decided_though_refused,
         "unknown_reported_as_known": sum(
             status in reported and check.outcomes.get(number) != reported[status]
             for number, status in outcomes
         ),
-        "commands_lost": sum(one.lost for one in clients[:SURVIVING_MEMBERS]),
-        "answered_twice": sum(one.twice for one in clients),
+        "commands_lost": sum(one.counts.unanswered for one in clients[:SURVIVING_MEMBERS]),
+        "answered_twice": sum(one.counts.duplicate_answers for one in clients),
         "rules_broken": sum(log.count(line) for log in logs for line in FAULT_LINES),
         "over_whole": over_on_engine + over_allocated,
-        "asked": sum(one.asked for one in clients),
+        "asked": sum(one.counts.sent for one in clients),
     }
 
 
@@ -244,9 +244,9 @@
     strict_mixed, overlaps = 0, []
     for place, change in enumerate(applied, 1):  # each by itself: what it found and what it brought
         pair = [(at, now >= place) for at, now in attempts if now in (place - 1, place)]
-        mixture = mixed(pair)
+        mixture = measure_mixture(pair)
         if change.overlap == Overlap.STRICT:
-            strict_mixed += mixture.count
+            strict_mixed += mixture.stale_attempts
         overlaps.append(mixture.overlap_ms)
     return strict_mixed, overlaps
 
@@ -282,7 +282,7 @@
         seconds = time.monotonic() - began
         polls = count * CALLS_TO_PROPOSE + sum(took) / POLL_INTERVAL_S
         calls = (calls_of(rig) - before - idle_per_s * seconds - polls) / members / count
-        held_s = Changes(rig.lines()).held_s
+        held_s = RolloutChecker(rig.lines()).stopped_s
         return Quiet(round(p95(held_s, 0.99) * 1000, 1), p95(took), round(calls, 2))
 
 
@@ -311,7 +311,7 @@
         clients = load(rig, ["n2"], 60.0)
         rig.until(lambda: any(attempt.at > began for attempt in by_policy(rig.engines, [MAX_MB])))
         time.sleep(0.3)
-        first_at = next(row[0] for row in rig.engines[0].flights if row[0] > began)
+        first_at = next(row.started_at for row in rig.engines[0].attempts if row.started_at > began)
         end(clients)
         wrong = sum(at > began and not place for at, place in by_policy(rig.engines, [MAX_MB]))
         return round(ratio, 4), round(first_at - began, 2), wrong
@@ -319,14 +319,14 @@
 
 def answered_ratio(clients, seconds, act):
     """Answered over asked while act(turn) is called again and again for so long."""
-    asked_before = sum(one.asked for one in clients)
-    answered_before = sum(one.answered for one in clients)
+    asked_before = sum(one.counts.sent for one in clients)
+    answered_before = sum(one.counts.answered for one in clients)
     end_at, turn = time.monotonic() + seconds, 0
     while time.monotonic() < end_at:
         act(turn)
         turn += 1
-    asked = sum(one.asked for one in clients) - asked_before
-    done = sum(one.answered for one in clients) - answered_before
+    asked = sum(one.counts.sent for one in clients) - asked_before
+    done = sum(one.counts.answered for one in clients) - answered_before
     return done / max(1, asked)
 
 
@@ -353,8 +353,8 @@
     with ProcessPoolExecutor(3) as pool:  # beside what no other work can spoil
         alone = begin_decisions(
             pool,
-            changecheck,
-            changemutants,
+            rollout_explorer,
+            rollout_mutants,
             WALK_STEPS,
             (60, 8, 1000, 3000) if args.quick else (1500, 16, 6000, 60_000),
             (Overlap.STRICT, Overlap.LOOSE),
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -4,10 +4,11 @@
 the store's journal, the engines' records and the gateways' events by gullhold.testing.fleet_checker.
 """
 
-import socket
 import tempfile
 import time
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 from typing import Any, NamedTuple, Self
 
@@ -17,9 +18,9 @@
 from gullhold.testing.deployment import config
 from gullhold.testing.fleet_checker import Check
 from gullhold.testing.fleet_process import Member, StoreProcess
+from gullhold.testing.recording_engine import RecordingEngine
 from gullhold.testing.relay import Direction, RelayMode
-from gullhold.testing.running import answers
-from gullhold.testing.working import WorkingEngine
+from gullhold.testing.running import serving_status
 
 KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}  # profiles of the deployment
 SEEDS_PER_RIG = 1000  # the starts of one rig have seeds of their own
@@ -44,15 +45,6 @@
 Facts = dict[str, Any]
 
 
-class ReceivedCommand(NamedTuple):
-    """A command that an engine was sent. at: Unix s; idempotency_key empty: it has none."""
-
-    at: float
-    idempotency_key: str
-    profile: str
-    statement: str
-
-
 class FleetEvent(NamedTuple):
     """An event that a gateway logged of the fleet. at: Unix s."""
 
@@ -62,87 +54,92 @@
     facts: Facts
 
 
-class KeepingEngine(WorkingEngine):
-    """Keeps what it was sent."""
-
-    def __init__(self, **other: Any) -> None:
-        """other: of the working engine."""
-        self.received: list[ReceivedCommand] = []
-        self.on_fetch: Callable[[dict[bytes, bytes], bytes], Any] = lambda *_: None
-        super().__init__(**other)
-
-    def _word(self, conn: socket.socket, words: list[bytes]) -> None:
-        if words[0] == b"fetch":
-            facts = dict(pair.partition(b"=")[::2] for pair in words[2].split(b","))
-            key = facts.get(b"i", b"").decode()
-            command = ReceivedCommand(time.time(), key, facts[b"c"].decode(), words[3].decode())
-            self.received.append(command)
-            self.on_fetch(facts, words[3])
-        super()._word(conn, words)
-
-
 def _operator_list(items: Iterable[dict[str, Any]]) -> str:
     """Records of an operator's file."""
     rows = [", ".join(f"{key}: {value}" for key, value in item.items()) for item in items]
     return "\n".join("{" + row + "}," for row in rows)
 
 
+def _make_recording_engine(seed: int) -> RecordingEngine:
+    return RecordingEngine(slots=32, seed=seed)
+
+
+def _leave_unchanged(_settings: dict[str, Any]) -> None:
+    """Change nothing in the settings."""
+
+
+@dataclass(frozen=True, kw_only=True)
+class RigOptions:
+    """What a rig is made of.
+
+    members, engines: their numbers; lease_s: of a member; fleet: more of the operator's file, as text;
+    scheduled, budgets: records of the operator's file; beats, beat_ms: heartbeat roles and their period;
+    timeout_s: of all commands; dedup_s: how long engines remember an idempotency key; drift, policy, look:
+    text of the operator's file under these keys; settle_ms: of roles; moves: of roles, a second;
+    coordinator: address of the discovery service; adjust(settings): changes the settings that gateways are
+    started with; make(seed): makes an engine.
+    """
+
+    members: int = 3
+    lease_s: int = 1
+    fleet: str = ""
+    scheduled: Iterable[dict[str, Any]] = ()
+    beats: int = 0
+    beat_ms: int = 50
+    engines: int = 2
+    seed: int = 1
+    timeout_s: float = 3.0
+    dedup_s: float = 4.0
+    drift: str = "rate: 0.02, margin: 50ms"
+    settle_ms: int = 200
+    moves: int = 500
+    budgets: Iterable[dict[str, Any]] = ()
+    policy: str = ""
+    look: str = "50ms"
+    coordinator: str | None = None
+    adjust: Callable[[dict[str, Any]], Any] = _leave_unchanged
+    make: Callable[[int], RecordingEngine] = _make_recording_engine
+
+    def operator_values(self) -> dict[str, Any]:
+        """Return the values in the operator's file that are the same for all members."""
+        return {
+            "lease_s": self.lease_s,
+            "look": self.look,
+            "policy": self.policy,
+            "drift": self.drift,
+            "roles": (
+                f"moves: {self.moves}, settle: {self.settle_ms}ms, "
+                f"beats: {self.beats}, beat: {self.beat_ms}ms"
+            ),
+            "schedule": _operator_list(self.scheduled),
+            "more": self.fleet,
+        }
+
+
 class Rig:
-    """A fleet from entering to leaving."""
+    """A fleet from entering to leaving.
 
-    def __init__(
-        self,
-        members: int = 3,
-        lease_s: int = 1,
-        fleet: str = "",
-        scheduled: Iterable[dict[str, Any]] = (),
-        beats: int = 0,
-        beat_ms: int = 50,
-        engines: int = 2,
-        seed: int = 1,
-        timeout_s: float = 3.0,
-        dedup_s: float = 4.0,
-        drift: str = "rate: 0.02, margin: 50ms",
-        settle_ms: int = 200,
-        moves: int = 500,
-        budgets: Iterable[dict[str, Any]] = (),
-        policy: str = "",
-        look: str = "50ms",
-        coordinator: str | None = None,
-        adjust: Callable[[dict[str, Any]], Any] = lambda _: None,
-        make: Callable[[int], KeepingEngine] = lambda seed: KeepingEngine(slots=32, seed=seed),
-    ) -> None:
-        """Prepare it; nothing runs yet.
+    born_ms: start times of engines in Unix ms, by the engine's number; began: Unix s; budgets: may be changed
+    before a member's start.
+    """
 
-        fleet: more of the operator's file, as text; scheduled, budgets: dicts of the operator's words;
-        beats, beat_ms: heartbeat roles and their period; dedup_s: how long engines remember an idempotency
-        key; adjust(settings) changes the agreement that gateways are started with; make(seed): an engine;
-        coordinator: address of the discovery service.
-        """
+    def __init__(self, **options: Any) -> None:
+        """Prepare it; nothing runs yet. options: fields of RigOptions."""
+        self.options = RigOptions(**options)
+        self.lease_s = self.options.lease_s
+        self.dedup_s = self.options.dedup_s
         self.folder = tempfile.TemporaryDirectory(prefix="gullhold-fleet-")
         self.path = Path(self.folder.name)
-        self.lease_s = lease_s
-        self.seed = seed
-        self.timeout_s = timeout_s
-        self.dedup_s = dedup_s
-        self.adjust = adjust
-        self.coordinator = coordinator
-        self.budgets = list(budgets)
-        self.engines = [make(seed + number) for number in range(engines)]
-        self.born_ms: dict[int, int] = {}  # when each engine started, by its number
+        self.budgets = list(self.options.budgets)
+        self.engines = [
+            self.options.make(self.options.seed + number) for number in range(self.options.engines)
+        ]
+        self.born_ms: dict[int, int] = {}
         self.store_process = StoreProcess(self.path)
-        self.names = [f"n{number}" for number in range(members)]
+        self.names = [f"n{number}" for number in range(self.options.members)]
         self.members: dict[str, Member] = {}
         self.began = time.time()
-        self._operator_values = {
-            "lease_s": lease_s,
-            "look": look,
-            "policy": policy,
-            "drift": drift,
-            "roles": f"moves: {moves}, settle: {settle_ms}ms, beats: {beats}, beat: {beat_ms}ms",
-            "schedule": _operator_list(scheduled),
-            "more": fleet,
-        }
+        self._operator_values = self.options.operator_values()
 
     def __enter__(self) -> Self:
         """Start the store."""
@@ -198,7 +195,7 @@
         """Start gateways, all without names.
 
         wait: until they answer or end; operator: with the operator's file; name_: under another's name;
-        hooks: what gullhold.testing.child is asked for.
+        hooks: what gullhold.testing.hooked_gateway is asked for.
         """
         started = [self.members[name] for name in names or self.names]
         for member in started:
@@ -207,7 +204,7 @@
             member.start(self._configuration(member, name_ or member.name), operator_text, hooks)
         if wait:
             for member in started:
-                self.until(lambda member=member: answers(member.address) is not None or member.has_ended())
+                self.until(partial(_has_started_or_ended, member))
 
     def _operator_text(self, member: Member) -> str:
         return OPERATOR_FILE.format(
@@ -221,15 +218,15 @@
         configuration = config(*self.engines) | {
             "listen": member.listen,
             "name": name,
-            "seed": f"{self.seed * SEEDS_PER_RIG + member.serial:x}",
-            "coordinator": self.coordinator,
+            "seed": f"{self.options.seed * SEEDS_PER_RIG + member.serial:x}",
+            "coordinator": self.options.coordinator,
         }
         settings = configuration["settings"]
         settings["domain"]["note_period"] = 0  # these engines send no status notes
         for category in settings["categories"]:
-            category["give_up"] = self.timeout_s
+            category["give_up"] = self.options.timeout_s
             category["window"] = self.dedup_s
-        self.adjust(settings)
+        self.options.adjust(settings)
         entries = configuration["known"]["updates"][0]["endpoints"]["members"]
         for number, entry in enumerate(entries):
             entry["up_since_ms"] = self.born_ms.get(number, 0)
@@ -319,6 +316,10 @@
         return "\n".join(f"{at - self.began:8.3f} {text[:STORY_LINE_LENGTH]}" for at, text in last)
 
 
+def _has_started_or_ended(member: Member) -> bool:
+    return serving_status(member.address) is not None or member.has_ended()
+
+
 def _event_story(event: FleetEvent) -> str:
     facts = [f"{key}={event.facts[key]}" for key in EVENT_FACTS if event.facts.get(key)]
     return " ".join([event.member, event.text, *facts])
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -3,10 +3,10 @@
 from itertools import count
 
 from gullhold.rollout.store_schema import CHANGE_KEY
-from gullhold.testing import crowd
-from gullhold.testing.counting import CountingEngine
+from gullhold.testing import load_client
+from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
-from gullhold.testing.policycheck import Changes, by_policy, mixed
+from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
 SERIAL = count(1)
 
@@ -28,14 +28,14 @@
 def load(fleet, *names, rate=40.0):
     """A client of each gateway."""
     return [
-        crowd.Client(
+        load_client.LoadClient(
             fleet.members[name].address,
             "",
             name,
             rate=rate,
             work_ms=10.0,
             limit_ms=900,
-            manner=crowd.NOT_AT_ALL,
+            retry_rule=load_client.RetryRule.NEVER,
             seed=next(SERIAL),
         ).start()
         for name in names or fleet.names
@@ -48,15 +48,18 @@
         one.stop()
     for one in clients:
         one.join()
-    return sum(one.answered for one in clients)
+    return sum(one.counts.answered for one in clients)
 
 
 def on(fleet, number=0, names=None):
     """Wait until all of these go by this policy."""
     names = set(names or fleet.names)
-    fleet.until(
-        lambda: {name for name, under in Changes(fleet.lines()).under().items() if under == number} >= names
-    )
+
+    def all_apply_it() -> bool:
+        adopted = RolloutChecker(fleet.lines()).adopted_versions()
+        return {name for name, version in adopted.items() if version == number} >= names
+
+    fleet.until(all_apply_it)
 
 
 def propose(client, fleet, text, **options):
@@ -67,10 +70,10 @@
 
 def judged(fleet, grants, strict=False, overlap_ms=1200):
     """Nothing is mixed beyond what is stated, and nothing was decided that should not be."""
-    check = Changes(fleet.lines())
-    assert not check.without_all, fleet.story()
-    assert not check.turned_down, fleet.story()
-    wrong, overlap = mixed(by_policy(fleet.engines, grants))
+    check = RolloutChecker(fleet.lines())
+    assert not check.decided_without_all, fleet.story()
+    assert not check.decided_though_refused, fleet.story()
+    wrong, overlap = measure_mixture(by_policy(fleet.engines, grants))
     assert not (strict and wrong), (wrong, overlap, fleet.story())
     assert overlap <= overlap_ms, (wrong, overlap, fleet.story())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -36,17 +36,17 @@
     gateway, client = start(engine)
     seq = client.ask(verb)
     assert client.answer() == (seq, want)
-    assert len(engine.words(b"fetch")) == (1 if want == "fault" else 2)
+    assert len(engine.messages(b"fetch")) == (1 if want == "fault" else 2)
 
 
 def test_a_refused_connection_proves_that_nothing_ran(start):
     dead, engine = Engine(), Engine()
-    dead.refuse()
+    dead.stop_listening()
     gateway, client = start(dead, engine)
     for _ in range(6):
         seq = client.ask("once")
         assert client.answer() == (seq, b"a\tb\tc\n")
-    assert len(engine.words(b"fetch")) == 6
+    assert len(engine.messages(b"fetch")) == 6
 
 
 @pytest.mark.parametrize(
@@ -79,8 +79,8 @@
     seq = client.ask("once", limit=700)
     assert client.answer() == (seq, "fault")
     assert 0.5 < time.monotonic() - began < 1.0
-    until(lambda: engine.words(b"abort"))
-    assert engine.words(b"alive")
+    until(lambda: engine.messages(b"abort"))
+    assert engine.messages(b"alive")
     assert gateway.count("attempts_ended_timed_out") == 1
 
 
@@ -107,11 +107,11 @@
     """The two travel on different connections: once in some hundred the fetch overtook the abort."""
     engines = [Engine(endless, ok()), Engine(endless, ok())]
     for engine in engines:
-        engine.slow = 0.2
+        engine.alive_delay_s = 0.2
     gateway, client = start(*engines)
     seq = client.ask(limit=4000, cpu=b"20")  # far past the usual: started afresh
     assert client.answer() == (seq, b"a\tb\tc\n")
-    told = sorted((words for engine in engines for words in engine.told), key=lambda words: words[-1])
+    told = sorted((words for engine in engines for words in engine.received), key=lambda words: words[-1])
     order = [words[1] for words in told if words[1] in (b"fetch", b"abort", b"alive answered")]
     assert order[:4] == [b"fetch", b"abort", b"alive answered", b"fetch"]
 
@@ -125,7 +125,7 @@
     gateway, client = start(engine)
     seq = client.ask(limit=4000, cpu=b"20")
     assert client.answer() == (seq, b"j\tu\tst\n")
-    assert len(engine.words(b"fetch")) == 1
+    assert len(engine.messages(b"fetch")) == 1
     until(lambda: gateway.count("attempts_ended_answered") == 1)
 
 
@@ -134,12 +134,12 @@
     gone = Engine(mute)
     gateway, client = start(gone)
     client.ask("once", limit=3000)
-    until(lambda: gone.words(b"fetch"))
-    gone.refuse()
-    until(lambda: gone.words(b"alive"))
+    until(lambda: gone.messages(b"fetch"))
+    gone.stop_listening()
+    until(lambda: gone.messages(b"alive"))
     client.ask(limit=3000)
     until(lambda: gateway.count("attempts_ended_connect_failed"))
-    assert len(gone.words(b"fetch")) == 1
+    assert len(gone.messages(b"fetch")) == 1
 
 
 def test_second_copies_and_words_of_nobody_are_passed_over(start):
@@ -176,7 +176,7 @@
     engine = Engine(endless, spoilt if callable(spoilt) else raw(spoilt), ok())
     gateway, client = start(engine)
     first = client.ask("once", limit=3000)
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
@@ -193,7 +193,7 @@
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert gateway.count("attempts_unanswered") == 1
     assert gateway.count("engine_connections_opened") <= 2
-    (first, second), (abort,) = engine.words(b"fetch"), engine.words(b"abort")
+    (first, second), (abort,) = engine.messages(b"fetch"), engine.messages(b"abort")
     assert first[-1] < abort[-1] < second[-1]  # never two at once
 
 
@@ -213,5 +213,5 @@
     until(lambda: gateway.count("engine_connections_ended_closed_by_peer") == 1)
     for number in range(5):
         client.ask("once")
-        until(lambda: len(together.words(b"fetch")) == 2 + number)  # noqa: B023
+        until(lambda: len(together.messages(b"fetch")) == 2 + number)  # noqa: B023
     assert gateway.count("engine_connections_opened") == 1 + 2  # three to a link: a reset takes no more along
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -34,11 +34,11 @@
     engine = Engine(endless)
     gateway, client = start(engine)
     client.ask(seq=5)
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     client.ask(seq=5)
     assert client.answer() == (5, "shed")  # what it had asked gets its one answer, and only that
     assert client.answer() is None
-    until(lambda: engine.words(b"abort"))
+    until(lambda: engine.messages(b"abort"))
 
 
 def test_a_client_that_ends_its_side_has_gone_and_what_it_had_open_is_given_up(start):
@@ -47,11 +47,11 @@
     engine = Engine(endless)
     gateway, client = start(engine)
     client.ask("once")
-    until(lambda: engine.words(b"fetch"))
+    until(lambda: engine.messages(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
     assert client.answer() is None  # no answer is owed, and our side ends too
-    until(lambda: engine.words(b"abort") and not gateway.core.requests.by_number)
-    assert len(engine.words(b"fetch")) == 1
+    until(lambda: engine.messages(b"abort") and not gateway.core.requests.by_number)
+    assert len(engine.messages(b"fetch")) == 1
     assert not gateway.count("answered")
 
 
@@ -96,12 +96,12 @@
     for name, word in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
         seq = client.ask(**{name: word})
         assert client.answer() == (seq, "fault")
-    assert not engine.told
+    assert not engine.received
     seq = client.ask()  # an id that no engine knows: an error on each
     assert client.answer() == (seq, "shed")
-    assert len(engine.words(b"fetch")) <= 6
+    assert len(engine.messages(b"fetch")) <= 6
     many = Caller(gateway.address)
-    engine.acts[:] = [endless]
+    engine.script[:] = [endless]
     for _ in range(60):
         many.ask()
     until(lambda: gateway.count("rejected_connection_limit") == 28)
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -11,8 +11,8 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.rollout.policy_version import PolicyError, PolicyVersion
 from gullhold.rollout.store_schema import CHANGE_KEY, decode_change, encode_change
-from gullhold.testing.counting import CountingEngine
-from gullhold.testing.policycheck import Changes, by_policy
+from gullhold.testing.counting_engine import CountingEngine
+from gullhold.testing.rollout_checker import RolloutChecker, by_policy
 
 
 @pytest.mark.parametrize("overlap", [Overlap.LOOSE, Overlap.STRICT])
@@ -30,7 +30,7 @@
             time.sleep(0.1)
         time.sleep(0.2)
         assert end(clients) > 60
-        assert not any(one.failed + one.lost for one in clients)
+        assert not any(one.counts.failed + one.counts.unanswered for one in clients)
         judged(fleet, grants, overlap == Overlap.STRICT, 300)
         assert {place for _, place in by_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
         assert client.current().text == granting(23)
@@ -115,7 +115,7 @@
 
 
 def test_a_canary_that_goes_bad_as_its_carrier_dies_is_dropped_and_a_good_one_comes():
-    with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, fails=0.3)) as fleet:
+    with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
         fleet.start()
         on(fleet)
         client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, rate=60.0)
@@ -142,9 +142,9 @@
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, record.number)
         end(clients)
-        check = Changes(fleet.lines())
+        check = RolloutChecker(fleet.lines())
         assert check.outcomes == {1: "dropped", 2: "decided"}
-        assert not check.without_all
+        assert not check.decided_without_all
 
 
 def test_schedules_and_weights_at_the_door_are_changed_with_the_rest():
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -8,9 +8,9 @@
 from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.rollout.policy_change import OnSilence, Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
-from gullhold.testing import crowd
+from gullhold.testing import load_client
 from gullhold.testing.budget_checker import most_at_once
-from gullhold.testing.policycheck import by_policy
+from gullhold.testing.rollout_checker import by_policy
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, 1, others)
         asker = clients[fleet.names.index(victim)]
-        fleet.until(lambda: asker.shed > 3)  # a time to come back is not stated by this agreement
+        fleet.until(lambda: asker.counts.shed > 3)  # a time to come back is not stated by this agreement
         assert service_good(fleet, victim) is False
         fleet.heal(victim)
         on(fleet, 1)  # its word stands at the register a moment before the reply that opens its gate
@@ -147,14 +147,14 @@
         on(fleet)
         client = PolicyClient(fleet.register_address, "rig")
         clients = [
-            crowd.Client(
+            load_client.LoadClient(
                 fleet.members[name].address,
                 "",
                 name,
                 open=20,
                 work_ms=60.0,
                 limit_ms=800,
-                manner=crowd.NOT_AT_ALL,
+                retry_rule=load_client.RetryRule.NEVER,
                 seed=next(SERIAL),
             ).start()
             for name in ("n0", "n1")
@@ -171,7 +171,7 @@
         decided = time.time()
         time.sleep(1.5)
         end(clients)
-        flights = fleet.engines[0].flights
+        flights = fleet.engines[0].attempts
         assert most_at_once(flights)[0] <= 12
-        assert 3 <= most_at_once([row for row in flights if row[0] > decided + 0.5])[0] <= 5
+        assert 3 <= most_at_once([row for row in flights if row.started_at > decided + 0.5])[0] <= 5
         judged(fleet, [20], strict=True)
--- a/tests/test_policy_snapshot.py
+++ b/tests/test_policy_snapshot.py
@@ -27,8 +27,8 @@
         fleet.kill_register()
         fleet.start("n0")
         clients = load(fleet)
-        fleet.until(lambda: clients[0].answered > 5)
-        assert {row[5] for row in fleet.engines[0].flights} == {20}
-        fleet.until(lambda: clients[0].shed > 5)  # the time for which it may be gone by is over
+        fleet.until(lambda: clients[0].counts.answered > 5)
+        assert {row.memory_mb for row in fleet.engines[0].attempts} == {20}
+        fleet.until(lambda: clients[0].counts.shed > 5)  # the time for which it may be gone by is over
         end(clients)
         fleet.start_register()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,7 +19,7 @@
         "mark", unique=b"5c0f", txn=b"9b1f03aa5c7e2d41", body="select 'é\r\n' from a_1.b".encode()
     )
     assert client.answer() == (seq, b"1\t2\t3\n" * 800 + b"4\t5\t6\n" * 900 + b"7\t8\t9\n")
-    ((_, _, txn, fields, body, _),) = engine.words(b"fetch")
+    ((_, _, txn, fields, body, _),) = engine.messages(b"fetch")
     fields = resp.decode_fields(fields)
     assert txn == b"9b1f03aa5c7e2d41"
     assert body == "select 'é\r\n' from a_1.b".encode()
@@ -28,8 +28,8 @@
     assert 0 < int(fields[b"mem"]) < 200
     assert 2000 < int(fields[b"w"]) <= 3000
     assert fields[b"prio"] in (b"1", b"3")
-    until(lambda: engine.words(b"done"))
-    assert [words[3] for words in engine.words(b"more")] == [b"1", b"2"]
+    until(lambda: engine.messages(b"done"))
+    assert [words[3] for words in engine.messages(b"more")] == [b"1", b"2"]
     until(lambda: gateway.count("answered") == 1)
 
 
@@ -81,7 +81,7 @@
     for limit in (0, 10):
         seq = client.ask(limit=limit)
         assert client.answer() == (seq, "shed")
-    assert not engine.told
+    assert not engine.received
 
 
 def test_bad_requests_are_answered_and_nothing_is_sent(start):
@@ -100,7 +100,7 @@
     assert client.answer() == (seq, "exception")
     seq = client.send("check", b"\x02\0\1\1")
     assert client.answer() == (seq, b"")
-    assert not engine.told
+    assert not engine.received
 
 
 def test_names_of_one_agreement_mean_nothing_to_another_gateway_of_the_same_process(tmp_path):
@@ -131,9 +131,9 @@
     gateway, client = start(engine, max_open=2)
     asked = [client.ask() for _ in range(3)]
     assert client.answer() == (asked[2], "shed")
-    until(lambda: len(engine.words(b"fetch")) == 2)  # what is not out yet is taken back instead
+    until(lambda: len(engine.messages(b"fetch")) == 2)  # what is not out yet is taken back instead
     client.sock.close()
-    until(lambda: len(engine.words(b"abort")) == 2)
+    until(lambda: len(engine.messages(b"abort")) == 2)
 
 
 def test_a_module_that_fails_costs_one_command_its_answer_and_no_other(start):
