--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -28,10 +28,10 @@
 
 
 class NetworkRule(NamedTuple):
-    """How clients of a network are told apart; each: "network", "address" or "connection"."""
+    """How clients of a network are told apart; identified_by: "network", "address" or "connection"."""
 
     name: str
-    each: str
+    identified_by: str
 
 
 class ClientIdentifier:
@@ -83,7 +83,7 @@
         network = self._network_rule(address)
         if network is not None:
             names = {"network": network.name, "address": address}
-            name = names.get(network.each, connection)
+            name = names.get(network.identified_by, connection)
             return _flow_name(NameKind.NETWORK, str(name).encode())
         name = address if self._is_by_address else connection
         return _flow_name(NameKind.ADDRESS, str(name).encode())
--- a/gullhold/admission/drain_rate.py
+++ b/gullhold/admission/drain_rate.py
@@ -2,7 +2,7 @@
 
 from math import exp
 
-FADING_TIME_US = 2_000_000  # longer than a few commands take, shorter than disturbances last
+DECAY_TIME_US = 2_000_000  # longer than a few commands take, shorter than disturbances last
 MIN_MEASURED_US = 200_000  # time with queued commands, below which the rate is not known
 
 
@@ -40,7 +40,7 @@
 
     def _advance(self, now_us: int) -> None:
         if self._queued_count and now_us > self._updated_us:
-            fading = exp((self._updated_us - now_us) / FADING_TIME_US)
-            self._work_us *= fading
-            self._busy_us = self._busy_us * fading + FADING_TIME_US * (1 - fading)
+            decay = exp((self._updated_us - now_us) / DECAY_TIME_US)
+            self._work_us *= decay
+            self._busy_us = self._busy_us * decay + DECAY_TIME_US * (1 - decay)
         self._updated_us = max(self._updated_us, now_us)
--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -50,9 +50,9 @@
 
     def set_weights(self, tenant_weights: Sequence[float], client_weights: Mapping[str, float]) -> None:
         """Set new weights, also for flows that are backlogged; what was used stays used."""
-        least = min((weight for weight in tenant_weights if weight > 0), default=DEFAULT_WEIGHT)
+        min_weight = min((weight for weight in tenant_weights if weight > 0), default=DEFAULT_WEIGHT)
         self._tenant_weights = [
-            weight / least if weight > 0 else DEFAULT_WEIGHT for weight in tenant_weights
+            weight / min_weight if weight > 0 else DEFAULT_WEIGHT for weight in tenant_weights
         ] or [DEFAULT_WEIGHT]
         self.client_weights = {name.encode(): weight for name, weight in client_weights.items()}
         for tenant_queue in self.tenants.values():
--- a/gullhold/admission/work_accounting.py
+++ b/gullhold/admission/work_accounting.py
@@ -4,7 +4,7 @@
 from gullhold.admission.queued_command import QueuedCommand
 
 DEFAULT_WORK_US = 50_000.0  # of a command that states none, until answers have stated costs
-EASING = 0.1  # weight of the newest answer in the moving averages
+SMOOTHING_FACTOR = 0.1  # weight of the newest answer in the moving averages
 MIN_BIAS = 0.1  # bounds of a flow's bias: the factors by which estimates are known to be off
 MAX_BIAS = 10.0
 MIN_ESTIMATE_US = 1.0
@@ -44,8 +44,8 @@
         flow = command.flow
         stated_us = command.work_us / flow.estimate_bias
         true_bias = min(max(command.cost_us / max(stated_us, MIN_ESTIMATE_US), MIN_BIAS), MAX_BIAS)
-        flow.estimate_bias += EASING * (true_bias - flow.estimate_bias)
+        flow.estimate_bias += SMOOTHING_FACTOR * (true_bias - flow.estimate_bias)
         if self._usual_work_us:
-            self._usual_work_us += EASING * (command.cost_us - self._usual_work_us)
+            self._usual_work_us += SMOOTHING_FACTOR * (command.cost_us - self._usual_work_us)
         else:
             self._usual_work_us += command.cost_us
--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -35,8 +35,8 @@
 
     def peek(self, size: int, offset: int = 0) -> bytes | None:
         """Return so many bytes from an offset on, None unless all have arrived."""
-        first = self.start + offset
-        return bytes(self.data[first : first + size]) if first + size <= self.end else None
+        begin = self.start + offset
+        return bytes(self.data[begin : begin + size]) if begin + size <= self.end else None
 
     def find(self, mark: bytes, offset: int = 0) -> int:
         """Return the offset of a mark, or -1."""
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -154,14 +154,14 @@
         Closing a socket with unread bytes sends a reset, which can destroy answers on their way. What is read
         here arrived after our end of stream, so the client sends it again elsewhere: it is never handled.
         """
-        end_at = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to be written
+        deadline_s = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to be written
         is_end_awaited = False
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(POLL_INTERVAL_S * 1e6))
-            while time.monotonic() < end_at and not self.write_buffer.is_dead:
+            while time.monotonic() < deadline_s and not self.write_buffer.is_dead:
                 if self.write_buffer.is_end_sent and not is_end_awaited:
                     is_end_awaited = True
-                    end_at = min(end_at, time.monotonic() + CROSSING_TIME_S)
+                    deadline_s = min(deadline_s, time.monotonic() + CROSSING_TIME_S)
                 if self._has_peer_closed():
                     break
         self.write_buffer.finish(now=True)
@@ -211,13 +211,13 @@
 
     def _check_idle(self) -> None:
         """End an idle connection; guards against clients that send nothing, or never complete a message."""
-        is_cut = len(self.decoder.buffer) > 0
+        is_mid_message = len(self.decoder.buffer) > 0
         is_busy = self.is_busy()
         was_answered = self.write_buffer.end_offset > 0
-        limit_s = IDLE_TIMEOUT_S if was_answered and not is_cut else MESSAGE_TIMEOUT_S
-        if self.idle_timer.idle_s(is_cut, is_busy, was_answered) <= limit_s:
+        limit_s = IDLE_TIMEOUT_S if was_answered and not is_mid_message else MESSAGE_TIMEOUT_S
+        if self.idle_timer.idle_s(is_mid_message, is_busy, was_answered) <= limit_s:
             return
-        if is_cut:
+        if is_mid_message:
             raise ProtocolError("half a message")
         if not is_busy:
             self._request_end()
--- a/gullhold/net/configuration_reload.py
+++ b/gullhold/net/configuration_reload.py
@@ -43,7 +43,7 @@
         try:
             with open(self._path, encoding="utf-8") as file:
                 address = json.load(file)["coordinator"]
-            self._discovery_client.move(address)
+            self._discovery_client.change_address(address)
             logger.info("configuration read again: coordinator {}", address)
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
             logger.error("configuration {} can't be used, the old one holds: {!r}", self._path, error)
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -64,7 +64,7 @@
         self._last_applied_s = float("-inf")  # time.monotonic() of the last call to the core
         self._is_receiving = False  # bytes have arrived whose changes the core does not have yet
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Follow the stream at this HOST:PORT from now on, after the last event; from any thread."""
         self._address = host_port(address)
         self._address_changed.set()
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -188,14 +188,14 @@
         Temporary refusals of this machine are retried, so that no engine is blamed for them.
         """
         wait_s = self.core.agreement.connect_timeout_us / 1e6
-        end_at = time.monotonic() + (wait_s or self.core.limits.sweep_interval_us / 1e6)
+        deadline_s = time.monotonic() + (wait_s or self.core.limits.sweep_interval_us / 1e6)
         while True:
-            left_s = max(end_at - time.monotonic(), CONNECT_RETRY_INTERVAL_S) if wait_s else 0
+            left_s = max(deadline_s - time.monotonic(), CONNECT_RETRY_INTERVAL_S) if wait_s else 0
             try:
                 return self._connect(left_s)
             except OSError as error:
-                is_last = time.monotonic() + CONNECT_RETRY_INTERVAL_S >= end_at
-                if error.errno not in RETRIED_ERRNOS or self.local_end or is_last:
+                is_last_attempt = time.monotonic() + CONNECT_RETRY_INTERVAL_S >= deadline_s
+                if error.errno not in RETRIED_ERRNOS or self.local_end or is_last_attempt:
                     raise
             self.core.counters.add("connects tried again")
             time.sleep(CONNECT_RETRY_INTERVAL_S)
@@ -214,7 +214,7 @@
         return sock
 
     def _read(self, sock: socket.socket) -> ConnectionEnd:
-        is_cut = False
+        is_mid_array = False
         while True:
             try:
                 count = self.decoder.buffer.receive(sock)
@@ -223,7 +223,7 @@
             if not count:
                 return ConnectionEnd.CLOSED
             self.deliver()
-            if self.decoder.is_cut != is_cut:
+            if self.decoder.is_mid_array != is_mid_array:
                 # In the middle of an array the next bytes arrive soon, or never.
-                is_cut = self.decoder.is_cut
-                set_read_timeout(sock, self.core.agreement.connect_timeout_us if is_cut else 0)
+                is_mid_array = self.decoder.is_mid_array
+                set_read_timeout(sock, self.core.agreement.connect_timeout_us if is_mid_array else 0)
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -142,8 +142,8 @@
     def _count_close(connection: EngineConnection, end: ConnectionEnd) -> None:
         """Learn whether this engine closes connections in order."""
         endpoint = connection.endpoint
-        is_cut = end == ConnectionEnd.CLOSED and connection.decoder.is_cut
-        if is_cut or end in BROKE_OTHERS:
+        is_mid_array = end == ConnectionEnd.CLOSED and connection.decoder.is_mid_array
+        if is_mid_array or end in BROKE_OTHERS:
             endpoint.orderly_closes = max(0, endpoint.orderly_closes - 1)
         elif end == ConnectionEnd.CLOSED:
             endpoint.orderly_closes += 1
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -156,6 +156,6 @@
     """Raise ProtocolError unless a page consists of complete rows of three columns."""
     is_too_long = len(rows) > MAX_PAGE_BYTES
     has_other_columns = rows.count(b"\t") != TABS_PER_ROW * rows.count(b"\n")
-    is_cut = bool(rows) and not rows.endswith(b"\n")
-    if is_too_long or has_other_columns or is_cut:
+    is_last_row_incomplete = bool(rows) and not rows.endswith(b"\n")
+    if is_too_long or has_other_columns or is_last_row_incomplete:
         raise ProtocolError("a page that is not whole rows of three columns")
--- a/gullhold/net/event_loop.py
+++ b/gullhold/net/event_loop.py
@@ -149,11 +149,11 @@
             call(*args)
 
     def _step(self) -> None:
-        before = self.now
+        previous_us = self.now
         wait_us = self.next_timer_at_us() - self.clock()
         event = self.next_event(wait_us)
         self.tick()
-        if self.now - before > max(wait_us, 0) + STALL_US:
+        if self.now - previous_us > max(wait_us, 0) + STALL_US:
             self._catch_up()
         self.turn(event)
 
@@ -164,8 +164,8 @@
         be sent to engines that have left, before the change of the endpoint list is read.
         """
         self.counters.add("stalls")
-        end = self.now + CATCH_UP_US
-        while self.discovery_lags() and self.clock() < end:
+        deadline_us = self.now + CATCH_UP_US
+        while self.discovery_lags() and self.clock() < deadline_us:
             time.sleep(CATCH_UP_POLL_S)
         self.tick()
 
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -21,7 +21,7 @@
         self.missing_count = 0  # strings of it that have not arrived
 
     @property
-    def is_cut(self) -> bool:
+    def is_mid_array(self) -> bool:
         """Whether an array has begun and is not complete."""
         return bool(self.missing_count or len(self.buffer))
 
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -61,11 +61,11 @@
         """
         if not self.unconfirmed or self.clock_lead_us is None or 0 <= self.clock_lead_us <= MAX_NEWS_DELAY_US:
             return []
-        rows = [row for engine_id, row in self.unconfirmed.items() if engine_id not in excluded_ids]
+        entries = [entry for engine_id, entry in self.unconfirmed.items() if engine_id not in excluded_ids]
         self.unconfirmed = {}
-        for row in rows:
-            del self.start_times[row.id]
-        return [self._correct_entry(now, row, True) for row in rows]
+        for entry in entries:
+            del self.start_times[entry.id]
+        return [self._correct_entry(now, entry, True) for entry in entries]
 
     def _correct_entry(self, now: int, entry: EngineEntry, is_news: bool) -> EngineEntry:
         listed_us = entry.started_us
--- a/gullhold/net/statement_memory.py
+++ b/gullhold/net/statement_memory.py
@@ -18,22 +18,22 @@
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
-        self.used = 0
+        self.used_bytes = 0
         self.lock = Lock()
         self.clients: set[ClientConnection] = set()
 
     def reserve(self, size: int) -> bool:
         """Reserve bytes for a statement; False where they exceed the limit. release() returns them."""
         with self.lock:
-            if self.used + size > self.max_bytes:
+            if self.used_bytes + size > self.max_bytes:
                 return False
-            self.used += size
+            self.used_bytes += size
             return True
 
     def release(self, size: int) -> None:
         """Return the reserved bytes of a statement."""
         with self.lock:
-            self.used -= size
+            self.used_bytes -= size
 
     def is_crowded(self) -> bool:
         """Whether unread answers of all clients take more than max_bytes."""
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -108,7 +108,7 @@
     fields: Fields
 
 
-class Scan:
+class FrameReader:
     """A reader of the values in one frame. All methods raise ProtocolError for malformed bytes."""
 
     def __init__(self, data: bytes) -> None:
@@ -234,16 +234,16 @@
 
 def decode_message(frame: bytes, *message_types: int) -> Message:
     """Decode the message in one frame. Raises ProtocolError, also where its type is none of these."""
-    scan = Scan(frame)
-    version, _, message_type = MESSAGE_HEADER.unpack(scan.read(MESSAGE_HEADER.size))
+    reader = FrameReader(frame)
+    version, _, message_type = MESSAGE_HEADER.unpack(reader.read(MESSAGE_HEADER.size))
     if version != VERSION_1 or message_type not in message_types:
         raise ProtocolError("not a strict binary message of its kind")
     try:
-        method = scan.read_string().decode()
+        method = reader.read_string().decode()
     except UnicodeDecodeError:
         raise ProtocolError("a method name that is no text") from None
-    sequence_id = scan.read_number(I32S)
-    return Message(method, message_type, sequence_id, scan.read_struct())
+    sequence_id = reader.read_number(I32S)
+    return Message(method, message_type, sequence_id, reader.read_struct())
 
 
 def decode_call(frame: bytes) -> Message:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -258,6 +258,6 @@
             "running": census.engine_attempts,
             "held": census.queued_tenants,
             "sends": sum(len(connection.open) for connection in core.pool.connections),
-            "bytes": core.statement_memory.used,
+            "bytes": core.statement_memory.used_bytes,
         }
         return {name: size for name, size in sizes.items() if size}
--- a/gullhold/simulation/peers.py
+++ b/gullhold/simulation/peers.py
@@ -238,7 +238,7 @@
         """Bytes of the gateway."""
         self.decoder.buffer.put(data)
         for frame in self.decoder.frames():
-            scan = thrift.Scan(frame)
+            scan = thrift.FrameReader(frame)
             kind = scan.read(4)[3]
             scan.read_string()
             seq = struct.unpack(">i", scan.read(4))[0]
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -56,7 +56,7 @@
                 return None
             self.buffer += data
         size = struct.unpack(">i", self.buffer[:4])[0]
-        scan = thrift.Scan(self.buffer[4 : 4 + size])
+        scan = thrift.FrameReader(self.buffer[4 : 4 + size])
         self.buffer = self.buffer[4 + size :]
         kind = scan.read(4)[3]
         scan.read_string()
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -63,7 +63,7 @@
         assert not self.core.requests.by_number
         assert not self.core.requests.by_transaction_id
         assert not self.core.gateway.commands
-        assert not self.core.statement_memory.used
+        assert not self.core.statement_memory.used_bytes
 
 
 def write_configuration(tmp_path, configuration):
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -152,7 +152,7 @@
     assert other.answer() == (big, "shed")
     assert gateway.count("no memory for a statement") == 1
     client.interrupt(asked[0])
-    until(lambda: gateway.core.statement_memory.used < 5000)
+    until(lambda: gateway.core.statement_memory.used_bytes < 5000)
     other.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000)
     until(lambda: len(engine.words(b"fetch")) == 3)
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -85,7 +85,7 @@
     gateway = Gateway(tmp_path, config() | {"coordinator": old.address})
     line = json.dumps(event(2, ("s-0", engines[0].address, "ready"))).encode() + b"\n"
     old.say(line[:40])
-    gateway.coordinator.move(new.address)
+    gateway.coordinator.change_address(new.address)
     until(lambda: new.asked)
     new.say(line, b"2\n")
     until(lambda: gateway.count("list changes") == 2)
--- a/tests/test_thrift.py
+++ b/tests/test_thrift.py
@@ -97,7 +97,7 @@
         assert size == len(message) - 4
         assert version == 0x8001
         assert found == kind
-        scan = thrift.Scan(message[8:])
+        scan = thrift.FrameReader(message[8:])
         scan.read_string()
         assert scan.read_number(thrift.I32S) == 7
         result = scan.read_struct()
