--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -21,7 +21,7 @@
 
 CLOSING_PAUSE_S = 0.5  # between reads of a connection that waits for its last answers
 MAX_CLOSING_READ_BYTES = 65_536  # read at once during the shutdown: 32 requests of usual size
-FULL_POLL_INTERVAL_S = 0.05  # between reads in a pause once much is deferred: half of the time to see a leave
+FULL_POLL_INTERVAL_S = 0.05  # between reads in a pause once the deferred calls are full
 MESSAGE_TIMEOUT_S = 2.0  # in which a peer completes a message; the protocol wants an end within 3 s
 IDLE_TIMEOUT_S = 5.0  # without a request; usual clients close their own connection after 4 s
 MAX_READ_WAIT_US = 500_000  # between checks of the two timeouts above
@@ -53,11 +53,11 @@
         self.write_buffer = WriteBuffer(
             MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + max_message_bytes), core.counters, core.flusher
         )
-        self.open: dict[int, PendingRequest] = {}  # by sequence number
+        self.open: dict[int, PendingRequest] = {}  # by sequence id
         self.undelivered: dict[int, bool] = {}  # sequence ids posted to the core that it has yet to process
-        self.interrupted: set[int] = set()  # those of open requests whose interrupts wait for the core
+        self.interrupted: set[int] = set()  # sequence ids of open requests whose interrupts wait for the core
         self.handed_over_count = 0  # requests that were handed to the core
-        self.settled_count = 0  # those of them that are answered, or taken back
+        self.settled_count = 0  # those of them that are answered or interrupted
         self.is_ending = False  # it is not read any more, or is to end
         self.has_left = False  # it closed, or its connection broke: it waits for no answer any more
         self.is_dismissed = False  # to end once nothing is open
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -76,9 +76,9 @@
         """Whether something has arrived that the core does not have yet; from any thread."""
         try:
             connection = self._connection
-            # In this order: the bytes are in the socket, and after that in this object.
+            # In this order: the bytes are first in the socket, then in this object.
             return bool(connection and connection.is_readable()) or self._is_receiving
-        except (OSError, ValueError):  # the connection ends just now
+        except (OSError, ValueError):  # the connection is being closed
             return False
 
     def run(self) -> None:
@@ -120,7 +120,7 @@
             return self._follow(address, connect_timeout_s), ""
         except TimeoutError:
             return ConnectionEnd.SILENT, ""
-        except Exception as error:  # noqa: BLE001  the old list holds, and the stream is followed anew
+        except Exception as error:  # noqa: BLE001  the known list holds, and the stream is followed again
             return connection_ends.classify_exception(error, connecting=True)
 
     def _follow(self, address: tuple[str, int], connect_timeout_s: float) -> ConnectionEnd:
@@ -149,7 +149,7 @@
             time.sleep(BATCH_INTERVAL_S)
         if not is_readable_within(sock, SILENCE_LIMIT_US):
             raise TimeoutError
-        # Before they are read: has_unapplied_events() sees them in the one place or the other.
+        # Set before they are read, so that has_unapplied_events() sees them in the socket or here.
         self._is_receiving = True
         return stream.buffer.receive(sock)
 
@@ -166,7 +166,7 @@
                 if change.is_complete:
                     self._apply(batch)
                     batch = ListChangeBatch()
-        finally:  # the events before a malformed line hold
+        finally:  # the events before a malformed line are applied
             self._apply(batch)
 
     def _apply(self, batch: ListChangeBatch) -> None:
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from gullhold.admission.client_identity import ClientIdentifier
 
-RESERVED_PLACES_DIVISOR = 8  # one in so many places is kept free, so that nobody waits for another to go
+RESERVED_PLACES_DIVISOR = 8  # 1/8 of the places is kept free for new clients
 
 
 class Listener:
@@ -93,7 +93,7 @@
             raise
 
     def _handle_accept_error(self, error: Exception) -> None:
-        """Count a connection that could not be served now; a broken one is closed, another is tried again."""
+        """Count a connection that could not be served now; a broken one is closed, others are retried."""
         if self._accepted and isinstance(error, OSError):  # the client left before we could serve it
             sock, _ = self._accepted
             sock.close()
@@ -106,7 +106,7 @@
     def _serve(self, client: ClientConnection) -> None:
         try:
             client.run()
-        finally:  # its descriptor is closed by now: until then it takes a place
+        finally:  # its descriptor is closed, which frees its place
             self.clients.discard(client)
 
     def _make_room(self) -> bool:
@@ -116,7 +116,7 @@
         """
         if len(self.clients) < self.max_clients * (RESERVED_PLACES_DIVISOR - 1) // RESERVED_PLACES_DIVISOR:
             return True
-        latest_s = time.monotonic() - CROSSING_TIME_S  # one that came later is about to ask
+        latest_s = time.monotonic() - CROSSING_TIME_S  # a newer one is about to send a request
         idle = [
             client
             for client in list(self.clients)
@@ -124,7 +124,7 @@
         ]
         if idle:
             self.core.counters.add("idle ones closed for room")
-            # First those that were never sent anything, of these the one that has been quiet the longest.
+            # First those that were never sent anything; of these the longest idle one.
             min(
                 idle, key=lambda client: (client.write_buffer.end_offset > 0, client.last_active_at)
             ).dismiss()
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -22,7 +22,7 @@
 
 
 class Request(NamedTuple):
-    """A command as a client asked for it, in the decision module's units."""
+    """A command as a client sent it, in the decision module's units."""
 
     transaction_id: bytes
     profile_name: bytes
@@ -35,7 +35,7 @@
     work_us: int  # estimated work on one core
     memory_mb: float  # estimated memory
     table_group: int  # 0: none
-    is_retry: bool  # the client has asked for it before
+    is_retry: bool  # the client has sent it before
     flow: bytes = b""  # the client inside its tenant, where there is an admission queue
 
 
