--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -21,7 +21,7 @@
 
 CLOSING_PAUSE_S = 0.5  # between reads of a connection that waits for its last answers
 MAX_CLOSING_READ_BYTES = 65_536  # read at once during the shutdown: 32 requests of usual size
-FULL_POLL_INTERVAL_S = 0.05  # between reads in a pause once much is deferred: half of the time to see a leave
+FULL_POLL_INTERVAL_S = 0.05  # between reads in a pause once the deferred calls are full
 MESSAGE_TIMEOUT_S = 2.0  # in which a peer completes a message; the protocol wants an end within 3 s
 IDLE_TIMEOUT_S = 5.0  # without a request; usual clients close their own connection after 4 s
 MAX_READ_WAIT_US = 500_000  # between checks of the two timeouts above
@@ -53,11 +53,11 @@
         self.write_buffer = WriteBuffer(
             MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + max_message_bytes), core.counters, core.flusher
         )
-        self.open: dict[int, PendingRequest] = {}  # by sequence number
+        self.open: dict[int, PendingRequest] = {}  # by sequence id
         self.undelivered: dict[int, bool] = {}  # sequence ids posted to the core that it has yet to process
-        self.interrupted: set[int] = set()  # those of open requests whose interrupts wait for the core
+        self.interrupted: set[int] = set()  # sequence ids of open requests whose interrupts wait for the core
         self.handed_over_count = 0  # requests that were handed to the core
-        self.settled_count = 0  # those of them that are answered, or taken back
+        self.settled_count = 0  # those of them that are answered or interrupted
         self.is_ending = False  # it is not read any more, or is to end
         self.has_left = False  # it closed, or its connection broke: it waits for no answer any more
         self.is_dismissed = False  # to end once nothing is open
@@ -154,14 +154,14 @@
         Closing a socket with unread bytes sends a reset, which can destroy answers on their way. What is read
         here arrived after our end of stream, so the client sends it again elsewhere: it is never handled.
         """
-        end_at = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to be written
+        deadline_s = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to be written
         is_end_awaited = False
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(POLL_INTERVAL_S * 1e6))
-            while time.monotonic() < end_at and not self.write_buffer.is_dead:
+            while time.monotonic() < deadline_s and not self.write_buffer.is_dead:
                 if self.write_buffer.is_end_sent and not is_end_awaited:
                     is_end_awaited = True
-                    end_at = min(end_at, time.monotonic() + CROSSING_TIME_S)
+                    deadline_s = min(deadline_s, time.monotonic() + CROSSING_TIME_S)
                 if self._has_peer_closed():
                     break
         self.write_buffer.finish(now=True)
@@ -211,13 +211,13 @@
 
     def _check_idle(self) -> None:
         """End an idle connection; guards against clients that send nothing, or never complete a message."""
-        is_cut = len(self.decoder.buffer) > 0
+        is_mid_message = len(self.decoder.buffer) > 0
         is_busy = self.is_busy()
         was_answered = self.write_buffer.end_offset > 0
-        limit_s = IDLE_TIMEOUT_S if was_answered and not is_cut else MESSAGE_TIMEOUT_S
-        if self.idle_timer.idle_s(is_cut, is_busy, was_answered) <= limit_s:
+        limit_s = IDLE_TIMEOUT_S if was_answered and not is_mid_message else MESSAGE_TIMEOUT_S
+        if self.idle_timer.idle_s(is_mid_message, is_busy, was_answered) <= limit_s:
             return
-        if is_cut:
+        if is_mid_message:
             raise ProtocolError("half a message")
         if not is_busy:
             self._request_end()
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -77,11 +77,11 @@
         frame = self._read_frame()
         if frame is None:
             return None
-        scan = thrift.Scan(frame)
-        kind = scan.read(4)[3]
-        scan.read_string()
-        seq = scan.read_number(thrift.I32S)
-        result = scan.read_struct()
+        reader = thrift.FrameReader(frame)
+        kind = reader.read(4)[3]
+        reader.read_string()
+        seq = reader.read_number(thrift.I32S)
+        result = reader.read_struct()
         if kind == thrift.EXCEPTION:
             return Answer(seq, "exception")
         if (thrift.RESULT_SUCCESS, thrift.STRUCT) in result:
