--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -141,7 +141,9 @@
             if member not in reports:
                 self.allocator.member_left(member, now)
         self.revision = reply.revision
-        self.out.append(LogEvent("info", "divides", {"members": len(reports), "rows": len(rows)}))
+        self.out.append(
+            LogEvent("info", "budget allocator active", {"members": len(reports), "rows": len(rows)})
+        )
 
     def _on_key_changed(self, now: int, key: str, value: str | None, revision: int) -> bool:
         """A report changed; value None: its lease has ended."""
@@ -159,7 +161,7 @@
     def _take_report(self, member: str, value: str, now: int) -> None:
         report = decode_report(value)
         if report is None:
-            self.out.append(LogEvent("warning", "a report that can't be read", {"of": member}))
+            self.out.append(LogEvent("warning", "unreadable usage report", {"reporter": member}))
         elif report.has_left:  # in good order
             self._acting_allocator.member_left(member, now, report.usage)
             self._delete_if_not_charged(member)
--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -169,4 +169,4 @@
         for name in self.row.keys() | row.keys():
             if row.get(name, 0) != self.row.get(name, 0):
                 changed[name] = row.get(name, 0)
-        self.fleet.log_event("debug", "parts", write=write, parts=changed)
+        self.fleet.log_event("debug", "allocations changed", write=write, allocations=changed)
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -242,10 +242,10 @@
             case CallStore(call):
                 self.lanes[lane_of(call.request)].put(call.request, self._call_replied, call)
             case RoleWon(role, token):
-                self.log_event("info", "owns", duty=role, token=token)
+                self.log_event("info", "role acquired", role=role, token=token)
                 self._role_won(role, token)
             case RoleLost(role, reason):
-                self.log_event("info", "owns no more", duty=role, why=reason)
+                self.log_event("info", "role lost", role=role, reason=reason)
                 self._role_lost(role)
             case WatchMembers(revision):
                 self._members_watcher.follow(revision)
--- a/gullhold/fleet/event_log.py
+++ b/gullhold/fleet/event_log.py
@@ -1,5 +1,6 @@
 """Log lines of a fleet's member, with their facts as fields for scripts."""
 
+import json
 from typing import Any
 
 from loguru import logger
@@ -26,13 +27,13 @@
     def log(self, level: str, text: str, **facts: Any) -> None:
         """Write one event. level: a name of loguru's, in any case."""
         fields = {"fleet": self._fleet_name, "member": self._member, "event": text, **facts}
-        details = "".join(f"; {name} {value}" for name, value in facts.items() if value not in ABSENT)
+        details = "".join(f" {name}={_quoted(value)}" for name, value in facts.items() if value not in ABSENT)
         logger.bind(**fields).log(level.upper(), "fleet: {}{}", text, details)
 
     def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
         """Write an event where the store refused a write under a token that is not the role's any more."""
         if reply.proof == Proof.DONE and not reply.succeeded:
-            self.log("warning", "late effect refused", duty=role, token=token)
+            self.log("warning", "write under a stale token refused", role=role, token=token)
 
     def log_fault(self, call: Any) -> None:
         """Write the exception that is being handled, with its trace; call: what raised it."""
@@ -40,6 +41,12 @@
         logger.exception("fleet: call failed function={}", getattr(function, "__name__", function))
 
 
+def _quoted(value: Any) -> str:
+    """The value as text, in quotes if it has spaces."""
+    text = str(value)
+    return json.dumps(text, ensure_ascii=False) if " " in text else text
+
+
 class AvailabilityLog:
     """Writes an event when the store stops answering, and when it answers again."""
 
@@ -52,10 +59,8 @@
         """A call was replied to; now: us of a monotonic clock."""
         if reply.proof == Proof.DONE and self._away_since is not None:
             away_s = round((now - self._away_since) / US_PER_SECOND, 1)
-            self._event_log.log("warning", "the register answers again", after_s=away_s)
+            self._event_log.log("warning", "register reachable again", outage_s=away_s)
             self._away_since = None
         elif reply.proof != Proof.DONE and self._away_since is None:
             self._away_since = now
-            self._event_log.log(
-                "warning", "the register does not answer; served on as if alone", proof=reply.proof
-            )
+            self._event_log.log("warning", "register unreachable, serving standalone", proof=reply.proof)
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -39,8 +39,8 @@
 )
 from gullhold.fleet.store_schema import MEMBERS_PREFIX, ROLES_PREFIX, MemberRecord
 
-SUPERSEDED = "a later process has this name"
-KEY_ENDED = "its key ended"
+SUPERSEDED = "superseded by a later process of this name"
+KEY_ENDED = "key removed"
 
 
 class Membership:
@@ -200,7 +200,7 @@
         if not self.lease.id:
             self._change_state(MemberState.OUT, "left")
             return
-        self._change_state(MemberState.LEAVING, "told to leave")
+        self._change_state(MemberState.LEAVING, "shutdown requested")
         self.retry_at = dict.fromkeys(CallLane, 0)
         self.tick(now)
 
@@ -211,8 +211,8 @@
 
     def _change_state(self, state: MemberState, reason: str) -> None:
         """The one place where the state changes."""
-        facts = {"why": reason, "incarnation": self.identity.incarnation}
-        self._emit(StateChanged("member " + state, facts))
+        facts = {"state": state, "reason": reason, "incarnation": self.identity.incarnation}
+        self._emit(StateChanged("member state changed", facts))
         self.state = state
 
     def _check_lease(self, now: int) -> None:
@@ -222,7 +222,7 @@
         can't act on, and nobody else could take it.
         """
         if self.lease.id and not self.lease.is_valid(now):
-            self._lose_lease(now, "its lease is not sure")
+            self._lose_lease(now, "lease not confirmed in time")
         if self.state == MemberState.LEAVING and now >= self.leave_at:
             self._end("left without the register's word")
 
@@ -343,7 +343,7 @@
             return  # the store may have a lease without keys: it ends by itself
         self.lease.renew(reply.lease, call.sent_at)
         if self.state == MemberState.ALONE:
-            self._change_state(MemberState.READING, "has a lease")
+            self._change_state(MemberState.READING, "lease granted")
 
     def _renewal_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         if reply.proof != Proof.DONE:
@@ -351,7 +351,7 @@
         if reply.ttl_s > 0:
             self.lease.renew(cast("KeepLeaseAlive", call.request).lease, call.sent_at)
         else:
-            self._lose_lease(now, "its lease ended")
+            self._lose_lease(now, "lease expired")
 
     def _members_read(self, now: int, reply: Reply) -> None:
         if reply.proof != Proof.DONE:
@@ -375,7 +375,7 @@
             self._lose_lease(now, KEY_ENDED)
         else:
             self.identity.key_revision = own_item.revision if own_item else 0
-            self._change_state(MemberState.JOINING, "knows who is there")
+            self._change_state(MemberState.JOINING, "members read")
 
     def _join_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         if reply.proof == Proof.DONE and reply.succeeded:
@@ -384,7 +384,7 @@
             self._joined(now, reply.revision, is_ready)
         else:  # another process wrote the key, or our call may have been carried out: a read shows
             self.identity.key_revision = 0
-            self._change_state(MemberState.READING, "does not know whether it joined")
+            self._change_state(MemberState.READING, "join not confirmed")
 
     def _ready_replied(self, now: int, reply: Reply) -> None:
         if reply.proof == Proof.DONE and reply.succeeded:
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -169,7 +169,7 @@
     def _release_call(self, releases: list[tuple[str, int]]) -> CallPlan:
         """Acting ends before the call goes out: others may know what it has done before we do."""
         for role, _ in releases:
-            self.lost(role, "let go")
+            self.lost(role, "released")
             self.excess.pop(role, None)
         conditions = tuple((ROLES_PREFIX + role, token) for role, token in releases)
         deletes = tuple(Delete(key) for key, _ in conditions)
@@ -242,7 +242,7 @@
         # A call that was given up was carried out after all.
         self._mark_unsure(attached - self.tokens.keys() - self.unsure.keys())
         for role in self.tokens.keys() - attached:  # nobody but us deletes it while the lease holds
-            self.lost(role, "its key ended")
+            self.lost(role, "key removed")
             self.excess.pop(role, None)
             self.review(now, role)
 
--- a/gullhold/fleet/role_driver.py
+++ b/gullhold/fleet/role_driver.py
@@ -60,7 +60,7 @@
                 fleet.watchers[role].follow(revision)
             case LogEvent(level, text, facts):
                 token = fleet.role_states[role].token
-                fleet.log_event(level, text, duty=role, token=token, **facts)
+                fleet.log_event(level, text, role=role, token=token, **facts)
 
     def _read(self, role: str, serial: CallSerial, reply: Reply) -> None:
         self._fleet.role_states[role].read(monotonic_us(), serial, reply)
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -129,7 +129,7 @@
         self.pending_write = None
         self.out.append(SetBusy(False))
         if self.in_flight:
-            self._log("warning", "the duty went while a send was out", due=self.in_flight.due_us)
+            self._log("warning", "in flight when the role was lost", due_us=self.in_flight.due_us)
 
     def leave(self) -> None:
         """Begin nothing any more; what is open is ended."""
@@ -333,9 +333,9 @@
         self._log(
             LOG_LEVELS.get(occurrence.state, "info"),
             occurrence.state,
-            due=occurrence.due_us,
-            tries=occurrence.attempts,
-            why=occurrence.reason,
+            due_us=occurrence.due_us,
+            attempts=occurrence.attempts,
+            reason=occurrence.reason,
             count=occurrence.count,
         )
 
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -100,11 +100,11 @@
         self._fleet.log_event(
             "info",
             "occurrence sent",
-            duty=role,
-            due=attempt.due_us,
-            tries=attempt.attempt,
+            role=role,
+            due_us=attempt.due_us,
+            attempts=attempt.attempt,
             token=command.token,
-            mark=attempt.idempotency_key,
+            idempotency_key=attempt.idempotency_key,
         )
         try:
             number = self._client.send(
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -97,10 +97,10 @@
         left_us = self.settings.spare - age_us
         self.fleet.log_event(
             "warning",
-            "a snapshot",
-            number=version.number,
+            "policy: snapshot loaded",
+            version=version.number,
             age_s=round(age_us / US_PER_SECOND, 1),
-            used_for_s=round(max(0, left_us) / US_PER_SECOND, 1),
+            valid_for_s=round(max(0, left_us) / US_PER_SECOND, 1),
         )
         if left_us > 0 and not self.fits(version):
             self.gate.snapshot_valid_until = self.clock() + left_us
@@ -175,7 +175,7 @@
         try:
             snapshot.write(self.settings.snapshot, version, time.time_ns() // 1000)
         except OSError as error:
-            self.fleet.log_event("warning", "policy: no snapshot", why=str(error))
+            self.fleet.log_event("warning", "policy: snapshot write failed", error=str(error))
 
     # Events, on the fleet's thread
 
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -217,8 +217,12 @@
             return
         self.change_since = now
         if self.change:
-            facts = {"number": self.change.version.number, "why": self.change.reason}
-            self.out.append(LogEvent("info", "policy: change " + self.change.state, facts))
+            facts = {
+                "state": self.change.state,
+                "version": self.change.version.number,
+                "reason": self.change.reason,
+            }
+            self.out.append(LogEvent("info", "policy: change state changed", facts))
 
     def _progress(self) -> tuple[int, ChangeState] | None:
         """The change's number and state."""
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -232,7 +232,7 @@
         self.gate.snapshot_valid_until = 0
         self._confirm_policy()
         self.out.append(WatchPolicy(self.revisions.read_at + 1))
-        self._log("info", "decides by", number=self.version.number)
+        self._log("info", "version adopted", version=self.version.number)
         self._consider_change()
 
     def _refreshed(self, now: int, reply: Reply) -> None:
@@ -286,7 +286,7 @@
         """What is in force can't be run here: nothing is dispatched."""
         self.gate.enrolled_lease = 0
         self.retry_at = now + UNUSABLE_RETRY_US
-        self._log("error", "what is in force can't be run here", why=reason)
+        self._log("error", "version in force rejected", reason=reason)
         self._become(MemberState.LEARNING)
 
     def adopted(self, now: int, serial: int) -> None:
@@ -298,11 +298,11 @@
         elif self.state == MemberState.ACTIVE and self.tried_change:
             self.gate.is_stopped = False
             self._vote(self._enrolled_vote._replace(kind=VoteKind.TRIAL))
-            self._log("info", "tries", number=self.tried_change)
+            self._log("info", "canary version adopted", version=self.tried_change)
         elif self.state == MemberState.ACTIVE:
             self._vote(Vote(self.version.number))
             self.gate.reopen()
-            self._log("info", "decides by", number=self.version.number)
+            self._log("info", "version adopted", version=self.version.number)
         self.step(now, self.lease)
 
     # Changes
@@ -325,7 +325,7 @@
             try:
                 self.change = None if value is None else decode_change(value)
             except PolicyError as error:
-                self._log("error", "a change", why=str(error))
+                self._log("error", "unreadable change", error=str(error))
                 return
             self._consider_change()
         self.step(now, self.lease)
@@ -357,14 +357,14 @@
             return
         if self.gate.is_stopped or self.gate.open_change:
             self.gate.reopen()
-            self._log("info", "change dropped", number=change.version.number, why=change.reason)
+            self._log("info", "change aborted", version=change.version.number, reason=change.reason)
         self._vote(Vote(self.version.number))
 
     def _check_change(self, change: PolicyChange) -> None:
         number = change.version.number
         fault = self._fault_in(change)
         if fault:
-            self._log("warning", "change refused", number=number, why=fault)
+            self._log("warning", "change rejected", version=number, reason=fault)
             self.gate.open_change = 0
             self._vote(Vote(self.version.number, number, VoteKind.REFUSED, fault))
         else:
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -26,7 +26,7 @@
 POLL_S = 0.01  # between looks at what is waited for
 STORY_LINES = 40
 STORY_LINE_LENGTH = 200
-EVENT_FACTS = ("duty", "token", "why", "due")
+EVENT_FACTS = ("role", "token", "reason", "due_us")
 JOURNAL_FACTS = ("revision", "met", "lease", "acts")
 
 OPERATOR_FILE = """fleet: {{
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -80,7 +80,7 @@
 
         def lost(self, role: str, reason: str) -> None:
             """Not when the call goes out."""
-            if reason != "let go":
+            if reason != "released":
                 super().lost(role, reason)
 
         def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -146,7 +146,9 @@
         fleet.until(lambda: sum(allocations(fleet).get(name, 0) for name in others) >= 11)
         if act == "stop":
             fleet.resume(allocator)  # two believe that they allocate: the late write is refused
-            fleet.until(lambda: "late effect refused" in [row[2] for row in fleet.events(allocator)])
+            fleet.until(
+                lambda: "write under a stale token refused" in [row[2] for row in fleet.events(allocator)]
+            )
         time.sleep(0.5)
         stop_clients(*clients)
         checked(fleet, min_attempts=50)
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -109,7 +109,7 @@
     assert one.fencing_token("d", 900_000 - 1) == 3
     assert one.fencing_token("d", 900_000) == 0
     one.tick(900_000)
-    assert RoleLost("d", "its lease is not sure") in one.take_actions()
+    assert RoleLost("d", "lease not confirmed in time") in one.take_actions()
 
 
 def test_leaving_frees_all_with_one_call_but_waits_for_work_in_its_middle():
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -21,7 +21,9 @@
         time.sleep(0.2)
         rig.resume("n0")
         rig.until(lambda: Check(rig.lines()).late)
-        rig.until(lambda: any(what == "late effect refused" for _, _, what, _ in rig.events("n0")))
+        rig.until(
+            lambda: any(what == "write under a stale token refused" for _, _, what, _ in rig.events("n0"))
+        )
         check_run(rig, 10)
 
 
@@ -60,7 +62,7 @@
         seq = client.ask()
         assert client.answer() == (seq, b"a\tb\tc\n")
         said = [what for _, _, what, _ in rig.events("n0")]
-        assert said.count("the register does not answer; served on as if alone") == 1
+        assert said.count("register unreachable, serving standalone") == 1
         rig.heal("n0")  # what was held comes late, and is refused; then it is a member again
         rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
         check_run(rig, 10)
@@ -104,7 +106,7 @@
         rig.until(
             lambda: (
                 len(rig.owners()) == 4
-                and any(what == "the register answers again" for _, _, what, _ in rig.events())
+                and any(what == "register reachable again" for _, _, what, _ in rig.events())
             )
         )
         rig.until(lambda: check_run(rig, 0).effects >= 1)
@@ -162,7 +164,8 @@
         rig.start("n1", name_="n0")
         rig.until(
             lambda: any(
-                facts.get("why") == "a later process has this name" for _, _, _, facts in rig.events()
+                facts.get("reason") == "superseded by a later process of this name"
+                for _, _, _, facts in rig.events()
             )
         )
         rig.until(
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -412,7 +412,7 @@
         assert warmed() == before
         skipped = [facts for _, _, what, facts in fleet.events() if what == "occurrence skipped"]
         assert skipped
-        assert "off by the fleet's policy" in skipped[-1]["why"]
+        assert "off by the fleet's policy" in skipped[-1]["reason"]
         record = client.propose("policy: clients: n0: 4", "a", "b")
         assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
         fleet.until(lambda: warmed() > before + 1)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -260,7 +260,9 @@
     with started(folder, "n0.log", *gateway_on("n0"), GW_LISTEN=free_address()):
 
         def used() -> re.Match[str] | None:
-            return re.search(r"number 3;.*used_for_s ([\d.]+)", (folder / "n0.log").read_text("utf-8"))
+            return re.search(
+                r"snapshot loaded version=3 .*valid_for_s=([\d.]+)", (folder / "n0.log").read_text("utf-8")
+            )
 
         found = until(used, lambda: (folder / "n0.log").read_text("utf-8"))
     assert float(found[1]) > 0
