--- a/gullhold/net/counters.py
+++ b/gullhold/net/counters.py
@@ -3,6 +3,12 @@
 from collections import Counter
 from threading import Lock
 
+# Counters by which a canary of a rollout is judged.
+ANSWERED = "answered"
+ANSWER_TIME_US = "answer_time_us"  # of all answered requests together; counted only where there is a policy
+FAILED = "failed"
+SHED = "shed"
+
 
 class Counters:
     """Named counts and highest values, safe from every thread."""
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -1,7 +1,7 @@
 """What became of requests and connections, and why: an event a line, at a bounded rate; the last are kept.
 
-Every close, retry, error answer and abandoned attempt is an event. The newest are kept in memory and are written
-out on SIGUSR1; as they happen they are logged as far as their rate allows, others are counted.
+Every close, retry, error answer and abandoned attempt is an event. The newest are kept in memory and are
+written out on SIGUSR1; as they happen they are logged as far as their rate allows, others are counted.
 """
 
 from collections import deque
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from gullhold.interface import Outcome
-from gullhold.net import ceil_to_ms, connection_ends, thrift
+from gullhold.net import ceil_to_ms, connection_ends, counters, thrift
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.eventlog import EventKind, LoggedEvent
 from gullhold.net.request_reader import Request
@@ -106,7 +106,7 @@
             self.counters.add("interrupted")
             self._settle(pending)
         elif request.txn in self.by_txn:
-            self.counters.add("failed")
+            self.counters.add(counters.FAILED)
             self.answer(pending, thrift.encode_fault(seq, "this txn is open already"))
         elif self.core.is_rejecting or self._is_over_open_limit():
             self.counters.add("rejected_open_limit")
@@ -155,10 +155,10 @@
 
     def answer_result(self, pending: PendingRequest, rows: bytes) -> None:
         """The rows of a result are the final answer."""
-        self.counters.add("answered")
+        self.counters.add(counters.ANSWERED)
         if self.core.gate:  # a canary is judged by it
             limit_us = pending.request.limit_us
-            self.counters.add("answer_time_us", self.core.now - pending.timeout_at_us + limit_us)
+            self.counters.add(counters.ANSWER_TIME_US, self.core.now - pending.timeout_at_us + limit_us)
         self.answer(pending, thrift.encode_answer("execute", pending.seq, rows))
 
     def answer_shed(self, number: int, longest_retry_after_us: int) -> None:
@@ -169,13 +169,13 @@
             retry_after_us = min(retry_after_us, longest_retry_after_us)
         if pending:
             message = thrift.encode_shed(pending.seq, self.shed_fields(retry_after_us))
-            self._refuse(pending, "shed", message)
+            self._refuse(pending, counters.SHED, message)
 
     def answer_failed(self, number: int) -> None:
         """The final answer is a failure, which promises nothing."""
         pending = self._waiting_for_answer(number)
         if pending:
-            self._refuse(pending, "failed", thrift.encode_fault(pending.seq, "failed"))
+            self._refuse(pending, counters.FAILED, thrift.encode_fault(pending.seq, "failed"))
 
     def settle_rejected(self, pending: PendingRequest, retry_after_us: int) -> bytes:
         """The admission queue rejected a request; the frame that its client is to get (0: no Retry-After)."""
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -16,6 +16,7 @@
 from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
 from gullhold.fleet.watcher import Watcher
 from gullhold.interface import Agreement
+from gullhold.net import counters
 from gullhold.rollout import snapshot
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
 from gullhold.rollout.policy import (
@@ -117,7 +118,11 @@
     def _figures(self) -> CommandFigures:
         """How commands fared since the start, as the core counts; shed ones have failed."""
         counts = self.core.counters.counts
-        return CommandFigures(counts["answered"], counts["failed"] + counts["shed"], counts["answer_time_us"])
+        return CommandFigures(
+            counts[counters.ANSWERED],
+            counts[counters.FAILED] + counts[counters.SHED],
+            counts[counters.ANSWER_TIME_US],
+        )
 
     def start(self, watch: Callable[..., Watcher]) -> None:
         """Make the watchers. watch: Fleet.watch."""
