--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -1,7 +1,7 @@
 """Events of requests and connections with their reasons, a line each, at a bounded rate.
 
-Every close, retry, rejection and abandoned attempt is an event. The newest are kept in memory and are logged
-on SIGUSR1; as they happen they are logged as far as their rate allows, and the others are counted.
+Every close, retry, error answer and abandoned attempt is an event. The newest are kept in memory and are
+written out on SIGUSR1; as they happen they are logged as far as their rate allows, and the others are counted.
 """
 
 from collections import deque
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from gullhold.interface import Outcome
-from gullhold.net import ceil_to_ms, connection_ends, thrift
+from gullhold.net import ceil_to_ms, connection_ends, counters, thrift
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.eventlog import EventKind, LoggedEvent
 from gullhold.net.request_reader import Request
@@ -117,7 +117,7 @@
             self.counters.add("interrupted")
             self._settle(pending)
         elif request.transaction_id in self.by_transaction_id:
-            self.counters.add("failed")
+            self.counters.add(counters.FAILED)
             self.answer(pending, thrift.encode_fault(sequence_id, "this txn is open already"))
         elif self.core.is_rejecting or self._is_over_open_limit():
             self.counters.add("rejected_open_limit")
@@ -165,10 +165,10 @@
 
     def answer_result(self, pending: PendingRequest, rows: bytes) -> None:
         """Answer a request with the rows of its result."""
-        self.counters.add("answered")
+        self.counters.add(counters.ANSWERED)
         if self.core.gate:  # a canary is judged by it
             timeout_us = pending.request.timeout_us
-            self.counters.add("answer_time_us", self.core.now - pending.timeout_at_us + timeout_us)
+            self.counters.add(counters.ANSWER_TIME_US, self.core.now - pending.timeout_at_us + timeout_us)
         self.answer(pending, thrift.encode_answer("execute", pending.sequence_id, rows))
 
     def answer_shed(self, number: int, longest_retry_after_us: int) -> None:
@@ -179,13 +179,13 @@
             retry_after_us = min(retry_after_us, longest_retry_after_us)
         if pending:
             message = thrift.encode_shed(pending.sequence_id, self.shed_fields(retry_after_us))
-            self._reject(pending, "shed", message)
+            self._reject(pending, counters.SHED, message)
 
     def answer_failed(self, number: int) -> None:
         """Answer a request with a Fault: the command may have run."""
         pending = self._unanswered_request(number)
         if pending:
-            self._reject(pending, "failed", thrift.encode_fault(pending.sequence_id, "failed"))
+            self._reject(pending, counters.FAILED, thrift.encode_fault(pending.sequence_id, "failed"))
 
     def settle_rejected(self, pending: PendingRequest, retry_after_us: int) -> bytes:
         """Settle a request that the admission queue rejected; return the frame for its client."""
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -16,6 +16,7 @@
 from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
 from gullhold.fleet.watcher import Watcher
 from gullhold.interface import Agreement
+from gullhold.net import counters
 from gullhold.rollout import snapshot
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
 from gullhold.rollout.policy import (
@@ -97,10 +98,10 @@
         left_us = self.settings.spare - age_us
         self.fleet.log_event(
             "warning",
-            "a snapshot",
-            number=version.number,
+            "policy: snapshot loaded",
+            version=version.number,
             age_s=round(age_us / US_PER_SECOND, 1),
-            used_for_s=round(max(0, left_us) / US_PER_SECOND, 1),
+            valid_for_s=round(max(0, left_us) / US_PER_SECOND, 1),
         )
         if left_us > 0 and not self.fits(version):
             self.gate.snapshot_valid_until = self.clock() + left_us
@@ -117,7 +118,11 @@
     def _figures(self) -> CommandFigures:
         """How commands fared since the start, as the core counts; shed ones have failed."""
         counts = self.core.counters.counts
-        return CommandFigures(counts["answered"], counts["failed"] + counts["shed"], counts["answer_time_us"])
+        return CommandFigures(
+            counts[counters.ANSWERED],
+            counts[counters.FAILED] + counts[counters.SHED],
+            counts[counters.ANSWER_TIME_US],
+        )
 
     def start(self, watch: Callable[..., Watcher]) -> None:
         """Make the watchers. watch: Fleet.watch."""
@@ -175,7 +180,7 @@
         try:
             snapshot.write(self.settings.snapshot, version, time.time_ns() // 1000)
         except OSError as error:
-            self.fleet.log_event("warning", "policy: no snapshot", why=str(error))
+            self.fleet.log_event("warning", "policy: snapshot write failed", error=str(error))
 
     # Events, on the fleet's thread
 
