--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a fleet's member from the operator's record."""
+"""Creates the components of a fleet's member from the operator's record."""
 
 from typing import TYPE_CHECKING
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from gullhold.operator.records import FleetRecord, Scheduled
 
-WAIT_FOR_PREVIOUS = "wait"  # the operator's word for an occurrence that waits for the one before
+WAIT_FOR_PREVIOUS = "wait"  # value of `overlap` in the operator file: wait for the previous occurrence
 
 
 class UnusableFleetError(Exception):
@@ -22,7 +22,7 @@
 
 
 def membership_rules(record: "FleetRecord") -> MembershipRules:
-    """The figures of a member."""
+    """The settings of a member."""
     roles = record.duties
     return MembershipRules(
         terms=LeaseTerms(record.lease // US_PER_SECOND, record.drift.rate, record.drift.margin),
@@ -48,12 +48,12 @@
 def _scheduled_command(
     item: "Scheduled", agreement: Agreement, member: str, max_clock_skew_us: int
 ) -> ScheduledCommand:
-    place = f"fleet.schedule {item.name!r}"
-    profile = _profile(item, agreement, place)
+    path = f"fleet.schedule {item.name!r}"
+    profile = _profile(item, agreement, path)
     try:
         calendar = Calendar(item.at, item.zone, item.every)
     except InvalidCalendarError as error:
-        raise UnusableFleetError(f"{place}: {error}") from None
+        raise UnusableFleetError(f"{path}: {error}") from None
     rules = ScheduledCommandRules(
         name=item.name,
         window_us=item.window,
@@ -70,11 +70,12 @@
     return ScheduledCommand(rules, scheduled_profile, calendar, member)
 
 
-def _profile(item: "Scheduled", agreement: Agreement, place: str) -> Profile:
-    profiles = {profile.name: profile for profile in reversed(agreement.profiles)}  # the first of a name
+def _profile(item: "Scheduled", agreement: Agreement, path: str) -> Profile:
+    """The profile of a scheduled command; path: of the command in the operator file, for errors."""
+    profiles = {profile.name: profile for profile in reversed(agreement.profiles)}  # the first of each name
     if item.profile not in profiles:
-        raise UnusableFleetError(f"{place}: {item.profile!r} is no profile of the agreement")
+        raise UnusableFleetError(f"{path}: {item.profile!r} is no profile of the agreement")
     tenant_names = [tenant.name for tenant in agreement.tenants]
     if tenant_names and item.tenant not in tenant_names:
-        raise UnusableFleetError(f"{place}: {item.tenant!r} is no tenant of the agreement")
+        raise UnusableFleetError(f"{path}: {item.tenant!r} is no tenant of the agreement")
     return profiles[item.profile]
--- a/gullhold/fleet/backoff.py
+++ b/gullhold/fleet/backoff.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-GROWTH_FACTOR = 2.0  # each delay over the one before
-JITTER = 0.5  # of a delay, drawn at random: members that failed together do not come back together
+GROWTH_FACTOR = 2.0  # of each delay over the previous one
+JITTER = 0.5  # random share of a delay: members that failed together do not retry together
 
 
 class Backoff:
-    """The next delay after a failure: it grows, with jitter, between two bounds; in us."""
+    """Exponential backoff with jitter, between two bounds (us)."""
 
     __slots__ = ("max_us", "min_us", "next_us", "random_fraction")
 
@@ -19,11 +19,11 @@
         self.next_us = min_us
 
     def next_delay_us(self) -> int:
-        """How long to wait now; the next delay is longer."""
+        """The delay before the next attempt; the one after that is longer."""
         delay_us = self.next_us
         self.next_us = min(self.max_us, int(delay_us * GROWTH_FACTOR))
         return int(delay_us * (1 - JITTER * self.random_fraction()))
 
     def reset(self) -> None:
-        """Begin with the shortest delay again: a call succeeded."""
+        """Begin with the shortest delay again, after a call has succeeded."""
         self.next_us = self.min_us
--- a/gullhold/fleet/calendar.py
+++ b/gullhold/fleet/calendar.py
@@ -1,7 +1,7 @@
 """When a scheduled command is due: calendar expressions by a library, with time zones and daylight saving.
 
-Times are Unix time in whole microseconds. A time of day that a change of the clocks skips is due when the
-clocks have moved on; one that comes twice is due the first time.
+Times are Unix time in integer microseconds. A time of day that does not exist on a day, as the clocks go
+forward, is due when they have gone forward; one that exists twice is due the first time.
 """
 
 from datetime import datetime
@@ -11,7 +11,7 @@
 
 from gullhold.fleet.clocks import US_PER_SECOND
 
-MAX_COUNTED = 10_000  # due times that are counted one by one; of more, so many are counted
+MAX_COUNTED = 10_000  # due times; larger numbers are reported as this
 
 
 class InvalidCalendarError(Exception):
@@ -22,7 +22,7 @@
     """The due times of one command: a calendar expression in a time zone, or a fixed interval."""
 
     def __init__(self, expression: str, zone_name: str, interval_us: int) -> None:
-        """expression: of five or six fields, or empty; interval_us: 0 with an expression.
+        """Exactly one of expression (five or six fields) and interval_us is set.
 
         Raises InvalidCalendarError.
         """
@@ -49,7 +49,7 @@
         return int(next(CronSim(self.expression, moment)).timestamp()) * US_PER_SECOND
 
     def between(self, after_us: int, until_us: int) -> tuple[int, int]:
-        """(how many due times there are after one time and up to another, the last of them or after_us)."""
+        """The number of due times after one time and up to another, and the last of them or else after_us."""
         if until_us <= after_us:
             return 0, after_us
         if self.interval_us:
--- a/gullhold/fleet/clocks.py
+++ b/gullhold/fleet/clocks.py
@@ -1,4 +1,4 @@
-"""The two clocks of a fleet's member, in whole microseconds."""
+"""The two clocks of a fleet's member, in integer microseconds."""
 
 import time
 
@@ -7,10 +7,10 @@
 
 
 def monotonic_us() -> int:
-    """Time of a clock that is never set, by which leases are counted."""
+    """Time of a clock that is never adjusted; for leases."""
     return int(time.monotonic() * US_PER_SECOND)
 
 
 def unix_us() -> int:
-    """Unix time, by which the due times of scheduled commands are counted."""
+    """Unix time; for the due times of scheduled commands."""
     return time.time_ns() // NS_PER_US
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -1,8 +1,8 @@
 """A fleet's member: one thread that decides, and others that wait for the store.
 
-The core never waits for any of them: scheduled commands and what budgets and policies decide reach it as
-posts, and answers come back as events on the queue of the fleet's thread. A store that does not answer costs
-retries here and nothing there.
+The core never waits for any of them: scheduled commands and decisions of budgets and policies are posted to
+it, and answers come back as events on the queue of the fleet's thread. A store that does not answer causes
+retries here and does not affect the core.
 """
 
 import random
@@ -63,8 +63,8 @@
 
 WORK_LANE = "work"  # of heartbeats and scheduled commands
 MAX_SLEEP_S = 0.5  # of the fleet's thread: a clock that jumps is noticed by then
-MIN_SLEEP_S = 0.002  # what is due at once and can't be done now does not spin
-WATCH_SILENCE_LEASES = 2  # lease times for which a watch may be silent before it is opened anew
+MIN_SLEEP_S = 0.002  # something that is due but can't be done yet must not cause a busy loop
+WATCH_SILENCE_LEASES = 2  # lease times for which a watch may be silent before it is opened again
 NONCE_BITS = 64
 
 
@@ -72,7 +72,7 @@
     """A member of a fleet, from start() until leave() is done; then `stopped` is set."""
 
     def __init__(self, record: "FleetRecord", configuration: "Configuration", core: "Core") -> None:
-        """record: the operator's. Raises UnusableFleetError."""
+        """record: of the operator file. Raises UnusableFleetError."""
         agreement = configuration.agreement
         self.record = record
         self.core = core
@@ -83,7 +83,7 @@
         self.role_states: dict[str, RoleState] = {}
         self.watchers: dict[str, Watcher] = {}  # of the keys of led roles, by role
         self.scheduled_commands = assembly.scheduled_commands(record, agreement, self.name)
-        # The seed is of this start alone; the nonce tells two processes of one name apart.
+        # Seeded differently at each start, as the nonce distinguishes processes of the same name.
         self._random = random.Random(configuration.seed ^ time.time_ns())
         self._event_log = EventLog(record.name, self.name)
         self._availability_log = AvailabilityLog(self._event_log)
@@ -110,7 +110,7 @@
         self.policies = None
         if record.policy.on:
             self.policies = MemberRollout(self, record, agreement, monotonic_us, rules.terms.guaranteed_us())
-        self._parts = [part for part in (self.budgets, self.policies) if part]
+        self._features = [feature for feature in (self.budgets, self.policies) if feature]
 
     def _roles(self) -> list[str]:
         """The roles of the fleet, in the order in which they are assigned."""
@@ -125,7 +125,7 @@
     # Called on any thread
 
     def start(self) -> None:
-        """Begin, in threads of its own."""
+        """Start the threads."""
         if self.record.events:
             self._event_log.add_file(self.record.events)
         names = [*CallLane, WORK_LANE]
@@ -133,35 +133,35 @@
             names += BUDGET_LANES
         if self.policies:
             names += ROLLOUT_LANES
-        self.lanes = {name: Lane(name, self.make, self.post) for name in names}
+        self.lanes = {name: Lane(name, self._new_session, self.post) for name in names}
         self._members_watcher = self.watch("members", MEMBERS_PREFIX, self._member_changed, self._watch_gap)
-        for part in self._parts:
-            part.start(self.watch)
+        for feature in self._features:
+            feature.start(self.watch)
         start_thread(self._run, "fleet")
 
     def leave(self) -> None:
-        """Give all roles back in good order; `stopped` is set when that is done."""
+        """Shut down gracefully: give up all roles; `stopped` is set when that is done."""
         self.post(self._leave)
 
     def post(self, call: Callable[..., Any], *arguments: Any) -> None:
-        """Have a call made on the fleet's thread."""
+        """Make a call on the fleet's thread."""
         self.queue.put(events.Invoke(call, arguments))
 
-    def make(self) -> StoreClient:
-        """A new session with the store."""
+    def _new_session(self) -> StoreClient:
+        """Open a session with the store."""
         prefix = fleet_prefix(self.record.name)
         return StoreClient(self.record.register_, prefix, self.record.timeout / US_PER_SECOND)
 
     def watch(self, name: str, prefix: str, on_change: OnChange, on_gap: Callable[[], Any]) -> Watcher:
-        """Watch the keys with this prefix, from the revision that Watcher.follow() names.
+        """Watch the keys with this prefix, from the revision that is passed to Watcher.follow().
 
-        on_change(key, value or None where it was deleted, revision) is called on the fleet's thread for each
-        change, on_gap() where changes were missed.
+        on_change(key, value or None if it was deleted, revision) is called on the fleet's thread for each
+        change, on_gap() if changes were missed.
         """
         pauses = self.record.duties.pauses
         return Watcher(
             name,
-            self.make,
+            self._new_session,
             prefix,
             WATCH_SILENCE_LEASES * self.record.lease / US_PER_SECOND,
             Backoff(pauses.least, pauses.most, self._random.random),
@@ -170,12 +170,12 @@
         )
 
     def watch_role(self, role: str, name: str, prefix: str) -> None:
-        """Watch the keys of a role for its role state, while this member leads it."""
+        """Watch the keys of a role on behalf of its role state."""
         self.watchers[role] = self.watch(
             name,
             prefix,
             lambda *change: self._role_driver.changed(role, *change),
-            lambda: self._role_driver.missed(role),
+            lambda: self._role_driver.watch_gap(role),
         )
 
     def log_event(self, level: str, text: str, **facts: Any) -> None:
@@ -183,7 +183,7 @@
         self._event_log.log(level, text, **facts)
 
     def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
-        """Write a log line where the store refused a write under an old token."""
+        """Write a log line if the store refused a write under an outdated fencing token."""
         self._event_log.log_refused_effect(role, token, reply)
 
     @property
@@ -191,7 +191,7 @@
         """The lane of heartbeats and scheduled commands."""
         return self.lanes[WORK_LANE]
 
-    # The fleet's thread
+    # On the fleet's thread
 
     def _run(self) -> None:
         self.membership.tick(monotonic_us())
@@ -206,15 +206,15 @@
             for role in self.scheduled_commands:
                 self._guarded(self._scheduled_command_driver.step, role)
             self._guarded(self._heartbeats.step, monotonic_us())
-            for part in self._parts:
-                self._guarded(part.step, monotonic_us())
+            for feature in self._features:
+                self._guarded(feature.step, monotonic_us())
             for role in self.role_states:
                 self._guarded(self._role_driver.step, role)
         self._guarded(self._carry_out_all)
         self.stopped.set()
 
     def _guarded(self, call: Callable[..., Any], *arguments: Any) -> None:
-        """Make a call; a fault in it is logged and counted, and does not end the thread."""
+        """Make a call; an exception is logged and counted, and does not end the thread."""
         try:
             call(*arguments)
         except Exception:  # noqa: BLE001  the thread's outermost guard: one faulty event must not stop the fleet
@@ -222,17 +222,17 @@
             self._event_log.log_fault(call)
 
     def _sleep_s(self) -> float:
-        """How long nothing is due."""
+        """How long to wait for an event before something is due."""
         now = monotonic_us()
         times = [self.membership.due(now), self._heartbeats.due() or now + US_PER_SECOND]
-        times += [part.due(now) for part in self._parts]
+        times += [feature.due(now) for feature in self._features]
         times += self._role_driver.due(now)
         waits_us = [at - now for at in times]
         waits_us += self._scheduled_command_driver.waits_us()
         return max(MIN_SLEEP_S, min(MAX_SLEEP_S, min(waits_us) / US_PER_SECOND))
 
     def _carry_out_all(self) -> None:
-        """Do what the membership asks for."""
+        """Carry out the actions of the membership."""
         while actions := self.membership.take_actions():
             for action in actions:
                 self._carry_out(action)
@@ -268,7 +268,7 @@
         else:
             self._role_driver.lost(role)
 
-    # Events
+    # Events, on the fleet's thread
 
     def _call_replied(self, call: PendingCall, reply: Reply) -> None:
         now = monotonic_us()
@@ -282,7 +282,7 @@
         self.membership.watch_gap(monotonic_us())
 
     def _post_attempt_ended(self, *outcome: Any) -> None:
-        """Called on the core's thread."""
+        """Pass the end of an attempt on; called on the core's thread."""
         self.post(self._scheduled_command_driver.attempt_ended, *outcome)
 
     def _leave(self) -> None:
--- a/gullhold/fleet/event_log.py
+++ b/gullhold/fleet/event_log.py
@@ -8,7 +8,7 @@
 from gullhold.fleet.events import Invoke
 from gullhold.fleet.store_calls import Proof, Reply
 
-ABSENT = ("", None)  # facts that are not written out in the text of a line
+ABSENT = ("", None)  # facts with these values are left out of the text of a line
 
 
 class EventLog:
@@ -24,18 +24,18 @@
         logger.add(path, serialize=True, filter=lambda line: "fleet" in line["extra"])
 
     def log(self, level: str, text: str, **facts: Any) -> None:
-        """Write one event. level: a name of loguru's, in any case."""
+        """Write one event. level: the name of a loguru level, upper or lower case."""
         fields = {"fleet": self._fleet_name, "member": self._member, "event": text, **facts}
         details = "".join(f"; {name} {value}" for name, value in facts.items() if value not in ABSENT)
         logger.bind(**fields).log(level.upper(), "fleet: {}{}", text, details)
 
     def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
-        """Write an event where the store refused a write under a token that is not the role's any more."""
+        """Write an event if the store refused a write under an outdated fencing token."""
         if reply.proof == Proof.DONE and not reply.succeeded:
             self.log("warning", "late effect refused", duty=role, token=token)
 
     def log_fault(self, call: Any) -> None:
-        """Write the exception that is being handled, with its trace; call: what raised it."""
+        """Write the exception being handled, with its traceback. call: what raised it."""
         function = call.call if isinstance(call, Invoke) else call
         logger.exception("fleet: {} failed", getattr(function, "__name__", function))
 
@@ -49,7 +49,7 @@
         self._away_since: int | None = None
 
     def record(self, reply: Reply, now: int) -> None:
-        """A call was replied to; now: us of a monotonic clock."""
+        """Take the reply to a call. now: us of a monotonic clock."""
         if reply.proof == Proof.DONE and self._away_since is not None:
             away_s = round((now - self._away_since) / US_PER_SECOND, 1)
             self._event_log.log("warning", "the register answers again", after_s=away_s)
--- a/gullhold/fleet/events.py
+++ b/gullhold/fleet/events.py
@@ -1,10 +1,10 @@
-"""What is put on the queue of the fleet's thread: calls that the thread makes."""
+"""Items of the queue of the fleet's thread: calls for the thread to make."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
-Event = Callable[[], Any]  # any call without arguments may be put on the queue
+Event = Callable[[], Any]  # any callable without parameters
 
 
 @dataclass(frozen=True, slots=True)
--- a/gullhold/fleet/heartbeats.py
+++ b/gullhold/fleet/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: roles whose leader writes a key from time to time, by which staff see that leadership works."""
+"""Heartbeats: roles whose leader writes a key periodically, so that operators see that leadership works."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
         period_us: int,
         on_written: Callable[[str, int, Reply], None],
     ) -> None:
-        """lane(): where writes are carried out; on_written(role, token, reply) is called for each."""
+        """lane(): the lane for writes; on_written(role, token, reply) is called for each write."""
         self._membership = membership
         self._lane = lane
         self._period_us = period_us
@@ -27,7 +27,7 @@
         self._being_written: set[str] = set()
 
     def won(self, role: str, now: int) -> None:
-        """This member leads the role: begin at once."""
+        """Begin to lead the role: the first heartbeat is due now."""
         self._next_at[role] = now
 
     def lost(self, role: str) -> None:
@@ -35,11 +35,11 @@
         self._next_at.pop(role, None)
 
     def due(self) -> int | None:
-        """When to step(); None: there is nothing to do."""
+        """When to step() at the latest; None: this member leads no heartbeat role."""
         return min(self._next_at.values(), default=None)
 
     def step(self, now: int) -> None:
-        """Write the heartbeats whose time has come; one write of a role is under way at a time."""
+        """Write the heartbeats that are due; at most one write of a role is under way."""
         for role, at in self._next_at.items():
             if at > now:
                 continue
--- a/gullhold/fleet/identity.py
+++ b/gullhold/fleet/identity.py
@@ -7,14 +7,14 @@
 class Identity:
     """One process of a member.
 
-    incarnation: the revision of its first joining, 0 before: of two processes of one name the later wins.
-    key_revision: that of the last change of its key, 0: the key does not exist.
+    incarnation: revision at which it first joined, 0 before; of two processes of the same name the later one
+    wins. key_revision: of the last change of its key, 0: the key does not exist.
     """
 
     __slots__ = ("incarnation", "key_revision", "name", "nonce")
 
     def __init__(self, name: str, nonce: str) -> None:
-        """nonce: tells two processes of one name apart."""
+        """nonce: distinguishes processes of the same name."""
         self.name = name
         self.nonce = nonce
         self.incarnation = 0
@@ -26,6 +26,6 @@
         return MEMBERS_PREFIX + self.name
 
     def write_key(self, is_ready: bool, lease_id: int) -> Transaction:
-        """The transaction that writes the key where it is as we know it. is_ready: takes roles."""
+        """The transaction that writes the key if it is unchanged. is_ready: roles may be assigned to it."""
         record = MemberRecord(self.nonce, is_ready, self.incarnation)
         return Transaction(((self.key, self.key_revision),), (Put(self.key, record.encode(), lease_id),))
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -1,13 +1,14 @@
 """One member of the fleet: its lease, its key and the other members. Decisions only: no I/O, no clock.
 
-It hands out calls to the store, one at a time in each of two lanes, and is given each one's reply.
-fencing_token() holds only while the lease surely holds by our own clock; every effect is a transaction that
-compares the role's key with the token, so one that comes late is refused.
+It hands out calls to the store, one at a time in each of two lanes, and takes the reply to each.
+fencing_token() is valid only while the lease certainly holds by our own clock; every effect is a transaction
+that compares the role's key with the token, so that a late one is refused.
 """
 
 from collections.abc import Callable, Iterable
 from typing import cast
 
+from gullhold.fleet.call_lanes import CallLanes
 from gullhold.fleet.identity import Identity
 from gullhold.fleet.lease import Lease
 from gullhold.fleet.membership_types import (
@@ -28,7 +29,6 @@
     Condition,
     GrantLease,
     KeepLeaseAlive,
-    KeyValue,
     Operation,
     PendingCall,
     Proof,
@@ -46,7 +46,9 @@
 class Membership:
     """A member. take_actions() hands out MembershipActions; due() is when to tick() at the latest.
 
-    All times are us of a monotonic clock.
+    All times are us of a monotonic clock. members: whether each is ready, by name. newest_revision: the
+    newest revision of the store that a reply or a watch has shown. is_ready: roles may be assigned to this
+    member.
     """
 
     claims_type = RoleClaims
@@ -60,36 +62,32 @@
         random_fraction: Callable[[], float],
         now: int,
     ) -> None:
-        """nonce: tells two processes of one name apart; random_fraction: draws from [0, 1)."""
+        """nonce: distinguishes processes of the same name; random_fraction: draws from [0, 1)."""
         self.identity = Identity(name, nonce)
         self.rules = rules
         self.lease = Lease(rules.terms)
         self.state = MemberState.ALONE
         self.out: list[MembershipAction] = []
-        self.under_way: dict[CallLane, PendingCall] = {}
-        self.retry_at = dict.fromkeys(CallLane, 0)
-        self.backoffs = {lane: rules.backoff(random_fraction) for lane in CallLane}
+        self.calls = CallLanes(rules, random_fraction)
         claim_backoff = rules.backoff(random_fraction)
         self.claims = self.claims_type(self.identity, rules, roles, claim_backoff, now, self._emit)
-        self.serial = 0
-        self.void_until = 0  # calls with a number up to this were made for a lease that is lost
-        self.newest_revision = 0  # that we have heard of
-        self.members: dict[str, bool] = {}  # name: whether it is ready
+        self.newest_revision = 0
+        self.members: dict[str, bool] = {}
         self.must_read_members = False
-        self.is_ready = False  # roles may be assigned to this member
+        self.is_ready = False
         self.ready_at = 0
         self.leave_at = 0
 
-    # What the driver calls
+    # Called by the driver
 
     def take_actions(self) -> list[MembershipAction]:
-        """What is to be done now, in order."""
+        """Return the actions to carry out now, in order."""
         out = self.out
         self.out = []
         return out
 
     def fencing_token(self, role: str, now: int) -> int:
-        """The token under which to act on a role now; 0: we do not lead it, or not surely."""
+        """The token under which to act on a role now; 0: this member does not certainly lead it."""
         if self.state not in (MemberState.IN, MemberState.LEAVING):
             return 0
         if role in self.claims.excess or not self.lease.is_valid(now):
@@ -103,18 +101,18 @@
         operations: Iterable[Operation],
         conditions: Iterable[Condition] = (),
     ) -> Transaction:
-        """The transaction that carries the operations out only while the role is led under this token."""
+        """A transaction that is carried out only while the role is led under this token."""
         return Transaction(((ROLES_PREFIX + role, token), *conditions), tuple(operations))
 
     def set_busy(self, role: str, busy: bool) -> None:
-        """Work on a role began or ended: meanwhile the role is not given up in good order."""
+        """Record that work on a role has begun or ended; a busy role is not given up voluntarily."""
         if busy:
             self.claims.busy.add(role)
         else:
             self.claims.busy.discard(role)
 
     def tick(self, now: int) -> None:
-        """Time has passed."""
+        """Do what is due: check the lease, and make the next call in each lane."""
         if self.state == MemberState.OUT:
             return
         self._check_lease(now)
@@ -129,11 +127,11 @@
             times.append(self.lease.valid_until)
         if self.state == MemberState.LEAVING:
             times.append(self.leave_at)
-        if CallLane.LEASE not in self.under_way:
+        if CallLane.LEASE not in self.calls.under_way:
             renew_at = self.lease.renew_at() if self.lease.id else 0
-            times.append(max(self.retry_at[CallLane.LEASE], renew_at))
-        if CallLane.STATE not in self.under_way and is_lease_valid:
-            times.append(max(self.retry_at[CallLane.STATE], self._next_state_call_at(now)))
+            times.append(max(self.calls.retry_at[CallLane.LEASE], renew_at))
+        if CallLane.STATE not in self.calls.under_way and is_lease_valid:
+            times.append(max(self.calls.retry_at[CallLane.STATE], self._next_state_call_at(now)))
         return max(now, min(times)) if times else now + self.rules.max_backoff_us
 
     def _next_state_call_at(self, now: int) -> int:
@@ -143,24 +141,21 @@
         return next_at if self.is_ready else min(next_at, self.ready_at)
 
     def call_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-        """The one reply to a call."""
-        lane = lane_of(call.request)
-        self.under_way.pop(lane, None)
+        """Take the reply to a call; there is exactly one to each."""
         if is_stale(call.request, reply, self.newest_revision):
             reply = reply._replace(proof=Proof.UNKNOWN)
-        if reply.proof == Proof.DONE:
-            self.backoffs[lane].reset()
+        is_done = reply.proof == Proof.DONE
+        self.calls.replied(lane_of(call.request), is_done, now)
+        if is_done:
             self.newest_revision = max(self.newest_revision, reply.revision)
-        else:
-            self.retry_at[lane] = now + self.backoffs[lane].next_delay_us()
-        if call.number > self.void_until and self.state != MemberState.OUT:
+        if not self.calls.is_void(call) and self.state != MemberState.OUT:
             self._handle_reply(now, call, reply)
         self.tick(now)
 
     def member_changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """A member's key changed; value None: it was deleted."""
+        """Take a change of a member's key; value None: it was deleted."""
         if revision <= self.newest_revision and self.state not in (MemberState.IN, MemberState.LEAVING):
-            return  # older than what a read has shown
+            return  # a read has shown a newer state
         self.newest_revision = max(self.newest_revision, revision)
         name = key.removeprefix(MEMBERS_PREFIX)
         record = None if value is None else MemberRecord.decode(value, revision)
@@ -184,16 +179,16 @@
             self.is_ready = record.is_ready
         elif record.incarnation > self.identity.incarnation:
             self._superseded(now)
-        else:  # an earlier process found our key missing: we write over it
+        else:  # an earlier process wrote our key, having found it missing: write it again
             self._lose_lease(now, KEY_ENDED)
 
     def watch_gap(self, now: int) -> None:
-        """Changes may have been missed: read who the members are."""
+        """Read the members again, as the watch may have missed changes."""
         self.must_read_members = True
         self.tick(now)
 
     def leave(self, now: int) -> None:
-        """Give all roles back in good order, and end the lease."""
+        """Shut down gracefully: give up all roles, then end the lease."""
         if self.state in (MemberState.LEAVING, MemberState.OUT):
             return
         self.leave_at = now + self.rules.leave_us
@@ -201,7 +196,7 @@
             self._change_state(MemberState.OUT, "left")
             return
         self._change_state(MemberState.LEAVING, "told to leave")
-        self.retry_at = dict.fromkeys(CallLane, 0)
+        self.calls.end_delays()
         self.tick(now)
 
     # States
@@ -210,16 +205,16 @@
         self.out.append(action)
 
     def _change_state(self, state: MemberState, reason: str) -> None:
-        """The one place where the state changes."""
+        """Change the state and emit an event; the only place that does."""
         facts = {"why": reason, "incarnation": self.identity.incarnation}
         self._emit(StateChanged("member " + state, facts))
         self.state = state
 
     def _check_lease(self, now: int) -> None:
-        """A lease that does not surely hold any more is given up, and never renewed.
+        """Give up a lease that does not certainly hold any more; it is never renewed.
 
-        Guards against a member whose calls arrive and whose replies are lost: it would keep for good what it
-        can't act on, and nobody else could take it.
+        Guards against a member whose calls arrive but whose replies are lost: it would keep roles for ever
+        that it can't act on, and no other member could claim them.
         """
         if self.lease.id and not self.lease.is_valid(now):
             self._lose_lease(now, "its lease is not sure")
@@ -227,24 +222,24 @@
             self._end("left without the register's word")
 
     def _reset_roles(self, reason: str) -> None:
-        """Lose all roles and our key; replies to the calls under way are not heard any more."""
+        """Lose all roles and our key, and ignore replies to the calls under way."""
         self.claims.reset(reason)
         self.identity.key_revision = 0
         self.is_ready = False
-        self.void_until = self.serial
+        self.calls.void_all()
 
     def _lose_lease(self, now: int, reason: str) -> None:
-        """The store may not have our lease any more: begin again."""
+        """Begin again without a lease: the store may not have ours any more."""
         self._reset_roles(reason)
         self.lease.clear()
         if self.state == MemberState.LEAVING:
             self._change_state(MemberState.OUT, reason)
         else:
-            self.retry_at[CallLane.LEASE] = now + self.backoffs[CallLane.LEASE].next_delay_us()
+            self.calls.delay(CallLane.LEASE, now)
             self._change_state(MemberState.ALONE, reason)
 
     def _superseded(self, now: int) -> None:
-        """A later process has our name: it is right, we stop for good, and free our roles at once."""
+        """Stop for good and free our roles at once: a later process of the same name replaces this one."""
         self._reset_roles(SUPERSEDED)
         self.claims.busy = set()
         self.leave_at = now + self.rules.terms.guaranteed_us()
@@ -256,7 +251,7 @@
         self._change_state(MemberState.OUT, reason)
 
     def _joined(self, now: int, revision: int, is_ready: bool) -> None:
-        """Our key is in the store."""
+        """Record that our key is in the store."""
         is_first = self.state != MemberState.IN
         self.identity.key_revision = revision
         self.is_ready = is_ready
@@ -276,15 +271,12 @@
     # Calls
 
     def _start_call(self, lane: CallLane, choose: Callable[[int], CallPlan | None], now: int) -> None:
-        if lane in self.under_way or now < self.retry_at[lane] or self.state == MemberState.OUT:
+        """Make the call that choose(now) plans, if any."""
+        if not self.calls.may_start(lane, now) or self.state == MemberState.OUT:
             return
         plan = choose(now)
-        if plan is None:
-            return
-        self.serial += 1
-        call = PendingCall(self.serial, plan.purpose, plan.request, now, plan.about)
-        self.under_way[lane] = call
-        self._emit(CallStore(call))
+        if plan is not None:
+            self._emit(CallStore(self.calls.start(lane, plan, now)))
 
     def _next_lease_call(self, now: int) -> CallPlan | None:
         if self.state == MemberState.LEAVING and not self.claims.busy:
@@ -302,11 +294,10 @@
             case MemberState.READING:
                 return CallPlan(CallPurpose.READ_MEMBERS, ReadPrefix(MEMBERS_PREFIX))
             case MemberState.JOINING:
-                # Where no other member is ready no roles move: there is no need to settle.
-                is_first = not any(self.members.values())
-                return CallPlan(
-                    CallPurpose.JOIN, self.identity.write_key(is_first, self.lease.id), (is_first,)
-                )
+                # If no other member is ready, no roles move: join as ready, without settling.
+                is_ready = not any(self.members.values())
+                request = self.identity.write_key(is_ready, self.lease.id)
+                return CallPlan(CallPurpose.JOIN, request, (is_ready,))
             case MemberState.LEAVING:
                 return self.claims.leaving_call()
             case MemberState.IN if self.must_read_members:
@@ -340,7 +331,7 @@
 
     def _grant_replied(self, call: PendingCall, reply: Reply) -> None:
         if reply.proof != Proof.DONE:
-            return  # the store may have a lease without keys: it ends by itself
+            return  # the store may have granted a lease: without keys it expires unused
         self.lease.renew(reply.lease, call.sent_at)
         if self.state == MemberState.ALONE:
             self._change_state(MemberState.READING, "has a lease")
@@ -358,19 +349,16 @@
             return
         records = {item.key: MemberRecord.decode(item.value, item.revision) for item in reply.items}
         self.members = {key.removeprefix(MEMBERS_PREFIX): record.is_ready for key, record in records.items()}
-        own_record = records.get(self.identity.key)
-        own_item = next((item for item in reply.items if item.key == self.identity.key), None)
         self.must_read_members = False
+        own_item = next((item for item in reply.items if item.key == self.identity.key), None)
+        own_record = records.get(self.identity.key)
         is_ours = own_record is not None and own_record.nonce == self.identity.nonce
-        is_others = own_record is not None and not is_ours
-        record = cast("MemberRecord", own_record)  # where it is ours or another's
-        item = cast("KeyValue", own_item)  # as the record
-        if self.identity.incarnation and is_others and record.incarnation > self.identity.incarnation:
+        if own_record and not is_ours and 0 < self.identity.incarnation < own_record.incarnation:
             self._superseded(now)
             return
         self._emit(WatchMembers(reply.revision + 1))
-        if is_ours and item.lease == self.lease.id:  # also where the reply to our joining was lost
-            self._joined(now, item.revision, record.is_ready)
+        if own_item and own_record and is_ours and own_item.lease == self.lease.id:
+            self._joined(now, own_item.revision, own_record.is_ready)  # also if the reply to JOIN was lost
         elif self.state == MemberState.IN:
             self._lose_lease(now, KEY_ENDED)
         else:
@@ -382,7 +370,7 @@
             (is_ready,) = call.about
             self.members[self.identity.name] = is_ready
             self._joined(now, reply.revision, is_ready)
-        else:  # another process wrote the key, or our call may have been carried out: a read shows
+        else:  # another process wrote the key, or our call may have been carried out: read the members
             self.identity.key_revision = 0
             self._change_state(MemberState.READING, "does not know whether it joined")
 
--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -22,18 +22,18 @@
 
 
 class MemberState(StrEnum):
-    """State of a member; the values stand in the log."""
+    """State of a member; the values appear in the log."""
 
     ALONE = "alone"  # it has no lease
-    READING = "reading"  # it has a lease, and reads who the members are
+    READING = "reading"  # it has a lease, and reads the list of members
     JOINING = "joining"  # it writes its own key
     IN = "in"  # it leads the roles that are assigned to it
-    LEAVING = "leaving"  # it gives its roles back
+    LEAVING = "leaving"  # it gives up its roles
     OUT = "out"  # it has left for good, or a later process has its name
 
 
 class CallLane(StrEnum):
-    """Calls of one lane wait for each other: a lease must not wait behind anything else."""
+    """Calls of one lane wait for each other; calls for the lease must not wait behind any others."""
 
     LEASE = "lease"
     STATE = "state"
@@ -48,7 +48,7 @@
     READ_MEMBERS = "read"
     JOIN = "join"
     BECOME_READY = "ready"
-    INSPECT_ROLES = "look"  # read the keys of roles of which we do not know who leads them
+    INSPECT_ROLES = "look"  # read the keys of roles whose leader is not known
     AUDIT_LEASE = "audit"  # read which keys are attached to our lease
     CLAIM_ROLES = "claim"
     RELEASE_ROLES = "release"
@@ -62,20 +62,23 @@
 
 
 def is_stale(request: Request, reply: Reply, newest_revision: int) -> bool:
-    """Whether a reply shows the store as it was before a revision that is known already.
+    """Whether a reply shows an older state of the store than one that is known already.
 
-    Guards against a read from the past: it would show keys that do not exist any more.
+    Guards against stale reads, which would show keys that do not exist any more.
     """
     reads_state = isinstance(request, ReadPrefix | Transaction | ReadLeaseKeys)
     return reply.proof == Proof.DONE and reply.revision < newest_revision and reads_state
 
 
 class CallPlan(NamedTuple):
-    """A call that is to be made. about: what its reply needs: roles, or whether a member joined as ready."""
+    """A call that is to be made.
+
+    about: context for its reply: the roles that the call is for, or for JOIN whether the member is ready.
+    """
 
     purpose: CallPurpose
     request: Request
-    about: tuple = ()
+    about: tuple[Any, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,14 +106,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchMembers:
-    """Action: follow changes of the members' keys from this revision on; each comes to member_changed()."""
+    """Action: watch the members' keys from this revision on; answered by member_changed() for each change."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class StateChanged:
-    """Action: an event for the log, with its facts as fields."""
+    """Action: log an event, with its facts as fields."""
 
     text: str
     facts: dict[str, Any]
@@ -120,11 +123,11 @@
 
 
 class MembershipRules(NamedTuple):
-    """The operator's figures; times in us.
+    """Settings of a member, from the operator file; times in us.
 
-    settle_us: how long a member that joins others waits until roles move to it. moves_per_second: the most
-    roles that one member gives up for another. min_backoff_us, max_backoff_us: between attempts of a call.
-    leave_us: how long leaving waits for work that is under way.
+    settle_us: how long a member that joins others waits before roles move to it. moves_per_second: how many
+    roles one member gives up to others at most. min_backoff_us, max_backoff_us: between attempts of a call.
+    leave_us: how long leaving waits for work under way.
     """
 
     terms: LeaseTerms
--- a/gullhold/fleet/occurrence.py
+++ b/gullhold/fleet/occurrence.py
@@ -1,4 +1,4 @@
-"""One time at which a scheduled command is due, and what became of it."""
+"""One due time of a scheduled command, and the state of the work on it."""
 
 from enum import StrEnum
 from hashlib import blake2s
@@ -11,8 +11,8 @@
     """State of an occurrence, as stored."""
 
     INTENT = "intent"  # an attempt may have been sent
-    SHED = "shed"  # the last attempt provably had no effect, and another may follow
-    UNDONE = "undone"  # the same: the last attempt was never taken
+    SHED = "shed"  # the last attempt certainly had no effect; another may follow
+    UNDONE = "undone"  # the last attempt was never sent; another may follow
     ANSWERED = "answered"  # final
     FAILED = "failed"  # final
     SKIPPED = "skipped"  # final
@@ -24,9 +24,9 @@
 class Occurrence(NamedTuple):
     """One occurrence of a scheduled command; times are Unix time in us.
 
-    token: the fencing token under which it was written. attempts: those begun. started_us: when the first
-    intent was written, 0: never. member: who wrote it. reason: why it failed or was skipped. count: how many
-    due times it stands for, more than one only where they were skipped together.
+    token: fencing token under which it was written. attempts: number of attempts begun. started_us: when the
+    first intent was written, 0: never. member: that wrote it. reason: why it failed or was skipped. count:
+    number of due times that it covers, more than one only if they were skipped together.
     """
 
     due_us: int
@@ -45,5 +45,5 @@
 
 
 def idempotency_key(command: str, due_us: int) -> str:
-    """The key by which engines know a repeat: the same for all attempts, whichever member makes them."""
+    """The idempotency key of an occurrence: the same for all attempts, whichever member makes them."""
     return blake2s(f"{command} {due_us}".encode(), digest_size=IDEMPOTENCY_KEY_BYTES).hexdigest()
--- /dev/null
+++ b/gullhold/fleet/occurrence_records.py
@@ -0,0 +1,84 @@
+"""The stored records of one scheduled command, as last read or written. Decisions only; times are Unix us."""
+
+from collections.abc import Iterable
+
+from gullhold.fleet.occurrence import Occurrence
+from gullhold.fleet.store_calls import Condition, Delete, KeyValue, Operation, Put
+from gullhold.fleet.store_schema import (
+    HANDLED_UNTIL,
+    OCCURRENCES,
+    decode_occurrence,
+    encode_occurrence,
+    occurrence_key,
+)
+
+MAX_SETTLED_RECORDS = 20  # settled occurrences that stay in the store, for staff and for the next leader
+
+
+class OccurrenceRecords:
+    """The occurrences that have a record, with the revisions of their keys.
+
+    by_due_time: occurrences in the order in which they were read or first written. handled_until: the last
+    due time that has a record, or from which the command began; 0: a new command.
+    """
+
+    def __init__(self, prefix: str) -> None:
+        """prefix: of the command's keys."""
+        self.prefix = prefix
+        self.handled_until = 0
+        self.by_due_time: dict[int, Occurrence] = {}
+        self._revisions: dict[int, int] = {}  # by due time
+
+    def load(self, items: Iterable[KeyValue]) -> None:
+        """Replace everything by what was read of the store."""
+        self.handled_until = 0
+        self.by_due_time = {}
+        self._revisions = {}
+        for item in items:
+            name = item.key.removeprefix(self.prefix)
+            occurrence = decode_occurrence(item.value) if name.startswith(OCCURRENCES) else None
+            if name == HANDLED_UNTIL:
+                self.handled_until = int(item.value)
+            elif occurrence:
+                self._set(occurrence, item.revision)
+
+    def written(self, occurrence: Occurrence, revision: int) -> None:
+        """Record that the occurrence was written at this revision."""
+        self._set(occurrence, revision)
+        self.handled_until = max(self.handled_until, occurrence.due_us)
+
+    def _set(self, occurrence: Occurrence, revision: int) -> None:
+        self.by_due_time[occurrence.due_us] = occurrence
+        self._revisions[occurrence.due_us] = revision
+
+    def has_open(self) -> bool:
+        """Whether work on any occurrence may go on."""
+        return any(occurrence.is_open for occurrence in self.by_due_time.values())
+
+    def write_operations(self, occurrence: Occurrence | None, handled_until: int) -> list[Operation]:
+        """The operations that write an occurrence, if any, delete surplus records and move handled_until."""
+        operations: list[Operation] = [
+            Delete(occurrence_key(self.prefix, due_us)) for due_us in self._surplus()
+        ]
+        if occurrence:
+            key = occurrence_key(self.prefix, occurrence.due_us)
+            operations.append(Put(key, encode_occurrence(occurrence)))
+        if handled_until > self.handled_until:
+            operations.append(Put(self.prefix + HANDLED_UNTIL, str(handled_until)))
+        return operations
+
+    def unchanged_condition(self, occurrence: Occurrence) -> Condition:
+        """The condition that the occurrence's record is as it is known here."""
+        key = occurrence_key(self.prefix, occurrence.due_us)
+        return key, self._revisions.get(occurrence.due_us, 0)
+
+    def drop_surplus(self) -> None:
+        """Forget the records that the last write has deleted."""
+        for due_us in self._surplus():
+            del self.by_due_time[due_us]
+            del self._revisions[due_us]
+
+    def _surplus(self) -> list[int]:
+        """Due times of the oldest settled occurrences beyond MAX_SETTLED_RECORDS."""
+        settled = sorted(due_us for due_us, occurrence in self.by_due_time.items() if not occurrence.is_open)
+        return settled[:-MAX_SETTLED_RECORDS]
--- a/gullhold/fleet/rate_limit.py
+++ b/gullhold/fleet/rate_limit.py
@@ -4,7 +4,7 @@
 
 
 class RateLimit:
-    """At most so many permits a second; the bucket holds the permits of one second."""
+    """A token bucket that holds the permits of one second."""
 
     __slots__ = ("available", "rate", "updated_at")
 
@@ -15,7 +15,7 @@
         self.updated_at = now
 
     def take(self, now: int, wanted: int) -> int:
-        """Take up to so many permits; how many were taken."""
+        """Take up to `wanted` permits; return how many were taken."""
         elapsed_us = max(0, now - self.updated_at)
         self.available = min(self.rate, self.available + elapsed_us * self.rate / US_PER_SECOND)
         self.updated_at = max(self.updated_at, now)
--- a/gullhold/fleet/role_assignment.py
+++ b/gullhold/fleet/role_assignment.py
@@ -1,8 +1,7 @@
 """Which member should lead which role: rendezvous hashing, by a library. Decisions only.
 
-Every member computes the assignment alone, from the list of members; who really leads a role is what the
-store says. A member that joins draws roles to itself only, one that leaves gives up only its own: no other
-role moves.
+Every member computes the assignment by itself, from the list of members; the store decides who really leads a
+role. If a member joins, roles move only to it; if one leaves, only its own roles move.
 """
 
 from collections.abc import Iterable
@@ -11,7 +10,7 @@
 
 
 class RoleAssignment:
-    """Roles by the member that should lead them, kept up to date as members come and go."""
+    """The member that should lead each role, updated as members join and leave."""
 
     def __init__(self, roles: Iterable[str]) -> None:
         self.roles = tuple(roles)
@@ -19,10 +18,10 @@
         self.leaders: dict[str, str] = {}  # by role
 
     def update_members(self, members: Iterable[str]) -> list[str]:
-        """Assign the roles to these members; the roles whose leader should be another than before.
+        """Assign the roles to these members; return the roles whose assigned leader has changed.
 
-        A role's best member is the best of its old leader and those that joined. So a member that joins is
-        compared with the old leaders alone, and for one that left only its own roles are assigned anew.
+        A role's best member is either its old leader or one that joined. So joining members are compared only
+        with the old leaders, and only the roles of members that left are compared with all.
         """
         present = tuple(sorted(members))
         left = set(self.members) - set(present)
@@ -32,12 +31,12 @@
             unassigned = list(self.leaders)
             self.leaders = {}
             return unassigned
-        everyone = RendezvousHash(list(present))
+        all_members = RendezvousHash(list(present))
         moved = []
         for role in self.roles:
             old_leader = self.leaders.get(role)
             if old_leader is None or old_leader in left:
-                leader = everyone.find_node(role)
+                leader = all_members.find_node(role)
             elif joined:
                 leader = RendezvousHash([old_leader, *joined]).find_node(role)
             else:
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -34,17 +34,18 @@
 from gullhold.fleet.store_schema import ROLES_PREFIX, LeaderRecord
 
 MAX_ROLES_PER_CALL = store_calls.MAX_TRANSACTION_OPERATIONS - 1  # beside the member's own key
-AUDIT_INTERVAL_LEASES = 5  # lease times between two reads of the keys attached to our lease: a call that was
-# given up may have been carried out after all
+# Lease times between reads of the keys attached to our lease, which show calls that were given up but
+# carried out.
+AUDIT_INTERVAL_LEASES = 5
 
 
 class RoleClaims:
-    """The roles of one member, by what it knows of each and wants of it.
+    """The roles that one member leads, claims or gives up.
 
-    tokens: roles whose key is ours, with their tokens. excess: roles to give up, with the token of their key.
-    wanted: roles to claim, each with the time from which to do so. own_keys: of those, the revision of a key
-    that is ours already. unsure: roles whose key has to be read. busy: roles that are not given up, as work
-    on them is under way.
+    tokens: fencing tokens of the roles whose key is ours. excess: roles to give up, with the token of their
+    key. wanted: roles to claim, each with the time from which to do so. own_keys: of those, the revision of a
+    key that is ours already. unsure: roles whose key has to be read. busy: roles that are not given up, as
+    work on them is under way.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         now: int,
         emit: Callable[[MembershipAction], None],
     ) -> None:
-        """emit: takes RoleWon and RoleLost."""
+        """emit: called with RoleWon and RoleLost."""
         self.identity = identity
         self.assignment = RoleAssignment(roles)
         self.claim_backoff = claim_backoff
@@ -72,7 +73,7 @@
         self._emit = emit
 
     def reset(self, reason: str) -> None:
-        """Lose all roles, and forget what was known."""
+        """Lose all roles, and forget what was known of others."""
         for role in list(self.tokens):
             self.lost(role, reason)
         self.wanted = {}
@@ -81,31 +82,31 @@
         self.unsure = {}
 
     def won(self, role: str, token: int) -> None:
-        """The role's key is ours."""
+        """Record that the role's key is ours."""
         self.tokens[role] = token
         self._emit(RoleWon(role, token))
 
     def lost(self, role: str, reason: str) -> None:
-        """The role's key may not be ours any more."""
+        """Record that the role's key may not be ours any more."""
         if self.tokens.pop(role, 0):
             self._emit(RoleLost(role, reason))
 
     def joined(self, now: int) -> None:
-        """This member has joined: the first audit follows in its time."""
+        """Schedule the first audit, after this member has joined."""
         self.audit_at = now + self.audit_interval_us
 
     def reassign(self, now: int, ready_members: Iterable[str]) -> None:
-        """The ready members have changed: what to claim and what to give up."""
+        """Find out what to claim and what to give up after the ready members have changed."""
         for role in self.assignment.update_members(ready_members):
             self.review(now, role)
 
     def review_all(self, now: int) -> None:
-        """Claim or give up each role as it is assigned."""
+        """Plan to claim or give up each role, according to its assignment."""
         for role in self.assignment.roles:
             self.review(now, role)
 
     def review(self, now: int, role: str) -> None:
-        """Claim or give up a role as it is assigned."""
+        """Plan to claim or give up a role, according to its assignment."""
         is_assigned = self._is_assigned(role)
         if role not in self.tokens:
             if is_assigned:
@@ -118,7 +119,7 @@
             self.excess[role] = self.tokens[role]
 
     def claim_now(self, now: int) -> None:
-        """A member has gone: what it led is free."""
+        """Claim all wanted roles without delay: a member has gone, and its roles are free."""
         for role in self.wanted:
             self.wanted[role] = now
 
@@ -128,7 +129,7 @@
     # Calls
 
     def next_call(self, now: int, lease_id: int) -> CallPlan | None:
-        """The call to be made next, if any."""
+        """The next call to make, if any."""
         if self.unsure:
             roles = tuple(self.unsure)[:MAX_ROLES_PER_CALL]
             reads = tuple(Get(ROLES_PREFIX + role) for role in roles)
@@ -144,7 +145,7 @@
         return self._claim_call(due[:MAX_ROLES_PER_CALL], lease_id) if due else None
 
     def next_call_at(self, now: int) -> int:
-        """When next_call() has one at the latest."""
+        """When next_call() will return a call at the latest."""
         if self.unsure:
             return 0
         times = [self.audit_at, *self.wanted.values()]
@@ -153,7 +154,7 @@
         return min(times)
 
     def leaving_call(self) -> CallPlan | None:
-        """While some roles are busy: give up the others.
+        """The call that gives up roles that are not busy, while others are.
 
         Once none is busy, the end of the lease frees all roles in one call.
         """
@@ -167,7 +168,7 @@
         return [(role, token) for role, token in self.excess.items() if role not in self.busy]
 
     def _release_call(self, releases: list[tuple[str, int]]) -> CallPlan:
-        """Acting ends before the call goes out: others may know what it has done before we do."""
+        """Stop acting on the roles, and give them up: others may learn of that before our reply arrives."""
         for role, _ in releases:
             self.lost(role, "let go")
             self.excess.pop(role, None)
@@ -192,7 +193,7 @@
     # Replies
 
     def call_replied(self, now: int, call: PendingCall, reply: Reply) -> bool:
-        """The reply to a call of next_call(); whether the members have to be read."""
+        """Take the reply to a call of next_call(); whether the members have to be read."""
         match call.purpose:
             case CallPurpose.INSPECT_ROLES:
                 self.inspect_replied(now, call, reply)
@@ -205,12 +206,12 @@
         return False
 
     def inspect_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-        """The keys of unsure roles were read."""
+        """Take the reply to a read of unsure roles' keys."""
         if reply.proof == Proof.DONE:
             self._observe_all(now, call, reply)
 
     def claim_replied(self, now: int, call: PendingCall, reply: Reply) -> bool:
-        """Roles were claimed; whether the members have to be read, as our own key is not what we thought."""
+        """Take the reply to a claim; whether to read the members, as our own key is not what we expected."""
         if reply.proof == Proof.DONE and reply.succeeded:
             self.claim_backoff.reset()
             for role in call.about:
@@ -226,7 +227,7 @@
         return False
 
     def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-        """Roles were given up."""
+        """Take the reply to a release of roles."""
         if reply.proof == Proof.DONE and reply.succeeded:
             for role in call.about:
                 self.review(now, role)
@@ -234,12 +235,12 @@
             self._mark_unsure(call.about)
 
     def audit_replied(self, now: int, reply: Reply) -> None:
-        """The keys attached to our lease were read."""
+        """Take the reply to a read of the keys attached to our lease."""
         if reply.proof != Proof.DONE:
             return
         self.audit_at = now + self.audit_interval_us
         attached = {key.removeprefix(ROLES_PREFIX) for key in reply.keys if key.startswith(ROLES_PREFIX)}
-        # A call that was given up was carried out after all.
+        # Keys that we do not know of: a call that was given up was carried out after all.
         self._mark_unsure(attached - self.tokens.keys() - self.unsure.keys())
         for role in self.tokens.keys() - attached:  # nobody but us deletes it while the lease holds
             self.lost(role, "its key ended")
@@ -247,7 +248,7 @@
             self.review(now, role)
 
     def _mark_unsure(self, roles: Iterable[str]) -> None:
-        """The keys of these roles have to be read; until then we do not act on the roles."""
+        """Have the keys of these roles read; until then the roles are not acted on."""
         for role in roles:
             self.wanted.pop(role, None)
             self.unsure[role] = True
@@ -259,12 +260,12 @@
             self.observe(now, role, items.get(role))
 
     def observe(self, now: int, role: str, item: KeyValue | None) -> None:
-        """What the store has of a role that we do not surely lead."""
+        """Take the stored key of a role that we do not certainly lead; item None: there is none."""
         is_ours = item is not None and LeaderRecord.decode(item.value).nonce == self.identity.nonce
         is_assigned = self._is_assigned(role)
         self.own_keys.pop(role, None)
         if is_ours and is_assigned:
-            # The reply to a call was lost: the key is written anew, so that no older call can undo it.
+            # The reply to a call was lost: write the key again, so that no older call can undo it.
             self.own_keys[role] = cast("KeyValue", item).revision
             self.wanted[role] = now
         elif is_ours:
--- a/gullhold/fleet/role_driver.py
+++ b/gullhold/fleet/role_driver.py
@@ -1,4 +1,4 @@
-"""Carries out what the state of a led role asks for."""
+"""Carries out the actions of role states."""
 
 from typing import TYPE_CHECKING
 
@@ -11,7 +11,7 @@
 
 
 class RoleDriver:
-    """The role states of one member, by role, on the lane and the watcher of their role.
+    """Drives the role states of one member, each on the lane and with the watcher of its role.
 
     All methods are called on the fleet's thread.
     """
@@ -21,19 +21,19 @@
         self._fleet = fleet
 
     def won(self, role: str, token: int) -> None:
-        """This member leads the role, under this fencing token."""
+        """Begin to lead the role, under this fencing token."""
         self._fleet.role_states[role].won(token, monotonic_us())
 
     def lost(self, role: str) -> None:
-        """This member does not lead the role any more."""
+        """Stop leading the role."""
         self._fleet.role_states[role].lost()
 
     def due(self, now: int) -> list[int]:
-        """When to step each role at the latest."""
+        """When to step() each role at the latest."""
         return [state.due(now) for state in self._fleet.role_states.values()]
 
     def step(self, role: str) -> None:
-        """Go on with a role, and do what it asks for."""
+        """Step a role, and carry out its actions."""
         state = self._fleet.role_states[role]
         state.step(monotonic_us())
         while actions := state.take_actions():
@@ -41,12 +41,12 @@
                 self._carry_out(role, action)
 
     def changed(self, role: str, key: str, value: str | None, revision: int) -> None:
-        """A key of the role changed."""
+        """Pass a change of one of the role's keys on to its state."""
         self._fleet.role_states[role].changed(monotonic_us(), key, value, revision)
 
-    def missed(self, role: str) -> None:
-        """Changes of the role's keys were missed."""
-        self._fleet.role_states[role].missed(monotonic_us())
+    def watch_gap(self, role: str) -> None:
+        """Have the role read its keys again, as the watch has missed changes."""
+        self._fleet.role_states[role].watch_gap(monotonic_us())
 
     def _carry_out(self, role: str, action: RoleAction) -> None:
         fleet = self._fleet
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -1,7 +1,7 @@
-"""The keys of a role while this member leads it: read, followed from there, written call by call.
+"""The state of a role while this member leads it: its keys are read, then watched, and written one at a time.
 
-Decisions only. A role is a piece of the fleet's work with one leader at a time; each kind of role says what
-to make of what was read, of what changed, and what is to be written next.
+Decisions only. A role is a part of the fleet's work with one leader at a time; each kind of role is a
+subclass of RoleState that handles reads and changes of its keys and decides what to write next.
 """
 
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 
 from gullhold.fleet.store_calls import Condition, Operation, Proof, Reply
 
-IDLE_STEP_US = 2_000_000  # us between steps while nothing happens: every event makes a step of its own
-RETRY_US = 200_000  # us until the next attempt after a reply that proves nothing
+IDLE_STEP_US = 2_000_000  # us between steps while nothing happens: each event causes a step of its own
+RETRY_US = 200_000  # us until the next attempt after a call that is not known to be carried out
 
-CallSerial = tuple[int, int]  # (fencing token, number under it)
+CallSerial = tuple[int, int]  # (fencing token, number of the call under this token)
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchKeys:
-    """Action: follow changes of the role's keys from this revision on; each comes to changed()."""
+    """Action: watch the role's keys from this revision on; answered by changed() for each change."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Action: an event for the log, with its facts as fields."""
+    """Action: log an event, with its facts as fields."""
 
     level: str
     text: str
@@ -62,42 +62,46 @@
     take_actions() hands out RoleActions; due() is when to step(). All times are us of a monotonic clock. A
     kind of role implements the hooks _on_loaded(), _on_key_changed(), _write_next(), _next_write_at() and
     _write_confirmed().
+
+    token: fencing token, 0 while this member does not lead the role. reading, writing: serials of the calls
+    under way. newest_revision: the newest one seen; min_read_revision: what it was when the read was sent, so
+    that a reply with an older revision is stale. early_changes: those that came before the reply to the read.
     """
 
     def __init__(self, root: str) -> None:
         """root: the prefix of the role's keys."""
         self.root = root
-        self.token = 0  # 0: this member does not lead the role
+        self.token = 0
         self.serials = count(1)
         self.out: list[RoleAction] = []
-        self.reading: CallSerial | None = None  # serials of the calls under way
+        self.reading: CallSerial | None = None
         self.writing: CallSerial | None = None
-        self.again_at = 0
-        self.loaded = False
-        self.newest = 0  # newest revision heard of ...
-        self.known = 0  # ... and what it was when the read was asked for
-        self.early: list[tuple[str, str | None, int]] = []  # changes that came before the reply to a read
+        self.retry_at = 0
+        self.is_loaded = False
+        self.newest_revision = 0
+        self.min_read_revision = 0
+        self.early_changes: list[tuple[str, str | None, int]] = []  # arguments of changed()
 
     def take_actions(self) -> list[RoleAction]:
-        """What is to be done now, in order."""
+        """Return the actions to carry out now, in order."""
         out = self.out
         self.out = []
         return out
 
     def won(self, token: int, now: int) -> None:
-        """This member leads the role, under this fencing token."""
+        """Begin to lead the role, under this fencing token."""
         self.token = token
         self.serials = count(1)
         self.writing = None
         self.reading = None
-        self.loaded = False
-        self.again_at = 0
+        self.is_loaded = False
+        self.retry_at = 0
         self.step(now)
 
     def lost(self) -> None:
-        """The leadership is not certain any more: nothing is written."""
+        """Stop, as the leadership is not certain any more."""
         self.token = 0
-        self.loaded = False
+        self.is_loaded = False
         self.writing = None
         self.reading = None
 
@@ -105,64 +109,64 @@
         """When to step at the latest."""
         if not self.token or self.reading or self.writing:
             return now + IDLE_STEP_US
-        if not self.loaded:
-            return max(now, self.again_at)
+        if not self.is_loaded:
+            return max(now, self.retry_at)
         at = self._next_write_at(now)
-        return now + IDLE_STEP_US if at is None else max(now, at, self.again_at)
+        return now + IDLE_STEP_US if at is None else max(now, at, self.retry_at)
 
     def step(self, now: int) -> None:
-        """Do what is next, if nothing is under way."""
-        if not self.token or self.reading or self.writing or now < self.again_at:
+        """Take the next step, unless a call is under way."""
+        if not self.token or self.reading or self.writing or now < self.retry_at:
             return
-        if self.loaded:
+        if self.is_loaded:
             self._write_next(now)
         else:
             self.reading = (self.token, next(self.serials))
-            self.early = []
-            self.known = self.newest
+            self.early_changes = []
+            self.min_read_revision = self.newest_revision
             self.out.append(ReadKeys(self.reading, self.root))
 
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
-        """The reply to WriteKeys; where it leaves open what stands, everything is read anew."""
+        """Take the reply to WriteKeys; all keys are read again unless it shows what the store holds now."""
         if self.writing != serial:
             return
         self.writing = None
         if reply.proof == Proof.DONE:
-            self.newest = max(self.newest, reply.revision)
+            self.newest_revision = max(self.newest_revision, reply.revision)
         else:
-            self.again_at = now + RETRY_US
+            self.retry_at = now + RETRY_US
         is_known = reply.proof == Proof.DONE and self._write_confirmed(reply)
-        self.loaded = is_known and self.loaded
+        self.is_loaded = is_known and self.is_loaded
         self.step(now)
 
     def read(self, now: int, serial: CallSerial, reply: Reply) -> None:
-        """The reply to ReadKeys."""
+        """Take the reply to ReadKeys."""
         if not self.token or self.reading != serial:
             return
         self.reading = None
-        # Guards against a stale read: what it does not show is not notified again.
-        if reply.proof != Proof.DONE or reply.revision < self.known:
-            self.again_at = now + RETRY_US
+        # Guards against a stale read: the watch does not repeat changes that it does not show.
+        if reply.proof != Proof.DONE or reply.revision < self.min_read_revision:
+            self.retry_at = now + RETRY_US
             return
-        self.newest = max(self.newest, reply.revision)
-        self.loaded = True
+        self.newest_revision = max(self.newest_revision, reply.revision)
+        self.is_loaded = True
         self._on_loaded(now, reply)
         self.out.append(WatchKeys(reply.revision + 1))
-        for change in self.early:
+        for change in self.early_changes:
             self.changed(now, *change)
         self.step(now)
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """A key changed; value None: it was deleted."""
-        self.newest = max(self.newest, revision)
+        """Take a change of a key; value None: it was deleted."""
+        self.newest_revision = max(self.newest_revision, revision)
         if self.reading:
-            self.early.append((key, value, revision))
-        if self.loaded and self._on_key_changed(now, key, value, revision):
+            self.early_changes.append((key, value, revision))
+        if self.is_loaded and self._on_key_changed(now, key, value, revision):
             self.step(now)
 
-    def missed(self, now: int) -> None:
-        """Changes were missed: everything is read anew."""
-        self.loaded = False
+    def watch_gap(self, now: int) -> None:
+        """Read all keys again, as the watch has missed changes."""
+        self.is_loaded = False
         self.step(now)
 
     def _write(self, operations: list[Operation], conditions: tuple[Condition, ...]) -> None:
@@ -170,21 +174,21 @@
         self.out.append(WriteKeys(self.writing, self.token, tuple(operations), conditions))
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
-        """All keys were read."""
+        """Take all keys, after a read."""
         raise NotImplementedError
 
     def _on_key_changed(self, now: int, key: str, value: str | None, revision: int) -> bool:
-        """A key changed after the read; whether that calls for a step."""
+        """Take a change of a key after the read; whether a step is due."""
         raise NotImplementedError
 
     def _write_next(self, now: int) -> None:
-        """Write what is due, if anything, with _write()."""
+        """Write what is due, if anything, through _write()."""
         raise NotImplementedError
 
     def _next_write_at(self, now: int) -> int | None:
-        """When _write_next() would write at the latest; None: nothing is to be written."""
+        """When _write_next() is to be called at the latest; None: there is nothing to write."""
         raise NotImplementedError
 
     def _write_confirmed(self, reply: Reply) -> bool:
-        """A write was carried out or refused; whether what stands in the store is still known."""
+        """Take the reply to a write, carried out or refused; whether the store's contents are still known."""
         raise NotImplementedError
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -1,7 +1,8 @@
-"""Scheduled commands: what the leader of one does about each time that it is due. Decisions only.
+"""Scheduled commands: how the leader of one handles its due times. Decisions only.
 
 Each occurrence has a record in the store, written under the leader's fencing token: the intent before an
-attempt is sent, the outcome after it. gullhold.fleet.recovery says what may follow an intent without outcome.
+attempt is sent, the outcome after it. gullhold.fleet.recovery decides what may follow an intent without an
+outcome.
 """
 
 from dataclasses import dataclass
@@ -9,6 +10,7 @@
 from typing import Any, Protocol, cast
 
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState, idempotency_key
+from gullhold.fleet.occurrence_records import OccurrenceRecords
 from gullhold.fleet.recovery import (
     GiveUp,
     ScheduledCommandRules,
@@ -24,21 +26,13 @@
     SetBusy,
     WriteRecord,
 )
-from gullhold.fleet.store_calls import Condition, Delete, Operation, Proof, Put, Reply
-from gullhold.fleet.store_schema import (
-    HANDLED_UNTIL,
-    OCCURRENCES,
-    decode_occurrence,
-    encode_occurrence,
-    occurrence_key,
-    scheduled_command_prefix,
-)
+from gullhold.fleet.store_calls import Proof, Reply
+from gullhold.fleet.store_schema import scheduled_command_prefix
 from gullhold.interface import Idempotency
 
-KEPT_RECORDS = 20  # settled occurrences that stay in the store, for staff and for the next leader
 RETRY_DELAY_US = 500_000  # us until the next attempt after one without effect, as a client would wait
-RELOAD_DELAY_US = RETRY_DELAY_US // 2  # us until the records are read after a write that may not stand
-MIN_STEP_US = 20_000  # us between steps at least: calendars are in seconds
+RELOAD_DELAY_US = RETRY_DELAY_US // 2  # us until records are read again after a write that is not confirmed
+MIN_STEP_US = 20_000  # us between steps: calendars have a resolution of seconds
 
 # By state; all others: info.
 LOG_LEVELS: dict[str, str] = {OccurrenceState.FAILED: "error", OccurrenceState.SKIPPED: "warning"}
@@ -52,14 +46,14 @@
         ...
 
     def between(self, after_us: int, until_us: int) -> tuple[int, int]:
-        """How many due times there are after one time and up to another, and the last of them."""
+        """The number of due times after one time and up to another, and the last of them."""
         ...
 
 
 class WritePurpose(StrEnum):
     """What a write to the store is for."""
 
-    START = "start"  # a new command: only the time from which it is due
+    START = "start"  # a new command: only the time from which it has due times
     INTENT = "intent"
     SETTLE = "settle"  # the outcome of an attempt
     SKIP = "skip"
@@ -67,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """A write under way; occurrence None: with WritePurpose.START alone."""
+    """A write under way. occurrence: None only for WritePurpose.START."""
 
     serial: int
     purpose: WritePurpose
@@ -78,6 +72,10 @@
     """One scheduled command while this member leads its role.
 
     take_actions() hands out ScheduledCommandActions; due() is when to step(). All times are Unix us.
+
+    token: fencing token, 0 while this member does not lead the role. is_off: a policy has turned it off.
+    in_flight: the occurrence with an open attempt. outcome: of an attempt that ended, not written yet.
+    unsent_intent: an intent that may have been written, but whose attempt was not sent.
     """
 
     def __init__(
@@ -88,32 +86,29 @@
         self.profile = profile
         self.calendar = calendar
         self.member = member
-        self.prefix = scheduled_command_prefix(rules.name)
-        self.token = 0  # 0: this member does not lead the role
+        self.records = OccurrenceRecords(scheduled_command_prefix(rules.name))
+        self.token = 0
         self.out: list[ScheduledCommandAction] = []
-        self.off = False  # a policy says that it does not run
+        self.is_off = False
         self.is_leaving = False
         self.is_loaded = False
         self.is_reading = False
-        self.serial = 0
+        self.serial = 0  # of the newest write
         self.pending_write: PendingWrite | None = None
-        self.handled_until = 0  # the last due time that has a record, or from which the command began
-        self.occurrences: dict[int, Occurrence] = {}  # by due time
-        self.revisions: dict[int, int] = {}  # of their keys
-        self.in_flight: Occurrence | None = None  # an attempt is out
-        self.outcome: Occurrence | None = None  # an attempt ended, which is not written yet
-        self.unsent_intent: Occurrence | None = None  # may have been written; no attempt was sent for it
+        self.in_flight: Occurrence | None = None
+        self.outcome: Occurrence | None = None
+        self.unsent_intent: Occurrence | None = None
         self.retry_at: dict[int, int] = {}  # by due time
         self.pause_until = 0
 
     def take_actions(self) -> list[ScheduledCommandAction]:
-        """What is to be done now, in order."""
+        """Return the actions to carry out now, in order."""
         out = self.out
         self.out = []
         return out
 
     def won(self, token: int, now: int) -> None:
-        """This member leads the role, under this token: all records are read anew."""
+        """Begin to lead the role, under this fencing token: read all records."""
         self.token = token
         self.is_loaded = False
         self.is_reading = False
@@ -121,9 +116,9 @@
         self.step(now)
 
     def lost(self) -> None:
-        """The leadership is not certain any more: nothing is begun.
+        """Stop, as the leadership is not certain any more.
 
-        An attempt that is out goes on, and its outcome is kept.
+        An open attempt goes on, and its outcome is remembered.
         """
         self.token = 0
         self.pending_write = None
@@ -132,7 +127,7 @@
             self._log("warning", "the duty went while a send was out", due=self.in_flight.due_us)
 
     def leave(self) -> None:
-        """Begin nothing any more; what is open is ended."""
+        """Start no more attempts; the outcome of an open one is still written."""
         self.is_leaving = True
 
     def due(self, now: int) -> int:
@@ -140,17 +135,17 @@
         if not self.token or self.is_reading or self.pending_write:
             return now + RETRY_DELAY_US
         times = [at for at in self.retry_at.values() if at > now]
-        times.append(self.calendar.after(self.handled_until) if self.is_loaded else now)
+        times.append(self.calendar.after(self.records.handled_until) if self.is_loaded else now)
         return max(now + MIN_STEP_US, self.pause_until, min(times))
 
     def step(self, now: int) -> None:
-        """Do what is next, if nothing is under way."""
+        """Take the next step, unless a call is under way."""
         if not self.token or self.is_reading or self.pending_write or now < self.pause_until:
             return
         if not self.is_loaded:
             self.is_reading = True
-            self.out.append(ReadRecords(self.prefix))
-        elif not self.handled_until:  # a new command begins with what is due from now on
+            self.out.append(ReadRecords(self.records.prefix))
+        elif not self.records.handled_until:  # a new command has due times from now on
             self._write(WritePurpose.START, None, now)
         elif self.outcome:
             self._settle_outcome(now)
@@ -164,47 +159,48 @@
     def _settle_outcome(self, now: int) -> None:
         outcome = cast("Occurrence", self.outcome)
         self.outcome = None
-        known = self.occurrences.get(outcome.due_us)
+        known = self.records.by_due_time.get(outcome.due_us)
         if (
             known
             and known.state == OccurrenceState.INTENT
             and known.token == outcome.token
             and known.attempts == outcome.attempts
         ):
-            self._write(WritePurpose.SETTLE, outcome, self.handled_until)
+            self._write(WritePurpose.SETTLE, outcome, self.records.handled_until)
         else:  # another leader went on with it
             self.step(now)
 
     def _open_occurrence(self, now: int) -> Occurrence | None:
-        """An occurrence to go on with now."""
-        for occurrence in self.occurrences.values():
+        """An open occurrence that may be worked on now."""
+        for occurrence in self.records.by_due_time.values():
             if occurrence.is_open and self.retry_at.get(occurrence.due_us, 0) <= now:
                 return occurrence
         return None
 
     def _recover(self, occurrence: Occurrence, now: int) -> None:
+        """Go on with an open occurrence that has no attempt of this member."""
         if self.unsent_intent == occurrence:  # our own intent, written after all, and never sent
             self._write_intent(occurrence, now)
             return
         match decide_recovery(self.rules, self.profile, occurrence, now):
             case GiveUp(reason):
                 failed = occurrence._replace(state=OccurrenceState.FAILED, reason=reason)
-                self._write(WritePurpose.SETTLE, failed, self.handled_until)
+                self._write(WritePurpose.SETTLE, failed, self.records.handled_until)
             case _:
                 self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
 
     def _begin_next(self, now: int) -> None:
         """Begin or skip what has become due."""
-        due_us = self.calendar.after(self.handled_until)
+        due_us = self.calendar.after(self.records.handled_until)
         if due_us > now:
             return
-        if self.off:
+        if self.is_off:
             self._skip_until(now, "off by the fleet's policy", now)
             return
         too_late = now - self.rules.window_us - 1
         if self._skip_until(too_late, "missed: nobody owned it, or the fleet was away", now):
             return
-        if self.in_flight or any(occurrence.is_open for occurrence in self.occurrences.values()):
+        if self.in_flight or self.records.has_open():
             if not self.rules.waits_for_previous:
                 self._skip_until(now, "the last one still runs", now)
             return
@@ -212,8 +208,8 @@
         self._write_intent(first, now)
 
     def _skip_until(self, until: int, reason: str, now: int) -> bool:
-        """Skip what is due up to this time; whether there was any."""
-        count, last_due = self.calendar.between(self.handled_until, until)
+        """Skip the due times up to this one; whether there were any."""
+        count, last_due = self.calendar.between(self.records.handled_until, until)
         if not count:
             return False
         skipped = Occurrence(
@@ -239,31 +235,18 @@
         )
         self.out.append(SetBusy(True))
         self.retry_at.pop(intent.due_us, None)
-        self._write(WritePurpose.INTENT, intent, max(self.handled_until, intent.due_us))
+        self._write(WritePurpose.INTENT, intent, max(self.records.handled_until, intent.due_us))
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
-        """Write under our token, and only over the record that we know."""
+        """Write under our token, on the condition that the record is unchanged."""
         self.serial += 1
         self.pending_write = PendingWrite(self.serial, purpose, occurrence)
-        operations: list[Operation] = [
-            Delete(occurrence_key(self.prefix, due_us)) for due_us in self._surplus_records()
-        ]
-        conditions: tuple[Condition, ...] = ()
-        if occurrence:
-            key = occurrence_key(self.prefix, occurrence.due_us)
-            operations.append(Put(key, encode_occurrence(occurrence)))
-            conditions = ((key, self.revisions.get(occurrence.due_us, 0)),)
-        if handled_until > self.handled_until:
-            operations.append(Put(self.prefix + HANDLED_UNTIL, str(handled_until)))
+        operations = self.records.write_operations(occurrence, handled_until)
+        conditions = (self.records.unchanged_condition(occurrence),) if occurrence else ()
         self.out.append(WriteRecord(self.serial, self.token, tuple(operations), conditions))
 
-    def _surplus_records(self) -> list[int]:
-        """Due times of settled occurrences beyond those that are kept."""
-        settled = sorted(due_us for due_us, occurrence in self.occurrences.items() if not occurrence.is_open)
-        return settled[:-KEPT_RECORDS]
-
     def records_read(self, now: int, reply: Reply) -> None:
-        """The reply to ReadRecords."""
+        """Take the reply to ReadRecords."""
         if not self.is_reading:
             return
         self.is_reading = False
@@ -271,24 +254,11 @@
             self.pause_until = now + RETRY_DELAY_US
             return
         self.is_loaded = True
-        self.handled_until = 0
-        self.occurrences = {}
-        self.revisions = {}
-        for item in reply.items:
-            name = item.key.removeprefix(self.prefix)
-            occurrence = decode_occurrence(item.value) if name.startswith(OCCURRENCES) else None
-            if name == HANDLED_UNTIL:
-                self.handled_until = int(item.value)
-            elif occurrence:
-                self._remember(occurrence, item.revision)
+        self.records.load(reply.items)
         self.step(now)
 
-    def _remember(self, occurrence: Occurrence, revision: int) -> None:
-        self.occurrences[occurrence.due_us] = occurrence
-        self.revisions[occurrence.due_us] = revision
-
     def record_written(self, now: int, serial: int, reply: Reply, may_act: bool) -> None:
-        """The reply to a WriteRecord; may_act: whether the token still surely holds, now that it is known."""
+        """Take the reply to a WriteRecord. may_act: whether the token certainly holds now."""
         write = self.pending_write
         if write is None or write.serial != serial:
             return
@@ -296,25 +266,22 @@
         if reply.proof != Proof.DONE or not reply.succeeded:
             self._write_not_confirmed(write, now)
             return
-        for due_us in self._surplus_records():
-            del self.occurrences[due_us]
-            del self.revisions[due_us]
+        self.records.drop_surplus()
         if write.occurrence is None:
-            self.handled_until = now
+            self.records.handled_until = now
         else:
-            self._remember(write.occurrence, reply.revision)
-            self.handled_until = max(self.handled_until, write.occurrence.due_us)
+            self.records.written(write.occurrence, reply.revision)
             self._record_confirmed(write.purpose, write.occurrence, now, may_act)
         self.step(now)
 
     def _write_not_confirmed(self, write: PendingWrite, now: int) -> None:
-        """A write was refused, or may not have been carried out: the records are read anew."""
-        settled = cast("Occurrence", write.occurrence)  # but for WritePurpose.START
-        if write.purpose == WritePurpose.INTENT:  # whether or not it stands: no attempt was sent for it
-            self.unsent_intent = write.occurrence
+        """Read the records again, as a write was refused or may not have been carried out."""
+        occurrence = cast("Occurrence", write.occurrence)  # except for WritePurpose.START
+        if write.purpose == WritePurpose.INTENT:  # written or not, no attempt was sent for it
+            self.unsent_intent = occurrence
             self.out.append(SetBusy(False))
-        elif write.purpose == WritePurpose.SETTLE and settled.due_us in self.occurrences:
-            self.outcome = write.occurrence  # written again, unless a read shows that another went on with it
+        elif write.purpose == WritePurpose.SETTLE and occurrence.due_us in self.records.by_due_time:
+            self.outcome = occurrence  # written again, unless a read shows another leader's work
         self.is_loaded = False
         self.pause_until = now + RELOAD_DELAY_US
 
@@ -324,7 +291,7 @@
         if purpose == WritePurpose.INTENT:
             if may_act:
                 self._send(occurrence, now)
-            else:  # it may be ours again soon, or another's: no attempt was sent
+            else:  # no attempt is sent; this member or another may lead the role next
                 self.unsent_intent = occurrence
                 self.pause_until = now + RELOAD_DELAY_US
             return
@@ -340,7 +307,7 @@
         )
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
-        """Send an attempt. One of a keyed command has to be over while engines know its key."""
+        """Send an attempt. One of a keyed command has to end while engines still know its key."""
         time_limit_us = self.profile.timeout_us
         if self.profile.idempotency == Idempotency.KEYED:
             until = deduplicated_until(self.rules, self.profile, occurrence)
@@ -354,9 +321,9 @@
         self.out.append(SendAttempt(occurrence.due_us, occurrence.attempts, key, now, time_limit_us))
 
     def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
-        """An attempt is over.
+        """Record the end of the attempt.
 
-        state: ANSWERED, SHED (it had no effect), UNDONE (it was never taken) or FAILED (it may have run).
+        state: ANSWERED, SHED (it had no effect), UNDONE (it was never sent) or FAILED (it may have run).
         """
         occurrence = self.in_flight
         self.in_flight = None
@@ -370,7 +337,7 @@
         )
         if state != OccurrenceState.FAILED or not may_retry:
             self.outcome = occurrence._replace(state=state, reason=reason)
-        # Otherwise the intent stands, and decide_recovery() says what may follow.
+        # Otherwise the record stays an intent, and decide_recovery() decides what may follow.
         self.step(now)
 
     def _log(self, level: str, text: str, **facts: Any) -> None:
--- a/gullhold/fleet/scheduled_command_actions.py
+++ b/gullhold/fleet/scheduled_command_actions.py
@@ -1,4 +1,4 @@
-"""What a scheduled command asks its driver to do."""
+"""Actions of a scheduled command, which its driver carries out."""
 
 from dataclasses import dataclass
 
@@ -30,8 +30,8 @@
 class SendAttempt:
     """Action: send an attempt of the occurrence; answered by attempt_ended().
 
-    sent_at: the moment at which the token surely held; an attempt that a sleep delays for more than the time
-    limit from then on is never sent.
+    sent_at: time at which the token certainly held (Unix us); an attempt that is delayed until the time limit
+    has passed since then is never sent.
     """
 
     due_us: int
--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -1,4 +1,4 @@
-"""The client of the gateway that sends scheduled commands: they take the path of any client's command."""
+"""The internal client that submits scheduled commands, which take the path of any client's command."""
 
 from collections.abc import Callable
 from itertools import count
@@ -14,24 +14,25 @@
     from gullhold.operator.records import Scheduled
 
 TRANSACTION_ID_BITS = 64
-CLIENT_NAME = "fleet"  # the client and the host that a scheduled command seems to come from
+FRAME_LENGTH_BYTES = 4  # of the length in front of each frame
+CLIENT_NAME = "fleet"  # client and host of scheduled commands
 
-# Of a reply's result struct: the field of each kind of final answer, and the fields inside it.
+# Fields of a reply's result struct: one for each kind of final answer, and the fields inside these.
 RESULT = (0, thrift.STRUCT)
 RESULT_DONE = (3, thrift.BOOL)
 SHED = (1, thrift.STRUCT)
 FAULT = (2, thrift.STRUCT)
 FAULT_DETAILS = (1, thrift.MAP)
 
-OnEnded = Callable[[int, OccurrenceState, str], Any]  # number, what became of it, the reason
+OnEnded = Callable[[int, OccurrenceState, str], Any]  # number of the command, its state, the reason
 
 
 class RejectedError(Exception):
-    """The gateway can't take a scheduled command; the text says why."""
+    """A scheduled command that the gateway can't take; the text is the reason."""
 
 
 class _WriteBuffer:
-    """What the core asks of a connection's write buffer: this one never dies and holds nothing back."""
+    """The interface of a connection's write buffer, for a client without a connection."""
 
     dead = finishing = False
 
@@ -40,13 +41,13 @@
 
 
 class ScheduledCommandClient:
-    """The one client that is the fleet itself. The core sees it as a connection.
+    """The client that submits scheduled commands. To the core it is a client connection.
 
-    The attributes without a leading underscore, put() among them, are those that the core uses of a
-    connection; answers come on the core's thread.
+    The attributes without a leading underscore, and put(), are those that the core uses of a client
+    connection; answers arrive on the core's thread.
     """
 
-    peer = PeerAddress("", CLIENT_NAME)  # where it connects from, as other clients have it
+    peer = PeerAddress("", CLIENT_NAME)
 
     def __init__(
         self, core: "Core", reader: RequestReader, on_ended: OnEnded, random_bits: Callable[[int], int]
@@ -72,10 +73,10 @@
         idempotency_key: str,
         is_repeat: bool,
     ) -> int:
-        """Hand a command to the core; its number. Raises RejectedError.
+        """Submit a command to the core; return its number. Raises RejectedError.
 
-        counted_from: Unix us from which the time limit counts; once that is over it is not sent any more.
-        idempotency_key: 32 hex digits by which engines know a repeat.
+        counted_from: Unix us from which the time limit counts; after that the command is not sent any more.
+        idempotency_key: 32 hex digits.
         """
         number = next(self._numbers)
         fields = {
@@ -101,16 +102,16 @@
         return number
 
     def put(self, message: bytes) -> None:
-        """Take whole frames, an answer each. Called on the core's thread."""
+        """Take complete frames, each with one answer. Called on the core's thread."""
         while message:
-            size = thrift.I32S.unpack(message[:4])[0] + 4
-            answer = thrift.decode_message(message[4:size], thrift.REPLY, thrift.EXCEPTION)
+            size = FRAME_LENGTH_BYTES + thrift.I32S.unpack(message[:FRAME_LENGTH_BYTES])[0]
+            answer = thrift.decode_message(message[FRAME_LENGTH_BYTES:size], thrift.REPLY, thrift.EXCEPTION)
             message = message[size:]
             self._on_ended(answer.seq, *_outcome(answer.args))
 
 
 def _outcome(args: dict[tuple[int, int], Any]) -> tuple[OccurrenceState, str]:
-    """What became of a command, and the reason, by the arguments of its answer."""
+    """The state of a command and the reason, from the fields of its answer."""
     if args.get(RESULT, {}).get(RESULT_DONE):
         return OccurrenceState.ANSWERED, ""
     if SHED in args:
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -1,4 +1,4 @@
-"""Carries out what the scheduled commands ask for."""
+"""Carries out the actions of scheduled commands."""
 
 from typing import TYPE_CHECKING
 
@@ -27,41 +27,41 @@
     def __init__(
         self, fleet: "Fleet", records: "dict[str, Scheduled]", client: ScheduledCommandClient
     ) -> None:
-        """records: the operator's, by role; client: sends attempts."""
+        """records: of the operator file, by role; client: sends attempts."""
         self._fleet = fleet
         self._commands = fleet.scheduled_commands
         self._records = records
         self._client = client
-        self._sent: dict[int, str] = {}  # roles of the attempts that are out, by number
+        self._role_by_number: dict[int, str] = {}  # of open attempts
 
     def won(self, role: str, token: int) -> None:
-        """This member leads the role, under this fencing token."""
+        """Begin to lead the role, under this fencing token."""
         self._commands[role].won(token, unix_us())
         self._carry_out_all(role)
 
     def lost(self, role: str) -> None:
-        """This member does not lead the role any more."""
+        """Stop leading the role."""
         self._commands[role].lost()
         self._carry_out_all(role)
 
     def leave(self) -> None:
-        """Begin no occurrence any more."""
+        """Start no more attempts."""
         for command in self._commands.values():
             command.leave()
 
     def step(self, role: str) -> None:
-        """Go on with a command, and do what it asks for."""
+        """Step a command, and carry out its actions."""
         self._commands[role].step(unix_us())
         self._carry_out_all(role)
 
     def waits_us(self) -> list[int]:
-        """How long each command that is led here can wait for its step, in us."""
+        """Time until the next step of each command that this member leads, in us."""
         now = unix_us()
         return [command.due(now) - now for command in self._commands.values() if command.token]
 
     def attempt_ended(self, number: int, state: OccurrenceState, reason: str) -> None:
-        """An attempt is over."""
-        role = self._sent.pop(number, None)
+        """Record the end of an attempt."""
+        role = self._role_by_number.pop(number, None)
         if role:
             self._commands[role].attempt_ended(unix_us(), state, reason)
 
@@ -117,4 +117,4 @@
         except RejectedError as error:
             command.attempt_ended(unix_us(), OccurrenceState.UNDONE, str(error))
         else:
-            self._sent[number] = role
+            self._role_by_number[number] = role
--- a/gullhold/fleet/show.py
+++ b/gullhold/fleet/show.py
@@ -1,12 +1,12 @@
-"""`gullhold fleet members|duties|history`: what a fleet's store says, as a table or as JSON.
+"""`gullhold fleet members|duties|history`: contents of a fleet's store, as a table or as JSON.
 
-The columns keep the names that operators and their scripts know.
+The names of the columns are part of the command line's interface: operators' scripts use them.
 """
 
 import json
 import sys
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from datetime import UTC, datetime
 from typing import Any
 
@@ -27,16 +27,16 @@
     is_occurrence_key,
 )
 
-TIMEOUT_S = 3.0  # for each call of the store: a person waits
+TIMEOUT_S = 3.0  # of each call to the store: a person is waiting
 
-Row = dict[str, Any]
-ReadItems = Callable[[str], Iterable[KeyValue]]  # the items with a prefix; raises ConnectionError
+Row = Mapping[str, Any]  # by column
+ReadItems = Callable[[str], Iterable[KeyValue]]  # reads the keys with a prefix; raises ConnectionError
 
 
 def member_rows(read: ReadItems) -> list[Row]:
     """The members, each with the number of roles that it leads."""
     role_counts = Counter(LeaderRecord.decode(item.value).member for item in read(ROLES_PREFIX))
-    rows = []
+    rows: list[Row] = []
     for item in read(MEMBERS_PREFIX):
         name = item.key.removeprefix(MEMBERS_PREFIX)
         record = MemberRecord.decode(item.value, item.revision)
@@ -64,7 +64,7 @@
 
 
 def occurrence_rows(read: ReadItems) -> list[Row]:
-    """The occurrences of scheduled commands that are kept, in order of time."""
+    """The stored occurrences of scheduled commands, in order of time."""
     rows = []
     for item in read(SCHEDULED_COMMANDS_PREFIX):
         occurrence = decode_occurrence(item.value) if is_occurrence_key(item.key) else None
@@ -95,7 +95,7 @@
 
 
 def run(subject: str, address: str, fleet_name: str, as_json: bool) -> int:
-    """Print one of the TABLES; the exit status, 1 where the store does not answer."""
+    """Print one of the TABLES; return the exit status, 1 if the store does not answer."""
     session = StoreClient(address, fleet_prefix(fleet_name), TIMEOUT_S)
 
     def read(prefix: str) -> Iterable[KeyValue]:
@@ -109,15 +109,16 @@
     except ConnectionError:
         print(f"gullhold: the register at {address} does not answer", file=sys.stderr)
         return 1
-    if as_json:
-        for row in rows:
-            print(json.dumps(row))
-    else:
-        _print_table(f"{subject} of {fleet_name}", rows)
+    print_rows(f"{subject} of {fleet_name}", rows, as_json)
     return 0
 
 
-def _print_table(title: str, rows: list[Row]) -> None:
+def print_rows(title: str, rows: Sequence[Row], as_json: bool) -> None:
+    """Print rows as a table, or as one JSON object a line."""
+    if as_json:
+        for row in rows:
+            print(json.dumps(row))
+        return
     table = Table(title=title)
     for column in rows[0] if rows else ("nothing",):
         table.add_column(column)
--- a/gullhold/fleet/store_calls.py
+++ b/gullhold/fleet/store_calls.py
@@ -1,11 +1,11 @@
 """Calls to the store of a fleet and what their replies prove. No I/O, no wire.
 
-The store ("register" in the commands and the operator file) holds keys with one revision for each change of
-the whole, leases that delete the keys attached to them, and transactions that compare revisions.
+The store ("register" in the commands and the operator file) has keys, a revision that grows with each change
+of any key, leases whose end deletes the keys attached to them, and transactions that compare revisions.
 """
 
 from enum import StrEnum
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 MAX_TRANSACTION_OPERATIONS = 100  # comparisons, or operations; the published default allows 128
 
@@ -15,11 +15,11 @@
 
     DONE = "done"
     NOT_DONE = "not done"
-    UNKNOWN = "may have been done"  # it may be carried out, now or later
+    UNKNOWN = "may have been done"  # it may have been carried out, or still be
 
 
 class KeyValue(NamedTuple):
-    """One key as the store has it. revision: that of its last change; lease 0: none."""
+    """One key in the store. revision: of its last change; lease 0: none."""
 
     key: str
     value: str
@@ -28,7 +28,7 @@
 
 
 class GrantLease(NamedTuple):
-    """Create a lease of so many whole seconds."""
+    """Create a lease. ttl_s: its time to live in seconds."""
 
     ttl_s: int
 
@@ -58,7 +58,7 @@
 
 
 class Put(NamedTuple):
-    """Operation: write a key; lease 0: it stays."""
+    """Operation: write a key. lease: whose end deletes it; 0: none."""
 
     key: str
     value: str
@@ -82,7 +82,7 @@
 
 
 class Transaction(NamedTuple):
-    """Carry out all operations in one revision if every condition holds; otherwise the others, all Gets."""
+    """Carry out all operations in one revision if every condition holds, else the reads in `otherwise`."""
 
     conditions: tuple[Condition, ...] = ()
     operations: tuple[Operation, ...] = ()
@@ -93,10 +93,10 @@
 
 
 class Reply(NamedTuple):
-    """The reply to a request; all but the proof holds only with Proof.DONE.
+    """The reply to a request; all fields but the proof are valid only with Proof.DONE.
 
-    revision: the store's at that moment; succeeded: a transaction's conditions held; items: what was read;
-    lease: the one granted; ttl_s: of a renewed lease, 0 where it does not exist; keys: those of a lease.
+    revision: of the store at that moment; succeeded: a transaction's conditions held; items: what was read;
+    lease: the one granted; ttl_s: of a renewed lease, 0 if it does not exist; keys: those of a lease.
     """
 
     proof: Proof
@@ -109,10 +109,10 @@
 
 
 class PendingCall(NamedTuple):
-    """A request under way: its number, its purpose, when it was handed out (us), and what its reply needs."""
+    """A request under way. sent_at: when it was handed out (us); about: context for its reply."""
 
     number: int
     purpose: str
     request: Request
     sent_at: int
-    about: tuple = ()
+    about: tuple[Any, ...] = ()
--- a/gullhold/fleet/store_client.py
+++ b/gullhold/fleet/store_client.py
@@ -1,7 +1,7 @@
-"""The store on the wire: the JSON gateway of etcd's v3 key-value interface, by a client library.
+"""Client of the store: the JSON gateway of etcd's v3 key-value interface, by a client library.
 
-What a reply proves is stated exactly. A connection that never came up proves that nothing was done, and so
-does an error that names its reason; after any other error a write may have been carried out, now or later.
+Replies state exactly what they prove. If no connection was established, or the store answered with an error
+that names its reason, nothing was done; after any other error a write may have been carried out, or still be.
 """
 
 import json
@@ -32,8 +32,8 @@
 )
 from gullhold.net import host_port
 
-API_PATH = "/v3/"  # stated, so that no call is spent on asking for the version
-NOT_FOUND_CODE = 5  # the interface's error code for what does not exist
+API_PATH = "/v3/"  # set, so that the library does not ask for the version first
+NOT_FOUND_CODE = 5  # error code of etcd's interface for something that does not exist
 
 Json = dict[str, Any]
 
@@ -42,15 +42,15 @@
     """One session with the store, for one thread."""
 
     def __init__(self, address: str, prefix: str, timeout_s: float) -> None:
-        """address: HOST:PORT; prefix: put before all keys of the requests, and taken off those read."""
+        """address: HOST:PORT; prefix: added to all keys of requests, and removed from keys in replies."""
         host, port = host_port(address)
         self.prefix = prefix
         self.timeout_s = timeout_s
         self._client = Etcd3Client(host=host, port=port, timeout=timeout_s, api_path=API_PATH)
-        self._client.session.trust_env = False  # no proxy of the environment stands between
+        self._client.session.trust_env = False  # ignore proxies that the environment names
 
     def call(self, request: Request) -> Reply:
-        """Carry one request out. Never raises for what the other side does."""
+        """Carry out one request. Raises nothing, whatever the store or the network does."""
         is_read = isinstance(request, ReadPrefix | ReadLeaseKeys)
         try:
             return self._carry_out(request)
@@ -62,7 +62,7 @@
                 return Reply(Proof.NOT_DONE)
             return Reply(Proof.UNKNOWN)
         except (OSError, ValueError, KeyError, TypeError, requests.RequestException):
-            return Reply(Proof.NOT_DONE if is_read else Proof.UNKNOWN)  # an answer that can't be read
+            return Reply(Proof.NOT_DONE if is_read else Proof.UNKNOWN)  # an unreadable answer
 
     def watch(
         self,
@@ -71,10 +71,11 @@
         max_silence_s: float,
         on_change: Callable[[str, str | None, int], Any],
     ) -> bool:
-        """Follow changes of the keys with this prefix, from a revision on, until the stream ends.
+        """Watch the keys with this prefix, from a revision on, until the stream ends.
 
-        on_change(key, value or None where it was deleted, revision) is called for each. False: the store has
-        no history back to the revision any more. Raises requests' errors, also after a silence of so long.
+        on_change(key, value or None if it was deleted, revision) is called for each change. Returns False if
+        the store has no history back to the revision any more. Raises errors of requests, also after
+        max_silence_s without data.
         """
         create_request = self._key_range(prefix) | {"start_revision": revision}
         response = self._client.session.post(
@@ -85,7 +86,7 @@
         )
         with response:
             response.raise_for_status()
-            # requests' own code takes None for "as it comes"; its annotations name only whole numbers.
+            # None means chunks as they arrive; the annotations of requests allow only integers.
             for line in response.iter_lines(chunk_size=None):  # type: ignore[call-overload]
                 if not line.strip():
                     continue
@@ -105,7 +106,7 @@
         on_change(key, value, int(item["mod_revision"]))
 
     def close(self) -> None:
-        """End the session; a watch that another thread is in ends with an error."""
+        """End the session; a watch on another thread ends with an error."""
         self._client.session.close()
 
     def _carry_out(self, request: Request) -> Reply:
@@ -168,7 +169,7 @@
                 return {"request_delete_range": {"key": key}}
 
     def _key_range(self, prefix: str) -> Json:
-        """All keys with this prefix: up to the first text that is behind all of them."""
+        """The range of all keys with this prefix: up to the first key that sorts after all of them."""
         first = self.prefix + prefix
         end = first[:-1] + chr(ord(first[-1]) + 1)
         return {"key": _encode(first), "range_end": _encode(end)}
@@ -198,7 +199,7 @@
 
 
 def _is_connect_failure(error: Etcd3Exception) -> bool:
-    """Whether the connection never came up."""
+    """Whether no connection was established."""
     cause = error.__context__
     if isinstance(cause, requests.ConnectTimeout):
         return True
@@ -209,7 +210,7 @@
 
 
 def _is_not_found(error: Etcd3Exception) -> bool:
-    """Whether the other side named something that does not exist: then nothing was done."""
+    """Whether the store answered that something does not exist, so that nothing was done."""
     try:
         return json.loads(error.detail_text or "").get("code") == NOT_FOUND_CODE
     except (ValueError, AttributeError):
--- a/gullhold/fleet/store_schema.py
+++ b/gullhold/fleet/store_schema.py
@@ -1,8 +1,8 @@
-"""Names of the keys that a fleet keeps in the store, and the JSON of their values.
+"""Names of a fleet's keys in the store, and the JSON of their values.
 
-All stored words of members, roles, heartbeats and scheduled commands stand here; the rest of the package uses
-the terms of the glossary. The names are those that released versions write: they are not to be changed.
-Budgets and policies have modules for their own keys.
+Names and values for members, roles, heartbeats and scheduled commands are translated here; the rest of the
+package uses the terms of the glossary. Released versions write these names, so they must not change. Budgets
+and policies have schemas of their own.
 """
 
 import json
@@ -10,20 +10,21 @@
 
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState
 
-GULLHOLD_PREFIX = "/gullhold/"  # other programs may use the store too
+GULLHOLD_PREFIX = "/gullhold/"  # other programs may share the store
 
 MEMBERS_PREFIX = "members/"  # + member: the key of a member, attached to its lease
 ROLES_PREFIX = "duties/"  # + role: the key of a role's leader, attached to the leader's lease
 HEARTBEATS_PREFIX = "beats/"  # + role: what the leader of a heartbeat role writes
 SCHEDULED_COMMANDS_PREFIX = "plan/"  # + command: the keys of a scheduled command
 
-# Names of roles, by what they are for.
+# Names of roles, by their kind.
 SCHEDULED_COMMAND_ROLE = "schedule/"  # + command
 HEARTBEAT_ROLE = "beat/"  # + number
 
-HANDLED_UNTIL = "upto"  # the time up to which the due times of a scheduled command have been handled
+# Under the prefix of a scheduled command.
+HANDLED_UNTIL = "upto"  # the time up to which its due times have been handled
 OCCURRENCES = "run/"  # + due time, with leading zeros: one occurrence
-DUE_DIGITS = 20  # of a due time in a key: keys sort by time
+DUE_DIGITS = 20  # of a due time in a key, so that keys sort by time
 
 
 def fleet_prefix(fleet_name: str) -> str:
@@ -32,7 +33,7 @@
 
 
 def _decode_object(text: str) -> dict[str, Any]:
-    """A JSON object; empty for a value that can't be read, written by a member that we do not know."""
+    """Decode a JSON object; {} for an unreadable value, as an unknown version may have written it."""
     try:
         value = json.loads(text)
     except ValueError:
@@ -43,8 +44,8 @@
 class MemberRecord(NamedTuple):
     """The value of a member's key.
 
-    nonce: tells two processes of one name apart. incarnation: the revision of the process's first joining, 0
-    in the value that it joins with.
+    nonce: distinguishes processes of the same name. incarnation: revision at which the process first joined;
+    0 in the value that it joins with.
     """
 
     nonce: str | None
@@ -57,7 +58,7 @@
 
     @classmethod
     def decode(cls, text: str, revision: int) -> "MemberRecord":
-        """The record in a stored text; revision: that of the key, which stands for a missing incarnation."""
+        """Decode a stored text. revision: of the key; used if the incarnation is missing."""
         fields = _decode_object(text)
         return cls(fields.get("nonce"), bool(fields.get("ready")), fields.get("since") or revision)
 
@@ -75,7 +76,7 @@
 
     @classmethod
     def decode(cls, text: str) -> "LeaderRecord":
-        """The record in a stored text."""
+        """Decode a stored text."""
         fields = _decode_object(text)
         return cls(fields.get("owner"), fields.get("nonce"), fields.get("incarnation"))
 
@@ -117,7 +118,7 @@
 
 
 def decode_occurrence(text: str) -> Occurrence | None:
-    """The occurrence in a stored text; None where it can't be read."""
+    """Decode the stored text of an occurrence; None if it can't be read."""
     try:
         return _occurrence(**json.loads(text))
     except (ValueError, TypeError):
@@ -134,7 +135,7 @@
     why: str = "",
     count: int = 1,
 ) -> Occurrence:
-    """An occurrence from its stored fields; a state of another version is left as it is."""
+    """Create an occurrence from its stored fields; a state of another version stays as it is."""
     try:
         known_state: OccurrenceState | str = OccurrenceState(state)
     except ValueError:
--- a/gullhold/fleet/watcher.py
+++ b/gullhold/fleet/watcher.py
@@ -1,4 +1,4 @@
-"""A thread that follows the changes of keys in the store."""
+"""A thread that watches keys in the store for changes."""
 
 import time
 from collections.abc import Callable
@@ -11,21 +11,21 @@
 from gullhold.fleet.clocks import US_PER_SECOND
 from gullhold.net.startup import start_thread
 
-OnChange = Callable[[str, str | None, int], Any]  # key, value or None where it was deleted, revision
+OnChange = Callable[[str, str | None, int], Any]  # key, value or None if it was deleted, revision
 
 
 class WatchSession(Protocol):
     """One session with the store, as a watcher needs it."""
 
     def watch(self, prefix: str, revision: int, max_silence_s: float, on_change: OnChange) -> bool:
-        """Follow keys until the stream ends; False: the history back to the revision is lost."""
+        """Watch keys until the stream ends; False: the history back to the revision is lost."""
         ...
 
 
 class Watcher:
-    """Follows the keys with a prefix, for ever.
+    """Watches the keys with a prefix, for the life of the process.
 
-    on_change(key, value or None, revision) is called for each change, in order. on_gap() is called where the
+    on_change(key, value or None, revision) is called for each change, in order. on_gap() is called if the
     store has no history back to the revision any more; the watcher then waits for follow(). Both are called
     on the watcher's own thread.
     """
@@ -40,7 +40,7 @@
         on_change: OnChange,
         on_gap: Callable[[], Any],
     ) -> None:
-        """max_silence_s: how long a stream may be silent before it is opened anew."""
+        """max_silence_s: how long a stream may be silent before it is opened again."""
         self._make_session = make_session
         self._prefix = prefix
         self._max_silence_s = max_silence_s
@@ -52,7 +52,7 @@
         start_thread(self._run, f"fleet watch {name}")
 
     def follow(self, revision: int) -> None:
-        """Follow from this revision on; one that follows already goes on. May be called on any thread."""
+        """Watch from this revision on; no effect on a running watch. May be called on any thread."""
         self._follow_requests.put(revision)
 
     def _run(self) -> None:
--- a/gullhold/rollout/canary.py
+++ b/gullhold/rollout/canary.py
@@ -1,4 +1,4 @@
-"""The canary of a change: which members try it, and whether their commands fare badly."""
+"""The canary of a change: which members try it, and whether it fails there."""
 
 from collections.abc import Iterable, Mapping
 from hashlib import blake2s
@@ -7,11 +7,11 @@
 from gullhold.rollout.policy_change import Canary, PolicyChange
 from gullhold.rollout.vote import CommandFigures, Vote
 
-MIN_COMMANDS = 20  # of the canary's members together: below, the share that failed says nothing
+MIN_COMMANDS = 20  # of the canary's members together; with fewer the share of failures is not significant
 
 
 def choose_members(change: PolicyChange, members: Iterable[str]) -> tuple[str, ...]:
-    """The members that try the change: at least one, and others for each change."""
+    """The members that try the change: at least one, and different ones for each change."""
     ranked = sorted(members, key=lambda member: _rank(change.version.number, member))
     count = max(1, round(cast("Canary", change.canary).member_share * len(ranked)))
     return tuple(ranked[:count])
@@ -22,12 +22,15 @@
 
 
 def all_reported(change: PolicyChange, votes: Mapping[str, Vote]) -> bool:
-    """Whether each member of the canary that is there has reported figures."""
+    """Whether each member of the canary that still votes has reported figures."""
     return all(vote.figures for member, vote in votes.items() if member in change.canary_members)
 
 
 def find_fault(change: PolicyChange, votes: Mapping[str, Vote], is_over: bool) -> str:
-    """Why the canary fails, one line; "": it does not. is_over: its time has passed, so that speed counts."""
+    """Why the canary fails, one line; "" if it does not.
+
+    is_over: its time has passed, so that the time that answers took counts too.
+    """
     if not any(member in change.canary_members for member in votes):
         return "none of its members is left"
     canary = cast("Canary", change.canary)
--- /dev/null
+++ b/gullhold/rollout/canary_figures.py
@@ -0,0 +1,29 @@
+"""Figures on this member's commands since a canary began, which it reports with its vote. Decisions only."""
+
+from collections.abc import Callable
+
+from gullhold.rollout.vote import CommandFigures
+
+REPORT_INTERVAL_US = 500_000  # us between reports while a canary runs
+
+
+class CanaryFigures:
+    """The figures to report. due_at: when the next report is due, us of a monotonic clock."""
+
+    def __init__(self, read_figures: Callable[[], CommandFigures]) -> None:
+        """read_figures: figures on commands since the start of the process."""
+        self.due_at = 0
+        self._read_figures = read_figures
+        self._baseline: CommandFigures | None = None  # figures at the first report
+
+    def reset(self) -> None:
+        """Begin to count anew with the next report."""
+        self._baseline = None
+
+    def take(self, now: int) -> CommandFigures:
+        """Return the figures since the first report, and schedule the next one."""
+        self.due_at = now + REPORT_INTERVAL_US
+        figures = self._read_figures()
+        if self._baseline is None:
+            self._baseline = figures
+        return figures.since(self._baseline)
--- a/gullhold/rollout/member_actions.py
+++ b/gullhold/rollout/member_actions.py
@@ -1,4 +1,4 @@
-"""What a member wants done for the rollout, in order; its driver carries it out."""
+"""Actions of a member of the rollout, which its driver carries out in order."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallStore:
-    """Action: carry the request out; answered by replied()."""
+    """Action: carry out the request; answered by replied()."""
 
     serial: int
     request: Transaction
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdoptVersion:
-    """Action: the core is to decide by this version; answered by adopted() when it does."""
+    """Action: have the core use this version; answered by adopted() when it does."""
 
     serial: int
     version: PolicyVersion
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StopDispatching:
-    """Action: the core is to stop dispatching for this change; answered by stopped() when it has."""
+    """Action: have the core stop dispatching for this change; answered by stopped() when it has."""
 
     change: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchPolicy:
-    """Action: follow the watched keys from this revision on; each change comes to changed()."""
+    """Action: watch the keys from this revision on; answered by changed() for each change."""
 
     revision: int
 
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -1,21 +1,20 @@
 """Drives a member's side of the rollout: between the fleet's thread, the core and the store.
 
-The core asks the gate at each attempt and waits for nothing: what it is to go by, or to stop for, is posted
-to it, and the fleet's thread hears when it has.
+The core checks the gate at each attempt and never waits: policies and stops are posted to it, and it confirms
+them to the fleet's thread.
 """
 
-import time
 from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any, NamedTuple, cast
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 from gullhold.budgets.allocator_role import ROLE as BUDGETS_ROLE
 from gullhold.budgets.budget_rules import BUDGET_KINDS, budget_name
-from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.fleet.clocks import US_PER_SECOND, unix_us
 from gullhold.fleet.role_state import LogEvent
 from gullhold.fleet.store_calls import Reply
 from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
 from gullhold.fleet.watcher import Watcher
-from gullhold.interface import Agreement
+from gullhold.interface import Agreement, BudgetKind
 from gullhold.rollout import snapshot
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
 from gullhold.rollout.policy import (
@@ -40,14 +39,15 @@
 if TYPE_CHECKING:
     from gullhold.budgets.allocator_role import AllocatorRole
     from gullhold.fleet.driver import Fleet
+    from gullhold.operator.records import FleetRecord
 
 VOTE_LANE = "words"  # of the member's calls
-LANES = (VOTE_LANE, ROLE)  # of calls: neither waits for the other
-AT_START = 0  # serial of an adoption that the member did not ask for and that nobody waits for
+LANES = (VOTE_LANE, ROLE)  # calls of the member and of the coordinator do not wait for each other
+AT_START = 0  # serial of an adoption at the start, whose confirmation is ignored
 
 
 class CorePolicy(NamedTuple):
-    """A policy as the core takes it over."""
+    """A policy in the form in which the core uses it."""
 
     number: int
     terms: DecisionTerms
@@ -56,6 +56,14 @@
     client_weights: dict[str, float]
 
 
+class ResizeCause(NamedTuple):
+    """The policy that budget totals were last computed for; change, state: None while no change is open."""
+
+    version: int
+    change: int | None
+    state: ChangeState | None
+
+
 class MemberRollout:
     """One member's side, and the coordinator's role.
 
@@ -63,9 +71,14 @@
     """
 
     def __init__(
-        self, fleet: "Fleet", record: Any, agreement: Agreement, clock: Callable[[], int], guaranteed_us: int
+        self,
+        fleet: "Fleet",
+        record: "FleetRecord",
+        agreement: Agreement,
+        clock: Callable[[], int],
+        guaranteed_us: int,
     ) -> None:
-        """record: of the operator file's fleet; guaranteed_us: how long a lease surely holds."""
+        """record: of the fleet in the operator file; guaranteed_us: how long a lease certainly holds."""
         self.fleet = fleet
         self.core = fleet.core
         self.clock = clock
@@ -78,22 +91,22 @@
         schedules = [item.name for item in record.schedule]
         self.deployment = Deployment(agreement, budgets, schedules, has_admission_queue=bool(queue))
         self.gate = PolicyGate(fleet.membership.lease, clock, guaranteed_us, self.settings.cut)
-        self.member = RolloutMember(fleet.name, self.gate, self.fits, self._figures)
+        self.member = RolloutMember(fleet.name, self.gate, self.find_fault, self._figures)
         fleet.role_states[ROLE] = RolloutCoordinator()
         # Budget totals while a change is open: neither old nor new allocations sum to more than either.
         self.lowest_totals: dict[str, int] = {}
-        self.resized_for: tuple | None = None  # version and change that the allocator was last told of
+        self.resized_for: ResizeCause | None = None  # of the allocator's last resize
         self.core.fences.append(self.gate)
         self._adopt(AT_START, INITIAL_VERSION)  # before the first command: the gate is closed
         self._use_snapshot()
 
     def _use_snapshot(self) -> None:
-        """Dispatch by the snapshot for as long as the operator allows, whether the store answers or not."""
+        """Dispatch under the snapshot's policy for as long as the operator allows, without the store."""
         found = snapshot.read(self.settings.snapshot) if self.settings.snapshot else None
         if not found or not self.settings.spare:
             return
         version, at_us = found
-        age_us = time.time_ns() // 1000 - at_us
+        age_us = unix_us() - at_us
         left_us = self.settings.spare - age_us
         self.fleet.log_event(
             "warning",
@@ -102,12 +115,12 @@
             age_s=round(age_us / US_PER_SECOND, 1),
             used_for_s=round(max(0, left_us) / US_PER_SECOND, 1),
         )
-        if left_us > 0 and not self.fits(version):
+        if left_us > 0 and not self.find_fault(version):
             self.gate.snapshot_valid_until = self.clock() + left_us
             self._adopt(AT_START, version)
 
-    def fits(self, version: PolicyVersion) -> str:
-        """What keeps a version from being run here, one line; "": nothing."""
+    def find_fault(self, version: PolicyVersion) -> str:
+        """Why a version can't be run here, one line; "" if it can."""
         try:
             policy = parse_policy(version.text, f"policy {version.number}")
         except PolicyError as error:
@@ -115,17 +128,17 @@
         return find_fault(policy, self.deployment)
 
     def _figures(self) -> CommandFigures:
-        """How commands fared since the start, as the core counts; shed ones have failed."""
+        """Figures on commands since the start, from the core's counters; shed commands count as failed."""
         counts = self.core.counters.counts
         return CommandFigures(counts["answered"], counts["failed"] + counts["shed"], counts["answered us"])
 
     def start(self, watch: Callable[..., Watcher]) -> None:
-        """Make the watchers. watch: Fleet.watch."""
-        self.watcher = watch("policy", WATCHED, self._changed, self._missed)
+        """Start the watchers. watch: Fleet.watch."""
+        self.watcher = watch("policy", WATCHED, self._changed, self._watch_gap)
         self.fleet.watch_role(ROLE, "words", ROOT)
 
     def step(self, now: int) -> None:
-        """Do what is next."""
+        """Take the member's next step, and carry out its actions."""
         lease = self.fleet.membership.lease
         self.member.step(now, lease.id if lease.is_valid(now) else 0)
         self._carry_out()
@@ -135,7 +148,7 @@
         return self.member.due(now)
 
     def _carry_out(self) -> None:
-        """Do what the member wants done."""
+        """Carry out the member's actions."""
         while actions := self.member.take_actions():
             for action in actions:
                 match action:
@@ -155,9 +168,8 @@
         policy = parse_policy(version.text, f"policy {version.number}")
         self.core.post_urgent(self._apply, serial, self._for_core(version, policy))
         for name in self.deployment.scheduled_commands:
-            self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE + name].off = not policy.schedules.get(
-                name, True
-            )
+            command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE + name]
+            command.is_off = not policy.schedules.get(name, True)
         if serial != AT_START and self.settings.snapshot and not self.member.tried_change:
             self._write_snapshot(version)
 
@@ -173,7 +185,7 @@
 
     def _write_snapshot(self, version: PolicyVersion) -> None:
         try:
-            snapshot.write(self.settings.snapshot, version, time.time_ns() // 1000)
+            snapshot.write(self.settings.snapshot, version, unix_us())
         except OSError as error:
             self.fleet.log_event("warning", "policy: no snapshot", why=str(error))
 
@@ -191,8 +203,8 @@
     def _changed(self, key: str, value: str | None, revision: int) -> None:
         self.member.changed(self.clock(), key, value, revision)
 
-    def _missed(self) -> None:
-        self.member.missed(self.clock())
+    def _watch_gap(self) -> None:
+        self.member.watch_gap(self.clock())
 
     # On the core's thread
 
@@ -204,30 +216,33 @@
         self.fleet.post(self._adopted, serial)
 
     def _confirm_stopped(self, number: int) -> None:
-        """The gate is closed, and asked at each attempt: from here on none is sent."""
+        """Confirm that no attempt is sent from now on: the gate is closed, and checked at each attempt."""
         self.fleet.post(self._stopped, number)
 
     # The allocator of budgets, on the fleet's thread
 
     def _resize_budgets(self) -> None:
-        """The allocator goes by the lowest totals while a change is open."""
+        """Have the allocator use the lowest totals while a change is open."""
         version = self.member.version
         change = self.member.change
-        progress = (version.number, change and (change.version.number, change.state))
-        if not self.fleet.budgets or progress == self.resized_for:
+        cause = ResizeCause(version.number, None, None)
+        if change is not None:
+            cause = ResizeCause(version.number, change.version.number, change.state)
+        if not self.fleet.budgets or cause == self.resized_for:
             return
-        self.resized_for = progress
+        self.resized_for = cause
         current = budget_totals(parse_policy(version.text), self.deployment.budgets)
         if change is None or change.state == ChangeState.DROPPED:
             self.lowest_totals = current
         elif self._may_come_into_force(change):
             self._lower_totals(current, change)
-        # Once it is decided, the totals stay as they were until every member goes by it.
+        # Once the change is decided, the totals stay as they are until every member has adopted it.
         allocator_role = cast("AllocatorRole", self.fleet.role_states[BUDGETS_ROLE])
         allocator_role.resize(self.lowest_totals)
 
     def _may_come_into_force(self, change: PolicyChange) -> bool:
-        return change.state in (ChangeState.CHECKED, ChangeState.PREPARED) and not self.fits(change.version)
+        is_checked = change.state in (ChangeState.CHECKED, ChangeState.PREPARED)
+        return is_checked and not self.find_fault(change.version)
 
     def _lower_totals(self, current: dict[str, int], change: PolicyChange) -> None:
         new = budget_totals(parse_policy(change.version.text), self.deployment.budgets)
@@ -241,8 +256,8 @@
     return {name.decode(): weight for name, weight in weights.items()}
 
 
-def _by_kind(totals: Mapping[str, int]) -> dict[tuple[Any, str], int]:
-    """Totals by kind of budget and tenant's name, "" for those of all tenants."""
+def _by_kind(totals: Mapping[str, int]) -> dict[tuple[BudgetKind, str], int]:
+    """Totals by kind of budget and name of the tenant, "" for a budget of all tenants."""
     found = {}
     for name, total in totals.items():
         kind, _, tenant = name.partition("/")
--- a/gullhold/rollout/member_state.py
+++ b/gullhold/rollout/member_state.py
@@ -1,4 +1,4 @@
-"""The states of a member of a rollout, and what its calls to the store are for."""
+"""States of a member of the rollout, and purposes of its calls to the store."""
 
 from enum import Enum, auto
 from typing import NamedTuple
@@ -8,10 +8,10 @@
     """State of a member."""
 
     NO_LEASE = auto()
-    LEARNING = auto()  # reads what is in force
-    ADOPTING = auto()  # the core takes it over
+    LEARNING = auto()  # reads the policy in force
+    ADOPTING = auto()  # waits until the core uses it
     ENROLLING = auto()  # writes its first vote
-    ACTIVE = auto()  # dispatches by it, and hears of changes
+    ACTIVE = auto()  # dispatches under the policy, and takes part in changes
 
 
 class CallPurpose(Enum):
--- a/gullhold/rollout/policy.py
+++ b/gullhold/rollout/policy.py
@@ -1,4 +1,4 @@
-"""The text of a policy: parsed, checked against a deployment, and turned into terms for the other modules."""
+"""The text of a policy: parses it, checks it against a deployment and converts it for other modules."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 from gullhold.rollout.policy_version import PolicyError
 
 SCHEMA_FILE = "policy.cue"
-MAX_POLICY_CHARACTERS = 100_000  # a policy is one value in the store, and those are of limited length
+MAX_POLICY_CHARACTERS = 100_000  # a policy is one value in the store, whose length is limited
 
 
 class Policy(NamedTuple):
-    """What a policy sets, by name; what is not set is as the agreement and the operator file have it.
+    """The settings of a policy, by name; others are as in the agreement and in the operator file.
 
     The field names are the keys of the policy's text. shares: of tenants; priorities, grants (MB), sends
-    (most attempts of one command): by profile; budgets: totals by budget name; clients: weights in the
+    (maximum attempts of a command): by profile; budgets: totals by budget name; clients: weights in the
     admission queue; schedules: whether a scheduled command runs.
     """
 
@@ -35,7 +35,7 @@
 
 
 class BudgetLimits(NamedTuple):
-    """One budget of the operator file: its total, and how much of it members without a lease keep."""
+    """One budget of the operator file: its total, and the part reserved for members without a lease."""
 
     total: int
     reserve: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What a policy has to fit: the agreement and the names that the operator file states."""
+    """What a policy is checked against: the agreement, and names in the operator file."""
 
     agreement: Agreement
     budgets: Mapping[str, BudgetLimits]
@@ -75,7 +75,7 @@
 
 
 def find_fault(policy: Policy, deployment: Deployment) -> str:
-    """What keeps a policy from being used in this deployment, one line; "": nothing."""
+    """Why a policy can't be used in this deployment, one line; "" if it can."""
     return (
         _unknown_name(policy, deployment.agreement)
         or _fault_in_attempts(policy, deployment.agreement)
--- a/gullhold/rollout/policy_change.py
+++ b/gullhold/rollout/policy_change.py
@@ -11,13 +11,15 @@
 
 from gullhold.rollout.policy_version import PolicyVersion
 
+DEFAULT_PATIENCE_US = 10_000_000
+
 
 class ChangeState(StrEnum):
     """State of a change, with the values that the store holds."""
 
-    PROPOSED = "proposed"  # by staff; not looked at yet
-    CHECKED = "checked"  # its digest and its parent fit; each member checks it and votes
-    CANARY = "canary"  # some members go by it for a stated time, and all report how their commands fare
+    PROPOSED = "proposed"  # by staff; not checked yet
+    CHECKED = "checked"  # its digest and its parent are valid; each member checks it and votes
+    CANARY = "canary"  # some members use it for a stated time, and all report figures on their commands
     PREPARED = "prepared"  # strict changes only: members stop dispatching
     DECIDED = "decided"  # in force
     DROPPED = "dropped"  # will never be in force
@@ -33,7 +35,7 @@
     ),
     ChangeState.CANARY: (ChangeState.DECIDED, ChangeState.DROPPED),
     ChangeState.PREPARED: (ChangeState.DECIDED, ChangeState.DROPPED),
-    ChangeState.DECIDED: (),  # the key is deleted when every member goes by what is in force
+    ChangeState.DECIDED: (),  # the key is deleted once every member has adopted the version in force
     ChangeState.DROPPED: (),
 }
 FINAL_STATES = frozenset((ChangeState.DECIDED, ChangeState.DROPPED))
@@ -47,18 +49,18 @@
 
 
 class OnSilence(StrEnum):
-    """What is made of members that don't vote in time: the change waits for them, or is dropped."""
+    """What happens if members do not vote in time: the change waits for them, or is dropped."""
 
     WAIT = "wait"
     DROP = "drop"
 
 
 class Canary(NamedTuple):
-    """A trial on some of the members before all go by a change.
+    """A trial of a change on some of the members.
 
-    member_share: the part of the members; duration_us: how long; the change is dropped if a greater share of
-    their commands fails than max_failed_share, or if their answers take more than max_slowdown times as long
-    as the other members'.
+    member_share: the share of the members; duration_us: of the trial. The change is dropped if more than
+    max_failed_share of their commands fail, or if their answers take more than max_slowdown times as long as
+    those of the other members.
     """
 
     member_share: float
@@ -71,18 +73,18 @@
 class PolicyChange:
     """The open change.
 
-    patience_us: how long votes are waited for where on_silence is DROP; reason: why it was dropped;
-    drop_requested: staff want it dropped; canary_members: names and leases of the members that try it.
+    patience_us: how long to wait for votes if on_silence is DROP; reason: why it was dropped; drop_requested:
+    by staff; canary_members: names and leases of the members that try it.
 
-    A state, an overlap or an on_silence that this program does not know stays the text that it is: written
-    back as it was, and equal to none of the known ones.
+    An unknown state, overlap or on_silence of another version is kept as text, so that it is written back
+    unchanged and equals none of the known values.
     """
 
     version: PolicyVersion
     state: ChangeState = ChangeState.PROPOSED
     overlap: Overlap = Overlap.LOOSE
     on_silence: OnSilence = OnSilence.DROP
-    patience_us: int = 10_000_000
+    patience_us: int = DEFAULT_PATIENCE_US
     reason: str = ""
     drop_requested: bool = False
     canary: Canary | None = None
--- a/gullhold/rollout/policy_client.py
+++ b/gullhold/rollout/policy_client.py
@@ -1,4 +1,4 @@
-"""What staff do with a fleet's policy, on one session with the store. What is not known is called unknown."""
+"""Client for staff: reads, proposes and drops policies of a fleet, through one session with the store."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -6,11 +6,13 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from gullhold.fleet.clocks import unix_us
 from gullhold.fleet.store_calls import KeyValue, Proof, Put, ReadPrefix, Transaction
 from gullhold.fleet.store_client import StoreClient
 from gullhold.fleet.store_schema import fleet_prefix
 from gullhold.rollout.policy import parse_policy
 from gullhold.rollout.policy_change import (
+    DEFAULT_PATIENCE_US,
     FINAL_STATES,
     Canary,
     ChangeState,
@@ -34,15 +36,15 @@
     history_key,
 )
 
-TIMEOUT_S = 3.0  # s for one call to the store
-POLL_INTERVAL_S = 0.1  # s between reads while a change is waited for
-MAX_NAMES = 8  # members named for one kind of vote: it is one line
+TIMEOUT_S = 3.0  # of one call to the store
+POLL_INTERVAL_S = 0.1  # between reads while waiting for a change
+MAX_NAMES = 8  # members named for one kind of vote, to keep it on one line
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses of `gullhold policy`: what became of a change, or of the command itself."""
+    """Exit statuses of `gullhold policy`: the state of a change, or the failure of the command itself."""
 
-    IN_FORCE = 0  # also of commands that have nothing to tell about a change
+    IN_FORCE = 0  # also of commands that are not about one change
     INVALID = 2
     DROPPED = 3
     UNKNOWN = 4
@@ -53,7 +55,7 @@
 
 
 class Progress(NamedTuple):
-    """What became of a change so far, and a line that says so."""
+    """The state of a change, as an exit status and as a line of text."""
 
     status: ExitStatus
     line: str
@@ -64,7 +66,7 @@
 
 
 class PolicyClient:
-    """Reads and proposes policies. report(line): told of progress."""
+    """Reads and proposes policies. report(line): called with lines on the progress of a change."""
 
     def __init__(self, address: str, name: str, report: Callable[[str], None] = _ignore) -> None:
         """address: of the store; name: of the fleet."""
@@ -72,7 +74,7 @@
         self.report = report
 
     def read(self) -> dict[str, KeyValue]:
-        """Everything that the store has of the rollout, by key. Raises StoreUnavailableError."""
+        """Read all keys of the rollout. Raises StoreUnavailableError."""
         reply = self.session.call(ReadPrefix(ROOT))
         if reply.proof != Proof.DONE:
             raise StoreUnavailableError
@@ -83,7 +85,7 @@
         return current_version(self.read())
 
     def history(self) -> list[HistoryEntry]:
-        """What was decided, oldest first."""
+        """The decided versions, oldest first."""
         keys = self.read()
         return [decode_history_entry(keys[key].value) for key in sorted(keys) if key.startswith(HISTORY)]
 
@@ -96,13 +98,14 @@
         parent: int | None = None,
         overlap: Overlap = Overlap.LOOSE,
         on_silence: OnSilence = OnSilence.DROP,
-        patience_us: int = 10_000_000,
+        patience_us: int = DEFAULT_PATIENCE_US,
         canary: Canary | None = None,
     ) -> PolicyVersion:
-        """Propose a text as a new version; the version, also where the reply was lost: the store will tell.
+        """Propose a text as a new version, and return it.
 
-        parent: the version that has to be in force; None: whichever is. Raises PolicyError where it can't be
-        proposed, StoreUnavailableError where the store does not answer.
+        parent: the version that has to be in force; None: any. Raises PolicyError if the text can't be
+        proposed, StoreUnavailableError if the store does not answer. If only the reply was lost the version
+        is returned too; status() shows whether it was proposed.
         """
         parse_policy(text)
         keys = self.read()
@@ -113,7 +116,7 @@
             current.number if parent is None else parent,
             author,
             reason,
-            time.time_ns() // 1000,
+            unix_us(),
             text,
         ).sealed()
         change = PolicyChange(
@@ -127,7 +130,7 @@
         return version
 
     def drop(self) -> int:
-        """Ask that the open change be dropped; its number. Raises PolicyError: there is none that can be."""
+        """Request that the open change be dropped; return its number. Raises PolicyError if none can be."""
         keys = self.read()
         if CHANGE_KEY not in keys:
             raise PolicyError("no change is open")
@@ -142,7 +145,7 @@
         return change.version.number
 
     def status(self, number: int) -> Progress:
-        """What became of a change, now."""
+        """The present state of a change."""
         keys = self.read()
         if history_key(number) in keys:
             return _progress_decided(number, keys)
@@ -154,7 +157,7 @@
         return Progress(ExitStatus.UNKNOWN, f"nothing is known of {number}")
 
     def wait(self, number: int, seconds: float) -> Progress:
-        """What became of a change, when it is known; after so long, how far it is."""
+        """Wait until a change is decided, at most for this time; return its state."""
         end = time.monotonic() + seconds
         last_line = ""
         while True:
@@ -181,7 +184,7 @@
 
 
 def _votes_line(number: int, keys: Mapping[str, KeyValue]) -> str:
-    """The members by what they say about a change."""
+    """The members, by their votes on a change."""
     members: dict[str, list[str]] = {}
     for key, item in keys.items():
         if not key.startswith(VOTES):
--- a/gullhold/rollout/policy_commands.py
+++ b/gullhold/rollout/policy_commands.py
@@ -1,4 +1,4 @@
-"""`gullhold policy ...`: propose a change, see what becomes of it. What is not known is called unknown."""
+"""`gullhold policy ...`: proposes changes of the policy and shows their state."""
 
 import getpass
 import json
@@ -20,7 +20,7 @@
 
 
 def run(arguments: Namespace) -> ExitStatus:
-    """Run one sub-command of `gullhold policy`; the exit status."""
+    """Run one sub-command of `gullhold policy`; return the exit status."""
     client = PolicyClient(arguments.register, arguments.name, print)
     try:
         return COMMANDS[arguments.what](client, arguments)
@@ -102,7 +102,7 @@
 
 
 def _undo(client: PolicyClient, arguments: Namespace) -> ExitStatus:
-    """Propose the parent's text like any other."""
+    """Propose the text of the parent version as a new version."""
     current = client.current()
     if not current.number:
         raise PolicyError("nothing was changed yet")
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -1,17 +1,17 @@
-"""Whether the fleet's policy lets this gateway dispatch: a lease that holds, and a policy that is known."""
+"""Whether the fleet's policy lets this gateway dispatch: its lease holds, the policy in force is known."""
 
 from collections.abc import Callable
 from enum import StrEnum
 from typing import Protocol
 
-STAND_MARGIN_DIVISOR = 3  # of a lease's time, this part is left unused: a renewal was missed by then
+STAND_MARGIN_DIVISOR = 3  # 1 / share of a lease's time that is left unused: a renewal was missed by then
 
 
 class CutOffRule(StrEnum):
-    """How long a member that is cut off while a change is open goes on (values of the operator file)."""
+    """How long a member that is cut off while a change is open goes on (values in the operator file)."""
 
     KEEP = "keep"  # until its lease ends
-    STAND = "stand"  # until a part of the lease's time is left
+    STAND = "stand"  # until a margin before its lease ends
 
 
 class LeaseView(Protocol):
@@ -22,10 +22,10 @@
 
 
 class PolicyGate:
-    """Implements gullhold.interface.PolicyGate, and fences off what was decided before it was closed.
+    """Implements gullhold.interface.PolicyGate, and fences off attempts decided on before it was closed.
 
-    Asked on the core's thread at each attempt, and changed by the fleet's thread. clock: monotonic us;
-    guaranteed_us: how long a lease surely holds.
+    Checked on the core's thread at each attempt, and changed by the fleet's thread. clock: monotonic us;
+    guaranteed_us: how long a lease certainly holds.
     """
 
     def __init__(
@@ -39,9 +39,9 @@
         self.open_change = 0  # number of the change that this member has voted ready on
         self.is_stopped = False
         self.stop_count = 0
-        # What is in force was read this lately: guards against a watch that hears nothing, which is no proof.
+        # Set by reads of the policy in force: guards against a watch that has silently stopped.
         self.policy_known_until = 0
-        self.snapshot_valid_until = 0  # by a snapshot, where the store was unreachable at the start
+        self.snapshot_valid_until = 0  # while a snapshot is used, as the store was unreachable at the start
 
     def may_dispatch(self) -> bool:
         """Whether an attempt may be sent now."""
@@ -61,25 +61,25 @@
         )
 
     def stop(self) -> None:
-        """Close the gate. What was decided until now does not go out later either."""
+        """Close the gate; attempts decided on before are not sent later either."""
         self.is_stopped = True
         self.stop_count += 1
 
     def reopen(self) -> None:
-        """Open the gate again, with no change to wait for."""
+        """Open the gate again, with no change open."""
         self.is_stopped = False
         self.open_change = 0
 
     def fencing_token(self) -> tuple[int, int]:
-        """Under what attempts are decided now."""
+        """The token of attempts that are decided on now: (lease, number of stops)."""
         return self.enrolled_lease, self.stop_count
 
     def token_valid(self, token: object) -> bool:
-        """Whether what was decided under a token may still go out."""
+        """Whether an attempt that was decided on under this token may still be sent."""
         return self.may_dispatch() and token == self.fencing_token()
 
     def rejects_new(self) -> bool:
-        """Whether new commands are rejected: it is not known by what to decide. Stops are short."""
+        """Whether new commands are rejected, as the policy is unknown. Not while stopped: stops are short."""
         now = self.clock()
         if now < self.snapshot_valid_until:
             return False
--- a/gullhold/rollout/proposal.py
+++ b/gullhold/rollout/proposal.py
@@ -1,4 +1,4 @@
-"""Proposing a change: the transaction that opens it, on what was read of the store."""
+"""The transaction that opens a change, by what was read from the store."""
 
 from collections.abc import Mapping
 
@@ -16,17 +16,17 @@
 
 
 def current_version(keys: Mapping[str, KeyValue]) -> PolicyVersion:
-    """The version in force, by what was read of the store. Raises PolicyError."""
+    """The version in force among keys read from the store. Raises PolicyError."""
     if CURRENT_KEY not in keys:
         return INITIAL_VERSION
     return decode_version(keys[CURRENT_KEY].value)
 
 
 def propose(change: PolicyChange, keys: Mapping[str, KeyValue]) -> Transaction:
-    """The transaction that opens a change.
+    """Return the transaction that opens a change.
 
-    Raises PolicyError where it can't be opened: another one is open, the version in force is not its parent,
-    or a strict change has a canary.
+    Raises PolicyError if it can't be opened: another one is open, the version in force is not its parent, or
+    a strict change has a canary.
     """
     if CHANGE_KEY in keys:
         raise PolicyError(f"change {decode_change(keys[CHANGE_KEY].value).version.number} is open")
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -1,9 +1,9 @@
-"""The role of carrying a change of policy through. Decisions only: fed times, replies and changed keys.
+"""The role that coordinates a change of policy. Decisions only: takes times, replies and changed keys.
 
 All states are in the store, so that the next leader of the role goes on where the last one failed. One write
-decides; it compares the leader's token, the change as it was read, and the enrollment key, which every member
-that joins writes: so whoever joined has voted on this change, or the decision is not made. A member that is
-down has no key; it learns what is in force before it dispatches anything.
+decides; it compares the leader's token, the change as it was read, and the enrollment key, which every
+joining member writes: so each member has voted on this change, or the decision is refused. A member that is
+down has no key; it reads the policy in force before it dispatches anything.
 """
 
 from dataclasses import replace
@@ -43,8 +43,8 @@
 from gullhold.rollout.vote import VoteKind
 from gullhold.rollout.vote_tally import VoteTally
 
-MAX_HISTORY = 50  # versions that stay in the store, for staff: one transaction deletes the rest
-MAX_NAMES = 5  # members named in a reason: it is one line
+MAX_HISTORY = 50  # versions that stay in the store, for staff; one transaction deletes older ones
+MAX_NAMES = 5  # members named in a reason, to keep it on one line
 
 
 class RolloutCoordinator(RoleState):
@@ -52,8 +52,8 @@
 
     def __init__(self) -> None:
         super().__init__(ROOT)
-        self.revision = 0  # newest revision taken in
-        self.change_since = 0  # since when the change is in its state, us
+        self.revision = 0  # the newest one that is included in this state
+        self.change_since = 0  # when the change entered its state, us
         self._forget()
 
     def _forget(self) -> None:
@@ -66,7 +66,7 @@
         self.history: list[int] = []  # numbers of the versions in the store's history
 
     def _next_write_at(self, now: int) -> int | None:
-        """What has waited longer than its time waits for votes: they come by themselves."""
+        """When the change's patience or canary ends; None: only votes, which cause a step, are awaited."""
         if self.change is None:
             return None
         waits = [self.change.patience_us]
@@ -96,7 +96,7 @@
 
     @property
     def _open_change(self) -> PolicyChange:
-        """The change, where there is one: in all of its states."""
+        """The open change; only for states in which there is one."""
         return cast("PolicyChange", self.change)
 
     def _check_proposal(self) -> None:
@@ -127,7 +127,7 @@
             self._change_state(ChangeState.DECIDED)
 
     def _watch_canary(self, now: int) -> None:
-        """Drop the change as soon as its canary fails, whoever leads; decide it when the canary is over."""
+        """Drop the change as soon as its canary fails; decide it when the canary is over."""
         if self._drop_if_refused():
             return
         is_over = now >= self.change_since + cast("Canary", self._open_change.canary).duration_us
@@ -150,7 +150,7 @@
             self._drop_if_overdue(now, VoteKind.STILL)
 
     def _close(self) -> None:
-        """Every member goes by what is in force: the next change may come."""
+        """Delete the ended change once every member uses the version in force: the next may be opened."""
         if self.votes.all_under(self.current.number):
             self._write_if_unchanged([Delete(CHANGE_KEY)])
 
@@ -158,7 +158,7 @@
         return self.votes.all_support(self._open_change.version.number, kind)
 
     def _drop_if_refused(self) -> bool:
-        """Drop the change if staff or a member want that; whether they do."""
+        """Drop the change if staff request it or a member refuses it; whether it was dropped."""
         refusal = self.votes.first_refusal(self._open_change.version.number)
         if self._open_change.drop_requested:
             self._change_state(ChangeState.DROPPED, "dropped by staff")
@@ -170,7 +170,7 @@
         return False
 
     def _drop_if_overdue(self, now: int, kind: VoteKind) -> None:
-        """Votes are missing: the change waits, or is dropped after its patience, as the operator chose."""
+        """Drop a change that lacks votes, once its patience has ended and if on_silence says so."""
         is_overdue = now >= self.change_since + self._open_change.patience_us
         if self._open_change.on_silence != OnSilence.DROP or not is_overdue:
             return
@@ -181,7 +181,7 @@
     def _change_state(
         self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
     ) -> None:
-        """Write the change's new state; nothing else does."""
+        """Write the change's new state; the only place that does."""
         assert state in NEXT_STATES[self._open_change.state], f"{self._open_change.state} to {state}"
         change = replace(self._open_change, state=state, reason=reason, canary_members=canary_members)
         operations: list[Operation] = [Put(CHANGE_KEY, encode_change(change))]
@@ -204,7 +204,7 @@
     # Events
 
     def _write_confirmed(self, _reply: Reply) -> bool:
-        """What a write did is read anew, with everything else."""
+        """Have all keys read again after each write."""
         return False
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
@@ -248,5 +248,5 @@
         elif key == ENROLLMENT_KEY:
             self.enrollment_revision = revision
         elif key.startswith(WATCHED) and not self.writing:
-            self.loaded = False  # while we write, it is read when the reply has come
+            self.is_loaded = False  # while we write, it is read when the reply has come
         return True
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -1,8 +1,8 @@
-"""One gateway's side of the policy and its changes. Decisions only: fed times, replies and changed keys.
+"""One gateway's side of the policy and its changes. Decisions only: takes times, replies and changed keys.
 
-A member dispatches only while its gate is open: it has learned what is in force, has enrolled under a lease
-that surely holds, and has not been asked to stop. So one that is cut off stops by its own clock before the
-others can decide without it, and one that starts learns before it dispatches.
+A member dispatches only while its gate is open: it has read the policy in force, has enrolled under a lease
+that certainly holds, and has not been asked to stop. So a member that is cut off stops by its own clock
+before the others can decide without it, and one that starts reads the policy before it dispatches.
 """
 
 from collections.abc import Callable
@@ -10,6 +10,8 @@
 
 from gullhold.fleet.role_state import IDLE_STEP_US, RETRY_US, LogEvent
 from gullhold.fleet.store_calls import Get, Proof, Put, Reply, Transaction
+from gullhold.rollout.call_slot import CallSlot
+from gullhold.rollout.canary_figures import CanaryFigures
 from gullhold.rollout.key_revisions import KeyRevisions
 from gullhold.rollout.member_actions import (
     AdoptVersion,
@@ -18,7 +20,7 @@
     StopDispatching,
     WatchPolicy,
 )
-from gullhold.rollout.member_state import CallInFlight, CallPurpose, MemberState
+from gullhold.rollout.member_state import CallPurpose, MemberState
 from gullhold.rollout.policy_change import ChangeState, Overlap, PolicyChange
 from gullhold.rollout.policy_gate import PolicyGate
 from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
@@ -35,66 +37,62 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
 
-REFRESHES_PER_LEASE = 3  # reads of what is in force in the time for which one read counts
-FIGURES_INTERVAL_US = 500_000  # us between reports of figures while a canary runs
-UNUSABLE_RETRY_US = RETRY_US * 5  # us until what can't be run here is looked at again: it changes seldom
-
-
+REFRESHES_PER_LEASE = 3  # reads of the policy in force in the time for which one read is valid
+UNUSABLE_RETRY_US = RETRY_US * 5  # us until a policy that can't be run here is read again: it rarely changes
 VOTING_STATES = frozenset((ChangeState.CHECKED, ChangeState.CANARY, ChangeState.PREPARED))
 
 
 class RolloutMember:
-    """Takes in replies, changed keys and what the core has done; take_actions() is what it wants done.
+    """A member of the rollout. take_actions() hands out MemberActions; due() is when to step() at the latest.
 
-    Times are monotonic us. fits(version): what keeps it from being run here, one line, "": nothing.
-    figures(): how commands fared since the start.
+    Times are us of a monotonic clock. version: the one in force here, or about to be. change: the open one.
+    tried_change: number of the change that this member runs as part of the canary; 0: none.
     """
 
     def __init__(
         self,
         name: str,
         gate: PolicyGate,
-        fits: Callable[[PolicyVersion], str],
-        figures: Callable[[], CommandFigures] = lambda: CommandFigures(0, 0, 0),
+        find_fault: Callable[[PolicyVersion], str],
+        read_figures: Callable[[], CommandFigures] = lambda: CommandFigures(0, 0, 0),
     ) -> None:
+        """find_fault(version): why it can't be run here, one line, "" if it can.
+
+        read_figures(): figures on commands since the start of the process.
+        """
         self.name = name
         self.gate = gate
-        self.fits = fits
-        self.figures = figures
+        self.find_fault = find_fault
         self.state = MemberState.NO_LEASE
         self.out: list[MemberAction] = []
         self.lease = 0
-        self.version = INITIAL_VERSION  # goes by it, or is about to
+        self.version = INITIAL_VERSION
         self.change: PolicyChange | None = None
         # Calls
-        self.in_flight: CallInFlight | None = None
-        self.last_serial = 0
-        self.sent_at = 0
-        self.retry_at = 0
+        self.calls = CallSlot()
         self.refresh_at = 0
         self.revisions = KeyRevisions()
         self.publisher = VotePublisher()
         # The core
         self.adoption_serial = 0
-        self.tried_change = 0  # number of the change that it goes by as a member of the canary; 0: none
-        self.figures_before: CommandFigures | None = None  # figures when the first were reported
-        self.report_at = 0
+        self.tried_change = 0
+        self.figures = CanaryFigures(read_figures)
 
     def take_actions(self) -> list[MemberAction]:
-        """What is to be done now, in order."""
+        """Return the actions to carry out now, in order."""
         out = self.out
         self.out = []
         return out
 
     def key(self) -> str:
-        """The key of its vote."""
+        """The key of this member's vote."""
         return vote_key(self.name, self.lease)
 
     def step(self, now: int, lease: int) -> None:
-        """Do what is next, if no call is under way. lease: the id of this member's lease, 0: none."""
+        """Take the next step, unless a call is under way. lease: id of this member's lease, 0: none."""
         if lease != self.lease:
             self._begin_lease(lease)
-        if not lease or self.in_flight or now < self.retry_at:
+        if not lease or not self.calls.is_free(now):
             return
         match self.state:
             case MemberState.LEARNING:
@@ -107,8 +105,7 @@
 
     def _begin_lease(self, lease: int) -> None:
         self.lease = lease
-        self.in_flight = None
-        self.retry_at = 0
+        self.calls.reset()
         self.gate.enrolled_lease = 0
         self.gate.reopen()
         self.publisher.reset()
@@ -126,7 +123,7 @@
             self._call(now, CallPurpose.REFRESH, Transaction((), reads))
 
     def _enrollment(self) -> Transaction:
-        """The first vote, on the condition that nothing has changed since what is in force was read."""
+        """The transaction that writes the first vote if nothing has changed since the policy was read."""
         conditions = self.revisions.conditions((CURRENT_KEY, CHANGE_KEY, ENROLLMENT_KEY))
         vote = encode_vote(Vote(self.version.number))
         operations = (Put(self.key(), vote, self.lease), Put(ENROLLMENT_KEY, self.name))
@@ -134,49 +131,41 @@
 
     def due(self, now: int) -> int:
         """When to step() at the latest."""
-        if not self.lease or self.in_flight or self.state == MemberState.ADOPTING:
-            return now + IDLE_STEP_US  # what is waited for comes by itself
+        if not self.lease or self.calls.in_flight or self.state == MemberState.ADOPTING:
+            return now + IDLE_STEP_US  # an event will come
         at = now
         if self.state == MemberState.ACTIVE and self.publisher.is_stored():
             at = self.refresh_at
             if self._reports_figures():
-                at = min(at, self.report_at)
-        return max(now, at, self.retry_at)
+                at = min(at, self.figures.due_at)
+        return max(now, at, self.calls.retry_at)
 
     def _reports_figures(self) -> bool:
-        """Whether a canary runs, in which all report how their commands fare."""
+        """Whether a canary runs: all members report figures on their commands, and this one has voted."""
         change = self.change
         if change is None or change.state != ChangeState.CANARY:
             return False
         return self._enrolled_vote.change == change.version.number
 
     def _report_figures(self, now: int) -> None:
-        if not self._reports_figures() or now < self.report_at:
-            return
-        self.report_at = now + FIGURES_INTERVAL_US
-        figures = self.figures()
-        if self.figures_before is None:
-            self.figures_before = figures
-        self._vote(self._enrolled_vote._replace(figures=figures.since(self.figures_before)))
+        if self._reports_figures() and now >= self.figures.due_at:
+            self._vote(self._enrolled_vote._replace(figures=self.figures.take(now)))
 
     def _call(self, now: int, purpose: CallPurpose, request: Transaction) -> None:
-        self.last_serial += 1
-        self.in_flight = CallInFlight(purpose, self.last_serial)
-        self.sent_at = now
-        self.out.append(CallStore(self.last_serial, request))
+        self.out.append(CallStore(self.calls.start(now, purpose), request))
 
     def _become(self, state: MemberState) -> None:
-        """Change the state; nothing else does."""
+        """Change the state; the only place that does."""
         self.state = state
 
     @property
     def vote(self) -> Vote | None:
-        """The vote that it casts, stored or not; None: it has not enrolled."""
+        """This member's vote, stored or not yet; None: it has not enrolled."""
         return self.publisher.vote
 
     @property
     def _enrolled_vote(self) -> Vote:
-        """The vote, where this member has enrolled."""
+        """The vote, once this member has enrolled."""
         return cast("Vote", self.publisher.vote)
 
     def _vote(self, vote: Vote) -> None:
@@ -188,14 +177,13 @@
     # Replies
 
     def replied(self, now: int, serial: int, reply: Reply) -> None:
-        """A call's reply."""
-        call = self.in_flight
-        if call is None or call.serial != serial:
+        """Take the reply to a call."""
+        purpose = self.calls.take_reply(serial)
+        if purpose is None:
             return
-        self.in_flight = None
         if reply.proof != Proof.DONE:
-            self.retry_at = now + RETRY_US
-        match call.purpose:
+            self.calls.retry_at = now + RETRY_US
+        match purpose:
             case CallPurpose.READ_POLICY:
                 self._policy_read(now, reply)
             case CallPurpose.ENROLL:
@@ -220,8 +208,8 @@
         self._adopt(now, current)
 
     def _enrolled(self, reply: Reply) -> None:
-        # Refused: something changed since the read. No proof: this member may have enrolled. Either way what
-        # is in force is read again.
+        # Refused: something has changed since the read. Unknown: this member may have enrolled. In both cases
+        # the policy in force is read again.
         if reply.proof != Proof.DONE or not reply.succeeded:
             self._become(MemberState.LEARNING)
             return
@@ -236,14 +224,14 @@
         self._consider_change()
 
     def _refreshed(self, now: int, reply: Reply) -> None:
-        """What is in force was read besides the watch.
+        """Take a read of the policy in force that was made besides the watch.
 
         Guards against a watch that has fallen silent while the lease is renewed.
         """
         if reply.proof != Proof.DONE:
             return
         if reply.revision < self.revisions.newest():
-            return  # guards against an answer from the past
+            return  # guards against a stale read
         found = {item.key: item for item in reply.items}
         for key in (CURRENT_KEY, CHANGE_KEY):
             item = found.get(key)
@@ -259,14 +247,14 @@
             self._confirm_policy()
 
     def _confirm_policy(self) -> None:
-        """What was read by the call that has come back counts from when it was sent."""
-        self.gate.policy_known_until = self.sent_at + self.gate.guaranteed_us
-        self.refresh_at = self.sent_at + self.gate.guaranteed_us // REFRESHES_PER_LEASE
+        """Count the policy as known, from when the call that read it was sent."""
+        self.gate.policy_known_until = self.calls.sent_at + self.gate.guaranteed_us
+        self.refresh_at = self.calls.sent_at + self.gate.guaranteed_us // REFRESHES_PER_LEASE
 
     # The version in force
 
     def _adopt(self, now: int, version: PolicyVersion) -> None:
-        fault = self.fits(version) if version.number else ""
+        fault = self.find_fault(version) if version.number else ""
         if fault:
             self._reject_current(now, fault)
             return
@@ -277,20 +265,20 @@
         self._hand_to_core(version)
 
     def _hand_to_core(self, version: PolicyVersion) -> None:
-        """Nothing is dispatched until the core goes by the version."""
+        """Have the core use a version; nothing is dispatched until it does."""
         self.gate.stop()
         self.adoption_serial += 1
         self.out.append(AdoptVersion(self.adoption_serial, version))
 
     def _reject_current(self, now: int, reason: str) -> None:
-        """What is in force can't be run here: nothing is dispatched."""
+        """Dispatch nothing, as the policy in force can't be run here."""
         self.gate.enrolled_lease = 0
-        self.retry_at = now + UNUSABLE_RETRY_US
+        self.calls.retry_at = now + UNUSABLE_RETRY_US
         self._log("error", "what is in force can't be run here", why=reason)
         self._become(MemberState.LEARNING)
 
     def adopted(self, now: int, serial: int) -> None:
-        """The core decides by the version from here on."""
+        """Record that the core uses the version from now on."""
         if serial != self.adoption_serial:
             return
         if self.state == MemberState.ADOPTING:
@@ -308,11 +296,11 @@
     # Changes
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """A watched key changed; value None: it was deleted, so that no change is open any more."""
+        """Take a change of a watched key; value None: it was deleted, so that no change is open any more."""
         if self.state != MemberState.ACTIVE:
             return
-        if not self.revisions.take_in(key, revision):
-            return  # a refresh may have shown more than the watch has notified yet
+        if not self.revisions.update(key, revision):
+            return  # a refresh may be ahead of the watch
         if key == CURRENT_KEY and value is not None:
             try:
                 version = decode_version(value)
@@ -330,8 +318,8 @@
             self._consider_change()
         self.step(now, self.lease)
 
-    def missed(self, now: int) -> None:
-        """Changes were missed: learn anew. The lease and its key stay."""
+    def watch_gap(self, now: int) -> None:
+        """Read the policy again, as the watch has missed changes; the lease and its key stay."""
         if self.state == MemberState.ACTIVE:
             self.gate.enrolled_lease = 0
             self._become(MemberState.LEARNING)
@@ -351,7 +339,7 @@
             self._stop_for(change)
 
     def _leave_dropped(self, change: PolicyChange) -> None:
-        if self.tried_change:  # back to the parent
+        if self.tried_change:  # return to the version before
             self.tried_change = 0
             self._hand_to_core(self.version)
             return
@@ -370,14 +358,14 @@
         else:
             self.gate.open_change = number
             self._vote(Vote(self.version.number, number, VoteKind.READY))
-        self.figures_before = None
+        self.figures.reset()
 
     def _fault_in(self, change: PolicyChange) -> str:
         try:
             change.version.verify()
         except PolicyError as error:
             return str(error)
-        return self.fits(change.version)
+        return self.find_fault(change.version)
 
     def _join_canary(self, change: PolicyChange) -> None:
         is_chosen = self.key().removeprefix(VOTES) in change.canary_members
@@ -391,7 +379,7 @@
             self.out.append(StopDispatching(change.version.number))
 
     def stopped(self, now: int, number: int) -> None:
-        """The core has stopped dispatching for this change."""
+        """Record that the core has stopped dispatching for this change."""
         change = self.change
         if self.state != MemberState.ACTIVE or change is None or not self.gate.is_stopped:
             return
--- a/gullhold/rollout/snapshot.py
+++ b/gullhold/rollout/snapshot.py
@@ -1,4 +1,4 @@
-"""The version that a member last knew to be in force, in a file: for a start without the store."""
+"""A file with the policy version last known to be in force, for a start without the store."""
 
 import json
 import os
@@ -10,9 +10,9 @@
 
 
 def write(path: str | PathLike[str], version: PolicyVersion, at_us: int) -> None:
-    """Replace the snapshot; a kill at any moment leaves the old one or the new one. at_us: Unix time.
+    """Replace the snapshot atomically. at_us: Unix time.
 
-    Raises OSError where it can't be written.
+    Raises OSError if it can't be written.
     """
     temporary_path = f"{path}.new"
     with open(temporary_path, "w", encoding="utf-8") as file:
@@ -20,7 +20,7 @@
         file.flush()
         os.fsync(file.fileno())
     os.replace(temporary_path, path)
-    with suppress(OSError):  # the directory's own entry; not all systems allow it
+    with suppress(OSError):  # not all systems can sync a directory
         _sync_directory(os.path.dirname(os.path.abspath(path)))
 
 
@@ -33,7 +33,7 @@
 
 
 def read(path: str | PathLike[str]) -> tuple[PolicyVersion, int] | None:
-    """The version and the Unix time (us) at which it was known to be in force; None: no usable snapshot."""
+    """Read (version, Unix time in us at which it was known to be in force); None: no usable snapshot."""
     try:
         with open(path, encoding="utf-8") as file:
             stored = json.load(file)
--- a/gullhold/rollout/store_schema.py
+++ b/gullhold/rollout/store_schema.py
@@ -1,6 +1,6 @@
-"""Keys and values of the rollout in the fleet's store: the one place that knows their stored forms.
+"""Keys of the rollout in the fleet's store, and the JSON of their values.
 
-Every value is a JSON object. The names of its fields, and their order, are those that earlier versions wrote.
+Every value is a JSON object. The names and the order of its fields are those of earlier versions.
 """
 
 import json
@@ -14,15 +14,15 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 
 ROLE = "policy"  # of the member that coordinates changes
-ROOT = "policy/"  # before all keys of the rollout
-WATCHED = ROOT + "now/"  # before the keys that every member follows
+ROOT = "policy/"  # prefix of all keys of the rollout
+WATCHED = ROOT + "now/"  # prefix of the keys that every member watches
 CURRENT_KEY = WATCHED + "current"  # the version in force; absent: the initial one
-CHANGE_KEY = WATCHED + "change"  # the open change; absent: none is
-ENROLLMENT_KEY = ROOT + "roll"  # every member that enrolls writes it, so that a decision notices a new one
-VOTES = ROOT + "words/"  # before a member's name and lease
-HISTORY = ROOT + "past/"  # before the number of a version that was decided on
+CHANGE_KEY = WATCHED + "change"  # the open change; absent: none is open
+ENROLLMENT_KEY = ROOT + "roll"  # written by every member that enrolls, so that a decision notices new members
+VOTES = ROOT + "words/"  # + a member's name and lease
+HISTORY = ROOT + "past/"  # + the number of a decided version
 
-# Stored name of each field, with the attribute that it is in.
+# Attribute of each stored field, by its stored name.
 VERSION_FIELDS = {
     "number": "number",
     "parent": "parent",
@@ -57,36 +57,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of a change, and why it was dropped."""
+    """The final state of a change, and why it was dropped."""
 
     state: ChangeState
     reason: str
 
 
 class HistoryEntry(NamedTuple):
-    """A version that was decided on, and what became of it."""
+    """A version whose change has ended, and the outcome."""
 
     version: PolicyVersion
     outcome: Outcome
 
 
 def history_key(number: int) -> str:
-    """The key under which a version stays after the decision; keys sort by number."""
+    """The key of a version's history entry; keys sort by number."""
     return f"{HISTORY}{number:010d}"
 
 
 def vote_key(member: str, lease: int) -> str:
-    """The key of a member's vote. A member that gets another lease is another member."""
+    """The key of a member's vote; under another lease it counts as another member."""
     return f"{VOTES}{member}/{lease:x}"
 
 
 def version_to_stored(version: PolicyVersion) -> dict[str, Any]:
-    """A version's fields as they are stored."""
+    """Convert a version to its stored fields."""
     return _stored_fields(version, VERSION_FIELDS)
 
 
 def version_from_stored(fields: Any) -> PolicyVersion:
-    """The version with these stored fields, its digest verified. Raises PolicyError."""
+    """Convert stored fields to a version and verify its digest. Raises PolicyError."""
     try:
         version = _version(fields)
     except (ValueError, TypeError):
@@ -96,12 +96,12 @@
 
 
 def encode_version(version: PolicyVersion) -> str:
-    """A version as the store holds it."""
+    """Encode a version for the store."""
     return json.dumps(version_to_stored(version))
 
 
 def decode_version(text: str) -> PolicyVersion:
-    """The version that was stored, its digest verified. Raises PolicyError."""
+    """Decode a stored version and verify its digest. Raises PolicyError."""
     try:
         fields = json.loads(text)
     except (ValueError, TypeError):
@@ -110,12 +110,12 @@
 
 
 def encode_change(change: PolicyChange) -> str:
-    """A change as the store holds it."""
+    """Encode a change for the store."""
     return json.dumps(_stored_fields(change, CHANGE_FIELDS) | {"record": version_to_stored(change.version)})
 
 
 def decode_change(text: str) -> PolicyChange:
-    """The change that was stored; the digest of its version is not verified. Raises PolicyError."""
+    """Decode a stored change; the digest of its version is not verified. Raises PolicyError."""
     try:
         fields = json.loads(text)
         canary = fields.get("canary")
@@ -132,12 +132,12 @@
 
 
 def encode_vote(vote: Vote) -> str:
-    """A vote as the store holds it."""
+    """Encode a vote for the store."""
     return json.dumps(_stored_fields(vote, VOTE_FIELDS) | {"figures": vote.figures or ()})
 
 
 def decode_vote(text: str) -> Vote:
-    """The vote that was stored; UNREADABLE_VOTE, which supports nothing, for one that can't be read."""
+    """Decode a stored vote; UNREADABLE_VOTE, which supports no change, if it can't be read."""
     try:
         fields = json.loads(text)
         figures = fields.get("figures", ())
@@ -150,7 +150,7 @@
 
 
 def encode_history_entry(entry: HistoryEntry) -> str:
-    """A history entry as the store holds it."""
+    """Encode a history entry for the store."""
     fields = {
         "record": version_to_stored(entry.version),
         "outcome": entry.outcome.state,
@@ -160,13 +160,13 @@
 
 
 def decode_outcome(text: str) -> Outcome:
-    """The outcome in a stored history entry."""
+    """Decode the outcome in a stored history entry."""
     fields = json.loads(text)
     return Outcome(_known(fields["outcome"], ChangeState), fields["why"])
 
 
 def decode_history_entry(text: str) -> HistoryEntry:
-    """The history entry that was stored; the digest of its version is not verified."""
+    """Decode a stored history entry; the digest of its version is not verified."""
     return HistoryEntry(_version(json.loads(text)["record"]), decode_outcome(text))
 
 
@@ -179,7 +179,7 @@
 
 
 def _attributes(fields: Any, names: Mapping[str, str]) -> dict[str, Any]:
-    """The attributes in a stored object. Raises TypeError unless it has only fields of these names."""
+    """Convert a stored object to attributes. Raises TypeError if it has fields of other names."""
     if not isinstance(fields, dict) or not fields.keys() <= names.keys():
         raise TypeError("not an object with the fields that this version knows")
     return {names[stored]: value for stored, value in fields.items()}
@@ -191,7 +191,7 @@
 
 
 def _known(value: Any, kind: type[Kind]) -> Any:
-    """The enum's member; the value itself where a later version wrote one that this version does not know."""
+    """The enum's member, or the value itself if it is unknown, as a later version may have written it."""
     try:
         return kind(value)
     except ValueError:
--- a/gullhold/rollout/vote.py
+++ b/gullhold/rollout/vote.py
@@ -1,4 +1,4 @@
-"""What one member says about the open change, and about the version that it goes by."""
+"""Votes of members on the open change."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -8,15 +8,15 @@
 class VoteKind(StrEnum):
     """Kind of a vote, with the values that the store holds."""
 
-    READY = "ready"  # the change fits here
-    TRIAL = "trial"  # ready, and goes by it meanwhile, as a member of the canary
-    REFUSED = "refused"  # the change does not fit here
+    READY = "ready"  # the change can be run here
+    TRIAL = "trial"  # ready, and using it already, as part of the canary
+    REFUSED = "refused"  # the change can't be run here
     STILL = "still"  # ready, and has stopped dispatching
-    UNDER = "under"  # goes by the version named, and says nothing about a change
-    UNREADABLE = "?"  # never written: stands for a vote that can't be read
+    UNDER = "under"  # no vote on a change: only the version in use
+    UNREADABLE = "?"  # never written: a vote that can't be read
 
 
-# Kinds of votes that say at least as much as the one that is waited for.
+# For each kind of vote that a change may wait for: the kinds that fulfil it.
 SUFFICIENT_KINDS: Mapping[VoteKind, frozenset[VoteKind]] = {
     VoteKind.READY: frozenset((VoteKind.READY, VoteKind.TRIAL, VoteKind.STILL)),
     VoteKind.STILL: frozenset((VoteKind.STILL,)),
@@ -24,7 +24,7 @@
 
 
 class CommandFigures(NamedTuple):
-    """How a member's commands fared: numbers answered and failed, and us that the answers took in total."""
+    """Figures on a member's commands: numbers answered and failed, total time of the answers (us)."""
 
     answered: int
     failed: int
@@ -39,7 +39,7 @@
         )
 
     def since(self, earlier: "CommandFigures") -> "CommandFigures":
-        """What was added after earlier figures of the same member."""
+        """The difference from earlier figures of the same member."""
         return CommandFigures(
             self.answered - earlier.answered,
             self.failed - earlier.failed,
@@ -48,7 +48,7 @@
 
 
 class VotePosition(NamedTuple):
-    """What members' votes are counted by: a vote without its reason and figures."""
+    """A vote without its reason and figures, by which votes are counted."""
 
     version: int
     change: int
@@ -58,8 +58,8 @@
 class Vote(NamedTuple):
     """One member's vote.
 
-    version: number of the version that it goes by; change: number of the change that it votes on, 0: none;
-    reason: of a refusal; figures: while a canary runs.
+    version: number of the version that the member uses; change: number of the change that it votes on, 0:
+    none; reason: of a refusal; figures: while a canary runs.
     """
 
     version: int
@@ -69,9 +69,9 @@
     figures: CommandFigures | None = None
 
     def position(self) -> VotePosition:
-        """What it is counted by."""
+        """The position by which the vote is counted."""
         return VotePosition(self.version, self.change, self.kind)
 
     def supports(self, change: int, kind: VoteKind) -> bool:
-        """Whether it says at least this kind about the change."""
+        """Whether it is a vote of this kind, or of one that includes it, on the change."""
         return self.change == change and self.kind in SUFFICIENT_KINDS[kind]
--- a/gullhold/rollout/vote_publisher.py
+++ b/gullhold/rollout/vote_publisher.py
@@ -1,4 +1,4 @@
-"""A member's vote and the stored copy of it, kept equal by conditional writes."""
+"""Keeps the stored copy of a member's vote up to date, by conditional writes."""
 
 from typing import cast
 
@@ -8,41 +8,41 @@
 
 
 class VotePublisher:
-    """The vote that is to be stored, and what is known of the one that is."""
+    """The vote to store, and what is known of the stored one."""
 
     def __init__(self) -> None:
         self.reset()
 
     def reset(self) -> None:
-        """Nothing is to be stored, and nothing is."""
+        """Begin without a vote."""
         self.vote: Vote | None = None
         self._stored: Vote | None = None  # None: not known
         self._revision = 0  # of the key
         self._written: Vote | None = None  # the vote in the write under way
 
     def set_stored(self, vote: Vote, revision: int) -> None:
-        """The vote has been stored, at this revision."""
+        """Record that the vote has been stored, at this revision."""
         self.vote = vote
         self._stored = vote
         self._revision = revision
 
     def is_stored(self) -> bool:
-        """Whether the stored vote is the one that is to be stored."""
+        """Whether the stored vote is up to date."""
         return self.vote == self._stored
 
     def request(self, key: str, lease: int) -> Transaction:
-        """The write of the vote; until written(), it is not known what is stored."""
+        """The transaction that writes the vote; until written() is called, the stored vote is unknown."""
         self._stored = None
         self._written = self.vote
         operations = (Put(key, encode_vote(cast("Vote", self.vote)), lease),)
         return Transaction(((key, self._revision),), operations, (Get(key),))
 
     def written(self, reply: Reply) -> None:
-        """The reply to the write."""
+        """Take the reply to the write."""
         if reply.proof != Proof.DONE:
             return
         if reply.succeeded:
             self._stored = self._written
             self._revision = reply.revision
-        else:  # an earlier write that was given up was carried out: compare with its revision from now on
+        else:  # an earlier write without a reply was carried out: compare with its revision from now on
             self._revision = reply.items[0].revision if reply.items else 0
--- a/gullhold/rollout/vote_tally.py
+++ b/gullhold/rollout/vote_tally.py
@@ -1,4 +1,4 @@
-"""The votes of a fleet's members, counted so that the common questions need no pass over all of them."""
+"""The votes of a fleet's members, counted so that common questions need no pass over all members."""
 
 from collections import Counter
 
@@ -10,10 +10,10 @@
 
     def __init__(self) -> None:
         self.votes: dict[str, Vote] = {}
-        self._counts: Counter[VotePosition] = Counter()  # of one position: members that are in it
+        self._counts: Counter[VotePosition] = Counter()  # number of members by position
 
     def set(self, member: str, vote: Vote | None) -> None:
-        """A member has voted; None: the member's lease is over."""
+        """Record a member's vote; None: the member's lease has ended."""
         old = self.votes.pop(member, None)
         if old is not None:
             self._remove(old.position())
@@ -27,20 +27,20 @@
             del self._counts[position]
 
     def all_support(self, change: int, kind: VoteKind) -> bool:
-        """Whether there is a member and each one says at least this kind about the change."""
+        """Whether there are members and all of them support the change with a vote of this kind."""
         sufficient = SUFFICIENT_KINDS[kind]
         return bool(self._counts) and all(
             position.change == change and position.kind in sufficient for position in self._counts
         )
 
     def all_under(self, version: int) -> bool:
-        """Whether each member goes by the version and votes on no change."""
+        """Whether each member uses the version and votes on no change."""
         return all(
             position.version == version and position.kind == VoteKind.UNDER for position in self._counts
         )
 
     def first_refusal(self, change: int) -> tuple[str, Vote] | None:
-        """A member that refuses the change, and its vote."""
+        """(name and lease of a member that refuses the change, its vote); None: no member does."""
         if not any(
             position.change == change and position.kind == VoteKind.REFUSED for position in self._counts
         ):
@@ -51,5 +51,5 @@
         return None
 
     def missing(self, change: int, kind: VoteKind) -> list[str]:
-        """The members that don't say at least this kind about the change, sorted."""
+        """The members that do not support the change with a vote of this kind, sorted."""
         return sorted(member for member, vote in self.votes.items() if not vote.supports(change, kind))
--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -153,7 +153,7 @@
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
         """Take in a change."""
-        if value is None and self.loaded:
+        if value is None and self.is_loaded:
             self.allocator.member_left(key.removeprefix(REPORTS), now, {})
         super().changed(now, key, value, revision)
 
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -345,7 +345,9 @@
             tuple(self.watched_from),
             self.leader,
             self.faults,
-            tuple((role.token, role.loaded, role.fence, role.reading, role.writing) for role in self.holders),
+            tuple(
+                (role.token, role.is_loaded, role.fence, role.reading, role.writing) for role in self.holders
+            ),
             tuple(at - self.now for at in self.spent),
             tuple((until - self.now, calls) for until, calls in self.lingering),
         )
--- a/gullhold/testing/change_world.py
+++ b/gullhold/testing/change_world.py
@@ -265,7 +265,7 @@
         """Its watch lost what changed."""
         one = self.members[i]
         one.watched_from = None
-        one.member.missed(one())
+        one.member.watch_gap(one())
         self._collect_member(one)
 
     def _do_propose(self, text: str) -> None:
@@ -326,7 +326,7 @@
     def _mark_of_coordinator(coordinator: RolloutCoordinator) -> tuple:
         return (
             coordinator.token,
-            coordinator.loaded,
+            coordinator.is_loaded,
             bool(coordinator.reading),
             bool(coordinator.writing),
             coordinator.enrollment_revision,
--- a/gullhold/testing/changemutants.py
+++ b/gullhold/testing/changemutants.py
@@ -48,7 +48,8 @@
     def step(self, now: int, lease: int) -> None:
         """As the product's, without the conditions of the enrollment."""
         super().step(now, lease)
-        if self.out and self.in_flight and self.in_flight.purpose == CallPurpose.ENROLL:
+        in_flight = self.calls.in_flight
+        if self.out and in_flight and in_flight.purpose == CallPurpose.ENROLL:
             call = self.out[-1]
             self.out[-1] = CallStore(call.serial, Transaction((), call.request.operations))
 
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -161,7 +161,7 @@
 
     def call_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         """All of them."""
-        self.void_until = 0
+        self.calls.void_until = 0
         super().call_replied(now, call, reply)
 
 
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -366,7 +366,7 @@
             tuple(sorted(claims.own_keys.items())),
             tuple(claims.unsure),
             tuple(sorted(member.members)),
-            tuple(max(0, at - now) for at in member.retry_at.values()),
+            tuple(max(0, at - now) for at in member.calls.retry_at.values()),
             member.must_read_members,
-            member.void_until == member.serial,
+            member.calls.void_until == member.calls.last_number,
         )
--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -52,9 +52,9 @@
 
     def records_read(self, now: int, reply: Reply) -> None:
         """Keeps what it remembers, whatever the store says."""
-        remembered = dict(self.occurrences)
+        remembered = dict(self.records.by_due_time)
         super().records_read(now, reply)
-        self.occurrences.update(remembered)
+        self.records.by_due_time.update(remembered)
 
 
 class FailureIsShed(ScheduledCommand):
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -219,7 +219,7 @@
                 self._call_holder(k, "changed", key, value, revision)
 
     def _do_miss(self, k: int) -> None:
-        self._call_holder(k, "missed")
+        self._call_holder(k, "watch_gap")
 
     def _do_elect(self, _: int) -> None:
         """The other one leads the role now; the one that led before does not know yet."""
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -5,6 +5,7 @@
 import pytest
 
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState
+from gullhold.fleet.occurrence_records import MAX_SETTLED_RECORDS
 from gullhold.fleet.recovery import (
     GiveUp,
     RetryAttempt,
@@ -12,7 +13,7 @@
     ScheduledProfile,
     decide_recovery,
 )
-from gullhold.fleet.scheduled_command import KEPT_RECORDS, RETRY_DELAY_US
+from gullhold.fleet.scheduled_command import RETRY_DELAY_US
 from gullhold.fleet.store_calls import Proof
 from gullhold.fleet.store_schema import decode_occurrence, encode_occurrence
 from gullhold.testing import (
@@ -170,9 +171,9 @@
 
 def test_while_leaving_nothing_is_begun_and_settled_records_are_bounded():
     play = Play(REPLAY).lead()
-    for _ in range(KEPT_RECORDS + 15):
+    for _ in range(MAX_SETTLED_RECORDS + 15):
         play.go(S).end(OccurrenceState.ANSWERED)
-    assert len(play.store.records()) <= KEPT_RECORDS + 2
+    assert len(play.store.records()) <= MAX_SETTLED_RECORDS + 2
     sent = len(play.sent)
     play.command.leave()
     play.go(5 * S)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -166,7 +166,7 @@
     for one in world.members:
         now = one()
         assert one.member.due(now) == max(now, one.member.refresh_at)
-        one.member.missed(now)
+        one.member.watch_gap(now)
         assert one.member.due(now) == now + IDLE_STEP_US  # its call is under way
 
 
@@ -176,15 +176,15 @@
     for one in (coordinator, dividing):
         one.won(1, 0)
         one.read(0, one.take_actions()[0].serial, Reply(Proof.DONE, 7))
-        assert one.loaded
+        assert one.is_loaded
     coordinator.changed(0, CHANGE_KEY, opened, 9)  # it reads what was proposed
     dividing.changed(0, REPORTS + "a/1", encode_report(UsageReport(0, {"b/0": Usage(0, 1, 1)})), 9)
-    dividing.missed(0)
+    dividing.watch_gap(0)
     dividing.written(0, dividing.writing, Reply(Proof.DONE, 10, succeeded=False))
     for one in (coordinator, dividing):
         serial = one.take_actions()[-1].serial
         one.read(0, serial, Reply(Proof.DONE, 7))
-        assert not one.loaded
+        assert not one.is_loaded
         assert not one.take_actions()
         one.step(RETRY_US)
         one.read(
@@ -192,7 +192,7 @@
             one.take_actions()[0].serial,
             Reply(Proof.DONE, 11, items=(KeyValue(CHANGE_KEY, opened, 9),) if one is coordinator else ()),
         )
-        assert one.loaded
+        assert one.is_loaded
     assert any(isinstance(row, WriteKeys) for row in coordinator.take_actions())
 
 
