--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -1,8 +1,8 @@
-"""What one member may spend of one budget, by its own clock. Decisions only, on the thread that spends.
+"""What one member may spend of one budget, by its own clock. Decisions only, on the core's thread.
 
-An allocation holds only while the lease under which it was read is certain to hold: soon after, the allocator
-gives it to another member. Besides it a member may always spend its reserve, once nothing that an earlier
-process in its place has begun can still go on.
+An allocation is valid only while the lease under which it was read certainly holds: soon after, the allocator
+gives it to another member. A member may always spend its reserve too, once nothing that an earlier process of
+the same member has begun can still go on.
 """
 
 from collections import deque
@@ -17,11 +17,11 @@
 
 
 class AllocationRule(NamedTuple):
-    """The operator's rule for one budget, or for one on each engine or tenant. Times are us.
+    """The rule for one budget, or for the budgets of all engines or tenants. Times are us.
 
-    total: of the fleet; more is never asked for. window_us: of a windowed budget. settle_us: how long
+    total: of the fleet; more is never requested. window_us: of a windowed budget. settle_us: how long
     cancelled work may run on. reserve: what may be spent besides the allocation, from reserve_after_us after
-    the start on.
+    the start.
     """
 
     kind: LedgerKind
@@ -32,14 +32,15 @@
     reserve_after_us: int = 0
 
 
-TimedAmount = tuple[int, int]  # (us of the member's clock, amount): plain, as one is made for each command
+TimedAmount = tuple[int, int]  # (us of the member's clock, amount); a plain tuple, as each command makes one
 
 
 class Allocation:
     """One member's allocation of one budget: a BudgetShare.
 
-    in_use: also what was spent within the window; spent: by when; settling: work that was cancelled, and when
-    it has surely ended; peak, rejected, was_short: since the last report.
+    in_use: including what was spent within the window; spent: amounts with the time of spending; settling:
+    amounts of cancelled work with the time at which it has certainly ended; peak, rejected, was_short: since
+    the last report.
     """
 
     __slots__ = (
@@ -71,13 +72,13 @@
         return reserve if reserve and now >= self.owner.started_at + self.rule.reserve_after_us else 0
 
     def limit(self, now: int | None = None) -> int:
-        """Return what may be in use at the time, by default now."""
+        """Return the largest amount that may be in use at a time, by default now."""
         if now is None:
             now = self.owner.clock()
         return self.available_reserve(now) + (self.allocated if self.owner.is_valid(now) else 0)
 
     def allows(self, amount: int) -> bool:
-        """Whether so much more may be acquired now."""
+        """Whether this amount may be acquired now."""
         now = self.owner.clock()
         if self.used(now) + amount <= self.limit(now):
             return True
@@ -86,7 +87,7 @@
         return False
 
     def acquire(self, amount: int) -> None:
-        """Take an amount, after allows(). More is asked for before the allocation runs out."""
+        """Acquire an amount, after allows(); request more before the allocation runs out."""
         now = self.owner.clock()
         self.in_use += amount
         if self.rule.kind is not LedgerKind.HELD:
@@ -100,9 +101,9 @@
                 self.owner.request_report()
 
     def release(self, amount: int, confirmed: bool = True) -> None:
-        """Give an amount of a held budget back. Not confirmed: the work was cancelled, and may run on.
+        """Release an amount of a held budget. Not confirmed: the work was cancelled, and may run on.
 
-        An allocation that shrank while the work ran cancelled nothing.
+        Work under way is not cancelled when the allocation is reduced.
         """
         if self.rule.kind is not LedgerKind.HELD:
             return
@@ -112,7 +113,7 @@
             self.settling.append((self.owner.clock() + self.rule.settle_us, amount))
 
     def record_rejection(self, amount: int) -> None:
-        """Count an amount that was rejected for want of it."""
+        """Count an amount that could not be acquired."""
         self.rejected += amount
         self.owner.request_report()
 
@@ -133,12 +134,12 @@
             self.in_use -= amount
 
     def report(self, unmet: int, now: int) -> Usage:
-        """Return the usage since the last report, and count anew. unmet: what queued commands lack."""
+        """Return the usage since the last report, and reset the counts. unmet: what queued commands lack."""
         if self.rule.kind is LedgerKind.WEIGHT:
             return Usage(0, unmet, unmet)
         in_use = self.used(now)
         peak = max(self.peak, in_use)
-        # Rejected for want of room, it uses all that it can, even where that is too little for one command.
+        # After a shortage the allocation counts as fully used, even if it is too small for one command.
         used = max(peak, self.allocated) if self.was_short else peak
         usage = Usage(
             max(0, in_use - self.available_reserve(now)),
--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -1,4 +1,4 @@
-"""All allocations of one member, bound to the lease under which they were read. On the thread that spends."""
+"""All allocations of one member, valid under the lease under which they were read. On the core's thread."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -12,10 +12,10 @@
 
 
 class Allocations:
-    """Called with a budget's kind and subject, returns the Allocation; None: the fleet has no such budget.
+    """A ShareLookup: called with a budget's kind and subject, it returns the Allocation or None.
 
-    lease_id: the lease that the allocations hold under; seen_write: the newest write that they go by;
-    was_reduced: whether one since the last report lowered any.
+    lease_id: the lease under which the allocations are valid; seen_write: the newest write of the allocator
+    that is applied; was_reduced: whether a write since the last report has lowered an allocation.
     """
 
     def __init__(
@@ -26,9 +26,9 @@
         clock: Callable[[], int],
         on_shortage: Callable[[], None] = lambda: None,
     ) -> None:
-        """label: the fleet's name of a budget. lease: changed by another thread. clock: monotonic us.
+        """label: returns the fleet's name of a budget. lease: changed by another thread. clock: monotonic us.
 
-        on_shortage: called, once between two reports, when an allocation runs out.
+        on_shortage: called when an allocation runs out, once between two reports.
         """
         self.rules = dict(rules)
         self.label = label
@@ -36,7 +36,7 @@
         self.clock = clock
         self.on_shortage = on_shortage
         self.is_report_requested = False
-        self.was_valid = False  # whether allocations held when last asked
+        self.was_valid = False  # result of the last is_valid()
         self.kinds = {kind for kind, _ in rules}
         self.started_at = clock()
         self.lease_id = 0
@@ -45,7 +45,7 @@
         self.allocations: dict[BudgetKey, Allocation] = {}
         self.written: Mapping[str, int] = {}  # allocations by name, as last read
         for kind, subject in rules:
-            if subject is not None:  # always reported; one for each subject is once it is used
+            if subject is not None:  # always reported; budgets of engines only once they are used
                 self(kind, subject)
 
     def __call__(self, kind: BudgetKind, subject: int) -> Allocation | None:
@@ -62,7 +62,7 @@
         return allocation
 
     def resize(self, totals: Mapping[tuple[BudgetKind, str], int]) -> None:
-        """Set totals by kind and subject's name, or "" for each of the kind; more is never asked for."""
+        """Set totals by kind and name of the subject, "" for all of the kind; more is never requested."""
         self.rules = {key: self._resized(key, rule, totals) for key, rule in self.rules.items()}
         for key, allocation in self.allocations.items():
             kind, _ = key
@@ -77,31 +77,31 @@
         return rule._replace(total=totals.get((kind, name), total_of_kind))
 
     def request_report(self) -> None:
-        """An allocation runs out: ask for a report, once until the next one."""
+        """Request a report, as an allocation runs out; once until the next report."""
         if not self.is_report_requested:
             self.is_report_requested = True
             self.on_shortage()
 
     def is_valid(self, now: int) -> bool:
-        """Whether the lease under which the allocations were read is certain to hold.
+        """Whether the lease under which the allocations were read certainly holds.
 
-        Its end is read first: another thread may begin a new lease in between, whose id is another.
+        Its end is read before its id, as another thread may begin a new lease in between.
         """
         valid_until = self.lease.valid_until
         self.was_valid = now < valid_until and self.lease.id == self.lease_id != 0
         return self.was_valid
 
     def fencing_token(self) -> int:
-        """Return the lease under which the last amount was allowed; 0: under none."""
+        """Return the lease under which the last amount was allowed, 0 if none."""
         return self.lease_id if self.was_valid else 0
 
     def token_valid(self, token: object) -> bool:
-        """Whether what was allowed under a token still is. From any thread: it reads nothing that changes."""
+        """Whether a fencing token is still valid. May be called on any thread."""
         valid_until = self.lease.valid_until
         return not token or (self.clock() < valid_until and self.lease.id == token)
 
     def apply_write(self, lease_id: int, write: int, written: Mapping[str, int]) -> None:
-        """Take in a write of allocations, by name, for this lease; an older one changes nothing."""
+        """Apply a write of allocations, by name, for this lease; an older write has no effect."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
             self.seen_write = 0
@@ -116,16 +116,16 @@
             allocation.allocated = written.get(self.label(kind, subject), 0)
 
     def begin_lease(self, lease_id: int) -> None:
-        """Note the current lease; under a new one nothing is allocated yet."""
+        """Begin the current lease, unless it is known; under a new one nothing is allocated yet."""
         if lease_id != self.lease_id:
             self.apply_write(lease_id, 0, {})
             for allocation in self.allocations.values():
                 allocation.allocated = 0
 
     def report(self, demands: Iterable[Demand]) -> dict[str, Usage]:
-        """Return the usage by name of all budgets that matter now.
+        """Return the usage by name of all budgets with a rule, a demand or anything in use.
 
-        demands: what queued commands lack, and so which engines there are.
+        demands: what queued commands lack, with an entry for each ready engine.
         """
         now = self.clock()
         unmet = {(kind, subject): amount for kind, subject, amount in demands}
@@ -142,5 +142,5 @@
         return usage
 
     def allocated(self) -> dict[str, int]:
-        """Return the allocations by name as they are."""
+        """Return the current allocations by name."""
         return {self.label(*key): allocation.allocated for key, allocation in self.allocations.items()}
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -1,36 +1,35 @@
 """Allocates many budgets to the members of a fleet, at the leader of that role. Decisions only.
 
-Members are known by a key that tells two processes of one name apart. Each writes one report of all its
-budgets, and one row with all its allocations is written for it, so that calls grow neither with budgets nor
-with other members. A row also holds the ledger's charges of that member: the next allocator goes on from the
-rows.
-
-A budget is named for its kind and subject: `threads/77`. The operator's rule is for all of one kind
-(`threads`) or for that one. A ledger is opened when a member first reports a budget, and closed when none
-does.
+Members are identified by a key that distinguishes processes of the same name. Each writes one report of all
+its budgets, and one row with all its allocations is written for it, so that the number of calls grows neither
+with budgets nor with other members. A row also holds the ledgers' charges of that member, from which the next
+allocator goes on.
+
+A budget is named by its kind and subject, as in `threads/77`. A rule is for all budgets of a kind (`threads`)
+or for one of them. A ledger is opened when a member first reports a budget, and closed when none does.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 from heapq import heappop, heappush
-from typing import Any, NamedTuple, cast
+from typing import NamedTuple, cast
 
-from gullhold.budgets.budget_schema import NO_USAGE, Usage
+from gullhold.budgets.budget_schema import NO_USAGE, PackedEntry, Usage
 from gullhold.budgets.demand import MemberDemand
 from gullhold.budgets.ledger import Ledger, LedgerKind
 from gullhold.budgets.max_min_fairness import damp_changes, max_min_shares
 
-MAX_BUDGETS_PER_ROUND = 200  # budgets in one round of allocation: half a second among 1,000 members
-MAX_BUDGETS = 50_000  # budgets at once: beyond, a member goes by its reserve
-ROTATION_US = 1_000_000  # us until others are served first, where not all can have what is of use
+MAX_BUDGETS_PER_ROUND = 200  # in one round of allocation: half a second among 1,000 members
+MAX_BUDGETS = 50_000  # at the same time; members have only their reserve of further ones
+ROTATION_US = 1_000_000  # us until other members are served first, if not all can have a usable amount
 
 
 class Budget(NamedTuple):
-    """The operator's rule for one budget, or for one on each engine or tenant.
+    """The rule for one budget, or for the budgets of all engines or tenants.
 
     total: of the fleet. window_us, linger_us: as in Ledger. reserve_per_member: what each member may spend
-    besides its allocation, also while it can't be reached, held back for max_members. floor: the least
-    allocation of each member. granularity: the least amount that is of use.
+    besides its allocation, also while it can't be reached; reserved for max_members. floor: smallest
+    allocation of each member. granularity: smallest amount that is usable.
     """
 
     kind: LedgerKind
@@ -44,7 +43,7 @@
 
     @property
     def reserve(self) -> int:
-        """What is held back and not allocated."""
+        """The part of the total that is reserved and never allocated."""
         return self.reserve_per_member * self.max_members
 
     def open_ledger(self) -> Ledger:
@@ -54,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rotation:
-    """Who is served first where not all can be: the member with this index, until a time in us."""
+    """The index of the member that is served first, until a time (us), while not all can be served."""
 
     until: int
     first: int
@@ -70,32 +69,33 @@
 
 
 def resized(budgets: Mapping[str, Budget], totals: Mapping[str, int]) -> dict[str, Budget]:
-    """Return the budgets with these totals; one that is not in them keeps its own."""
+    """Return the budgets with these totals; a budget without one keeps its own."""
     return {name: budget._replace(total=totals.get(name, budget.total)) for name, budget in budgets.items()}
 
 
 class Allocator:
     """All budgets of a fleet. What allocate() returns to be written is charged already.
 
-    ledgers, demands: by budget name (and member); present: by member, the budgets that it reports; rows: by
-    member, the budgets in whose ledger it is; departed: members of whom nothing is charged any more.
+    ledgers: by budget name; demands: by budget name and member; present: the budgets that each member
+    reports; rows: the budgets in whose ledger each member is; departed: members that nothing is charged to
+    any more.
     """
 
     def __init__(self, budgets: Mapping[str, Budget], weights: Mapping[str, float] | None = None) -> None:
-        """budgets: by name or word for a kind. weights: by member; 1 where there is none."""
+        """budgets: by name, or by word for a kind. weights: by member, 1 by default."""
         self.budgets = dict(budgets)
         self.weights = weights or {}
         self.ledgers: dict[str, Ledger] = {}
         self.demands: dict[str, dict[str, MemberDemand]] = {}
         self.present: dict[str, set[str]] = {}
         self.rows: dict[str, set[str]] = {}
-        self.changed: dict[str, None] = {}  # budgets to allocate anew, in this order
-        self.scheduled: list[tuple[int, str]] = []  # heap of (when, budget) to allocate anew
+        self.changed: dict[str, None] = {}  # budgets to allocate again, in this order
+        self.scheduled: list[tuple[int, str]] = []  # heap of (time, budget) to allocate again
         self.rotations: dict[str, Rotation] = {}
         self.departed: set[str] = set()
 
     def rule(self, name: str) -> Budget | None:
-        """Return the operator's rule for a budget; None: there is none."""
+        """Return the rule for a budget, None if there is none."""
         return self.budgets.get(name) or self.budgets.get(name.partition("/")[0])
 
     def _known_rule(self, name: str) -> Budget:
@@ -103,7 +103,7 @@
         return cast("Budget", self.rule(name))
 
     def _open_ledger(self, name: str) -> Ledger | None:
-        """Return the ledger of a budget; None: no rule is for it, or there are too many."""
+        """Return the ledger of a budget; None: it has no rule, or there are too many budgets."""
         ledger = self.ledgers.get(name)
         if ledger is not None:
             return ledger
@@ -119,7 +119,7 @@
     ) -> None:
         """Record that a member has left: it can begin nothing from inactive_at on.
 
-        last_usage: its last report, where it left in good order.
+        last_usage: its last report, if it has shut down gracefully.
         """
         self.present.pop(member, None)
         for name in self.rows.get(member, ()):
@@ -129,9 +129,10 @@
             self.changed[name] = None
 
     def report(self, member: str, seen_write: int, usage: Mapping[str, Usage], now: int) -> None:
-        """Take in a member's report and the write that it goes by. It is present from its first one on.
+        """Take a member's report. seen_write: the newest write that the member has applied.
 
-        Budgets without a rule are ignored; of those that it does not name any more it has nothing in use.
+        A member is present from its first report on. Budgets without a rule are ignored; nothing is in use of
+        budgets that the report does not name any more.
         """
         before = self.present.get(member, set())
         self.present[member] = set()
@@ -165,10 +166,10 @@
     def allocate(
         self, write: int, now: int, max_budgets: int = MAX_BUDGETS_PER_ROUND
     ) -> dict[str, dict[str, int]]:
-        """Return {member: {budget: allocation}} of the allocations that change with this write.
+        """Return the allocations that change with this write, by member and budget.
 
-        Empty for a member whose row has only to be written anew. At most max_budgets are looked at, the
-        others with the next writes.
+        Empty for a member whose row has to be written for another reason. At most max_budgets are handled,
+        the others with the next writes.
         """
         while self.scheduled and self.scheduled[0][0] <= now:
             _, name = heappop(self.scheduled)
@@ -181,12 +182,12 @@
             changed, ended = self._allocate_budget(name, write, now)
             for member, amount in changed.items():
                 changes.setdefault(member, {})[name] = amount
-            for member in ended:  # written with what others get for it: its row does not name it any more
+            for member in ended:  # its row is written too, without this budget
                 changes.setdefault(member, {})
         return changes
 
     def _allocate_budget(self, name: str, write: int, now: int) -> tuple[dict[str, int], set[str]]:
-        """Return the changed allocations of one budget, and the members that are no more in its ledger."""
+        """Return the changed allocations of one budget, and the members that are no longer in its ledger."""
         ledger = self.ledgers[name]
         entries_before = set(ledger.entries)
         demands = self._credited_demands(name, now)
@@ -238,13 +239,13 @@
     def _schedule_next(
         self, name: str, targets: Mapping[str, int], demands: Mapping[str, int], now: int
     ) -> None:
-        """Allocate again when a charge ends by itself, credited demand falls, or others come first."""
+        """Schedule the next allocation: a charge expires, credited demand falls, or the rotation ends."""
         ledger = self.ledgers[name]
         due_times = [demand.due() for demand in self.demands[name].values()]
         times = [due for due in due_times if due and due > now]
         next_expiry = ledger.next_expiry()
         if ledger.allocations() != targets and next_expiry:
-            times.append(next_expiry)  # otherwise a report changes it: something is still to be given back
+            times.append(next_expiry)  # without one, a report will come: something is still to be released
         self._update_rotation(name, targets, demands, now)
         if name in self.rotations:
             times.append(self.rotations[name].until)
@@ -254,9 +255,9 @@
     def _update_rotation(
         self, name: str, targets: Mapping[str, int], demands: Mapping[str, int], now: int
     ) -> None:
-        """Let others be served first, in turn, while some member's allocation is of no use at all.
+        """Rotate who is served first while any member's allocation is too small to be usable.
 
-        Guards against the same members going without for ever.
+        Guards against starvation of the same members for ever.
         """
         granularity = self._known_rule(name).granularity
         is_any_unserved = any(
@@ -275,7 +276,7 @@
             self.rotations[name] = rotation
 
     def resize(self, totals: Mapping[str, int]) -> None:
-        """Set totals by name or word for a kind; what is allocated beyond one comes down by itself."""
+        """Set totals by name or by word for a kind; larger allocations are reduced later."""
         self.budgets = resized(self.budgets, totals)
         for name, ledger in self.ledgers.items():
             total = self._known_rule(name).total
@@ -284,13 +285,13 @@
                 self.changed[name] = None
 
     def due(self) -> int | None:
-        """Return when to allocate again at the latest; None: not before another report."""
+        """Return when to allocate again at the latest; None: not before the next report."""
         if self.changed:
             return 0
         return self.scheduled[0][0] if self.scheduled else None
 
     def summaries(self, now: int) -> dict[str, BudgetSummary]:
-        """Return the sums of each budget."""
+        """Return the sums of each budget by name."""
         return {
             name: BudgetSummary(
                 ledger.total,
@@ -301,8 +302,8 @@
             for name, ledger in self.ledgers.items()
         }
 
-    def row(self, member: str) -> dict[str, int | list[Any]]:
-        """Return the packed ledger entries of a member by budget name, to be stored."""
+    def row(self, member: str) -> dict[str, PackedEntry]:
+        """Return the packed ledger entries of a member by budget name, to store them."""
         packed = {}
         for name in sorted(self.rows.get(member, ())):
             entry = self.ledgers[name].entries.get(member)
@@ -310,10 +311,10 @@
                 packed[name] = entry.pack()
         return packed
 
-    def load(self, rows: Mapping[str, Mapping[str, int | list[Any]]], now: int) -> None:
+    def load(self, rows: Mapping[str, Mapping[str, PackedEntry]], now: int) -> None:
         """Go on from the rows, by member, that another allocator stored.
 
-        A member that is in them and does not report has left: the caller has to say so with member_left().
+        For members with a row but without a report, which have left, the caller has to call member_left().
         """
         for member, row in rows.items():
             for name, packed in row.items():
@@ -329,7 +330,7 @@
 def plan_allocations(
     budget: Budget, demands: Mapping[str, int], weights: Mapping[str, float] | None = None
 ) -> dict[str, int]:
-    """Return what each member would be allocated of one budget in the end, without a ledger."""
+    """Return what each member would be allocated of one budget in a steady state, without a ledger."""
     weights = weights or {}
     return max_min_shares(
         max(0, budget.total - budget.reserve),
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -1,8 +1,8 @@
 """The role that allocates the fleet's budgets: reads reports, allocates, writes rows. Decisions only.
 
-One write is under way at a time. The fence is written and compared with every write, so that a call that was
-abandoned can't be carried out between two later ones; what was written before it stays in force, charged.
-After a reply that proves nothing, or a fence that is not as this leader left it, everything is read anew.
+One write is under way at a time. The fence is written and compared with every write, so that an abandoned
+call can't be carried out between two later ones. After a reply that proves nothing, or if the fence has
+changed, everything is read again.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,17 +24,17 @@
 from gullhold.fleet.store_calls import MAX_TRANSACTION_OPERATIONS, Delete, Operation, Put, Reply
 
 ROLE = "budgets"  # the role's name in the store and in the log
-FENCE_OPERATIONS = 2  # of each write: that of the fence, and the comparison of the role's token
-OPERATIONS_PER_MEMBER = 2  # each row may come with a report to delete
+FENCE_OPERATIONS = 2  # of each write: the write of the fence and the comparison of the role's token
+OPERATIONS_PER_MEMBER = 2  # a row, and possibly a report to delete
 MAX_MEMBERS_PER_WRITE = (MAX_TRANSACTION_OPERATIONS - FENCE_OPERATIONS) // OPERATIONS_PER_MEMBER
-WRITES_PER_TOKEN = 1 << 20  # numbers of writes under one token: they grow over tokens too
-MIN_WRITE_INTERVAL_US = 20_000  # us between writes: several reports are answered by one
+WRITES_PER_TOKEN = 1 << 20  # numbers of writes reserved for each token, so that they grow over tokens too
+MIN_WRITE_INTERVAL_US = 20_000  # us between writes, so that one write answers several reports
 
 
 class AllocatorRole(RoleState):
     """The allocator's keys while this member leads the role.
 
-    fence: the revision of the fence as last written; revision: that of the newest report taken in.
+    fence: revision of the fence as last written; revision: of the newest report that was taken.
     """
 
     def __init__(
@@ -56,19 +56,19 @@
         self.members_to_delete: dict[str, None] = {}
 
     def resize(self, totals: Mapping[str, int]) -> None:
-        """Set totals by name or word for a kind, for this allocator and the rows that it reads."""
+        """Set totals by name or word for a kind, for this allocator and later ones."""
         self.budgets = resized(self.budgets, totals)
         if self.allocator:
             self.allocator.resize(totals)
 
     def lost(self) -> None:
-        """The leadership is not certain any more: the ledgers are another member's."""
+        """Stop, as the leadership is not certain any more; the ledgers are forgotten."""
         super().lost()
         self.allocator = None
 
     @property
     def _acting_allocator(self) -> Allocator:
-        """The allocator, where all has been read: the role's keys are written and followed only then."""
+        """The allocator, once all keys were read; keys are written and watched only then."""
         return cast("Allocator", self.allocator)
 
     def _next_write_at(self, _now: int) -> int | None:
@@ -90,7 +90,7 @@
         self._write(operations, ((FENCE, self.fence),))
 
     def _take_departed(self) -> None:
-        """The keys of members of whom nothing is charged any more are deleted."""
+        """Have the keys of departed members deleted."""
         departed = self._acting_allocator.departed
         self._acting_allocator.departed = set()
         self.members_to_delete |= dict.fromkeys(departed)
@@ -98,7 +98,7 @@
             self.rows_to_write.pop(member, None)
 
     def _next_operations(self, write: int) -> list[Operation]:
-        """Return the fence's operation and as many others as fit into one transaction."""
+        """Return the write of the fence and as many other operations as fit into one transaction."""
         totals = {name: BudgetTotal(budget.total, budget.reserve) for name, budget in self.budgets.items()}
         operations: list[Operation] = [Put(FENCE, encode_fence(write, totals))]
         members = list(self.rows_to_write)[:MAX_MEMBERS_PER_WRITE]
@@ -120,7 +120,7 @@
         return reply.succeeded
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
-        """Take in the rows first, then who reports; who is in a row and does not report has left."""
+        """Take the rows first, then the reports; members with a row but without a report have left."""
         self.allocator = self.make_allocator(self.budgets, self.weights)
         self.fence = 0
         self.rows_to_write = {}
@@ -144,9 +144,9 @@
         self.out.append(LogEvent("info", "divides", {"members": len(reports), "rows": len(rows)}))
 
     def _on_key_changed(self, now: int, key: str, value: str | None, revision: int) -> bool:
-        """A report changed; value None: its lease has ended."""
+        """Take a change of a report; value None: the member's lease has ended."""
         if revision <= self.revision and value is not None:
-            return False  # a newer one was read; an end that was read already changes nothing
+            return False  # a newer one was read; a repeated deletion has no effect
         self.revision = max(self.revision, revision)
         member = key.removeprefix(REPORTS)
         if value is not None:
@@ -160,7 +160,7 @@
         report = decode_report(value)
         if report is None:
             self.out.append(LogEvent("warning", "a report that can't be read", {"of": member}))
-        elif report.has_left:  # in good order
+        elif report.has_left:
             self._acting_allocator.member_left(member, now, report.usage)
             self._delete_if_not_charged(member)
         else:
--- a/gullhold/budgets/budget_rules.py
+++ b/gullhold/budgets/budget_rules.py
@@ -12,6 +12,7 @@
 if TYPE_CHECKING:  # loading them takes long, and a gateway without an operator file needs none
     from gullhold.operator.records import BudgetRecord
 
+# By their names in the operator file.
 BUDGET_KINDS = {
     "threads": BudgetKind.THREADS,
     "memory": BudgetKind.MEMORY,
@@ -21,7 +22,7 @@
     "taken": BudgetKind.ADMISSIONS,
     "share": BudgetKind.TRAFFIC_SHARE,
     "lists": BudgetKind.DISCOVERY_CALLS,
-}  # by the operator's words
+}
 KIND_WORDS = {kind: word for word, kind in BUDGET_KINDS.items()}
 LEDGER_KINDS = {
     BudgetKind.THREADS: LedgerKind.HELD,
@@ -35,8 +36,8 @@
 }
 PER_ENGINE_KINDS = frozenset({BudgetKind.THREADS, BudgetKind.MEMORY, BudgetKind.WARMUP})
 PER_TENANT_KINDS = frozenset({BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS})
-SETTLE_US = 500_000  # us that cancelled work may run on at an engine: an abort on its way, twice
-LINGER_MARGIN_US = 1_000_000  # us over the longest client timeout: nothing sent to an engine waits longer
+SETTLE_US = 500_000  # us that cancelled work may run on at an engine: twice the time of a cancel on its way
+LINGER_MARGIN_US = 1_000_000  # us added to the longest client timeout: no attempt at an engine lasts longer
 
 
 class BudgetRuleError(Exception):
@@ -44,38 +45,38 @@
 
 
 class BudgetRules(NamedTuple):
-    """budgets: for the allocator, by name or word for a kind; allocations: for this member's allocations."""
+    """budgets: rules for the allocator, by name or by word for a kind; allocations: for this member."""
 
     budgets: dict[str, Budget]
     allocations: dict[RuleKey, AllocationRule]
 
 
 def budget_name(record: "BudgetRecord") -> str:
-    """Return the fleet's name of a budget, or of all of one kind: the operator's word, the tenant's name."""
+    """Return the name of a record's budget: the word for its kind, and the tenant's name if it has one."""
     return f"{record.of}/{record.tenant}" if record.tenant else record.of
 
 
 def tenant_names(agreement: Agreement) -> list[str]:
-    """Return the names, by index, of those by whom commands are counted: tenants, otherwise profiles."""
+    """Return the names of the tenants by index; without tenants, profiles take their place."""
     return [tenant.name for tenant in agreement.tenants] or [profile.name for profile in agreement.profiles]
 
 
 def budget_label(kind: BudgetKind, subject: int, tenants: list[str]) -> str:
-    """Return the fleet's name of the budget of one subject."""
+    """Return the name of the budget of one subject."""
     subject_name = tenants[subject] if kind in PER_TENANT_KINDS else subject
     return f"{KIND_WORDS[kind]}/{subject_name}"
 
 
 def build_rules(records: Iterable["BudgetRecord"], agreement: Agreement, drift: float) -> BudgetRules:
-    """Return the rules of the operator's budgets; raises BudgetRuleError.
+    """Return the rules for the budgets of the operator file. Raises BudgetRuleError.
 
-    drift: the most that rates of two clocks differ, as a share. Windows and lingering times are lengthened
-    by it, so that none is over too soon by a clock that runs fast.
+    drift: largest relative difference of two clocks' rates; windows and lingering times are longer by it, so
+    that they do not end too early by a fast clock.
     """
     tenants = tenant_names(agreement)
     longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
     rules = BudgetRules({}, {})
-    for record in sorted(records, key=lambda record: record.tenant):  # those for every tenant come first
+    for record in sorted(records, key=lambda record: record.tenant):  # budgets of all tenants come first
         budget = _budget(record, agreement, longest_timeout_us, drift)
         if record.tenant and record.tenant not in tenants:
             raise BudgetRuleError(f"fleet.budgets: {record.tenant!r} is no tenant of the agreement")
@@ -115,7 +116,7 @@
 
 
 def _allocation_rule(budget: Budget, drift: float) -> AllocationRule:
-    # What an earlier process in this one's place began on its reserve has to be over before this one may.
+    # The reserve may be spent only when work of an earlier process of the same member has ended.
     reserve_after_us = budget.window_us if budget.kind == LedgerKind.WINDOWED else budget.linger_us
     return AllocationRule(
         kind=budget.kind,
--- a/gullhold/budgets/budget_schema.py
+++ b/gullhold/budgets/budget_schema.py
@@ -1,8 +1,8 @@
-"""Keys and stored forms of budgets in the fleet's store. The words of the stored JSON are fixed.
+"""Keys of budgets in the fleet's store, and the JSON of their values. Stored names must not change.
 
-Under `budget/`: `asks/MEMBER`, a member's report, attached to its lease: while it is there, the member is.
+Under `budget/`: `asks/MEMBER`, a member's report, attached to its lease and so present as long as the member.
 `parts/MEMBER`, the allocations of a member with the allocator's charges. `fence`, written and compared with
-every write of the allocator; it also shows staff the totals that the allocator goes by.
+every write of the allocator; it also shows the allocator's totals to staff.
 """
 
 import json
@@ -14,12 +14,14 @@
 ALLOCATIONS = ROOT + "parts/"
 FENCE = ROOT + "fence"
 
+PackedEntry = int | list[Any]  # a member's entry in a ledger, as LedgerEntry.pack() returns it
+
 
 class Usage(NamedTuple):
-    """What a member reports of one budget, in the budget's unit.
+    """A member's report on one budget, in the budget's unit.
 
-    in_use: of its allocation, at this moment or spent within the window; used: the most since the last
-    report; requested: what it asks for.
+    in_use: of its allocation, now or spent within the window; used: the largest amount since the last report;
+    requested: the allocation that it would like.
     """
 
     in_use: int
@@ -31,9 +33,10 @@
 
 
 class UsageReport(NamedTuple):
-    """A member's report: the write of allocations that it goes by, and its usage by budget name.
+    """A member's report: its usage by budget name.
 
-    has_left: the last report of a member that left in good order.
+    seen_write: the newest write of allocations that it has applied. has_left: the last report of a member
+    that has shut down gracefully.
     """
 
     seen_write: int
@@ -45,11 +48,11 @@
     """A member's stored row: the number of the write and, by budget name, the packed ledger entries."""
 
     write: int
-    entries: dict[str, int | list[Any]]
+    entries: dict[str, PackedEntry]
 
 
 class BudgetTotal(NamedTuple):
-    """What the allocator goes by for a budget: its total, and how much of it is held in reserve."""
+    """The allocator's total for a budget, and how much of it is reserved."""
 
     total: int
     reserve: int
@@ -65,7 +68,7 @@
 
 
 def decode_report(text: str) -> UsageReport | None:
-    """Read a stored report; None: it can't be read."""
+    """Decode a stored report; None if it can't be read."""
     try:
         stored = json.loads(text)
         usage = {
@@ -77,13 +80,13 @@
         return None
 
 
-def encode_row(write: int, entries: Mapping[str, int | list[Any]]) -> str:
+def encode_row(write: int, entries: Mapping[str, PackedEntry]) -> str:
     """Return the stored form of a member's row."""
     return _dump({"write": write, "row": entries})
 
 
 def decode_row(text: str) -> AllocationRow:
-    """Read a stored row; an empty one under write 0 where it can't be read."""
+    """Decode a stored row; an empty one with write 0 if it can't be read."""
     try:
         stored = json.loads(text)
         return AllocationRow(int(stored["write"]), dict(stored["row"]))
@@ -97,7 +100,7 @@
 
 
 def decode_fence(text: str) -> dict[str, BudgetTotal]:
-    """Read the totals of a stored fence; none where it can't be read."""
+    """Decode the totals of a stored fence; empty if it can't be read."""
     try:
         stored = json.loads(text)["wholes"]
         return {name: BudgetTotal(int(total), int(reserve)) for name, (total, reserve) in stored.items()}
@@ -105,12 +108,12 @@
         return {}
 
 
-def allocated_amount(packed: int | list[Any]) -> int:
-    """Return the allocation that a packed ledger entry holds."""
+def allocated_amount(packed: PackedEntry) -> int:
+    """Return the allocation in a packed ledger entry."""
     return packed if isinstance(packed, int) else packed[0]
 
 
-def has_pending_charges(packed: int | list[Any]) -> bool:
+def has_pending_charges(packed: PackedEntry) -> bool:
     """Whether a packed entry holds reductions or expiring charges, or more in use than is allocated."""
     if isinstance(packed, int):
         return False
--- a/gullhold/budgets/core_budgets.py
+++ b/gullhold/budgets/core_budgets.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-CORE_TIMEOUT_S = 1.0  # s that the thread that follows the endpoint list waits for the core's answer
+CORE_TIMEOUT_S = 1.0  # for the core's answer to the thread that follows the endpoint list
 
 
 class AllocationWrite(NamedTuple):
@@ -33,10 +33,10 @@
         self.allocations = allocations
         self.on_collected = on_collected
         core.fences.append(allocations)
-        self.apply(())  # before the first command: allocations bind from the start
+        self.apply(())  # before the first command, so that budgets are in force from the start
 
     def apply(self, writes: Sequence[AllocationWrite]) -> None:
-        """From any thread: take in these writes, then collect the usage."""
+        """Apply these writes, then collect the usage. May be called on any thread."""
         self.core.post_urgent(self._apply, writes)
 
     def _apply(self, writes: Sequence[AllocationWrite]) -> None:
@@ -57,15 +57,15 @@
         )
 
     def may_call_discovery(self) -> bool:
-        """Whether the discovery service may be called now; the call is counted if so.
+        """Whether the discovery service may be called now; if so, the call is counted.
 
-        On the thread that follows the endpoint list: waits for the core, not longer than a moment.
+        Called on the thread that follows the endpoint list; waits for the core for CORE_TIMEOUT_S at most.
         """
         answer: SimpleQueue[bool] = SimpleQueue()
         self.core.post_urgent(self._acquire_discovery_call, answer)
         try:
             return answer.get(timeout=CORE_TIMEOUT_S)
-        except Empty:  # the answer comes later: the call is counted, and not made
+        except Empty:  # if the core allows it later, the call is counted but not made
             return False
 
     def _acquire_discovery_call(self, answer: "SimpleQueue[bool]") -> None:
--- a/gullhold/budgets/ledger.py
+++ b/gullhold/budgets/ledger.py
@@ -1,35 +1,37 @@
-"""The allocator's ledger of one budget: how much of it may be given out now. Decisions only.
+"""The allocator's ledger of one budget: how much of it may be allocated now. Decisions only.
 
-Members are known by a key that tells two processes of one name apart: one that returns is another member.
-Each member is charged with all that it can still spend: its allocation, a larger one that was reduced but
-that it may not know yet to be, what it has in use under it, and, for a budget over a window, what it spent
-within the window. Only what nobody is charged with may be given out. So the sum holds whatever message is
+Members are identified by a key that distinguishes processes of the same name: after a restart it is another
+member. Each member is charged with all that it can still spend: its allocation; a larger one whose reduction
+it may not have seen yet; what it has in use; and, for a windowed budget, what it has spent within the window.
+Only what no member is charged with may be allocated. So the total is never exceeded, whichever message is
 lost or late and whichever process is paused.
 """
 
 from bisect import insort
 from collections.abc import Container, Mapping
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import NamedTuple
+
+from gullhold.budgets.budget_schema import PackedEntry
 
 
 class LedgerKind(StrEnum):
     """How a budget's amounts are accounted for."""
 
-    HELD = "held"  # so much in use at once
-    WINDOWED = "windowed"  # so much spent within any window
-    WEIGHT = "weight"  # proportions alone: there is no sum to keep
+    HELD = "held"  # an amount in use at the same time
+    WINDOWED = "windowed"  # an amount spent within any window
+    WEIGHT = "weight"  # proportions only: there is no total to keep to
 
 
 class Reduction(NamedTuple):
-    """An allocation that was reduced; the member has given it up once it goes by the write that did so."""
+    """A reduction of an allocation, which the member has seen once it reports this write or a later one."""
 
     write: int
     previous: int
 
 
 class ExpiringCharge(NamedTuple):
-    """An amount that a member could spend or has spent, charged until a time in us."""
+    """An amount that a member could spend or has spent, charged until a time (us)."""
 
     until: int
     amount: int
@@ -38,8 +40,8 @@
 class LedgerEntry:
     """One member in a ledger. Times are us of the allocator's clock.
 
-    allocated: as last written for the member; in_use: as it last reported; reductions: those that it has not
-    acknowledged, by write; expiring: charges that end by themselves; has_left: it can begin nothing more.
+    allocated: as last written for the member; in_use: as last reported; reductions: not acknowledged yet, by
+    write; expiring: charges that end at a certain time; has_left: the member can begin nothing more.
     """
 
     __slots__ = ("allocated", "expiring", "has_left", "in_use", "reductions", "seen_write")
@@ -53,7 +55,7 @@
         self.has_left = False
 
     def charge(self, now: int) -> int:
-        """Return the most that it can have in use at this moment, or over the window that ends now."""
+        """Return the most that the member can have in use now, or have spent over the last window."""
         highest = max(self.allocated, self.in_use)
         for _, previous in self.reductions:
             highest = max(highest, previous)
@@ -66,10 +68,10 @@
         """Whether nothing is charged, now or later."""
         return not (self.allocated or self.in_use or self.reductions or self.expiring)
 
-    def pack(self) -> int | list[Any]:
+    def pack(self) -> PackedEntry:
         """Return the stored form: [allocated, in use, reductions, expiring amounts, has left].
 
-        An allocation alone is a number.
+        If there is only an allocation, it is a plain number.
         """
         if self.in_use or self.reductions or self.expiring or self.has_left:
             amounts = [amount for _, amount in self.expiring]
@@ -77,8 +79,8 @@
         return self.allocated
 
     @classmethod
-    def unpack(cls, packed: int | list[Any], until: int) -> "LedgerEntry":
-        """Read the stored form. Charges that were to end later end at `until`: the clock is another's."""
+    def unpack(cls, packed: PackedEntry, until: int) -> "LedgerEntry":
+        """Read the stored form. Expiring charges end at `until`, as their times were of another clock."""
         entry = cls()
         if isinstance(packed, int):
             entry.allocated = packed
@@ -92,8 +94,8 @@
 class Ledger:
     """The ledger of one budget.
 
-    window_us: of a windowed budget. linger_us: how long work may go on after its member can begin nothing
-    any more. reserve: held back for members that can't be reached.
+    window_us: of a windowed budget. linger_us: how long work may go on after its member has become unable to
+    begin more. reserve: never allocated, for members that can't be reached.
     """
 
     def __init__(
@@ -107,15 +109,15 @@
         self.entries: dict[str, LedgerEntry] = {}
 
     def charge(self, member: str, now: int) -> int:
-        """Return what one member may have in use."""
+        """Return the most that one member may have in use."""
         return self.entries[member].charge(now) if member in self.entries else 0
 
     def charged(self, now: int) -> int:
-        """Return all that may be in use."""
+        """Return the most that all members together may have in use."""
         return sum(entry.charge(now) for entry in self.entries.values())
 
     def available(self, now: int) -> int:
-        """Return what may be given out now; negative after the total was lowered below what is charged."""
+        """Return what may be allocated now; negative after the total was lowered below what is charged."""
         return self.total - self.reserve - self.charged(now)
 
     def allocations(self) -> dict[str, int]:
@@ -123,11 +125,11 @@
         return {member: entry.allocated for member, entry in self.entries.items() if not entry.has_left}
 
     def reallocate(self, targets: Mapping[str, int], write: int, now: int) -> dict[str, int]:
-        """Return the allocations to write now: all reductions at once, and raises as far as is available.
+        """Return the allocations to write now: all reductions, and increases as far as possible.
 
-        targets: the allocation that each member should have; who is not in it loses what it has. write: the
-        number of this write. Only changed allocations are returned. They are charged before any member is
-        notified: whether or not the write arrives, nobody can have more.
+        targets: the allocation that each member should have; a member that is not in it should have none.
+        write: number of this write. Only changed allocations are returned. They are charged before any member
+        is notified, so that whether or not the write arrives no member can have more.
         """
         changed: dict[str, int] = {}
         for member in self.allocations():
@@ -150,14 +152,14 @@
             changed[member] = target
 
     def _raise(self, targets: Mapping[str, int], now: int, changed: dict[str, int]) -> None:
-        """Raise allocations towards their targets, the smallest raise first, while something is available."""
+        """Raise allocations towards their targets, the smallest increase first, while any is available."""
         available = self.total * len(targets) if self.kind == LedgerKind.WEIGHT else self.available(now)
         for member, target in sorted(targets.items(), key=lambda row: row[1] - self._allocated(row[0])):
             entry = self.entries[member]
             if entry.has_left or target <= entry.allocated:
                 continue
             before = entry.charge(now)
-            raised = min(target, before + max(0, available))  # what it is charged with anyway costs nothing
+            raised = min(target, before + max(0, available))  # it is charged with `before` already
             if raised > entry.allocated:
                 entry.allocated = raised
                 changed[member] = raised
@@ -167,9 +169,9 @@
         return self.entries[member].allocated if member in self.entries else 0
 
     def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:
-        """Take in a member's report: the write it goes by, and what it has in use or spent in the window.
+        """Take a member's report; one that is older than the last has no effect.
 
-        A report older than the last one changes nothing.
+        seen_write: the newest write that the member has applied; in_use: or spent within the window.
         """
         entry = self.entries.setdefault(member, LedgerEntry())
         if entry.has_left or seen_write < entry.seen_write or self.kind == LedgerKind.WEIGHT:
@@ -178,15 +180,15 @@
         entry.reductions = [reduction for reduction in entry.reductions if reduction.write > seen_write]
         if self.kind == LedgerKind.HELD:
             entry.in_use = in_use
-        elif in_use > entry.allocated:  # it counts until the window has passed, whatever is spent from now on
+        elif in_use > entry.allocated:  # charged until the window has passed, whatever is spent from now on
             entry.expiring = [row for row in entry.expiring if row.until > now and row.amount > in_use]
             entry.expiring.append(ExpiringCharge(now + self.window_us, in_use))
 
     def member_left(self, member: str, inactive_at: int, spent: int | None = None) -> None:
-        """Record that a member has left: it can begin nothing from inactive_at on.
+        """Record that a member has left: it can begin nothing from inactive_at on, but its work may linger.
 
-        What it began may linger. spent: what it last reported to have in use, or spent within the window,
-        where it left in good order; None: not known, so all that it could spend is charged.
+        spent: what it last reported to have in use, or spent within the window, if it has shut down
+        gracefully; None: unknown, so that all that it could spend is charged.
         """
         entry = self.entries.get(member)
         if entry is None or entry.has_left:
@@ -202,7 +204,7 @@
         entry.has_left = True
 
     def _expiry_us(self) -> int:
-        """How long after its member's end a charge goes on."""
+        """How long a charge goes on after its member has left."""
         return self.window_us if self.kind == LedgerKind.WINDOWED else self.linger_us
 
     def remove_expired(self, now: int, present: Container[str] = ()) -> None:
@@ -213,13 +215,13 @@
                 del self.entries[member]
 
     def next_expiry(self) -> int | None:
-        """Return when the next charge ends by itself; None: none does."""
+        """Return when the next charge expires; None: none will."""
         return min((row.until for entry in self.entries.values() for row in entry.expiring), default=None)
 
-    def load(self, member: str, packed: int | list[Any], now: int) -> None:
-        """Take over a member's entry as another allocator stored it.
+    def load(self, member: str, packed: PackedEntry, now: int) -> None:
+        """Load a member's entry as another allocator stored it.
 
-        Charges that were to end later end a full period from now. A member that is still present must have
-        reported after now.
+        Its expiring charges end a full period from now. A report from before now must not be used for a
+        member that is still present.
         """
         self.entries[member] = LedgerEntry.unpack(packed, now + self._expiry_us())
--- a/gullhold/budgets/max_min_fairness.py
+++ b/gullhold/budgets/max_min_fairness.py
@@ -1,7 +1,7 @@
-"""Weighted max-min fairness: how much of a total each member should be allocated, and when to leave it alone.
+"""Weighted max-min fairness: how much of a total each member should be allocated.
 
-Decisions only. Amounts are integers in the budget's own unit. Max-min fair by progressive filling: whoever
-has least for its weight is served first, until its demand is met or the total is spent.
+Decisions only. Amounts are integers in the budget's own unit. Computed by progressive filling: the member
+with the smallest share over weight is served first, until its demand is met or the total is used up.
 """
 
 from collections.abc import Hashable, Mapping, Sequence
@@ -10,7 +10,7 @@
 
 MemberKey = TypeVar("MemberKey", bound=Hashable)
 
-MAX_IDLE_CHANGE = 0.1  # share of an allocation; a smaller change that nobody waits for is not worth a write
+MAX_IDLE_CHANGE = 0.1  # of an allocation; a change up to this is not written if no member waits for it
 
 
 def max_min_shares(
@@ -21,13 +21,14 @@
     granularity: int = 1,
     first: int = 0,
 ) -> dict[MemberKey, int]:
-    """Return the share of each member; together they are the total.
+    """Return the share of each member; their sum is the total.
 
-    Nobody gets less than the floor, as far as the total goes. Then whoever has least for its weight is served
-    first, up to its demand. What nobody demands now is spread by weight, for a burst to come.
+    Every member gets at least the floor, if the total is large enough. Then the member with the smallest
+    share over weight is served first, up to its demand. What no member demands is distributed by weight, for
+    bursts.
 
-    demands, weights: by member. granularity: the least amount that is of use; all shares but one are
-    multiples of it. first: where not every member can have one, those from this index on are served.
+    demands, weights: by member. granularity: smallest usable amount; all shares but one are multiples of it.
+    first: if not every member can have that amount, members from this index on are served.
     """
     if not demands or total <= 0:
         return dict.fromkeys(demands, 0)
@@ -57,14 +58,14 @@
     granularity: int,
     first: int,
 ) -> dict[MemberKey, int]:
-    """Divide in units of the granularity; the member with most gets the rest, which is less than one."""
+    """Divide in units of the granularity; the member with the largest share also gets the remainder."""
     unit_demands = {member: _ceil_div(demand, granularity) for member, demand in demands.items()}
     units = max_min_shares(
         total // granularity, unit_demands, weights, _ceil_div(floor, granularity), first=first
     )
     shares = {member: count * granularity for member, count in units.items()}
     largest = max(shares, key=lambda member: shares[member])
-    shares[largest] += total % granularity  # of use only beside other units
+    shares[largest] += total % granularity  # usable only together with complete units
     return shares
 
 
@@ -79,7 +80,7 @@
     weights: Mapping[MemberKey, float],
     remaining: int,
 ) -> int:
-    """Raise the least shares by weight until all demands are met or nothing remains; return what remains."""
+    """Raise the smallest shares by weight until all demands are met or nothing remains; return the rest."""
     while unsatisfied and remaining:
         total_weight = sum(weights[member] for member in unsatisfied)
         level = min(
@@ -109,7 +110,7 @@
     weights: Mapping[MemberKey, float],
     remaining: int,
 ) -> int:
-    """Give the last few units singly to whoever has least for its weight; return what remains."""
+    """Give the last units one by one to the member with the smallest share over weight; return the rest."""
     queue = [(shares[member] / weights[member], index, member) for index, member in enumerate(unsatisfied)]
     heapify(queue)
     while queue and remaining:
@@ -127,7 +128,7 @@
     weights: Mapping[MemberKey, float],
     remaining: int,
 ) -> None:
-    """Add what nobody demands now, by weight; units lost to rounding go to the first members."""
+    """Distribute what no member demands, by weight; units lost to rounding go to the first members."""
     total_weight = sum(weights[member] for member in members)
     rounded = [int(remaining * weights[member] / total_weight) for member in members]
     for member, increase in zip(members, rounded, strict=True):
@@ -142,10 +143,10 @@
     demands: Mapping[MemberKey, int],
     max_idle_change: float = MAX_IDLE_CHANGE,
 ) -> Mapping[MemberKey, int]:
-    """Return the proposed allocations without small changes that help nobody.
+    """Return the proposed allocations without small changes that no member needs.
 
-    An allocation stays as it is where it would change by no more than the given share of it, unless some
-    member demands more than it has, or the members have changed.
+    An allocation that would change by at most max_idle_change of it stays as it is, unless a member demands
+    more than it has or the members have changed.
     """
     is_short = any(demands[member] > current.get(member, 0) for member in proposed)
     if is_short or set(current) != set(proposed):
--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -1,7 +1,7 @@
-"""A member's budgets, carried out: what passes between the fleet's thread, the core and the store.
+"""Drives a member's budgets: between the fleet's thread, the core and the store.
 
-The core's thread spends and counts (`core_budgets`); the fleet's thread posts to it what was read, and takes
-what was counted. The allocator's role runs on the fleet's thread, its calls on a lane of their own.
+The core's thread spends and counts (`core_budgets`); the fleet's thread posts allocations to it and receives
+the collected usage. The allocator's role runs on the fleet's thread, with a lane of its own for its calls.
 """
 
 from collections.abc import Callable
@@ -30,17 +30,17 @@
     from gullhold.operator.records import FleetRecord
 
 REPORT_LANE = "reports"
-LANES = (REPORT_LANE, ROLE)  # of calls to the store: neither waits for the other
-GIVING_BACK = ROLE + "/spent"  # what keeps the membership from ending until the last report is written
+LANES = (REPORT_LANE, ROLE)  # calls of the member and of the allocator do not wait for each other
+GIVING_BACK = ROLE + "/spent"  # a busy role, so that the membership does not end before the last report
 
 
 class MemberBudgets:
-    """One member's side, and the allocator's where this member leads that role. On the fleet's thread."""
+    """One member's side, and the allocator's if this member leads that role. On the fleet's thread."""
 
     def __init__(
         self, fleet: "Fleet", record: "FleetRecord", agreement: Agreement, clock: Callable[[], int]
     ) -> None:
-        """record: the operator's; raises BudgetRuleError. clock: monotonic us."""
+        """record: of the operator file. clock: monotonic us. Raises BudgetRuleError."""
         self.fleet = fleet
         self.core = fleet.core
         self.clock = clock
@@ -56,19 +56,19 @@
         fleet.role_states[ROLE] = AllocatorRole(rules.budgets)
         self.reports = ReportState(record.look)
         self.row: dict[str, int] = {}  # allocations by budget name, as last read
-        self.unapplied: list[AllocationWrite] = []  # that the core's thread does not know yet
+        self.unapplied: list[AllocationWrite] = []  # not posted to the core's thread yet
         self.core_budgets = CoreBudgets(
             fleet.core, self.allocations, lambda collected: fleet.post(self._usage_collected, collected)
         )
 
     def start(self, watch: "Callable[..., Watcher]") -> None:
-        """Follow our row, and the reports where this member leads the allocator's role."""
+        """Watch our row, and the reports for the allocator's role."""
         prefix = f"{ALLOCATIONS}{self.fleet.name}/"
         self._row_watcher = watch("parts", prefix, self._row_changed, self._read_row)
         self.fleet.watch_role(ROLE, "reports", REPORTS)
 
     def may_call_discovery(self) -> bool:
-        """Whether the discovery service may be called now. On the thread that follows the endpoint list."""
+        """Whether the discovery service may be called now; for the thread that follows the endpoint list."""
         return self.core_budgets.may_call_discovery()
 
     def due(self, now: int) -> int:
@@ -76,7 +76,7 @@
         return self.reports.due(now, bool(self.unapplied))
 
     def step(self, now: int) -> None:
-        """Begin to collect usage when that is due."""
+        """Begin to collect usage if that is due."""
         lease = self.fleet.membership.lease
         if lease.id and lease.id != self.reports.lease_id:
             self.reports.begin_lease(lease.id)
@@ -91,7 +91,7 @@
             self._give_back()
 
     def leave(self) -> None:
-        """Leave in good order: the lease is kept until everything is given back."""
+        """Shut down gracefully: the lease is kept until the last report is written."""
         self.reports.is_leaving = True
         if not self.reports.has_given_back:
             self.fleet.membership.set_busy(GIVING_BACK, True)
@@ -111,7 +111,7 @@
         return f"{self.fleet.name}/{self.reports.lease_id:x}"
 
     def _report_call(self, report: UsageReport, lease_id: int) -> Transaction:
-        """Compared with the last one: a call that was abandoned can't replace a newer report by an older."""
+        """The write of a report, compared with the last one: an abandoned call must not undo a newer one."""
         key = REPORTS + self._member_key()
         write = Put(key, encode_report(report), lease_id)
         return Transaction(((key, self.reports.revision),), (write,), (Get(key),))
@@ -119,8 +119,8 @@
     def _give_back(self) -> None:
         """Write the last report: what may still run, and what was spent within a window.
 
-        The core's thread has ended, so nothing is spent any more. The report is not attached to the lease:
-        it stays until the allocator has read it.
+        The core's thread has ended, so that nothing more is spent. The report is not attached to the lease,
+        so that it stays until the allocator has read it.
         """
         self.reports.has_given_back = True
         allocations = self.allocations
@@ -131,7 +131,7 @@
             self._given_back(None)
 
     def _given_back(self, _reply: Reply | None) -> None:
-        """The lease may end. A last report that was refused counts as that of a member that was killed."""
+        """Let the lease end. If the last report was refused, this member counts as killed."""
         self.fleet.membership.set_busy(GIVING_BACK, False)
 
     def _report_written(self, lease_id: int, reply: Reply) -> None:
@@ -139,7 +139,7 @@
             self._read_row()
 
     def _read_row(self) -> None:
-        """Read our row: when we joined, or when changes of it were missed."""
+        """Read our row, after we have joined or after changes of it were missed."""
         request = ReadPrefix(f"{ALLOCATIONS}{self._member_key()}")
         self._report_lane().put(request, self._row_read, self.reports.lease_id)
 
@@ -154,7 +154,7 @@
             self._row_changed(item.key, item.value, item.revision)
 
     def _row_changed(self, key: str, value: str | None, _revision: int) -> None:
-        """Take in a change of a row under our name."""
+        """Take a change of a row under our name."""
         if value is None or key != ALLOCATIONS + self._member_key():
             return
         write, entries = decode_row(value)
--- a/gullhold/budgets/report_state.py
+++ b/gullhold/budgets/report_state.py
@@ -9,14 +9,14 @@
 from gullhold.fleet.store_calls import Proof, Reply
 
 MIN_REPORT_INTERVAL_US = 50_000  # us between reports of one member
-QUIET_INTERVALS = 5  # intervals between collections while nothing runs out and nothing is to be given back
+QUIET_INTERVALS = 5  # intervals between collections while no allocation runs out or has to be released
 
 
 class CollectedUsage(NamedTuple):
     """Usage as the core's thread collected it.
 
-    lease_id, seen_write: what the allocations held under; was_reduced: whether any was since the last time;
-    usage, allocations: by budget name.
+    lease_id, seen_write: lease and newest applied write of the allocations; was_reduced: whether any
+    allocation was reduced since the last collection; usage, allocations: by budget name.
     """
 
     lease_id: int
@@ -26,19 +26,19 @@
     allocations: Mapping[str, int]
 
     def has_excess(self) -> bool:
-        """Whether more of any budget is in use than is allocated: it is still to be given back."""
+        """Whether more of any budget is in use than allocated, and still has to be released."""
         return any(row.in_use > self.allocations.get(name, 0) for name, row in self.usage.items())
 
 
 class ReportState:
     """State of one member's reports. Times are us of a monotonic clock.
 
-    lease_id: the lease that reports are for; revision: that of our report in the store; is_row_read: whether
-    our row was asked for under this lease; was_reduced: an allocation was, and it is not acknowledged yet.
+    lease_id: the lease that reports are for; revision: of our report in the store; is_row_read: whether a
+    read of our row was sent under this lease; was_reduced: whether a reduction is not acknowledged yet.
     """
 
     def __init__(self, collect_interval_us: int) -> None:
-        """collect_interval_us: between collections while something changes."""
+        """collect_interval_us: between collections while usage changes."""
         self.collect_interval_us = collect_interval_us
         self.throttle = ReportThrottle(MIN_REPORT_INTERVAL_US)
         self.lease_id = 0
@@ -46,35 +46,35 @@
         self.is_row_read = False
         self.is_writing = False
         self.was_reduced = False
-        self.is_collecting = True  # the first collection is asked for at the start
+        self.is_collecting = True  # CoreBudgets begins the first collection at the start
         self.collect_at = 0
         self.collected_at = 0
         self.is_leaving = False
         self.has_given_back = False
 
     def begin_lease(self, lease_id: int) -> None:
-        """Begin anew: nothing has been reported under this lease."""
+        """Begin a lease, under which nothing has been reported yet."""
         self.lease_id = lease_id
         self.is_row_read = False
         self.revision = 0
         self.throttle.reset()
 
     def due(self, now: int, has_writes: bool) -> int:
-        """Return when to look at should_collect() at the latest."""
+        """Return when to call should_collect() at the latest."""
         if self.is_collecting:
             return now + IDLE_STEP_US
         return now if has_writes else self.collect_at
 
     def should_collect(self, now: int, has_writes: bool) -> bool:
-        """Whether to collect now. has_writes: there are allocations that the core's thread does not know."""
+        """Whether to collect now. has_writes: there are allocations to post to the core's thread."""
         return not self.is_collecting and (has_writes or now >= self.collect_at)
 
     def hasten(self) -> None:
-        """An allocation runs out: collect as soon as the interval allows."""
+        """Collect as soon as the interval allows, as an allocation runs out."""
         self.collect_at = min(self.collect_at, self.collected_at + self.collect_interval_us)
 
     def collected(self, now: int, collected: CollectedUsage, is_lease_valid: bool) -> UsageReport | None:
-        """Take in what was collected; return the report to write now, if any."""
+        """Take collected usage; return the report to write now, if any."""
         self._schedule_next(now, collected)
         if collected.lease_id != self.lease_id or not is_lease_valid or self.has_given_back:
             return None
@@ -98,12 +98,12 @@
         self.collect_at = now + self.collect_interval_us * (1 if is_busy else QUIET_INTERVALS)
 
     def written(self, lease_id: int, reply: Reply) -> bool:
-        """Take in the reply to a report's write; return whether our row is to be read now."""
+        """Take the reply to a report's write; return whether our row is to be read now."""
         self.is_writing = False
         if lease_id != self.lease_id:
             return False
         if reply.proof != Proof.DONE or not reply.succeeded:
-            # What is stored is compared with from now on, and everything is reported again.
+            # Compare with the stored revision from now on, and report everything again.
             self.revision = reply.items[0].revision if reply.items else 0
             self.throttle.reset()
             return False
@@ -114,6 +114,6 @@
         return True
 
     def row_read_failed(self) -> None:
-        """Our row could not be read: it is read again with the next report."""
+        """Have our row read again with the next report, as it could not be read."""
         self.is_row_read = False
         self.throttle.reset()
--- a/gullhold/budgets/report_throttle.py
+++ b/gullhold/budgets/report_throttle.py
@@ -1,16 +1,16 @@
-"""When a member's report is worth a write to the store. Decisions only."""
+"""Decides when a member's report is written to the store. Decisions only."""
 
 from collections.abc import Mapping
 
 from gullhold.budgets.budget_schema import Usage
 from gullhold.budgets.demand import is_mostly_idle
 
-MIN_CHANGE = 0.1  # share of what was reported; a smaller change is not worth a write
-STALE_US = 2_000_000  # us after which changed use is reported though it moves nothing: staff look at it
+MIN_CHANGE = 0.1  # of what was reported; smaller changes are not written
+STALE_US = 2_000_000  # us after which changed use is reported even if it affects no allocation, for staff
 
 
 class ReportThrottle:
-    """Decides when a report is written: the first one is, then those that change what others may have."""
+    """Lets the first report through, then those that may change allocations of other members."""
 
     def __init__(self, min_interval_us: int) -> None:
         """min_interval_us: between two writes."""
@@ -20,7 +20,7 @@
         self.last_written_at = 0
 
     def reset(self) -> None:
-        """Forget the last report: under a new lease nothing has been reported."""
+        """Forget the last report, as nothing has been reported under a new lease."""
         self.last_usage = None
         self.last_seen_write = 0
 
@@ -34,8 +34,8 @@
     ) -> bool:
         """Whether to write a report now.
 
-        seen_write: the newest write of allocations that the member goes by; was_reduced: whether one since
-        the last report lowered any allocation; usage, allocations: by budget name.
+        seen_write: the newest write of allocations that the member has applied; was_reduced: whether one
+        since the last report has lowered any allocation; usage, allocations: by budget name.
         """
         if self.last_usage is None:
             return True
@@ -52,7 +52,7 @@
         )
 
     def written(self, now: int, seen_write: int, usage: Mapping[str, Usage]) -> None:
-        """Record that a report goes out."""
+        """Record that a report is written."""
         self.last_usage = dict(usage)
         self.last_seen_write = seen_write
         self.last_written_at = now
@@ -61,8 +61,8 @@
     def _is_changed(new: Usage, old: Usage, allocated: int, is_stale: bool) -> bool:
         """Whether the usage of one budget has changed so that the allocator or staff should know.
 
-        Use that changed but asks for nothing else is reported after a while: guards against a store that
-        shows the use from before a burst for as long as the burst lasts. Its price is one write in that time.
+        Changed use with an unchanged request is reported after STALE_US: guards against a store that shows
+        the use from before a burst for as long as the burst lasts. Harm: one write in that time.
         """
         has_given_back = new.in_use < old.in_use and old.in_use > allocated
         if has_given_back:
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -1,29 +1,24 @@
-"""`gullhold fleet budgets|plan|report`: a fleet's budgets, what would be allocated, how a run went."""
+"""`gullhold fleet budgets|plan|report`: shows a fleet's budgets, a planned allocation, a report on a run.
 
-import json
-import sys
-from collections.abc import Callable, Iterable, Mapping, Sequence
-from typing import Any
+The names of the columns are part of the command line's interface: operators' scripts use them.
+"""
 
-from rich.console import Console
-from rich.table import Table
+import sys
+from collections.abc import Callable, Iterable, Sequence
 
 from gullhold.budgets.allocator import Budget, plan_allocations
 from gullhold.budgets.budget_schema import ROOT
 from gullhold.budgets.ledger import LedgerKind
 from gullhold.budgets.stored_budgets import StoredBudget, stored_budgets
 from gullhold.budgets.usage_report import budget_names, render_page, watch_budgets
+from gullhold.fleet.show import TIMEOUT_S, Row, print_rows
 from gullhold.fleet.store_calls import KeyValue, Proof, ReadPrefix
 from gullhold.fleet.store_client import StoreClient
 from gullhold.fleet.store_schema import fleet_prefix
 
-TIMEOUT_S = 3.0  # s for one call to the store
-
-Row = Mapping[str, Any]  # what staff see, by column
-
 
 def rows(items: Iterable[KeyValue]) -> list[Row]:
-    """Return what staff see, a row for each budget, of the stored keys of budgets."""
+    """Return a row for each budget. items: the stored keys of budgets."""
     return [_row(name, budget) for name, budget in sorted(stored_budgets(items).items())]
 
 
@@ -50,19 +45,6 @@
     return ", ".join(sorted(_member_name(member) for member in members))
 
 
-def _print(title: str, found: Sequence[Row], as_json: bool) -> None:
-    if as_json:
-        for row in found:
-            print(json.dumps(row))
-        return
-    table = Table(title=title)
-    for column in found[0] if found else ("nothing",):
-        table.add_column(column)
-    for row in found:
-        table.add_row(*map(str, row.values()))
-    Console().print(table)
-
-
 def _reader(address: str, fleet_name: str) -> Callable[[], Sequence[KeyValue]]:
     """Return a function that reads the stored keys of budgets; it raises ConnectionError."""
     session = StoreClient(address, fleet_prefix(fleet_name), TIMEOUT_S)
@@ -77,9 +59,9 @@
 
 
 def run(address: str, fleet_name: str, as_json: bool) -> int:
-    """`fleet budgets`: print them; the exit status, 1 where the store does not answer."""
+    """`fleet budgets`: print them; return the exit status, 1 if the store does not answer."""
     try:
-        _print(f"budgets of {fleet_name}", rows(_reader(address, fleet_name)()), as_json)
+        print_rows(f"budgets of {fleet_name}", rows(_reader(address, fleet_name)()), as_json)
     except ConnectionError:
         return _print_no_answer(address)
     return 0
@@ -99,9 +81,9 @@
     reserve_per_member: int,
     as_json: bool,
 ) -> int:
-    """`fleet plan`: what so many members would be allocated, by the allocator's decisions; the exit status.
+    """`fleet plan`: print what this many members would be allocated; return the exit status.
 
-    demands: of the first members, the others demand the last of it; empty: all demand the total.
+    demands: of the first members, all others have the last of these; empty: all demand the total.
     """
     budget = Budget(
         LedgerKind.HELD,
@@ -126,12 +108,12 @@
     ]
     allocated = sum(allocations.values())
     title = f"{total} among {members}: {allocated} given, {reserve_per_member * members} kept back"
-    _print(title, found, as_json)
+    print_rows(title, found, as_json)
     return 0
 
 
 def run_report(address: str, fleet_name: str, seconds: float, path: str) -> int:
-    """`fleet report`: watch a running fleet for so long and write a page; the exit status."""
+    """`fleet report`: watch a running fleet for some time and write a page; return the exit status."""
     try:
         samples = watch_budgets(_reader(address, fleet_name), seconds)
     except ConnectionError:
--- a/gullhold/budgets/stored_budgets.py
+++ b/gullhold/budgets/stored_budgets.py
@@ -1,4 +1,4 @@
-"""What the store of a fleet holds of its budgets, put together for staff."""
+"""A fleet's budgets as the store shows them, for staff."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -23,8 +23,8 @@
 class StoredBudget:
     """One budget as stored.
 
-    allocations, used: by member. waiting: members that ask for more than they have. charged_for: members
-    that may still use an allocation that was reduced, or that have left while their work may go on.
+    allocations, used: by member. waiting: members that request more than they have. charged_for: members that
+    may still use a larger allocation, since reduced, or that have left while their work may go on.
     """
 
     total: int
@@ -39,7 +39,7 @@
         return sum(self.allocations.values())
 
     def used_by_all(self) -> int:
-        """Return what all members use."""
+        """Return the sum of what the members use."""
         return sum(self.used.values())
 
 
@@ -77,7 +77,7 @@
         return self.budgets[name]
 
     def read_report(self, member: str, value: str) -> None:
-        """Take in a member's report; one that can't be read is passed over."""
+        """Take a member's report; an unreadable one is ignored."""
         report = decode_report(value)
         if report is None:
             return
@@ -86,7 +86,7 @@
             self.requested[name, member] = usage.requested
 
     def read_row(self, member: str, value: str) -> None:
-        """Take in a member's row."""
+        """Take a member's row."""
         for name, packed in decode_row(value).entries.items():
             budget = self._budget(name)
             budget.allocations[member] = allocated_amount(packed)
@@ -94,7 +94,7 @@
                 budget.charged_for.append(member)
 
     def find_waiting(self) -> None:
-        """Note which members ask for more than they have."""
+        """Find the members that request more than they have."""
         for (name, member), requested in self.requested.items():
             budget = self.budgets[name]
             if requested > budget.allocations.get(member, 0):
--- a/gullhold/budgets/usage_report.py
+++ b/gullhold/budgets/usage_report.py
@@ -1,4 +1,4 @@
-"""The page of `gullhold fleet report`: a running fleet's budgets, watched for some time."""
+"""The page of `gullhold fleet report`: a running fleet's budgets, sampled for some time."""
 
 import time
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -10,22 +10,22 @@
 from gullhold.budgets.stored_budgets import StoredBudget, stored_budgets
 from gullhold.fleet.store_calls import KeyValue
 
-SAMPLE_INTERVAL_S = 0.25  # s between samples
-MIN_SAMPLES = 2  # a plot needs them
+SAMPLE_INTERVAL_S = 0.25
+MIN_SAMPLES = 2  # for a plot
 TEMPLATE = "usage_report.html.j2"
 CHART_WIDTH = 900  # pixels
 CHART_HEIGHT = 320  # pixels
 
 
 class Sample(NamedTuple):
-    """The budgets of a fleet at one time, in s since the first sample was begun."""
+    """The budgets of a fleet at one time, in s since the first sample."""
 
     at_s: float
     budgets: Mapping[str, StoredBudget]
 
 
 class BudgetSample(NamedTuple):
-    """One budget at one time, in s since the first sample was begun."""
+    """One budget at one time, in s since the first sample."""
 
     at_s: float
     budget: StoredBudget
@@ -34,7 +34,7 @@
 def watch_budgets(
     read: Callable[[], Iterable[KeyValue]], seconds: float, interval_s: float = SAMPLE_INTERVAL_S
 ) -> list[Sample]:
-    """Sample a running fleet's budgets for so long. read: returns the stored keys of budgets."""
+    """Sample a running fleet's budgets for some seconds. read: returns the stored keys of budgets."""
     began = time.monotonic()
     samples = []
     sample_count = max(MIN_SAMPLES, int(seconds / interval_s))
@@ -46,12 +46,12 @@
 
 
 def budget_names(samples: Iterable[Sample]) -> list[str]:
-    """Return the names of all budgets that were seen, in order."""
+    """Return the names of all budgets in the samples, sorted."""
     return sorted({name for sample in samples for name in sample.budgets})
 
 
 def render_page(fleet_name: str, samples: Sequence[Sample]) -> str:
-    """Return the report as HTML: for each budget a plot, and what was allocated, used and waited for."""
+    """Return the report as HTML: for each budget a plot, and figures on allocation, use and waiting."""
     import jinja2  # noqa: PLC0415  only a report needs it
 
     source = files("gullhold.budgets").joinpath(TEMPLATE).read_text("utf-8")
@@ -61,7 +61,7 @@
 
 
 def _summary(name: str, samples: Iterable[Sample]) -> dict[str, Any]:
-    """Return what the template shows of one budget."""
+    """Return the template's variables for one budget."""
     seen = [BudgetSample(at_s, budgets[name]) for at_s, budgets in samples if name in budgets]
     latest = seen[-1].budget
     allocated = [sample.budget.allocated() for sample in seen]
@@ -80,7 +80,7 @@
 
 
 def _chart(name: str, samples: Sequence[BudgetSample]) -> str:
-    """Return an SVG of one budget over time: each member's allocation, all that is used, and the total."""
+    """Return an SVG of one budget over time: each member's allocation, the sum of use, and the total."""
     import pygal  # noqa: PLC0415  only a report needs it
 
     chart = pygal.XY(
