--- a/gullhold/operator/errors.py
+++ b/gullhold/operator/errors.py
@@ -1,11 +1,11 @@
-"""What is wrong with an operator file, and where."""
+"""Errors in an operator file, with their place."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 
 class Place(NamedTuple):
-    """Where something stands: file name, line and column from 1."""
+    """A place in a file: its name, line and column from 1."""
 
     file: str
     line: int
@@ -16,9 +16,9 @@
 
 
 class OperatorFileError(Exception):
-    """A file that can't be used; the message is one plain line with its place and path.
+    """A file that can't be used; the message is one plain line with the place and the path of the fault.
 
-    path: the names of the fields, from the outermost, that lead to what is wrong; text: what is wrong.
+    path: names of the fields, from the outermost, that lead to the fault; text: describes it.
     """
 
     def __init__(self, place: Place, path: Sequence[str], text: str) -> None:
--- a/gullhold/operator/evaluation.py
+++ b/gullhold/operator/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluation: from the syntax tree of a file to values, and from these to plain Python."""
+"""Evaluates the syntax tree of a file to values, and converts values to plain Python."""
 
 from typing import Any, cast, overload
 
@@ -36,12 +36,12 @@
     suggestion,
 )
 
-MAX_DEPTH = 64  # nested nodes: guards against a definition that contains itself
-EVERY_FIELD = "[]"  # in a path: the fields, or items, that a rule is for
+MAX_DEPTH = 64  # of nested nodes: guards against a definition that contains itself
+EVERY_FIELD = "[]"  # in a path: all fields or items that a rule is for
 
 
 def evaluate_file(root: RecordNode, is_closed: bool = False) -> Record:
-    """Return the value of a file's top record. is_closed: no other names may be added.
+    """Return the value of a file's top-level record. is_closed: no other fields may be added.
 
     Raises OperatorFileError.
     """
@@ -49,7 +49,7 @@
 
 
 class Scope:
-    """Evaluates nodes under the definitions of a file (names that begin with #)."""
+    """Evaluates nodes with the definitions of a file (names that begin with #)."""
 
     def __init__(self, root: RecordNode) -> None:
         self._definitions = {
@@ -63,7 +63,7 @@
     def evaluate(self, node: Node, path: Path = (), depth: int = 0) -> Value: ...
 
     def evaluate(self, node: Node, path: Path = (), depth: int = 0) -> Value:
-        """Return what a node stands for. Raises OperatorFileError."""
+        """Return the value of a node. Raises OperatorFileError."""
         if depth > MAX_DEPTH:
             raise OperatorFileError(node.place, path, "definitions that hold themselves")
         match node:
@@ -92,7 +92,7 @@
             text = f"{node.name} is not known{suggestion(node.name, known_names)}"
             raise OperatorFileError(node.place, path, text)
         definition = self._definitions[node.name]
-        if isinstance(definition, RecordNode):  # the records of definitions are closed
+        if isinstance(definition, RecordNode):  # records in definitions are closed
             return self._evaluate_record(definition, path, depth + 1, is_closed=True)
         return self.evaluate(definition, path, depth + 1)
 
@@ -116,10 +116,10 @@
         return Choices(tuple(choices), node.place)
 
     def _evaluate_conjunction(self, node: Conjunction, path: Path, depth: int) -> Value:
-        first, *others = node.parts
+        first, *others = node.operands
         value = self.evaluate(first, path, depth + 1)
-        for part in others:
-            value = unify(value, self.evaluate(part, path, depth + 1), path)
+        for operand in others:
+            value = unify(value, self.evaluate(operand, path, depth + 1), path)
         return value
 
     def _evaluate_list(self, node: ListNode, path: Path, depth: int) -> List:
@@ -154,9 +154,9 @@
 
 
 def concretize(value: Value, path: Path = ()) -> Any:
-    """Return plain Python: numbers (durations in us), strings, dicts and lists; defaults are chosen.
+    """Convert a value to plain Python: numbers (durations in us), strings, dicts and lists, with defaults.
 
-    Raises OperatorFileError for what is neither stated nor has a default.
+    Raises OperatorFileError for a value that is neither stated nor has a default.
     """
     match value:
         case Choices():
@@ -182,7 +182,7 @@
 
 
 def _differ(candidates: list[Value], path: Path) -> bool:
-    """Whether candidates for a value are not all the same."""
+    """Whether the candidates for a value differ."""
     forms = {repr(value if _is_unstated(value) else concretize(value, path)) for value in candidates}
     return len(forms) > 1
 
@@ -195,7 +195,7 @@
 
 
 def _is_unstated(value: Value) -> bool:
-    """Whether a field that may be omitted was omitted."""
+    """Whether an optional field was omitted."""
     match value:
         case Scalar():
             return value.value is ABSENT
--- a/gullhold/operator/nodes.py
+++ b/gullhold/operator/nodes.py
@@ -1,4 +1,4 @@
-"""The syntax tree of an operator file: what was written, each node with its place."""
+"""The syntax tree of an operator file. Each node has its place in the file."""
 
 from enum import Enum, StrEnum
 from typing import NamedTuple, TypeAlias, cast
@@ -7,7 +7,7 @@
 
 
 class ScalarType(StrEnum):
-    """Types of a plain value; a duration is in whole microseconds."""
+    """Types of a scalar value; a duration is in integer microseconds."""
 
     INT = "int"
     FLOAT = "float"
@@ -21,11 +21,11 @@
 
     NAMED = "named"  # name:
     QUOTED = "quoted"  # "name":
-    EVERY = "every"  # [condition]: for all names that fulfil it
+    EVERY = "every"  # [condition]: a rule for all names that fulfil it
 
 
 class Constant(NamedTuple):
-    """A plain value."""
+    """A scalar value."""
 
     type: ScalarType
     value: int | float | str | bool
@@ -40,7 +40,7 @@
 
 
 class Bound(NamedTuple):
-    """A comparison that a value has to pass, such as >=1."""
+    """A comparison that a value has to satisfy, such as >=1."""
 
     operator: str
     operand: "Node"
@@ -64,12 +64,12 @@
 class Conjunction(NamedTuple):
     """Conditions that all hold, such as int & >=1."""
 
-    parts: tuple["Node", ...]
+    operands: tuple["Node", ...]
     place: Place
 
 
 class Field(NamedTuple):
-    """A field of a record. name: a node for LabelKind.EVERY, the condition on names."""
+    """A field of a record. name: for LabelKind.EVERY the condition on names, a node."""
 
     label: LabelKind
     name: "str | Node"
@@ -90,7 +90,7 @@
 
 
 class ListNode(NamedTuple):
-    """A list of given items, [1, 2]."""
+    """A list of the given items, [1, 2]."""
 
     items: tuple["Node", ...]
     place: Place
--- a/gullhold/operator/parser.py
+++ b/gullhold/operator/parser.py
@@ -24,7 +24,7 @@
     ScalarType,
 )
 
-if TYPE_CHECKING:  # heavy: only those who name an operator file need it
+if TYPE_CHECKING:  # slow to import, and needed only with an operator file
     from lark import Lark, Tree
     from lark.exceptions import UnexpectedInput
 
@@ -40,11 +40,11 @@
 UNIT_PATTERN = re.compile(r"[A-Za-z]+\Z")
 INT_PATTERN = re.compile(r"[-+]?[0-9]+")
 EXPONENT_SIGNS = ("e", "E")
-END_OF_FILE = "$END"  # lark's token
+END_OF_FILE = "$END"  # lark's name of the token
 
 
 def parse(source: str, file_name: str) -> RecordNode:
-    """Parse the text of a file into the record that it is. Raises OperatorFileError."""
+    """Parse the text of a file into its top-level record. Raises OperatorFileError."""
     from lark.exceptions import UnexpectedInput  # noqa: PLC0415
 
     try:
@@ -120,9 +120,9 @@
         case "either" | "both" if is_single and subtrees[0].data != "preferred":
             return _parse_node(subtrees[0], file_name)
         case "either":
-            return Alternatives(tuple(_parse_alternative(part, file_name) for part in subtrees), place)
+            return Alternatives(tuple(_parse_alternative(child, file_name) for child in subtrees), place)
         case "both":
-            return Conjunction(tuple(_parse_node(part, file_name) for part in subtrees), place)
+            return Conjunction(tuple(_parse_node(child, file_name) for child in subtrees), place)
         case "number":
             return _parse_number(str(tree.children[0]), place)
         case "string":
@@ -136,7 +136,7 @@
         case "rest":
             return OpenListNode(_parse_node(subtrees[0], file_name), place)
         case "list":
-            return ListNode(tuple(_parse_node(part, file_name) for part in subtrees), place)
+            return ListNode(tuple(_parse_node(child, file_name) for child in subtrees), place)
         case _:
             raise AssertionError(f"the grammar has no rule {tree.data}")
 
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -1,4 +1,8 @@
-"""The records of an operator file: frozen, validated once, with the names that the file uses."""
+"""The records of an operator file, validated once, with the field names of the file.
+
+Other packages translate them into their own terms: admission/settings.py, fleet/assembly.py,
+budgets/budget_rules.py.
+"""
 
 from collections.abc import Iterator, Sequence
 from importlib.resources import files
@@ -15,7 +19,7 @@
 
 SCHEMA = "schema.cue"
 US_PER_S = 1_000_000
-VALIDATOR_PREFIX = "Value error, "  # pydantic puts it before the text of a ValueError
+VALIDATOR_PREFIX = "Value error, "  # added by pydantic to the text of a ValueError
 
 # Kinds of budgets, by the file's names (BudgetRecord.of).
 BUDGETS_OF_TENANTS = ("open", "taken")
@@ -24,16 +28,16 @@
 
 
 class OperatorRecord(BaseModel):
-    """Base of all records: frozen, without other names. Durations are whole microseconds.
+    """Base of all records: frozen, without additional fields. Durations are integer microseconds.
 
-    The fields are named as in the file; schema.cue states their units, bounds and defaults.
+    The fields are named as in the file; schema.cue documents them, with units, bounds and defaults.
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid", strict=True)
 
 
 class Network(OperatorRecord):
-    """A network of clients, and the name of the client that its addresses belong to."""
+    """A network, and the name of the client that its addresses belong to."""
 
     net: str
     name: str
@@ -41,7 +45,7 @@
 
 
 class ClientRule(OperatorRecord):
-    """How clients are told apart inside a tenant."""
+    """How the clients of a tenant are identified."""
 
     field: str
     networks: tuple[Network, ...] = Field(default=(), strict=False)
@@ -49,7 +53,7 @@
 
 
 class ComeBack(OperatorRecord):
-    """The Retry-After times that clients get whose commands are rejected."""
+    """The Retry-After times for clients whose commands are rejected."""
 
     field: str
     least: int
@@ -93,7 +97,7 @@
 
 
 class Drift(OperatorRecord):
-    """How far the clocks of members may be apart."""
+    """How far the clocks of members may differ."""
 
     rate: float
     margin: int
@@ -218,14 +222,14 @@
 
 
 class OperatorFile(OperatorRecord):
-    """A whole operator file."""
+    """A complete operator file."""
 
     door: DoorRecord
     fleet: FleetRecord
 
 
 def load(path: str | None) -> OperatorFile:
-    """Return the operator file at a path; None: all defaults. Raises OperatorFileError, or OSError."""
+    """Read the operator file at a path; None: all defaults. Raises OperatorFileError or OSError."""
     if path is None:
         return read("", "no file")
     with open(path, encoding="utf-8") as file:
@@ -236,14 +240,14 @@
 
 
 def read(source: str, file_name: str) -> OperatorFile:
-    """Return the operator file of this text, with its defaults. Raises OperatorFileError."""
+    """Read an operator file from its text, and add defaults. Raises OperatorFileError."""
     root = parse(source, file_name)
     try:
         content = concretize(unify(_schema(), evaluate_file(root), ()))
     except OperatorFileError as error:
         if error.place.file != SCHEMA:
             raise
-        # What is missing has no place in the file: that of the nearest record is named instead.
+        # A missing field has no place in the file: report the nearest record's place.
         place = _nearest_place(root, error.path, file_name)
         raise OperatorFileError(place, error.path, error.text) from None
     try:
@@ -253,13 +257,13 @@
 
 
 def _schema() -> Record:
-    """Return the schema's value."""
+    """Return the value of the schema."""
     source = files("gullhold.operator").joinpath(SCHEMA).read_text("utf-8")
     return evaluate_file(parse(source, SCHEMA), is_closed=True)
 
 
 def _validation_error(error: ValidationError, root: RecordNode, file_name: str) -> OperatorFileError:
-    """Return the first fault that pydantic found, with its place in the file."""
+    """Convert the first fault that pydantic found to an error with its place in the file."""
     first = error.errors()[0]
     path = tuple(str(step) for step in first["loc"])
     text = first["msg"].removeprefix(VALIDATOR_PREFIX)
@@ -267,7 +271,7 @@
 
 
 def _nearest_place(root: RecordNode, path: Sequence[str], file_name: str) -> Place:
-    """Return where the file states most of this path; its first line where it states nothing."""
+    """Return the place of the longest part of this path that the file has; its first line if it has none."""
     node: Node = root
     place = Place(file_name, 1, 1)
     for step in path:
@@ -279,7 +283,7 @@
 
 
 def _step_into(node: Node, step: str) -> tuple[Node, Place] | None:
-    """Return the field, or the item, of a node and its place."""
+    """Return a field or an item of a node, and its place."""
     match node:
         case RecordNode():
             fields = [field for field in node.fields if field.name == step]
--- a/gullhold/operator/unification.py
+++ b/gullhold/operator/unification.py
@@ -1,6 +1,6 @@
-"""Unification: the value that fulfils two values at once, such as what the schema allows and a file states.
+"""Unification of two values, such as the schema's and the file's, into the value that satisfies both.
 
-unify() is commutative but for the wording of errors.
+unify() is commutative except for the text of errors.
 """
 
 import operator
@@ -36,14 +36,15 @@
     "=~": lambda value, pattern: re.search(pattern, value) is not None,
 }
 COMPARISON_SIGNS = "<>=!"
-VIOLATION = " is not "  # in the text of an error: between a value and what it must be
-TYPE_MISMATCH = " must stand"  # in the text of an error: a value of another type, or a list of another length
+# In the texts of errors.
+VIOLATION = " is not "  # between a value and its constraint
+TYPE_MISMATCH = " must stand"  # for a value of another type, or a list of another length
 
 
 def unify(expected: Value, found: Value, path: Path) -> Value:
-    """Return the value that fulfils both. Raises OperatorFileError where there is none.
+    """Return the value that satisfies both. Raises OperatorFileError if there is none.
 
-    Errors are worded, and placed, as if the first were the schema's and the second the file's.
+    The text and the place of errors assume that the first is the schema's and the second the file's.
     """
     match expected, found:
         case (Choices(), _) | (_, Choices()):
@@ -84,7 +85,7 @@
 
 
 def _format_known(scalar: Scalar) -> str:
-    """Return a known value as it would be written; it has one type."""
+    """Return a known value, which has one type, in the syntax of a file."""
     return format_scalar(next(iter(cast("frozenset[ScalarType]", scalar.types))), scalar.value)
 
 
@@ -96,7 +97,7 @@
 
 
 def _unify_choices(expected: Value, found: Value, path: Path) -> Value:
-    """Unify each alternative of the one with each of the other; those that fit remain."""
+    """Unify each alternative of one value with each of the other; those that can be unified remain."""
     expected_choices = _choices(expected)
     found_choices = _choices(found)
     has_default = any(choice.is_default for choice in (*expected_choices, *found_choices))
@@ -110,7 +111,7 @@
             except OperatorFileError as error:
                 errors.append(error)
     if not fitting:
-        raise _most_telling(errors, path)
+        raise _most_specific(errors, path)
     if len(fitting) == 1:
         return fitting[0].value
     place = expected.place if isinstance(found, Choices) else found.place
@@ -121,11 +122,11 @@
     return value.choices if isinstance(value, Choices) else (Choice(False, value),)
 
 
-def _most_telling(errors: list[OperatorFileError], path: Path) -> OperatorFileError:
-    """Choose the error to report where no alternative fits.
+def _most_specific(errors: list[OperatorFileError], path: Path) -> OperatorFileError:
+    """Choose the error to report if no alternative can be unified.
 
-    An alternative that took the type and broke a bound says most, another constant says least. Where all
-    are violations, they become one error that names all that the value may be.
+    A violated bound of an alternative of the right type is the most specific error, another constant the
+    least. If all are violations, they are combined into one error that names all allowed values.
     """
     errors = sorted(errors, key=lambda error: (TYPE_MISMATCH in error.text, _is_other_constant(error)))
     first = errors[0]
@@ -196,9 +197,9 @@
 
 
 def _rules_for(record: Record, name: str, field: RecordField, path: Path) -> list[Value]:
-    """Return what a record demands of a field that it does not have itself.
+    """Return a record's constraints on a field that it does not have itself.
 
-    Raises OperatorFileError where it allows no such field.
+    Raises OperatorFileError if it does not allow the field.
     """
     rules = [rule.value for rule in record.rules if _fits(rule.names, name)]
     if record.is_closed or (record.rules and not rules):
--- a/gullhold/operator/values.py
+++ b/gullhold/operator/values.py
@@ -1,4 +1,4 @@
-"""What nodes stand for: values that may still be partly unknown, and their wording in errors."""
+"""Values of nodes, which may still be partly unknown, and their text in errors."""
 
 from collections.abc import Iterable
 from difflib import get_close_matches
@@ -17,12 +17,12 @@
     "duration": frozenset((ScalarType.DURATION,)),
 }
 DURATION_UNITS_US = {"h": 3_600_000_000, "min": 60_000_000, "s": 1_000_000, "ms": 1000}  # the largest first
-SIMILARITY = 0.5  # of a name to a known one, from which on it is taken for a slip of the pen
-ABSENT: Any = object()  # the value of a scalar of which only types and bounds are known
+SIMILARITY = 0.5  # of an unknown name to a known one, from which on it is taken for a typing error
+ABSENT: Any = object()  # the value of a scalar with only types and bounds
 
 
 class ValueBound(NamedTuple):
-    """A comparison that a value has to pass. text: as an error shows it."""
+    """A comparison that a value has to satisfy. text: for errors."""
 
     operator: str
     limit: Any
@@ -30,7 +30,7 @@
 
 
 class Scalar(NamedTuple):
-    """A plain value, or ABSENT, and what it must fulfil. types: None: any."""
+    """A scalar value, or ABSENT, and its constraints. types: None: any."""
 
     types: frozenset[ScalarType] | None
     bounds: tuple[ValueBound, ...]
@@ -47,14 +47,14 @@
 
 
 class NameRule(NamedTuple):
-    """What the fields hold whose names fulfil a condition."""
+    """The constraint on fields whose names fulfil a condition."""
 
     names: "Value"
     value: "Value"
 
 
 class Record(NamedTuple):
-    """Fields by name, and rules for others. is_closed: no other names may be added."""
+    """Fields by name, and rules for others. is_closed: no other fields may be added."""
 
     fields: dict[str, RecordField]
     rules: tuple[NameRule, ...]
@@ -63,7 +63,7 @@
 
 
 class List(NamedTuple):
-    """A list. items: None where they are not stated; item_rule: what each must fulfil, None: anything."""
+    """A list. items: None if they are not stated; item_rule: the constraint on each item, None: none."""
 
     items: tuple["Value", ...] | None
     item_rule: "Value | None"
@@ -78,7 +78,7 @@
 
 
 class Choices(NamedTuple):
-    """Alternatives of which one will hold."""
+    """Alternatives, one of which will be chosen."""
 
     choices: tuple[Choice, ...]
     place: Place
@@ -88,13 +88,13 @@
 
 
 def suggestion(name: str, known_names: Iterable[str]) -> str:
-    """Return a hint at the nearest known name, empty where none is near."""
+    """Return a hint at the most similar known name, empty if none is similar."""
     nearest = get_close_matches(name, list(known_names), n=1, cutoff=SIMILARITY)
     return f"; did you mean {nearest[0]}?" if nearest else ""
 
 
 def format_scalar(scalar_type: ScalarType, value: Any) -> str:
-    """Return a value as it would be written in a file."""
+    """Return a value in the syntax of a file."""
     match scalar_type:
         case ScalarType.DURATION:
             return _format_duration(value)
--- a/gullhold/simulator_adapter/__main__.py
+++ b/gullhold/simulator_adapter/__main__.py
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Serve until input ends; a frame that can't be parsed ends the process with a plain message."""
+    """Serve until the input ends; a malformed frame ends the process with a plain message."""
     batches = sys.stdin.buffer
     replies = sys.stdout.buffer
     host = Host()
@@ -23,7 +23,7 @@
 
 
 def _read_body(batches: BinaryIO, length: bytes) -> bytes:
-    """The rest of a frame. Raises ValueError or struct.error where it is cut short."""
+    """Read the rest of a frame. Raises ValueError or struct.error if it is too short."""
     (size,) = LENGTH.unpack(length)
     body = batches.read(size - LENGTH.size) if size >= BATCH_HEADER.size else b""
     if len(body) < BATCH_HEADER.size - LENGTH.size or len(body) < size - LENGTH.size:
--- a/gullhold/simulator_adapter/actions.py
+++ b/gullhold/simulator_adapter/actions.py
@@ -1,4 +1,4 @@
-"""Results of a gateway as records of a reply."""
+"""Encodes results of a gateway as records of a reply."""
 
 from struct import Struct
 
@@ -16,7 +16,7 @@
 from gullhold.simulator_adapter import wire
 from gullhold.simulator_adapter.wire import ActionCode
 
-MAX_TEXT_BYTES = 60_000  # bytes of a text: under the 65535 that its length field holds
+MAX_TEXT_BYTES = 60_000  # of a text; its length field allows 65535
 
 
 def text_record(code: ActionCode, instance: int, text: str) -> bytes:
--- a/gullhold/simulator_adapter/events.py
+++ b/gullhold/simulator_adapter/events.py
@@ -1,6 +1,6 @@
-"""Records of a batch as typed events. Times are in seconds, as they came; the host converts them.
+"""Decodes the records of a batch into typed events. Times are in seconds, as on the wire.
 
-Each decoder raises struct.error where the fields are cut short.
+The host converts them to microseconds. Each decoder raises struct.error if the fields are too short.
 """
 
 import struct
@@ -27,7 +27,7 @@
     instance: int
     list_number: int
     revision: int
-    scope: int  # a wire.Scope, or a code that is not known
+    scope: int  # a wire.Scope, or an unknown code
 
 
 class CommandArrived(NamedTuple):
@@ -56,7 +56,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt ended. work_us, need_mb: what it used, 0: not stated."""
+    """An attempt ended. work_us, need_mb: work and memory that it used, 0: not stated."""
 
     instance: int
     command: int
@@ -84,7 +84,7 @@
 
 
 class Retired(NamedTuple):
-    """A gateway is dead."""
+    """A gateway has been killed."""
 
     instance: int
 
@@ -113,7 +113,10 @@
 
 
 def records(body: bytes) -> Iterator[tuple[int, bytes]]:
-    """The (code, fields) pairs of a batch without its length. Raises ValueError where one is cut short."""
+    """Iterate over the (code, fields) pairs of a batch. Raises ValueError if one is too short.
+
+    body: the batch without its length field.
+    """
     at = wire.BATCH_HEADER.size - wire.LENGTH.size
     while at < len(body):
         code, size = wire.RECORD_HEADER.unpack_from(body, at)
@@ -125,7 +128,7 @@
 
 
 def decode_page(fields: bytes) -> tuple[int, list[EngineEntry]]:
-    """The number of a list of engines, and its entries. Raises ValueError where it is cut short."""
+    """Decode the number of a list of engines, and its entries. Raises ValueError if it is too short."""
     number, size = wire.PAGE.unpack_from(fields)
     if len(fields) < wire.PAGE.size + size * wire.PAGE_ENTRY.size:
         raise ValueError("list shorter than its count")
@@ -139,7 +142,7 @@
 
 
 def decode(code: int, fields: bytes) -> Event | None:
-    """The event of a record; None: one that the adapter passes over."""
+    """Decode the event of a record; None: one that the adapter ignores."""
     decoder = DECODERS.get(code)
     if decoder is None or len(fields) < wire.INSTANCE.size:
         return None
@@ -159,7 +162,7 @@
 
 def _arrival(fields: bytes) -> CommandArrived:
     *plain, options = wire.ARRIVAL.unpack_from(fields)
-    # The layout fixes how many there are, which the type of a list can't say.
+    # The layout fixes the number of fields, which the type of a list can't express.
     return CommandArrived(*plain, ArrivalOption(options))  # type: ignore[call-arg]
 
 
--- a/gullhold/simulator_adapter/host.py
+++ b/gullhold/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""One gateway for each instance of the simulator; takes batches of events and gives replies."""
+"""Runs one gateway for each instance of the simulator: takes batches of events and returns replies."""
 
 import traceback
 from math import isfinite
@@ -25,7 +25,7 @@
 )
 from gullhold.simulator_adapter.wire import ActionCode, ArrivalOption, EventCode, Scope
 
-FAULT_LINES = 6  # of a traceback that the simulator is given: the last call and the error
+FAULT_LINES = 6  # last lines of a traceback that are sent to the simulator: the last call and the error
 
 
 class Host:
@@ -37,9 +37,9 @@
         self.now = 0  # us, of the batch
 
     def reply(self, body: bytes) -> bytes:
-        """The reply frame to one batch (the batch without its length field).
+        """Handle one batch, given without its length field; return the reply frame.
 
-        Raises struct.error or ValueError where the batch is malformed.
+        Raises struct.error or ValueError if the batch is malformed.
         """
         no_length = bytes(wire.LENGTH.size)
         header = no_length + body[: wire.BATCH_HEADER.size - wire.LENGTH.size]
@@ -58,7 +58,7 @@
         return wire.REPLY_HEADER.pack(size, len(actions), number) + b"".join(actions)
 
     def _actions(self, event: Event) -> list[bytes]:
-        """The records that an event leads to; a fault of the decisions is one of its own."""
+        """Deliver an event and encode its results; an exception in the decisions becomes a record too."""
         try:
             results = self._deliver(event)
         except Exception:  # noqa: BLE001  the wire wants any fault of the decisions in a record
@@ -67,7 +67,7 @@
         return [encode_result(event.instance, result) for result in results]
 
     def _deliver(self, event: Event) -> list[Result]:
-        """Carry an event to its gateway; events of unknown instances are passed over."""
+        """Deliver an event to its gateway; events of unknown instances are ignored."""
         if isinstance(event, NewInstance):
             agreement = read_agreement(parse_tree(event.settings))
             self.gateways[event.instance] = Gateway(event.seed, agreement, self.now)
@@ -81,7 +81,7 @@
         return self._call(gateway, event)
 
     def _call(self, gateway: Gateway, event: Event) -> list[Result]:
-        """The call of the gateway that an event stands for."""
+        """Make the call of the gateway for an event."""
         match event:
             case EndpointsAnnounced():
                 return self._announce(gateway, event)
--- a/gullhold/simulator_adapter/wire.py
+++ b/gullhold/simulator_adapter/wire.py
@@ -1,6 +1,6 @@
 """Codes of records and layouts of their fields on the simulator's wire (sable-e031; big-endian, no padding).
 
-Events (simulator to adapter) and actions (adapter to simulator) have codes of their own.
+Events (simulator to adapter) and actions (adapter to simulator) have separate codes.
 """
 
 from enum import IntEnum, IntFlag
@@ -16,7 +16,7 @@
 
 
 class EventCode(IntEnum):
-    """Codes of events that the adapter knows; others are passed over."""
+    """Codes of events that the adapter handles; others are ignored."""
 
     NEW_INSTANCE = 1
     ANNOUNCE = 2
@@ -44,12 +44,12 @@
 
 
 class Scope(IntEnum):
-    """What an announcement of engines holds."""
+    """Contents of an announcement of engines."""
 
     DELTA = 0  # changed entries
     FULL = 1
-    CACHED = 2  # all, as the instance saw them last
-    FAILED = 3  # none: a call to discovery failed
+    CACHED = 2  # all entries, as the instance saw them last
+    FAILED = 3  # nothing: a call to the discovery service failed
 
 
 class ArrivalOption(IntFlag):
@@ -81,7 +81,7 @@
 TRY = Struct(">BIIIdI")  # request, until (s), engine
 RETRACT = Struct(">BIIIH")  # request, attempt
 
-# What ANSWER's used field packs: ms of work above the low bits, units of 4 MB in them.
+# The `used` field of ANSWER: ms of work in the high bits, units of 4 MB of memory in the low bits.
 USED_MEMORY_BITS = 12
 USED_MEMORY_MASK = (1 << USED_MEMORY_BITS) - 1
 USED_MEMORY_UNIT_MB = 4
