--- a/gullhold/testing/role_pair_world.py
+++ b/gullhold/testing/role_pair_world.py
@@ -209,7 +209,7 @@
                 self._call_holder(holder, "changed", key, value, revision)
 
     def _do_miss(self, holder: int) -> None:
-        self._call_holder(holder, "missed")
+        self._call_holder(holder, "watch_gap")
 
     def _do_elect(self, _: int) -> None:
         """The other one leads the role now; the one that led before does not know yet."""
