--- a/tests/admission_world.py
+++ b/tests/admission_world.py
@@ -69,6 +69,7 @@
         return ident
 
     def obey(self, results):
+        """Check each result against the queue's promises, then carry it out."""
         for decision in results:
             ident = decision.command
             cmd = self.open[ident]
@@ -100,6 +101,7 @@
                 self.end(ident, "refused")
 
     def end(self, ident, how):
+        """Close the books on a command; how: answered, refused or gone."""
         self.ended[ident] = how
         del self.open[ident]
 
@@ -150,6 +152,7 @@
         self.settle()
 
     def check(self):
+        """Compare the queue's counts and bounds with the books of this world."""
         if not self.checked:  # long runs
             return
         queue = self.queue
--- a/tests/budgeting.py
+++ b/tests/budgeting.py
@@ -16,6 +16,7 @@
         self.now = 0
 
     def __call__(self):
+        """The time now, in microseconds."""
         return self.now
 
 
--- a/tests/byte_streams.py
+++ b/tests/byte_streams.py
@@ -28,6 +28,7 @@
 
 
 def text(data):
+    """A string of the Thrift protocol: its length in 4 bytes, then its bytes."""
     return struct.pack(">i", len(data)) + data
 
 
--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -20,9 +20,9 @@
 def answered(world, times, util, latency=WORK):
     """So many commands, one by one, each answered with this load told."""
     for _ in range(times):
-        ident = world.command()
+        ident = world.submit()
         world.now += latency
-        world.end(ident, Outcome.ANSWERED, report=(3.0, util))
+        world.end_attempt(ident, Outcome.ANSWERED, report=(3.0, util))
 
 
 def reporting(**other):
@@ -35,15 +35,15 @@
             **other,
         )
     )
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     return world
 
 
 def out_of(world, asked=12):
     """How many of so many commands at once are out."""
     for _ in range(asked):
-        world.command()
-    return len(world.out())
+        world.submit()
+    return len(world.running_ids())
 
 
 def make_command(number: int = 1, kind: Profile | None = None, key: int = 0, tenant: int = 0) -> Command:
--- a/tests/decisions/test_attempt_review.py
+++ b/tests/decisions/test_attempt_review.py
@@ -8,22 +8,22 @@
 
 def test_a_bad_plan_is_started_afresh_elsewhere():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     for _ in range(20):
-        ident = world.command()
+        ident = world.submit()
         world.now += 100 * MS
-        world.end(ident, Outcome.ANSWERED)
-    ident = world.command()
+        world.end_attempt(ident, Outcome.ANSWERED)
+    ident = world.submit()
     world.wait(400 * MS)
     assert CancelAttempt(ident, 0) in world.results_of(CancelAttempt)
-    world.end(ident, Outcome.CANCELLED)
-    assert len(world.commands[ident]["sends"]) == 2
+    world.end_attempt(ident, Outcome.CANCELLED)
+    assert len(world.commands[ident].attempts_sent_at) == 2
 
 
 def test_a_send_that_notes_call_nearly_done_is_left_alone():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
-    world.engines(*READY4)
-    ident = world.command()
+    world.update_engines(*READY4)
+    ident = world.submit()
     world.gateway.attempt_status(world.now, ident, 0, StatusKind.PROGRESS, 0.9)
     world.wait(900 * MS)
     assert not any(isinstance(result, CancelAttempt) for result in world.log)
@@ -31,8 +31,8 @@
 
 def test_notes_tell_a_bad_plan_long_before_its_age_does():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS, target_us=9000 * MS)))
-    world.engines(*READY4)
-    ident = world.command(work=1000 * MS)
+    world.update_engines(*READY4)
+    ident = world.submit(work=1000 * MS)
     world.wait(500 * MS)
     world.gateway.attempt_status(world.now, ident, 0, StatusKind.PROGRESS, 0.02)
     world.wait(600 * MS)
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -8,39 +8,41 @@
 
 def test_held_commands_stay_under_the_cap_and_one_may_always_go():
     world = Driver(make_agreement(profile(threads=3), gateways=4))
-    world.engines((1, 0, 1, EngineState.READY, 0, 0))  # two cores: a cap of one thread for this gateway
+    world.update_engines(
+        (1, 0, 1, EngineState.READY, 0, 0)
+    )  # two cores: a cap of one thread for this gateway
     for _ in range(5):
-        world.command()
-    assert len(world.out()) == 1
-    world.end(world.out()[0], Outcome.ANSWERED)
-    assert len(world.out()) == 1
+        world.submit()
+    assert len(world.running_ids()) == 1
+    world.end_attempt(world.running_ids()[0], Outcome.ANSWERED)
+    assert len(world.running_ids()) == 1
 
 
 def test_a_slowdown_of_all_engines_leaves_half_the_first_share():
     world = Driver(make_agreement(gateways=2))
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     for i in range(400):
-        ident = world.command()
+        ident = world.submit()
         world.now += (100 if i < 50 else 900) * MS
-        while world.commands[ident]["out"]:
-            world.end(ident, Outcome.ANSWERED)
+        while world.commands[ident].open_attempt:
+            world.end_attempt(ident, Outcome.ANSWERED)
     assert world.gateway.parts.limits.share(world.now) >= 0.25
 
 
 def test_one_of_hundreds_of_gateways_holds_its_part_of_the_fleet():
     world = Driver(make_agreement(profile(threads=3, late_benefit=0.0), gateways=300, tenants=CROWD))
-    world.engines(*FLEET)
+    world.update_engines(*FLEET)
     for _ in range(60):
-        world.command()
-    assert 1 <= len(world.out()) <= 10  # not one at each of forty engines
+        world.submit()
+    assert 1 <= len(world.running_ids()) <= 10  # not one at each of forty engines
 
 
 def test_a_busy_gateway_gets_a_larger_share_and_loses_it_again():
     world = Driver(make_agreement(gateways=300, tenants=CROWD))
-    world.engines(*FLEET)
+    world.update_engines(*FLEET)
     first = world.gateway.parts.limits.share(world.now)
     for _ in range(1000):
-        world.end(world.command(), Outcome.ANSWERED)
+        world.end_attempt(world.submit(), Outcome.ANSWERED)
         world.now += 10 * MS
     assert world.gateway.parts.limits.share(world.now) > 10 * first
     assert world.gateway.parts.limits.share(world.now + 120_000 * MS) < first
@@ -52,14 +54,14 @@
         profile(target_us=9000 * MS, timeout_us=20_000 * MS), gateways=3, tenants=(Tenant(1.0, 30.0),)
     )
     world = Driver(agreement)
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     most = 0.0
     for _ in range(100):
         for _ in range(4):
-            world.command()
+            world.submit()
         world.now += 20 * MS
-        for ident in world.out()[:3]:
-            world.end(ident, Outcome.ANSWERED, cost=1000 * MS)
+        for ident in world.running_ids()[:3]:
+            world.end_attempt(ident, Outcome.ANSWERED, cost=1000 * MS)
         most = max(most, world.gateway.parts.limits.pressure_share)
     assert world.gateway.parts.queue.by_tenant
     assert 1.0 < most <= 1.5
@@ -73,29 +75,29 @@
         cores_by_kind=(40.0,),
     )
     world = Driver(agreement)
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
 
     def part():
         """Threads that so many long commands get, against those that as many short ones get."""
         found = []
         for number, threads in ((1, 3), (0, 1)):
-            asked = [world.command(number) for _ in range(120)]
-            found.append(threads * sum(world.commands[ident]["out"] is not None for ident in asked))
+            asked = [world.submit(number) for _ in range(120)]
+            found.append(threads * sum(world.commands[ident].open_attempt is not None for ident in asked))
             for ident in asked:
-                if not world.commands[ident]["over"]:
-                    world.leave(ident)
-            for ident in world.out():
-                world.end(ident, Outcome.CANCELLED)
+                if not world.commands[ident].is_over:
+                    world.client_left(ident)
+            for ident in world.running_ids():
+                world.end_attempt(ident, Outcome.CANCELLED)
         return found[0] / found[1]
 
     answered(world, 20, 1.0)
     before = part()
     for _ in range(3):
-        lost = world.command()
-        world.now = world.commands[lost]["timeout_at"] - 30 * MS
-        world.end(lost, Outcome.TIMED_OUT)
+        lost = world.submit()
+        world.now = world.commands[lost].timeout_at - 30 * MS
+        world.end_attempt(lost, Outcome.TIMED_OUT)
     world.now += 30_000 * MS
-    world.engines()
+    world.update_engines()
     after = part()
     answered(world, 400, 1.0)
     assert after < 0.6 * before
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -15,29 +15,29 @@
             tenants=(Tenant(0.75), Tenant(0.25)),
         )
     )
-    world.engines((1, 0, 1, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 1, EngineState.READY, 0, 0))
     for i in range(400):
-        world.command(tenant=i % 2)
+        world.submit(tenant=i % 2)
     sent = [0, 0]
     for _ in range(150):
-        ident = world.out()[0]
+        ident = world.running_ids()[0]
         sent[(ident - 1) % 2] += 1
         world.now += 100 * MS
-        world.end(ident, Outcome.ANSWERED)
+        world.end_attempt(ident, Outcome.ANSWERED)
     assert 0.6 < sent[0] / sum(sent) < 0.85
 
 
 def test_tenants_that_hold_nothing_cost_nothing():
     agreement = make_agreement(tenants=tuple(Tenant(1e-5) for _ in range(100_000)))
     driver = Driver(agreement)
-    driver.engines((1, 0, 0, EngineState.READY, 0, 0), full=True)
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0), full=True)
     for tenant in (7, 70_000, 99_999):
         for _ in range(30):
-            driver.command(tenant=tenant)
+            driver.submit(tenant=tenant)
     queue = driver.gateway.parts.queue
     assert set(queue.by_tenant) == {7, 70_000, 99_999}
-    while driver.out():
-        driver.end(driver.out()[0], Outcome.ANSWERED)
+    while driver.running_ids():
+        driver.end_attempt(driver.running_ids()[0], Outcome.ANSWERED)
     assert not queue.by_tenant
     assert set(queue.latency_sums) | set(queue.dispatched) | set(queue.quotas) <= {
         7,
@@ -45,8 +45,8 @@
         99_999,
     }
     for tenant in range(2000):  # each sends one, once: what is counted of them fades
-        driver.command(tenant=tenant)
-        driver.end(driver.out()[0], Outcome.ANSWERED)
+        driver.submit(tenant=tenant)
+        driver.end_attempt(driver.running_ids()[0], Outcome.ANSWERED)
     assert len(queue.dispatched) < 100
 
 
--- a/tests/decisions/test_decisions_fleet_budgets.py
+++ b/tests/decisions/test_decisions_fleet_budgets.py
@@ -12,30 +12,35 @@
         self.most, self.out, self.turned_away = most, 0, 0
 
     def limit(self):
+        """How much of the budget may be acquired at once."""
         return self.most
 
     def allows(self, amount):
+        """Whether so much more may be acquired."""
         return self.out + amount <= self.most
 
     def acquire(self, amount):
+        """Count an amount as acquired."""
         self.out += amount
 
     def release(self, amount, confirmed=True):
+        """Give an amount back, once its end is confirmed."""
         self.out -= amount if confirmed else 0
 
     def record_rejection(self, amount):
+        """Count an amount that was not admitted for lack of budget."""
         self.turned_away += amount
 
 
 def parted(agreement=None, **parts):
     """A driver whose module has these parts, each of all engines and tenants: {name: Part}."""
     world = Driver(agreement or make_agreement())
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     found = {BudgetKind[name.upper()]: part for name, part in parts.items()}
 
     def allot():
-        results = world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))
-        world.obey([row for row in results if not isinstance(row, ReportDemand)])
+        results = world.gateway.apply_budgets(world.now, lambda budget, _: found.get(budget))
+        world.carry_out([row for row in results if not isinstance(row, ReportDemand)])
         reports = [row for row in results if isinstance(row, ReportDemand)]
         return {
             (demand.budget, demand.subject): demand.amount for report in reports for demand in report.demands
@@ -49,23 +54,25 @@
     part = Part(2)
     world, allot = parted(make_agreement(gateways=50), threads=part)
     for _ in range(6):
-        world.command()
-    assert len(world.out()) == 2 == part.out
+        world.submit()
+    assert len(world.running_ids()) == 2 == part.out
     assert allot()[BudgetKind.THREADS, 1] == 4
     part.most = 5
     allot()
-    assert len(world.out()) == 5
+    assert len(world.running_ids()) == 5
     part.most = 1  # it cancels nothing, and begins nothing
-    world.end(world.out()[0], Outcome.ANSWERED)
-    assert len(world.out()) == 4 == part.out
-    world.end(world.out()[0], Outcome.RESET)  # it may run on: whoever keeps the part says when it is over
+    world.end_attempt(world.running_ids()[0], Outcome.ANSWERED)
+    assert len(world.running_ids()) == 4 == part.out
+    world.end_attempt(
+        world.running_ids()[0], Outcome.RESET
+    )  # it may run on: whoever keeps the part says when it is over
     assert part.out == 4
 
 
 def test_a_part_under_one_command_sends_none_of_it():
     world, allot = parted(make_agreement(profile(threads=3)), threads=Part(2))
-    world.command()
-    assert not world.out()
+    world.submit()
+    assert not world.running_ids()
     assert allot()[BudgetKind.THREADS, 1] == 3
 
 
@@ -82,20 +89,20 @@
     world.agreement = agreement._replace(
         retry_budget_base=None
     )  # the stand-in front keeps the module's own budget no more
-    world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
-    world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))
-    first, second, third = (world.command() for _ in range(3))
-    assert world.commands[third]["final"] == Shed
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    world.gateway.apply_budgets(world.now, lambda budget, _: found.get(budget))
+    first, second, third = (world.submit() for _ in range(3))
+    assert world.commands[third].final == Shed
     assert opened.turned_away == taken.turned_away == 1
     for one in (first, second):
-        world.end(one, Outcome.RESET)
+        world.end_attempt(one, Outcome.RESET)
     world.wait(10 * MS)
-    assert len(world.out()) == 1
+    assert len(world.running_ids()) == 1
     assert further.out == 1
-    lacks = world.gateway.apply_budgets(world.now, lambda budget, of: found.get(budget))[-1].demands
+    lacks = world.gateway.apply_budgets(world.now, lambda budget, _: found.get(budget))[-1].demands
     assert (BudgetKind.RETRIES, 0, 1) in lacks
-    world.leave(second)
-    world.end(world.out()[0], Outcome.ANSWERED)
+    world.client_left(second)
+    world.end_attempt(world.running_ids()[0], Outcome.ANSWERED)
     assert opened.out == 0
     assert taken.out == 0
 
@@ -103,8 +110,8 @@
 def test_memory_and_cold_work_are_asked_for_and_a_share_sets_the_bound():
     memory, cold, share = Part(100), Part(100_000), Part(500_000)
     world, allot = parted(make_agreement(gateways=50), memory=memory, warmup=cold, traffic_share=share)
-    world.engines((1, 0, 0, EngineState.READY, 0, world.now))
-    first = [world.command() for _ in range(3)]
+    world.update_engines((1, 0, 0, EngineState.READY, 0, world.now))
+    first = [world.submit() for _ in range(3)]
     granted = memory.out
     assert 0 < granted <= 100
     assert 0 < cold.out <= 100_000
@@ -113,4 +120,4 @@
     assert lacks[BudgetKind.MEMORY, 1] >= 64
     assert lacks[BudgetKind.WARMUP, 1] > 0
     assert lacks[BudgetKind.TRAFFIC_SHARE, 0] >= 3
-    assert len(world.out()) < len(first)
+    assert len(world.running_ids()) < len(first)
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -16,18 +16,18 @@
     """One random run; returns all that the module asked for."""
     world = Driver(agreement)
     for kind, number in steps:
-        out = world.out()
+        out = world.running_ids()
         if kind <= 4:
-            world.command(
+            world.submit(
                 number % len(agreement.profiles),
                 tenant=number % 3,
                 key=number % 4,
                 timeout_us=(200 + number % 3800) * MS,
                 need=ODD[number % 6],
-                told=ODD[number // 7 % 6] if number % 5 == 0 else None,
+                estimate=ODD[number // 7 % 6] if number % 5 == 0 else None,
             )
         elif kind <= 7 and out:
-            world.end(
+            world.end_attempt(
                 out[number % len(out)],
                 number % 8,
                 cost=100 * MS,
@@ -35,25 +35,25 @@
             )
         elif kind == 8:
             born = world.now if number % 3 == 0 else 0
-            world.engines(
+            world.update_engines(
                 (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, born),
                 full=number % 11 == 0,
             )
         elif kind == 9 and out:
-            world.leave(out[number % len(out)])
+            world.client_left(out[number % len(out)])
         elif kind == 10:
-            owed = [ident for ident, cmd in world.commands.items() if not cmd["over"]]
+            owed = [ident for ident, cmd in world.commands.items() if not cmd.is_over]
             if owed:
-                world.give_up(owed[number % len(owed)])
+                world.abandon(owed[number % len(owed)])
         else:
             world.wait(number % 700 * MS)
     world.wait(5000 * MS)
-    for ident in world.out():
-        world.end(ident, Outcome.RESET)
+    for ident in world.running_ids():
+        world.end_attempt(ident, Outcome.RESET)
     assert not world.gateway.commands
     assert not world.gateway.parts.key_order.by_key
     world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
-    world.engines()
+    world.update_engines()
     assert not world.gateway.parts.thread_use.running_on
     assert not world.gateway.parts.thread_use.total
     assert not any(engine.threads or engine.attempts for engine in world.gateway.parts.engines.by_slot)
@@ -77,24 +77,24 @@
 
 def test_strange_input_is_passed_over():
     world = Driver(make_agreement(tenants=(Tenant(1.0),), cores_by_kind=(), memory_mb_by_kind=()))
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     assert world.gateway.attempt_ended(world.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
     assert world.gateway.client_left(world.now, 77) == []
     unknown = world.gateway.submit(world.now, 900, 5, 0, 0, world.now + MS, 0, 0.0, 0, False)
     assert unknown == [Fail(900)]
     assert type(unknown[0]) is Fail
-    world.command(0, tenant=9, work=0)
-    assert len(world.out()) == 1
+    world.submit(0, tenant=9, work=0)
+    assert len(world.running_ids()) == 1
 
 
 @pytest.mark.parametrize("told", ODD)
 def test_an_estimate_that_is_none_loses_no_command(told):
     world = Driver(make_agreement(profile(), profile(threads=3)))
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     for need in ODD:
-        ident = world.command(told=told, need=need)
-        if world.commands[ident]["out"]:
-            world.end(ident, Outcome.ANSWERED)
+        ident = world.submit(estimate=told, need=need)
+        if world.commands[ident].open_attempt:
+            world.end_attempt(ident, Outcome.ANSWERED)
     world.wait(8000 * MS)
     assert world.gateway.parts.estimates.by_profile[0].work_bias > 0
-    assert all(cmd["over"] or cmd["final"] for cmd in world.commands.values())
+    assert all(cmd.is_over or cmd.final for cmd in world.commands.values())
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -9,22 +9,22 @@
 
 def test_a_failing_engine_is_left_but_for_trials():
     world = Driver(make_agreement())
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     sent = [0, 0]
     for i in range(300):
-        ident = world.command()
-        engine = world.commands[ident]["out"][0]
+        ident = world.submit()
+        engine = world.commands[ident].open_attempt.engine
         sent[i // 150] += engine == 0
         world.now += 20 * MS
-        world.end(ident, Outcome.ERROR if engine == 0 else Outcome.ANSWERED)
-        while world.commands[ident]["out"]:
-            world.end(ident, Outcome.ANSWERED)
+        world.end_attempt(ident, Outcome.ERROR if engine == 0 else Outcome.ANSWERED)
+        while world.commands[ident].open_attempt:
+            world.end_attempt(ident, Outcome.ANSWERED)
     assert sent[1] <= 10
 
 
 def test_an_avoided_engine_is_no_outlier_for_good():
     world = Driver(make_agreement())
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     engine = world.gateway.parts.engines.by_id[2]
     world.gateway.parts.estimates.least_usual_work = WORK
     engine.completed_at = START
@@ -36,28 +36,28 @@
 
 def test_one_failed_connection_keeps_off_until_it_fades():
     world = Driver(make_agreement())
-    world.engines(*READY4)
-    ident = world.command()
-    engine = world.commands[ident]["out"][0]
-    world.end(ident, Outcome.CONNECT_FAILED)
-    after = [world.command() for _ in range(6)]
-    assert all(world.commands[one]["out"][0] != engine for one in [ident, *after])
+    world.update_engines(*READY4)
+    ident = world.submit()
+    engine = world.commands[ident].open_attempt.engine
+    world.end_attempt(ident, Outcome.CONNECT_FAILED)
+    after = [world.submit() for _ in range(6)]
+    assert all(world.commands[one].open_attempt.engine != engine for one in [ident, *after])
     known = world.gateway.parts.engines.by_id[engine]
     assert world.gateway.parts.health.failure_rate(known, world.now + 30_000 * MS) < 0.05
 
 
 def test_one_reset_keeps_no_engine_out_but_several_do():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
-    world.engines(*READY4)
+    world.update_engines(*READY4)
 
     def use(outcome, most):
         """Commands until one is at the first engine, which ends it so; whether one was."""
         for _ in range(most):
-            ident = world.command()
-            first = world.commands[ident]["out"][0] == 0
-            world.end(ident, outcome if first else Outcome.ANSWERED)
-            for out in world.out():
-                world.end(out, Outcome.ANSWERED)
+            ident = world.submit()
+            first = world.commands[ident].open_attempt.engine == 0
+            world.end_attempt(ident, outcome if first else Outcome.ANSWERED)
+            for out in world.running_ids():
+                world.end_attempt(out, Outcome.ANSWERED)
             if first:
                 return True
         return False
@@ -75,38 +75,38 @@
 def test_an_engine_with_a_send_that_never_ends_gets_nothing_new_where_sends_cannot_be_cancelled():
     agreement = make_agreement(profile(target_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
     world = Driver(agreement)  # which also checks: no cancel, never two sends out at once
-    world.engines(
+    world.update_engines(
         (1, 0, 0, EngineState.READY, 0, 0),
         (2, 0, 0, EngineState.READY, 0, 0),
         (3, 0, 0, EngineState.READY, 0, 0),
     )
     answered(world, 20, 0.5)
-    hung = world.command()
-    engine = world.commands[hung]["out"][0]
+    hung = world.submit()
+    engine = world.commands[hung].open_attempt.engine
     world.wait(4 * WORK)
     for _ in range(15):  # far more than the others' cap
-        world.command()
-    assert [world.commands[ident]["out"][0] for ident in world.out()].count(engine) == 1
-    assert len(world.out()) > 8  # and the others take theirs
-    for ident in world.out():
+        world.submit()
+    assert [world.commands[ident].open_attempt.engine for ident in world.running_ids()].count(engine) == 1
+    assert len(world.running_ids()) > 8  # and the others take theirs
+    for ident in world.running_ids():
         if ident != hung:
-            world.end(ident, Outcome.ANSWERED)
-    world.end(hung, Outcome.ANSWERED)  # its end is known: it may have some again
+            world.end_attempt(ident, Outcome.ANSWERED)
+    world.end_attempt(hung, Outcome.ANSWERED)  # its end is known: it may have some again
     for _ in range(15):
-        world.command()
-    assert engine in [world.commands[ident]["out"][0] for ident in world.out()]
+        world.submit()
+    assert engine in [world.commands[ident].open_attempt.engine for ident in world.running_ids()]
 
 
 def test_where_most_engines_have_a_send_that_never_ends_none_is_left_out():
     world = Driver(make_agreement(profile(target_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False))
-    world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
     answered(world, 20, 0.5)
     for _ in range(2):
-        world.command()
+        world.submit()
     world.wait(4 * WORK)
     for _ in range(6):
-        world.command()
-    assert len(world.out()) > 4
+        world.submit()
+    assert len(world.running_ids()) > 4
 
 
 @pytest.mark.parametrize("supports_cancel", [False, True])
@@ -116,16 +116,19 @@
             profile(target_us=60_000 * MS, timeout_us=90_000 * MS), supports_cancel=supports_cancel
         )
     )
-    world.engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2, 3)))
+    world.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2, 3)))
     for _ in range(4):
         for _ in range(6):
-            world.command()
+            world.submit()
         world.now += WORK
-        while world.out():
-            ident = world.out()[0]
-            world.end(ident, Outcome.TIMED_OUT if world.commands[ident]["out"][0] == 1 else Outcome.ANSWERED)
+        while world.running_ids():
+            ident = world.running_ids()[0]
+            world.end_attempt(
+                ident,
+                Outcome.TIMED_OUT if world.commands[ident].open_attempt.engine == 1 else Outcome.ANSWERED,
+            )
     for _ in range(30):  # more than the others' caps
-        world.command()
-    went = [world.commands[ident]["out"][0] for ident in world.out()]
+        world.submit()
+    went = [world.commands[ident].open_attempt.engine for ident in world.running_ids()]
     assert len(went) > 4
     assert (1 in went) == supports_cancel
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -12,12 +12,12 @@
     )
     world.now += 20_000 * MS  # no engine is cold any more
     for ident in range(0, 900, 3):
-        world.engines(*[(ident + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
-        one, other = world.command(), world.command()
-        world.end(one, Outcome.ANSWERED)
-        world.end(other, Outcome.RESET)  # what may have run holds its engine's location
-        while world.commands[other]["out"]:
-            world.end(other, Outcome.ANSWERED)
+        world.update_engines(*[(ident + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
+        one, other = world.submit(), world.submit()
+        world.end_attempt(one, Outcome.ANSWERED)
+        world.end_attempt(other, Outcome.RESET)  # what may have run holds its engine's location
+        while world.commands[other].open_attempt:
+            world.end_attempt(other, Outcome.ANSWERED)
     engines = world.gateway.parts.engines
     assert len(engines.by_slot) <= 12
     assert len(engines.by_id) <= 6
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -9,16 +9,16 @@
 
 def test_what_clients_take_back_says_nothing_of_pace():
     world = Driver(make_agreement())
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     for _ in range(30):
-        ident = world.command()
+        ident = world.submit()
         world.now += 150 * MS
-        world.end(ident, Outcome.ANSWERED)
+        world.end_attempt(ident, Outcome.ANSWERED)
     pace = world.gateway.parts.estimates.by_profile[0].pace
     for _ in range(100):
-        ident = world.command()
-        world.leave(ident)
-        world.end(ident, Outcome.CANCELLED)
+        ident = world.submit()
+        world.client_left(ident)
+        world.end_attempt(ident, Outcome.CANCELLED)
     assert world.gateway.parts.estimates.by_profile[0].pace == pace
     assert world.gateway.parts.limits.fleet_slowness < 2
 
@@ -26,23 +26,23 @@
 def test_a_send_cut_off_sooner_than_the_usual_run_tells_nothing_of_its_engine():
     """Clients that gave up early had made jammed engines look fast to every gateway."""
     world = Driver(make_agreement(profile(), max_attempts=1))
-    world.engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
+    world.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
     for _ in range(20):
-        ident = world.command()
+        ident = world.submit()
         world.wait(300 * MS)
-        world.end(ident, Outcome.ANSWERED)
+        world.end_attempt(ident, Outcome.ANSWERED)
     gateway = world.gateway
     engine, estimate = gateway.parts.engines.by_id[0], gateway.parts.estimates.by_profile[0]
     before = gateway.parts.limits.fleet_slowness, estimate.pace
     for _ in range(10):
-        ident = world.command(timeout_us=160 * MS)
+        ident = world.submit(timeout_us=160 * MS)
         world.wait(20 * MS)
-        world.end(ident, Outcome.TIMED_OUT)
+        world.end_attempt(ident, Outcome.TIMED_OUT)
     assert estimate.pace == before[1]
     assert gateway.parts.limits.fleet_slowness == before[0]
-    ident = world.command(timeout_us=3000 * MS)
+    ident = world.submit(timeout_us=3000 * MS)
     world.wait(900 * MS)
-    world.end(ident, Outcome.TIMED_OUT)  # a jam is not hidden
+    world.end_attempt(ident, Outcome.TIMED_OUT)  # a jam is not hidden
     assert estimate.pace > before[1]
     assert gateway.parts.health.slowness(engine, world.now) > 1
 
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -23,12 +23,12 @@
     answered(world, 40, 0.1)
     assert world.gateway.parts.loads.fleet_utilization < 0.2
     for outcome in [Outcome.OVERLOADED, Outcome.TIMED_OUT] * 15:
-        ident = world.command()
-        if ident in world.out():
-            world.end(ident, outcome)
+        ident = world.submit()
+        if ident in world.running_ids():
+            world.end_attempt(ident, outcome)
         world.wait(3000 * MS)
-        for other in world.out():
-            world.end(other, Outcome.ANSWERED)
+        for other in world.running_ids():
+            world.end_attempt(other, Outcome.ANSWERED)
     assert world.gateway.parts.loads.fleet_utilization > 0.7
 
 
@@ -39,8 +39,8 @@
     answered(world, 5, told)
     assert 0.0 <= world.gateway.parts.loads.fleet_utilization <= 1.0
     assert 0.0 <= world.gateway.parts.engines.by_slot[0].load <= 1.0
-    ident = world.command()
-    world.end(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
+    ident = world.submit()
+    world.end_attempt(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
     assert out_of(world) > 0
 
 
@@ -49,31 +49,38 @@
     world = Driver(
         make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
     )
-    world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
-    for ident in [world.command(), world.command()]:  # one on each: both tell
-        world.end(ident, Outcome.ANSWERED, report=(0.9 if world.commands[ident]["out"][0] == full else 0.1,))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    for ident in [world.submit(), world.submit()]:  # one on each: both tell
+        world.end_attempt(
+            ident,
+            Outcome.ANSWERED,
+            report=(0.9 if world.commands[ident].open_attempt.engine == full else 0.1,),
+        )
     for _ in range(12):
-        ident = world.command()
-        assert world.commands[ident]["out"][0] != full
-        world.end(ident, Outcome.ANSWERED, report=(0.1,))
+        ident = world.submit()
+        assert world.commands[ident].open_attempt.engine != full
+        world.end_attempt(ident, Outcome.ANSWERED, report=(0.1,))
 
 
 def test_load_told_by_an_engine_that_crawls_is_no_room():
     world = Driver(
         make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
     )
-    world.engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
     for _ in range(10):  # one on each: the first crawls, and tells of idle cores
-        pair = [world.command(), world.command()]
+        pair = [world.submit(), world.submit()]
         for crawls in (False, True):
             world.now += 5 * WORK if crawls else WORK
             for ident in pair:
-                if world.commands[ident]["out"] and (world.commands[ident]["out"][0] == 1) == crawls:
-                    world.end(ident, Outcome.ANSWERED, report=(0.05 if crawls else 0.6,))
-        for ident in world.out():
-            world.end(ident, Outcome.ANSWERED, report=(0.6,))
-    ident = world.command()
-    assert world.commands[ident]["out"][0] == 2
+                if (
+                    world.commands[ident].open_attempt
+                    and (world.commands[ident].open_attempt.engine == 1) == crawls
+                ):
+                    world.end_attempt(ident, Outcome.ANSWERED, report=(0.05 if crawls else 0.6,))
+        for ident in world.running_ids():
+            world.end_attempt(ident, Outcome.ANSWERED, report=(0.6,))
+    ident = world.submit()
+    assert world.commands[ident].open_attempt.engine == 2
 
 
 def test_room_widens_a_limit_below_full_utilisation_only():
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -10,15 +10,15 @@
 def test_in_a_large_fleet_commands_go_back_to_engines_used_lately_while_those_are_idle():
     """Each command went to another engine: a connection for each, and as many descriptors."""
     world, used = Driver(make_agreement()), set()
-    world.engines(*[(ident, 0, 0, EngineState.READY, 0, 0) for ident in range(600)])
+    world.update_engines(*[(ident, 0, 0, EngineState.READY, 0, 0) for ident in range(600)])
     for _ in range(200):
-        ident = world.command()
-        used.add(world.commands[ident]["out"][0])
+        ident = world.submit()
+        used.add(world.commands[ident].open_attempt.engine)
         world.now += 50 * MS
-        world.end(ident, Outcome.ANSWERED)
+        world.end_attempt(ident, Outcome.ANSWERED)
     assert len(used) <= 5 * 6  # of five data sets, four each, and few more
-    busy = [world.command() for _ in range(60)]  # all at once: no engine is given two while others are idle
-    engines = [world.commands[ident]["out"][0] for ident in busy]
+    busy = [world.submit() for _ in range(60)]  # all at once: no engine is given two while others are idle
+    engines = [world.commands[ident].open_attempt.engine for ident in busy]
     assert len(set(engines)) >= 55
 
 
@@ -30,34 +30,34 @@
         lambda self, command, engine, now: looked.append(engine) or may_take(self, command, engine, now),
     )
     world = Driver(make_agreement())
-    world.engines(*[(ident, 0, 0, EngineState.READY, 0, START - 1) for ident in range(2000)])
-    world.command(work=2_000_000)  # too much for any of them while it is cold
-    assert not world.out()
+    world.update_engines(*[(ident, 0, 0, EngineState.READY, 0, START - 1) for ident in range(2000)])
+    world.submit(work=2_000_000)  # too much for any of them while it is cold
+    assert not world.running_ids()
     assert 0 < len(looked) < 1000
 
 
 def test_a_note_of_waiting_for_a_load_keeps_its_data_set_off():
     world = Driver(make_agreement(profile(waits_for_loads=True), cores_by_kind=(40.0, 40.0)))
-    world.engines(*READY4)
-    first = world.command()
-    engine = world.commands[first]["out"][0]
+    world.update_engines(*READY4)
+    first = world.submit()
+    engine = world.commands[first].open_attempt.engine
     world.gateway.attempt_status(world.now, first, 0, StatusKind.WAITING, 2.0)
-    same = [ident for ident in (world.command() for _ in range(40)) if ident % 5 == first % 5]
-    assert all(world.commands[ident]["out"][0] != engine for ident in same)
+    same = [ident for ident in (world.submit() for _ in range(40)) if ident % 5 == first % 5]
+    assert all(world.commands[ident].open_attempt.engine != engine for ident in same)
 
 
 def test_the_cost_of_a_command_hardly_grows_with_the_fleet():
     looks = []
     for size in (10, 200):
         world = Driver(make_agreement(gateways=300, tenants=CROWD))
-        world.engines(*[(ident, 0, 0, EngineState.READY, 0, 0) for ident in range(size)])
+        world.update_engines(*[(ident, 0, 0, EngineState.READY, 0, 0) for ident in range(size)])
         may_take, count = world.gateway.parts.placement.may_take, [0]
         world.gateway.parts.placement.may_take = lambda *args, may_take=may_take, count=count: (
             count.append(0),
             may_take(*args),
         )[1]
         for _ in range(100):
-            world.end(world.command(), Outcome.ANSWERED)
+            world.end_attempt(world.submit(), Outcome.ANSWERED)
             world.now += 50 * MS
         looks.append(len(count))
     assert looks[1] < 1.2 * looks[0]
@@ -67,12 +67,12 @@
     used = set()
     for seed in range(20):
         world = Driver(make_agreement(gateways=300, tenants=CROWD), seed)
-        world.engines(*FLEET)
+        world.update_engines(*FLEET)
         for _ in range(5):
-            ident = world.command()
+            ident = world.submit()
             if ident % 5 == 0:
-                used.add(world.commands[ident]["out"][0])
-            world.end(ident, Outcome.ANSWERED)
+                used.add(world.commands[ident].open_attempt.engine)
+            world.end_attempt(ident, Outcome.ANSWERED)
     assert len(used) <= 16  # of twenty sends by twenty gateways over forty engines
 
 
@@ -81,12 +81,12 @@
         profile(waits_for_loads=True), profile(loads_dataset=True, target_us=9000 * MS)
     )
     world = Driver(agreement)
-    world.engines(*FLEET)
+    world.update_engines(*FLEET)
     spots = ({}, {})
     for i in range(400):
-        ident = world.command(i % 2)
-        spots[i % 2].setdefault(ident % 5, set()).add(world.commands[ident]["out"][0])
-        world.end(ident, Outcome.ANSWERED)
+        ident = world.submit(i % 2)
+        spots[i % 2].setdefault(ident % 5, set()).add(world.commands[ident].open_attempt.engine)
+        world.end_attempt(ident, Outcome.ANSWERED)
     assert all(not spots[0][dataset] & spots[1][dataset] for dataset in spots[0])
 
 
@@ -96,10 +96,12 @@
         world = Driver(
             make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), cross_zone_costs=True)
         )
-        world.engines(*((ident, ident % 2, 0, EngineState.READY, 0, 0) for ident in range(2, 8)))
+        world.update_engines(*((ident, ident % 2, 0, EngineState.READY, 0, 0) for ident in range(2, 8)))
         answered(world, 5, 0.5)
         answered(world, 20, 0.5, latency)
         for _ in range(6):
-            world.command()
-        went.append({world.fleet[world.commands[ident]["out"][0]]["zone"] for ident in world.out()})
+            world.submit()
+        went.append(
+            {world.fleet[world.commands[ident].open_attempt.engine].zone for ident in world.running_ids()}
+        )
     assert went == [{0}, {0, 1}]
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -14,10 +14,10 @@
         (Idempotency.KEYED, Shed),
     ):
         world = Driver(make_agreement(profile(idempotency=effect)))
-        world.engines(*READY4[:1])
-        ident = world.command()
-        assert world.out() == [ident]
-        world.give_up(ident)
+        world.update_engines(*READY4[:1])
+        ident = world.submit()
+        assert world.running_ids() == [ident]
+        world.abandon(ident)
         final = next(result for result in world.log if isinstance(result, Shed | Fail))
         assert (type(final), final.command) == (verb, ident)
         assert not world.gateway.commands
@@ -27,12 +27,12 @@
 def test_a_non_replayable_send_that_was_turned_away_unseen_goes_again():
     """It was shed at once, though it provably never ran: the state of the ended send stood in the way."""
     world = Driver(make_agreement(profile(idempotency=Idempotency.NON_IDEMPOTENT)))
-    world.engines(*READY4)
-    ident = world.command()
-    world.end(ident, Outcome.OVERLOADED)
-    assert world.out() == [ident]
+    world.update_engines(*READY4)
+    ident = world.submit()
+    world.end_attempt(ident, Outcome.OVERLOADED)
+    assert world.running_ids() == [ident]
     assert not any(isinstance(result, Shed) for result in world.log)
-    world.end(ident, Outcome.ERROR)
+    world.end_attempt(ident, Outcome.ERROR)
     assert Fail(ident) in world.results_of(Fail)
 
 
@@ -42,35 +42,35 @@
             profile(), retry_budget_base=3.0, retry_budget_share=0.5, retry_budget_window_us=5000 * MS
         )
     )
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     for i in range(60):  # taken back at once, or of no use to any engine
-        ident = world.command()
+        ident = world.submit()
         if i % 2:
-            world.leave(ident)
-        while world.commands[ident]["out"]:
-            world.end(ident, Outcome.CANCELLED if i % 2 else Outcome.ERROR)
-    assert len(world.extras) == 3
+            world.client_left(ident)
+        while world.commands[ident].open_attempt:
+            world.end_attempt(ident, Outcome.CANCELLED if i % 2 else Outcome.ERROR)
+    assert len(world.retried_at) == 3
     assert world.gateway.parts.traffic.count < 40
     world.wait(40_000 * MS)
     for _ in range(8):
-        world.end(world.command(), Outcome.ANSWERED)
+        world.end_attempt(world.submit(), Outcome.ANSWERED)
     for _ in range(9):
-        ident = world.command()
-        world.end(ident, Outcome.OVERLOADED) if world.commands[ident]["out"] else None
+        ident = world.submit()
+        world.end_attempt(ident, Outcome.OVERLOADED) if world.commands[ident].open_attempt else None
         for engine in world.gateway.parts.engines.by_slot:
             engine.overloaded_until = 0
-    assert len(world.extras) == 3 + 7  # three, and half of those answered
+    assert len(world.retried_at) == 3 + 7  # three, and half of those answered
 
 
 def test_an_error_on_a_second_engine_ends_the_command():
     world = Driver(make_agreement(max_attempts=99))
-    world.engines(*READY4)
+    world.update_engines(*READY4)
     for _ in range(10):
-        ident, used = world.command(), []
-        while world.commands[ident]["out"]:
-            used.append(world.commands[ident]["out"][0])
-            world.end(ident, Outcome.ERROR)
-        assert world.commands[ident]["final"] == Shed
+        ident, used = world.submit(), []
+        while world.commands[ident].open_attempt:
+            used.append(world.commands[ident].open_attempt.engine)
+            world.end_attempt(ident, Outcome.ERROR)
+        assert world.commands[ident].final == Shed
         assert len(set(used)) == 2
         assert used[-1] not in used[:-1]
         world.wait(60_000 * MS)  # its marks fade
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -12,30 +12,32 @@
 
 def test_a_restart_makes_an_engine_cold_again():
     world = Driver(make_agreement(gateways=1))
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
-    world.engines((1, 0, 0, EngineState.READY, 0, START))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, START))
     for _ in range(200):
-        if not world.out():
-            world.command()
-        world.end(world.out()[0], Outcome.ANSWERED) if world.out() else world.wait(20 * MS)
+        if not world.running_ids():
+            world.submit()
+        world.end_attempt(world.running_ids()[0], Outcome.ANSWERED) if world.running_ids() else world.wait(
+            20 * MS
+        )
     assert world.warmup_work[1]
 
 
 def test_a_heavy_command_may_go_to_a_new_engine_before_it_is_warm():
     world = Driver(make_agreement(profile(timeout_us=60_000 * MS, target_us=60_000 * MS), gateways=3))
-    world.engines((1, 0, 0, EngineState.READY, 0, START))
-    ident = world.command(work=2500 * MS)
-    assert not world.out()
+    world.update_engines((1, 0, 0, EngineState.READY, 0, START))
+    ident = world.submit(work=2500 * MS)
+    assert not world.running_ids()
     world.wait(9900 * MS)
-    assert world.commands[ident]["out"]
+    assert world.commands[ident].open_attempt
 
 
 def asks(world, times, wait_us):
     """It is asked so often, all that goes out is answered; how many sends it has made in all."""
     for _ in range(times):
-        world.command(work=400 * MS)
-        for ident in world.out():
-            world.end(ident, Outcome.ANSWERED)
+        world.submit(work=400 * MS)
+        for ident in world.running_ids():
+            world.end_attempt(ident, Outcome.ANSWERED)
         world.wait(wait_us)
     return sum(isinstance(result, Dispatch) for result in world.log)
 
@@ -52,7 +54,7 @@
     sent = 0
     for seed in range(managers):
         world = Driver(agreement, seed)
-        world.engines((1, 0, 0, EngineState.READY, 0, START))
+        world.update_engines((1, 0, 0, EngineState.READY, 0, START))
         sent += 400 * MS * asks(world, 10, 190 * MS)
     assert 0.2 * stands < sent < stands
 
@@ -68,7 +70,7 @@
             world.gateway.parts.slow_start.gateway_started_at = world.now = (
                 START + (1 + 500 * start) * MS
             )  # the engine is there before
-            world.engines((1, 0, 0, EngineState.READY, 0, START))
+            world.update_engines((1, 0, 0, EngineState.READY, 0, START))
             sent += asks(world, 3, 160 * MS)
     stands = (
         agreement.overload_multiple
@@ -79,9 +81,9 @@
     )
     assert sent <= stands + 2 * stands**0.5 + 2
     world.wait(agreement.overload_window_us)
-    world.command(work=400 * MS)
+    world.submit(work=400 * MS)
     world.wait(3 * agreement.overload_window_us)
-    assert managers > 3 or world.out()  # the part is ours again
+    assert managers > 3 or world.running_ids()  # the part is ours again
 
 
 def test_half_a_fleet_back_cold_at_once_is_given_its_part_by_gateways_that_know_only_their_last_list():
@@ -89,7 +91,7 @@
     fleet = [Driver(agreement, seed) for seed in range(10)]
     work = {}
     for world in fleet:  # all that each knows is a list of a moment ago; half of its engines began anew
-        world.engines(
+        world.update_engines(
             *(
                 (ident, 0, 0, EngineState.READY, 0, 0 if ident < 4 else START - 1000 * MS)
                 for ident in range(8)
@@ -98,13 +100,13 @@
     for _ in range(40):
         for world in fleet:
             for _ in range(3):
-                ident = world.command()
-                out = world.commands[ident]["out"]
-                if out and out[0] >= 4:
-                    work[out[0]] = work.get(out[0], 0) + WORK
+                ident = world.submit()
+                attempt = world.commands[ident].open_attempt
+                if attempt and attempt.engine >= 4:
+                    work[attempt.engine] = work.get(attempt.engine, 0) + WORK
             world.wait(50 * MS)
-            for ident in world.out():
-                world.end(ident, Outcome.ANSWERED)
+            for ident in world.running_ids():
+                world.end_attempt(ident, Outcome.ANSWERED)
     stands = (
         agreement.overload_multiple
         * (agreement.warmup_initial_share + 0.7 * 0.1)
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -16,11 +16,11 @@
             max_attempts=1,
         )
     )
-    world.engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2)))
+    world.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2)))
     for _ in range(400):
-        world.command()
+        world.submit()
         world.wait(100 * MS)
-    return world, sum(len(cmd["sends"]) for cmd in world.commands.values())
+    return world, sum(len(cmd.attempts_sent_at) for cmd in world.commands.values())
 
 
 def test_what_timed_out_holds_its_threads_while_it_may_run_on_where_sends_cannot_be_cancelled():
@@ -32,11 +32,11 @@
     world, _ = jammed()
     assert world.gateway.parts.thread_use.total >= 4
     assert world.gateway.parts.thread_use.running_on
-    for ident in world.out():
-        world.end(ident, Outcome.RESET)
+    for ident in world.running_ids():
+        world.end_attempt(ident, Outcome.RESET)
     born = world.now - 20_000 * MS  # seen anew and warm
-    world.engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
-    out = sum(world.commands[ident]["kind"].threads for ident in world.out())
+    world.update_engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
+    out = sum(world.commands[ident].profile.threads for ident in world.running_ids())
     assert world.gateway.parts.thread_use.total == out
     assert not world.gateway.parts.thread_use.running_on
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,10 @@
-"""A driver that makes calls on a Gateway and checks the seven rules after each, with records of its own."""
+"""A driver that makes calls on a Gateway and checks the seven rules after each, with records of its own.
+
+Times are in microseconds, on a clock that the driver moves.
+"""
+
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import (
@@ -13,6 +19,7 @@
     Idempotency,
     Outcome,
     Profile,
+    Result,
     Shed,
     StartTimer,
 )
@@ -23,7 +30,7 @@
 FINAL = (Shed, Fail)
 
 
-def profile(**other):
+def profile(**other: Any) -> Profile:
     """A profile of short idempotent commands, with what the test names changed."""
     plain = {
         "threads": 1,
@@ -44,7 +51,7 @@
     return Profile(**plain | other)
 
 
-def make_agreement(*profiles, **other):
+def make_agreement(*profiles: Profile, **other: Any) -> Agreement:
     """An agreement over such profiles, with what the test names changed."""
     plain = {
         "profiles": profiles or (profile(),),
@@ -72,68 +79,109 @@
     return Agreement(**plain | other)
 
 
+class SentAttempt(NamedTuple):
+    """One attempt of a command: its engine's id, when it was sent and its number, which counts from 0."""
+
+    engine: int
+    sent_at: int
+    number: int
+
+
+@dataclass
+class SubmittedCommand:
+    """What the driver knows of a command.
+
+    final: the type of its final answer, once it has one. is_over: no final answer is due any more.
+    attempt_ends_at: deadline of the open attempt. attempts_sent_at: when each attempt was sent.
+    first_run: the first attempt that may have run.
+    """
+
+    profile: Profile
+    key: int
+    timeout_at: int
+    work: int
+    final: type[Shed] | type[Fail] | None = None
+    is_over: bool = False
+    open_attempt: SentAttempt | None = None
+    attempt_ends_at: int = 0
+    attempts_sent_at: list[int] = field(default_factory=list)
+    first_run: SentAttempt | None = None
+
+
+@dataclass
+class ListedEngine:
+    """An engine as it was last listed; zone, kind and cell are indexes."""
+
+    zone: int
+    kind: int
+    state: EngineState
+    cell: int
+    started_us: int
+
+
 class Driver:
-    """Stands for the service: records what was asked and answered, and fails on the first broken rule."""
+    """Takes the place of the service: records requests and answers, and fails at the first broken rule."""
 
-    def __init__(self, agreement, seed=1):
+    def __init__(self, agreement: Agreement, seed: int = 1) -> None:
         self.agreement = agreement
         self.now = START
         self.gateway = Gateway(seed, agreement, self.now)
-        self.fleet = {}  # engines by id, as last listed
-        self.commands = {}  # by id: what was asked, and what has become of it
-        self.ids_by_key = {}  # ids of commands with an ordered key, in order of arrival
-        self.settles_until = {}  # by ordered key
-        self.log = []  # results
-        self.extras = []  # times of retries
-        self.submitted_at = []
-        self.warmup_work = {}  # (time, work) of attempts on warming engines, by engine
-        self.timers = []  # (time, token), ascending
+        self.fleet: dict[int, ListedEngine] = {}  # by engine id
+        self.commands: dict[int, SubmittedCommand] = {}  # by command id
+        self.ids_by_key: dict[int, list[int]] = {}  # ids of commands with an ordered key, in order of arrival
+        self.settles_until: dict[int, int] = {}  # by ordered key
+        self.log: list[Result] = []  # all results of the gateway
+        self.retried_at: list[int] = []
+        self.submitted_at: list[int] = []
+        self.warmup_work: dict[int, list[tuple[int, int]]] = {}  # (time, work) of attempts, by warming engine
+        self.timers: list[tuple[int, int]] = []  # (time, token), ascending
         self.serial = 0
 
-    def engines(self, *entries, full=False):
-        """The endpoint list changes: (id, zone, kind, state, cell, started_us) entries."""
+    def update_engines(
+        self, *entries: tuple[int, int, int, EngineState, int, int], full: bool = False
+    ) -> None:
+        """The endpoint list changes: (id, zone, kind, state, cell, started_us) of each entry.
+
+        full: engines without an entry are removed.
+        """
         if full:
             for known in self.fleet.values():
-                known["state"] = EngineState.REMOVED
-        for ident, zone, kind, state, cell, started_us in entries:
-            self.fleet[ident] = {
-                "zone": zone,
-                "kind": kind,
-                "state": state,
-                "cell": cell,
-                "started_us": started_us,
-            }
+                known.state = EngineState.REMOVED
+        for ident, *facts in entries:
+            self.fleet[ident] = ListedEngine(*facts)
         rows = [EngineEntry(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
-        self.obey(self.gateway.update_engines(self.now, rows, full))
+        self.carry_out(self.gateway.update_engines(self.now, rows, full))
+
+    def submit(
+        self,
+        profile_index: int = 0,
+        tenant: int = 0,
+        key: int = 0,
+        work: int = WORK,
+        timeout_us: int | None = None,
+        need: float = 64.0,
+        estimate: float | None = None,
+    ) -> int:
+        """A command arrives; returns its id.
 
-    def command(self, number=0, tenant=0, key=0, work=WORK, timeout_us=None, need=64.0, told=None):
-        """A command arrives; returns its id. told: its estimate, where that is not its work."""
+        need: the memory that it needs, in MB. estimate: of its work, where that is not its work.
+        """
         self.serial += 1
-        kind = self.agreement.profiles[number]
-        timeout_at = self.now + (timeout_us or kind.timeout_us)
-        self.commands[self.serial] = {
-            "kind": kind,
-            "key": key,
-            "timeout_at": timeout_at,
-            "final": None,
-            "work": work,
-            "over": False,
-            "out": None,
-            "sends": [],
-            "ran": None,
-        }
-        if kind.ordered and key:
+        command_profile = self.agreement.profiles[profile_index]
+        timeout_at = self.now + (timeout_us or command_profile.timeout_us)
+        self.commands[self.serial] = SubmittedCommand(command_profile, key, timeout_at, work)
+        if command_profile.ordered and key:
             self.ids_by_key.setdefault(key, []).append(self.serial)
         self.submitted_at.append(self.now)
-        self.obey(
+        self.carry_out(
             self.gateway.submit(
                 self.now,
                 self.serial,
-                number,
+                profile_index,
                 tenant,
                 key,
                 timeout_at,
-                work if told is None else told,
+                work if estimate is None else estimate,
                 need,
                 self.serial % 5,
                 False,
@@ -141,72 +189,85 @@
         )
         return self.serial
 
-    def end(self, ident, outcome, cost=WORK, closed=False, report=()):
-        """The open attempt of a command ends."""
+    def end_attempt(
+        self,
+        ident: int,
+        outcome: Outcome | int,
+        cost: int = WORK,
+        closed: bool = False,
+        report: tuple[float, ...] = (),
+    ) -> None:
+        """The open attempt of a command ends.
+
+        cost: the work that its answer reports. closed: the command ends with it. report: its load report.
+        """
         command = self.commands[ident]
-        engine, sent_at, send = command["out"]
-        command["out"] = None
-        command["over"] = command["over"] or outcome == Outcome.ANSWERED
-        if outcome not in NEVER_RAN and command["ran"] is None:
-            command["ran"] = (engine, sent_at)
-        if command["kind"].ordered and outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
-            self.settles_until[command["key"]] = self.now + self.agreement.key_settle_us
+        attempt, command.open_attempt = command.open_attempt, None
+        command.is_over = command.is_over or outcome == Outcome.ANSWERED
+        if outcome not in NEVER_RAN and command.first_run is None:
+            command.first_run = attempt
+        if command.profile.ordered and outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
+            self.settles_until[command.key] = self.now + self.agreement.key_settle_us
         cost = cost if outcome == Outcome.ANSWERED else 0
-        self.obey(
+        self.carry_out(
             self.gateway.attempt_ended(
                 self.now,
                 ident,
-                send,
+                attempt.number,
                 outcome,
-                command["over"] or closed,
-                self.now - sent_at,
+                command.is_over or closed,
+                self.now - attempt.sent_at,
                 cost,
                 60,
                 report,
             )
         )
 
-    def leave(self, ident):
-        """The client leaves."""
-        self.commands[ident]["over"] = True
-        self.obey(self.gateway.client_left(self.now, ident))
+    def client_left(self, ident: int) -> None:
+        """The client of a command leaves."""
+        self.commands[ident].is_over = True
+        self.carry_out(self.gateway.client_left(self.now, ident))
 
-    def give_up(self, ident):
+    def abandon(self, ident: int) -> None:
         """The service must end a command now; an open attempt is cancelled."""
         command = self.commands[ident]
-        out, command["out"] = command["out"], None  # the service cancels it beside the answer
-        if out and command["ran"] is None:
-            command["ran"] = out[:2]
-        self.obey(self.gateway.abandon(self.now, ident))
-        assert command["over"], "no final answer"
-        if out:
-            command["out"] = out
-            self.end(ident, Outcome.CANCELLED)
-
-    def out(self):
-        """Ids of commands with an open attempt."""
-        return [ident for ident, command in self.commands.items() if command["out"]]
-
-    def wait(self, span_us):
+        attempt, command.open_attempt = command.open_attempt, None  # the service cancels it beside the answer
+        if attempt and command.first_run is None:
+            command.first_run = attempt
+        self.carry_out(self.gateway.abandon(self.now, ident))
+        assert command.is_over, "no final answer"
+        if attempt:
+            command.open_attempt = attempt
+            self.end_attempt(ident, Outcome.CANCELLED)
+
+    def running_ids(self) -> list[int]:
+        """Ids of commands with an open attempt, in order of arrival."""
+        return [ident for ident, command in self.commands.items() if command.open_attempt]
+
+    def wait(self, span_us: int) -> None:
         """Time passes: timers fire, attempts whose time is up time out."""
         until = self.now + span_us
         while True:
-            ends = [(command["until"], ident) for ident, command in self.commands.items() if command["out"]]
+            ends = [
+                (command.attempt_ends_at, ident)
+                for ident, command in self.commands.items()
+                if command.open_attempt
+            ]
             first = min([at for at, _ in self.timers + ends], default=until + 1)
             if first > until:
                 break
             self.now = max(self.now, first)
             for at, ident in ends:
-                if at <= self.now and self.commands[ident]["out"]:
-                    self.end(ident, Outcome.TIMED_OUT)
+                if at <= self.now and self.commands[ident].open_attempt:
+                    self.end_attempt(ident, Outcome.TIMED_OUT)
             if self.timers and self.timers[0][0] <= self.now:
-                self.obey(self.gateway.timer_fired(self.now, self.timers.pop(0)[1]))
+                self.carry_out(self.gateway.timer_fired(self.now, self.timers.pop(0)[1]))
         self.now = until
         for ident, command in self.commands.items():
-            late = self.now > command["timeout_at"] and not command["over"] and not command["final"]
+            late = self.now > command.timeout_at and not command.is_over and not command.final
             assert not late, f"command {ident} has no final answer"
 
-    def obey(self, results):
+    def carry_out(self, results: list[Result]) -> None:
         """Carry out results, each checked first."""
         for result in results:
             self.log.append(result)
@@ -217,86 +278,100 @@
             command = self.commands[result.command]
             if isinstance(result, FINAL):
                 self.check_final(type(result), command)
-                command["final"], command["over"] = type(result), True
+                command.final, command.is_over = type(result), True
             elif isinstance(result, Dispatch):
-                self.check_send(result.command, command, result.engine)
-                command["out"] = (result.engine, self.now, len(command["sends"]))
-                command["until"] = min(result.deadline_us, command["timeout_at"])
-                command["sends"].append(self.now)
+                self.check_dispatch(result.command, command, result.engine)
+                number = len(command.attempts_sent_at)
+                command.open_attempt = SentAttempt(result.engine, self.now, number)
+                command.attempt_ends_at = min(result.deadline_us, command.timeout_at)
+                command.attempts_sent_at.append(self.now)
             elif isinstance(result, CancelAttempt):
                 assert self.agreement.supports_cancel
-                assert command["out"]
-                assert command["out"][2] == result.attempt
+                assert command.open_attempt
+                assert command.open_attempt.number == result.attempt
 
-    def results_of(self, result_type):
+    def results_of(self, result_type: type) -> list[Any]:
         """The results of one type so far: those of other types may have equal fields."""
         return [result for result in self.log if type(result) is result_type]
 
-    def check_final(self, final, command):
+    def check_final(self, final: type[Shed] | type[Fail], command: SubmittedCommand) -> None:
         """Rules 1 and 2: one answer in time; shed only where a repeat does no harm."""
-        assert not command["over"]
-        assert self.now <= command["timeout_at"]
-        assert not command["out"]
-        if final == Shed and command["ran"] and command["kind"].idempotency != Idempotency.IDEMPOTENT:
-            assert command["kind"].idempotency == Idempotency.KEYED
-            assert command["kind"].dedup_scope == DeduplicationScope.FLEET
-            assert self.now < command["ran"][1] + command["kind"].dedup_window_us
-
-    def check_send(self, ident, command, engine):
+        assert not command.is_over
+        assert self.now <= command.timeout_at
+        assert not command.open_attempt
+        idempotency = command.profile.idempotency
+        if final == Shed and command.first_run and idempotency != Idempotency.IDEMPOTENT:
+            assert idempotency == Idempotency.KEYED
+            assert command.profile.dedup_scope == DeduplicationScope.FLEET
+            assert self.now < command.first_run.sent_at + command.profile.dedup_window_us
+
+    def check_dispatch(self, ident: int, command: SubmittedCommand, engine: int) -> None:
         """All seven rules at a dispatch."""
-        agreement = self.agreement
-        kind = command["kind"]
+        command_profile = command.profile
         listed = self.fleet[engine]
-        assert not command["over"]
-        assert self.now < command["timeout_at"]
-        assert not command["out"], "two attempts at once"
-        assert len(command["sends"]) < agreement.max_attempts
-        assert listed["state"] == EngineState.READY, "dispatched to an engine that drains or is removed"
-        if command["ran"] and kind.idempotency != Idempotency.IDEMPOTENT:
-            assert kind.idempotency == Idempotency.KEYED
-            assert self.now < command["ran"][1] + kind.dedup_window_us
-            first = self.fleet[command["ran"][0]]
-            for scope, name in ((DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")):
-                assert kind.dedup_scope != scope or first[name] == listed[name], (
-                    "left its deduplication scope"
-                )
-        assert kind.zones is None or listed["zone"] in kind.zones
-        assert kind.engine_kinds is None or listed["kind"] in kind.engine_kinds
-        if listed["started_us"] and self.now < listed["started_us"] + agreement.warmup_us:
-            sent = self.warmup_work.setdefault(engine, [])
-            sent.append((self.now, command["work"]))
-            work = sum(work for at, work in sent if at > self.now - agreement.overload_window_us)
-            grown = (
-                agreement.warmup_initial_share
-                + (1 - agreement.warmup_initial_share)
-                * (self.now - listed["started_us"])
-                / agreement.warmup_us
-            )
-            capacity = (
-                agreement.overload_multiple
-                * grown
-                * agreement.cores_by_kind[listed["kind"]]
-                * agreement.overload_window_us
-            )
-            assert work <= capacity / agreement.gateways + command["work"], (
-                "warming engine overloaded"
-            )  # rounded by lot
-        if kind.ordered and command["key"]:
-            ids = self.ids_by_key[command["key"]]
-            for other in ids[: ids.index(ident)]:
-                earlier = self.commands[other]
-                assert earlier["over"], "out of order"
-                assert not earlier["out"], "out of order"
-            assert command["sends"] or self.now >= self.settles_until.get(command["key"], 0), (
-                "the key has not settled"
-            )
-        if command["sends"]:
-            self.extras.append(self.now)
-            since = self.now - agreement.retry_budget_window_us
-            extras = sum(at > since for at in self.extras)
-            submitted = sum(at > since for at in self.submitted_at)
-            budget = (
-                agreement.retry_budget_base is None
-                or extras <= agreement.retry_budget_base + agreement.retry_budget_share * submitted
-            )
-            assert budget, "over budget"
+        assert not command.is_over
+        assert self.now < command.timeout_at
+        assert not command.open_attempt, "two attempts at once"
+        assert len(command.attempts_sent_at) < self.agreement.max_attempts
+        assert listed.state == EngineState.READY, "dispatched to an engine that drains or is removed"
+        if command.first_run and command_profile.idempotency != Idempotency.IDEMPOTENT:
+            self.check_deduplication(command, listed)
+        assert command_profile.zones is None or listed.zone in command_profile.zones
+        assert command_profile.engine_kinds is None or listed.kind in command_profile.engine_kinds
+        if listed.started_us and self.now < listed.started_us + self.agreement.warmup_us:
+            self.check_warmup(command, engine, listed)
+        if command_profile.ordered and command.key:
+            self.check_key_order(ident, command)
+        if command.attempts_sent_at:
+            self.check_retry_budget()
+
+    def check_deduplication(self, command: SubmittedCommand, listed: ListedEngine) -> None:
+        """A retry of what may have run stays in the deduplication window and scope."""
+        command_profile = command.profile
+        assert command_profile.idempotency == Idempotency.KEYED
+        assert self.now < command.first_run.sent_at + command_profile.dedup_window_us
+        first = self.fleet[command.first_run.engine]
+        if command_profile.dedup_scope == DeduplicationScope.ZONE:
+            assert first.zone == listed.zone, "left its deduplication scope"
+        if command_profile.dedup_scope == DeduplicationScope.CELL:
+            assert first.cell == listed.cell, "left its deduplication scope"
+
+    def check_warmup(self, command: SubmittedCommand, engine: int, listed: ListedEngine) -> None:
+        """A warming engine gets no more than our share of its capacity, and one command (rounded by lot)."""
+        agreement = self.agreement
+        sent = self.warmup_work.setdefault(engine, [])
+        sent.append((self.now, command.work))
+        work = sum(work for at, work in sent if at > self.now - agreement.overload_window_us)
+        elapsed = self.now - listed.started_us
+        grown = (
+            agreement.warmup_initial_share
+            + (1 - agreement.warmup_initial_share) * elapsed / agreement.warmup_us
+        )
+        capacity = (
+            agreement.overload_multiple
+            * grown
+            * agreement.cores_by_kind[listed.kind]
+            * agreement.overload_window_us
+        )
+        assert work <= capacity / agreement.gateways + command.work, "warming engine overloaded"
+
+    def check_key_order(self, ident: int, command: SubmittedCommand) -> None:
+        """All earlier commands of the key are over, and the key has settled."""
+        ids = self.ids_by_key[command.key]
+        for other in ids[: ids.index(ident)]:
+            earlier = self.commands[other]
+            assert earlier.is_over, "out of order"
+            assert not earlier.open_attempt, "out of order"
+        has_settled = self.now >= self.settles_until.get(command.key, 0)
+        assert command.attempts_sent_at or has_settled, "the key has not settled"
+
+    def check_retry_budget(self) -> None:
+        """This retry fits into the retry budget."""
+        agreement = self.agreement
+        self.retried_at.append(self.now)
+        since = self.now - agreement.retry_budget_window_us
+        retries = sum(at > since for at in self.retried_at)
+        submitted = sum(at > since for at in self.submitted_at)
+        if agreement.retry_budget_base is not None:
+            budget = agreement.retry_budget_base + agreement.retry_budget_share * submitted
+            assert retries <= budget, "over budget"
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -26,6 +26,7 @@
         self.written, self.ended_at, self.breaks = {}, None, []
 
     def run(self):
+        """Send requests until the connection ends, and read answers on a thread beside it."""
         reader = Thread(target=self._read, daemon=True)
         reader.start()
         serial = 0
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -128,6 +128,7 @@
         self.limit_ms, self.size, self.stopped, self.serial = limit_ms, size, False, 0
 
     def run(self):
+        """Use one connection after another until it is stopped."""
         while not self.stopped:
             try:
                 self._connection()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -53,7 +53,7 @@
     "page",
     [
         lambda conn, txn: conn.sendall(resp.encode(txn, b"500", b"-", b"")),
-        lambda conn, txn: resets(conn, b"fetch"),
+        lambda conn, _txn: resets(conn, b"fetch"),
         lambda conn, txn: conn.sendall(resp.encode(txn, b"chunk", b"page=7", b"x")),
     ],
 )
--- a/tests/test_budget_allocator.py
+++ b/tests/test_budget_allocator.py
@@ -9,6 +9,7 @@
 
 
 def fleet(*members, **budgets):
+    """An allocator of these budgets (by default one of 60), to which each member has reported no use."""
     allocator = Allocator(budgets or {"b": Budget(LedgerKind.HELD, 60)})
     for member in members:
         allocator.report(member, 0, dict.fromkeys(allocator.budgets, NO_USAGE), 0)
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -116,6 +116,7 @@
         self.stored = {}  # packed entries by member, as the next allocator finds them
 
     def __call__(self):
+        """The time now, in microseconds: a play is the clock of its members."""
         return self.now
 
     def _new_ledger(self):
@@ -134,6 +135,7 @@
             self.members[f"m/{self.serial}"] = allocation
 
     def reallocate(self, k):
+        """The allocator divides the total anew, by demands drawn from k, and writes what changed."""
         demands = {name: (k * (i + 3)) % 23 for i, name in enumerate(self.members)}
         self.write += 1
         targets = max_min_shares(
@@ -152,6 +154,7 @@
                 self.members[name].owner.apply_write(7, write, {"b/0": allocated})
 
     def report(self, k):
+        """A member reports; reports beyond a few under way arrive, in an order drawn from k."""
         if self.members:
             name = list(self.members)[k % len(self.members)]
             allocation = self.members[name]
@@ -166,6 +169,7 @@
                 self.stored = {name: entry.pack() for name, entry in self.ledger.entries.items()}
 
     def lose(self, k):
+        """The oldest write and the oldest report under way are lost, if k is odd."""
         for queue in (self.writes, self.reports):
             if queue and k % 2:
                 queue.popleft()
@@ -180,6 +184,7 @@
         self.ledger.member_left(name, self.now + LEASE_US)
 
     def leave(self, k):
+        """A member without work in use leaves in good order."""
         for name in list(self.members)[k % 3 : k % 3 + 1]:
             allocation = self.members[name]
             if not allocation.in_use or self.kind == LedgerKind.WINDOWED:
@@ -188,15 +193,18 @@
                 self.ledger.member_left(name, self.now, spent)
 
     def spend(self, k):
+        """A member begins one unit of work, if its allocation allows it."""
         allocations = list(self.members.values())
         if allocations and spend(allocations[k % len(allocations)]):
             self.spent.append(self.now)
 
     def burst(self, k):
+        """Members begin as much as they are allowed."""
         for i in range(25 * max(1, len(self.members) if k % 2 else 0)):
             self.spend(k + i // 25)
 
     def end(self, k):
+        """Some members end one unit of work each."""
         for allocation in list(self.members.values())[k % 3 :]:
             if allocation.in_use and self.kind == LedgerKind.HELD:
                 allocation.release(1)
@@ -211,6 +219,7 @@
             self.ledger.member_left(name, self.now + LEASE_US)
 
     def time(self, k):
+        """Time passes, and most members renew their leases."""
         self.now += k * S // 40
         for allocation in self.members.values():
             lease = allocation.owner.lease
@@ -246,13 +255,14 @@
     """Begins with nobody charged when it takes over."""
 
     def load(self, member, packed, now):
-        pass
+        """Load nothing."""
 
 
 class TakesOldReports(Ledger):
     """Goes by whatever report comes last."""
 
     def report(self, member, seen_write, in_use, now):
+        """Take in the report as if it were the newest."""
         self.entries[member].seen_write = 0
         super().report(member, seen_write, in_use, now)
 
@@ -261,6 +271,7 @@
     """Charges a raise only where it was reported."""
 
     def load(self, member, packed, now):
+        """Load an entry without what was allocated."""
         super().load(member, packed, now)
         self.entries[member].allocated = 0
 
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -25,6 +25,7 @@
 
 
 def collected(in_use=0, used=0, requested=0, allocated=10, **other):
+    """What one collection found: the use and the allocation of the budget `b/0`."""
     usage = {"b/0": Usage(in_use, used, requested)}
     facts = {"lease_id": 7, "seen_write": 0, "was_reduced": False} | other
     return CollectedUsage(usage=usage, allocations={"b/0": allocated}, **facts)
@@ -98,6 +99,7 @@
 
 
 def agreement(tenants=("t0", "t1")):
+    """The part of an agreement that budget rules are made from."""
     return SimpleNamespace(
         tenants=[SimpleNamespace(name=name) for name in tenants],
         profiles=[SimpleNamespace(name="p0", timeout_us=3 * S), SimpleNamespace(name="p1", timeout_us=S)],
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -7,6 +7,7 @@
 
 
 def even(names, weight=1):
+    """The same weight for each name."""
     return dict.fromkeys(names, weight)
 
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -42,8 +42,10 @@
 
 
 def test_a_client_that_ends_its_side_has_gone_and_what_it_had_open_is_given_up(start):
-    """The users' term: nothing goes out for it any more. Until then it was taken for a half close, and what
-    it had waiting was sent and answered."""
+    """The end of the client's side is no half close: nothing is sent for it any more (the users' term).
+
+    Before that, its queued requests were still sent and answered.
+    """
     engine = Engine(endless)
     gateway, client = start(engine)
     client.ask("once")
@@ -130,7 +132,7 @@
     assert client.answer() is None
 
 
-def test_a_connection_that_came_just_now_makes_room_for_nobody(start, monkeypatch):
+def test_a_connection_that_came_just_now_makes_room_for_nobody(start):
     gateway, client = start(Engine())
     gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -10,8 +10,11 @@
 
 
 def test_a_start_after_the_build_compiles_nothing(tmp_path):
-    """Hundreds of processes that start at once, where none may write, compiled the same files each: a third
-    of a start, and on a busy machine one did not come to its first wait within 20 s."""
+    """Starting processes read compiled files and do not compile.
+
+    Hundreds of processes that started at once without write access each compiled the same files: a third
+    of the time of a start, and on a busy machine one process did not reach its first wait within 20 s.
+    """
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     shutil.copytree(ROOT / "gullhold", tmp_path / "gullhold", ignore=shutil.ignore_patterns("__pycache__"))
     os.symlink(sys.prefix, tmp_path / ".venv")
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -49,6 +49,7 @@
 
 
 def played(fair, children, size, rounds):
+    """Pick and charge so often; the work done by each child. size: the work of one command of a child."""
     done = dict.fromkeys(children, 0.0)
     for _ in range(rounds):
         picked = fair.pick()
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -377,7 +377,7 @@
     assert main(["fleet", "budgets", *at]) == 1
 
 
-def test_a_budget_that_does_not_fit_is_one_line(tmp_path):
+def test_a_budget_that_does_not_fit_is_one_line():
     from gullhold.operator import records  # noqa: PLC0415
 
     for text, why in (
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -46,6 +46,7 @@
 
 
 def member(roles=("d",), settle_us=0):
+    """A member that has not called the store yet; its lease lasts for one second."""
     rules = MembershipRules(LeaseTerms(1, 0.1, 0), settle_us, 100, 50_000, 100_000, S)
     return Membership("a", "x", rules, roles, lambda: 0.5, 0)
 
@@ -68,6 +69,7 @@
 
 
 def calls(one):
+    """The store calls that a member wants to be made now."""
     return [action.call for action in one.take_actions() if isinstance(action, CallStore)]
 
 
--- a/tests/test_fleet_operator.py
+++ b/tests/test_fleet_operator.py
@@ -12,7 +12,7 @@
 from gullhold.testing.fleet_checker import Check
 
 
-def test_a_record_that_cannot_be_used_is_one_line_with_its_place(tmp_path, capsys):
+def test_a_record_that_cannot_be_used_is_one_line_with_its_place():
     for text, why in (
         ("fleet: on: true", "needs fleet.register"),
         ("fleet: {lease: 1500ms}", "whole seconds"),
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -29,6 +29,7 @@
 
 
 def record(state=OccurrenceState.INTENT, tries=1, began=1000 * S, due=1000 * S):
+    """A stored occurrence; times in microseconds."""
     return Occurrence(due, state, 4, tries, began, "n0")
 
 
--- a/tests/test_mutant_search.py
+++ b/tests/test_mutant_search.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("error", [KeyError("a"), AttributeError("b"), AssertionError("c")])
 def test_a_mutant_that_falls_over_its_own_state_is_a_crash(error):
-    def walk(seed):
+    def walk(_seed):
         raise error
 
     assert find(walk, 2) == Finding(0, repr(error), FindingKind.CRASH)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -81,6 +81,7 @@
 
 
 def value(source):
+    """The value of one expression of an operator file."""
     return evaluate_file(parse("x: " + source, "t")).fields["x"].value
 
 
@@ -88,6 +89,7 @@
 
 
 def settled(source):
+    """The concrete value that an expression comes to, or `nothing` where it comes to none."""
     try:
         return concretize(source())
     except OperatorFileError:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -114,50 +114,52 @@
         self.open, self.away = True, False
 
     def may_dispatch(self):
+        """Whether attempts may be sent."""
         return self.open
 
     def rejects_new(self):
+        """Whether new commands are rejected."""
         return self.away
 
 
 def test_the_module_goes_by_a_policy_from_the_next_send_and_sends_nothing_while_the_gate_is_closed():
     world, gate = Driver(AGREEMENT), Gate()
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
 
     def adopt(text):
         terms = decision_terms(parse_policy(text), AGREEMENT)
-        world.obey(world.gateway.apply_policy(world.now, terms, gate))
+        world.carry_out(world.gateway.apply_policy(world.now, terms, gate))
 
     adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
-    first = world.command()
+    first = world.submit()
     assert SetTerms(first, 20, 2) in world.results_of(SetTerms)
     gate.open = False
-    second = world.command()
+    second = world.submit()
     world.wait(100 * MS)
-    assert not world.commands[second]["out"]
+    assert not world.commands[second].open_attempt
     gate.open = True
     adopt("policy: grants: read: 30")
-    assert world.commands[second]["out"]
+    assert world.commands[second].open_attempt
     assert SetTerms(second, 30, 3) in world.results_of(SetTerms)
     adopt("policy: sends: read: 1")
-    world.end(first, Outcome.RESET)  # one send is all there is
-    assert world.commands[first]["final"] == Shed
+    world.end_attempt(first, Outcome.RESET)  # one send is all there is
+    assert world.commands[first].final == Shed
     gate.away = True  # it is not known by what to decide
-    third = world.command()
-    assert world.commands[third]["final"] == Shed
-    assert not world.commands[third]["sends"]
+    third = world.submit()
+    assert world.commands[third].final == Shed
+    assert not world.commands[third].attempts_sent_at
 
 
 def test_while_the_gate_is_closed_every_command_still_gets_its_answer_in_time():
     world, gate = Driver(AGREEMENT), Gate()
-    world.engines((1, 0, 0, EngineState.READY, 0, 0))
+    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     gate.open = False
     terms = decision_terms(parse_policy("policy: {}"), AGREEMENT)
-    world.obey(world.gateway.apply_policy(world.now, terms, gate))
+    world.carry_out(world.gateway.apply_policy(world.now, terms, gate))
     for _ in range(5):
-        world.command()
+        world.submit()
     world.wait(5000 * MS)  # the driver fails where one is late
-    assert all(cmd["final"] == Shed for cmd in world.commands.values())
+    assert all(cmd.final == Shed for cmd in world.commands.values())
 
 
 def test_what_a_later_version_stored_is_kept_as_it_is():
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -123,8 +123,8 @@
 @pytest.mark.parametrize(
     "spoil",
     [
-        lambda told, path: path.unlink(),
-        lambda told, path: path.write_text("{"),
+        lambda _, path: path.unlink(),
+        lambda _, path: path.write_text("{"),
         lambda told, path: path.write_text(
             json.dumps(told | {"known": {"index": 1, "updates": [{"index": 1}]}})
         ),
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -70,18 +70,23 @@
         self.refusals = 0
 
     def limit(self) -> int:
+        """How much may be acquired at once."""
         return self.size
 
     def allows(self, amount: int) -> bool:
+        """Whether so much more may be acquired."""
         return self.used + amount <= self.size
 
     def acquire(self, amount: int) -> None:
+        """Count an amount as acquired."""
         self.used += amount
 
-    def release(self, amount: int, confirmed: bool = True) -> None:
+    def release(self, amount: int, confirmed: bool = True) -> None:  # noqa: ARG002  the interface of a budget
+        """Give an amount back, whether or not its end is confirmed."""
         self.used -= amount
 
     def record_rejection(self, amount: int) -> None:
+        """Count one rejection."""
         self.refusals += amount
 
 
@@ -92,9 +97,11 @@
         self.draw = draw
 
     def may_dispatch(self) -> bool:
+        """Whether attempts may be sent: nine times in ten."""
         return self.draw.random() < 0.9
 
     def rejects_new(self) -> bool:
+        """Whether new commands are rejected: once in ten times."""
         return self.draw.random() < 0.1
 
 
@@ -107,7 +114,7 @@
         self.engines = engines
         self.parts: dict[tuple[int, int], Part] = {}
         for ident in range(engines):
-            self.world.engines((ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0))
+            self.world.update_engines((ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0))
 
     def step(self) -> None:
         """One call drawn by chance; arrivals and waits are the most frequent."""
@@ -124,28 +131,32 @@
         self.draw.choice(calls)()
 
     def arrive(self) -> None:
+        """A command arrives."""
         number = self.draw.randrange(10_000)
-        self.world.command(
+        self.world.submit(
             number % len(self.world.agreement.profiles),
             tenant=number % 3,
             key=number % 4,
             work=self.draw.choice((3, 20, 100, 400)) * MS,
             timeout_us=(200 + number % 3800) * MS,
             need=ODD_FIGURES[number % 6],
-            told=ODD_FIGURES[number // 7 % 6] if number % 5 == 0 else None,
+            estimate=ODD_FIGURES[number // 7 % 6] if number % 5 == 0 else None,
         )
 
     def end(self) -> None:
-        if out := self.world.out():
+        """An open attempt ends with a drawn outcome."""
+        if out := self.world.running_ids():
             outcome = self.draw.choice((0, 0, 0, 0, 0, *range(8)))
             report = (self.draw.choice(ODD_FIGURES), self.draw.random())[: self.draw.randrange(3)]
             cost = self.draw.choice((2, 50, 100, 900)) * MS
-            self.world.end(self.draw.choice(out), outcome, cost=cost, report=report)
+            self.world.end_attempt(self.draw.choice(out), outcome, cost=cost, report=report)
 
     def wait(self) -> None:
+        """Time passes."""
         self.world.wait(self.draw.choice((1, 10, 60, 300, 900)) * MS)
 
     def list_change(self) -> None:
+        """The endpoint list changes in one entry."""
         state = self.draw.choice(
             (
                 EngineState.READY,
@@ -158,37 +169,43 @@
         born = self.world.now if self.draw.random() < 0.3 else 0
         ident = self.draw.randrange(self.engines)
         entry = (ident, ident % 2, ident // 7 % 2, state, ident % 3, born)
-        self.world.engines(entry, full=self.draw.random() < 0.05)
+        self.world.update_engines(entry, full=self.draw.random() < 0.05)
 
     def leave(self) -> None:
-        if out := self.world.out():
-            self.world.leave(self.draw.choice(out))
+        """A client whose command has an open attempt leaves."""
+        if out := self.world.running_ids():
+            self.world.client_left(self.draw.choice(out))
 
     def give_up(self) -> None:
-        owed = [ident for ident, command in self.world.commands.items() if not command["over"]]
+        """The service ends an unanswered command."""
+        owed = [ident for ident, command in self.world.commands.items() if not command.is_over]
         if owed:
-            self.world.give_up(self.draw.choice(owed))
+            self.world.abandon(self.draw.choice(owed))
 
     def note(self) -> None:
-        if out := self.world.out():
+        """An engine tells the status of an open attempt."""
+        if out := self.world.running_ids():
             ident = self.draw.choice(out)
-            send = self.world.commands[ident]["out"][2]
+            send = self.world.commands[ident].open_attempt.number
             note, value = self.draw.randrange(3), self.draw.choice((0.0, 0.02, 0.6, 1.0, 2.0))
-            self.world.obey(self.world.gateway.attempt_status(self.world.now, ident, send, note, value))
+            self.world.carry_out(self.world.gateway.attempt_status(self.world.now, ident, send, note, value))
 
     def stream(self) -> None:
-        if self.draw.random() < 0.2 and (out := self.world.out()):
+        """The final answer of an open attempt begins."""
+        if self.draw.random() < 0.2 and (out := self.world.running_ids()):
             ident = self.draw.choice(out)
-            send = self.world.commands[ident]["out"][2]
-            self.world.obey(self.world.gateway.answer_began(self.world.now, ident, send))
-            self.world.commands[ident]["over"] = True  # the answer that has begun is the final one
+            send = self.world.commands[ident].open_attempt.number
+            self.world.carry_out(self.world.gateway.answer_began(self.world.now, ident, send))
+            self.world.commands[ident].is_over = True  # the answer that has begun is the final one
 
     def budgets(self) -> None:
+        """Budgets are applied; the demands that are reported in return are not carried out."""
         if self.draw.random() < 0.3:
             results = self.world.gateway.apply_budgets(self.world.now, self.part)
-            self.world.obey([result for result in results if not isinstance(result, ReportDemand)])
+            self.world.carry_out([result for result in results if not isinstance(result, ReportDemand)])
 
     def part(self, budget: int, of: int) -> Part | None:
+        """The member's part of one budget for one subject, or None where the agreement's own budget holds."""
         agreement = self.world.agreement
         if budget == BudgetKind.ADMISSIONS or (
             budget == BudgetKind.RETRIES and agreement.retry_budget_base is not None
@@ -202,10 +219,11 @@
         return self.parts.setdefault((budget, of), Part(limit))
 
     def policy(self) -> None:
+        """A policy is applied."""
         if self.draw.random() < 0.3:
             weights = [self.draw.choice((1.0, 2.0, 0.5)) for _ in self.world.gateway.parts.queue.weights]
             terms = (weights, {0: 2}, {0: 48.0}, {0: self.draw.choice((1, 2, 3))})
-            self.world.obey(self.world.gateway.apply_policy(self.world.now, terms, Gate(self.draw)))
+            self.world.carry_out(self.world.gateway.apply_policy(self.world.now, terms, Gate(self.draw)))
 
 
 def recorded(recorder: Recorder, target: type, calls: dict[str, int]) -> mock._patch_multiple:
@@ -254,15 +272,19 @@
             draw = Random(seed)
             world = Driver(agreement, seed)
             born = world.now if seed else 0
-            world.engines(*((ident, 0, 0, EngineState.READY, 0, born * (ident == 3)) for ident in range(4)))
+            world.update_engines(
+                *((ident, 0, 0, EngineState.READY, 0, born * (ident == 3)) for ident in range(4))
+            )
             for step in range(2500):
-                world.command(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need=40.0)
-                out = world.out()
+                world.submit(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need=40.0)
+                out = world.running_ids()
                 slowest = 1 + step // 300
                 if len(out) > 3 * slowest or draw.random() < 0.5:
                     for ident in out[: 1 + slowest // 2]:
                         outcome = Outcome.ANSWERED if draw.random() < 0.95 else draw.choice((1, 2, 3, 4, 5))
-                        world.end(ident, outcome, cost=draw.choice((20, 120, 700)) * MS, report=(0.95,))
+                        world.end_attempt(
+                            ident, outcome, cost=draw.choice((20, 120, 700)) * MS, report=(0.95,)
+                        )
                 world.wait(draw.choice((2, 10, 30)) * MS)
     assert (recorder.records, recorder.digest()) == CROWDED_HASH
 
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -19,6 +19,7 @@
 
 
 def tcp_pair():
+    """Two sockets of one connection over loopback."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return socket.create_connection(sock.getsockname()), sock.accept()[0]
 
