--- /dev/null
+++ b/gullhold/testing/budget_variant.py
@@ -0,0 +1,60 @@
+"""What a world of budgets is made of: the product's classes and rules, or a mutant's."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from gullhold.budgets.allocation import AllocationRule
+from gullhold.budgets.allocations import Allocations
+from gullhold.budgets.allocator import Allocator, Budget
+from gullhold.budgets.allocator_role import AllocatorRole
+from gullhold.budgets.ledger import LedgerKind
+from gullhold.interface import BudgetKind
+from gullhold.testing.role_pair_world import TERMS
+
+WINDOW_US = 1_600_000  # us of real time: no whole number of steps of time
+LINGER_US = 1_100_000  # us of real time: no whole number of steps of time
+TOTAL = 10
+RESERVE = 1  # of each member
+NAMES = ("a", "b", "c")
+BUDGET = "b"  # the budget's name; its one subject is 0
+KIND = BudgetKind.THREADS  # any kind will do: the ledger's kind is stated
+
+
+@dataclass(frozen=True, slots=True)
+class Variant:
+    """What a world is made of: the product's classes and settings, or a mutant's.
+
+    compares_reports: whether a report is compared with the last one; reserve_after_us: how long after its
+    start a member may spend its reserve; drift: by which windows and lingering times are lengthened.
+    """
+
+    make_allocations: Callable[..., Allocations] = Allocations
+    make_role: Callable[..., AllocatorRole] = AllocatorRole
+    make_allocator: Callable[..., Allocator] = Allocator
+    compares_reports: bool = True
+    reserve_after_us: int = LINGER_US
+    drift: float = TERMS.drift
+
+    def lengthened(self, time_us: int) -> int:
+        """Return a time as a member's clock has to count it."""
+        return int(time_us * (1 + self.drift))
+
+    def allocation_rule(self, kind: LedgerKind) -> AllocationRule:
+        """Return the members' rule."""
+        reserve_after_us = 0
+        if self.reserve_after_us:
+            own_window_us = WINDOW_US if kind == LedgerKind.WINDOWED else 0
+            reserve_after_us = self.lengthened(max(self.reserve_after_us, own_window_us))
+        return AllocationRule(
+            kind,
+            TOTAL,
+            window_us=self.lengthened(WINDOW_US),
+            reserve=RESERVE,
+            reserve_after_us=reserve_after_us,
+        )
+
+    def budget(self, kind: LedgerKind) -> Budget:
+        """Return the allocator's rule."""
+        return Budget(
+            kind, TOTAL, self.lengthened(WINDOW_US), self.lengthened(LINGER_US), RESERVE, len(NAMES)
+        )
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -4,14 +4,10 @@
 time; it may never pass the total.
 """
 
-from collections.abc import Callable, Hashable
-from dataclasses import dataclass
+from collections.abc import Hashable
 from typing import Any, NamedTuple
 
-from gullhold.budgets.allocation import AllocationRule
-from gullhold.budgets.allocations import Allocations
-from gullhold.budgets.allocator import Allocator, Budget
-from gullhold.budgets.allocator_role import ROLE, AllocatorRole
+from gullhold.budgets.allocator_role import ROLE
 from gullhold.budgets.budget_schema import (
     ALLOCATIONS,
     REPORTS,
@@ -22,21 +18,24 @@
     encode_report,
 )
 from gullhold.budgets.ledger import LedgerKind
-from gullhold.fleet.lease import Lease
 from gullhold.fleet.store_calls import GrantLease, Proof, Put, Reply, Transaction
-from gullhold.interface import BudgetKind, Demand
+from gullhold.interface import Demand
 from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
+from gullhold.testing.budget_variant import (
+    BUDGET,
+    KIND,
+    LINGER_US,
+    NAMES,
+    RESERVE,
+    TOTAL,
+    WINDOW_US,
+    Variant,
+)
 from gullhold.testing.role_pair_world import QUANTUM_US, RATES, TERMS, RolePairWorld
+from gullhold.testing.simulated_budget_member import SimulatedMember
 from gullhold.testing.store_model import Model
 from gullhold.testing.walking import InvariantError
 
-WINDOW_US = 1_600_000  # us of real time: no whole number of moments
-LINGER_US = 1_100_000  # us of real time: no whole number of moments
-TOTAL = 10
-RESERVE = 1  # of each member
-NAMES = ("a", "b", "c")
-BUDGET = "b"  # the budget's name; its one subject is 0
-KIND = BudgetKind.THREADS  # any kind will do: the ledger's kind is stated
 DEMANDS = (0, 4, TOTAL)  # of a member in turn, while demand changes
 SETTLED_DEMAND = 3  # of each member in the end
 FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.LEAVE)
@@ -46,46 +45,6 @@
 Action = tuple[Any, ...]  # (what, whom)
 
 
-@dataclass(frozen=True, slots=True)
-class Variant:
-    """What a world is made of: the product's classes and settings, or a mutant's.
-
-    compares_reports: whether a report is compared with the last one; reserve_after_us: how long after its
-    start a member may spend its reserve; drift: by which windows and lingering times are lengthened.
-    """
-
-    make_allocations: Callable[..., Allocations] = Allocations
-    make_role: Callable[..., AllocatorRole] = AllocatorRole
-    make_allocator: Callable[..., Allocator] = Allocator
-    compares_reports: bool = True
-    reserve_after_us: int = LINGER_US
-    drift: float = TERMS.drift
-
-    def lengthened(self, time_us: int) -> int:
-        """Return a time as a member's clock has to count it."""
-        return int(time_us * (1 + self.drift))
-
-    def allocation_rule(self, kind: LedgerKind) -> AllocationRule:
-        """Return the members' rule."""
-        reserve_after_us = 0
-        if self.reserve_after_us:
-            own_window_us = WINDOW_US if kind == LedgerKind.WINDOWED else 0
-            reserve_after_us = self.lengthened(max(self.reserve_after_us, own_window_us))
-        return AllocationRule(
-            kind,
-            TOTAL,
-            window_us=self.lengthened(WINDOW_US),
-            reserve=RESERVE,
-            reserve_after_us=reserve_after_us,
-        )
-
-    def budget(self, kind: LedgerKind) -> Budget:
-        """Return the allocator's rule."""
-        return Budget(
-            kind, TOTAL, self.lengthened(WINDOW_US), self.lengthened(LINGER_US), RESERVE, len(NAMES)
-        )
-
-
 class Lingering(NamedTuple):
     """So many calls of a dead member that may run until a time in us."""
 
@@ -93,57 +52,11 @@
     calls: int
 
 
-class Member:
-    """One process: its clock, lease and allocation, and what it knows of its own report.
-
-    running: when each call under way was begun; reported_revision: that of its report in the store;
-    applied_revision: of the newest row that it has taken in.
-    """
-
-    def __init__(self, world: "World", name: str, rate: float) -> None:
-        self.name = name
-        self.rate = rate
-        self.world = world
-        self.lease = Lease(TERMS)
-        self.cut = False
-        self.reported_revision = 0
-        self.applied_revision = 0
-        rule = world.variant.allocation_rule(world.kind)
-        self.allocations = world.variant.make_allocations(
-            {(KIND, 0): rule}, lambda _, subject: f"{BUDGET}/{subject}", self.lease, self
-        )
-        self.allocation = self.allocations(KIND, 0)
-        self.demand = 0
-        self.running: list[int] = []
-
-    def __call__(self) -> int:
-        """Return what its clock says."""
-        return int(self.world.now * self.rate)
-
-    def key(self) -> str:
-        """Return what tells it apart."""
-        return f"{self.name}/{self.lease.id:x}"
-
-    def state(self) -> Hashable:
-        """Return what makes two states of it the same."""
-        return (
-            self.name,
-            self.cut,
-            self.allocation.allocated,
-            self.allocation.in_use,
-            self.demand,
-            self.applied_revision,
-            max(0, self.lease.valid_until - self()),
-            len(self.allocation.spent),
-        )
-
-
 class World(RolePairWorld):
     """Members, two processes that may lead, store, and what is under way.
 
-    act() takes one of actions(); raises InvariantError.
-    spent: when each amount of a windowed budget was; lingering:
-    work of members that have died; is_settling: demand changes no more.
+    act() takes one of actions(); raises InvariantError. spent: when each amount of a windowed budget was
+    spent; lingering: work of members that have died; is_settling: demand changes no more.
     """
 
     def __init__(self, kind: LedgerKind, faults: int = 4, **variant: Any) -> None:
@@ -164,22 +77,22 @@
 
     def _do_come(self, name: str) -> None:
         """A process begins, and has a lease."""
-        member = Member(self, name, RATES[len(self.members) % len(RATES)])
+        member = SimulatedMember(self, name, RATES[len(self.members) % len(RATES)])
         self.members.append(member)
         self._grant(member)
 
-    def _grant(self, member: Member) -> None:
+    def _grant(self, member: SimulatedMember) -> None:
         member.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
         member.reported_revision = 0
         member.applied_revision = 0
         member.allocations.begin_lease(member.lease.id)
         self._report(member)
 
-    def _report(self, member: Member) -> None:
+    def _report(self, member: SimulatedMember) -> None:
         key = REPORTS + member.key()
         self.calls.append((member, self._report_call(member), ("reported", key)))
 
-    def _report_call(self, member: Member, has_left: bool = False) -> Transaction:
+    def _report_call(self, member: SimulatedMember, has_left: bool = False) -> Transaction:
         usage = member.allocations.report((Demand(KIND, 0, member.demand),))
         key = REPORTS + member.key()
         conditions = ((key, member.reported_revision),) if self.variant.compares_reports else ()
@@ -194,7 +107,7 @@
             found += self._member_actions(index, member)
         return found + [(ActionKind.COME, name) for name in self._missing_names()]
 
-    def _member_actions(self, index: int, member: Member) -> list[Action]:
+    def _member_actions(self, index: int, member: SimulatedMember) -> list[Action]:
         found: list[Action] = []
         if member.allocation.allows(1):
             found.append((ActionKind.SPEND, index))
@@ -228,12 +141,12 @@
                 return ActionKind.HEAR, index
         return None
 
-    def may_report(self, member: Member) -> bool:
+    def may_report(self, member: SimulatedMember) -> bool:
         """Whether a member may report: one report of it is under way at a time."""
         is_reporting = any(caller is member for caller, *_ in self.calls)
         return member.lease.is_valid(member()) and not is_reporting
 
-    def _rows(self, member: Member) -> list[tuple[int, str, str | None]]:
+    def _rows(self, member: SimulatedMember) -> list[tuple[int, str, str | None]]:
         """Return the writes of a member's row, as (revision, key, value), that it has not taken in."""
         key = ALLOCATIONS + member.key()
         return [row for row in self.changes_since(member.applied_revision + 1, key) if row[1] == key]
@@ -260,7 +173,7 @@
         elif caller in self.members and context[0] == REPORTS + caller.key():
             self._reported(caller, reply)
 
-    def _reported(self, member: Member, reply: Reply) -> None:
+    def _reported(self, member: SimulatedMember, reply: Reply) -> None:
         if reply.proof == Proof.DONE and reply.succeeded:
             member.reported_revision = reply.revision
         else:  # as the driver does: what is stored is looked at, and everything is reported again
@@ -304,7 +217,7 @@
         if member.running:
             self.lingering.append(Lingering(self.now + LINGER_US, len(member.running)))
 
-    def _drop_calls(self, member: Member) -> None:
+    def _drop_calls(self, member: SimulatedMember) -> None:
         self.calls = [row for row in self.calls if row[0] is not member]
 
     def _do_leave(self, index: int) -> None:
--- a/gullhold/testing/load_client.py
+++ b/gullhold/testing/load_client.py
@@ -4,7 +4,7 @@
 import socket
 import time
 from collections import deque
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 from enum import Enum, StrEnum, auto
 from heapq import heappop, heappush
 from multiprocessing.connection import Connection
@@ -16,6 +16,7 @@
 from gullhold.net.connection_ends import ProtocolError
 from gullhold.testing import PATIENCE_S
 from gullhold.testing.client import execute_arguments
+from gullhold.testing.load_counts import Attempt, LoadCounts
 from gullhold.testing.working_engine import statement
 
 MAX_OPEN_REQUESTS = 32  # open on one connection, from the protocol
@@ -36,18 +37,6 @@
     NEVER = auto()
 
 
-class Attempt(NamedTuple):
-    """An attempt of a command. first_sent_at, sent_at: of the command and of this attempt, monotonic s.
-
-    number: from 1; has_waited: whether it is a retry after the time that an answer stated.
-    """
-
-    first_sent_at: float
-    sent_at: float
-    number: int
-    has_waited: bool
-
-
 class ScheduledAttempt(NamedTuple):
     """An attempt to be sent at a time in monotonic s; serial: orders those of one time."""
 
@@ -56,59 +45,6 @@
     attempt: Attempt
 
 
-@dataclass
-class LoadCounts:
-    """What became of a client's commands since its counts were reset.
-
-    sent: first attempts; attempts: all; answered, shed, failed: answers by their kind; unanswered: attempts
-    open at their connection's end; retry_after_received: shed answers that state a time; waited_*: retries
-    after that time; early_*: retries before it; duplicate_answers: answers to what is not open; latencies_s:
-    of good answers, from their attempt.
-    """
-
-    sent: int = 0
-    attempts: int = 0
-    answered: int = 0
-    shed: int = 0
-    failed: int = 0
-    unanswered: int = 0
-    retry_after_received: int = 0
-    waited_retries: int = 0
-    waited_answered: int = 0
-    waited_shed: int = 0
-    early_retries: int = 0
-    early_answered: int = 0
-    early_shed: int = 0
-    duplicate_answers: int = 0
-    latencies_s: list[float] = field(default_factory=list)
-
-    def add_sent(self, attempt: Attempt) -> None:
-        """Count an attempt that is sent."""
-        self.attempts += 1
-        if attempt.number == 1:
-            self.sent += 1
-        elif attempt.has_waited:
-            self.waited_retries += 1
-        else:
-            self.early_retries += 1
-
-    def add_answered(self, attempt: Attempt, now: float) -> None:
-        """Count a good answer. now: monotonic s."""
-        self.answered += 1
-        self.latencies_s.append(now - attempt.sent_at)
-        if attempt.number > 1:
-            self.waited_answered += attempt.has_waited
-            self.early_answered += not attempt.has_waited
-
-    def add_shed(self, attempt: Attempt, has_retry_after: bool) -> None:
-        """Count an answer that shed a command."""
-        self.shed += 1
-        if attempt.number > 1:
-            self.waited_shed += attempt.has_waited
-            self.early_shed += not attempt.has_waited
-        self.retry_after_received += has_retry_after
-
-
 def frame(seq: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
     """Encode one execute call."""
     return thrift.encode_message(
@@ -349,7 +285,7 @@
 
 
 def _first_attempt(now: float) -> Attempt:
-    return Attempt(now, now, 1, False)
+    return Attempt(now, 1, False)
 
 
 def _shed_fields(message: thrift.Message) -> dict[bytes, bytes] | None:
--- a/gullhold/testing/rollout_explorer.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -11,7 +11,8 @@
 from gullhold.rollout.policy_gate import CutOffRule
 from gullhold.testing import walking
 from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
-from gullhold.testing.rollout_world import FAULTS, GOOD_TEXT, REFUSED_TEXT, Action, World
+from gullhold.testing.rollout_history import REFUSED_TEXT
+from gullhold.testing.rollout_world import FAULTS, GOOD_TEXT, Action, World
 
 
 def rounds(world: World, draw: Callable[[], float]) -> Iterator[Action]:
@@ -40,24 +41,24 @@
         )
 
 
-def walk(seed: int, steps: int, faults: int = 10, marks: bool = False, **make: Any) -> set[int]:
-    """One walk, then calm; raises InvariantError with its story.
+def walk(seed: int, steps: int, faults: int = 10, marks: bool = False, **variant: Any) -> set[int]:
+    """Walk once, then calm down; raises InvariantError with its story.
 
-    Returns the marks of the states that it met, where asked for.
+    Returns the marks of the states that it met, where asked for. variant: fields of RolloutVariant.
     """
     draw = random.Random(seed).random
     overlap = (Overlap.STRICT, Overlap.LOOSE)[seed % 2]
     cut_off_rule = (CutOffRule.KEEP, CutOffRule.STAND)[seed // 2 % 2]
-    world = World(overlap, faults, **{"cut": cut_off_rule} | make)
+    world = World(overlap, faults, **{"cut_off_rule": cut_off_rule} | variant)
     actions = rounds(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
     return walking.run_walk(world, actions, steps, seed, marks)
 
 
 def explore(
-    overlap: Overlap, depth: int, most: int, faults: int = 1, seed: int = 0, **make: Any
+    overlap: Overlap, depth: int, most: int, faults: int = 1, seed: int = 0, **variant: Any
 ) -> walking.Explored:
     """Explore from a fleet with one change just proposed; most: states after which it stops."""
-    world = World(overlap, 0, **make)
+    world = World(overlap, 0, **variant)
     world.calm()
     world.act(ActionKind.PROPOSE, GOOD_TEXT)
     world.faults = faults
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -216,9 +216,9 @@
     WritesUnconditionally,
     WaitsForExpired,
 )
-MUTANTS = {kind.__name__: {"gate": kind} for kind in GATES}
-MUTANTS |= {kind.__name__: {"member": kind} for kind in MEMBERS}
-MUTANTS |= {kind.__name__: {"coordinator": kind} for kind in COORDINATORS}
+MUTANTS = {kind.__name__: {"make_gate": kind} for kind in GATES}
+MUTANTS |= {kind.__name__: {"make_member": kind} for kind in MEMBERS}
+MUTANTS |= {kind.__name__: {"make_coordinator": kind} for kind in COORDINATORS}
 
 
 def find(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -30,10 +30,11 @@
         self.text = ""
         self.answered = 0
         self.failed = 0
-        gate = world.make["gate"]
-        member = world.make["member"]
-        self.gate = gate(self.lease, self, TERMS.guaranteed_us(), world.make["cut"])
-        self.member = member(name, self.gate, lambda version: world.fits(version, name), self.figures)
+        variant = world.variant
+        self.gate = variant.make_gate(self.lease, self, TERMS.guaranteed_us(), variant.cut_off_rule)
+        self.decisions = variant.make_member(
+            name, self.gate, lambda version: world.fits(version, name), self.figures
+        )
 
     def __call__(self) -> int:
         """Its clock, us."""
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -166,9 +166,9 @@
     world.calm()
     for one in world.members:
         now = one()
-        assert one.member.due(now) == max(now, one.member.refresh_at)
-        one.member.missed(now)
-        assert one.member.due(now) == now + IDLE_STEP_US  # its call is under way
+        assert one.decisions.due(now) == max(now, one.decisions.refresh_at)
+        one.decisions.missed(now)
+        assert one.decisions.due(now) == now + IDLE_STEP_US  # its call is under way
 
 
 def test_a_read_from_the_past_is_not_believed_by_whoever_carries_or_divides():
