--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -78,7 +78,7 @@
 
 def explore(
     kind: LedgerKind, depth: int, max_states: int, faults: int = 2, seed: int = 0, **variant: Any
-) -> tuple[int, int]:
+) -> walking.Explored:
     """Return (states met, the depth that was fully searched) from a fleet that has allocated."""
     world = World(kind, 0, **variant)
     world.calm()
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -44,7 +44,7 @@
 
 def explore(
     depth: int, max_states: int, make: MakeMember = Membership, faults: int = 2, seed: int = 0
-) -> tuple[int, int]:
+) -> walking.Explored:
     """(states met, the depth up to which all were tried) from a settled fleet.
 
     Raises InvariantError with its story.
