--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -17,7 +17,7 @@
     BLOCKED = 1  # behind an earlier command of its ordered key
     DISPATCHED = 2  # an attempt is open
     STREAMING = 3  # the answer of its attempt has begun and belongs to the client
-    CANCELLING = 4  # we cancelled its attempt, to dispatch it anew once that has ended
+    CANCELLING = 4  # we cancelled its attempt, to dispatch it again once that has ended
     ORPHANED = 5  # an attempt is open whose answer nobody waits for
     ENDED = 6
 
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -1,6 +1,6 @@
 """The decisions of one gateway: turns calls of a driver into results.
 
-A driver creates one Gateway(seed, agreement, now) and calls its public methods, each with the time in whole
+A driver creates one Gateway(seed, agreement, now) and calls its public methods, each with the time in integer
 microseconds. gullhold/interface.py defines the Agreement and the results.
 """
 
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -139,7 +139,7 @@
             del self.engines[at]
         self.changes.append((is_present, engine))
         self._serial += 1
-        if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:  # ranking all anew costs less
+        if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:  # ranking all again costs less
             self.changes.clear()
             self.rankings.clear()
 
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -39,7 +39,7 @@
 from gullhold.fleet.role_state import RoleState
 from gullhold.fleet.scheduled_command_client import ScheduledCommandClient
 from gullhold.fleet.scheduled_command_driver import ScheduledCommandDriver
-from gullhold.fleet.store_calls import PendingCall, Reply
+from gullhold.fleet.store_calls import OnChange, PendingCall, Reply
 from gullhold.fleet.store_client import StoreClient
 from gullhold.fleet.store_schema import (
     HEARTBEAT_ROLE,
@@ -47,7 +47,7 @@
     SCHEDULED_COMMAND_ROLE,
     fleet_prefix,
 )
-from gullhold.fleet.watcher import OnChange, Watcher
+from gullhold.fleet.watcher import Watcher
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.startup import start_thread
 from gullhold.rollout.member_rollout import LANES as ROLLOUT_LANES
--- a/gullhold/fleet/store_calls.py
+++ b/gullhold/fleet/store_calls.py
@@ -4,9 +4,12 @@
 of any key, leases whose end deletes the keys attached to them, and transactions that compare revisions.
 """
 
+from collections.abc import Callable
 from enum import StrEnum
 from typing import Any, NamedTuple
 
+OnChange = Callable[[str, str | None, int], Any]  # key, value or None if it was deleted, revision
+
 MAX_TRANSACTION_OPERATIONS = 100  # comparisons, or operations; the published default allows 128
 
 
--- a/gullhold/fleet/store_client.py
+++ b/gullhold/fleet/store_client.py
@@ -6,7 +6,6 @@
 
 import json
 from base64 import b64decode, b64encode
-from collections.abc import Callable
 from typing import Any
 
 import requests
@@ -20,6 +19,7 @@
     GrantLease,
     KeepLeaseAlive,
     KeyValue,
+    OnChange,
     Operation,
     Proof,
     Put,
@@ -64,13 +64,7 @@
         except (OSError, ValueError, KeyError, TypeError, requests.RequestException):
             return Reply(Proof.NOT_DONE if is_read else Proof.UNKNOWN)  # an unreadable answer
 
-    def watch(
-        self,
-        prefix: str,
-        revision: int,
-        max_silence_s: float,
-        on_change: Callable[[str, str | None, int], Any],
-    ) -> bool:
+    def watch(self, prefix: str, revision: int, max_silence_s: float, on_change: OnChange) -> bool:
         """Watch the keys with this prefix, from a revision on, until the stream ends.
 
         on_change(key, value or None if it was deleted, revision) is called for each change. Returns False if
@@ -99,7 +93,7 @@
                     self._report_change(event, on_change)
         return True
 
-    def _report_change(self, event: Json, on_change: Callable[[str, str | None, int], Any]) -> None:
+    def _report_change(self, event: Json, on_change: OnChange) -> None:
         item = event["kv"]
         key = _decode(item["key"]).removeprefix(self.prefix)
         value = None if event.get("type") == "DELETE" else _decode(item.get("value", ""))
--- a/gullhold/fleet/watcher.py
+++ b/gullhold/fleet/watcher.py
@@ -9,10 +9,9 @@
 
 from gullhold.fleet.backoff import Backoff
 from gullhold.fleet.clocks import US_PER_SECOND
+from gullhold.fleet.store_calls import OnChange
 from gullhold.net.startup import start_thread
 
-OnChange = Callable[[str, str | None, int], Any]  # key, value or None if it was deleted, revision
-
 
 class WatchSession(Protocol):
     """One session with the store, as a watcher needs it."""
--- a/gullhold/rollout/canary_figures.py
+++ b/gullhold/rollout/canary_figures.py
@@ -17,7 +17,7 @@
         self._baseline: CommandFigures | None = None  # figures at the first report
 
     def reset(self) -> None:
-        """Begin to count anew with the next report."""
+        """Begin to count from zero with the next report."""
         self._baseline = None
 
     def take(self, now: int) -> CommandFigures:
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -105,8 +105,8 @@
         found = snapshot.read(self.settings.snapshot) if self.settings.snapshot else None
         if not found or not self.settings.spare:
             return
-        version, at_us = found
-        age_us = unix_us() - at_us
+        version = found.version
+        age_us = unix_us() - found.at_us
         left_us = self.settings.spare - age_us
         self.fleet.log_event(
             "warning",
--- a/gullhold/rollout/snapshot.py
+++ b/gullhold/rollout/snapshot.py
@@ -4,11 +4,19 @@
 import os
 from contextlib import suppress
 from os import PathLike
+from typing import NamedTuple
 
 from gullhold.rollout.policy_version import PolicyError, PolicyVersion
 from gullhold.rollout.store_schema import version_from_stored, version_to_stored
 
 
+class Snapshot(NamedTuple):
+    """A version, and the Unix time (us) at which it was known to be in force."""
+
+    version: PolicyVersion
+    at_us: int
+
+
 def write(path: str | PathLike[str], version: PolicyVersion, at_us: int) -> None:
     """Replace the snapshot atomically. at_us: Unix time.
 
@@ -32,11 +40,11 @@
         os.close(descriptor)
 
 
-def read(path: str | PathLike[str]) -> tuple[PolicyVersion, int] | None:
-    """Read (version, Unix time in us at which it was known to be in force); None: no usable snapshot."""
+def read(path: str | PathLike[str]) -> Snapshot | None:
+    """Read the snapshot; None: there is no usable one."""
     try:
         with open(path, encoding="utf-8") as file:
             stored = json.load(file)
-        return version_from_stored(stored["record"]), int(stored["at_us"])
+        return Snapshot(version_from_stored(stored["record"]), int(stored["at_us"]))
     except (OSError, ValueError, KeyError, TypeError, PolicyError):
         return None
