--- a/tests/decisions/test_attempt_review.py
+++ b/tests/decisions/test_attempt_review.py
@@ -6,7 +6,7 @@
 from gullhold.interface import CancelAttempt, Outcome, StatusKind
 
 
-def test_a_bad_plan_is_started_afresh_elsewhere():
+def test_an_attempt_with_a_bad_plan_is_cancelled_and_retried_on_another_engine():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
     world.update_engines(*FOUR_READY_ENGINES)
     for _ in range(20):
@@ -20,7 +20,7 @@
     assert len(world.commands[ident].attempts_sent_at) == 2
 
 
-def test_a_send_that_notes_call_nearly_done_is_left_alone():
+def test_an_attempt_that_status_reports_call_nearly_done_is_not_cancelled():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
     world.update_engines(*FOUR_READY_ENGINES)
     ident = world.submit()
@@ -29,7 +29,7 @@
     assert not any(isinstance(result, CancelAttempt) for result in world.log)
 
 
-def test_notes_tell_a_bad_plan_long_before_its_age_does():
+def test_status_reports_reveal_a_bad_plan_long_before_its_age_does():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS, target_us=9000 * MS)))
     world.update_engines(*FOUR_READY_ENGINES)
     ident = world.submit(work=1000 * MS)
--- a/tests/decisions/test_command.py
+++ b/tests/decisions/test_command.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("state", CommandState)
-def test_a_command_enters_only_states_that_follow_its_own(state):
+def test_a_command_enters_only_successors_of_its_state(state):
     for following in CommandState:
         command = make_command()
         command.state = state
@@ -22,7 +22,7 @@
             assert command.state == state
 
 
-def test_the_first_attempt_that_may_have_run_is_kept():
+def test_the_first_attempt_that_may_have_run_is_remembered():
     command, first, second = make_command(), Engine(1, 0, 1), Engine(2, 1, 2)
     assert not command.may_have_run
     for engine, now in ((first, START), (second, START + MS)):
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 from gullhold.interface import EngineState, Outcome, Tenant
 
 
-def test_held_commands_stay_under_the_cap_and_one_may_always_go():
+def test_commands_in_flight_stay_under_the_concurrency_limit_and_one_may_always_be_sent():
     world = Driver(make_agreement(profile(threads=3), gateways=4))
     world.update_engines(
         (1, 0, 1, EngineState.READY, 0, 0)
@@ -18,7 +18,7 @@
     assert len(world.running_ids()) == 1
 
 
-def test_a_slowdown_of_all_engines_leaves_half_the_first_share():
+def test_a_slowdown_of_all_engines_halves_the_initial_share():
     world = Driver(make_agreement(gateways=2))
     world.update_engines(*FOUR_READY_ENGINES)
     for i in range(400):
@@ -29,7 +29,7 @@
     assert world.gateway.parts.limits.share(world.now) >= 0.25
 
 
-def test_one_of_hundreds_of_gateways_holds_its_part_of_the_fleet():
+def test_one_of_hundreds_of_gateways_uses_its_share_of_the_fleet():
     world = Driver(make_agreement(profile(threads=3, late_benefit=0.0), gateways=300, tenants=BUSY_TENANT))
     world.update_engines(*FORTY_READY_ENGINES)
     for _ in range(60):
@@ -48,7 +48,7 @@
     assert world.gateway.parts.limits.share(world.now + 120_000 * MS) < first
 
 
-def test_our_share_stays_near_our_part_of_the_traffic_however_long_commands_wait():
+def test_the_share_of_a_gateway_stays_near_its_part_of_the_traffic_however_long_commands_wait():
     """It once grew fourfold while a few waited: all engines were filled past their knee, and jammed."""
     agreement = make_agreement(
         profile(target_us=9000 * MS, timeout_us=20_000 * MS), gateways=3, tenants=(Tenant(1.0, 30.0),)
@@ -67,7 +67,7 @@
     assert 1.0 < most <= 1.5
 
 
-def test_time_outs_leave_long_commands_less_of_the_bound_until_answers_give_it_back():
+def test_timeouts_lower_the_long_share_of_the_limit_until_answers_restore_it():
     agreement = make_agreement(
         profile(),
         profile(threads=3, target_us=20_000 * MS, timeout_us=4000 * MS),
--- a/tests/decisions/test_dataset_engines.py
+++ b/tests/decisions/test_dataset_engines.py
@@ -7,7 +7,7 @@
 from gullhold.decisions.engine import Engine
 
 
-def test_popular_data_sets_prefer_more_engines_and_counts_fade_by_halves():
+def test_popular_data_sets_prefer_more_engines_and_counts_decay_by_half():
     popularity = DatasetPopularity()
     assert popularity.preferred_engines(1, 100) == 3
     assert popularity.preferred_engines(1, 2) == 2
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -8,7 +8,7 @@
 from gullhold.interface import EngineState, Outcome, Tenant
 
 
-def test_tenants_are_released_by_weight_under_pressure():
+def test_tenants_are_served_by_weight_under_pressure():
     world = Driver(
         make_agreement(
             profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
@@ -27,7 +27,7 @@
     assert 0.6 < sent[0] / sum(sent) < 0.85
 
 
-def test_tenants_that_hold_nothing_cost_nothing():
+def test_tenants_without_queued_commands_cost_no_time():
     agreement = make_agreement(tenants=tuple(Tenant(1e-5) for _ in range(100_000)))
     driver = Driver(agreement)
     driver.update_engines((1, 0, 0, EngineState.READY, 0, 0), full=True)
--- a/tests/decisions/test_decisions_fleet_budgets.py
+++ b/tests/decisions/test_decisions_fleet_budgets.py
@@ -50,7 +50,7 @@
     return world, allot
 
 
-def test_threads_of_the_fleet_hold_back_what_the_even_part_would_send_and_go_on_when_they_grow():
+def test_the_fleets_threads_budget_limits_dispatch_below_the_even_share_until_it_grows():
     part = Part(2)
     world, allot = parted(make_agreement(gateways=50), threads=part)
     for _ in range(6):
@@ -69,14 +69,14 @@
     assert part.out == 4
 
 
-def test_a_part_under_one_command_sends_none_of_it():
+def test_a_budget_share_below_one_command_dispatches_nothing():
     world, allot = parted(make_agreement(profile(threads=3)), threads=Part(2))
     world.submit()
     assert not world.running_ids()
     assert allot()[BudgetKind.THREADS, 1] == 3
 
 
-def test_further_sends_and_commands_taken_of_a_tenant_are_the_fleets():
+def test_retries_admissions_and_open_commands_of_a_tenant_count_against_the_fleets_budgets():
     further, taken, opened = Part(1), Part(9), Part(2)
     agreement = make_agreement(
         retry_budget_base=0.0,
@@ -107,7 +107,7 @@
     assert taken.out == 0
 
 
-def test_memory_and_cold_work_are_asked_for_and_a_share_sets_the_bound():
+def test_memory_and_warmup_work_are_requested_and_the_traffic_share_sets_the_limit():
     memory, cold, share = Part(100), Part(100_000), Part(500_000)
     world, allot = parted(make_agreement(gateways=50), memory=memory, warmup=cold, traffic_share=share)
     world.update_engines((1, 0, 0, EngineState.READY, 0, world.now))
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -75,7 +75,7 @@
     assert play(agreement, first + steps) == play(agreement, first + steps)  # and same calls, same decisions
 
 
-def test_strange_input_is_passed_over():
+def test_invalid_input_is_ignored():
     world = Driver(make_agreement(tenants=(Tenant(1.0),), cores_by_kind=(), memory_mb_by_kind=()))
     world.update_engines(*FOUR_READY_ENGINES)
     assert world.gateway.attempt_ended(world.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("told", ODD_ESTIMATES)
-def test_an_estimate_that_is_none_loses_no_command(told):
+def test_an_unusable_estimate_loses_no_command(told):
     world = Driver(make_agreement(profile(), profile(threads=3)))
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     for need in ODD_ESTIMATES:
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -7,7 +7,7 @@
 from gullhold.interface import EngineState, Outcome
 
 
-def test_a_failing_engine_is_left_but_for_trials():
+def test_a_failing_engine_gets_only_trial_attempts():
     world = Driver(make_agreement())
     world.update_engines(*FOUR_READY_ENGINES)
     sent = [0, 0]
@@ -22,7 +22,7 @@
     assert sent[1] <= 10
 
 
-def test_an_avoided_engine_is_no_outlier_for_good():
+def test_an_avoided_engine_does_not_stay_an_outlier_for_ever():
     world = Driver(make_agreement())
     world.update_engines(*FOUR_READY_ENGINES)
     engine = world.gateway.parts.engines.by_id[2]
@@ -34,7 +34,7 @@
     assert world.gateway.parts.health.slowness(engine, world.now + 90_000 * MS) < 1.5
 
 
-def test_one_failed_connection_keeps_off_until_it_fades():
+def test_one_failed_connection_diverts_attempts_until_its_effect_decays():
     world = Driver(make_agreement())
     world.update_engines(*FOUR_READY_ENGINES)
     ident = world.submit()
@@ -46,7 +46,7 @@
     assert world.gateway.parts.health.failure_rate(known, world.now + 30_000 * MS) < 0.05
 
 
-def test_one_reset_keeps_no_engine_out_but_several_do():
+def test_one_reset_ejects_no_engine_but_several_do():
     world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
     world.update_engines(*FOUR_READY_ENGINES)
 
@@ -72,7 +72,7 @@
     assert not use(Outcome.ANSWERED, 100)
 
 
-def test_an_engine_with_a_send_that_never_ends_gets_nothing_new_where_sends_cannot_be_cancelled():
+def test_a_stalled_engine_gets_no_new_attempts_where_attempts_cannot_be_cancelled():
     agreement = make_agreement(profile(target_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
     world = Driver(agreement)  # which also checks: no cancel, never two sends out at once
     world.update_engines(
@@ -97,7 +97,7 @@
     assert engine in [world.commands[ident].open_attempt.engine for ident in world.running_ids()]
 
 
-def test_where_most_engines_have_a_send_that_never_ends_none_is_left_out():
+def test_no_engine_is_ejected_where_most_engines_are_stalled():
     world = Driver(make_agreement(profile(target_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False))
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
     answer_commands(world, 20, 0.5)
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("supports_cancel", [False, True])
-def test_a_time_out_tells_of_its_engine_where_the_work_goes_on_there(supports_cancel):
+def test_a_timeout_counts_against_its_engine_where_the_work_runs_on(supports_cancel):
     world = Driver(
         make_agreement(
             profile(target_us=60_000 * MS, timeout_us=90_000 * MS), supports_cancel=supports_cancel
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -6,7 +6,7 @@
 from gullhold.interface import DeduplicationScope, EngineEntry, EngineState, Idempotency, Outcome
 
 
-def test_engines_that_are_gone_leave_nothing_behind():
+def test_removed_engines_leave_no_state_behind():
     world = Driver(
         make_agreement(profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE))
     )
@@ -24,7 +24,7 @@
     assert [engine.slot for engine in engines.by_slot] == list(range(len(engines.by_slot)))
 
 
-def test_a_slot_is_given_to_another_engine_once_nothing_refers_to_the_one_that_left():
+def test_a_slot_is_reused_once_nothing_refers_to_the_removed_engine():
     engines = EngineRegistry(make_agreement())
     first = engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
     other = engines.update(EngineEntry(8, 1, 1.0, 1, EngineState.READY, 0, 0))
@@ -44,7 +44,7 @@
     assert new.sequence > other.sequence
 
 
-def test_a_restart_voids_what_an_engine_showed():
+def test_a_restart_discards_what_was_measured_of_an_engine():
     engines = EngineRegistry(make_agreement())
     engine = engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
     engine.failure_rate, engine.completed_work, engine.load = 0.5, 10.0, 0.2
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -7,7 +7,7 @@
 from gullhold.interface import EngineState, Outcome
 
 
-def test_what_clients_take_back_says_nothing_of_pace():
+def test_commands_that_clients_cancel_do_not_count_as_measurements_of_speed():
     world = Driver(make_agreement())
     world.update_engines(*FOUR_READY_ENGINES)
     for _ in range(30):
@@ -23,7 +23,7 @@
     assert world.gateway.parts.limits.fleet_slowness < 2
 
 
-def test_a_send_cut_off_sooner_than_the_usual_run_tells_nothing_of_its_engine():
+def test_an_attempt_cut_off_before_the_usual_run_time_does_not_count_against_its_engine():
     """Clients that gave up early had made jammed engines look fast to every gateway."""
     world = Driver(make_agreement(profile(), max_attempts=1))
     world.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
@@ -47,7 +47,7 @@
     assert gateway.parts.health.slowness(engine, world.now) > 1
 
 
-def test_work_of_a_command_without_an_estimate_is_the_usual_of_its_profile():
+def test_a_command_without_an_estimate_gets_the_usual_work_of_its_profile():
     estimates = Estimates(make_agreement())
     assert estimates.command_work(0, 0) == 0.5 * 500 * MS  # half the latency objective, before any other
     estimates = Estimates(make_agreement())
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -8,7 +8,7 @@
 from gullhold.interface import Outcome
 
 
-def test_commands_of_a_key_follow_each_other():
+def test_commands_of_an_ordered_key_run_one_after_another():
     order, kind = KeyOrder(300 * MS), profile(ordered=True)
     first, second, other = make_command(1, kind, 5), make_command(2, kind, 5), make_command(3, kind)
     assert [order.add(command) for command in (first, second, other)] == [True, False, True]
@@ -19,7 +19,7 @@
     assert not order.by_key
 
 
-def test_a_key_is_at_rest_after_an_attempt_of_unknown_end():
+def test_a_key_settles_after_an_attempt_with_an_unknown_outcome():
     order, command = KeyOrder(300 * MS), make_command(1, profile(ordered=True), 5)
     order.record_outcome(command, Outcome.ERROR, START)
     assert not order.is_settling(command, START)
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -8,7 +8,7 @@
 from gullhold.interface import EngineState, Outcome
 
 
-def test_slow_answers_are_no_pressure_where_engines_tell_of_idle_cores():
+def test_slow_answers_are_no_pressure_where_load_reports_show_idle_cores():
     found = []
     for util in (0.1, 0.95):  # the same paces: two fast ones, then three times as slow
         world = driver_with_load_reports()
@@ -18,7 +18,7 @@
     assert found[0] >= 2 * found[1] > 0
 
 
-def test_an_engine_that_turns_us_away_or_says_nothing_counts_as_full():
+def test_an_engine_that_rejects_attempts_or_reports_no_load_counts_as_full():
     world = driver_with_load_reports()
     answer_commands(world, 40, 0.1)
     assert world.gateway.parts.loads.fleet_utilization < 0.2
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("told", [float("nan"), -0.5, float("inf"), float("-inf"), 1e30])
-def test_a_made_up_load_is_bounded(told):
+def test_the_effect_of_an_invented_load_report_is_bounded(told):
     world = driver_with_load_reports()
     answer_commands(world, 20, 0.2)
     answer_commands(world, 5, told)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("full", [1, 2])
-def test_of_engines_with_as_much_of_ours_the_one_that_tells_less_load_is_taken(full):
+def test_among_engines_with_equal_attempts_the_one_that_reports_less_load_is_chosen(full):
     world = Driver(
         make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
     )
@@ -62,7 +62,7 @@
         world.end_attempt(ident, Outcome.ANSWERED, report=(0.1,))
 
 
-def test_load_told_by_an_engine_that_crawls_is_no_room():
+def test_low_load_reported_by_a_slow_engine_is_not_capacity():
     world = Driver(
         make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
     )
@@ -83,7 +83,7 @@
     assert world.commands[ident].open_attempt.engine == 2
 
 
-def test_room_widens_a_limit_below_full_utilisation_only():
+def test_spare_capacity_raises_a_limit_only_below_full_utilization():
     assert room(FULL, 4.0) == room(1.0, 4.0) == 1.0
     assert room(FULL / 2, 4.0) == 2.0
     assert room(0.0, 4.0) == 4.0
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -7,7 +7,7 @@
 from gullhold.interface import EngineState, Outcome, StatusKind
 
 
-def test_in_a_large_fleet_commands_go_back_to_engines_used_lately_while_those_are_idle():
+def test_in_a_large_fleet_commands_return_to_recently_used_engines_while_those_are_idle():
     """Each command went to another engine: a connection for each, and as many descriptors."""
     world, used = Driver(make_agreement()), set()
     world.update_engines(*[(ident, 0, 0, EngineState.READY, 0, 0) for ident in range(600)])
@@ -22,7 +22,7 @@
     assert len(set(engines)) >= 55
 
 
-def test_a_large_fleet_that_is_cold_is_not_walked_for_each_command(monkeypatch):
+def test_a_large_warming_fleet_is_not_scanned_for_each_command(monkeypatch):
     looked, may_take = [], Placement.may_take
     monkeypatch.setattr(
         Placement,
@@ -36,7 +36,7 @@
     assert 0 < len(looked) < 1000
 
 
-def test_a_note_of_waiting_for_a_load_keeps_its_data_set_off():
+def test_a_status_report_of_waiting_for_a_load_diverts_its_data_set():
     world = Driver(make_agreement(profile(waits_for_loads=True), cores_by_kind=(40.0, 40.0)))
     world.update_engines(*FOUR_READY_ENGINES)
     first = world.submit()
@@ -63,7 +63,7 @@
     assert looks[1] < 1.2 * looks[0]
 
 
-def test_gateways_agree_on_the_homes_of_a_data_set():
+def test_gateways_agree_on_the_preferred_engines_of_a_data_set():
     used = set()
     for seed in range(20):
         world = Driver(make_agreement(gateways=300, tenants=BUSY_TENANT), seed)
@@ -76,7 +76,7 @@
     assert len(used) <= 16  # of twenty sends by twenty gateways over forty engines
 
 
-def test_loads_keep_off_the_engines_that_read_their_data_set():
+def test_loads_avoid_the_engines_that_read_their_data_set():
     agreement = make_agreement(
         profile(waits_for_loads=True), profile(loads_dataset=True, target_us=9000 * MS)
     )
@@ -90,7 +90,7 @@
     assert all(not spots[0][dataset] & spots[1][dataset] for dataset in spots[0])
 
 
-def test_under_pressure_engines_of_all_locations_are_drawn():
+def test_under_pressure_engines_of_all_zones_are_drawn():
     went = []
     for latency in (WORK, 4 * WORK):
         world = Driver(
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -6,7 +6,7 @@
 from gullhold.interface import Fail, Idempotency, Outcome, Shed
 
 
-def test_giving_up_a_send_that_may_have_run_promises_nothing_for_a_non_replayable_command():
+def test_abandoning_an_attempt_that_may_have_run_fails_a_non_idempotent_command():
     """A front that must leave ends what is out: shed only where trying again does no harm."""
     for effect, verb in (
         (Idempotency.NON_IDEMPOTENT, Fail),
@@ -24,7 +24,7 @@
         assert not world.gateway.parts.thread_use.total
 
 
-def test_a_non_replayable_send_that_was_turned_away_unseen_goes_again():
+def test_a_non_idempotent_attempt_that_was_rejected_before_it_ran_is_retried():
     """It was shed at once, though it provably never ran: the state of the ended send stood in the way."""
     world = Driver(make_agreement(profile(idempotency=Idempotency.NON_IDEMPOTENT)))
     world.update_engines(*FOUR_READY_ENGINES)
@@ -36,7 +36,7 @@
     assert Fail(ident) in world.results_of(Fail)
 
 
-def test_what_bad_clients_ask_widens_no_budget_and_no_share_of_the_fleet():
+def test_requests_of_bad_clients_raise_no_retry_budget_and_no_share_of_the_fleet():
     world = Driver(
         make_agreement(
             profile(), retry_budget_base=3.0, retry_budget_share=0.5, retry_budget_window_us=5000 * MS
--- a/tests/decisions/test_review_schedule.py
+++ b/tests/decisions/test_review_schedule.py
@@ -8,14 +8,14 @@
 from gullhold.interface import EngineState, Idempotency, Outcome, Shed
 
 
-def test_nothing_is_held_past_its_time_with_no_engine_at_all():
+def test_without_any_engine_no_command_is_queued_past_its_deadline():
     world = Driver(make_agreement(profile(late_benefit=0.0), profile(idempotency=Idempotency.NON_IDEMPOTENT)))
     never, late = world.submit(0), world.submit(1)
     world.wait(4100 * MS)
     assert world.commands[never].final == world.commands[late].final == Shed
 
 
-def test_what_cannot_end_in_time_at_the_best_pace_is_turned_away_and_not_sent():
+def test_a_command_that_cannot_end_in_time_at_the_best_speed_is_shed_and_not_sent():
     world = Driver(make_agreement(profile()))
     world.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
     world.submit(timeout_us=WORK // 2)
@@ -25,7 +25,7 @@
     assert world.running_ids() == [ident]
 
 
-def test_a_gateway_that_stood_still_looks_at_the_time_before_it_sends():
+def test_a_gateway_that_was_paused_checks_deadlines_before_it_dispatches():
     world = Driver(make_agreement(profile(late_benefit=0.0), supports_cancel=False))
     world.update_engines((1, 0, 1, EngineState.READY, 0, 0))  # two cores
     asked = [world.submit() for _ in range(12)]
@@ -39,7 +39,7 @@
     assert all(not cmd.attempts_sent_at and cmd.final == Shed for cmd in held)  # none could earn anything
 
 
-def test_reviews_come_in_order_and_one_timer_runs_for_the_next():
+def test_reviews_are_due_in_order_and_one_timer_runs_for_the_next():
     reviews, first, second = ReviewSchedule(), make_command(1), make_command(2)
     reviews.add(START + 3000 * MS, first)
     reviews.add(START + 2000 * MS, second)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -10,7 +10,7 @@
 from gullhold.interface import Dispatch, EngineState, Outcome
 
 
-def test_a_restart_makes_an_engine_cold_again():
+def test_a_restarted_engine_warms_up_again():
     world = Driver(make_agreement(gateways=1))
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     world.update_engines((1, 0, 0, EngineState.READY, 0, START))
@@ -23,7 +23,7 @@
     assert world.warmup_work[1]
 
 
-def test_a_heavy_command_may_go_to_a_new_engine_before_it_is_warm():
+def test_a_heavy_command_may_be_sent_to_a_warming_engine():
     world = Driver(make_agreement(profile(timeout_us=60_000 * MS, target_us=60_000 * MS), gateways=3))
     world.update_engines((1, 0, 0, EngineState.READY, 0, START))
     ident = world.submit(work=2500 * MS)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("managers", [3, 300])
-def test_all_gateways_together_stay_inside_the_cold_budget(managers):
+def test_all_gateways_together_stay_inside_the_warmup_budget(managers):
     agreement = make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
     stands = (
         agreement.overload_multiple
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("managers", [3, 30, 200])
-def test_gateways_that_start_over_and_over_stay_inside_the_cold_budget(managers):
+def test_gateways_that_restart_repeatedly_stay_inside_the_warmup_budget(managers):
     """Each start had forgotten what the one before had sent: four in a window sent three times the budget."""
     agreement = make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
     sent = 0
@@ -86,7 +86,7 @@
     assert managers > 3 or world.running_ids()  # the part is ours again
 
 
-def test_half_a_fleet_back_cold_at_once_is_given_its_part_by_gateways_that_know_only_their_last_list():
+def test_half_a_fleet_that_restarts_at_once_gets_its_warmup_share_from_gateways_with_an_old_list():
     agreement = make_agreement(profile(timeout_us=4000 * MS), gateways=10, cores_by_kind=(8.0,))
     fleet = [Driver(agreement, seed) for seed in range(10)]
     work = {}
@@ -116,7 +116,7 @@
     assert all(given < stands for given in work.values())  # the sum of all gateways, over one window
 
 
-def test_a_warming_engine_takes_our_part_of_what_it_stands_in_a_window():
+def test_a_warming_engine_takes_a_gateways_share_of_its_capacity_in_a_window():
     agreement = make_agreement(gateways=2)
     slow_start, engine = SlowStart(agreement, 0, Random(1).random), Engine(1, 0, 1)
     engine.started_us, engine.cores = START, 4.0
@@ -133,7 +133,7 @@
     assert not slow_start.is_warming(engine, START + 10_000 * MS)
 
 
-def test_a_gateway_that_has_just_started_gives_engines_from_before_it_nothing_for_a_window():
+def test_a_gateway_sends_nothing_for_a_window_to_warming_engines_that_started_before_it():
     slow_start, engine = SlowStart(make_agreement(), START + MS, Random(1).random), Engine(1, 0, 1)
     engine.started_us = START
     assert not slow_start.may_take(engine, 1, False, START + 2000 * MS)
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -23,12 +23,12 @@
     return world, sum(len(cmd.attempts_sent_at) for cmd in world.commands.values())
 
 
-def test_what_timed_out_holds_its_threads_while_it_may_run_on_where_sends_cannot_be_cancelled():
+def test_a_timed_out_attempt_keeps_its_threads_while_it_may_run_on_where_attempts_cannot_be_cancelled():
     (_, fed), (_, stopped) = jammed(), jammed(supports_cancel=True)
     assert 0 < fed < 0.5 * stopped  # two ages run on behind each: a third of the sends
 
 
-def test_what_may_run_on_is_over_once_its_engine_began_anew():
+def test_attempts_that_may_run_on_are_over_once_their_engine_has_restarted():
     world, _ = jammed()
     assert world.gateway.parts.thread_use.total >= 4
     assert world.gateway.parts.thread_use.running_on
--- a/tests/test_budget_allocations.py
+++ b/tests/test_budget_allocations.py
@@ -12,7 +12,7 @@
 from gullhold.interface import BudgetKind, Demand
 
 
-def test_an_allocation_holds_while_its_lease_does_and_cancels_nothing():
+def test_an_allocation_is_valid_while_its_lease_is_and_cancels_nothing():
     clock = Clock()
     allocations, allocation, lease = make_allocation(LedgerKind.HELD, clock, reserve=1, settle_us=S)
     assert try_acquire(allocation)
@@ -49,7 +49,7 @@
     assert allocation.limit() == 5
 
 
-def test_what_was_allowed_before_a_sleep_is_not_sure_after_it_whatever_was_asked_meanwhile():
+def test_an_allocation_checked_before_a_pause_is_unsure_after_it():
     clock = Clock()
     allocations, allocation, lease = make_allocation(LedgerKind.HELD, clock, reserve=1)
     allocations.begin_lease(7)
@@ -95,7 +95,7 @@
     assert allocations.report(()) == {"b/0": NO_USAGE}
 
 
-def test_one_for_each_engine_is_there_while_its_engine_is():
+def test_an_allocation_for_each_engine_exists_while_its_engine_does():
     clock = Clock()
     lease = Lease(LeaseTerms(1000, 0.0, 0))
     lease.renew(7, 0)
@@ -115,7 +115,7 @@
     assert not allocations.allocations
 
 
-def test_a_report_is_worth_a_write_when_others_could_have_more_or_it_lacks():
+def test_a_report_is_written_when_others_could_have_more_or_the_member_lacks():
     throttle = ReportThrottle(min_interval_us=1000)
     allocations = {"b": 10}
     assert throttle.should_write(0, 0, False, {"b": NO_USAGE}, allocations)
@@ -134,7 +134,7 @@
     assert throttle.should_write(2000, 0, False, {"b": Usage(12, 12, 15)}, allocations)
 
 
-def test_what_staff_see_of_use_is_no_older_than_some_reports():
+def test_the_usage_that_staff_see_is_only_some_reports_old():
     throttle = ReportThrottle(min_interval_us=1000)
     allocations = {"b": 10}
     throttle.written(0, 0, {"b": Usage(5, 5, 12)})  # a burst begins ...
@@ -145,7 +145,7 @@
     assert not throttle.should_write(STALE_US, 0, False, hardly_changed, allocations)
 
 
-def test_who_asks_for_all_and_spends_nothing_is_believed_for_a_while():
+def test_demand_without_use_is_believed_for_a_limited_time():
     demand = MemberDemand()
     demand.report(0, 100, 10, 0)
     assert demand.credited(0) == 100
--- a/tests/test_budget_allocator.py
+++ b/tests/test_budget_allocator.py
@@ -28,7 +28,7 @@
     return allocator.ledgers["b"].allocations()
 
 
-def test_where_all_demand_is_at_one_of_six_it_gets_nearly_all_and_even_demand_is_served_evenly():
+def test_one_of_six_members_with_all_demand_gets_nearly_all_and_even_demand_is_served_evenly():
     names = [f"m{i}" for i in range(6)]
     allocations = settle(fleet(*names), {"m2": 500})
     assert allocations["m2"] / 60 >= 0.9
@@ -36,7 +36,7 @@
     assert set(settle(fleet(*names), dict.fromkeys(names, 500)).values()) == {10}
 
 
-def test_a_fleet_at_rest_writes_nothing_and_who_wants_less_gives_up_what_others_want():
+def test_an_idle_fleet_writes_nothing_and_a_member_with_less_demand_gives_up_what_others_need():
     allocator = fleet("a", "b")
     settle(allocator, {"a": 100})
     assert not allocator.changed
@@ -62,7 +62,7 @@
     assert allocator.ledgers["b"].allocations() == {"a": 1, "b": 59}
 
 
-def test_so_many_budgets_are_looked_at_in_one_division_and_none_is_passed_over():
+def test_a_reallocation_handles_a_bounded_number_of_budgets_and_skips_none_for_good():
     allocator = fleet("a", "b", **{f"b{i}": Budget(LedgerKind.HELD, 10) for i in range(50)})
     allocator.allocate(1, 0, max_budgets=50)
     allocator.report(
@@ -73,7 +73,7 @@
     assert len(set.union(*seen)) == 50
 
 
-def test_demand_that_alternates_moves_parts_and_never_more_than_the_whole():
+def test_alternating_demand_moves_allocations_and_never_exceeds_the_total():
     allocator = fleet("a", "b", b=Budget(LedgerKind.WINDOWED, 20, window_us=2 * S))
     moved = 0
     for second in range(20):
@@ -88,7 +88,7 @@
     assert moved > 20
 
 
-def test_a_thousand_members_share_a_whole_of_a_hundred_and_the_next_divider_goes_on():
+def test_a_thousand_members_share_a_total_of_a_hundred_and_the_next_allocator_continues():
     allocator = fleet(*(f"m{i}" for i in range(1000)), b=Budget(LedgerKind.HELD, 100, linger_us=S))
     allocations = settle(allocator, {f"m{i}": 1 for i in range(500, 600)})
     assert sum(allocations.values()) == 100
@@ -104,7 +104,7 @@
     assert other.summaries(0)["b"][:2] == (100, other.ledgers["b"].charged(0))
 
 
-def test_where_all_of_a_thousand_want_one_of_a_hundred_turns_go_round():
+def test_a_total_of_a_hundred_rotates_among_a_thousand_members():
     allocator = fleet(*(f"m{i}" for i in range(1000)), b=Budget(LedgerKind.HELD, 100, floor=0))
     served = set()
     now = 0
@@ -117,13 +117,13 @@
     assert len(served) == 1000
 
 
-def test_what_is_kept_back_for_the_alone_is_not_divided_and_a_plan_says_what_would_be_given():
+def test_reserves_are_not_allocated_and_a_plan_shows_the_allocations():
     budget = Budget(LedgerKind.HELD, 60, reserve_per_member=2, max_members=10)
     assert sum(settle(fleet("a", "b", b=budget), {"a": 99}).values()) == 40
     assert plan_allocations(budget, {"a": 99, "b": 0}) == {"a": 39, "b": 1}
 
 
-def test_one_budget_for_each_engine_is_opened_and_closed_as_engines_come_and_go():
+def test_budgets_for_each_engine_open_and_close_as_engines_join_and_leave():
     allocator = Allocator({"threads": Budget(LedgerKind.HELD, 10), "threads/7": Budget(LedgerKind.HELD, 3)})
     allocator.report("a", 0, {f"threads/{i}": Usage(0, 5, 5) for i in range(300)}, 0)
     allocator.allocate(1, 0, max_budgets=1000)
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -13,7 +13,7 @@
 from gullhold.testing.budget_mutants import LEDGERS
 
 
-def test_a_part_goes_on_only_when_it_was_given_back():
+def test_an_allocation_is_passed_on_only_after_it_was_given_back():
     ledger = Ledger(LedgerKind.HELD, 10, linger_us=5 * S)
     assert ledger.reallocate({"a": 10, "b": 0}, 1, 0) == {"a": 10}
     assert ledger.reallocate({"a": 4, "b": 6}, 2, 0) == {"a": 4}
@@ -29,7 +29,7 @@
     assert ledger.available(0) == 0
 
 
-def test_what_a_member_spent_in_a_window_counts_until_the_window_has_passed():
+def test_use_in_a_window_counts_until_the_window_has_passed():
     ledger = Ledger(LedgerKind.WINDOWED, 10, window_us=5 * S)
     ledger.reallocate({"a": 10, "b": 0, "c": 0}, 1, 0)
     ledger.reallocate({"a": 0, "b": 10}, 2, 0)
@@ -43,14 +43,14 @@
     assert ledger.reallocate({"b": 10}, 7, 10 * S) == {"b": 10}
 
 
-def test_where_only_proportions_matter_parts_move_at_once():
+def test_allocations_that_are_weights_move_at_once():
     ledger = Ledger(LedgerKind.WEIGHT, 100)
     ledger.reallocate({"a": 60, "b": 40}, 1, 0)
     assert ledger.reallocate({"a": 10, "b": 40, "c": 50}, 2, 0) == {"a": 10, "c": 50}
     assert ledger.entries["a"].reductions == []
 
 
-def test_the_dead_are_charged_until_nothing_of_theirs_can_go_on():
+def test_a_dead_member_is_charged_until_its_work_cannot_run_on():
     ledger = Ledger(LedgerKind.HELD, 10, linger_us=5 * S)
     ledger.reallocate({"a/1": 10}, 1, 0)
     ledger.member_left("a/1", 2 * S)
@@ -63,7 +63,7 @@
     assert ledger.entries == {}
 
 
-def test_a_whole_lowered_below_what_is_out_gives_nothing_until_it_has_come_down():
+def test_a_total_lowered_below_what_is_in_use_allocates_nothing_until_use_has_dropped():
     ledger = Ledger(LedgerKind.HELD, 10)
     ledger.reallocate({"a": 10}, 1, 0)
     ledger.total = 4
@@ -243,7 +243,7 @@
 @pytest.mark.parametrize("kind", [LedgerKind.HELD, LedgerKind.WINDOWED])
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(steps=STEPS)
-def test_whatever_is_lost_late_or_dead_no_more_than_the_whole_is_ever_in_use(kind, steps):
+def test_use_never_exceeds_the_total_whatever_is_lost_late_or_dead(kind, steps):
     play = Play(kind)
     play.join(0)
     for what, k in steps:
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize("mutant", [*LEDGERS, ForgetsEntries, ForgetsAllocated])
-def test_the_play_finds_books_that_are_wrong(mutant):
+def test_the_play_finds_ledger_mutants(mutant):
     for seed in range(3000):
         draw = Random(seed)
         play = Play((LedgerKind.HELD, LedgerKind.WINDOWED)[seed % 2], mutant, reserve=seed // 2 % 2)
@@ -292,7 +292,7 @@
 
 
 @pytest.mark.parametrize("make, available", [(Ledger, 1), (TakesOldReports, 6)])
-def test_an_older_word_that_comes_late_changes_nothing(make, available):
+def test_an_older_report_that_arrives_late_is_ignored(make, available):
     ledger = make(LedgerKind.HELD, 10)
     ledger.reallocate({"a": 10}, 1, 0)
     ledger.reallocate({"a": 4}, 2, 0)
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -43,7 +43,7 @@
     assert state.revision == 6
 
 
-def test_a_report_that_was_refused_is_written_again_over_what_is_stored():
+def test_a_rejected_report_is_written_again_over_the_stored_one():
     state = reporting()
     assert state.collected(0, collected(), True)
     stored = KeyValue("budget/asks/a/7", "{}", 4)
@@ -66,7 +66,7 @@
     assert state.revision == 0
 
 
-def test_usage_is_collected_seldom_while_nothing_changes_and_soon_while_something_does():
+def test_usage_is_collected_rarely_while_idle_and_soon_after_a_change():
     state = reporting()
     assert not state.should_collect(S, True)  # one is under way
     state.collected(0, collected(), True)
@@ -83,7 +83,7 @@
     assert state.due(3 * S, False) == 3 * S + LOOK_US
 
 
-def test_who_leaves_asks_for_nothing_and_reports_no_more_once_all_is_given_back():
+def test_a_leaving_member_requests_nothing_and_stops_reporting_once_all_is_given_back():
     state = reporting()
     state.is_leaving = True
     assert state.collected(0, collected(3, 3, 9), True).usage == {"b/0": Usage(3, 3, 0)}
@@ -120,7 +120,7 @@
     }
 
 
-def test_a_tenants_own_budget_goes_before_that_of_all_tenants():
+def test_a_tenants_own_budget_takes_precedence_over_that_of_all_tenants():
     records = [record("open", "t1", whole=3), record("open", linger=S)]
     budgets, allocations = build_rules(records, agreement(), 0.0)
     assert {name: budget.total for name, budget in budgets.items()} == {"open": 10, "open/t1": 3}
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -11,7 +11,7 @@
     return dict.fromkeys(names, weight)
 
 
-def test_a_whole_goes_where_it_is_wanted_and_nobody_is_left_under_the_floor():
+def test_a_total_goes_to_demand_and_no_member_is_below_the_floor():
     names = [f"n{i}" for i in range(6)]
     shares = max_min_shares(60, {name: 100 if name == "n0" else 0 for name in names}, even(names), 1)
     assert shares == {"n0": 55} | dict.fromkeys(names[1:], 1)
@@ -45,7 +45,7 @@
                 assert (share - 1) / weights[j] <= (shares[i] + 1) / weights[i]
 
 
-def test_a_part_under_one_command_is_of_no_use_and_turns_go_round():
+def test_shares_below_one_command_rotate():
     demands = dict.fromkeys("abcd", 3)
     shares = max_min_shares(10, demands, even("abcd"), 1, granularity=3)
     assert sorted(shares.values()) == [0, 3, 3, 4]
@@ -54,7 +54,7 @@
     assert sum(max_min_shares(2, demands, even("abcd"), 0, granularity=3).values()) == 2
 
 
-def test_small_changes_that_help_nobody_are_left_alone():
+def test_small_changes_without_benefit_are_not_made():
     current, demands = {"a": 50, "b": 50}, {"a": 10, "b": 12}
     assert damp_changes(current, {"a": 48, "b": 52}, demands) == current
     assert damp_changes(current, {"a": 20, "b": 80}, demands) == {"a": 20, "b": 80}
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -82,7 +82,7 @@
     return history.now(next(iter(history.most), ""))
 
 
-def test_where_all_demand_is_at_one_it_gets_all_but_the_others_floors_and_then_the_next_does():
+def test_a_member_with_all_demand_gets_all_but_the_floors_of_the_others():
     with make_rig() as fleet:
         fleet.start()
         one = client(fleet, "n0")
@@ -97,7 +97,7 @@
         checked(fleet, min_attempts=50)
 
 
-def test_one_that_is_stopped_with_half_and_woken_after_its_part_was_given_away_begins_nothing():
+def test_a_paused_member_that_resumes_after_its_allocation_was_given_away_begins_nothing():
     with make_rig(2) as fleet:
         fleet.start()
         # Longer ones: of many short ones one may be stopped between last look and write, which nothing
@@ -114,7 +114,7 @@
         checked(fleet, min_attempts=100)
 
 
-def test_one_killed_with_work_still_running_is_charged_until_that_is_over():
+def test_a_killed_member_is_charged_until_its_running_work_is_over():
     with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
         fleet.start()
         clients = [client(fleet, name, work_ms=700.0, limit_ms=2500) for name in ("n0", "n1")]
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("side, act", [("before", "kill"), ("after", "kill"), ("before", "stop")])
-def test_the_divider_ends_or_sleeps_between_taking_and_giving(side, act):
+def test_the_allocator_is_killed_or_paused_between_reducing_and_raising_allocations(side, act):
     with make_rig() as fleet:
         assignment = RoleAssignment(["budgets"])
         assignment.update_members(fleet.names)
@@ -153,7 +153,7 @@
         checked(fleet, min_attempts=50)
 
 
-def test_replies_are_lost_while_parts_move_and_while_one_gives_back():
+def test_replies_are_lost_while_allocations_move_and_while_a_member_gives_back():
     with make_rig() as fleet:
         fleet.start()
         for turn in range(4):
@@ -169,7 +169,7 @@
         assert checked(fleet, min_attempts=50).moves >= 8
 
 
-def test_all_have_gone_and_come_back_at_once_under_the_same_and_under_other_names():
+def test_all_members_restart_at_once_under_the_same_and_under_other_names():
     with make_rig(4, make=counting_engine(runs_on=True)) as fleet:
         for names in (("n0", "n1"), ("n0", "n1"), ("n2", "n3")):
             fleet.start(*names)
@@ -181,7 +181,7 @@
         checked(fleet, min_attempts=20)
 
 
-def test_most_are_replaced_at_once_and_a_partition_heals_after_parts_were_divided_anew():
+def test_most_members_are_replaced_at_once_and_a_partition_heals_after_reallocation():
     with make_rig(5) as fleet:
         fleet.start()
         clients = [client(fleet, name) for name in ("n3", "n4")]
@@ -197,7 +197,7 @@
         checked(fleet, min_attempts=50)
 
 
-def test_the_whole_of_a_window_moves_from_one_to_the_next_and_is_spent_once():
+def test_the_total_of_a_window_moves_between_members_and_is_spent_once():
     window_s = 3.0
     budget = {"of": '"taken"', "whole": 30, "window": "3s"}
     with make_rig(budgets=[budget], drift="rate: 0.1, margin: 20ms") as fleet:
@@ -215,7 +215,7 @@
         assert AllocationHistory(fleet.lines()).moves >= 5
 
 
-def test_further_sends_are_counted_for_the_fleet_over_any_window():
+def test_retries_are_counted_for_the_fleet_over_any_window():
     budget = {"of": '"further"', "whole": 12, "window": "2s"}
     with make_rig(budgets=[budget], engines=2, make=counting_engine(fails=0.4)) as fleet:
         fleet.start()
@@ -229,7 +229,7 @@
         assert len(further) >= 12, (most, len(further))
 
 
-def test_calls_to_the_lists_service_are_counted_for_the_fleet_where_it_ends_every_stream():
+def test_polls_of_the_discovery_service_are_counted_for_the_fleet_where_it_ends_every_stream():
     budget, calls = {"of": '"lists"', "whole": 6, "window": "2s", "alone": 1, "members": 3}, []
     sock, address = listening()
 
@@ -251,7 +251,7 @@
     assert len(calls) >= 8, (most, len(calls))
 
 
-def test_a_whole_that_is_lowered_below_what_is_out_comes_down_and_cancels_nothing():
+def test_a_total_lowered_below_what_is_in_use_is_reached_without_cancels():
     with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
         fleet.start()
         clients = [client(fleet, name, work_ms=400.0, limit_ms=2000) for name in ("n0", "n1")]
@@ -273,7 +273,7 @@
         assert most_at_once(fleet.engines[0].flights)[0] <= 12
 
 
-def test_a_part_under_one_command_goes_round_and_each_is_served():
+def test_an_allocation_below_one_command_rotates_and_every_member_is_served():
     def three(settings):
         settings["domain"]["parallelism"] = [3, 1, 1]
 
@@ -286,7 +286,7 @@
         checked(fleet, total=4, min_attempts=9)
 
 
-def test_an_engine_that_starts_cold_while_members_change_is_not_pushed_over():
+def test_a_warming_engine_is_not_overloaded_while_members_change():
     cold = {"of": '"cold"', "window": "1s"}
 
     def rules(settings):
@@ -311,7 +311,7 @@
         assert len(fleet.engines[0].flights) > 20
 
 
-def test_demand_that_alternates_each_second_moves_parts_and_all_of_it_is_used():
+def test_demand_that_alternates_each_second_moves_allocations_and_all_of_the_budget_is_used():
     with make_rig(2) as fleet:
         fleet.start()
         fleet.until(lambda: len(allocations(fleet)) == 2)
@@ -324,7 +324,7 @@
         )  # of 12 threads for 60 ms each: at most 1,200 in 6 s
 
 
-def test_with_the_register_away_each_serves_by_what_is_kept_back_for_it():
+def test_without_the_store_each_member_serves_from_its_reserve():
     with make_rig(2, [threads_budget(12, alone=2, members=3)]) as fleet:
         fleet.start()
         clients = [client(fleet, "n0"), client(fleet, "n1")]
--- a/tests/test_fleet_calendar.py
+++ b/tests/test_fleet_calendar.py
@@ -10,7 +10,7 @@
 S = 1_000_000  # us
 
 
-def test_daylight_saving_skips_and_repeats_no_day():
+def test_daylight_saving_time_skips_and_repeats_no_day():
     calendar = Calendar("30 2 * * *", "Europe/Brussels", 0)
     zone = ZoneInfo("Europe/Brussels")
 
@@ -23,7 +23,7 @@
     assert after(2026, 10, 25, 4) == "26 02:30"
 
 
-def test_a_calendar_counts_what_was_missed_and_names_what_it_cannot_use():
+def test_a_calendar_counts_missed_due_times_and_names_expressions_that_it_cannot_use():
     calendar = Calendar("*/2 * * * * *", "UTC", 0)
     assert calendar.between(1000 * S, 1009 * S) == (4, 1008 * S)
     assert Calendar("", "UTC", 300_000).between(1000 * S, 1001 * S) == (3, 1000_800_000)
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -7,7 +7,7 @@
 S = 1_000_000  # us
 
 
-def test_a_lease_counts_from_when_we_asked_by_a_clock_that_may_be_slow():
+def test_a_lease_runs_from_its_request_by_a_clock_that_may_be_slow():
     lease = Lease(LeaseTerms(10, 0.1, 500_000))
     assert not lease.is_valid(0)
     lease.renew(7, sent_at=1 * S)
@@ -22,7 +22,7 @@
     assert not lease.is_valid(2 * S)
 
 
-def test_pauses_grow_and_are_spread_and_moves_are_bounded_over_any_second():
+def test_backoff_grows_with_jitter_and_moves_are_limited_over_any_second():
     backoff = Backoff(100, 1000, lambda: 0.5)
     assert [backoff.next_delay_us() for _ in range(6)] == [75, 150, 300, 600, 750, 750]
     backoff.reset()
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -15,14 +15,14 @@
 S = 1_000_000  # us
 
 
-def test_walks_through_losses_pauses_restarts_and_lease_ends_keep_every_promise():
+def test_random_walks_through_losses_pauses_restarts_and_lease_ends_break_no_rule():
     met = set()
     for seed in range(60):
         met |= membership_explorer.walk(seed, 120)
     assert len(met) > 2000
 
 
-def test_every_order_of_a_few_events_is_gone_through_from_a_fleet_that_has_settled():
+def test_every_order_of_a_few_events_is_explored_from_a_settled_fleet():
     met, whole = membership_explorer.explore(3, 600)
     assert met >= 300
     assert whole >= 2
@@ -39,7 +39,7 @@
         membership_mutants.ClaimsHeld,
     ],
 )
-def test_the_walks_find_decisions_that_are_wrong(mutant):
+def test_the_walks_find_membership_mutants(mutant):
     finding = membership_mutants.find(mutant, 60, 160)
     assert finding is not None, finding
     assert finding.kind is FindingKind.VIOLATION, finding
@@ -73,7 +73,7 @@
     return [action.call for action in one.take_actions() if isinstance(action, CallStore)]
 
 
-def test_a_read_from_the_past_is_not_believed():
+def test_a_stale_read_is_ignored():
     one = member()
     one.tick(0)
     one.newest_revision = 9
@@ -84,7 +84,7 @@
     assert not one.members
 
 
-def test_a_key_that_a_lost_call_left_behind_is_found_by_the_audit_and_let_go():
+def test_a_key_left_behind_by_a_lost_call_is_found_by_the_audit_and_released():
     one = joined(("d", "e"))
     one.claims.excess, one.claims.assignment.leaders["e"] = {}, "b"
     one.claims.lost("e", "test")
@@ -102,7 +102,7 @@
     assert release.request.operations == (Delete("duties/e"),)
 
 
-def test_an_effect_compares_the_token_and_nothing_is_begun_on_a_lease_that_is_not_sure():
+def test_an_effect_compares_the_fencing_token_and_nothing_begins_on_an_unsure_lease():
     one = joined()
     assert one.fencing_token("d", 0) == 3
     assert one.fencing_token("other", 0) == 0
@@ -115,7 +115,7 @@
     assert RoleLost("d", "its lease is not sure") in one.take_actions()
 
 
-def test_leaving_frees_all_with_one_call_but_waits_for_work_in_its_middle():
+def test_leaving_releases_all_roles_with_one_call_but_waits_for_work_in_progress():
     one = joined()
     one.leave(0)
     assert [call.purpose for call in calls(one)] == ["revoke"]
@@ -136,7 +136,7 @@
     assert one.state == MemberState.OUT
 
 
-def test_work_in_its_middle_is_not_let_go_for_another_member():
+def test_a_role_with_work_in_progress_is_not_released_to_another_member():
     one = joined(("d", "e"))
     one.set_busy("d", True)
     one.claims.excess = {"d": 3}
--- a/tests/test_fleet_occurrences.py
+++ b/tests/test_fleet_occurrences.py
@@ -13,7 +13,7 @@
     "point, side, sends",
     [("intent", "before", 1), ("intent", "after", 0), ("outcome", "before", 1), ("outcome", "after", 1)],
 )
-def test_a_non_replayable_occurrence_whose_owner_is_killed_runs_at_most_once(point, side, sends):
+def test_a_non_idempotent_occurrence_whose_leader_is_killed_runs_at_most_once(point, side, sends):
     with Rig(members=2, scheduled=[scheduled_command("once", "once") | due_once_in()]) as rig:
         rig.start("n0", point=point, side=side, act="kill", nth=1)
         rig.members["n0"].process.wait(8)
@@ -35,7 +35,7 @@
         check_run(rig)
 
 
-def test_occurrences_go_on_through_kills_and_sleeps_each_as_its_profile_allows():
+def test_occurrences_continue_through_kills_and_pauses_as_their_profiles_allow():
     kinds = {"plain": "read", "marked": "mark", "single": "once"}
     with Rig(members=3, scheduled=[scheduled_command(name, kind, 60) for name, kind in kinds.items()]) as rig:
         rig.start()
@@ -69,7 +69,7 @@
         assert all(max(at) - min(at) <= rig.dedup_s for at in marks.values())
 
 
-def test_at_sigterm_in_the_middle_of_a_duty_its_outcome_is_written_before_it_is_given_back():
+def test_at_sigterm_the_outcome_of_work_in_progress_is_written_before_the_role_is_released():
     with Rig(
         members=2, scheduled=[scheduled_command("long", "once", 1500, work="1500ms") | due_once_in()]
     ) as rig:
--- a/tests/test_fleet_operator.py
+++ b/tests/test_fleet_operator.py
@@ -47,7 +47,7 @@
         assert why in rig.members["n0"].log.read_text()
 
 
-def test_staff_see_members_duties_and_occurrences(capsys):
+def test_staff_see_members_roles_and_occurrences(capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
 
     with Rig(members=2, beats=3, scheduled=[scheduled_command("a", "read")]) as rig:
--- a/tests/test_fleet_role_assignment.py
+++ b/tests/test_fleet_role_assignment.py
@@ -8,7 +8,7 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.lists(st.sets(st.sampled_from([f"n{i}" for i in range(9)]), min_size=1), min_size=1, max_size=8))
-def test_duties_move_only_to_who_comes_and_from_who_goes(changes):
+def test_roles_move_only_to_members_that_join_and_from_members_that_leave(changes):
     assignment, before, members = RoleAssignment([f"d{i}" for i in range(60)]), {}, set()
     for now in changes:
         moved = assignment.update_members(now)
@@ -23,7 +23,7 @@
         before, members = dict(assignment.leaders), set(now)
 
 
-def test_duties_are_spread_evenly_and_nobody_owns_where_nobody_is():
+def test_roles_are_spread_evenly_and_have_no_leader_without_members():
     assignment = RoleAssignment(range(10_000))
     assignment.update_members([f"n{i}" for i in range(12)])
     counts = [list(assignment.leaders.values()).count(f"n{i}") for i in range(12)]
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -11,7 +11,7 @@
 from gullhold.testing.relay import RelayMode
 
 
-def test_an_owner_that_sleeps_between_its_check_and_its_act_is_refused_when_it_wakes():
+def test_a_leader_paused_between_its_check_and_its_act_is_fenced_off_when_it_resumes():
     with Rig(members=2, beats=2) as rig:
         rig.start("n0", point="effect", side="before", act="stop", nth=10)
         rig.until(lambda: rig.paused("n0"))
@@ -25,7 +25,7 @@
         check_run(rig, 10)
 
 
-def test_the_reply_that_says_who_owns_is_lost():
+def test_the_reply_that_names_the_leader_is_lost():
     with Rig(members=2, beats=4) as rig:
         rig.faults(lose=8)  # of the lease, of joining, of claiming
         rig.start()
@@ -34,7 +34,7 @@
         rig.until(lambda: check_run(rig).effects > 10)
 
 
-def test_it_is_handed_over_within_leases_after_a_kill_and_at_once_at_sigterm():
+def test_a_role_is_taken_over_within_the_lease_time_after_a_kill_and_at_once_after_sigterm():
     with Rig(members=3, beats=12) as rig:
         rig.start()
         rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 3)
@@ -50,7 +50,7 @@
         check_run(rig, 20)
 
 
-def test_cut_off_from_the_register_it_serves_on_and_acts_for_nobody():
+def test_a_member_cut_off_from_the_store_keeps_serving_and_acts_in_no_role():
     with Rig(members=2, beats=4) as rig:
         rig.start()
         rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(
     "way, sides", [(RelayMode.LOST, ("back",)), (RelayMode.HALVED, ("there",)), (RelayMode.HALVED, ("back",))]
 )
-def test_cut_in_one_direction_or_in_the_middle_of_a_message_nothing_is_guessed(way, sides):
+def test_nothing_is_guessed_after_a_cut_in_one_direction_or_inside_a_message(way, sides):
     with Rig(members=2, beats=4) as rig:
         rig.start()
         rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
@@ -80,7 +80,7 @@
         check_run(rig, 10)
 
 
-def test_a_register_killed_while_it_commits_and_restarted_with_leases_in_force():
+def test_the_store_is_killed_while_it_commits_and_restarted_with_valid_leases():
     with Rig(members=3, beats=9, beat_ms=20) as rig:
         rig.start()
         rig.until(lambda: len(rig.owners()) == 9)
@@ -92,7 +92,7 @@
         rig.until(lambda: len(rig.owners()) == 9 and check_run(rig).effects > 60)
 
 
-def test_a_register_slower_than_a_lease_has_no_owner_act_and_is_not_asked_without_pause():
+def test_with_a_store_slower_than_a_lease_no_leader_acts_and_requests_back_off():
     with Rig(members=2, beats=4) as rig:
         rig.start()
         rig.until(lambda: len(rig.owners()) == 4)
@@ -110,7 +110,7 @@
         rig.until(lambda: check_run(rig, 0).effects >= 1)
 
 
-def test_clocks_off_by_the_drift_bound_are_held_and_beyond_it_the_token_still_refuses():
+def test_clock_drift_up_to_its_bound_is_tolerated_and_beyond_it_the_fencing_token_still_holds():
     with Rig(members=2, beats=4, drift="rate: 0.1, margin: 20ms") as rig:
         rig.start("n0", rate=0.92)
         rig.start("n1", rate=1.08)
@@ -131,7 +131,7 @@
         check_run(rig, 10)
 
 
-def test_all_start_at_once_and_most_are_killed_at_once():
+def test_all_members_start_at_once_and_most_are_killed_at_once():
     with Rig(members=6, beats=24) as rig:
         rig.start()
         rig.until(lambda: len(rig.owners()) == 24)
@@ -142,7 +142,7 @@
         rig.until(lambda: check_run(rig).effects >= 24)
 
 
-def test_a_member_that_flaps_draws_no_duties_to_itself():
+def test_a_flapping_member_attracts_no_roles():
     with Rig(members=2, beats=6, settle_ms=1500) as rig:
         rig.start("n0")
         rig.until(lambda: len(rig.owners()) == 6)
@@ -153,7 +153,7 @@
         assert check_run(rig, 6).moves == 0
 
 
-def test_of_two_processes_of_one_name_the_later_wins():
+def test_of_two_processes_with_one_name_the_later_wins():
     with Rig(members=2, beats=4) as rig:
         rig.start("n0")
         rig.until(lambda: len(rig.owners()) == 4)
@@ -173,7 +173,7 @@
         check_run(rig, 4)
 
 
-def test_the_history_is_dropped_while_a_member_sleeps():
+def test_the_watch_history_is_compacted_while_a_member_is_paused():
     with Rig(members=3, beats=6) as rig:
         rig.start()
         rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 3)
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("overlap", [Overlap.LOOSE, Overlap.STRICT])
-def test_a_change_under_load_holds_everywhere_and_an_undo_is_one_like_any_other(overlap):
+def test_a_change_under_load_is_in_force_everywhere_and_an_undo_is_an_ordinary_change(overlap):
     with rig() as fleet:
         fleet.start()
         on(fleet)
@@ -64,7 +64,7 @@
         assert check.outcomes == {1: "dropped", 2: "dropped"}
 
 
-def test_what_is_not_whole_or_against_a_rule_is_refused_and_two_at_once_are_one():
+def test_incomplete_or_invalid_policies_are_rejected_and_of_two_concurrent_proposals_one_is_accepted():
     with rig(2) as fleet:
         fleet.start()
         on(fleet)
@@ -109,7 +109,7 @@
         judged(fleet, [20])
 
 
-def test_a_canary_that_goes_bad_as_its_carrier_dies_is_dropped_and_a_good_one_comes():
+def test_a_bad_canary_is_dropped_though_its_coordinator_dies_and_a_good_one_is_promoted():
     with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, fails=0.3)) as fleet:
         fleet.start()
         on(fleet)
@@ -142,7 +142,7 @@
         assert not check.without_all
 
 
-def test_schedules_and_weights_at_the_door_are_changed_with_the_rest():
+def test_schedules_and_admission_weights_change_with_the_policy():
     words = {
         "name": '"warm"',
         "every": "150ms",
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -23,7 +23,7 @@
         ("decided", "after", "kill"),
     ],
 )
-def test_whoever_carries_it_ends_or_sleeps_in_the_middle(state, side, act):
+def test_the_coordinator_is_killed_or_paused_during_a_change(state, side, act):
     with rig() as fleet:
         spread = RoleAssignment(["policy"])
         spread.update_members(fleet.names)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("word, side", [("ready", "after"), ("still", "after"), ("still", "before")])
-def test_one_killed_after_its_word_is_started_after_the_decision_and_another_in_the_middle(word, side):
+def test_a_member_killed_after_its_vote_restarts_after_the_decision_and_another_joins_during_it(word, side):
     with rig() as fleet:
         spread = RoleAssignment(["policy"])
         spread.update_members(fleet.names)
@@ -72,7 +72,7 @@
         judged(fleet, [20], strict=True)
 
 
-def test_replies_are_lost_and_the_register_is_killed_while_changes_are_made():
+def test_replies_are_lost_and_the_store_is_killed_during_changes():
     with rig() as fleet:
         fleet.start()
         on(fleet)
@@ -96,7 +96,7 @@
         judged(fleet, grants)
 
 
-def test_half_are_down_while_it_is_made_and_come_back_under_it():
+def test_half_of_the_members_are_down_during_a_change_and_return_under_it():
     with rig(4) as fleet:
         fleet.start()
         on(fleet)
@@ -116,7 +116,7 @@
         assert by_policy(fleet.engines, [20])[-1][1] == 1
 
 
-def test_one_that_said_ready_and_is_cut_off_turns_away_when_its_lease_is_over():
+def test_a_member_cut_off_after_voting_ready_rejects_requests_once_its_lease_expires():
     with rig() as fleet:
         spread = RoleAssignment(["policy"])
         spread.update_members(fleet.names)
@@ -141,7 +141,7 @@
         judged(fleet, [20])
 
 
-def test_all_are_restarted_one_after_another_while_a_change_is_made_and_a_whole_comes_down():
+def test_a_rolling_restart_during_a_change_that_lowers_a_budget():
     with rig(4, budgets=[{"of": '"threads"', "whole": 12, "linger": "1s"}]) as fleet:
         fleet.start()
         on(fleet)
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -49,7 +49,7 @@
         (ONCE, OccurrenceState.SHED, 1, 61, 0, "its window is over"),
     ],
 )
-def test_an_open_record_is_gone_on_with_as_its_profile_allows(kind, state, tries, after_s, limit_s, why):
+def test_recovery_of_an_open_occurrence_follows_its_profile(kind, state, tries, after_s, limit_s, why):
     decision = decide_recovery(RULE, kind, record(state, tries), 1000 * S + after_s * S)
     if limit_s:
         assert decision == RetryAttempt(limit_s * S)
@@ -76,7 +76,7 @@
     assert play.sent[0].idempotency_key != play.sent[1].idempotency_key
 
 
-def test_one_that_is_due_while_the_last_runs_is_skipped_or_waits_and_missed_ones_are_counted():
+def test_an_occurrence_due_while_the_last_runs_is_skipped_or_waits_and_missed_ones_are_counted():
     play = Play(REPLAY).lead().go(S).go(S)
     assert play.states() == [(1001, "intent"), (1002, "skipped")]
     assert len(play.sent) == 1
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize(
     "kind, sends, states", [(REPLAY, 1, ["answered"]), (UNIQ, 1, ["answered"]), (ONCE, 0, ["failed"])]
 )
-def test_where_the_owner_vanished_after_the_intent_the_next_one_goes_by_the_profile(kind, sends, states):
+def test_after_a_leader_vanishes_behind_its_intent_the_next_leader_follows_the_profile(kind, sends, states):
     first = Play(kind).lead().go(S)
     first.store.token = 9
     second = Play(kind, store=first.store, member="n1")
@@ -112,7 +112,7 @@
     assert first.store.records()[0].member != "n2"
 
 
-def test_a_uniqued_send_is_over_while_its_mark_is_known():
+def test_a_keyed_attempt_ends_while_its_idempotency_key_is_remembered():
     kind = UNIQ._replace(timeout_us=30 * S)
     first = Play(kind).lead().go(S)
     assert (
@@ -140,7 +140,7 @@
     assert len([s for s in play.sent if s.due_us == 1001 * S]) == 1
 
 
-def test_nothing_is_sent_where_the_token_no_longer_holds_when_the_intent_is_known():
+def test_nothing_is_sent_if_the_fencing_token_is_invalid_once_the_intent_is_written():
     play = Play(ONCE).lead()
     play.may_act = False
     play.go(S)
@@ -154,7 +154,7 @@
     assert not other.sent
 
 
-def test_a_shed_try_has_no_effect_and_is_tried_again_a_failure_promises_nothing():
+def test_a_shed_attempt_is_retried_and_a_failed_one_only_if_idempotent():
     play = Play(ONCE).lead().go(S).end(OccurrenceState.SHED)
     assert play.states() == [(1001, "shed")]
     play.go(RETRY_DELAY_US)
@@ -169,7 +169,7 @@
     assert [attempt.attempt for attempt in play.sent] == [1, 2]
 
 
-def test_while_leaving_nothing_is_begun_and_settled_records_are_bounded():
+def test_a_leaving_member_begins_nothing_and_settled_records_are_bounded():
     play = Play(REPLAY).lead()
     for _ in range(KEPT_RECORDS + 15):
         play.go(S).end(OccurrenceState.ANSWERED)
@@ -180,19 +180,19 @@
     assert len(play.sent) == sent
 
 
-def test_walks_of_owners_that_vanish_and_wake_break_no_profile():
+def test_random_walks_of_leaders_that_vanish_and_resume_break_no_profile():
     for seed in range(300):
         scheduled_command_explorer.walk(seed)
 
 
 @pytest.mark.parametrize("mutant", scheduled_command_mutants.MUTANTS)
-def test_the_walks_find_plans_that_are_wrong(mutant):
+def test_the_walks_find_scheduled_command_mutants(mutant):
     finding = scheduled_command_mutants.find(mutant, 300)
     assert finding is not None, finding
     assert finding.kind is FindingKind.VIOLATION, finding
 
 
-def test_a_record_is_read_as_it_was_written_and_nonsense_is_none():
+def test_an_occurrence_record_round_trips_and_an_invalid_one_is_none():
     one = record()
     assert decode_occurrence(encode_occurrence(one)) == one
     assert decode_occurrence("{") is None
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -28,7 +28,7 @@
         yield rig, StoreClient(rig.register_address, "/t/", 1.0)
 
 
-def test_what_a_call_proves_is_told_exactly(register):
+def test_a_store_call_reports_exactly_what_it_proves(register):
     rig, session = register
     lease = session.call(GrantLease(5)).lease
     first = session.call(Transaction((("a", 0),), (Put("a", "1", lease),), (Get("a"),)))
@@ -65,7 +65,7 @@
     assert session.call(Transaction((), (Put("e", "2"),))).revision == gone.revision + 1
 
 
-def test_a_watch_tells_all_from_a_revision_on_or_that_its_history_is_gone(register):
+def test_a_watch_reports_all_events_since_a_revision_or_a_gap(register):
     rig, session = register
     lease = session.call(GrantLease(5)).lease
     began = session.call(Transaction((), (Put("w/a", "1", lease),))).revision
@@ -78,7 +78,7 @@
     assert session.watch("w/", began, 0.5, seen.append) is False
 
 
-def test_what_the_register_acknowledged_is_there_after_a_kill(register):
+def test_what_the_store_acknowledged_survives_a_kill(register):
     rig, session = register
     lease = session.call(GrantLease(2)).lease
     kept = [session.call(Transaction((), (Put(f"k/{i}", str(i), lease),))).revision for i in range(20)]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -36,7 +36,7 @@
 )
 
 
-def test_a_record_is_what_was_sealed_or_nothing():
+def test_a_policy_record_is_the_sealed_one_or_none():
     version = PolicyVersion(1, 0, "a", "why", 5, "policy: {}").sealed()
     stored = encode_version(version)
     assert decode_version(stored) == version
@@ -91,7 +91,7 @@
     assert (why in found) if why else not found
 
 
-def test_what_a_policy_says_is_by_index_for_the_module_and_by_name_for_staff():
+def test_a_policy_is_by_index_for_the_decisions_and_by_name_for_staff():
     policy = parse_policy("policy: {shares: b: 0.35, grants: read: 20, priorities: once: 2}")
     weights, priorities, grants, sends = decision_terms(policy, AGREEMENT)
     assert weights == [2.0, 1.0]
@@ -122,7 +122,7 @@
         return self.away
 
 
-def test_the_module_goes_by_a_policy_from_the_next_send_and_sends_nothing_while_the_gate_is_closed():
+def test_the_decisions_apply_a_policy_from_the_next_attempt_and_send_nothing_while_the_gate_is_closed():
     world, gate = Driver(AGREEMENT), Gate()
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
 
@@ -162,7 +162,7 @@
     assert all(cmd.final == Shed for cmd in world.commands.values())
 
 
-def test_what_a_later_version_stored_is_kept_as_it_is():
+def test_records_of_a_later_version_are_preserved():
     stored = json.loads(encode_change(PolicyChange(INITIAL_VERSION)))
     later = json.dumps(stored | {"state": "paused", "overlap": "tight", "silence": "ask"})
     assert encode_change(decode_change(later)) == later
@@ -172,7 +172,7 @@
     assert encode_vote(decode_vote(vote)) == vote
 
 
-def test_a_vote_is_what_was_stored_or_says_nothing():
+def test_a_vote_is_read_as_it_was_stored_or_as_no_vote():
     vote = Vote(2, 3, VoteKind.TRIAL, "", CommandFigures(4, 5, 6))
     assert json.loads(encode_vote(vote)) == {
         "under": 2,
--- a/tests/test_policy_commands.py
+++ b/tests/test_policy_commands.py
@@ -10,7 +10,7 @@
 from gullhold.rollout.store_schema import history_key
 
 
-def test_staff_propose_see_and_undo_on_the_command_line(tmp_path, capsys):
+def test_staff_propose_inspect_and_undo_policies_on_the_command_line(tmp_path, capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
 
     path = tmp_path / "p.cue"
--- a/tests/test_policy_snapshot.py
+++ b/tests/test_policy_snapshot.py
@@ -7,7 +7,7 @@
 from gullhold.rollout.policy_version import PolicyVersion
 
 
-def test_a_snapshot_is_whole_or_not_there_and_is_gone_by_without_a_register_for_a_while(tmp_path):
+def test_a_snapshot_is_complete_or_absent_and_is_used_without_a_store_for_a_limited_time(tmp_path):
     path = tmp_path / "last"
     record = PolicyVersion(3, 2, "a", "b", 0, granting(20)).sealed()
     snapshot.write(path, record, 5)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -41,7 +41,7 @@
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
 
 
-def test_the_checkers_see_what_is_mixed_and_what_was_decided_without_a_word():
+def test_the_checkers_find_mixed_policies_and_decisions_without_all_votes():
     assert mixed([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
     assert mixed([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
     change = PolicyChange(VERSION, ChangeState.DECIDED)
@@ -74,7 +74,7 @@
         (change_world.REFUSED_TEXT, False),
     ],
 )
-def test_a_canary_is_tried_by_some_and_dropped_where_it_goes_bad(text, comes):
+def test_a_canary_runs_on_some_members_and_is_dropped_if_it_is_bad(text, comes):
     world = change_world.World(Overlap.LOOSE, faults=0)
     world.calm()
     world.act(ActionKind.PROPOSE, text)
@@ -117,7 +117,7 @@
         propose(PolicyChange(VERSION, overlap=Overlap.STRICT, canary=change.canary), {})
 
 
-def test_what_was_decided_before_a_gate_was_closed_does_not_go_out_when_it_is_open_again():
+def test_attempts_decided_before_the_gate_closed_are_not_sent_when_it_reopens():
     lease, now = Lease(LeaseTerms(1000, 0.0, 0)), [0]
     gate = PolicyGate(lease, lambda: now[0], 10**9, CutOffRule.KEEP)
     lease.renew(7, 0)
@@ -137,7 +137,7 @@
     assert not gate.token_valid(gate.fencing_token())
 
 
-def test_a_change_that_waits_longer_than_its_time_waits_for_words_and_does_not_spin():
+def test_a_change_past_its_patience_waits_for_votes_without_busy_polling():
     change = PolicyChange(VERSION, ChangeState.CHECKED, on_silence=OnSilence.WAIT, patience_us=1000)
     coordinator = RolloutCoordinator()
     coordinator.won(1, 0)
@@ -160,7 +160,7 @@
     assert coordinator.due(1000) == 1000 + IDLE_STEP_US
 
 
-def test_a_member_with_nothing_to_say_steps_when_it_looks_again():
+def test_a_member_without_a_vote_steps_at_its_next_poll():
     world = change_world.World(Overlap.LOOSE, faults=0)
     world.calm()
     for one in world.members:
@@ -170,7 +170,7 @@
         assert one.member.due(now) == now + IDLE_STEP_US  # its call is under way
 
 
-def test_a_read_from_the_past_is_not_believed_by_whoever_carries_or_divides():
+def test_a_stale_read_is_ignored_by_coordinator_and_allocator():
     opened = encode_change(PolicyChange(VERSION))
     coordinator, dividing = RolloutCoordinator(), AllocatorRole({"b": Budget(LedgerKind.HELD, 5)})
     for one in (coordinator, dividing):
@@ -198,17 +198,17 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 2**32))
-def test_walks_through_changes_keep_everywhere_or_nowhere(seed):
+def test_random_walks_through_changes_keep_policies_in_force_everywhere_or_nowhere(seed):
     changecheck.walk(seed, 200)
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.integers(0, 2**32))
-def test_walks_through_divisions_never_pass_the_whole_and_lose_none_of_it(seed):
+def test_random_walks_through_reallocations_never_exceed_the_total_and_lose_none_of_it(seed):
     budget_explorer.walk(seed, 400)
 
 
-def test_a_small_world_is_gone_through():
+def test_a_small_fleet_is_explored():
     for overlap in (Overlap.STRICT, Overlap.LOOSE):
         states, depth = changecheck.explore(overlap, 4, 500)
         assert states >= 300
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in changemutants.MUTANTS if name != "IgnoresEnrollment"])
-def test_the_walks_find_changes_that_are_wrong(name):  # the one left out takes 610 walks: benchmarks.change
+def test_the_walks_find_change_mutants(name):  # the one left out takes 610 walks: benchmarks.change
     finding = changemutants.find(name, 250, 500)
     assert finding is not None, finding
     assert finding.kind is FindingKind.VIOLATION, finding
@@ -241,7 +241,7 @@
         )
     ],
 )
-def test_the_walks_find_divisions_that_are_wrong(name):  # those left out: benchmarks.budgets
+def test_the_walks_find_reallocation_mutants(name):  # those left out: benchmarks.budgets
     finding = budget_mutants.find(name, 60, 800)
     assert finding is not None
     if name not in FOUND_BY_A_CRASH:
