--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -251,6 +251,6 @@
 }
 
 
-def find(name: str, walks: int, steps: int, first: int = 0) -> tuple[int, str] | None:
-    """Return (seed, what broke) of the first walk that finds a mutant; None: none does."""
+def find(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
+    """Return the first walk that finds a mutant; None: none of them does."""
     return walking.find(lambda seed: budget_explorer.walk(seed, steps, **MUTANTS[name]), walks, first)
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -219,5 +219,5 @@
 
 
 def find(mutant: Callable[..., Membership], walks: int, steps: int) -> walking.Finding | None:
-    """(seed, what broke) of the first walk that finds it, or None."""
+    """Return the first walk that finds a mutant; None: none of them does."""
     return walking.find(lambda seed: membership_explorer.walk(seed, steps, mutant), walks)
--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -69,6 +69,6 @@
 MUTANTS = (SendsFirst, RunsAgain, ForgetsWindow, NewMark, AnyRecord, FailureIsShed)
 
 
-def find(mutant: type[ScheduledCommand], walks: int) -> tuple[int, str] | None:
-    """(seed, what broke) of the first walk that finds it, or None."""
+def find(mutant: type[ScheduledCommand], walks: int) -> walking.Finding | None:
+    """Return the first walk that finds a mutant; None: none of them does."""
     return walking.find(lambda seed: scheduled_command_explorer.walk(seed, make=mutant), walks)
