--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -11,14 +11,15 @@
 from hashlib import sha256
 from typing import TYPE_CHECKING, Any, NamedTuple
 
+from gullhold.simulation.clock import Clock
 from gullhold.simulation.peers import Client, Conn, Engine, pages_of, rows
 
 if TYPE_CHECKING:
     from gullhold.simulation.gateway import Member
-    from gullhold.simulation.play import World
 
 GRACE_US = 550_000  # from the notice that an engine leaves to the last attempt that may begin, with slack
 GONE_US = 100_000  # from the notice that a client left to the last attempt that may begin for it
+CLIENT_DELAY_US = 400  # one way between a client and its gateway
 SLACK_US = 50_000  # on sockets, beyond a client timeout
 
 
@@ -77,9 +78,9 @@
 class Checker:
     """What was seen so far, and the violations."""
 
-    def __init__(self, world: "World", attempts_cap: int, window_us: int) -> None:
+    def __init__(self, clock: Clock, attempts_cap: int, window_us: int) -> None:
         """window_us: the deduplication window of the engines."""
-        self.world = world
+        self.clock = clock
         self.attempts_cap = attempts_cap
         self.window_us = window_us
         self.commands: dict[bytes, ObservedCommand] = {}
@@ -160,7 +161,7 @@
             return
         command = self.commands[txn]
         command.answers += 1
-        late_us = at - command.until - SLACK_US - 2 * self.world.client_way_us
+        late_us = at - command.until - SLACK_US - 2 * CLIENT_DELAY_US
         if late_us > 0:
             self.breaks(at, Rule.IN_TIME, f"{txn} {late_us} us late")
         if body is None:
@@ -174,7 +175,7 @@
         """A client closed; its gateway is notified a one-way delay later."""
         self.seen(at, "left", client.number)
         for txn in txns:
-            self.commands[txn].left_at = at + self.world.client_way_us
+            self.commands[txn].left_at = at + CLIENT_DELAY_US
 
     def killed(self, member: "Member") -> None:
         """A gateway was killed: what it held is owed no answer."""
@@ -190,5 +191,5 @@
         for member in members:
             found = member.left_over() if member.alive else None
             if found:
-                self.breaks(self.world.clock.now, Rule.CENSUS, f"{member.name}: {found}")
+                self.breaks(self.clock.now, Rule.CENSUS, f"{member.name}: {found}")
         return self.broken
--- /dev/null
+++ b/gullhold/simulation/discovery.py
@@ -0,0 +1,68 @@
+"""A simulated discovery service: keeps the endpoint list and sends its watch events to the gateways."""
+
+import json
+from collections.abc import Iterable, Mapping
+from enum import StrEnum
+from typing import TYPE_CHECKING, Any
+
+from gullhold.simulation.checker import Checker
+from gullhold.simulation.clock import Clock
+from gullhold.simulation.network import ONE_WAY_DELAY_US
+from gullhold.simulation.peers import Engine
+from gullhold.testing.deployment import event
+
+if TYPE_CHECKING:
+    from gullhold.simulation.gateway import Member
+
+
+class EnginePhase(StrEnum):
+    """Phases of an engine in the endpoint list, by their names on the wire."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    REMOVED = "gone"
+
+
+class Discovery:
+    """The endpoint list and its watchers.
+
+    gateways: by name, as they are at the time of an event; extra_delay_us: by how much events arrive later
+    than the network's delay.
+    """
+
+    def __init__(
+        self, clock: Clock, checker: Checker, engines: Iterable[Engine], gateways: Mapping[str, "Member"]
+    ) -> None:
+        self.clock = clock
+        self.checker = checker
+        self.engines = list(engines)
+        self.gateways = gateways
+        self.phases = {engine.id: EnginePhase.READY for engine in self.engines}
+        self.last_index = 1  # of the last change of the list
+        self.extra_delay_us = 0
+
+    def complete_list(self) -> dict[str, Any]:
+        """The event that states the complete list as it is now, parsed from JSON."""
+        members = ((engine.id, engine.address, self.phases[engine.id].value) for engine in self.engines)
+        return event(self.last_index, *members, whole=True)
+
+    def report_complete_list(self, gateway: "Member") -> None:
+        """Tell the checker that a gateway has started with the list as it is now."""
+        for engine in self.engines:
+            self.checker.told(self.clock.now, gateway, engine.id, self.phases[engine.id].value)
+
+    def change_phase(self, engine: Engine, phase: EnginePhase) -> None:
+        """Change an engine's phase and send the event to each gateway, behind all earlier events."""
+        self.last_index += 1
+        self.phases[engine.id] = phase
+        change = event(self.last_index, (engine.id, engine.address, phase.value))
+        line = json.dumps(change).encode() + b"\n"
+        for gateway in self.gateways.values():
+            arrival_us = self.clock.now + ONE_WAY_DELAY_US + self.extra_delay_us
+            gateway.last_event_arrival_us = max(gateway.last_event_arrival_us, arrival_us)
+            self.clock.at(gateway.last_event_arrival_us, self._deliver, gateway, line, engine, phase)
+
+    def _deliver(self, gateway: "Member", line: bytes, engine: Engine, phase: EnginePhase) -> None:
+        if gateway.alive:
+            self.checker.told(self.clock.now, gateway, engine.id, phase.value)
+            gateway.feed(line)
--- a/gullhold/simulation/fault_injection.py
+++ b/gullhold/simulation/fault_injection.py
@@ -2,14 +2,15 @@
 
 from typing import TYPE_CHECKING
 
+from gullhold.simulation.discovery import EnginePhase
+from gullhold.simulation.network import ONE_WAY_DELAY_US, EnginePath
 from gullhold.simulation.peers import Engine
 from gullhold.simulation.script import KINDS, Fault, FaultKind, Target
 
 if TYPE_CHECKING:
-    from gullhold.simulation.play import World
+    from gullhold.simulation.world import World
 
 FAULT_US = 1_200_000  # that a slow or cut wire lasts, where the fault's size is not its length
-ONE_WAY_DELAY_US = 400  # between any two, where nothing is wrong
 NOT_PLAYED = frozenset(
     (
         FaultKind.WINDOW,
@@ -33,76 +34,67 @@
         engine = self.world.engines[fault.place % len(self.world.engines)]
         match KINDS[fault.kind].target:
             case Target.WIRE:
-                self._disturb_wires(fault, engine)
+                self._disturb_path(fault, self.world.network.paths[engine.address])
             case Target.ENGINE:
                 self._disturb_engine(fault, engine)
             case Target.COORDINATOR if fault.kind == FaultKind.LATE_LIST:
-                self.world.list_delay_us = fault.size
-                self.world.clock.after(FAULT_US, setattr, self.world, "list_delay_us", 0)
+                self.world.discovery.extra_delay_us = fault.size
+                self.world.clock.after(FAULT_US, setattr, self.world.discovery, "extra_delay_us", 0)
             case Target.GATEWAY if fault.kind == FaultKind.KILL:
                 self._kill(f"n{fault.place % self.world.size.gateways}")
             case Target.CLIENT if fault.kind == FaultKind.CLIENT_LEAVES:
                 client = self.world.clients[fault.place % len(self.world.clients)]
                 client.leave(again=True)
 
-    def _disturb_wires(self, fault: Fault, engine: Engine) -> None:
-        conditions = self.world.ways[engine.address]
+    def _disturb_path(self, fault: Fault, path: EnginePath) -> None:
+        directions = (path.to_engine, path.from_engine)
         match fault.kind:
             case FaultKind.DELAY:
-                for direction in conditions:
+                for direction in directions:
                     direction.delay_us = ONE_WAY_DELAY_US + fault.size
-                self.world.clock.after(FAULT_US, self._heal, engine)
+                self.world.clock.after(FAULT_US, path.heal)
             case FaultKind.PIECE:
-                _, from_engine = conditions
-                from_engine.piece = fault.size
-                self.world.clock.after(FAULT_US, self._heal, engine)
+                path.from_engine.piece = fault.size
+                self.world.clock.after(FAULT_US, path.heal)
             case FaultKind.SILENCE:
-                for direction in conditions:
+                for direction in directions:
                     direction.silent = True
-                self.world.clock.after(fault.size, self._heal, engine)
+                self.world.clock.after(fault.size, path.heal)
             case FaultKind.RESET:
-                for connection in self.world.wires[engine.address]:
+                for connection in path.connections:
                     connection.reset()
 
     def _disturb_engine(self, fault: Fault, engine: Engine) -> None:
         later = self.world.clock.after
         match fault.kind:
             case FaultKind.SLOW_CONNECT:
-                engine.late = fault.size
-                later(FAULT_US, setattr, engine, "late", 0)
+                engine.connect_delay_us = fault.size
+                later(FAULT_US, setattr, engine, "connect_delay_us", 0)
             case FaultKind.REFUSE:
-                engine.refusing = self.world.clock.now + fault.size
+                engine.refuses_until = self.world.clock.now + fault.size
             case FaultKind.SLOW:
-                engine.slow = float(fault.size)
-                later(FAULT_US, setattr, engine, "slow", 1.0)
+                engine.slowdown = float(fault.size)
+                later(FAULT_US, setattr, engine, "slowdown", 1.0)
             case FaultKind.RESTART:
                 engine.crash()
             case FaultKind.MALFORMED_ANSWERS:
-                engine.spoilt = fault.size
+                engine.malformed_answers = fault.size
             case FaultKind.DUPLICATE_ANSWERS:
-                engine.twice = fault.size
+                engine.duplicate_answers = fault.size
             case FaultKind.DRAIN:
-                self.world.tell(engine, "draining")
-                later(2 * FAULT_US, self.world.tell, engine, "ready")
-            case FaultKind.REMOVE if self.world.phases[engine.id] != "gone":
-                self.world.tell(engine, "gone")
+                self.world.discovery.change_phase(engine, EnginePhase.DRAINING)
+                later(2 * FAULT_US, self.world.discovery.change_phase, engine, EnginePhase.READY)
+            case FaultKind.REMOVE if self.world.discovery.phases[engine.id] != EnginePhase.REMOVED:
+                self.world.discovery.change_phase(engine, EnginePhase.REMOVED)
                 later(FAULT_US // 2, engine.crash)
 
-    def _heal(self, engine: Engine) -> None:
-        for direction in self.world.ways[engine.address]:
-            direction.delay_us = ONE_WAY_DELAY_US
-            direction.piece = 0
-            direction.silent = False
-        for connection in self.world.wires[engine.address]:
-            connection.heal()
-
     def _kill(self, name: str) -> None:
         """Kill a gateway; another process takes its place, with clients of its own."""
-        member = self.world.members[name]
-        self.world.checker.killed(member)
+        gateway = self.world.gateways[name]
+        self.world.checker.killed(gateway)
         for client in self.world.clients:
-            if client.member is member:
+            if client.member is gateway:
                 client.gone = True
-        member.kill()
-        self.world.gateway(name)
-        self.world.usual_clients(name)
+        gateway.kill()
+        self.world.start_gateway(name)
+        self.world.start_clients(name)
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -23,7 +23,7 @@
 from gullhold.simulation.streams import StreamEnd
 
 if TYPE_CHECKING:
-    from gullhold.simulation.play import World
+    from gullhold.simulation.world import World
 
 MAX_MESSAGE_BYTES = 192 << 10  # bytes of the largest message, as a small deployment has it
 MAX_CONNECTIONS = 200  # to engines, of one gateway
@@ -71,7 +71,7 @@
 
     def start(self) -> None:
         """Connect: up(), or fail() where nobody takes it."""
-        self.core.world.dial(self)
+        self.core.world.network.connect(self)
 
     def up(self, end: End) -> None:
         """The connection stands."""
@@ -171,7 +171,7 @@
 class Member:
     """One gateway: from its start to its kill.
 
-    world: clock, chance, dial(connection); configuration: as the service reads it.
+    world: its clock and network are used; configuration: as the service reads it.
     """
 
     def __init__(self, world: "World", name: str, configuration: Configuration) -> None:
@@ -180,7 +180,7 @@
         self.alive = True
         self.event = None  # the world's event of its next turn
         self.ends: list[End] = []
-        self.fed_at = 0  # when the last that it was told of the list comes, or came
+        self.last_event_arrival_us = 0  # of the endpoint list's watch events sent so far
         agreement = configuration.agreement
         now = world.clock.start_us + world.clock.now
         self.core = SimulatedCore(
--- /dev/null
+++ b/gullhold/simulation/network.py
@@ -0,0 +1,75 @@
+"""The network between gateways and engines: its conditions by engine, and the connections over it."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from random import Random
+from typing import TYPE_CHECKING
+
+from gullhold.net.connection_ends import ConnectionEnd
+from gullhold.simulation.clock import Clock
+from gullhold.simulation.endpoints import join
+from gullhold.simulation.peers import Engine
+from gullhold.simulation.streams import DuplexStream, StreamConditions
+
+if TYPE_CHECKING:
+    from gullhold.simulation.gateway import SimulatedEngineConnection
+
+ONE_WAY_DELAY_US = 400  # between any two processes, where there is no fault
+
+
+def healthy_conditions() -> StreamConditions:
+    """One direction of a connection without faults."""
+    return StreamConditions(ONE_WAY_DELAY_US)
+
+
+@dataclass(slots=True)
+class EnginePath:
+    """The network path to one engine, shared by all gateways: conditions and the connections made over it."""
+
+    engine: Engine
+    to_engine: StreamConditions = field(default_factory=healthy_conditions)
+    from_engine: StreamConditions = field(default_factory=healthy_conditions)
+    connections: list[DuplexStream] = field(default_factory=list)
+
+    def heal(self) -> None:
+        """End all faults of the path; what was held back by a silent direction arrives."""
+        for direction in (self.to_engine, self.from_engine):
+            direction.delay_us = ONE_WAY_DELAY_US
+            direction.piece = 0
+            direction.silent = False
+        for connection in self.connections:
+            connection.heal()
+
+
+class Network:
+    """Connects gateways to engines."""
+
+    def __init__(
+        self, clock: Clock, random: Random, engines: Iterable[Engine], connect_timeout_us: int
+    ) -> None:
+        self.clock = clock
+        self.random = random
+        self.connect_timeout_us = connect_timeout_us
+        self.paths = {engine.address: EnginePath(engine) for engine in engines}
+
+    def connect(self, connection: "SimulatedEngineConnection") -> None:
+        """Connect to the engine at the connection's address; calls up() or fail() on it later."""
+        path = self.paths[connection.endpoint.address]
+        round_trip_us = 2 * path.to_engine.delay_us
+        connect_us = round_trip_us + path.engine.connect_delay_us
+        if path.engine.refuses_until > self.clock.now:
+            self.clock.after(round_trip_us, connection.fail, ConnectionEnd.REFUSED)
+        elif path.to_engine.silent or connect_us > self.connect_timeout_us:
+            self.clock.after(self.connect_timeout_us, connection.fail, ConnectionEnd.NOT_UP)
+        else:
+            self.clock.after(connect_us, self._connected, connection, path)
+
+    def _connected(self, connection: "SimulatedEngineConnection", path: EnginePath) -> None:
+        gateway = connection.core.member
+        if not gateway.alive or connection.over:
+            return
+        near = gateway.end(connection)
+        far = path.engine.accept(near)
+        duplex = join(self.clock, self.random.random, near, far, path.to_engine, path.from_engine)
+        path.connections.append(duplex)
+        connection.up(near)
--- a/gullhold/simulation/peers.py
+++ b/gullhold/simulation/peers.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from gullhold.simulation.gateway import Member
-    from gullhold.simulation.play import World
+    from gullhold.simulation.world import World
 
 NOTE_US = 120_000  # us between notes on a send: more often than the settings promise
 ROWS = 12  # rows of a page
@@ -92,14 +92,14 @@
         self.id = ident
         self.address = address
         self.cores = cores
-        self.slow = 1.0  # times as long for all that runs
-        self.late = 0  # us by which connections come up later
-        self.refusing = 0  # until when connections are refused
-        self.spoilt = 0  # malformed answers still to be sent
-        self.twice = 0  # answers still to be sent twice
+        self.slowdown = 1.0  # factor on the duration of attempts
+        self.connect_delay_us = 0  # us by which connections come up later
+        self.refuses_until = 0  # until when connections are refused
+        self.malformed_answers = 0  # malformed answers still to be sent
+        self.duplicate_answers = 0  # answers still to be sent twice
         self.conns: list[Conn] = []
-        self.marks: dict[bytes, int] = {}  # idempotency keys, and when each came first
-        self.count = 0  # attempts that run
+        self.idempotency_keys: dict[bytes, int] = {}  # idempotency keys, and when each came first
+        self.running_count = 0  # attempts that run
 
     def accept(self, near: End) -> End:
         """A gateway connects; returns this engine's end of the connection."""
@@ -118,7 +118,7 @@
             if not conn.end.out.over:
                 conn.end.finish(StreamEnd.RESET)
         self.conns = []
-        self.marks = {}
+        self.idempotency_keys = {}
 
     def word(self, conn: Conn, words: list[bytes], written_at: int) -> None:
         """One array of a gateway."""
@@ -141,20 +141,20 @@
     def _fetch(self, conn: Conn, txn: bytes, facts: dict[bytes, bytes], body: bytes, written_at: int) -> None:
         world = self.world
         mark = facts.get(b"i", b"")
-        if self.count >= REJECT_FACTOR * self.cores:
+        if self.running_count >= REJECT_FACTOR * self.cores:
             world.checker.fetched(world.clock.now, written_at, self, conn, txn, mark, False)
             conn.say(txn, b"503", b"-", b"")
             return
-        known = mark and world.clock.now - self.marks.get(mark, -world.window_us) < world.window_us
+        known = mark and world.clock.now - self.idempotency_keys.get(mark, -world.window_us) < world.window_us
         world.checker.fetched(world.clock.now, written_at, self, conn, txn, mark, True)
         self.stop(conn, txn)  # a second one here in place of the first: judged above
         if mark and not known:
-            self.marks[mark] = world.clock.now
+            self.idempotency_keys[mark] = world.clock.now
         work_us = KNOWN_KEY_WORK_US if known else 1000 * int(body.split()[1])
         run = Run(conn, txn)
         conn.runs[txn] = run
-        self.count += 1
-        span_us = int(work_us * self.slow * max(1.0, self.count / self.cores))
+        self.running_count += 1
+        span_us = int(work_us * self.slowdown * max(1.0, self.running_count / self.cores))
         run.event = world.clock.after(span_us, self._end, run, work_us)
         run.note = world.clock.after(NOTE_US, self._note, run)
 
@@ -167,7 +167,7 @@
         conn.done.discard(txn)
         run = conn.runs.pop(txn, None)
         if run:
-            self.count -= 1
+            self.running_count -= 1
             self.world.clock.cancel(run.event)
             self.world.clock.cancel(run.note)
             self.world.checker.over(self.world.clock.now, self, txn)
@@ -178,32 +178,32 @@
         world = self.world
         world.clock.cancel(run.note)
         del conn.runs[txn]
-        self.count -= 1
+        self.running_count -= 1
         world.checker.over(world.clock.now, self, txn)
         conn.done.add(txn)
-        if self.spoilt:
-            self.spoilt -= 1
+        if self.malformed_answers:
+            self.malformed_answers -= 1
             if not conn.end.finishing:
                 conn.end.write(b"*2\r\n$not a length\r\n")
             return
         facts = b"pages=%d,cost=%d,need=20" % (pages_of(txn), work_us // 1000)
-        for _ in range(2 if self.twice else 1):
+        for _ in range(2 if self.duplicate_answers else 1):
             conn.say(txn, b"200", facts, rows(txn, 0))
-        self.twice = max(0, self.twice - 1)
+        self.duplicate_answers = max(0, self.duplicate_answers - 1)
 
 
 class Client:
     """A client's connection: asks so often, and looks at every answer."""
 
     def __init__(
-        self, world: "World", number: int, member: "Member", verbs: Sequence[bytes], gap_us: int
+        self, world: "World", number: int, member: "Member", verbs: Sequence[bytes], mean_gap_us: int
     ) -> None:
-        """gap_us: between its commands, in the mean."""
+        """mean_gap_us: between its commands, in the mean."""
         self.world = world
         self.number = number
         self.member = member
         self.verbs = verbs
-        self.gap_us = gap_us
+        self.mean_gap_us = mean_gap_us
         self.decoder = thrift.Decoder(MAX_MESSAGE_BYTES)
         self.seq = 0
         self.open: dict[int, bytes] = {}  # transaction ids by sequence number
@@ -213,22 +213,22 @@
     def ask(self) -> None:
         """One more command, and so on until it leaves."""
         world = self.world
-        if self.gone or world.clock.now > world.asks_until:
+        if self.gone or world.clock.now > world.clients_send_until_us:
             return
         if len(self.open) < MAX_OPEN:
             self._send_command()
-        world.clock.after(int(self.gap_us * (0.2 + 1.6 * world.chance())), self.ask)
+        world.clock.after(int(self.mean_gap_us * (0.2 + 1.6 * world.random.random())), self.ask)
 
     def _send_command(self) -> None:
         world = self.world
         self.seq += 1
-        verb = self.verbs[int(world.chance() * len(self.verbs))]
+        verb = self.verbs[int(world.random.random() * len(self.verbs))]
         txn = b"%08x%08x" % (self.number, self.seq)
-        limit_ms = 400 + int(world.chance() * 2400)
+        limit_ms = 400 + int(world.random.random() * 2400)
         fields = {b"verb": verb, b"txn": txn, b"limit": b"%d" % limit_ms, b"cpu": b"60", b"memory": b"20"}
         if verb == b"mark":
             fields[b"unique"] = txn * 2
-        body = b"select %d from sales_%d.t" % (10 + int(world.chance() ** 3 * 400), self.seq % 5)
+        body = b"select %d from sales_%d.t" % (10 + int(world.random.random() ** 3 * 400), self.seq % 5)
         args = b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
         self.open[self.seq] = txn
         world.checker.asked(world.clock.now, self, txn, verb, limit_ms * 1000)
@@ -260,4 +260,4 @@
         if not self.end.finishing and not self.end.out.over:
             self.end.finish(StreamEnd.CLOSED)
         if again:
-            self.world.client(self.member.name, self.verbs, self.gap_us)
+            self.world.start_client(self.member.name, self.verbs, self.mean_gap_us)
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -13,11 +13,12 @@
 from rich.table import Table
 
 from gullhold.simulation import play, script
+from gullhold.simulation.world import WorldSize
 
 
 def _one(seed: int) -> tuple[int, play.Result, list[script.Fault]]:
     logger.remove()  # what gateways log of their faults is no news here
-    return seed, play.play(seed), play.faults_of(seed, play.Size())
+    return seed, play.play(seed), play.faults_of(seed, WorldSize())
 
 
 def _span(text: str) -> range:
--- /dev/null
+++ b/gullhold/simulation/world.py
@@ -0,0 +1,119 @@
+"""A simulated world: gateways, engines and clients on one clock, with one source of randomness."""
+
+import json
+from collections.abc import Callable, Sequence
+from random import Random
+from typing import NamedTuple
+
+from gullhold.agreement import read_agreement
+from gullhold.interface import Agreement
+from gullhold.net.configuration import Configuration
+from gullhold.net.engine_ids import EngineIds
+from gullhold.net.list_change import parse_event
+from gullhold.simulation.checker import Checker
+from gullhold.simulation.clock import Clock, first_asked_for
+from gullhold.simulation.discovery import Discovery
+from gullhold.simulation.endpoints import End, join
+from gullhold.simulation.gateway import Member
+from gullhold.simulation.network import Network, healthy_conditions
+from gullhold.simulation.peers import Client, Engine
+from gullhold.testing.deployment import settings
+
+CLIENTS_SEND_FOR_US = 6_000_000  # from the start; faults begin in the same span
+DEDUPLICATION_WINDOW_S = 0.4  # short, so that it ends while commands are open
+CANCEL_DISABLED_EVERY = 3  # of this many consecutive seeds one has attempts that can't be cancelled
+ENGINE_CORES = 4
+CONNECT_TIMEOUT_S = 1.0  # long, so that much may happen while a connection comes up
+VERBS = (b"read", b"read", b"read", b"mark", b"once")
+
+
+class WorldSize(NamedTuple):
+    """How large a world is, and how many faults a seed draws for it."""
+
+    gateways: int = 2
+    engines: int = 3
+    clients_per_gateway: int = 3
+    mean_gap_us: int = 60_000  # between commands of a client
+    faults: int = 6
+
+
+class World:
+    """All that takes part in a simulation.
+
+    The order in which its parts draw from `random` is part of what a seed stands for.
+    """
+
+    def __init__(self, seed: int, size: WorldSize, choose: Callable[[int], int] = first_asked_for) -> None:
+        """choose: as for Clock."""
+        self.size = size
+        self.clock = Clock(choose=choose)
+        self.random = Random(seed)
+        self.agreement = make_agreement(seed, size.gateways)
+        self.window_us = self.agreement.profiles[1].dedup_window_us
+        self.clients_send_until_us = CLIENTS_SEND_FOR_US
+        self.checker = Checker(self.clock, self.agreement.max_attempts, self.window_us)
+        self.engines = [
+            Engine(self, f"s-{number}", f"10.0.0.{number + 1}:5050", ENGINE_CORES)
+            for number in range(size.engines)
+        ]
+        connect_timeout_us = self.agreement.connect_timeout_us
+        self.network = Network(self.clock, self.random, self.engines, connect_timeout_us)
+        self.gateways: dict[str, Member] = {}
+        self.discovery = Discovery(self.clock, self.checker, self.engines, self.gateways)
+        self.clients: list[Client] = []
+        for number in range(size.gateways):
+            self.start_gateway(f"n{number}")
+        for name in list(self.gateways):
+            self.start_clients(name)
+
+    def start_gateway(self, name: str) -> None:
+        """Start a gateway with the endpoint list as it is now, in place of an earlier one of this name."""
+        gateway = Member(self, name, self._configuration(name))
+        self.gateways[name] = gateway
+        self.discovery.report_complete_list(gateway)
+
+    def start_clients(self, name: str) -> None:
+        """Start as many clients of a gateway as the world's size states."""
+        for _ in range(self.size.clients_per_gateway):
+            self.start_client(name, VERBS, self.size.mean_gap_us)
+
+    def start_client(self, name: str, verbs: Sequence[bytes], mean_gap_us: int) -> None:
+        """Connect a client to a gateway, unless that was killed; its first command follows within the gap."""
+        gateway = self.gateways[name]
+        if not gateway.alive:
+            return
+        client = Client(self, len(self.clients) + 1, gateway, verbs, mean_gap_us)
+        near, far = End(self.clock, client), End(self.clock, None)
+        client.end = near
+        join(self.clock, self.random.random, near, far, healthy_conditions(), healthy_conditions())
+        gateway.accept(far)
+        self.clients.append(client)
+        self.clock.after(int(self.random.random() * mean_gap_us), client.ask)
+
+    def _configuration(self, name: str) -> Configuration:
+        engine_ids = EngineIds()
+        complete_list = parse_event(self.discovery.complete_list(), self.agreement, engine_ids)
+        return Configuration(
+            agreement=self.agreement,
+            engine_ids=engine_ids,
+            list_changes=[complete_list],
+            last_event=self.discovery.last_index,
+            seed=self.random.getrandbits(32),
+            discovery_address=None,
+            listen_address="",
+            name=name,
+            memory_bytes=0,
+            max_sockets=0,
+        )
+
+
+def make_agreement(seed: int, gateways: int) -> Agreement:
+    """The settings of a simulated deployment; the seed decides whether attempts can be cancelled."""
+    tree = settings()
+    tree["balancers"] = gateways
+    tree["domain"]["cores_by_kind"] = [ENGINE_CORES]
+    can_cancel = seed % CANCEL_DISABLED_EVERY > 0
+    tree["limits"] |= {"connect_timeout": CONNECT_TIMEOUT_S, "cancel": can_cancel}
+    for category in tree["categories"]:
+        category["window"] = DEDUPLICATION_WINDOW_S
+    return read_agreement(json.loads(json.dumps(tree)))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -12,8 +12,10 @@
 from gullhold.__main__ import main
 from gullhold.simulation import mutants, play, script, show
 from gullhold.simulation.clock import Clock, StuckError
+from gullhold.simulation.discovery import EnginePhase
 from gullhold.simulation.script import Fault, ScriptError
 from gullhold.simulation.streams import DuplexStream, StreamConditions, StreamEnd
+from gullhold.simulation.world import World, WorldSize
 from gullhold.testing.running import ROOT
 
 # Deliberate faults that are found soon, and the seed; others are hunted by hand (docs/notes/rehearsal.md).
@@ -238,7 +240,7 @@
 def test_a_failing_script_is_cut_down_kept_and_played_again(tmp_path, capsys):
     path = tmp_path / "small"
     with mutants.applied("a drain that is heard and not obeyed"):
-        faults = play.faults_of(1, play.Size())
+        faults = play.faults_of(1, WorldSize())
         fewer = script.shrunk(faults, show._failing("drain", 1))
         assert 0 < len(fewer) < len(faults)
         assert "drain" in {fault.kind for fault in fewer}
@@ -249,15 +251,15 @@
 
 
 def test_what_is_told_of_the_list_keeps_its_order_however_late_it_is():
-    world = play.World(1, play.Size(clients=0))
-    world.list_delay_us = 3_000_000
-    world.tell(world.engines[0], "draining")
-    world.list_delay_us = 0
-    world.tell(world.engines[1], "draining")
+    world = World(1, WorldSize(clients_per_gateway=0))
+    world.discovery.extra_delay_us = 3_000_000
+    world.discovery.change_phase(world.engines[0], EnginePhase.DRAINING)
+    world.discovery.extra_delay_us = 0
+    world.discovery.change_phase(world.engines[1], EnginePhase.DRAINING)
     world.clock.run(2_900_000)
-    assert all(member.follow.last_index == 1 for member in world.members.values())
+    assert all(member.follow.last_index == 1 for member in world.gateways.values())
     world.clock.run(3_100_000)
-    assert all(member.follow.last_index == 3 for member in world.members.values())
+    assert all(member.follow.last_index == 3 for member in world.gateways.values())
 
 
 def test_what_can_not_be_played_is_one_line(tmp_path, capsys):
