--- a/tests/test_policy_snapshot.py
+++ b/tests/test_policy_snapshot.py
@@ -6,6 +6,9 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.rollout.policy_version import PolicyVersion
 
+# Guards against a slow start: with 3 s the snapshot's time was over before the gateway served.
+SNAPSHOT_LIFE_S = 8
+
 
 def test_a_snapshot_is_complete_or_absent_and_is_used_without_a_store_for_a_limited_time(tmp_path):
     path = tmp_path / "last"
@@ -17,7 +20,7 @@
     path.write_text(path.read_text()[:-9])
     assert snapshot.read(path) is None
     assert snapshot.read(tmp_path / "none") is None
-    with rig(1, policy=f'on: true, snapshot: "{path}", spare: 3s') as fleet:
+    with rig(1, policy=f'on: true, snapshot: "{path}", spare: {SNAPSHOT_LIFE_S}s') as fleet:
         fleet.start()
         on(fleet)
         client = PolicyClient(fleet.register_address, "rig")
@@ -29,6 +32,7 @@
         clients = load(fleet)
         fleet.until(lambda: clients[0].counts.answered > 5)
         assert {row.memory_mb for row in fleet.engines[0].attempts} == {20}
-        fleet.until(lambda: clients[0].counts.shed > 5)  # the time for which it may be gone by is over
+        # The time for which the snapshot may be used is over.
+        fleet.until(lambda: clients[0].counts.shed > 5, seconds=2 * SNAPSHOT_LIFE_S)
         end(clients)
         fleet.start_register()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -222,8 +222,8 @@
     assert first.answer() == (seq, b"a\tb\tc\n")  # its link to the engine is up
     callers = [Caller(("127.0.0.1", port)) for _ in range(60)]
     asked = [caller.ask(limit=7000) for caller in callers]
-    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= 20)
-    time.sleep(0.1)
+    # At 20 a slow gateway had not come to its limit before the first callers closed.
+    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= 30)
     for caller, seq in zip(callers, asked, strict=True):
         assert caller.answer() == (seq, b"a\tb\tc\n")
         caller.sock.close()
