--- a/tests/decisions/test_decisions_fleet_budgets.py
+++ b/tests/decisions/test_decisions_fleet_budgets.py
@@ -5,11 +5,11 @@
 from gullhold.interface import BudgetKind, EngineState, Outcome, ReportDemand, Shed, Tenant
 
 
-class Part:
-    """A share of a budget that a test moves: what it may have, and what is acquired of it."""
+class Share:
+    """A share of a budget: what may be acquired, which a test changes, and what is acquired."""
 
     def __init__(self, most):
-        self.most, self.out, self.turned_away = most, 0, 0
+        self.most, self.in_use, self.rejected = most, 0, 0
 
     def limit(self):
         """How much of the budget may be acquired at once."""
@@ -17,28 +17,31 @@
 
     def allows(self, amount):
         """Whether so much more may be acquired."""
-        return self.out + amount <= self.most
+        return self.in_use + amount <= self.most
 
     def acquire(self, amount):
         """Count an amount as acquired."""
-        self.out += amount
+        self.in_use += amount
 
     def release(self, amount, confirmed=True):
         """Give an amount back, once its end is confirmed."""
-        self.out -= amount if confirmed else 0
+        self.in_use -= amount if confirmed else 0
 
     def record_rejection(self, amount):
         """Count an amount that was not admitted for lack of budget."""
-        self.turned_away += amount
+        self.rejected += amount
 
 
-def parted(agreement=None, **parts):
-    """A driver whose module has these parts, each of all engines and tenants: {name: Part}."""
+def driver_with_shares(agreement=None, **parts):
+    """A driver whose gateway has these budget shares, and a function that applies them again.
+
+    Each share is for all engines and tenants. The function returns the demands, by budget and subject.
+    """
     world = Driver(agreement or make_agreement())
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     found = {BudgetKind[name.upper()]: part for name, part in parts.items()}
 
-    def allot():
+    def apply_budgets():
         results = world.gateway.apply_budgets(world.now, lambda budget, _: found.get(budget))
         world.carry_out([row for row in results if not isinstance(row, ReportDemand)])
         reports = [row for row in results if isinstance(row, ReportDemand)]
@@ -46,38 +49,38 @@
             (demand.budget, demand.subject): demand.amount for report in reports for demand in report.demands
         }
 
-    allot()
-    return world, allot
+    apply_budgets()
+    return world, apply_budgets
 
 
 def test_the_fleets_threads_budget_limits_dispatch_below_the_even_share_until_it_grows():
-    part = Part(2)
-    world, allot = parted(make_agreement(gateways=50), threads=part)
+    part = Share(2)
+    world, apply_budgets = driver_with_shares(make_agreement(gateways=50), threads=part)
     for _ in range(6):
         world.submit()
-    assert len(world.running_ids()) == 2 == part.out
-    assert allot()[BudgetKind.THREADS, 1] == 4
+    assert len(world.running_ids()) == 2 == part.in_use
+    assert apply_budgets()[BudgetKind.THREADS, 1] == 4
     part.most = 5
-    allot()
+    apply_budgets()
     assert len(world.running_ids()) == 5
     part.most = 1  # it cancels nothing, and begins nothing
     world.end_attempt(world.running_ids()[0], Outcome.ANSWERED)
-    assert len(world.running_ids()) == 4 == part.out
+    assert len(world.running_ids()) == 4 == part.in_use
     world.end_attempt(
         world.running_ids()[0], Outcome.RESET
     )  # it may run on: whoever keeps the part says when it is over
-    assert part.out == 4
+    assert part.in_use == 4
 
 
 def test_a_budget_share_below_one_command_dispatches_nothing():
-    world, allot = parted(make_agreement(profile(threads=3)), threads=Part(2))
+    world, apply_budgets = driver_with_shares(make_agreement(profile(threads=3)), threads=Share(2))
     world.submit()
     assert not world.running_ids()
-    assert allot()[BudgetKind.THREADS, 1] == 3
+    assert apply_budgets()[BudgetKind.THREADS, 1] == 3
 
 
 def test_retries_admissions_and_open_commands_of_a_tenant_count_against_the_fleets_budgets():
-    further, taken, opened = Part(1), Part(9), Part(2)
+    further, taken, opened = Share(1), Share(9), Share(2)
     agreement = make_agreement(
         retry_budget_base=0.0,
         retry_budget_share=0.0,
@@ -93,30 +96,32 @@
     world.gateway.apply_budgets(world.now, lambda budget, _: found.get(budget))
     first, second, third = (world.submit() for _ in range(3))
     assert world.commands[third].final == Shed
-    assert opened.turned_away == taken.turned_away == 1
+    assert opened.rejected == taken.rejected == 1
     for one in (first, second):
         world.end_attempt(one, Outcome.RESET)
     world.wait(10 * MS)
     assert len(world.running_ids()) == 1
-    assert further.out == 1
+    assert further.in_use == 1
     lacks = world.gateway.apply_budgets(world.now, lambda budget, _: found.get(budget))[-1].demands
     assert (BudgetKind.RETRIES, 0, 1) in lacks
     world.client_left(second)
     world.end_attempt(world.running_ids()[0], Outcome.ANSWERED)
-    assert opened.out == 0
-    assert taken.out == 0
+    assert opened.in_use == 0
+    assert taken.in_use == 0
 
 
 def test_memory_and_warmup_work_are_requested_and_the_traffic_share_sets_the_limit():
-    memory, cold, share = Part(100), Part(100_000), Part(500_000)
-    world, allot = parted(make_agreement(gateways=50), memory=memory, warmup=cold, traffic_share=share)
+    memory, cold, share = Share(100), Share(100_000), Share(500_000)
+    world, apply_budgets = driver_with_shares(
+        make_agreement(gateways=50), memory=memory, warmup=cold, traffic_share=share
+    )
     world.update_engines((1, 0, 0, EngineState.READY, 0, world.now))
     first = [world.submit() for _ in range(3)]
-    granted = memory.out
+    granted = memory.in_use
     assert 0 < granted <= 100
-    assert 0 < cold.out <= 100_000
+    assert 0 < cold.in_use <= 100_000
     assert world.gateway.parts.limits.share(world.now) == 0.5
-    lacks = allot()
+    lacks = apply_budgets()
     assert lacks[BudgetKind.MEMORY, 1] >= 64
     assert lacks[BudgetKind.WARMUP, 1] > 0
     assert lacks[BudgetKind.TRAFFIC_SHARE, 0] >= 3
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -13,7 +13,7 @@
 
 
 def play(agreement, steps):
-    """One random run; returns all that the module asked for."""
+    """Play one random run; returns all results of the gateway."""
     world = Driver(agreement)
     for kind, number in steps:
         out = world.running_ids()
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -7,7 +7,7 @@
 
 
 def test_abandoning_an_attempt_that_may_have_run_fails_a_non_idempotent_command():
-    """A front that must leave ends what is out: shed only where trying again does no harm."""
+    """A gateway that shuts down ends open attempts: shed only where a retry does no harm."""
     for effect, verb in (
         (Idempotency.NON_IDEMPOTENT, Fail),
         (Idempotency.IDEMPOTENT, Shed),
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -32,8 +32,8 @@
     assert world.commands[ident].open_attempt
 
 
-def asks(world, times, wait_us):
-    """It is asked so often, all that goes out is answered; how many sends it has made in all."""
+def count_attempts(world, times, wait_us):
+    """Submit so many commands, answer every attempt; returns how many attempts were sent in all."""
     for _ in range(times):
         world.submit(work=400 * MS)
         for ident in world.running_ids():
@@ -55,7 +55,7 @@
     for seed in range(managers):
         world = Driver(agreement, seed)
         world.update_engines((1, 0, 0, EngineState.READY, 0, START))
-        sent += 400 * MS * asks(world, 10, 190 * MS)
+        sent += 400 * MS * count_attempts(world, 10, 190 * MS)
     assert 0.2 * stands < sent < stands
 
 
@@ -71,7 +71,7 @@
                 START + (1 + 500 * start) * MS
             )  # the engine is there before
             world.update_engines((1, 0, 0, EngineState.READY, 0, START))
-            sent += asks(world, 3, 160 * MS)
+            sent += count_attempts(world, 3, 160 * MS)
     stands = (
         agreement.overload_multiple
         * agreement.warmup_initial_share
--- a/tests/faults/test_durability.py
+++ b/tests/faults/test_durability.py
@@ -1,4 +1,4 @@
-"""What the register told as done is still so, whatever its disk did for a while and however it was killed."""
+"""What the store acknowledged stays so, whatever disk faults it had and however it was killed."""
 
 import sqlite3
 import subprocess
--- a/tests/faults/test_resource_exhaustion.py
+++ b/tests/faults/test_resource_exhaustion.py
@@ -1,4 +1,4 @@
-"""What the system refuses for a moment (threads, descriptors, buffers) is asked for again, at no cost."""
+"""Threads, descriptors and buffers that the system refuses for a moment are requested again at no cost."""
 
 import signal
 
@@ -32,7 +32,7 @@
     ],
 )
 def test_a_process_starts_where_the_system_refuses_for_a_moment(tmp_path, call, error):
-    """Its first threads and its listener were asked for once: it ended, or lived on without a part of it."""
+    """Its first threads and its listener were requested once: it ended, or ran without a part of itself."""
     plan = Plan(tmp_path)
     plan.set(call, 1000, error)
     gateway = FaultyGateway(tmp_path, plan)
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -16,14 +16,14 @@
 SPARE_S = 0.15  # s that this machine may be late in writing down when something happened
 
 
-class Asking(Thread):
-    """Asks at an even pace on one connection until that ends; keeps when each request was written."""
+class PacedClient(Thread):
+    """Sends requests at an even pace on one connection until that ends; keeps when each was written."""
 
     def __init__(self, address, record, number, pause_s, limit_ms, odd=False):
         super().__init__(daemon=True)
         self.caller, self.record, self.number = Caller(address), record, number
         self.pause_s, self.limit_ms, self.odd = pause_s, limit_ms, odd
-        self.written, self.ended_at, self.breaks = {}, None, []
+        self.written, self.ended_at, self.violations = {}, None, []
 
     def run(self):
         """Send requests until the connection ends, and read answers on a thread beside it."""
@@ -66,7 +66,7 @@
         category["give_up"], category["aim"] = deadline_s, deadline_s / 3
     with gateway:
         clients = [
-            Asking(gateway.address, gateway.record, n, 0.02, int(deadline_s * 1000), odd=n >= 6)
+            PacedClient(gateway.address, gateway.record, n, 0.02, int(deadline_s * 1000), odd=n >= 6)
             for n in range(8)
         ]  # two ask for what can't be used, again and again
         for client in clients:
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -81,7 +81,7 @@
 
 
 def test_one_profile_that_can_not_go_does_not_hold_up_another():
-    """The module could make no use of more loads: lookups behind them in the same client still go on."""
+    """The decisions had no use for more loads: the client's lookups behind them are still forwarded."""
     world = World(weights=(1.0,), slots=0)
     for _ in range(10):
         world.submit(profile_index=0)
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -1,4 +1,4 @@
-"""The door on loopback sockets, before a real gateway."""
+"""The admission queue of a gateway on loopback sockets."""
 
 import time
 from threading import Thread
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def start(tmp_path):
-    """Starts a gateway with a door over some engines; all of it ends with the test."""
+    """Starts a gateway with an admission queue and some engines; all of it ends with the test."""
     made, engines = [], []
 
     def make(*parts, more="", tenants=(), cores=2, **other):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -104,7 +104,7 @@
 
 
 def test_a_second_send_waits_until_the_abort_of_the_first_has_come_to_its_engine(start):
-    """The two travel on different connections: once in some hundred the fetch overtook the abort."""
+    """They travel on different connections: once in some hundred attempts the fetch overtook the abort."""
     engines = [Engine(endless, ok()), Engine(endless, ok())]
     for engine in engines:
         engine.slow = 0.2
@@ -130,7 +130,7 @@
 
 
 def test_nothing_new_goes_out_on_a_link_that_fell_silent(start):
-    """A machine that vanished took sends for seconds: its open link looked as good as any."""
+    """A machine that vanished got attempts for seconds, since its open connection looked healthy."""
     gone = Engine(mute)
     gateway, client = start(gone)
     client.ask("once", limit=3000)
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -97,7 +97,7 @@
 
 
 class Play:
-    """Members with allocations, an allocator's ledger, and writes and reports that are late or lost."""
+    """Members with allocations, an allocator's ledger, and writes and reports that come late or are lost."""
 
     def __init__(self, kind, make=Ledger, reserve=RESERVE):
         self.make = make
@@ -252,7 +252,7 @@
 
 
 class ForgetsEntries(Ledger):
-    """Begins with nobody charged when it takes over."""
+    """Charges no member when it takes over."""
 
     def load(self, member, packed, now):
         """Load nothing."""
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -1,4 +1,4 @@
-"""The end of a client's connection, for idleness or by noise, and what crosses it."""
+"""The end of a client's connection, for idleness or malformed bytes, and events at that moment."""
 
 import gc
 import socket
@@ -12,7 +12,7 @@
 
 
 def idle(gateway, caller):
-    """The connection of a caller that was heard once, as the gateway has it."""
+    """The gateway's connection of a client that has sent one health check."""
     caller.send("check", b"\x02\0\1\1")
     assert caller.answer()[1] == b""
     (inside,) = gateway.listener.clients
@@ -35,7 +35,7 @@
 
 
 def test_a_request_that_comes_after_the_end_is_said_is_never_sent_on_and_resets_nothing(start, monkeypatch):
-    """It is asked again elsewhere: sent on here too it would run for nobody, or twice."""
+    """The client sends it again elsewhere: forwarded here too it would run for nobody, or twice."""
     engine = Engine()
     gateway, client = start(engine)
     inside = idle(gateway, client)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""A client's leaving, and what it asked: nothing goes out for it, and no request lacks its answer."""
+"""Clients that disconnect: nothing is sent for them any more, and every other request is answered."""
 
 import socket
 import time
@@ -15,8 +15,8 @@
 
 
 @pytest.fixture
-def listless(tmp_path):
-    """A gateway that knows no engine until its coordinator, a Feed, tells of one: what is asked is held."""
+def gateway_without_engines(tmp_path):
+    """A gateway that queues requests until its discovery service, a Feed, lists an engine."""
     made = []
 
     def make(**other):
@@ -30,8 +30,8 @@
 
 
 @pytest.mark.parametrize("how", ["closes", "ends its side", "resets", "interrupts"])
-def test_nothing_goes_out_for_a_client_that_left_while_its_command_was_held(listless, how):
-    gateway, client, feed = listless()
+def test_nothing_goes_out_for_a_client_that_left_while_its_command_was_held(gateway_without_engines, how):
+    gateway, client, feed = gateway_without_engines()
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
     until(lambda: gateway.core.requests.by_number)
@@ -69,9 +69,9 @@
 
 
 @pytest.mark.parametrize("how", ["closes", "interrupts"])
-def test_a_pause_after_a_refusal_does_not_keep_the_news_that_a_client_left(listless, how):
+def test_a_pause_after_a_refusal_does_not_keep_the_news_that_a_client_left(gateway_without_engines, how):
     """The reader slept: the held command went out while its client's end lay unread."""
-    gateway, client, feed = listless(connect_timeout=3.0)
+    gateway, client, feed = gateway_without_engines(connect_timeout=3.0)
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
     until(lambda: gateway.core.requests.by_number)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -19,7 +19,7 @@
 
 
 def test_what_left_while_a_gateway_started_gets_nothing_from_it(tmp_path):
-    """The configuration's list is a second old by then: sends went out before the stream had said a word."""
+    """The configuration's list is a second old by then: attempts went out before the stream's first event."""
     feed, old, new = Feed(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address}, held=("core", "coordinator"))
     client = Caller(gateway.address)
@@ -47,7 +47,7 @@
 
 
 def all_stopped(pid):
-    """Whether each thread of a process stands still."""
+    """Whether each thread of a process is stopped."""
     return all(
         Path(f"/proc/{pid}/task/{task}/stat").read_text().rpartition(")")[2].split()[0] in "Tt"
         for task in os.listdir(f"/proc/{pid}/task")
@@ -55,7 +55,7 @@
 
 
 def test_what_left_while_a_process_slept_gets_nothing_when_it_wakes(launch):
-    """All that came meanwhile is there at once; requests are many, and the list's word is one."""
+    """What came meanwhile is read at once: many requests, and one event of the endpoint list."""
     feed, old, new, port = Feed(), Engine(), Engine(), free_port()
     process = launch(config(old) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address})
     until(lambda: listens(port))
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_client_left(start, cancel):
-    """Where sends can't be cancelled the module asks for none: the fetch went out for nobody."""
+    """Where attempts can't be cancelled the decisions ask for no cancel: the fetch was sent for nobody."""
     late = LateEngine()
     gateway, client = start(late, connect_timeout=5.0, cancel=cancel)
     client.ask(limit=7000, txn=b"f%015x" % 1)
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -10,6 +10,7 @@
 import pytest
 
 from gullhold.fleet.role_assignment import RoleAssignment
+from gullhold.operator import records
 from gullhold.testing import crowd, listening
 from gullhold.testing.budget_checker import (
     AllocationHistory,
@@ -378,8 +379,6 @@
 
 
 def test_a_budget_that_does_not_fit_is_one_line():
-    from gullhold.operator import records  # noqa: PLC0415
-
     for text, why in (
         ('{of: "threads", whole: 5, alone: 2, members: 3}', "over the whole"),
         ('{of: "threads", whole: 5, alone: 2}', "needs members"),
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -52,7 +52,7 @@
 
 
 def test_work_after_a_change_does_not_grow_with_the_fleet(monkeypatch):
-    """A rank of thousands was sorted anew for each change of the list of one."""
+    """A ranking of thousands of engines was sorted anew for each change of one entry."""
     kept, built = EngineList(), []
     engines = [Listed(slot * 7919, slot, slot) for slot in range(3200)]
     for engine in engines:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -10,12 +10,12 @@
 
 
 def row(ident, born):
-    """An entry of the list as the core has it; what stands between does not matter here."""
+    """An entry of the endpoint list; only its id and its start time matter here."""
     return EngineEntry(ident, 0, 1.0, 0, EngineState.READY, 0, born)
 
 
 def started(starts, now, ident, born, news=True):
-    """The start of one engine after it is told."""
+    """The corrected start time of one engine, after an entry with this start time."""
     return {entry.id: entry.started_us for entry in starts.corrected(now, [row(ident, born)], news)}[ident]
 
 
