--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -12,10 +12,12 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from gullhold.simulation.clock import Clock
-from gullhold.simulation.peers import Client, Conn, Engine, pages_of, rows
+from gullhold.simulation.result_rows import complete_result
 
 if TYPE_CHECKING:
-    from gullhold.simulation.gateway import Member
+    from gullhold.simulation.client import SimulatedClient
+    from gullhold.simulation.engine import EngineSession, SimulatedEngine
+    from gullhold.simulation.gateway import SimulatedGateway
 
 GRACE_US = 550_000  # from the notice that an engine leaves to the last attempt that may begin, with slack
 GONE_US = 100_000  # from the notice that a client left to the last attempt that may begin for it
@@ -47,24 +49,23 @@
 
 
 class ObservedAttempt:
-    """One attempt as it came to an engine; ran: not rejected."""
+    """One attempt as it arrived at an engine; ran: the engine did not reject it."""
 
-    def __init__(self, at: int, engine: Engine, conn: Conn, ran: bool) -> None:
+    def __init__(self, at: int, session: "EngineSession", ran: bool) -> None:
         self.at = at
-        self.engine = engine
-        self.conn = conn
+        self.session = session
         self.ran = ran
         self.is_over = not ran
 
     def is_open(self) -> bool:
-        """Whether it still is: not ended here, and its gateway has not closed the connection."""
-        return not self.is_over and not self.conn.near.finishing
+        """Whether it has not ended, and its gateway has not closed the connection."""
+        return not self.is_over and not self.session.gateway_endpoint.is_finishing
 
 
 class ObservedCommand:
     """One command as its client sees it."""
 
-    def __init__(self, at: int, client: Client, verb: bytes, limit_us: int) -> None:
+    def __init__(self, at: int, client: "SimulatedClient", verb: bytes, limit_us: int) -> None:
         self.at = at
         self.client = client
         self.verb = verb
@@ -72,11 +73,11 @@
         self.attempts: list[ObservedAttempt] = []
         self.answers = 0
         self.left_at: int | None = None
-        self.is_void = False  # its gateway was killed: it is owed no answer
+        self.is_void = False  # its gateway was killed: it needs no answer
 
 
 class Checker:
-    """What was seen so far, and the violations."""
+    """Records what passes and collects violations."""
 
     def __init__(self, clock: Clock, attempts_cap: int, window_us: int) -> None:
         """window_us: the deduplication window of the engines."""
@@ -89,107 +90,114 @@
         self.hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
 
-    def seen(self, at: int, event: str, *details: Any) -> None:
-        """Add an event to the trace."""
-        self.hash.update(repr((at, event, *details)).encode())
+    def record(self, event: str, *details: Any) -> None:
+        """Add an event of this instant to the trace and to the counts."""
+        self.hash.update(repr((self.clock.now, event, *details)).encode())
         self.counts[event] += 1
 
-    def breaks(self, at: int, rule: Rule, text: str) -> None:
-        """A rule broke."""
+    def add_violation(self, at: int, rule: Rule, text: str) -> None:
+        """A rule was broken at this time (us)."""
         self.broken.append(Violation(at, rule, text))
 
-    def told(self, at: int, member: "Member", ident: str, phase: str) -> None:
-        """A gateway was notified of an engine's state."""
-        self.seen(at, "told", member.name, ident, phase)
+    def phase_announced(self, gateway: "SimulatedGateway", engine_id: str, phase: str) -> None:
+        """A gateway was notified of an engine's phase."""
+        self.record("told", gateway.name, engine_id, phase)
         if phase == "ready":
-            self.leaving.pop((member.name, ident), None)
+            self.leaving.pop((gateway.name, engine_id), None)
         else:
-            self.leaving.setdefault((member.name, ident), at)
+            self.leaving.setdefault((gateway.name, engine_id), self.clock.now)
 
-    def asked(self, at: int, client: Client, txn: bytes, verb: bytes, limit_us: int) -> None:
-        """A client wrote a command."""
-        self.seen(at, "asked", txn, verb)
-        self.commands[txn] = ObservedCommand(at, client, verb, limit_us)
+    def command_sent(self, client: "SimulatedClient", txn: bytes, verb: bytes, limit_us: int) -> None:
+        """A client sent a command."""
+        self.record("asked", txn, verb)
+        self.commands[txn] = ObservedCommand(self.clock.now, client, verb, limit_us)
 
-    def fetched(
-        self, at: int, written_at: int, engine: Engine, conn: Conn, txn: bytes, mark: bytes, ran: bool
+    def attempt_arrived(
+        self, session: "EngineSession", txn: bytes, key: bytes, written_at: int, ran: bool
     ) -> None:
-        """An attempt arrived at an engine; mark: its idempotency key."""
-        self.seen(at, "fetched", engine.id, txn, ran)
+        """An attempt arrived at an engine; key: its idempotency key; written_at: when its gateway sent it."""
+        at = self.clock.now
+        engine = session.engine
+        self.record("fetched", engine.id, txn, ran)
         command = self.commands[txn]
-        self._check_repeat(at, written_at, engine, txn, mark)
+        self._check_repeat(at, written_at, engine, txn, key)
         if len(command.attempts) >= self.attempts_cap:
-            self.breaks(at, Rule.ATTEMPTS_CAP, f"{txn}")
+            self.add_violation(at, Rule.ATTEMPTS_CAP, f"{txn}")
         self._check_leaving(at, written_at, engine, txn)
-        command.attempts.append(ObservedAttempt(at, engine, conn, ran))
+        command.attempts.append(ObservedAttempt(at, session, ran))
 
-    def _check_repeat(self, at: int, written_at: int, engine: Engine, txn: bytes, mark: bytes) -> None:
+    def _check_repeat(
+        self, at: int, written_at: int, engine: "SimulatedEngine", txn: bytes, key: bytes
+    ) -> None:
         command = self.commands[txn]
         earlier = [attempt for attempt in command.attempts if attempt.ran]
         if any(attempt.is_open() for attempt in command.attempts):
-            self.breaks(at, Rule.OPEN_ONCE, f"{txn} at {engine.id}")
+            self.add_violation(at, Rule.OPEN_ONCE, f"{txn} at {engine.id}")
         if earlier and command.verb == b"once":
-            self.breaks(at, Rule.RUNS_ONCE, f"{txn} at {engine.id}")
+            self.add_violation(at, Rule.RUNS_ONCE, f"{txn} at {engine.id}")
         if earlier and command.verb == b"mark":
             is_too_late = written_at >= earlier[0].at + self.window_us
-            if is_too_late or not mark:
+            if is_too_late or not key:
                 text = f"{txn} {at - earlier[0].at} us after its first"
-                self.breaks(at, Rule.DEDUPLICATION_WINDOW, text)
+                self.add_violation(at, Rule.DEDUPLICATION_WINDOW, text)
 
-    def _check_leaving(self, at: int, written_at: int, engine: Engine, txn: bytes) -> None:
+    def _check_leaving(self, at: int, written_at: int, engine: "SimulatedEngine", txn: bytes) -> None:
         command = self.commands[txn]
-        left = self.leaving.get((command.client.member.name, engine.id))
+        left = self.leaving.get((command.client.gateway.name, engine.id))
         if left is not None and written_at > left + GRACE_US:
-            self.breaks(at, Rule.DRAIN, f"{txn} to {engine.id}, {written_at - left} us after the word")
+            self.add_violation(at, Rule.DRAIN, f"{txn} to {engine.id}, {written_at - left} us after the word")
         if command.left_at is not None and written_at > command.left_at + GONE_US:
             text = f"{txn}, {written_at - command.left_at} us after it left"
-            self.breaks(at, Rule.CLIENT_LEFT, text)
+            self.add_violation(at, Rule.CLIENT_LEFT, text)
 
-    def over(self, at: int, engine: Engine, txn: bytes) -> None:
-        """An attempt ended at an engine, or was given up there."""
-        self.seen(at, "over", engine.id, txn)
+    def attempt_over(self, engine: "SimulatedEngine", txn: bytes) -> None:
+        """An attempt ended at an engine, or was abandoned there."""
+        self.record("over", engine.id, txn)
         for attempt in self.commands[txn].attempts:
-            if attempt.engine is engine:
+            if attempt.session.engine is engine:
                 attempt.is_over = True
 
-    def answered(self, at: int, client: Client, txn: bytes | None, body: bytes | None) -> None:
-        """An answer came to a client; txn: None: to nothing open; body: None: rejected, or failed."""
-        self.seen(at, "answered" if body is not None else "refused", txn)
+    def answered(self, client: "SimulatedClient", txn: bytes | None, body: bytes | None) -> None:
+        """A client received an answer; txn: None: to nothing open; body: None: rejected, or failed."""
+        at = self.clock.now
+        self.record("answered" if body is not None else "refused", txn)
         if txn is None:
             text = f"client {client.number}: an answer to nothing that is open"
-            self.breaks(at, Rule.ONE_ANSWER, text)
+            self.add_violation(at, Rule.ONE_ANSWER, text)
             return
         command = self.commands[txn]
         command.answers += 1
         late_us = at - command.until - SLACK_US - 2 * CLIENT_DELAY_US
         if late_us > 0:
-            self.breaks(at, Rule.IN_TIME, f"{txn} {late_us} us late")
-        if body is None:
-            return
-        if body != b"".join(rows(txn, page) for page in range(pages_of(txn))):
-            self.breaks(at, Rule.INTACT, f"{txn}: {len(body)} bytes")
-        if not any(attempt.ran for attempt in command.attempts):
-            self.breaks(at, Rule.INTACT, f"{txn}: no engine made it")
-
-    def left(self, at: int, client: Client, txns: Iterable[bytes]) -> None:
-        """A client closed; its gateway is notified a one-way delay later."""
-        self.seen(at, "left", client.number)
+            self.add_violation(at, Rule.IN_TIME, f"{txn} {late_us} us late")
+        if body is not None:
+            self._check_result(at, txn, body)
+
+    def _check_result(self, at: int, txn: bytes, body: bytes) -> None:
+        if body != complete_result(txn):
+            self.add_violation(at, Rule.INTACT, f"{txn}: {len(body)} bytes")
+        if not any(attempt.ran for attempt in self.commands[txn].attempts):
+            self.add_violation(at, Rule.INTACT, f"{txn}: no engine made it")
+
+    def client_left(self, client: "SimulatedClient", txns: Iterable[bytes]) -> None:
+        """A client closed with these open; its gateway is notified a one-way delay later."""
+        self.record("left", client.number)
         for txn in txns:
-            self.commands[txn].left_at = at + CLIENT_DELAY_US
+            self.commands[txn].left_at = self.clock.now + CLIENT_DELAY_US
 
-    def killed(self, member: "Member") -> None:
-        """A gateway was killed: what it held is owed no answer."""
+    def gateway_killed(self, gateway: "SimulatedGateway") -> None:
+        """A gateway was killed: its pending commands need no answer."""
         for command in self.commands.values():
-            if command.client.member is member and not command.answers:
+            if command.client.gateway is gateway and not command.answers:
                 command.is_void = True
 
-    def finish(self, members: Iterable["Member"]) -> list[Violation]:
-        """At the end: every command had its answer, and no table holds anything."""
+    def finish(self, gateways: Iterable["SimulatedGateway"]) -> list[Violation]:
+        """The violations, once every command should be answered and every table empty."""
         for txn, command in self.commands.items():
             if not command.answers and command.left_at is None and not command.is_void:
-                self.breaks(command.until, Rule.ONE_ANSWER, f"{txn} never had one")
-        for member in members:
-            found = member.left_over() if member.alive else None
+                self.add_violation(command.until, Rule.ONE_ANSWER, f"{txn} never had one")
+        for gateway in gateways:
+            found = gateway.leftover_sizes() if gateway.is_alive else None
             if found:
-                self.breaks(self.clock.now, Rule.CENSUS, f"{member.name}: {found}")
+                self.add_violation(self.clock.now, Rule.CENSUS, f"{gateway.name}: {found}")
         return self.broken
--- a/gullhold/simulation/discovery.py
+++ b/gullhold/simulation/discovery.py
@@ -7,12 +7,12 @@
 
 from gullhold.simulation.checker import Checker
 from gullhold.simulation.clock import Clock
+from gullhold.simulation.engine import SimulatedEngine
 from gullhold.simulation.network import ONE_WAY_DELAY_US
-from gullhold.simulation.peers import Engine
 from gullhold.testing.deployment import event
 
 if TYPE_CHECKING:
-    from gullhold.simulation.gateway import Member
+    from gullhold.simulation.gateway import SimulatedGateway
 
 
 class EnginePhase(StrEnum):
@@ -31,7 +31,11 @@
     """
 
     def __init__(
-        self, clock: Clock, checker: Checker, engines: Iterable[Engine], gateways: Mapping[str, "Member"]
+        self,
+        clock: Clock,
+        checker: Checker,
+        engines: Iterable[SimulatedEngine],
+        gateways: Mapping[str, "SimulatedGateway"],
     ) -> None:
         self.clock = clock
         self.checker = checker
@@ -46,12 +50,12 @@
         members = ((engine.id, engine.address, self.phases[engine.id].value) for engine in self.engines)
         return event(self.last_index, *members, whole=True)
 
-    def report_complete_list(self, gateway: "Member") -> None:
+    def report_complete_list(self, gateway: "SimulatedGateway") -> None:
         """Tell the checker that a gateway has started with the list as it is now."""
         for engine in self.engines:
-            self.checker.told(self.clock.now, gateway, engine.id, self.phases[engine.id].value)
+            self.checker.phase_announced(gateway, engine.id, self.phases[engine.id].value)
 
-    def change_phase(self, engine: Engine, phase: EnginePhase) -> None:
+    def change_phase(self, engine: SimulatedEngine, phase: EnginePhase) -> None:
         """Change an engine's phase and send the event to each gateway, behind all earlier events."""
         self.last_index += 1
         self.phases[engine.id] = phase
@@ -62,7 +66,9 @@
             gateway.last_event_arrival_us = max(gateway.last_event_arrival_us, arrival_us)
             self.clock.at(gateway.last_event_arrival_us, self._deliver, gateway, line, engine, phase)
 
-    def _deliver(self, gateway: "Member", line: bytes, engine: Engine, phase: EnginePhase) -> None:
-        if gateway.alive:
-            self.checker.told(self.clock.now, gateway, engine.id, phase.value)
-            gateway.feed(line)
+    def _deliver(
+        self, gateway: "SimulatedGateway", line: bytes, engine: SimulatedEngine, phase: EnginePhase
+    ) -> None:
+        if gateway.is_alive:
+            self.checker.phase_announced(gateway, engine.id, phase.value)
+            gateway.receive_list(line)
--- a/gullhold/simulation/endpoints.py
+++ b/gullhold/simulation/endpoints.py
@@ -1,4 +1,4 @@
-"""Ends of simulated connections: they write, and hand on to their owners what arrives."""
+"""Endpoints of simulated connections: they buffer what is written and pass what arrives to a reader."""
 
 from bisect import bisect_right
 from collections.abc import Callable
@@ -8,88 +8,88 @@
 from gullhold.simulation.streams import DuplexStream, Stream, StreamConditions, StreamEnd
 
 
-class Owner(Protocol):
-    """Who reads what arrives at an end."""
+class EndpointReader(Protocol):
+    """Handles what arrives at an endpoint."""
 
-    def hears(self, end: "End", data: bytes) -> None:
-        """Bytes of the other side."""
+    def data_received(self, endpoint: "Endpoint", data: bytes) -> None:
+        """Bytes of the other side arrived."""
         ...
 
-    def is_left(self, end: "End", how: StreamEnd) -> None:
+    def peer_closed(self, endpoint: "Endpoint", how: StreamEnd) -> None:
         """The other side has ended."""
         ...
 
 
-class End:
-    """One end of a connection. Buffers what the stream has no room for."""
+class Endpoint:
+    """One side of a connection; buffers what the stream's window does not take yet."""
 
-    def __init__(self, clock: Clock, owner: Owner | None) -> None:
-        """owner: None where it is set before the first event."""
+    def __init__(self, clock: Clock, reader: EndpointReader | None) -> None:
+        """reader: None if it is set later, before the first event."""
         self.clock = clock
-        self.owner = owner
-        self.out: Stream | None = None  # set by join()
+        self.reader = reader
+        self.outgoing: Stream | None = None  # set by connect()
         self.buffered = bytearray()
-        self.finishing = False  # nothing more is written here
-        self.over = False  # the other side has ended, or nobody reads here any more
-        self.size = 0  # bytes of all that was written
-        self.starts: list[int] = []  # the offset of each write ...
-        self.times: list[int] = []  # ... and when it was made
+        self.is_finishing = False  # nothing more is written on this side
+        self.is_closed = False  # the other side has ended, or arriving bytes are dropped
+        self.written_bytes = 0  # bytes of all that was written
+        self.write_offsets: list[int] = []  # the offset of each write ...
+        self.write_times: list[int] = []  # ... and when it was made
 
     def write(self, data: bytes) -> None:
         """Queue these bytes; BrokenPipeError where this side has ended."""
-        if self.finishing or self.out.over:
+        if self.is_finishing or self.outgoing.over:
             raise BrokenPipeError
-        self.starts.append(self.size)
-        self.times.append(self.clock.now)
-        self.size += len(data)
+        self.write_offsets.append(self.written_bytes)
+        self.write_times.append(self.clock.now)
+        self.written_bytes += len(data)
         self.buffered += data
-        self.room()
+        self.resume_writing()
 
     def written_at(self, offset: int) -> int:
         """When the byte at this offset was written."""
-        return self.times[bisect_right(self.starts, offset) - 1]
+        return self.write_times[bisect_right(self.write_offsets, offset) - 1]
 
     def finish(self, how: StreamEnd = StreamEnd.CLOSED) -> None:
-        """Nothing more is written; closed: after what is buffered, reset: at once and all is lost."""
-        self.finishing = True
+        """Write nothing more. CLOSED: after what is buffered; RESET: at once, dropping what is buffered."""
+        self.is_finishing = True
         if how == StreamEnd.RESET:
             self.buffered.clear()
-            self.out.finish(StreamEnd.RESET)
+            self.outgoing.finish(StreamEnd.RESET)
         else:
-            self.room()
+            self.resume_writing()
 
-    def room(self) -> None:
-        """The stream takes more."""
-        while self.buffered and not self.out.over:
-            taken = self.out.write(bytes(self.buffered))
+    def resume_writing(self) -> None:
+        """Write what is buffered, as far as the stream takes it."""
+        while self.buffered and not self.outgoing.over:
+            taken = self.outgoing.write(bytes(self.buffered))
             if not taken:
                 return
             del self.buffered[:taken]
-        if self.finishing and not self.buffered:
-            self.out.finish(StreamEnd.CLOSED)
+        if self.is_finishing and not self.buffered:
+            self.outgoing.finish(StreamEnd.CLOSED)
 
-    def came(self, data: bytes) -> None:
-        """Bytes of the other side."""
-        if not self.over:
-            self.owner.hears(self, data)
+    def data_arrived(self, data: bytes) -> None:
+        """Bytes of the other side arrived."""
+        if not self.is_closed:
+            self.reader.data_received(self, data)
 
-    def ended(self, how: StreamEnd) -> None:
+    def end_arrived(self, how: StreamEnd) -> None:
         """The other side has ended."""
-        if not self.over:
-            self.over = True
-            self.owner.is_left(self, how)
+        if not self.is_closed:
+            self.is_closed = True
+            self.reader.peer_closed(self, how)
 
 
-def join(
+def connect(
     clock: Clock,
     chance: Callable[[], float],
-    near: End,
-    far: End,
+    near: Endpoint,
+    far: Endpoint,
     there: StreamConditions,
     back: StreamConditions,
 ) -> DuplexStream:
-    """The connection between two ends; there, back: the conditions of its directions."""
+    """Connect two endpoints; there, back: the conditions from near to far and from far to near."""
     connection = DuplexStream(clock, chance, near, far, there, back)
-    near.out = connection.there
-    far.out = connection.back
+    near.outgoing = connection.there
+    far.outgoing = connection.back
     return connection
--- /dev/null
+++ b/gullhold/simulation/engine.py
@@ -0,0 +1,202 @@
+"""A simulated engine: speaks the engine protocol byte for byte and reports to the checker what arrives.
+
+It runs attempts on its cores, remembers idempotency keys for its deduplication window, sends status notes,
+and misbehaves as the fault injector sets it to.
+"""
+
+from typing import TYPE_CHECKING
+
+from gullhold.net import resp
+from gullhold.simulation.clock import Event
+from gullhold.simulation.endpoints import Endpoint
+from gullhold.simulation.result_rows import page_count, page_rows
+from gullhold.simulation.streams import StreamEnd
+
+if TYPE_CHECKING:
+    from gullhold.simulation.world import World
+
+NOTE_INTERVAL_US = 120_000  # between status notes of an attempt; shorter than the settings promise
+MAX_MESSAGE_BYTES = 1 << 18
+DUPLICATE_WORK_US = 1000  # work of an attempt that is dropped because its idempotency key is known
+MAX_ATTEMPTS_PER_CORE = 4  # beyond them an engine rejects attempts as overloaded
+US_PER_MS = 1000
+MALFORMED_MESSAGE = b"*2\r\n$not a length\r\n"
+
+
+class RunningAttempt:
+    """One attempt that runs on an engine, with the events of its end and of its next status note."""
+
+    __slots__ = ("end_event", "note_event", "session", "txn")
+
+    def __init__(self, session: "EngineSession", txn: bytes) -> None:
+        self.session = session
+        self.txn = txn
+        self.end_event: Event | None = None
+        self.note_event: Event | None = None
+
+
+class EngineSession:
+    """A gateway's connection as its engine sees it.
+
+    endpoint: the engine's side of the connection; gateway_endpoint: the gateway's side.
+    """
+
+    def __init__(self, engine: "SimulatedEngine", endpoint: Endpoint, gateway_endpoint: Endpoint) -> None:
+        self.engine = engine
+        self.endpoint = endpoint
+        self.gateway_endpoint = gateway_endpoint
+        self.decoder = resp.Decoder(MAX_MESSAGE_BYTES)
+        self.received_bytes = 0
+        self.running: dict[bytes, RunningAttempt] = {}  # by transaction id
+        self.answered: set[bytes] = set()  # transaction ids whose pages may still be fetched
+
+    def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
+        """Handle bytes of the gateway."""
+        self.received_bytes += len(data)
+        self.decoder.buffer.put(data)
+        message_offset = self._parsed_bytes()
+        for words in self.decoder.arrays():
+            self.engine.handle_message(self, words, self.gateway_endpoint.written_at(message_offset))
+            message_offset = self._parsed_bytes()
+
+    def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
+        """Abandon all attempts: the gateway's side of the connection has ended."""
+        for txn in list(self.running):
+            self.engine.abandon(self, txn)
+        if not self.endpoint.is_finishing:
+            self.endpoint.finish()
+
+    def send(self, *words: bytes) -> None:
+        """Send a message, unless the connection has ended."""
+        if not self.endpoint.is_finishing and not self.endpoint.outgoing.over:
+            self.endpoint.write(resp.encode(*words))
+
+    def send_malformed(self) -> None:
+        """Send bytes that no parser accepts."""
+        if not self.endpoint.is_finishing:
+            self.endpoint.write(MALFORMED_MESSAGE)
+
+    def _parsed_bytes(self) -> int:
+        return self.received_bytes - len(self.decoder.buffer)
+
+
+class SimulatedEngine:
+    """An engine at an address.
+
+    Set by faults: slowdown: factor on the duration of attempts; connect_delay_us: by which connections come
+    up later; refuses_until: virtual time in us until which connections are refused; malformed_answers,
+    duplicate_answers: how many of the next answers are malformed or sent twice.
+    """
+
+    def __init__(self, world: "World", engine_id: str, address: str, cores: int) -> None:
+        self.world = world
+        self.id = engine_id
+        self.address = address
+        self.cores = cores
+        self.slowdown = 1.0
+        self.connect_delay_us = 0
+        self.refuses_until = 0
+        self.malformed_answers = 0
+        self.duplicate_answers = 0
+        self.sessions: list[EngineSession] = []
+        self.idempotency_keys: dict[bytes, int] = {}  # and when each came first
+        self.running_count = 0
+
+    def accept(self, gateway_endpoint: Endpoint) -> Endpoint:
+        """Accept a gateway's connection; returns the engine's side of it."""
+        endpoint = Endpoint(self.world.clock, None)
+        session = EngineSession(self, endpoint, gateway_endpoint)
+        endpoint.reader = session
+        self.sessions.append(session)
+        return endpoint
+
+    def crash(self) -> None:
+        """Reset all connections and forget all state; the restarted process serves at once."""
+        for session in self.sessions:
+            for txn in list(session.running):
+                self.abandon(session, txn)
+            session.endpoint.is_closed = True
+            if not session.endpoint.outgoing.over:
+                session.endpoint.finish(StreamEnd.RESET)
+        self.sessions = []
+        self.idempotency_keys = {}
+
+    def handle_message(self, session: EngineSession, words: list[bytes], written_at: int) -> None:
+        """Handle one message of a gateway, which wrote it at this time (us)."""
+        verb, txn, *arguments = words
+        match verb:
+            case b"fetch":
+                fields, body = arguments[:2]
+                self._fetch(session, txn, resp.fields(fields), body, written_at)
+            case b"abort":
+                self.abandon(session, txn)
+            case b"alive":
+                session.send(txn, b"alive", b"-", b"")
+            case b"more" if txn in session.answered:
+                page = arguments[0]
+                session.send(txn, b"chunk", b"page=%s" % page, page_rows(txn, int(page)))
+            case b"more":
+                session.send(txn, b"500", b"-", b"")
+            case b"done":
+                session.answered.discard(txn)
+
+    def abandon(self, session: EngineSession, txn: bytes) -> None:
+        """End an attempt without an answer: it was aborted, or its connection ended."""
+        session.answered.discard(txn)
+        attempt = session.running.pop(txn, None)
+        if attempt:
+            self.running_count -= 1
+            self.world.clock.cancel(attempt.end_event)
+            self.world.clock.cancel(attempt.note_event)
+            self.world.checker.attempt_over(self, txn)
+
+    def _fetch(
+        self, session: EngineSession, txn: bytes, fields: dict[bytes, bytes], body: bytes, written_at: int
+    ) -> None:
+        key = fields.get(b"i", b"")
+        is_rejected = self.running_count >= MAX_ATTEMPTS_PER_CORE * self.cores
+        self.world.checker.attempt_arrived(session, txn, key, written_at, not is_rejected)
+        if is_rejected:
+            session.send(txn, b"503", b"-", b"")
+            return
+        is_duplicate = self._is_known(key)
+        self.abandon(session, txn)  # a second attempt on this connection replaces the first
+        if key and not is_duplicate:
+            self.idempotency_keys[key] = self.world.clock.now
+        work_us = DUPLICATE_WORK_US if is_duplicate else US_PER_MS * int(body.split()[1])
+        self._start(session, txn, work_us)
+
+    def _is_known(self, key: bytes) -> bool:
+        """Whether this idempotency key first came within the deduplication window."""
+        window_us = self.world.window_us
+        first_at = self.idempotency_keys.get(key, -window_us)
+        return bool(key) and self.world.clock.now - first_at < window_us
+
+    def _start(self, session: EngineSession, txn: bytes, work_us: int) -> None:
+        attempt = RunningAttempt(session, txn)
+        session.running[txn] = attempt
+        self.running_count += 1
+        core_contention = max(1.0, self.running_count / self.cores)
+        duration_us = int(work_us * self.slowdown * core_contention)
+        attempt.end_event = self.world.clock.after(duration_us, self._complete, attempt, work_us)
+        attempt.note_event = self.world.clock.after(NOTE_INTERVAL_US, self._send_note, attempt)
+
+    def _send_note(self, attempt: RunningAttempt) -> None:
+        attempt.session.send(attempt.txn, b"status", b"note=share,v=0.5", b"")
+        attempt.note_event = self.world.clock.after(NOTE_INTERVAL_US, self._send_note, attempt)
+
+    def _complete(self, attempt: RunningAttempt, work_us: int) -> None:
+        session, txn = attempt.session, attempt.txn
+        self.world.clock.cancel(attempt.note_event)
+        del session.running[txn]
+        self.running_count -= 1
+        self.world.checker.attempt_over(self, txn)
+        session.answered.add(txn)
+        if self.malformed_answers:
+            self.malformed_answers -= 1
+            session.send_malformed()
+            return
+        fields = b"pages=%d,cost=%d,need=20" % (page_count(txn), work_us // US_PER_MS)
+        for _ in range(2 if self.duplicate_answers else 1):
+            session.send(txn, b"200", fields, page_rows(txn, 0))
+        self.duplicate_answers = max(0, self.duplicate_answers - 1)
--- a/gullhold/simulation/fault_injection.py
+++ b/gullhold/simulation/fault_injection.py
@@ -3,14 +3,14 @@
 from typing import TYPE_CHECKING
 
 from gullhold.simulation.discovery import EnginePhase
+from gullhold.simulation.engine import SimulatedEngine
 from gullhold.simulation.network import ONE_WAY_DELAY_US, EnginePath
-from gullhold.simulation.peers import Engine
 from gullhold.simulation.script import KINDS, Fault, FaultKind, Target
 
 if TYPE_CHECKING:
     from gullhold.simulation.world import World
 
-FAULT_US = 1_200_000  # that a slow or cut wire lasts, where the fault's size is not its length
+FAULT_US = 1_200_000  # duration of a fault whose size is not a duration
 NOT_PLAYED = frozenset(
     (
         FaultKind.WINDOW,
@@ -24,13 +24,13 @@
 
 
 class FaultInjector:
-    """Makes faults happen in one world."""
+    """Injects faults into one world."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
 
     def inject(self, fault: Fault) -> None:
-        """One fault of a script, now; kinds that are not played change nothing."""
+        """Inject a fault now; kinds in NOT_PLAYED change nothing."""
         engine = self.world.engines[fault.place % len(self.world.engines)]
         match KINDS[fault.kind].target:
             case Target.WIRE:
@@ -44,7 +44,7 @@
                 self._kill(f"n{fault.place % self.world.size.gateways}")
             case Target.CLIENT if fault.kind == FaultKind.CLIENT_LEAVES:
                 client = self.world.clients[fault.place % len(self.world.clients)]
-                client.leave(again=True)
+                client.leave(reconnect=True)
 
     def _disturb_path(self, fault: Fault, path: EnginePath) -> None:
         directions = (path.to_engine, path.from_engine)
@@ -54,17 +54,17 @@
                     direction.delay_us = ONE_WAY_DELAY_US + fault.size
                 self.world.clock.after(FAULT_US, path.heal)
             case FaultKind.PIECE:
-                path.from_engine.piece = fault.size
+                path.from_engine.max_segment_bytes = fault.size
                 self.world.clock.after(FAULT_US, path.heal)
             case FaultKind.SILENCE:
                 for direction in directions:
-                    direction.silent = True
+                    direction.is_silent = True
                 self.world.clock.after(fault.size, path.heal)
             case FaultKind.RESET:
                 for connection in path.connections:
                     connection.reset()
 
-    def _disturb_engine(self, fault: Fault, engine: Engine) -> None:
+    def _disturb_engine(self, fault: Fault, engine: SimulatedEngine) -> None:
         later = self.world.clock.after
         match fault.kind:
             case FaultKind.SLOW_CONNECT:
@@ -91,10 +91,10 @@
     def _kill(self, name: str) -> None:
         """Kill a gateway; another process takes its place, with clients of its own."""
         gateway = self.world.gateways[name]
-        self.world.checker.killed(gateway)
+        self.world.checker.gateway_killed(gateway)
         for client in self.world.clients:
-            if client.member is gateway:
-                client.gone = True
+            if client.gateway is gateway:
+                client.has_left = True
         gateway.kill()
         self.world.start_gateway(name)
         self.world.start_clients(name)
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -1,6 +1,6 @@
 """A gateway on virtual time: the product's core, decisions, connections and parsers; no thread, no socket.
 
-What stands in for threads: a connection is fed by its end of a wire, and the core takes a turn whenever
+What stands in for threads: a connection is fed by its endpoint, and the core takes a turn whenever
 something was posted or a timer is due. All else is the product's own code.
 """
 
@@ -19,7 +19,7 @@
 from gullhold.net.engine_connection import EngineConnection
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.statement_memory import StatementMemory
-from gullhold.simulation.endpoints import End
+from gullhold.simulation.endpoints import Endpoint
 from gullhold.simulation.streams import StreamEnd
 
 if TYPE_CHECKING:
@@ -32,36 +32,36 @@
 SERIALS = count()  # by which connections are ordered
 
 
-class WireSocket:
-    """What a connection takes for its socket: all that it is given goes on to an end of a wire."""
+class EndpointSocket:
+    """The part of a socket's interface that connections use, on top of an endpoint."""
 
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: Endpoint) -> None:
         self.end = end
 
     def send(self, data: bytes | memoryview, _flags: int = 0) -> int:
-        """The wire keeps what it has no room for, so all is taken."""
+        """Write all: the endpoint buffers what the stream does not take."""
         self.end.write(bytes(data))
         return len(data)
 
     def shutdown(self, _sides: int) -> None:
-        """Our side says its end."""
+        """Finish our side, after what is buffered."""
         self.end.finish(StreamEnd.CLOSED)
 
     def close(self) -> None:
-        """As a process gives a descriptor back."""
+        """Finish our side, as a closed descriptor does."""
         self.end.finish(StreamEnd.CLOSED)
 
     def setsockopt(self, *_option: object) -> None:
-        """Nothing that a wire has."""
+        """Endpoints have no socket options."""
 
 
 class SimulatedEngineConnection(EngineConnection):
-    """A connection to an engine whose reader is an end of a wire."""
+    """A connection to an engine that is read from an endpoint in place of a reader thread."""
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
         self.serial = next(SERIALS)
-        self.over = False  # its reader has reported
+        self.over = False  # its end was reported
 
     def __hash__(self) -> int:  # sets of connections are walked in the same order in every run
         return self.serial
@@ -70,21 +70,21 @@
         return self is other
 
     def start(self) -> None:
-        """Connect: up(), or fail() where nobody takes it."""
+        """Connect over the network, which calls up() or fail()."""
         self.core.world.network.connect(self)
 
-    def up(self, end: End) -> None:
-        """The connection stands."""
-        if not self.connected(Connection(WireSocket(end))):
+    def up(self, end: Endpoint) -> None:
+        """The connection is up."""
+        if not self.connected(Connection(EndpointSocket(end))):
             self.fail(self.end_by_us)
 
     def shut(self, end: ConnectionEnd) -> None:
-        """End it from our side; its reader reports a moment later."""
+        """Endpoint it from our side; its reader reports a moment later."""
         super().shut(end)
         if self.connection is not None:
             self.core.world.clock.after(0, self.fail, end)
 
-    def hears(self, _end: End, data: bytes) -> None:
+    def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
         """Bytes of the engine."""
         if self.over:
             return
@@ -94,25 +94,25 @@
         except ProtocolError as error:
             self.fail(ConnectionEnd.MALFORMED, str(error))
 
-    def is_left(self, _end: End, end_kind: str) -> None:
+    def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
         """The engine's side has ended."""
         self.fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def fail(self, end: ConnectionEnd, text: str = "") -> None:
-        """Its reader is over."""
+        """Report the end of reading, once."""
         if not self.over:
             self.over = True
             self.reader_ended(end, text, self.connection)
 
 
 class SimulatedClientConnection(ClientConnection):
-    """A connection of a client whose reader is an end of a wire."""
+    """A connection of a client that is read from an endpoint in place of a reader thread."""
 
-    def __init__(self, end: End, core: Core, reader: RequestReader) -> None:
-        super().__init__(WireSocket(end), core, reader, MAX_MESSAGE_BYTES)
+    def __init__(self, end: Endpoint, core: Core, reader: RequestReader) -> None:
+        super().__init__(EndpointSocket(end), core, reader, MAX_MESSAGE_BYTES)
         self.serial = next(SERIALS)
         self.has_reported = False
-        end.owner = self
+        end.reader = self
 
     def __hash__(self) -> int:
         return self.serial
@@ -120,7 +120,7 @@
     def __eq__(self, other: object) -> bool:
         return self is other
 
-    def hears(self, _end: End, data: bytes) -> None:
+    def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
         """Bytes of the client."""
         if self.has_reported:
             return
@@ -132,30 +132,30 @@
             self._fail(ConnectionEnd.MALFORMED, str(error))
         self.write_rejections()
 
-    def is_left(self, _end: End, end_kind: str) -> None:
+    def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
         """The client's side has ended."""
         self._fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def end(self, end: ConnectionEnd, text: str) -> None:
-        """End it from our side, now."""
+        """Endpoint it from our side, now."""
         super().end(end, text)
         self._fail(end, text)
 
     def _fail(self, end: ConnectionEnd, text: str = "") -> None:
-        """Its reader is over."""
+        """Report the end of reading, once."""
         if not self.has_reported:
             self.has_reported = True
             self.report_end(end, text)
 
 
 class SimulatedCore(Core):
-    """The product's core on a world's time."""
+    """The product's core on a world's clock."""
 
     connect = SimulatedEngineConnection
 
-    def __init__(self, world: "World", member: "Member", *args: object) -> None:
+    def __init__(self, world: "World", simulated_gateway: "SimulatedGateway", *args: object) -> None:
         self.world = world
-        self.member = member
+        self.simulated_gateway = simulated_gateway
         super().__init__(*args)
 
     def clock(self) -> int:
@@ -163,13 +163,13 @@
         return self.world.clock.start_us + self.world.clock.now
 
     def post(self, call: Callable[..., None], *args: object) -> None:
-        """Have the core make this call, as soon as may be."""
+        """Have the core make this call, and wake it."""
         super().post(call, *args)
-        self.member.wake()
+        self.simulated_gateway.wake()
 
 
-class Member:
-    """One gateway: from its start to its kill.
+class SimulatedGateway:
+    """One gateway process, from its start until it is killed.
 
     world: its clock and network are used; configuration: as the service reads it.
     """
@@ -177,9 +177,9 @@
     def __init__(self, world: "World", name: str, configuration: Configuration) -> None:
         self.world = world
         self.name = name
-        self.alive = True
-        self.event = None  # the world's event of its next turn
-        self.ends: list[End] = []
+        self.is_alive = True
+        self.turn_event = None  # of its next turn
+        self.endpoints: list[Endpoint] = []
         self.last_event_arrival_us = 0  # of the endpoint list's watch events sent so far
         agreement = configuration.agreement
         now = world.clock.start_us + world.clock.now
@@ -194,46 +194,46 @@
             StatementMemory(STATEMENT_MEMORY),
         )
         self.reader = RequestReader(agreement, None, self.core.retry_after_field)
-        self.names = configuration.engine_ids
-        self.follow = event_stream.EventStream(configuration.last_event, MAX_DISCOVERY_LINE_BYTES)
+        self.engine_ids = configuration.engine_ids
+        self.event_stream = event_stream.EventStream(configuration.last_event, MAX_DISCOVERY_LINE_BYTES)
         self.core.begin(configuration.list_changes)
         self.wake()
 
-    def accept(self, end: End) -> None:
+    def accept(self, end: Endpoint) -> None:
         """A client connects at this end."""
-        self.ends.append(end)
+        self.endpoints.append(end)
         self.core.statement_memory.clients.add(SimulatedClientConnection(end, self.core, self.reader))
 
-    def feed(self, data: bytes) -> None:
+    def receive_list(self, data: bytes) -> None:
         """Bytes of the discovery service's stream."""
-        if self.alive:
-            self.follow.buffer.put(data)
-            for event in self.follow.events():
-                self.core.list_changed(*list_change.parse_event(event, self.core.agreement, self.names))
+        if self.is_alive:
+            self.event_stream.buffer.put(data)
+            for event in self.event_stream.events():
+                self.core.list_changed(*list_change.parse_event(event, self.core.agreement, self.engine_ids))
 
-    def end(self, connection: SimulatedEngineConnection) -> End:
-        """Our end of a wire for a connection to an engine."""
-        end = End(self.world.clock, connection)
-        self.ends.append(end)
-        return end
+    def open_endpoint(self, connection: SimulatedEngineConnection) -> Endpoint:
+        """The gateway's endpoint of a connection to an engine."""
+        endpoint = Endpoint(self.world.clock, connection)
+        self.endpoints.append(endpoint)
+        return endpoint
 
     def wake(self) -> None:
-        """Take a turn as soon as may be."""
-        if self.event:
-            self.world.clock.cancel(self.event)
-        self.event = self.world.clock.after(0, self._turns)
+        """Take a turn without a delay."""
+        if self.turn_event:
+            self.world.clock.cancel(self.turn_event)
+        self.turn_event = self.world.clock.after(0, self._turns)
 
     def kill(self) -> None:
-        """As by SIGKILL: nothing more of it, its connections are reset."""
-        self.alive = False
-        for end in self.ends:
-            if not end.out.over:
-                end.finish(StreamEnd.RESET)
-            end.over = True
+        """Stop at once, as by SIGKILL; its connections are reset."""
+        self.is_alive = False
+        for endpoint in self.endpoints:
+            if not endpoint.outgoing.over:
+                endpoint.finish(StreamEnd.RESET)
+            endpoint.is_closed = True
 
     def _turns(self) -> None:
-        self.event = None
-        if not self.alive:
+        self.turn_event = None
+        if not self.is_alive:
             return
         core = self.core
         core.tick()
@@ -242,12 +242,12 @@
             if event is None and not core.urgent and core.next_timer_at_us() > core.now:
                 break
             core.turn(event)
-        if self.event is None:
+        if self.turn_event is None:
             wait_us = max(0, core.next_timer_at_us() - core.now)
-            self.event = self.world.clock.after(wait_us, self._turns)
+            self.turn_event = self.world.clock.after(wait_us, self._turns)
 
-    def left_over(self) -> dict[str, int]:
-        """What its tables still hold once nothing is pending; a census."""
+    def leftover_sizes(self) -> dict[str, int]:
+        """Sizes of the tables that still hold entries, by the names that reports have for them."""
         core = self.core
         census = core.gateway.census()
         sizes = {
--- a/gullhold/simulation/network.py
+++ b/gullhold/simulation/network.py
@@ -7,8 +7,8 @@
 
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.simulation.clock import Clock
-from gullhold.simulation.endpoints import join
-from gullhold.simulation.peers import Engine
+from gullhold.simulation.endpoints import connect
+from gullhold.simulation.engine import SimulatedEngine
 from gullhold.simulation.streams import DuplexStream, StreamConditions
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 class EnginePath:
     """The network path to one engine, shared by all gateways: conditions and the connections made over it."""
 
-    engine: Engine
+    engine: SimulatedEngine
     to_engine: StreamConditions = field(default_factory=healthy_conditions)
     from_engine: StreamConditions = field(default_factory=healthy_conditions)
     connections: list[DuplexStream] = field(default_factory=list)
@@ -35,8 +35,8 @@
         """End all faults of the path; what was held back by a silent direction arrives."""
         for direction in (self.to_engine, self.from_engine):
             direction.delay_us = ONE_WAY_DELAY_US
-            direction.piece = 0
-            direction.silent = False
+            direction.max_segment_bytes = 0
+            direction.is_silent = False
         for connection in self.connections:
             connection.heal()
 
@@ -45,7 +45,7 @@
     """Connects gateways to engines."""
 
     def __init__(
-        self, clock: Clock, random: Random, engines: Iterable[Engine], connect_timeout_us: int
+        self, clock: Clock, random: Random, engines: Iterable[SimulatedEngine], connect_timeout_us: int
     ) -> None:
         self.clock = clock
         self.random = random
@@ -59,17 +59,17 @@
         connect_us = round_trip_us + path.engine.connect_delay_us
         if path.engine.refuses_until > self.clock.now:
             self.clock.after(round_trip_us, connection.fail, ConnectionEnd.REFUSED)
-        elif path.to_engine.silent or connect_us > self.connect_timeout_us:
+        elif path.to_engine.is_silent or connect_us > self.connect_timeout_us:
             self.clock.after(self.connect_timeout_us, connection.fail, ConnectionEnd.NOT_UP)
         else:
             self.clock.after(connect_us, self._connected, connection, path)
 
     def _connected(self, connection: "SimulatedEngineConnection", path: EnginePath) -> None:
-        gateway = connection.core.member
-        if not gateway.alive or connection.over:
+        gateway = connection.core.simulated_gateway
+        if not gateway.is_alive or connection.over:
             return
-        near = gateway.end(connection)
+        near = gateway.open_endpoint(connection)
         far = path.engine.accept(near)
-        duplex = join(self.clock, self.random.random, near, far, path.to_engine, path.from_engine)
+        duplex = connect(self.clock, self.random.random, near, far, path.to_engine, path.from_engine)
         path.connections.append(duplex)
         connection.up(near)
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -62,5 +62,5 @@
 def _release_expired_attempts(world: World) -> None:
     """Post an empty list change, so that each gateway looks once more at attempts that may run on."""
     for gateway in world.gateways.values():
-        if gateway.alive:
+        if gateway.is_alive:
             gateway.core.list_changed((), {}, False)
--- a/gullhold/simulation/streams.py
+++ b/gullhold/simulation/streams.py
@@ -1,6 +1,6 @@
-"""Byte streams on virtual time: slow, uneven, cut, reset, silent or full, as networks are.
+"""Byte streams on virtual time, with delay, jitter, segmentation, flow control, resets and silence.
 
-A Stream is one direction; a DuplexStream is two, between ends that have came(data), ended(how) and room().
+A Stream is one direction; a DuplexStream is two, between two peers.
 """
 
 from collections import deque
@@ -19,18 +19,18 @@
     RESET = "reset"  # at once; what is under way is lost
 
 
-class Endpoint(Protocol):
+class StreamPeer(Protocol):
     """One end of a duplex stream."""
 
-    def came(self, data: bytes) -> None:
+    def data_arrived(self, data: bytes) -> None:
         """Bytes of the other side arrived."""
         ...
 
-    def ended(self, how: StreamEnd) -> None:
+    def end_arrived(self, how: StreamEnd) -> None:
         """The other side has ended."""
         ...
 
-    def room(self) -> None:
+    def resume_writing(self) -> None:
         """The stream takes more bytes."""
         ...
 
@@ -39,11 +39,11 @@
 class StreamConditions:
     """How one direction behaves; all may be changed while it is in use. Times in us, sizes in bytes."""
 
-    delay_us: int = 100  # of each piece
+    delay_us: int = 100  # of each segment
     jitter_us: int = 0  # the most that is added to it, by chance
-    piece: int = 0  # the most that arrives at once; 0: all
-    window: int = 65_536  # what may be under way before a writer is held back
-    silent: bool = False  # nothing arrives, and neither end is notified
+    max_segment_bytes: int = 0  # the most that arrives at once; 0: all
+    window_bytes: int = 65_536  # bytes under way beyond which a writer is blocked
+    is_silent: bool = False  # nothing arrives, and neither side is notified
 
 
 class Stream:
@@ -54,8 +54,8 @@
         clock: Clock,
         chance: Callable[[], float],
         conditions: StreamConditions,
-        source: Endpoint,
-        destination: Endpoint,
+        source: StreamPeer,
+        destination: StreamPeer,
     ) -> None:
         """chance: draws a random fraction, from [0, 1)."""
         self.clock = clock
@@ -65,21 +65,22 @@
         self.destination = destination
         self.bytes_under_way = 0
         self.last_arrival_us = 0
-        self.silenced: deque[bytes | StreamEnd] = deque()  # arrives when the stream is healed
+        self.held_back: deque[bytes | StreamEnd] = deque()  # arrives when the stream is healed
         self.is_writer_blocked = False
         self.over = False  # nothing more is written
         self.is_lost = False  # what is under way does not arrive
 
     def write(self, data: bytes) -> int:
-        """So many bytes of it were taken; 0: the window is full, room() is called when it is not any more.
+        """Write as much as the window allows; returns how many bytes were taken.
 
-        Raises BrokenPipeError after finish().
+        Where that is not all, resume_writing() is called on the source once there is capacity again. Raises
+        BrokenPipeError after finish().
         """
         if self.over:
             raise BrokenPipeError
-        taken = data[: max(0, self.conditions.window - self.bytes_under_way)]
+        taken = data[: max(0, self.conditions.window_bytes - self.bytes_under_way)]
         self.is_writer_blocked = len(taken) < len(data)
-        size = self.conditions.piece or len(taken) or 1
+        size = self.conditions.max_segment_bytes or len(taken) or 1
         for start in range(0, len(taken), size):
             self._send(taken[start : start + size])
         return len(taken)
@@ -94,20 +95,20 @@
 
     def heal(self) -> None:
         """No longer silent: what was held back arrives."""
-        self.conditions.silent = False
-        while self.silenced:
-            self._schedule(self.silenced.popleft())
+        self.conditions.is_silent = False
+        while self.held_back:
+            self._schedule(self.held_back.popleft())
 
-    def _send(self, piece: bytes) -> None:
-        self.bytes_under_way += len(piece)
-        self._post(piece)
+    def _send(self, segment: bytes) -> None:
+        self.bytes_under_way += len(segment)
+        self._post(segment)
 
-    def _is_silenced(self, item: bytes | StreamEnd) -> bool:
-        return self.conditions.silent and item != StreamEnd.RESET
+    def _is_held_back(self, item: bytes | StreamEnd) -> bool:
+        return self.conditions.is_silent and item != StreamEnd.RESET
 
     def _post(self, item: bytes | StreamEnd) -> None:
-        if self._is_silenced(item):
-            self.silenced.append(item)
+        if self._is_held_back(item):
+            self.held_back.append(item)
         else:
             self._schedule(item)
 
@@ -118,19 +119,19 @@
         self.clock.at(self.last_arrival_us, self._arrive, item)
 
     def _arrive(self, item: bytes | StreamEnd) -> None:
-        if self._is_silenced(item):
-            self.silenced.append(item)
+        if self._is_held_back(item):
+            self.held_back.append(item)
             return
         if isinstance(item, StreamEnd):
-            self.destination.ended(item)
+            self.destination.end_arrived(item)
             return
         if self.is_lost:
             return
         self.bytes_under_way -= len(item)
-        self.destination.came(item)
-        if self.is_writer_blocked and self.bytes_under_way < self.conditions.window:
+        self.destination.data_arrived(item)
+        if self.is_writer_blocked and self.bytes_under_way < self.conditions.window_bytes:
             self.is_writer_blocked = False
-            self.source.room()
+            self.source.resume_writing()
 
 
 class DuplexStream:
@@ -140,8 +141,8 @@
         self,
         clock: Clock,
         chance: Callable[[], float],
-        near: Endpoint,
-        far: Endpoint,
+        near: StreamPeer,
+        far: StreamPeer,
         there: StreamConditions | None = None,
         back: StreamConditions | None = None,
     ) -> None:
@@ -156,8 +157,8 @@
 
     def silence(self) -> None:
         """The machine at the other end has vanished, or the path: nothing arrives, no end is notified."""
-        self.there.conditions.silent = True
-        self.back.conditions.silent = True
+        self.there.conditions.is_silent = True
+        self.back.conditions.is_silent = True
 
     def heal(self) -> None:
         """All passes again."""
--- a/gullhold/simulation/world.py
+++ b/gullhold/simulation/world.py
@@ -11,12 +11,13 @@
 from gullhold.net.engine_ids import EngineIds
 from gullhold.net.list_change import parse_event
 from gullhold.simulation.checker import Checker
+from gullhold.simulation.client import SimulatedClient
 from gullhold.simulation.clock import Clock, first_asked_for
 from gullhold.simulation.discovery import Discovery
-from gullhold.simulation.endpoints import End, join
-from gullhold.simulation.gateway import Member
+from gullhold.simulation.endpoints import Endpoint, connect
+from gullhold.simulation.engine import SimulatedEngine
+from gullhold.simulation.gateway import SimulatedGateway
 from gullhold.simulation.network import Network, healthy_conditions
-from gullhold.simulation.peers import Client, Engine
 from gullhold.testing.deployment import settings
 
 CLIENTS_SEND_FOR_US = 6_000_000  # from the start; faults begin in the same span
@@ -53,14 +54,14 @@
         self.clients_send_until_us = CLIENTS_SEND_FOR_US
         self.checker = Checker(self.clock, self.agreement.max_attempts, self.window_us)
         self.engines = [
-            Engine(self, f"s-{number}", f"10.0.0.{number + 1}:5050", ENGINE_CORES)
+            SimulatedEngine(self, f"s-{number}", f"10.0.0.{number + 1}:5050", ENGINE_CORES)
             for number in range(size.engines)
         ]
         connect_timeout_us = self.agreement.connect_timeout_us
         self.network = Network(self.clock, self.random, self.engines, connect_timeout_us)
-        self.gateways: dict[str, Member] = {}
+        self.gateways: dict[str, SimulatedGateway] = {}
         self.discovery = Discovery(self.clock, self.checker, self.engines, self.gateways)
-        self.clients: list[Client] = []
+        self.clients: list[SimulatedClient] = []
         for number in range(size.gateways):
             self.start_gateway(f"n{number}")
         for name in list(self.gateways):
@@ -68,7 +69,7 @@
 
     def start_gateway(self, name: str) -> None:
         """Start a gateway with the endpoint list as it is now, in place of an earlier one of this name."""
-        gateway = Member(self, name, self._configuration(name))
+        gateway = SimulatedGateway(self, name, self._configuration(name))
         self.gateways[name] = gateway
         self.discovery.report_complete_list(gateway)
 
@@ -80,15 +81,15 @@
     def start_client(self, name: str, verbs: Sequence[bytes], mean_gap_us: int) -> None:
         """Connect a client to a gateway, unless that was killed; its first command follows within the gap."""
         gateway = self.gateways[name]
-        if not gateway.alive:
+        if not gateway.is_alive:
             return
-        client = Client(self, len(self.clients) + 1, gateway, verbs, mean_gap_us)
-        near, far = End(self.clock, client), End(self.clock, None)
-        client.end = near
-        join(self.clock, self.random.random, near, far, healthy_conditions(), healthy_conditions())
+        client = SimulatedClient(self, len(self.clients) + 1, gateway, verbs, mean_gap_us)
+        near, far = Endpoint(self.clock, client), Endpoint(self.clock, None)
+        client.endpoint = near
+        connect(self.clock, self.random.random, near, far, healthy_conditions(), healthy_conditions())
         gateway.accept(far)
         self.clients.append(client)
-        self.clock.after(int(self.random.random() * mean_gap_us), client.ask)
+        self.clock.after(int(self.random.random() * mean_gap_us), client.send_next)
 
     def _configuration(self, name: str) -> Configuration:
         engine_ids = EngineIds()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Virtual time, byte streams and scripts: what rehearsals will stand on."""
+"""Deterministic simulation: virtual time, byte streams, scripts of faults, gateways and deliberate faults."""
 
 import os
 import subprocess
@@ -84,36 +84,38 @@
         clock.run(1)
 
 
-class End:
-    """One end of a wire, which keeps what it hears."""
+class RecordingPeer:
+    """One side of a stream, which records what arrives."""
 
     def __init__(self):
-        self.data, self.how, self.rooms = b"", None, 0
+        self.data, self.how, self.resumed = b"", None, 0
 
-    def came(self, data):
+    def data_arrived(self, data):
         self.data += data
 
-    def ended(self, how):
+    def end_arrived(self, how):
         self.how = how
 
-    def room(self):
-        self.rooms += 1
+    def resume_writing(self):
+        self.resumed += 1
 
 
-def wire(seed=1, **way):
-    clock, near, far = Clock(), End(), End()
+def duplex_stream(seed=1, **conditions):
+    clock, near, far = Clock(), RecordingPeer(), RecordingPeer()
     return (
         clock,
         near,
         far,
-        DuplexStream(clock, Random(seed).random, near, far, StreamConditions(**way), StreamConditions()),
+        DuplexStream(
+            clock, Random(seed).random, near, far, StreamConditions(**conditions), StreamConditions()
+        ),
     )
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.binary(max_size=40), max_size=12), st.integers(0, 5), st.integers(0, 900))
 def test_bytes_arrive_whole_and_in_order_whatever_the_pieces_and_the_jitter(parts, piece, jitter):
-    clock, _, far, both = wire(piece=piece, jitter_us=jitter, window=10_000)
+    clock, _, far, both = duplex_stream(max_segment_bytes=piece, jitter_us=jitter, window_bytes=10_000)
     for part in parts:
         both.there.write(part)
         clock.run(clock.now + 70)
@@ -124,17 +126,17 @@
 
 
 def test_a_full_window_holds_a_writer_back_until_something_has_arrived():
-    clock, near, far, both = wire(window=10, piece=4)
+    clock, near, far, both = duplex_stream(window_bytes=10, max_segment_bytes=4)
     assert both.there.write(b"x" * 25) == 10
     assert both.there.write(b"y") == 0
     clock.run(1000)
     assert far.data == b"x" * 10
-    assert near.rooms == 1
+    assert near.resumed == 1
     assert both.there.write(b"z" * 3) == 3
 
 
 def test_a_reset_loses_what_is_under_way_at_its_end_and_tells_both():
-    clock, near, far, both = wire(delay_us=500)
+    clock, near, far, both = duplex_stream(delay_us=500)
     both.there.write(b"first")
     clock.run(600)
     both.back.write(b"answer")
@@ -148,7 +150,7 @@
 
 
 def test_a_machine_that_vanished_says_nothing_and_what_it_was_sent_arrives_when_it_is_back():
-    clock, near, far, both = wire()
+    clock, near, far, both = duplex_stream()
     both.silence()
     both.there.write(b"is anybody there")
     both.back.finish()
@@ -257,9 +259,9 @@
     world.discovery.extra_delay_us = 0
     world.discovery.change_phase(world.engines[1], EnginePhase.DRAINING)
     world.clock.run(2_900_000)
-    assert all(member.follow.last_index == 1 for member in world.gateways.values())
+    assert all(gateway.event_stream.last_index == 1 for gateway in world.gateways.values())
     world.clock.run(3_100_000)
-    assert all(member.follow.last_index == 3 for member in world.gateways.values())
+    assert all(gateway.event_stream.last_index == 3 for gateway in world.gateways.values())
 
 
 def test_what_can_not_be_played_is_one_line(tmp_path, capsys):
