--- a/gullhold/simulation/clock.py
+++ b/gullhold/simulation/clock.py
@@ -1,100 +1,126 @@
-"""Virtual time: events in order, nothing but them moves it. The same calls give the same run, anywhere."""
+"""Virtual time: a clock that only its events move. The same calls give the same run on any machine."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Any
+from typing import Any, NamedTuple
 
-Event = list[Any]  # due time, serial, call (None: cancelled), arguments: a list, as the heap compares it fast
+START_US = 1_700_000_000_000_000  # Unix time at virtual time 0
+MAX_EVENTS_AT_ONE_INSTANT = 200_000
 
 
-class StuckError(Exception):
-    """More events than allowed happened at one instant: something goes round without time passing."""
+class Event:
+    """A call that is scheduled; call is None once it is cancelled."""
 
+    __slots__ = ("args", "call")
 
-def first_asked_for(_count: int) -> int:
-    """Of events that are due at one instant, the one that was asked for first."""
+    def __init__(self, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
+        self.call: Callable[..., Any] | None = call
+        self.args = args
+
+
+class ScheduledEvent(NamedTuple):
+    """An entry of the heap: by time, then by the order of scheduling. The serial number is unique."""
+
+    due_at: int
+    serial: int
+    event: Event
+
+
+class LivelockError(Exception):
+    """More events than allowed happened at one instant: calls repeat without time passing."""
+
+
+def first_scheduled(_count: int) -> int:
+    """Of events that are due at one instant, the index of the one that was scheduled first."""
     return 0
 
 
 class Clock:
     """Virtual microseconds since a start.
 
-    choose(count): which of so many events that are due at one instant comes next; a search gives another than
-    the first. wall_us(): Unix time as processes see it, which may jump; now never goes back.
+    choose(count): index of the next of so many events that are due at one instant, in the order of their
+    scheduling; a search over orders gives another than the first. wall_us(): Unix time as processes see it,
+    which may jump; now never goes back. max_events_at_one_instant: beyond them run() raises LivelockError.
     """
 
-    MOST_AT_ONCE = 200_000  # events at one instant
-
     def __init__(
-        self, start_us: int = 1_700_000_000_000_000, choose: Callable[[int], int] = first_asked_for
+        self,
+        start_us: int = START_US,
+        choose: Callable[[int], int] = first_scheduled,
+        max_events_at_one_instant: int = MAX_EVENTS_AT_ONE_INSTANT,
     ) -> None:
         """start_us: Unix time in us at virtual time 0."""
         self.now = 0
         self.start_us = start_us
         self.choose = choose
+        self.max_events_at_one_instant = max_events_at_one_instant
         self.wall_offset_us = 0
-        self.events: list[Event] = []
-        self.serial = 0
-        self.played = 0
+        self.heap: list[ScheduledEvent] = []
+        self.last_serial = 0
 
     def wall_us(self) -> int:
-        """Unix us."""
+        """Unix time in us, as processes see it."""
         return self.start_us + self.now + self.wall_offset_us
 
     def jump(self, by_us: int) -> None:
-        """The wall clock is set forward or back; what waits for a span of time is not moved."""
+        """Set the wall clock forward or back; scheduled events are not moved."""
         self.wall_offset_us += by_us
 
-    def at(self, when: int, call: Callable[..., Any], *args: Any) -> Event:
-        """Make this call then, at the earliest now. Returns what cancel() takes."""
-        self.serial += 1
-        event = [max(when, self.now), self.serial, call, args]
-        heappush(self.events, event)
+    def at(self, due_at: int, call: Callable[..., Any], *args: Any) -> Event:
+        """Schedule a call at a time, at the earliest now. Returns what cancel() takes."""
+        self.last_serial += 1
+        event = Event(call, args)
+        heappush(self.heap, ScheduledEvent(max(due_at, self.now), self.last_serial, event))
         return event
 
-    def after(self, span_us: int, call: Callable[..., Any], *args: Any) -> Event:
-        """Make this call so much later. Returns what cancel() takes."""
-        return self.at(self.now + span_us, call, *args)
+    def after(self, delay_us: int, call: Callable[..., Any], *args: Any) -> Event:
+        """Schedule a call after a delay. Returns what cancel() takes."""
+        return self.at(self.now + delay_us, call, *args)
 
     @staticmethod
     def cancel(event: Event) -> None:
-        """The call is not made any more."""
-        event[2] = None
+        """Cancel a scheduled call; without effect on one that was made."""
+        event.call = None
 
-    def due(self) -> int | None:
-        """When the next event comes; None: there is none."""
-        while self.events and self.events[0][2] is None:
-            heappop(self.events)
-        return self.events[0][0] if self.events else None
+    def next_due_at(self) -> int | None:
+        """When the next event is due; None: there is none."""
+        while self.heap and self.heap[0].event.call is None:
+            heappop(self.heap)
+        return self.heap[0].due_at if self.heap else None
 
     def step(self) -> bool:
-        """Play one event; whether there was one."""
-        when = self.due()
-        if when is None:
+        """Run the next event; False where there is none."""
+        due_at = self.next_due_at()
+        if due_at is None:
             return False
-        self.now = when
-        together = []
-        while self.due() == when:
-            together.append(heappop(self.events))
-        chosen = self.choose(len(together)) if len(together) > 1 else 0
-        _, _, call, args = together.pop(chosen)
-        for event in together:  # in the order in which they were asked for
-            heappush(self.events, event)
-        self.played += 1
-        call(*args)
+        self.now = due_at
+        event = self._pop_next(due_at)
+        if event.call is not None:
+            event.call(*event.args)
         return True
 
+    def _pop_next(self, due_at: int) -> Event:
+        """Take the chosen one of the events that are due at this instant off the heap."""
+        candidates = []
+        while self.next_due_at() == due_at:
+            candidates.append(heappop(self.heap))
+        chosen = self.choose(len(candidates)) if len(candidates) > 1 else 0
+        event = candidates.pop(chosen).event
+        for other in candidates:
+            heappush(self.heap, other)
+        return event
+
     def run(self, until: int) -> None:
-        """Play all that is due until then. Raises StuckError."""
-        count = 0
-        last = self.now
+        """Run all events that are due until this time. Raises LivelockError."""
+        count_at_instant = 0
+        instant = self.now
         while True:
-            when = self.due()
-            if when is None or when > until:
+            due_at = self.next_due_at()
+            if due_at is None or due_at > until:
                 break
-            count = count + 1 if when == last else 1
-            last = when
-            if count > self.MOST_AT_ONCE:
-                raise StuckError(f"{count} events at {when} us")
+            count_at_instant = count_at_instant + 1 if due_at == instant else 1
+            instant = due_at
+            if count_at_instant > self.max_events_at_one_instant:
+                raise LivelockError(f"{count_at_instant} events at {due_at} us")
             self.step()
         self.now = max(self.now, until)
--- a/gullhold/simulation/fault_injection.py
+++ b/gullhold/simulation/fault_injection.py
@@ -5,13 +5,13 @@
 from gullhold.simulation.discovery import EnginePhase
 from gullhold.simulation.engine import SimulatedEngine
 from gullhold.simulation.network import ONE_WAY_DELAY_US, EnginePath
-from gullhold.simulation.script import KINDS, Fault, FaultKind, Target
+from gullhold.simulation.script import FAULT_RANGES, Fault, FaultKind, FaultTarget
 
 if TYPE_CHECKING:
     from gullhold.simulation.world import World
 
 FAULT_US = 1_200_000  # duration of a fault whose size is not a duration
-NOT_PLAYED = frozenset(
+UNSUPPORTED_KINDS = frozenset(
     (
         FaultKind.WINDOW,
         FaultKind.DISCOVERY_MOVED,
@@ -20,7 +20,7 @@
         FaultKind.RETRY_BURST,
     )
 )
-PLAYED = frozenset(KINDS) - NOT_PLAYED
+SUPPORTED_KINDS = frozenset(FAULT_RANGES) - UNSUPPORTED_KINDS
 
 
 class FaultInjector:
@@ -30,19 +30,19 @@
         self.world = world
 
     def inject(self, fault: Fault) -> None:
-        """Inject a fault now; kinds in NOT_PLAYED change nothing."""
+        """Inject a fault now; kinds in UNSUPPORTED_KINDS change nothing."""
         engine = self.world.engines[fault.place % len(self.world.engines)]
-        match KINDS[fault.kind].target:
-            case Target.WIRE:
+        match FAULT_RANGES[fault.kind].target:
+            case FaultTarget.CONNECTION:
                 self._disturb_path(fault, self.world.network.paths[engine.address])
-            case Target.ENGINE:
+            case FaultTarget.ENGINE:
                 self._disturb_engine(fault, engine)
-            case Target.COORDINATOR if fault.kind == FaultKind.LATE_LIST:
+            case FaultTarget.DISCOVERY if fault.kind == FaultKind.LATE_LIST:
                 self.world.discovery.extra_delay_us = fault.size
                 self.world.clock.after(FAULT_US, setattr, self.world.discovery, "extra_delay_us", 0)
-            case Target.GATEWAY if fault.kind == FaultKind.KILL:
+            case FaultTarget.GATEWAY if fault.kind == FaultKind.KILL:
                 self._kill(f"n{fault.place % self.world.size.gateways}")
-            case Target.CLIENT if fault.kind == FaultKind.CLIENT_LEAVES:
+            case FaultTarget.CLIENT if fault.kind == FaultKind.CLIENT_LEAVES:
                 client = self.world.clients[fault.place % len(self.world.clients)]
                 client.leave(reconnect=True)
 
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -19,6 +19,7 @@
 from gullhold.net.engine_connection import EngineConnection
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.statement_memory import StatementMemory
+from gullhold.simulation.clock import Event
 from gullhold.simulation.endpoints import Endpoint
 from gullhold.simulation.streams import StreamEnd
 
@@ -178,7 +179,7 @@
         self.world = world
         self.name = name
         self.is_alive = True
-        self.turn_event = None  # of its next turn
+        self.turn_event: Event | None = None  # of its next turn
         self.endpoints: list[Endpoint] = []
         self.last_event_arrival_us = 0  # of the endpoint list's watch events sent so far
         agreement = configuration.agreement
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -4,9 +4,9 @@
 from typing import NamedTuple
 
 from gullhold.simulation.checker import Violation
-from gullhold.simulation.clock import first_asked_for
-from gullhold.simulation.fault_injection import PLAYED, FaultInjector
-from gullhold.simulation.script import Fault, Target, drawn
+from gullhold.simulation.clock import first_scheduled
+from gullhold.simulation.fault_injection import SUPPORTED_KINDS, FaultInjector
+from gullhold.simulation.script import Fault, FaultTarget, draw_faults
 from gullhold.simulation.world import CLIENTS_SEND_FOR_US, World, WorldSize
 
 # Until all has ended after the clients' last commands: longer than any client timeout, and than the time for
@@ -25,28 +25,28 @@
     counts: dict[str, int]
 
 
-def faults_of(seed: int, size: WorldSize) -> list[Fault]:
+def faults_of_seed(seed: int, size: WorldSize) -> list[Fault]:
     """The faults that a seed draws, of the kinds that can be injected."""
     target_counts = {
-        Target.WIRE: size.engines,
-        Target.ENGINE: size.engines,
-        Target.COORDINATOR: 1,
-        Target.GATEWAY: size.gateways,
-        Target.CLIENT: size.gateways * size.clients_per_gateway,
+        FaultTarget.CONNECTION: size.engines,
+        FaultTarget.ENGINE: size.engines,
+        FaultTarget.DISCOVERY: 1,
+        FaultTarget.GATEWAY: size.gateways,
+        FaultTarget.CLIENT: size.gateways * size.clients_per_gateway,
     }
-    candidates = drawn(seed, 2 * size.faults, CLIENTS_SEND_FOR_US, target_counts)
-    return [fault for fault in candidates if fault.kind in PLAYED][: size.faults]
+    candidates = draw_faults(seed, 2 * size.faults, CLIENTS_SEND_FOR_US, target_counts)
+    return [fault for fault in candidates if fault.kind in SUPPORTED_KINDS][: size.faults]
 
 
 def play(
     seed: int,
     faults: list[Fault] | None = None,
     size: WorldSize | None = None,
-    choose: Callable[[int], int] = first_asked_for,
+    choose: Callable[[int], int] = first_scheduled,
 ) -> Result:
-    """Run a simulation to its end. faults: the script; None: drawn from the seed. choose: as for Clock."""
+    """Run a simulation to its end. faults: the script, None: drawn from the seed; choose: as for Clock."""
     size = size or WorldSize()
-    faults = faults_of(seed, size) if faults is None else faults
+    faults = faults_of_seed(seed, size) if faults is None else faults
     world = World(seed, size, choose)
     injector = FaultInjector(world)
     for fault in faults:
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -1,84 +1,128 @@
-"""`gullhold rehearse`: plays scripts, prints what was met and what broke, cuts a failing script down."""
+"""The command `gullhold rehearse`: runs simulations, prints coverage and violations, shrinks scripts."""
 
 import os
 import sys
 from collections import Counter
 from collections.abc import Callable
+from itertools import zip_longest
 from multiprocessing import get_context
 from pathlib import Path
+from typing import NamedTuple
 
 from loguru import logger
 from rich.console import Console
 from rich.progress import track
 from rich.table import Table
 
-from gullhold.simulation import play, script
+from gullhold.simulation import script
+from gullhold.simulation.checker import Rule
+from gullhold.simulation.fault_injection import SUPPORTED_KINDS
+from gullhold.simulation.play import Result, faults_of_seed, play
+from gullhold.simulation.script import Fault
 from gullhold.simulation.world import WorldSize
 
+EXIT_OK = 0
+EXIT_VIOLATION = 1
+EXIT_UNUSABLE = 2
 
-def _one(seed: int) -> tuple[int, play.Result, list[script.Fault]]:
-    logger.remove()  # what gateways log of their faults is no news here
-    return seed, play.play(seed), play.faults_of(seed, WorldSize())
 
+class Run(NamedTuple):
+    """A simulation that was run: its seed, its script and its result."""
 
-def _span(text: str) -> range:
-    first, found, last = text.partition(":")
-    return range(int(first), int(last)) if found else range(int(first), int(first) + 1)
-
-
-def _failing(rule: str, seed: int) -> Callable[[list[script.Fault]], bool]:
-    """Whether a script still breaks this rule."""
-    return lambda faults: any(broken[1] == rule for broken in play.play(seed, faults).broken)
+    seed: int
+    faults: list[Fault]
+    result: Result
 
 
 def run(seeds: str, jobs: int | None, replay: str | None, shrink: str | None) -> int:
-    """The exit status: 0 no rule broken, 1 one was, 2 what was asked for can't be played."""
+    """Run the command; returns the exit status.
+
+    seeds: N or FIRST:END; jobs: processes at once, 0 or None: as there are cores; replay: path of a script to
+    run in place of those of the seeds; shrink: path to which the first failing script is written, reduced.
+    Status 0: no violation, 1: a violation, 2: the arguments can't be used.
+    """
     try:
-        seeds = _span(seeds)
-        faults = script.faults_of(Path(replay).read_text("utf-8")) if replay else None
-        if not seeds:
+        seed_range = _parse_seeds(seeds)
+        faults = script.parse_script(Path(replay).read_text("utf-8")) if replay else None
+        if not seed_range:
             raise ValueError("no seed")
-    except (OSError, ValueError, script.ScriptError) as fault:
-        print(f"gullhold: {replay or seeds}: {fault}", file=sys.stderr)
-        return 2
+    except (OSError, ValueError, script.ScriptError) as error:
+        print(f"gullhold: {replay or seeds}: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE
     console = Console()
-    if replay:
-        logger.remove()
-        found = [(seeds[0], play.play(seeds[0], faults), faults)]
+    if faults is not None:
+        runs = [_run_script(seed_range[0], faults)]
     else:
-        with get_context("spawn").Pool(jobs or os.cpu_count()) as pool:
-            found = list(track(pool.imap(_one, seeds), "playing", len(seeds), console=console))
-    _table(console, found)
-    broken = [(seed, result.broken, faults) for seed, result, faults in found if result.broken]
-    for seed, rules, _ in broken:
-        at, rule, text = rules[0]
-        again = f"gullhold rehearse --seeds {seed}" + (f" --replay {replay}" if replay else "")
-        print(f"seed {seed}: {rule} at {at} us: {text} ({len(rules)} in all); again: {again}")
-    if broken and shrink:
-        seed, rules, faults = broken[0]
-        fewer = script.shrunk(faults, _failing(rules[0][1], seed))
-        Path(shrink).write_text(f"# seed {seed}: {rules[0][1]}\n" + script.text_of(fewer), "utf-8")
-        print(
-            f"{len(fewer)} of {len(faults)} faults left in {shrink}; again: "
-            f"gullhold rehearse --seeds {seed} --replay {shrink}"
-        )
-    return 1 if broken else 0
-
-
-def _table(console: Console, found: list[tuple[int, play.Result, list[script.Fault]]]) -> None:
-    kinds = Counter()
+        runs = _run_seeds(console, seed_range, jobs)
+    _print_coverage(console, runs)
+    failing = [each for each in runs if each.result.broken]
+    for each in failing:
+        _print_violation(each, replay)
+    if failing and shrink:
+        _write_shrunk(failing[0], shrink)
+    return EXIT_VIOLATION if failing else EXIT_OK
+
+
+def fails_by(rule: Rule, seed: int) -> Callable[[list[Fault]], bool]:
+    """A function that tells whether a script breaks this rule in the world of this seed."""
+    return lambda faults: any(violation.rule == rule for violation in play(seed, faults).broken)
+
+
+def _parse_seeds(text: str) -> range:
+    first, has_end, end = text.partition(":")
+    return range(int(first), int(end) if has_end else int(first) + 1)
+
+
+def _run_seeds(console: Console, seeds: range, jobs: int | None) -> list[Run]:
+    with get_context("spawn").Pool(jobs or os.cpu_count()) as pool:
+        return list(track(pool.imap(_run_seed, seeds), "playing", len(seeds), console=console))
+
+
+def _run_seed(seed: int) -> Run:
+    return _run_script(seed, faults_of_seed(seed, WorldSize()))
+
+
+def _run_script(seed: int, faults: list[Fault]) -> Run:
+    logger.remove()  # gateways log each fault
+    return Run(seed, faults, play(seed, faults))
+
+
+def _print_violation(failing: Run, replay: str | None) -> None:
+    violations = failing.result.broken
+    first = violations[0]
+    command = f"gullhold rehearse --seeds {failing.seed}" + (f" --replay {replay}" if replay else "")
+    print(
+        f"seed {failing.seed}: {first.rule} at {first.at_us} us: {first.text} "
+        f"({len(violations)} in all); again: {command}"
+    )
+
+
+def _write_shrunk(failing: Run, path: str) -> None:
+    """Reduce a script to what its first violation needs, and write it."""
+    rule = failing.result.broken[0].rule
+    reduced = script.shrink(failing.faults, fails_by(rule, failing.seed))
+    Path(path).write_text(f"# seed {failing.seed}: {rule}\n" + script.format_script(reduced), "utf-8")
+    print(
+        f"{len(reduced)} of {len(failing.faults)} faults left in {path}; again: "
+        f"gullhold rehearse --seeds {failing.seed} --replay {path}"
+    )
+
+
+def _print_coverage(console: Console, runs: list[Run]) -> None:
+    """Print how many scripts had each kind of fault, and how often each event was observed."""
+    kind_counts: Counter[str] = Counter()
+    event_counts: Counter[str] = Counter()
     pairs = set()
-    counts = Counter()
-    for _, result, faults in found:
-        kinds.update({fault.kind for fault in faults})
-        pairs |= script.pairs(faults)
-        counts.update(result.counts)
-    most = len(play.PLAYED) * (len(play.PLAYED) - 1) // 2
-    table = Table(title=f"{len(found)} scripts, {len(pairs)} of {most} pairs of faults met together")
+    for each in runs:
+        kind_counts.update({fault.kind for fault in each.faults})
+        event_counts.update(each.result.counts)
+        pairs |= script.kind_pairs(each.faults)
+    pair_total = len(SUPPORTED_KINDS) * (len(SUPPORTED_KINDS) - 1) // 2
+    table = Table(title=f"{len(runs)} scripts, {len(pairs)} of {pair_total} pairs of faults met together")
     for column in ("fault", "scripts", "what passed", "times"):
         table.add_column(column)
-    rows = [(kind, str(kinds[kind])) for kind in sorted(play.PLAYED)]
-    seen = [(name, str(number)) for name, number in sorted(counts.items())]
-    for at in range(max(len(rows), len(seen))):
-        table.add_row(*(rows[at : at + 1] or [("", "")])[0], *(seen[at : at + 1] or [("", "")])[0])
+    kinds = [(str(kind), str(kind_counts[kind])) for kind in sorted(SUPPORTED_KINDS)]
+    events = [(name, str(count)) for name, count in sorted(event_counts.items())]
+    for kind_cells, event_cells in zip_longest(kinds, events, fillvalue=("", "")):
+        table.add_row(*kind_cells, *event_cells)
     console.print(table)
--- a/gullhold/simulation/world.py
+++ b/gullhold/simulation/world.py
@@ -12,7 +12,7 @@
 from gullhold.net.list_change import parse_event
 from gullhold.simulation.checker import Checker
 from gullhold.simulation.client import SimulatedClient
-from gullhold.simulation.clock import Clock, first_asked_for
+from gullhold.simulation.clock import Clock, first_scheduled
 from gullhold.simulation.discovery import Discovery
 from gullhold.simulation.endpoints import Endpoint, connect
 from gullhold.simulation.engine import SimulatedEngine
@@ -44,7 +44,7 @@
     The order in which its parts draw from `random` is part of what a seed stands for.
     """
 
-    def __init__(self, seed: int, size: WorldSize, choose: Callable[[int], int] = first_asked_for) -> None:
+    def __init__(self, seed: int, size: WorldSize, choose: Callable[[int], int] = first_scheduled) -> None:
         """choose: as for Clock."""
         self.size = size
         self.clock = Clock(choose=choose)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -11,9 +11,9 @@
 
 from gullhold.__main__ import main
 from gullhold.simulation import mutants, play, script, show
-from gullhold.simulation.clock import Clock, StuckError
+from gullhold.simulation.clock import Clock, LivelockError
 from gullhold.simulation.discovery import EnginePhase
-from gullhold.simulation.script import Fault, ScriptError
+from gullhold.simulation.script import Fault, FaultTarget, ScriptError
 from gullhold.simulation.streams import DuplexStream, StreamConditions, StreamEnd
 from gullhold.simulation.world import World, WorldSize
 from gullhold.testing.running import ROOT
@@ -43,7 +43,7 @@
     clock.run(15)
     assert seen == ["a", "b"]
     assert clock.now == 15
-    assert clock.due() == 20
+    assert clock.next_due_at() == 20
     clock.at(3, seen.append, "late")  # not before now
     clock.run(100)
     assert seen == ["a", "b", "late", "c"]
@@ -73,14 +73,13 @@
 
 
 def test_what_goes_round_without_time_passing_is_said_to_be_stuck():
-    clock = Clock()
-    clock.MOST_AT_ONCE = 50
+    clock = Clock(max_events_at_one_instant=50)
 
     def again():
         clock.after(0, again)
 
     clock.after(0, again)
-    with pytest.raises(StuckError):
+    with pytest.raises(LivelockError):
         clock.run(1)
 
 
@@ -163,17 +162,28 @@
     assert near.how == StreamEnd.CLOSED
 
 
-PLACES = {"wire": 6, "engine": 4, "gateway": 3, "client": 2, "coordinator": 1}
+TARGET_COUNTS = {
+    FaultTarget.CONNECTION: 6,
+    FaultTarget.ENGINE: 4,
+    FaultTarget.GATEWAY: 3,
+    FaultTarget.CLIENT: 2,
+    FaultTarget.DISCOVERY: 1,
+}
 
 
 def test_a_script_is_the_same_for_one_seed_and_is_printed_and_read():
-    one = script.drawn(7, 12, 10**7, PLACES)
-    assert one == script.drawn(7, 12, 10**7, PLACES) != script.drawn(8, 12, 10**7, PLACES)
-    assert script.faults_of("# by hand\n\n" + script.text_of(one)) == one
-    assert all(fault.place < PLACES[script.KINDS[fault.kind][0]] for fault in one)
-    met = {fault.kind for seed in range(60) for fault in script.drawn(seed, 12, 10**7, PLACES)}
-    assert met == set(script.KINDS)
-    assert all(script.KINDS[fault.kind][0] == "engine" for fault in script.drawn(1, 20, 100, {"engine": 2}))
+    one = script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
+    assert (
+        one
+        == script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
+        != script.draw_faults(8, 12, 10**7, TARGET_COUNTS)
+    )
+    assert script.parse_script("# by hand\n\n" + script.format_script(one)) == one
+    assert all(fault.place < TARGET_COUNTS[script.FAULT_RANGES[fault.kind].target] for fault in one)
+    met = {fault.kind for seed in range(60) for fault in script.draw_faults(seed, 12, 10**7, TARGET_COUNTS)}
+    assert met == set(script.FAULT_RANGES)
+    for_engines = script.draw_faults(1, 20, 100, {FaultTarget.ENGINE: 2})
+    assert all(script.FAULT_RANGES[fault.kind].target == FaultTarget.ENGINE for fault in for_engines)
 
 
 @pytest.mark.parametrize(
@@ -188,11 +198,11 @@
 )
 def test_a_script_that_can_not_be_played_is_one_line_with_its_number(line, why):
     with pytest.raises(ScriptError, match=why):
-        script.faults_of(line)
+        script.parse_script(line)
 
 
 def test_a_failing_script_is_cut_down_to_what_makes_it_fail():
-    faults = script.drawn(3, 40, 10**7, PLACES)
+    faults = script.draw_faults(3, 40, 10**7, TARGET_COUNTS)
     needed = {faults[5], faults[31]}
     tries = []
 
@@ -200,10 +210,12 @@
         tries.append(1)
         return needed <= set(some)
 
-    assert set(script.shrunk(faults, fails)) == needed
+    assert set(script.shrink(faults, fails)) == needed
     assert len(tries) < 160
-    assert script.shrunk([Fault(1, "reset", 0, 0)], lambda some: True) == []
-    assert len(script.pairs([Fault(1, "reset", 0, 0), Fault(2, "kill", 0, 0), Fault(3, "kill", 1, 0)])) == 1
+    assert script.shrink([Fault(1, "reset", 0, 0)], lambda some: True) == []
+    assert (
+        len(script.kind_pairs([Fault(1, "reset", 0, 0), Fault(2, "kill", 0, 0), Fault(3, "kill", 1, 0)])) == 1
+    )
 
 
 # Gateways on virtual time
@@ -242,11 +254,11 @@
 def test_a_failing_script_is_cut_down_kept_and_played_again(tmp_path, capsys):
     path = tmp_path / "small"
     with mutants.applied("a drain that is heard and not obeyed"):
-        faults = play.faults_of(1, WorldSize())
-        fewer = script.shrunk(faults, show._failing("drain", 1))
+        faults = play.faults_of_seed(1, WorldSize())
+        fewer = script.shrink(faults, show.fails_by("drain", 1))
         assert 0 < len(fewer) < len(faults)
         assert "drain" in {fault.kind for fault in fewer}
-        path.write_text(script.text_of(fewer))
+        path.write_text(script.format_script(fewer))
         assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 1
         assert f"again: gullhold rehearse --seeds 1 --replay {path}" in capsys.readouterr().out
     assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 0
