--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -1,4 +1,8 @@
-"""Deliberate faults of the product, each to be found by the checker; one that is not is a gap of either."""
+"""Mutants: deliberate faults of the product, by which the checker and the scripts are tested.
+
+Each breaks a rule that the checker should report. A mutant replaces an attribute by its name, so a renaming
+in the product has to be made here too.
+"""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -17,31 +21,34 @@
 from gullhold.net.event_loop import EventLoop
 from gullhold.net.pending_requests import PendingRequest, PendingRequests
 from gullhold.net.write_buffer import WriteBuffer
+from gullhold.simulation.checker import Rule
+
+LOST_TIMER_INTERVAL = 5
 
 Method = Callable[..., Any]
 
 
 class Mutant(NamedTuple):
-    """One fault: the rule that it breaks, and what is put in place of which attribute of what."""
+    """One deliberate fault: the rule that it breaks, and the attribute that is replaced."""
 
-    rule: str
+    rule: Rule
     owner: object  # a class or a module
     attribute: str
-    replacement: Callable[[Method], Method]  # made from the original
+    replacement: Callable[[Method], Method]  # makes it from the original
 
 
-def _heard_not_obeyed(engines: Method) -> Method:
+def _ignore_draining(engines: Method) -> Method:
     def call(self: Gateway, now: int, entries: list[EngineEntry], full: bool) -> list[Result]:
-        obeyed = [
-            row._replace(state=EngineState.READY) if row.state == EngineState.DRAINING else row
-            for row in entries
+        entries_as_ready = [
+            entry._replace(state=EngineState.READY) if entry.state == EngineState.DRAINING else entry
+            for entry in entries
         ]
-        return engines(self, now, obeyed, full)
+        return engines(self, now, entries_as_ready, full)
 
     return call
 
 
-def _not_awaited(_stop: Method) -> Method:
+def _skip_cancel_confirmation(_stop: Method) -> Method:
     def call(self: Attempts, attempt: Attempt, outcome: Outcome) -> None:
         connection, txn = attempt.connection, attempt.request.request.txn
         is_open = connection and connection.open.get(txn) is attempt
@@ -54,18 +61,18 @@
     return call
 
 
-def _twice(answer: Method) -> Method:
+def _send_answer_twice(answer: Method) -> Method:
     def call(self: PendingRequests, pending: PendingRequest, message: bytes) -> None:
         answer(self, pending, message + message)
 
     return call
 
 
-def _any_number(_may_retry: Method) -> Method:
+def _retry_up_to_cap(_may_retry: Method) -> Method:
     return lambda self, command, _now: command.attempts < self.agreement.max_attempts
 
 
-def _window_longer(may_retry: Method) -> Method:
+def _double_window(may_retry: Method) -> Method:
     def call(self: RetryPolicy, command: Command, now: int) -> bool:
         profile = command.profile
         command.profile = profile._replace(dedup_window_us=2 * profile.dedup_window_us)
@@ -77,23 +84,23 @@
     return call
 
 
-def _unheard(_client_ended: Method) -> Method:
+def _ignore_client_end(_client_ended: Method) -> Method:
     def call(self: PendingRequests, *_end: object) -> None:
         self.counters.add("unheard")
 
     return call
 
 
-def _lost(call_later: Method) -> Method:
-    def call(self: EventLoop, due_at_us: int, made: Method, *args: object) -> None:
-        self.lost_count = getattr(self, "lost_count", 0) + 1
-        if self.lost_count % 5 or made == self.health.sweep:
-            call_later(self, due_at_us, made, *args)
+def _lose_every_fifth(call_later: Method) -> Method:
+    def call(self: EventLoop, due_at_us: int, callback: Method, *args: object) -> None:
+        self.scheduled_count = getattr(self, "scheduled_count", 0) + 1
+        if self.scheduled_count % LOST_TIMER_INTERVAL or callback == self.health.sweep:
+            call_later(self, due_at_us, callback, *args)
 
     return call
 
 
-def _first_page_only(add_page: Method) -> Method:
+def _stop_after_first_page(add_page: Method) -> Method:
     def call(self: EngineReplies, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
         attempt.page_count = 1
         add_page(self, connection, attempt, rows)
@@ -101,36 +108,36 @@
     return call
 
 
-def _not_forgotten(_forget: Method) -> Method:
+def _keep_transaction_id(_forget: Method) -> Method:
     def call(self: PendingRequests, pending: PendingRequest) -> None:
         self.by_number.pop(pending.number, None)
 
     return call
 
 
-def _nothing_ran(_outcome: Method) -> Method:
+def _report_connect_failed(_outcome: Method) -> Method:
     return lambda _is_written: Outcome.CONNECT_FAILED
 
 
-def _not_looked_again(_connection_up: Method) -> Method:
+def _skip_recheck(_connection_up: Method) -> Method:
     def call(_self: EnginePool, connection: EngineConnection) -> None:
         connection.write_buffer.attach(connection.connection)
 
     return call
 
 
-def _not_taken_back(_withdraw: Method) -> Method:
+def _keep_withdrawn(_withdraw: Method) -> Method:
     def call(self: WriteBuffer, data: bytes) -> bool:
         return any(message.data is data for message in self.pending)
 
     return call
 
 
-def _mixed(answer: Method) -> Method:
+def _use_previous_sequence_number(answer: Method) -> Method:
     return lambda method, seq, body=b"", good=True: answer(method, max(1, seq - 1), body, good)
 
 
-def _copy_kept(received_array: Method) -> Method:
+def _append_duplicate(received_array: Method) -> Method:
     def call(self: EngineReplies, connection: EngineConnection, words: list[bytes]) -> None:
         attempt = connection.open.get(words[0])
         if words[1] == engine_protocol.ANSWER and attempt and attempt.pages:
@@ -142,30 +149,38 @@
 
 
 MUTANTS: dict[str, Mutant] = {
-    "a drain that is heard and not obeyed": Mutant("drain", Gateway, "update_engines", _heard_not_obeyed),
-    "an abort not awaited": Mutant("two at once", Attempts, "stop", _not_awaited),
-    "every answer twice": Mutant("one answer", PendingRequests, "answer", _twice),
-    "sends of any kind up to the cap": Mutant("must not run twice", RetryPolicy, "may_retry", _any_number),
-    "the dedup window twice as long": Mutant("outside its window", RetryPolicy, "may_retry", _window_longer),
-    "clients that leave are not heard": Mutant("client gone", PendingRequests, "client_ended", _unheard),
-    "every fifth timer lost": Mutant("in time", EventLoop, "call_later", _lost),
-    "the first page for the whole": Mutant("intact", EngineReplies, "_add_page", _first_page_only),
-    "what is over is not forgotten": Mutant("census", PendingRequests, "forget", _not_forgotten),
-    "a broken link proves that nothing ran": Mutant(
-        "must not run twice", connection_ends, "outcome", _nothing_ran
+    "draining ignored": Mutant(Rule.DRAIN, Gateway, "update_engines", _ignore_draining),
+    "cancel not confirmed": Mutant(Rule.OPEN_ONCE, Attempts, "stop", _skip_cancel_confirmation),
+    "answers sent twice": Mutant(Rule.ONE_ANSWER, PendingRequests, "answer", _send_answer_twice),
+    "retries regardless of idempotency": Mutant(Rule.RUNS_ONCE, RetryPolicy, "may_retry", _retry_up_to_cap),
+    "deduplication window doubled": Mutant(
+        Rule.DEDUPLICATION_WINDOW, RetryPolicy, "may_retry", _double_window
+    ),
+    "client disconnects ignored": Mutant(
+        Rule.CLIENT_LEFT, PendingRequests, "client_ended", _ignore_client_end
+    ),
+    "every fifth timer lost": Mutant(Rule.IN_TIME, EventLoop, "call_later", _lose_every_fifth),
+    "first page taken for the complete result": Mutant(
+        Rule.INTACT, EngineReplies, "_add_page", _stop_after_first_page
+    ),
+    "finished requests kept": Mutant(Rule.CENSUS, PendingRequests, "forget", _keep_transaction_id),
+    "broken connection taken for a failed connect": Mutant(
+        Rule.RUNS_ONCE, connection_ends, "outcome", _report_connect_failed
+    ),
+    "queued attempts not rechecked on connect": Mutant(
+        Rule.CLIENT_LEFT, EnginePool, "connection_up", _skip_recheck
     ),
-    "a late link is not looked at again": Mutant(
-        "client gone", EnginePool, "connection_up", _not_looked_again
+    "withdrawn attempts sent": Mutant(Rule.OPEN_ONCE, WriteBuffer, "withdraw", _keep_withdrawn),
+    "answers with another sequence number": Mutant(
+        Rule.ONE_ANSWER, thrift, "encode_answer", _use_previous_sequence_number
     ),
-    "what is taken back goes out": Mutant("two at once", WriteBuffer, "withdraw", _not_taken_back),
-    "answers to another's number": Mutant("one answer", thrift, "encode_answer", _mixed),
-    "a second copy kept": Mutant("intact", EngineReplies, "_received_array", _copy_kept),
+    "duplicate answers appended": Mutant(Rule.INTACT, EngineReplies, "_received_array", _append_duplicate),
 }
 
 
 @contextmanager
 def applied(name: str) -> Iterator[None]:
-    """The product with this fault."""
+    """Apply a mutant of MUTANTS while the context lasts."""
     mutant = MUTANTS[name]
     original = getattr(mutant.owner, mutant.attribute)
     with mock.patch.object(mutant.owner, mutant.attribute, mutant.replacement(original)):
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -18,22 +18,22 @@
 from gullhold.simulation.world import World, WorldSize
 from gullhold.testing.running import ROOT
 
-# Deliberate faults that are found soon, and the seed; others are hunted by hand (docs/notes/rehearsal.md).
-QUICK = {
-    "every answer twice": 0,
-    "a drain that is heard and not obeyed": 1,
+# Mutants that one seed finds, and that seed; the others take many (docs/notes/rehearsal.md).
+MUTANT_SEEDS = {
+    "answers sent twice": 0,
+    "draining ignored": 1,
     "every fifth timer lost": 1,
-    "the first page for the whole": 0,
-    "clients that leave are not heard": 13,
-    "what is taken back goes out": 4,
-    "what is over is not forgotten": 0,
-    "a broken link proves that nothing ran": 1,
-    "answers to another's number": 0,
-    "a second copy kept": 6,
+    "first page taken for the complete result": 0,
+    "client disconnects ignored": 13,
+    "withdrawn attempts sent": 4,
+    "finished requests kept": 0,
+    "broken connection taken for a failed connect": 1,
+    "answers with another sequence number": 0,
+    "duplicate answers appended": 6,
 }
 
 
-def test_events_come_in_order_of_time_and_then_as_they_were_asked_for():
+def test_events_run_by_time_and_then_in_order_of_scheduling():
     clock, seen = Clock(), []
     clock.at(20, seen.append, "c")
     clock.at(10, seen.append, "a")
@@ -51,7 +51,7 @@
     assert not clock.step()
 
 
-def test_a_search_chooses_among_what_is_due_at_one_instant():
+def test_the_order_of_events_at_one_instant_can_be_chosen():
     orders = set()
     for choice in range(6):
         clock, seen = Clock(choose=lambda count, choice=choice: choice % count), []
@@ -62,7 +62,7 @@
     assert len(orders) == 6
 
 
-def test_the_wall_clock_jumps_and_spans_of_time_do_not():
+def test_a_jump_of_the_wall_clock_does_not_move_scheduled_events():
     clock, seen = Clock(), []
     clock.after(100, lambda: seen.append(clock.now))
     before = clock.wall_us()
@@ -72,7 +72,7 @@
     assert seen == [100]
 
 
-def test_what_goes_round_without_time_passing_is_said_to_be_stuck():
+def test_too_many_events_at_one_instant_raise_a_livelock_error():
     clock = Clock(max_events_at_one_instant=50)
 
     def again():
@@ -113,7 +113,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.binary(max_size=40), max_size=12), st.integers(0, 5), st.integers(0, 900))
-def test_bytes_arrive_whole_and_in_order_whatever_the_pieces_and_the_jitter(parts, piece, jitter):
+def test_bytes_arrive_complete_and_in_order_at_any_segment_size_and_jitter(parts, piece, jitter):
     clock, _, far, both = duplex_stream(max_segment_bytes=piece, jitter_us=jitter, window_bytes=10_000)
     for part in parts:
         both.there.write(part)
@@ -124,7 +124,7 @@
     assert far.how == StreamEnd.CLOSED
 
 
-def test_a_full_window_holds_a_writer_back_until_something_has_arrived():
+def test_a_full_window_blocks_the_writer_until_bytes_have_arrived():
     clock, near, far, both = duplex_stream(window_bytes=10, max_segment_bytes=4)
     assert both.there.write(b"x" * 25) == 10
     assert both.there.write(b"y") == 0
@@ -134,7 +134,7 @@
     assert both.there.write(b"z" * 3) == 3
 
 
-def test_a_reset_loses_what_is_under_way_at_its_end_and_tells_both():
+def test_a_reset_drops_bytes_under_way_and_notifies_both_sides():
     clock, near, far, both = duplex_stream(delay_us=500)
     both.there.write(b"first")
     clock.run(600)
@@ -148,7 +148,7 @@
         both.there.write(b"more")
 
 
-def test_a_machine_that_vanished_says_nothing_and_what_it_was_sent_arrives_when_it_is_back():
+def test_a_silent_connection_delivers_nothing_until_it_is_healed():
     clock, near, far, both = duplex_stream()
     both.silence()
     both.there.write(b"is anybody there")
@@ -171,7 +171,7 @@
 }
 
 
-def test_a_script_is_the_same_for_one_seed_and_is_printed_and_read():
+def test_a_seed_draws_one_script_that_survives_formatting_and_parsing():
     one = script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
     assert (
         one
@@ -196,12 +196,12 @@
         ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "from 0 on"),
     ],
 )
-def test_a_script_that_can_not_be_played_is_one_line_with_its_number(line, why):
+def test_an_invalid_script_gives_an_error_with_its_line_number(line, why):
     with pytest.raises(ScriptError, match=why):
         script.parse_script(line)
 
 
-def test_a_failing_script_is_cut_down_to_what_makes_it_fail():
+def test_a_failing_script_is_shrunk_to_the_faults_it_needs():
     faults = script.draw_faults(3, 40, 10**7, TARGET_COUNTS)
     needed = {faults[5], faults[31]}
     tries = []
@@ -221,7 +221,7 @@
 # Gateways on virtual time
 
 
-def test_seeds_are_played_and_no_rule_breaks():
+def test_simulated_seeds_break_no_rule():
     for seed in range(6):
         result = play.play(seed)
         assert not result.broken, (seed, result.broken)
@@ -229,7 +229,7 @@
         assert result.counts["fetched"] > 200
 
 
-def test_a_seed_plays_alike_in_another_process_under_another_hash_seed():
+def test_a_seed_gives_the_same_trace_under_another_hash_seed():
     code = "from gullhold.simulation import play; print(play.play(3).trace)"
     told = {
         subprocess.run(
@@ -245,15 +245,17 @@
     assert told == {play.play(3).trace + "\n"}
 
 
-@pytest.mark.parametrize("name", sorted(QUICK))
-def test_a_deliberate_fault_is_found(name):
+@pytest.mark.parametrize("name", sorted(MUTANT_SEEDS))
+def test_a_mutant_is_found(name):
     with mutants.applied(name):  # without it these seeds break nothing, as tested above
-        assert mutants.MUTANTS[name][0] in {rule for _, rule, _ in play.play(QUICK[name]).broken}
+        assert mutants.MUTANTS[name].rule in {
+            violation.rule for violation in play.play(MUTANT_SEEDS[name]).broken
+        }
 
 
-def test_a_failing_script_is_cut_down_kept_and_played_again(tmp_path, capsys):
+def test_a_failing_script_is_shrunk_written_and_replayed(tmp_path, capsys):
     path = tmp_path / "small"
-    with mutants.applied("a drain that is heard and not obeyed"):
+    with mutants.applied("draining ignored"):
         faults = play.faults_of_seed(1, WorldSize())
         fewer = script.shrink(faults, show.fails_by("drain", 1))
         assert 0 < len(fewer) < len(faults)
@@ -264,7 +266,7 @@
     assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 0
 
 
-def test_what_is_told_of_the_list_keeps_its_order_however_late_it_is():
+def test_watch_events_keep_their_order_at_any_delay():
     world = World(1, WorldSize(clients_per_gateway=0))
     world.discovery.extra_delay_us = 3_000_000
     world.discovery.change_phase(world.engines[0], EnginePhase.DRAINING)
@@ -276,7 +278,7 @@
     assert all(gateway.event_stream.last_index == 3 for gateway in world.gateways.values())
 
 
-def test_what_can_not_be_played_is_one_line(tmp_path, capsys):
+def test_unusable_arguments_give_one_line(tmp_path, capsys):
     (tmp_path / "bad").write_text("not a fault\n")
     for words in (
         ["--replay", str(tmp_path / "bad")],
