--- a/gullhold/simulation/fault_injection.py
+++ b/gullhold/simulation/fault_injection.py
@@ -3,15 +3,15 @@
 from typing import TYPE_CHECKING
 
 from gullhold.simulation.discovery import EnginePhase
+from gullhold.simulation.engine import SimulatedEngine
 from gullhold.simulation.network import ONE_WAY_DELAY_US, EnginePath
-from gullhold.simulation.peers import Engine
-from gullhold.simulation.script import KINDS, Fault, FaultKind, Target
+from gullhold.simulation.script import FAULT_RANGES, Fault, FaultKind, FaultTarget
 
 if TYPE_CHECKING:
     from gullhold.simulation.world import World
 
-FAULT_US = 1_200_000  # that a slow or cut wire lasts, where the fault's size is not its length
-NOT_PLAYED = frozenset(
+FAULT_US = 1_200_000  # duration of a fault whose size is not a duration
+UNSUPPORTED_KINDS = frozenset(
     (
         FaultKind.WINDOW,
         FaultKind.DISCOVERY_MOVED,
@@ -20,31 +20,31 @@
         FaultKind.RETRY_BURST,
     )
 )
-PLAYED = frozenset(KINDS) - NOT_PLAYED
+SUPPORTED_KINDS = frozenset(FAULT_RANGES) - UNSUPPORTED_KINDS
 
 
 class FaultInjector:
-    """Makes faults happen in one world."""
+    """Injects faults into one world."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
 
     def inject(self, fault: Fault) -> None:
-        """One fault of a script, now; kinds that are not played change nothing."""
+        """Inject a fault now; kinds in UNSUPPORTED_KINDS change nothing."""
         engine = self.world.engines[fault.place % len(self.world.engines)]
-        match KINDS[fault.kind].target:
-            case Target.WIRE:
+        match FAULT_RANGES[fault.kind].target:
+            case FaultTarget.CONNECTION:
                 self._disturb_path(fault, self.world.network.paths[engine.address])
-            case Target.ENGINE:
+            case FaultTarget.ENGINE:
                 self._disturb_engine(fault, engine)
-            case Target.COORDINATOR if fault.kind == FaultKind.LATE_LIST:
+            case FaultTarget.DISCOVERY if fault.kind == FaultKind.LATE_LIST:
                 self.world.discovery.extra_delay_us = fault.size
                 self.world.clock.after(FAULT_US, setattr, self.world.discovery, "extra_delay_us", 0)
-            case Target.GATEWAY if fault.kind == FaultKind.KILL:
+            case FaultTarget.GATEWAY if fault.kind == FaultKind.KILL:
                 self._kill(f"n{fault.place % self.world.size.gateways}")
-            case Target.CLIENT if fault.kind == FaultKind.CLIENT_LEAVES:
+            case FaultTarget.CLIENT if fault.kind == FaultKind.CLIENT_LEAVES:
                 client = self.world.clients[fault.place % len(self.world.clients)]
-                client.leave(again=True)
+                client.leave(reconnect=True)
 
     def _disturb_path(self, fault: Fault, path: EnginePath) -> None:
         directions = (path.to_engine, path.from_engine)
@@ -54,17 +54,17 @@
                     direction.delay_us = ONE_WAY_DELAY_US + fault.size
                 self.world.clock.after(FAULT_US, path.heal)
             case FaultKind.PIECE:
-                path.from_engine.piece = fault.size
+                path.from_engine.max_segment_bytes = fault.size
                 self.world.clock.after(FAULT_US, path.heal)
             case FaultKind.SILENCE:
                 for direction in directions:
-                    direction.silent = True
+                    direction.is_silent = True
                 self.world.clock.after(fault.size, path.heal)
             case FaultKind.RESET:
                 for connection in path.connections:
                     connection.reset()
 
-    def _disturb_engine(self, fault: Fault, engine: Engine) -> None:
+    def _disturb_engine(self, fault: Fault, engine: SimulatedEngine) -> None:
         later = self.world.clock.after
         match fault.kind:
             case FaultKind.SLOW_CONNECT:
@@ -91,10 +91,10 @@
     def _kill(self, name: str) -> None:
         """Kill a gateway; another process takes its place, with clients of its own."""
         gateway = self.world.gateways[name]
-        self.world.checker.killed(gateway)
+        self.world.checker.gateway_killed(gateway)
         for client in self.world.clients:
-            if client.member is gateway:
-                client.gone = True
+            if client.gateway is gateway:
+                client.has_left = True
         gateway.kill()
         self.world.start_gateway(name)
         self.world.start_clients(name)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Virtual time, byte streams and scripts: what rehearsals will stand on."""
+"""Deterministic simulation: virtual time, byte streams, scripts of faults, gateways and deliberate faults."""
 
 import os
 import subprocess
@@ -11,30 +11,29 @@
 
 from gullhold.__main__ import main
 from gullhold.simulation import mutants, play, script, show
-from gullhold.simulation.clock import Clock, StuckError
+from gullhold.simulation.clock import Clock, LivelockError
 from gullhold.simulation.discovery import EnginePhase
-from gullhold.simulation.script import Fault, ScriptError
+from gullhold.simulation.script import Fault, FaultTarget, ScriptError
 from gullhold.simulation.streams import DuplexStream, StreamConditions, StreamEnd
 from gullhold.simulation.world import World, WorldSize
 from gullhold.testing.running import ROOT
 
-# Deliberate faults that are found soon, and the seed; others are hunted by hand
-# (docs/notes/deterministic-simulation.md).
-QUICK = {
-    "every answer twice": 0,
-    "a drain that is heard and not obeyed": 1,
+# Mutants that one seed finds, and that seed; the others take many (docs/notes/deterministic-simulation.md).
+MUTANT_SEEDS = {
+    "answers sent twice": 0,
+    "draining ignored": 1,
     "every fifth timer lost": 1,
-    "the first page for the whole": 0,
-    "clients that leave are not heard": 13,
-    "what is taken back goes out": 4,
-    "what is over is not forgotten": 0,
-    "a broken link proves that nothing ran": 1,
-    "answers to another's number": 0,
-    "a second copy kept": 6,
+    "first page taken for the complete result": 0,
+    "client disconnects ignored": 13,
+    "withdrawn attempts sent": 4,
+    "finished requests kept": 0,
+    "broken connection taken for a failed connect": 1,
+    "answers with another sequence number": 0,
+    "duplicate answers appended": 6,
 }
 
 
-def test_events_come_in_order_of_time_and_then_as_they_were_asked_for():
+def test_events_run_by_time_and_then_in_order_of_scheduling():
     clock, seen = Clock(), []
     clock.at(20, seen.append, "c")
     clock.at(10, seen.append, "a")
@@ -44,7 +43,7 @@
     clock.run(15)
     assert seen == ["a", "b"]
     assert clock.now == 15
-    assert clock.due() == 20
+    assert clock.next_due_at() == 20
     clock.at(3, seen.append, "late")  # not before now
     clock.run(100)
     assert seen == ["a", "b", "late", "c"]
@@ -52,7 +51,7 @@
     assert not clock.step()
 
 
-def test_a_search_chooses_among_what_is_due_at_one_instant():
+def test_the_order_of_events_at_one_instant_can_be_chosen():
     orders = set()
     for choice in range(6):
         clock, seen = Clock(choose=lambda count, choice=choice: choice % count), []
@@ -63,7 +62,7 @@
     assert len(orders) == 6
 
 
-def test_the_wall_clock_jumps_and_spans_of_time_do_not():
+def test_a_jump_of_the_wall_clock_does_not_move_scheduled_events():
     clock, seen = Clock(), []
     clock.after(100, lambda: seen.append(clock.now))
     before = clock.wall_us()
@@ -73,48 +72,49 @@
     assert seen == [100]
 
 
-def test_what_goes_round_without_time_passing_is_said_to_be_stuck():
-    clock = Clock()
-    clock.MOST_AT_ONCE = 50
+def test_too_many_events_at_one_instant_raise_a_livelock_error():
+    clock = Clock(max_events_at_one_instant=50)
 
     def again():
         clock.after(0, again)
 
     clock.after(0, again)
-    with pytest.raises(StuckError):
+    with pytest.raises(LivelockError):
         clock.run(1)
 
 
-class End:
-    """One end of a wire, which keeps what it hears."""
+class RecordingPeer:
+    """One side of a stream, which records what arrives."""
 
     def __init__(self):
-        self.data, self.how, self.rooms = b"", None, 0
+        self.data, self.how, self.resumed = b"", None, 0
 
-    def came(self, data):
+    def data_arrived(self, data):
         self.data += data
 
-    def ended(self, how):
+    def end_arrived(self, how):
         self.how = how
 
-    def room(self):
-        self.rooms += 1
+    def resume_writing(self):
+        self.resumed += 1
 
 
-def wire(seed=1, **way):
-    clock, near, far = Clock(), End(), End()
+def duplex_stream(seed=1, **conditions):
+    clock, near, far = Clock(), RecordingPeer(), RecordingPeer()
     return (
         clock,
         near,
         far,
-        DuplexStream(clock, Random(seed).random, near, far, StreamConditions(**way), StreamConditions()),
+        DuplexStream(
+            clock, Random(seed).random, near, far, StreamConditions(**conditions), StreamConditions()
+        ),
     )
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.binary(max_size=40), max_size=12), st.integers(0, 5), st.integers(0, 900))
-def test_bytes_arrive_whole_and_in_order_whatever_the_pieces_and_the_jitter(parts, piece, jitter):
-    clock, _, far, both = wire(piece=piece, jitter_us=jitter, window=10_000)
+def test_bytes_arrive_complete_and_in_order_at_any_segment_size_and_jitter(parts, piece, jitter):
+    clock, _, far, both = duplex_stream(max_segment_bytes=piece, jitter_us=jitter, window_bytes=10_000)
     for part in parts:
         both.there.write(part)
         clock.run(clock.now + 70)
@@ -124,18 +124,18 @@
     assert far.how == StreamEnd.CLOSED
 
 
-def test_a_full_window_holds_a_writer_back_until_something_has_arrived():
-    clock, near, far, both = wire(window=10, piece=4)
+def test_a_full_window_blocks_the_writer_until_bytes_have_arrived():
+    clock, near, far, both = duplex_stream(window_bytes=10, max_segment_bytes=4)
     assert both.there.write(b"x" * 25) == 10
     assert both.there.write(b"y") == 0
     clock.run(1000)
     assert far.data == b"x" * 10
-    assert near.rooms == 1
+    assert near.resumed == 1
     assert both.there.write(b"z" * 3) == 3
 
 
-def test_a_reset_loses_what_is_under_way_at_its_end_and_tells_both():
-    clock, near, far, both = wire(delay_us=500)
+def test_a_reset_drops_bytes_under_way_and_notifies_both_sides():
+    clock, near, far, both = duplex_stream(delay_us=500)
     both.there.write(b"first")
     clock.run(600)
     both.back.write(b"answer")
@@ -148,8 +148,8 @@
         both.there.write(b"more")
 
 
-def test_a_machine_that_vanished_says_nothing_and_what_it_was_sent_arrives_when_it_is_back():
-    clock, near, far, both = wire()
+def test_a_silent_connection_delivers_nothing_until_it_is_healed():
+    clock, near, far, both = duplex_stream()
     both.silence()
     both.there.write(b"is anybody there")
     both.back.finish()
@@ -162,17 +162,28 @@
     assert near.how == StreamEnd.CLOSED
 
 
-PLACES = {"wire": 6, "engine": 4, "gateway": 3, "client": 2, "coordinator": 1}
+TARGET_COUNTS = {
+    FaultTarget.CONNECTION: 6,
+    FaultTarget.ENGINE: 4,
+    FaultTarget.GATEWAY: 3,
+    FaultTarget.CLIENT: 2,
+    FaultTarget.DISCOVERY: 1,
+}
 
 
-def test_a_script_is_the_same_for_one_seed_and_is_printed_and_read():
-    one = script.drawn(7, 12, 10**7, PLACES)
-    assert one == script.drawn(7, 12, 10**7, PLACES) != script.drawn(8, 12, 10**7, PLACES)
-    assert script.faults_of("# by hand\n\n" + script.text_of(one)) == one
-    assert all(fault.place < PLACES[script.KINDS[fault.kind][0]] for fault in one)
-    met = {fault.kind for seed in range(60) for fault in script.drawn(seed, 12, 10**7, PLACES)}
-    assert met == set(script.KINDS)
-    assert all(script.KINDS[fault.kind][0] == "engine" for fault in script.drawn(1, 20, 100, {"engine": 2}))
+def test_a_seed_draws_one_script_that_survives_formatting_and_parsing():
+    one = script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
+    assert (
+        one
+        == script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
+        != script.draw_faults(8, 12, 10**7, TARGET_COUNTS)
+    )
+    assert script.parse_script("# by hand\n\n" + script.format_script(one)) == one
+    assert all(fault.place < TARGET_COUNTS[script.FAULT_RANGES[fault.kind].target] for fault in one)
+    met = {fault.kind for seed in range(60) for fault in script.draw_faults(seed, 12, 10**7, TARGET_COUNTS)}
+    assert met == set(script.FAULT_RANGES)
+    for_engines = script.draw_faults(1, 20, 100, {FaultTarget.ENGINE: 2})
+    assert all(script.FAULT_RANGES[fault.kind].target == FaultTarget.ENGINE for fault in for_engines)
 
 
 @pytest.mark.parametrize(
@@ -185,13 +196,13 @@
         ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "from 0 on"),
     ],
 )
-def test_a_script_that_can_not_be_played_is_one_line_with_its_number(line, why):
+def test_an_invalid_script_gives_an_error_with_its_line_number(line, why):
     with pytest.raises(ScriptError, match=why):
-        script.faults_of(line)
+        script.parse_script(line)
 
 
-def test_a_failing_script_is_cut_down_to_what_makes_it_fail():
-    faults = script.drawn(3, 40, 10**7, PLACES)
+def test_a_failing_script_is_shrunk_to_the_faults_it_needs():
+    faults = script.draw_faults(3, 40, 10**7, TARGET_COUNTS)
     needed = {faults[5], faults[31]}
     tries = []
 
@@ -199,16 +210,18 @@
         tries.append(1)
         return needed <= set(some)
 
-    assert set(script.shrunk(faults, fails)) == needed
+    assert set(script.shrink(faults, fails)) == needed
     assert len(tries) < 160
-    assert script.shrunk([Fault(1, "reset", 0, 0)], lambda some: True) == []
-    assert len(script.pairs([Fault(1, "reset", 0, 0), Fault(2, "kill", 0, 0), Fault(3, "kill", 1, 0)])) == 1
+    assert script.shrink([Fault(1, "reset", 0, 0)], lambda some: True) == []
+    assert (
+        len(script.kind_pairs([Fault(1, "reset", 0, 0), Fault(2, "kill", 0, 0), Fault(3, "kill", 1, 0)])) == 1
+    )
 
 
 # Gateways on virtual time
 
 
-def test_seeds_are_played_and_no_rule_breaks():
+def test_simulated_seeds_break_no_rule():
     for seed in range(6):
         result = play.play(seed)
         assert not result.broken, (seed, result.broken)
@@ -216,7 +229,7 @@
         assert result.counts["fetched"] > 200
 
 
-def test_a_seed_plays_alike_in_another_process_under_another_hash_seed():
+def test_a_seed_gives_the_same_trace_under_another_hash_seed():
     code = "from gullhold.simulation import play; print(play.play(3).trace)"
     told = {
         subprocess.run(
@@ -232,38 +245,40 @@
     assert told == {play.play(3).trace + "\n"}
 
 
-@pytest.mark.parametrize("name", sorted(QUICK))
-def test_a_deliberate_fault_is_found(name):
+@pytest.mark.parametrize("name", sorted(MUTANT_SEEDS))
+def test_a_mutant_is_found(name):
     with mutants.applied(name):  # without it these seeds break nothing, as tested above
-        assert mutants.MUTANTS[name][0] in {rule for _, rule, _ in play.play(QUICK[name]).broken}
+        assert mutants.MUTANTS[name].rule in {
+            violation.rule for violation in play.play(MUTANT_SEEDS[name]).broken
+        }
 
 
-def test_a_failing_script_is_cut_down_kept_and_played_again(tmp_path, capsys):
+def test_a_failing_script_is_shrunk_written_and_replayed(tmp_path, capsys):
     path = tmp_path / "small"
-    with mutants.applied("a drain that is heard and not obeyed"):
-        faults = play.faults_of(1, WorldSize())
-        fewer = script.shrunk(faults, show._failing("drain", 1))
+    with mutants.applied("draining ignored"):
+        faults = play.faults_of_seed(1, WorldSize())
+        fewer = script.shrink(faults, show.fails_by("drain", 1))
         assert 0 < len(fewer) < len(faults)
         assert "drain" in {fault.kind for fault in fewer}
-        path.write_text(script.text_of(fewer))
+        path.write_text(script.format_script(fewer))
         assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 1
         assert f"again: gullhold rehearse --seeds 1 --replay {path}" in capsys.readouterr().out
     assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 0
 
 
-def test_what_is_told_of_the_list_keeps_its_order_however_late_it_is():
+def test_watch_events_keep_their_order_at_any_delay():
     world = World(1, WorldSize(clients_per_gateway=0))
     world.discovery.extra_delay_us = 3_000_000
     world.discovery.change_phase(world.engines[0], EnginePhase.DRAINING)
     world.discovery.extra_delay_us = 0
     world.discovery.change_phase(world.engines[1], EnginePhase.DRAINING)
     world.clock.run(2_900_000)
-    assert all(member.follow.last_index == 1 for member in world.gateways.values())
+    assert all(gateway.event_stream.last_index == 1 for gateway in world.gateways.values())
     world.clock.run(3_100_000)
-    assert all(member.follow.last_index == 3 for member in world.gateways.values())
+    assert all(gateway.event_stream.last_index == 3 for gateway in world.gateways.values())
 
 
-def test_what_can_not_be_played_is_one_line(tmp_path, capsys):
+def test_unusable_arguments_give_one_line(tmp_path, capsys):
     (tmp_path / "bad").write_text("not a fault\n")
     for words in (
         ["--replay", str(tmp_path / "bad")],
