--- a/benchmarks/budget_calls.py
+++ b/benchmarks/budget_calls.py
@@ -17,6 +17,9 @@
 TURN_US = 1_000_000
 TOTAL = 10_000  # of each budget
 KINDS = ("threads", "taken")  # a held and a windowed one
+LINGER_US = 1_000_000  # of the held one
+WINDOW_US = 1_000_000  # of the other
+FIRST_USAGE = Usage(0, 5, 8)  # of each budget of a member
 
 
 class CallCosts(NamedTuple):
@@ -27,16 +30,16 @@
     longest_ms: float
 
 
-class _Allocation:
-    """An allocator's role whose calls are answered here at once."""
+class AllocatorLoop:
+    """An allocator's role whose calls to the store are answered here at once; counts calls and bytes."""
 
     def __init__(self, usage: dict[str, dict[str, Usage]]) -> None:
         """usage: by member and budget, as reported first."""
         self.usage = usage
         self.role = AllocatorRole(
             {
-                "threads": Budget(LedgerKind.HELD, TOTAL, linger_us=1_000_000),
-                "taken": Budget(LedgerKind.WINDOWED, TOTAL, window_us=1_000_000),
+                "threads": Budget(LedgerKind.HELD, TOTAL, linger_us=LINGER_US),
+                "taken": Budget(LedgerKind.WINDOWED, TOTAL, window_us=WINDOW_US),
             }
         )
         self.now = 0
@@ -96,21 +99,21 @@
     for number in range(members):
         first = number * BUDGETS_PER_MEMBER
         own = [names[(first + index) % BUDGETS] for index in range(BUDGETS_PER_MEMBER)]
-        usage[f"m{number}/1"] = dict.fromkeys(own, Usage(0, 5, 8))
-    allocation = _Allocation(usage)
-    allocation.settle()
-    allocation.writes = 0
-    allocation.bytes = 0
+        usage[f"m{number}/1"] = dict.fromkeys(own, FIRST_USAGE)
+    loop = AllocatorLoop(usage)
+    loop.settle()
+    loop.writes = 0
+    loop.bytes = 0
     for turn in range(TURNS):
         for number, (member, rows) in enumerate(usage.items()):
             first = CHANGED_BUDGETS * turn
             for name in list(rows)[first : first + CHANGED_BUDGETS]:
                 rows[name] = Usage(0, 20 + turn + number % 3, 40 + turn)
-            allocation.report(member)
-        allocation.now += TURN_US
-        allocation.settle()
+            loop.report(member)
+        loop.now += TURN_US
+        loop.settle()
     return CallCosts(
-        round((allocation.reports + allocation.writes) / members / TURNS, 3),
-        round(allocation.bytes / members / TURNS),
-        round(allocation.longest_s * 1000, 1),
+        round((loop.reports + loop.writes) / members / TURNS, 3),
+        round(loop.bytes / members / TURNS),
+        round(loop.longest_s * 1000, 1),
     )
