--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in rollout_mutants.MUTANTS if name != "IgnoresEnrollment"])
-def test_the_walks_find_change_mutants(name):  # the one left out takes 610 walks: benchmarks.change
+def test_the_walks_find_change_mutants(name):  # the one left out takes 610 walks: benchmarks.policy_rollout
     finding = rollout_mutants.find(name, 250, 500)
     assert finding is not None, finding
     assert finding.kind is FindingKind.VIOLATION, finding
