--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -25,3 +25,21 @@
     loaded = [line for line in start.stderr.splitlines() if "code object from" in line and "gullhold" in line]
     assert len(loaded) > 15
     assert not [line for line in loaded if line.strip("'").endswith(".py")]
+
+
+def test_the_deploy_file_names_all_modules_that_decide_and_serve():
+    """Guards against a module that was renamed or added and is not listed for the operators' bench."""
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    listed = [*deploy["policy"], *deploy["node"]]
+    assert [path for path in listed if not (ROOT / path).exists()] == []
+    modules = {path.relative_to(ROOT).as_posix() for path in (ROOT / "gullhold/decisions").glob("*.py")}
+    assert modules - set(deploy["policy"]) == {"gullhold/decisions/__init__.py"}  # it has a docstring alone
+    words = [sys.executable, "-c", "import sys; from gullhold.net import service; print(*sys.modules)"]
+    loaded = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=True).stdout.split()
+    paths = {name.replace(".", "/") for name in loaded if name.startswith("gullhold.")}
+    parents = {path.rpartition("/")[0] for path in paths}
+    files = {f"{path}.py" for path in paths - parents}
+    uncovered = {
+        file for file in files if not any(file == entry or file.startswith(entry + "/") for entry in listed)
+    }
+    assert uncovered == set()
