--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -90,12 +90,15 @@
         self.data, self.how, self.resumed = b"", None, 0
 
     def data_arrived(self, data):
+        """Keep the bytes."""
         self.data += data
 
     def end_arrived(self, how):
+        """Keep how the stream ended."""
         self.how = how
 
     def resume_writing(self):
+        """Count the calls."""
         self.resumed += 1
 
 
@@ -212,7 +215,7 @@
 
     assert set(script.shrink(faults, fails)) == needed
     assert len(tries) < 160
-    assert script.shrink([Fault(1, "reset", 0, 0)], lambda some: True) == []
+    assert script.shrink([Fault(1, "reset", 0, 0)], lambda _: True) == []
     assert (
         len(script.kind_pairs([Fault(1, "reset", 0, 0), Fault(2, "kill", 0, 0), Fault(3, "kill", 1, 0)])) == 1
     )
