--- a/benchmarks/admission_queue_decisions.py
+++ b/benchmarks/admission_queue_decisions.py
@@ -31,8 +31,8 @@
 
 PROFILE = Profile(
     threads=1,
-    target_us=500_000,
-    target_stretch=2.0,
+    objective_us=500_000,
+    objective_stretch=2.0,
     timeout_us=TIMEOUT_US,
     benefit=1.0,
     late_benefit=0.3,
--- a/gullhold/admission/wait_estimate.py
+++ b/gullhold/admission/wait_estimate.py
@@ -31,8 +31,8 @@
     if not wait_us:
         return 0
     flow = command.flow
-    target_us = profile.target_us + profile.target_stretch * command.work_us / profile.threads
-    allowed_us = min(settings.patience * target_us, command.expires_us - now_us)
+    objective_us = profile.objective_us + profile.objective_stretch * command.work_us / profile.threads
+    allowed_us = min(settings.patience * objective_us, command.expires_us - now_us)
     wait_per_command_us = wait_us * command.work_us / (flow.backlog_us(command.profile) + command.work_us)
     retries_us = flow.retries.count_within(now_us, allowed_us) * wait_per_command_us
     reserved_us = settings.retry_after.reserved_share * allowed_us
--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -149,8 +149,8 @@
     return tuple(
         Profile(
             threads=max(1, int(float(threads[index]))) if index < len(threads) else 1,
-            target_us=item.microseconds("aim"),
-            target_stretch=item.number("aim_stretch"),
+            objective_us=item.microseconds("aim"),
+            objective_stretch=item.number("aim_stretch"),
             timeout_us=item.microseconds("give_up"),
             benefit=item.number("value"),
             late_benefit=item.number("late_worth"),
--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -68,7 +68,7 @@
         "order",
         "work",
         "admitted_at",
-        "target_at",
+        "objective_at",
         "is_short",
         "last_start_at",
         "worthwhile_until",
@@ -98,7 +98,7 @@
         order: int,  # of arrival
         work: float,  # estimate, core-us
         admitted_at: int,  # 0: it does not widen the retry budget
-        target_at: int,  # end of its latency objective
+        objective_at: int,  # end of its latency objective
         is_short: bool,
         last_start_at: int,  # no attempt is started later
         worthwhile_until: int,  # an answer after it has no benefit
@@ -115,7 +115,7 @@
         self.order = order
         self.work = work
         self.admitted_at = admitted_at
-        self.target_at = target_at
+        self.objective_at = objective_at
         self.is_short = is_short
         self.last_start_at = last_start_at
         self.worthwhile_until = worthwhile_until
--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -5,7 +5,7 @@
 from gullhold.decisions.retry_policy import MARGIN_US
 from gullhold.interface import Agreement
 
-MAX_SHORT_TARGETS = 2.5  # longest objective of a short command, in times the shortest of any profile
+MAX_SHORT_OBJECTIVES = 2.5  # longest objective of a short command, in times the shortest of any profile
 
 
 class CommandIntake:
@@ -15,8 +15,8 @@
         self._profiles = agreement.profiles
         self._has_tenants = bool(agreement.tenants)
         self._estimates = estimates
-        shortest_target_us = min([profile.target_us for profile in agreement.profiles], default=0)
-        self._max_short_us = MAX_SHORT_TARGETS * shortest_target_us
+        shortest_objective_us = min([profile.objective_us for profile in agreement.profiles], default=0)
+        self._max_short_us = MAX_SHORT_OBJECTIVES * shortest_objective_us
         self.submitted = 0  # commands so far
 
     def new_command(
@@ -38,8 +38,8 @@
             tenant = profile_index
         self.submitted += 1
         work = self._estimates.command_work(profile_index, stated_work)
-        allowed_us = profile.target_us + profile.target_stretch * work / profile.threads
-        target_at = int(now + allowed_us)
+        allowed_us = profile.objective_us + profile.objective_stretch * work / profile.threads
+        objective_at = int(now + allowed_us)
         last_start_at = timeout_at - MARGIN_US
         return Command(
             id=command_id,
@@ -52,9 +52,9 @@
             order=self.submitted,
             work=work,
             admitted_at=now,
-            target_at=target_at,
+            objective_at=objective_at,
             is_short=allowed_us <= self._max_short_us,
             last_start_at=last_start_at,
-            worthwhile_until=last_start_at if profile.late_benefit else target_at,
+            worthwhile_until=last_start_at if profile.late_benefit else objective_at,
             threads=profile.threads,
         )
--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -64,11 +64,11 @@
         """Queue a command, and schedule the reviews for when it runs out of time."""
         now = self._call.now
         run_us = self._estimates.run_us(command)
-        is_late = now > command.target_at - run_us
+        is_late = now > command.objective_at - run_us
         profile = command.profile
         if command.may_have_run and command.is_keyed:  # it must not wait past its deduplication window
             self._reviews.add(command.deduplication_until - MARGIN_US, command)
-        latest_start_at = int((command.last_start_at if is_late else command.target_at) - run_us)
+        latest_start_at = int((command.last_start_at if is_late else command.objective_at) - run_us)
         self._reviews.add(max(now, latest_start_at) + 1, command)
         self._queue.push(command, profile.benefit * (profile.late_benefit if is_late else 1.0))
 
--- a/gullhold/decisions/estimators.py
+++ b/gullhold/decisions/estimators.py
@@ -74,7 +74,7 @@
             work = min(stated_work * estimate.work_bias, MAX_WORK_TIMEOUTS * profile.timeout_us)
         else:
             work = estimate.usual_work
-        work = work or INITIAL_RUN_SHARE * profile.target_us * profile.threads
+        work = work or INITIAL_RUN_SHARE * profile.objective_us * profile.threads
         if estimate.usual_work:
             estimate.usual_work += STEP * (work - estimate.usual_work)
         else:
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -204,8 +204,8 @@
     """How the commands of one profile behave, and what was promised for them."""
 
     threads: int
-    target_us: int  # latency objective ...
-    target_stretch: float  # ... and how it grows with work divided by threads
+    objective_us: int  # latency objective ...
+    objective_stretch: float  # ... and how it grows with work divided by threads
     timeout_us: int  # client timeout over all of the client's attempts
     benefit: float
     late_benefit: float  # share of the benefit that an answer after the objective still earns
--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -10,7 +10,7 @@
     "tenants": make_agreement(
         profile(),
         profile(idempotency=Idempotency.NON_IDEMPOTENT, threads=3),
-        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE, target_us=2000 * MS),
+        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE, objective_us=2000 * MS),
         tenants=(Tenant(0.7), Tenant(0.3)),
     ),
     "ordered keys": make_agreement(
@@ -36,7 +36,7 @@
     ),
     "no cancels": make_agreement(
         profile(late_benefit=0.0),
-        profile(threads=3, benefit=6.0, target_us=1500 * MS),
+        profile(threads=3, benefit=6.0, objective_us=1500 * MS),
         max_attempts=6,
         supports_cancel=False,
         honors_grants=False,
--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -31,7 +31,7 @@
     """One of four gateways, with one engine of four cores that reports its load with answers."""
     world = Driver(
         make_agreement(
-            profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
+            profile(objective_us=60_000 * MS, timeout_us=90_000 * MS),
             gateways=4,
             report_fields=("inflight", "util"),
             **other,
@@ -62,7 +62,7 @@
         order=number,
         work=100 * MS,
         admitted_at=START,
-        target_at=START + kind.target_us,
+        objective_at=START + kind.objective_us,
         is_short=True,
         last_start_at=START + kind.timeout_us,
         worthwhile_until=START + kind.timeout_us,
--- a/tests/decisions/test_attempt_review.py
+++ b/tests/decisions/test_attempt_review.py
@@ -30,7 +30,7 @@
 
 
 def test_status_reports_reveal_a_bad_plan_long_before_its_age_does():
-    world = Driver(make_agreement(profile(timeout_us=20_000 * MS, target_us=9000 * MS)))
+    world = Driver(make_agreement(profile(timeout_us=20_000 * MS, objective_us=9000 * MS)))
     world.update_engines(*FOUR_READY_ENGINES)
     ident = world.submit(work=1000 * MS)
     world.wait(500 * MS)
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -51,7 +51,7 @@
 def test_the_share_of_a_gateway_stays_near_its_part_of_the_traffic_however_long_commands_wait():
     """It once grew fourfold while a few waited: all engines were filled past their knee, and jammed."""
     agreement = make_agreement(
-        profile(target_us=9000 * MS, timeout_us=20_000 * MS), gateways=3, tenants=(Tenant(1.0, 30.0),)
+        profile(objective_us=9000 * MS, timeout_us=20_000 * MS), gateways=3, tenants=(Tenant(1.0, 30.0),)
     )
     world = Driver(agreement)
     world.update_engines(*FOUR_READY_ENGINES)
@@ -70,7 +70,7 @@
 def test_timeouts_lower_the_long_share_of_the_limit_until_answers_restore_it():
     agreement = make_agreement(
         profile(),
-        profile(threads=3, target_us=20_000 * MS, timeout_us=4000 * MS),
+        profile(threads=3, objective_us=20_000 * MS, timeout_us=4000 * MS),
         supports_cancel=False,
         cores_by_kind=(40.0,),
     )
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -12,7 +12,7 @@
     """How many commands of each of two tenants leave while so many are answered, one after another."""
     world = Driver(
         make_agreement(
-            profile(target_us=60_000 * MS, timeout_us=90_000 * MS),
+            profile(objective_us=60_000 * MS, timeout_us=90_000 * MS),
             tenants=tuple(Tenant(share) for share in shares),
         )
     )
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -73,7 +73,7 @@
 
 
 def test_a_stalled_engine_gets_no_new_attempts_where_attempts_cannot_be_cancelled():
-    agreement = make_agreement(profile(target_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
+    agreement = make_agreement(profile(objective_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
     world = Driver(agreement)  # which also checks: no cancel, never two sends out at once
     world.update_engines(
         (1, 0, 0, EngineState.READY, 0, 0),
@@ -98,7 +98,9 @@
 
 
 def test_no_engine_is_ejected_where_most_engines_are_stalled():
-    world = Driver(make_agreement(profile(target_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False))
+    world = Driver(
+        make_agreement(profile(objective_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
+    )
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
     answer_commands(world, 20, 0.5)
     for _ in range(2):
@@ -113,7 +115,7 @@
 def test_a_timeout_counts_against_its_engine_where_the_work_runs_on(supports_cancel):
     world = Driver(
         make_agreement(
-            profile(target_us=60_000 * MS, timeout_us=90_000 * MS), supports_cancel=supports_cancel
+            profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), supports_cancel=supports_cancel
         )
     )
     world.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2, 3)))
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("full", [1, 2])
 def test_among_engines_with_equal_attempts_the_one_that_reports_less_load_is_chosen(full):
     world = Driver(
-        make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
+        make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
     )
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
     for ident in [world.submit(), world.submit()]:  # one on each: both tell
@@ -64,7 +64,7 @@
 
 def test_low_load_reported_by_a_slow_engine_is_not_capacity():
     world = Driver(
-        make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
+        make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
     )
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
     for _ in range(10):  # one on each: the first crawls, and tells of idle cores
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -108,7 +108,7 @@
 
 def test_loads_avoid_the_engines_that_read_their_data_set():
     agreement = make_agreement(
-        profile(waits_for_loads=True), profile(loads_dataset=True, target_us=9000 * MS)
+        profile(waits_for_loads=True), profile(loads_dataset=True, objective_us=9000 * MS)
     )
     world = Driver(agreement)
     world.update_engines(*FORTY_READY_ENGINES)
@@ -124,7 +124,7 @@
     went = []
     for latency in (WORK, 4 * WORK):
         world = Driver(
-            make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), cross_zone_costs=True)
+            make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), cross_zone_costs=True)
         )
         world.update_engines(*((ident, ident % 2, 0, EngineState.READY, 0, 0) for ident in range(2, 8)))
         answer_commands(world, 5, 0.5)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -24,7 +24,7 @@
 
 
 def test_a_heavy_command_may_be_sent_to_a_warming_engine():
-    world = Driver(make_agreement(profile(timeout_us=60_000 * MS, target_us=60_000 * MS), gateways=3))
+    world = Driver(make_agreement(profile(timeout_us=60_000 * MS, objective_us=60_000 * MS), gateways=3))
     world.update_engines((1, 0, 0, EngineState.READY, 0, START))
     ident = world.submit(work=2500 * MS)
     assert not world.running_ids()
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("managers", [3, 300])
 def test_all_gateways_together_stay_inside_the_warmup_budget(managers):
-    agreement = make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
+    agreement = make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
     stands = (
         agreement.overload_multiple
         * agreement.warmup_initial_share
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("managers", [3, 30, 200])
 def test_gateways_that_restart_repeatedly_stay_inside_the_warmup_budget(managers):
     """Each start had forgotten what the one before had sent: four in a window sent three times the budget."""
-    agreement = make_agreement(profile(target_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
+    agreement = make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
     sent = 0
     for seed in range(managers):
         for start in range(4):
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -11,7 +11,7 @@
     """(world, how many went out in 40 s): two engines of four cores on which nothing ends in time."""
     world = Driver(
         make_agreement(
-            profile(threads=threads, target_us=3000 * MS, timeout_us=4000 * MS),
+            profile(threads=threads, objective_us=3000 * MS, timeout_us=4000 * MS),
             supports_cancel=supports_cancel,
             max_attempts=1,
         )
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -34,8 +34,8 @@
     """A profile of short idempotent commands, with what the test names changed."""
     plain = {
         "threads": 1,
-        "target_us": 500 * MS,
-        "target_stretch": 2.0,
+        "objective_us": 500 * MS,
+        "objective_stretch": 2.0,
         "timeout_us": 4000 * MS,
         "benefit": 1.0,
         "late_benefit": 0.3,
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -259,8 +259,8 @@
     """Long commands on few engines, slower and slower: pressure, samples, fits, health and cold starts."""
     recorder = Recorder(TAGS)
     agreement = make_agreement(
-        profile(threads=2, target_us=3000 * MS, timeout_us=9000 * MS),
-        profile(threads=1, target_us=200 * MS),
+        profile(threads=2, objective_us=3000 * MS, timeout_us=9000 * MS),
+        profile(threads=1, objective_us=200 * MS),
         report_fields=("util",),
         gateways=2,
         tenants=(Tenant(0.6, 40.0), Tenant(0.4, 30.0)),
