--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -153,7 +153,7 @@
             objective_stretch=item.number("aim_stretch"),
             timeout_us=item.microseconds("give_up"),
             benefit=item.number("value"),
-            late_benefit=item.number("late_worth"),
+            late_benefit_share=item.number("late_worth"),
             idempotency=IDEMPOTENCY_BY_SETTING.get(item.text("idempotency"), Idempotency.NON_IDEMPOTENT),
             dedup_scope=SCOPE_BY_SETTING.get(item.text("dedup_scope"), DeduplicationScope.CELL),
             dedup_window_us=item.microseconds("window"),
--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -55,6 +55,6 @@
             objective_at=objective_at,
             is_short=allowed_us <= self._max_short_us,
             last_start_at=last_start_at,
-            worthwhile_until=last_start_at if profile.late_benefit else objective_at,
+            worthwhile_until=last_start_at if profile.late_benefit_share else objective_at,
             threads=profile.threads,
         )
--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -70,7 +70,7 @@
             self._reviews.add(command.deduplication_until - MARGIN_US, command)
         latest_start_at = int((command.last_start_at if is_late else command.objective_at) - run_us)
         self._reviews.add(max(now, latest_start_at) + 1, command)
-        self._queue.push(command, profile.benefit * (profile.late_benefit if is_late else 1.0))
+        self._queue.push(command, profile.benefit * (profile.late_benefit_share if is_late else 1.0))
 
     def finish(self, command: Command, state: CommandState = CommandState.ENDED) -> None:
         """Give the final answer: Shed where a retry does no harm, else Fail."""
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -208,7 +208,7 @@
     objective_stretch: float  # ... and how it grows with work divided by threads
     timeout_us: int  # client timeout over all of the client's attempts
     benefit: float
-    late_benefit: float  # share of the benefit that an answer after the objective still earns
+    late_benefit_share: float  # share of the benefit that an answer after the objective still earns
     idempotency: Idempotency
     dedup_scope: DeduplicationScope
     dedup_window_us: int
--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -15,7 +15,7 @@
     ),
     "ordered keys": make_agreement(
         profile(idempotency=Idempotency.KEYED, ordered=True),
-        profile(ordered=True, late_benefit=0.0),
+        profile(ordered=True, late_benefit_share=0.0),
         profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.CELL),
         retry_budget_base=2.0,
         retry_budget_share=0.2,
@@ -35,7 +35,7 @@
         max_attempts=6,
     ),
     "no cancels": make_agreement(
-        profile(late_benefit=0.0),
+        profile(late_benefit_share=0.0),
         profile(threads=3, benefit=6.0, objective_us=1500 * MS),
         max_attempts=6,
         supports_cancel=False,
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -30,7 +30,9 @@
 
 
 def test_one_of_hundreds_of_gateways_uses_its_share_of_the_fleet():
-    world = Driver(make_agreement(profile(threads=3, late_benefit=0.0), gateways=300, tenants=BUSY_TENANT))
+    world = Driver(
+        make_agreement(profile(threads=3, late_benefit_share=0.0), gateways=300, tenants=BUSY_TENANT)
+    )
     world.update_engines(*FORTY_READY_ENGINES)
     for _ in range(60):
         world.submit()
--- a/tests/decisions/test_review_schedule.py
+++ b/tests/decisions/test_review_schedule.py
@@ -9,7 +9,9 @@
 
 
 def test_without_any_engine_no_command_is_queued_past_its_deadline():
-    world = Driver(make_agreement(profile(late_benefit=0.0), profile(idempotency=Idempotency.NON_IDEMPOTENT)))
+    world = Driver(
+        make_agreement(profile(late_benefit_share=0.0), profile(idempotency=Idempotency.NON_IDEMPOTENT))
+    )
     never, late = world.submit(0), world.submit(1)
     world.wait(4100 * MS)
     assert world.commands[never].final == world.commands[late].final == Shed
@@ -26,7 +28,7 @@
 
 
 def test_a_gateway_that_was_paused_checks_deadlines_before_it_dispatches():
-    world = Driver(make_agreement(profile(late_benefit=0.0), supports_cancel=False))
+    world = Driver(make_agreement(profile(late_benefit_share=0.0), supports_cancel=False))
     world.update_engines((1, 0, 1, EngineState.READY, 0, 0))  # two cores
     asked = [world.submit() for _ in range(12)]
     went = set(world.running_ids())
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -38,7 +38,7 @@
         "objective_stretch": 2.0,
         "timeout_us": 4000 * MS,
         "benefit": 1.0,
-        "late_benefit": 0.3,
+        "late_benefit_share": 0.3,
         "idempotency": Idempotency.IDEMPOTENT,
         "dedup_scope": DeduplicationScope.FLEET,
         "dedup_window_us": 1500 * MS,
