--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -9,7 +9,7 @@
 from gullhold.decisions.decision_call import DecisionCall
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.fair_queue import QueueEntry
-from gullhold.interface import Agreement, CancelAttempt, Dispatch, Result, SetTerms, StartTimer
+from gullhold.interface import Agreement, CancelAttempt, Dispatch, Result, SetGrantAndPriority, StartTimer
 
 
 class Dispatcher:
@@ -89,7 +89,9 @@
         self._acquire_claims(command, engine)
         if self._sends_terms:
             grant_mb = self._grants.grant_mb(command, engine)
-            self._call.results.append(SetTerms(command.id, grant_mb, self._policy.priority(command)))
+            self._call.results.append(
+                SetGrantAndPriority(command.id, grant_mb, self._policy.priority(command))
+            )
         if self._slow_start.is_warming(engine, now):
             self._slow_start.record_dispatch(engine, command.work, now)
         run_us = self._estimates.run_us(command)
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -91,7 +91,7 @@
     deadline_us: int
 
 
-class SetTerms(NamedTuple):
+class SetGrantAndPriority(NamedTuple):
     """Result: memory granted to later attempts of a command, and its priority, also of an open attempt."""
 
     command: int
@@ -149,7 +149,7 @@
     demands: tuple[Demand, ...]
 
 
-Result = Dispatch | SetTerms | CancelAttempt | Shed | Fail | StartTimer | LogLine | ReportDemand
+Result = Dispatch | SetGrantAndPriority | CancelAttempt | Shed | Fail | StartTimer | LogLine | ReportDemand
 
 
 class EngineEntry(NamedTuple):
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -13,7 +13,7 @@
     Outcome,
     ReportDemand,
     Result,
-    SetTerms,
+    SetGrantAndPriority,
     Shed,
     StartTimer,
 )
@@ -55,7 +55,7 @@
                 core.attempts.start(result)
             case StartTimer():
                 self._start_timer(result)
-            case SetTerms():
+            case SetGrantAndPriority():
                 self._set_terms(result)
             case CancelAttempt():
                 self._cancel_attempt(result)
@@ -74,7 +74,7 @@
         core = self.core
         core.call_later(core.now + timer.delay_us, self.call, None, core.gateway.timer_fired, timer.token)
 
-    def _set_terms(self, terms: SetTerms) -> None:
+    def _set_terms(self, terms: SetGrantAndPriority) -> None:
         pending = self.core.requests.by_number.get(terms.command)
         if pending is None:
             return
--- a/gullhold/simulator_adapter/actions.py
+++ b/gullhold/simulator_adapter/actions.py
@@ -9,7 +9,7 @@
     Fail,
     LogLine,
     Result,
-    SetTerms,
+    SetGrantAndPriority,
     Shed,
     StartTimer,
 )
@@ -32,7 +32,7 @@
         case Dispatch(command, engine, deadline_us):
             deadline_s = deadline_us / US_PER_SECOND
             return _record(wire.TRY, ActionCode.TRY, instance, command, deadline_s, engine)
-        case SetTerms(command, grant_mb, priority):
+        case SetGrantAndPriority(command, grant_mb, priority):
             return _record(wire.PROVIDE, ActionCode.PROVIDE, instance, command, grant_mb, priority)
         case CancelAttempt(command, attempt):
             return _record(wire.RETRACT, ActionCode.RETRACT, instance, command, attempt)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -5,7 +5,7 @@
 import pytest
 from driver import MS, Driver, make_agreement, profile
 
-from gullhold.interface import EngineState, Idempotency, Outcome, SetTerms, Shed, Tenant
+from gullhold.interface import EngineState, Idempotency, Outcome, SetGrantAndPriority, Shed, Tenant
 from gullhold.rollout.policy import (
     BudgetLimits,
     Deployment,
@@ -132,7 +132,7 @@
 
     adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
     first = world.submit()
-    assert SetTerms(first, 20, 2) in world.results_of(SetTerms)
+    assert SetGrantAndPriority(first, 20, 2) in world.results_of(SetGrantAndPriority)
     gate.open = False
     second = world.submit()
     world.wait(100 * MS)
@@ -140,7 +140,7 @@
     gate.open = True
     adopt("policy: grants: read: 30")
     assert world.commands[second].open_attempt
-    assert SetTerms(second, 30, 3) in world.results_of(SetTerms)
+    assert SetGrantAndPriority(second, 30, 3) in world.results_of(SetGrantAndPriority)
     adopt("policy: sends: read: 1")
     world.end_attempt(first, Outcome.RESET)  # one send is all there is
     assert world.commands[first].final == Shed
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -24,7 +24,7 @@
     LogLine,
     Outcome,
     ReportDemand,
-    SetTerms,
+    SetGrantAndPriority,
     Shed,
     StartTimer,
     Tenant,
@@ -48,7 +48,7 @@
 # Result types that stand for the number that a result once began with.
 TAGS = {
     Dispatch: 0,
-    SetTerms: 1,
+    SetGrantAndPriority: 1,
     CancelAttempt: 2,
     Shed: 3,
     Fail: 4,
