--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -14,7 +14,7 @@
     "side_effect": Idempotency.NON_IDEMPOTENT,
 }
 SCOPE_BY_SETTING = {
-    "all": DeduplicationScope.FLEET,
+    "all": DeduplicationScope.ALL_ENGINES,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -52,8 +52,8 @@
         """Whether a retry by the client does no harm."""
         if command.is_idempotent or not command.may_have_run:
             return True
-        has_fleet_scope = command.profile.dedup_scope == DeduplicationScope.FLEET
-        return command.is_keyed and has_fleet_scope and now < command.deduplication_until
+        is_dropped_everywhere = command.profile.dedup_scope == DeduplicationScope.ALL_ENGINES
+        return command.is_keyed and is_dropped_everywhere and now < command.deduplication_until
 
     def record_attempt(self, command: Command, now: int) -> None:
         """Record that an attempt is dispatched; command.attempts does not count it yet."""
--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -65,7 +65,7 @@
         idempotency=profile.idempotency,
         timeout_us=profile.timeout_us,
         dedup_window_us=profile.dedup_window_us,
-        is_deduplicated_everywhere=profile.dedup_scope == DeduplicationScope.FLEET,
+        is_deduplicated_everywhere=profile.dedup_scope == DeduplicationScope.ALL_ENGINES,
     )
     return ScheduledCommand(rules, scheduled_profile, calendar, member)
 
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -28,7 +28,7 @@
 class DeduplicationScope(IntEnum):
     """Which engines drop a repeat of a keyed command: all, those of one zone, those of one cell."""
 
-    FLEET = 0
+    ALL_ENGINES = 0
     ZONE = 1
     CELL = 2
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -40,7 +40,7 @@
         "benefit": 1.0,
         "late_benefit_share": 0.3,
         "idempotency": Idempotency.IDEMPOTENT,
-        "dedup_scope": DeduplicationScope.FLEET,
+        "dedup_scope": DeduplicationScope.ALL_ENGINES,
         "dedup_window_us": 1500 * MS,
         "ordered": False,
         "zones": None,
@@ -302,7 +302,7 @@
         idempotency = command.profile.idempotency
         if final == Shed and command.first_run and idempotency != Idempotency.IDEMPOTENT:
             assert idempotency == Idempotency.KEYED
-            assert command.profile.dedup_scope == DeduplicationScope.FLEET
+            assert command.profile.dedup_scope == DeduplicationScope.ALL_ENGINES
             assert self.now < command.first_run.sent_at + command.profile.dedup_window_us
 
     def check_dispatch(self, ident: int, command: SubmittedCommand, engine: int) -> None:
