--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -4,7 +4,7 @@
 
 from gullhold.interface import DeduplicationScope, Idempotency, Tenant
 
-ODD_FIGURES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
+ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
 
 AGREEMENTS = {
     "tenants": make_agreement(
--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -16,7 +16,7 @@
 BUSY_TENANT = (Tenant(1.0, 1000.0),)
 
 
-ODD_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
+ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
 
 
 def answer_commands(world: Driver, count: int, utilization: float, latency: int = WORK) -> None:
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -5,7 +5,7 @@
 from driver import MS, Driver, make_agreement, profile
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from scenarios import FOUR_READY_ENGINES, ODD_ESTIMATES
+from scenarios import FOUR_READY_ENGINES, ARBITRARY_ESTIMATES
 
 from gullhold.interface import EngineState, Fail, Outcome, Tenant
 
@@ -23,15 +23,15 @@
                 tenant=number % 3,
                 key=number % 4,
                 timeout_us=(200 + number % 3800) * MS,
-                need=ODD_ESTIMATES[number % 6],
-                estimate=ODD_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
+                need=ARBITRARY_ESTIMATES[number % 6],
+                estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
             )
         elif kind <= 7 and out:
             world.end_attempt(
                 out[number % len(out)],
                 number % 8,
                 cost=100 * MS,
-                report=(ODD_ESTIMATES[number % 6], number % 9 / 8)[: number % 3],
+                report=(ARBITRARY_ESTIMATES[number % 6], number % 9 / 8)[: number % 3],
             )
         elif kind == 8:
             born = world.now if number % 3 == 0 else 0
@@ -87,11 +87,11 @@
     assert len(world.running_ids()) == 1
 
 
-@pytest.mark.parametrize("told", ODD_ESTIMATES)
+@pytest.mark.parametrize("told", ARBITRARY_ESTIMATES)
 def test_an_unusable_estimate_loses_no_command(told):
     world = Driver(make_agreement(profile(), profile(threads=3)))
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
-    for need in ODD_ESTIMATES:
+    for need in ARBITRARY_ESTIMATES:
         ident = world.submit(estimate=told, need=need)
         if world.commands[ident].open_attempt:
             world.end_attempt(ident, Outcome.ANSWERED)
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 import pytest
-from agreements import AGREEMENTS, ODD_FIGURES
+from agreements import AGREEMENTS, ARBITRARY_ESTIMATES
 from driver import MS, Driver, make_agreement, profile
 from recording import Recorder
 
@@ -140,15 +140,15 @@
             key=number % 4,
             work=self.draw.choice((3, 20, 100, 400)) * MS,
             timeout_us=(200 + number % 3800) * MS,
-            need=ODD_FIGURES[number % 6],
-            estimate=ODD_FIGURES[number // 7 % 6] if number % 5 == 0 else None,
+            need=ARBITRARY_ESTIMATES[number % 6],
+            estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
         )
 
     def end(self) -> None:
         """An open attempt ends with a drawn outcome."""
         if out := self.world.running_ids():
             outcome = self.draw.choice((0, 0, 0, 0, 0, *range(8)))
-            report = (self.draw.choice(ODD_FIGURES), self.draw.random())[: self.draw.randrange(3)]
+            report = (self.draw.choice(ARBITRARY_ESTIMATES), self.draw.random())[: self.draw.randrange(3)]
             cost = self.draw.choice((2, 50, 100, 900)) * MS
             self.world.end_attempt(self.draw.choice(out), outcome, cost=cost, report=report)
 
