--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -5,7 +5,7 @@
 from driver import MS, Driver, make_agreement, profile
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from scenarios import FOUR_READY_ENGINES, ARBITRARY_ESTIMATES
+from scenarios import ARBITRARY_ESTIMATES, FOUR_READY_ENGINES
 
 from gullhold.interface import EngineState, Fail, Outcome, Tenant
 
