--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -17,7 +17,7 @@
         self._estimates = estimates
         shortest_objective_us = min([profile.objective_us for profile in agreement.profiles], default=0)
         self._max_short_us = MAX_SHORT_OBJECTIVES * shortest_objective_us
-        self.submitted = 0  # commands so far
+        self.submitted_count = 0  # commands so far
 
     def new_command(
         self,
@@ -36,7 +36,7 @@
         profile = self._profiles[profile_index]
         if not self._has_tenants:
             tenant = profile_index
-        self.submitted += 1
+        self.submitted_count += 1
         work = self._estimates.command_work(profile_index, stated_work)
         allowed_us = profile.objective_us + profile.objective_stretch * work / profile.threads
         objective_at = int(now + allowed_us)
@@ -49,7 +49,7 @@
             key=key,
             need_mb=need_mb if 0 < need_mb < float("inf") else 0.0,
             dataset=dataset,
-            order=self.submitted,
+            order=self.submitted_count,
             work=work,
             admitted_at=now,
             objective_at=objective_at,
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -60,9 +60,9 @@
         self._call.results = results
 
     @property
-    def submitted(self) -> int:
+    def submitted_count(self) -> int:
         """Number of commands submitted so far."""
-        return self._intake.submitted
+        return self._intake.submitted_count
 
     def census(self) -> Census:
         """Counts of the gateway's state, for tests and simulations."""
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -47,7 +47,7 @@
     client.sock.close()
     until(lambda: not gateway.listener.clients)
     assert not engine.received
-    assert gateway.core.gateway.submitted == 0
+    assert gateway.core.gateway.submitted_count == 0
 
 
 def test_a_request_read_just_before_the_end_is_said_and_handed_on_after_it_goes_nowhere(start):
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -117,7 +117,7 @@
     for _ in range(20):
         client.interrupt(client.ask())
     until(lambda: gateway.count("interrupted") == 20)
-    assert gateway.core.gateway.submitted == 0
+    assert gateway.core.gateway.submitted_count == 0
 
 
 def test_one_dismissed_for_room_is_still_answered_what_had_come(start):
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -64,7 +64,7 @@
         client.sock.close()
         until(lambda: inside.is_ending)
     until(lambda: gateway.count("interrupted") == 20)
-    assert gateway.core.gateway.submitted == 0
+    assert gateway.core.gateway.submitted_count == 0
     assert not engine.received
 
 
