--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -23,7 +23,7 @@
                 tenant=number % 3,
                 key=number % 4,
                 timeout_us=(200 + number % 3800) * MS,
-                need=ARBITRARY_ESTIMATES[number % 6],
+                need_mb=ARBITRARY_ESTIMATES[number % 6],
                 estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
             )
         elif kind <= 7 and out:
@@ -91,8 +91,8 @@
 def test_an_unusable_estimate_loses_no_command(told):
     world = Driver(make_agreement(profile(), profile(threads=3)))
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
-    for need in ARBITRARY_ESTIMATES:
-        ident = world.submit(estimate=told, need=need)
+    for need_mb in ARBITRARY_ESTIMATES:
+        ident = world.submit(estimate=told, need_mb=need_mb)
         if world.commands[ident].open_attempt:
             world.end_attempt(ident, Outcome.ANSWERED)
     world.wait(8000 * MS)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -159,12 +159,12 @@
         key: int = 0,
         work: int = WORK,
         timeout_us: int | None = None,
-        need: float = 64.0,
+        need_mb: float = 64.0,
         estimate: float | None = None,
     ) -> int:
         """A command arrives; returns its id.
 
-        need: the memory that it needs, in MB. estimate: of its work, where that is not its work.
+        need_mb: the memory that it needs. estimate: the work that its client states, if not its true work.
         """
         self.serial += 1
         command_profile = self.agreement.profiles[profile_index]
@@ -182,7 +182,7 @@
                 key,
                 timeout_at,
                 work if estimate is None else estimate,
-                need,
+                need_mb,
                 self.serial % 5,
                 False,
             )
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -140,7 +140,7 @@
             key=number % 4,
             work=self.draw.choice((3, 20, 100, 400)) * MS,
             timeout_us=(200 + number % 3800) * MS,
-            need=ARBITRARY_ESTIMATES[number % 6],
+            need_mb=ARBITRARY_ESTIMATES[number % 6],
             estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
         )
 
@@ -277,7 +277,7 @@
                 *((ident, 0, 0, EngineState.READY, 0, born * (ident == 3)) for ident in range(4))
             )
             for step in range(2500):
-                world.submit(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need=40.0)
+                world.submit(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need_mb=40.0)
                 out = world.running_ids()
                 slowest = 1 + step // 300
                 if len(out) > 3 * slowest or draw.random() < 0.5:
