--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -25,7 +25,7 @@
     return round(seconds * US_PER_SECOND)
 
 
-def parse_tree(text: str) -> dict[str, Any]:
+def parse_settings(text: str) -> dict[str, Any]:
     """Parse lines `path=value` into a nested tree; the items of a list have the keys 0, 1 and so on."""
     tree: dict[str, Any] = {}
     for line in text.splitlines():
--- a/gullhold/simulator_adapter/host.py
+++ b/gullhold/simulator_adapter/host.py
@@ -3,7 +3,7 @@
 import traceback
 from math import isfinite
 
-from gullhold.agreement import microseconds, parse_tree, read_agreement
+from gullhold.agreement import microseconds, parse_settings, read_agreement
 from gullhold.decisions.gateway import Gateway
 from gullhold.interface import EngineEntry, Result
 from gullhold.simulator_adapter import wire
@@ -69,7 +69,7 @@
     def _deliver(self, event: Event) -> list[Result]:
         """Deliver an event to its gateway; events of unknown instances are ignored."""
         if isinstance(event, NewInstance):
-            agreement = read_agreement(parse_tree(event.settings))
+            agreement = read_agreement(parse_settings(event.settings))
             self.gateways[event.instance] = Gateway(event.seed, agreement, self.now)
             return []
         gateway = self.gateways.get(event.instance)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,6 +1,6 @@
 """Settings, as text and as JSON."""
 
-from gullhold.agreement import parse_tree, read_agreement
+from gullhold.agreement import parse_settings, read_agreement
 
 
 def test_text_and_json_settings_read_the_same():
@@ -50,7 +50,7 @@
         return [f"{path}={str(node).lower() if isinstance(node, bool) else node}"]
 
     said = read_agreement(tree)
-    assert said == read_agreement(parse_tree("\n".join(lines(tree)).replace("True", "true")))
+    assert said == read_agreement(parse_settings("\n".join(lines(tree)).replace("True", "true")))
     first = said.profiles[0]
     assert first.zones == {1}
     assert first.engine_kinds == {1}
