--- a/gullhold/agreement.py
+++ b/gullhold/agreement.py
@@ -1,6 +1,6 @@
 """Reads a deployment's settings tree into an Agreement, in the same way for every driver.
 
-The keys are those of the settings format; settings that nothing reads are ignored.
+The keys are those of the settings format, which has its own names; keys that are not read here are ignored.
 """
 
 from collections.abc import Sequence
@@ -42,16 +42,17 @@
 
 
 class SettingsNode:
-    """One node of the tree.
+    """One node of the settings tree, with methods that read its values in the types of the agreement.
 
-    Values may be typed or text; lists may be lists, comma-separated text, or nodes with numbered keys.
+    A value may have its JSON type or be text; a list may be a JSON list, comma-separated text, or a node with
+    the keys 0, 1 and so on and the key `count`.
     """
 
     def __init__(self, tree: object) -> None:
         self.tree: dict[str, Any] = tree if isinstance(tree, dict) else {}
 
     def child(self, key: str) -> "SettingsNode":
-        """The child node; an empty one if there is none."""
+        """Return the child node, an empty one if there is none."""
         return SettingsNode(self.tree.get(key))
 
     def has(self, key: str) -> bool:
@@ -59,33 +60,33 @@
         return key in self.tree
 
     def number(self, key: str, default: float = 0.0) -> float:
-        """A number; the default if it is absent or not a number."""
+        """Return a number, or the default if it is absent or not a number."""
         try:
             return float(self.tree[key])
         except (KeyError, TypeError, ValueError):
             return default
 
     def microseconds(self, key: str) -> int:
-        """A duration that the settings give in seconds."""
+        """Return a duration in microseconds that the settings give in seconds."""
         return microseconds(self.number(key))
 
     def flag(self, key: str) -> bool:
-        """A flag; absent is false."""
+        """Return a flag; an absent one is false."""
         return str(self.tree.get(key)).lower() == "true"
 
     def text(self, key: str) -> str:
-        """A name; absent is empty."""
+        """Return a text; an absent one is empty."""
         return str(self.tree.get(key, ""))
 
     def texts(self, key: str) -> list[str]:
-        """A list of scalar values, as text."""
+        """Return a list of scalar values, each as text."""
         value = self.tree.get(key)
         if isinstance(value, str):
             return [item for item in value.split(",") if item]
         return [str(item) for item in value] if isinstance(value, list) else []
 
     def items(self, key: str) -> list["SettingsNode"]:
-        """A list of nodes."""
+        """Return a list of nodes."""
         value = self.tree.get(key)
         if isinstance(value, list):
             return [SettingsNode(item) for item in value]
@@ -94,7 +95,7 @@
 
 
 def index_of(names: Sequence[str], name: str, default: int = -1) -> int:
-    """The index of a name in its list; a number in place of a name is taken as the index."""
+    """Return the index of a name in its list; a number in place of a name is taken as the index."""
     if name in names:
         return names.index(name)
     try:
@@ -173,7 +174,7 @@
 
 
 def _allowed_indexes(item: SettingsNode, key: str, names: Sequence[str]) -> frozenset[int] | None:
-    """The indexes that a profile is restricted to; None: any."""
+    """Return the indexes of the names that a profile is restricted to; None: all are allowed."""
     allowed = item.texts(key)
     return frozenset(index_of(names, name) for name in allowed) if allowed else None
 
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -15,7 +15,7 @@
 from gullhold.decisions.thread_use import ThreadUse
 from gullhold.decisions.throughput_fit import fit_concurrency_limit
 from gullhold.decisions.traffic import TrafficMeter
-from gullhold.interface import MILLIONTHS, Agreement, BudgetKind
+from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement, BudgetKind
 
 THREADS_PER_CORE = 2.0  # threads; the design's initial limit
 MAX_ENGINE_WIDENING = 4.0  # highest factor for the limit of an engine that reports free capacity
@@ -77,7 +77,7 @@
         """Our share of the fleet's engines."""
         budget = self._budgets.share(BudgetKind.TRAFFIC_SHARE, 0)
         if budget is not None:
-            return self.pressure_share * budget.limit() / MILLIONTHS
+            return self.pressure_share * budget.limit() / MILLIONTHS_PER_UNIT
         return self._traffic.share_of(self.pressure_share, now)
 
     def engine_limit(self, engine: Engine, now: int) -> float:
--- a/gullhold/decisions/slow_start.py
+++ b/gullhold/decisions/slow_start.py
@@ -4,7 +4,7 @@
 from math import ceil
 
 from gullhold.decisions.engine import Engine
-from gullhold.interface import MILLIONTHS, Agreement
+from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement
 
 EXPECTED_SHARE = 0.5  # of the warming budget, used by all gateways together on average: a margin for chance
 MAX_COMMAND_SHARE = 0.25  # of the warming budget, for one command
@@ -41,7 +41,7 @@
 
     def budget_millionths(self, work: float, engine: Engine, now: int) -> int:
         """The work in millionths of what all gateways together may give the engine in a window."""
-        return ceil(work * MILLIONTHS / max(1.0, EXPECTED_SHARE * self.capacity(engine, now)))
+        return ceil(work * MILLIONTHS_PER_UNIT / max(1.0, EXPECTED_SHARE * self.capacity(engine, now)))
 
     def may_take(self, engine: Engine, work: float, has_fleet_budget: bool, now: int) -> bool:
         """Whether a warming engine may be given this work (core-us).
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -2,31 +2,31 @@
 
 A driver (the service on sockets, the simulator adapter) reads an Agreement once, creates one
 `decisions.gateway.Gateway(seed, agreement, now)` for each gateway process and calls its methods. Every call
-takes the time in integer microseconds first and returns a list of the result types below. Absent figures are
-zero; absent limits are None.
+takes the time in integer microseconds as its first argument and returns a list of the result types below. An
+unknown quantity is 0; an absent limit is None.
 
-The results are NamedTuples: each start imports this module, and a frozen dataclass costs several times as
-much to create, both the class and its objects. Two results of different types are equal if their fields are,
-so distinguish them by type.
+The results are NamedTuples: every process imports this module at its start, and a frozen dataclass takes
+several times as long to create, both the class and its objects. Two results of different types compare as
+equal if their fields are equal, so compare their types too.
 """
 
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
 US_PER_SECOND = 1e6
-MILLIONTHS = 1e6  # in 1; the unit of some budgets
+MILLIONTHS_PER_UNIT = 1e6  # budgets that are fractions are counted in integer millionths
 
 
 class Idempotency(IntEnum):
     """Whether the commands of a profile may run more than once."""
 
     IDEMPOTENT = 0  # any number of times
-    KEYED = 1  # a repeat carries the same idempotency key; engines that know the key drop it
+    KEYED = 1  # a retry carries the same idempotency key, and an engine that knows the key drops the retry
     NON_IDEMPOTENT = 2  # at most once
 
 
 class DeduplicationScope(IntEnum):
-    """Which engines drop a repeat of a keyed command: all, those of one zone, those of one cell."""
+    """Which engines drop a retry of a keyed command: all, or those in the zone or cell of its first run."""
 
     ALL_ENGINES = 0
     ZONE = 1
@@ -34,7 +34,7 @@
 
 
 class EngineState(IntEnum):
-    """State of an engine in the endpoint list."""
+    """State of an engine in the endpoint list; only READY engines get new attempts."""
 
     REMOVED = 0
     READY = 1
@@ -45,8 +45,8 @@
     """How an attempt ended."""
 
     ANSWERED = 0
-    ERROR = 1
-    OVERLOADED = 2
+    ERROR = 1  # the engine answered with an error
+    OVERLOADED = 2  # the engine rejected it without running it
     TIMED_OUT = 3
     CONNECT_FAILED = 4
     RESET = 5
@@ -54,23 +54,25 @@
     NOT_STARTED = 7  # withdrawn before its first byte went out, or refused by the engine as expired
 
 
+# Outcomes after which it is certain that the engine did not run the command.
 NEVER_RAN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED))
 
 
 class StatusKind(IntEnum):
-    """Kind of a status note on an open attempt; the meaning of its value."""
+    """Kind of a status note on an open attempt, which gives the note's value its meaning."""
 
-    PROGRESS = 0  # share done, 0 to 1
-    SPILLING = 1  # memory that it lacks, MB
-    WAITING = 2  # code of what it waits for
+    PROGRESS = 0  # share of the work that is done, 0 to 1
+    SPILLING = 1  # memory that the attempt lacks, MB
+    WAITING = 2  # code of what the attempt waits for
 
 
 class BudgetKind(IntEnum):
-    """Budgets of a fleet. Their subject is the id of an engine, the index of a tenant, or 0.
+    """Kinds of budgets that the gateways of a fleet share.
 
-    In use at the same time: THREADS and MEMORY (MB) of an engine, OPEN_COMMANDS of a tenant. Spent over a
-    window: RETRIES; WARMUP, millionths of what a warming engine can take; ADMISSIONS of a tenant;
-    DISCOVERY_CALLS. By weight: TRAFFIC_SHARE, millionths of the traffic.
+    The subject of a budget is the id of an engine, the index of a tenant, or 0. Budgets of what is in use at
+    the same time: THREADS and MEMORY (MB) of an engine, OPEN_COMMANDS of a tenant. Budgets of what is spent
+    over a window: RETRIES; WARMUP, in millionths of the work that a warming engine can take; ADMISSIONS of a
+    tenant; DISCOVERY_CALLS. Divided by weight: TRAFFIC_SHARE, in millionths of the fleet's traffic.
     """
 
     THREADS = 0
@@ -100,16 +102,16 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Result: cancel one attempt of a command, by its number."""
+    """Result: cancel one attempt of a command, given by its number, which counts from 0."""
 
     command: int
     attempt: int
 
 
 class Shed(NamedTuple):
-    """Result: the final answer is that the command was shed; a retry does no harm.
+    """Result: the final answer is that the command was shed; a retry by the client does no harm.
 
-    retry_after_us: the longest Retry-After that the client may be given; 0: none.
+    retry_after_us: the longest Retry-After that the answer may give the client; 0: none.
     """
 
     command: int
@@ -123,7 +125,7 @@
 
 
 class StartTimer(NamedTuple):
-    """Result: call timer_fired() with the token after the delay."""
+    """Result: call timer_fired() with this token after the delay."""
 
     delay_us: int
     token: int
@@ -136,7 +138,7 @@
 
 
 class Demand(NamedTuple):
-    """What queued commands would need of one budget, beyond what is in use."""
+    """The amount of one budget that queued commands would need, beyond what is in use."""
 
     budget: BudgetKind
     subject: int
@@ -144,7 +146,7 @@
 
 
 class ReportDemand(NamedTuple):
-    """Result: the demand for budgets of the fleet."""
+    """Result: this gateway's demand for budgets of the fleet."""
 
     demands: tuple[Demand, ...]
 
@@ -157,11 +159,11 @@
 
     id: int
     zone: int
-    weight: float
+    weight: float  # as listed; no decision depends on it
     kind: int
     state: EngineState
     cell: int
-    started_us: int  # Unix time, us; 0: long ago
+    started_us: int  # start of the engine's process, Unix time in us; 0: long ago
 
 
 class BudgetShare(Protocol):
@@ -180,7 +182,7 @@
         ...
 
     def release(self, amount: int, confirmed: bool = True) -> None:
-        """Release an amount. Not confirmed: the work was cancelled and may run on for a moment."""
+        """Release an amount. Not confirmed: the end of the work is unknown, so it may run on for a while."""
         ...
 
     def record_rejection(self, amount: int) -> None:
@@ -189,7 +191,7 @@
 
 
 class PolicyGate(Protocol):
-    """Whether the fleet's policy lets this gateway work at the moment."""
+    """What the policy in force on the fleet lets this gateway do at the moment."""
 
     def may_dispatch(self) -> bool:
         """Whether an attempt may be started now."""
@@ -201,30 +203,30 @@
 
 
 class Profile(NamedTuple):
-    """How the commands of one profile behave, and what was promised for them."""
+    """How the commands of one profile behave, and their latency objective."""
 
-    threads: int
-    objective_us: int  # latency objective ...
-    objective_stretch: float  # ... and how it grows with work divided by threads
-    timeout_us: int  # client timeout over all of the client's attempts
-    benefit: float
+    threads: int  # that a command uses on its engine
+    objective_us: int  # latency objective of a command with little work
+    objective_stretch: float  # by which the objective grows for each us of work per thread
+    timeout_us: int  # client timeout of a command, over all its attempts
+    benefit: float  # of an answer within the latency objective
     late_benefit_share: float  # share of the benefit that an answer after the objective still earns
     idempotency: Idempotency
     dedup_scope: DeduplicationScope
-    dedup_window_us: int
-    ordered: bool
-    zones: frozenset[int] | None  # that may run it; None: all
+    dedup_window_us: int  # for which engines drop retries, from the first attempt that may have run
+    ordered: bool  # commands with the same key run one after another
+    zones: frozenset[int] | None  # whose engines may run it; None: all
     engine_kinds: frozenset[int] | None  # that may run it; None: all
-    loads_dataset: bool  # locks its data set on its engine while it runs
-    waits_for_loads: bool  # waits while its data set is locked
+    loads_dataset: bool  # a command locks its data set on its engine while it runs
+    waits_for_loads: bool  # a command waits on its engine while its data set is locked there
     name: str = ""  # for drivers only: its name in requests
 
 
 class Tenant(NamedTuple):
-    """A tenant's share of the service."""
+    """A tenant's share of the service. Queued commands of tenants are dispatched in proportion to it."""
 
     share: float
-    allowance: float = 0.0  # commands a second inside its share, all gateways together; 0: not stated
+    allowance: float = 0.0  # commands/s that the tenant may submit to all gateways together; 0: not stated
     name: str = ""  # for drivers only
 
 
@@ -233,31 +235,32 @@
 
     profiles: tuple[Profile, ...]
     tenants: tuple[Tenant, ...]
-    gateways: int
+    gateways: int  # in the fleet
     zone: int  # of this gateway
-    cores_by_kind: tuple[float, ...]
-    memory_mb_by_kind: tuple[float, ...]
-    max_grant_share: float
-    honors_grants: bool
-    honors_priority: bool
-    max_attempts: int
-    supports_cancel: bool
+    cores_by_kind: tuple[float, ...]  # of an engine, by its kind
+    memory_mb_by_kind: tuple[float, ...]  # of an engine, by its kind
+    max_grant_share: float  # of an engine's memory, for the grant of one attempt
+    honors_grants: bool  # engines heed the memory granted to an attempt
+    honors_priority: bool  # engines heed the priority of an attempt
+    max_attempts: int  # for one command; 0: no limit
+    supports_cancel: bool  # engines can cancel an open attempt
     max_retry_after_us: int  # longest wait that a shed reply may ask of a client; 0: none
-    warmup_initial_share: float
-    warmup_us: int
+    warmup_initial_share: float  # share of its full capacity that an engine has at its start
+    warmup_us: int  # time from its start until an engine has its full capacity
+    # An engine is overloaded by more work in one window than overload_multiple * its cores * the window.
     overload_multiple: float
     overload_window_us: int
-    key_settle_us: int
+    key_settle_us: int  # for which an ordered key waits after an attempt that may still run
     retry_budget_base: float | None  # retries allowed in any window whatever the traffic; None: no budget
-    retry_budget_share: float
+    retry_budget_share: float  # further retries allowed for each ended command of the window
     retry_budget_window_us: int
-    cross_zone_costs: bool
-    # For drivers only: names by index, and the limits of connections.
+    cross_zone_costs: bool  # traffic between zones is charged for
+    # For drivers only: names by index, load reports, and limits of connections and of open commands.
     zone_names: tuple[str, ...] = ()
     kind_names: tuple[str, ...] = ()
-    report_fields: tuple[str, ...] = ()  # the figures of a load report, in their order
-    status_interval_us: int = 0  # between status notes on an open attempt; 0: none
+    report_fields: tuple[str, ...] = ()  # names of the values in a load report, in their order
+    status_interval_us: int = 0  # between status notes on an open attempt; 0: engines send none
     streams_per_connection: int = 1  # attempts that one connection to an engine carries
     connect_timeout_us: int = 0
-    idle_timeout_us: int = 0  # after which the engine closes an idle connection
+    idle_timeout_us: int = 0  # after which an engine closes an idle connection
     max_open_commands: int = 0  # commands without a final answer, at once; 0: no limit
