--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -19,7 +19,7 @@
 
 THREADS_PER_CORE = 2.0  # threads; the design's initial limit
 MAX_ENGINE_WIDENING = 4.0  # highest factor for the limit of an engine that reports free capacity
-MAX_FLEET_WIDENING = 2.0  # the same for the limit over the fleet
+MAX_TOTAL_WIDENING = 2.0  # the same for the limit over the fleet
 CHANCE_DEVIATIONS = 1.0  # random deviations of our threads that the limit over the fleet allows
 PRESSURE_SLOWNESS = 1.8  # pace over the best pace that means pressure: time-sharing of cores explains less
 STEADY_COMMANDS = 4.0  # weight of the fleet's pace so far, in long commands: few of them end
@@ -69,7 +69,7 @@
         self._budgets = budgets
         self._thread_use = thread_use
         self.pressure_share = 1.0  # factor of our share, lower under pressure
-        self.fleet_slowness = 1.0  # pace against the best pace, over all engines
+        self.overall_slowness = 1.0  # pace against the best pace, over all engines
         self.long_share = MAX_LONG_SHARE  # of a limit, for long commands
         self._sampled: Engine | None = None  # only one at a time, so that engines do not oscillate together
 
@@ -96,7 +96,7 @@
         """The part of a limit that this command may use: long commands leave some of it to short ones."""
         return limit if command.is_short else limit * self.long_share
 
-    def fleet_has_capacity(self, command: Command, now: int) -> bool:
+    def total_limit_allows(self, command: Command, now: int) -> bool:
         """Whether the command fits in the sum of our limits over the fleet, with slack for random deviation.
 
         Guards against many gateways that each send "one" and flood an engine together.
@@ -106,7 +106,7 @@
             return True  # the fleet's budget limits the threads of each engine
         limit = THREADS_PER_CORE * self.share(now) * self._engines.ready_cores
         limit += CHANCE_DEVIATIONS * (limit * self._max_threads) ** 0.5
-        limit *= widening_factor(self._loads.fleet_utilization, MAX_FLEET_WIDENING)
+        limit *= widening_factor(self._loads.mean_utilization, MAX_TOTAL_WIDENING)
         threads = self._thread_use.total
         return not threads or threads + command.threads <= self.long_command_limit(limit, command)
 
@@ -116,14 +116,14 @@
         One that is slow but reports free capacity is not: guards against a lack of memory, bad estimates and
         lost answers that look like overload. Harm: engines that wait for disks and report idle cores.
         """
-        is_slow = self.fleet_slowness * self._health.slowness(engine, now) > PRESSURE_SLOWNESS
+        is_slow = self.overall_slowness * self._health.slowness(engine, now) > PRESSURE_SLOWNESS
         if is_slow and self._loads.utilization(engine, now) > FULL_UTILIZATION:
             return True
         return now < engine.overloaded_until
 
-    def is_fleet_slow(self) -> bool:
+    def is_overall_slow(self) -> bool:
         """Whether the fleet as a whole is under pressure."""
-        return self.fleet_slowness > PRESSURE_SLOWNESS
+        return self.overall_slowness > PRESSURE_SLOWNESS
 
     def record_loss(self) -> None:
         """Record that an engine rejected an attempt as overloaded, or let it time out."""
@@ -139,7 +139,7 @@
         steady_work = STEADY_COMMANDS * self._estimates.largest_usual_work() * engines_per_gateway
         weight = work / (work + steady_work)
         slowness = min(pace / min(pace, best_pace), MAX_SLOWNESS)
-        self.fleet_slowness += weight * (slowness - self.fleet_slowness)
+        self.overall_slowness += weight * (slowness - self.overall_slowness)
         return weight
 
     def adapt(self, engine: Engine, weight: float, has_queued: bool, now: int) -> None:
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -30,7 +30,7 @@
         fields = list(agreement.report_fields)
         self._field = fields.index(UTILIZATION_FIELD) if UTILIZATION_FIELD in fields else -1
         self._health = health
-        self.fleet_utilization = 1.0  # moving average; 1 until engines report
+        self.mean_utilization = 1.0  # moving average; 1 until engines report
 
     def record(self, engine: Engine, report: tuple[float, ...], outcome: Outcome, now: int) -> None:
         """Record the report that came with the end of an attempt.
@@ -47,7 +47,7 @@
             utilization = 1.0
         else:
             return
-        self.fleet_utilization += STEP * (utilization - self.fleet_utilization)
+        self.mean_utilization += STEP * (utilization - self.mean_utilization)
 
     def utilization(self, engine: Engine, now: int) -> float:
         """Utilisation that the engine reported, fading to the fleet's mean.
@@ -60,4 +60,4 @@
         if self._health.slowness(engine, now) > DISTRUST_SLOWNESS:
             return 1.0
         fade = exp((engine.load_at - now) / LOAD_FADE_US)
-        return self.fleet_utilization + (engine.load - self.fleet_utilization) * fade
+        return self.mean_utilization + (engine.load - self.mean_utilization) * fade
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -16,7 +16,7 @@
 from gullhold.decisions.slow_start import SlowStart
 from gullhold.interface import Agreement, BudgetKind, DeduplicationScope, EngineState
 
-LARGE_FLEET = MAX_RANKED_ENGINES  # with more engines a gateway returns to those that it used recently
+MANY_ENGINES = MAX_RANKED_ENGINES  # with more engines a gateway returns to those that it used recently
 MAX_RANDOM_DRAWS = 4  # engines drawn independently
 MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most fleets have
 CANDIDATES = 2  # engines drawn from the preferred ones: the power of two choices
@@ -57,13 +57,13 @@
 
     def record_answer(self, dataset: int, engine: Engine) -> None:
         """Record that an engine has answered for a data set."""
-        if len(self._engines.ready) > LARGE_FLEET:
+        if len(self._engines.ready) > MANY_ENGINES:
             self.recent.record_answer(dataset, engine)
 
     def choose(self, command: Command, now: int) -> Engine | None:
         """Choose the engine to dispatch the command to now; None: none may take it."""
         ready = self._engines.ready
-        if not self._limits.fleet_has_capacity(command, now) or not ready:
+        if not self._limits.total_limit_allows(command, now) or not ready:
             return None
         pool = self._pool()
         ranking = pool.ranked(command.dataset)
@@ -137,7 +137,7 @@
         Under pressure those of all zones: guards against a zone that is busier than the others. Harm: cost of
         traffic across zones.
         """
-        if not self._agreement.cross_zone_costs or not self._engines.local or self._limits.is_fleet_slow():
+        if not self._agreement.cross_zone_costs or not self._engines.local or self._limits.is_overall_slow():
             return self._engines.ready
         return self._engines.local
 
@@ -162,7 +162,7 @@
         Guards against a new connection for each command. It is chosen only if no other candidate is less
         busy.
         """
-        slots = self.recent.slots(command.dataset) if size > LARGE_FLEET else None
+        slots = self.recent.slots(command.dataset) if size > MANY_ENGINES else None
         if not slots:
             return []
         engine = self._engines.by_slot[slots[int(self._draw() * len(slots))]]
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -20,7 +20,7 @@
         world.client_left(ident)
         world.end_attempt(ident, Outcome.CANCELLED)
     assert world.gateway.components.estimates.by_profile[0].pace == pace
-    assert world.gateway.components.limits.fleet_slowness < 2
+    assert world.gateway.components.limits.overall_slowness < 2
 
 
 def test_an_attempt_cut_off_before_the_usual_run_time_does_not_count_against_its_engine():
@@ -33,13 +33,13 @@
         world.end_attempt(ident, Outcome.ANSWERED)
     gateway = world.gateway
     engine, estimate = gateway.components.engines.by_id[0], gateway.components.estimates.by_profile[0]
-    before = gateway.components.limits.fleet_slowness, estimate.pace
+    before = gateway.components.limits.overall_slowness, estimate.pace
     for _ in range(10):
         ident = world.submit(timeout_us=160 * MS)
         world.wait(20 * MS)
         world.end_attempt(ident, Outcome.TIMED_OUT)
     assert estimate.pace == before[1]
-    assert gateway.components.limits.fleet_slowness == before[0]
+    assert gateway.components.limits.overall_slowness == before[0]
     ident = world.submit(timeout_us=3000 * MS)
     world.wait(900 * MS)
     world.end_attempt(ident, Outcome.TIMED_OUT)  # a jam is not hidden
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -21,7 +21,7 @@
 def test_an_engine_that_rejects_attempts_or_reports_no_load_counts_as_full():
     world = driver_with_load_reports()
     answer_commands(world, 40, 0.1)
-    assert world.gateway.components.loads.fleet_utilization < 0.2
+    assert world.gateway.components.loads.mean_utilization < 0.2
     for outcome in [Outcome.OVERLOADED, Outcome.TIMED_OUT] * 15:
         ident = world.submit()
         if ident in world.running_ids():
@@ -29,7 +29,7 @@
         world.wait(3000 * MS)
         for other in world.running_ids():
             world.end_attempt(other, Outcome.ANSWERED)
-    assert world.gateway.components.loads.fleet_utilization > 0.7
+    assert world.gateway.components.loads.mean_utilization > 0.7
 
 
 @pytest.mark.parametrize("told", [float("nan"), -0.5, float("inf"), float("-inf"), 1e30])
@@ -37,7 +37,7 @@
     world = driver_with_load_reports()
     answer_commands(world, 20, 0.2)
     answer_commands(world, 5, told)
-    assert 0.0 <= world.gateway.components.loads.fleet_utilization <= 1.0
+    assert 0.0 <= world.gateway.components.loads.mean_utilization <= 1.0
     assert 0.0 <= world.gateway.components.engines.by_slot[0].load <= 1.0
     ident = world.submit()
     world.end_attempt(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
