--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -7,9 +7,9 @@
 from gullhold.decisions.ranking import EngineList
 from gullhold.interface import Outcome
 
-# An engine is an outlier from OUTLIER_RATE above OUTLIER_MEDIANS times the fleet's median failure rate.
+# An engine is an outlier from OUTLIER_RATE above OUTLIER_MEDIAN_FACTOR times the fleet's median failure rate.
 OUTLIER_RATE = 0.15  # share of failures
-OUTLIER_MEDIANS = 2
+OUTLIER_MEDIAN_FACTOR = 2
 CAUTIOUS_FACTOR = 0.7  # of OUTLIER_RATE, for long commands and those that may not be repeated
 SILENT_STEP = 0.3  # weight of a failure without an answer of the engine: it costs the most time
 MIN_FAILURE_RATE = 1e-4  # a failure rate that has faded to less counts as none
@@ -27,9 +27,9 @@
         self._estimates = estimates
         self._failing: set[Engine] = set()  # engines with failures
         self._stalled: set[Engine] = set()  # engines with stalled attempts
-        self.usual_failure_rate = 0.0  # median of the ready engines
+        self.median_failure_rate = 0.0  # median of the ready engines
 
-    def note_listed(self, engine: Engine) -> None:
+    def record_listed(self, engine: Engine) -> None:
         """Take an engine that has become ready again into account for the median."""
         if engine in self._ready and engine.failure_rate:
             self._failing.add(engine)
@@ -54,13 +54,13 @@
         slow_work = least_work + engine.completed_slow_work * fade
         return slow_work / (least_work + engine.completed_work * fade)
 
-    def is_outlier(self, engine: Engine, is_robust: bool, now: int) -> bool:
+    def is_outlier(self, engine: Engine, tolerates_failure: bool, now: int) -> bool:
         """Whether the engine fails far more often than the fleet's median.
 
-        is_robust: asked for a short command that may be repeated, which tolerates a failure.
+        tolerates_failure: asked for a short command that may be repeated, which tolerates a failure.
         """
-        tolerance = OUTLIER_RATE * (1 if is_robust else CAUTIOUS_FACTOR)
-        return self.failure_rate(engine, now) > tolerance + OUTLIER_MEDIANS * self.usual_failure_rate
+        tolerance = OUTLIER_RATE * (1 if tolerates_failure else CAUTIOUS_FACTOR)
+        return self.failure_rate(engine, now) > tolerance + OUTLIER_MEDIAN_FACTOR * self.median_failure_rate
 
     def record_outcome(self, engine: Engine, outcome: Outcome, runs_on: bool, now: int) -> None:
         """Record how an attempt ended. runs_on: it timed out, and its work goes on on the engine."""
@@ -73,7 +73,7 @@
             engine.failure_rate = rate + step * (is_failure - rate)
             if is_failure:
                 self._failing.add(engine)
-                self.usual_failure_rate = self._median_failure_rate(now)
+                self.median_failure_rate = self._median_failure_rate(now)
         if outcome == Outcome.OVERLOADED:
             engine.overloaded_until = now + OVERLOADED_US
 
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -76,7 +76,7 @@
             engine = self.components.engines.update(entry)
             listed.add(engine)
             self.components.limits.stop_sampling(engine)
-            self.components.health.note_listed(engine)
+            self.components.health.record_listed(engine)
         if full:
             self.components.engines.remove_all_but(listed)
         self._forget_removed_engines()
