--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -3,7 +3,7 @@
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.estimators import Estimates
 from gullhold.decisions.median import median
-from gullhold.decisions.moving_average import STEP, fade_factor
+from gullhold.decisions.moving_average import STEP, decay_factor
 from gullhold.decisions.ranking import EngineList
 from gullhold.interface import Outcome
 
@@ -43,16 +43,16 @@
         """Share of failures of the engine, faded to the present."""
         if not engine.failure_rate:
             return 0.0
-        return engine.failure_rate * fade_factor(engine.failure_rate_at, now)
+        return engine.failure_rate * decay_factor(engine.failure_rate_at, now)
 
     def slowness(self, engine: Engine, now: int) -> float:
         """How much slower the engine is than usual for the profiles of its attempts; fades to 1."""
         if not engine.completed_work:
             return 1.0
-        fade = fade_factor(engine.completed_at, now)
+        decay = decay_factor(engine.completed_at, now)
         least_work = self._estimates.least_usual_work  # keeps the ratio near 1 while little was observed
-        slow_work = least_work + engine.completed_slow_work * fade
-        return slow_work / (least_work + engine.completed_work * fade)
+        slow_work = least_work + engine.completed_slow_work * decay
+        return slow_work / (least_work + engine.completed_work * decay)
 
     def is_outlier(self, engine: Engine, tolerates_failure: bool, now: int) -> bool:
         """Whether the engine fails far more often than the fleet's median.
@@ -79,11 +79,11 @@
 
     def record_pace(self, engine: Engine, work: float, pace: float, usual_pace: float, now: int) -> None:
         """Record the pace of an attempt that ended on the engine. work: of the attempt (core-us)."""
-        fade = fade_factor(engine.completed_at, now)
+        decay = decay_factor(engine.completed_at, now)
         slowness = min(pace / usual_pace, MAX_SLOWNESS)
         engine.completed_at = now
-        engine.completed_work = engine.completed_work * fade + work
-        engine.completed_slow_work = engine.completed_slow_work * fade + work * slowness
+        engine.completed_work = engine.completed_work * decay + work
+        engine.completed_slow_work = engine.completed_slow_work * decay + work * slowness
 
     def count_stalled(self, engine: Engine, change: int) -> None:
         """Count a stalled attempt on the engine (change 1), or one that has ended (-1)."""
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -9,7 +9,7 @@
 
 UTILIZATION_FIELD = "util"  # name of the field in the reports
 FULL_UTILIZATION = 0.7  # no free capacity from here on
-LOAD_FADE_US = 1_000_000  # us in which one engine's report fades to the fleet's mean
+LOAD_DECAY_US = 1_000_000  # us in which one engine's report fades to the fleet's mean
 MIN_UTILIZATION = 0.01  # keeps the widening finite
 # Reports of engines that fail or are slow are not believed: such an engine counts as fully utilised.
 DISTRUST_FAILURE_RATE = 0.1  # below that of an outlier
@@ -59,5 +59,5 @@
             return 1.0
         if self._health.slowness(engine, now) > DISTRUST_SLOWNESS:
             return 1.0
-        fade = exp((engine.load_at - now) / LOAD_FADE_US)
-        return self.mean_utilization + (engine.load - self.mean_utilization) * fade
+        decay = exp((engine.load_at - now) / LOAD_DECAY_US)
+        return self.mean_utilization + (engine.load - self.mean_utilization) * decay
--- a/gullhold/decisions/moving_average.py
+++ b/gullhold/decisions/moving_average.py
@@ -3,12 +3,12 @@
 from math import exp
 
 STEP = 0.1  # weight of the newest observation in moving averages: about ten count
-OBSERVATION_FADE_US = 12_000_000  # us; longer than some long commands, shorter than a fault of an engine
+OBSERVATION_DECAY_US = 12_000_000  # us; longer than some long commands, shorter than a fault of an engine
 
 
-def fade_factor(observed_at: int, now: int) -> float:
+def decay_factor(observed_at: int, now: int) -> float:
     """The factor, 0 to 1, with which an observation of an engine still counts now."""
-    return exp((observed_at - now) / OBSERVATION_FADE_US)
+    return exp((observed_at - now) / OBSERVATION_DECAY_US)
 
 
 def relative_deviation(count: float, total: float, squares: float) -> float:
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -4,7 +4,7 @@
 
 from gullhold.interface import US_PER_SECOND, Agreement
 
-TRAFFIC_US = 15_000_000  # us in which the count of arrivals fades: longer than a burst
+TRAFFIC_DECAY_US = 15_000_000  # us in which the count of arrivals fades: longer than a burst
 MIN_SHARE = 0.1  # of an even share of the fleet, for a gateway without traffic
 
 
@@ -14,12 +14,12 @@
     def __init__(self, agreement: Agreement, now: int) -> None:
         self._gateways = agreement.gateways
         self._allowance = sum(tenant.allowance for tenant in agreement.tenants)  # commands/s of the fleet
-        self.count = self._allowance / agreement.gateways * TRAFFIC_US / US_PER_SECOND
+        self.count = self._allowance / agreement.gateways * TRAFFIC_DECAY_US / US_PER_SECOND
         self._counted_at = now
 
     def record_arrival(self, now: int) -> None:
         """Count a command that arrived."""
-        self.count = self.count * exp((self._counted_at - now) / TRAFFIC_US) + 1
+        self.count = self.count * exp((self._counted_at - now) / TRAFFIC_DECAY_US) + 1
         self._counted_at = now
 
     def withdraw_arrival(self) -> None:
@@ -30,5 +30,7 @@
         """Our share of the fleet, times scale: by traffic if tenants' allowances are stated, else even."""
         if not self._allowance:
             return scale / self._gateways
-        rate = self.count * exp((self._counted_at - now) / TRAFFIC_US) * US_PER_SECOND / TRAFFIC_US
+        rate = (
+            self.count * exp((self._counted_at - now) / TRAFFIC_DECAY_US) * US_PER_SECOND / TRAFFIC_DECAY_US
+        )
         return scale * min(1.0, max(MIN_SHARE / self._gateways, rate / self._allowance))
