--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -3,7 +3,7 @@
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.estimators import Estimates
 from gullhold.decisions.median import median
-from gullhold.decisions.moving_average import STEP, decay_factor
+from gullhold.decisions.moving_average import SMOOTHING_FACTOR, decay_factor
 from gullhold.decisions.ranking import EngineList
 from gullhold.interface import Outcome
 
@@ -11,7 +11,7 @@
 OUTLIER_RATE = 0.15  # share of failures
 OUTLIER_MEDIAN_FACTOR = 2
 CAUTIOUS_FACTOR = 0.7  # of OUTLIER_RATE, for long commands and those that may not be repeated
-SILENT_STEP = 0.3  # weight of a failure without an answer of the engine: it costs the most time
+UNANSWERED_SMOOTHING = 0.3  # weight of a failure without an answer of the engine: it costs the most time
 MIN_FAILURE_RATE = 1e-4  # a failure rate that has faded to less counts as none
 OVERLOADED_US = 2_000_000  # us without new attempts for an overloaded engine: a few status notes
 MAX_SLOWNESS = 10.0  # of one attempt: bounds the influence of a single one
@@ -64,13 +64,13 @@
 
     def record_outcome(self, engine: Engine, outcome: Outcome, runs_on: bool, now: int) -> None:
         """Record how an attempt ended. runs_on: it timed out, and its work goes on on the engine."""
-        is_silent = runs_on or outcome == Outcome.CONNECT_FAILED
-        is_failure = is_silent or outcome in FAILURES
+        is_unanswered = runs_on or outcome == Outcome.CONNECT_FAILED
+        is_failure = is_unanswered or outcome in FAILURES
         if is_failure or outcome == Outcome.ANSWERED:
             rate = self.failure_rate(engine, now)
-            step = SILENT_STEP if is_silent else STEP
+            smoothing = UNANSWERED_SMOOTHING if is_unanswered else SMOOTHING_FACTOR
             engine.failure_rate_at = now
-            engine.failure_rate = rate + step * (is_failure - rate)
+            engine.failure_rate = rate + smoothing * (is_failure - rate)
             if is_failure:
                 self._failing.add(engine)
                 self.median_failure_rate = self._median_failure_rate(now)
--- a/gullhold/decisions/estimators.py
+++ b/gullhold/decisions/estimators.py
@@ -5,7 +5,7 @@
 """
 
 from gullhold.decisions.command import Command
-from gullhold.decisions.moving_average import STEP
+from gullhold.decisions.moving_average import SMOOTHING_FACTOR
 from gullhold.interface import Agreement
 
 # Initial values, before any answer.
@@ -20,7 +20,7 @@
 MAX_WORK_RATIO = 5.0
 MIN_PACE = 0.01  # of any attempt: keeps ratios of paces finite
 MAX_PACE_GROWTH = 3  # highest pace that one attempt counts with, in times the usual pace
-BEST_PACE_STEP = STEP / 10  # the best pace is forgotten slowly
+BEST_PACE_SMOOTHING = SMOOTHING_FACTOR / 10  # the best pace is forgotten slowly
 
 
 class ProfileEstimate:
@@ -37,21 +37,21 @@
         self.pace = INITIAL_PACE
         self.attempts = 0  # ended attempts that have been recorded
 
-    def record_need(self, ratio: float, step: float) -> None:
+    def record_need(self, ratio: float, smoothing: float) -> None:
         """Record the memory that an attempt needed. ratio: need over its estimate."""
         offset = ratio - self.need_ratio
-        self.need_ratio = self.need_ratio + offset * step
-        self.need_deviation = self.need_deviation + (abs(offset) - self.need_deviation) * step
+        self.need_ratio = self.need_ratio + offset * smoothing
+        self.need_deviation = self.need_deviation + (abs(offset) - self.need_deviation) * smoothing
 
     def record_answer(self, work: float, estimated_work: float, pace: float) -> None:
         """Record an attempt that was answered."""
         ratio = min(max(work / estimated_work, MIN_WORK_RATIO), MAX_WORK_RATIO)
-        self.work_bias += STEP * (ratio - 1.0) * self.work_bias
-        self.best_pace = min(pace, self.best_pace + BEST_PACE_STEP * (pace - self.best_pace))
+        self.work_bias += SMOOTHING_FACTOR * (ratio - 1.0) * self.work_bias
+        self.best_pace = min(pace, self.best_pace + BEST_PACE_SMOOTHING * (pace - self.best_pace))
 
-    def record_pace(self, pace: float, step: float) -> None:
+    def record_pace(self, pace: float, smoothing: float) -> None:
         """Record the pace of an attempt, also of one that was cancelled or timed out."""
-        self.pace += step * (min(pace, MAX_PACE_GROWTH * self.pace) - self.pace)
+        self.pace += smoothing * (min(pace, MAX_PACE_GROWTH * self.pace) - self.pace)
 
 
 class Estimates:
@@ -76,7 +76,7 @@
             work = estimate.usual_work
         work = work or INITIAL_RUN_SHARE * profile.objective_us * profile.threads
         if estimate.usual_work:
-            estimate.usual_work += STEP * (work - estimate.usual_work)
+            estimate.usual_work += SMOOTHING_FACTOR * (work - estimate.usual_work)
         else:
             estimate.usual_work = work
         self.least_usual_work = min(each.usual_work for each in self.by_profile if each.usual_work)
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -9,7 +9,7 @@
 from heapq import heappop, heappush
 
 from gullhold.decisions.command import Command, CommandState
-from gullhold.decisions.moving_average import STEP, relative_deviation
+from gullhold.decisions.moving_average import SMOOTHING_FACTOR, relative_deviation
 from gullhold.interface import Agreement
 
 # The factor: commands of the smallest tenant in a round.
@@ -100,7 +100,7 @@
         """Record the pace of an attempt of a tenant's command."""
         before = self.latency_sums.get(tenant, (0.0, 0.0, 0.0))
         observed = (1.0, pace, pace * pace)
-        after = [old + STEP * (new - old) for old, new in zip(before, observed, strict=True)]
+        after = [old + SMOOTHING_FACTOR * (new - old) for old, new in zip(before, observed, strict=True)]
         self.latency_sums[tenant] = after
         self._deviations = self._deviations + relative_deviation(*after) - relative_deviation(*before)
 
@@ -124,7 +124,9 @@
         self.quotas = {}
         self._rounds += 1
         self.dispatched = {
-            tenant: count * (1 - STEP) for tenant, count in self.dispatched.items() if count > MIN_KEPT_COUNT
+            tenant: count * (1 - SMOOTHING_FACTOR)
+            for tenant, count in self.dispatched.items()
+            if count > MIN_KEPT_COUNT
         }
 
     def _unfairness(self) -> float:
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -4,7 +4,7 @@
 
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.engine_health import EngineHealth
-from gullhold.decisions.moving_average import STEP
+from gullhold.decisions.moving_average import SMOOTHING_FACTOR
 from gullhold.interface import Agreement, Outcome
 
 UTILIZATION_FIELD = "util"  # name of the field in the reports
@@ -47,7 +47,7 @@
             utilization = 1.0
         else:
             return
-        self.mean_utilization += STEP * (utilization - self.mean_utilization)
+        self.mean_utilization += SMOOTHING_FACTOR * (utilization - self.mean_utilization)
 
     def utilization(self, engine: Engine, now: int) -> float:
         """Utilisation that the engine reported, fading to the fleet's mean.
--- a/gullhold/decisions/moving_average.py
+++ b/gullhold/decisions/moving_average.py
@@ -2,7 +2,7 @@
 
 from math import exp
 
-STEP = 0.1  # weight of the newest observation in moving averages: about ten count
+SMOOTHING_FACTOR = 0.1  # weight of the newest observation in moving averages: about ten count
 OBSERVATION_DECAY_US = 12_000_000  # us; longer than some long commands, shorter than a fault of an engine
 
 
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -6,7 +6,7 @@
 from gullhold.decisions.engine_health import EngineHealth
 from gullhold.decisions.estimators import MIN_PACE, Estimates
 from gullhold.decisions.fair_queue import FairQueue
-from gullhold.decisions.moving_average import STEP
+from gullhold.decisions.moving_average import SMOOTHING_FACTOR
 from gullhold.decisions.placement import Placement
 from gullhold.decisions.thread_use import ThreadUse
 from gullhold.interface import Agreement, Outcome
@@ -75,9 +75,9 @@
         """Learn from an attempt whose run time is known and whose client has not left."""
         estimate = self._estimates.by_profile[command.profile_index]
         estimate.attempts += 1
-        step = max(STEP, 1 / (2 + estimate.attempts))
+        smoothing = max(SMOOTHING_FACTOR, 1 / (2 + estimate.attempts))
         if need_mb and command.need_mb:
-            estimate.record_need(need_mb / command.need_mb, step)
+            estimate.record_need(need_mb / command.need_mb, smoothing)
         # Attempts without an answer have a pace too: otherwise an overload would be hidden.
         pace = max(latency_us * command.threads / work, MIN_PACE)
         # One that ended sooner than the usual run is ignored, as it would count as fast. Guards against
@@ -89,7 +89,7 @@
             estimate.record_answer(work, command.work, pace)
             engine.sample_work += work
         self._health.record_pace(engine, work, pace, estimate.pace, now)
-        estimate.record_pace(pace, step)
+        estimate.record_pace(pace, smoothing)
         weight = self._limits.record_pace(work, pace, estimate.best_pace)
         self._queue.record_pace(command.tenant, pace)
         self._limits.adapt(engine, weight, bool(self._queue.by_tenant), now)
