--- a/gullhold/decisions/census.py
+++ b/gullhold/decisions/census.py
@@ -15,7 +15,7 @@
     engine_threads: int  # sum over the engines
     engine_attempts: int
     threads: int  # equal to engine_threads; counted separately, for the limit over the fleet
-    attempts_running_on: int  # timed out, and may still run
+    timed_out_attempts: int  # timed out, and may still run
 
 
 def take_census(components: Components, lifecycle: CommandLifecycle) -> Census:
@@ -28,5 +28,5 @@
         engine_threads=sum(engine.threads for engine in engines),
         engine_attempts=sum(engine.attempts for engine in engines),
         threads=components.thread_use.total,
-        attempts_running_on=len(components.thread_use.running_on),
+        timed_out_attempts=len(components.thread_use.timed_out),
     )
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -62,9 +62,9 @@
         tolerance = OUTLIER_RATE * (1 if tolerates_failure else CAUTIOUS_FACTOR)
         return self.failure_rate(engine, now) > tolerance + OUTLIER_MEDIAN_FACTOR * self.median_failure_rate
 
-    def record_outcome(self, engine: Engine, outcome: Outcome, runs_on: bool, now: int) -> None:
-        """Record how an attempt ended. runs_on: it timed out, and its work goes on on the engine."""
-        is_unanswered = runs_on or outcome == Outcome.CONNECT_FAILED
+    def record_outcome(self, engine: Engine, outcome: Outcome, may_still_run: bool, now: int) -> None:
+        """Record how an attempt ended. may_still_run: it timed out, and its work goes on on the engine."""
+        is_unanswered = may_still_run or outcome == Outcome.CONNECT_FAILED
         is_failure = is_unanswered or outcome in FAILURES
         if is_failure or outcome == Outcome.ANSWERED:
             rate = self.failure_rate(engine, now)
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -273,7 +273,7 @@
         if not self.components.engines.has_removed():
             return
         in_use = self._lifecycle.engines_in_use()
-        in_use.update(attempt.engine for attempt in self.components.thread_use.running_on)
+        in_use.update(attempt.engine for attempt in self.components.thread_use.timed_out)
         for engine in self.components.engines.forget_removed(self._call.now, in_use):
             self.components.limits.stop_sampling(engine)
             self.components.health.forget(engine)
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -51,11 +51,11 @@
         If attempts can't be cancelled, the work of a timed-out one goes on: it counts against its engine and
         keeps its threads. If they can, a timeout is a sign of overload only.
         """
-        runs_on = outcome == Outcome.TIMED_OUT and not self._supports_cancel
-        if runs_on:
+        may_still_run = outcome == Outcome.TIMED_OUT and not self._supports_cancel
+        if may_still_run:
             self._thread_use.hold_timed_out(engine, command.threads, command.sent_at, now)
-        self._health.record_outcome(engine, outcome, runs_on, now)
-        if outcome == Outcome.OVERLOADED or runs_on:
+        self._health.record_outcome(engine, outcome, may_still_run, now)
+        if outcome == Outcome.OVERLOADED or may_still_run:
             self._limits.record_loss()
         elif outcome == Outcome.ANSWERED:
             self._limits.record_answer()
--- a/gullhold/decisions/thread_use.py
+++ b/gullhold/decisions/thread_use.py
@@ -4,10 +4,12 @@
 
 from gullhold.decisions.engine import Engine
 
-RUN_ON_AGES = 2.0  # assumed time that a timed-out attempt runs on, in its ages, if none can be cancelled
+TIMED_OUT_HOLD_AGES = (
+    2.0  # assumed time that a timed-out attempt runs on, in its ages, if none can be cancelled
+)
 
 
-class RunningOn(NamedTuple):
+class TimedOutAttempt(NamedTuple):
     """An attempt that timed out and may still run."""
 
     until: float  # us
@@ -21,7 +23,7 @@
 
     def __init__(self) -> None:
         self.total = 0
-        self.running_on: list[RunningOn] = []
+        self.timed_out: list[TimedOutAttempt] = []
 
     def occupy(self, engine: Engine, threads: int) -> None:
         """Count the threads of an attempt that begins."""
@@ -41,18 +43,18 @@
         Guards against new work for an overloaded engine. Harm: work that a dead engine has lost takes
         capacity.
         """
-        until = now + RUN_ON_AGES * (now - sent_at)
-        self.running_on.append(RunningOn(until, engine, engine.started_us, threads))
+        until = now + TIMED_OUT_HOLD_AGES * (now - sent_at)
+        self.timed_out.append(TimedOutAttempt(until, engine, engine.started_us, threads))
         self.occupy(engine, threads)
 
     def release_ended(self, now: int) -> None:
         """Release the threads of attempts that ran on until now, or on an engine that has restarted."""
-        if not self.running_on:
+        if not self.timed_out:
             return
         remaining = []
-        for attempt in self.running_on:
+        for attempt in self.timed_out:
             if attempt.until <= now or attempt.started_us != attempt.engine.started_us:
                 self.vacate(attempt.engine, attempt.threads)
             else:
                 remaining.append(attempt)
-        self.running_on = remaining
+        self.timed_out = remaining
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -54,7 +54,7 @@
     assert not world.gateway.components.key_order.by_key
     world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
     world.update_engines()
-    assert not world.gateway.components.thread_use.running_on
+    assert not world.gateway.components.thread_use.timed_out
     assert not world.gateway.components.thread_use.total
     assert not any(engine.threads or engine.attempts for engine in world.gateway.components.engines.by_slot)
     return [(type(result), result) for result in world.log]
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -31,14 +31,14 @@
 def test_attempts_that_may_run_on_are_over_once_their_engine_has_restarted():
     world, _ = jammed()
     assert world.gateway.components.thread_use.total >= 4
-    assert world.gateway.components.thread_use.running_on
+    assert world.gateway.components.thread_use.timed_out
     for ident in world.running_ids():
         world.end_attempt(ident, Outcome.RESET)
     born = world.now - 20_000 * MS  # seen anew and warm
     world.update_engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
     out = sum(world.commands[ident].profile.threads for ident in world.running_ids())
     assert world.gateway.components.thread_use.total == out
-    assert not world.gateway.components.thread_use.running_on
+    assert not world.gateway.components.thread_use.timed_out
 
 
 def test_threads_of_a_timed_out_attempt_are_held_for_two_ages():
@@ -48,7 +48,7 @@
     assert (use.total, engine.threads, engine.attempts) == (3, 3, 1)
     use.release_ended(START + 300 * MS)
     assert (use.total, engine.threads, engine.attempts) == (0, 0, 0)
-    assert not use.running_on
+    assert not use.timed_out
 
 
 def test_threads_that_ran_on_are_free_once_their_engine_has_restarted():
