--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -20,15 +20,15 @@
 THREADS_PER_CORE = 2.0  # threads; the design's initial limit
 MAX_ENGINE_WIDENING = 4.0  # highest factor for the limit of an engine that reports free capacity
 MAX_TOTAL_WIDENING = 2.0  # the same for the limit over the fleet
-CHANCE_DEVIATIONS = 1.0  # random deviations of our threads that the limit over the fleet allows
+ALLOWED_DEVIATIONS = 1.0  # random deviations of our threads that the limit over the fleet allows
 PRESSURE_SLOWNESS = 1.8  # pace over the best pace that means pressure: time-sharing of cores explains less
-STEADY_COMMANDS = 4.0  # weight of the fleet's pace so far, in long commands: few of them end
+HISTORY_COMMANDS = 4.0  # weight of the fleet's pace so far, in long commands: few of them end
 MAX_SLOWNESS = 10.0  # of one attempt against the best pace: bounds the influence of a single one
-MIN_PRESSURE_SHARE = 0.5  # factor of our share at the strongest pressure: one thread a core
-MAX_PRESSURE_SHARE = 1.25  # factor of our share without pressure; more overloads all engines
+MIN_SHARE_FACTOR = 0.5  # factor of our share at the strongest pressure: one thread a core
+MAX_SHARE_FACTOR = 1.25  # factor of our share without pressure; more overloads all engines
 MIN_LONG_SHARE = 0.3  # of a limit, for long commands
 MAX_LONG_SHARE = 0.8
-LONG_SHARE_LOSS = 0.7  # factor of the long share after a loss
+LONG_SHARE_LOSS_FACTOR = 0.7  # factor of the long share after a loss
 LONG_SHARE_GAIN = 0.0015  # added to the long share by an answer
 REFIT_US = 10_000_000  # us between fits, from the design
 SAMPLE_US = 800_000  # us of one sample: a few commands end in it
@@ -68,7 +68,7 @@
         self._traffic = traffic
         self._budgets = budgets
         self._thread_use = thread_use
-        self.pressure_share = 1.0  # factor of our share, lower under pressure
+        self.share_factor = 1.0  # factor of our share, lower under pressure
         self.overall_slowness = 1.0  # pace against the best pace, over all engines
         self.long_share = MAX_LONG_SHARE  # of a limit, for long commands
         self._sampled: Engine | None = None  # only one at a time, so that engines do not oscillate together
@@ -77,8 +77,8 @@
         """Our share of the fleet's engines."""
         budget = self._budgets.share(BudgetKind.TRAFFIC_SHARE, 0)
         if budget is not None:
-            return self.pressure_share * budget.limit() / MILLIONTHS_PER_UNIT
-        return self._traffic.share_of(self.pressure_share, now)
+            return self.share_factor * budget.limit() / MILLIONTHS_PER_UNIT
+        return self._traffic.share_of(self.share_factor, now)
 
     def engine_limit(self, engine: Engine, now: int) -> float:
         """The limit on our threads on the engine; under pressure the fitted or the sampled one."""
@@ -105,7 +105,7 @@
         if ready and self._budgets.share(BudgetKind.THREADS, ready[0].id) is not None:
             return True  # the fleet's budget limits the threads of each engine
         limit = THREADS_PER_CORE * self.share(now) * self._engines.ready_cores
-        limit += CHANCE_DEVIATIONS * (limit * self._max_threads) ** 0.5
+        limit += ALLOWED_DEVIATIONS * (limit * self._max_threads) ** 0.5
         limit *= widening_factor(self._loads.mean_utilization, MAX_TOTAL_WIDENING)
         threads = self._thread_use.total
         return not threads or threads + command.threads <= self.long_command_limit(limit, command)
@@ -127,7 +127,7 @@
 
     def record_loss(self) -> None:
         """Record that an engine rejected an attempt as overloaded, or let it time out."""
-        self.long_share = max(MIN_LONG_SHARE, self.long_share * LONG_SHARE_LOSS)
+        self.long_share = max(MIN_LONG_SHARE, self.long_share * LONG_SHARE_LOSS_FACTOR)
 
     def record_answer(self) -> None:
         """Record that an attempt was answered."""
@@ -136,8 +136,8 @@
     def record_pace(self, work: float, pace: float, best_pace: float) -> float:
         """Record the pace of an attempt that ended; return its weight in the fleet's figures."""
         engines_per_gateway = max(1.0, len(self._engines.ready) / self._gateways)
-        steady_work = STEADY_COMMANDS * self._estimates.largest_usual_work() * engines_per_gateway
-        weight = work / (work + steady_work)
+        history_work = HISTORY_COMMANDS * self._estimates.largest_usual_work() * engines_per_gateway
+        weight = work / (work + history_work)
         slowness = min(pace / min(pace, best_pace), MAX_SLOWNESS)
         self.overall_slowness += weight * (slowness - self.overall_slowness)
         return weight
@@ -145,9 +145,9 @@
     def adapt(self, engine: Engine, weight: float, has_queued: bool, now: int) -> None:
         """Adapt our share and the samples after an attempt on the engine has ended."""
         if self.is_under_pressure(engine, now):
-            self.pressure_share = max(MIN_PRESSURE_SHARE, self.pressure_share * (1 - weight))
+            self.share_factor = max(MIN_SHARE_FACTOR, self.share_factor * (1 - weight))
         elif has_queued:
-            self.pressure_share = min(MAX_PRESSURE_SHARE, self.pressure_share + weight)
+            self.share_factor = min(MAX_SHARE_FACTOR, self.share_factor + weight)
         self._sample(engine, now)
 
     def stop_sampling(self, engine: Engine) -> None:
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -64,7 +64,7 @@
         world.now += 20 * MS
         for ident in world.running_ids()[:3]:
             world.end_attempt(ident, Outcome.ANSWERED, cost=1000 * MS)
-        most = max(most, world.gateway.components.limits.pressure_share)
+        most = max(most, world.gateway.components.limits.share_factor)
     assert world.gateway.components.queue.by_tenant
     assert 1.0 < most <= 1.5
 
