--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -50,9 +50,9 @@
         if not engine.completed_work:
             return 1.0
         decay = decay_factor(engine.completed_at, now)
-        least_work = self._estimates.least_usual_work  # keeps the ratio near 1 while little was observed
-        slow_work = least_work + engine.completed_slow_work * decay
-        return slow_work / (least_work + engine.completed_work * decay)
+        prior_work = self._estimates.smallest_usual_work  # keeps the ratio near 1 while little was observed
+        slow_work = prior_work + engine.completed_slow_work * decay
+        return slow_work / (prior_work + engine.completed_work * decay)
 
     def is_outlier(self, engine: Engine, tolerates_failure: bool, now: int) -> bool:
         """Whether the engine fails far more often than the fleet's median.
--- a/gullhold/decisions/estimators.py
+++ b/gullhold/decisions/estimators.py
@@ -60,7 +60,7 @@
     def __init__(self, agreement: Agreement) -> None:
         self._profiles = agreement.profiles
         self.by_profile = [ProfileEstimate() for _ in agreement.profiles]
-        self.least_usual_work = 1.0
+        self.smallest_usual_work = 1.0
 
     def command_work(self, profile_index: int, stated_work: float) -> float:
         """Estimate the work of a new command, and learn from it.
@@ -79,7 +79,7 @@
             estimate.usual_work += SMOOTHING_FACTOR * (work - estimate.usual_work)
         else:
             estimate.usual_work = work
-        self.least_usual_work = min(each.usual_work for each in self.by_profile if each.usual_work)
+        self.smallest_usual_work = min(each.usual_work for each in self.by_profile if each.usual_work)
         return work
 
     def largest_usual_work(self) -> float:
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -26,7 +26,7 @@
     world = Driver(make_agreement())
     world.update_engines(*FOUR_READY_ENGINES)
     engine = world.gateway.components.engines.by_id[2]
-    world.gateway.components.estimates.least_usual_work = WORK
+    world.gateway.components.estimates.smallest_usual_work = WORK
     engine.completed_at = START
     engine.completed_work = 10 * WORK
     engine.completed_slow_work = 90 * WORK
