--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -13,9 +13,9 @@
 from gullhold.interface import Agreement
 
 # The factor: commands of the smallest tenant in a round.
-MIN_FACTOR = 1.0
-INITIAL_FACTOR = 2.0
-MAX_FACTOR = 8.0
+MIN_QUOTA_FACTOR = 1.0
+INITIAL_QUOTA_FACTOR = 2.0
+MAX_QUOTA_FACTOR = 8.0
 
 MAX_UNFAIRNESS = 0.5  # deviation of a tenant's count from the mean, over the mean
 MAX_VARIABILITY = 1.0  # deviation of latency, over its mean
@@ -38,12 +38,12 @@
         self.by_tenant: dict[int, TenantQueues] = {}
         self.dispatched: dict[int, float] = {}  # fading counts by tenant
         self.quotas: dict[int, float] = {}  # what is left in this round; absent: all of it
-        self.latency_sums: dict[int, Sequence[float]] = {}  # fading sums: (count, paces, squared paces)
-        self._deviations = 0.0  # sum over tenants of the relative deviation of latency
-        self._factor = INITIAL_FACTOR
-        self._factor_rose = False
+        self.pace_sums: dict[int, Sequence[float]] = {}  # fading sums: (count, paces, squared paces)
+        self._pace_deviations = 0.0  # sum over tenants of the relative deviation of latency
+        self._quota_factor = INITIAL_QUOTA_FACTOR
+        self._quota_factor_rose = False
         self._rounds = 0
-        self._turn = 0  # the tenant whose turn is next
+        self._next_tenant = 0  # the tenant whose turn is next
 
     def apply_weights(self, weights: Sequence[float]) -> None:
         """Apply the weights of a policy, from the next round on."""
@@ -63,8 +63,10 @@
         if len(self.by_tenant) <= 1:
             return list(self.by_tenant)
         weights = len(self.weights)
-        turn = self._turn
-        return sorted(self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - turn) % weights))
+        first = self._next_tenant
+        return sorted(
+            self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - first) % weights)
+        )
 
     def queues_of(self, tenant: int) -> list[list[QueueEntry]]:
         """The two queues of a tenant, the one with the better first command first."""
@@ -92,35 +94,37 @@
         """Charge a dispatched command to its tenant's quota; begin a new round if all quotas are used up."""
         self.quotas[tenant] = self._quota(tenant) - 1
         self.dispatched[tenant] = self.dispatched.get(tenant, 0.0) + 1
-        self._turn = tenant if self.quotas[tenant] > 0 else (tenant + 1) % len(self.weights)
+        self._next_tenant = tenant if self.quotas[tenant] > 0 else (tenant + 1) % len(self.weights)
         if not any(self._quota(each) > 0 for each in self.by_tenant):
             self._begin_round()
 
     def record_pace(self, tenant: int, pace: float) -> None:
         """Record the pace of an attempt of a tenant's command."""
-        before = self.latency_sums.get(tenant, (0.0, 0.0, 0.0))
+        before = self.pace_sums.get(tenant, (0.0, 0.0, 0.0))
         observed = (1.0, pace, pace * pace)
         after = [old + SMOOTHING_FACTOR * (new - old) for old, new in zip(before, observed, strict=True)]
-        self.latency_sums[tenant] = after
-        self._deviations = self._deviations + relative_deviation(*after) - relative_deviation(*before)
+        self.pace_sums[tenant] = after
+        self._pace_deviations = (
+            self._pace_deviations + relative_deviation(*after) - relative_deviation(*before)
+        )
 
     def _quota(self, tenant: int) -> float:
         """What is left of a tenant's quota in this round, which is at least 1; 0 before the first round."""
         quota = self.quotas.get(tenant)
         if quota is not None:
             return quota
-        return max(1, round(self.weights[tenant] * self._factor)) if self._rounds else 0
+        return max(1, round(self.weights[tenant] * self._quota_factor)) if self._rounds else 0
 
     def _begin_round(self) -> None:
         """Reset the quotas, and adapt the factor to unfairness and variability of latency."""
         unfairness = self._unfairness()
-        variability = max(self._deviations, 0.0) / len(self.latency_sums) if self.latency_sums else 0.0
+        variability = max(self._pace_deviations, 0.0) / len(self.pace_sums) if self.pace_sums else 0.0
         if unfairness < MAX_UNFAIRNESS / 2 and variability < MAX_VARIABILITY / 2:
-            self._factor = min(self._factor + 1, MAX_FACTOR)
-            self._factor_rose = True
-        elif self._factor_rose and (unfairness > MAX_UNFAIRNESS or variability > MAX_VARIABILITY):
-            self._factor = max(self._factor / 2, MIN_FACTOR)
-            self._factor_rose = False
+            self._quota_factor = min(self._quota_factor + 1, MAX_QUOTA_FACTOR)
+            self._quota_factor_rose = True
+        elif self._quota_factor_rose and (unfairness > MAX_UNFAIRNESS or variability > MAX_VARIABILITY):
+            self._quota_factor = max(self._quota_factor / 2, MIN_QUOTA_FACTOR)
+            self._quota_factor_rose = False
         self.quotas = {}
         self._rounds += 1
         self.dispatched = {
