--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -63,9 +63,9 @@
         if len(self.by_tenant) <= 1:
             return list(self.by_tenant)
         weights = len(self.weights)
-        first = self._next_tenant
+        next_tenant = self._next_tenant
         return sorted(
-            self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - first) % weights)
+            self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - next_tenant) % weights)
         )
 
     def queues_of(self, tenant: int) -> list[list[QueueEntry]]:
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -30,7 +30,7 @@
 
     def __init__(self, dataset: int) -> None:
         self.dataset = dataset
-        self.serial = 0  # of the last change of the list that it includes
+        self.last_change = 0  # of the last change of the list that it includes
         self.keys: list[tuple[int, int]] = []  # (rank, slot), ascending
         self.engines: list[Engine] = []  # the engines of these keys
 
@@ -51,7 +51,7 @@
         self.keys = [key for key, _ in ranked]
         self.engines = [engine for _, engine in ranked]
 
-    def change(self, is_added: bool, engine: Engine) -> None:
+    def apply_change(self, is_added: bool, engine: Engine) -> None:
         """Add or remove one engine."""
         key = self.key(engine)
         at = bisect_left(self.keys, key)
@@ -106,7 +106,7 @@
         self._sequences: list[int] = []  # of the engines, in the same order
         self.rankings: dict[int, Ranking] = {}  # by data set
         self.changes: list[tuple[bool, Engine]] = []  # the latest ones: (is added, engine)
-        self._serial = 0  # of the last change
+        self._last_change = 0  # of the last change
 
     def __len__(self) -> int:
         return len(self.engines)
@@ -138,7 +138,7 @@
             del self._sequences[at]
             del self.engines[at]
         self.changes.append((is_present, engine))
-        self._serial += 1
+        self._last_change += 1
         if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:  # ranking all again costs less
             self.changes.clear()
             self.rankings.clear()
@@ -158,9 +158,9 @@
             ranking = Ranking(dataset)
             self.rankings[dataset] = ranking
             ranking.build(self.engines)
-        elif ranking.serial < self._serial:
-            self._catch_up(ranking, self._serial - ranking.serial)
-        ranking.serial = self._serial
+        elif ranking.last_change < self._last_change:
+            self._catch_up(ranking, self._last_change - ranking.last_change)
+        ranking.last_change = self._last_change
         return ranking
 
     def _catch_up(self, ranking: Ranking, missed: int) -> None:
@@ -168,4 +168,4 @@
             ranking.build(self.engines)
             return
         for is_added, engine in self.changes[-missed:]:
-            ranking.change(is_added, engine)
+            ranking.apply_change(is_added, engine)
