--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -2,7 +2,7 @@
 
 from gullhold.decisions.command import Command
 from gullhold.decisions.estimators import Estimates
-from gullhold.decisions.retry_policy import MARGIN_US
+from gullhold.decisions.retry_policy import DEADLINE_MARGIN_US
 from gullhold.interface import Agreement
 
 MAX_SHORT_OBJECTIVES = 2.5  # longest objective of a short command, in times the shortest of any profile
@@ -40,7 +40,7 @@
         work = self._estimates.command_work(profile_index, stated_work)
         allowed_us = profile.objective_us + profile.objective_stretch * work / profile.threads
         objective_at = int(now + allowed_us)
-        last_start_at = timeout_at - MARGIN_US
+        last_start_at = timeout_at - DEADLINE_MARGIN_US
         return Command(
             id=command_id,
             profile_index=profile_index,
--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -6,7 +6,7 @@
 from gullhold.decisions.components import Components
 from gullhold.decisions.decision_call import DecisionCall
 from gullhold.decisions.engine import Engine
-from gullhold.decisions.retry_policy import MARGIN_US
+from gullhold.decisions.retry_policy import DEADLINE_MARGIN_US
 from gullhold.interface import Agreement, Fail, Shed
 
 
@@ -67,7 +67,7 @@
         is_late = now > command.objective_at - run_us
         profile = command.profile
         if command.may_have_run and command.is_keyed:  # it must not wait past its deduplication window
-            self._reviews.add(command.deduplication_until - MARGIN_US, command)
+            self._reviews.add(command.deduplication_until - DEADLINE_MARGIN_US, command)
         latest_start_at = int((command.last_start_at if is_late else command.objective_at) - run_us)
         self._reviews.add(max(now, latest_start_at) + 1, command)
         self._queue.push(command, profile.benefit * (profile.late_benefit_share if is_late else 1.0))
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MARGIN_US = 30_000  # us before the end of a client timeout or window from which nothing is started
-CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each attempt of a profile earns
-MAX_CREDIT = 4.0  # cancels saved up at the most
+DEADLINE_MARGIN_US = 30_000  # us before the end of a client timeout or window from which nothing is started
+CANCEL_CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each attempt of a profile earns
+MAX_CANCEL_CREDIT = 4.0  # cancels saved up at the most
 
 
 class RetryPolicy:
@@ -24,9 +24,11 @@
         self.agreement = agreement
         self._budgets = budgets
         self._key_order = key_order
-        self._ended: deque[int] = deque()  # arrival times of ended commands that widen the budget, ascending
-        self._retries: deque[int] = deque()  # times of retries, ascending
-        self._cancel_credit = [MAX_CREDIT] * len(agreement.profiles)
+        self._ended_arrivals: deque[int] = (
+            deque()
+        )  # arrival times of ended commands that widen the budget, ascending
+        self._retry_times: deque[int] = deque()  # times of retries, ascending
+        self._cancel_credit = [MAX_CANCEL_CREDIT] * len(agreement.profiles)
         self.max_attempts_by_profile: Mapping[int, int] = {}  # profiles that the fleet's policy names
 
     def may_retry(self, command: Command, now: int) -> bool:
@@ -37,11 +39,11 @@
             return False
         if not command.may_have_run or command.is_idempotent:
             return True
-        return command.is_keyed and now + MARGIN_US < command.deduplication_until
+        return command.is_keyed and now + DEADLINE_MARGIN_US < command.deduplication_until
 
     def may_start(self, command: Command, now: int) -> bool:
         """Whether an attempt is allowed now: last start, settling key, retry budget."""
-        self._forget_old(now)
+        self._drop_old_times(now)
         if now >= command.last_start_at or not self.may_retry(command, now):
             return False
         if not command.attempts:
@@ -58,13 +60,13 @@
     def record_attempt(self, command: Command, now: int) -> None:
         """Record that an attempt is dispatched; command.attempts does not count it yet."""
         if command.attempts:
-            self._retries.append(now)
-        credit = self._cancel_credit[command.profile_index] + CREDIT_PER_ATTEMPT
-        self._cancel_credit[command.profile_index] = min(MAX_CREDIT, credit)
+            self._retry_times.append(now)
+        credit = self._cancel_credit[command.profile_index] + CANCEL_CREDIT_PER_ATTEMPT
+        self._cancel_credit[command.profile_index] = min(MAX_CANCEL_CREDIT, credit)
 
     def record_ended(self, command: Command) -> None:
         """Record that a command has ended: only now may it widen the budget, as its outcome is known."""
-        insort(self._ended, command.admitted_at)
+        insort(self._ended_arrivals, command.admitted_at)
 
     def has_cancel_credit(self, command: Command) -> bool:
         """Whether a slow attempt of the command's profile may be cancelled."""
@@ -78,11 +80,13 @@
         base = self.agreement.retry_budget_base
         if base is None or self._budgets.share(BudgetKind.RETRIES, 0) is not None:
             return True
-        return len(self._retries) + 1 <= base + self.agreement.retry_budget_share * len(self._ended)
+        return len(self._retry_times) + 1 <= base + self.agreement.retry_budget_share * len(
+            self._ended_arrivals
+        )
 
-    def _forget_old(self, now: int) -> None:
+    def _drop_old_times(self, now: int) -> None:
         """Drop times that have left the budget's window."""
         window_start = now - self.agreement.retry_budget_window_us
-        for times in (self._ended, self._retries):
+        for times in (self._ended_arrivals, self._retry_times):
             while times and times[0] <= window_start:
                 times.popleft()
