--- a/gullhold/decisions/attempt_review.py
+++ b/gullhold/decisions/attempt_review.py
@@ -8,7 +8,7 @@
 from gullhold.interface import Agreement
 
 # In usual run times of a command.
-REVIEW_RUNS = 0.6  # between reviews of an attempt
+REVIEW_INTERVAL_RUNS = 0.6  # between reviews of an attempt
 SLOW_RUNS = 1.8  # age from which an attempt is slow (a bad plan, a slow engine)
 STALLED_RUNS = 3.0  # age from which it is stalled; also the remaining time, by its progress, that is slow
 
@@ -37,11 +37,11 @@
 
     def first_at(self, run_us: float, now: int) -> int:
         """Time of the first review of an attempt that starts now."""
-        return int(now + REVIEW_RUNS * run_us)
+        return int(now + REVIEW_INTERVAL_RUNS * run_us)
 
     def next_at(self, command: Command, now: int) -> int:
         """Time of the next review of an attempt that is reviewed now."""
-        return int(now + REVIEW_RUNS * self._estimates.run_us(command)) + 1
+        return int(now + REVIEW_INTERVAL_RUNS * self._estimates.run_us(command)) + 1
 
     def verdict(self, command: Command, now: int) -> Verdict:
         """Review the command's open attempt."""
--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -49,8 +49,8 @@
         "state",
         "threads",
         "warmup_dispatches",
-        "warmup_rounding",
-        "warmup_rounding_at",
+        "warmup_rounding_draw",
+        "warmup_rounding_drawn_at",
         "zone",
     )
 
@@ -85,8 +85,8 @@
         self.next_fit_at = 0
         # Slow start.
         self.warmup_dispatches: deque[tuple[int, float]] = deque()  # (time, work)
-        self.warmup_rounding = 0.0
-        self.warmup_rounding_at = 0
+        self.warmup_rounding_draw = 0.0
+        self.warmup_rounding_drawn_at = 0
         # Load report.
         self.load = 1.0
         self.load_at = 0
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -34,8 +34,8 @@
     from gullhold.decisions.decision_terms import DecisionTerms
 
 MIN_PROGRESS = 0.01  # share done; a report of less counts as this
-MIN_LOAD_WAIT = 2  # value of a WAITING status from which the attempt waits for a load of its data set
-LOAD_WAIT_US = OVERLOADED_US  # us for which such a status locks the data set
+MIN_LOAD_WAIT_CODE = 2  # value of a WAITING status from which the attempt waits for a load of its data set
+LOAD_LOCK_US = OVERLOADED_US  # us for which such a status locks the data set
 
 
 class Gateway:
@@ -95,7 +95,7 @@
         work: float,
         need_mb: float,
         dataset: int,
-        is_repeat: bool,  # noqa: ARG002  drivers pass it; no decision depends on it
+        is_retry: bool,  # noqa: ARG002  drivers pass it; no decision depends on it
     ) -> list[Result]:
         """Take a command that has arrived.
 
@@ -176,9 +176,9 @@
         is_open = command.state == CommandState.DISPATCHED and is_newest
         if is_open and kind == StatusKind.PROGRESS:
             command.progress = max(value, MIN_PROGRESS)
-        elif is_newest and kind == StatusKind.WAITING and value >= MIN_LOAD_WAIT and command.engine:
+        elif is_newest and kind == StatusKind.WAITING and value >= MIN_LOAD_WAIT_CODE and command.engine:
             # The load may be another gateway's, which we would not know of otherwise.
-            self.components.placement.locks.lock(command.engine, command.dataset, now + LOAD_WAIT_US)
+            self.components.placement.locks.lock(command.engine, command.dataset, now + LOAD_LOCK_US)
         return []
 
     def attempt_ended(
@@ -214,7 +214,7 @@
         self.components.key_order.record_outcome(command, outcome, now)
         if is_closed or is_unawaited or outcome == Outcome.ANSWERED:
             self._lifecycle.change_state(command, CommandState.ENDED)
-        elif self._may_go_on(command, engine, outcome):
+        elif self._may_try_again(command, engine, outcome):
             self._lifecycle.change_state(command, CommandState.QUEUED)
         else:
             self._lifecycle.finish(command)
@@ -258,7 +258,7 @@
             share.release(amount, outcome not in UNKNOWN_END)
         command.attempt_claims = ()
 
-    def _may_go_on(self, command: Command, engine: Engine, outcome: Outcome) -> bool:
+    def _may_try_again(self, command: Command, engine: Engine, outcome: Outcome) -> bool:
         """Whether another attempt may follow one that ended with this outcome on this engine.
 
         An error on a second engine too is taken as a fault of the command, as from a misbehaving client.
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -20,7 +20,7 @@
 MAX_RANDOM_DRAWS = 4  # engines drawn independently
 MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most fleets have
 CANDIDATES = 2  # engines drawn from the preferred ones: the power of two choices
-WARM_THREADS_WEIGHT = 0.7  # of a command's threads on a preferred engine, which has its data cached
+CACHED_THREADS_WEIGHT = 0.7  # of a command's threads on a preferred engine, which has its data cached
 
 
 class Placement:
@@ -212,7 +212,7 @@
         def busyness(engine: Engine) -> tuple[bool, float]:
             is_locked = considers_locks and self.locks.is_locked(engine, command.dataset, now)
             is_preferred = order.is_within(preferred, engine)
-            threads = command.threads * (WARM_THREADS_WEIGHT if is_preferred else 1.0)
+            threads = command.threads * (CACHED_THREADS_WEIGHT if is_preferred else 1.0)
             own_load = (engine.threads + threads) * self._health.slowness(engine, now) / engine.cores
             return is_locked, own_load + self._loads.utilization(engine, now)
 
--- a/gullhold/decisions/slow_start.py
+++ b/gullhold/decisions/slow_start.py
@@ -6,8 +6,10 @@
 from gullhold.decisions.engine import Engine
 from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement
 
-EXPECTED_SHARE = 0.5  # of the warming budget, used by all gateways together on average: a margin for chance
-MAX_COMMAND_SHARE = 0.25  # of the warming budget, for one command
+EXPECTED_BUDGET_SHARE = (
+    0.5  # of the warming budget, used by all gateways together on average: a margin for chance
+)
+MAX_COMMAND_BUDGET_SHARE = 0.25  # of the warming budget, for one command
 GROWTH_FACTOR = 0.5  # of the linear growth of capacity: a careful estimate
 
 
@@ -41,7 +43,7 @@
 
     def budget_millionths(self, work: float, engine: Engine, now: int) -> int:
         """The work in millionths of what all gateways together may give the engine in a window."""
-        return ceil(work * MILLIONTHS_PER_UNIT / max(1.0, EXPECTED_SHARE * self.capacity(engine, now)))
+        return ceil(work * MILLIONTHS_PER_UNIT / max(1.0, EXPECTED_BUDGET_SHARE * self.capacity(engine, now)))
 
     def may_take(self, engine: Engine, work: float, has_fleet_budget: bool, now: int) -> bool:
         """Whether a warming engine may be given this work (core-us).
@@ -56,17 +58,17 @@
         window_start = now - self._agreement.overload_window_us
         if engine.started_us < self.gateway_started_at > window_start:
             return False
-        if engine.warmup_rounding_at <= window_start:
-            engine.warmup_rounding = self._draw()
-            engine.warmup_rounding_at = now
+        if engine.warmup_rounding_drawn_at <= window_start:
+            engine.warmup_rounding_draw = self._draw()
+            engine.warmup_rounding_drawn_at = now
         sent = sum([work_sent for at, work_sent in engine.warmup_dispatches if at > window_start])
         budget = self.capacity(engine, now)
-        if work > MAX_COMMAND_SHARE * budget:
+        if work > MAX_COMMAND_BUDGET_SHARE * budget:
             return False
-        our_share = EXPECTED_SHARE * budget / self._agreement.gateways
-        return has_fleet_budget or sent + engine.warmup_rounding * work <= our_share
+        our_share = EXPECTED_BUDGET_SHARE * budget / self._agreement.gateways
+        return has_fleet_budget or sent + engine.warmup_rounding_draw * work <= our_share
 
     def record_dispatch(self, engine: Engine, work: float, now: int) -> None:
         """Record an attempt on a warming engine; the next one is rounded by a new draw."""
         engine.warmup_dispatches.append((now, work))
-        engine.warmup_rounding_at = 0
+        engine.warmup_rounding_drawn_at = 0
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -5,7 +5,7 @@
 from gullhold.interface import US_PER_SECOND, Agreement
 
 TRAFFIC_DECAY_US = 15_000_000  # us in which the count of arrivals fades: longer than a burst
-MIN_SHARE = 0.1  # of an even share of the fleet, for a gateway without traffic
+MIN_EVEN_SHARE_FRACTION = 0.1  # of an even share of the fleet, for a gateway without traffic
 
 
 class TrafficMeter:
@@ -33,4 +33,4 @@
         rate = (
             self.count * exp((self._counted_at - now) / TRAFFIC_DECAY_US) * US_PER_SECOND / TRAFFIC_DECAY_US
         )
-        return scale * min(1.0, max(MIN_SHARE / self._gateways, rate / self._allowance))
+        return scale * min(1.0, max(MIN_EVEN_SHARE_FRACTION / self._gateways, rate / self._allowance))
