--- a/gullhold/decisions/attempt_review.py
+++ b/gullhold/decisions/attempt_review.py
@@ -7,27 +7,28 @@
 from gullhold.decisions.retry_policy import RetryPolicy
 from gullhold.interface import Agreement
 
-# In usual run times of a command.
+# Multiples of the usual run time of a command.
 REVIEW_INTERVAL_RUNS = 0.6  # between reviews of an attempt
-SLOW_RUNS = 1.8  # age from which an attempt is slow (a bad plan, a slow engine)
-STALLED_RUNS = 3.0  # age from which it is stalled; also the remaining time, by its progress, that is slow
+SLOW_RUNS = 1.8  # age from which an attempt is slow, because of a bad query plan or a slow engine
+STALLED_RUNS = 3.0  # age from which it is stalled; also the remaining run time from which it is slow
 
 
 class Verdict(Enum):
-    """Result of a review."""
+    """What is to be done with an open attempt."""
 
-    CANCEL = auto()  # and dispatch the command again
-    STALLED = auto()  # it stays open, and its engine gets no new attempts
-    REVIEW_AGAIN = auto()
+    CANCEL = auto()  # cancel it, then dispatch the command again
+    STALLED = auto()  # leave it open, and start no new attempts on its engine
+    REVIEW_AGAIN = auto()  # leave it open, and review it later
     LEAVE_ALONE = auto()  # a new attempt would be too late
 
 
 class AttemptReview:
-    """Compares open attempts with the usual run time.
+    """Compares the age and progress of open attempts with the usual run time of their profile.
 
-    An attempt that can't be cancelled (not supported, no credit) stays open until its end is known, and its
-    engine gets no new attempts: guards against engines that accept work and never answer, or crawl.
-    Harm: one bad plan closes an engine to us while it runs.
+    A slow attempt that can't be cancelled (engines don't support it, or the profile has no cancel credit)
+    stays open until its end is known. Once it is stalled, its engine gets no new attempts from this gateway,
+    because some engines accept work and never answer, or become extremely slow. The price is that one command
+    with a bad query plan keeps this gateway off an engine while it runs.
     """
 
     def __init__(self, agreement: Agreement, estimates: Estimates, retries: RetryPolicy) -> None:
@@ -36,15 +37,15 @@
         self._retries = retries
 
     def first_at(self, run_us: float, now: int) -> int:
-        """Time of the first review of an attempt that starts now."""
+        """Return the time (us) of the first review of an attempt that starts now."""
         return int(now + REVIEW_INTERVAL_RUNS * run_us)
 
     def next_at(self, command: Command, now: int) -> int:
-        """Time of the next review of an attempt that is reviewed now."""
+        """Return the time (us) of the next review of an attempt that is reviewed now."""
         return int(now + REVIEW_INTERVAL_RUNS * self._estimates.run_us(command)) + 1
 
     def verdict(self, command: Command, now: int) -> Verdict:
-        """Review the command's open attempt."""
+        """Decide what is to be done with the command's open attempt."""
         run_us = self._estimates.run_us(command)
         if now + run_us > command.worthwhile_until:
             return Verdict.LEAVE_ALONE
@@ -55,7 +56,7 @@
         return Verdict.REVIEW_AGAIN
 
     def _is_slow(self, command: Command, run_us: float, now: int) -> bool:
-        """By the progress that the engine reported, if any, else by its age."""
+        """Judge by the progress that the engine has reported, if any, else by the age of the attempt."""
         age_us = now - command.sent_at
         if command.progress:
             return age_us * (1 / command.progress - 1) > STALLED_RUNS * run_us
--- a/gullhold/decisions/census.py
+++ b/gullhold/decisions/census.py
@@ -7,19 +7,19 @@
 
 
 class Census(NamedTuple):
-    """The counts; all are 0 once no attempt is open and none runs on."""
+    """Counts of commands, attempts and threads; all are 0 once no command is left and nothing may still run."""
 
     commands: int  # waiting, or with an open attempt
-    ordered_keys: int
-    queued_tenants: int
-    engine_threads: int  # sum over the engines
-    engine_attempts: int
-    threads: int  # equal to engine_threads; counted separately, for the limit over the fleet
-    timed_out_attempts: int  # timed out, and may still run
+    ordered_keys: int  # with a command that waits or has an open attempt
+    queued_tenants: int  # with queued commands
+    engine_threads: int  # in use by our attempts, summed over the engines
+    engine_attempts: int  # our attempts, summed over the engines
+    threads: int  # equal to engine_threads, but counted separately, for the limit over all engines
+    timed_out_attempts: int  # that may still run
 
 
 def take_census(components: Components, lifecycle: CommandLifecycle) -> Census:
-    """Return the present counts."""
+    """Count the present state of the components."""
     engines = components.engines.by_slot
     return Census(
         commands=len(lifecycle.commands),
--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -11,15 +11,15 @@
 
 
 class CommandState(IntEnum):
-    """State of a command."""
+    """State of a command between its arrival and the end of its last attempt."""
 
-    QUEUED = 0  # may be dispatched
-    BLOCKED = 1  # behind an earlier command of its ordered key
+    QUEUED = 0  # waits to be dispatched
+    BLOCKED = 1  # waits for an earlier command with the same ordered key
     DISPATCHED = 2  # an attempt is open
-    STREAMING = 3  # the answer of its attempt has begun and belongs to the client
-    CANCELLING = 4  # we cancelled its attempt, to dispatch it again once that has ended
-    ORPHANED = 5  # an attempt is open whose answer nobody waits for
-    ENDED = 6
+    STREAMING = 3  # the client has been sent the first part of the attempt's answer
+    CANCELLING = 4  # its attempt was cancelled; it is dispatched again once that attempt has ended
+    ORPHANED = 5  # an attempt is open, but no client waits for its answer
+    ENDED = 6  # it has its final answer or its client has left, and no attempt is open
 
 
 WAITING_STATES = (CommandState.QUEUED, CommandState.BLOCKED)
@@ -47,14 +47,14 @@
 
 
 class InvalidTransitionError(RuntimeError):
-    """A change of a command's state that TRANSITIONS does not allow."""
+    """Raised for a change of a command's state that TRANSITIONS does not allow."""
 
 
 class Command:
     """One command. Times are in microseconds; the state changes only through change_state().
 
-    engine, sent_at: of the newest attempt. first_run_engine, first_run_at: of the first attempt that may have
-    run; first_run_engine is None while none may have.
+    engine, sent_at: engine and start of the newest attempt. first_run_engine, first_run_at: the same of the
+    first attempt that may have run; first_run_engine is None while none may have.
     """
 
     __slots__ = (
@@ -95,14 +95,14 @@
         key: int,
         need_mb: float,
         dataset: int,
-        order: int,  # of arrival
+        order: int,  # of arrival, ascending
         work: float,  # estimate, core-us
-        admitted_at: int,  # 0: it does not widen the retry budget
+        admitted_at: int,  # 0: it is not counted towards the retry budget
         objective_at: int,  # end of its latency objective
-        is_short: bool,
-        last_start_at: int,  # no attempt is started later
+        is_short: bool,  # its latency objective is among the shortest
+        last_start_at: int,  # no attempt is started at this time or later
         worthwhile_until: int,  # an answer after it has no benefit
-        threads: int,
+        threads: int,  # that an attempt uses on its engine
     ) -> None:
         """Create a command that has arrived and has no attempt yet."""
         self.id = id
@@ -127,19 +127,23 @@
         self.sent_at: int = 0
         self.first_run_engine: Engine | None = None
         self.first_run_at: int = 0
-        self.progress: float = 0.0  # share done, as reported for the open attempt; 0: not reported
-        self.is_stalled: bool = False  # its open attempt keeps the engine from getting new ones
+        self.progress: float = (
+            0.0  # share of the work that is done, as reported for the open attempt; 0: not reported
+        )
+        self.is_stalled: bool = False  # its open attempt is stalled, so its engine gets no new attempts
         self.attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # released when its attempt ends
         self.admission_shares: Sequence[BudgetShare] = ()  # released when the command ends
 
     def change_state(self, state: CommandState) -> None:
         """Enter a state. Raises InvalidTransitionError if TRANSITIONS does not allow it."""
         if state not in TRANSITIONS[self.state]:
-            raise InvalidTransitionError(f"command {self.id}: {self.state.name} to {state.name}")
+            raise InvalidTransitionError(
+                f"command {self.id} can't change from {self.state.name} to {state.name}"
+            )
         self.state = state
 
     def begin_attempt(self, engine: "Engine", now: int) -> None:
-        """Record that a new attempt begins on the engine."""
+        """Record that a new attempt starts on the engine."""
         self.engine = engine
         self.sent_at = now
         self.progress = 0.0
@@ -153,20 +157,20 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt may have run."""
+        """Whether an engine may have run any attempt of the command."""
         return self.first_run_engine is not None
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may run any number of times."""
+        """Whether the command may run any number of times."""
         return self.profile.idempotency == Idempotency.IDEMPOTENT
 
     @property
     def is_keyed(self) -> bool:
-        """Whether engines drop a repeat by its idempotency key."""
+        """Whether engines drop a retry of the command by its idempotency key."""
         return self.profile.idempotency == Idempotency.KEYED
 
     @property
     def deduplication_until(self) -> int:
-        """End of the deduplication window of its first run."""
+        """Time (us) at which the deduplication window of its first run ends."""
         return self.first_run_at + self.profile.dedup_window_us
--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -5,11 +5,13 @@
 from gullhold.decisions.retry_policy import DEADLINE_MARGIN_US
 from gullhold.interface import Agreement
 
-MAX_SHORT_OBJECTIVES = 2.5  # longest objective of a short command, in times the shortest of any profile
+MAX_SHORT_OBJECTIVES = (
+    2.5  # longest objective of a short command, in multiples of the shortest of any profile
+)
 
 
 class CommandIntake:
-    """Numbers commands in their order of arrival."""
+    """Creates commands and numbers them in their order of arrival."""
 
     def __init__(self, agreement: Agreement, estimates: Estimates) -> None:
         self._profiles = agreement.profiles
@@ -17,7 +19,7 @@
         self._estimates = estimates
         shortest_objective_us = min([profile.objective_us for profile in agreement.profiles], default=0)
         self._max_short_us = MAX_SHORT_OBJECTIVES * shortest_objective_us
-        self.submitted_count = 0  # commands so far
+        self.submitted_count = 0  # number of commands so far
 
     def new_command(
         self,
@@ -32,7 +34,11 @@
         need_mb: float,
         dataset: int,
     ) -> Command:
-        """Create a command. tenants: how many there are; a tenant's index beyond them counts as the first."""
+        """Create a command. tenants: the number of tenants.
+
+        A command with the index of an unknown tenant is counted as the first tenant's. If the agreement names no
+        tenants, each profile takes the place of a tenant.
+        """
         profile = self._profiles[profile_index]
         if not self._has_tenants:
             tenant = profile_index
--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -1,4 +1,4 @@
-"""Changes of commands' states, and their effects on the other components."""
+"""Changes commands' states, and applies the effects of each change to the other components."""
 
 from typing import cast
 
@@ -11,7 +11,7 @@
 
 
 class CommandLifecycle:
-    """The commands that wait or have an open attempt; the only place that changes their states."""
+    """Holds the commands that wait or have an open attempt; nothing else changes their states."""
 
     def __init__(self, agreement: Agreement, components: Components, call: DecisionCall) -> None:
         self._max_retry_after_us = agreement.max_retry_after_us
@@ -26,7 +26,7 @@
         self.commands: dict[int, Command] = {}
 
     def add(self, command: Command) -> None:
-        """Add a new command: it is queued, or blocked by an earlier one of its ordered key."""
+        """Add a new command: it is queued, or blocked by an earlier one with the same ordered key."""
         self.commands[command.id] = command
         if self._key_order.add(command):
             self.change_state(command, CommandState.QUEUED)
@@ -40,7 +40,7 @@
         return command
 
     def engines_in_use(self) -> set[Engine | None]:
-        """Engines that commands refer to."""
+        """Return the engines that commands refer to."""
         in_use: set[Engine | None] = set()
         for command in self.commands.values():
             in_use.add(command.engine)
@@ -61,19 +61,19 @@
             self._forget(command)
 
     def enqueue(self, command: Command) -> None:
-        """Queue a command, and schedule the reviews for when it runs out of time."""
+        """Queue a command, and schedule reviews for the times from which it would end late or must not start."""
         now = self._call.now
         run_us = self._estimates.run_us(command)
         is_late = now > command.objective_at - run_us
         profile = command.profile
-        if command.may_have_run and command.is_keyed:  # it must not wait past its deduplication window
+        if command.may_have_run and command.is_keyed:  # it must be retried within its deduplication window
             self._reviews.add(command.deduplication_until - DEADLINE_MARGIN_US, command)
         latest_start_at = int((command.last_start_at if is_late else command.objective_at) - run_us)
         self._reviews.add(max(now, latest_start_at) + 1, command)
         self._queue.push(command, profile.benefit * (profile.late_benefit_share if is_late else 1.0))
 
     def finish(self, command: Command, state: CommandState = CommandState.ENDED) -> None:
-        """Give the final answer: Shed where a retry does no harm, else Fail."""
+        """Give the final answer: Shed if a retry by the client does no harm, else Fail."""
         if self._retries.may_shed(command, self._call.now):
             self._call.results.append(Shed(command.id, self._max_retry_after_us))
         else:
@@ -81,7 +81,7 @@
         self.change_state(command, state)
 
     def _close_attempt(self, command: Command) -> None:
-        """Release the threads of the command's attempt, which has ended."""
+        """Release what the command's attempt, which has ended, used on its engine."""
         engine = cast("Engine", command.engine)  # each attempt has one
         self._thread_use.vacate(engine, command.threads)
         if command.is_stalled:
@@ -89,7 +89,7 @@
             self._health.count_stalled(engine, -1)
 
     def _forget(self, command: Command) -> None:
-        """Release what an ended command held, and queue the command that it blocked."""
+        """Release the admission shares of an ended command, and queue the command that it blocked."""
         for share in command.admission_shares:
             share.release(1)
         self._retries.record_ended(command)
--- a/gullhold/decisions/components.py
+++ b/gullhold/decisions/components.py
@@ -1,4 +1,4 @@
-"""The components of one gateway's decisions, each with its own state, and how they are wired together."""
+"""The components of one gateway's decisions, each with its own state, and their wiring."""
 
 from collections.abc import Callable
 from random import Random
@@ -25,7 +25,7 @@
 
 
 class Components:
-    """One instance of each component. seed: of all random draws; now: start of the gateway (us)."""
+    """One instance of each component. seed: seeds all random draws; now: start of the gateway (us)."""
 
     def __init__(self, seed: int, agreement: Agreement, now: int) -> None:
         draw = Random(seed).random
