--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -36,7 +36,7 @@
     ) -> Command:
         """Create a command. tenants: the number of tenants.
 
-        A command with the index of an unknown tenant is counted as the first tenant's. If the agreement names no
+        A command with an unknown tenant's index counts as the first tenant's. If the agreement names no
         tenants, each profile takes the place of a tenant.
         """
         profile = self._profiles[profile_index]
--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -61,7 +61,7 @@
             self._forget(command)
 
     def enqueue(self, command: Command) -> None:
-        """Queue a command, and schedule reviews for the times from which it would end late or must not start."""
+        """Queue a command, and schedule reviews for when it would be late and when it must not start."""
         now = self._call.now
         run_us = self._estimates.run_us(command)
         is_late = now > command.objective_at - run_us
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -1,8 +1,9 @@
-"""Limits on the threads that this gateway uses: of each engine, and over the fleet.
+"""Limits on the threads that this gateway uses: on each engine, and in total over all engines.
 
-An engine's limit is our share of two threads a core, higher where engines report free capacity and lower
-where the engine is slow. Under pressure it follows the paper: throughput is sampled at the limit and at two
-fractions of it, and a curve through the samples gives the concurrency of the best throughput.
+An engine's limit is our share of two threads a core. It is raised if the engine reports free capacity and
+lowered if the engine is slow. Under pressure the limit is fitted, as in the paper "Improving the scalability
+of database engines by controlling their load": throughput is sampled at the limit and at two fractions of it,
+and a curve through the samples gives the concurrency with the highest throughput.
 """
 
 from gullhold.decisions.command import Command
@@ -17,23 +18,23 @@
 from gullhold.decisions.traffic import TrafficMeter
 from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement, BudgetKind
 
-THREADS_PER_CORE = 2.0  # threads; the design's initial limit
-MAX_ENGINE_WIDENING = 4.0  # highest factor for the limit of an engine that reports free capacity
-MAX_TOTAL_WIDENING = 2.0  # the same for the limit over the fleet
-ALLOWED_DEVIATIONS = 1.0  # random deviations of our threads that the limit over the fleet allows
-PRESSURE_SLOWNESS = 1.8  # pace over the best pace that means pressure: time-sharing of cores explains less
-HISTORY_COMMANDS = 4.0  # weight of the fleet's pace so far, in long commands: few of them end
-MAX_SLOWNESS = 10.0  # of one attempt against the best pace: bounds the influence of a single one
+THREADS_PER_CORE = 2.0  # threads of all gateways together: the limit before it is raised or lowered
+MAX_ENGINE_WIDENING = 4.0  # highest factor that raises the limit of an engine with free capacity
+MAX_TOTAL_WIDENING = 2.0  # the same for the total limit
+ALLOWED_DEVIATIONS = 1.0  # standard deviations of our threads in use by which the total limit is raised
+PRESSURE_SLOWNESS = 1.8  # pace over the best pace that means pressure; time-sharing of cores explains less
+HISTORY_COMMANDS = 4.0  # weight of the overall slowness so far, in long commands per engine: few of them end
+MAX_SLOWNESS = 10.0  # pace over the best pace that one attempt counts with: bounds its influence
 MIN_SHARE_FACTOR = 0.5  # factor of our share at the strongest pressure: one thread a core
 MAX_SHARE_FACTOR = 1.25  # factor of our share without pressure; more overloads all engines
 MIN_LONG_SHARE = 0.3  # of a limit, for long commands
 MAX_LONG_SHARE = 0.8
-LONG_SHARE_LOSS_FACTOR = 0.7  # factor of the long share after a loss
+LONG_SHARE_LOSS_FACTOR = 0.7  # by which the long share is multiplied after a loss
 LONG_SHARE_GAIN = 0.0015  # added to the long share by an answer
-REFIT_US = 10_000_000  # us between fits, from the design
-SAMPLE_US = 800_000  # us of one sample: a few commands end in it
-MIN_SAMPLED_LIMIT = 4  # threads; lower limits are not sampled
-SAMPLE_SHARES = {  # of the limit, far apart
+REFIT_US = 10_000_000  # us between fits of an engine's limit
+SAMPLE_US = 800_000  # us that one sample takes; a few commands end in that time
+MIN_SAMPLED_LIMIT = 4  # threads; no samples are taken at this limit or a lower one
+SAMPLE_SHARES = {  # of the limit; the samples have to lie far apart
     SampleStage.AT_LIMIT: 1.0,
     SampleStage.AT_UPPER: 0.7,
     SampleStage.AT_LOWER: 0.4,
@@ -68,20 +69,22 @@
         self._traffic = traffic
         self._budgets = budgets
         self._thread_use = thread_use
-        self.share_factor = 1.0  # factor of our share, lower under pressure
-        self.overall_slowness = 1.0  # pace against the best pace, over all engines
+        self.share_factor = 1.0  # factor of our share, lowered under pressure
+        self.overall_slowness = 1.0  # pace over the best pace, averaged over all engines
         self.long_share = MAX_LONG_SHARE  # of a limit, for long commands
-        self._sampled: Engine | None = None  # only one at a time, so that engines do not oscillate together
+        self._sampled: Engine | None = (
+            None  # one engine at a time, so that their limits do not oscillate together
+        )
 
     def share(self, now: int) -> float:
-        """Our share of the fleet's engines."""
+        """Return our share, 0 to 1, of the capacity of all engines."""
         budget = self._budgets.share(BudgetKind.TRAFFIC_SHARE, 0)
         if budget is not None:
             return self.share_factor * budget.limit() / MILLIONTHS_PER_UNIT
         return self._traffic.share_of(self.share_factor, now)
 
     def engine_limit(self, engine: Engine, now: int) -> float:
-        """The limit on our threads on the engine; under pressure the fitted or the sampled one."""
+        """Return the limit on our threads on the engine; under pressure the sampled or the fitted one."""
         budget = self._budgets.share(BudgetKind.THREADS, engine.id)
         limit = budget.limit() if budget is not None else THREADS_PER_CORE * engine.cores * self.share(now)
         widening = widening_factor(self._loads.utilization(engine, now), MAX_ENGINE_WIDENING)
@@ -93,13 +96,14 @@
         return limit
 
     def long_command_limit(self, limit: float, command: Command) -> float:
-        """The part of a limit that this command may use: long commands leave some of it to short ones."""
+        """Return the part of a limit that a command may use: long ones leave some of it to short ones."""
         return limit if command.is_short else limit * self.long_share
 
     def total_limit_allows(self, command: Command, now: int) -> bool:
-        """Whether the command fits in the sum of our limits over the fleet, with slack for random deviation.
+        """Whether the command fits into our total limit over all engines, with slack for random deviation.
 
-        Guards against many gateways that each send "one" and flood an engine together.
+        A gateway may always have one attempt on an engine, however small its limit is, so without a total
+        limit many gateways could overload the engines together.
         """
         ready = self._engines.ready
         if ready and self._budgets.share(BudgetKind.THREADS, ready[0].id) is not None:
@@ -113,8 +117,9 @@
     def is_under_pressure(self, engine: Engine, now: int) -> bool:
         """Whether the engine is overloaded.
 
-        One that is slow but reports free capacity is not: guards against a lack of memory, bad estimates and
-        lost answers that look like overload. Harm: engines that wait for disks and report idle cores.
+        A slow engine that reports free capacity does not count as overloaded: the cause may be a lack of
+        memory, bad estimates or lost answers. The price is that an engine whose commands wait for disks while
+        its cores are idle is not recognized as overloaded.
         """
         is_slow = self.overall_slowness * self._health.slowness(engine, now) > PRESSURE_SLOWNESS
         if is_slow and self._loads.utilization(engine, now) > FULL_UTILIZATION:
@@ -122,19 +127,19 @@
         return now < engine.overloaded_until
 
     def is_overall_slow(self) -> bool:
-        """Whether the fleet as a whole is under pressure."""
+        """Whether all engines taken together are under pressure."""
         return self.overall_slowness > PRESSURE_SLOWNESS
 
     def record_loss(self) -> None:
-        """Record that an engine rejected an attempt as overloaded, or let it time out."""
+        """Lower the long share, after an engine has rejected an attempt as overloaded or let it time out."""
         self.long_share = max(MIN_LONG_SHARE, self.long_share * LONG_SHARE_LOSS_FACTOR)
 
     def record_answer(self) -> None:
-        """Record that an attempt was answered."""
+        """Raise the long share, after an attempt was answered."""
         self.long_share = min(MAX_LONG_SHARE, self.long_share + LONG_SHARE_GAIN)
 
     def record_pace(self, work: float, pace: float, best_pace: float) -> float:
-        """Record the pace of an attempt that ended; return its weight in the fleet's figures."""
+        """Record the pace of an ended attempt; return its weight, 0 to 1, in the averages over all engines."""
         engines_per_gateway = max(1.0, len(self._engines.ready) / self._gateways)
         history_work = HISTORY_COMMANDS * self._estimates.largest_usual_work() * engines_per_gateway
         weight = work / (work + history_work)
@@ -143,7 +148,7 @@
         return weight
 
     def adapt(self, engine: Engine, weight: float, has_queued: bool, now: int) -> None:
-        """Adapt our share and the samples after an attempt on the engine has ended."""
+        """Adapt our share, and take samples, after an attempt on the engine has ended."""
         if self.is_under_pressure(engine, now):
             self.share_factor = max(MIN_SHARE_FACTOR, self.share_factor * (1 - weight))
         elif has_queued:
@@ -157,7 +162,7 @@
             self._sampled = None
 
     def _sample(self, engine: Engine, now: int) -> None:
-        """Sample throughput at three concurrencies, each for SAMPLE_US under pressure, then fit the curve."""
+        """Under pressure, sample throughput at three concurrencies for SAMPLE_US each, then fit the curve."""
         if not self.is_under_pressure(engine, now):
             self.stop_sampling(engine)
         elif self._may_begin_samples(engine, now):
--- a/gullhold/decisions/dataset_engines.py
+++ b/gullhold/decisions/dataset_engines.py
@@ -1,20 +1,20 @@
-"""Preferred engines of a data set: how many, by its popularity, and in large fleets those used recently."""
+"""How many engines a data set prefers, by its popularity, and which engines answered for it recently."""
 
 from collections import deque
 
 from gullhold.decisions.engine import Engine
 
 MIN_PREFERRED_ENGINES = 3  # of any data set
-INITIAL_COMMANDS = 20  # added to the total: few commands are no reason to prefer many engines
-PREFERRED_SHARE_FACTOR = 2.0  # share of the engines preferred, over the data set's share of the commands
+INITIAL_COMMANDS = 20  # added to the total, so that the first few commands do not prefer many engines
+PREFERRED_SHARE_FACTOR = 2.0  # share of engines that a data set prefers, over its share of the commands
 MAX_COUNTED_COMMANDS = 400  # commands after which all counts are halved
 MIN_KEPT_COUNT = 0.5  # commands; a lower count is dropped when counts are halved
-RECENT_ENGINES = 4  # engines remembered for a data set: about as many as one gateway uses for it at once
-MAX_RECENT_DATASETS = 512  # data sets with remembered engines
+RECENT_ENGINES = 4  # engines kept for a data set: about as many as one gateway uses for it at once
+MAX_RECENT_DATASETS = 512  # data sets with recent engines; if there are more, all are dropped
 
 
 class DatasetPopularity:
-    """Counts of commands by data set, halved from time to time."""
+    """Counts of commands by data set, all halved whenever their total reaches a maximum."""
 
     def __init__(self) -> None:
         self._counts: dict[int, float] = {}
@@ -29,22 +29,22 @@
             self._total = MAX_COUNTED_COMMANDS / 2
 
     def preferred_engines(self, dataset: int, engines: int) -> int:
-        """Return how many of the engines the data set prefers. engines: their number."""
+        """Return how many engines the data set prefers. engines: how many there are."""
         share = self._counts.get(dataset, 0.0) / (self._total + INITIAL_COMMANDS)
         return min(engines, MIN_PREFERRED_ENGINES + int(share * engines * PREFERRED_SHARE_FACTOR))
 
 
 class RecentEngines:
-    """Slots of the engines that answered last for a data set.
+    """Slots of the engines that answered last for each data set.
 
-    Guards against a new connection for each command in a large fleet.
+    With many engines, commands return to these: otherwise nearly each command would need a new connection.
     """
 
     def __init__(self) -> None:
         self._slots: dict[int, deque[int]] = {}
 
     def record_answer(self, dataset: int, engine: Engine) -> None:
-        """Remember an engine that has answered for a data set."""
+        """Record that an engine has answered a command for a data set."""
         if len(self._slots) >= MAX_RECENT_DATASETS:
             self._slots.clear()
         slots = self._slots.setdefault(dataset, deque(maxlen=RECENT_ENGINES))
@@ -52,5 +52,5 @@
             slots.append(engine.slot)
 
     def slots(self, dataset: int) -> deque[int] | None:
-        """Return the slots for a data set, None if there are none."""
+        """Return the engines' slots for a data set, None if there are none."""
         return self._slots.get(dataset)
--- a/gullhold/decisions/dataset_locks.py
+++ b/gullhold/decisions/dataset_locks.py
@@ -4,13 +4,13 @@
 
 
 class DatasetLocks:
-    """The estimated time until which a load locks a data set on an engine."""
+    """Estimated times (us) until which loads lock data sets on engines."""
 
     def __init__(self) -> None:
-        self._until: dict[tuple[int, int], float] = {}  # by slot of the engine and data set
+        self._until: dict[tuple[int, int], float] = {}  # by (slot of the engine, data set)
 
     def lock(self, engine: Engine, dataset: int, until: int) -> None:
-        """Record that a load has begun, or was noticed."""
+        """Record that a load locks the data set on the engine until this time."""
         self._until[engine.slot, dataset] = until
 
     def is_locked(self, engine: Engine, dataset: int, now: int) -> bool:
@@ -18,9 +18,9 @@
         return now < self._until.get((engine.slot, dataset), 0)
 
     def forget(self, engine: Engine) -> None:
-        """Forget an engine whose slot another one may take."""
+        """Drop the locks of an engine that is forgotten: another engine may take its slot."""
         self._until = {key: until for key, until in self._until.items() if key[0] != engine.slot}
 
     def forget_released(self, now: int) -> None:
-        """Drop locks that have ended."""
+        """Drop locks whose time is over."""
         self._until = {key: until for key, until in self._until.items() if until > now}
--- a/gullhold/decisions/decision_call.py
+++ b/gullhold/decisions/decision_call.py
@@ -1,10 +1,10 @@
-"""The current call of the driver."""
+"""The driver's call that is being handled."""
 
 from gullhold.interface import Result
 
 
 class DecisionCall:
-    """Its time (us) and the results so far, which remain available if the call raises an exception."""
+    """The time of the call (us) and its results so far, which remain available if it raises an exception."""
 
     __slots__ = ("now", "results")
 
@@ -13,6 +13,6 @@
         self.results: list[Result] = []
 
     def begin(self, now: int) -> None:
-        """Begin a new call."""
+        """Begin a new call, without results."""
         self.now = now
         self.results = []
--- a/gullhold/decisions/decision_terms.py
+++ b/gullhold/decisions/decision_terms.py
@@ -1,15 +1,15 @@
-"""The values of a fleet's policy that the decisions use; a gateway without a fleet never imports it."""
+"""The values that a fleet's policy sets for the decisions; gateways without a fleet never import this."""
 
 from typing import NamedTuple
 
 
 class DecisionTerms(NamedTuple):
-    """weights: round-robin weights by the index of a tenant; the others: by the index of a profile.
+    """The values: weights by the index of a tenant, all others by the index of a profile.
 
-    The mappings hold the profiles that the policy names; all others keep the agreement's values.
+    The mappings hold only the profiles that the policy names; all other profiles keep the agreement's values.
     """
 
-    weights: list[float]
-    priorities: dict[int, int]
-    grants_mb: dict[int, int]  # the most memory granted to an attempt, MB
-    max_attempts: dict[int, int]
+    weights: list[float]  # of the round-robin over tenants
+    priorities: dict[int, int]  # of attempts on their engines
+    grants_mb: dict[int, int]  # largest memory grant of an attempt, MB
+    max_attempts: dict[int, int]  # for one command
--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -13,7 +13,7 @@
 
 
 class Dispatcher:
-    """The last step of each call that may have changed what can be dispatched."""
+    """Dispatches commands, as the last step of each call after which more can be dispatched than before."""
 
     def __init__(
         self, agreement: Agreement, components: Components, lifecycle: CommandLifecycle, call: DecisionCall
@@ -37,7 +37,8 @@
     def run(self) -> list[Result]:
         """Run due reviews, then dispatch queued commands while there is capacity; return the call's results.
 
-        Reviews that are due are run on every call: after a pause of the process their timer may fire last.
+        Due reviews are run on every call, not only when their timer fires: after a pause of the process the
+        timer may be the last of the pending events.
         """
         now = self._call.now
         while due := self._reviews.pop_due(now):
@@ -62,7 +63,7 @@
         return None
 
     def _dispatch_of_tenant(self, tenant: int) -> bool:
-        """Dispatch the tenant's best queued command that an engine may take; whether there was one."""
+        """Dispatch the first command of one of the tenant's queues; whether an engine may take one."""
         is_dispatched = False
         for heap in self._queue.queues_of(tenant):
             if self._dispatch_first(heap):
@@ -72,7 +73,7 @@
         return is_dispatched
 
     def _dispatch_first(self, heap: list[QueueEntry]) -> bool:
-        """Dispatch the first command of a queue if an engine may take it; whether one did."""
+        """Dispatch the first command of a queue if an engine may take it; whether one may."""
         command = self._queue.first(heap)
         if command is None or not self._retries.may_start(command, self._call.now):
             return False
@@ -105,7 +106,7 @@
             self._reviews.add(self._attempt_review.first_at(run_us, now), command)
 
     def _acquire_claims(self, command: Command, engine: Engine) -> None:
-        """Acquire what the attempt needs of the fleet's budgets."""
+        """Acquire what the attempt needs from the fleet's budgets."""
         if not self._budgets.is_active:
             return
         command.attempt_claims = self._budgets.claims(command, engine, self._call.now)
@@ -113,7 +114,7 @@
             share.acquire(amount)
 
     def _review(self, command: Command, attempts: int) -> None:
-        """Review a command. attempts: how many it had when the review was scheduled."""
+        """Review a command. attempts: the number of its attempts when the review was scheduled."""
         if command.state in WAITING_STATES:
             self._review_waiting(command)
         elif command.state == CommandState.DISPATCHED and attempts == command.attempts:
@@ -129,7 +130,7 @@
             self._lifecycle.enqueue(command)
 
     def _review_attempt(self, command: Command) -> None:
-        """Act on an open attempt that may be far slower than usual."""
+        """Review an open attempt, and cancel it or mark it as stalled if it is far slower than usual."""
         now = self._call.now
         match self._attempt_review.verdict(command, now):
             case Verdict.CANCEL:
