--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -139,7 +139,7 @@
         self.long_share = min(MAX_LONG_SHARE, self.long_share + LONG_SHARE_GAIN)
 
     def record_pace(self, work: float, pace: float, best_pace: float) -> float:
-        """Record the pace of an ended attempt; return its weight, 0 to 1, in the averages over all engines."""
+        """Record the pace of an ended attempt; return its weight, 0 to 1, in averages over all engines."""
         engines_per_gateway = max(1.0, len(self._engines.ready) / self._gateways)
         history_work = HISTORY_COMMANDS * self._estimates.largest_usual_work() * engines_per_gateway
         weight = work / (work + history_work)
--- a/gullhold/decisions/decision_terms.py
+++ b/gullhold/decisions/decision_terms.py
@@ -1,4 +1,4 @@
-"""The values that a fleet's policy sets for the decisions; gateways without a fleet never import this."""
+"""The values that a fleet's policy sets for the decisions; gateways without a fleet do not import it."""
 
 from typing import NamedTuple
 
--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -7,7 +7,7 @@
 
 
 class SampleStage(IntEnum):
-    """Which sample of throughput is being taken on an engine."""
+    """Which of the three samples of throughput is being taken on an engine."""
 
     NONE = 0
     AT_LIMIT = 1
@@ -16,10 +16,10 @@
 
 
 class Engine:
-    """One engine: its entry in the endpoint list, and observations from its attempts.
+    """One engine: its entry in the endpoint list, and observations from its attempts. Times are in us.
 
-    slot: a dense number, reused for another engine once this one is forgotten. sequence: order of discovery.
-    Each group of fields is written only by the component that it is named after.
+    slot: index in the table of engines, reused for another engine once this one is forgotten. sequence: order
+    of discovery. Each group of fields in __init__() is named after the component that maintains it.
     """
 
     __slots__ = (
@@ -68,27 +68,29 @@
         # Thread use: of our attempts.
         self.threads = 0
         self.attempts = 0
-        # Health: rates and sums fade exponentially from the time given with them.
+        # Health: the rate and the sums decay exponentially from the times given with them.
         self.failure_rate = 0.0
         self.failure_rate_at = 0
-        self.overloaded_until = 0
+        self.overloaded_until = 0  # it gets no new attempts before
         self.stalled_attempts = 0
         self.completed_at = 0
         self.completed_work = 0.0  # core-us
         self.completed_slow_work = 0.0  # the same, each attempt's work times its slowness
         # Concurrency limit.
-        self.fitted_limit: float | None = None
+        self.fitted_limit: float | None = None  # threads
         self.sample_stage = SampleStage.NONE
         self.sample_began_at = 0
-        self.sample_work = 0.0
-        self.samples: tuple[float, ...] = ()  # (threads, throughput) of each sample, the newest first
+        self.sample_work = 0.0  # core-us completed in the current sample
+        self.samples: tuple[float, ...] = ()  # threads and throughput of each sample, the newest first
         self.next_fit_at = 0
         # Slow start.
-        self.warmup_dispatches: deque[tuple[int, float]] = deque()  # (time, work)
-        self.warmup_rounding_draw = 0.0
+        self.warmup_dispatches: deque[tuple[int, float]] = (
+            deque()
+        )  # (time, work) of attempts while it warms up
+        self.warmup_rounding_draw = 0.0  # 0 to 1: rounds our share of its warming budget
         self.warmup_rounding_drawn_at = 0
         # Load report.
-        self.load = 1.0
+        self.load = 1.0  # utilisation, 0 to 1
         self.load_at = 0
 
     def forget_observations(self) -> None:
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -1,4 +1,4 @@
-"""Health of engines: failure rate, attempts that stall, and pace against the fleet's."""
+"""Health of engines: failure rate, stalled attempts, and pace compared with what is usual."""
 
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.estimators import Estimates
@@ -7,46 +7,47 @@
 from gullhold.decisions.ranking import EngineList
 from gullhold.interface import Outcome
 
-# An engine is an outlier from OUTLIER_RATE above OUTLIER_MEDIAN_FACTOR times the fleet's median failure rate.
+# An engine is an outlier if its failure rate is more than OUTLIER_RATE above OUTLIER_MEDIAN_FACTOR times the
+# median failure rate of all ready engines.
 OUTLIER_RATE = 0.15  # share of failures
 OUTLIER_MEDIAN_FACTOR = 2
-CAUTIOUS_FACTOR = 0.7  # of OUTLIER_RATE, for long commands and those that may not be repeated
-UNANSWERED_SMOOTHING = 0.3  # weight of a failure without an answer of the engine: it costs the most time
-MIN_FAILURE_RATE = 1e-4  # a failure rate that has faded to less counts as none
-OVERLOADED_US = 2_000_000  # us without new attempts for an overloaded engine: a few status notes
-MAX_SLOWNESS = 10.0  # of one attempt: bounds the influence of a single one
+CAUTIOUS_FACTOR = 0.7  # of OUTLIER_RATE, for long commands and those that are not idempotent
+UNANSWERED_SMOOTHING = 0.3  # weight of a failure without an answer from the engine: it costs the most time
+MIN_FAILURE_RATE = 1e-4  # a failure rate that has decayed to this or less counts as 0
+OVERLOADED_US = 2_000_000  # us without new attempts on an overloaded engine: the time of a few status notes
+MAX_SLOWNESS = 10.0  # slowness that one attempt counts with: bounds its influence
 
 FAILURES = frozenset((Outcome.ERROR, Outcome.RESET))
 
 
 class EngineHealth:
-    """Failure rates, stalled attempts and slowness of engines, and the fleet's usual failure rate."""
+    """Failure rates, stalled attempts and slowness of engines, and the median failure rate."""
 
     def __init__(self, ready: EngineList, estimates: Estimates) -> None:
         self._ready = ready
         self._estimates = estimates
         self._failing: set[Engine] = set()  # engines with failures
         self._stalled: set[Engine] = set()  # engines with stalled attempts
-        self.median_failure_rate = 0.0  # median of the ready engines
+        self.median_failure_rate = 0.0  # of the ready engines
 
     def record_listed(self, engine: Engine) -> None:
-        """Take an engine that has become ready again into account for the median."""
+        """Count an engine that has become ready again among those with failures, if it has any."""
         if engine in self._ready and engine.failure_rate:
             self._failing.add(engine)
 
     def forget(self, engine: Engine) -> None:
-        """Forget an engine that nothing refers to any more."""
+        """Drop an engine that nothing refers to any more."""
         self._failing.discard(engine)
         self._stalled.discard(engine)
 
     def failure_rate(self, engine: Engine, now: int) -> float:
-        """Share of failures of the engine, faded to the present."""
+        """Return the share of the engine's attempts that failed, decayed to the present."""
         if not engine.failure_rate:
             return 0.0
         return engine.failure_rate * decay_factor(engine.failure_rate_at, now)
 
     def slowness(self, engine: Engine, now: int) -> float:
-        """How much slower the engine is than usual for the profiles of its attempts; fades to 1."""
+        """Return how many times slower the engine is than usual for the profiles it ran; decays to 1."""
         if not engine.completed_work:
             return 1.0
         decay = decay_factor(engine.completed_at, now)
@@ -55,15 +56,15 @@
         return slow_work / (prior_work + engine.completed_work * decay)
 
     def is_outlier(self, engine: Engine, tolerates_failure: bool, now: int) -> bool:
-        """Whether the engine fails far more often than the fleet's median.
+        """Whether the engine fails far more often than the median engine.
 
-        tolerates_failure: asked for a short command that may be repeated, which tolerates a failure.
+        tolerates_failure: the engine is to run a short, idempotent command, for which a failure costs little.
         """
         tolerance = OUTLIER_RATE * (1 if tolerates_failure else CAUTIOUS_FACTOR)
         return self.failure_rate(engine, now) > tolerance + OUTLIER_MEDIAN_FACTOR * self.median_failure_rate
 
     def record_outcome(self, engine: Engine, outcome: Outcome, may_still_run: bool, now: int) -> None:
-        """Record how an attempt ended. may_still_run: it timed out, and its work goes on on the engine."""
+        """Record how an attempt ended. may_still_run: it timed out, and the engine may still run it."""
         is_unanswered = may_still_run or outcome == Outcome.CONNECT_FAILED
         is_failure = is_unanswered or outcome in FAILURES
         if is_failure or outcome == Outcome.ANSWERED:
@@ -78,7 +79,7 @@
             engine.overloaded_until = now + OVERLOADED_US
 
     def record_pace(self, engine: Engine, work: float, pace: float, usual_pace: float, now: int) -> None:
-        """Record the pace of an attempt that ended on the engine. work: of the attempt (core-us)."""
+        """Record the pace of an ended attempt. work: of the attempt (core-us); usual_pace: of its profile."""
         decay = decay_factor(engine.completed_at, now)
         slowness = min(pace / usual_pace, MAX_SLOWNESS)
         engine.completed_at = now
@@ -86,7 +87,7 @@
         engine.completed_slow_work = engine.completed_slow_work * decay + work * slowness
 
     def count_stalled(self, engine: Engine, change: int) -> None:
-        """Count a stalled attempt on the engine (change 1), or one that has ended (-1)."""
+        """Add a stalled attempt of the engine (change: 1), or subtract one that has ended (-1)."""
         engine.stalled_attempts += change
         if engine.stalled_attempts > 0:
             self._stalled.add(engine)
@@ -94,14 +95,14 @@
             self._stalled.discard(engine)
 
     def is_stalled(self, engine: Engine) -> bool:
-        """Whether attempts stall on the engine but not on most of the fleet."""
+        """Whether attempts stall on the engine, but on less than half of all ready engines."""
         if not engine.stalled_attempts:
             return False
         stalled = sum(each in self._ready for each in self._stalled)
         return 2 * stalled < len(self._ready)
 
     def _median_failure_rate(self, now: int) -> float:
-        """Median over the ready engines; 0, without a scan, while fewer than half have failures."""
+        """Return the median of the ready engines; 0, without a scan, while fewer than half have failures."""
         if 2 * len(self._failing) >= len(self._ready):
             self._failing = {
                 engine
--- a/gullhold/decisions/engine_registry.py
+++ b/gullhold/decisions/engine_registry.py
@@ -1,4 +1,4 @@
-"""All engines of the endpoint list, and those removed from it while something still refers to them."""
+"""Engines of the endpoint list, and engines removed from it while something still refers to them."""
 
 from gullhold.decisions.engine import Engine
 from gullhold.decisions.ranking import EngineList
@@ -6,21 +6,21 @@
 
 
 class EngineRegistry:
-    """Engines by id and by slot, the lists of ready ones and the sum of their cores."""
+    """Holds the engines by id and by slot, lists of the ready ones, and the sum of the ready ones' cores."""
 
     def __init__(self, agreement: Agreement) -> None:
         self._agreement = agreement
         self.by_id: dict[int, Engine] = {}
         self.by_slot: list[Engine] = []
         self.ready = EngineList()
-        self.local = EngineList()  # ready ones of this gateway's zone
+        self.local = EngineList()  # the ready engines in this gateway's zone
         self.ready_cores = 0.0
         self._free_slots: list[int] = []
         self._removed: set[Engine] = set()
         self._sequence = 0
 
     def update(self, entry: EngineEntry) -> Engine:
-        """Apply one entry of the endpoint list."""
+        """Apply one entry of the endpoint list; return its engine."""
         engine = self.by_id.get(entry.id)
         if engine is None:
             engine = self._add(entry.id)
@@ -38,7 +38,7 @@
         return engine
 
     def remove_all_but(self, listed: set[Engine]) -> None:
-        """Mark engines that a full endpoint list does not contain as removed."""
+        """Mark the engines that are missing from a full endpoint list as removed."""
         for engine in self.by_id.values():
             if engine not in listed:
                 self._subtract_cores(engine)
@@ -50,7 +50,11 @@
         return bool(self._removed)
 
     def forget_removed(self, now: int, in_use: set[Engine | None]) -> list[Engine]:
-        """Forget removed engines that nothing refers to, and return them."""
+        """Forget removed engines that nothing refers to, and return them.
+
+        An engine is kept until its warm-up is over: if it is listed again before, slow start has to know the
+        work that it was given.
+        """
         forgotten = [
             engine
             for engine in self._removed
@@ -75,7 +79,7 @@
         return engine
 
     def _subtract_cores(self, engine: Engine) -> None:
-        """Take the engine's cores out of the sum, before its entry changes."""
+        """Subtract the engine's cores from the sum, before its entry changes."""
         if engine in self.ready:
             self.ready_cores -= engine.cores
 
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -1,8 +1,10 @@
-"""Queued commands: weighted round-robin over tenants, each with an adaptive quota in a round (the paper).
+"""Queued commands: weighted round-robin over tenants, with an adaptive quota of commands in each round.
 
-A round's quota of a tenant is its weight times a factor. The factor grows while tenants are treated evenly
-and latency is steady, and is halved once either is not. Each tenant has a queue of short commands and one of
-long commands, ordered by benefit over work. If the agreement names no tenants, profiles take their place.
+A tenant's quota in a round is its weight times a factor. The factor grows while tenants are served evenly and
+the pace of attempts is steady, and is halved when either is no longer so. The rounds follow the paper
+"Improving the scalability of database engines by controlling their load". Each tenant has a queue of short
+commands and one of long commands, ordered by benefit over work. If the agreement names no tenants, each
+profile takes the place of a tenant.
 """
 
 from collections.abc import Sequence
@@ -12,22 +14,22 @@
 from gullhold.decisions.moving_average import SMOOTHING_FACTOR, relative_deviation
 from gullhold.interface import Agreement
 
-# The factor: commands of the smallest tenant in a round.
+# The quota factor: commands of the tenant with the lowest weight in a round.
 MIN_QUOTA_FACTOR = 1.0
 INITIAL_QUOTA_FACTOR = 2.0
 MAX_QUOTA_FACTOR = 8.0
 
-MAX_UNFAIRNESS = 0.5  # deviation of a tenant's count from the mean, over the mean
-MAX_VARIABILITY = 1.0  # deviation of latency, over its mean
-MIN_KEPT_COUNT = 0.02  # commands; a fading count that has fallen below is dropped
+MAX_UNFAIRNESS = 0.5  # largest deviation of a tenant's weighted count from the mean, over the mean
+MAX_VARIABILITY = 1.0  # standard deviation of the pace over its mean, averaged over tenants
+MIN_KEPT_COUNT = 0.02  # commands; a decaying count that is not above it is dropped
 
-# Plain tuples, as heapq compares them: minus benefit over work, order of arrival, entry number, command.
+# Ordered as heapq compares tuples: (negative benefit over work, order of arrival, entry number, command).
 QueueEntry = tuple[float, int, int, Command]
 TenantQueues = tuple[list[QueueEntry], list[QueueEntry]]  # heaps of short and of long commands
 
 
 class FairQueue:
-    """Commands that may be dispatched, by tenant; tenants without any take no time and no memory."""
+    """Commands that may be dispatched, by tenant; a tenant without any takes no time and no memory."""
 
     def __init__(self, agreement: Agreement) -> None:
         shares = [tenant.share for tenant in agreement.tenants]
@@ -36,10 +38,12 @@
         self.weights: Sequence[float] = weights or [1.0] * len(agreement.profiles)
         self._weighted_tenants = sum(weight > 0 for weight in self.weights)
         self.by_tenant: dict[int, TenantQueues] = {}
-        self.dispatched: dict[int, float] = {}  # fading counts by tenant
-        self.quotas: dict[int, float] = {}  # what is left in this round; absent: all of it
-        self.pace_sums: dict[int, Sequence[float]] = {}  # fading sums: (count, paces, squared paces)
-        self._pace_deviations = 0.0  # sum over tenants of the relative deviation of latency
+        self.dispatched: dict[int, float] = {}  # decaying counts of dispatched commands, by tenant
+        self.quotas: dict[int, float] = {}  # commands left in this round, by tenant; absent: all of the quota
+        self.pace_sums: dict[
+            int, Sequence[float]
+        ] = {}  # decaying sums by tenant: (count, paces, squared paces)
+        self._pace_deviations = 0.0  # sum over tenants of the relative deviation of the pace
         self._quota_factor = INITIAL_QUOTA_FACTOR
         self._quota_factor_rose = False
         self._rounds = 0
@@ -51,7 +55,7 @@
         self._weighted_tenants = sum(weight > 0 for weight in weights)
 
     def push(self, command: Command, benefit: float) -> None:
-        """Queue a command; an entry that it already has becomes invalid."""
+        """Queue a command; an entry that the queue already holds for it becomes invalid."""
         command.queue_entry += 1
         rank = -benefit / max(command.work, 1.0)
         queues = self.by_tenant.setdefault(command.tenant, ([], []))
@@ -59,7 +63,10 @@
         heappush(heap, (rank, command.order, command.queue_entry, command))
 
     def tenants_in_turn(self) -> list[int]:
-        """Tenants with queued commands, in turn; those without quota come last, for unused capacity."""
+        """Return the tenants with queued commands, in turn; those without quota left come last.
+
+        They get the capacity that the others leave unused.
+        """
         if len(self.by_tenant) <= 1:
             return list(self.by_tenant)
         weights = len(self.weights)
@@ -69,7 +76,7 @@
         )
 
     def queues_of(self, tenant: int) -> list[list[QueueEntry]]:
-        """The two queues of a tenant, the one with the better first command first."""
+        """Return the two queues of a tenant, first the one whose first command has more benefit over work."""
         return sorted(self.by_tenant[tenant], key=lambda heap: heap[0][0] if heap else 0.0)
 
     def first(self, heap: list[QueueEntry]) -> Command | None:
@@ -86,12 +93,12 @@
         heappop(heap)
 
     def drop_if_empty(self, tenant: int) -> None:
-        """Drop a tenant's queues once both are empty."""
+        """Drop a tenant's queues if both are empty."""
         if not any(self.by_tenant[tenant]):
             del self.by_tenant[tenant]
 
     def record_dispatch(self, tenant: int) -> None:
-        """Charge a dispatched command to its tenant's quota; begin a new round if all quotas are used up."""
+        """Charge a dispatched command to its tenant's quota; begin a round if no queued tenant has any."""
         self.quotas[tenant] = self._quota(tenant) - 1
         self.dispatched[tenant] = self.dispatched.get(tenant, 0.0) + 1
         self._next_tenant = tenant if self.quotas[tenant] > 0 else (tenant + 1) % len(self.weights)
@@ -109,14 +116,14 @@
         )
 
     def _quota(self, tenant: int) -> float:
-        """What is left of a tenant's quota in this round, which is at least 1; 0 before the first round."""
+        """Return what is left of a tenant's quota, which is at least 1 in a round; 0 before the first one."""
         quota = self.quotas.get(tenant)
         if quota is not None:
             return quota
         return max(1, round(self.weights[tenant] * self._quota_factor)) if self._rounds else 0
 
     def _begin_round(self) -> None:
-        """Reset the quotas, and adapt the factor to unfairness and variability of latency."""
+        """Reset the quotas, and adapt the quota factor to unfairness and to the variability of the pace."""
         unfairness = self._unfairness()
         variability = max(self._pace_deviations, 0.0) / len(self.pace_sums) if self.pace_sums else 0.0
         if unfairness < MAX_UNFAIRNESS / 2 and variability < MAX_VARIABILITY / 2:
@@ -134,7 +141,7 @@
         }
 
     def _unfairness(self) -> float:
-        """The largest deviation of the tenants' counts over weight from their mean, relative to the mean."""
+        """Return the largest deviation of a tenant's count over weight from the mean, over the mean."""
         counts = [
             count / self.weights[tenant]
             for tenant, count in self.dispatched.items()
@@ -143,5 +150,7 @@
         mean = sum(counts) / self._weighted_tenants if self._weighted_tenants else 0.0
         if not mean:
             return 0.0
-        least = min(counts) if len(counts) == self._weighted_tenants else 0.0  # some dispatched nothing
+        least = (
+            min(counts) if len(counts) == self._weighted_tenants else 0.0
+        )  # 0: some tenant had no command dispatched
         return max(max(counts) - mean, mean - least) / mean
--- a/gullhold/decisions/fleet_budgets.py
+++ b/gullhold/decisions/fleet_budgets.py
@@ -1,4 +1,4 @@
-"""This gateway's shares of its fleet's budgets; without a fleet there are none."""
+"""This gateway's shares of the budgets of its fleet; a gateway without a fleet has none."""
 
 from collections.abc import Callable
 from math import ceil
@@ -12,14 +12,14 @@
 from gullhold.interface import BudgetKind, BudgetShare, Demand, ReportDemand
 
 ShareLookup = Callable[[BudgetKind, int], BudgetShare | None]
-Amount = TypeVar("Amount", int, float)  # integers stay integers
-Claim = tuple[BudgetShare, int]  # a share, and the amount that an attempt needs of it
+Amount = TypeVar("Amount", int, float)  # a part of integers is an integer
+Claim = tuple[BudgetShare, int]  # a share, and the amount that an attempt needs from it
 
 ADMISSION_BUDGETS = (BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS)
 
 
 class FleetBudgets:
-    """The shares, found through the lookup that the driver passed last."""
+    """Finds shares through the lookup that the driver passed last."""
 
     def __init__(self, slow_start: SlowStart, grants: MemoryGrants) -> None:
         self._slow_start = slow_start
@@ -32,17 +32,17 @@
         return self._lookup is not None
 
     def apply(self, lookup: ShareLookup | None) -> None:
-        """Use the shares of this lookup; None: no budgets are in force."""
+        """Use this lookup from now on; None: no budgets are in force."""
         self._lookup = lookup
 
     def share(self, budget: BudgetKind, subject: int) -> BudgetShare | None:
-        """Our share of one budget, None if there is none."""
+        """Return our share of one budget, None if the fleet has no such budget."""
         return self._lookup(budget, subject) if self._lookup else None
 
     def admit(self, command: Command, is_open: bool) -> bool:
-        """Acquire what a new command needs; whether it was admitted.
+        """Acquire what a new command needs to be admitted, if our shares allow it; return whether they do.
 
-        is_open: whether the policy admits new commands at all.
+        is_open: whether the policy in force admits new commands.
         """
         found = [self.share(budget, command.tenant) for budget in ADMISSION_BUDGETS]
         shares = [share for share in found if share is not None]
@@ -57,7 +57,7 @@
         return is_admitted
 
     def claims(self, command: Command, engine: Engine, now: int) -> list[Claim]:
-        """What an attempt on the engine needs of our shares."""
+        """Return what an attempt on the engine needs from our shares."""
         amounts = [
             (BudgetKind.THREADS, engine.id, command.threads),
             (BudgetKind.MEMORY, engine.id, ceil(self._grants.grant_mb(command, engine))),
@@ -71,9 +71,9 @@
         return [(share, amount) for share, amount in found if share is not None]
 
     def demand(self, queued: list[Command], ready: EngineList, traffic: float, now: int) -> ReportDemand:
-        """What queued commands would need of the budgets; traffic: our fading count of arrivals.
+        """Return what queued commands would need from the budgets. traffic: our decaying count of arrivals.
 
-        The demand for each engine is an even share of what is queued, and at least the largest command.
+        The demand for each engine is an even part of what is queued, but at least the largest command's.
         """
         engines = max(1, len(ready))
         threads = _even_share([command.threads for command in queued], engines)
@@ -93,7 +93,7 @@
 
 
 def _even_share(amounts: list[Amount], engines: int) -> Amount | int:
-    """The larger of an even share of the amounts for each engine and the largest amount."""
+    """Return an even part of the amounts for one engine, but at least the largest amount."""
     if not amounts:
         return 0
     return max(*amounts, ceil(sum(amounts) / engines))
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway: turns calls of a driver into results.
+"""The public calls on the decisions of one gateway; each returns results that the driver carries out.
 
 A driver creates one Gateway(seed, agreement, now) and calls its public methods, each with the time in integer
 microseconds. gullhold/interface.py defines the Agreement and the results.
@@ -33,13 +33,13 @@
 if TYPE_CHECKING:
     from gullhold.decisions.decision_terms import DecisionTerms
 
-MIN_PROGRESS = 0.01  # share done; a report of less counts as this
-MIN_LOAD_WAIT_CODE = 2  # value of a WAITING status from which the attempt waits for a load of its data set
-LOAD_LOCK_US = OVERLOADED_US  # us for which such a status locks the data set
+MIN_PROGRESS = 0.01  # share of the work that is done; a status note of less counts as this
+MIN_LOAD_WAIT_CODE = 2  # a WAITING note with this value or a higher one waits for a load of its data set
+LOAD_LOCK_US = OVERLOADED_US  # us for which such a note locks the data set on the engine
 
 
 class Gateway:
-    """The decisions of one gateway."""
+    """One gateway's decisions: its public calls, and the components that serve them."""
 
     def __init__(self, seed: int, agreement: Agreement, now: int) -> None:
         self.agreement = agreement
@@ -52,7 +52,7 @@
 
     @property
     def results(self) -> list[Result]:
-        """Results of the newest call, also if it has raised an exception."""
+        """Results of the latest call, also if it has raised an exception."""
         return self._call.results
 
     @results.setter
@@ -61,15 +61,15 @@
 
     @property
     def submitted_count(self) -> int:
-        """Number of commands submitted so far."""
+        """Number of commands that have been submitted."""
         return self._intake.submitted_count
 
     def census(self) -> Census:
-        """Counts of the gateway's state, for tests and simulations."""
+        """Count what the gateway holds, for tests and simulations."""
         return take_census(self.components, self._lifecycle)
 
     def update_engines(self, now: int, entries: Iterable[EngineEntry], full: bool) -> list[Result]:
-        """Apply a change of the endpoint list. full: engines that are not among the entries are removed."""
+        """Apply a change of the endpoint list. full: all engines without an entry are removed."""
         self._call.begin(now)
         listed = set()
         for entry in entries:
@@ -95,11 +95,12 @@
         work: float,
         need_mb: float,
         dataset: int,
-        is_retry: bool,  # noqa: ARG002  drivers pass it; no decision depends on it
+        is_retry: bool,  # noqa: ARG002  of the client; drivers pass it, but no decision depends on it
     ) -> list[Result]:
-        """Take a command that has arrived.
+        """Handle a command that has arrived.
 
-        work (core-us), need_mb: the client's estimates, of any value; 0: none.
+        work (core-us), need_mb: the client's estimates, of any value; 0: none. timeout_at: end of the client
+        timeout (us).
         """
         self._call.begin(now)
         if command_id in self.commands:
@@ -121,8 +122,8 @@
         )
         self.components.placement.popularity.record(dataset)
         self._lifecycle.add(command)
-        # A command that can't end in time even at the best pace seen is shed: guards against clients that
-        # give up early, whose attempts would only take threads. Harm: one that would find its data cached.
+        # A command that can't end in time even at the best pace seen is shed, since its attempt would only
+        # take threads until the client gives up. The price: one that would find its data cached is shed too.
         may_end_in_time = now + self.components.estimates.best_run_us(command) < command.last_start_at
         if may_end_in_time and self.components.budgets.admit(command, self.components.policy.admits_new()):
             return self._dispatcher.run()
@@ -132,8 +133,8 @@
     def apply_budgets(self, now: int, shares: ShareLookup | None) -> list[Result]:
         """Use budgets of the fleet in place of even shares; called again whenever a share has changed.
 
-        shares(budget, subject) returns our BudgetShare, or None if the fleet has no such budget; shares None:
-        the fleet has no budgets. The last result reports what queued commands lack.
+        shares(budget, subject) returns our BudgetShare, or None if the fleet has no such budget. If shares is
+        None, the fleet has no budgets. The last result reports this gateway's demand.
         """
         self._call.begin(now)
         self.components.budgets.apply(shares)
@@ -145,7 +146,7 @@
         return self._call.results
 
     def apply_policy(self, now: int, terms: "DecisionTerms", gate: PolicyGate) -> list[Result]:
-        """Apply a policy of the fleet: weights from the next round on, all else from the next attempt."""
+        """Apply a policy of the fleet: weights from the next round on, the rest from the next attempt on."""
         self._call.begin(now)
         self.components.queue.apply_weights(terms.weights)
         self.components.policy.apply(gate, terms.priorities)
@@ -155,11 +156,11 @@
 
     def answer_began(
         self,
-        now: int,  # noqa: ARG002  all calls take the time
+        now: int,  # noqa: ARG002  every call takes the time
         command_id: int,
         attempt: int,
     ) -> list[Result]:
-        """Record that an attempt's answer has begun: it now belongs to the client."""
+        """Record that the driver has begun to pass an attempt's answer on: no other attempt may follow."""
         command = self._lifecycle.with_attempt(command_id, attempt, (CommandState.DISPATCHED,))
         if command:
             self._lifecycle.change_state(command, CommandState.STREAMING)
@@ -168,7 +169,7 @@
     def attempt_status(
         self, now: int, command_id: int, attempt: int, kind: StatusKind, value: float
     ) -> list[Result]:
-        """Take a status note on an open attempt."""
+        """Handle a status note on an open attempt."""
         command = self.commands.get(command_id)
         if command is None:
             return []
@@ -177,7 +178,7 @@
         if is_open and kind == StatusKind.PROGRESS:
             command.progress = max(value, MIN_PROGRESS)
         elif is_newest and kind == StatusKind.WAITING and value >= MIN_LOAD_WAIT_CODE and command.engine:
-            # The load may be another gateway's, which we would not know of otherwise.
+            # Another gateway may have sent the load, in which case this note is the only sign of it.
             self.components.placement.locks.lock(command.engine, command.dataset, now + LOAD_LOCK_US)
         return []
 
@@ -195,8 +196,8 @@
     ) -> list[Result]:
         """Record that an attempt has ended.
 
-        is_closed: the command has its final answer, or its client has left. cost: its work (core-us),
-        need_mb: its memory; 0: unknown. report: the engine's load report.
+        is_closed: the command has its final answer, or its client has left. cost: work of the attempt
+        (core-us), need_mb: its memory; 0: unknown. report: the engine's load report, empty if there is none.
         """
         self._call.begin(now)
         command = self._lifecycle.with_attempt(command_id, attempt, OPEN_ATTEMPT_STATES)
@@ -221,7 +222,7 @@
         return self._dispatcher.run()
 
     def client_left(self, now: int, command_id: int) -> list[Result]:
-        """Record that the client has left; an attempt that is still open is cancelled."""
+        """Record that the client has left; an attempt that is open is cancelled, if engines support that."""
         self._call.begin(now)
         command = self.commands.get(command_id)
         if command and command.state == CommandState.DISPATCHED and self.agreement.supports_cancel:
@@ -234,7 +235,7 @@
         return self._dispatcher.run()
 
     def abandon(self, now: int, command_id: int) -> list[Result]:
-        """Give a command its final answer now, also while an attempt is open: the driver must end it."""
+        """Give a command its final answer now; if an attempt is open, the driver has to end it."""
         self._call.begin(now)
         command = self.commands.get(command_id)
         if command is None:
@@ -247,13 +248,13 @@
         return self._call.results
 
     def timer_fired(self, now: int, token: int) -> list[Result]:
-        """Handle a timer: reviews are due, or queued commands are to be considered again."""
+        """Handle a timer: run the reviews that are due, and try again to dispatch queued commands."""
         self._call.begin(now)
         self.components.reviews.timer_fired(token)
         return self._dispatcher.run()
 
     def _release_claims(self, command: Command, outcome: Outcome) -> None:
-        """Release what an ended attempt had acquired of the fleet's budgets; it may run on for a moment."""
+        """Release what an ended attempt had acquired from the fleet's budgets; it may still be running."""
         for share, amount in command.attempt_claims:
             share.release(amount, outcome not in UNKNOWN_END)
         command.attempt_claims = ()
@@ -261,7 +262,8 @@
     def _may_try_again(self, command: Command, engine: Engine, outcome: Outcome) -> bool:
         """Whether another attempt may follow one that ended with this outcome on this engine.
 
-        An error on a second engine too is taken as a fault of the command, as from a misbehaving client.
+        If an attempt on a second engine ends with an error too, the fault is taken to be in the command, as
+        sent by a misbehaving client.
         """
         now = self._call.now
         if now >= command.last_start_at or not self.components.retries.may_retry(command, now):
@@ -269,7 +271,7 @@
         return outcome != Outcome.ERROR or engine is command.first_run_engine
 
     def _forget_removed_engines(self) -> None:
-        """Forget removed engines that no command and no attempt running on refers to."""
+        """Forget removed engines to which no command and no attempt that may still run refers."""
         if not self.components.engines.has_removed():
             return
         in_use = self._lifecycle.engines_in_use()
--- a/gullhold/decisions/key_order.py
+++ b/gullhold/decisions/key_order.py
@@ -1,15 +1,20 @@
-"""Commands with an ordered key run one after the other; after an attempt of unknown end the key settles."""
+"""Order of commands with the same ordered key: one runs after another.
+
+After an attempt whose end is unknown, the key settles: for a while no first attempt for the key is started.
+"""
 
 from collections import deque
 
 from gullhold.decisions.command import Command, CommandState
 from gullhold.interface import Outcome
 
-UNKNOWN_END = frozenset((Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED))  # the work may run on
+UNKNOWN_END = frozenset(
+    (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
+)  # the engine may still run the attempt
 
 
 class KeyOrder:
-    """Commands by their ordered key, in order of arrival, and keys that are settling."""
+    """Holds the commands of each ordered key, in order of arrival, and the keys that are settling."""
 
     def __init__(self, settle_us: int) -> None:
         self._settle_us = settle_us
@@ -17,7 +22,7 @@
         self._settles_until: dict[int, int] = {}
 
     def add(self, command: Command) -> bool:
-        """Add a command; whether it may be queued: it is the first of its key, or has no ordered key."""
+        """Add a command; return whether it may be queued: it is the first of its key or has no such key."""
         if not (command.profile.ordered and command.key):
             return True
         commands = self.by_key.setdefault(command.key, deque())
@@ -36,14 +41,14 @@
         return commands[0] if commands[0].state == CommandState.BLOCKED else None
 
     def record_outcome(self, command: Command, outcome: Outcome, now: int) -> None:
-        """Record how an attempt ended: while its work may run on, no attempt for the key is started."""
+        """Record how an attempt ended; if it may still run, its key settles."""
         if command.profile.ordered and command.key and outcome in UNKNOWN_END:
             self._settles_until[command.key] = now + self._settle_us
 
     def is_settling(self, command: Command, now: int) -> bool:
-        """Whether work of an earlier attempt for the command's key may still run on."""
+        """Whether an earlier attempt for the command's key may still run."""
         return command.profile.ordered and now < self._settles_until.get(command.key, 0)
 
     def forget_settled(self, now: int) -> None:
-        """Drop keys that have settled."""
+        """Drop the keys that have settled."""
         self._settles_until = {key: until for key, until in self._settles_until.items() if until > now}
