--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -127,9 +127,7 @@
         self.sent_at: int = 0
         self.first_run_engine: Engine | None = None
         self.first_run_at: int = 0
-        self.progress: float = (
-            0.0  # share of the work that is done, as reported for the open attempt; 0: not reported
-        )
+        self.progress: float = 0.0  # share of work done, as reported for the open attempt; 0: not reported
         self.is_stalled: bool = False  # its open attempt is stalled, so its engine gets no new attempts
         self.attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # released when its attempt ends
         self.admission_shares: Sequence[BudgetShare] = ()  # released when the command ends
--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -5,9 +5,7 @@
 from gullhold.decisions.retry_policy import DEADLINE_MARGIN_US
 from gullhold.interface import Agreement
 
-MAX_SHORT_OBJECTIVES = (
-    2.5  # longest objective of a short command, in multiples of the shortest of any profile
-)
+MAX_SHORT_OBJECTIVES = 2.5  # longest objective of a short command, in multiples of the shortest profile's
 
 
 class CommandIntake:
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -72,9 +72,8 @@
         self.share_factor = 1.0  # factor of our share, lowered under pressure
         self.overall_slowness = 1.0  # pace over the best pace, averaged over all engines
         self.long_share = MAX_LONG_SHARE  # of a limit, for long commands
-        self._sampled: Engine | None = (
-            None  # one engine at a time, so that their limits do not oscillate together
-        )
+        # Samples are taken on one engine at a time, so that the limits do not oscillate together.
+        self._sampled: Engine | None = None
 
     def share(self, now: int) -> float:
         """Return our share, 0 to 1, of the capacity of all engines."""
--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -84,9 +84,7 @@
         self.samples: tuple[float, ...] = ()  # threads and throughput of each sample, the newest first
         self.next_fit_at = 0
         # Slow start.
-        self.warmup_dispatches: deque[tuple[int, float]] = (
-            deque()
-        )  # (time, work) of attempts while it warms up
+        self.warmup_dispatches: deque[tuple[int, float]] = deque()  # (time, work) of attempts while warming
         self.warmup_rounding_draw = 0.0  # 0 to 1: rounds our share of its warming budget
         self.warmup_rounding_drawn_at = 0
         # Load report.
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -150,7 +150,6 @@
         mean = sum(counts) / self._weighted_tenants if self._weighted_tenants else 0.0
         if not mean:
             return 0.0
-        least = (
-            min(counts) if len(counts) == self._weighted_tenants else 0.0
-        )  # 0: some tenant had no command dispatched
+        # The least is 0 if some tenant has had no command dispatched.
+        least = min(counts) if len(counts) == self._weighted_tenants else 0.0
         return max(max(counts) - mean, mean - least) / mean
--- a/gullhold/decisions/median.py
+++ b/gullhold/decisions/median.py
@@ -1,11 +1,12 @@
 """The median of floats.
 
-The standard statistics module isn't used here: its imports of fractions and decimal cost a start 1.7 ms.
+The standard statistics module isn't used, because it imports fractions and decimal, which adds 1.7 ms to the
+start of a process.
 """
 
 
 def median(values: list[float]) -> float:
-    """Return the middle value, or the mean of the two middle values, as statistics.median() does to the bit.
+    """Return the middle value, or the mean of the two middle values, bit for bit as statistics.median() does.
 
     Raises IndexError for an empty list.
     """
--- a/gullhold/decisions/memory_grants.py
+++ b/gullhold/decisions/memory_grants.py
@@ -1,4 +1,4 @@
-"""Memory granted to attempts."""
+"""Memory that is granted to attempts."""
 
 from typing import TYPE_CHECKING
 
@@ -12,16 +12,16 @@
 
 
 class MemoryGrants:
-    """Grants the estimated need, bounded by the engine's memory and by the fleet's policy."""
+    """Grants the estimated need, up to a share of the engine's memory and up to the fleet's policy."""
 
     def __init__(self, agreement: Agreement, estimates: Estimates) -> None:
         self._memory_mb_by_kind = agreement.memory_mb_by_kind
         self._max_share = agreement.max_grant_share
         self._estimates = estimates
-        self.max_mb_by_profile: Mapping[int, float] = {}  # profiles that the fleet's policy names
+        self.max_mb_by_profile: Mapping[int, float] = {}  # for the profiles that the fleet's policy names
 
     def grant_mb(self, command: Command, engine: Engine) -> float:
-        """MB granted to an attempt of the command on the engine."""
+        """Return the memory (MB) granted to an attempt of the command on the engine."""
         by_kind = self._memory_mb_by_kind
         memory_mb = by_kind[engine.kind] if engine.kind < len(by_kind) else 0.0
         return min(
--- a/gullhold/decisions/moving_average.py
+++ b/gullhold/decisions/moving_average.py
@@ -1,18 +1,22 @@
-"""Constants and functions of moving averages and of sums that fade over time."""
+"""Constants and functions for moving averages and for sums that decay over time."""
 
 from math import exp
 
-SMOOTHING_FACTOR = 0.1  # weight of the newest observation in moving averages: about ten count
-OBSERVATION_DECAY_US = 12_000_000  # us; longer than some long commands, shorter than a fault of an engine
+SMOOTHING_FACTOR = 0.1  # weight of the newest observation in a moving average over about the last ten
+# us, time constant: longer than some long commands, shorter than a fault of an engine.
+OBSERVATION_DECAY_US = 12_000_000
 
 
 def decay_factor(observed_at: int, now: int) -> float:
-    """The factor, 0 to 1, with which an observation of an engine still counts now."""
+    """Return the weight, 0 to 1, that an earlier observation of an engine has now."""
     return exp((observed_at - now) / OBSERVATION_DECAY_US)
 
 
 def relative_deviation(count: float, total: float, squares: float) -> float:
-    """Standard deviation over mean, from fading sums of ones, values and squares; 0 if total is 0."""
+    """Return standard deviation over mean, from decaying sums of 1, value and squared value.
+
+    Returns 0 if total is 0.
+    """
     if not total:
         return 0.0
     return max(squares * count / total**2 - 1, 0.0) ** 0.5
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Updates the estimates for an engine, a profile and the fleet when an attempt has ended."""
+"""Passes the outcomes of attempts on to the components that adapt to them."""
 
 from gullhold.decisions.command import Command, CommandState
 from gullhold.decisions.concurrency_limit import ConcurrencyLimit
@@ -11,12 +11,12 @@
 from gullhold.decisions.thread_use import ThreadUse
 from gullhold.interface import Agreement, Outcome
 
-# Outcomes after which the run time of the attempt is known.
+# Outcomes after which the latency tells the run time, or at least how long the attempt has run.
 TIMED_OUTCOMES = frozenset((Outcome.ANSWERED, Outcome.TIMED_OUT, Outcome.CANCELLED))
 
 
 class OutcomeRecorder:
-    """Passes ended attempts on to the components that learn from them, in a fixed order."""
+    """Updates engines, profiles, limits and the queue, in a fixed order, when an attempt has ended."""
 
     def __init__(
         self,
@@ -48,8 +48,8 @@
     ) -> None:
         """Record an ended attempt. cost: its work (core-us), need_mb: its memory; 0: unknown.
 
-        If attempts can't be cancelled, the work of a timed-out one goes on: it counts against its engine and
-        keeps its threads. If they can, a timeout is a sign of overload only.
+        If attempts can't be cancelled, one that timed out may still run: it counts as a failure of its engine
+        and keeps its threads for a while. If they can be, a timeout is only a sign of overload, by its pace.
         """
         may_still_run = outcome == Outcome.TIMED_OUT and not self._supports_cancel
         if may_still_run:
@@ -72,16 +72,16 @@
         need_mb: float,
         now: int,
     ) -> None:
-        """Learn from an attempt whose run time is known and whose client has not left."""
+        """Record need, work and pace of an attempt that has run and whose client has not left."""
         estimate = self._estimates.by_profile[command.profile_index]
         estimate.attempts += 1
         smoothing = max(SMOOTHING_FACTOR, 1 / (2 + estimate.attempts))
         if need_mb and command.need_mb:
             estimate.record_need(need_mb / command.need_mb, smoothing)
-        # Attempts without an answer have a pace too: otherwise an overload would be hidden.
+        # Attempts without an answer have a pace too: if they were left out, an overload would not show.
         pace = max(latency_us * command.threads / work, MIN_PACE)
-        # One that ended sooner than the usual run is ignored, as it would count as fast. Guards against
-        # clients that give up early, whose attempts made overloaded engines look idle to every gateway.
+        # An attempt that ended without an answer before its usual run time is ignored, as it would count as
+        # fast: the attempts of clients that give up early made overloaded engines look idle to all gateways.
         if outcome != Outcome.ANSWERED and pace < estimate.pace:
             return
         if outcome == Outcome.ANSWERED:
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -1,4 +1,7 @@
-"""Choice of an engine for a command: the least busy of some drawn from the preferred and from all engines."""
+"""Choice of an engine for a command: the least busy of a few drawn at random.
+
+They are drawn from the engines that the command's data set prefers, and from all engines.
+"""
 
 from collections.abc import Callable
 from itertools import chain
@@ -16,11 +19,11 @@
 from gullhold.decisions.slow_start import SlowStart
 from gullhold.interface import Agreement, BudgetKind, DeduplicationScope, EngineState
 
-MANY_ENGINES = MAX_RANKED_ENGINES  # with more engines a gateway returns to those that it used recently
-MAX_RANDOM_DRAWS = 4  # engines drawn independently
+MANY_ENGINES = MAX_RANKED_ENGINES  # with more engines, commands return to those used recently
+MAX_RANDOM_DRAWS = 4  # engines drawn independently of one another
 MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most fleets have
-CANDIDATES = 2  # engines drawn from the preferred ones: the power of two choices
-CACHED_THREADS_WEIGHT = 0.7  # of a command's threads on a preferred engine, which has its data cached
+CANDIDATES = 2  # engines to choose from: the power of two choices
+CACHED_THREADS_WEIGHT = 0.7  # of a command's threads on a preferred engine, which has its data set cached
 
 
 class Placement:
@@ -49,19 +52,19 @@
         self.popularity = DatasetPopularity()
         self.recent = RecentEngines()
         self.locks = DatasetLocks()
-        self._engine_limits: dict[Engine, float] = {}  # cached: none changes while commands are dispatched
+        self._engine_limits: dict[Engine, float] = {}  # cached, as none changes while commands are dispatched
 
     def begin_dispatching(self) -> None:
-        """Drop cached limits."""
+        """Drop the cached limits, as commands are about to be dispatched."""
         self._engine_limits = {}
 
     def record_answer(self, dataset: int, engine: Engine) -> None:
-        """Record that an engine has answered for a data set."""
+        """Record that an engine has answered a command for a data set."""
         if len(self._engines.ready) > MANY_ENGINES:
             self.recent.record_answer(dataset, engine)
 
     def choose(self, command: Command, now: int) -> Engine | None:
-        """Choose the engine to dispatch the command to now; None: none may take it."""
+        """Return the engine to dispatch the command to now, None if no engine may take it."""
         ready = self._engines.ready
         if not self._limits.total_limit_allows(command, now) or not ready:
             return None
@@ -70,7 +73,7 @@
         preferred, others = self._positions(command, len(pool))
         wanted = CANDIDATES
         if not command.is_short and self._limits.engine_limit(pool[0], now) < command.threads:
-            wanted += 1  # counts of threads do not compare engines if one command exceeds the limit
+            wanted += 1  # thread counts hardly tell engines apart if one command exceeds the limit
         seen: set[Engine] = set()
         found = self._recent_engine(command, len(pool), seen, now)
         self._draw_engines(command, ranking, preferred, wanted, found, seen, now)
@@ -81,7 +84,7 @@
         return self._least_busy(command, found, ranking, preferred, now)
 
     def may_take(self, command: Command, engine: Engine, now: int) -> bool:
-        """Whether the engine may be given the command: capacity, rules, health and budgets."""
+        """Whether the engine may be given the command, by its capacity, the rules, its health and budgets."""
         limit = self._limit(command, engine, now)
         if now < engine.overloaded_until or self._health.is_stalled(engine):
             return False
@@ -103,7 +106,7 @@
         return self._limits.long_command_limit(limit, command)
 
     def _is_allowed(self, command: Command, engine: Engine, now: int) -> bool:
-        """Rules of the endpoint list, the profile and slow start."""
+        """Whether the endpoint list, the profile and slow start allow the command on the engine."""
         profile = command.profile
         if engine.state != EngineState.READY:
             return False
@@ -119,7 +122,7 @@
         return self._slow_start.may_take(engine, command.work, has_budget, now)
 
     def _is_in_deduplication_scope(self, command: Command, engine: Engine) -> bool:
-        """Whether this engine would drop a repeat of the keyed command."""
+        """Whether the engine is in the scope that drops a retry of a keyed command that may have run."""
         first = command.first_run_engine
         if first is None or not command.is_keyed:
             return True
@@ -132,20 +135,20 @@
                 return True
 
     def _pool(self) -> EngineList:
-        """Engines to draw from: those of our zone, if traffic across zones has a cost.
+        """Return the engines to draw from: those of our zone if traffic between zones is charged, else all.
 
-        Under pressure those of all zones: guards against a zone that is busier than the others. Harm: cost of
-        traffic across zones.
+        While the engines as a whole are under pressure, all zones are used, since one zone may be busier than
+        the others. The price is the charge for traffic between zones.
         """
         if not self._agreement.cross_zone_costs or not self._engines.local or self._limits.is_overall_slow():
             return self._engines.ready
         return self._engines.local
 
     def _positions(self, command: Command, size: int) -> tuple[range, range]:
-        """Positions of the preferred and of all engines for the command, in the order of its data set.
+        """Return the positions of the preferred and of all engines for a command, in its data set's order.
 
-        If commands wait for loads, commands that load use only the second half of the engines, and all others
-        only the first half.
+        If a profile waits for loads, commands that load a data set use only the second half of the engines,
+        and all other commands only the first half.
         """
         preferred = range(self.popularity.preferred_engines(command.dataset, size))
         positions = range(size)
@@ -157,10 +160,9 @@
         return preferred[:half], positions[:half]
 
     def _recent_engine(self, command: Command, size: int, seen: set[Engine], now: int) -> list[Engine]:
-        """In a large fleet, an engine that answered recently for the data set, if it may take the command.
+        """With many engines, return one that answered recently for the data set and may take the command.
 
-        Guards against a new connection for each command. It is chosen only if no other candidate is less
-        busy.
+        The command then needs no new connection. A less busy candidate is still preferred to this engine.
         """
         slots = self.recent.slots(command.dataset) if size > MANY_ENGINES else None
         if not slots:
@@ -181,10 +183,11 @@
         seen: set[Engine],
         now: int,
     ) -> None:
-        """Append engines at these positions that may take the command to found, until it has `wanted`.
+        """Append engines that may take the command to found, from these positions, until it has `wanted`.
 
-        A few are drawn independently, then engines are scanned from a random start, up to a bound: the work
-        must not grow with the fleet. seen: engines considered before; they are skipped, and new ones added.
+        A few are drawn independently, then engines are scanned from a random start. The number scanned is
+        bounded, so that the work does not grow with the number of engines. seen: engines considered before,
+        which are skipped; the engines considered now are added to it.
         """
         size = len(positions)
         start = int(self._draw() * size)
@@ -202,9 +205,9 @@
     def _least_busy(
         self, command: Command, found: list[Engine], order: Ranking | RingView, preferred: range, now: int
     ) -> Engine | None:
-        """The engine with the lowest sum of our threads and reported load.
+        """Return the engine with the lowest sum of our threads per core and reported utilisation.
 
-        An engine on which a load locks the data set is chosen last.
+        Engines on which a load locks the data set come last.
         """
         profile = command.profile
         considers_locks = profile.loads_dataset or profile.waits_for_loads
--- a/gullhold/decisions/policy_terms.py
+++ b/gullhold/decisions/policy_terms.py
@@ -1,29 +1,29 @@
-"""The fleet's policy in force: whether this gateway may work, and the priorities of commands."""
+"""The fleet's policy in force: whether this gateway may dispatch and admit, and priorities of commands."""
 
 from collections.abc import Mapping
 
 from gullhold.decisions.command import Command
 from gullhold.interface import PolicyGate
 
-# Priorities on engines, where the policy sets none.
+# Priorities of attempts on their engines, for profiles without a priority in the policy.
 SHORT_PRIORITY = 3  # of short commands
 LONG_PRIORITY = 1  # of long commands
 
 
 class PolicyTerms:
-    """The gate and the priorities; without a fleet the gate is open."""
+    """The gate and the priorities of the policy; without a fleet everything is allowed."""
 
     def __init__(self) -> None:
         self._gate: PolicyGate | None = None
         self._priority_by_profile: Mapping[int, int] = {}
 
     def apply(self, gate: PolicyGate, priority_by_profile: Mapping[int, int]) -> None:
-        """Apply a new policy."""
+        """Replace the gate and the priorities by those of a new policy."""
         self._gate = gate
         self._priority_by_profile = priority_by_profile
 
     def may_dispatch(self) -> bool:
-        """Whether an attempt may be dispatched now."""
+        """Whether attempts may be started now."""
         return not self._gate or self._gate.may_dispatch()
 
     def admits_new(self) -> bool:
@@ -31,6 +31,6 @@
         return not (self._gate and self._gate.rejects_new())
 
     def priority(self, command: Command) -> int:
-        """The priority of a command on its engine."""
+        """Return the priority of a command on its engine."""
         default = SHORT_PRIORITY if command.is_short else LONG_PRIORITY
         return self._priority_by_profile.get(command.profile_index, default)
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -1,8 +1,8 @@
 """Lists of engines, and their order for each data set, updated incrementally.
 
-All gateways have the same order: rendezvous hashing in small fleets, consistent hashing on one ring in large
-ones. The work depends on the number of changes, not of engines: a fleet of thousands changes one engine at a
-time.
+The order is the same on all gateways. A short list is ordered by rendezvous hashing, a long one by consistent
+hashing on one ring. The work depends on the number of changes, not on the number of engines, as a list of
+thousands changes by one engine at a time.
 """
 
 from bisect import bisect_left, insort
@@ -10,14 +10,14 @@
 
 from gullhold.decisions.engine import Engine
 
-MAX_RANKED_ENGINES = 256  # the longest list that each data set ranks for itself; longer ones share one ring
-RING_SALT = -1  # hashed with ids of engines, for their positions on the ring
-RING_START_SALT = -2  # hashed with data sets, for their start on the ring
+MAX_RANKED_ENGINES = 256  # the longest list that is ranked for each data set; longer ones have one ring
+RING_SALT = -1  # hashed with the ids of engines to give their positions on the ring
+RING_START_SALT = -2  # hashed with data sets to give their starts on the ring
 MAX_CACHED_RANKINGS = 512  # data sets whose ranking is cached; if there are more, all are dropped
 
 
 def hash_pair(value: int, salt: int) -> int:
-    """A 32-bit hash of two integers, the same on all gateways.
+    """Return a 32-bit hash of two integers, the same on all gateways.
 
     The multipliers are 2**32 over the golden ratio and those of MurmurHash3's finalizer.
     """
@@ -30,12 +30,12 @@
 
     def __init__(self, dataset: int) -> None:
         self.dataset = dataset
-        self.last_change = 0  # of the last change of the list that it includes
+        self.last_change = 0  # number of the latest change of the list that is applied
         self.keys: list[tuple[int, int]] = []  # (rank, slot), ascending
         self.engines: list[Engine] = []  # the engines of these keys
 
     def key(self, engine: Engine) -> tuple[int, int]:
-        """The sort key of an engine."""
+        """Return the sort key of an engine."""
         return hash_pair(engine.id, self.dataset), engine.slot
 
     def build(self, members: Iterable[Engine]) -> None:
@@ -43,7 +43,7 @@
         salt_product = self.dataset * 0x9E3779B1
         ranked = []
         for engine in members:
-            # hash_pair() inlined, so that thousands of engines are ranked in a few ms.
+            # hash_pair() is inlined here, so that thousands of engines are ranked in a few ms.
             mixed = (engine.id ^ salt_product) * 0x85EBCA6B & 0xFFFFFFFF
             rank = (mixed ^ mixed >> 15) * 0xC2B2AE35 & 0xFFFFFFFF
             ranked.append(((rank, engine.slot), engine))
@@ -63,11 +63,11 @@
             del self.engines[at]
 
     def at(self, position: int) -> Engine:
-        """The engine at a position."""
+        """Return the engine at a position."""
         return self.engines[position]
 
     def position_of(self, engine: Engine) -> int | None:
-        """The position of an engine, None if it is not ranked."""
+        """Return the position of an engine, None if it is not ranked."""
         key = self.key(engine)
         at = bisect_left(self.keys, key)
         return at if at < len(self.keys) and self.keys[at] == key else None
@@ -78,9 +78,9 @@
 
 
 class RingView:
-    """The order of a large list for one data set: the shared ring, from the data set's own start on.
+    """The order of a long list for one data set: that of the shared ring, from the data set's own start on.
 
-    Separate rankings at thousands of engines would cost a sort and some hundred KB for each data set.
+    A separate ranking of thousands of engines would take a sort and some hundred KB for each data set.
     """
 
     def __init__(self, ring: Ranking, dataset: int) -> None:
@@ -88,7 +88,7 @@
         self.start = bisect_left(ring.keys, (hash_pair(dataset, RING_START_SALT), 0))
 
     def at(self, position: int) -> Engine:
-        """The engine at a position."""
+        """Return the engine at a position."""
         return self.ring.engines[(self.start + position) % len(self.ring.engines)]
 
     def is_within(self, positions: range, engine: Engine) -> bool:
@@ -103,10 +103,10 @@
     def __init__(self) -> None:
         self.engines: list[Engine] = []
         self._members: set[Engine] = set()
-        self._sequences: list[int] = []  # of the engines, in the same order
+        self._sequences: list[int] = []  # those of the engines, in the same order
         self.rankings: dict[int, Ranking] = {}  # by data set
-        self.changes: list[tuple[bool, Engine]] = []  # the latest ones: (is added, engine)
-        self._last_change = 0  # of the last change
+        self.changes: list[tuple[bool, Engine]] = []  # the latest changes: (whether added, engine)
+        self._last_change = 0  # number of the latest change
 
     def __len__(self) -> int:
         return len(self.engines)
@@ -118,14 +118,14 @@
         return self.engines[position]
 
     def at(self, position: int) -> Engine:
-        """The engine at a position."""
+        """Return the engine at a position."""
         return self.engines[position]
 
     def __contains__(self, engine: Engine) -> bool:
         return engine in self._members
 
     def set_present(self, engine: Engine, is_present: bool) -> None:
-        """Add an engine to the list or remove it; no change if it is so already."""
+        """Add an engine to the list, or remove it; does nothing if that is done already."""
         if is_present == (engine in self._members):
             return
         if is_present:
@@ -139,18 +139,20 @@
             del self.engines[at]
         self.changes.append((is_present, engine))
         self._last_change += 1
-        if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:  # ranking all again costs less
+        if (
+            len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS
+        ):  # a new ranking of all engines takes less time
             self.changes.clear()
             self.rankings.clear()
 
     def ranked(self, dataset: int) -> Ranking | RingView:
-        """The engines in order for a data set."""
+        """Return the engines in the order for a data set."""
         if len(self.engines) > MAX_RANKED_ENGINES:
             return RingView(self._ranking(RING_SALT), dataset)
         return self._ranking(dataset)
 
     def _ranking(self, dataset: int) -> Ranking:
-        """The ranking for a data set, with all changes so far."""
+        """Return the ranking for a data set, with all changes so far applied."""
         ranking = self.rankings.get(dataset)
         if ranking is None:
             if len(self.rankings) >= MAX_CACHED_RANKINGS:
@@ -164,6 +166,7 @@
         return ranking
 
     def _catch_up(self, ranking: Ranking, missed: int) -> None:
+        """Apply the changes that a ranking has missed; many of them by ranking all engines anew."""
         if missed > len(self.engines) // 4:
             ranking.build(self.engines)
             return
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""Which attempts of a command are allowed: idempotency, number of attempts, retry budget, cancel credit."""
+"""Rules for attempts of a command: idempotency, number of attempts, retry budget, cancel credit."""
 
 from bisect import insort
 from collections import deque
@@ -12,27 +12,26 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-DEADLINE_MARGIN_US = 30_000  # us before the end of a client timeout or window from which nothing is started
-CANCEL_CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each attempt of a profile earns
-MAX_CANCEL_CREDIT = 4.0  # cancels saved up at the most
+DEADLINE_MARGIN_US = 30_000  # us before a client timeout or deduplication window ends: the last start
+CANCEL_CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each dispatched attempt of a profile earns
+MAX_CANCEL_CREDIT = 4.0  # cancels, the most that a profile can save up
 
 
 class RetryPolicy:
-    """Rules for attempts, and the agreement's retry budget."""
+    """The rules for attempts, the agreement's retry budget and the cancel credit of each profile."""
 
     def __init__(self, agreement: Agreement, budgets: FleetBudgets, key_order: KeyOrder) -> None:
         self.agreement = agreement
         self._budgets = budgets
         self._key_order = key_order
-        self._ended_arrivals: deque[int] = (
-            deque()
-        )  # arrival times of ended commands that widen the budget, ascending
+        # Arrival times of ended commands, ascending; each of them widens the retry budget.
+        self._ended_arrivals: deque[int] = deque()
         self._retry_times: deque[int] = deque()  # times of retries, ascending
         self._cancel_credit = [MAX_CANCEL_CREDIT] * len(agreement.profiles)
-        self.max_attempts_by_profile: Mapping[int, int] = {}  # profiles that the fleet's policy names
+        self.max_attempts_by_profile: Mapping[int, int] = {}  # for the profiles that the fleet's policy names
 
     def may_retry(self, command: Command, now: int) -> bool:
-        """Whether one more attempt can ever be allowed: attempts, idempotency, deduplication window."""
+        """Whether one more attempt may ever be allowed, by attempts, idempotency and deduplication window."""
         default = self.agreement.max_attempts
         max_attempts = self.max_attempts_by_profile.get(command.profile_index, default)
         if 0 < max_attempts <= command.attempts:
@@ -42,7 +41,7 @@
         return command.is_keyed and now + DEADLINE_MARGIN_US < command.deduplication_until
 
     def may_start(self, command: Command, now: int) -> bool:
-        """Whether an attempt is allowed now: last start, settling key, retry budget."""
+        """Whether an attempt is allowed now, by its time, may_retry(), key order and the retry budget."""
         self._drop_old_times(now)
         if now >= command.last_start_at or not self.may_retry(command, now):
             return False
@@ -51,21 +50,21 @@
         return self._has_retry_budget()
 
     def may_shed(self, command: Command, now: int) -> bool:
-        """Whether a retry by the client does no harm."""
+        """Whether a retry by the client would do no harm, so that the command may be shed."""
         if command.is_idempotent or not command.may_have_run:
             return True
         is_dropped_everywhere = command.profile.dedup_scope == DeduplicationScope.ALL_ENGINES
         return command.is_keyed and is_dropped_everywhere and now < command.deduplication_until
 
     def record_attempt(self, command: Command, now: int) -> None:
-        """Record that an attempt is dispatched; command.attempts does not count it yet."""
+        """Record that an attempt is about to be dispatched; command.attempts does not count it yet."""
         if command.attempts:
             self._retry_times.append(now)
         credit = self._cancel_credit[command.profile_index] + CANCEL_CREDIT_PER_ATTEMPT
         self._cancel_credit[command.profile_index] = min(MAX_CANCEL_CREDIT, credit)
 
     def record_ended(self, command: Command) -> None:
-        """Record that a command has ended: only now may it widen the budget, as its outcome is known."""
+        """Record that a command has ended. It widens the retry budget only now, as its outcome is known."""
         insort(self._ended_arrivals, command.admitted_at)
 
     def has_cancel_credit(self, command: Command) -> bool:
@@ -73,7 +72,7 @@
         return self._cancel_credit[command.profile_index] >= 1
 
     def spend_cancel_credit(self, command: Command) -> None:
-        """Record that a slow attempt is cancelled."""
+        """Record that a slow attempt of the command is cancelled."""
         self._cancel_credit[command.profile_index] -= 1
 
     def _has_retry_budget(self) -> bool:
@@ -85,7 +84,7 @@
         )
 
     def _drop_old_times(self, now: int) -> None:
-        """Drop times that have left the budget's window."""
+        """Drop times that are before the window of the retry budget."""
         window_start = now - self.agreement.retry_budget_window_us
         for times in (self._ended_arrivals, self._retry_times):
             while times and times[0] <= window_start:
--- a/gullhold/decisions/review_schedule.py
+++ b/gullhold/decisions/review_schedule.py
@@ -1,15 +1,15 @@
-"""Times at which commands are reviewed, and the one timer for the next of them."""
+"""Times at which commands are reviewed, and the single timer for the next of them."""
 
 from heapq import heappop, heappush
 
 from gullhold.decisions.command import Command, CommandState
 
-TICK_US = 50_000  # us between reviews while commands are queued; far below any latency objective
-AT_LAST_START = -1  # in place of a number of attempts: the review at the command's last start
+TICK_US = 50_000  # us between timers while commands are queued; far below any latency objective
+AT_LAST_START = -1  # marks the review at the command's last start, in place of a number of attempts
 
 
 class ReviewSchedule:
-    """Reviews by time, each with the number of attempts of its command: later attempts invalidate it."""
+    """Reviews by time, each with its command's number of attempts: a later attempt makes it invalid."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Command, int]] = []  # (time, order of arrival, command, attempts)
@@ -24,19 +24,19 @@
         heappush(self._heap, (command.last_start_at, command.order, command, AT_LAST_START))
 
     def pop_due(self, now: int) -> tuple[Command, int] | None:
-        """Remove and return the next due command and its number of attempts then; None if none is due."""
+        """Remove the next due review; return its command and number of attempts, None if no review is due."""
         if not self._heap or self._heap[0][0] > now:
             return None
         _, _, command, attempts = heappop(self._heap)
         return command, attempts
 
     def timer_fired(self, token: int) -> None:
-        """Record that a timer has fired; the token is the time that it was set for."""
+        """Record that a timer has fired. token: the time (us) for which it was set."""
         if token == self._timer_at:
             self._timer_at = None
 
     def next_timer(self, now: int, has_queued: bool) -> int | None:
-        """The time for which a timer is to be started; None: the running one is early enough."""
+        """Return the time (us) for which to start a timer, None if none is needed or one fires in time."""
         while self._heap and self._heap[0][2].state == CommandState.ENDED:
             heappop(self._heap)
         at = self._heap[0][0] if self._heap else 0
--- a/gullhold/decisions/slow_start.py
+++ b/gullhold/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what an engine that has just started may be given until it is warm."""
+"""Slow start: how much work an engine that has just started may be given until it is warm."""
 
 from collections.abc import Callable
 from math import ceil
@@ -6,15 +6,13 @@
 from gullhold.decisions.engine import Engine
 from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement
 
-EXPECTED_BUDGET_SHARE = (
-    0.5  # of the warming budget, used by all gateways together on average: a margin for chance
-)
+EXPECTED_BUDGET_SHARE = 0.5  # of the warming budget, for all gateways on average: leaves a margin for chance
 MAX_COMMAND_BUDGET_SHARE = 0.25  # of the warming budget, for one command
-GROWTH_FACTOR = 0.5  # of the linear growth of capacity: a careful estimate
+GROWTH_FACTOR = 0.5  # assumed growth of capacity over linear growth: a low estimate, to be safe
 
 
 class SlowStart:
-    """The warming budget: work that a warming engine can take in one overload window."""
+    """Keeps to the warming budget of each engine: the work that it can take in one overload window."""
 
     def __init__(self, agreement: Agreement, started_at: int, draw: Callable[[], float]) -> None:
         self._agreement = agreement
@@ -22,11 +20,11 @@
         self.gateway_started_at = started_at
 
     def is_warming(self, engine: Engine, now: int) -> bool:
-        """Whether the engine has started too recently to be warm."""
+        """Whether the engine started so recently that it is not warm yet."""
         return 0 < engine.started_us > now - self._agreement.warmup_us
 
     def capacity(self, engine: Engine, now: int) -> float:
-        """The warming budget (core-us), on the assumption that capacity grows at GROWTH_FACTOR."""
+        """Return the warming budget (core-us) at this time; capacity is assumed to grow by GROWTH_FACTOR."""
         agreement = self._agreement
         growth = (
             (now - engine.started_us)
@@ -42,18 +40,19 @@
         )
 
     def budget_millionths(self, work: float, engine: Engine, now: int) -> int:
-        """The work in millionths of what all gateways together may give the engine in a window."""
+        """Return work (core-us) in millionths of what all gateways may give the engine in a window."""
         return ceil(work * MILLIONTHS_PER_UNIT / max(1.0, EXPECTED_BUDGET_SHARE * self.capacity(engine, now)))
 
     def may_take(self, engine: Engine, work: float, has_fleet_budget: bool, now: int) -> bool:
         """Whether a warming engine may be given this work (core-us).
 
-        Our limit is an even share of its budget. Shares smaller than one command are rounded at random, with
-        one draw for each window, so that all gateways together keep to the budget on average. A budget of the
-        fleet for the engine (has_fleet_budget) limits the sum by itself. Nothing is given in the window after
-        our own start, as we may have used our share before a restart: guards against fleets that are killed
-        and processes that restart again and again. Harm: if all engines are warming, commands of that window
-        wait.
+        Our limit is an even share of the engine's warming budget. Shares smaller than one command are rounded
+        at random, with one draw for each window, so that all gateways together keep to the budget on average.
+        If the fleet has a budget for the engine (has_fleet_budget), that one limits the sum.
+
+        Nothing is given in the first window after this gateway's own start, as it may have used its share
+        before a restart: otherwise gateways that are all killed, or that restart repeatedly, would exceed the
+        budget. The price: if all engines are warming, commands wait during that window.
         """
         window_start = now - self._agreement.overload_window_us
         if engine.started_us < self.gateway_started_at > window_start:
@@ -69,6 +68,6 @@
         return has_fleet_budget or sent + engine.warmup_rounding_draw * work <= our_share
 
     def record_dispatch(self, engine: Engine, work: float, now: int) -> None:
-        """Record an attempt on a warming engine; the next one is rounded by a new draw."""
+        """Record an attempt on a warming engine; the next one is rounded with a new draw."""
         engine.warmup_dispatches.append((now, work))
         engine.warmup_rounding_drawn_at = 0
--- a/gullhold/decisions/throughput_fit.py
+++ b/gullhold/decisions/throughput_fit.py
@@ -1,23 +1,24 @@
-"""The paper's throughput curve through three samples, and the concurrency at its first peak.
+"""A throughput curve through three samples, and the concurrency at its first peak.
 
-With p threads and base throughput q the curve is q * p / (p0 + B * p0 * (exp(-gamma * p0) - exp(-gamma * p))
-* (p - 1)), B and gamma positive.
+The curve is that of the paper "Improving the scalability of database engines by controlling their load". If
+p0 threads have the throughput q, then p threads have
+q * p / (p0 + B * p0 * (exp(-gamma * p0) - exp(-gamma * p)) * (p - 1)), with B and gamma positive.
 """
 
 from math import exp
 
-BISECTION_STEPS = 60  # halvings of the interval of gamma: enough for the precision of a float
-PEAK_STEPS = 64  # intervals between the smallest and the largest sample in the search for a peak
-MIN_EXPONENT = 1e-6  # bounds of gamma times a distance between samples
+BISECTION_STEPS = 60  # halvings of the interval of gamma, enough for the precision of a float
+PEAK_STEPS = 64  # intervals between the smallest and the largest sample, in the search for a peak
+MIN_EXPONENT = 1e-6  # bounds of gamma times the distance in threads between two samples
 MAX_EXPONENT = 50
 
 
 def fit_concurrency_limit(
     threads0: float, rate0: float, threads1: float, rate1: float, threads2: float, rate2: float
 ) -> float | None:
-    """The first local maximum of the curve through three samples (threads, rate); None if none fits.
+    """Return the number of threads at the first peak of the curve through three samples, None without one.
 
-    rate: throughput at that number of threads, in any unit.
+    rate0, rate1, rate2: throughput with these numbers of threads, in any unit.
     """
     if min(rate0, rate1, rate2) <= 0 or not 0 < threads0 < threads1 < threads2 or threads1 <= 1:
         return None
@@ -40,7 +41,7 @@
 
 
 def _solve_gamma(distance1: float, distance2: float, ratio: float) -> float:
-    """The gamma at which the two excesses have this ratio, by bisection."""
+    """Return the gamma at which the excesses at these distances from threads0 have this ratio."""
     low = MIN_EXPONENT / distance2
     high = MAX_EXPONENT / distance1
     gamma = low
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -1,19 +1,21 @@
-"""This gateway's traffic: commands that arrived, counted with exponential fading."""
+"""This gateway's traffic: a count of arrived commands that decays exponentially."""
 
 from math import exp
 
 from gullhold.interface import US_PER_SECOND, Agreement
 
-TRAFFIC_DECAY_US = 15_000_000  # us in which the count of arrivals fades: longer than a burst
-MIN_EVEN_SHARE_FRACTION = 0.1  # of an even share of the fleet, for a gateway without traffic
+TRAFFIC_DECAY_US = 15_000_000  # us, time constant of the count of arrivals: longer than a burst
+MIN_EVEN_SHARE_FRACTION = 0.1  # of an even share of the traffic, for a gateway without arrivals
 
 
 class TrafficMeter:
-    """A fading count of arrivals, and its share of the fleet's traffic."""
+    """A decaying count of arrivals, and this gateway's share of the fleet's traffic."""
 
     def __init__(self, agreement: Agreement, now: int) -> None:
         self._gateways = agreement.gateways
-        self._allowance = sum(tenant.allowance for tenant in agreement.tenants)  # commands/s of the fleet
+        self._allowance = sum(
+            tenant.allowance for tenant in agreement.tenants
+        )  # commands/s for all gateways together
         self.count = self._allowance / agreement.gateways * TRAFFIC_DECAY_US / US_PER_SECOND
         self._counted_at = now
 
@@ -23,11 +25,11 @@
         self._counted_at = now
 
     def withdraw_arrival(self) -> None:
-        """Uncount a command whose client has left."""
+        """Subtract a command whose client has left."""
         self.count = max(0.0, self.count - 1)
 
     def share_of(self, scale: float, now: int) -> float:
-        """Our share of the fleet, times scale: by traffic if tenants' allowances are stated, else even."""
+        """Return our share of the traffic, times scale: measured if tenants state allowances, else even."""
         if not self._allowance:
             return scale / self._gateways
         rate = (
