--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -19,17 +19,17 @@
 ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
 
 
-def answer_commands(world: Driver, count: int, utilization: float, latency: int = WORK) -> None:
+def answer_commands(driver: Driver, count: int, utilization: float, latency: int = WORK) -> None:
     """Submit commands one after another; each is answered with a load report of this utilization."""
     for _ in range(count):
-        ident = world.submit()
-        world.now += latency
-        world.end_attempt(ident, Outcome.ANSWERED, report=(3.0, utilization))
+        ident = driver.submit()
+        driver.now += latency
+        driver.end_attempt(ident, Outcome.ANSWERED, report=(3.0, utilization))
 
 
 def driver_with_load_reports(**other: Any) -> Driver:
     """One of four gateways, with one engine of four cores that reports its load with answers."""
-    world = Driver(
+    driver = Driver(
         make_agreement(
             profile(objective_us=60_000 * MS, timeout_us=90_000 * MS),
             gateways=4,
@@ -37,15 +37,15 @@
             **other,
         )
     )
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
-    return world
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    return driver
 
 
-def count_dispatched(world: Driver, submitted: int = 12) -> int:
+def count_dispatched(driver: Driver, submitted: int = 12) -> int:
     """Submit commands at once; how many commands have an open attempt then."""
     for _ in range(submitted):
-        world.submit()
-    return len(world.running_ids())
+        driver.submit()
+    return len(driver.running_ids())
 
 
 def make_command(number: int = 1, kind: Profile | None = None, key: int = 0, tenant: int = 0) -> Command:
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -7,47 +7,47 @@
 
 
 def test_commands_in_flight_stay_under_the_concurrency_limit_and_one_may_always_be_sent():
-    world = Driver(make_agreement(profile(threads=3), gateways=4))
-    world.update_engines(
+    driver = Driver(make_agreement(profile(threads=3), gateways=4))
+    driver.update_engines(
         (1, 0, 1, EngineState.READY, 0, 0)
     )  # two cores: a cap of one thread for this gateway
     for _ in range(5):
-        world.submit()
-    assert len(world.running_ids()) == 1
-    world.end_attempt(world.running_ids()[0], Outcome.ANSWERED)
-    assert len(world.running_ids()) == 1
+        driver.submit()
+    assert len(driver.running_ids()) == 1
+    driver.end_attempt(driver.running_ids()[0], Outcome.ANSWERED)
+    assert len(driver.running_ids()) == 1
 
 
 def test_a_slowdown_of_all_engines_halves_the_initial_share():
-    world = Driver(make_agreement(gateways=2))
-    world.update_engines(*FOUR_READY_ENGINES)
+    driver = Driver(make_agreement(gateways=2))
+    driver.update_engines(*FOUR_READY_ENGINES)
     for i in range(400):
-        ident = world.submit()
-        world.now += (100 if i < 50 else 900) * MS
-        while world.commands[ident].open_attempt:
-            world.end_attempt(ident, Outcome.ANSWERED)
-    assert world.gateway.components.limits.share(world.now) >= 0.25
+        ident = driver.submit()
+        driver.now += (100 if i < 50 else 900) * MS
+        while driver.commands[ident].open_attempt:
+            driver.end_attempt(ident, Outcome.ANSWERED)
+    assert driver.gateway.components.limits.share(driver.now) >= 0.25
 
 
 def test_one_of_hundreds_of_gateways_uses_its_share_of_the_fleet():
-    world = Driver(
+    driver = Driver(
         make_agreement(profile(threads=3, late_benefit_share=0.0), gateways=300, tenants=BUSY_TENANT)
     )
-    world.update_engines(*FORTY_READY_ENGINES)
+    driver.update_engines(*FORTY_READY_ENGINES)
     for _ in range(60):
-        world.submit()
-    assert 1 <= len(world.running_ids()) <= 10  # not one at each of forty engines
+        driver.submit()
+    assert 1 <= len(driver.running_ids()) <= 10  # not one at each of forty engines
 
 
 def test_a_busy_gateway_gets_a_larger_share_and_loses_it_again():
-    world = Driver(make_agreement(gateways=300, tenants=BUSY_TENANT))
-    world.update_engines(*FORTY_READY_ENGINES)
-    first = world.gateway.components.limits.share(world.now)
+    driver = Driver(make_agreement(gateways=300, tenants=BUSY_TENANT))
+    driver.update_engines(*FORTY_READY_ENGINES)
+    first = driver.gateway.components.limits.share(driver.now)
     for _ in range(1000):
-        world.end_attempt(world.submit(), Outcome.ANSWERED)
-        world.now += 10 * MS
-    assert world.gateway.components.limits.share(world.now) > 10 * first
-    assert world.gateway.components.limits.share(world.now + 120_000 * MS) < first
+        driver.end_attempt(driver.submit(), Outcome.ANSWERED)
+        driver.now += 10 * MS
+    assert driver.gateway.components.limits.share(driver.now) > 10 * first
+    assert driver.gateway.components.limits.share(driver.now + 120_000 * MS) < first
 
 
 def test_the_share_of_a_gateway_stays_near_its_part_of_the_traffic_however_long_commands_wait():
@@ -55,17 +55,17 @@
     agreement = make_agreement(
         profile(objective_us=9000 * MS, timeout_us=20_000 * MS), gateways=3, tenants=(Tenant(1.0, 30.0),)
     )
-    world = Driver(agreement)
-    world.update_engines(*FOUR_READY_ENGINES)
+    driver = Driver(agreement)
+    driver.update_engines(*FOUR_READY_ENGINES)
     most = 0.0
     for _ in range(100):
         for _ in range(4):
-            world.submit()
-        world.now += 20 * MS
-        for ident in world.running_ids()[:3]:
-            world.end_attempt(ident, Outcome.ANSWERED, cost=1000 * MS)
-        most = max(most, world.gateway.components.limits.share_factor)
-    assert world.gateway.components.queue.by_tenant
+            driver.submit()
+        driver.now += 20 * MS
+        for ident in driver.running_ids()[:3]:
+            driver.end_attempt(ident, Outcome.ANSWERED, cost=1000 * MS)
+        most = max(most, driver.gateway.components.limits.share_factor)
+    assert driver.gateway.components.queue.by_tenant
     assert 1.0 < most <= 1.5
 
 
@@ -76,31 +76,31 @@
         supports_cancel=False,
         cores_by_kind=(40.0,),
     )
-    world = Driver(agreement)
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    driver = Driver(agreement)
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
 
     def part():
         """Threads that so many long commands get, against those that as many short ones get."""
         found = []
         for number, threads in ((1, 3), (0, 1)):
-            asked = [world.submit(number) for _ in range(120)]
-            found.append(threads * sum(world.commands[ident].open_attempt is not None for ident in asked))
+            asked = [driver.submit(number) for _ in range(120)]
+            found.append(threads * sum(driver.commands[ident].open_attempt is not None for ident in asked))
             for ident in asked:
-                if not world.commands[ident].is_over:
-                    world.client_left(ident)
-            for ident in world.running_ids():
-                world.end_attempt(ident, Outcome.CANCELLED)
+                if not driver.commands[ident].is_over:
+                    driver.client_left(ident)
+            for ident in driver.running_ids():
+                driver.end_attempt(ident, Outcome.CANCELLED)
         return found[0] / found[1]
 
-    answer_commands(world, 20, 1.0)
+    answer_commands(driver, 20, 1.0)
     before = part()
     for _ in range(3):
-        lost = world.submit()
-        world.now = world.commands[lost].timeout_at - 30 * MS
-        world.end_attempt(lost, Outcome.TIMED_OUT)
-    world.now += 30_000 * MS
-    world.update_engines()
+        lost = driver.submit()
+        driver.now = driver.commands[lost].timeout_at - 30 * MS
+        driver.end_attempt(lost, Outcome.TIMED_OUT)
+    driver.now += 30_000 * MS
+    driver.update_engines()
     after = part()
-    answer_commands(world, 400, 1.0)
+    answer_commands(driver, 400, 1.0)
     assert after < 0.6 * before
     assert part() > 0.9 * before
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -10,21 +10,21 @@
 
 def dispatched_of_two_tenants(shares, submitted, answered):
     """How many commands of each of two tenants leave while so many are answered, one after another."""
-    world = Driver(
+    driver = Driver(
         make_agreement(
             profile(objective_us=60_000 * MS, timeout_us=90_000 * MS),
             tenants=tuple(Tenant(share) for share in shares),
         )
     )
-    world.update_engines((1, 0, 1, EngineState.READY, 0, 0))
+    driver.update_engines((1, 0, 1, EngineState.READY, 0, 0))
     for i in range(submitted):
-        world.submit(tenant=i % 2)
+        driver.submit(tenant=i % 2)
     sent = [0, 0]
     for _ in range(answered):
-        ident = world.running_ids()[0]
+        ident = driver.running_ids()[0]
         sent[(ident - 1) % 2] += 1
-        world.now += 100 * MS
-        world.end_attempt(ident, Outcome.ANSWERED)
+        driver.now += 100 * MS
+        driver.end_attempt(ident, Outcome.ANSWERED)
     return sent
 
 
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -14,11 +14,11 @@
 
 def play(agreement, steps):
     """Play one random run; returns all results of the gateway."""
-    world = Driver(agreement)
+    driver = Driver(agreement)
     for kind, number in steps:
-        out = world.running_ids()
+        out = driver.running_ids()
         if kind <= 4:
-            world.submit(
+            driver.submit(
                 number % len(agreement.profiles),
                 tenant=number % 3,
                 key=number % 4,
@@ -27,37 +27,37 @@
                 estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
             )
         elif kind <= 7 and out:
-            world.end_attempt(
+            driver.end_attempt(
                 out[number % len(out)],
                 number % 8,
                 cost=100 * MS,
                 report=(ARBITRARY_ESTIMATES[number % 6], number % 9 / 8)[: number % 3],
             )
         elif kind == 8:
-            born = world.now if number % 3 == 0 else 0
-            world.update_engines(
+            born = driver.now if number % 3 == 0 else 0
+            driver.update_engines(
                 (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, born),
                 full=number % 11 == 0,
             )
         elif kind == 9 and out:
-            world.client_left(out[number % len(out)])
+            driver.client_left(out[number % len(out)])
         elif kind == 10:
-            owed = [ident for ident, cmd in world.commands.items() if not cmd.is_over]
+            owed = [ident for ident, cmd in driver.commands.items() if not cmd.is_over]
             if owed:
-                world.abandon(owed[number % len(owed)])
+                driver.abandon(owed[number % len(owed)])
         else:
-            world.wait(number % 700 * MS)
-    world.wait(5000 * MS)
-    for ident in world.running_ids():
-        world.end_attempt(ident, Outcome.RESET)
-    assert not world.gateway.commands
-    assert not world.gateway.components.key_order.by_key
-    world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
-    world.update_engines()
-    assert not world.gateway.components.thread_use.timed_out
-    assert not world.gateway.components.thread_use.total
-    assert not any(engine.threads or engine.attempts for engine in world.gateway.components.engines.by_slot)
-    return [(type(result), result) for result in world.log]
+            driver.wait(number % 700 * MS)
+    driver.wait(5000 * MS)
+    for ident in driver.running_ids():
+        driver.end_attempt(ident, Outcome.RESET)
+    assert not driver.gateway.commands
+    assert not driver.gateway.components.key_order.by_key
+    driver.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
+    driver.update_engines()
+    assert not driver.gateway.components.thread_use.timed_out
+    assert not driver.gateway.components.thread_use.total
+    assert not any(engine.threads or engine.attempts for engine in driver.gateway.components.engines.by_slot)
+    return [(type(result), result) for result in driver.log]
 
 
 @pytest.mark.parametrize("agreement", list(AGREEMENTS.values()))
@@ -76,25 +76,25 @@
 
 
 def test_invalid_input_is_ignored():
-    world = Driver(make_agreement(tenants=(Tenant(1.0),), cores_by_kind=(), memory_mb_by_kind=()))
-    world.update_engines(*FOUR_READY_ENGINES)
-    assert world.gateway.attempt_ended(world.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
-    assert world.gateway.client_left(world.now, 77) == []
-    unknown = world.gateway.submit(world.now, 900, 5, 0, 0, world.now + MS, 0, 0.0, 0, False)
+    driver = Driver(make_agreement(tenants=(Tenant(1.0),), cores_by_kind=(), memory_mb_by_kind=()))
+    driver.update_engines(*FOUR_READY_ENGINES)
+    assert driver.gateway.attempt_ended(driver.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
+    assert driver.gateway.client_left(driver.now, 77) == []
+    unknown = driver.gateway.submit(driver.now, 900, 5, 0, 0, driver.now + MS, 0, 0.0, 0, False)
     assert unknown == [Fail(900)]
     assert type(unknown[0]) is Fail
-    world.submit(0, tenant=9, work=0)
-    assert len(world.running_ids()) == 1
+    driver.submit(0, tenant=9, work=0)
+    assert len(driver.running_ids()) == 1
 
 
 @pytest.mark.parametrize("told", ARBITRARY_ESTIMATES)
 def test_an_unusable_estimate_loses_no_command(told):
-    world = Driver(make_agreement(profile(), profile(threads=3)))
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    driver = Driver(make_agreement(profile(), profile(threads=3)))
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     for need_mb in ARBITRARY_ESTIMATES:
-        ident = world.submit(estimate=told, need_mb=need_mb)
-        if world.commands[ident].open_attempt:
-            world.end_attempt(ident, Outcome.ANSWERED)
-    world.wait(8000 * MS)
-    assert world.gateway.components.estimates.by_profile[0].work_bias > 0
-    assert all(cmd.is_over or cmd.final for cmd in world.commands.values())
+        ident = driver.submit(estimate=told, need_mb=need_mb)
+        if driver.commands[ident].open_attempt:
+            driver.end_attempt(ident, Outcome.ANSWERED)
+    driver.wait(8000 * MS)
+    assert driver.gateway.components.estimates.by_profile[0].work_bias > 0
+    assert all(cmd.is_over or cmd.final for cmd in driver.commands.values())
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -8,129 +8,129 @@
 
 
 def test_a_failing_engine_gets_only_trial_attempts():
-    world = Driver(make_agreement())
-    world.update_engines(*FOUR_READY_ENGINES)
+    driver = Driver(make_agreement())
+    driver.update_engines(*FOUR_READY_ENGINES)
     sent = [0, 0]
     for i in range(300):
-        ident = world.submit()
-        engine = world.commands[ident].open_attempt.engine
+        ident = driver.submit()
+        engine = driver.commands[ident].open_attempt.engine
         sent[i // 150] += engine == 0
-        world.now += 20 * MS
-        world.end_attempt(ident, Outcome.ERROR if engine == 0 else Outcome.ANSWERED)
-        while world.commands[ident].open_attempt:
-            world.end_attempt(ident, Outcome.ANSWERED)
+        driver.now += 20 * MS
+        driver.end_attempt(ident, Outcome.ERROR if engine == 0 else Outcome.ANSWERED)
+        while driver.commands[ident].open_attempt:
+            driver.end_attempt(ident, Outcome.ANSWERED)
     assert sent[1] <= 10
 
 
 def test_an_avoided_engine_does_not_stay_an_outlier_for_ever():
-    world = Driver(make_agreement())
-    world.update_engines(*FOUR_READY_ENGINES)
-    engine = world.gateway.components.engines.by_id[2]
-    world.gateway.components.estimates.smallest_usual_work = WORK
+    driver = Driver(make_agreement())
+    driver.update_engines(*FOUR_READY_ENGINES)
+    engine = driver.gateway.components.engines.by_id[2]
+    driver.gateway.components.estimates.smallest_usual_work = WORK
     engine.completed_at = START
     engine.completed_work = 10 * WORK
     engine.completed_slow_work = 90 * WORK
-    assert world.gateway.components.health.slowness(engine, world.now) > 5
-    assert world.gateway.components.health.slowness(engine, world.now + 90_000 * MS) < 1.5
+    assert driver.gateway.components.health.slowness(engine, driver.now) > 5
+    assert driver.gateway.components.health.slowness(engine, driver.now + 90_000 * MS) < 1.5
 
 
 def test_one_failed_connection_diverts_attempts_until_its_effect_decays():
-    world = Driver(make_agreement())
-    world.update_engines(*FOUR_READY_ENGINES)
-    ident = world.submit()
-    engine = world.commands[ident].open_attempt.engine
-    world.end_attempt(ident, Outcome.CONNECT_FAILED)
-    after = [world.submit() for _ in range(6)]
-    assert all(world.commands[one].open_attempt.engine != engine for one in [ident, *after])
-    known = world.gateway.components.engines.by_id[engine]
-    assert world.gateway.components.health.failure_rate(known, world.now + 30_000 * MS) < 0.05
+    driver = Driver(make_agreement())
+    driver.update_engines(*FOUR_READY_ENGINES)
+    ident = driver.submit()
+    engine = driver.commands[ident].open_attempt.engine
+    driver.end_attempt(ident, Outcome.CONNECT_FAILED)
+    after = [driver.submit() for _ in range(6)]
+    assert all(driver.commands[one].open_attempt.engine != engine for one in [ident, *after])
+    known = driver.gateway.components.engines.by_id[engine]
+    assert driver.gateway.components.health.failure_rate(known, driver.now + 30_000 * MS) < 0.05
 
 
 def test_one_reset_ejects_no_engine_but_several_do():
-    world = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
-    world.update_engines(*FOUR_READY_ENGINES)
+    driver = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
+    driver.update_engines(*FOUR_READY_ENGINES)
 
     def use(outcome, most):
         """Commands until one is at the first engine, which ends it so; whether one was."""
         for _ in range(most):
-            ident = world.submit()
-            first = world.commands[ident].open_attempt.engine == 0
-            world.end_attempt(ident, outcome if first else Outcome.ANSWERED)
-            for out in world.running_ids():
-                world.end_attempt(out, Outcome.ANSWERED)
+            ident = driver.submit()
+            first = driver.commands[ident].open_attempt.engine == 0
+            driver.end_attempt(ident, outcome if first else Outcome.ANSWERED)
+            for out in driver.running_ids():
+                driver.end_attempt(out, Outcome.ANSWERED)
             if first:
                 return True
         return False
 
     assert use(Outcome.RESET, 100)
     assert use(Outcome.ANSWERED, 100)
-    first_engine = world.gateway.components.engines.by_id[0]
+    first_engine = driver.gateway.components.engines.by_id[0]
     first_engine.failure_rate = 0.0
     while use(Outcome.RESET, 100):
-        world.now += MS
+        driver.now += MS
     assert 0.15 < first_engine.failure_rate < 0.5
     assert not use(Outcome.ANSWERED, 100)
 
 
 def test_a_stalled_engine_gets_no_new_attempts_where_attempts_cannot_be_cancelled():
     agreement = make_agreement(profile(objective_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
-    world = Driver(agreement)  # which also checks: no cancel, never two sends out at once
-    world.update_engines(
+    driver = Driver(agreement)  # which also checks: no cancel, never two sends out at once
+    driver.update_engines(
         (1, 0, 0, EngineState.READY, 0, 0),
         (2, 0, 0, EngineState.READY, 0, 0),
         (3, 0, 0, EngineState.READY, 0, 0),
     )
-    answer_commands(world, 20, 0.5)
-    hung = world.submit()
-    engine = world.commands[hung].open_attempt.engine
-    world.wait(4 * WORK)
+    answer_commands(driver, 20, 0.5)
+    hung = driver.submit()
+    engine = driver.commands[hung].open_attempt.engine
+    driver.wait(4 * WORK)
     for _ in range(15):  # far more than the others' cap
-        world.submit()
-    assert [world.commands[ident].open_attempt.engine for ident in world.running_ids()].count(engine) == 1
-    assert len(world.running_ids()) > 8  # and the others take theirs
-    for ident in world.running_ids():
+        driver.submit()
+    assert [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()].count(engine) == 1
+    assert len(driver.running_ids()) > 8  # and the others take theirs
+    for ident in driver.running_ids():
         if ident != hung:
-            world.end_attempt(ident, Outcome.ANSWERED)
-    world.end_attempt(hung, Outcome.ANSWERED)  # its end is known: it may have some again
+            driver.end_attempt(ident, Outcome.ANSWERED)
+    driver.end_attempt(hung, Outcome.ANSWERED)  # its end is known: it may have some again
     for _ in range(15):
-        world.submit()
-    assert engine in [world.commands[ident].open_attempt.engine for ident in world.running_ids()]
+        driver.submit()
+    assert engine in [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()]
 
 
 def test_no_engine_is_ejected_where_most_engines_are_stalled():
-    world = Driver(
+    driver = Driver(
         make_agreement(profile(objective_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
     )
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
-    answer_commands(world, 20, 0.5)
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
+    answer_commands(driver, 20, 0.5)
     for _ in range(2):
-        world.submit()
-    world.wait(4 * WORK)
+        driver.submit()
+    driver.wait(4 * WORK)
     for _ in range(6):
-        world.submit()
-    assert len(world.running_ids()) > 4
+        driver.submit()
+    assert len(driver.running_ids()) > 4
 
 
 @pytest.mark.parametrize("supports_cancel", [False, True])
 def test_a_timeout_counts_against_its_engine_where_the_work_runs_on(supports_cancel):
-    world = Driver(
+    driver = Driver(
         make_agreement(
             profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), supports_cancel=supports_cancel
         )
     )
-    world.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2, 3)))
+    driver.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2, 3)))
     for _ in range(4):
         for _ in range(6):
-            world.submit()
-        world.now += WORK
-        while world.running_ids():
-            ident = world.running_ids()[0]
-            world.end_attempt(
+            driver.submit()
+        driver.now += WORK
+        while driver.running_ids():
+            ident = driver.running_ids()[0]
+            driver.end_attempt(
                 ident,
-                Outcome.TIMED_OUT if world.commands[ident].open_attempt.engine == 1 else Outcome.ANSWERED,
+                Outcome.TIMED_OUT if driver.commands[ident].open_attempt.engine == 1 else Outcome.ANSWERED,
             )
     for _ in range(30):  # more than the others' caps
-        world.submit()
-    went = [world.commands[ident].open_attempt.engine for ident in world.running_ids()]
+        driver.submit()
+    went = [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()]
     assert len(went) > 4
     assert (1 in went) == supports_cancel
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -7,18 +7,18 @@
 
 
 def test_removed_engines_leave_no_state_behind():
-    world = Driver(
+    driver = Driver(
         make_agreement(profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE))
     )
-    world.now += 20_000 * MS  # no engine is cold any more
+    driver.now += 20_000 * MS  # no engine is cold any more
     for ident in range(0, 900, 3):
-        world.update_engines(*[(ident + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
-        one, other = world.submit(), world.submit()
-        world.end_attempt(one, Outcome.ANSWERED)
-        world.end_attempt(other, Outcome.RESET)  # what may have run holds its engine's location
-        while world.commands[other].open_attempt:
-            world.end_attempt(other, Outcome.ANSWERED)
-    engines = world.gateway.components.engines
+        driver.update_engines(*[(ident + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
+        one, other = driver.submit(), driver.submit()
+        driver.end_attempt(one, Outcome.ANSWERED)
+        driver.end_attempt(other, Outcome.RESET)  # what may have run holds its engine's location
+        while driver.commands[other].open_attempt:
+            driver.end_attempt(other, Outcome.ANSWERED)
+    engines = driver.gateway.components.engines
     assert len(engines.by_slot) <= 12
     assert len(engines.by_id) <= 6
     assert [engine.slot for engine in engines.by_slot] == list(range(len(engines.by_slot)))
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -8,43 +8,43 @@
 
 
 def test_commands_that_clients_cancel_do_not_count_as_measurements_of_speed():
-    world = Driver(make_agreement())
-    world.update_engines(*FOUR_READY_ENGINES)
+    driver = Driver(make_agreement())
+    driver.update_engines(*FOUR_READY_ENGINES)
     for _ in range(30):
-        ident = world.submit()
-        world.now += 150 * MS
-        world.end_attempt(ident, Outcome.ANSWERED)
-    pace = world.gateway.components.estimates.by_profile[0].pace
+        ident = driver.submit()
+        driver.now += 150 * MS
+        driver.end_attempt(ident, Outcome.ANSWERED)
+    pace = driver.gateway.components.estimates.by_profile[0].pace
     for _ in range(100):
-        ident = world.submit()
-        world.client_left(ident)
-        world.end_attempt(ident, Outcome.CANCELLED)
-    assert world.gateway.components.estimates.by_profile[0].pace == pace
-    assert world.gateway.components.limits.overall_slowness < 2
+        ident = driver.submit()
+        driver.client_left(ident)
+        driver.end_attempt(ident, Outcome.CANCELLED)
+    assert driver.gateway.components.estimates.by_profile[0].pace == pace
+    assert driver.gateway.components.limits.overall_slowness < 2
 
 
 def test_an_attempt_cut_off_before_the_usual_run_time_does_not_count_against_its_engine():
     """Clients that gave up early had made jammed engines look fast to every gateway."""
-    world = Driver(make_agreement(profile(), max_attempts=1))
-    world.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
+    driver = Driver(make_agreement(profile(), max_attempts=1))
+    driver.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
     for _ in range(20):
-        ident = world.submit()
-        world.wait(300 * MS)
-        world.end_attempt(ident, Outcome.ANSWERED)
-    gateway = world.gateway
+        ident = driver.submit()
+        driver.wait(300 * MS)
+        driver.end_attempt(ident, Outcome.ANSWERED)
+    gateway = driver.gateway
     engine, estimate = gateway.components.engines.by_id[0], gateway.components.estimates.by_profile[0]
     before = gateway.components.limits.overall_slowness, estimate.pace
     for _ in range(10):
-        ident = world.submit(timeout_us=160 * MS)
-        world.wait(20 * MS)
-        world.end_attempt(ident, Outcome.TIMED_OUT)
+        ident = driver.submit(timeout_us=160 * MS)
+        driver.wait(20 * MS)
+        driver.end_attempt(ident, Outcome.TIMED_OUT)
     assert estimate.pace == before[1]
     assert gateway.components.limits.overall_slowness == before[0]
-    ident = world.submit(timeout_us=3000 * MS)
-    world.wait(900 * MS)
-    world.end_attempt(ident, Outcome.TIMED_OUT)  # a jam is not hidden
+    ident = driver.submit(timeout_us=3000 * MS)
+    driver.wait(900 * MS)
+    driver.end_attempt(ident, Outcome.TIMED_OUT)  # a jam is not hidden
     assert estimate.pace > before[1]
-    assert gateway.components.health.slowness(engine, world.now) > 1
+    assert gateway.components.health.slowness(engine, driver.now) > 1
 
 
 def test_a_command_without_an_estimate_gets_the_usual_work_of_its_profile():
--- a/tests/decisions/test_review_schedule.py
+++ b/tests/decisions/test_review_schedule.py
@@ -9,35 +9,35 @@
 
 
 def test_without_any_engine_no_command_is_queued_past_its_deadline():
-    world = Driver(
+    driver = Driver(
         make_agreement(profile(late_benefit_share=0.0), profile(idempotency=Idempotency.NON_IDEMPOTENT))
     )
-    never, late = world.submit(0), world.submit(1)
-    world.wait(4100 * MS)
-    assert world.commands[never].final == world.commands[late].final == Shed
+    never, late = driver.submit(0), driver.submit(1)
+    driver.wait(4100 * MS)
+    assert driver.commands[never].final == driver.commands[late].final == Shed
 
 
 def test_a_command_that_cannot_end_in_time_at_the_best_speed_is_shed_and_not_sent():
-    world = Driver(make_agreement(profile()))
-    world.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
-    world.submit(timeout_us=WORK // 2)
-    assert not world.running_ids()
-    assert not world.gateway.commands
-    ident = world.submit(timeout_us=WORK + 100 * MS)
-    assert world.running_ids() == [ident]
+    driver = Driver(make_agreement(profile()))
+    driver.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
+    driver.submit(timeout_us=WORK // 2)
+    assert not driver.running_ids()
+    assert not driver.gateway.commands
+    ident = driver.submit(timeout_us=WORK + 100 * MS)
+    assert driver.running_ids() == [ident]
 
 
 def test_a_gateway_that_was_paused_checks_deadlines_before_it_dispatches():
-    world = Driver(make_agreement(profile(late_benefit_share=0.0), supports_cancel=False))
-    world.update_engines((1, 0, 1, EngineState.READY, 0, 0))  # two cores
-    asked = [world.submit() for _ in range(12)]
-    went = set(world.running_ids())
+    driver = Driver(make_agreement(profile(late_benefit_share=0.0), supports_cancel=False))
+    driver.update_engines((1, 0, 1, EngineState.READY, 0, 0))  # two cores
+    asked = [driver.submit() for _ in range(12)]
+    went = set(driver.running_ids())
     assert 0 < len(went) < 12
-    world.now += 2000 * MS  # no turn: no timer fires, and the answers wait for it too
+    driver.now += 2000 * MS  # no turn: no timer fires, and the answers wait for it too
     for ident in went:
-        world.end_attempt(ident, Outcome.ANSWERED)
-    world.wait(100 * MS)
-    held = [world.commands[ident] for ident in asked if ident not in went]
+        driver.end_attempt(ident, Outcome.ANSWERED)
+    driver.wait(100 * MS)
+    held = [driver.commands[ident] for ident in asked if ident not in went]
     assert all(not cmd.attempts_sent_at and cmd.final == Shed for cmd in held)  # none could earn anything
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,35 +11,35 @@
 
 
 def test_a_restarted_engine_warms_up_again():
-    world = Driver(make_agreement(gateways=1))
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
-    world.update_engines((1, 0, 0, EngineState.READY, 0, START))
+    driver = Driver(make_agreement(gateways=1))
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
     for _ in range(200):
-        if not world.running_ids():
-            world.submit()
-        world.end_attempt(world.running_ids()[0], Outcome.ANSWERED) if world.running_ids() else world.wait(
-            20 * MS
-        )
-    assert world.warmup_work[1]
+        if not driver.running_ids():
+            driver.submit()
+        driver.end_attempt(
+            driver.running_ids()[0], Outcome.ANSWERED
+        ) if driver.running_ids() else driver.wait(20 * MS)
+    assert driver.warmup_work[1]
 
 
 def test_a_heavy_command_may_be_sent_to_a_warming_engine():
-    world = Driver(make_agreement(profile(timeout_us=60_000 * MS, objective_us=60_000 * MS), gateways=3))
-    world.update_engines((1, 0, 0, EngineState.READY, 0, START))
-    ident = world.submit(work=2500 * MS)
-    assert not world.running_ids()
-    world.wait(9900 * MS)
-    assert world.commands[ident].open_attempt
+    driver = Driver(make_agreement(profile(timeout_us=60_000 * MS, objective_us=60_000 * MS), gateways=3))
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
+    ident = driver.submit(work=2500 * MS)
+    assert not driver.running_ids()
+    driver.wait(9900 * MS)
+    assert driver.commands[ident].open_attempt
 
 
-def count_attempts(world, times, wait_us):
+def count_attempts(driver, times, wait_us):
     """Submit so many commands, answer every attempt; returns how many attempts were sent in all."""
     for _ in range(times):
-        world.submit(work=400 * MS)
-        for ident in world.running_ids():
-            world.end_attempt(ident, Outcome.ANSWERED)
-        world.wait(wait_us)
-    return sum(isinstance(result, Dispatch) for result in world.log)
+        driver.submit(work=400 * MS)
+        for ident in driver.running_ids():
+            driver.end_attempt(ident, Outcome.ANSWERED)
+        driver.wait(wait_us)
+    return sum(isinstance(result, Dispatch) for result in driver.log)
 
 
 @pytest.mark.parametrize("managers", [3, 300])
@@ -53,9 +53,9 @@
     )
     sent = 0
     for seed in range(managers):
-        world = Driver(agreement, seed)
-        world.update_engines((1, 0, 0, EngineState.READY, 0, START))
-        sent += 400 * MS * count_attempts(world, 10, 190 * MS)
+        driver = Driver(agreement, seed)
+        driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
+        sent += 400 * MS * count_attempts(driver, 10, 190 * MS)
     assert 0.2 * stands < sent < stands
 
 
@@ -66,12 +66,12 @@
     sent = 0
     for seed in range(managers):
         for start in range(4):
-            world = Driver(agreement, 4 * seed + start)
-            world.gateway.components.slow_start.gateway_started_at = world.now = (
+            driver = Driver(agreement, 4 * seed + start)
+            driver.gateway.components.slow_start.gateway_started_at = driver.now = (
                 START + (1 + 500 * start) * MS
             )  # the engine is there before
-            world.update_engines((1, 0, 0, EngineState.READY, 0, START))
-            sent += count_attempts(world, 3, 160 * MS)
+            driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
+            sent += count_attempts(driver, 3, 160 * MS)
     stands = (
         agreement.overload_multiple
         * agreement.warmup_initial_share
@@ -80,33 +80,33 @@
         / (400 * MS)
     )
     assert sent <= stands + 2 * stands**0.5 + 2
-    world.wait(agreement.overload_window_us)
-    world.submit(work=400 * MS)
-    world.wait(3 * agreement.overload_window_us)
-    assert managers > 3 or world.running_ids()  # the part is ours again
+    driver.wait(agreement.overload_window_us)
+    driver.submit(work=400 * MS)
+    driver.wait(3 * agreement.overload_window_us)
+    assert managers > 3 or driver.running_ids()  # the part is ours again
 
 
 def test_half_a_fleet_that_restarts_at_once_gets_its_warmup_share_from_gateways_with_an_old_list():
     agreement = make_agreement(profile(timeout_us=4000 * MS), gateways=10, cores_by_kind=(8.0,))
     fleet = [Driver(agreement, seed) for seed in range(10)]
     work = {}
-    for world in fleet:  # all that each knows is a list of a moment ago; half of its engines began anew
-        world.update_engines(
+    for driver in fleet:  # all that each knows is a list of a moment ago; half of its engines began anew
+        driver.update_engines(
             *(
                 (ident, 0, 0, EngineState.READY, 0, 0 if ident < 4 else START - 1000 * MS)
                 for ident in range(8)
             )
         )
     for _ in range(40):
-        for world in fleet:
+        for driver in fleet:
             for _ in range(3):
-                ident = world.submit()
-                attempt = world.commands[ident].open_attempt
+                ident = driver.submit()
+                attempt = driver.commands[ident].open_attempt
                 if attempt and attempt.engine >= 4:
                     work[attempt.engine] = work.get(attempt.engine, 0) + WORK
-            world.wait(50 * MS)
-            for ident in world.running_ids():
-                world.end_attempt(ident, Outcome.ANSWERED)
+            driver.wait(50 * MS)
+            for ident in driver.running_ids():
+                driver.end_attempt(ident, Outcome.ANSWERED)
     stands = (
         agreement.overload_multiple
         * (agreement.warmup_initial_share + 0.7 * 0.1)
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -8,19 +8,19 @@
 
 
 def jammed(supports_cancel=False, threads=2):
-    """(world, how many went out in 40 s): two engines of four cores on which nothing ends in time."""
-    world = Driver(
+    """(driver, how many went out in 40 s): two engines of four cores on which nothing ends in time."""
+    driver = Driver(
         make_agreement(
             profile(threads=threads, objective_us=3000 * MS, timeout_us=4000 * MS),
             supports_cancel=supports_cancel,
             max_attempts=1,
         )
     )
-    world.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2)))
+    driver.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2)))
     for _ in range(400):
-        world.submit()
-        world.wait(100 * MS)
-    return world, sum(len(cmd.attempts_sent_at) for cmd in world.commands.values())
+        driver.submit()
+        driver.wait(100 * MS)
+    return driver, sum(len(cmd.attempts_sent_at) for cmd in driver.commands.values())
 
 
 def test_a_timed_out_attempt_keeps_its_threads_while_it_may_run_on_where_attempts_cannot_be_cancelled():
@@ -29,16 +29,16 @@
 
 
 def test_attempts_that_may_run_on_are_over_once_their_engine_has_restarted():
-    world, _ = jammed()
-    assert world.gateway.components.thread_use.total >= 4
-    assert world.gateway.components.thread_use.timed_out
-    for ident in world.running_ids():
-        world.end_attempt(ident, Outcome.RESET)
-    born = world.now - 20_000 * MS  # seen anew and warm
-    world.update_engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
-    out = sum(world.commands[ident].profile.threads for ident in world.running_ids())
-    assert world.gateway.components.thread_use.total == out
-    assert not world.gateway.components.thread_use.timed_out
+    driver, _ = jammed()
+    assert driver.gateway.components.thread_use.total >= 4
+    assert driver.gateway.components.thread_use.timed_out
+    for ident in driver.running_ids():
+        driver.end_attempt(ident, Outcome.RESET)
+    born = driver.now - 20_000 * MS  # seen anew and warm
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
+    out = sum(driver.commands[ident].profile.threads for ident in driver.running_ids())
+    assert driver.gateway.components.thread_use.total == out
+    assert not driver.gateway.components.thread_use.timed_out
 
 
 def test_threads_of_a_timed_out_attempt_are_held_for_two_ages():
