--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -7,10 +7,12 @@
 from gullhold.decisions.command import Command
 from gullhold.interface import EngineState, Outcome, Profile, Tenant
 
-FOUR_READY_ENGINES = [(ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0) for ident in range(4)]
+FOUR_READY_ENGINES = [
+    (engine_id, engine_id % 2, engine_id % 2, EngineState.READY, engine_id % 3, 0) for engine_id in range(4)
+]
 
 
-FORTY_READY_ENGINES = [(ident, 0, 0, EngineState.READY, ident % 5, 0) for ident in range(40)]
+FORTY_READY_ENGINES = [(engine_id, 0, 0, EngineState.READY, engine_id % 5, 0) for engine_id in range(40)]
 
 
 BUSY_TENANT = (Tenant(1.0, 1000.0),)
@@ -22,9 +24,9 @@
 def answer_commands(driver: Driver, count: int, utilization: float, latency: int = WORK) -> None:
     """Submit commands one after another; each is answered with a load report of this utilization."""
     for _ in range(count):
-        ident = driver.submit()
+        command_id = driver.submit()
         driver.now += latency
-        driver.end_attempt(ident, Outcome.ANSWERED, report=(3.0, utilization))
+        driver.end_attempt(command_id, Outcome.ANSWERED, report=(3.0, utilization))
 
 
 def driver_with_load_reports(**other: Any) -> Driver:
--- a/tests/decisions/test_attempt_review.py
+++ b/tests/decisions/test_attempt_review.py
@@ -10,21 +10,21 @@
     driver = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
     driver.update_engines(*FOUR_READY_ENGINES)
     for _ in range(20):
-        ident = driver.submit()
+        command_id = driver.submit()
         driver.now += 100 * MS
-        driver.end_attempt(ident, Outcome.ANSWERED)
-    ident = driver.submit()
+        driver.end_attempt(command_id, Outcome.ANSWERED)
+    command_id = driver.submit()
     driver.wait(400 * MS)
-    assert CancelAttempt(ident, 0) in driver.results_of(CancelAttempt)
-    driver.end_attempt(ident, Outcome.CANCELLED)
-    assert len(driver.commands[ident].attempts_sent_at) == 2
+    assert CancelAttempt(command_id, 0) in driver.results_of(CancelAttempt)
+    driver.end_attempt(command_id, Outcome.CANCELLED)
+    assert len(driver.commands[command_id].attempts_sent_at) == 2
 
 
 def test_an_attempt_that_status_reports_call_nearly_done_is_not_cancelled():
     driver = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
     driver.update_engines(*FOUR_READY_ENGINES)
-    ident = driver.submit()
-    driver.gateway.attempt_status(driver.now, ident, 0, StatusKind.PROGRESS, 0.9)
+    command_id = driver.submit()
+    driver.gateway.attempt_status(driver.now, command_id, 0, StatusKind.PROGRESS, 0.9)
     driver.wait(900 * MS)
     assert not any(isinstance(result, CancelAttempt) for result in driver.log)
 
@@ -32,8 +32,8 @@
 def test_status_reports_reveal_a_bad_plan_long_before_its_age_does():
     driver = Driver(make_agreement(profile(timeout_us=20_000 * MS, objective_us=9000 * MS)))
     driver.update_engines(*FOUR_READY_ENGINES)
-    ident = driver.submit(work=1000 * MS)
+    command_id = driver.submit(work=1000 * MS)
     driver.wait(500 * MS)
-    driver.gateway.attempt_status(driver.now, ident, 0, StatusKind.PROGRESS, 0.02)
+    driver.gateway.attempt_status(driver.now, command_id, 0, StatusKind.PROGRESS, 0.02)
     driver.wait(600 * MS)
-    assert CancelAttempt(ident, 0) in driver.results_of(CancelAttempt)
+    assert CancelAttempt(command_id, 0) in driver.results_of(CancelAttempt)
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -22,10 +22,10 @@
     driver = Driver(make_agreement(gateways=2))
     driver.update_engines(*FOUR_READY_ENGINES)
     for i in range(400):
-        ident = driver.submit()
+        command_id = driver.submit()
         driver.now += (100 if i < 50 else 900) * MS
-        while driver.commands[ident].open_attempt:
-            driver.end_attempt(ident, Outcome.ANSWERED)
+        while driver.commands[command_id].open_attempt:
+            driver.end_attempt(command_id, Outcome.ANSWERED)
     assert driver.gateway.components.limits.share(driver.now) >= 0.25
 
 
@@ -62,8 +62,8 @@
         for _ in range(4):
             driver.submit()
         driver.now += 20 * MS
-        for ident in driver.running_ids()[:3]:
-            driver.end_attempt(ident, Outcome.ANSWERED, cost=1000 * MS)
+        for command_id in driver.running_ids()[:3]:
+            driver.end_attempt(command_id, Outcome.ANSWERED, cost=1000 * MS)
         most = max(most, driver.gateway.components.limits.share_factor)
     assert driver.gateway.components.queue.by_tenant
     assert 1.0 < most <= 1.5
@@ -84,12 +84,14 @@
         found = []
         for number, threads in ((1, 3), (0, 1)):
             asked = [driver.submit(number) for _ in range(120)]
-            found.append(threads * sum(driver.commands[ident].open_attempt is not None for ident in asked))
-            for ident in asked:
-                if not driver.commands[ident].is_over:
-                    driver.client_left(ident)
-            for ident in driver.running_ids():
-                driver.end_attempt(ident, Outcome.CANCELLED)
+            found.append(
+                threads * sum(driver.commands[command_id].open_attempt is not None for command_id in asked)
+            )
+            for command_id in asked:
+                if not driver.commands[command_id].is_over:
+                    driver.client_left(command_id)
+            for command_id in driver.running_ids():
+                driver.end_attempt(command_id, Outcome.CANCELLED)
         return found[0] / found[1]
 
     answer_commands(driver, 20, 1.0)
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -21,10 +21,10 @@
         driver.submit(tenant=i % 2)
     sent = [0, 0]
     for _ in range(answered):
-        ident = driver.running_ids()[0]
-        sent[(ident - 1) % 2] += 1
+        command_id = driver.running_ids()[0]
+        sent[(command_id - 1) % 2] += 1
         driver.now += 100 * MS
-        driver.end_attempt(ident, Outcome.ANSWERED)
+        driver.end_attempt(command_id, Outcome.ANSWERED)
     return sent
 
 
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -42,14 +42,14 @@
         elif kind == 9 and out:
             driver.client_left(out[number % len(out)])
         elif kind == 10:
-            owed = [ident for ident, cmd in driver.commands.items() if not cmd.is_over]
+            owed = [command_id for command_id, cmd in driver.commands.items() if not cmd.is_over]
             if owed:
                 driver.abandon(owed[number % len(owed)])
         else:
             driver.wait(number % 700 * MS)
     driver.wait(5000 * MS)
-    for ident in driver.running_ids():
-        driver.end_attempt(ident, Outcome.RESET)
+    for command_id in driver.running_ids():
+        driver.end_attempt(command_id, Outcome.RESET)
     assert not driver.gateway.commands
     assert not driver.gateway.components.key_order.by_key
     driver.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
@@ -92,9 +92,9 @@
     driver = Driver(make_agreement(profile(), profile(threads=3)))
     driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     for need_mb in ARBITRARY_ESTIMATES:
-        ident = driver.submit(estimate=told, need_mb=need_mb)
-        if driver.commands[ident].open_attempt:
-            driver.end_attempt(ident, Outcome.ANSWERED)
+        command_id = driver.submit(estimate=told, need_mb=need_mb)
+        if driver.commands[command_id].open_attempt:
+            driver.end_attempt(command_id, Outcome.ANSWERED)
     driver.wait(8000 * MS)
     assert driver.gateway.components.estimates.by_profile[0].work_bias > 0
     assert all(cmd.is_over or cmd.final for cmd in driver.commands.values())
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -12,13 +12,13 @@
     driver.update_engines(*FOUR_READY_ENGINES)
     sent = [0, 0]
     for i in range(300):
-        ident = driver.submit()
-        engine = driver.commands[ident].open_attempt.engine
+        command_id = driver.submit()
+        engine = driver.commands[command_id].open_attempt.engine
         sent[i // 150] += engine == 0
         driver.now += 20 * MS
-        driver.end_attempt(ident, Outcome.ERROR if engine == 0 else Outcome.ANSWERED)
-        while driver.commands[ident].open_attempt:
-            driver.end_attempt(ident, Outcome.ANSWERED)
+        driver.end_attempt(command_id, Outcome.ERROR if engine == 0 else Outcome.ANSWERED)
+        while driver.commands[command_id].open_attempt:
+            driver.end_attempt(command_id, Outcome.ANSWERED)
     assert sent[1] <= 10
 
 
@@ -37,11 +37,11 @@
 def test_one_failed_connection_diverts_attempts_until_its_effect_decays():
     driver = Driver(make_agreement())
     driver.update_engines(*FOUR_READY_ENGINES)
-    ident = driver.submit()
-    engine = driver.commands[ident].open_attempt.engine
-    driver.end_attempt(ident, Outcome.CONNECT_FAILED)
+    command_id = driver.submit()
+    engine = driver.commands[command_id].open_attempt.engine
+    driver.end_attempt(command_id, Outcome.CONNECT_FAILED)
     after = [driver.submit() for _ in range(6)]
-    assert all(driver.commands[one].open_attempt.engine != engine for one in [ident, *after])
+    assert all(driver.commands[one].open_attempt.engine != engine for one in [command_id, *after])
     known = driver.gateway.components.engines.by_id[engine]
     assert driver.gateway.components.health.failure_rate(known, driver.now + 30_000 * MS) < 0.05
 
@@ -53,9 +53,9 @@
     def use(outcome, most):
         """Commands until one is at the first engine, which ends it so; whether one was."""
         for _ in range(most):
-            ident = driver.submit()
-            first = driver.commands[ident].open_attempt.engine == 0
-            driver.end_attempt(ident, outcome if first else Outcome.ANSWERED)
+            command_id = driver.submit()
+            first = driver.commands[command_id].open_attempt.engine == 0
+            driver.end_attempt(command_id, outcome if first else Outcome.ANSWERED)
             for out in driver.running_ids():
                 driver.end_attempt(out, Outcome.ANSWERED)
             if first:
@@ -86,15 +86,17 @@
     driver.wait(4 * WORK)
     for _ in range(15):  # far more than the others' cap
         driver.submit()
-    assert [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()].count(engine) == 1
+    assert [driver.commands[command_id].open_attempt.engine for command_id in driver.running_ids()].count(
+        engine
+    ) == 1
     assert len(driver.running_ids()) > 8  # and the others take theirs
-    for ident in driver.running_ids():
-        if ident != hung:
-            driver.end_attempt(ident, Outcome.ANSWERED)
+    for command_id in driver.running_ids():
+        if command_id != hung:
+            driver.end_attempt(command_id, Outcome.ANSWERED)
     driver.end_attempt(hung, Outcome.ANSWERED)  # its end is known: it may have some again
     for _ in range(15):
         driver.submit()
-    assert engine in [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()]
+    assert engine in [driver.commands[command_id].open_attempt.engine for command_id in driver.running_ids()]
 
 
 def test_no_engine_is_ejected_where_most_engines_are_stalled():
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -11,8 +11,8 @@
         make_agreement(profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE))
     )
     driver.now += 20_000 * MS  # no engine is cold any more
-    for ident in range(0, 900, 3):
-        driver.update_engines(*[(ident + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
+    for engine_id in range(0, 900, 3):
+        driver.update_engines(*[(engine_id + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
         one, other = driver.submit(), driver.submit()
         driver.end_attempt(one, Outcome.ANSWERED)
         driver.end_attempt(other, Outcome.RESET)  # what may have run holds its engine's location
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -11,14 +11,14 @@
     driver = Driver(make_agreement())
     driver.update_engines(*FOUR_READY_ENGINES)
     for _ in range(30):
-        ident = driver.submit()
+        command_id = driver.submit()
         driver.now += 150 * MS
-        driver.end_attempt(ident, Outcome.ANSWERED)
+        driver.end_attempt(command_id, Outcome.ANSWERED)
     pace = driver.gateway.components.estimates.by_profile[0].pace
     for _ in range(100):
-        ident = driver.submit()
-        driver.client_left(ident)
-        driver.end_attempt(ident, Outcome.CANCELLED)
+        command_id = driver.submit()
+        driver.client_left(command_id)
+        driver.end_attempt(command_id, Outcome.CANCELLED)
     assert driver.gateway.components.estimates.by_profile[0].pace == pace
     assert driver.gateway.components.limits.overall_slowness < 2
 
@@ -28,21 +28,21 @@
     driver = Driver(make_agreement(profile(), max_attempts=1))
     driver.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
     for _ in range(20):
-        ident = driver.submit()
+        command_id = driver.submit()
         driver.wait(300 * MS)
-        driver.end_attempt(ident, Outcome.ANSWERED)
+        driver.end_attempt(command_id, Outcome.ANSWERED)
     gateway = driver.gateway
     engine, estimate = gateway.components.engines.by_id[0], gateway.components.estimates.by_profile[0]
     before = gateway.components.limits.overall_slowness, estimate.pace
     for _ in range(10):
-        ident = driver.submit(timeout_us=160 * MS)
+        command_id = driver.submit(timeout_us=160 * MS)
         driver.wait(20 * MS)
-        driver.end_attempt(ident, Outcome.TIMED_OUT)
+        driver.end_attempt(command_id, Outcome.TIMED_OUT)
     assert estimate.pace == before[1]
     assert gateway.components.limits.overall_slowness == before[0]
-    ident = driver.submit(timeout_us=3000 * MS)
+    command_id = driver.submit(timeout_us=3000 * MS)
     driver.wait(900 * MS)
-    driver.end_attempt(ident, Outcome.TIMED_OUT)  # a jam is not hidden
+    driver.end_attempt(command_id, Outcome.TIMED_OUT)  # a jam is not hidden
     assert estimate.pace > before[1]
     assert gateway.components.health.slowness(engine, driver.now) > 1
 
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -23,9 +23,9 @@
     answer_commands(driver, 40, 0.1)
     assert driver.gateway.components.loads.mean_utilization < 0.2
     for outcome in [Outcome.OVERLOADED, Outcome.TIMED_OUT] * 15:
-        ident = driver.submit()
-        if ident in driver.running_ids():
-            driver.end_attempt(ident, outcome)
+        command_id = driver.submit()
+        if command_id in driver.running_ids():
+            driver.end_attempt(command_id, outcome)
         driver.wait(3000 * MS)
         for other in driver.running_ids():
             driver.end_attempt(other, Outcome.ANSWERED)
@@ -39,8 +39,8 @@
     answer_commands(driver, 5, told)
     assert 0.0 <= driver.gateway.components.loads.mean_utilization <= 1.0
     assert 0.0 <= driver.gateway.components.engines.by_slot[0].load <= 1.0
-    ident = driver.submit()
-    driver.end_attempt(ident, Outcome.ANSWERED, report=(1.0,))  # a report cut short
+    command_id = driver.submit()
+    driver.end_attempt(command_id, Outcome.ANSWERED, report=(1.0,))  # a report cut short
     assert count_dispatched(driver) > 0
 
 
@@ -50,16 +50,16 @@
         make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), report_fields=("util",))
     )
     driver.update_engines((1, 0, 0, EngineState.READY, 0, 0), (2, 0, 0, EngineState.READY, 0, 0))
-    for ident in [driver.submit(), driver.submit()]:  # one on each: both tell
+    for command_id in [driver.submit(), driver.submit()]:  # one on each: both tell
         driver.end_attempt(
-            ident,
+            command_id,
             Outcome.ANSWERED,
-            report=(0.9 if driver.commands[ident].open_attempt.engine == full else 0.1,),
+            report=(0.9 if driver.commands[command_id].open_attempt.engine == full else 0.1,),
         )
     for _ in range(12):
-        ident = driver.submit()
-        assert driver.commands[ident].open_attempt.engine != full
-        driver.end_attempt(ident, Outcome.ANSWERED, report=(0.1,))
+        command_id = driver.submit()
+        assert driver.commands[command_id].open_attempt.engine != full
+        driver.end_attempt(command_id, Outcome.ANSWERED, report=(0.1,))
 
 
 def test_low_load_reported_by_a_slow_engine_is_not_capacity():
@@ -71,16 +71,16 @@
         pair = [driver.submit(), driver.submit()]
         for crawls in (False, True):
             driver.now += 5 * WORK if crawls else WORK
-            for ident in pair:
+            for command_id in pair:
                 if (
-                    driver.commands[ident].open_attempt
-                    and (driver.commands[ident].open_attempt.engine == 1) == crawls
+                    driver.commands[command_id].open_attempt
+                    and (driver.commands[command_id].open_attempt.engine == 1) == crawls
                 ):
-                    driver.end_attempt(ident, Outcome.ANSWERED, report=(0.05 if crawls else 0.6,))
-        for ident in driver.running_ids():
-            driver.end_attempt(ident, Outcome.ANSWERED, report=(0.6,))
-    ident = driver.submit()
-    assert driver.commands[ident].open_attempt.engine == 2
+                    driver.end_attempt(command_id, Outcome.ANSWERED, report=(0.05 if crawls else 0.6,))
+        for command_id in driver.running_ids():
+            driver.end_attempt(command_id, Outcome.ANSWERED, report=(0.6,))
+    command_id = driver.submit()
+    assert driver.commands[command_id].open_attempt.engine == 2
 
 
 def test_spare_capacity_raises_a_limit_only_below_full_utilization():
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -30,7 +30,7 @@
         lambda self, command, engine, now: looked.append(engine) or may_take(self, command, engine, now),
     )
     driver = Driver(make_agreement())
-    driver.update_engines(*[(ident, 0, 0, EngineState.READY, 0, START - 1) for ident in range(2000)])
+    driver.update_engines(*[(engine_id, 0, 0, EngineState.READY, 0, START - 1) for engine_id in range(2000)])
     driver.submit(work=2_000_000)  # too much for any of them while it is cold
     assert not driver.running_ids()
     assert 0 < len(looked) < 1000
@@ -42,22 +42,22 @@
     first = driver.submit()
     engine = driver.commands[first].open_attempt.engine
     driver.gateway.attempt_status(driver.now, first, 0, StatusKind.WAITING, 2.0)
-    same = [ident for ident in (driver.submit() for _ in range(40)) if ident % 5 == first % 5]
-    assert all(driver.commands[ident].open_attempt.engine != engine for ident in same)
+    same = [command_id for command_id in (driver.submit() for _ in range(40)) if command_id % 5 == first % 5]
+    assert all(driver.commands[command_id].open_attempt.engine != engine for command_id in same)
 
 
 def test_a_late_status_report_of_an_earlier_attempt_locks_nothing_at_the_next_engine():
     """Guards against a data set that is avoided at an engine where nothing loads it."""
     driver = Driver(make_agreement(profile(waits_for_loads=True), cores_by_kind=(40.0, 40.0)))
     driver.update_engines(*FOUR_READY_ENGINES)
-    ident = driver.submit()
-    driver.end_attempt(ident, Outcome.CONNECT_FAILED)
-    command = driver.gateway.commands[ident]
+    command_id = driver.submit()
+    driver.end_attempt(command_id, Outcome.CONNECT_FAILED)
+    command = driver.gateway.commands[command_id]
     assert command.attempts == 2
-    driver.gateway.attempt_status(driver.now, ident, 0, StatusKind.WAITING, 2.0)
+    driver.gateway.attempt_status(driver.now, command_id, 0, StatusKind.WAITING, 2.0)
     locks = driver.gateway.components.placement.locks
     assert not locks.is_locked(command.engine, command.dataset, driver.now)
-    driver.gateway.attempt_status(driver.now, ident, 1, StatusKind.WAITING, 2.0)
+    driver.gateway.attempt_status(driver.now, command_id, 1, StatusKind.WAITING, 2.0)
     assert locks.is_locked(command.engine, command.dataset, driver.now)
 
 
@@ -80,7 +80,7 @@
     looks = []
     for size in (10, 200):
         driver = Driver(make_agreement(gateways=300, tenants=BUSY_TENANT))
-        driver.update_engines(*[(ident, 0, 0, EngineState.READY, 0, 0) for ident in range(size)])
+        driver.update_engines(*[(engine_id, 0, 0, EngineState.READY, 0, 0) for engine_id in range(size)])
         may_take, count = driver.gateway.components.placement.may_take, [0]
         driver.gateway.components.placement.may_take = lambda *args, may_take=may_take, count=count: (
             count.append(0),
@@ -99,10 +99,10 @@
         driver = Driver(make_agreement(gateways=300, tenants=BUSY_TENANT), seed)
         driver.update_engines(*FORTY_READY_ENGINES)
         for _ in range(5):
-            ident = driver.submit()
-            if ident % 5 == 0:
-                used.add(driver.commands[ident].open_attempt.engine)
-            driver.end_attempt(ident, Outcome.ANSWERED)
+            command_id = driver.submit()
+            if command_id % 5 == 0:
+                used.add(driver.commands[command_id].open_attempt.engine)
+            driver.end_attempt(command_id, Outcome.ANSWERED)
     assert len(used) <= 16  # of twenty sends by twenty gateways over forty engines
 
 
@@ -114,9 +114,9 @@
     driver.update_engines(*FORTY_READY_ENGINES)
     spots = ({}, {})
     for i in range(400):
-        ident = driver.submit(i % 2)
-        spots[i % 2].setdefault(ident % 5, set()).add(driver.commands[ident].open_attempt.engine)
-        driver.end_attempt(ident, Outcome.ANSWERED)
+        command_id = driver.submit(i % 2)
+        spots[i % 2].setdefault(command_id % 5, set()).add(driver.commands[command_id].open_attempt.engine)
+        driver.end_attempt(command_id, Outcome.ANSWERED)
     assert all(not spots[0][dataset] & spots[1][dataset] for dataset in spots[0])
 
 
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -15,11 +15,11 @@
     ):
         driver = Driver(make_agreement(profile(idempotency=effect)))
         driver.update_engines(*FOUR_READY_ENGINES[:1])
-        ident = driver.submit()
-        assert driver.running_ids() == [ident]
-        driver.abandon(ident)
+        command_id = driver.submit()
+        assert driver.running_ids() == [command_id]
+        driver.abandon(command_id)
         final = next(result for result in driver.log if isinstance(result, Shed | Fail))
-        assert (type(final), final.command) == (verb, ident)
+        assert (type(final), final.command) == (verb, command_id)
         assert not driver.gateway.commands
         assert not driver.gateway.components.thread_use.total
 
@@ -28,12 +28,12 @@
     """It was shed at once, though it provably never ran: the state of the ended send stood in the way."""
     driver = Driver(make_agreement(profile(idempotency=Idempotency.NON_IDEMPOTENT)))
     driver.update_engines(*FOUR_READY_ENGINES)
-    ident = driver.submit()
-    driver.end_attempt(ident, Outcome.OVERLOADED)
-    assert driver.running_ids() == [ident]
+    command_id = driver.submit()
+    driver.end_attempt(command_id, Outcome.OVERLOADED)
+    assert driver.running_ids() == [command_id]
     assert not any(isinstance(result, Shed) for result in driver.log)
-    driver.end_attempt(ident, Outcome.ERROR)
-    assert Fail(ident) in driver.results_of(Fail)
+    driver.end_attempt(command_id, Outcome.ERROR)
+    assert Fail(command_id) in driver.results_of(Fail)
 
 
 def test_requests_of_bad_clients_raise_no_retry_budget_and_no_share_of_the_fleet():
@@ -44,19 +44,21 @@
     )
     driver.update_engines(*FOUR_READY_ENGINES)
     for i in range(60):  # taken back at once, or of no use to any engine
-        ident = driver.submit()
+        command_id = driver.submit()
         if i % 2:
-            driver.client_left(ident)
-        while driver.commands[ident].open_attempt:
-            driver.end_attempt(ident, Outcome.CANCELLED if i % 2 else Outcome.ERROR)
+            driver.client_left(command_id)
+        while driver.commands[command_id].open_attempt:
+            driver.end_attempt(command_id, Outcome.CANCELLED if i % 2 else Outcome.ERROR)
     assert len(driver.retried_at) == 3
     assert driver.gateway.components.traffic.count < 40
     driver.wait(40_000 * MS)
     for _ in range(8):
         driver.end_attempt(driver.submit(), Outcome.ANSWERED)
     for _ in range(9):
-        ident = driver.submit()
-        driver.end_attempt(ident, Outcome.OVERLOADED) if driver.commands[ident].open_attempt else None
+        command_id = driver.submit()
+        driver.end_attempt(command_id, Outcome.OVERLOADED) if driver.commands[
+            command_id
+        ].open_attempt else None
         for engine in driver.gateway.components.engines.by_slot:
             engine.overloaded_until = 0
     assert len(driver.retried_at) == 3 + 7  # three, and half of those answered
@@ -66,11 +68,11 @@
     driver = Driver(make_agreement(max_attempts=99))
     driver.update_engines(*FOUR_READY_ENGINES)
     for _ in range(10):
-        ident, used = driver.submit(), []
-        while driver.commands[ident].open_attempt:
-            used.append(driver.commands[ident].open_attempt.engine)
-            driver.end_attempt(ident, Outcome.ERROR)
-        assert driver.commands[ident].final == Shed
+        command_id, used = driver.submit(), []
+        while driver.commands[command_id].open_attempt:
+            used.append(driver.commands[command_id].open_attempt.engine)
+            driver.end_attempt(command_id, Outcome.ERROR)
+        assert driver.commands[command_id].final == Shed
         assert len(set(used)) == 2
         assert used[-1] not in used[:-1]
         driver.wait(60_000 * MS)  # its marks fade
--- a/tests/decisions/test_review_schedule.py
+++ b/tests/decisions/test_review_schedule.py
@@ -23,8 +23,8 @@
     driver.submit(timeout_us=WORK // 2)
     assert not driver.running_ids()
     assert not driver.gateway.commands
-    ident = driver.submit(timeout_us=WORK + 100 * MS)
-    assert driver.running_ids() == [ident]
+    command_id = driver.submit(timeout_us=WORK + 100 * MS)
+    assert driver.running_ids() == [command_id]
 
 
 def test_a_gateway_that_was_paused_checks_deadlines_before_it_dispatches():
@@ -34,10 +34,10 @@
     went = set(driver.running_ids())
     assert 0 < len(went) < 12
     driver.now += 2000 * MS  # no turn: no timer fires, and the answers wait for it too
-    for ident in went:
-        driver.end_attempt(ident, Outcome.ANSWERED)
+    for command_id in went:
+        driver.end_attempt(command_id, Outcome.ANSWERED)
     driver.wait(100 * MS)
-    held = [driver.commands[ident] for ident in asked if ident not in went]
+    held = [driver.commands[command_id] for command_id in asked if command_id not in went]
     assert all(not cmd.attempts_sent_at and cmd.final == Shed for cmd in held)  # none could earn anything
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -26,18 +26,18 @@
 def test_a_heavy_command_may_be_sent_to_a_warming_engine():
     driver = Driver(make_agreement(profile(timeout_us=60_000 * MS, objective_us=60_000 * MS), gateways=3))
     driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
-    ident = driver.submit(work=2500 * MS)
+    command_id = driver.submit(work=2500 * MS)
     assert not driver.running_ids()
     driver.wait(9900 * MS)
-    assert driver.commands[ident].open_attempt
+    assert driver.commands[command_id].open_attempt
 
 
 def count_attempts(driver, times, wait_us):
     """Submit so many commands, answer every attempt; returns how many attempts were sent in all."""
     for _ in range(times):
         driver.submit(work=400 * MS)
-        for ident in driver.running_ids():
-            driver.end_attempt(ident, Outcome.ANSWERED)
+        for command_id in driver.running_ids():
+            driver.end_attempt(command_id, Outcome.ANSWERED)
         driver.wait(wait_us)
     return sum(isinstance(result, Dispatch) for result in driver.log)
 
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -16,7 +16,7 @@
             max_attempts=1,
         )
     )
-    driver.update_engines(*((ident, 0, 0, EngineState.READY, 0, 0) for ident in (1, 2)))
+    driver.update_engines(*((engine_id, 0, 0, EngineState.READY, 0, 0) for engine_id in (1, 2)))
     for _ in range(400):
         driver.submit()
         driver.wait(100 * MS)
@@ -32,11 +32,11 @@
     driver, _ = jammed()
     assert driver.gateway.components.thread_use.total >= 4
     assert driver.gateway.components.thread_use.timed_out
-    for ident in driver.running_ids():
-        driver.end_attempt(ident, Outcome.RESET)
+    for command_id in driver.running_ids():
+        driver.end_attempt(command_id, Outcome.RESET)
     born = driver.now - 20_000 * MS  # seen anew and warm
     driver.update_engines((1, 0, 0, EngineState.READY, 0, born), (2, 0, 0, EngineState.READY, 0, born))
-    out = sum(driver.commands[ident].profile.threads for ident in driver.running_ids())
+    out = sum(driver.commands[command_id].profile.threads for command_id in driver.running_ids())
     assert driver.gateway.components.thread_use.total == out
     assert not driver.gateway.components.thread_use.timed_out
 
