--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -132,6 +132,9 @@
         for _ in range(6):
             driver.submit()
         went.append(
-            {driver.fleet[driver.commands[ident].open_attempt.engine].zone for ident in driver.running_ids()}
+            {
+                driver.engines[driver.commands[ident].open_attempt.engine].zone
+                for ident in driver.running_ids()
+            }
         )
     assert went == [{0}, {0, 1}]
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -27,12 +27,12 @@
 MS = 1000
 START = 5_000_000
 WORK = 100 * MS
-FINAL = (Shed, Fail)
+FINAL_ANSWERS = (Shed, Fail)
 
 
-def profile(**other: Any) -> Profile:
+def profile(**changes: Any) -> Profile:
     """A profile of short idempotent commands, with what the test names changed."""
-    plain = {
+    defaults = {
         "threads": 1,
         "objective_us": 500 * MS,
         "objective_stretch": 2.0,
@@ -48,12 +48,12 @@
         "loads_dataset": False,
         "waits_for_loads": False,
     }
-    return Profile(**plain | other)
+    return Profile(**defaults | changes)
 
 
-def make_agreement(*profiles: Profile, **other: Any) -> Agreement:
+def make_agreement(*profiles: Profile, **changes: Any) -> Agreement:
     """An agreement over such profiles, with what the test names changed."""
-    plain = {
+    defaults = {
         "profiles": profiles or (profile(),),
         "tenants": (),
         "gateways": 1,
@@ -76,7 +76,7 @@
         "retry_budget_window_us": 0,
         "cross_zone_costs": False,
     }
-    return Agreement(**plain | other)
+    return Agreement(**defaults | changes)
 
 
 class SentAttempt(NamedTuple):
@@ -126,7 +126,7 @@
         self.agreement = agreement
         self.now = START
         self.gateway = Gateway(seed, agreement, self.now)
-        self.fleet: dict[int, ListedEngine] = {}  # by engine id
+        self.engines: dict[int, ListedEngine] = {}  # by engine id
         self.commands: dict[int, SubmittedCommand] = {}  # by command id
         self.ids_by_key: dict[int, list[int]] = {}  # ids of commands with an ordered key, in order of arrival
         self.settles_until: dict[int, int] = {}  # by ordered key
@@ -135,7 +135,7 @@
         self.submitted_at: list[int] = []
         self.warmup_work: dict[int, list[tuple[int, int]]] = {}  # (time, work) of attempts, by warming engine
         self.timers: list[tuple[int, int]] = []  # (time, token), ascending
-        self.serial = 0
+        self.last_command_id = 0
 
     def update_engines(
         self, *entries: tuple[int, int, int, EngineState, int, int], full: bool = False
@@ -145,12 +145,12 @@
         full: engines without an entry are removed.
         """
         if full:
-            for known in self.fleet.values():
-                known.state = EngineState.REMOVED
-        for ident, *facts in entries:
-            self.fleet[ident] = ListedEngine(*facts)
-        rows = [EngineEntry(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
-        self.carry_out(self.gateway.update_engines(self.now, rows, full))
+            for engine in self.engines.values():
+                engine.state = EngineState.REMOVED
+        for engine_id, *fields in entries:
+            self.engines[engine_id] = ListedEngine(*fields)
+        engine_entries = [EngineEntry(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
+        self.carry_out(self.gateway.update_engines(self.now, engine_entries, full))
 
     def submit(
         self,
@@ -166,32 +166,32 @@
 
         need_mb: the memory that it needs. estimate: the work that its client states, if not its true work.
         """
-        self.serial += 1
+        self.last_command_id += 1
         command_profile = self.agreement.profiles[profile_index]
         timeout_at = self.now + (timeout_us or command_profile.timeout_us)
-        self.commands[self.serial] = SubmittedCommand(command_profile, key, timeout_at, work)
+        self.commands[self.last_command_id] = SubmittedCommand(command_profile, key, timeout_at, work)
         if command_profile.ordered and key:
-            self.ids_by_key.setdefault(key, []).append(self.serial)
+            self.ids_by_key.setdefault(key, []).append(self.last_command_id)
         self.submitted_at.append(self.now)
         self.carry_out(
             self.gateway.submit(
                 self.now,
-                self.serial,
+                self.last_command_id,
                 profile_index,
                 tenant,
                 key,
                 timeout_at,
                 work if estimate is None else estimate,
                 need_mb,
-                self.serial % 5,
+                self.last_command_id % 5,
                 False,
             )
         )
-        return self.serial
+        return self.last_command_id
 
     def end_attempt(
         self,
-        ident: int,
+        command_id: int,
         outcome: Outcome | int,
         cost: int = WORK,
         closed: bool = False,
@@ -201,7 +201,7 @@
 
         cost: the work that its answer reports. closed: the command ends with it. report: its load report.
         """
-        command = self.commands[ident]
+        command = self.commands[command_id]
         attempt, command.open_attempt = command.open_attempt, None
         command.is_over = command.is_over or outcome == Outcome.ANSWERED
         if outcome not in NEVER_RAN and command.first_run is None:
@@ -212,7 +212,7 @@
         self.carry_out(
             self.gateway.attempt_ended(
                 self.now,
-                ident,
+                command_id,
                 attempt.number,
                 outcome,
                 command.is_over or closed,
@@ -223,49 +223,49 @@
             )
         )
 
-    def client_left(self, ident: int) -> None:
+    def client_left(self, command_id: int) -> None:
         """The client of a command leaves."""
-        self.commands[ident].is_over = True
-        self.carry_out(self.gateway.client_left(self.now, ident))
+        self.commands[command_id].is_over = True
+        self.carry_out(self.gateway.client_left(self.now, command_id))
 
-    def abandon(self, ident: int) -> None:
+    def abandon(self, command_id: int) -> None:
         """The service must end a command now; an open attempt is cancelled."""
-        command = self.commands[ident]
+        command = self.commands[command_id]
         attempt, command.open_attempt = command.open_attempt, None  # the service cancels it beside the answer
         if attempt and command.first_run is None:
             command.first_run = attempt
-        self.carry_out(self.gateway.abandon(self.now, ident))
+        self.carry_out(self.gateway.abandon(self.now, command_id))
         assert command.is_over, "no final answer"
         if attempt:
             command.open_attempt = attempt
-            self.end_attempt(ident, Outcome.CANCELLED)
+            self.end_attempt(command_id, Outcome.CANCELLED)
 
     def running_ids(self) -> list[int]:
         """Ids of commands with an open attempt, in order of arrival."""
-        return [ident for ident, command in self.commands.items() if command.open_attempt]
+        return [command_id for command_id, command in self.commands.items() if command.open_attempt]
 
     def wait(self, span_us: int) -> None:
         """Time passes: timers fire, attempts whose time is up time out."""
         until = self.now + span_us
         while True:
             ends = [
-                (command.attempt_ends_at, ident)
-                for ident, command in self.commands.items()
+                (command.attempt_ends_at, command_id)
+                for command_id, command in self.commands.items()
                 if command.open_attempt
             ]
             first = min([at for at, _ in self.timers + ends], default=until + 1)
             if first > until:
                 break
             self.now = max(self.now, first)
-            for at, ident in ends:
-                if at <= self.now and self.commands[ident].open_attempt:
-                    self.end_attempt(ident, Outcome.TIMED_OUT)
+            for at, command_id in ends:
+                if at <= self.now and self.commands[command_id].open_attempt:
+                    self.end_attempt(command_id, Outcome.TIMED_OUT)
             if self.timers and self.timers[0][0] <= self.now:
                 self.carry_out(self.gateway.timer_fired(self.now, self.timers.pop(0)[1]))
         self.now = until
-        for ident, command in self.commands.items():
-            late = self.now > command.timeout_at and not command.is_over and not command.final
-            assert not late, f"command {ident} has no final answer"
+        for command_id, command in self.commands.items():
+            is_late = self.now > command.timeout_at and not command.is_over and not command.final
+            assert not is_late, f"command {command_id} has no final answer"
 
     def carry_out(self, results: list[Result]) -> None:
         """Carry out results, each checked first."""
@@ -276,7 +276,7 @@
                 self.timers.sort()
                 continue
             command = self.commands[result.command]
-            if isinstance(result, FINAL):
+            if isinstance(result, FINAL_ANSWERS):
                 self.check_final(type(result), command)
                 command.final, command.is_over = type(result), True
             elif isinstance(result, Dispatch):
@@ -305,10 +305,10 @@
             assert command.profile.dedup_scope == DeduplicationScope.ALL_ENGINES
             assert self.now < command.first_run.sent_at + command.profile.dedup_window_us
 
-    def check_dispatch(self, ident: int, command: SubmittedCommand, engine: int) -> None:
+    def check_dispatch(self, command_id: int, command: SubmittedCommand, engine: int) -> None:
         """All seven rules at a dispatch."""
         command_profile = command.profile
-        listed = self.fleet[engine]
+        listed = self.engines[engine]
         assert not command.is_over
         assert self.now < command.timeout_at
         assert not command.open_attempt, "two attempts at once"
@@ -321,7 +321,7 @@
         if listed.started_us and self.now < listed.started_us + self.agreement.warmup_us:
             self.check_warmup(command, engine, listed)
         if command_profile.ordered and command.key:
-            self.check_key_order(ident, command)
+            self.check_key_order(command_id, command)
         if command.attempts_sent_at:
             self.check_retry_budget()
 
@@ -330,7 +330,7 @@
         command_profile = command.profile
         assert command_profile.idempotency == Idempotency.KEYED
         assert self.now < command.first_run.sent_at + command_profile.dedup_window_us
-        first = self.fleet[command.first_run.engine]
+        first = self.engines[command.first_run.engine]
         if command_profile.dedup_scope == DeduplicationScope.ZONE:
             assert first.zone == listed.zone, "left its deduplication scope"
         if command_profile.dedup_scope == DeduplicationScope.CELL:
@@ -343,22 +343,22 @@
         sent.append((self.now, command.work))
         work = sum(work for at, work in sent if at > self.now - agreement.overload_window_us)
         elapsed = self.now - listed.started_us
-        grown = (
+        capacity_share = (
             agreement.warmup_initial_share
             + (1 - agreement.warmup_initial_share) * elapsed / agreement.warmup_us
         )
         capacity = (
             agreement.overload_multiple
-            * grown
+            * capacity_share
             * agreement.cores_by_kind[listed.kind]
             * agreement.overload_window_us
         )
         assert work <= capacity / agreement.gateways + command.work, "warming engine overloaded"
 
-    def check_key_order(self, ident: int, command: SubmittedCommand) -> None:
+    def check_key_order(self, command_id: int, command: SubmittedCommand) -> None:
         """All earlier commands of the key are over, and the key has settled."""
         ids = self.ids_by_key[command.key]
-        for other in ids[: ids.index(ident)]:
+        for other in ids[: ids.index(command_id)]:
             earlier = self.commands[other]
             assert earlier.is_over, "out of order"
             assert not earlier.open_attempt, "out of order"
