--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -1,10 +1,10 @@
-"""Agreements that differ in all that the decision module heeds, for seeded and random calls."""
+"""Agreements that together cover all settings that the decisions use, for seeded and random calls."""
 
 from driver import MS, make_agreement, profile
 
 from gullhold.interface import DeduplicationScope, Idempotency, Tenant
 
-ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
+ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # values that a client may send
 
 AGREEMENTS = {
     "tenants": make_agreement(
--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -1,4 +1,4 @@
-"""Engines, tenants and commands that the tests of the decisions share."""
+"""Engines, tenants, commands and drivers that the tests of the decisions share."""
 
 from typing import Any
 
@@ -18,11 +18,11 @@
 BUSY_TENANT = (Tenant(1.0, 1000.0),)
 
 
-ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
+ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # values that a client may send
 
 
 def answer_commands(driver: Driver, count: int, utilization: float, latency: int = WORK) -> None:
-    """Submit commands one after another; each is answered with a load report of this utilization."""
+    """Submit commands one after another, and answer each with a load report of this utilisation."""
     for _ in range(count):
         command_id = driver.submit()
         driver.now += latency
@@ -30,7 +30,7 @@
 
 
 def driver_with_load_reports(**other: Any) -> Driver:
-    """One of four gateways, with one engine of four cores that reports its load with answers."""
+    """Return the driver of one of four gateways, with one engine of four cores that reports its load."""
     driver = Driver(
         make_agreement(
             profile(objective_us=60_000 * MS, timeout_us=90_000 * MS),
@@ -44,19 +44,21 @@
 
 
 def count_dispatched(driver: Driver, submitted: int = 12) -> int:
-    """Submit commands at once; how many commands have an open attempt then."""
+    """Submit commands at the same time; return how many commands have an open attempt then."""
     for _ in range(submitted):
         driver.submit()
     return len(driver.running_ids())
 
 
-def make_command(number: int = 1, kind: Profile | None = None, key: int = 0, tenant: int = 0) -> Command:
-    """A command of 100 ms of work that has just arrived."""
-    kind = kind or profile()
+def make_command(
+    number: int = 1, command_profile: Profile | None = None, key: int = 0, tenant: int = 0
+) -> Command:
+    """Return a command with 100 ms of work that has just arrived."""
+    command_profile = command_profile or profile()
     return Command(
         id=number,
         profile_index=0,
-        profile=kind,
+        profile=command_profile,
         tenant=tenant,
         key=key,
         need_mb=64.0,
@@ -64,9 +66,9 @@
         order=number,
         work=100 * MS,
         admitted_at=START,
-        objective_at=START + kind.objective_us,
+        objective_at=START + command_profile.objective_us,
         is_short=True,
-        last_start_at=START + kind.timeout_us,
-        worthwhile_until=START + kind.timeout_us,
-        threads=kind.threads,
+        last_start_at=START + command_profile.timeout_us,
+        worthwhile_until=START + command_profile.timeout_us,
+        threads=command_profile.threads,
     )
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,6 +1,7 @@
-"""A driver that makes calls on a Gateway and checks the seven rules after each, with records of its own.
+"""A driver that makes calls on a Gateway and checks its results against rules, with records of its own.
 
-Times are in microseconds, on a clock that the driver moves.
+The rules are those of check_final() and check_dispatch(). Times are in microseconds, on a clock that the
+tests move.
 """
 
 from dataclasses import dataclass, field
@@ -25,13 +26,13 @@
 )
 
 MS = 1000
-START = 5_000_000
-WORK = 100 * MS
+START = 5_000_000  # time at which the clock of a driver starts, us
+WORK = 100 * MS  # work of a command unless a test states another one, core-us
 FINAL_ANSWERS = (Shed, Fail)
 
 
 def profile(**changes: Any) -> Profile:
-    """A profile of short idempotent commands, with what the test names changed."""
+    """Return a profile of short idempotent commands, with these changes."""
     defaults = {
         "threads": 1,
         "objective_us": 500 * MS,
@@ -52,7 +53,7 @@
 
 
 def make_agreement(*profiles: Profile, **changes: Any) -> Agreement:
-    """An agreement over such profiles, with what the test names changed."""
+    """Return an agreement with these profiles, or with one such profile, and with these changes."""
     defaults = {
         "profiles": profiles or (profile(),),
         "tenants": (),
@@ -80,7 +81,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """One attempt of a command: its engine's id, when it was sent and its number, which counts from 0."""
+    """One attempt of a command: id of its engine, time of its dispatch, and its number, counted from 0."""
 
     engine: int
     sent_at: int
@@ -89,11 +90,11 @@
 
 @dataclass
 class SubmittedCommand:
-    """What the driver knows of a command.
+    """The driver's record of a command.
 
-    final: the type of its final answer, once it has one. is_over: no final answer is due any more.
-    attempt_ends_at: deadline of the open attempt. attempts_sent_at: when each attempt was sent.
-    first_run: the first attempt that may have run.
+    final: the type of the Shed or Fail that ended it, if any. is_over: no final answer is due any more, as it
+    was given or the client has left. attempt_ends_at: deadline of the open attempt. attempts_sent_at: time of
+    each attempt's dispatch. first_run: the first attempt that may have run.
     """
 
     profile: Profile
@@ -110,7 +111,7 @@
 
 @dataclass
 class ListedEngine:
-    """An engine as it was last listed; zone, kind and cell are indexes."""
+    """The latest endpoint list entry of an engine; zone, kind and cell are indexes."""
 
     zone: int
     kind: int
@@ -120,7 +121,7 @@
 
 
 class Driver:
-    """Takes the place of the service: records requests and answers, and fails at the first broken rule."""
+    """Takes the place of the service: records commands and results, and fails at the first broken rule."""
 
     def __init__(self, agreement: Agreement, seed: int = 1) -> None:
         self.agreement = agreement
@@ -128,9 +129,11 @@
         self.gateway = Gateway(seed, agreement, self.now)
         self.engines: dict[int, ListedEngine] = {}  # by engine id
         self.commands: dict[int, SubmittedCommand] = {}  # by command id
-        self.ids_by_key: dict[int, list[int]] = {}  # ids of commands with an ordered key, in order of arrival
-        self.settles_until: dict[int, int] = {}  # by ordered key
-        self.log: list[Result] = []  # all results of the gateway
+        self.ids_by_key: dict[
+            int, list[int]
+        ] = {}  # ids of commands by their ordered key, in order of arrival
+        self.settles_until: dict[int, int] = {}  # end of the settling time, by ordered key
+        self.log: list[Result] = []  # all results that were carried out
         self.retried_at: list[int] = []
         self.submitted_at: list[int] = []
         self.warmup_work: dict[int, list[tuple[int, int]]] = {}  # (time, work) of attempts, by warming engine
@@ -140,7 +143,7 @@
     def update_engines(
         self, *entries: tuple[int, int, int, EngineState, int, int], full: bool = False
     ) -> None:
-        """The endpoint list changes: (id, zone, kind, state, cell, started_us) of each entry.
+        """Change the endpoint list. Each entry is (id, zone, kind, state, cell, started_us).
 
         full: engines without an entry are removed.
         """
@@ -162,7 +165,7 @@
         need_mb: float = 64.0,
         estimate: float | None = None,
     ) -> int:
-        """A command arrives; returns its id.
+        """Submit a command that arrives now; return its id.
 
         need_mb: the memory that it needs. estimate: the work that its client states, if not its true work.
         """
@@ -197,7 +200,7 @@
         closed: bool = False,
         report: tuple[float, ...] = (),
     ) -> None:
-        """The open attempt of a command ends.
+        """End the open attempt of a command.
 
         cost: the work that its answer reports. closed: the command ends with it. report: its load report.
         """
@@ -224,14 +227,14 @@
         )
 
     def client_left(self, command_id: int) -> None:
-        """The client of a command leaves."""
+        """Let the client of a command leave."""
         self.commands[command_id].is_over = True
         self.carry_out(self.gateway.client_left(self.now, command_id))
 
     def abandon(self, command_id: int) -> None:
-        """The service must end a command now; an open attempt is cancelled."""
+        """Let the service end a command now, and cancel its open attempt."""
         command = self.commands[command_id]
-        attempt, command.open_attempt = command.open_attempt, None  # the service cancels it beside the answer
+        attempt, command.open_attempt = command.open_attempt, None  # the service cancels it by itself
         if attempt and command.first_run is None:
             command.first_run = attempt
         self.carry_out(self.gateway.abandon(self.now, command_id))
@@ -241,11 +244,11 @@
             self.end_attempt(command_id, Outcome.CANCELLED)
 
     def running_ids(self) -> list[int]:
-        """Ids of commands with an open attempt, in order of arrival."""
+        """Return the ids of commands with an open attempt, in order of arrival."""
         return [command_id for command_id, command in self.commands.items() if command.open_attempt]
 
     def wait(self, span_us: int) -> None:
-        """Time passes: timers fire, attempts whose time is up time out."""
+        """Move the clock: timers fire, and open attempts time out at their deadlines."""
         until = self.now + span_us
         while True:
             ends = [
@@ -268,7 +271,7 @@
             assert not is_late, f"command {command_id} has no final answer"
 
     def carry_out(self, results: list[Result]) -> None:
-        """Carry out results, each checked first."""
+        """Carry out results, after checking each of them."""
         for result in results:
             self.log.append(result)
             if isinstance(result, StartTimer):
@@ -291,11 +294,11 @@
                 assert command.open_attempt.number == result.attempt
 
     def results_of(self, result_type: type) -> list[Any]:
-        """The results of one type so far: those of other types may have equal fields."""
+        """Return the results of exactly this type: those of other types may compare as equal."""
         return [result for result in self.log if type(result) is result_type]
 
     def check_final(self, final: type[Shed] | type[Fail], command: SubmittedCommand) -> None:
-        """Rules 1 and 2: one answer in time; shed only where a repeat does no harm."""
+        """Check the rules for final answers: one answer, in time; shed only if a retry does no harm."""
         assert not command.is_over
         assert self.now <= command.timeout_at
         assert not command.open_attempt
@@ -306,12 +309,12 @@
             assert self.now < command.first_run.sent_at + command.profile.dedup_window_us
 
     def check_dispatch(self, command_id: int, command: SubmittedCommand, engine: int) -> None:
-        """All seven rules at a dispatch."""
+        """Check the rules for dispatches."""
         command_profile = command.profile
         listed = self.engines[engine]
         assert not command.is_over
         assert self.now < command.timeout_at
-        assert not command.open_attempt, "two attempts at once"
+        assert not command.open_attempt, "two open attempts of one command"
         assert len(command.attempts_sent_at) < self.agreement.max_attempts
         assert listed.state == EngineState.READY, "dispatched to an engine that drains or is removed"
         if command.first_run and command_profile.idempotency != Idempotency.IDEMPOTENT:
@@ -326,7 +329,7 @@
             self.check_retry_budget()
 
     def check_deduplication(self, command: SubmittedCommand, listed: ListedEngine) -> None:
-        """A retry of what may have run stays in the deduplication window and scope."""
+        """Check that a retry of what may have run stays within the deduplication window and scope."""
         command_profile = command.profile
         assert command_profile.idempotency == Idempotency.KEYED
         assert self.now < command.first_run.sent_at + command_profile.dedup_window_us
@@ -337,7 +340,7 @@
             assert first.cell == listed.cell, "left its deduplication scope"
 
     def check_warmup(self, command: SubmittedCommand, engine: int, listed: ListedEngine) -> None:
-        """A warming engine gets no more than our share of its capacity, and one command (rounded by lot)."""
+        """Check that a warming engine gets at most our share of its capacity, and one command by rounding."""
         agreement = self.agreement
         sent = self.warmup_work.setdefault(engine, [])
         sent.append((self.now, command.work))
@@ -356,17 +359,17 @@
         assert work <= capacity / agreement.gateways + command.work, "warming engine overloaded"
 
     def check_key_order(self, command_id: int, command: SubmittedCommand) -> None:
-        """All earlier commands of the key are over, and the key has settled."""
+        """Check that all earlier commands with the key are over, and that the key has settled."""
         ids = self.ids_by_key[command.key]
         for other in ids[: ids.index(command_id)]:
             earlier = self.commands[other]
-            assert earlier.is_over, "out of order"
-            assert not earlier.open_attempt, "out of order"
+            assert earlier.is_over, "an earlier command with the key is not over"
+            assert not earlier.open_attempt, "an earlier command with the key has an open attempt"
         has_settled = self.now >= self.settles_until.get(command.key, 0)
         assert command.attempts_sent_at or has_settled, "the key has not settled"
 
     def check_retry_budget(self) -> None:
-        """This retry fits into the retry budget."""
+        """Check that this retry fits into the retry budget."""
         agreement = self.agreement
         self.retried_at.append(self.now)
         since = self.now - agreement.retry_budget_window_us
@@ -374,4 +377,4 @@
         submitted = sum(at > since for at in self.submitted_at)
         if agreement.retry_budget_base is not None:
             budget = agreement.retry_budget_base + agreement.retry_budget_share * submitted
-            assert retries <= budget, "over budget"
+            assert retries <= budget, "more retries than the retry budget allows"
