--- a/tests/decisions/test_attempt_review.py
+++ b/tests/decisions/test_attempt_review.py
@@ -1,4 +1,4 @@
-"""Open attempts that take far longer than usual."""
+"""Reviews of open attempts that take far longer than usual."""
 
 from driver import MS, Driver, make_agreement, profile
 from scenarios import FOUR_READY_ENGINES
@@ -20,7 +20,7 @@
     assert len(driver.commands[command_id].attempts_sent_at) == 2
 
 
-def test_an_attempt_that_status_reports_call_nearly_done_is_not_cancelled():
+def test_an_attempt_is_not_cancelled_when_a_status_note_reports_it_nearly_done():
     driver = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
     driver.update_engines(*FOUR_READY_ENGINES)
     command_id = driver.submit()
@@ -29,7 +29,7 @@
     assert not any(isinstance(result, CancelAttempt) for result in driver.log)
 
 
-def test_status_reports_reveal_a_bad_plan_long_before_its_age_does():
+def test_a_status_note_of_little_progress_gets_an_attempt_cancelled_before_its_age_would():
     driver = Driver(make_agreement(profile(timeout_us=20_000 * MS, objective_us=9000 * MS)))
     driver.update_engines(*FOUR_READY_ENGINES)
     command_id = driver.submit(work=1000 * MS)
--- a/tests/decisions/test_command.py
+++ b/tests/decisions/test_command.py
@@ -9,16 +9,16 @@
 
 
 @pytest.mark.parametrize("state", CommandState)
-def test_a_command_enters_only_successors_of_its_state(state):
-    for following in CommandState:
+def test_a_command_enters_only_states_that_transitions_allow(state):
+    for next_state in CommandState:
         command = make_command()
         command.state = state
-        if following in TRANSITIONS[state]:
-            command.change_state(following)
-            assert command.state == following
+        if next_state in TRANSITIONS[state]:
+            command.change_state(next_state)
+            assert command.state == next_state
         else:
-            with pytest.raises(InvalidTransitionError, match=following.name):
-                command.change_state(following)
+            with pytest.raises(InvalidTransitionError, match=next_state.name):
+                command.change_state(next_state)
             assert command.state == state
 
 
--- a/tests/decisions/test_dataset_engines.py
+++ b/tests/decisions/test_dataset_engines.py
@@ -1,4 +1,4 @@
-"""Engines that data sets prefer, and their locks."""
+"""Engines that data sets prefer, recent engines of data sets, and locks by loads."""
 
 from driver import START
 
@@ -7,7 +7,7 @@
 from gullhold.decisions.engine import Engine
 
 
-def test_popular_data_sets_prefer_more_engines_and_counts_decay_by_half():
+def test_popular_data_sets_prefer_more_engines_and_counts_are_halved_at_the_maximum():
     popularity = DatasetPopularity()
     assert popularity.preferred_engines(1, 100) == 3
     assert popularity.preferred_engines(1, 2) == 2
@@ -15,7 +15,7 @@
         popularity.record(1)
     assert popularity.preferred_engines(1, 50) == 50
     popularity.record(2)
-    assert popularity.preferred_engines(2, 100) == 3  # its one command does not outlive the halving
+    assert popularity.preferred_engines(2, 100) == 3  # its count of one command is too low to show
     assert popularity.preferred_engines(1, 1000) > 900
 
 
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -1,4 +1,4 @@
-"""Queued commands of tenants, in turn by weight."""
+"""The fair queue: tenants are served in turn, by weight."""
 
 from driver import MS, Driver, make_agreement, profile
 from scenarios import make_command
@@ -9,7 +9,7 @@
 
 
 def dispatched_of_two_tenants(shares, submitted, answered):
-    """How many commands of each of two tenants leave while so many are answered, one after another."""
+    """Return how many commands of each of two tenants are dispatched while commands are answered in turn."""
     driver = Driver(
         make_agreement(
             profile(objective_us=60_000 * MS, timeout_us=90_000 * MS),
@@ -19,22 +19,22 @@
     driver.update_engines((1, 0, 1, EngineState.READY, 0, 0))
     for i in range(submitted):
         driver.submit(tenant=i % 2)
-    sent = [0, 0]
+    dispatched = [0, 0]
     for _ in range(answered):
         command_id = driver.running_ids()[0]
-        sent[(command_id - 1) % 2] += 1
+        dispatched[(command_id - 1) % 2] += 1
         driver.now += 100 * MS
         driver.end_attempt(command_id, Outcome.ANSWERED)
-    return sent
+    return dispatched
 
 
 def test_tenants_are_served_by_weight_under_pressure():
-    sent = dispatched_of_two_tenants((0.75, 0.25), submitted=400, answered=150)
-    assert 0.6 < sent[0] / sum(sent) < 0.85
+    dispatched = dispatched_of_two_tenants((0.75, 0.25), submitted=400, answered=150)
+    assert 0.6 < dispatched[0] / sum(dispatched) < 0.85
 
 
 def test_tenants_that_all_have_no_weight_are_served_in_turn():
-    """Guards against an exception at the end of a round, which failed the command that was dispatched."""
+    """Guards against an exception at the end of a round, which made the dispatched command fail."""
     assert min(dispatched_of_two_tenants((0.0, 0.0), submitted=60, answered=40)) >= 10
 
 
@@ -55,13 +55,13 @@
         70_000,
         99_999,
     }
-    for tenant in range(2000):  # each sends one, once: what is counted of them fades
+    for tenant in range(2000):  # each submits a single command: their counts decay
         driver.submit(tenant=tenant)
         driver.end_attempt(driver.running_ids()[0], Outcome.ANSWERED)
     assert len(queue.dispatched) < 100
 
 
-def test_a_queue_gives_the_commands_with_the_most_benefit_first_and_passes_over_void_entries():
+def test_a_queue_returns_the_command_with_the_most_benefit_and_skips_invalid_entries():
     queue = FairQueue(make_agreement(tenants=(Tenant(0.75), Tenant(0.25))))
     assert list(queue.weights) == [3.0, 1.0]
     low, high = make_command(1), make_command(2)
@@ -71,7 +71,7 @@
     queue.push(high, 5.0)
     (heap, _) = queue.queues_of(0)
     assert queue.first(heap) is high
-    queue.push(high, 0.5)  # its benefit has shrunk: the entry before is void
+    queue.push(high, 0.5)  # its benefit is lower now: its earlier entry is invalid
     assert queue.first(heap) is low
     low.state = high.state = CommandState.ENDED
     assert queue.first(heap) is None
