--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -1,4 +1,4 @@
-"""The rules under random calls, and input of any value."""
+"""The driver's rules under random calls, and input of any value."""
 
 import pytest
 from agreements import AGREEMENTS
@@ -12,12 +12,12 @@
 STEP = st.tuples(st.integers(0, 12), st.integers(0, 9999))
 
 
-def play(agreement, steps):
-    """Play one random run; returns all results of the gateway."""
+def make_calls(agreement, steps):
+    """Make the calls of these steps, and check that nothing is left at the end; return all results."""
     driver = Driver(agreement)
-    for kind, number in steps:
-        out = driver.running_ids()
-        if kind <= 4:
+    for action, number in steps:
+        running = driver.running_ids()
+        if action <= 4:
             driver.submit(
                 number % len(agreement.profiles),
                 tenant=number % 3,
@@ -26,25 +26,27 @@
                 need_mb=ARBITRARY_ESTIMATES[number % 6],
                 estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
             )
-        elif kind <= 7 and out:
+        elif action <= 7 and running:
             driver.end_attempt(
-                out[number % len(out)],
+                running[number % len(running)],
                 number % 8,
                 cost=100 * MS,
                 report=(ARBITRARY_ESTIMATES[number % 6], number % 9 / 8)[: number % 3],
             )
-        elif kind == 8:
-            born = driver.now if number % 3 == 0 else 0
+        elif action == 8:
+            started_us = driver.now if number % 3 == 0 else 0
             driver.update_engines(
-                (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, born),
+                (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, started_us),
                 full=number % 11 == 0,
             )
-        elif kind == 9 and out:
-            driver.client_left(out[number % len(out)])
-        elif kind == 10:
-            owed = [command_id for command_id, cmd in driver.commands.items() if not cmd.is_over]
-            if owed:
-                driver.abandon(owed[number % len(owed)])
+        elif action == 9 and running:
+            driver.client_left(running[number % len(running)])
+        elif action == 10:
+            unanswered = [
+                command_id for command_id, command in driver.commands.items() if not command.is_over
+            ]
+            if unanswered:
+                driver.abandon(unanswered[number % len(unanswered)])
         else:
             driver.wait(number % 700 * MS)
     driver.wait(5000 * MS)
@@ -52,7 +54,7 @@
         driver.end_attempt(command_id, Outcome.RESET)
     assert not driver.gateway.commands
     assert not driver.gateway.components.key_order.by_key
-    driver.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
+    driver.now += 20_000 * MS  # by now no timed-out attempt is assumed to run on
     driver.update_engines()
     assert not driver.gateway.components.thread_use.timed_out
     assert not driver.gateway.components.thread_use.total
@@ -70,9 +72,10 @@
     phases=[Phase.generate],
 )
 @given(steps=st.lists(STEP, min_size=20, max_size=70))
-def test_rules_hold_at_every_step(agreement, steps):
-    first = [(8, 0), (8, 21), (8, 12), (8, 33)]
-    assert play(agreement, first + steps) == play(agreement, first + steps)  # and same calls, same decisions
+def test_rules_hold_and_results_repeat_under_random_calls(agreement, steps):
+    initial_list = [(8, 0), (8, 21), (8, 12), (8, 33)]
+    # The same calls give the same results.
+    assert make_calls(agreement, initial_list + steps) == make_calls(agreement, initial_list + steps)
 
 
 def test_invalid_input_is_ignored():
@@ -87,14 +90,14 @@
     assert len(driver.running_ids()) == 1
 
 
-@pytest.mark.parametrize("told", ARBITRARY_ESTIMATES)
-def test_an_unusable_estimate_loses_no_command(told):
+@pytest.mark.parametrize("estimate", ARBITRARY_ESTIMATES)
+def test_every_command_gets_a_final_answer_whatever_the_estimates(estimate):
     driver = Driver(make_agreement(profile(), profile(threads=3)))
     driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     for need_mb in ARBITRARY_ESTIMATES:
-        command_id = driver.submit(estimate=told, need_mb=need_mb)
+        command_id = driver.submit(estimate=estimate, need_mb=need_mb)
         if driver.commands[command_id].open_attempt:
             driver.end_attempt(command_id, Outcome.ANSWERED)
     driver.wait(8000 * MS)
     assert driver.gateway.components.estimates.by_profile[0].work_bias > 0
-    assert all(cmd.is_over or cmd.final for cmd in driver.commands.values())
+    assert all(command.is_over or command.final for command in driver.commands.values())
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -1,4 +1,4 @@
-"""Engines that fail, stall or slow down."""
+"""Engines that fail, stall or become slow."""
 
 import pytest
 from driver import MS, START, WORK, Driver, make_agreement, profile
@@ -22,7 +22,7 @@
     assert sent[1] <= 10
 
 
-def test_an_avoided_engine_does_not_stay_an_outlier_for_ever():
+def test_the_slowness_of_an_engine_decays_while_it_gets_no_attempts():
     driver = Driver(make_agreement())
     driver.update_engines(*FOUR_READY_ENGINES)
     engine = driver.gateway.components.engines.by_id[2]
@@ -34,7 +34,7 @@
     assert driver.gateway.components.health.slowness(engine, driver.now + 90_000 * MS) < 1.5
 
 
-def test_one_failed_connection_diverts_attempts_until_its_effect_decays():
+def test_one_failed_connection_diverts_attempts_until_the_failure_rate_decays():
     driver = Driver(make_agreement())
     driver.update_engines(*FOUR_READY_ENGINES)
     command_id = driver.submit()
@@ -50,56 +50,56 @@
     driver = Driver(make_agreement(profile(timeout_us=20_000 * MS)))
     driver.update_engines(*FOUR_READY_ENGINES)
 
-    def use(outcome, most):
-        """Commands until one is at the first engine, which ends it so; whether one was."""
-        for _ in range(most):
+    def end_on_first_engine(outcome, max_commands):
+        """Submit commands until one is sent to the first engine, and end it so; return whether one was."""
+        for _ in range(max_commands):
             command_id = driver.submit()
-            first = driver.commands[command_id].open_attempt.engine == 0
-            driver.end_attempt(command_id, outcome if first else Outcome.ANSWERED)
+            is_first = driver.commands[command_id].open_attempt.engine == 0
+            driver.end_attempt(command_id, outcome if is_first else Outcome.ANSWERED)
             for out in driver.running_ids():
                 driver.end_attempt(out, Outcome.ANSWERED)
-            if first:
+            if is_first:
                 return True
         return False
 
-    assert use(Outcome.RESET, 100)
-    assert use(Outcome.ANSWERED, 100)
+    assert end_on_first_engine(Outcome.RESET, 100)
+    assert end_on_first_engine(Outcome.ANSWERED, 100)
     first_engine = driver.gateway.components.engines.by_id[0]
     first_engine.failure_rate = 0.0
-    while use(Outcome.RESET, 100):
+    while end_on_first_engine(Outcome.RESET, 100):
         driver.now += MS
     assert 0.15 < first_engine.failure_rate < 0.5
-    assert not use(Outcome.ANSWERED, 100)
+    assert not end_on_first_engine(Outcome.ANSWERED, 100)
 
 
-def test_a_stalled_engine_gets_no_new_attempts_where_attempts_cannot_be_cancelled():
+def test_a_stalled_engine_gets_no_new_attempts_when_attempts_cannot_be_cancelled():
     agreement = make_agreement(profile(objective_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
-    driver = Driver(agreement)  # which also checks: no cancel, never two sends out at once
+    driver = Driver(agreement)  # it also checks that no command has two open attempts and none is cancelled
     driver.update_engines(
         (1, 0, 0, EngineState.READY, 0, 0),
         (2, 0, 0, EngineState.READY, 0, 0),
         (3, 0, 0, EngineState.READY, 0, 0),
     )
     answer_commands(driver, 20, 0.5)
-    hung = driver.submit()
-    engine = driver.commands[hung].open_attempt.engine
+    stalled = driver.submit()
+    engine = driver.commands[stalled].open_attempt.engine
     driver.wait(4 * WORK)
-    for _ in range(15):  # far more than the others' cap
+    for _ in range(15):  # far more than the limits of the other engines
         driver.submit()
     assert [driver.commands[command_id].open_attempt.engine for command_id in driver.running_ids()].count(
         engine
     ) == 1
-    assert len(driver.running_ids()) > 8  # and the others take theirs
+    assert len(driver.running_ids()) > 8  # the other engines get attempts up to their limits
     for command_id in driver.running_ids():
-        if command_id != hung:
+        if command_id != stalled:
             driver.end_attempt(command_id, Outcome.ANSWERED)
-    driver.end_attempt(hung, Outcome.ANSWERED)  # its end is known: it may have some again
+    driver.end_attempt(stalled, Outcome.ANSWERED)  # its end is known, so its engine gets attempts again
     for _ in range(15):
         driver.submit()
     assert engine in [driver.commands[command_id].open_attempt.engine for command_id in driver.running_ids()]
 
 
-def test_no_engine_is_ejected_where_most_engines_are_stalled():
+def test_no_engine_is_ejected_when_most_engines_are_stalled():
     driver = Driver(
         make_agreement(profile(objective_us=3000 * MS, timeout_us=6000 * MS), supports_cancel=False)
     )
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("supports_cancel", [False, True])
-def test_a_timeout_counts_against_its_engine_where_the_work_runs_on(supports_cancel):
+def test_a_timeout_counts_against_its_engine_when_attempts_cannot_be_cancelled(supports_cancel):
     driver = Driver(
         make_agreement(
             profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), supports_cancel=supports_cancel
@@ -131,8 +131,8 @@
                 ident,
                 Outcome.TIMED_OUT if driver.commands[ident].open_attempt.engine == 1 else Outcome.ANSWERED,
             )
-    for _ in range(30):  # more than the others' caps
+    for _ in range(30):  # more than the limits of the other engines
         driver.submit()
-    went = [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()]
-    assert len(went) > 4
-    assert (1 in went) == supports_cancel
+    used_engines = [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()]
+    assert len(used_engines) > 4
+    assert (1 in used_engines) == supports_cancel
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -1,4 +1,4 @@
-"""Engines that come and go."""
+"""Engines that are listed, removed, restarted and forgotten."""
 
 from driver import MS, START, Driver, make_agreement, profile
 
@@ -10,12 +10,14 @@
     driver = Driver(
         make_agreement(profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE))
     )
-    driver.now += 20_000 * MS  # no engine is cold any more
+    driver.now += 20_000 * MS  # no engine is warming any more
     for engine_id in range(0, 900, 3):
         driver.update_engines(*[(engine_id + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
         one, other = driver.submit(), driver.submit()
         driver.end_attempt(one, Outcome.ANSWERED)
-        driver.end_attempt(other, Outcome.RESET)  # what may have run holds its engine's location
+        driver.end_attempt(
+            other, Outcome.RESET
+        )  # its first run refers to the engine, for the deduplication scope
         while driver.commands[other].open_attempt:
             driver.end_attempt(other, Outcome.ANSWERED)
     engines = driver.gateway.components.engines
@@ -44,7 +46,7 @@
     assert new.sequence > other.sequence
 
 
-def test_a_restart_discards_what_was_measured_of_an_engine():
+def test_a_restart_discards_the_observations_of_an_engine():
     engines = EngineRegistry(make_agreement())
     engine = engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
     engine.failure_rate, engine.completed_work, engine.load = 0.5, 10.0, 0.2
--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -1,4 +1,4 @@
-"""What attempts tell of the pace of their profile."""
+"""Estimates of pace and work of a profile."""
 
 from driver import MS, Driver, make_agreement, profile
 from scenarios import FOUR_READY_ENGINES
@@ -7,7 +7,7 @@
 from gullhold.interface import EngineState, Outcome
 
 
-def test_commands_that_clients_cancel_do_not_count_as_measurements_of_speed():
+def test_commands_whose_clients_leave_do_not_change_the_pace():
     driver = Driver(make_agreement())
     driver.update_engines(*FOUR_READY_ENGINES)
     for _ in range(30):
@@ -24,7 +24,7 @@
 
 
 def test_an_attempt_cut_off_before_the_usual_run_time_does_not_count_against_its_engine():
-    """Clients that gave up early had made jammed engines look fast to every gateway."""
+    """Guards against overloaded engines that look fast to every gateway, as many clients give up early."""
     driver = Driver(make_agreement(profile(), max_attempts=1))
     driver.update_engines((0, 0, 0, EngineState.READY, 0, 0), full=True)
     for _ in range(20):
@@ -42,15 +42,19 @@
     assert gateway.components.limits.overall_slowness == before[0]
     command_id = driver.submit(timeout_us=3000 * MS)
     driver.wait(900 * MS)
-    driver.end_attempt(command_id, Outcome.TIMED_OUT)  # a jam is not hidden
+    driver.end_attempt(command_id, Outcome.TIMED_OUT)  # a slow attempt counts even without an answer
     assert estimate.pace > before[1]
     assert gateway.components.health.slowness(engine, driver.now) > 1
 
 
 def test_a_command_without_an_estimate_gets_the_usual_work_of_its_profile():
     estimates = Estimates(make_agreement())
-    assert estimates.command_work(0, 0) == 0.5 * 500 * MS  # half the latency objective, before any other
+    assert (
+        estimates.command_work(0, 0) == 0.5 * 500 * MS
+    )  # half the latency objective, as no command came before
     estimates = Estimates(make_agreement())
     assert estimates.command_work(0, 80 * MS) == 80 * MS
     assert estimates.command_work(0, float("nan")) == 80 * MS
-    assert estimates.command_work(0, float("inf")) == 100 * 4000 * MS  # a hundred client timeouts
+    assert (
+        estimates.command_work(0, float("inf")) == 100 * 4000 * MS
+    )  # the upper bound: a hundred client timeouts
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -1,4 +1,4 @@
-"""Commands that share an ordered key."""
+"""Order of commands that share an ordered key."""
 
 from driver import MS, START, profile
 from scenarios import make_command
