--- a/tests/decisions/test_estimators.py
+++ b/tests/decisions/test_estimators.py
@@ -49,12 +49,8 @@
 
 def test_a_command_without_an_estimate_gets_the_usual_work_of_its_profile():
     estimates = Estimates(make_agreement())
-    assert (
-        estimates.command_work(0, 0) == 0.5 * 500 * MS
-    )  # half the latency objective, as no command came before
+    assert estimates.command_work(0, 0) == 0.5 * 500 * MS  # half the latency objective: no command yet
     estimates = Estimates(make_agreement())
     assert estimates.command_work(0, 80 * MS) == 80 * MS
     assert estimates.command_work(0, float("nan")) == 80 * MS
-    assert (
-        estimates.command_work(0, float("inf")) == 100 * 4000 * MS
-    )  # the upper bound: a hundred client timeouts
+    assert estimates.command_work(0, float("inf")) == 100 * 4000 * MS  # a hundred client timeouts
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -7,25 +7,25 @@
 
 
 def test_abandoning_an_attempt_that_may_have_run_fails_a_non_idempotent_command():
-    """A gateway that shuts down ends open attempts: shed only where a retry does no harm."""
-    for effect, verb in (
+    """A gateway that shuts down abandons open attempts; a command is shed only if a retry does no harm."""
+    for idempotency, final_type in (
         (Idempotency.NON_IDEMPOTENT, Fail),
         (Idempotency.IDEMPOTENT, Shed),
         (Idempotency.KEYED, Shed),
     ):
-        driver = Driver(make_agreement(profile(idempotency=effect)))
+        driver = Driver(make_agreement(profile(idempotency=idempotency)))
         driver.update_engines(*FOUR_READY_ENGINES[:1])
         command_id = driver.submit()
         assert driver.running_ids() == [command_id]
         driver.abandon(command_id)
         final = next(result for result in driver.log if isinstance(result, Shed | Fail))
-        assert (type(final), final.command) == (verb, command_id)
+        assert (type(final), final.command) == (final_type, command_id)
         assert not driver.gateway.commands
         assert not driver.gateway.components.thread_use.total
 
 
 def test_a_non_idempotent_attempt_that_was_rejected_before_it_ran_is_retried():
-    """It was shed at once, though it provably never ran: the state of the ended send stood in the way."""
+    """Guards against shedding it at once because of its ended attempt, though that attempt never ran."""
     driver = Driver(make_agreement(profile(idempotency=Idempotency.NON_IDEMPOTENT)))
     driver.update_engines(*FOUR_READY_ENGINES)
     command_id = driver.submit()
@@ -36,14 +36,14 @@
     assert Fail(command_id) in driver.results_of(Fail)
 
 
-def test_requests_of_bad_clients_raise_no_retry_budget_and_no_share_of_the_fleet():
+def test_commands_of_misbehaving_clients_raise_neither_the_retry_budget_nor_the_traffic_count():
     driver = Driver(
         make_agreement(
             profile(), retry_budget_base=3.0, retry_budget_share=0.5, retry_budget_window_us=5000 * MS
         )
     )
     driver.update_engines(*FOUR_READY_ENGINES)
-    for i in range(60):  # taken back at once, or of no use to any engine
+    for i in range(60):  # the client leaves at once, or every engine answers with an error
         command_id = driver.submit()
         if i % 2:
             driver.client_left(command_id)
@@ -61,7 +61,7 @@
         ].open_attempt else None
         for engine in driver.gateway.components.engines.by_slot:
             engine.overloaded_until = 0
-    assert len(driver.retried_at) == 3 + 7  # three, and half of those answered
+    assert len(driver.retried_at) == 3 + 7  # three, and half of the commands that were answered
 
 
 def test_an_error_on_a_second_engine_ends_the_command():
@@ -75,4 +75,4 @@
         assert driver.commands[command_id].final == Shed
         assert len(set(used)) == 2
         assert used[-1] not in used[:-1]
-        driver.wait(60_000 * MS)  # its marks fade
+        driver.wait(60_000 * MS)  # the failure rates decay
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What warming engines are given."""
+"""Work that is given to warming engines."""
 
 from random import Random
 
@@ -23,7 +23,7 @@
     assert driver.warmup_work[1]
 
 
-def test_a_heavy_command_may_be_sent_to_a_warming_engine():
+def test_a_heavy_command_is_sent_to_a_warming_engine_once_its_budget_allows():
     driver = Driver(make_agreement(profile(timeout_us=60_000 * MS, objective_us=60_000 * MS), gateways=3))
     driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
     command_id = driver.submit(work=2500 * MS)
@@ -32,9 +32,9 @@
     assert driver.commands[command_id].open_attempt
 
 
-def count_attempts(driver, times, wait_us):
-    """Submit so many commands, answer every attempt; returns how many attempts were sent in all."""
-    for _ in range(times):
+def count_attempts(driver, commands, wait_us):
+    """Submit commands and answer every attempt; return the number of attempts so far."""
+    for _ in range(commands):
         driver.submit(work=400 * MS)
         for command_id in driver.running_ids():
             driver.end_attempt(command_id, Outcome.ANSWERED)
@@ -42,55 +42,59 @@
     return sum(isinstance(result, Dispatch) for result in driver.log)
 
 
-@pytest.mark.parametrize("managers", [3, 300])
-def test_all_gateways_together_stay_inside_the_warmup_budget(managers):
-    agreement = make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
-    stands = (
+@pytest.mark.parametrize("gateways", [3, 300])
+def test_all_gateways_together_stay_inside_the_warmup_budget(gateways):
+    agreement = make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), gateways=gateways)
+    budget = (
         agreement.overload_multiple
         * agreement.warmup_initial_share
         * agreement.cores_by_kind[0]
         * agreement.overload_window_us
     )
     sent = 0
-    for seed in range(managers):
+    for seed in range(gateways):
         driver = Driver(agreement, seed)
         driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
         sent += 400 * MS * count_attempts(driver, 10, 190 * MS)
-    assert 0.2 * stands < sent < stands
+    assert 0.2 * budget < sent < budget
 
 
-@pytest.mark.parametrize("managers", [3, 30, 200])
-def test_gateways_that_restart_repeatedly_stay_inside_the_warmup_budget(managers):
-    """Each start had forgotten what the one before had sent: four in a window sent three times the budget."""
-    agreement = make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), gateways=managers)
+@pytest.mark.parametrize("gateways", [3, 30, 200])
+def test_gateways_that_restart_repeatedly_stay_inside_the_warmup_budget(gateways):
+    """Guards against starts that do not know what the gateway sent before.
+
+    Gateways with four starts in a window sent three times the warming budget.
+    """
+    agreement = make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), gateways=gateways)
     sent = 0
-    for seed in range(managers):
+    for seed in range(gateways):
         for start in range(4):
             driver = Driver(agreement, 4 * seed + start)
+            # The engine has started before the gateway.
             driver.gateway.components.slow_start.gateway_started_at = driver.now = (
                 START + (1 + 500 * start) * MS
-            )  # the engine is there before
+            )
             driver.update_engines((1, 0, 0, EngineState.READY, 0, START))
             sent += count_attempts(driver, 3, 160 * MS)
-    stands = (
+    budget = (
         agreement.overload_multiple
         * agreement.warmup_initial_share
         * agreement.cores_by_kind[0]
         * agreement.overload_window_us
         / (400 * MS)
     )
-    assert sent <= stands + 2 * stands**0.5 + 2
+    assert sent <= budget + 2 * budget**0.5 + 2
     driver.wait(agreement.overload_window_us)
     driver.submit(work=400 * MS)
     driver.wait(3 * agreement.overload_window_us)
-    assert managers > 3 or driver.running_ids()  # the part is ours again
+    assert gateways > 3 or driver.running_ids()  # its share may be used again after a window
 
 
-def test_half_a_fleet_that_restarts_at_once_gets_its_warmup_share_from_gateways_with_an_old_list():
+def test_restarted_engines_stay_inside_the_warmup_budget_when_half_of_all_restart_at_once():
     agreement = make_agreement(profile(timeout_us=4000 * MS), gateways=10, cores_by_kind=(8.0,))
-    fleet = [Driver(agreement, seed) for seed in range(10)]
+    drivers = [Driver(agreement, seed) for seed in range(10)]
     work = {}
-    for driver in fleet:  # all that each knows is a list of a moment ago; half of its engines began anew
+    for driver in drivers:  # each has a list in which half of the engines have restarted
         driver.update_engines(
             *(
                 (ident, 0, 0, EngineState.READY, 0, 0 if ident < 4 else START - 1000 * MS)
@@ -98,7 +102,7 @@
             )
         )
     for _ in range(40):
-        for driver in fleet:
+        for driver in drivers:
             for _ in range(3):
                 ident = driver.submit()
                 attempt = driver.commands[ident].open_attempt
@@ -107,13 +111,13 @@
             driver.wait(50 * MS)
             for ident in driver.running_ids():
                 driver.end_attempt(ident, Outcome.ANSWERED)
-    stands = (
+    budget = (
         agreement.overload_multiple
         * (agreement.warmup_initial_share + 0.7 * 0.1)
         * 8
         * agreement.overload_window_us
     )
-    assert all(given < stands for given in work.values())  # the sum of all gateways, over one window
+    assert all(work_given < budget for work_given in work.values())  # sum of all gateways, over one window
 
 
 def test_a_warming_engine_takes_a_gateways_share_of_its_capacity_in_a_window():
@@ -123,13 +127,13 @@
     capacity = slow_start.capacity(engine, START)
     assert capacity == pytest.approx(3.0 * 0.3 * 4.0 * 2000 * MS)
     assert slow_start.capacity(engine, START + 5000 * MS) > capacity
-    given = 0
-    while slow_start.may_take(engine, 100 * MS, False, START) and given < 100:
+    commands_given = 0
+    while slow_start.may_take(engine, 100 * MS, False, START) and commands_given < 100:
         slow_start.record_dispatch(engine, 100 * MS, START)
-        given += 1
-    assert abs(given * 100 * MS - capacity / 4) <= 100 * MS
-    assert slow_start.may_take(engine, 100 * MS, True, START)  # a budget of the fleet holds the sum
-    assert not slow_start.may_take(engine, capacity / 3, True, START)  # one command is too much
+        commands_given += 1
+    assert abs(commands_given * 100 * MS - capacity / 4) <= 100 * MS
+    assert slow_start.may_take(engine, 100 * MS, True, START)  # a budget of the fleet limits the sum instead
+    assert not slow_start.may_take(engine, capacity / 3, True, START)  # too much for one command
     assert not slow_start.is_warming(engine, START + 10_000 * MS)
 
 
--- a/tests/decisions/test_throughput_fit.py
+++ b/tests/decisions/test_throughput_fit.py
@@ -1,4 +1,4 @@
-"""The throughput curve through three samples."""
+"""The fit of a throughput curve through three samples."""
 
 from math import exp
 
--- a/tests/decisions/test_traffic.py
+++ b/tests/decisions/test_traffic.py
@@ -1,4 +1,4 @@
-"""This gateway's traffic."""
+"""The count of arrivals at a gateway, and its share of the traffic."""
 
 import pytest
 from driver import MS, START, make_agreement
