--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,9 +1,9 @@
-"""Settings, as text and as JSON."""
+"""Reading an agreement from settings given as text and as JSON."""
 
 from gullhold.agreement import parse_settings, read_agreement
 
 
-def test_text_and_json_settings_read_the_same():
+def test_text_and_json_settings_give_the_same_agreement():
     tree = {
         "balancers": 3,
         "my_zone": 1,
@@ -49,16 +49,16 @@
             node = ",".join(str(word) for word in node)
         return [f"{path}={str(node).lower() if isinstance(node, bool) else node}"]
 
-    said = read_agreement(tree)
-    assert said == read_agreement(parse_settings("\n".join(lines(tree)).replace("True", "true")))
-    first = said.profiles[0]
-    assert first.zones == {1}
-    assert first.engine_kinds == {1}
-    assert first.ordered
-    assert first.loads_dataset
-    assert first.threads == 2
-    assert said.connect_timeout_us == 250_000
-    assert said.report_fields == ("inflight", "x0")
-    assert said.retry_budget_base == 3.0
+    agreement = read_agreement(tree)
+    assert agreement == read_agreement(parse_settings("\n".join(lines(tree)).replace("True", "true")))
+    profile = agreement.profiles[0]
+    assert profile.zones == {1}
+    assert profile.engine_kinds == {1}
+    assert profile.ordered
+    assert profile.loads_dataset
+    assert profile.threads == 2
+    assert agreement.connect_timeout_us == 250_000
+    assert agreement.report_fields == ("inflight", "x0")
+    assert agreement.retry_budget_base == 3.0
     assert read_agreement({}).profiles == ()
     assert read_agreement({}).retry_budget_base is None
