--- a/gullhold/decisions/__init__.py
+++ b/gullhold/decisions/__init__.py
@@ -4,7 +4,7 @@
 The concurrency limits, the throughput curve and the rounds of the queue follow the paper "Improving the
 scalability of database engines by controlling their load".
 
-gateway            the public calls; decision_call: the current call and its results; census: its counts
+gateway            the public calls; decision_call: the current call and its results; census: counts
 components         one instance of each component below, wired together
 command            a command and its state machine; command_intake creates it, command_lifecycle changes it
 dispatcher         runs the reviews that are due, then dispatches queued commands in turn
--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -92,12 +92,12 @@
         profile_index: int,
         profile: Profile,
         tenant: int,
-        key: int,
-        need_mb: float,
+        key: int,  # ordered key, if the profile is ordered; 0: none
+        need_mb: float,  # stated by the client; 0: unknown
         dataset: int,
         order: int,  # of arrival, ascending
         work: float,  # estimate, core-us
-        admitted_at: int,  # 0: it is not counted towards the retry budget
+        admitted_at: int,  # time of arrival; 0: it does not count towards the retry budget
         objective_at: int,  # end of its latency objective
         is_short: bool,  # its latency objective is among the shortest
         last_start_at: int,  # no attempt is started at this time or later
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -22,11 +22,11 @@
 MAX_ENGINE_WIDENING = 4.0  # highest factor that raises the limit of an engine with free capacity
 MAX_TOTAL_WIDENING = 2.0  # the same for the total limit
 ALLOWED_DEVIATIONS = 1.0  # standard deviations of our threads in use by which the total limit is raised
-PRESSURE_SLOWNESS = 1.8  # pace over the best pace that means pressure; time-sharing of cores explains less
+PRESSURE_SLOWNESS = 1.8  # pace over the best pace; time-sharing of cores explains lower values than this
 HISTORY_COMMANDS = 4.0  # weight of the overall slowness so far, in long commands per engine: few of them end
 MAX_SLOWNESS = 10.0  # pace over the best pace that one attempt counts with: bounds its influence
 MIN_SHARE_FACTOR = 0.5  # factor of our share at the strongest pressure: one thread a core
-MAX_SHARE_FACTOR = 1.25  # factor of our share without pressure; more overloads all engines
+MAX_SHARE_FACTOR = 1.25  # factor of our share without pressure; a higher one overloads all engines
 MIN_LONG_SHARE = 0.3  # of a limit, for long commands
 MAX_LONG_SHARE = 0.8
 LONG_SHARE_LOSS_FACTOR = 0.7  # by which the long share is multiplied after a loss
@@ -125,7 +125,7 @@
             return True
         return now < engine.overloaded_until
 
-    def is_overall_slow(self) -> bool:
+    def are_engines_slow(self) -> bool:
         """Whether all engines taken together are under pressure."""
         return self.overall_slowness > PRESSURE_SLOWNESS
 
--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -13,12 +13,12 @@
 
 
 class Dispatcher:
-    """Dispatches commands, as the last step of each call after which more can be dispatched than before."""
+    """Dispatches queued commands: the last step of each call that may change what can be dispatched."""
 
     def __init__(
         self, agreement: Agreement, components: Components, lifecycle: CommandLifecycle, call: DecisionCall
     ) -> None:
-        self._sends_terms = agreement.honors_grants or agreement.honors_priority
+        self._sends_grant_and_priority = agreement.honors_grants or agreement.honors_priority
         self._call = call
         self._lifecycle = lifecycle
         self._attempt_review = components.attempt_review
@@ -88,7 +88,7 @@
         """Start an attempt of the command on the engine."""
         now = self._call.now
         self._acquire_claims(command, engine)
-        if self._sends_terms:
+        if self._sends_grant_and_priority:
             grant_mb = self._grants.grant_mb(command, engine)
             self._call.results.append(
                 SetGrantAndPriority(command.id, grant_mb, self._policy.priority(command))
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -40,9 +40,8 @@
         self.by_tenant: dict[int, TenantQueues] = {}
         self.dispatched: dict[int, float] = {}  # decaying counts of dispatched commands, by tenant
         self.quotas: dict[int, float] = {}  # commands left in this round, by tenant; absent: all of the quota
-        self.pace_sums: dict[
-            int, Sequence[float]
-        ] = {}  # decaying sums by tenant: (count, paces, squared paces)
+        # Decaying sums by tenant: (count, paces, squared paces).
+        self.pace_sums: dict[int, Sequence[float]] = {}
         self._pace_deviations = 0.0  # sum over tenants of the relative deviation of the pace
         self._quota_factor = INITIAL_QUOTA_FACTOR
         self._quota_factor_rose = False
@@ -69,10 +68,10 @@
         """
         if len(self.by_tenant) <= 1:
             return list(self.by_tenant)
-        weights = len(self.weights)
+        tenants = len(self.weights)
         next_tenant = self._next_tenant
         return sorted(
-            self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - next_tenant) % weights)
+            self.by_tenant, key=lambda tenant: (self._quota(tenant) < 1, (tenant - next_tenant) % tenants)
         )
 
     def queues_of(self, tenant: int) -> list[list[QueueEntry]]:
--- a/gullhold/decisions/key_order.py
+++ b/gullhold/decisions/key_order.py
@@ -8,9 +8,8 @@
 from gullhold.decisions.command import Command, CommandState
 from gullhold.interface import Outcome
 
-UNKNOWN_END = frozenset(
-    (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
-)  # the engine may still run the attempt
+# Outcomes after which the engine may still run the attempt.
+UNKNOWN_END = frozenset((Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED))
 
 
 class KeyOrder:
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -11,8 +11,8 @@
 from gullhold.decisions.thread_use import ThreadUse
 from gullhold.interface import Agreement, Outcome
 
-# Outcomes after which the latency tells the run time, or at least how long the attempt has run.
-TIMED_OUTCOMES = frozenset((Outcome.ANSWERED, Outcome.TIMED_OUT, Outcome.CANCELLED))
+# Outcomes after which the latency of the attempt tells how long it has run.
+MEASURED_OUTCOMES = frozenset((Outcome.ANSWERED, Outcome.TIMED_OUT, Outcome.CANCELLED))
 
 
 class OutcomeRecorder:
@@ -59,7 +59,7 @@
             self._limits.record_loss()
         elif outcome == Outcome.ANSWERED:
             self._limits.record_answer()
-        if outcome in TIMED_OUTCOMES and command.state != CommandState.ORPHANED:
+        if outcome in MEASURED_OUTCOMES and command.state != CommandState.ORPHANED:
             self._record_run(command, engine, outcome, latency_us, cost or command.work, need_mb, now)
 
     def _record_run(
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -21,7 +21,7 @@
 
 MANY_ENGINES = MAX_RANKED_ENGINES  # with more engines, commands return to those used recently
 MAX_RANDOM_DRAWS = 4  # engines drawn independently of one another
-MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most fleets have
+MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most deployments have
 CANDIDATES = 2  # engines to choose from: the power of two choices
 CACHED_THREADS_WEIGHT = 0.7  # of a command's threads on a preferred engine, which has its data set cached
 
@@ -41,7 +41,7 @@
         budgets: FleetBudgets,
     ) -> None:
         self._agreement = agreement
-        self._has_loads = any(profile.waits_for_loads for profile in agreement.profiles)
+        self._separates_loads = any(profile.waits_for_loads for profile in agreement.profiles)
         self._draw = draw
         self._engines = engines
         self._health = health
@@ -140,7 +140,7 @@
         While the engines as a whole are under pressure, all zones are used, since one zone may be busier than
         the others. The price is the charge for traffic between zones.
         """
-        if not self._agreement.cross_zone_costs or not self._engines.local or self._limits.is_overall_slow():
+        if not self._agreement.cross_zone_costs or not self._engines.local or self._limits.are_engines_slow():
             return self._engines.ready
         return self._engines.local
 
@@ -153,7 +153,7 @@
         preferred = range(self.popularity.preferred_engines(command.dataset, size))
         positions = range(size)
         half = size // 2
-        if not half or not self._has_loads:
+        if not half or not self._separates_loads:
             return preferred, positions
         if command.profile.loads_dataset:
             return positions[half:], positions[half:]
@@ -212,11 +212,11 @@
         profile = command.profile
         considers_locks = profile.loads_dataset or profile.waits_for_loads
 
-        def busyness(engine: Engine) -> tuple[bool, float]:
+        def load_order(engine: Engine) -> tuple[bool, float]:
             is_locked = considers_locks and self.locks.is_locked(engine, command.dataset, now)
             is_preferred = order.is_within(preferred, engine)
             threads = command.threads * (CACHED_THREADS_WEIGHT if is_preferred else 1.0)
             own_load = (engine.threads + threads) * self._health.slowness(engine, now) / engine.cores
             return is_locked, own_load + self._loads.utilization(engine, now)
 
-        return min(found, default=None, key=busyness)
+        return min(found, default=None, key=load_order)
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -13,9 +13,8 @@
 
     def __init__(self, agreement: Agreement, now: int) -> None:
         self._gateways = agreement.gateways
-        self._allowance = sum(
-            tenant.allowance for tenant in agreement.tenants
-        )  # commands/s for all gateways together
+        # Commands/s of all tenants, at all gateways together.
+        self._allowance = sum(tenant.allowance for tenant in agreement.tenants)
         self.count = self._allowance / agreement.gateways * TRAFFIC_DECAY_US / US_PER_SECOND
         self._counted_at = now
 
