--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -34,8 +34,8 @@
         "fitted_limit",
         "id",
         "kind",
-        "load",
-        "load_at",
+        "utilization",
+        "utilization_at",
         "next_fit_at",
         "overloaded_until",
         "sample_began_at",
@@ -88,8 +88,8 @@
         self.warmup_rounding_draw = 0.0  # 0 to 1: rounds our share of its warming budget
         self.warmup_rounding_drawn_at = 0
         # Load report.
-        self.load = 1.0  # utilisation, 0 to 1
-        self.load_at = 0
+        self.utilization = 1.0  # as reported, 0 to 1
+        self.utilization_at = 0
 
     def forget_observations(self) -> None:
         """Discard observations after the engine's process has restarted."""
@@ -97,5 +97,5 @@
         self.completed_slow_work = 0.0
         self.failure_rate = 0.0
         self.overloaded_until = 0
-        self.load = 1.0
+        self.utilization = 1.0
         self.warmup_dispatches.clear()
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -9,7 +9,7 @@
 
 UTILIZATION_FIELD = "util"  # name of the field in the reports
 FULL_UTILIZATION = 0.7  # from which an engine has no free capacity
-LOAD_DECAY_US = 1_000_000  # us, time constant with which an engine's report decays to the mean of all engines
+UTILIZATION_DECAY_US = 1_000_000  # us, time constant with which a report decays to the mean of all engines
 MIN_UTILIZATION = 0.01  # keeps the widening factor finite
 # The report of an engine above one of these limits is ignored; the engine counts as fully utilised.
 DISTRUST_FAILURE_RATE = 0.1  # lower than the failure rate of an outlier
@@ -41,8 +41,8 @@
         reported = report[self._field] if 0 <= self._field < len(report) else -1.0
         if 0.0 <= reported < float("inf"):
             utilization = min(reported, 1.0)
-            engine.load = utilization
-            engine.load_at = now
+            engine.utilization = utilization
+            engine.utilization_at = now
         elif self._field >= 0 and outcome in (Outcome.OVERLOADED, Outcome.TIMED_OUT):
             utilization = 1.0
         else:
@@ -59,5 +59,5 @@
             return 1.0
         if self._health.slowness(engine, now) > DISTRUST_SLOWNESS:
             return 1.0
-        decay = exp((engine.load_at - now) / LOAD_DECAY_US)
-        return self.mean_utilization + (engine.load - self.mean_utilization) * decay
+        decay = exp((engine.utilization_at - now) / UTILIZATION_DECAY_US)
+        return self.mean_utilization + (engine.utilization - self.mean_utilization) * decay
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -47,8 +47,8 @@
 def test_a_restart_discards_the_observations_of_an_engine():
     engines = EngineRegistry(make_agreement())
     engine = engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
-    engine.failure_rate, engine.completed_work, engine.load = 0.5, 10.0, 0.2
+    engine.failure_rate, engine.completed_work, engine.utilization = 0.5, 10.0, 0.2
     engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, 0))
     assert engine.failure_rate == 0.5
     engines.update(EngineEntry(7, 0, 1.0, 0, EngineState.READY, 0, START))
-    assert (engine.failure_rate, engine.completed_work, engine.load) == (0.0, 0.0, 1.0)
+    assert (engine.failure_rate, engine.completed_work, engine.utilization) == (0.0, 0.0, 1.0)
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -38,7 +38,7 @@
     answer_commands(driver, 20, 0.2)
     answer_commands(driver, 5, utilization)
     assert 0.0 <= driver.gateway.components.loads.mean_utilization <= 1.0
-    assert 0.0 <= driver.gateway.components.engines.by_slot[0].load <= 1.0
+    assert 0.0 <= driver.gateway.components.engines.by_slot[0].utilization <= 1.0
     command_id = driver.submit()
     driver.end_attempt(command_id, Outcome.ANSWERED, report=(1.0,))  # a report with too few values
     assert count_dispatched(driver) > 0
