--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -139,9 +139,8 @@
             del self.engines[at]
         self.changes.append((is_present, engine))
         self._last_change += 1
-        if (
-            len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS
-        ):  # a new ranking of all engines takes less time
+        # After so many changes a new ranking of all engines takes less time.
+        if len(self.changes) > len(self.engines) + MAX_CACHED_RANKINGS:
             self.changes.clear()
             self.rankings.clear()
 
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-DEADLINE_MARGIN_US = 30_000  # us before a client timeout or deduplication window ends: the last start
+DEADLINE_MARGIN_US = 30_000  # us from the last start until a client timeout or deduplication window ends
 CANCEL_CREDIT_PER_ATTEMPT = 0.4  # cancels of slow attempts that each dispatched attempt of a profile earns
 MAX_CANCEL_CREDIT = 4.0  # cancels, the most that a profile can save up
 
@@ -25,7 +25,7 @@
         self._budgets = budgets
         self._key_order = key_order
         # Arrival times of ended commands, ascending; each of them widens the retry budget.
-        self._ended_arrivals: deque[int] = deque()
+        self._arrivals: deque[int] = deque()
         self._retry_times: deque[int] = deque()  # times of retries, ascending
         self._cancel_credit = [MAX_CANCEL_CREDIT] * len(agreement.profiles)
         self.max_attempts_by_profile: Mapping[int, int] = {}  # for the profiles that the fleet's policy names
@@ -65,7 +65,7 @@
 
     def record_ended(self, command: Command) -> None:
         """Record that a command has ended. It widens the retry budget only now, as its outcome is known."""
-        insort(self._ended_arrivals, command.admitted_at)
+        insort(self._arrivals, command.admitted_at)
 
     def has_cancel_credit(self, command: Command) -> bool:
         """Whether a slow attempt of the command's profile may be cancelled."""
@@ -79,13 +79,11 @@
         base = self.agreement.retry_budget_base
         if base is None or self._budgets.share(BudgetKind.RETRIES, 0) is not None:
             return True
-        return len(self._retry_times) + 1 <= base + self.agreement.retry_budget_share * len(
-            self._ended_arrivals
-        )
+        return len(self._retry_times) + 1 <= base + self.agreement.retry_budget_share * len(self._arrivals)
 
     def _drop_old_times(self, now: int) -> None:
         """Drop times that are before the window of the retry budget."""
         window_start = now - self.agreement.retry_budget_window_us
-        for times in (self._ended_arrivals, self._retry_times):
+        for times in (self._arrivals, self._retry_times):
             while times and times[0] <= window_start:
                 times.popleft()
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -129,9 +129,7 @@
         self.gateway = Gateway(seed, agreement, self.now)
         self.engines: dict[int, ListedEngine] = {}  # by engine id
         self.commands: dict[int, SubmittedCommand] = {}  # by command id
-        self.ids_by_key: dict[
-            int, list[int]
-        ] = {}  # ids of commands by their ordered key, in order of arrival
+        self.ids_by_key: dict[int, list[int]] = {}  # by ordered key: ids of commands in order of arrival
         self.settles_until: dict[int, int] = {}  # end of the settling time, by ordered key
         self.log: list[Result] = []  # all results that were carried out
         self.retried_at: list[int] = []
