--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -88,7 +88,7 @@
         is_sent = not is_crowding and self.write_buffer.put(message) >= 0
         if not is_sent and (self.write_buffer.is_dead or not self.write_buffer.is_finishing):
             self.core.counters.add("answers_undeliverable")
-            self.end(ConnectionEnd.RESET if self.write_buffer.is_dead else ConnectionEnd.BACKED_UP, "")
+            self.end(ConnectionEnd.RESET if self.write_buffer.is_dead else ConnectionEnd.PEER_NOT_READING, "")
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """End the connection from our side, now; its reader thread wakes and reports the end."""
@@ -185,7 +185,7 @@
             if self.write_buffer.is_finishing:
                 return ConnectionEnd.IDLE
             if not has_more and not self.is_dismissed:
-                return ConnectionEnd.CLOSED
+                return ConnectionEnd.CLOSED_BY_PEER
             if not has_more:
                 self._end_if_settled()
             with self.core.reading_lock:
--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -16,17 +16,17 @@
     """How a connection ended; the value is the text for logs and counters."""
 
     REFUSED = "refused"
-    NOT_UP = "connect_timeout"
+    CONNECT_TIMEOUT = "connect_timeout"
     UNREACHABLE = "unreachable"
-    CLOSED = "closed_by_peer"
+    CLOSED_BY_PEER = "closed_by_peer"
     RESET = "reset"
     MALFORMED = "malformed"
     SILENT = "silent"
-    BACKED_UP = "peer_not_reading"
+    PEER_NOT_READING = "peer_not_reading"
     IDLE = "idle"
     RETIRED = "retired"
-    SHORT = "local_exhaustion"
-    FAULT = "internal_fault"
+    LOCAL_EXHAUSTION = "local_exhaustion"
+    INTERNAL_FAULT = "internal_fault"
 
 
 # Errors of socket() and connect() for a temporary shortage on this machine: socket(2), connect(2), ip(7).
@@ -47,12 +47,17 @@
 
 # Ends that we cause while something is open.
 CAUSED_BY_US = frozenset(
-    (ConnectionEnd.MALFORMED, ConnectionEnd.SILENT, ConnectionEnd.BACKED_UP, ConnectionEnd.FAULT)
+    (
+        ConnectionEnd.MALFORMED,
+        ConnectionEnd.SILENT,
+        ConnectionEnd.PEER_NOT_READING,
+        ConnectionEnd.INTERNAL_FAULT,
+    )
 )
 # Ends that are no fault of the peer where nothing was written.
-NO_BLAME = frozenset((ConnectionEnd.RETIRED, ConnectionEnd.SHORT))
+NO_BLAME = frozenset((ConnectionEnd.RETIRED, ConnectionEnd.LOCAL_EXHAUSTION))
 # Ends of a client's connection after which the client is still there and waits for its answers.
-CLIENT_STILL_WAITS = frozenset((ConnectionEnd.IDLE, ConnectionEnd.MALFORMED, ConnectionEnd.FAULT))
+CLIENT_STILL_WAITS = frozenset((ConnectionEnd.IDLE, ConnectionEnd.MALFORMED, ConnectionEnd.INTERNAL_FAULT))
 
 
 def outcome(is_written: bool) -> Outcome:
@@ -70,7 +75,7 @@
     if isinstance(error, OSError):
         return classify_os_error(error, connecting), str(error)
     logger.opt(exception=error).error("connection reader failed")
-    return ConnectionEnd.FAULT, ""
+    return ConnectionEnd.INTERNAL_FAULT, ""
 
 
 def classify_os_error(error: OSError, connecting: bool = False) -> ConnectionEnd:
@@ -78,11 +83,11 @@
     if isinstance(error, ConnectionRefusedError):
         return ConnectionEnd.REFUSED
     if connecting and error.errno in SHORT_HERE:
-        return ConnectionEnd.SHORT
+        return ConnectionEnd.LOCAL_EXHAUSTION
     if isinstance(error, BlockingIOError):
         return ConnectionEnd.IDLE  # a read's time-out
     if isinstance(error, TimeoutError):  # on an open connection ETIMEDOUT: it broke, as by a reset
-        return ConnectionEnd.NOT_UP if connecting else ConnectionEnd.RESET
+        return ConnectionEnd.CONNECT_TIMEOUT if connecting else ConnectionEnd.RESET
     if isinstance(error, ConnectionError):
         return ConnectionEnd.RESET
     return ConnectionEnd.UNREACHABLE if connecting else ConnectionEnd.RESET
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -141,7 +141,7 @@
                 while address == self._address and self._receive(stream, sock):
                     self._apply_events(stream)
                     self._core.list_received.set()
-                return ConnectionEnd.CLOSED if address == self._address else ConnectionEnd.RETIRED
+                return ConnectionEnd.CLOSED_BY_PEER if address == self._address else ConnectionEnd.RETIRED
             finally:
                 self._is_receiving = False
                 self._connection = None
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -162,7 +162,7 @@
         self.core.post_first(self.core.pool.connection_ended, self, self.local_end or end, text)
 
     def _run(self) -> None:
-        end = ConnectionEnd.FAULT
+        end = ConnectionEnd.INTERNAL_FAULT
         text = ""
         connection = None
         try:
@@ -221,7 +221,7 @@
             except BlockingIOError:
                 raise ProtocolError("an answer that stopped short") from None
             if not count:
-                return ConnectionEnd.CLOSED
+                return ConnectionEnd.CLOSED_BY_PEER
             self.deliver()
             if self.decoder.is_mid_array != is_mid_array:
                 # In the middle of an array the next bytes arrive soon, or never.
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -79,7 +79,7 @@
         Where it can't be sent the connection ends: after a lost abort an attempt would run on.
         """
         if connection.write_buffer.put(resp.encode(*strings)) < 0 and not connection.is_ended:
-            self.core.defer(self.drop, connection, ConnectionEnd.BACKED_UP)
+            self.core.defer(self.drop, connection, ConnectionEnd.PEER_NOT_READING)
 
     def drop(self, connection: EngineConnection, end: ConnectionEnd, text: str = "") -> None:
         """Close a connection from our side, and end its attempts now."""
@@ -142,15 +142,15 @@
     def _count_close(connection: EngineConnection, end: ConnectionEnd) -> None:
         """Learn whether this engine closes connections in order."""
         endpoint = connection.endpoint
-        is_mid_array = end == ConnectionEnd.CLOSED and connection.decoder.is_mid_array
+        is_mid_array = end == ConnectionEnd.CLOSED_BY_PEER and connection.decoder.is_mid_array
         if is_mid_array or end in BROKE_OTHERS:
             endpoint.orderly_closes = max(0, endpoint.orderly_closes - 1)
-        elif end == ConnectionEnd.CLOSED:
+        elif end == ConnectionEnd.CLOSED_BY_PEER:
             endpoint.orderly_closes += 1
 
     def _log_close(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
         is_planned = end in (ConnectionEnd.IDLE, ConnectionEnd.RETIRED)
-        is_routine = is_planned or (end == ConnectionEnd.CLOSED and not connection.open)
+        is_routine = is_planned or (end == ConnectionEnd.CLOSED_BY_PEER and not connection.open)
         event = LoggedEvent(
             self.core.now,
             EventKind.CLOSE,
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -97,7 +97,7 @@
 
     def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
         """The engine's side has ended."""
-        self.fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
+        self.fail(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def fail(self, end: ConnectionEnd, text: str = "") -> None:
         """Report the end of reading, once."""
@@ -135,7 +135,7 @@
 
     def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
         """The client's side has ended."""
-        self._fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
+        self._fail(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """Endpoint it from our side, now."""
--- a/gullhold/simulation/network.py
+++ b/gullhold/simulation/network.py
@@ -60,7 +60,7 @@
         if path.engine.refuses_until > self.clock.now:
             self.clock.after(round_trip_us, connection.fail, ConnectionEnd.REFUSED)
         elif path.to_engine.is_silent or connect_us > self.connect_timeout_us:
-            self.clock.after(self.connect_timeout_us, connection.fail, ConnectionEnd.NOT_UP)
+            self.clock.after(self.connect_timeout_us, connection.fail, ConnectionEnd.CONNECT_TIMEOUT)
         else:
             self.clock.after(connect_us, self._connected, connection, path)
 
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -71,8 +71,11 @@
     assert connection_ends.classify_os_error(TimeoutError(110, "ETIMEDOUT")) == ConnectionEnd.RESET
     assert (
         connection_ends.classify_os_error(TimeoutError(110, "ETIMEDOUT"), connecting=True)
-        == ConnectionEnd.NOT_UP
+        == ConnectionEnd.CONNECT_TIMEOUT
     )
     assert connection_ends.classify_os_error(BlockingIOError(11, "EAGAIN")) == ConnectionEnd.IDLE
     assert connection_ends.classify_os_error(OSError(113, "EHOSTUNREACH")) == ConnectionEnd.RESET
-    assert connection_ends.classify_os_error(OSError(105, "ENOBUFS"), connecting=True) == ConnectionEnd.SHORT
+    assert (
+        connection_ends.classify_os_error(OSError(105, "ENOBUFS"), connecting=True)
+        == ConnectionEnd.LOCAL_EXHAUSTION
+    )
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -10,5 +10,5 @@
     assert outcome(False) in NEVER_RAN
     assert outcome(True) not in NEVER_RAN
     assert classify_os_error(ConnectionRefusedError(), True) == ConnectionEnd.REFUSED
-    assert classify_os_error(TimeoutError(), True) == ConnectionEnd.NOT_UP
+    assert classify_os_error(TimeoutError(), True) == ConnectionEnd.CONNECT_TIMEOUT
     assert classify_os_error(ConnectionResetError()) == ConnectionEnd.RESET
