--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -31,7 +31,7 @@
 
 # Errors of socket() and connect() for a temporary shortage on this machine: socket(2), connect(2), ip(7).
 # They say nothing about the peer.
-SHORT_HERE = frozenset(
+LOCAL_EXHAUSTION_ERRNOS = frozenset(
     (
         errno.EAGAIN,
         errno.EINTR,
@@ -46,7 +46,7 @@
 
 
 # Ends that we cause while something is open.
-CAUSED_BY_US = frozenset(
+CAUSED_BY_GATEWAY = frozenset(
     (
         ConnectionEnd.MALFORMED,
         ConnectionEnd.SILENT,
@@ -55,7 +55,7 @@
     )
 )
 # Ends that are no fault of the peer where nothing was written.
-NO_BLAME = frozenset((ConnectionEnd.RETIRED, ConnectionEnd.LOCAL_EXHAUSTION))
+PEER_NOT_AT_FAULT = frozenset((ConnectionEnd.RETIRED, ConnectionEnd.LOCAL_EXHAUSTION))
 # Ends of a client's connection after which the client is still there and waits for its answers.
 CLIENT_STILL_WAITS = frozenset((ConnectionEnd.IDLE, ConnectionEnd.MALFORMED, ConnectionEnd.INTERNAL_FAULT))
 
@@ -82,7 +82,7 @@
     """Return the end that an error of the operating system stands for."""
     if isinstance(error, ConnectionRefusedError):
         return ConnectionEnd.REFUSED
-    if connecting and error.errno in SHORT_HERE:
+    if connecting and error.errno in LOCAL_EXHAUSTION_ERRNOS:
         return ConnectionEnd.LOCAL_EXHAUSTION
     if isinstance(error, BlockingIOError):
         return ConnectionEnd.IDLE  # a read's time-out
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -18,7 +18,7 @@
 
 CONNECT_RETRY_INTERVAL_S = 0.02  # between connect attempts while this machine is short of resources
 # Errors after which connecting is retried; the last is a missing route. ip(7), connect(2).
-RETRIED_ERRNOS = connection_ends.SHORT_HERE | {errno.ENETUNREACH}
+RETRIED_ERRNOS = connection_ends.LOCAL_EXHAUSTION_ERRNOS | {errno.ENETUNREACH}
 
 
 class ResourceUse(NamedTuple):
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -165,7 +165,7 @@
 
     def _end_attempts(self, connection: EngineConnection, end: ConnectionEnd) -> None:
         """End the open attempts; where we closed, only after the engine has had the time to notice."""
-        delay_us = self.agreement.connect_timeout_us if end in connection_ends.CAUSED_BY_US else 0
+        delay_us = self.agreement.connect_timeout_us if end in connection_ends.CAUSED_BY_GATEWAY else 0
         for attempt in list(connection.open.values()):
             outcome = self._outcome(connection, attempt, end)
             if delay_us > 0:
@@ -178,6 +178,6 @@
     def _outcome(connection: EngineConnection, attempt: Attempt, end: ConnectionEnd) -> Outcome:
         is_written = attempt.end_offset > 0 and connection.write_buffer.is_written(attempt.end_offset)
         outcome = connection_ends.outcome(is_written)
-        if outcome == Outcome.CONNECT_FAILED and end in connection_ends.NO_BLAME:
+        if outcome == Outcome.CONNECT_FAILED and end in connection_ends.PEER_NOT_AT_FAULT:
             return Outcome.NOT_STARTED
         return outcome
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -142,7 +142,7 @@
         malformed bytes is still there: each of its requests gets an answer.
         """
         self.counters.add(f"client_connections_ended_{end.value}")
-        is_unusual = bool(client.open) and end in connection_ends.CAUSED_BY_US
+        is_unusual = bool(client.open) and end in connection_ends.CAUSED_BY_GATEWAY
         event = LoggedEvent(
             self.core.now,
             EventKind.CLOSE,
--- a/gullhold/net/startup.py
+++ b/gullhold/net/startup.py
@@ -10,13 +10,13 @@
 from threading import Thread
 from typing import TypeVar
 
-from gullhold.net.connection_ends import SHORT_HERE
+from gullhold.net.connection_ends import LOCAL_EXHAUSTION_ERRNOS
 
 Resource = TypeVar("Resource")
 
 RETRY_LIMIT_S = 20.0  # under the 30 s that a start may take
 RETRY_INTERVAL_S = 0.02  # short beside a start; a shortage lasts for moments
-TRANSIENT_ERRNOS = SHORT_HERE | {errno.ECONNABORTED}
+TRANSIENT_ERRNOS = LOCAL_EXHAUSTION_ERRNOS | {errno.ECONNABORTED}
 
 
 class ResourceError(Exception):
