--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -60,7 +60,7 @@
 CLIENT_STILL_WAITS = frozenset((ConnectionEnd.IDLE, ConnectionEnd.MALFORMED, ConnectionEnd.INTERNAL_FAULT))
 
 
-def outcome(is_written: bool) -> Outcome:
+def attempt_outcome(is_written: bool) -> Outcome:
     """Return the outcome of an attempt whose connection ended, by whether its fetch was written.
 
     An attempt whose fetch was not written completely never ran.
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -177,7 +177,7 @@
     @staticmethod
     def _outcome(connection: EngineConnection, attempt: Attempt, end: ConnectionEnd) -> Outcome:
         is_written = attempt.end_offset > 0 and connection.write_buffer.is_written(attempt.end_offset)
-        outcome = connection_ends.outcome(is_written)
+        outcome = connection_ends.attempt_outcome(is_written)
         if outcome == Outcome.CONNECT_FAILED and end in connection_ends.PEER_NOT_AT_FAULT:
             return Outcome.NOT_STARTED
         return outcome
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -165,7 +165,7 @@
     ),
     "finished requests kept": Mutant(Rule.CENSUS, PendingRequests, "forget", _keep_transaction_id),
     "broken connection taken for a failed connect": Mutant(
-        Rule.RUNS_ONCE, connection_ends, "outcome", _report_connect_failed
+        Rule.RUNS_ONCE, connection_ends, "attempt_outcome", _report_connect_failed
     ),
     "queued attempts not rechecked on connect": Mutant(
         Rule.CLIENT_LEFT, EnginePool, "connection_up", _skip_recheck
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -1,14 +1,14 @@
 """How a connection ended, and what that is to the decision module."""
 
 from gullhold.interface import NEVER_RAN, Outcome
-from gullhold.net.connection_ends import ConnectionEnd, classify_os_error, outcome
+from gullhold.net.connection_ends import ConnectionEnd, attempt_outcome, classify_os_error
 
 
 def test_how_a_connection_ended_says_whether_a_send_may_have_run():
-    assert outcome(True) == Outcome.RESET
-    assert outcome(False) == Outcome.CONNECT_FAILED
-    assert outcome(False) in NEVER_RAN
-    assert outcome(True) not in NEVER_RAN
+    assert attempt_outcome(True) == Outcome.RESET
+    assert attempt_outcome(False) == Outcome.CONNECT_FAILED
+    assert attempt_outcome(False) in NEVER_RAN
+    assert attempt_outcome(True) not in NEVER_RAN
     assert classify_os_error(ConnectionRefusedError(), True) == ConnectionEnd.REFUSED
     assert classify_os_error(TimeoutError(), True) == ConnectionEnd.CONNECT_TIMEOUT
     assert classify_os_error(ConnectionResetError()) == ConnectionEnd.RESET
