--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -223,8 +223,8 @@
             EventKind.RETRY,
             pending.last_outcome,
             pending.request.transaction_id,
-            before="queued",
-            after="sent",
+            old_state="queued",
+            new_state="sent",
         )
         self.core.events.add(event)
 
@@ -232,7 +232,7 @@
         connection = attempt.connection
         event = LoggedEvent(
             self.core.now,
-            EventKind.GIVEN_UP,
+            EventKind.ATTEMPT_ABANDONED,
             OUTCOME_TEXTS[outcome],
             attempt.pending.request.transaction_id,
             f"engine {connection.endpoint.address}" if connection else "",
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -153,11 +153,11 @@
         is_routine = is_planned or (end == ConnectionEnd.CLOSED_BY_PEER and not connection.open)
         event = LoggedEvent(
             self.core.now,
-            EventKind.CLOSE,
+            EventKind.CONNECTION_CLOSED,
             end.value,
             connection=f"engine {connection.endpoint.address}",
-            before="open" if connection.connection else "connecting",
-            after="closed",
+            old_state="open" if connection.connection else "connecting",
+            new_state="closed",
             open=len(connection.open),
             detail=text,
         )
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -18,10 +18,10 @@
 class EventKind(StrEnum):
     """The kinds of event, as they are logged."""
 
-    CLOSE = "connection_closed"
+    CONNECTION_CLOSED = "connection_closed"
     RETRY = "retry"
-    REFUSAL = "error_answer"
-    GIVEN_UP = "attempt_abandoned"
+    ERROR_ANSWER = "error_answer"
+    ATTEMPT_ABANDONED = "attempt_abandoned"
 
 
 class LoggedEvent(NamedTuple):
@@ -32,8 +32,8 @@
     reason: str
     request: bytes = b""  # the client's id of the request
     connection: str = ""  # of a client, or to an engine: its address
-    before: str = ""  # the state that it was in
-    after: str = ""  # the state that it is in now
+    old_state: str = ""  # the state that it was in
+    new_state: str = ""  # the state that it is in now
     open: int = 0  # requests or attempts that were open on a connection that closed
     detail: str = ""  # what the system or the protocol said beside the reason
 
@@ -43,8 +43,8 @@
             "event": self.kind.value,
             "request": self.request.decode("ascii", "replace"),
             "connection": self.connection,
-            "from": self.before,
-            "to": self.after,
+            "from": self.old_state,
+            "to": self.new_state,
             "open": self.open or "",
             "reason": self.reason,
             "detail": self.detail,
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -145,11 +145,11 @@
         is_unusual = bool(client.open) and end in connection_ends.CAUSED_BY_GATEWAY
         event = LoggedEvent(
             self.core.now,
-            EventKind.CLOSE,
+            EventKind.CONNECTION_CLOSED,
             end.value,
             connection=f"client {client.peer.connection}",
-            before="open",
-            after="closed",
+            old_state="open",
+            new_state="closed",
             open=len(client.open),
             detail=text,
         )
@@ -259,7 +259,7 @@
     def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
         event = LoggedEvent(
             self.core.now,
-            EventKind.REFUSAL,
+            EventKind.ERROR_ANSWER,
             reason,
             pending.request.transaction_id,
             pending.client.peer.connection if pending.client else "",
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -32,7 +32,12 @@
         log.add(LoggedEvent(n, EventKind.RETRY, "reset"))
     log.add(
         LoggedEvent(
-            200, EventKind.CLOSE, "closed", connection="engine 127.0.0.1:1", before="open", after="closed"
+            200,
+            EventKind.CONNECTION_CLOSED,
+            "closed",
+            connection="engine 127.0.0.1:1",
+            old_state="open",
+            new_state="closed",
         )
     )
     assert (
