--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -226,7 +226,7 @@
             old_state="queued",
             new_state="sent",
         )
-        self.core.events.add(event)
+        self.core.event_log.add(event)
 
     def _log_abandoned(self, attempt: Attempt, outcome: Outcome) -> None:
         connection = attempt.connection
@@ -239,7 +239,7 @@
             "streaming" if attempt.pages else "sent",
             "abandoned",
         )
-        self.core.events.add(event)
+        self.core.event_log.add(event)
 
 
 def remaining_ms(now_us: int, deadline_us: int) -> bytes:
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -91,7 +91,7 @@
         self.admission_queue = admission_queue
         self.retry_after_field = retry_after_field.encode()
         self.flusher: Flusher | None = None  # completes writes that the system did not take at once
-        self.events = EventLog()
+        self.event_log = EventLog()
         # Held by the one reader thread that handles calls: hundreds at once would leave the core no share of
         # the interpreter lock.
         self.reading_lock = Lock()
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -161,7 +161,7 @@
             open=len(connection.open),
             detail=text,
         )
-        self.core.events.add(event, not is_routine)
+        self.core.event_log.add(event, not is_routine)
 
     def _end_attempts(self, connection: EngineConnection, end: ConnectionEnd) -> None:
         """End the open attempts; where we closed, only after the engine has had the time to notice."""
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -153,7 +153,7 @@
             open=len(client.open),
             detail=text,
         )
-        self.core.events.add(event, is_unusual)
+        self.core.event_log.add(event, is_unusual)
         if end in connection_ends.CLIENT_STILL_WAITS:
             for pending in list(client.open.values()):
                 self.give_up(pending)
@@ -266,7 +266,7 @@
             "sent" if pending.attempt else "queued",
             "answered",
         )
-        self.core.events.add(event)
+        self.core.event_log.add(event)
 
     def _abandon(self, abandoned: list[PendingRequest]) -> None:
         """Drop requests for whose answers a client does not wait any more.
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -89,7 +89,7 @@
     def log_recent_events(self) -> None:
         """Log a report and the last events."""
         self.log_report()
-        for line in self.core.events.lines():
+        for line in self.core.event_log.lines():
             logger.info("recent {}", line)
 
     def _redirect_log(self) -> LogSink:
