--- a/benchmarks/answering_server.py
+++ b/benchmarks/answering_server.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from threading import Thread
 
-from gullhold.net import host_port, set_no_delay, thrift
+from gullhold.net import set_no_delay, split_host_port, thrift
 from gullhold.net.connection_ends import ProtocolError
 
 MAX_FRAME_BYTES = 100_000
@@ -27,7 +27,7 @@
 
 def main(address: str) -> None:
     """Serve until the process is ended."""
-    with socket.create_server(host_port(address), backlog=BACKLOG) as listener:
+    with socket.create_server(split_host_port(address), backlog=BACKLOG) as listener:
         while True:
             sock, _ = listener.accept()
             set_no_delay(sock)
--- a/gullhold/fleet/store_client.py
+++ b/gullhold/fleet/store_client.py
@@ -30,7 +30,7 @@
     RevokeLease,
     Transaction,
 )
-from gullhold.net import host_port
+from gullhold.net import split_host_port
 
 API_PATH = "/v3/"  # set, so that the library does not ask for the version first
 NOT_FOUND_CODE = 5  # error code of etcd's interface for something that does not exist
@@ -43,7 +43,7 @@
 
     def __init__(self, address: str, prefix: str, timeout_s: float) -> None:
         """address: HOST:PORT; prefix: added to all keys of requests, and removed from keys in replies."""
-        host, port = host_port(address)
+        host, port = split_host_port(address)
         self.prefix = prefix
         self.timeout_s = timeout_s
         self._client = Etcd3Client(host=host, port=port, timeout=timeout_s, api_path=API_PATH)
--- a/gullhold/net/__init__.py
+++ b/gullhold/net/__init__.py
@@ -9,7 +9,7 @@
 US_PER_S = 1_000_000
 
 
-def host_port(address: str) -> tuple[str, int]:
+def split_host_port(address: str) -> tuple[str, int]:
     """Split HOST:PORT as sockets want it. Raises ValueError where the port is no number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from gullhold.net import US_PER_MS, US_PER_S, connection_ends, host_port
+from gullhold.net import US_PER_MS, US_PER_S, connection_ends, split_host_port
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import ConnectionEnd
 from gullhold.net.engine_ids import EngineIds
@@ -58,7 +58,7 @@
         self._last_index = last_index
         self._core = core
         self._max_line_bytes = max_line_bytes
-        self._address = host_port(address) if address else None
+        self._address = split_host_port(address) if address else None
         self._connection: Connection | None = None
         self._address_changed = Event()
         self._last_applied_s = float("-inf")  # time.monotonic() of the last call to the core
@@ -66,7 +66,7 @@
 
     def change_address(self, address: str) -> None:
         """Follow the stream at this HOST:PORT from now on, after the last event; from any thread."""
-        self._address = host_port(address)
+        self._address = split_host_port(address)
         self._address_changed.set()
         connection = self._connection  # one that is opened after this line uses the new address
         if connection is not None:
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from gullhold.interface import EngineState, Outcome
-from gullhold.net import connection_ends, host_port, resp, set_no_delay, set_read_timeout
+from gullhold.net import connection_ends, resp, set_no_delay, set_read_timeout, split_host_port
 from gullhold.net.connection import Connection
 from gullhold.net.connection_ends import ConnectionEnd, ProtocolError
 from gullhold.net.write_buffer import WriteBuffer
@@ -114,7 +114,7 @@
         self.probed_at = 0  # when a health check was sent that is not answered yet; 0: none
         self.local_end: ConnectionEnd | None = None
         self.connection: Connection | None = None  # once it is up
-        self.address = host_port(endpoint.address)
+        self.address = split_host_port(endpoint.address)
 
     def start(self) -> None:
         """Connect and read in a new thread. Raises RuntimeError where it can't be started."""
--- a/gullhold/net/health_check.py
+++ b/gullhold/net/health_check.py
@@ -3,7 +3,7 @@
 import socket
 import sys
 
-from gullhold.net import host_port, thrift
+from gullhold.net import split_host_port, thrift
 from gullhold.net.connection_ends import ProtocolError
 
 SEQUENCE_NUMBER = 1
@@ -29,7 +29,7 @@
 def check(address: str, timeout_s: float) -> int:
     """Print whether the gateway at HOST:PORT serves; return the exit status, 0 if it does."""
     try:
-        serves = is_serving(host_port(address), timeout_s)
+        serves = is_serving(split_host_port(address), timeout_s)
         if serves is None:
             raise ConnectionRefusedError("nobody listens there")
     except (OSError, ValueError, ProtocolError) as error:
--- a/gullhold/net/list_change.py
+++ b/gullhold/net/list_change.py
@@ -4,7 +4,7 @@
 
 from gullhold.agreement import index_of
 from gullhold.interface import Agreement, EngineEntry, EngineState
-from gullhold.net import US_PER_MS, host_port
+from gullhold.net import US_PER_MS, split_host_port
 from gullhold.net.connection_ends import ProtocolError
 from gullhold.net.engine_ids import EngineIds
 
@@ -39,7 +39,7 @@
             entry = _parse_member(member, agreement, engine_ids)
             entries.append(entry)
             if member.get("host_port"):
-                host, port = host_port(member["host_port"])
+                host, port = split_host_port(member["host_port"])
                 addresses[entry.id] = f"{host}:{port}"
             if member["phase"] == REMOVED_PHASE:
                 engine_ids.forget(member["id"])
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from gullhold.interface import Agreement
-from gullhold.net import host_port
+from gullhold.net import split_host_port
 from gullhold.net.client_connection import CROSSING_TIME_S, POLL_INTERVAL_S, ClientConnection
 from gullhold.net.core import Core
 from gullhold.net.pending_requests import PeerAddress
@@ -43,7 +43,7 @@
         self.clients = core.statement_memory.clients
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.bind(host_port(address))
+        self.sock.bind(split_host_port(address))
         self.sock.listen(socket.SOMAXCONN)
         self._accepted: tuple[socket.socket, tuple[str, int]] | None = None  # but not served yet
 
--- a/gullhold/testing/fleet_process.py
+++ b/gullhold/testing/fleet_process.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from gullhold.net import host_port
+from gullhold.net import split_host_port
 from gullhold.testing import PATIENCE_S
 from gullhold.testing.relay import Relay
 from gullhold.testing.running import ROOT, free_address
@@ -69,7 +69,7 @@
         self.relay = Relay(store_address)
         self.process: subprocess.Popen | None = None
         self.listen = free_address()
-        self.address = host_port(self.listen)
+        self.address = split_host_port(self.listen)
         self.folder = folder / name
         self.folder.mkdir()
         self.log = self.folder / "log"
--- a/gullhold/testing/register/server.py
+++ b/gullhold/testing/register/server.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from gullhold.net import host_port
+from gullhold.net import split_host_port
 from gullhold.testing.register.calls import NOT_FOUND_CODE, Calls
 from gullhold.testing.register.faults import Faults
 from gullhold.testing.register.journal import Journal
@@ -191,7 +191,7 @@
     store = Store(path, sync)
     with open(journal or "/dev/null", "a", encoding="utf-8") as lines:
         journal_writer = Journal(lines if journal else None)
-        server = Server(host_port(listen), store, journal_writer, scripted)
+        server = Server(split_host_port(listen), store, journal_writer, scripted)
         journal_writer.write_start(store.revision, store.keys)
         threading.Thread(target=server.expire_leases, daemon=True, name="leases").start()
         on_ready()
--- a/gullhold/testing/relay.py
+++ b/gullhold/testing/relay.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from enum import StrEnum
 
-from gullhold.net import host_port
+from gullhold.net import split_host_port
 from gullhold.testing import listening
 
 CHUNK_BYTES = 65536
@@ -41,7 +41,7 @@
 
     def __init__(self, target: str) -> None:
         """target: HOST:PORT."""
-        self.target = host_port(target)
+        self.target = split_host_port(target)
         self.delay_s = 0.0
         self._modes = dict.fromkeys(Direction, RelayMode.OPEN)
         self._changed = threading.Condition()
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from gullhold.net import host_port
+from gullhold.net import split_host_port
 from gullhold.testing import PATIENCE_S, gateway_log
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
@@ -60,7 +60,7 @@
         self, folder: Path, plan: Plan, engines: Sequence[SoakEngine], command: Sequence[str]
     ) -> None:
         listen = free_address()
-        self.address = host_port(listen)
+        self.address = split_host_port(listen)
         self.discovery = DiscoveryService()
         configuration = config(*engines, max_open=1000) | {
             "listen": listen,
