--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -70,8 +70,8 @@
         if pending.attempt is not attempt:
             return
         pending.attempt = None
-        if connection and connection.open.get(pending.request.transaction_id) is attempt:
-            del connection.open[pending.request.transaction_id]
+        if connection and connection.open_attempts.get(pending.request.transaction_id) is attempt:
+            del connection.open_attempts[pending.request.transaction_id]
             connection.used_at = core.now
         attempt.release()
         pending.last_outcome = OUTCOME_TEXTS[outcome]
@@ -104,7 +104,7 @@
         connection = attempt.connection
         transaction_id = attempt.pending.request.transaction_id
         self._log_abandoned(attempt, outcome)
-        if connection and connection.open.get(transaction_id) is attempt:
+        if connection and connection.open_attempts.get(transaction_id) is attempt:
             if connection.write_buffer.withdraw(attempt.message):
                 outcome = Outcome.NOT_STARTED
             elif self._needs_confirmation(attempt, outcome):
@@ -113,7 +113,7 @@
                 return
             else:
                 self._abort_without_confirmation(attempt, connection)
-            del connection.open[transaction_id]
+            del connection.open_attempts[transaction_id]
         self.core.defer(self.end, attempt, outcome)
 
     def cancel_confirmed(self, connection: EngineConnection, tag: bytes) -> None:
@@ -154,7 +154,7 @@
         attempt.message = encode_fetch(core.now)
         attempt.connection = connection
         connection.used_at = core.now
-        connection.open[request.transaction_id] = attempt
+        connection.open_attempts[request.transaction_id] = attempt
         tokens = attempt.fencing_tokens
         # The remaining time is encoded again where the message has to wait: its connection may come up late,
         # or the messages before it may be read late.
--- a/gullhold/net/endpoint_list.py
+++ b/gullhold/net/endpoint_list.py
@@ -62,6 +62,6 @@
     def _withdraw_unsent(self, endpoint: EngineEndpoint) -> None:
         """End the attempts of which nothing was sent: they must not go to this engine any more."""
         for connection in list(endpoint.connections):
-            for attempt in list(connection.open.values()):
+            for attempt in list(connection.open_attempts.values()):
                 if connection.write_buffer.withdraw(attempt.message):
                     self.core.defer(self.core.attempts.end, attempt, Outcome.NOT_STARTED)
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -104,7 +104,7 @@
         self.core = core
         self.decoder = resp.Decoder(max_message_bytes)
         self.write_buffer = WriteBuffer(max_buffered_bytes, core.counters, core.flusher)
-        self.open: dict[bytes, Attempt] = {}  # by the id of the command
+        self.open_attempts: dict[bytes, Attempt] = {}  # by the id of the command
         self.abandoned_ids: set[bytes] = set()  # transaction ids for which late replies may arrive
         self.confirmations: dict[bytes, Attempt] = {}  # by the tag that confirms the abort
         self.is_ended = False
@@ -126,7 +126,7 @@
             return False
         if self.probed_at:  # it is silent
             return False
-        return len(self.open) < max_streams and transaction_id not in self.abandoned_ids
+        return len(self.open_attempts) < max_streams and transaction_id not in self.abandoned_ids
 
     def begin_close(self, end: ConnectionEnd) -> None:
         """Begin to close the connection from our side; the reader thread wakes and reports the end."""
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -53,7 +53,7 @@
         for connection in list(self.core.pool.connections):
             if connection.connection is None:
                 continue
-            if connection.open:
+            if connection.open_attempts:
                 self._check_silence(connection)
             elif connection.is_retired or connection.endpoint.state != EngineState.READY:
                 connection.begin_close(ConnectionEnd.RETIRED)
@@ -62,7 +62,7 @@
 
     def _check_silence(self, connection: EngineConnection) -> None:
         now = self.core.now
-        oldest_reply_at = min(attempt.last_reply_at for attempt in connection.open.values())
+        oldest_reply_at = min(attempt.last_reply_at for attempt in connection.open_attempts.values())
         silent_us = now - max(connection.last_reply_at, oldest_reply_at)
         lost_after_us = self.limits.lost_after_us
         if 0 < lost_after_us <= silent_us:
@@ -74,7 +74,7 @@
 
     def _stop_lost_attempts(self, connection: EngineConnection) -> None:
         """Stop attempts without any reply for too long, although their connection works."""
-        for attempt in list(connection.open.values()):
+        for attempt in list(connection.open_attempts.values()):
             is_lost = self.core.now - attempt.last_reply_at >= self.limits.lost_after_us
             if is_lost and attempt.outcome_once_confirmed is None:
                 self.core.counters.add("attempts_unanswered")
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -47,13 +47,15 @@
         # request that an engine can't read costs no other attempt. But some engines close a connection once
         # nothing else is open on it, although pages or a fetch are still to come: their attempts share them.
         max_preferred_open = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
-        preferred = [connection for connection in usable if len(connection.open) < max_preferred_open]
+        preferred = [
+            connection for connection in usable if len(connection.open_attempts) < max_preferred_open
+        ]
         if preferred:  # the fullest; of idle ones the last used, so that others can be closed
-            return max(preferred, key=lambda connection: (len(connection.open), connection.used_at))
+            return max(preferred, key=lambda connection: (len(connection.open_attempts), connection.used_at))
         if len(self.holding_descriptor) < self.max_connections:
             return self._open(endpoint)
         if usable:
-            return min(usable, key=lambda connection: len(connection.open))
+            return min(usable, key=lambda connection: len(connection.open_attempts))
         self._close_idle_ones()
         return None
 
@@ -66,7 +68,7 @@
         if connection.is_ended or connection.local_end or connection.connection is None:
             return
         self.counters.add("engine_connections_opened")
-        for attempt in list(connection.open.values()):
+        for attempt in list(connection.open_attempts.values()):
             may_go = self._may_still_go(connection, attempt)
             if not may_go and connection.write_buffer.withdraw(attempt.message):
                 self.counters.add("attempts_withdrawn")
@@ -101,7 +103,7 @@
 
     def is_idle(self, connection: EngineConnection) -> bool:
         """Whether the engine may be about to close an idle connection: we close first."""
-        if connection.open:
+        if connection.open_attempts:
             return False
         idle_us = self.core.now - connection.used_at
         return 0 < self.agreement.idle_timeout_us < idle_us + 2 * self.core.limits.sweep_interval_us
@@ -126,7 +128,7 @@
     def _close_idle_ones(self) -> None:
         """Close idle connections: the next attempt needs a descriptor."""
         for connection in self.connections:
-            if not connection.open and not connection.is_ended:
+            if not connection.open_attempts and not connection.is_ended:
                 connection.begin_close(ConnectionEnd.RETIRED)
         self.counters.add("engine_connections_no_descriptor")
 
@@ -150,7 +152,7 @@
 
     def _log_close(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
         is_planned = end in (ConnectionEnd.IDLE, ConnectionEnd.RETIRED)
-        is_routine = is_planned or (end == ConnectionEnd.CLOSED_BY_PEER and not connection.open)
+        is_routine = is_planned or (end == ConnectionEnd.CLOSED_BY_PEER and not connection.open_attempts)
         event = LoggedEvent(
             self.core.now,
             EventKind.CONNECTION_CLOSED,
@@ -158,7 +160,7 @@
             connection=f"engine {connection.endpoint.address}",
             old_state="open" if connection.connection else "connecting",
             new_state="closed",
-            open=len(connection.open),
+            open=len(connection.open_attempts),
             detail=text,
         )
         self.core.event_log.add(event, not is_routine)
@@ -166,10 +168,10 @@
     def _end_attempts(self, connection: EngineConnection, end: ConnectionEnd) -> None:
         """End the open attempts; where we closed, only after the engine has had the time to notice."""
         delay_us = self.agreement.connect_timeout_us if end in connection_ends.CAUSED_BY_GATEWAY else 0
-        for attempt in list(connection.open.values()):
+        for attempt in list(connection.open_attempts.values()):
             outcome = self._outcome(connection, attempt, end)
             if delay_us > 0:
-                del connection.open[attempt.pending.request.transaction_id]
+                del connection.open_attempts[attempt.pending.request.transaction_id]
                 self.core.call_later(self.core.now + delay_us, self.core.attempts.end, attempt, outcome)
             else:
                 self.core.attempts.end(attempt, outcome)
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -51,7 +51,7 @@
         if reply == engine_protocol.ALIVE:
             self.core.attempts.cancel_confirmed(connection, transaction_id)
             return
-        attempt = connection.open.get(transaction_id)
+        attempt = connection.open_attempts.get(transaction_id)
         if attempt is None:  # a late reply to an abandoned attempt, or an unknown id
             self.counters.add("unmatched_replies")
             if reply in engine_protocol.FINAL_REPLIES:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -263,7 +263,7 @@
             "threads": census.engine_threads,
             "running": census.engine_attempts,
             "held": census.queued_tenants,
-            "sends": sum(len(connection.open) for connection in core.pool.connections),
+            "sends": sum(len(connection.open_attempts) for connection in core.pool.connections),
             "bytes": core.statement_memory.used_bytes,
         }
         return {name: size for name, size in sizes.items() if size}
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -51,11 +51,11 @@
 def _skip_cancel_confirmation(_stop: Method) -> Method:
     def call(self: Attempts, attempt: Attempt, outcome: Outcome) -> None:
         connection, txn = attempt.connection, attempt.pending.request.transaction_id
-        is_open = connection and connection.open.get(txn) is attempt
+        is_open = connection and connection.open_attempts.get(txn) is attempt
         if is_open and not connection.write_buffer.withdraw(attempt.message):
             self.core.pool.send_control(connection, engine_protocol.ABORT, txn)
             connection.abandoned_ids.add(txn)
-            del connection.open[txn]
+            del connection.open_attempts[txn]
         self.core.defer(self.end, attempt, outcome)
 
     return call
@@ -139,7 +139,7 @@
 
 def _append_duplicate(received_array: Method) -> Method:
     def call(self: EngineReplies, connection: EngineConnection, words: list[bytes]) -> None:
-        attempt = connection.open.get(words[0])
+        attempt = connection.open_attempts.get(words[0])
         if words[1] == engine_protocol.ANSWER and attempt and attempt.pages:
             self._add_page(connection, attempt, words[3])
         else:
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -218,7 +218,7 @@
 def leave_while_the_core_is_blocked(gateway, client, requests, blocked_s):
     """Close a client's connection so that its end is handled once the core was blocked for so long."""
     until(lambda: client_open(gateway) == requests and gateway.count("attempts_ended_overloaded"))
-    until(lambda: not any(connection.open for connection in list(gateway.core.pool.connections)))
+    until(lambda: not any(connection.open_attempts for connection in list(gateway.core.pool.connections)))
     (inside,) = gateway.listener.clients
     with BlockedCore(gateway.core):
         client.sock.close()
