--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -78,7 +78,7 @@
     listener = _open_listener(configuration, core, max_message_bytes, max_clients, admission)
     discovery_client = DiscoveryClient(
         configuration.discovery_address,
-        configuration.last_event,
+        configuration.last_event_index,
         core,
         max_message_bytes,
         configuration.engine_ids,
--- a/gullhold/net/configuration.py
+++ b/gullhold/net/configuration.py
@@ -27,13 +27,13 @@
     """What a configuration file states.
 
     list_changes: the endpoint list at the start; engine_ids: the numbers given to the engines' names so far;
-    last_event: the index of the list's last event; discovery_address: HOST:PORT; None: the list is fixed.
+    last_event_index: the index of the list's last event; discovery_address: HOST:PORT; None: the list is fixed.
     """
 
     agreement: Agreement
     engine_ids: EngineIds
     list_changes: list[ListChange]
-    last_event: int
+    last_event_index: int
     seed: int
     discovery_address: str | None
     listen_address: str
@@ -63,7 +63,7 @@
         agreement=agreement,
         engine_ids=engine_ids,
         list_changes=list_changes,
-        last_event=int(known.get("index", 0)),
+        last_event_index=int(known.get("index", 0)),
         seed=int(str(tree.get("seed", "0")), 16),
         discovery_address=tree.get("coordinator"),
         listen_address=os.environ.get(LISTEN_VARIABLE) or tree["listen"],
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -201,7 +201,7 @@
         )
         self.reader = RequestReader(agreement, None, self.core.retry_after_field)
         self.engine_ids = configuration.engine_ids
-        self.event_stream = event_stream.EventStream(configuration.last_event, MAX_DISCOVERY_LINE_BYTES)
+        self.event_stream = event_stream.EventStream(configuration.last_event_index, MAX_DISCOVERY_LINE_BYTES)
         self.core.begin(configuration.list_changes)
         self.wake()
 
--- a/gullhold/simulation/world.py
+++ b/gullhold/simulation/world.py
@@ -98,7 +98,7 @@
             agreement=self.agreement,
             engine_ids=engine_ids,
             list_changes=[complete_list],
-            last_event=self.discovery.last_index,
+            last_event_index=self.discovery.last_index,
             seed=self.random.getrandbits(32),
             discovery_address=None,
             listen_address="",
