--- a/gullhold/net/configuration.py
+++ b/gullhold/net/configuration.py
@@ -26,8 +26,9 @@
 class Configuration(NamedTuple):
     """What a configuration file states.
 
-    list_changes: the endpoint list at the start; engine_ids: the numbers given to the engines' names so far;
-    last_event_index: the index of the list's last event; discovery_address: HOST:PORT; None: the list is fixed.
+    list_changes: the endpoint list at the start; engine_ids: the ids given to the engines' names so far;
+    last_event_index: the index of the last event in that list; discovery_address: HOST:PORT of the discovery
+    service, None: the list never changes.
     """
 
     agreement: Agreement
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -40,11 +40,11 @@
             for array in arrays:
                 if connection.is_ended:
                     return
-                self._received_array(connection, array)
+                self._handle_array(connection, array)
         except (ProtocolError, ValueError) as error:
             self.core.pool.drop(connection, ConnectionEnd.MALFORMED, str(error))
 
-    def _received_array(self, connection: EngineConnection, array: list[bytes]) -> None:
+    def _handle_array(self, connection: EngineConnection, array: list[bytes]) -> None:
         if len(array) < MIN_STRINGS:
             raise ProtocolError(f"an answer of {len(array)} words")
         transaction_id, reply, encoded_fields, body = (*array, b"", b"")[:MAX_STRINGS]
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -174,7 +174,7 @@
     "answers with another sequence number": Mutant(
         Rule.ONE_ANSWER, thrift, "encode_answer", _use_previous_sequence_number
     ),
-    "duplicate answers appended": Mutant(Rule.INTACT, EngineReplies, "_received_array", _append_duplicate),
+    "duplicate answers appended": Mutant(Rule.INTACT, EngineReplies, "_handle_array", _append_duplicate),
 }
 
 
