--- a/tests/faults/test_clock.py
+++ b/tests/faults/test_clock.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from serving import PATIENCE, until
+from serving import WAIT_TIMEOUT_S, until
 
 from faults.plan import Plan
 from faults.traffic import FaultyGateway
@@ -48,5 +48,5 @@
         assert set(gateway.record.counts) == {"answered"}
         began = time.monotonic()
         gateway.process.send_signal(signal.SIGTERM)
-        assert gateway.process.wait(PATIENCE) == 0
+        assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
         assert time.monotonic() - began < 4
--- a/tests/faults/test_resource_exhaustion.py
+++ b/tests/faults/test_resource_exhaustion.py
@@ -3,7 +3,7 @@
 import signal
 
 import pytest
-from serving import PATIENCE, until
+from serving import WAIT_TIMEOUT_S, until
 
 from faults.plan import Plan
 from faults.traffic import FaultyGateway
@@ -44,4 +44,4 @@
         assert not gateway.run_for(0.5)
         assert gateway.record.counts["answered"] > 4
         gateway.process.send_signal(signal.SIGTERM)
-        assert gateway.process.wait(PATIENCE) == 0
+        assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -5,7 +5,7 @@
 from threading import Thread
 
 import pytest
-from serving import PATIENCE
+from serving import WAIT_TIMEOUT_S
 
 from faults.plan import Plan
 from faults.traffic import FaultyGateway, statement
@@ -42,7 +42,7 @@
                 time.sleep(self.pause_s)
         except OSError:
             pass  # its end
-        reader.join(PATIENCE)
+        reader.join(WAIT_TIMEOUT_S)
 
     def _read(self):
         try:
@@ -78,10 +78,10 @@
             time.sleep(0.1)
         began = time.monotonic()
         gateway.process.send_signal(signal.SIGTERM)
-        assert gateway.process.wait(PATIENCE) == 0
+        assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
         assert time.monotonic() - began < deadline_s + AFTER_S
         for client in clients:
-            client.join(PATIENCE)
+            client.join(WAIT_TIMEOUT_S)
         assert [client.lost() for client in clients] == [[]] * len(clients)
         assert not gateway.record.violations
         assert "Traceback" not in gateway.log_text()
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -3,7 +3,7 @@
 import signal
 
 import pytest
-from serving import PATIENCE, until
+from serving import WAIT_TIMEOUT_S, until
 
 from faults.plan import Plan
 from faults.traffic import FaultyGateway
@@ -44,7 +44,7 @@
         assert ("Traceback" in gateway.log_text()) == (name == "waits that fail")  # logged, and gone on from
         plan.clear()
         gateway.process.send_signal(signal.SIGTERM)
-        assert gateway.process.wait(PATIENCE) == 0
+        assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -17,7 +17,7 @@
 from threading import Lock, Thread
 from typing import Any, Self
 
-from serving import PATIENCE, ROOT, until
+from serving import ROOT, WAIT_TIMEOUT_S, until
 
 from faults.plan import Plan
 from gullhold.net import health_check, resp
@@ -298,7 +298,7 @@
         for client in self.clients:
             client.is_stopped = True
         for client in self.clients:
-            client.join(PATIENCE)
+            client.join(WAIT_TIMEOUT_S)
 
     def run_for(self, seconds: float) -> list[str]:
         """Let it run for so long, then stop the clients; returns the violations."""
--- a/tests/races.py
+++ b/tests/races.py
@@ -8,7 +8,7 @@
 from types import TracebackType
 from typing import NamedTuple, Self
 
-from serving import PATIENCE
+from serving import WAIT_TIMEOUT_S
 
 from gullhold.net.core import Core
 from gullhold.testing.client import Caller
@@ -26,11 +26,11 @@
 
     def _block(self) -> None:
         self.blocked.set()
-        self.released.wait(PATIENCE)
+        self.released.wait(WAIT_TIMEOUT_S)
 
     def __enter__(self) -> Self:
         self.core.post(self._block)
-        assert self.blocked.wait(PATIENCE)
+        assert self.blocked.wait(WAIT_TIMEOUT_S)
         return self
 
     def __exit__(self, *_: type[BaseException] | BaseException | TracebackType | None) -> None:
@@ -55,9 +55,9 @@
         """Make room in the backlog and return the next connection."""
         self.backlog_filler.close()
         self.sock.accept()[0].close()
-        self.sock.settimeout(PATIENCE)
+        self.sock.settimeout(WAIT_TIMEOUT_S)
         connection = self.sock.accept()[0]
-        connection.settimeout(PATIENCE)
+        connection.settimeout(WAIT_TIMEOUT_S)
         return connection
 
     def close(self) -> None:
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -14,13 +14,13 @@
 from gullhold.testing import gateway_log
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 8  # seconds until a wait fails: far more than any of these takes
+WAIT_TIMEOUT_S = 8  # far longer than any of these waits takes
 POLL_INTERVAL_S = 0.005
 
 
 def until(condition):
-    """Wait until a condition holds; fail after PATIENCE."""
-    end = time.monotonic() + PATIENCE
+    """Wait until a condition holds; fail after WAIT_TIMEOUT_S."""
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         assert time.monotonic() < end, "waited in vain"
         time.sleep(POLL_INTERVAL_S)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from serving import PATIENCE, Gateway, free_port, listens, until
+from serving import WAIT_TIMEOUT_S, Gateway, free_port, listens, until
 
 from gullhold.testing.client import Caller
 from gullhold.testing.deployment import config, event
@@ -77,7 +77,7 @@
             assert caller.answer() == (seq, b"a\tb\tc\n")
         assert len(here.messages(b"fetch")) == before
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_an_event_cut_in_two_by_a_move_is_heard_once_and_the_old_stream_no_more(tmp_path):
@@ -129,7 +129,7 @@
     for sock in crowd:
         sock.close()
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_the_list_of_engines_is_followed_and_a_drain_stops_sends(tmp_path):
--- a/tests/test_logsink.py
+++ b/tests/test_logsink.py
@@ -2,7 +2,7 @@
 
 from threading import Event
 
-from serving import PATIENCE, until
+from serving import WAIT_TIMEOUT_S, until
 
 from gullhold.net.counters import Counters
 from gullhold.net.logsink import MAX_QUEUED_LINES, LogSink
@@ -14,7 +14,7 @@
             self.go, self.text = Event(), ""
 
         def write(self, text):
-            self.go.wait(PATIENCE)
+            self.go.wait(WAIT_TIMEOUT_S)
             self.text += text
 
         def flush(self):
@@ -27,6 +27,6 @@
     assert counters.counts["log_lines_dropped"] in (99, 100)
     stream.go.set()
     until(sink.lines.empty)
-    sink.finish(PATIENCE)
+    sink.finish(WAIT_TIMEOUT_S)
     assert stream.text.startswith("0\n1\n2\n")
     assert not sink.thread.is_alive()
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -5,7 +5,7 @@
 import time
 
 from races import CLIENT_CLOSED, read_to_end
-from serving import PATIENCE, Gateway, free_port, listens, until
+from serving import WAIT_TIMEOUT_S, Gateway, free_port, listens, until
 
 from gullhold.net import resp, thrift
 from gullhold.testing.client import Caller
@@ -73,7 +73,7 @@
     threads = [threading.Thread(target=rests, args=(caller,)) for caller in callers]
     for thread in threads:
         thread.start()
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     for thread in threads:
         thread.join()
     assert ends.count((b"", True)) >= 10
@@ -113,10 +113,10 @@
     time.sleep(0.3)
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     assert time.monotonic() - began < 1.0 + 0.7
     for thread in threads:
-        thread.join(PATIENCE)
+        thread.join(WAIT_TIMEOUT_S)
     assert not broken
     assert not odd
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from serving import PATIENCE, free_port, listens, until
+from serving import WAIT_TIMEOUT_S, free_port, listens, until
 
 from gullhold.__main__ import main
 from gullhold.net import service
@@ -43,7 +43,7 @@
     assert other.answer()[1] == "unfit"
     assert client.answer() == (long, "fault")
     assert 2.5 < time.monotonic() - began < 3.7
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     log = process.stderr.read()
     assert log.count("requests_received=1") == 1
     assert log.count("requests_received=2") == 1
@@ -97,7 +97,7 @@
     process.send_signal(signal.SIGHUP)
     until(lambda: new.follow_requests)
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     assert time.monotonic() - began < 3
     assert process.stderr.read().count("counters: ") == 1  # at the end alone
 
@@ -114,7 +114,7 @@
     path.write_text(json.dumps(told | {"coordinator": new.address}))
     until(lambda: new.follow_requests)
     process.terminate()
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     log = process.stderr.read()
     assert log.count("configuration rejected, previous one kept") == 1
     assert log.count("configuration reloaded") == 1
@@ -187,7 +187,7 @@
         caller.sock.close()
     until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220)  # links stay a while
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_a_log_that_nobody_reads_stops_nobody(launch):
@@ -205,7 +205,7 @@
     seq = caller.ask()
     assert caller.answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     os.close(reading)
     os.close(writing)
 
@@ -228,5 +228,5 @@
         assert caller.answer() == (seq, b"a\tb\tc\n")
         caller.sock.close()
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     assert "accepts_deferred" in process.stderr.read()
