--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 from loguru import logger
-from serving import Gateway, launched
+from serving import Gateway, start_process
 
 from gullhold.testing import gateway_log
 from gullhold.testing.client import Caller
@@ -44,7 +44,7 @@
     made = []
 
     def make(told, *words, **other):
-        made.append(launched(tmp_path, told, *words, **other))
+        made.append(start_process(tmp_path, told, *words, **other))
         return made[-1]
 
     yield make
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -75,7 +75,7 @@
     return path
 
 
-def launched(tmp_path, configuration, *arguments, stderr=subprocess.PIPE):
+def start_process(tmp_path, configuration, *arguments, stderr=subprocess.PIPE):
     """Start Python with these arguments, by default a gateway, in a process of its own."""
     path = write_configuration(tmp_path, configuration)
     environment = {**os.environ, "GW_CONFIG": str(path)}
@@ -90,7 +90,7 @@
     )
 
 
-def listens(port):
+def is_listening(port):
     """Whether something listens on a port of this machine."""
     with socket.socket() as sock:
         return sock.connect_ex(("127.0.0.1", port)) == 0
@@ -102,6 +102,6 @@
         return sock.getsockname()[1]
 
 
-def client_open(gateway):
+def open_sequence_ids(gateway):
     """Numbers of all that clients have open."""
     return {cmd.sequence_id for cmd in gateway.core.requests.by_number.values() if cmd.client}
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from serving import client_open, until
+from serving import open_sequence_ids, until
 
 from gullhold.net import resp
 from gullhold.testing.scripted import Engine, endless, mute, ok, raw, resets, says
@@ -182,7 +182,7 @@
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert time.monotonic() - began < 1
     assert gateway.count("engine_connections_ended_malformed") == 1
-    assert first in client_open(gateway)
+    assert first in open_sequence_ids(gateway)
     client.interrupt(first)
 
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -4,7 +4,7 @@
 import time
 from threading import Thread
 
-from serving import client_open, until
+from serving import open_sequence_ids, until
 
 from gullhold.net import client_connection, listener, thrift
 from gullhold.testing.client import Caller
@@ -148,12 +148,12 @@
 def test_a_request_that_was_taken_back_makes_room_at_once_for_the_next(start):
     gateway, client = start(Engine(endless))
     seqs = [client.ask() for _ in range(32)]
-    until(lambda: len(client_open(gateway)) == 32)
+    until(lambda: len(open_sequence_ids(gateway)) == 32)
     gateway.core.post(time.sleep, 0.3)  # the core is behind
     for seq in seqs[:5]:
         client.interrupt(seq)
         client.ask()
-    until(lambda: len(client_open(gateway)) == 32 and gateway.count("interrupted") == 5)
+    until(lambda: len(open_sequence_ids(gateway)) == 32 and gateway.count("interrupted") == 5)
     assert not gateway.count("rejected_connection_limit")
 
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -5,7 +5,7 @@
 
 import pytest
 from races import CLIENT_CLOSED, BlockedCore
-from serving import Gateway, client_open, until
+from serving import Gateway, open_sequence_ids, until
 
 from gullhold.net import backpressure, client_limits, thrift
 from gullhold.testing.client import Caller
@@ -217,7 +217,7 @@
 
 def leave_while_the_core_is_blocked(gateway, client, requests, blocked_s):
     """Close a client's connection so that its end is handled once the core was blocked for so long."""
-    until(lambda: client_open(gateway) == requests and gateway.count("attempts_ended_overloaded"))
+    until(lambda: open_sequence_ids(gateway) == requests and gateway.count("attempts_ended_overloaded"))
     until(lambda: not any(connection.open_attempts for connection in list(gateway.core.pool.connections)))
     (inside,) = gateway.listener.clients
     with BlockedCore(gateway.core):
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from serving import WAIT_TIMEOUT_S, Gateway, free_port, listens, until
+from serving import WAIT_TIMEOUT_S, Gateway, free_port, is_listening, until
 
 from gullhold.testing.client import Caller
 from gullhold.testing.deployment import config, event
@@ -58,7 +58,7 @@
     """What came meanwhile is read at once: many requests, and one event of the endpoint list."""
     feed, old, new, port = DiscoveryService(), Engine(), Engine(), free_port()
     process = launch(config(old) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address})
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(20)]
     for caller in callers:
         caller.send("check", b"\x02\0\1\1")
@@ -119,7 +119,7 @@
     told = config(engine) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address}
     told["limits"]["sockets"] = 60
     process = launch(told)
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     until(lambda: feed.follow_requests)
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (60, 60))
     crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(120)]
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -3,7 +3,7 @@
 import signal
 import time
 
-from serving import free_port, listens, until
+from serving import free_port, is_listening, until
 
 from gullhold.net import eventlog
 from gullhold.net.eventlog import EventKind, EventLog, LoggedEvent
@@ -50,7 +50,7 @@
     port, engine, log = free_port(), Engine(resets, ok()), tmp_path / "log"
     with open(log, "wb") as file:
         process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"}, stderr=file)
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     client = Caller(("127.0.0.1", port))
     seq = client.ask(txn=b"00000000000000ab")
     assert client.answer() == (seq, b"a\tb\tc\n")
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -5,7 +5,7 @@
 import time
 
 from races import CLIENT_CLOSED, read_to_end
-from serving import WAIT_TIMEOUT_S, Gateway, free_port, listens, until
+from serving import WAIT_TIMEOUT_S, Gateway, free_port, is_listening, until
 
 from gullhold.net import resp, thrift
 from gullhold.testing.client import Caller
@@ -53,7 +53,7 @@
     """Exiting over unread bytes resets: some clients rest until the gateway ends them, and ask just then."""
     engine, port = Engine(), free_port()
     process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(10)]
     for caller in callers:
         seq = caller.ask()
@@ -88,7 +88,7 @@
     for item in told["settings"]["categories"]:
         item["give_up"] = 1.0
     process = launch(told)
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     broken, odd = [], []
 
     def asks():
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from serving import WAIT_TIMEOUT_S, free_port, listens, until
+from serving import WAIT_TIMEOUT_S, free_port, is_listening, until
 
 from gullhold.__main__ import main
 from gullhold.net import service
@@ -26,7 +26,7 @@
     told["settings"]["limits"]["cancel"] = False  # the open one must not be started afresh
     told["settings"]["domain"]["note_period"] = 0  # nor be given up for lost
     process = launch(told)
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     client = Caller(("127.0.0.1", port))
     client.send("check", b"\x02\0\1\1")
     assert client.answer()[1] == b""
@@ -172,7 +172,7 @@
 def test_hundreds_of_connections_stay_inside_the_limits_of_memory_and_descriptors(launch):
     engine, port = Engine(), free_port()
     process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(330)]  # about the third that clients may hold
     asked = [[caller.ask() for _ in range(3)] for caller in callers]
     for caller, seqs in zip(callers, asked, strict=True):
@@ -197,7 +197,7 @@
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     process = launch(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=writing)
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     for _ in range(300):
         process.send_signal(signal.SIGUSR1)  # each logs a long line
         time.sleep(0.001)
@@ -215,7 +215,7 @@
     told = config(engine) | {"listen": f"127.0.0.1:{port}"}
     told["limits"]["sockets"] = 40
     process = launch(told)
-    until(lambda: listens(port))
+    until(lambda: is_listening(port))
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
     first = Caller(("127.0.0.1", port))
     seq = first.ask()
