--- a/tests/races.py
+++ b/tests/races.py
@@ -13,7 +13,7 @@
 from gullhold.net.core import Core
 from gullhold.testing.client import Caller
 
-CLIENT_CLOSED = "client_connections_ended_closed_by_peer"  # the counter of clients that left
+CLIENTS_CLOSED_COUNTER = "client_connections_ended_closed_by_peer"  # the counter of clients that left
 
 
 class BlockedCore:
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -29,25 +29,25 @@
 class Gateway:
     """A gateway in this process.
 
-    held: names of threads that go() starts later; door_record: settings of an admission queue.
+    delayed_threads: names of threads that go() starts later; door_record: settings of an admission queue.
     """
 
-    def __init__(self, tmp_path, configuration, held=(), door_record=None):
+    def __init__(self, tmp_path, configuration, delayed_threads=(), door_record=None):
         path = write_configuration(tmp_path, configuration)
         parts = build_parts(load_configuration(path), door_record)
         self.core = parts.core
         self.listener = parts.listener
-        self.coordinator = parts.discovery_client
+        self.discovery_client = parts.discovery_client
         self.address = self.listener.sock.getsockname()
         self.configuration = load_configuration(path)
-        self.parts = parts.background_threads()
-        self.parts["core"] = lambda: self.core.run(self.configuration.list_changes)
-        self.go(*(name for name in self.parts if name not in held))
+        self.thread_functions = parts.background_threads()
+        self.thread_functions["core"] = lambda: self.core.run(self.configuration.list_changes)
+        self.start_threads(*(name for name in self.thread_functions if name not in delayed_threads))
 
-    def go(self, *names):
+    def start_threads(self, *names):
         """Start these threads; those held back at first wait for it."""
         for name in names:
-            Thread(target=self.parts[name], daemon=True).start()
+            Thread(target=self.thread_functions[name], daemon=True).start()
 
     def count(self, name):
         """Return a counter."""
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from races import CLIENT_CLOSED, BlockedCore
+from races import CLIENTS_CLOSED_COUNTER, BlockedCore
 from serving import Gateway, open_sequence_ids, until
 
 from gullhold.net import backpressure, client_limits, thrift
@@ -224,7 +224,7 @@
         client.sock.close()
         until(lambda: inside.has_left)
         time.sleep(blocked_s)
-    until(lambda: gateway.count(CLIENT_CLOSED) == 1 and not gateway.listener.clients)
+    until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1 and not gateway.listener.clients)
     return inside
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -21,11 +21,13 @@
 def test_what_left_while_a_gateway_started_gets_nothing_from_it(tmp_path):
     """The configuration's list is a second old by then: attempts went out before the stream's first event."""
     feed, old, new = DiscoveryService(), Engine(), Engine()
-    gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address}, held=("core", "coordinator"))
+    gateway = Gateway(
+        tmp_path, config(old) | {"coordinator": feed.address}, delayed_threads=("core", "coordinator")
+    )
     client = Caller(gateway.address)
     seq = client.ask()
     until(lambda: gateway.core.queue.qsize() == 1)
-    gateway.go("core", "coordinator")
+    gateway.start_threads("core", "coordinator")
     feed.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert not old.received
@@ -85,7 +87,7 @@
     gateway = Gateway(tmp_path, config() | {"coordinator": old.address})
     line = json.dumps(event(2, ("s-0", engines[0].address, "ready"))).encode() + b"\n"
     old.send(line[:40])
-    gateway.coordinator.change_address(new.address)
+    gateway.discovery_client.change_address(new.address)
     until(lambda: new.follow_requests)
     new.send(line, b"2\n")
     until(lambda: gateway.count("endpoint_list_events") == 2)
@@ -168,5 +170,5 @@
         feed.send(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
     assert not gateway.core.gateway.components.engines.by_id
-    assert not gateway.coordinator.engine_ids.ids_by_name
+    assert not gateway.discovery_client.engine_ids.ids_by_name
     gateway.end()
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -3,7 +3,7 @@
 import time
 
 import pytest
-from races import CLIENT_CLOSED, LateEngine
+from races import CLIENTS_CLOSED_COUNTER, LateEngine
 from serving import Gateway, until
 
 from gullhold.net import connection_ends, resp
@@ -36,7 +36,7 @@
     client.ask(limit=7000, txn=b"f%015x" % 1)
     until(lambda: gateway.core.pool.connections)
     client.sock.close()
-    until(lambda: gateway.count(CLIENT_CLOSED) == 1)
+    until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1)
     conn = late.accept()
     until(lambda: gateway.count("engine_connections_opened") == 1 and not gateway.core.requests.by_number)
     other = Caller(gateway.address)
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from races import CLIENT_CLOSED, read_to_end
+from races import CLIENTS_CLOSED_COUNTER, read_to_end
 from serving import WAIT_TIMEOUT_S, Gateway, free_port, is_listening, until
 
 from gullhold.net import resp, thrift
@@ -36,7 +36,7 @@
     def leaves(conn, verb, *words):
         if verb == b"more":
             client.sock.close()
-            until(lambda: gateway.count(CLIENT_CLOSED) == 1)
+            until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1)
             conn.sendall(resp.encode(words[0], b"chunk", b"page=1", b"4\t5\t6\n"))
         if verb == b"fetch":
             conn.sendall(resp.encode(words[0], b"200", b"pages=2,cost=20,need=64", b"1\t2\t3\n"))
