--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -94,7 +94,7 @@
             *attempt.resources,
         )
 
-    def stop(self, attempt: Attempt, outcome: Outcome) -> None:
+    def abandon(self, attempt: Attempt, outcome: Outcome) -> None:
         """Abandon an attempt: withdraw it if nothing of it was sent, else tell the engine.
 
         Guards against two attempts running at once: an abort and the fetch of the retry travel on different
@@ -215,7 +215,7 @@
 
     def _deadline_passed(self, attempt: Attempt) -> None:
         if attempt.pending.attempt is attempt:
-            self.stop(attempt, Outcome.TIMED_OUT)
+            self.abandon(attempt, Outcome.TIMED_OUT)
 
     def _log_retry(self, pending: "PendingRequest") -> None:
         event = LoggedEvent(
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -91,4 +91,4 @@
     def _cancel_attempt(self, cancel: CancelAttempt) -> None:
         pending = self.core.requests.by_number.get(cancel.command)
         if pending and pending.attempt and pending.attempt.number == cancel.attempt:
-            self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
+            self.core.attempts.abandon(pending.attempt, Outcome.CANCELLED)
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -78,7 +78,7 @@
             is_lost = self.core.now - attempt.last_reply_at >= self.limits.lost_after_us
             if is_lost and attempt.outcome_once_confirmed is None:
                 self.core.counters.add("attempts_unanswered")
-                self.core.attempts.stop(attempt, Outcome.RESET)
+                self.core.attempts.abandon(attempt, Outcome.RESET)
 
     def _probe(self, connection: EngineConnection) -> None:
         """Send a health check: connections to a machine that vanished stay open and silent."""
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -254,7 +254,7 @@
         self._log_rejection(pending, reason)
         self.answer(pending, message)
         if pending.attempt:  # it ends with the request
-            self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
+            self.core.attempts.abandon(pending.attempt, Outcome.CANCELLED)
 
     def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
         event = LoggedEvent(
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -48,7 +48,7 @@
     return call
 
 
-def _skip_cancel_confirmation(_stop: Method) -> Method:
+def _skip_cancel_confirmation(_abandon: Method) -> Method:
     def call(self: Attempts, attempt: Attempt, outcome: Outcome) -> None:
         connection, txn = attempt.connection, attempt.pending.request.transaction_id
         is_open = connection and connection.open_attempts.get(txn) is attempt
@@ -150,7 +150,7 @@
 
 MUTANTS: dict[str, Mutant] = {
     "draining ignored": Mutant(Rule.DRAIN, Gateway, "update_engines", _ignore_draining),
-    "cancel not confirmed": Mutant(Rule.OPEN_ONCE, Attempts, "stop", _skip_cancel_confirmation),
+    "cancel not confirmed": Mutant(Rule.OPEN_ONCE, Attempts, "abandon", _skip_cancel_confirmation),
     "answers sent twice": Mutant(Rule.ONE_ANSWER, PendingRequests, "answer", _send_answer_twice),
     "retries regardless of idempotency": Mutant(Rule.RUNS_ONCE, RetryPolicy, "may_retry", _retry_up_to_cap),
     "deduplication window doubled": Mutant(
