--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -68,11 +68,11 @@
         if 0 < lost_after_us <= silent_us:
             self.core.pool.drop(connection, ConnectionEnd.SILENT)
         elif 0 < lost_after_us <= now - oldest_reply_at:
-            self._stop_lost_attempts(connection)
+            self._abandon_lost_attempts(connection)
         elif silent_us >= self.limits.silent_after_us:
             self._probe(connection)
 
-    def _stop_lost_attempts(self, connection: EngineConnection) -> None:
+    def _abandon_lost_attempts(self, connection: EngineConnection) -> None:
         """Stop attempts without any reply for too long, although their connection works."""
         for attempt in list(connection.open_attempts.values()):
             is_lost = self.core.now - attempt.last_reply_at >= self.limits.lost_after_us
