--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def start(tmp_path):
+def start_gateway(tmp_path):
     """Starts a gateway over some engines; all of it ends with the test."""
     made, engines = [], []
 
@@ -39,7 +39,7 @@
 
 
 @pytest.fixture
-def launch(tmp_path):
+def launch_gateway(tmp_path):
     """Starts a gateway in a process of its own, which ends with the test."""
     made = []
 
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture
-def start(tmp_path):
+def start_gateway(tmp_path):
     """Starts a gateway with an admission queue and some engines; all of it ends with the test."""
     made, engines = [], []
 
@@ -42,8 +42,8 @@
         engine.close()
 
 
-def test_what_waits_at_the_door_is_unknown_to_the_module_and_answered_in_time(start):
-    gateway, client = start(Engine(endless), more="door: patience: 100")
+def test_what_waits_at_the_door_is_unknown_to_the_module_and_answered_in_time(start_gateway):
+    gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
     for _ in range(30):
         client.ask(limit=600, client=b"one")
     until(
@@ -62,8 +62,8 @@
     assert time.monotonic() - began < 0.7
 
 
-def test_a_client_that_leaves_or_takes_back_frees_the_door(start):
-    gateway, client = start(Engine(endless), more="door: patience: 100")
+def test_a_client_that_leaves_or_takes_back_frees_the_door(start_gateway):
+    gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
     other = Caller(gateway.address)
     seqs = [client.ask(client=b"one") for _ in range(30)]
     for _ in range(20):
@@ -75,9 +75,9 @@
     until(lambda: not gateway.core.requests.by_number)
 
 
-def test_an_engine_that_drains_gets_nothing_of_what_waits(start):
+def test_an_engine_that_drains_gets_nothing_of_what_waits(start_gateway):
     engine, later = WorkingEngine(slots=1), Engine()
-    gateway, client = start(engine, cores=1, more="door: patience: 100")
+    gateway, client = start_gateway(engine, cores=1, more="door: patience: 100")
     for _ in range(20):
         client.ask(limit=4000, client=b"one", body=statement(30))
     until(lambda: engine.completed >= 2)
@@ -93,12 +93,12 @@
     later.close()
 
 
-def test_unknown_tenants_share_in_the_part_of_others_or_are_refused(start):
+def test_unknown_tenants_share_in_the_part_of_others_or_are_refused(start_gateway):
     tenants = (("a", 0.7), ("rest", 0.3))
-    _, client = start(Engine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}')
+    _, client = start_gateway(Engine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}')
     client.ask(team=b"never heard of")
     assert client.answer() == (1, b"a\tb\tc\n")
-    gateway, client = start(Engine(), tenants=tenants)
+    gateway, client = start_gateway(Engine(), tenants=tenants)
     client.ask(team=b"never heard of")
     assert client.answer() == (1, "fault")
     assert not gateway.core.admission_queue.flow_table.tenants
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -31,18 +31,18 @@
         ("once", mute, "fault"),
     ],
 )
-def test_a_send_that_fails_goes_again_only_where_that_does_no_harm(start, verb, act, want):
+def test_a_send_that_fails_goes_again_only_where_that_does_no_harm(start_gateway, verb, act, want):
     engine = Engine(act, ok())
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     seq = client.ask(verb)
     assert client.answer() == (seq, want)
     assert len(engine.messages(b"fetch")) == (1 if want == "fault" else 2)
 
 
-def test_a_refused_connection_proves_that_nothing_ran(start):
+def test_a_refused_connection_proves_that_nothing_ran(start_gateway):
     dead, engine = Engine(), Engine()
     dead.stop_listening()
-    gateway, client = start(dead, engine)
+    gateway, client = start_gateway(dead, engine)
     for _ in range(6):
         seq = client.ask("once")
         assert client.answer() == (seq, b"a\tb\tc\n")
@@ -57,7 +57,7 @@
         lambda conn, txn: conn.sendall(resp.encode(txn, b"chunk", b"page=7", b"x")),
     ],
 )
-def test_a_result_that_breaks_off_is_never_passed_on(start, page):
+def test_a_result_that_breaks_off_is_never_passed_on(start_gateway, page):
     def breaks(conn, verb, *words):
         if verb == b"fetch":
             conn.sendall(resp.encode(words[0], b"200", b"pages=3", b"half\n"))
@@ -65,16 +65,16 @@
             page(conn, words[0])
 
     engine = Engine(breaks, ok())
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
     seq = client.ask("once")
     assert client.answer() == (seq, b"a\tb\tc\n")
 
 
-def test_a_query_that_never_ends_is_answered_before_the_client_timeout_and_given_up(start):
+def test_a_query_that_never_ends_is_answered_before_the_client_timeout_and_given_up(start_gateway):
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     began = time.monotonic()
     seq = client.ask("once", limit=700)
     assert client.answer() == (seq, "fault")
@@ -84,7 +84,7 @@
     assert gateway.count("attempts_ended_timed_out") == 1
 
 
-def test_a_client_that_stops_waiting_is_owed_nothing_and_its_late_answer_is_passed_over(start):
+def test_a_client_that_stops_waiting_is_owed_nothing_and_its_late_answer_is_passed_over(start_gateway):
     late = []
 
     def keeps(conn, verb, *words):
@@ -94,7 +94,7 @@
             conn.sendall(resp.encode(words[0], b"200", b"pages=1", b"late\n"))
 
     engine = Engine(keeps, ok())
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     first = client.ask()
     until(lambda: late)
     client.interrupt(first)
@@ -103,12 +103,12 @@
     assert client.answer() == (second, b"a\tb\tc\n")
 
 
-def test_a_second_send_waits_until_the_abort_of_the_first_has_come_to_its_engine(start):
+def test_a_second_send_waits_until_the_abort_of_the_first_has_come_to_its_engine(start_gateway):
     """They travel on different connections: once in some hundred attempts the fetch overtook the abort."""
     engines = [Engine(endless, ok()), Engine(endless, ok())]
     for engine in engines:
         engine.alive_delay_s = 0.2
-    gateway, client = start(*engines)
+    gateway, client = start_gateway(*engines)
     seq = client.ask(limit=4000, cpu=b"20")  # far past the usual: started afresh
     assert client.answer() == (seq, b"a\tb\tc\n")
     told = sorted((words for engine in engines for words in engine.received), key=lambda words: words[-1])
@@ -116,23 +116,23 @@
     assert order[:4] == [b"fetch", b"abort", b"alive answered", b"fetch"]
 
 
-def test_an_answer_that_crosses_a_cancel_is_the_clients(start):
+def test_an_answer_that_crosses_a_cancel_is_the_clients(start_gateway):
     def crosses(conn, verb, *words):
         if verb == b"abort":
             ok(b"j\tu\tst\n")(conn, b"fetch", *words)
 
     engine = Engine(crosses)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     seq = client.ask(limit=4000, cpu=b"20")
     assert client.answer() == (seq, b"j\tu\tst\n")
     assert len(engine.messages(b"fetch")) == 1
     until(lambda: gateway.count("attempts_ended_answered") == 1)
 
 
-def test_nothing_new_goes_out_on_a_link_that_fell_silent(start):
+def test_nothing_new_goes_out_on_a_link_that_fell_silent(start_gateway):
     """A machine that vanished got attempts for seconds, since its open connection looked healthy."""
     gone = Engine(mute)
-    gateway, client = start(gone)
+    gateway, client = start_gateway(gone)
     client.ask("once", limit=3000)
     until(lambda: gone.messages(b"fetch"))
     gone.stop_listening()
@@ -142,7 +142,7 @@
     assert len(gone.messages(b"fetch")) == 1
 
 
-def test_second_copies_and_words_of_nobody_are_passed_over(start):
+def test_second_copies_and_words_of_nobody_are_passed_over(start_gateway):
     page, more = b"1\t2\t3\n" * 400, b"4\t5\t6\n"
 
     def act(conn, verb, *words):
@@ -153,7 +153,7 @@
         if verb == b"more":
             conn.sendall(whole + chunk + chunk + whole)
 
-    gateway, client = start(Engine(act))
+    gateway, client = start_gateway(Engine(act))
     for _ in range(3):
         seq = client.ask()
         assert client.answer() == (seq, page + more)
@@ -172,9 +172,9 @@
         ok(b"a\tb\tc\nno\x00ise"),  # rows that are none
     ],
 )
-def test_a_spoilt_answer_costs_its_own_send_alone_and_that_one_goes_again(start, spoilt):
+def test_a_spoilt_answer_costs_its_own_send_alone_and_that_one_goes_again(start_gateway, spoilt):
     engine = Engine(endless, spoilt if callable(spoilt) else raw(spoilt), ok())
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     first = client.ask("once", limit=3000)
     until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
@@ -186,9 +186,9 @@
     client.interrupt(first)
 
 
-def test_a_send_of_which_nothing_is_heard_on_a_link_that_works_goes_again(start):
+def test_a_send_of_which_nothing_is_heard_on_a_link_that_works_goes_again(start_gateway):
     engine = Engine(endless, ok())  # answers `alive`, never the fetch
-    gateway, client = start(engine, cancel=False)
+    gateway, client = start_gateway(engine, cancel=False)
     seq = client.ask(limit=3500, cpu=b"900")
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert gateway.count("attempts_unanswered") == 1
@@ -197,17 +197,17 @@
     assert first[-1] < abort[-1] < second[-1]  # never two at once
 
 
-def test_sends_share_a_link_only_at_an_engine_that_closes_connections_after_an_answer(start):
+def test_sends_share_a_link_only_at_an_engine_that_closes_connections_after_an_answer(start_gateway):
     def closes(conn, verb, *words):
         ok()(conn, verb, *words)
         conn.shutdown(socket.SHUT_WR)
 
     apart, together = Engine(endless), Engine(closes, endless)
-    gateway, client = start(apart)
+    gateway, client = start_gateway(apart)
     for _ in range(2):
         client.ask("once")
     until(lambda: gateway.count("engine_connections_opened") == 2)
-    gateway, client = start(together, streams_per_conn=9)
+    gateway, client = start_gateway(together, streams_per_conn=9)
     client.ask("once")
     client.answer()
     until(lambda: gateway.count("engine_connections_ended_closed_by_peer") == 1)
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -19,10 +19,10 @@
     return inside
 
 
-def test_a_request_that_comes_before_the_end_for_idleness_is_said_is_answered(start, monkeypatch):
+def test_a_request_that_comes_before_the_end_for_idleness_is_said_is_answered(start_gateway, monkeypatch):
     """The reader had decided; what came until the core had closed was lost, and its answers with it."""
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     inside = idle(gateway, client)
     with BlockedCore(gateway.core):
         monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.0)
@@ -34,10 +34,12 @@
     assert not gateway.count("client_connections_ended_idle")
 
 
-def test_a_request_that_comes_after_the_end_is_said_is_never_sent_on_and_resets_nothing(start, monkeypatch):
+def test_a_request_that_comes_after_the_end_is_said_is_never_sent_on_and_resets_nothing(
+    start_gateway, monkeypatch
+):
     """The client sends it again elsewhere: forwarded here too it would run for nobody, or twice."""
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     inside = idle(gateway, client)
     monkeypatch.setattr(client_connection, "CROSSING_TIME_S", 2.0)
     inside.write_buffer.finish()
@@ -50,9 +52,9 @@
     assert gateway.core.gateway.submitted == 0
 
 
-def test_a_request_read_just_before_the_end_is_said_and_handed_on_after_it_goes_nowhere(start):
+def test_a_request_read_just_before_the_end_is_said_and_handed_on_after_it_goes_nowhere(start_gateway):
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     inside = idle(gateway, client)
     with BlockedCore(gateway.core):
         client.ask()
@@ -63,9 +65,9 @@
     assert not engine.received
 
 
-def test_a_check_that_waits_in_the_cores_queue_is_answered_before_an_end_for_idleness(start):
+def test_a_check_that_waits_in_the_cores_queue_is_answered_before_an_end_for_idleness(start_gateway):
     """It is no open request, so the connection looks idle while the core has yet to come to it."""
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     inside = idle(gateway, client)
     with BlockedCore(gateway.core):
         quiet = inside.last_active_at
@@ -77,10 +79,10 @@
     assert read_to_end(client) == (b"", True)
 
 
-def test_an_end_over_unread_bytes_takes_no_answer_along(start):
+def test_an_end_over_unread_bytes_takes_no_answer_along(start_gateway):
     """A close over unread bytes is a reset: what the client had yet to read was lost with it."""
     rows = b"x\ty\tz\n" * 900
-    gateway, client = start(Engine(ok(*[rows] * 8)))
+    gateway, client = start_gateway(Engine(ok(*[rows] * 8)))
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     asked = [client.ask() for _ in range(30)]
     until(lambda: gateway.count("answered") == 30)
@@ -91,8 +93,10 @@
     assert read_to_end(client) == (b"", True)
 
 
-def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(start, monkeypatch):
-    gateway, client = start(Engine())
+def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(
+    start_gateway, monkeypatch
+):
+    gateway, client = start_gateway(Engine())
     monkeypatch.setattr(client_connection, "CROSSING_TIME_S", 1.0)
     inside = idle(gateway, client)
     inside.dismiss()
@@ -103,9 +107,9 @@
     assert inside.connection.fileno() < 0
 
 
-def test_a_connection_that_ended_is_freed_without_the_garbage_collector(start):
+def test_a_connection_that_ended_is_freed_without_the_garbage_collector(start_gateway):
     """A cycle of references once kept each, with its buffers, until the collector came round."""
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
     inside = ref(next(iter(gateway.listener.clients)))
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -11,8 +11,8 @@
 from gullhold.testing.scripted import Engine, endless, says
 
 
-def test_a_broken_frame_ends_that_connection_alone(start):
-    gateway, client = start(Engine())
+def test_a_broken_frame_ends_that_connection_alone(start_gateway):
+    gateway, client = start_gateway(Engine())
     for data in (
         b"\xff\xff\xff\xff",
         b"\x7f\xff\xff\xff",
@@ -30,9 +30,9 @@
     assert gateway.count("client_connections_ended_malformed") == 4
 
 
-def test_a_sequence_number_that_is_open_ends_the_connection_and_its_work(start):
+def test_a_sequence_number_that_is_open_ends_the_connection_and_its_work(start_gateway):
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     client.ask(seq=5)
     until(lambda: engine.messages(b"fetch"))
     client.ask(seq=5)
@@ -41,13 +41,13 @@
     until(lambda: engine.messages(b"abort"))
 
 
-def test_a_client_that_ends_its_side_has_gone_and_what_it_had_open_is_given_up(start):
+def test_a_client_that_ends_its_side_has_gone_and_what_it_had_open_is_given_up(start_gateway):
     """The end of the client's side is no half close: nothing is sent for it any more (the users' term).
 
     Before that, its queued requests were still sent and answered.
     """
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     client.ask("once")
     until(lambda: engine.messages(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
@@ -57,10 +57,10 @@
     assert not gateway.count("answered")
 
 
-def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start, monkeypatch):
+def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start_gateway, monkeypatch):
     monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.1)
-    gateway, client = start(Engine(endless))
+    gateway, client = start_gateway(Engine(endless))
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
     assert idle.answer() is None
@@ -70,10 +70,10 @@
 
 
 def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
-    start, monkeypatch
+    start_gateway, monkeypatch
 ):
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.2)
-    gateway, client = start(Engine(endless))
+    gateway, client = start_gateway(Engine(endless))
     half, back = Caller(gateway.address), Caller(gateway.address)
     half.sock.sendall(b"\0\0\1\0\x80\1")
     for _ in range(30):
@@ -92,9 +92,9 @@
     assert all(caller.answer() is None for caller in crowd[:30])
 
 
-def test_what_bad_clients_ask_at_full_speed_is_refused_and_bounded(start):
+def test_what_bad_clients_ask_at_full_speed_is_refused_and_bounded(start_gateway):
     engine = Engine(says(b"500"))
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     for name, word in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
         seq = client.ask(**{name: word})
         assert client.answer() == (seq, "fault")
@@ -111,8 +111,8 @@
     until(lambda: gateway.count("client_connections_ended_malformed") == 1)
 
 
-def test_hundreds_taken_back_before_the_core_comes_to_them_never_reach_the_module(start):
-    gateway, client = start(Engine())
+def test_hundreds_taken_back_before_the_core_comes_to_them_never_reach_the_module(start_gateway):
+    gateway, client = start_gateway(Engine())
     gateway.core.post(time.sleep, 0.3)  # the core is behind
     for _ in range(20):
         client.interrupt(client.ask())
@@ -120,8 +120,8 @@
     assert gateway.core.gateway.submitted == 0
 
 
-def test_one_dismissed_for_room_is_still_answered_what_had_come(start):
-    gateway, client = start(Engine())
+def test_one_dismissed_for_room_is_still_answered_what_had_come(start_gateway):
+    gateway, client = start_gateway(Engine())
     client.send("check", b"\x02\0\1\1")
     client.answer()
     (inside,) = gateway.listener.clients
@@ -132,8 +132,8 @@
     assert client.answer() is None
 
 
-def test_a_connection_that_came_just_now_makes_room_for_nobody(start):
-    gateway, client = start(Engine())
+def test_a_connection_that_came_just_now_makes_room_for_nobody(start_gateway):
+    gateway, client = start_gateway(Engine())
     gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
@@ -145,8 +145,8 @@
     assert all(caller.answer() is None for caller in old[:4])
 
 
-def test_a_request_that_was_taken_back_makes_room_at_once_for_the_next(start):
-    gateway, client = start(Engine(endless))
+def test_a_request_that_was_taken_back_makes_room_at_once_for_the_next(start_gateway):
+    gateway, client = start_gateway(Engine(endless))
     seqs = [client.ask() for _ in range(32)]
     until(lambda: len(open_sequence_ids(gateway)) == 32)
     gateway.core.post(time.sleep, 0.3)  # the core is behind
@@ -157,12 +157,12 @@
     assert not gateway.count("rejected_connection_limit")
 
 
-def test_a_client_that_ends_before_the_listener_goes_on_holds_no_room(start, monkeypatch):
+def test_a_client_that_ends_before_the_listener_goes_on_holds_no_room(start_gateway, monkeypatch):
     class Inline(Thread):
         def start(self):
             self.run()  # it is over before start() returns
 
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     until(lambda: gateway.count("client_connections_accepted") == 1)
     monkeypatch.setattr(listener, "Thread", Inline)
     for _ in range(3):
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -51,10 +51,10 @@
     engine.close()
 
 
-def test_a_client_that_left_is_passed_over_where_its_requests_wait_behind_a_flood(start):
+def test_a_client_that_left_is_passed_over_where_its_requests_wait_behind_a_flood(start_gateway):
     """Its end waited behind its own requests and all others: each was sent first, and given up after."""
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     with BlockedCore(gateway.core):
         for _ in range(20):
             client.ask()
@@ -91,9 +91,9 @@
     engine.close()
 
 
-def test_what_comes_in_a_pause_is_taken_after_it_in_its_order_and_can_be_taken_back(start):
+def test_what_comes_in_a_pause_is_taken_after_it_in_its_order_and_can_be_taken_back(start_gateway):
     engine = Engine(endless, ok())
-    gateway, client = start(engine, connect_timeout=0.5)
+    gateway, client = start_gateway(engine, connect_timeout=0.5)
     held = client.ask("once")
     until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
@@ -111,8 +111,8 @@
     client.interrupt(held)
 
 
-def test_a_flood_in_a_pause_is_held_to_what_a_usual_client_has_open(start):
-    gateway, client = start(Engine(endless), connect_timeout=1.0)
+def test_a_flood_in_a_pause_is_held_to_what_a_usual_client_has_open(start_gateway):
+    gateway, client = start_gateway(Engine(endless), connect_timeout=1.0)
     client.ask("once")
     client.ask("odd")
     assert client.answer()[1] == "fault"
@@ -139,10 +139,10 @@
     until(lambda: not gateway.listener.clients)
 
 
-def test_statements_that_wait_hold_no_more_than_their_part_of_the_memory(start):
+def test_statements_that_wait_hold_no_more_than_their_part_of_the_memory(start_gateway):
     """Thirty-two of the largest on each of ten connections were sixty megabytes, of a limit of eighty."""
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     assert gateway.core.statement_memory.max_bytes == 192 * 2**20 // 8
     gateway.core.statement_memory.max_bytes = 10_000
     asked = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
@@ -157,9 +157,9 @@
     until(lambda: len(engine.messages(b"fetch")) == 3)
 
 
-def test_answers_that_are_not_read_hold_no_more_than_their_part_of_the_memory(start):
+def test_answers_that_are_not_read_hold_no_more_than_their_part_of_the_memory(start_gateway):
     """A connection may hold eight megabytes, and there may be hundreds."""
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     room, frame = gateway.core.statement_memory, thrift.encode_answer("execute", 1, b"x\ty\tz\n" * 8000)
     room.max_bytes = 2_000_000
     crowd = []
@@ -181,10 +181,12 @@
     assert client.answer() == (seq, b"a\tb\tc\n")  # who reads is served on
 
 
-def test_bytes_that_make_no_sense_cost_their_connection_and_leave_no_command_without_its_answer(start):
+def test_bytes_that_make_no_sense_cost_their_connection_and_leave_no_command_without_its_answer(
+    start_gateway,
+):
     """What was open there was dropped unanswered, its client still waiting for it."""
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     other = Caller(gateway.address)
     kept = other.ask("once", limit=2000)
     asked = [client.ask(), client.ask("once")]
@@ -196,8 +198,10 @@
     assert gateway.count("client_connections_ended_malformed") == 1
 
 
-def test_what_waits_in_a_pause_is_answered_when_the_connection_ends_by_bytes_that_make_no_sense(start):
-    gateway, client = start(Engine(endless), connect_timeout=2.0)
+def test_what_waits_in_a_pause_is_answered_when_the_connection_ends_by_bytes_that_make_no_sense(
+    start_gateway,
+):
+    gateway, client = start_gateway(Engine(endless), connect_timeout=2.0)
     held, bad, seq = client.ask("once"), client.ask("odd"), client.ask()
     client.sock.sendall(b"\xff\xff\xff\xff")
     assert client.answer() == (bad, "fault")
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -56,10 +56,10 @@
     )
 
 
-def test_what_left_while_a_process_slept_gets_nothing_when_it_wakes(launch):
+def test_what_left_while_a_process_slept_gets_nothing_when_it_wakes(launch_gateway):
     """What came meanwhile is read at once: many requests, and one event of the endpoint list."""
     feed, old, new, port = DiscoveryService(), Engine(), Engine(), free_port()
-    process = launch(config(old) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address})
+    process = launch_gateway(config(old) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address})
     until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(20)]
     for caller in callers:
@@ -115,12 +115,12 @@
     gateway.end()
 
 
-def test_idle_clients_that_fill_the_descriptors_do_not_keep_the_list_from_being_followed(launch):
+def test_idle_clients_that_fill_the_descriptors_do_not_keep_the_list_from_being_followed(launch_gateway):
     """The stream needs a descriptor just when clients hold all that they can get."""
     feed, engine, port = DiscoveryService(), Engine(), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address}
     told["limits"]["sockets"] = 60
-    process = launch(told)
+    process = launch_gateway(told)
     until(lambda: is_listening(port))
     until(lambda: feed.follow_requests)
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (60, 60))
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_client_left(start, cancel):
+def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_client_left(start_gateway, cancel):
     """Where attempts can't be cancelled the decisions ask for no cancel: the fetch was sent for nobody."""
     late = LateEngine()
-    gateway, client = start(late, connect_timeout=5.0, cancel=cancel)
+    gateway, client = start_gateway(late, connect_timeout=5.0, cancel=cancel)
     client.ask(limit=7000, txn=b"f%015x" % 1)
     until(lambda: gateway.core.pool.connections)
     client.sock.close()
@@ -48,9 +48,9 @@
     conn.close()
 
 
-def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_time_is_over(start):
+def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_time_is_over(start_gateway):
     late = LateEngine()
-    gateway, client = start(late, connect_timeout=5.0)
+    gateway, client = start_gateway(late, connect_timeout=5.0)
     seq = client.ask("once", limit=300)
     assert client.answer() == (seq, "shed")  # it never ran: trying again does no harm
     conn = late.accept()
@@ -61,7 +61,7 @@
     conn.close()
 
 
-def test_a_send_that_was_decided_under_what_has_changed_is_decided_anew_before_its_first_byte(start):
+def test_a_send_that_was_decided_under_what_has_changed_is_decided_anew_before_its_first_byte(start_gateway):
     class Check:
         """As a fleet's: its stamp tells what is decided under now."""
 
@@ -74,7 +74,7 @@
             return stamp == self.now
 
     late, check = LateEngine(), Check()
-    gateway, client = start(late, connect_timeout=5.0)
+    gateway, client = start_gateway(late, connect_timeout=5.0)
     gateway.core.fences.append(check)
     seq = client.ask("once", limit=4000)
     until(lambda: gateway.core.pool.connections)
@@ -87,10 +87,10 @@
     conn.close()
 
 
-def test_the_deadline_that_an_engine_is_told_counts_from_the_first_byte_not_from_the_decision(start):
+def test_the_deadline_that_an_engine_is_told_counts_from_the_first_byte_not_from_the_decision(start_gateway):
     """It was encoded when the send was decided, and waited for its connection: it said what had been left."""
     late = LateEngine()
-    gateway, client = start(late, connect_timeout=3.0)
+    gateway, client = start_gateway(late, connect_timeout=3.0)
     client.ask(limit=3500)
     until(lambda: gateway.count("attempts_sent") == 1)
     time.sleep(0.7)
@@ -106,10 +106,10 @@
     assert client.answer()[1] == b"a\tb\tc\n"
 
 
-def test_the_room_of_links_counts_those_whose_descriptors_are_still_held(start):
+def test_the_room_of_links_counts_those_whose_descriptors_are_still_held(start_gateway):
     """A link that is given up while it connects holds its descriptor until its thread has closed it."""
     late = LateEngine()
-    gateway, client = start(late, connect_timeout=5.0)
+    gateway, client = start_gateway(late, connect_timeout=5.0)
     gateway.core.pool.max_connections = 1
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -46,10 +46,10 @@
     )
 
 
-def test_a_request_that_failed_and_went_again_can_be_followed_in_the_log(launch, tmp_path):
+def test_a_request_that_failed_and_went_again_can_be_followed_in_the_log(launch_gateway, tmp_path):
     port, engine, log = free_port(), Engine(resets, ok()), tmp_path / "log"
     with open(log, "wb") as file:
-        process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"}, stderr=file)
+        process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"}, stderr=file)
     until(lambda: is_listening(port))
     client = Caller(("127.0.0.1", port))
     seq = client.ask(txn=b"00000000000000ab")
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -32,7 +32,7 @@
     gateway.end()
 
 
-def test_a_client_that_leaves_between_two_pages_ends_the_exchange_with_one_word(start):
+def test_a_client_that_leaves_between_two_pages_ends_the_exchange_with_one_word(start_gateway):
     def leaves(conn, verb, *words):
         if verb == b"more":
             client.sock.close()
@@ -42,17 +42,17 @@
             conn.sendall(resp.encode(words[0], b"200", b"pages=2,cost=20,need=64", b"1\t2\t3\n"))
 
     engine = Engine(leaves)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     client.ask()
     until(lambda: engine.messages(b"done") or engine.messages(b"abort"))
     until(lambda: not gateway.core.requests.by_number)
     assert len(engine.messages(b"fetch")) == 1
 
 
-def test_the_end_of_a_process_says_so_and_resets_no_connection(launch):
+def test_the_end_of_a_process_says_so_and_resets_no_connection(launch_gateway):
     """Exiting over unread bytes resets: some clients rest until the gateway ends them, and ask just then."""
     engine, port = Engine(), free_port()
-    process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
+    process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(10)]
     for caller in callers:
@@ -81,13 +81,15 @@
     assert [end for end in ends if end[0]] == []
 
 
-def test_what_is_asked_to_the_very_end_gets_its_answer_or_a_connection_that_ends_in_good_order(launch):
+def test_what_is_asked_to_the_very_end_gets_its_answer_or_a_connection_that_ends_in_good_order(
+    launch_gateway,
+):
     """Clients that ask again at once: the reader slept between reads, and the process ended over the rest."""
     engine, port = Engine(), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}"}
     for item in told["settings"]["categories"]:
         item["give_up"] = 1.0
-    process = launch(told)
+    process = launch_gateway(told)
     until(lambda: is_listening(port))
     broken, odd = [], []
 
@@ -121,9 +123,9 @@
     assert not odd
 
 
-def test_frames_read_by_clients_are_whole_however_their_connection_ends(start):
+def test_frames_read_by_clients_are_whole_however_their_connection_ends(start_gateway):
     """What was put before the end goes out whole, and nothing after it."""
-    gateway, client = start(Engine(ok(b"x\ty\tz\n" * 800)))
+    gateway, client = start_gateway(Engine(ok(b"x\ty\tz\n" * 800)))
     seq = client.ask()
     until(lambda: gateway.count("answered") == 1)
     (inside,) = gateway.listener.clients
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -20,12 +20,12 @@
 from gullhold.testing.scripted import Engine, endless, ok
 
 
-def test_a_planned_restart_answers_what_is_open_and_exits_with_0(launch):
+def test_a_planned_restart_answers_what_is_open_and_exits_with_0(launch_gateway):
     engine, port = Engine(endless, ok()), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}"}
     told["settings"]["limits"]["cancel"] = False  # the open one must not be started afresh
     told["settings"]["domain"]["note_period"] = 0  # nor be given up for lost
-    process = launch(told)
+    process = launch_gateway(told)
     until(lambda: is_listening(port))
     client = Caller(("127.0.0.1", port))
     client.send("check", b"\x02\0\1\1")
@@ -50,10 +50,12 @@
     assert "resident" in log
 
 
-def test_sighup_moves_to_the_coordinator_of_the_new_file_and_a_bad_file_changes_nothing(launch, tmp_path):
+def test_sighup_moves_to_the_coordinator_of_the_new_file_and_a_bad_file_changes_nothing(
+    launch_gateway, tmp_path
+):
     old, new, engine, port = DiscoveryService(), DiscoveryService(), Engine(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch(told)
+    process = launch_gateway(told)
     until(lambda: old.follow_requests)
     path = tmp_path / "config.json"
     for text in ("{", "[]", '{"coordinator": "nowhere"}', '{"coordinator": 5}'):
@@ -86,11 +88,11 @@
 """
 
 
-def test_signals_take_effect_at_once_where_they_interrupt_no_wait(launch, tmp_path):
+def test_signals_take_effect_at_once_where_they_interrupt_no_wait(launch_gateway, tmp_path):
     """They did when the next report was due, as the main thread's wait went on: 7.5 s on an old list."""
     old, new, port = DiscoveryService(), DiscoveryService(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch(told, "-c", UNINTERRUPTED, "serve", "--report", "30")
+    process = launch_gateway(told, "-c", UNINTERRUPTED, "serve", "--report", "30")
     until(lambda: old.follow_requests)
     (tmp_path / "config.json").write_text(json.dumps(told | {"coordinator": new.address}))
     began = time.monotonic()
@@ -102,10 +104,10 @@
     assert process.stderr.read().count("counters: ") == 1  # at the end alone
 
 
-def test_a_coordinator_that_refuses_is_looked_for_in_the_file_without_a_signal(launch, tmp_path):
+def test_a_coordinator_that_refuses_is_looked_for_in_the_file_without_a_signal(launch_gateway, tmp_path):
     old, new, port = DiscoveryService(), DiscoveryService(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch(told)
+    process = launch_gateway(told)
     until(lambda: old.connection)
     path = tmp_path / "config.json"
     path.write_text("{")
@@ -149,8 +151,8 @@
     assert capsys.readouterr().err.startswith("gullhold: can't listen on 127.0.0.1:")
 
 
-def test_the_other_sub_commands(start, tmp_path, capsys):
-    gateway, _ = start(Engine())
+def test_the_other_sub_commands(start_gateway, tmp_path, capsys):
+    gateway, _ = start_gateway(Engine())
     address = f"127.0.0.1:{gateway.address[1]}"
     assert main(["version"]) == 0
     assert capsys.readouterr().out.startswith("gullhold 0.")
@@ -169,9 +171,9 @@
     assert main(["config", "--config", str(tmp_path / "none")]) == 2
 
 
-def test_hundreds_of_connections_stay_inside_the_limits_of_memory_and_descriptors(launch):
+def test_hundreds_of_connections_stay_inside_the_limits_of_memory_and_descriptors(launch_gateway):
     engine, port = Engine(), free_port()
-    process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
+    process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(330)]  # about the third that clients may hold
     asked = [[caller.ask() for _ in range(3)] for caller in callers]
@@ -190,13 +192,13 @@
     assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
-def test_a_log_that_nobody_reads_stops_nobody(launch):
+def test_a_log_that_nobody_reads_stops_nobody(launch_gateway):
     """A full pipe behind standard error would have held up the thread that owns the gateway."""
     dead, engine, port = Engine(), Engine(), free_port()
     dead.stop_listening()
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
-    process = launch(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=writing)
+    process = launch_gateway(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=writing)
     until(lambda: is_listening(port))
     for _ in range(300):
         process.send_signal(signal.SIGUSR1)  # each logs a long line
@@ -210,11 +212,11 @@
     os.close(writing)
 
 
-def test_at_the_descriptor_limit_connections_wait_and_are_served_later(launch):
+def test_at_the_descriptor_limit_connections_wait_and_are_served_later(launch_gateway):
     engine, port = Engine(), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}"}
     told["limits"]["sockets"] = 40
-    process = launch(told)
+    process = launch_gateway(told)
     until(lambda: is_listening(port))
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
     first = Caller(("127.0.0.1", port))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -12,9 +12,9 @@
 from gullhold.testing.scripted import Engine, endless, ok
 
 
-def test_a_command_is_answered_with_all_its_pages_in_order(start):
+def test_a_command_is_answered_with_all_its_pages_in_order(start_gateway):
     engine = Engine(ok(b"1\t2\t3\n" * 800, b"4\t5\t6\n" * 900, b"7\t8\t9\n"))
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     seq = client.ask(
         "mark", unique=b"5c0f", txn=b"9b1f03aa5c7e2d41", body="select 'é\r\n' from a_1.b".encode()
     )
@@ -33,8 +33,8 @@
     until(lambda: gateway.count("answered") == 1)
 
 
-def test_what_an_answer_tells_reaches_the_module_in_its_units(start):
-    gateway, client = start(Engine(ok()))
+def test_what_an_answer_tells_reaches_the_module_in_its_units(start_gateway):
+    gateway, client = start_gateway(Engine(ok()))
     seen, inner = [], gateway.core.gateway.attempt_ended
     gateway.core.gateway.attempt_ended = lambda *args: seen.append(args) or inner(*args)
     client.ask()
@@ -52,9 +52,9 @@
     assert 0 < latency < 1_000_000
 
 
-def test_many_requests_on_one_connection_each_get_one_whole_frame(start):
+def test_many_requests_on_one_connection_each_get_one_whole_frame(start_gateway):
     page = b"x\ty\tz\n" * 900
-    gateway, client = start(Engine(ok(*[page] * 8)), Engine(ok(*[page] * 8)))
+    gateway, client = start_gateway(Engine(ok(*[page] * 8)), Engine(ok(*[page] * 8)))
     asked = {client.ask() for _ in range(32)}
     time.sleep(0.2)  # a client that reads late: nothing may be mixed up or lost
     answers = [client.answer() for _ in range(32)]
@@ -63,8 +63,8 @@
 
 
 @pytest.mark.parametrize("step_s", [-5, 5])
-def test_a_wall_clock_that_is_set_moves_no_client_timeout(start, monkeypatch, step_s):
-    _, client = start(Engine(endless))
+def test_a_wall_clock_that_is_set_moves_no_client_timeout(start_gateway, monkeypatch, step_s):
+    _, client = start_gateway(Engine(endless))
     client.ask("once", limit=10)  # answered: all is up
     client.answer()
     began, real = time.monotonic(), time.time_ns
@@ -75,18 +75,18 @@
     assert 0.5 < time.monotonic() - began < 1.0
 
 
-def test_a_time_that_is_up_is_answered_at_once_and_nothing_is_sent(start):
+def test_a_time_that_is_up_is_answered_at_once_and_nothing_is_sent(start_gateway):
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     for limit in (0, 10):
         seq = client.ask(limit=limit)
         assert client.answer() == (seq, "shed")
     assert not engine.received
 
 
-def test_bad_requests_are_answered_and_nothing_is_sent(start):
+def test_bad_requests_are_answered_and_nothing_is_sent(start_gateway):
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     asked = [
         client.ask("odd"),
         client.ask(txn=b"1"),
@@ -126,9 +126,9 @@
     engine.close()
 
 
-def test_over_the_open_cap_is_shed(start):
+def test_over_the_open_cap_is_shed(start_gateway):
     engine = Engine(endless)
-    gateway, client = start(engine, max_open=2)
+    gateway, client = start_gateway(engine, max_open=2)
     asked = [client.ask() for _ in range(3)]
     assert client.answer() == (asked[2], "shed")
     until(lambda: len(engine.messages(b"fetch")) == 2)  # what is not out yet is taken back instead
@@ -137,8 +137,8 @@
 
 
 @pytest.mark.causes_faults
-def test_a_module_that_fails_costs_one_command_its_answer_and_no_other(start):
-    gateway, client = start(Engine())
+def test_a_module_that_fails_costs_one_command_its_answer_and_no_other(start_gateway):
+    gateway, client = start_gateway(Engine())
     inner = gateway.core.gateway.submit
 
     def fails(now, ident, *rest):
