--- a/gullhold/net/__init__.py
+++ b/gullhold/net/__init__.py
@@ -1,33 +1,33 @@
-"""The gateway on sockets: a module for each stage of a command. Decisions are made in gullhold.decisions."""
+"""The gateway's sockets, threads and event loop. Scheduling decisions are made in gullhold.decisions."""
 
 import socket
 import struct
 from contextlib import suppress
 
-MAX_OPTION_ATTEMPTS = 8  # to set one option of a socket; a refusal lasts for a moment at most
+MAX_SETSOCKOPT_ATTEMPTS = 8  # the system refuses to set an option for a moment at most
 US_PER_MS = 1000
 US_PER_S = 1_000_000
 
 
 def split_host_port(address: str) -> tuple[str, int]:
-    """Split HOST:PORT as sockets want it. Raises ValueError where the port is no number."""
+    """Split HOST:PORT into the pair that socket calls take. Raises ValueError if the port is not a number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def ceil_to_ms(duration_us: int) -> int:
-    """Whole milliseconds, rounded up."""
+    """Convert microseconds to whole milliseconds, rounded up."""
     return -(-duration_us // US_PER_MS)
 
 
 def set_read_timeout(sock: socket.socket, timeout_us: int) -> None:
-    """Set how long a read waits (0: no limit) before it raises BlockingIOError; writes are not affected.
+    """Set how long a read blocks (0: no limit) before it raises BlockingIOError; writes are not affected.
 
-    Attempted several times, so that a short refusal of the system ends no connection with open requests.
-    Raises OSError where it keeps refusing.
+    A refusal by the system is retried, so that a short one does not end a connection with open requests.
+    Raises OSError if every attempt fails.
     """
     seconds_and_us = struct.pack("ll", *divmod(timeout_us, US_PER_S))
-    for attempts_left in reversed(range(MAX_OPTION_ATTEMPTS)):
+    for attempts_left in reversed(range(MAX_SETSOCKOPT_ATTEMPTS)):
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds_and_us)
             return
@@ -37,6 +37,6 @@
 
 
 def set_no_delay(sock: socket.socket) -> None:
-    """Send small writes at once. A refusal of the system is ignored: they are only sent a little later."""
+    """Send small writes at once (TCP_NODELAY). An error is ignored: it only makes them a little later."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests on engines: how one starts, ends, and is abandoned or cancelled with confirmation."""
+"""Attempts of requests on engines: how they start, end, and are abandoned or cancelled with confirmation."""
 
 from math import ceil
 from typing import TYPE_CHECKING
@@ -23,7 +23,7 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.NOT_STARTED: "not_started",
 }
-MIN_DEADLINE_MS = 1  # the lowest timeout that a fetch states, also where the deadline has passed
+MIN_TIMEOUT_MS = 1  # stated in a fetch also if its deadline has passed
 
 
 class Attempts:
@@ -33,10 +33,10 @@
         self.core = core
         self.agreement = core.agreement
         self.counters = core.counters
-        self.last_confirmation = 0  # serial number of the last confirmation that was requested
+        self.last_confirmation = 0  # number of the last confirmation that was requested
 
     def start(self, dispatch: Dispatch) -> None:
-        """Start the attempt that the decision module decided on."""
+        """Start an attempt that the decision module has dispatched."""
         core = self.core
         pending = core.requests.by_number.get(dispatch.command)
         if pending is None:
@@ -53,8 +53,8 @@
             core.admission_queue.attempt_sent(dispatch.command)
         connection = core.pool.connection_for(dispatch.engine, pending.request.transaction_id)
         if connection is None:
-            # We lack a descriptor or a thread, which is no fault of the engine. Reported only after the
-            # connect timeout, so that the same request is not dispatched again at once, over and over.
+            # No descriptor or thread was left, which is not the engine's fault. Reported only after the
+            # connect timeout, so that the same request is not dispatched again and again without a pause.
             reported_at_us = min(core.now + self.agreement.connect_timeout_us, dispatch.deadline_us)
             core.call_later(reported_at_us, self.end, attempt, Outcome.NOT_STARTED)
             return
@@ -63,7 +63,7 @@
         self._send(attempt, connection)
 
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt and report its outcome to the decision module; a second call does nothing."""
+        """End an attempt and report its outcome to the decision module; further calls do nothing."""
         core = self.core
         pending = attempt.pending
         connection = attempt.connection
@@ -95,11 +95,11 @@
         )
 
     def abandon(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Abandon an attempt: withdraw it if nothing of it was sent, else tell the engine.
+        """Abandon an attempt: withdraw it if no byte of it was sent, else abort it at its engine.
 
-        Guards against two attempts running at once: an abort and the fetch of the retry travel on different
-        connections. So while a retry may follow, the end is reported to the decision module only once an
-        `alive` sent behind the abort has been answered; by then no late answer can arrive either.
+        Guards against two attempts of a request running at once: the abort and the fetch of the retry travel
+        on different connections. So if a retry may follow, the end is reported to the decision module only
+        once an `alive` sent after the abort was answered; no late answer can arrive after that either.
         """
         connection = attempt.connection
         transaction_id = attempt.pending.request.transaction_id
@@ -117,9 +117,9 @@
         self.core.defer(self.end, attempt, outcome)
 
     def cancel_confirmed(self, connection: EngineConnection, tag: bytes) -> None:
-        """Handle a confirmation: the engine has the abort, and all its earlier replies have arrived here.
+        """Handle a confirmation: the engine has received the abort, and its earlier replies have arrived.
 
-        tag: of the confirmation; unknown ones are ignored.
+        tag: identifies the confirmation; an unknown one is ignored.
         """
         attempt = connection.confirmations.pop(tag, None)
         if attempt and attempt.outcome_once_confirmed is not None:
@@ -136,7 +136,7 @@
             attempt.number,
             Outcome.NOT_STARTED,
             not pending.client,
-            0,  # duration in us
+            0,  # duration, us
             *NO_RESOURCES,
         )
 
@@ -156,8 +156,8 @@
         connection.used_at = core.now
         connection.open_attempts[request.transaction_id] = attempt
         tokens = attempt.fencing_tokens
-        # The remaining time is encoded again where the message has to wait: its connection may come up late,
-        # or the messages before it may be read late.
+        # The remaining time is encoded again if the message has to wait: its connection may open late, or the
+        # engine may be slow to read the messages before it.
         attempt.end_offset = connection.write_buffer.put(
             attempt.message,
             (lambda: core.are_tokens_valid(tokens)) if tokens else None,
@@ -178,7 +178,7 @@
         self.core.defer(self.end, attempt, Outcome.CONNECT_FAILED)
 
     def _fixed_fields(self, pending: "PendingRequest") -> list[tuple[bytes, bytes]]:
-        """Return the fields of a fetch that do not change while it waits."""
+        """Return the fields of a fetch that stay the same however long it waits to be sent."""
         fields = [(b"c", pending.request.profile_name)]
         if pending.request.idempotency_key:
             fields.append((b"i", pending.request.idempotency_key))
@@ -189,7 +189,7 @@
         return fields
 
     def _needs_confirmation(self, attempt: Attempt, outcome: Outcome) -> bool:
-        """Whether a retry may follow this attempt."""
+        """Whether a retry may follow this attempt, so that its abort must be confirmed first."""
         may_be_retried = outcome in (Outcome.CANCELLED, Outcome.RESET) and attempt.pending.client
         return bool(may_be_retried) and not attempt.pages
 
@@ -205,7 +205,7 @@
 
     def _abort_without_confirmation(self, attempt: Attempt, connection: EngineConnection) -> None:
         transaction_id = attempt.pending.request.transaction_id
-        if attempt.outcome_once_confirmed is None:  # else the abort was sent before
+        if attempt.outcome_once_confirmed is None:  # otherwise the abort was sent earlier
             self.core.pool.send_control(
                 connection, engine_protocol.DONE if attempt.pages else engine_protocol.ABORT, transaction_id
             )
@@ -243,5 +243,5 @@
 
 
 def remaining_ms(now_us: int, deadline_us: int) -> bytes:
-    """Return the field of a fetch that states how long we will wait, at least MIN_DEADLINE_MS."""
-    return b"%d" % max(MIN_DEADLINE_MS, ceil_to_ms(deadline_us - now_us))
+    """Return the time until the deadline as a fetch states it, at least MIN_TIMEOUT_MS."""
+    return b"%d" % max(MIN_TIMEOUT_MS, ceil_to_ms(deadline_us - now_us))
--- a/gullhold/net/connection.py
+++ b/gullhold/net/connection.py
@@ -1,8 +1,8 @@
-"""A socket that several threads use, and the rule by which its descriptor is closed.
+"""A socket that several threads use, and the rules for closing its descriptor safely.
 
 Only the reader thread makes calls that may block, and only it closes the socket. All other threads make
-calls that do not block, under the lock that closing takes as well. So no thread can use the number of a
-descriptor that was closed, and that the system has given to another connection since.
+non-blocking calls while they hold the lock, which closing takes as well. So no thread can use the number of a
+closed descriptor after the system has reused it for another connection.
 """
 
 import errno
@@ -11,8 +11,8 @@
 from contextlib import suppress
 from threading import Lock
 
-# Temporary errors of a send on an intact connection: socket(7), send(2).
-MOMENTARY = frozenset((errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM))
+# Temporary errors of send() on an intact connection: socket(7), send(2).
+TRANSIENT_SEND_ERRNOS = frozenset((errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Connection:
@@ -24,24 +24,24 @@
         self.is_closed = False
 
     def fileno(self) -> int:
-        """Return the descriptor to poll, or -1; by its use it may be another connection's."""
+        """Return the descriptor to poll, or -1; the system may have reused it by the time it is polled."""
         with self.lock:
             return -1 if self.is_closed else self.sock.fileno()
 
     def send(self, data: bytes | memoryview) -> int:
-        """Send without blocking; return how many bytes the system took. Raises OSError after the end."""
+        """Send without blocking; return how many bytes were accepted. Raises OSError once the connection ended."""
         with self.lock:
             if self.is_closed:
                 raise BrokenPipeError("the connection is closed")
             try:
                 return self.sock.send(data, socket.MSG_DONTWAIT)
             except OSError as error:
-                if error.errno in MOMENTARY:
+                if error.errno in TRANSIENT_SEND_ERRNOS:
                     return 0
                 raise
 
     def shutdown(self, sides: int = socket.SHUT_RDWR) -> None:
-        """Shut one direction or both, which wakes the reader; does nothing where that was done before."""
+        """Shut down one direction or both, which wakes the reader thread; further calls do nothing."""
         with self.lock, suppress(OSError):
             if not self.is_closed:
                 self.sock.shutdown(sides)
@@ -56,13 +56,13 @@
             return bool(poll.poll(0))
 
     def has_peer_closed(self, wait_s: float) -> bool:
-        """Whether the peer has closed its side, or does so in this time, whether or not bytes are unread."""
+        """Whether the peer has closed its side, or does so within this time; unread bytes do not matter."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
         return bool(poll.poll(wait_s * 1000))
 
     def close(self) -> None:
-        """Close the descriptor; a second call does nothing."""
+        """Close the descriptor; further calls do nothing."""
         with self.lock:
             if not self.is_closed:
                 self.is_closed = True
--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -1,4 +1,4 @@
-"""All ways in which a connection ends, and what each means for an attempt."""
+"""The ways in which a connection ends, and what each means for the attempts on it."""
 
 import errno
 from enum import Enum
@@ -9,11 +9,11 @@
 
 
 class ProtocolError(Exception):
-    """Bytes that the protocol does not allow."""
+    """Received bytes violate a protocol; the message says how."""
 
 
 class ConnectionEnd(Enum):
-    """How a connection ended; the value is the text for logs and counters."""
+    """How a connection ended; the value is the reason in log lines and counters."""
 
     REFUSED = "refused"
     CONNECT_TIMEOUT = "connect_timeout"
@@ -29,8 +29,8 @@
     INTERNAL_FAULT = "internal_fault"
 
 
-# Errors of socket() and connect() for a temporary shortage on this machine: socket(2), connect(2), ip(7).
-# They say nothing about the peer.
+# Errors of socket() and connect() that mean a temporary shortage on this machine: socket(2), connect(2),
+# ip(7). They say nothing about the peer.
 LOCAL_EXHAUSTION_ERRNOS = frozenset(
     (
         errno.EAGAIN,
@@ -45,7 +45,7 @@
 )
 
 
-# Ends that we cause while something is open.
+# Ends that the gateway causes while attempts or requests are open.
 CAUSED_BY_GATEWAY = frozenset(
     (
         ConnectionEnd.MALFORMED,
@@ -54,14 +54,14 @@
         ConnectionEnd.INTERNAL_FAULT,
     )
 )
-# Ends that are no fault of the peer where nothing was written.
+# Ends that are no fault of the peer if nothing was written.
 PEER_NOT_AT_FAULT = frozenset((ConnectionEnd.RETIRED, ConnectionEnd.LOCAL_EXHAUSTION))
-# Ends of a client's connection after which the client is still there and waits for its answers.
+# Ends of a client connection after which the client still waits for its answers.
 CLIENT_STILL_WAITS = frozenset((ConnectionEnd.IDLE, ConnectionEnd.MALFORMED, ConnectionEnd.INTERNAL_FAULT))
 
 
 def attempt_outcome(is_written: bool) -> Outcome:
-    """Return the outcome of an attempt whose connection ended, by whether its fetch was written.
+    """Return the outcome of an attempt whose connection ended; is_written: its fetch was written completely.
 
     An attempt whose fetch was not written completely never ran.
     """
@@ -69,7 +69,7 @@
 
 
 def classify_exception(error: Exception, connecting: bool = False) -> tuple[ConnectionEnd, str]:
-    """Return the end and its detail for an exception of a reader; an unexpected one is a fault of ours."""
+    """Return the end and its details for an exception of a reader; an unexpected one is logged as a fault."""
     if isinstance(error, ProtocolError):
         return ConnectionEnd.MALFORMED, str(error)
     if isinstance(error, OSError):
@@ -79,14 +79,14 @@
 
 
 def classify_os_error(error: OSError, connecting: bool = False) -> ConnectionEnd:
-    """Return the end that an error of the operating system stands for."""
+    """Return the end that an error of a socket call means; connecting: it occurred before the connection."""
     if isinstance(error, ConnectionRefusedError):
         return ConnectionEnd.REFUSED
     if connecting and error.errno in LOCAL_EXHAUSTION_ERRNOS:
         return ConnectionEnd.LOCAL_EXHAUSTION
     if isinstance(error, BlockingIOError):
-        return ConnectionEnd.IDLE  # a read's time-out
-    if isinstance(error, TimeoutError):  # on an open connection ETIMEDOUT: it broke, as by a reset
+        return ConnectionEnd.IDLE  # SO_RCVTIMEO: nothing arrived in time
+    if isinstance(error, TimeoutError):  # ETIMEDOUT on an open connection: it broke, as by a reset
         return ConnectionEnd.CONNECT_TIMEOUT if connecting else ConnectionEnd.RESET
     if isinstance(error, ConnectionError):
         return ConnectionEnd.RESET
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -1,8 +1,8 @@
-"""The core of a gateway: the parts that one thread runs, joined.
+"""The core of a gateway: the components that run on the core's thread, and how they are connected.
 
-Reader threads post events; nothing here waits for a socket. The decision module decides what runs, where and
-when. The stages of a request each have a module: pending_requests, request_admission,
-decision_results, attempts, engine_pool, engine_replies.
+Reader threads post events to the core; nothing on its thread waits for a socket. The decision module decides
+which request is sent to which engine, and when. Each stage of a request has a module of its own:
+pending_requests, request_admission, decision_results, attempts, engine_pool, engine_replies.
 """
 
 from collections.abc import Callable
@@ -43,33 +43,33 @@
 
 
 class Fence(Protocol):
-    """A part of the fleet whose fencing token must still be valid when an attempt is sent."""
+    """A component of the fleet whose fencing token must still be valid when an attempt is sent."""
 
     def fencing_token(self) -> object:
-        """Return the token under which attempts are decided now."""
+        """Return the current token: the one under which attempts are decided now."""
         ...
 
     def token_valid(self, token: object) -> bool:
-        """Whether attempts that were decided under a token may still be sent. From any thread."""
+        """Whether attempts that were decided under this token may still be sent. Thread-safe."""
         ...
 
 
 def _ignore_demand(_demands: tuple[Demand, ...]) -> None:
-    """Without a fleet the demand for budgets is reported to nobody."""
+    """Drop the demand for budgets: without a fleet nobody receives it."""
 
 
 class Core(EventLoop):
     """Owns the gateway's state. Only run() and what it calls touch it; other threads use post().
 
-    gateway: the decision module. max_message_bytes: bytes of the largest message. max_connections: how many
-    connections to engines may hold a descriptor. statement_memory: the memory for statements, of all clients.
-    admission_queue: None: there is none. retry_after_field: the field of Shed with the Retry-After time;
-    empty: there is none.
+    gateway: the decision module. max_message_bytes: size limit of a message. max_connections: how many
+    connections to engines may hold a descriptor. statement_memory: the memory for the statements of all
+    clients. admission_queue: None if it is off. retry_after_field: name of the field of a shed answer that
+    states the Retry-After time; empty if answers have none.
 
     To drive a core without threads, override clock() and connect, and call begin() and turn().
     """
 
-    # Makes a connection of (endpoint, core, max_message_bytes, max_buffered_bytes, now).
+    # Creates a connection from (endpoint, core, max_message_bytes, max_buffered_bytes, now).
     connect = EngineConnection
 
     def __init__(
@@ -90,19 +90,21 @@
         self.statement_memory = statement_memory
         self.admission_queue = admission_queue
         self.retry_after_field = retry_after_field.encode()
-        self.flusher: Flusher | None = None  # completes writes that the system did not take at once
+        self.flusher: Flusher | None = None  # completes writes that the socket did not accept at once
         self.event_log = EventLog()
-        # Held by the one reader thread that handles calls: hundreds at once would leave the core no share of
-        # the interpreter lock.
+        # Held by a reader thread while it handles calls, so that one does so at a time: with hundreds running
+        # at once the core's thread would hardly get the interpreter lock.
         self.reading_lock = Lock()
-        self.list_received = Event()  # set once changes since the configuration were received, or can't be
-        self.shutdown_began_at = 0  # when the graceful shutdown began; 0: it did not
+        # Set once the changes since the configuration was written have arrived, or can't be received.
+        self.list_received = Event()
+        self.shutdown_began_at = 0  # when the graceful shutdown began, in us; 0: it has not begun
         self.is_rejecting = False  # new requests are rejected at once
-        self.has_ended = False  # the core's thread is over
-        # Set by build_parts(): ends all clients' connections, once what has arrived is answered.
+        self.has_ended = False  # the core's thread has finished its work
+        # Set by build_parts(): closes each client connection once the requests that it has sent are answered.
         self.close_clients: Callable[[], None] = lambda: None
-        self.has_clients: Callable[[], bool] = lambda: False  # whether any of them is left
-        # Set by a fleet: receives the demand for budgets; the gate of its policy; its fences.
+        self.has_clients: Callable[[], bool] = lambda: False  # whether any client connection is left
+        # Set by a fleet: the receiver of the demand for budgets, the gate of its policy, and its components
+        # whose fencing tokens are checked.
         self.report_demand: Callable[[tuple[Demand, ...]], None] = _ignore_demand
         self.gate: PolicyGate | None = None
         self.fences: list[Fence] = []
@@ -118,20 +120,20 @@
         self.endpoint_list = EndpointList(self)
         self.shutdown = GracefulShutdown(self)
 
-    # The thread
+    # The core's thread
 
-    def run(self, known: "Sequence[ListChange]") -> None:
-        """Serve until the graceful shutdown is done. known: the endpoint list of the configuration."""
-        # Guards against attempts on engines that have left since the configuration was written.
+    def run(self, configured_list: "Sequence[ListChange]") -> None:
+        """Serve until the graceful shutdown is done. configured_list: the configuration's endpoint list."""
+        # Guards against attempts on engines that were removed after the configuration was written.
         self.list_received.wait((self.agreement.connect_timeout_us + 2 * FIRST_EVENT_TIMEOUT_US) / 1e6)
-        self.begin(known)
+        self.begin(configured_list)
         self.run_until_stopped()
-        self.has_ended = True  # this thread touches nothing any more
+        self.has_ended = True  # the core's state does not change any more
 
-    def begin(self, known: "Sequence[ListChange]") -> None:
-        """Apply the configuration's endpoint list; from here on there is always a timer."""
+    def begin(self, configured_list: "Sequence[ListChange]") -> None:
+        """Apply the configuration's endpoint list and start the periodic work: from now on a timer is set."""
         self.tick()
-        for change in known:
+        for change in configured_list:
             self.run_guarded(self.endpoint_list.apply, *change)
         self.endpoint_list.is_known = True
         self.health.schedule()
@@ -139,7 +141,7 @@
         self.overload.begin()
 
     def record_interval(self, interval_us: int) -> None:
-        """Let the overload control know what an event costs."""
+        """Pass the time that one event took to the overload control."""
         self.overload.record_interval(interval_us)
 
     def after_event(self) -> None:
@@ -148,34 +150,34 @@
             self.run_deferred()
 
     def list_changed(
-        self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, events: int = 1
+        self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, event_count: int = 1
     ) -> None:
-        """From the discovery thread: the endpoint list changed, by so many watch events."""
-        self.post_urgent(self.endpoint_list.apply, entries, addresses, is_complete, events)
+        """From the discovery thread: apply a change of the endpoint list, made of so many watch events."""
+        self.post_urgent(self.endpoint_list.apply, entries, addresses, is_complete, event_count)
 
     # Clients
 
     def execute(self, client: Client, sequence_id: int, request: Request, received_at_us: int) -> None:
-        """Execute a client's request; received_at_us: when it was read."""
+        """Accept a client's request for execution; received_at_us: when it was read."""
         self.requests.execute(client, sequence_id, request, received_at_us)
 
     def interrupt(self, client: Client, sequence_id: int) -> None:
-        """Handle an interrupt: the client waits for this answer no more."""
+        """Handle an interrupt: the client does not wait for this answer any more."""
         self.requests.interrupt(client, sequence_id)
 
     def client_ended(self, client: Client, end: ConnectionEnd, text: str) -> None:
-        """Handle the end of a client's connection: it is not read any more."""
+        """Handle the end of a client's connection; its reader has stopped. text: details for the log."""
         self.requests.client_ended(client, end, text)
 
     def check(self, client: Client, sequence_id: int) -> None:
-        """Answer whether we serve; answered by the core's thread because it is the one that serves."""
+        """Answer a health check: whether the gateway serves. Answered here because this thread serves."""
         is_serving = self.endpoint_list.is_known and not self.shutdown_began_at
         if is_serving and self.gate:
             is_serving = not self.gate.rejects_new()
         client.put(thrift.encode_answer("check", sequence_id, good=is_serving))
 
     def close_if_idle(self, client: "ClientConnection") -> None:
-        """Let an idle connection end, unless something has arrived meanwhile; its reader ends it."""
+        """Allow the reader of an idle connection to end it, unless a request has arrived meanwhile."""
         if client.is_busy():
             client.end_requested = False
         else:
@@ -190,9 +192,9 @@
         tenant_weights: "Sequence[float]",
         client_weights: "Mapping[str, float]",
     ) -> None:
-        """Apply a policy of the fleet from here on.
+        """Apply a policy of the fleet from now on.
 
-        gate: asked at each attempt; tenant_weights, client_weights: of the admission queue.
+        gate: consulted before each attempt; tenant_weights, client_weights: shares in the admission queue.
         """
         self.gate = gate
         if self.admission_queue:
@@ -202,7 +204,7 @@
     def apply_budgets(
         self, shares: "ShareLookup", report_demand: Callable[[tuple[Demand, ...]], None]
     ) -> None:
-        """Apply the fleet's budgets, or their changes; report_demand: gets the demand of queued commands."""
+        """Apply the fleet's budgets, or new ones; report_demand receives the demand of queued commands."""
         self.report_demand = report_demand
         self.decisions.call(None, self.gateway.apply_budgets, shares)
 
@@ -211,12 +213,13 @@
         return tuple(fence.fencing_token() for fence in self.fences)
 
     def are_tokens_valid(self, tokens: tuple[object, ...]) -> bool:
-        """Whether attempts that were decided under these may still be sent. From any thread.
+        """Whether attempts that were decided under these tokens may still be sent. Thread-safe.
 
-        Guards against a process that slept between decision and write: another member may hold the role now.
+        Guards against a process that was suspended between the decision and the write: another member may
+        hold the role by then.
         """
         return all(fence.token_valid(token) for fence, token in zip(self.fences, tokens, strict=True))
 
     def begin_shutdown(self) -> None:
-        """Begin the graceful shutdown of a planned restart."""
+        """Begin the graceful shutdown, as for a planned restart."""
         self.shutdown.start()
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -1,4 +1,4 @@
-"""Calls the decision module and carries out the results that each call returns."""
+"""Calls to the decision module, and how their results are carried out."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -25,7 +25,7 @@
 
 
 class Decisions:
-    """Calls the decision module and carries out its decisions. On the core's thread only."""
+    """Calls the decision module and carries out the results. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
@@ -35,14 +35,14 @@
     ) -> None:
         """Call a method of the module; if it raises, the request of this call is answered as failed."""
         core = self.core
-        core.gateway.results = []  # so that a failing call leaves only its own results
+        core.gateway.results = []  # if the call raises, this holds only its own results
         try:
             results = method(core.now, *args)
-        # Guards the other commands against one that makes the module fail.
-        except Exception:  # noqa: BLE001  a fault of the module ends one request, not the event
+        # A request that makes the module raise must not affect the others.
+        except Exception:  # noqa: BLE001  a fault of the module fails one request, not the event
             core.counters.add("decision_faults")
             logger.exception("decisions failed method={}", method.__name__)
-            results = list(core.gateway.results)  # the decisions until then hold
+            results = list(core.gateway.results)  # those made before the exception are carried out
             if pending and pending.client and not pending.attempt:
                 core.defer(core.requests.give_up, pending)
         for result in results:
@@ -68,7 +68,7 @@
             case ReportDemand():
                 core.report_demand(result.demands)
             case _:
-                raise TypeError(f"an unknown result of the decision module: {result!r}")
+                raise TypeError(f"unknown result of the decision module: {result!r}")
 
     def _start_timer(self, timer: StartTimer) -> None:
         core = self.core
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -1,4 +1,4 @@
-"""Connections to engines: one connection, its reader thread, and the attempts that are open on it."""
+"""A connection to an engine: its reader thread, and the attempts that are open on it."""
 
 import errno
 import socket
@@ -16,13 +16,13 @@
     from gullhold.net.core import Core
     from gullhold.net.pending_requests import PendingRequest
 
-CONNECT_RETRY_INTERVAL_S = 0.02  # between connect attempts while this machine is short of resources
-# Errors after which connecting is retried; the last is a missing route. ip(7), connect(2).
+CONNECT_RETRY_INTERVAL_S = 0.02  # while this machine lacks resources or a route
+# Errors after which connecting is retried; ENETUNREACH: there is no route yet. ip(7), connect(2).
 RETRIED_ERRNOS = connection_ends.LOCAL_EXHAUSTION_ERRNOS | {errno.ENETUNREACH}
 
 
 class ResourceUse(NamedTuple):
-    """Resources that an attempt used, and the engine's load report in the order of the settings."""
+    """Resources that an attempt used, and the engine's load report: values in the order of the settings."""
 
     work_us: int
     memory_mb: float
@@ -33,14 +33,14 @@
 
 
 class EngineEndpoint:
-    """An engine: its id, its address, and our connections to it."""
+    """An engine: its id, address and state, and the connections to it."""
 
     def __init__(self, engine_id: int, address: str) -> None:
         self.id = engine_id
         self.address = address
         self.connections: list[EngineConnection] = []
         self.state = EngineState.REMOVED
-        # Connections that the engine closed in order, minus those that broke; never below zero.
+        # Connections that the engine closed in an orderly way, minus those that broke; never below zero.
         self.orderly_closes = 0
 
 
@@ -71,17 +71,17 @@
         self.last_reply_at = now
         self.connection: EngineConnection | None = None
         self.message = b""
-        self.end_offset = 0  # of its fetch in the write buffer; negative: a Rejection
-        self.deadline_us = 0  # it must not be sent later
-        self.fencing_tokens: tuple[object, ...] = ()  # under which it was decided
+        self.end_offset = 0  # end of its fetch in the stream of the write buffer; negative: a Rejection
+        self.deadline_us = 0  # time after which it must not be sent
+        self.fencing_tokens: tuple[object, ...] = ()  # valid when the attempt was decided
         self.pages: list[bytes] = []
         self.page_count = 0
         self.result_bytes = 0
-        self.outcome_once_confirmed: Outcome | None = None  # set with an abort that is to be confirmed
+        self.outcome_once_confirmed: Outcome | None = None  # set while the abort is to be confirmed
         self.resources = NO_RESOURCES
 
     def release(self) -> None:
-        """Free the message and the pages; the attempt has ended."""
+        """Free the message and the pages of an attempt that has ended."""
         self.message = b""
         self.pages = []
 
@@ -89,7 +89,7 @@
 class EngineConnection:
     """One connection. Its reader thread connects, reads and closes; the core's thread owns all other state.
 
-    max_message_bytes, max_buffered_bytes: bytes of the largest answer, and of what may wait to be written.
+    max_message_bytes: size limit of a reply. max_buffered_bytes: how much may wait to be written.
     """
 
     def __init__(
@@ -104,57 +104,57 @@
         self.core = core
         self.decoder = resp.Decoder(max_message_bytes)
         self.write_buffer = WriteBuffer(max_buffered_bytes, core.counters, core.flusher)
-        self.open_attempts: dict[bytes, Attempt] = {}  # by the id of the command
-        self.abandoned_ids: set[bytes] = set()  # transaction ids for which late replies may arrive
-        self.confirmations: dict[bytes, Attempt] = {}  # by the tag that confirms the abort
+        self.open_attempts: dict[bytes, Attempt] = {}  # by transaction id
+        self.abandoned_ids: set[bytes] = set()  # transaction ids to which late replies may arrive
+        self.confirmations: dict[bytes, Attempt] = {}  # attempts whose abort is to be confirmed, by tag
         self.is_ended = False
-        self.is_retired = False  # gets no further attempts
+        self.is_retired = False  # no further attempts are sent on it
         self.last_reply_at = now
         self.used_at = now
-        self.probed_at = 0  # when a health check was sent that is not answered yet; 0: none
-        self.local_end: ConnectionEnd | None = None
-        self.connection: Connection | None = None  # once it is up
+        self.probed_at = 0  # when the unanswered health check was sent; 0: none is unanswered
+        self.local_end: ConnectionEnd | None = None  # why the gateway closed the connection; None: it did not
+        self.connection: Connection | None = None  # set once connected
         self.address = split_host_port(endpoint.address)
 
     def start(self) -> None:
-        """Connect and read in a new thread. Raises RuntimeError where it can't be started."""
+        """Start the reader thread, which connects. Raises RuntimeError if the thread can't be started."""
         Thread(target=self._run, daemon=True, name="link").start()
 
     def accepts(self, transaction_id: bytes, max_streams: int) -> bool:
-        """Whether an attempt may be sent here; not while late replies to one of its id may arrive."""
+        """Whether an attempt may be sent here: no late replies to an earlier one of its id may arrive."""
         if self.is_ended or self.is_retired or self.write_buffer.is_dead:
             return False
-        if self.probed_at:  # it is silent
+        if self.probed_at:  # a health check is unanswered: the engine may be gone
             return False
         return len(self.open_attempts) < max_streams and transaction_id not in self.abandoned_ids
 
     def begin_close(self, end: ConnectionEnd) -> None:
-        """Begin to close the connection from our side; the reader thread wakes and reports the end."""
+        """Begin to close the connection from this side; its reader thread wakes and reports the end."""
         self.is_retired = True
         self.local_end = self.local_end or end
         if self.connection is not None:
             self.connection.shutdown()
 
     def connected(self, connection: Connection) -> bool:
-        """From the reader thread: the connection is open. Returns False where it was closed meanwhile."""
+        """From the reader thread: the connection is open. Returns False if it is to be closed already."""
         self.connection = connection
         if self.local_end:
             return False
-        # The core checks once more what waits here before it is sent.
+        # The core checks the waiting attempts once more before they are sent.
         self.core.post_urgent(self.core.pool.connection_up, self)
         return True
 
     def deliver(self) -> None:
-        """From the reader thread: hand the complete arrays to the core."""
+        """From the reader thread: pass the complete arrays that have arrived to the core."""
         arrays: list[list[bytes]] = []
         try:
             arrays.extend(self.decoder.arrays())
-        finally:  # arrays before malformed bytes count
+        finally:  # arrays before malformed bytes are handled
             if arrays:
                 self.core.post_first(self.core.replies.handle, self, arrays)
 
     def reader_ended(self, end: ConnectionEnd, text: str, connection: Connection | None) -> None:
-        """From the reader thread, at its end: close the descriptor and report the end to the core."""
+        """From the reader thread as it ends: close the descriptor and report the end to the core."""
         self.write_buffer.finish(now=True)
         if connection is not None:
             connection.close()
@@ -174,18 +174,18 @@
             if not self.connected(connection):
                 return
             end = self._read(connection.sock)
-            if self.write_buffer.error:  # a write failed, and the reader was only woken
+            if self.write_buffer.error:  # a write failed and woke the reader: this is the cause
                 end, text = connection_ends.classify_exception(self.write_buffer.error)
-        # A fault of ours ends this connection, not the program.
+        # An unexpected exception ends this connection only.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
             end, text = connection_ends.classify_exception(error)
         finally:
             self.reader_ended(end, text, connection)
 
     def _connect_in_time(self) -> socket.socket:
-        """Return a connected socket. Raises OSError where there is none in time.
+        """Return a connected socket. Raises OSError if connecting fails or takes too long.
 
-        Temporary refusals of this machine are retried, so that no engine is blamed for them.
+        Errors that this machine causes for a moment are retried, so that no engine is blamed for them.
         """
         wait_s = self.core.agreement.connect_timeout_us / 1e6
         deadline_s = time.monotonic() + (wait_s or self.core.limits.sweep_interval_us / 1e6)
@@ -201,7 +201,7 @@
             time.sleep(CONNECT_RETRY_INTERVAL_S)
 
     def _connect(self, wait_s: float) -> socket.socket:
-        """Connect once, within a timeout (0: none). Raises OSError."""
+        """Make one attempt to connect, within a timeout (0: none). Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.settimeout(wait_s or None)
@@ -219,11 +219,11 @@
             try:
                 count = self.decoder.buffer.receive(sock)
             except BlockingIOError:
-                raise ProtocolError("an answer that stopped short") from None
+                raise ProtocolError("the rest of a reply did not arrive within the connect timeout") from None
             if not count:
                 return ConnectionEnd.CLOSED_BY_PEER
             self.deliver()
             if self.decoder.is_mid_array != is_mid_array:
-                # In the middle of an array the next bytes arrive soon, or never.
+                # The rest of a started array arrives soon or never, so only its reads have a timeout.
                 is_mid_array = self.decoder.is_mid_array
                 set_read_timeout(sock, self.core.agreement.connect_timeout_us if is_mid_array else 0)
--- a/gullhold/net/event_loop.py
+++ b/gullhold/net/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of the one thread that owns the gateway's state: posted events, deferred calls and timers.
+"""The event loop of the thread that owns the gateway's state: runs posted events, deferred calls and timers.
 
 Other threads post events; nothing that runs here waits for a socket.
 """
@@ -14,18 +14,18 @@
 from gullhold.net.counters import Counters
 from gullhold.net.event_queue import EventQueue, PostedEvent
 
-STALL_US = 100_000  # of lateness: far more than a step takes, a fifth of usual grace times
-CATCH_UP_US = 500_000  # that we wait for the discovery thread after a stall
-CATCH_UP_POLL_S = 0.001  # between checks whether the endpoint list is up to date after a stall
-FAULT_WAIT_S = 0.001  # between a step that failed and the next
-CLOCK_OFFSET_NS = time.time_ns() - time.monotonic_ns()  # Unix ns, as this process began, at monotonic zero
+STALL_US = 100_000  # lateness of a step: far more than a step takes, a fifth of the usual drain grace
+MAX_CATCH_UP_US = 500_000  # longest wait for the discovery thread after a stall
+CATCH_UP_POLL_INTERVAL_S = 0.001  # between checks whether the discovery thread has caught up
+FAILURE_DELAY_S = 0.001  # between a failed step and the next
+CLOCK_OFFSET_NS = time.time_ns() - time.monotonic_ns()  # wall clock minus monotonic clock at the start
 
 BoundCall = tuple[Callable[..., None], tuple[object, ...]]
-"""A call and its arguments."""
+"""A function and the arguments to call it with."""
 
 
 class Timer(NamedTuple):
-    """A call that is due at a time; the serial number keeps timers of one time in their order."""
+    """A call that is due at a time; the serial number keeps timers with the same due time in order."""
 
     due_at_us: int
     serial: int
@@ -49,15 +49,15 @@
         self.timer_serial = 0
         self.now = self.clock()
         self.stopped = False
-        # Whether the discovery thread has received events that it has not posted yet.
+        # Whether the discovery thread has received watch events that it has not posted yet.
         self.discovery_lags: Callable[[], bool] = lambda: False
 
     @staticmethod
     def clock() -> int:
-        """Return Unix time in us: the wall-clock time of the start, advanced by the monotonic clock.
+        """Return Unix time in us: the wall-clock time at the start, advanced by the monotonic clock.
 
-        Guards against a wall clock that is set back while commands wait, which would stop their timeouts.
-        Drawback: after a step of the wall clock the start times of engines are off by it.
+        Guards against a wall clock that is set back while commands wait, which would delay their timeouts.
+        Drawback: once the wall clock is set, the start times of engines are off by the difference.
         """
         return (CLOCK_OFFSET_NS + time.monotonic_ns()) // 1000
 
@@ -68,37 +68,38 @@
     def post_first(self, call: Callable[..., None], *args: object) -> None:
         """From any thread: have the loop make this call before those of post().
 
-        For what completes work that was begun: behind a flood of new work it would hold on to what it uses.
+        For calls that complete earlier work: queued behind a flood of new work they would keep its resources
+        in use.
         """
         self.queue.put(PostedEvent(self.clock(), call, args), goes_first=True)
 
     def post_urgent(self, call: Callable[..., None], *args: object) -> None:
-        """From any thread: have the loop make this call before all others that wait."""
+        """From any thread: have the loop make this call before all posted events."""
         self.urgent.append((call, args))
         self.post(self._wake)
 
     def defer(self, call: Callable[..., None], *args: object) -> None:
-        """Make this call once the current event is handled, before the next one."""
+        """Make this call after the current event and before the next one."""
         self.deferred.append((call, args))
 
     def call_later(self, due_at_us: int, call: Callable[..., None], *args: object) -> None:
-        """Make this call at a time (us of the loop's clock)."""
+        """Make this call at a time, in us of the loop's clock."""
         self.timer_serial += 1
         heappush(self.timers, Timer(due_at_us, self.timer_serial, call, args))
 
     def run_until_stopped(self) -> None:
-        """Serve until stopped is set; there must always be a timer."""
+        """Run until `stopped` is set. At least one timer must be set at any time."""
         while not self.stopped:
             try:
                 self._step()
-            # A loop that died would leave a process that only looks alive.
+            # Without its loop the process would stay up but serve nothing.
             except Exception:  # noqa: BLE001  the outermost loop of the thread
                 self.counters.add("internal_faults")
                 logger.exception("event loop step failed")
-                time.sleep(FAULT_WAIT_S)
+                time.sleep(FAILURE_DELAY_S)
 
     def turn(self, event: PostedEvent | None) -> None:
-        """Run urgent calls, this event if there is one, and the timers that are due."""
+        """Run one turn of the loop: urgent calls, this event if there is one, and the timers that are due."""
         while self.urgent:
             call, args = self.urgent.popleft()
             self.run_guarded(call, *args)
@@ -112,7 +113,7 @@
             self.run_guarded(timer.call, *timer.args)
 
     def next_event(self, wait_us: int = 0) -> PostedEvent | None:
-        """Return the next posted event; None where none comes within this time."""
+        """Return the next posted event; None if none arrives within this time."""
         return self.queue.take(wait_us)
 
     def next_timer_at_us(self) -> int:
@@ -120,27 +121,27 @@
         return self.timers[0].due_at_us
 
     def tick(self) -> None:
-        """Update `now`, which never goes back."""
+        """Update `now`, which never decreases."""
         self.now = max(self.now, self.clock())
 
     def run_guarded(self, call: Callable[..., None], *args: object) -> None:
-        """Handle one event: a fault of ours in it is logged and counted, and the program goes on."""
+        """Handle one event; an exception is logged and counted, and the loop goes on."""
         try:
             call(*args)
             self.run_deferred()
             self.after_event()
-        except Exception:  # noqa: BLE001  the one place that guards an event
+        except Exception:  # noqa: BLE001  one faulty event must not stop the loop
             self.counters.add("internal_faults")
             logger.exception("event handler failed")
 
     def after_event(self) -> None:
-        """Called when an event and its deferred calls are handled; for subclasses."""
+        """Called after an event and its deferred calls; subclasses override it."""
 
     def record_interval(self, interval_us: int) -> None:
-        """Called with the time from one event to the next that waited behind it; for subclasses."""
+        """Called with the time from one event to the next that waited behind it; subclasses override it."""
 
     def run_deferred(self) -> None:
-        """Make the deferred calls."""
+        """Make the deferred calls, also those that they defer."""
         while self.deferred:
             call, args = self.deferred.popleft()
             call(*args)
@@ -160,14 +161,14 @@
     def _catch_up(self) -> None:
         """After a stall, wait until the discovery thread has read what arrived meanwhile.
 
-        After a suspended process, or a long step, all that arrived meanwhile is there at once: requests would
-        be sent to engines that have left, before the change of the endpoint list is read.
+        After a suspension of the process or a long step, everything that arrived meanwhile is read at once.
+        Without the wait requests could be sent to removed engines before the list change is applied.
         """
         self.counters.add("stalls")
-        deadline_us = self.now + CATCH_UP_US
+        deadline_us = self.now + MAX_CATCH_UP_US
         while self.discovery_lags() and self.clock() < deadline_us:
-            time.sleep(CATCH_UP_POLL_S)
+            time.sleep(CATCH_UP_POLL_INTERVAL_S)
         self.tick()
 
     def _wake(self) -> None:
-        """Posted with an urgent call so that the loop wakes."""
+        """Does nothing: posted with an urgent call so that a waiting loop wakes."""
--- a/gullhold/net/event_queue.py
+++ b/gullhold/net/event_queue.py
@@ -1,4 +1,4 @@
-"""The queue of the events that other threads post to an event loop."""
+"""The queue of events that other threads post to an event loop."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class PostedEvent(NamedTuple):
-    """A call that another thread posted, and when."""
+    """A call that another thread posted, and the time at which it did."""
 
     posted_at_us: int
     call: Callable[..., None]
@@ -15,47 +15,48 @@
 
 
 class EventQueue:
-    """Two lanes, each first in, first out; what is in the first lane goes before all in the other.
+    """A queue with two priorities: events that were put with goes_first are taken before all others.
 
-    One thread takes events; all else may be called from any thread.
+    Events of the same priority are taken in order of arrival. Only one thread may call take(); all other
+    methods are thread-safe.
     """
 
     def __init__(self) -> None:
         self._first: deque[PostedEvent] = deque()
         self._others: deque[PostedEvent] = deque()
-        self._tokens: SimpleQueue[None] = SimpleQueue()  # one for each event, put after it
+        self._arrivals: SimpleQueue[None] = SimpleQueue()  # an item per event, put after it; take() waits
 
     def __len__(self) -> int:
-        return self._tokens.qsize()
+        return self._arrivals.qsize()
 
     def qsize(self) -> int:
-        """Return how many events wait."""
-        return self._tokens.qsize()
+        """Return how many events are queued."""
+        return self._arrivals.qsize()
 
     def put(self, event: PostedEvent, goes_first: bool = False) -> None:
-        """Add an event."""
-        lane = self._first if goes_first else self._others
-        lane.append(event)
-        self._tokens.put(None)
+        """Add an event; goes_first: it is taken before those that were put without it."""
+        events = self._first if goes_first else self._others
+        events.append(event)
+        self._arrivals.put(None)
 
     def take(self, wait_us: int = 0) -> PostedEvent | None:
-        """Remove and return the next event; None where none comes within this time."""
+        """Remove and return the next event; None if none arrives within this time."""
         try:
             if wait_us > 0:
-                self._tokens.get(timeout=wait_us / 1e6)
+                self._arrivals.get(timeout=wait_us / 1e6)
             else:
-                self._tokens.get_nowait()
+                self._arrivals.get_nowait()
         except Empty:
             return None
         return self._first.popleft() if self._first else self._others.popleft()
 
     def oldest_age_us(self, now_us: int) -> int:
-        """Return for how long the oldest event has waited; 0: none waits."""
-        return max(_age_us(self._first, now_us), _age_us(self._others, now_us))
+        """Return for how long the oldest event has waited; 0 if the queue is empty."""
+        return max(_oldest_age_us(self._first, now_us), _oldest_age_us(self._others, now_us))
 
 
-def _age_us(lane: deque[PostedEvent], now_us: int) -> int:
+def _oldest_age_us(events: deque[PostedEvent], now_us: int) -> int:
     try:
-        return max(0, now_us - lane[0].posted_at_us)
+        return max(0, now_us - events[0].posted_at_us)
     except IndexError:
         return 0
