--- a/gullhold/net/connection.py
+++ b/gullhold/net/connection.py
@@ -29,7 +29,7 @@
             return -1 if self.is_closed else self.sock.fileno()
 
     def send(self, data: bytes | memoryview) -> int:
-        """Send without blocking; return how many bytes were accepted. Raises OSError once the connection ended."""
+        """Send without blocking; return how many bytes were accepted. Raises OSError if that is impossible."""
         with self.lock:
             if self.is_closed:
                 raise BrokenPipeError("the connection is closed")
--- a/gullhold/net/connection_ends.py
+++ b/gullhold/net/connection_ends.py
@@ -79,7 +79,7 @@
 
 
 def classify_os_error(error: OSError, connecting: bool = False) -> ConnectionEnd:
-    """Return the end that an error of a socket call means; connecting: it occurred before the connection."""
+    """Return the end that an error of a socket call means; connecting: it occurred while connecting."""
     if isinstance(error, ConnectionRefusedError):
         return ConnectionEnd.REFUSED
     if connecting and error.errno in LOCAL_EXHAUSTION_ERRNOS:
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -135,7 +135,7 @@
         self.tick()
         for change in configured_list:
             self.run_guarded(self.endpoint_list.apply, *change)
-        self.endpoint_list.is_known = True
+        self.endpoint_list.has_initial_list = True
         self.health.schedule()
         self.admission.start()
         self.overload.begin()
@@ -171,7 +171,7 @@
 
     def check(self, client: Client, sequence_id: int) -> None:
         """Answer a health check: whether the gateway serves. Answered here because this thread serves."""
-        is_serving = self.endpoint_list.is_known and not self.shutdown_began_at
+        is_serving = self.endpoint_list.has_initial_list and not self.shutdown_began_at
         if is_serving and self.gate:
             is_serving = not self.gate.rejects_new()
         client.put(thrift.encode_answer("check", sequence_id, good=is_serving))
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: follows the endpoint list's events from the last known one."""
+"""The client of the discovery service: follows the watch events of the endpoint list."""
 
 import select
 import socket
@@ -20,28 +20,28 @@
 if TYPE_CHECKING:  # the core imports this module
     from gullhold.net.core import Core
 
-# Twice the protocol's time for messages that cross: a service that has new events sends one by then.
+# A service that has new events sends one by then: twice the time of the protocol for messages that cross.
 FIRST_EVENT_TIMEOUT_US = 100_000
-BATCH_INTERVAL_S = 0.01  # events that follow each other this closely are gathered for as long
-FAILURE_DELAY_S = 0.1  # until the stream is followed again after a fault of ours
-SILENCE_LIMIT_US = 2_000_000  # two of the bare indexes, which by the protocol come once a second
+BATCH_INTERVAL_S = 0.01  # after a call to the core, events are gathered for this long before the next
+FAILURE_DELAY_S = 0.1  # pause after an unexpected exception, before the stream is followed again
+SILENCE_LIMIT_US = 2_000_000  # by then two of the bare indexes are missing, which come once a second
 
 
 def is_readable_within(sock: socket.socket, timeout_us: int) -> bool:
-    """Whether bytes, or the end of the stream, arrive before the timeout."""
+    """Whether bytes or the end of the stream arrive before the timeout."""
     poller = select.poll()
     poller.register(sock, select.POLLIN)
     return bool(poller.poll(timeout_us / US_PER_MS))
 
 
 class DiscoveryClient:
-    """Follows the event stream for ever and hands the changes of the endpoint list to the core.
+    """Follows the event stream while the process runs, and passes changes of the endpoint list to the core.
 
-    address: HOST:PORT, None: the list never changes; last_index: the last event that is known;
+    address: HOST:PORT, None: the list never changes; last_index: index of the last event that is known;
     max_line_bytes: the longest line that is accepted.
 
-    on_stream_end is called from this thread whenever the stream has ended; may_call says whether the service
-    may be called now, for a fleet that has a budget of such calls.
+    on_stream_end is called from this thread whenever the stream has ended. may_call returns whether the
+    service may be called now: a fleet can have a budget of such calls.
     """
 
     def __init__(
@@ -61,42 +61,42 @@
         self._address = split_host_port(address) if address else None
         self._connection: Connection | None = None
         self._address_changed = Event()
-        self._last_applied_s = float("-inf")  # time.monotonic() of the last call to the core
-        self._is_receiving = False  # bytes have arrived whose changes the core does not have yet
+        self._last_applied_s = float("-inf")  # monotonic time of the last call to the core
+        self._is_receiving = False  # bytes are being read whose changes were not passed to the core yet
 
     def change_address(self, address: str) -> None:
-        """Follow the stream at this HOST:PORT from now on, after the last event; from any thread."""
+        """Follow the stream at this HOST:PORT from now on, from the last event. Thread-safe."""
         self._address = split_host_port(address)
         self._address_changed.set()
-        connection = self._connection  # one that is opened after this line uses the new address
+        connection = self._connection  # a connection opened after this line uses the new address
         if connection is not None:
             connection.shutdown()
 
     def has_unapplied_events(self) -> bool:
-        """Whether something has arrived that the core does not have yet; from any thread."""
+        """Whether anything has arrived that was not passed to the core yet. Thread-safe."""
         try:
             connection = self._connection
-            # In this order: the bytes are first in the socket, then in this object.
+            # Checked in this order, as bytes move from the socket to this object.
             return bool(connection and connection.is_readable()) or self._is_receiving
         except (OSError, ValueError):  # the connection is being closed
             return False
 
     def run(self) -> None:
-        """Connect and follow, again whenever the stream ends, falls silent, is malformed or moves."""
+        """Follow the stream; reconnect when it ends, falls silent, is malformed or its address changes."""
         retry_interval_s = self._core.agreement.connect_timeout_us / US_PER_S
         while True:
             try:
                 self._attempt(retry_interval_s)
-            except Exception:  # noqa: BLE001  guards against a stale list in a process that looks alive
+            except Exception:  # noqa: BLE001  without this thread the list would become stale
                 self._core.counters.add("internal_faults")
                 logger.exception("discovery client failed, restarting")
                 time.sleep(FAILURE_DELAY_S)
 
     def _attempt(self, retry_interval_s: float) -> None:
-        """Follow the stream until it ends, and pause; or wait until it may be followed."""
+        """Follow the stream until it ends, then pause; without an address or permission to call only wait."""
         began_s = time.monotonic()
         self._address_changed.clear()
-        address = self._address  # read after the clearing: a move from here on sets the event again
+        address = self._address  # read after clear(): a later change sets the event again
         if address is None:
             self._core.list_received.set()
             self._address_changed.wait()
@@ -105,7 +105,7 @@
             self._address_changed.wait(retry_interval_s)
             return
         end, detail = self._follow_until_end(address, retry_interval_s)
-        self._core.list_received.set()  # the service is unreachable: serve with the known list
+        self._core.list_received.set()  # the service can't be reached: serve with the known list
         self._core.counters.add(f"discovery_streams_ended_{end.value}")
         logger.warning(
             "discovery stream ended, reconnecting reason={} detail={!r} after_event={}",
@@ -120,12 +120,12 @@
     def _follow_until_end(
         self, address: tuple[str, int], connect_timeout_s: float
     ) -> tuple[ConnectionEnd, str]:
-        """Follow the stream; return how it ended, and details for the log."""
+        """Follow the stream; return how it ended, and the details for the log."""
         try:
             return self._follow(address, connect_timeout_s), ""
         except TimeoutError:
             return ConnectionEnd.SILENT, ""
-        except Exception as error:  # noqa: BLE001  the known list holds, and the stream is followed again
+        except Exception as error:  # noqa: BLE001  the known list stays valid, and run() reconnects
             return connection_ends.classify_exception(error, connecting=True)
 
     def _follow(self, address: tuple[str, int], connect_timeout_s: float) -> ConnectionEnd:
@@ -135,7 +135,7 @@
             try:
                 sock.sendall(b"follow %d\n" % self._last_index)
                 stream = EventStream(self._last_index, self._max_line_bytes)
-                # A service that has new events sends them at once.
+                # A service that has new events sends them at once: if none comes, the known list is current.
                 if not is_readable_within(sock, FIRST_EVENT_TIMEOUT_US):
                     self._core.list_received.set()
                 while address == self._address and self._receive(stream, sock):
@@ -149,17 +149,17 @@
     def _receive(self, stream: EventStream, sock: socket.socket) -> int:
         """Read some bytes of the stream; return how many, 0 at its end. Raises TimeoutError."""
         self._is_receiving = False
-        # Where thousands of events come within seconds, a call for each costs more than the events do.
+        # When thousands of events arrive within seconds, a call for each would cost more than its changes do.
         if time.monotonic() - self._last_applied_s < BATCH_INTERVAL_S:
             time.sleep(BATCH_INTERVAL_S)
         if not is_readable_within(sock, SILENCE_LIMIT_US):
             raise TimeoutError
-        # Set before they are read, so that has_unapplied_events() sees them in the socket or here.
+        # Set before the read, so that has_unapplied_events() sees the bytes in the socket or by this flag.
         self._is_receiving = True
         return stream.buffer.receive(sock)
 
     def _apply_events(self, stream: EventStream) -> None:
-        """Hand the events that have arrived to the core, those that arrived together in one call."""
+        """Pass the events that have arrived to the core, as far as possible in one call."""
         batch = ListChangeBatch()
         try:
             for event in stream.events():
--- a/gullhold/net/endpoint_list.py
+++ b/gullhold/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the core applies it: which engines there are, where they listen, their states."""
+"""The endpoint list as the core applies it: the engines with their addresses and states."""
 
 from typing import TYPE_CHECKING
 
@@ -11,26 +11,28 @@
 
 
 class EndpointList:
-    """Applies changes of the list. On the core's thread only."""
+    """Applies changes of the endpoint list. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
         self.endpoints = core.pool.endpoints
         self.start_times = StartTimes()
-        self.is_known = False  # the configuration's list was applied: all later changes are watch events
+        self.has_initial_list = (
+            False  # the configuration's list was applied; all later changes are watch events
+        )
 
     def apply(
-        self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, events: int = 1
+        self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, event_count: int = 1
     ) -> None:
-        """Apply a change of the list, of so many watch events.
+        """Apply a change of the list, made of so many watch events.
 
-        is_complete: engines that are not among the entries are removed.
+        is_complete: the change is a complete list: engines that are not among the entries are removed.
         """
         self._update_addresses(addresses)
-        entries = self.start_times.correct(self.core.now, entries, self.is_known)
-        self.core.counters.add("endpoint_list_events", events)
+        entries = self.start_times.correct(self.core.now, entries, self.has_initial_list)
+        self.core.counters.add("endpoint_list_events", event_count)
         states = {entry.id: entry.state for entry in entries}
-        changed = list(self.endpoints) if is_complete else states  # only what changed
+        changed = list(self.endpoints) if is_complete else states  # ids of the engines that changed
         for engine_id in changed:
             endpoint = self.endpoints.get(engine_id)
             if endpoint is not None:
@@ -38,7 +40,7 @@
         self.core.decisions.call(None, self.core.gateway.update_engines, entries, is_complete)
 
     def forget_if_removed(self, endpoint: EngineEndpoint) -> None:
-        """Forget an engine that was removed, once it has no connection."""
+        """Forget an engine that was removed; its endpoint, only once it has no connection."""
         if endpoint.state != EngineState.REMOVED:
             return
         self.start_times.forget(endpoint.id)
@@ -48,7 +50,7 @@
     def _update_addresses(self, addresses: dict[int, str]) -> None:
         for engine_id, address in addresses.items():
             endpoint = self.endpoints.setdefault(engine_id, EngineEndpoint(engine_id, address))
-            if endpoint.address != address:  # connections to the old address are not used any more
+            if endpoint.address != address:  # no new attempts go to the old address
                 endpoint.address = address
                 for connection in endpoint.connections:
                     connection.is_retired = True
@@ -60,7 +62,7 @@
         self.forget_if_removed(endpoint)
 
     def _withdraw_unsent(self, endpoint: EngineEndpoint) -> None:
-        """End the attempts of which nothing was sent: they must not go to this engine any more."""
+        """End the attempts of which nothing was sent yet: they must not be sent to this engine any more."""
         for connection in list(endpoint.connections):
             for attempt in list(connection.open_attempts.values()):
                 if connection.write_buffer.withdraw(attempt.message):
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -1,4 +1,4 @@
-"""The periodic check of engine connections: for silent ones, and for those no longer needed."""
+"""Periodic check of the engine connections: finds silent ones and closes those no longer needed."""
 
 from math import isqrt
 from typing import TYPE_CHECKING, NamedTuple
@@ -11,20 +11,20 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-MIN_SWEEP_INTERVAL_US = 100_000  # the shortest interval between checks
+MIN_SWEEP_INTERVAL_US = 100_000  # also where the connect timeout is shorter
 
 
 class ConnectionLimits(NamedTuple):
-    """Times and limits for all engine connections, derived from the settings."""
+    """Time limits and others for all engine connections, derived from the settings."""
 
-    sweep_interval_us: int  # between checks: the connect timeout
-    attempts_when_shared: int  # on one connection; few, so that few are lost with it
-    silent_after_us: int  # a connection with an open attempt has a reply by then
-    lost_after_us: int  # two status notes were missed; 0: engines send none
+    sweep_interval_us: int  # between two checks: the connect timeout
+    attempts_when_shared: int  # on one shared connection; few, so that few are lost with it
+    silent_after_us: int  # a connection with an open attempt gets a reply within this time
+    lost_after_us: int  # by then two status notes are missing; 0: engines send none
 
     @classmethod
     def from_agreement(cls, agreement: Agreement) -> "ConnectionLimits":
-        """Return the limits for a deployment's settings."""
+        """Derive the limits from a deployment's settings."""
         sweep_interval_us = max(agreement.connect_timeout_us, MIN_SWEEP_INTERVAL_US)
         note_interval_us = agreement.status_interval_us
         silent_after_us = note_interval_us + sweep_interval_us
@@ -73,7 +73,7 @@
             self._probe(connection)
 
     def _abandon_lost_attempts(self, connection: EngineConnection) -> None:
-        """Stop attempts without any reply for too long, although their connection works."""
+        """Abandon attempts that got no reply for too long although their connection works."""
         for attempt in list(connection.open_attempts.values()):
             is_lost = self.core.now - attempt.last_reply_at >= self.limits.lost_after_us
             if is_lost and attempt.outcome_once_confirmed is None:
@@ -81,7 +81,7 @@
                 self.core.attempts.abandon(attempt, Outcome.RESET)
 
     def _probe(self, connection: EngineConnection) -> None:
-        """Send a health check: connections to a machine that vanished stay open and silent."""
+        """Send a health check: a connection to a machine that has vanished stays open but silent."""
         if not connection.probed_at:
             connection.probed_at = self.core.now
             self.core.pool.send_control(connection, engine_protocol.ALIVE, engine_protocol.ALIVE)
--- a/gullhold/net/engine_ids.py
+++ b/gullhold/net/engine_ids.py
@@ -1,22 +1,22 @@
-"""Numbers for the engines' names, alike at every gateway."""
+"""Numeric ids for the names of engines, the same at every gateway."""
 
 from zlib import crc32
 
-ID_MASK = 0xFFFFFFFF  # ids have the 32 bits of the hash
+ID_MASK = 0xFFFFFFFF  # ids are 32-bit, as the hash is
 
 
 class EngineIds:
-    """Gives each engine's name a number: a hash of the name, so that every gateway numbers engines alike."""
+    """Assigns ids to names: a hash of the name, so that all gateways use the same id for an engine."""
 
     def __init__(self) -> None:
         self.ids_by_name: dict[str, int] = {}
         self._used_ids: set[int] = set()
 
     def id_for(self, name: str) -> int:
-        """Return the engine's id; a new name gets one."""
+        """Return the id of the engine with this name; a new name gets one."""
         if name not in self.ids_by_name:
             engine_id = crc32(name.encode())
-            while engine_id in self._used_ids:  # two names with the same hash
+            while engine_id in self._used_ids:  # another name has the same hash
                 engine_id = (engine_id + 1) & ID_MASK
             self.ids_by_name[name] = engine_id
             self._used_ids.add(engine_id)
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -1,4 +1,4 @@
-"""Connections to engines: which one an attempt uses, when one is opened, and what its end means."""
+"""The connections to engines: which one an attempt uses, when one is opened, and how its end is handled."""
 
 from typing import TYPE_CHECKING
 
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-# Ends of a connection that may hit other attempts than the one that caused it.
-BROKE_OTHERS = frozenset((ConnectionEnd.MALFORMED, ConnectionEnd.RESET, ConnectionEnd.SILENT))
+# Ends of a connection that may fail other attempts than the one that caused them.
+DISORDERLY_ENDS = frozenset((ConnectionEnd.MALFORMED, ConnectionEnd.RESET, ConnectionEnd.SILENT))
 
 
 class EnginePool:
-    """All connections to engines. On the core's thread only, except `holding_descriptor`.
+    """All connections to engines. On the core's thread only, except for `holding_descriptor`.
 
-    holding_descriptor: connections that hold a descriptor, ended or not; their reader threads remove them.
-    max_connections: how many may hold one.
+    holding_descriptor: connections, also ended ones, whose descriptor is not closed yet; each is removed by
+    its reader thread. max_connections: how many connections may hold a descriptor.
     """
 
     def __init__(self, core: "Core", max_connections: int) -> None:
@@ -33,7 +33,7 @@
         self.holding_descriptor: set[EngineConnection] = set()
 
     def connection_for(self, engine_id: int, transaction_id: bytes) -> EngineConnection | None:
-        """Return a connection for an attempt of this id, opened if need be; None: there is none."""
+        """Return a connection for an attempt of this id, a new one if needed; None if none is available."""
         endpoint = self.endpoints.get(engine_id)
         if endpoint is None:
             return None
@@ -43,53 +43,53 @@
             for connection in endpoint.connections
             if connection.accepts(transaction_id, max_streams) and not self.is_idle(connection)
         ]
-        # One attempt on each connection while descriptors last, so that a malformed reply, a reset, or a
-        # request that an engine can't read costs no other attempt. But some engines close a connection once
-        # nothing else is open on it, although pages or a fetch are still to come: their attempts share them.
+        # One attempt per connection while descriptors last, so that a malformed reply, a reset, or a request
+        # that an engine can't read fails no other attempt. But some engines close a connection as soon as
+        # nothing else is open on it, although pages or a fetch are still to come: there attempts share one.
         max_preferred_open = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
         preferred = [
             connection for connection in usable if len(connection.open_attempts) < max_preferred_open
         ]
-        if preferred:  # the fullest; of idle ones the last used, so that others can be closed
+        if preferred:  # the fullest; of idle ones the last used, so that the others can be closed as idle
             return max(preferred, key=lambda connection: (len(connection.open_attempts), connection.used_at))
         if len(self.holding_descriptor) < self.max_connections:
-            return self._open(endpoint)
+            return self._open_connection(endpoint)
         if usable:
             return min(usable, key=lambda connection: len(connection.open_attempts))
-        self._close_idle_ones()
+        self._close_idle_connections()
         return None
 
     def connection_up(self, connection: EngineConnection) -> None:
-        """Send what waits for a connection that has just opened.
+        """Send the attempts that wait for a connection which has just opened.
 
-        Its attempts were decided a while ago: all that may forbid one (engine, client, time, fencing tokens)
-        is checked once more right before its first byte.
+        They were decided a while ago: whatever may forbid one by now (the state of the engine, a client that
+        left, the deadline, fencing tokens) is checked again right before its first byte is sent.
         """
         if connection.is_ended or connection.local_end or connection.connection is None:
             return
         self.counters.add("engine_connections_opened")
         for attempt in list(connection.open_attempts.values()):
-            may_go = self._may_still_go(connection, attempt)
-            if not may_go and connection.write_buffer.withdraw(attempt.message):
+            may_be_sent = self._may_be_sent(connection, attempt)
+            if not may_be_sent and connection.write_buffer.withdraw(attempt.message):
                 self.counters.add("attempts_withdrawn")
                 self.core.defer(self.core.attempts.end, attempt, Outcome.NOT_STARTED)
         connection.write_buffer.attach(connection.connection)
 
     def send_control(self, connection: EngineConnection, *strings: bytes) -> None:
-        """Send another message than a fetch: an abort, a health check, a request for a page.
+        """Send a message other than a fetch: an abort, a health check, a request for a page.
 
-        Where it can't be sent the connection ends: after a lost abort an attempt would run on.
+        If it can't be queued the connection is closed: if an abort were lost, its attempt would run on.
         """
         if connection.write_buffer.put(resp.encode(*strings)) < 0 and not connection.is_ended:
             self.core.defer(self.drop, connection, ConnectionEnd.PEER_NOT_READING)
 
     def drop(self, connection: EngineConnection, end: ConnectionEnd, text: str = "") -> None:
-        """Close a connection from our side, and end its attempts now."""
+        """Close a connection from this side and end its attempts now."""
         connection.begin_close(end)
         self.connection_ended(connection, end, text)
 
     def connection_ended(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
-        """Remove a connection that has ended, and end its attempts. A second call does nothing."""
+        """Remove a connection that has ended, and end its attempts. Further calls do nothing."""
         if connection.is_ended:
             return
         connection.is_ended = True
@@ -97,18 +97,18 @@
         connection.endpoint.connections.remove(connection)
         self.core.endpoint_list.forget_if_removed(connection.endpoint)
         self.counters.add(f"engine_connections_ended_{end.value}")
-        self._count_close(connection, end)
+        self._update_orderly_closes(connection, end)
         self._log_close(connection, end, text)
         self._end_attempts(connection, end)
 
     def is_idle(self, connection: EngineConnection) -> bool:
-        """Whether the engine may be about to close an idle connection: we close first."""
+        """Whether a connection was idle for so long that the gateway closes it before the engine does."""
         if connection.open_attempts:
             return False
         idle_us = self.core.now - connection.used_at
         return 0 < self.agreement.idle_timeout_us < idle_us + 2 * self.core.limits.sweep_interval_us
 
-    def _open(self, endpoint: EngineEndpoint) -> EngineConnection | None:
+    def _open_connection(self, endpoint: EngineEndpoint) -> EngineConnection | None:
         max_message_bytes = self.core.max_message_bytes
         connection = self.core.connect(
             endpoint, self.core, max_message_bytes, MAX_OPEN_REQUESTS * max_message_bytes, self.core.now
@@ -125,14 +125,14 @@
         self.counters.peak("engine_connections", len(self.connections))
         return connection
 
-    def _close_idle_ones(self) -> None:
-        """Close idle connections: the next attempt needs a descriptor."""
+    def _close_idle_connections(self) -> None:
+        """Begin to close idle connections, so that a later attempt gets a descriptor."""
         for connection in self.connections:
             if not connection.open_attempts and not connection.is_ended:
                 connection.begin_close(ConnectionEnd.RETIRED)
         self.counters.add("engine_connections_no_descriptor")
 
-    def _may_still_go(self, connection: EngineConnection, attempt: Attempt) -> bool:
+    def _may_be_sent(self, connection: EngineConnection, attempt: Attempt) -> bool:
         return bool(
             attempt.pending.client
             and connection.endpoint.state == EngineState.READY
@@ -141,11 +141,11 @@
         )
 
     @staticmethod
-    def _count_close(connection: EngineConnection, end: ConnectionEnd) -> None:
-        """Learn whether this engine closes connections in order."""
+    def _update_orderly_closes(connection: EngineConnection, end: ConnectionEnd) -> None:
+        """Record whether this engine closes its connections in an orderly way."""
         endpoint = connection.endpoint
         is_mid_array = end == ConnectionEnd.CLOSED_BY_PEER and connection.decoder.is_mid_array
-        if is_mid_array or end in BROKE_OTHERS:
+        if is_mid_array or end in DISORDERLY_ENDS:
             endpoint.orderly_closes = max(0, endpoint.orderly_closes - 1)
         elif end == ConnectionEnd.CLOSED_BY_PEER:
             endpoint.orderly_closes += 1
@@ -166,7 +166,7 @@
         self.core.event_log.add(event, not is_routine)
 
     def _end_attempts(self, connection: EngineConnection, end: ConnectionEnd) -> None:
-        """End the open attempts; where we closed, only after the engine has had the time to notice."""
+        """End the open attempts; if the gateway closed, only after the engine has had time to notice."""
         delay_us = self.agreement.connect_timeout_us if end in connection_ends.CAUSED_BY_GATEWAY else 0
         for attempt in list(connection.open_attempts.values()):
             outcome = self._outcome(connection, attempt, end)
--- a/gullhold/net/engine_protocol.py
+++ b/gullhold/net/engine_protocol.py
@@ -1,4 +1,4 @@
-"""Commands to engines and their replies, and which replies end an attempt."""
+"""The engine protocol: commands to engines, their replies, and the outcome that each final reply means."""
 
 from gullhold.interface import Outcome
 
@@ -8,7 +8,7 @@
 DONE = b"done"
 ABORT = b"abort"
 RENICE = b"renice"
-ALIVE = b"alive"  # answered by an ALIVE with the same tag
+ALIVE = b"alive"  # health check; the engine replies ALIVE with the same tag
 # Replies.
 STATUS = b"status"
 CHUNK = b"chunk"
@@ -17,7 +17,7 @@
 OVERLOADED = b"503"
 EXPIRED = b"504"
 
-# Replies that end an attempt; OVERLOADED and EXPIRED prove that it never ran.
+# Replies that end an attempt; OVERLOADED and EXPIRED mean that it never ran.
 FINAL_REPLIES = {
     ANSWER: Outcome.ANSWERED,
     OVERLOADED: Outcome.OVERLOADED,
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -1,4 +1,4 @@
-"""Handles the replies of engines: answers and their pages, status notes, confirmations."""
+"""Handles replies of engines: answers and their pages, status notes, and confirmations of aborts."""
 
 from math import isfinite
 from typing import TYPE_CHECKING
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-STATUS_NOTES = {
+STATUS_KINDS_BY_NOTE = {
     b"share": StatusKind.PROGRESS,
     b"short": StatusKind.SPILLING,
     b"held": StatusKind.WAITING,
 }
 PAGE_REPLIES = (engine_protocol.ANSWER, engine_protocol.CHUNK)
-MAX_PAGE_BYTES = 6_000  # of a page, from the protocol
-TABS_PER_ROW = 2  # rows of three columns, from the protocol
-MIN_STRINGS = 2  # in any reply: transaction id and kind of reply
+MAX_PAGE_BYTES = 6_000  # set by the protocol
+TABS_PER_ROW = 2  # a row has three columns, by the protocol
+MIN_STRINGS = 2  # in a reply: transaction id and kind of reply
 MAX_STRINGS = 4  # transaction id, kind of reply, fields, body
 
 
@@ -33,7 +33,7 @@
         self.report_fields = [name.encode() for name in core.agreement.report_fields]
 
     def handle(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
-        """Handle the arrays that arrived from an engine."""
+        """Handle the arrays that have arrived from an engine, a reply each."""
         connection.last_reply_at = self.core.now
         connection.probed_at = 0
         try:
@@ -46,13 +46,13 @@
 
     def _handle_array(self, connection: EngineConnection, array: list[bytes]) -> None:
         if len(array) < MIN_STRINGS:
-            raise ProtocolError(f"an answer of {len(array)} words")
+            raise ProtocolError(f"a reply is too short: {len(array)} words")
         transaction_id, reply, encoded_fields, body = (*array, b"", b"")[:MAX_STRINGS]
         if reply == engine_protocol.ALIVE:
             self.core.attempts.cancel_confirmed(connection, transaction_id)
             return
         attempt = connection.open_attempts.get(transaction_id)
-        if attempt is None:  # a late reply to an abandoned attempt, or an unknown id
+        if attempt is None:  # a late reply to an abandoned attempt, or a reply with an unknown id
             self.counters.add("unmatched_replies")
             if reply in engine_protocol.FINAL_REPLIES:
                 connection.abandoned_ids.discard(transaction_id)
@@ -64,11 +64,11 @@
         elif reply in PAGE_REPLIES:
             self._handle_page(connection, attempt, reply, fields, body)
         elif reply == engine_protocol.ERROR or (reply in engine_protocol.FINAL_REPLIES and not attempt.pages):
-            # An attempt that has begun to answer did run: only pages or an error may follow.
+            # An attempt that has sent a page did run: after it only pages or an error may follow.
             attempt.resources = self._resources(fields)
             self.core.attempts.end(attempt, engine_protocol.FINAL_REPLIES[reply])
         else:
-            raise ProtocolError(f"{reply!r} out of turn")
+            raise ProtocolError(f"{reply!r} is not allowed in this state of the attempt")
 
     def _handle_page(
         self,
@@ -78,12 +78,12 @@
         fields: dict[bytes, bytes],
         rows: bytes,
     ) -> None:
-        """Handle a page: the first comes with the answer, each further one as a chunk."""
+        """Handle a page: the first is part of the answer, each further one a chunk."""
         is_answer = reply == engine_protocol.ANSWER
         if is_answer and self._was_cancelled_between_pages(attempt, fields):
             return
         if self._is_known_page(attempt, fields):
-            self.counters.add("duplicate_pages")  # of a page that we have: ignored
+            self.counters.add("duplicate_pages")  # received before: ignored
         elif is_answer:
             attempt.resources = self._resources(fields)
             attempt.page_count = max(1, int(fields.get(b"pages", 1)))
@@ -91,10 +91,10 @@
         elif self._is_next_page(attempt, fields):
             self._add_page(connection, attempt, rows)
         else:
-            raise ProtocolError(f"{reply!r} out of turn")
+            raise ProtocolError(f"{reply!r} is not allowed in this state of the attempt")
 
     def _handle_status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
-        kind = STATUS_NOTES.get(fields.get(b"note", b""))
+        kind = STATUS_KINDS_BY_NOTE.get(fields.get(b"note", b""))
         if kind is None:
             return
         self.counters.add("status_notes")
@@ -108,13 +108,13 @@
         )
 
     def _add_page(self, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
-        """Add a page, and request the next; after the last the client gets the result."""
+        """Add a page and request the next one; after the last page send the result to the client."""
         transaction_id = attempt.pending.request.transaction_id
         check_page(rows)
         attempt.pages.append(rows)
         attempt.result_bytes += len(rows)
         if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > MAX_RESULT_BYTES:
-            raise ProtocolError("a result of an absurd size")
+            raise ProtocolError("a result of too many bytes or pages")
         if len(attempt.pages) < attempt.page_count:
             self.core.pool.send_control(
                 connection, engine_protocol.MORE, transaction_id, b"%d" % len(attempt.pages)
@@ -128,7 +128,7 @@
 
     @staticmethod
     def _was_cancelled_between_pages(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
-        """Whether the attempt was answered just before our abort, which discarded its further pages."""
+        """Whether this answer was sent just before the abort arrived, which discarded its further pages."""
         return attempt.outcome_once_confirmed is not None and int(fields.get(b"pages", 1)) > 1
 
     @staticmethod
@@ -140,7 +140,7 @@
         return bool(attempt.pages) and int(fields.get(b"page", -1)) == len(attempt.pages)
 
     def _resources(self, fields: dict[bytes, bytes]) -> ResourceUse:
-        """Return the resources that an attempt used, and the load report; absent values are zero."""
+        """Return the resources that an attempt used and the engine's load report; absent values are zero."""
         work_ms = float(fields.get(b"cost", 0))
         memory_mb = float(fields.get(b"need", 0))
         load: list[float] = []
@@ -148,14 +148,14 @@
             loads = dict(pair.partition(b":")[::2] for pair in fields[b"load"].split(b";"))
             load = [float(loads.get(name, 0)) for name in self.report_fields]
         if not all(map(isfinite, (work_ms, memory_mb, *load))):
-            raise ProtocolError("a figure that is none")
+            raise ProtocolError("a cost, memory or load value is not finite")
         return ResourceUse(int(work_ms * US_PER_MS), memory_mb, tuple(load))
 
 
 def check_page(rows: bytes) -> None:
-    """Raise ProtocolError unless a page consists of complete rows of three columns."""
+    """Raise ProtocolError unless a page is within the size limit and consists of complete rows."""
     is_too_long = len(rows) > MAX_PAGE_BYTES
     has_other_columns = rows.count(b"\t") != TABS_PER_ROW * rows.count(b"\n")
     is_last_row_incomplete = bool(rows) and not rows.endswith(b"\n")
     if is_too_long or has_other_columns or is_last_row_incomplete:
-        raise ProtocolError("a page that is not whole rows of three columns")
+        raise ProtocolError("a page is too long, or does not consist of complete rows of three columns")
--- a/gullhold/net/list_change.py
+++ b/gullhold/net/list_change.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list: parsing an event of the discovery service, and batches of events."""
+"""Changes of the endpoint list: parses watch events of the discovery service, and batches them."""
 
 from typing import Any, NamedTuple
 
@@ -20,8 +20,8 @@
 class ListChange(NamedTuple):
     """A change of the endpoint list, in the order of the arguments of Core.list_changed().
 
-    addresses: HOST:PORT by engine id, for those that state one; is_complete: engines that it doesn't mention
-    are in the list no more.
+    addresses: HOST:PORT by engine id, for entries that state one; is_complete: this is the complete list, so
+    engines without an entry are removed.
     """
 
     entries: list[EngineEntry]
@@ -30,7 +30,7 @@
 
 
 def parse_event(event: dict[str, Any], agreement: Agreement, engine_ids: EngineIds) -> ListChange:
-    """Parse one event of the stream; the ids of removed engines are freed. Raises ProtocolError."""
+    """Parse a watch event and free the ids of engines that it removes. Raises ProtocolError."""
     entries: list[EngineEntry] = []
     addresses: dict[int, str] = {}
     try:
@@ -45,7 +45,7 @@
                 engine_ids.forget(member["id"])
         return ListChange(entries, addresses, bool(change.get("complete")))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise ProtocolError(f"an event of another form: {error!r}") from None
+        raise ProtocolError(f"malformed watch event: {error!r}") from None
 
 
 def _parse_member(member: dict[str, Any], agreement: Agreement, engine_ids: EngineIds) -> EngineEntry:
@@ -72,9 +72,10 @@
         self._engine_ids: set[int] = set()
 
     def must_precede(self, change: ListChange) -> bool:
-        """Whether the batch has to be applied before this change.
+        """Whether the batch must be applied before this change, not together with it.
 
-        That is so for a complete list, and where both concern one engine: its states apply in order.
+        So it is if the change is a complete list, or if both concern the same engine, whose states must be
+        applied one by one.
         """
         return change.is_complete or any(entry.id in self._engine_ids for entry in change.entries)
 
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -1,9 +1,9 @@
-"""Start times of engines by the core's clock: the list states Unix time, and our wall clock may be off.
+"""Start times of engines by the core's clock: the list states Unix time, and the local clock may be off.
 
-The core's clock is Unix time at the start of this process, advanced by the monotonic clock: it is off by one
-constant while the process runs. No watch event reports a start before it happened, so the lowest age at which
-one was ever reported bounds how far our clock can be ahead. Ages are reduced by that bound: an engine may be
-taken for colder than it is, by the shortest delay of a watch event, and never for warmer.
+The core's clock is Unix time at the start of this process, advanced by the monotonic clock: while the process
+runs its error is constant. No watch event reports a start before it happened, so the lowest age at which a
+start was ever reported bounds how far the local clock can be ahead. Ages are reduced by that bound: an engine
+may be taken for colder than it is, by the shortest delay of a watch event, but never for warmer.
 """
 
 from collections.abc import Sequence
@@ -11,34 +11,35 @@
 
 from gullhold.interface import EngineEntry
 
-MAX_NEWS_DELAY_US = 10_000_000  # delay of a watch event: over the 7 s of the protocol
+MAX_EVENT_DELAY_US = 10_000_000  # of a watch event; more than the 7 s that the protocol allows
 
 
 class StartTime(NamedTuple):
-    """When an engine started, in us: as the list states it, and by our clock."""
+    """When an engine started, in us: as the endpoint list states it, and by the core's clock."""
 
     listed_us: int
     corrected_us: int
 
 
 class StartTimes:
-    """Corrects the start times (us of Unix time, 0: long ago) that the list states."""
+    """Corrects the start times that the endpoint list states (us of Unix time, 0: long ago)."""
 
     def __init__(self) -> None:
-        self.clock_lead_us: int | None = None  # bound on how far our clock is ahead; None: unknown
+        self.clock_lead_us: int | None = None  # bound on how far the local clock is ahead; None: unknown
         self.start_times: dict[int, StartTime] = {}  # by engine
-        self.unconfirmed: dict[int, EngineEntry] = {}  # by engine: entries that were in no watch event
+        # By engine: entries of the configuration's list that no watch event has repeated yet.
+        self.unconfirmed: dict[int, EngineEntry] = {}
 
-    def correct(self, now: int, entries: Sequence[EngineEntry], is_news: bool) -> list[EngineEntry]:
-        """Return these entries with their starts corrected, and others that they show to be wrong.
+    def correct(self, now: int, entries: Sequence[EngineEntry], is_watch_event: bool) -> list[EngineEntry]:
+        """Return these entries with corrected start times, and earlier entries whose times turn out wrong.
 
-        is_news: the entries are from a watch event, not from the configuration's list.
+        is_watch_event: the entries are from a watch event, not from the configuration's list.
         """
-        if is_news:
+        if is_watch_event:
             for entry in entries:
                 self._learn(now, entry)
-        found = [self._correct_entry(now, entry, is_news) for entry in entries]
-        return found + self._correct_unconfirmed(now, {entry.id for entry in entries})
+        corrected = [self._correct_entry(now, entry, is_watch_event) for entry in entries]
+        return corrected + self._correct_unconfirmed(now, {entry.id for entry in entries})
 
     def forget(self, engine_id: int) -> None:
         """Forget an engine that was removed."""
@@ -46,7 +47,7 @@
         self.unconfirmed.pop(engine_id, None)
 
     def _learn(self, now: int, entry: EngineEntry) -> None:
-        """Tighten the bound on our clock's lead by an entry of a watch event."""
+        """Lower the bound on the local clock's lead if an entry of a watch event shows a smaller one."""
         last = self.start_times.get(entry.id)
         is_known = last is not None and last.listed_us == entry.started_us
         if not entry.started_us or is_known:
@@ -55,11 +56,15 @@
         self.clock_lead_us = age_us if self.clock_lead_us is None else min(self.clock_lead_us, age_us)
 
     def _correct_unconfirmed(self, now: int, excluded_ids: set[int]) -> list[EngineEntry]:
-        """Return the entries of the configuration's list with their start times corrected.
+        """Return the unconfirmed entries of the configuration's list, with their start times corrected.
 
-        Only once a watch event shows that our clock is off by more than such an event can be late.
+        Empty unless a watch event has shown that the local clock is off by more than its delay can be.
         """
-        if not self.unconfirmed or self.clock_lead_us is None or 0 <= self.clock_lead_us <= MAX_NEWS_DELAY_US:
+        if (
+            not self.unconfirmed
+            or self.clock_lead_us is None
+            or 0 <= self.clock_lead_us <= MAX_EVENT_DELAY_US
+        ):
             return []
         entries = [entry for engine_id, entry in self.unconfirmed.items() if engine_id not in excluded_ids]
         self.unconfirmed = {}
@@ -67,19 +72,19 @@
             del self.start_times[entry.id]
         return [self._correct_entry(now, entry, True) for entry in entries]
 
-    def _correct_entry(self, now: int, entry: EngineEntry, is_news: bool) -> EngineEntry:
+    def _correct_entry(self, now: int, entry: EngineEntry, is_watch_event: bool) -> EngineEntry:
         listed_us = entry.started_us
         if not listed_us:
             self.forget(entry.id)
             return entry
-        clock_lead_us = self.clock_lead_us if is_news and self.clock_lead_us is not None else 0
+        clock_lead_us = self.clock_lead_us if is_watch_event and self.clock_lead_us is not None else 0
         start_us = min(now, listed_us + clock_lead_us)
         last = self.start_times.get(entry.id)
         if last is not None and last.listed_us == listed_us:
-            # The same start again: what is known since can only make it earlier.
+            # The same start was reported before: what was learnt since can only make it earlier.
             start_us = min(start_us, last.corrected_us)
         self.start_times[entry.id] = StartTime(listed_us, start_us)
-        if is_news:
+        if is_watch_event:
             self.unconfirmed.pop(entry.id, None)
         else:
             self.unconfirmed[entry.id] = entry
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -3,7 +3,7 @@
 import pytest
 
 from gullhold.interface import EngineEntry, EngineState
-from gullhold.net.start_times import MAX_NEWS_DELAY_US, StartTimes
+from gullhold.net.start_times import MAX_EVENT_DELAY_US, StartTimes
 
 S = 1_000_000
 NOW = 1_790_000_000 * S  # us of Unix time, by our clock
@@ -52,7 +52,7 @@
 def test_starts_of_the_configuration_are_corrected_once_news_shows_that_the_clock_is_off(off_s):
     starts, off = StartTimes(), off_s * S
     started(starts, NOW + off, 1, NOW - 3 * S, news=False)
-    news = starts.correct(NOW + S + off, [row(2, NOW + S - 1000)], is_news=True)
+    news = starts.correct(NOW + S + off, [row(2, NOW + S - 1000)], is_watch_event=True)
     found = {entry.id: entry.started_us for entry in news}
     assert 0 <= NOW + S + off - found[1] <= 4 * S
     assert found[1] == NOW + off - 3 * S + 1000
@@ -61,4 +61,4 @@
 def test_starts_of_the_configuration_stay_as_they_are_where_the_clock_is_right():
     starts = StartTimes()
     assert started(starts, NOW, 1, NOW - 3 * S, news=False) == NOW - 3 * S
-    assert len(starts.correct(NOW + S, [row(2, NOW + S - MAX_NEWS_DELAY_US // 2)], is_news=True)) == 1
+    assert len(starts.correct(NOW + S, [row(2, NOW + S - MAX_EVENT_DELAY_US // 2)], is_watch_event=True)) == 1
