--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -1,4 +1,4 @@
-"""Building the parts of one gateway process from its configuration and the operator's records."""
+"""Builds the parts of a gateway process from its configuration and the records of the operator file."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
@@ -15,36 +15,36 @@
 from gullhold.net.startup import ResourceError, retry_while_exhausted
 from gullhold.net.statement_memory import StatementMemory
 
-if TYPE_CHECKING:  # heavy, and needed only where an operator file asks for it
+if TYPE_CHECKING:  # slow to import; needed only if an operator file turns them on
     from gullhold.admission.client_identity import ClientIdentifier
     from gullhold.admission.queue import AdmissionQueue
     from gullhold.fleet.driver import Fleet
     from gullhold.operator.records import DoorRecord, FleetRecord
 
-LISTEN_RETRY_LIMIT_S = 5.0  # for an address that is still taken, or a socket
-STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory is for waiting statements, as much again for unread answers
-RESERVED_DESCRIPTORS = 16  # beside both kinds of connections: standard ones, listener, discovery, spare
-CLIENT_SOCKETS_DIVISOR = 2  # half for clients: usual ones need a third of the sockets at most
-RESULTS_PER_MESSAGE = 2  # results for which the largest message has room, with its other fields
+LISTEN_RETRY_LIMIT_S = 5.0  # while the address is still in use, or sockets are short
+STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory for waiting statements, as much again for unread answers
+RESERVED_DESCRIPTORS = 16  # for all but client and engine connections: standard streams, listener, discovery
+CLIENT_SOCKETS_DIVISOR = 2  # half of the sockets for clients, which usually need at most a third
+RESULTS_PER_MESSAGE = 2  # room in the largest message: for a result and its other fields
 
 
 class Admission(NamedTuple):
-    """The admission queue, and what tells clients apart for it."""
+    """The admission queue, and the identification of clients for it."""
 
     queue: "AdmissionQueue"
     client_identity: "ClientIdentifier"
 
 
 class GatewayParts(NamedTuple):
-    """The parts of a gateway that run in threads of their own; the listener's socket is open."""
+    """The parts of a gateway that run in threads of their own; the listener is bound already."""
 
     core: Core
     listener: Listener
     discovery_client: DiscoveryClient
 
     def background_threads(self) -> dict[str, Callable[[], None]]:
-        """Return what the threads beside the core's run, by thread name, in the order of their start."""
-        assert self.core.flusher is not None, "build_parts() has made it"
+        """Return the functions of all threads but the core's, by thread name, in the order of their start."""
+        assert self.core.flusher is not None, "build_parts() sets it"
         return {
             "listener": self.listener.run,
             "coordinator": self.discovery_client.run,
@@ -55,12 +55,12 @@
 def build_parts(configuration: Configuration, door_record: "DoorRecord | None" = None) -> GatewayParts:
     """Build the core, the listener and the discovery client. Raises ConfigurationError.
 
-    door_record: the operator's settings of the admission queue; None: there is no queue.
+    door_record: settings of the admission queue from the operator file; None: no queue.
     """
     admission = None
     if door_record and door_record.on:
         admission = build_admission(door_record, configuration.agreement, configuration.seed)
-    # An even share of the memory for each connection, and at least room for a result.
+    # An equal share of the memory for each connection, but at least room for a result.
     max_message_bytes = max(
         configuration.memory_bytes // configuration.max_sockets, RESULTS_PER_MESSAGE * MAX_RESULT_BYTES
     )
@@ -90,9 +90,9 @@
 
 
 def build_admission(door_record: "DoorRecord", agreement: Agreement, seed: int) -> Admission:
-    """Build the admission queue that an operator's record asks for. Raises ConfigurationError."""
-    from gullhold.admission.client_identity import ClientIdentifier  # noqa: PLC0415  only where it is on
-    from gullhold.admission.queue import AdmissionQueue  # noqa: PLC0415  only where it is on
+    """Build the admission queue that a record of the operator file describes. Raises ConfigurationError."""
+    from gullhold.admission.client_identity import ClientIdentifier  # noqa: PLC0415  only if it is on
+    from gullhold.admission.queue import AdmissionQueue  # noqa: PLC0415  only if it is on
 
     tenant_names = [tenant.name for tenant in agreement.tenants]
     tenant_of_others = None
@@ -118,16 +118,16 @@
 def build_fleet_member(
     fleet_record: "FleetRecord", configuration: Configuration, core: Core
 ) -> "Fleet | None":
-    """Build the member of a fleet that an operator's record asks for, not started yet; None where it is off.
+    """Build this gateway's fleet member, without starting it; None if the record turns the fleet off.
 
     Raises ConfigurationError.
     """
     if not fleet_record.on:
         return None
     try:
-        from gullhold.fleet import driver  # noqa: PLC0415  heavy: only where it is on
+        from gullhold.fleet import driver  # noqa: PLC0415  slow to import: only if it is on
     except ImportError as error:
-        raise ConfigurationError(f"fleet needs the libraries of requirements-full.txt: {error}") from None
+        raise ConfigurationError(f"the fleet needs the packages of requirements-full.txt: {error}") from None
     try:
         return driver.Fleet(fleet_record, configuration, core)
     except driver.UnusableFleetError as error:
@@ -141,7 +141,7 @@
     max_clients: int,
     admission: Admission | None,
 ) -> Listener:
-    """Make the core's flusher and the listener, whose descriptors may be refused for a while."""
+    """Create the core's flusher and the listener; retries while the system is short of descriptors."""
 
     def listen() -> Listener:
         return Listener(
--- a/gullhold/net/configuration.py
+++ b/gullhold/net/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of one gateway process, read from its JSON file and checked for what serving needs."""
+"""Reads the configuration of a gateway process from its JSON file, and checks that it is complete."""
 
 import json
 import os
@@ -10,21 +10,21 @@
 from gullhold.net.engine_ids import EngineIds
 from gullhold.net.list_change import ListChange, parse_event
 
-if TYPE_CHECKING:  # heavy, and needed only where there is an operator file
+if TYPE_CHECKING:  # slow to import; needed only if there is an operator file
     from gullhold.operator.records import OperatorFile
 
-MEGABYTE_SHIFT = 20  # bits by which megabytes are shifted to bytes
+MEGABYTE_SHIFT = 20  # 1 MB is 1 << 20 bytes
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
-LISTEN_VARIABLE = "GW_LISTEN"  # takes precedence over the file's address
+LISTEN_VARIABLE = "GW_LISTEN"  # environment variable that overrides the listen address of the file
 
 
 class ConfigurationError(Exception):
-    """A configuration or operator file that can't be used; the message is one plain line."""
+    """A configuration or operator file can't be used; the message is a single line."""
 
 
 class Configuration(NamedTuple):
-    """What a configuration file states.
+    """The contents of a configuration file.
 
     list_changes: the endpoint list at the start; engine_ids: the ids given to the engines' names so far;
     last_event_index: the index of the last event in that list; discovery_address: HOST:PORT of the discovery
@@ -44,14 +44,14 @@
 
 
 def load_configuration(path: str | None) -> Configuration:
-    """The configuration at a path. Raises ConfigurationError."""
+    """Load the configuration file at a path. Raises ConfigurationError."""
     if not path:
-        raise ConfigurationError("GW_CONFIG is not set")
+        raise ConfigurationError("no configuration file: pass --config or set GW_CONFIG")
     try:
         with open(path, encoding="utf-8") as file:
             return _parse(json.load(file))
     except (OSError, ValueError, KeyError, TypeError, AttributeError, ProtocolError) as error:
-        raise ConfigurationError(f"configuration {path}: {error!r}") from None
+        raise ConfigurationError(f"configuration {path} can't be used: {error!r}") from None
 
 
 def _parse(tree: dict[str, Any]) -> Configuration:
@@ -75,14 +75,14 @@
 
 
 def load_operator_file(path: str | None) -> "OperatorFile | None":
-    """Return the operator file at a path, None where no path is given. Raises ConfigurationError."""
+    """Load the operator file at a path; None if no path is given. Raises ConfigurationError."""
     if not path:
         return None
     try:
-        from gullhold.operator import records  # noqa: PLC0415  heavy: only where there is such a file
+        from gullhold.operator import records  # noqa: PLC0415  slow to import: only if there is such a file
     except ImportError as error:
         raise ConfigurationError(
-            f"an operator file needs the libraries of requirements-full.txt: {error}"
+            f"an operator file needs the packages of requirements-full.txt: {error}"
         ) from None
     try:
         return records.load(path)
--- a/gullhold/net/configuration_command.py
+++ b/gullhold/net/configuration_command.py
@@ -1,4 +1,4 @@
-"""The command `config`: prints what a configuration, or an operator file, states."""
+"""The command `config`: checks and prints a configuration file or an operator file."""
 
 import sys
 from collections.abc import Iterator
@@ -11,11 +11,11 @@
     load_operator_file,
 )
 
-STATUS_UNUSABLE = 2
+STATUS_UNUSABLE = 2  # exit status: the file can't be used
 
 
 def print_configuration(path: str | None, operator_path: str | None = None) -> int:
-    """Print the operator file if one is named, else the configuration; return the exit status."""
+    """Print the operator file if a path is given, else the configuration; return the exit status."""
     try:
         if operator_path:
             lines = _operator_file_lines(operator_path)
@@ -32,7 +32,7 @@
     operator_file = load_operator_file(path)
     if operator_file is None:  # no path was given
         return []
-    from gullhold.operator import records  # noqa: PLC0415  heavy: only where there is such a file
+    from gullhold.operator import records  # noqa: PLC0415  slow to import: only if there is such a file
 
     return list(records.lines(operator_file))
 
--- a/gullhold/net/configuration_reload.py
+++ b/gullhold/net/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reading the configuration file again while serving: only the discovery service's address may change."""
+"""Reloads the configuration file of a running gateway; only the discovery address takes effect."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 
 class FileVersion(NamedTuple):
-    """Facts about a file that change whenever it is replaced or written."""
+    """Properties of a file that change whenever it is replaced or written."""
 
     inode: int
     modified_ns: int
@@ -18,7 +18,7 @@
 
 
 def file_version(path: str) -> FileVersion | None:
-    """Return the version of the file at a path; None where there is no file."""
+    """Return the version of the file at a path; None if there is no such file."""
     try:
         status = os.stat(path)
     except OSError:
@@ -27,9 +27,9 @@
 
 
 class ConfigurationReload:
-    """Reads the discovery service's address again: on SIGHUP, and where its stream can't be followed.
+    """Reloads the address of the discovery service: on SIGHUP, and after the end of each event stream.
 
-    version: the file's version from before it was read at the start. An unusable file changes nothing.
+    version: the version that the file had before it was read at the start. An unusable file changes nothing.
     """
 
     def __init__(self, path: str, version: FileVersion | None, discovery_client: DiscoveryClient) -> None:
@@ -38,7 +38,7 @@
         self._discovery_client = discovery_client
 
     def reload(self) -> None:
-        """Read the file now; the action on SIGHUP."""
+        """Read the file now, as SIGHUP requests."""
         self._version = file_version(self._path)
         try:
             with open(self._path, encoding="utf-8") as file:
@@ -51,8 +51,8 @@
     def reload_if_changed(self) -> None:
         """Read the file if it has changed since it was last read.
 
-        Guards against a move that no SIGHUP announced: the file may be replaced while we start, when none is
-        sent, and a discovery service that has moved refuses for ever. Harmless where the file did not change.
+        Guards against a new address that no SIGHUP announced: none is sent while the gateway starts, and a
+        discovery service that has moved refuses connections at its old address for ever.
         """
         version = file_version(self._path)
         if version is not None and version != self._version:
--- a/gullhold/net/connection.py
+++ b/gullhold/net/connection.py
@@ -29,7 +29,7 @@
             return -1 if self.is_closed else self.sock.fileno()
 
     def send(self, data: bytes | memoryview) -> int:
-        """Send without blocking; return how many bytes were accepted. Raises OSError if that is impossible."""
+        """Send without blocking; return how many bytes were accepted. Raises OSError unless connected."""
         with self.lock:
             if self.is_closed:
                 raise BrokenPipeError("the connection is closed")
--- a/gullhold/net/counters.py
+++ b/gullhold/net/counters.py
@@ -1,17 +1,17 @@
-"""Counts of what the gateway received, sent and answered, for operators and to judge a rollout's canary."""
+"""Counters of the gateway: for reports to operators, and for judging the canary of a rollout."""
 
 from collections import Counter
 from threading import Lock
 
-# Counters by which a canary of a rollout is judged.
+# Counters by which the canary of a rollout is judged.
 ANSWERED = "answered"
-ANSWER_TIME_US = "answer_time_us"  # of all answered requests together; counted only where there is a policy
+ANSWER_TIME_US = "answer_time_us"  # total of all answered requests; counted only if there is a policy
 FAILED = "failed"
 SHED = "shed"
 
 
 class Counters:
-    """Named counts and highest values, safe from every thread."""
+    """Named counts and highest values. Thread-safe."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -19,12 +19,12 @@
         self.lock = Lock()
 
     def add(self, name: str, step: int = 1) -> None:
-        """Raise a count."""
+        """Add a step to a count."""
         with self.lock:
             self.counts[name] += step
 
     def peak(self, name: str, value: int) -> None:
-        """Keep the highest value of a name."""
+        """Record a value; only the highest one of a name is kept."""
         if value > self.peaks.get(name, 0):
             with self.lock:
                 self.peaks[name] = max(value, self.peaks.get(name, 0))
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -86,13 +86,13 @@
         retry_interval_s = self._core.agreement.connect_timeout_us / US_PER_S
         while True:
             try:
-                self._attempt(retry_interval_s)
+                self._follow_once(retry_interval_s)
             except Exception:  # noqa: BLE001  without this thread the list would become stale
                 self._core.counters.add("internal_faults")
                 logger.exception("discovery client failed, restarting")
                 time.sleep(FAILURE_DELAY_S)
 
-    def _attempt(self, retry_interval_s: float) -> None:
+    def _follow_once(self, retry_interval_s: float) -> None:
         """Follow the stream until it ends, then pause; without an address or permission to call only wait."""
         began_s = time.monotonic()
         self._address_changed.clear()
--- a/gullhold/net/endpoint_list.py
+++ b/gullhold/net/endpoint_list.py
@@ -17,9 +17,8 @@
         self.core = core
         self.endpoints = core.pool.endpoints
         self.start_times = StartTimes()
-        self.has_initial_list = (
-            False  # the configuration's list was applied; all later changes are watch events
-        )
+        # Whether the configuration's list was applied; all later changes are watch events.
+        self.has_initial_list = False
 
     def apply(
         self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, event_count: int = 1
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -1,7 +1,7 @@
-"""Events of requests and connections with their reasons, a line each, at a bounded rate.
+"""Log of request and connection events with their reasons, rate-limited to a few lines a second.
 
-Every close, retry, error answer and abandoned attempt is an event. The newest are kept in memory and are
-logged on SIGUSR1; as they happen they are logged as far as their rate allows, and the others are counted.
+Every closed connection, retry, error answer and abandoned attempt is an event. The newest ones are kept in
+memory and logged on SIGUSR1. Each is logged as it happens if the rate limit allows, otherwise only counted.
 """
 
 from collections import deque
@@ -10,13 +10,13 @@
 
 from loguru import logger
 
-MAX_RECENT_EVENTS = 400  # events kept in memory: some 100 KB
-BURST = 20  # lines of one kind that may be logged at once
-RATE_PER_S = 2.0  # lines of one kind that may be logged after that
+MAX_RECENT_EVENTS = 400  # kept in memory: about 100 KB
+MAX_BURST_LINES = 20  # lines of one kind that may be logged at once
+MAX_LINES_PER_S = 2.0  # lines of one kind that may be logged after a burst
 
 
 class EventKind(StrEnum):
-    """The kinds of event, as they are logged."""
+    """The kind of an event; the value is how it is logged."""
 
     CONNECTION_CLOSED = "connection_closed"
     RETRY = "retry"
@@ -25,20 +25,20 @@
 
 
 class LoggedEvent(NamedTuple):
-    """One event; what does not apply is empty."""
+    """One event; fields that do not apply are empty."""
 
     at_us: int  # Unix time, us
     kind: EventKind
     reason: str
-    request: bytes = b""  # the client's id of the request
-    connection: str = ""  # of a client, or to an engine: its address
-    old_state: str = ""  # the state that it was in
-    new_state: str = ""  # the state that it is in now
-    open: int = 0  # requests or attempts that were open on a connection that closed
-    detail: str = ""  # what the system or the protocol said beside the reason
+    request: bytes = b""  # transaction id
+    connection: str = ""  # "client" or "engine" with the address of the peer
+    old_state: str = ""  # of the request, attempt or connection before the event
+    new_state: str = ""  # and after it
+    open: int = 0  # requests or attempts that were open on the closed connection
+    detail: str = ""  # message of the system or protocol error, if any
 
     def line(self) -> str:
-        """Return the line as it is logged: key=value pairs in a fixed order."""
+        """Return the event as it is logged: key=value pairs in a fixed order."""
         pairs = {
             "event": self.kind.value,
             "request": self.request.decode("ascii", "replace"),
@@ -54,16 +54,16 @@
 
 
 class EventLog:
-    """The recent events. Used by the core's thread; lines() by any thread."""
+    """Keeps the recent events and logs them. On the core's thread only, except for lines()."""
 
     def __init__(self) -> None:
         self.recent: deque[LoggedEvent] = deque(maxlen=MAX_RECENT_EVENTS)
-        self.suppressed_count = 0  # events since the last line that was logged
-        self.lines_allowed: dict[EventKind, float] = {}  # that may be logged now
-        self.counted_at_us: dict[EventKind, int] = {}  # when the above was true
+        self.suppressed_count = 0  # events that were not logged since the last line
+        self.lines_allowed: dict[EventKind, float] = {}  # lines of a kind that may be logged at once
+        self.counted_at_us: dict[EventKind, int] = {}  # when lines_allowed of a kind was last updated
 
     def add(self, event: LoggedEvent, is_unusual: bool = False) -> None:
-        """Keep an event, and log it if its kind's rate allows; an unusual one as a warning."""
+        """Keep an event, and log it if the rate limit of its kind allows; an unusual one as a warning."""
         self.recent.append(event)
         if not self._may_log(event):
             self.suppressed_count += 1
@@ -76,12 +76,14 @@
             logger.info("{}{}", event.line(), left_out)
 
     def lines(self) -> list[str]:
-        """Return the lines of the kept events, the oldest first."""
+        """Return the lines of the recent events, the oldest first."""
         return [f"at_us={event.at_us} {event.line()}" for event in list(self.recent)]
 
     def _may_log(self, event: LoggedEvent) -> bool:
-        passed_s = (event.at_us - self.counted_at_us.get(event.kind, event.at_us)) / 1e6
-        allowed = min(BURST, self.lines_allowed.get(event.kind, BURST) + passed_s * RATE_PER_S)
+        elapsed_s = (event.at_us - self.counted_at_us.get(event.kind, event.at_us)) / 1e6
+        allowed = min(
+            MAX_BURST_LINES, self.lines_allowed.get(event.kind, MAX_BURST_LINES) + elapsed_s * MAX_LINES_PER_S
+        )
         self.counted_at_us[event.kind] = event.at_us
         may_log = allowed >= 1
         self.lines_allowed[event.kind] = allowed - 1 if may_log else allowed
--- a/gullhold/net/health_check.py
+++ b/gullhold/net/health_check.py
@@ -1,4 +1,4 @@
-"""The command `check`: asks a running gateway, as clients do, whether it serves."""
+"""The command `check`: asks a running gateway over its client port whether it serves."""
 
 import socket
 import sys
@@ -6,18 +6,18 @@
 from gullhold.net import split_host_port, thrift
 from gullhold.net.connection_ends import ProtocolError
 
-SEQUENCE_NUMBER = 1
+SEQUENCE_ID = 1
 
 
 def is_serving(address: tuple[str, int], timeout_s: float) -> bool | None:
-    """Ask the gateway at an address whether it serves; None: nobody listens there.
+    """Ask the gateway at an address whether it serves; None if nothing listens there.
 
-    Raises OSError, or ProtocolError where something else answers.
+    Raises OSError, or ProtocolError if something other than a gateway answers.
     """
     decoder = thrift.Decoder(thrift.MAX_CHECK_REPLY_BYTES)
     try:
         with socket.create_connection(address, timeout=timeout_s) as sock:
-            sock.sendall(thrift.encode_check_call(SEQUENCE_NUMBER))
+            sock.sendall(thrift.encode_check_call(SEQUENCE_ID))
             frame = next(decoder.frames(), None)
             while frame is None and decoder.buffer.receive(sock):
                 frame = next(decoder.frames(), None)
@@ -27,11 +27,11 @@
 
 
 def check(address: str, timeout_s: float) -> int:
-    """Print whether the gateway at HOST:PORT serves; return the exit status, 0 if it does."""
+    """Print whether the gateway at HOST:PORT serves; return the exit status: 0 if it does, else 1."""
     try:
         serves = is_serving(split_host_port(address), timeout_s)
         if serves is None:
-            raise ConnectionRefusedError("nobody listens there")
+            raise ConnectionRefusedError("nothing listens there")
     except (OSError, ValueError, ProtocolError) as error:
         print(f"gullhold: {address}: {error}", file=sys.stderr)
         return 1
--- a/gullhold/net/logsink.py
+++ b/gullhold/net/logsink.py
@@ -1,4 +1,4 @@
-"""A bounded queue and a thread that writes the log, so that a full pipe behind it blocks no other thread."""
+"""Writes the log from a thread with a bounded queue, so that a full output pipe blocks no other thread."""
 
 from queue import Full, Queue
 from threading import Thread
@@ -6,11 +6,11 @@
 
 from gullhold.net.counters import Counters
 
-MAX_QUEUED_LINES = 2000  # some seconds of the most that a failing gateway logs
+MAX_QUEUED_LINES = 2000  # a few seconds of the most that a failing gateway logs
 
 
 class LogSink:
-    """Accepts lines from any thread without blocking; drops and counts them while the queue is full."""
+    """Accepts lines from any thread without blocking; while the queue is full it drops and counts them."""
 
     def __init__(self, stream: TextIO, counters: Counters) -> None:
         self.stream = stream
@@ -20,14 +20,14 @@
         self.thread.start()
 
     def put(self, line: str | None) -> None:
-        """Queue a line; None ends the writing thread."""
+        """Queue a line; None ends the thread that writes."""
         try:
             self.lines.put_nowait(line)
         except Full:
             self.counters.add("log_lines_dropped")
 
     def finish(self, timeout_s: float) -> None:
-        """Write the lines that are queued and end; return after the timeout at the latest."""
+        """Have the queued lines written and the thread ended; return after the timeout at the latest."""
         self.put(None)
         self.thread.join(timeout_s)
 
@@ -36,5 +36,5 @@
             try:
                 self.stream.write(text)
                 self.stream.flush()
-            except Exception:  # noqa: BLE001  the reader has gone, or memory is short: the gateway goes on
+            except Exception:  # noqa: BLE001  no reader, or too little memory: go on without these lines
                 self.counters.add("log_write_failures")
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -1,4 +1,4 @@
-"""One gateway process: its threads, signals, reports and end."""
+"""A gateway process: its threads, signal handling, reports in the log, and end."""
 
 import os
 import signal
@@ -20,19 +20,19 @@
 LOG_LEVEL_VARIABLE = "GULLHOLD_LOG"
 DEFAULT_LOG_LEVEL = "INFO"
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
-FLEET_END_TIMEOUT_S = 1.0  # for the results of the fleet's own commands: a few calls of the store
-FAILURE_DELAY_S = 0.01  # between turns of the main thread after a fault
+FLEET_END_TIMEOUT_S = 1.0  # for writing the results of scheduled commands: a few calls of the store
+FAILURE_DELAY_S = 0.01  # pause of the main thread after an unexpected exception
 
 
 class Process:
-    """The parts of one gateway process, from reading its files to its end."""
+    """The parts of a gateway process, from reading its files until it ends."""
 
     def __init__(self, path: str | None, operator_path: str | None) -> None:
         """Read the files and open the listener. Raises ConfigurationError."""
-        # Before the file is read: one that is replaced meanwhile has another version.
+        # Taken before the file is read: if the file is replaced meanwhile, its version differs.
         version = file_version(path) if path else None
         self.configuration = load_configuration(path)
-        assert path, "load_configuration() rejects an empty path"
+        assert path, "load_configuration() raises for an empty path"
         operator_file = load_operator_file(operator_path)
         self._parts = build_parts(self.configuration, operator_file.door if operator_file else None)
         self.core = self._parts.core
@@ -52,7 +52,7 @@
             discovery_client.may_call = self.fleet.budgets.may_call_discovery
 
     def start(self) -> None:
-        """Start all threads. Raises ResourceError where the system keeps refusing one."""
+        """Start all threads. Raises ResourceError if the system keeps refusing one."""
         for name, run in self._parts.background_threads().items():
             start_thread(run, name)
         start_thread(self._run_core, "core")
@@ -60,7 +60,7 @@
             self.fleet.start()
 
     def run(self, report_interval_s: float) -> int:
-        """Serve until the core has ended; return the exit status. An interval of 0 means: no reports."""
+        """Serve until the core has ended; return the exit status. Interval 0: no periodic reports."""
         actions: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.begin_shutdown,
             signal.SIGINT: self.begin_shutdown,
@@ -74,26 +74,26 @@
         return 0 if self.core.stopped else 1
 
     def begin_shutdown(self) -> None:
-        """Begin a graceful shutdown."""
+        """Begin a graceful shutdown of the core and leave the fleet."""
         self.core.post_urgent(self.core.begin_shutdown)
         if self.fleet:
             self.fleet.leave()
 
     def log_report(self) -> None:
-        """Log times, memory, threads and counters."""
+        """Log a report: times, memory, threads, descriptors and counters."""
         title = "counters:"
         for line in report_lines(time.monotonic() - self._started_s, self.core.counters):
             logger.info("{} {}", title, line)
             title = "counters continued:"
 
     def log_recent_events(self) -> None:
-        """Log a report and the last events."""
+        """Log a report and the recent events of requests and connections."""
         self.log_report()
         for line in self.core.event_log.lines():
             logger.info("recent {}", line)
 
     def _redirect_log(self) -> LogSink:
-        """Send the log to standard error through a sink that does not block."""
+        """Log to standard error through a sink that never blocks."""
         sink = retry_while_exhausted("thread log", lambda: LogSink(sys.stderr, self.core.counters))
         logger.remove()
         logger.add(sink.put, level=os.environ.get(LOG_LEVEL_VARIABLE, DEFAULT_LOG_LEVEL), format=LOG_FORMAT)
@@ -105,7 +105,7 @@
         except Exception:  # noqa: BLE001  the outermost loop of the core's thread
             logger.exception("core thread failed")
         finally:
-            self.signals.wake()  # a gateway without its core must not live on
+            self.signals.wake()  # without its core the process must end
 
 
 def handle_signals_until_end(
@@ -114,7 +114,7 @@
     log_report: Callable[[], None],
     report_interval_s: float,
 ) -> None:
-    """Act on signals, and log reports at the interval (0: never), until the core has ended."""
+    """Run the actions of received signals and log periodic reports (interval 0: none) until the core ends."""
     report_due_s = time.monotonic() + report_interval_s
     received: tuple[int, ...] = ()
     while CORE_ENDED not in received:
@@ -127,6 +127,6 @@
             if report_interval_s and time.monotonic() >= report_due_s:
                 report_due_s += report_interval_s
                 log_report()
-        except Exception:  # noqa: BLE001  guards against a fault beside the service that ends all open requests
+        except Exception:  # noqa: BLE001  a fault here must not end all open requests
             logger.exception("main thread failed, continuing")
             time.sleep(FAILURE_DELAY_S)
--- a/gullhold/net/process_report.py
+++ b/gullhold/net/process_report.py
@@ -1,4 +1,4 @@
-"""The lines of a report on this process: its times, memory, threads, descriptors and counters."""
+"""Lines of a report about this process: times, memory, threads, descriptors and counters."""
 
 import os
 import time
@@ -6,7 +6,7 @@
 
 from gullhold.net.counters import Counters
 
-MAX_LINE_LENGTH = 240  # characters: what reads logs may cut lines at 300
+MAX_LINE_LENGTH = 240  # characters; log readers may cut lines at 300
 SEPARATOR = " "
 STATUS_FILE = "/proc/self/status"
 DESCRIPTORS_DIRECTORY = "/proc/self/fd"
@@ -25,9 +25,10 @@
 
 
 def join_parts(parts: Iterable[str], max_length: int) -> Iterator[str]:
-    """Join the parts, in order, to as few lines of at most so many characters as possible; no part is cut.
+    """Join parts in order into as few lines as possible, each of at most max_length characters.
 
-    Guards against readers of logs that cut long lines: two thirds of an incident's counters were lost.
+    No part is split; one that is too long gets a line of its own. Guards against log readers that cut long
+    lines: in an incident two thirds of the counters were lost that way.
     """
     line = ""
     for part in parts:
@@ -40,7 +41,7 @@
 
 
 def resource_usage() -> list[str]:
-    """Return memory, threads and descriptors of this process; empty where the system states none."""
+    """Return memory, threads and descriptors of this process; empty if /proc can't be read."""
     try:
         with open(STATUS_FILE, encoding="ascii") as file:
             rows = dict(line.split(":", 1) for line in file)
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -17,7 +17,7 @@
     monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
     for n in range(1000):  # within a second
         log.add(LoggedEvent(1_000_000 + n * 1000, EventKind.RETRY, f"reset {n}"))
-    assert eventlog.BURST <= len(logged) <= eventlog.BURST + eventlog.RATE_PER_S + 1
+    assert eventlog.MAX_BURST_LINES <= len(logged) <= eventlog.MAX_BURST_LINES + eventlog.MAX_LINES_PER_S + 1
     log.add(LoggedEvent(9_000_000, EventKind.RETRY, "the last"))
     assert "suppressed=" in logged[-1]
     assert "reason=the_last" in logged[-1]
