--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -31,7 +31,7 @@
         ("once", mute, "fault"),
     ],
 )
-def test_a_send_that_fails_goes_again_only_where_that_does_no_harm(start_gateway, verb, act, want):
+def test_failed_attempt_is_retried_only_when_a_second_run_does_no_harm(start_gateway, verb, act, want):
     engine = Engine(act, ok())
     gateway, client = start_gateway(engine)
     seq = client.ask(verb)
@@ -39,7 +39,7 @@
     assert len(engine.messages(b"fetch")) == (1 if want == "fault" else 2)
 
 
-def test_a_refused_connection_proves_that_nothing_ran(start_gateway):
+def test_non_idempotent_command_is_retried_when_an_engine_refuses_the_connection(start_gateway):
     dead, engine = Engine(), Engine()
     dead.stop_listening()
     gateway, client = start_gateway(dead, engine)
@@ -57,7 +57,7 @@
         lambda conn, txn: conn.sendall(resp.encode(txn, b"chunk", b"page=7", b"x")),
     ],
 )
-def test_a_result_that_breaks_off_is_never_passed_on(start_gateway, page):
+def test_incomplete_result_is_not_passed_on_when_a_later_page_fails(start_gateway, page):
     def breaks(conn, verb, *words):
         if verb == b"fetch":
             conn.sendall(resp.encode(words[0], b"200", b"pages=3", b"half\n"))
@@ -72,7 +72,7 @@
     assert client.answer() == (seq, b"a\tb\tc\n")
 
 
-def test_a_query_that_never_ends_is_answered_before_the_client_timeout_and_given_up(start_gateway):
+def test_endless_query_is_failed_and_aborted_when_the_client_timeout_is_near(start_gateway):
     engine = Engine(endless)
     gateway, client = start_gateway(engine)
     began = time.monotonic()
@@ -84,7 +84,7 @@
     assert gateway.count("attempts_ended_timed_out") == 1
 
 
-def test_a_client_that_stops_waiting_is_owed_nothing_and_its_late_answer_is_passed_over(start_gateway):
+def test_late_answer_is_ignored_when_the_client_has_interrupted_its_request(start_gateway):
     late = []
 
     def keeps(conn, verb, *words):
@@ -103,7 +103,7 @@
     assert client.answer() == (second, b"a\tb\tc\n")
 
 
-def test_a_second_send_waits_until_the_abort_of_the_first_has_come_to_its_engine(start_gateway):
+def test_retry_is_sent_only_when_the_abort_of_the_first_attempt_is_confirmed(start_gateway):
     """They travel on different connections: once in some hundred attempts the fetch overtook the abort."""
     engines = [Engine(endless, ok()), Engine(endless, ok())]
     for engine in engines:
@@ -116,7 +116,7 @@
     assert order[:4] == [b"fetch", b"abort", b"alive answered", b"fetch"]
 
 
-def test_an_answer_that_crosses_a_cancel_is_the_clients(start_gateway):
+def test_answer_reaches_the_client_when_it_crosses_the_abort(start_gateway):
     def crosses(conn, verb, *words):
         if verb == b"abort":
             ok(b"j\tu\tst\n")(conn, b"fetch", *words)
@@ -129,7 +129,7 @@
     until(lambda: gateway.count("attempts_ended_answered") == 1)
 
 
-def test_nothing_new_goes_out_on_a_link_that_fell_silent(start_gateway):
+def test_no_attempt_is_sent_on_a_connection_when_its_health_check_is_unanswered(start_gateway):
     """A machine that vanished got attempts for seconds, since its open connection looked healthy."""
     gone = Engine(mute)
     gateway, client = start_gateway(gone)
@@ -142,7 +142,7 @@
     assert len(gone.messages(b"fetch")) == 1
 
 
-def test_second_copies_and_words_of_nobody_are_passed_over(start_gateway):
+def test_duplicate_pages_and_replies_with_unknown_ids_are_ignored(start_gateway):
     page, more = b"1\t2\t3\n" * 400, b"4\t5\t6\n"
 
     def act(conn, verb, *words):
@@ -172,7 +172,7 @@
         ok(b"a\tb\tc\nno\x00ise"),  # rows that are none
     ],
 )
-def test_a_spoilt_answer_costs_its_own_send_alone_and_that_one_goes_again(start_gateway, spoilt):
+def test_malformed_reply_fails_only_its_own_attempt_which_is_retried(start_gateway, spoilt):
     engine = Engine(endless, spoilt if callable(spoilt) else raw(spoilt), ok())
     gateway, client = start_gateway(engine)
     first = client.ask("once", limit=3000)
@@ -186,7 +186,7 @@
     client.interrupt(first)
 
 
-def test_a_send_of_which_nothing_is_heard_on_a_link_that_works_goes_again(start_gateway):
+def test_attempt_without_replies_is_retried_when_its_connection_works(start_gateway):
     engine = Engine(endless, ok())  # answers `alive`, never the fetch
     gateway, client = start_gateway(engine, cancel=False)
     seq = client.ask(limit=3500, cpu=b"900")
@@ -197,7 +197,7 @@
     assert first[-1] < abort[-1] < second[-1]  # never two at once
 
 
-def test_sends_share_a_link_only_at_an_engine_that_closes_connections_after_an_answer(start_gateway):
+def test_attempts_share_a_connection_only_when_the_engine_closes_it_after_an_answer(start_gateway):
     def closes(conn, verb, *words):
         ok()(conn, verb, *words)
         conn.shutdown(socket.SHUT_WR)
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -4,7 +4,7 @@
 from gullhold.net.connection_ends import ConnectionEnd, attempt_outcome, classify_os_error
 
 
-def test_how_a_connection_ended_says_whether_a_send_may_have_run():
+def test_attempt_may_have_run_only_when_its_fetch_was_written():
     assert attempt_outcome(True) == Outcome.RESET
     assert attempt_outcome(False) == Outcome.CONNECT_FAILED
     assert attempt_outcome(False) in NEVER_RAN
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -18,7 +18,7 @@
 from gullhold.testing.scripted import Engine
 
 
-def test_what_left_while_a_gateway_started_gets_nothing_from_it(tmp_path):
+def test_engine_gets_no_attempt_when_it_was_drained_while_the_gateway_started(tmp_path):
     """The configuration's list is a second old by then: attempts went out before the stream's first event."""
     feed, old, new = DiscoveryService(), Engine(), Engine()
     gateway = Gateway(
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("how", ["refuses", "says nothing"])
-def test_a_start_waits_for_no_coordinator_that_is_down(tmp_path, how):
+def test_gateway_serves_the_known_list_when_the_discovery_service_is_down(tmp_path, how):
     feed, engine = DiscoveryService(), Engine()
     if how == "refuses":
         feed.close()
@@ -56,7 +56,7 @@
     )
 
 
-def test_what_left_while_a_process_slept_gets_nothing_when_it_wakes(launch_gateway):
+def test_engine_gets_no_attempt_when_it_was_drained_while_the_process_was_stopped(launch_gateway):
     """What came meanwhile is read at once: many requests, and one event of the endpoint list."""
     feed, old, new, port = DiscoveryService(), Engine(), Engine(), free_port()
     process = launch_gateway(config(old) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address})
@@ -82,7 +82,7 @@
     assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
-def test_an_event_cut_in_two_by_a_move_is_heard_once_and_the_old_stream_no_more(tmp_path):
+def test_event_is_applied_once_when_the_discovery_address_changes_in_the_middle_of_it(tmp_path):
     old, new, engines = DiscoveryService(), DiscoveryService(), [Engine(), Engine()]
     gateway = Gateway(tmp_path, config() | {"coordinator": old.address})
     line = json.dumps(event(2, ("s-0", engines[0].address, "ready"))).encode() + b"\n"
@@ -100,7 +100,7 @@
     gateway.end()
 
 
-def test_a_stream_that_falls_silent_is_followed_anew_from_its_last_event(tmp_path):
+def test_stream_is_followed_again_from_the_last_event_when_it_falls_silent(tmp_path):
     feed, old, new = DiscoveryService(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address})
     feed.send(b"1\n")
@@ -115,7 +115,7 @@
     gateway.end()
 
 
-def test_idle_clients_that_fill_the_descriptors_do_not_keep_the_list_from_being_followed(launch_gateway):
+def test_list_is_followed_again_when_idle_clients_hold_all_descriptors(launch_gateway):
     """The stream needs a descriptor just when clients hold all that they can get."""
     feed, engine, port = DiscoveryService(), Engine(), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}", "coordinator": feed.address}
@@ -134,7 +134,7 @@
     assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
-def test_the_list_of_engines_is_followed_and_a_drain_stops_sends(tmp_path):
+def test_attempts_follow_the_endpoint_list_when_engines_join_drain_and_leave(tmp_path):
     feed, old, new = DiscoveryService(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": feed.address})
     client = Caller(gateway.address)
@@ -159,7 +159,7 @@
     gateway.end()
 
 
-def test_engines_that_are_gone_are_forgotten_with_their_names_and_links(tmp_path):
+def test_ids_and_connections_of_engines_are_freed_when_they_are_removed(tmp_path):
     feed, engines = DiscoveryService(), [Engine() for _ in range(8)]
     gateway = Gateway(tmp_path, config() | {"coordinator": feed.address})
     client = Caller(gateway.address)
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("what", ["drains", "is gone"])
-def test_nothing_goes_out_on_a_connection_that_comes_up_after_its_engine_left(tmp_path, what):
+def test_attempt_is_withdrawn_when_its_engine_leaves_before_the_connection_opens(tmp_path, what):
     feed, late = DiscoveryService(), LateEngine()
     gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": feed.address})
     client = Caller(gateway.address)
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_client_left(start_gateway, cancel):
+def test_attempt_is_withdrawn_when_its_client_leaves_before_the_connection_opens(start_gateway, cancel):
     """Where attempts can't be cancelled the decisions ask for no cancel: the fetch was sent for nobody."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0, cancel=cancel)
@@ -48,7 +48,7 @@
     conn.close()
 
 
-def test_nothing_goes_out_on_a_connection_that_comes_up_after_the_time_is_over(start_gateway):
+def test_attempt_is_withdrawn_when_its_deadline_passes_before_the_connection_opens(start_gateway):
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0)
     seq = client.ask("once", limit=300)
@@ -61,7 +61,7 @@
     conn.close()
 
 
-def test_a_send_that_was_decided_under_what_has_changed_is_decided_anew_before_its_first_byte(start_gateway):
+def test_attempt_is_decided_again_when_its_fencing_token_is_stale_before_it_is_sent(start_gateway):
     class Check:
         """As a fleet's: its stamp tells what is decided under now."""
 
@@ -87,7 +87,7 @@
     conn.close()
 
 
-def test_the_deadline_that_an_engine_is_told_counts_from_the_first_byte_not_from_the_decision(start_gateway):
+def test_timeout_in_the_fetch_counts_from_its_sending_when_the_connection_opens_late(start_gateway):
     """It was encoded when the send was decided, and waited for its connection: it said what had been left."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=3.0)
@@ -106,7 +106,7 @@
     assert client.answer()[1] == b"a\tb\tc\n"
 
 
-def test_the_room_of_links_counts_those_whose_descriptors_are_still_held(start_gateway):
+def test_connection_limit_counts_dropped_connections_until_their_descriptors_are_closed(start_gateway):
     """A link that is given up while it connects holds its descriptor until its thread has closed it."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0)
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -21,7 +21,7 @@
 )
 
 
-def test_the_list_is_followed_in_order_repeats_are_passed_over():
+def test_events_are_returned_in_order_without_repeats():
     machine = EventStream(4, MAX_MESSAGE_BYTES)
     data = b"4\n" + EVENT % (4, b"") + EVENT % (5, MEMBER) + b"5\n\n" + EVENT % (6, b"") + b"6\n"
     assert [event["index"] for event in read_in_pieces(machine, EventStream.events, data, [])] == [5, 6]
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize(
     "line", [b"{\n", b"[]\n", b'{"a":1}\n', b"6\n", EVENT % (6, b""), b'{"index":"x"}\n', b"\xff\n"]
 )
-def test_a_bad_line_or_a_gap_asks_for_the_stream_anew(line):
+def test_malformed_line_or_missing_event_raises_protocol_error(line):
     machine = EventStream(4, MAX_MESSAGE_BYTES)
     machine.buffer.put(line)
     with pytest.raises(ProtocolError):
@@ -47,6 +47,6 @@
 @pytest.mark.parametrize(
     "member", [b'{"id":"x"}', b'{"id":"x","phase":"odd"}', b"7", MEMBER.replace(b'"size":4', b'"size":"q"')]
 )
-def test_a_member_of_another_form_is_malformed(member):
+def test_malformed_member_raises_protocol_error(member):
     with pytest.raises(ProtocolError):
         parse_event(json.loads(EVENT % (5, member)), read_agreement({}), EngineIds())
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -12,7 +12,7 @@
 from gullhold.testing.scripted import Engine, ok, resets
 
 
-def test_lines_keep_to_their_rate_and_what_is_left_out_is_counted(monkeypatch):
+def test_lines_are_suppressed_and_counted_when_they_exceed_the_rate_limit(monkeypatch):
     logged, log = [], EventLog()
     monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
     for n in range(1000):  # within a second
@@ -25,7 +25,7 @@
     assert log.lines()[-1].startswith("at_us=9000000 event=retry")
 
 
-def test_a_kind_that_comes_often_keeps_no_other_from_the_log(monkeypatch):
+def test_event_is_logged_when_only_another_kind_exceeds_the_rate_limit(monkeypatch):
     logged, log = [], EventLog()
     monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
     for n in range(200):
@@ -46,7 +46,7 @@
     )
 
 
-def test_a_request_that_failed_and_went_again_can_be_followed_in_the_log(launch_gateway, tmp_path):
+def test_log_shows_the_reset_and_the_retry_of_a_request(launch_gateway, tmp_path):
     port, engine, log = free_port(), Engine(resets, ok()), tmp_path / "log"
     with open(log, "wb") as file:
         process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"}, stderr=file)
--- a/tests/test_gateway_log.py
+++ b/tests/test_gateway_log.py
@@ -14,15 +14,15 @@
         "Traceback (most recent call last):",
     ],
 )
-def test_each_kind_of_fault_is_found_once(line):
+def test_fault_line_is_returned_once_for_each_kind_of_fault(line):
     assert gateway_log.fault_lines(f"12:00:00.000 INFO serving\n{line}\n") == [line]
 
 
-def test_a_log_without_faults_has_none():
+def test_no_fault_line_is_returned_when_the_log_has_none():
     assert not gateway_log.fault_lines("12:00:00.000 INFO counters: answered=3\n")
 
 
-def test_what_was_recorded_is_taken_once():
+def test_recorded_logs_are_returned_in_order_only_once():
     gateway_log.record("one")
     gateway_log.record("two")
     assert gateway_log.take_recorded()[-2:] == ["one", "two"]
--- a/tests/test_logsink.py
+++ b/tests/test_logsink.py
@@ -8,7 +8,7 @@
 from gullhold.net.logsink import MAX_QUEUED_LINES, LogSink
 
 
-def test_a_log_sink_drops_what_finds_no_room_and_counts_it():
+def test_lines_are_dropped_and_counted_when_the_queue_is_full():
     class Stuck:
         def __init__(self):
             self.go, self.text = Event(), ""
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -20,7 +20,7 @@
 from gullhold.testing.scripted import Engine, endless, ok
 
 
-def test_a_planned_restart_answers_what_is_open_and_exits_with_0(launch_gateway):
+def test_open_requests_are_answered_and_exit_status_is_0_when_sigterm_arrives(launch_gateway):
     engine, port = Engine(endless, ok()), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}"}
     told["settings"]["limits"]["cancel"] = False  # the open one must not be started afresh
@@ -50,9 +50,7 @@
     assert "resident" in log
 
 
-def test_sighup_moves_to_the_coordinator_of_the_new_file_and_a_bad_file_changes_nothing(
-    launch_gateway, tmp_path
-):
+def test_sighup_applies_the_new_discovery_address_and_ignores_an_unusable_file(launch_gateway, tmp_path):
     old, new, engine, port = DiscoveryService(), DiscoveryService(), Engine(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
     process = launch_gateway(told)
@@ -88,7 +86,7 @@
 """
 
 
-def test_signals_take_effect_at_once_where_they_interrupt_no_wait(launch_gateway, tmp_path):
+def test_signals_take_effect_at_once_when_another_thread_receives_them(launch_gateway, tmp_path):
     """They did when the next report was due, as the main thread's wait went on: 7.5 s on an old list."""
     old, new, port = DiscoveryService(), DiscoveryService(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
@@ -104,7 +102,9 @@
     assert process.stderr.read().count("counters: ") == 1  # at the end alone
 
 
-def test_a_coordinator_that_refuses_is_looked_for_in_the_file_without_a_signal(launch_gateway, tmp_path):
+def test_changed_configuration_is_reloaded_without_a_signal_when_the_discovery_service_refuses(
+    launch_gateway, tmp_path
+):
     old, new, port = DiscoveryService(), DiscoveryService(), free_port()
     told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
     process = launch_gateway(told)
@@ -133,7 +133,7 @@
         lambda told, path: path.write_text(json.dumps({k: v for k, v in told.items() if k != "settings"})),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_one_plain_line(tmp_path, capsys, spoil):
+def test_one_line_error_and_status_2_when_the_configuration_is_unusable(tmp_path, capsys, spoil):
     path = tmp_path / "config.json"
     path.write_text("{}")
     spoil(config(), path)
@@ -143,7 +143,7 @@
     assert err.count("\n") == 1
 
 
-def test_an_address_in_use_is_one_plain_line(tmp_path, capsys):
+def test_one_line_error_and_status_2_when_the_listen_address_is_in_use(tmp_path, capsys):
     with socket.create_server(("127.0.0.1", 0)) as sock:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config() | {"listen": f"127.0.0.1:{sock.getsockname()[1]}"}))
@@ -151,7 +151,7 @@
     assert capsys.readouterr().err.startswith("gullhold: can't listen on 127.0.0.1:")
 
 
-def test_the_other_sub_commands(start_gateway, tmp_path, capsys):
+def test_version_check_and_config_commands_print_results_and_exit_statuses(start_gateway, tmp_path, capsys):
     gateway, _ = start_gateway(Engine())
     address = f"127.0.0.1:{gateway.address[1]}"
     assert main(["version"]) == 0
@@ -171,7 +171,7 @@
     assert main(["config", "--config", str(tmp_path / "none")]) == 2
 
 
-def test_hundreds_of_connections_stay_inside_the_limits_of_memory_and_descriptors(launch_gateway):
+def test_memory_threads_and_descriptors_stay_within_limits_when_330_clients_are_connected(launch_gateway):
     engine, port = Engine(), free_port()
     process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
@@ -192,7 +192,7 @@
     assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
-def test_a_log_that_nobody_reads_stops_nobody(launch_gateway):
+def test_requests_are_answered_when_nobody_reads_the_log(launch_gateway):
     """A full pipe behind standard error would have held up the thread that owns the gateway."""
     dead, engine, port = Engine(), Engine(), free_port()
     dead.stop_listening()
@@ -212,7 +212,7 @@
     os.close(writing)
 
 
-def test_at_the_descriptor_limit_connections_wait_and_are_served_later(launch_gateway):
+def test_connections_wait_and_are_served_later_when_descriptors_run_out(launch_gateway):
     engine, port = Engine(), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}"}
     told["limits"]["sockets"] = 40
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -12,7 +12,7 @@
 from gullhold.testing.scripted import Engine, endless, ok
 
 
-def test_a_command_is_answered_with_all_its_pages_in_order(start_gateway):
+def test_command_is_answered_with_all_pages_in_order(start_gateway):
     engine = Engine(ok(b"1\t2\t3\n" * 800, b"4\t5\t6\n" * 900, b"7\t8\t9\n"))
     gateway, client = start_gateway(engine)
     seq = client.ask(
@@ -33,7 +33,7 @@
     until(lambda: gateway.count("answered") == 1)
 
 
-def test_what_an_answer_tells_reaches_the_module_in_its_units(start_gateway):
+def test_resource_use_of_an_answer_reaches_the_decision_module_in_its_units(start_gateway):
     gateway, client = start_gateway(Engine(ok()))
     seen, inner = [], gateway.core.gateway.attempt_ended
     gateway.core.gateway.attempt_ended = lambda *args: seen.append(args) or inner(*args)
@@ -52,7 +52,7 @@
     assert 0 < latency < 1_000_000
 
 
-def test_many_requests_on_one_connection_each_get_one_whole_frame(start_gateway):
+def test_each_request_gets_one_complete_answer_when_many_share_a_connection(start_gateway):
     page = b"x\ty\tz\n" * 900
     gateway, client = start_gateway(Engine(ok(*[page] * 8)), Engine(ok(*[page] * 8)))
     asked = {client.ask() for _ in range(32)}
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-5, 5])
-def test_a_wall_clock_that_is_set_moves_no_client_timeout(start_gateway, monkeypatch, step_s):
+def test_client_timeout_stays_the_same_when_the_wall_clock_is_set(start_gateway, monkeypatch, step_s):
     _, client = start_gateway(Engine(endless))
     client.ask("once", limit=10)  # answered: all is up
     client.answer()
@@ -75,7 +75,7 @@
     assert 0.5 < time.monotonic() - began < 1.0
 
 
-def test_a_time_that_is_up_is_answered_at_once_and_nothing_is_sent(start_gateway):
+def test_request_is_shed_without_an_attempt_when_its_timeout_is_too_short(start_gateway):
     engine = Engine()
     gateway, client = start_gateway(engine)
     for limit in (0, 10):
@@ -84,7 +84,7 @@
     assert not engine.received
 
 
-def test_bad_requests_are_answered_and_nothing_is_sent(start_gateway):
+def test_invalid_requests_get_an_error_answer_and_no_attempt(start_gateway):
     engine = Engine()
     gateway, client = start_gateway(engine)
     asked = [
@@ -103,7 +103,7 @@
     assert not engine.received
 
 
-def test_names_of_one_agreement_mean_nothing_to_another_gateway_of_the_same_process(tmp_path):
+def test_names_are_unknown_to_a_gateway_when_only_another_of_the_process_has_them(tmp_path):
     """Nothing that settings say lives outside the gateway that was given them."""
     engine, made = Engine(), []
     for word in ("one", "two"):
@@ -126,7 +126,7 @@
     engine.close()
 
 
-def test_over_the_open_cap_is_shed(start_gateway):
+def test_request_is_shed_when_max_open_is_reached(start_gateway):
     engine = Engine(endless)
     gateway, client = start_gateway(engine, max_open=2)
     asked = [client.ask() for _ in range(3)]
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.causes_faults
-def test_a_module_that_fails_costs_one_command_its_answer_and_no_other(start_gateway):
+def test_only_one_request_fails_when_the_decision_module_raises_for_it(start_gateway):
     gateway, client = start_gateway(Engine())
     inner = gateway.core.gateway.submit
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("off_s", [-3600, -5, -1, 0, 1, 5, 3600])
-def test_a_start_told_as_news_is_never_taken_for_older_than_it_is(off_s):
+def test_age_is_never_overestimated_when_a_watch_event_reports_the_start(off_s):
     """A clock ahead by an hour took a cold engine for warm, one behind a warm one for cold, for the hour."""
     starts, off = StartTimes(), off_s * S
     for n, delay in enumerate((2 * S, S // 10, 3 * S, S // 100)):
@@ -31,7 +31,7 @@
         assert age >= delay - 2 * S  # off by no more than the shortest delay seen
 
 
-def test_the_same_start_told_again_only_grows_older():
+def test_start_time_only_becomes_earlier_when_the_same_start_is_reported_again():
     starts = StartTimes()
     first = started(starts, NOW, 1, NOW - 2 * S)
     assert first == NOW
@@ -39,7 +39,7 @@
     assert started(starts, NOW + 2 * S, 1, NOW - 2 * S) == NOW - 2 * S + 1000
 
 
-def test_an_engine_that_is_no_late_start_stays_so_and_one_gone_is_forgotten():
+def test_zero_start_time_is_kept_and_a_removed_engine_is_forgotten():
     starts = StartTimes()
     assert started(starts, NOW, 1, 0) == 0
     started(starts, NOW, 2, NOW - S)
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("off_s", [-3600, 3600])
-def test_starts_of_the_configuration_are_corrected_once_news_shows_that_the_clock_is_off(off_s):
+def test_configured_start_times_are_corrected_when_a_watch_event_shows_that_the_clock_is_off(off_s):
     starts, off = StartTimes(), off_s * S
     started(starts, NOW + off, 1, NOW - 3 * S, news=False)
     news = starts.correct(NOW + S + off, [row(2, NOW + S - 1000)], is_watch_event=True)
@@ -58,7 +58,7 @@
     assert found[1] == NOW + off - 3 * S + 1000
 
 
-def test_starts_of_the_configuration_stay_as_they_are_where_the_clock_is_right():
+def test_configured_start_times_are_kept_when_the_clock_is_right():
     starts = StartTimes()
     assert started(starts, NOW, 1, NOW - 3 * S, news=False) == NOW - 3 * S
     assert len(starts.correct(NOW + S, [row(2, NOW + S - MAX_EVENT_DELAY_US // 2)], is_watch_event=True)) == 1
