--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""For all tests."""
+"""Fixtures of all tests."""
 
 import pytest
 from loguru import logger
@@ -8,12 +8,12 @@
 from gullhold.testing.client import Caller
 from gullhold.testing.deployment import config
 
-logger.remove()  # gateways that run inside a test would go on logging to a stream that it has closed
+logger.remove()  # gateways inside a test process would log to a stream that pytest has closed
 
 
 @pytest.fixture(autouse=True)
-def no_gateway_logs_a_fault(request):
-    """Fails a test whose gateways logged a fault of the program that the test does not cause on purpose."""
+def check_gateway_logs(request):
+    """Fail a test whose gateways logged a fault of the program, unless it is marked causes_faults."""
     gateway_log.take_recorded()
     yield
     faults = [line for text in gateway_log.take_recorded() for line in gateway_log.fault_lines(text)]
@@ -23,16 +23,16 @@
 
 @pytest.fixture
 def start_gateway(tmp_path):
-    """Starts a gateway over some engines; all of it ends with the test."""
-    made, engines = [], []
+    """Return a function that starts a gateway with these engines, and a client; all end with the test."""
+    gateways, engines = [], []
 
-    def make(*parts, **other):
-        engines.extend(parts)
-        made.append(Gateway(tmp_path, config(*parts, **other)))
-        return made[-1], Caller(made[-1].address)
+    def start(*test_engines, **settings):
+        engines.extend(test_engines)
+        gateways.append(Gateway(tmp_path, config(*test_engines, **settings)))
+        return gateways[-1], Caller(gateways[-1].address)
 
-    yield make
-    for gateway in made:
+    yield start
+    for gateway in gateways:
         gateway.end()
     for engine in engines:
         engine.close()
@@ -40,14 +40,14 @@
 
 @pytest.fixture
 def launch_gateway(tmp_path):
-    """Starts a gateway in a process of its own, which ends with the test."""
-    made = []
+    """Return a function that starts a gateway in a process of its own, which ends with the test."""
+    processes = []
 
-    def make(told, *words, **other):
-        made.append(start_process(tmp_path, told, *words, **other))
-        return made[-1]
+    def start(configuration, *arguments, **options):
+        processes.append(start_process(tmp_path, configuration, *arguments, **options))
+        return processes[-1]
 
-    yield make
-    for process in made:
+    yield start
+    for process in processes:
         process.kill()
         gateway_log.record("".join(text or "" for text in process.communicate()))
--- a/tests/races.py
+++ b/tests/races.py
@@ -1,6 +1,6 @@
-"""Helpers of the tests that force two events to meet in the order that hurts.
+"""Helpers for tests of races: they make two events happen in the order that may cause a fault.
 
-docs/notes/crossings.md has the table of these pairs.
+docs/notes/crossings.md has the table of these pairs of events.
 """
 
 import socket
@@ -13,11 +13,11 @@
 from gullhold.net.core import Core
 from gullhold.testing.client import Caller
 
-CLIENTS_CLOSED_COUNTER = "client_connections_ended_closed_by_peer"  # the counter of clients that left
+CLIENTS_CLOSED_COUNTER = "client_connections_ended_closed_by_peer"  # counts clients that left
 
 
 class BlockedCore:
-    """Blocks the core's thread inside a `with` block; events that come meanwhile wait in its queue."""
+    """Blocks the core's thread inside a `with` block; events that are posted meanwhile stay queued."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
@@ -38,10 +38,10 @@
 
 
 class LateEngine:
-    """An engine's address at which connections are established only after accept().
+    """An engine address at which connections are established only after accept().
 
-    Until then the listen backlog is full: the system drops further connection requests, and the side that
-    connects sends its request again a second later.
+    Until then the listen backlog is full: the system drops connection requests, and the connecting side
+    repeats them after a second.
     """
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         self.backlog_filler = socket.create_connection(self.sock.getsockname())
 
     def accept(self) -> socket.socket:
-        """Make room in the backlog and return the next connection."""
+        """Make room in the backlog and accept the next connection."""
         self.backlog_filler.close()
         self.sock.accept()[0].close()
         self.sock.settimeout(WAIT_TIMEOUT_S)
@@ -66,14 +66,14 @@
 
 
 class Remainder(NamedTuple):
-    """What was left to read on a connection; is_orderly: it ended with FIN and not with a reset."""
+    """The data left to read on a connection; is_orderly: it ended with a FIN, not with a reset."""
 
     data: bytes
     is_orderly: bool
 
 
 def read_to_end(caller: Caller) -> Remainder:
-    """Read all that is left on a client's connection, without writing or closing."""
+    """Read all data left on a client's connection, without writing to it or closing it."""
     data = caller.buffer
     while True:
         try:
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -1,4 +1,4 @@
-"""Starts gateways on loopback for tests, in this process or in one of their own."""
+"""Starts gateways on loopback addresses for tests, in this process or in one of their own."""
 
 import json
 import os
@@ -20,16 +20,16 @@
 
 def until(condition):
     """Wait until a condition holds; fail after WAIT_TIMEOUT_S."""
-    end = time.monotonic() + WAIT_TIMEOUT_S
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(POLL_INTERVAL_S)
 
 
 class Gateway:
     """A gateway in this process.
 
-    delayed_threads: names of threads that go() starts later; door_record: settings of an admission queue.
+    delayed_threads: names of threads that the test starts later; door_record: settings of an admission queue.
     """
 
     def __init__(self, tmp_path, configuration, delayed_threads=(), door_record=None):
@@ -45,16 +45,16 @@
         self.start_threads(*(name for name in self.thread_functions if name not in delayed_threads))
 
     def start_threads(self, *names):
-        """Start these threads; those held back at first wait for it."""
+        """Start threads by name."""
         for name in names:
             Thread(target=self.thread_functions[name], daemon=True).start()
 
     def count(self, name):
-        """Return a counter."""
+        """Return the value of a counter."""
         return self.core.counters.counts[name]
 
     def end(self):
-        """End it; it must have nothing open or reserved by then."""
+        """Stop the gateway, once no request is open; nothing may be left open or reserved then."""
         until(lambda: not self.core.requests.by_number)
         self.core.post(setattr, self.core, "stopped", True)
         until(lambda: self.core.stopped)
@@ -76,7 +76,7 @@
 
 
 def start_process(tmp_path, configuration, *arguments, stderr=subprocess.PIPE):
-    """Start Python with these arguments, by default a gateway, in a process of its own."""
+    """Start a Python process with these arguments, by default those of a gateway."""
     path = write_configuration(tmp_path, configuration)
     environment = {**os.environ, "GW_CONFIG": str(path)}
     environment.pop("GW_LISTEN", None)
@@ -103,5 +103,5 @@
 
 
 def open_sequence_ids(gateway):
-    """Numbers of all that clients have open."""
+    """Return the sequence ids of the requests whose clients wait for an answer."""
     return {cmd.sequence_id for cmd in gateway.core.requests.by_number.values() if cmd.client}
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""How a connection ended, and what that is to the decision module."""
+"""How a connection ended, and which outcome that is for an attempt."""
 
 from gullhold.interface import NEVER_RAN, Outcome
 from gullhold.net.connection_ends import ConnectionEnd, attempt_outcome, classify_os_error
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -1,4 +1,4 @@
-"""Connections to engines that come up late, and what forbids an attempt meanwhile."""
+"""Connections to engines that open late, and what can forbid the attempts that wait for them."""
 
 import time
 
@@ -12,17 +12,17 @@
 from gullhold.testing.discovery_service import DiscoveryService
 
 
-@pytest.mark.parametrize("what", ["drains", "is gone"])
-def test_attempt_is_withdrawn_when_its_engine_leaves_before_the_connection_opens(tmp_path, what):
-    feed, late = DiscoveryService(), LateEngine()
-    gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": feed.address})
+@pytest.mark.parametrize("change", ["drains", "is gone"])
+def test_attempt_is_withdrawn_when_its_engine_leaves_before_the_connection_opens(tmp_path, change):
+    discovery, late = DiscoveryService(), LateEngine()
+    gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": discovery.address})
     client = Caller(gateway.address)
     seq = client.ask(limit=7000)
     until(lambda: gateway.core.pool.connections)
-    feed.send(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[what])))
+    discovery.send(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[change])))
     until(lambda: gateway.count("attempts_ended_not_started"))
     conn = late.accept()
-    assert conn.recv(100) == b""  # closed with nothing said
+    assert conn.recv(100) == b""  # closed without a byte sent
     client.interrupt(seq)
     gateway.end()
     late.close()
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_attempt_is_withdrawn_when_its_client_leaves_before_the_connection_opens(start_gateway, cancel):
-    """Where attempts can't be cancelled the decisions ask for no cancel: the fetch was sent for nobody."""
+    """Without cancellation the decision module asks for no cancel, and the fetch was still sent."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0, cancel=cancel)
     client.ask(limit=7000, txn=b"f%015x" % 1)
@@ -52,35 +52,35 @@
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0)
     seq = client.ask("once", limit=300)
-    assert client.answer() == (seq, "shed")  # it never ran: trying again does no harm
+    assert client.answer() == (seq, "shed")  # it never ran, so the client may retry
     conn = late.accept()
     until(lambda: gateway.count("engine_connections_opened") == 1)
     conn.settimeout(0.3)
     with pytest.raises(TimeoutError):
-        raise AssertionError(f"it was told {conn.recv(100)!r}")
+        raise AssertionError(f"the engine received {conn.recv(100)!r}")
     conn.close()
 
 
 def test_attempt_is_decided_again_when_its_fencing_token_is_stale_before_it_is_sent(start_gateway):
-    class Check:
-        """As a fleet's: its stamp tells what is decided under now."""
+    class StubFence:
+        """Stands for a component of a fleet; its current token is a number."""
 
-        now = 1
+        current_token = 1
 
         def fencing_token(self):
-            return self.now
+            return self.current_token
 
-        def token_valid(self, stamp):
-            return stamp == self.now
+        def token_valid(self, token):
+            return token == self.current_token
 
-    late, check = LateEngine(), Check()
+    late, fence = LateEngine(), StubFence()
     gateway, client = start_gateway(late, connect_timeout=5.0)
-    gateway.core.fences.append(check)
+    gateway.core.fences.append(fence)
     seq = client.ask("once", limit=4000)
     until(lambda: gateway.core.pool.connections)
-    check.now = 2
+    fence.current_token = 2
     conn = late.accept()
-    assert conn.recv(1000).count(b"fetch") == 1  # the one that was decided under the second
+    assert conn.recv(1000).count(b"fetch") == 1  # the attempt that was decided under the new token
     assert gateway.count("attempts_withdrawn") == gateway.count("attempts_ended_not_started") == 1
     client.interrupt(seq)
     until(lambda: not any(cmd.client for cmd in gateway.core.requests.by_number.values()))
@@ -88,33 +88,33 @@
 
 
 def test_timeout_in_the_fetch_counts_from_its_sending_when_the_connection_opens_late(start_gateway):
-    """It was encoded when the send was decided, and waited for its connection: it said what had been left."""
+    """Guards against a fetch encoded at the decision: after its wait the stated timeout was too long."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=3.0)
     client.ask(limit=3500)
     until(lambda: gateway.count("attempts_sent") == 1)
     time.sleep(0.7)
-    conn, machine = late.accept(), resp.Decoder(100_000)
+    conn, decoder = late.accept(), resp.Decoder(100_000)
     began = time.monotonic()
-    while not (arrays := list(machine.arrays())):
-        machine.buffer.receive(conn)
-    verb, txn, facts, _ = arrays[0]
-    left = 3500 - 700 - 1000 * (time.monotonic() - began)  # ms, at most: it was waited for before that
+    while not (arrays := list(decoder.arrays())):
+        decoder.buffer.receive(conn)
+    verb, txn, fields, _ = arrays[0]
+    left = 3500 - 700 - 1000 * (time.monotonic() - began)  # ms, an upper bound: the fetch was sent earlier
     assert verb == b"fetch"
-    assert 0 < int(resp.decode_fields(facts)[b"w"]) <= left + 150
+    assert 0 < int(resp.decode_fields(fields)[b"w"]) <= left + 150
     conn.sendall(resp.encode(txn, b"200", b"pages=1,cost=5,need=10", b"a\tb\tc\n"))
     assert client.answer()[1] == b"a\tb\tc\n"
 
 
 def test_connection_limit_counts_dropped_connections_until_their_descriptors_are_closed(start_gateway):
-    """A link that is given up while it connects holds its descriptor until its thread has closed it."""
+    """A connection that is dropped while it connects holds its descriptor until its thread closes it."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0)
     gateway.core.pool.max_connections = 1
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
-    (link,) = gateway.core.pool.connections
-    gateway.core.post(gateway.core.pool.drop, link, connection_ends.ConnectionEnd.SILENT)
+    (connection,) = gateway.core.pool.connections
+    gateway.core.post(gateway.core.pool.drop, connection, connection_ends.ConnectionEnd.SILENT)
     until(lambda: not gateway.core.pool.connections)
     seq = client.ask("once", limit=400)
     assert client.answer() == (seq, "shed")
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -1,4 +1,4 @@
-"""What is logged of requests and connections: every event is kept, lines come at a bounded rate."""
+"""The log of request and connection events: all are kept in memory, lines are rate-limited."""
 
 import signal
 import time
@@ -14,7 +14,9 @@
 
 def test_lines_are_suppressed_and_counted_when_they_exceed_the_rate_limit(monkeypatch):
     logged, log = [], EventLog()
-    monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
+    monkeypatch.setattr(
+        eventlog.logger, "info", lambda template, *args: logged.append(template.format(*args))
+    )
     for n in range(1000):  # within a second
         log.add(LoggedEvent(1_000_000 + n * 1000, EventKind.RETRY, f"reset {n}"))
     assert eventlog.MAX_BURST_LINES <= len(logged) <= eventlog.MAX_BURST_LINES + eventlog.MAX_LINES_PER_S + 1
@@ -27,7 +29,9 @@
 
 def test_event_is_logged_when_only_another_kind_exceeds_the_rate_limit(monkeypatch):
     logged, log = [], EventLog()
-    monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
+    monkeypatch.setattr(
+        eventlog.logger, "info", lambda template, *args: logged.append(template.format(*args))
+    )
     for n in range(200):
         log.add(LoggedEvent(n, EventKind.RETRY, "reset"))
     log.add(
--- a/tests/test_gateway_log.py
+++ b/tests/test_gateway_log.py
@@ -1,4 +1,4 @@
-"""The check that no gateway of a test logs a fault of the program."""
+"""The check that finds faults of the program in the logs of gateways."""
 
 import pytest
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own: signals, files, limits, log, exit status; and the other commands."""
+"""The gateway as a process: signals, files, limits, log and exit status; and other commands."""
 
 import fcntl
 import json
@@ -22,26 +22,26 @@
 
 def test_open_requests_are_answered_and_exit_status_is_0_when_sigterm_arrives(launch_gateway):
     engine, port = Engine(endless, ok()), free_port()
-    told = config(engine) | {"listen": f"127.0.0.1:{port}"}
-    told["settings"]["limits"]["cancel"] = False  # the open one must not be started afresh
-    told["settings"]["domain"]["note_period"] = 0  # nor be given up for lost
-    process = launch_gateway(told)
+    configuration = config(engine) | {"listen": f"127.0.0.1:{port}"}
+    configuration["settings"]["limits"]["cancel"] = False  # the open request must not be retried
+    configuration["settings"]["domain"]["note_period"] = 0  # nor its attempt be abandoned as lost
+    process = launch_gateway(configuration)
     until(lambda: is_listening(port))
     client = Caller(("127.0.0.1", port))
     client.send("check", b"\x02\0\1\1")
     assert client.answer()[1] == b""
-    long = client.ask("once", limit=7000)
+    endless_seq = client.ask("once", limit=7000)
     until(lambda: engine.messages(b"fetch"))
     process.send_signal(signal.SIGUSR1)
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
-    other = Caller(("127.0.0.1", port))  # new connections still come, and are served
+    other = Caller(("127.0.0.1", port))  # new connections are still accepted and served
     seq = other.ask()
     assert other.answer() == (seq, b"a\tb\tc\n")
     other.send("check", b"\x02\0\1\1")
     assert other.answer()[1] == "unfit"
-    assert client.answer() == (long, "fault")
+    assert client.answer() == (endless_seq, "fault")
     assert 2.5 < time.monotonic() - began < 3.7
     assert process.wait(WAIT_TIMEOUT_S) == 0
     log = process.stderr.read()
@@ -52,8 +52,8 @@
 
 def test_sighup_applies_the_new_discovery_address_and_ignores_an_unusable_file(launch_gateway, tmp_path):
     old, new, engine, port = DiscoveryService(), DiscoveryService(), Engine(), free_port()
-    told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch_gateway(told)
+    configuration = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
+    process = launch_gateway(configuration)
     until(lambda: old.follow_requests)
     path = tmp_path / "config.json"
     for text in ("{", "[]", '{"coordinator": "nowhere"}', '{"coordinator": 5}'):
@@ -61,7 +61,7 @@
         process.send_signal(signal.SIGHUP)
         time.sleep(0.05)
     old.send(event(2, ("s-0", "127.0.0.1:1", "ready")))
-    path.write_text(json.dumps(told | {"coordinator": new.address}))
+    path.write_text(json.dumps(configuration | {"coordinator": new.address}))
     process.send_signal(signal.SIGHUP)
     until(lambda: new.follow_requests)
     new.send(event(3, ("s-9", engine.address, "ready"), whole=True))
@@ -74,9 +74,9 @@
     assert new.follow_requests == [b"follow 2\n"]
 
 
-UNINTERRUPTED = """
+SERVE_WITH_SIGNALS_TO_ANOTHER_THREAD = """
 import signal, sys, threading, time
-threading.Thread(target=time.sleep, args=(60,), daemon=True).start()   # it alone takes signals from here on
+threading.Thread(target=time.sleep, args=(60,), daemon=True).start()   # only this thread gets signals
 block = signal.pthread_sigmask
 signal.pthread_sigmask = lambda how, numbers: block(signal.SIG_BLOCK, numbers)
 from gullhold.__main__ import main
@@ -87,33 +87,35 @@
 
 
 def test_signals_take_effect_at_once_when_another_thread_receives_them(launch_gateway, tmp_path):
-    """They did when the next report was due, as the main thread's wait went on: 7.5 s on an old list."""
+    """Otherwise the main thread waits until the next report is due: it kept an old list for 7.5 s."""
     old, new, port = DiscoveryService(), DiscoveryService(), free_port()
-    told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch_gateway(told, "-c", UNINTERRUPTED, "serve", "--report", "30")
+    configuration = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
+    process = launch_gateway(
+        configuration, "-c", SERVE_WITH_SIGNALS_TO_ANOTHER_THREAD, "serve", "--report", "30"
+    )
     until(lambda: old.follow_requests)
-    (tmp_path / "config.json").write_text(json.dumps(told | {"coordinator": new.address}))
+    (tmp_path / "config.json").write_text(json.dumps(configuration | {"coordinator": new.address}))
     began = time.monotonic()
     process.send_signal(signal.SIGHUP)
     until(lambda: new.follow_requests)
     process.send_signal(signal.SIGTERM)
     assert process.wait(WAIT_TIMEOUT_S) == 0
     assert time.monotonic() - began < 3
-    assert process.stderr.read().count("counters: ") == 1  # at the end alone
+    assert process.stderr.read().count("counters: ") == 1  # only at the end
 
 
 def test_changed_configuration_is_reloaded_without_a_signal_when_the_discovery_service_refuses(
     launch_gateway, tmp_path
 ):
     old, new, port = DiscoveryService(), DiscoveryService(), free_port()
-    told = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
-    process = launch_gateway(told)
+    configuration = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
+    process = launch_gateway(configuration)
     until(lambda: old.connection)
     path = tmp_path / "config.json"
     path.write_text("{")
     old.close()
     time.sleep(0.6)
-    path.write_text(json.dumps(told | {"coordinator": new.address}))
+    path.write_text(json.dumps(configuration | {"coordinator": new.address}))
     until(lambda: new.follow_requests)
     process.terminate()
     assert process.wait(WAIT_TIMEOUT_S) == 0
@@ -123,20 +125,20 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
         lambda _, path: path.unlink(),
         lambda _, path: path.write_text("{"),
-        lambda told, path: path.write_text(
-            json.dumps(told | {"known": {"index": 1, "updates": [{"index": 1}]}})
+        lambda valid, path: path.write_text(
+            json.dumps(valid | {"known": {"index": 1, "updates": [{"index": 1}]}})
         ),
-        lambda told, path: path.write_text(json.dumps({k: v for k, v in told.items() if k != "settings"})),
+        lambda valid, path: path.write_text(json.dumps({k: v for k, v in valid.items() if k != "settings"})),
     ],
 )
-def test_one_line_error_and_status_2_when_the_configuration_is_unusable(tmp_path, capsys, spoil):
+def test_one_line_error_and_status_2_when_the_configuration_is_unusable(tmp_path, capsys, damage):
     path = tmp_path / "config.json"
     path.write_text("{}")
-    spoil(config(), path)
+    damage(config(), path)
     assert service.serve(path) == 2
     err = capsys.readouterr().err
     assert err.startswith("gullhold: ")
@@ -175,30 +177,34 @@
     engine, port = Engine(), free_port()
     process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
-    callers = [Caller(("127.0.0.1", port)) for _ in range(330)]  # about the third that clients may hold
-    asked = [[caller.ask() for _ in range(3)] for caller in callers]
-    for caller, seqs in zip(callers, asked, strict=True):
+    callers = [
+        Caller(("127.0.0.1", port)) for _ in range(330)
+    ]  # about the third of the sockets that clients usually need
+    sequence_ids = [[caller.ask() for _ in range(3)] for caller in callers]
+    for caller, seqs in zip(callers, sequence_ids, strict=True):
         answers = [caller.answer() for _ in seqs]
         assert {seq for seq, _ in answers} == set(seqs)
         assert all(word in (b"a\tb\tc\n", "shed") for _, word in answers)
     status = dict(row.split(":", 1) for row in Path(f"/proc/{process.pid}/status").read_text().splitlines())
-    assert int(status["VmHWM"].split()[0]) < 100_000  # kB; the limit of scored days is 192 MB
+    assert int(status["VmHWM"].split()[0]) < 100_000  # kB; half of the usual limit of 192 MB
     assert len(os.listdir(f"/proc/{process.pid}/fd")) < 600
     assert int(status["Threads"]) < 600
     for caller in callers:
         caller.sock.close()
-    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220)  # links stay a while
+    until(
+        lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220
+    )  # connections to engines stay open for a while
     process.send_signal(signal.SIGTERM)
     assert process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_requests_are_answered_when_nobody_reads_the_log(launch_gateway):
-    """A full pipe behind standard error would have held up the thread that owns the gateway."""
+    """Guards against a full pipe at standard error that blocks the core's thread."""
     dead, engine, port = Engine(), Engine(), free_port()
     dead.stop_listening()
-    reading, writing = os.pipe()
-    fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
-    process = launch_gateway(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=writing)
+    read_end, write_end = os.pipe()
+    fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
+    process = launch_gateway(config(dead, engine) | {"listen": f"127.0.0.1:{port}"}, stderr=write_end)
     until(lambda: is_listening(port))
     for _ in range(300):
         process.send_signal(signal.SIGUSR1)  # each logs a long line
@@ -208,25 +214,25 @@
     assert caller.answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGTERM)
     assert process.wait(WAIT_TIMEOUT_S) == 0
-    os.close(reading)
-    os.close(writing)
+    os.close(read_end)
+    os.close(write_end)
 
 
 def test_connections_wait_and_are_served_later_when_descriptors_run_out(launch_gateway):
     engine, port = Engine(), free_port()
-    told = config(engine) | {"listen": f"127.0.0.1:{port}"}
-    told["limits"]["sockets"] = 40
-    process = launch_gateway(told)
+    configuration = config(engine) | {"listen": f"127.0.0.1:{port}"}
+    configuration["limits"]["sockets"] = 40
+    process = launch_gateway(configuration)
     until(lambda: is_listening(port))
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
     first = Caller(("127.0.0.1", port))
     seq = first.ask()
-    assert first.answer() == (seq, b"a\tb\tc\n")  # its link to the engine is up
+    assert first.answer() == (seq, b"a\tb\tc\n")  # its connection to the engine is open
     callers = [Caller(("127.0.0.1", port)) for _ in range(60)]
-    asked = [caller.ask(limit=7000) for caller in callers]
-    # At 20 a slow gateway had not come to its limit before the first callers closed.
+    sequence_ids = [caller.ask(limit=7000) for caller in callers]
+    # With a bound of 20 a slow gateway had not reached its limit before the first callers closed.
     until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= 30)
-    for caller, seq in zip(callers, asked, strict=True):
+    for caller, seq in zip(callers, sequence_ids, strict=True):
         assert caller.answer() == (seq, b"a\tb\tc\n")
         caller.sock.close()
     process.send_signal(signal.SIGTERM)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Requests and answers of a gateway on loopback sockets, with test doubles of engines and a client."""
+"""Requests and answers of a gateway on loopback sockets, with test engines and a test client."""
 
 import time
 
@@ -40,8 +40,8 @@
     client.ask()
     client.answer()
     until(lambda: seen)
-    _, _, send, outcome, closed, latency, cost, need, report = seen[0]
-    assert (send, outcome, closed, cost, need, report) == (
+    _, _, attempt, outcome, is_answered, duration_us, work_us, memory_mb, load = seen[0]
+    assert (attempt, outcome, is_answered, work_us, memory_mb, load) == (
         0,
         Outcome.ANSWERED,
         True,
@@ -49,28 +49,28 @@
         64.0,
         (7.0, 0.0, 0.5),
     )
-    assert 0 < latency < 1_000_000
+    assert 0 < duration_us < 1_000_000
 
 
 def test_each_request_gets_one_complete_answer_when_many_share_a_connection(start_gateway):
     page = b"x\ty\tz\n" * 900
     gateway, client = start_gateway(Engine(ok(*[page] * 8)), Engine(ok(*[page] * 8)))
-    asked = {client.ask() for _ in range(32)}
-    time.sleep(0.2)  # a client that reads late: nothing may be mixed up or lost
+    sequence_ids = {client.ask() for _ in range(32)}
+    time.sleep(0.2)  # the client reads late: no answer may be mixed up or lost
     answers = [client.answer() for _ in range(32)]
-    assert {seq for seq, _ in answers} == asked
+    assert {seq for seq, _ in answers} == sequence_ids
     assert all(body == page * 8 for _, body in answers)
 
 
 @pytest.mark.parametrize("step_s", [-5, 5])
 def test_client_timeout_stays_the_same_when_the_wall_clock_is_set(start_gateway, monkeypatch, step_s):
     _, client = start_gateway(Engine(endless))
-    client.ask("once", limit=10)  # answered: all is up
+    client.ask("once", limit=10)  # its answer shows that the gateway serves
     client.answer()
-    began, real = time.monotonic(), time.time_ns
+    began, real_time_ns = time.monotonic(), time.time_ns
     seq = client.ask("once", limit=700)
     time.sleep(0.1)
-    monkeypatch.setattr(time, "time_ns", lambda: real() + step_s * 10**9)
+    monkeypatch.setattr(time, "time_ns", lambda: real_time_ns() + step_s * 10**9)
     assert client.answer() == (seq, "fault")
     assert 0.5 < time.monotonic() - began < 1.0
 
@@ -87,13 +87,13 @@
 def test_invalid_requests_get_an_error_answer_and_no_attempt(start_gateway):
     engine = Engine()
     gateway, client = start_gateway(engine)
-    asked = [
+    sequence_ids = [
         client.ask("odd"),
         client.ask(txn=b"1"),
         client.ask(cpu=b"nan"),
         client.ask(memory=b"-"),
     ]
-    assert [client.answer() for _ in asked] == [(seq, "fault") for seq in asked]
+    assert [client.answer() for _ in sequence_ids] == [(seq, "fault") for seq in sequence_ids]
     seq = client.send("odd", b"")
     assert client.answer() == (seq, "exception")
     seq = client.send("execute", b"\x0b\0\2" + thrift.encode_string(b"x"))
@@ -104,24 +104,24 @@
 
 
 def test_names_are_unknown_to_a_gateway_when_only_another_of_the_process_has_them(tmp_path):
-    """Nothing that settings say lives outside the gateway that was given them."""
-    engine, made = Engine(), []
-    for word in ("one", "two"):
-        told = config(engine)
-        told["settings"]["tenants"] = [{"name": word, "fraction": 1.0}]
-        for item in told["settings"]["categories"]:
-            item["name"] = word + item["name"]
-        made.append((word, Gateway(tmp_path, told)))
-    for word, gateway in made:
-        client, other, team = Caller(gateway.address), {"one": "two", "two": "one"}[word], word.encode()
-        asked = [
-            client.ask(word + "read", team=team),
+    """Guards against settings that are kept in global state of the process."""
+    engine, gateways = Engine(), []
+    for prefix in ("one", "two"):
+        configuration = config(engine)
+        configuration["settings"]["tenants"] = [{"name": prefix, "fraction": 1.0}]
+        for item in configuration["settings"]["categories"]:
+            item["name"] = prefix + item["name"]
+        gateways.append((prefix, Gateway(tmp_path, configuration)))
+    for prefix, gateway in gateways:
+        client, other, team = Caller(gateway.address), {"one": "two", "two": "one"}[prefix], prefix.encode()
+        sequence_ids = [
+            client.ask(prefix + "read", team=team),
             client.ask(other + "read", team=team),
-            client.ask(word + "read", team=other.encode()),
-            client.ask(word + "read", team=team, odd=b"\xff"),
+            client.ask(prefix + "read", team=other.encode()),
+            client.ask(prefix + "read", team=team, odd=b"\xff"),
         ]
-        answers = dict(client.answer() for _ in asked)
-        assert [answers[seq] for seq in asked] == [b"a\tb\tc\n", "fault", "fault", b"a\tb\tc\n"]
+        answers = dict(client.answer() for _ in sequence_ids)
+        assert [answers[seq] for seq in sequence_ids] == [b"a\tb\tc\n", "fault", "fault", b"a\tb\tc\n"]
         gateway.end()
     engine.close()
 
@@ -129,9 +129,11 @@
 def test_request_is_shed_when_max_open_is_reached(start_gateway):
     engine = Engine(endless)
     gateway, client = start_gateway(engine, max_open=2)
-    asked = [client.ask() for _ in range(3)]
-    assert client.answer() == (asked[2], "shed")
-    until(lambda: len(engine.messages(b"fetch")) == 2)  # what is not out yet is taken back instead
+    sequence_ids = [client.ask() for _ in range(3)]
+    assert client.answer() == (sequence_ids[2], "shed")
+    until(
+        lambda: len(engine.messages(b"fetch")) == 2
+    )  # an attempt that was not sent is withdrawn instead of aborted
     client.sock.close()
     until(lambda: len(engine.messages(b"abort")) == 2)
 
@@ -141,12 +143,12 @@
     gateway, client = start_gateway(Engine())
     inner = gateway.core.gateway.submit
 
-    def fails(now, ident, *rest):
+    def submit_or_fail(now, command_id, *rest):
         if rest[0] == 2:
-            raise ValueError("odd")
-        return inner(now, ident, *rest)
+            raise ValueError("fault of the decision module")
+        return inner(now, command_id, *rest)
 
-    gateway.core.gateway.submit = fails
+    gateway.core.gateway.submit = submit_or_fail
     bad, good = client.ask("once"), client.ask()
     assert {client.answer(), client.answer()} == {(bad, "fault"), (good, b"a\tb\tc\n")}
     assert gateway.count("decision_faults") == 1
