--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -110,7 +110,7 @@
         self.is_ended = False
         self.is_retired = False  # no further attempts are sent on it
         self.last_reply_at = now
-        self.used_at = now
+        self.used_at = now  # when an attempt was last sent on it or ended
         self.probed_at = 0  # when the unanswered health check was sent; 0: none is unanswered
         self.local_end: ConnectionEnd | None = None  # why the gateway closed the connection; None: it did not
         self.connection: Connection | None = None  # set once connected
@@ -121,7 +121,7 @@
         Thread(target=self._run, daemon=True, name="link").start()
 
     def accepts(self, transaction_id: bytes, max_streams: int) -> bool:
-        """Whether an attempt may be sent here: no late replies to an earlier one of its id may arrive."""
+        """Whether an attempt may be sent here; not while late replies to an earlier one of its id may arrive."""
         if self.is_ended or self.is_retired or self.write_buffer.is_dead:
             return False
         if self.probed_at:  # a health check is unanswered: the engine may be gone
@@ -149,7 +149,7 @@
         arrays: list[list[bytes]] = []
         try:
             arrays.extend(self.decoder.arrays())
-        finally:  # arrays before malformed bytes are handled
+        finally:  # also the arrays that precede malformed bytes
             if arrays:
                 self.core.post_first(self.core.replies.handle, self, arrays)
 
--- a/gullhold/net/signals.py
+++ b/gullhold/net/signals.py
@@ -1,4 +1,4 @@
-"""Delivers signals as bytes in a pipe that one thread reads."""
+"""Delivers signals as bytes in a pipe that one thread reads, so that they interrupt no other thread."""
 
 import os
 import select
