--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -20,7 +20,8 @@
 if TYPE_CHECKING:  # the core imports this module
     from gullhold.net.core import Core
 
-# A service that has new events sends one by then: twice the time of the protocol for messages that cross.
+# Within this time a service that has new events sends one: twice the time that the protocol allows for
+# messages that cross.
 FIRST_EVENT_TIMEOUT_US = 100_000
 BATCH_INTERVAL_S = 0.01  # after a call to the core, events are gathered for this long before the next
 FAILURE_DELAY_S = 0.1  # pause after an unexpected exception, before the stream is followed again
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -121,7 +121,7 @@
         Thread(target=self._run, daemon=True, name="link").start()
 
     def accepts(self, transaction_id: bytes, max_streams: int) -> bool:
-        """Whether an attempt may be sent here; not while late replies to an earlier one of its id may arrive."""
+        """Whether an attempt may be sent here; not while late replies to its transaction id may arrive."""
         if self.is_ended or self.is_retired or self.write_buffer.is_dead:
             return False
         if self.probed_at:  # a health check is unanswered: the engine may be gone
