--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -23,9 +23,10 @@
 
 LISTEN_RETRY_LIMIT_S = 5.0  # while the address is still in use, or sockets are short
 STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory for waiting statements, as much again for unread answers
-RESERVED_DESCRIPTORS = 16  # for all but client and engine connections: standard streams, listener, discovery
+# For everything but client and engine connections: standard streams, listener, discovery, spare ones.
+RESERVED_DESCRIPTORS = 16
 CLIENT_SOCKETS_DIVISOR = 2  # half of the sockets for clients, which usually need at most a third
-RESULTS_PER_MESSAGE = 2  # room in the largest message: for a result and its other fields
+RESULTS_PER_MESSAGE = 2  # the largest message, with its other fields, has room for so many results
 
 
 class Admission(NamedTuple):
--- a/gullhold/net/event_loop.py
+++ b/gullhold/net/event_loop.py
@@ -14,7 +14,7 @@
 from gullhold.net.counters import Counters
 from gullhold.net.event_queue import EventQueue, PostedEvent
 
-# Lateness of a step that counts as a stall: far more than a step takes, a fifth of the usual drain grace period.
+# Lateness of a step that counts as a stall: far more than a step takes, a fifth of the usual drain grace.
 STALL_US = 100_000
 MAX_CATCH_UP_US = 500_000  # longest wait for the discovery thread after a stall
 CATCH_UP_POLL_INTERVAL_S = 0.001  # between checks whether the discovery thread has caught up
@@ -37,8 +37,8 @@
 class EventLoop:
     """Runs events, deferred calls and timers, one at a time.
 
-    post(), post_first(), post_urgent() and clock() may be called from any thread; all else belongs to the loop's thread.
-    To drive a loop without threads, override clock() and call turn().
+    post(), post_first(), post_urgent() and clock() may be called from any thread; all else belongs to the
+    loop's thread. To drive a loop without threads, override clock() and call turn().
     """
 
     def __init__(self, counters: Counters) -> None:
--- a/gullhold/net/startup.py
+++ b/gullhold/net/startup.py
@@ -14,8 +14,8 @@
 
 Resource = TypeVar("Resource")
 
-RETRY_LIMIT_S = 20.0  # a start may take 30 s
-RETRY_INTERVAL_S = 0.02  # a shortage usually lasts for a moment
+RETRY_LIMIT_S = 20.0  # less than the 30 s that a start may take
+RETRY_INTERVAL_S = 0.02  # short compared with a start; a shortage lasts for moments
 TRANSIENT_ERRNOS = LOCAL_EXHAUSTION_ERRNOS | {errno.ECONNABORTED}
 
 
