--- a/gullhold/net/configuration_command.py
+++ b/gullhold/net/configuration_command.py
@@ -42,7 +42,7 @@
     yield (
         f"listens on {configuration.listen_address}, coordinator {configuration.discovery_address}, "
         f"{configuration.memory_bytes >> MEGABYTE_SHIFT} MB, {configuration.max_sockets} descriptors, "
-        f"list of event {configuration.last_event}"
+        f"list of event {configuration.last_event_index}"
     )
     for profile in agreement.profiles:
         yield f"profile {profile}"
