--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -21,7 +21,7 @@
     from gullhold.fleet.driver import Fleet
     from gullhold.operator.records import DoorRecord, FleetRecord
 
-LISTEN_RETRY_LIMIT_S = 5.0  # while the address is still in use, or sockets are short
+LISTEN_RETRY_LIMIT_S = 5.0  # for retries while the address is in use or sockets are short
 STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory for waiting statements, as much again for unread answers
 # For everything but client and engine connections: standard streams, listener, discovery, spare ones.
 RESERVED_DESCRIPTORS = 16
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -58,7 +58,8 @@
     def _correct_unconfirmed(self, now: int, excluded_ids: set[int]) -> list[EngineEntry]:
         """Return the unconfirmed entries of the configuration's list, with their start times corrected.
 
-        Empty unless a watch event has shown that the local clock is off by more than its delay can be.
+        Empty unless a watch event has shown that the local clock is off by more than the longest delay of an
+        event.
         """
         if (
             not self.unconfirmed
