--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -142,18 +142,18 @@
         malformed bytes is still there: each of its requests gets an answer.
         """
         self.counters.add(f"client_connections_ended_{end.value}")
-        is_unusual = bool(client.open) and end in connection_ends.CAUSED_BY_US
+        is_unusual = bool(client.open) and end in connection_ends.CAUSED_BY_GATEWAY
         event = LoggedEvent(
             self.core.now,
-            EventKind.CLOSE,
+            EventKind.CONNECTION_CLOSED,
             end.value,
             connection=f"client {client.peer.connection}",
-            before="open",
-            after="closed",
+            old_state="open",
+            new_state="closed",
             open=len(client.open),
             detail=text,
         )
-        self.core.events.add(event, is_unusual)
+        self.core.event_log.add(event, is_unusual)
         if end in connection_ends.CLIENT_STILL_WAITS:
             for pending in list(client.open.values()):
                 self.give_up(pending)
@@ -254,19 +254,19 @@
         self._log_rejection(pending, reason)
         self.answer(pending, message)
         if pending.attempt:  # it ends with the request
-            self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
+            self.core.attempts.abandon(pending.attempt, Outcome.CANCELLED)
 
     def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
         event = LoggedEvent(
             self.core.now,
-            EventKind.REFUSAL,
+            EventKind.ERROR_ANSWER,
             reason,
             pending.request.transaction_id,
             pending.client.peer.connection if pending.client else "",
             "sent" if pending.attempt else "queued",
             "answered",
         )
-        self.core.events.add(event)
+        self.core.event_log.add(event)
 
     def _abandon(self, abandoned: list[PendingRequest]) -> None:
         """Drop requests for whose answers a client does not wait any more.
