--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -177,9 +177,8 @@
     engine, port = Engine(), free_port()
     process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
-    callers = [
-        Caller(("127.0.0.1", port)) for _ in range(330)
-    ]  # about the third of the sockets that clients usually need
+    # About a third of the sockets of the configuration, which is what clients usually need.
+    callers = [Caller(("127.0.0.1", port)) for _ in range(330)]
     sequence_ids = [[caller.ask() for _ in range(3)] for caller in callers]
     for caller, seqs in zip(callers, sequence_ids, strict=True):
         answers = [caller.answer() for _ in seqs]
@@ -191,9 +190,8 @@
     assert int(status["Threads"]) < 600
     for caller in callers:
         caller.sock.close()
-    until(
-        lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220
-    )  # connections to engines stay open for a while
+    # Connections to engines stay open for a while.
+    until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 220)
     process.send_signal(signal.SIGTERM)
     assert process.wait(WAIT_TIMEOUT_S) == 0
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -131,9 +131,8 @@
     gateway, client = start_gateway(engine, max_open=2)
     sequence_ids = [client.ask() for _ in range(3)]
     assert client.answer() == (sequence_ids[2], "shed")
-    until(
-        lambda: len(engine.messages(b"fetch")) == 2
-    )  # an attempt that was not sent is withdrawn instead of aborted
+    # Both were sent: an attempt that was not sent yet would be withdrawn instead of aborted.
+    until(lambda: len(engine.messages(b"fetch")) == 2)
     client.sock.close()
     until(lambda: len(engine.messages(b"abort")) == 2)
 
