--- a/gullhold/decisions/census.py
+++ b/gullhold/decisions/census.py
@@ -7,7 +7,7 @@
 
 
 class Census(NamedTuple):
-    """Counts of commands, attempts and threads; all are 0 once no command is left and none may still run."""
+    """Counts of commands, attempts and threads; all are 0 once every command and every attempt is over."""
 
     commands: int  # waiting, or with an open attempt
     ordered_keys: int  # with a command that waits or has an open attempt
--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -82,7 +82,7 @@
 
     def _close_attempt(self, command: Command) -> None:
         """Release what the command's attempt, which has ended, used on its engine."""
-        engine = cast("Engine", command.engine)  # each attempt has one
+        engine = cast("Engine", command.engine)  # not None: an attempt was open
         self._thread_use.vacate(engine, command.threads)
         if command.is_stalled:
             command.is_stalled = False
--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -71,7 +71,7 @@
         # Health: the rate and the sums decay exponentially from the times given with them.
         self.failure_rate = 0.0
         self.failure_rate_at = 0
-        self.overloaded_until = 0  # it gets no new attempts before
+        self.overloaded_until = 0  # until then no attempt is started on it
         self.stalled_attempts = 0
         self.completed_at = 0
         self.completed_work = 0.0  # core-us
--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -1,4 +1,4 @@
-"""Agreements that together cover all settings that the decisions use, for seeded and random calls."""
+"""Agreements that differ in the settings that the decisions use, for seeded and random calls."""
 
 from driver import MS, make_agreement, profile
 
--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -15,7 +15,7 @@
         driver.update_engines(*[(engine_id + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
         one, other = driver.submit(), driver.submit()
         driver.end_attempt(one, Outcome.ANSWERED)
-        driver.end_attempt(other, Outcome.RESET)  # it refers to its first engine, for its deduplication scope
+        driver.end_attempt(other, Outcome.RESET)  # its scope for retries refers to its engine
         while driver.commands[other].open_attempt:
             driver.end_attempt(other, Outcome.ANSWERED)
     engines = driver.gateway.components.engines
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -103,7 +103,7 @@
             if command_id % 5 == 0:
                 used.add(driver.commands[command_id].open_attempt.engine)
             driver.end_attempt(command_id, Outcome.ANSWERED)
-    assert len(used) <= 16  # by twenty attempts of twenty gateways, with forty engines
+    assert len(used) <= 16  # twenty attempts, one by each gateway, with forty engines
 
 
 def test_loads_avoid_the_engines_that_read_their_data_set():
