--- a/tests/decisions/test_engine_registry.py
+++ b/tests/decisions/test_engine_registry.py
@@ -13,11 +13,11 @@
     driver.now += 20_000 * MS  # no engine is warming any more
     for engine_id in range(0, 900, 3):
         driver.update_engines(*[(engine_id + i, 0, 0, EngineState.READY, 0, 0) for i in range(3)], full=True)
-        one, other = driver.submit(), driver.submit()
-        driver.end_attempt(one, Outcome.ANSWERED)
-        driver.end_attempt(other, Outcome.RESET)  # its scope for retries refers to its engine
-        while driver.commands[other].open_attempt:
-            driver.end_attempt(other, Outcome.ANSWERED)
+        answered, reset = driver.submit(), driver.submit()
+        driver.end_attempt(answered, Outcome.ANSWERED)
+        driver.end_attempt(reset, Outcome.RESET)  # its scope for retries refers to its engine
+        while driver.commands[reset].open_attempt:
+            driver.end_attempt(reset, Outcome.ANSWERED)
     engines = driver.gateway.components.engines
     assert len(engines.by_slot) <= 12
     assert len(engines.by_id) <= 6
