--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -44,7 +44,7 @@
             logger.exception("decisions failed method={}", method.__name__)
             results = list(core.gateway.results)  # the decisions until then hold
             if pending and pending.client and not pending.attempt:
-                core.defer(core.requests.give_up, pending)
+                core.defer(core.requests.force_answer, pending)
         for result in results:
             self._carry_out(result)
 
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -156,7 +156,7 @@
         self.core.events.add(event, is_unusual)
         if end in connection_ends.CLIENT_STILL_WAITS:
             for pending in list(client.open.values()):
-                self.give_up(pending)
+                self.force_answer(pending)
         else:
             self._abandon(list(client.open.values()))
         client.write_buffer.finish()  # buffered answers are still written; the reader closes
@@ -209,7 +209,7 @@
             return {}
         return {field: b"%d" % ceil_to_ms(retry_after_us)}
 
-    def give_up(self, pending: PendingRequest) -> None:
+    def force_answer(self, pending: PendingRequest) -> None:
         """End a request now: the decision module answers it; if it does not, it fails."""
         if not pending.client:
             return
@@ -306,4 +306,4 @@
         if pending.client:
             self.counters.add("requests_overdue")
             logger.error("request was not answered in time number={}", pending.number)
-            self.give_up(pending)
+            self.force_answer(pending)
--- a/gullhold/net/shutdown.py
+++ b/gullhold/net/shutdown.py
@@ -62,7 +62,7 @@
         core = self.core
         core.call_later(self._stop_at_us, self._stop)  # first: a fault below must not prevent the end
         for pending in core.requests.unanswered():
-            core.requests.give_up(pending)
+            core.requests.force_answer(pending)
         self._close_clients()
 
     def _close_clients(self) -> None:
