--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -105,7 +105,7 @@
     def put(self, message: bytes) -> None:
         """Take complete frames, each with one answer. Called on the core's thread."""
         while message:
-            size = FRAME_LENGTH_BYTES + thrift.I32S.unpack(message[:FRAME_LENGTH_BYTES])[0]
+            size = FRAME_LENGTH_BYTES + thrift.I32_FORMAT.unpack(message[:FRAME_LENGTH_BYTES])[0]
             answer = thrift.decode_message(message[FRAME_LENGTH_BYTES:size], thrift.REPLY, thrift.EXCEPTION)
             message = message[size:]
             self._on_ended(answer.sequence_id, *_outcome(answer.fields))
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -77,8 +77,8 @@
 MESSAGE_HEADER = struct.Struct(">HBB")  # version, an unused byte, message type
 FIELD_HEADER = struct.Struct(">Bh")  # type, field id
 MAP_HEADER = struct.Struct(">BBi")  # types of keys and values, number of pairs
-I16S = struct.Struct(">h")
-I32S = struct.Struct(">i")
+I16_FORMAT = struct.Struct(">h")
+I32_FORMAT = struct.Struct(">i")
 END_OF_STRUCT = bytes((FieldType.STOP,))
 
 # Field ids of the service's messages.
@@ -136,7 +136,7 @@
 
     def read_string(self) -> bytes:
         """Read the next string."""
-        return self.read(self.read_number(I32S))
+        return self.read(self.read_number(I32_FORMAT))
 
     def read_value(self, value_type: int, depth: int = 0) -> Any:
         """Read the next value of a type.
@@ -163,14 +163,14 @@
         """Read a struct."""
         fields: Fields = {}
         while value_type := self.read(1)[0]:
-            field_id = self.read_number(I16S)
+            field_id = self.read_number(I16_FORMAT)
             fields[field_id, value_type] = self.read_value(value_type, depth)
         return fields
 
     def _read_fixed(self, value_type: int) -> int | bool | bytes:
         data = self.read(SIZE_BY_FIXED_TYPE[value_type])
         if value_type == I32:
-            return I32S.unpack(data)[0]
+            return I32_FORMAT.unpack(data)[0]
         if value_type == BOOL:
             return data != b"\0"
         return data
@@ -199,7 +199,7 @@
             for _ in (0, 1):
                 if at + LENGTH_SIZE > end:
                     raise ProtocolError("a value runs past its frame")
-                size = I32S.unpack_from(data, at)[0]
+                size = I32_FORMAT.unpack_from(data, at)[0]
                 at += LENGTH_SIZE + size
                 if size < 0 or at > end:
                     raise ProtocolError("a value runs past its frame")
@@ -209,7 +209,7 @@
         return strings
 
     def _read_container_size(self, *item_types: int) -> int:
-        size = self.read_number(I32S)
+        size = self.read_number(I32_FORMAT)
         if size < 0 or size > len(self.data) - self.position:  # no value is shorter than a byte
             raise ProtocolError(f"a container of {size}")
         if size and not VALUE_TYPES.issuperset(item_types):
@@ -230,7 +230,7 @@
     def frames(self) -> Iterator[bytes]:
         """Iterate over the frames that are complete, without their lengths. Raises ProtocolError."""
         while (length := self.buffer.peek(LENGTH_SIZE)) is not None:
-            size = I32S.unpack(length)[0]
+            size = I32_FORMAT.unpack(length)[0]
             if not MESSAGE_HEADER.size <= size <= self.buffer.max_bytes - LENGTH_SIZE:
                 raise ProtocolError(f"a frame of {size} bytes")
             frame = self.buffer.peek(size, LENGTH_SIZE)
@@ -260,7 +260,7 @@
         method = reader.read_string().decode()
     except UnicodeDecodeError:
         raise ProtocolError("a method name that is no text") from None
-    return MessageHeader(method, message_type, reader.read_number(I32S))
+    return MessageHeader(method, message_type, reader.read_number(I32_FORMAT))
 
 
 def decode_call(frame: bytes) -> Message:
@@ -270,7 +270,7 @@
 
 def encode_string(data: bytes) -> bytes:
     """Encode a string."""
-    return I32S.pack(len(data)) + data
+    return I32_FORMAT.pack(len(data)) + data
 
 
 def encode_string_map(strings: Mapping[bytes, bytes]) -> bytes:
@@ -282,8 +282,8 @@
 def encode_message(message_type: int, method: str, sequence_id: int, body: bytes) -> bytes:
     """Encode a frame with one message, whose arguments or result, a whole struct, is the body."""
     header = MESSAGE_HEADER.pack(VERSION_1, 0, message_type)
-    message = header + encode_string(method.encode()) + I32S.pack(sequence_id) + body
-    return I32S.pack(len(message)) + message
+    message = header + encode_string(method.encode()) + I32_FORMAT.pack(sequence_id) + body
+    return I32_FORMAT.pack(len(message)) + message
 
 
 def encode_answer(method: str, sequence_id: int, body: bytes = b"", good: bool = True) -> bytes:
@@ -307,7 +307,7 @@
 def encode_shed(sequence_id: int, fields: Mapping[bytes, bytes]) -> bytes:
     """Encode a reply to execute that throws a Shed with these fields."""
     if not fields:  # under overload most answers are these
-        return PLAIN_SHED_START + I32S.pack(sequence_id) + PLAIN_SHED_END
+        return PLAIN_SHED_START + I32_FORMAT.pack(sequence_id) + PLAIN_SHED_END
     return _encode_exception(sequence_id, RESULT_SHED, fields)
 
 
@@ -331,7 +331,7 @@
 
 def _split_at_sequence_id(frame: bytes, sequence_id: int) -> tuple[bytes, bytes]:
     """Return what stands before and after the sequence id in a frame that has it once."""
-    start, _, end = frame.partition(I32S.pack(sequence_id))
+    start, _, end = frame.partition(I32_FORMAT.pack(sequence_id))
     return start, end
 
 
@@ -350,7 +350,7 @@
         FIELD_HEADER.pack(STRING, APPLICATION_ERROR_MESSAGE)
         + encode_string(text.encode())
         + FIELD_HEADER.pack(I32, APPLICATION_ERROR_TYPE)
-        + I32S.pack(error_type)
+        + I32_FORMAT.pack(error_type)
         + END_OF_STRUCT,
     )
 
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -80,7 +80,7 @@
         reader = thrift.FrameReader(frame)
         kind = reader.read(4)[3]
         reader.read_string()
-        seq = reader.read_number(thrift.I32S)
+        seq = reader.read_number(thrift.I32_FORMAT)
         result = reader.read_struct()
         if kind == thrift.EXCEPTION:
             return Answer(seq, "exception")
--- a/tests/test_thrift.py
+++ b/tests/test_thrift.py
@@ -111,7 +111,7 @@
         assert found == kind
         scan = thrift.FrameReader(message[8:])
         scan.read_string()
-        assert scan.read_number(thrift.I32S) == 7
+        assert scan.read_number(thrift.I32_FORMAT) == 7
         result = scan.read_struct()
         assert scan.position == len(scan.data)
         if message == thrift.encode_answer("execute", 7, b"a\tb\tc\n"):
