--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -88,7 +88,7 @@
 ANSWER_BODY = 1
 ANSWER_FIELDS = 2
 ANSWER_GOOD = 3
-THROWN_FIELDS = 1
+EXCEPTION_FIELDS = 1
 APPLICATION_ERROR_MESSAGE = 1
 APPLICATION_ERROR_TYPE = 2
 CHECK_UNUSED = 1  # the one argument of check
@@ -322,7 +322,7 @@
         "execute",
         sequence_id,
         FIELD_HEADER.pack(STRUCT, result_field)
-        + FIELD_HEADER.pack(MAP, THROWN_FIELDS)
+        + FIELD_HEADER.pack(MAP, EXCEPTION_FIELDS)
         + encode_string_map(fields)
         + END_OF_STRUCT  # of the exception
         + END_OF_STRUCT,  # of the result
--- a/gullhold/testing/load_client.py
+++ b/gullhold/testing/load_client.py
@@ -300,7 +300,7 @@
         if message.message_type == thrift.REPLY
         else None
     )
-    return None if shed is None else shed.get((thrift.THROWN_FIELDS, thrift.MAP), {})
+    return None if shed is None else shed.get((thrift.EXCEPTION_FIELDS, thrift.MAP), {})
 
 
 class ClientOrder(StrEnum):
