--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -84,7 +84,7 @@
         configuration.engine_ids,
     )
     core.discovery_lags = discovery_client.has_unapplied_events
-    core.close_clients = listener.end_clients
+    core.close_clients = listener.close_clients
     core.has_clients = listener.has_clients
     return GatewayParts(core, listener, discovery_client)
 
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -65,7 +65,7 @@
                 self._handle_accept_error(error)
                 time.sleep(POLL_INTERVAL_S)
 
-    def end_clients(self) -> None:
+    def close_clients(self) -> None:
         """Answer what has arrived on all connections, then end them; called from the core at the shutdown.
 
         Guards against requests that lie unread when the process ends: their connections are reset.
