--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -55,7 +55,7 @@
         """on_ended is called once for each command that was sent, on the core's thread."""
         self._core = core
         self._reader = reader
-        self.open: dict[int, Any] = {}
+        self.open_requests: dict[int, Any] = {}
         self.undelivered: dict[int, bool] = {}
         self.interrupted: set[int] = set()
         self.settled_count = 0
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -81,7 +81,7 @@
         if client.undelivered.pop(sequence_id, None) is not None:
             return  # the core ignores it when it gets to it
         client.interrupted.add(sequence_id)  # no longer open, though the core has yet to settle it
-        if sequence_id in client.open:
+        if sequence_id in client.open_requests:
             self.core.post_urgent(self.core.interrupt, client, sequence_id)
         else:  # answered before, or never received
             client.interrupted.discard(sequence_id)
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -34,8 +34,8 @@
 class ClientConnection:
     """One connection of a client. Its reader thread feeds the core, which answers through its write buffer.
 
-    peer, open, undelivered, interrupted, settled_count, completed_count, has_left and write_buffer are as in
-    pending_requests.Client; of the others the core touches end_requested, may_end and is_busy().
+    peer, open_requests, undelivered, interrupted, settled_count, completed_count, has_left and write_buffer
+    are described in pending_requests.Client. The core also uses end_requested, may_end and is_busy().
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.write_buffer = WriteBuffer(
             MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + max_message_bytes), core.counters, core.flusher
         )
-        self.open: dict[int, PendingRequest] = {}  # by sequence id
+        self.open_requests: dict[int, PendingRequest] = {}  # by sequence id
         self.undelivered: dict[int, bool] = {}  # sequence ids posted to the core that it has yet to process
         self.interrupted: set[int] = set()  # sequence ids of open requests whose interrupts wait for the core
         self.handed_over_count = 0  # requests that were handed to the core
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -35,7 +35,7 @@
 class Client(Protocol):
     """What the core needs of a client: a client connection, or the sender of the fleet's own commands.
 
-    open: pending requests by sequence id.
+    open_requests: pending requests by sequence id.
     undelivered: sequence ids of requests that were posted to the core and that it has yet to process.
     interrupted: sequence ids of open requests whose interrupts the core has yet to process.
     settled_count: how many requests were answered or interrupted.
@@ -44,7 +44,7 @@
     """
 
     peer: PeerAddress
-    open: dict[int, "PendingRequest"]
+    open_requests: dict[int, "PendingRequest"]
     undelivered: dict[int, bool]
     interrupted: set[int]
     settled_count: int
@@ -108,7 +108,7 @@
             self.last_number, client, sequence_id, request, received_at_us + request.timeout_us
         )
         # Before the pop below, so that an interrupt finds it in one place or the other.
-        client.open[sequence_id] = pending
+        client.open_requests[sequence_id] = pending
         # Interrupted before it was processed; or its client has left; or it arrived after our end of stream,
         # so that the client sends it elsewhere.
         if (
@@ -130,7 +130,7 @@
 
     def interrupt(self, client: Client, sequence_id: int) -> None:
         """Handle an interrupt: no answer is expected any more."""
-        pending = client.open.get(sequence_id)
+        pending = client.open_requests.get(sequence_id)
         if pending:
             self.counters.add("interrupted")
             self._abandon([pending])
@@ -142,7 +142,7 @@
         malformed bytes is still there: each of its requests gets an answer.
         """
         self.counters.add(f"client_connections_ended_{end.value}")
-        is_unusual = bool(client.open) and end in connection_ends.CAUSED_BY_US
+        is_unusual = bool(client.open_requests) and end in connection_ends.CAUSED_BY_US
         event = LoggedEvent(
             self.core.now,
             EventKind.CLOSE,
@@ -150,15 +150,15 @@
             connection=f"client {client.peer.connection}",
             before="open",
             after="closed",
-            open=len(client.open),
+            open=len(client.open_requests),
             detail=text,
         )
         self.core.events.add(event, is_unusual)
         if end in connection_ends.CLIENT_STILL_WAITS:
-            for pending in list(client.open.values()):
+            for pending in list(client.open_requests.values()):
                 self.force_answer(pending)
         else:
-            self._abandon(list(client.open.values()))
+            self._abandon(list(client.open_requests.values()))
         client.write_buffer.finish()  # buffered answers are still written; the reader closes
 
     def answer(self, pending: PendingRequest, message: bytes) -> None:
@@ -294,7 +294,7 @@
         """Count a request as answered or interrupted, and let go of its client, which is returned."""
         client = pending.client
         assert client is not None, "a request is settled once"
-        client.open.pop(pending.sequence_id, None)
+        client.open_requests.pop(pending.sequence_id, None)
         client.settled_count += 1
         client.interrupted.discard(pending.sequence_id)
         pending.client = None
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -235,7 +235,7 @@
     gateway, client, _ = gateway_with_queued_requests
     requests = {client.ask(limit=600) for _ in range(20)}
     inside = leave_while_the_core_is_blocked(gateway, client, requests, blocked_s=0.7)
-    assert not inside.open
+    assert not inside.open_requests
     assert not gateway.core.requests.by_number
     assert inside.write_buffer.is_finishing
     assert not gateway.count("shed")
