--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -92,7 +92,7 @@
         if is_repeat:
             fields[b"second"] = b"1"
         try:
-            request = self._reader.request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
+            request = self._reader.read_request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
         except RequestError as error:
             raise RejectedError(str(error)) from None
         if not self._core.statement_memory.reserve(len(request.statement)):
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -161,7 +161,7 @@
     def _read(self, sequence_id: int, fields: dict[bytes, bytes], statement: bytes) -> Request | None:
         """Read a request; an unusable one is answered with a Fault, and None is returned."""
         try:
-            return self.reader.request(fields, statement, *self.client.peer)
+            return self.reader.read_request(fields, statement, *self.client.peer)
         except RequestError as error:
             self.counters.add("invalid_requests")
             self.client.put(thrift.encode_fault(sequence_id, str(error)))
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -110,7 +110,7 @@
             return (self._retry_after(retry_at_us - now_us),)
         return None
 
-    def request(
+    def read_request(
         self, fields: Mapping[bytes, bytes], statement: bytes, address: str = "", connection: str = ""
     ) -> Request:
         """Read a request from a client at an address, on a connection. Raises RequestError."""
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -30,7 +30,7 @@
 
 def test_a_request_is_read_in_the_modules_units():
     reader = request_reader.RequestReader(AGREEMENT)
-    got = reader.request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
+    got = reader.read_request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
     assert (got.timeout_us, got.work_us, got.memory_mb, got.table_group, got.is_retry) == (
         1_500_000,
         820_500,
@@ -42,13 +42,13 @@
     assert got.idempotency_key == b""
     assert got.profile == got.tenant == 0
     one, other = (
-        reader.request({**ASKED, b"verb": b"load", b"unique": b"5c"}, b"insert into a_1.%s" % t)
+        reader.read_request({**ASKED, b"verb": b"load", b"unique": b"5c"}, b"insert into a_1.%s" % t)
         for t in (b"x", b"y")
     )
     assert one.ordering_key
     assert other.ordering_key
     assert one.ordering_key != other.ordering_key
-    bare = reader.request({k: v for k, v in ASKED.items() if k not in (b"cpu", b"memory")}, b"")
+    bare = reader.read_request({k: v for k, v in ASKED.items() if k not in (b"cpu", b"memory")}, b"")
     assert bare.work_us == bare.memory_mb == bare.table_group == 0
 
 
@@ -73,7 +73,7 @@
 def test_a_request_that_cannot_be_used_is_refused(change):
     fields = {k: v for k, v in {**ASKED, **change}.items() if v is not None}
     with pytest.raises(request_reader.RequestError):
-        request_reader.RequestReader(AGREEMENT).request(fields, b"select 1")
+        request_reader.RequestReader(AGREEMENT).read_request(fields, b"select 1")
 
 
 def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
