--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -34,7 +34,7 @@
 class _WriteBuffer:
     """The interface of a connection's write buffer, for a client without a connection."""
 
-    is_dead = is_finishing = False
+    is_closed = is_finishing = False
 
     def finish(self, now: bool = False) -> None:
         """Nothing to close."""
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -86,9 +86,9 @@
         """
         is_crowding = self.write_buffer.size > MAX_RESULT_BYTES and self.core.statement_memory.is_crowded()
         is_sent = not is_crowding and self.write_buffer.put(message) >= 0
-        if not is_sent and (self.write_buffer.is_dead or not self.write_buffer.is_finishing):
+        if not is_sent and (self.write_buffer.is_closed or not self.write_buffer.is_finishing):
             self.core.counters.add("answers_undeliverable")
-            self.end(ConnectionEnd.RESET if self.write_buffer.is_dead else ConnectionEnd.BACKED_UP, "")
+            self.end(ConnectionEnd.RESET if self.write_buffer.is_closed else ConnectionEnd.BACKED_UP, "")
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """End the connection from our side, now; its reader thread wakes and reports the end."""
@@ -160,7 +160,7 @@
         is_end_awaited = False
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(POLL_INTERVAL_S * 1e6))
-            while time.monotonic() < deadline_s and not self.write_buffer.is_dead:
+            while time.monotonic() < deadline_s and not self.write_buffer.is_closed:
                 if self.write_buffer.is_end_sent and not is_end_awaited:
                     is_end_awaited = True
                     deadline_s = min(deadline_s, time.monotonic() + CROSSING_TIME_S)
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -122,7 +122,7 @@
 
     def accepts(self, transaction_id: bytes, max_streams: int) -> bool:
         """Whether an attempt may be sent here; not while late replies to one of its id may arrive."""
-        if self.is_ended or self.is_retired or self.write_buffer.is_dead:
+        if self.is_ended or self.is_retired or self.write_buffer.is_closed:
             return False
         if self.probed_at:  # it is silent
             return False
--- a/gullhold/net/write_buffer.py
+++ b/gullhold/net/write_buffer.py
@@ -53,7 +53,7 @@
         self.broken_at: int | None = None  # end offset of the first message that was lost
         self.error: OSError | None = None  # of the write that ended the connection
         self.is_flushing = False  # the flusher waits to write on
-        self.is_dead = False  # nothing is written any more
+        self.is_closed = False  # nothing is written any more
         self.is_finishing = False  # no message is accepted any more
         self.is_end_sent = False  # all is written, and our side is shut down
 
@@ -75,7 +75,7 @@
         to wait, returns it as it is to be written.
         """
         with self.lock:
-            if self.is_dead or self.is_finishing or self.size + len(data) > self.max_bytes:
+            if self.is_closed or self.is_finishing or self.size + len(data) > self.max_bytes:
                 return Rejection.CLOSED_OR_FULL
             if is_allowed and self.connection is not None and not is_allowed():
                 return Rejection.NOT_ALLOWED
@@ -115,7 +115,7 @@
                 self._end_now()
             elif not self.pending:
                 self._send_end()
-            return self.is_end_sent or self.is_dead
+            return self.is_end_sent or self.is_closed
 
     def flush(self) -> int:
         """From the flusher: write on; return how many bytes were written."""
@@ -128,7 +128,7 @@
     def descriptor(self) -> int:
         """Return the descriptor to poll until more can be written; -1: nothing waits any more."""
         with self.lock:
-            if self.connection is None or not self.is_flushing or self.is_dead:
+            if self.connection is None or not self.is_flushing or self.is_closed:
                 return -1
             return self.connection.fileno()
 
@@ -140,9 +140,9 @@
 
     def _end_now(self) -> None:
         """With the lock held: discard what waits, and wake the reader, which closes the connection."""
-        if self.pending and not self.is_dead:
+        if self.pending and not self.is_closed:
             self.broken_at = self.pending[0].end_offset
-        self.is_dead = True
+        self.is_closed = True
         self.is_flushing = False
         self.pending.clear()
         self.size = 0
@@ -154,7 +154,7 @@
 
         renew: of the last message, kept in case that nothing of it is written now.
         """
-        while self.pending and self.connection is not None and not self.is_dead:
+        while self.pending and self.connection is not None and not self.is_closed:
             message = self.pending[0]
             if message.renew:
                 self._replace(message, message.renew())
@@ -169,7 +169,7 @@
                 self._leave_to_flusher(message, count, renew)
                 return
             self.pending.popleft()
-        if self.is_finishing and not self.pending and not self.is_dead:
+        if self.is_finishing and not self.pending and not self.is_closed:
             self._send_end()
 
     def _leave_to_flusher(
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -172,7 +172,7 @@
     most = 0
     for _ in range(400):
         for one in inside:
-            if not one.write_buffer.is_dead:
+            if not one.write_buffer.is_closed:
                 one.put(frame)
         most = max(most, sum(one.write_buffer.size for one in inside))
     assert room.max_bytes < most < room.max_bytes + 12 * 2 * len(frame)
