--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients, from their arrival to the one final answer that each gets."""
+"""The table of pending requests: each from its arrival at the core to its one final answer."""
 
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
@@ -16,7 +16,7 @@
 
 
 class PeerAddress(NamedTuple):
-    """Where a client connects from: its host, and HOST:PORT, which names this connection only."""
+    """The remote address of a client: its host, and HOST:PORT, which identifies one connection."""
 
     host: str
     connection: str
@@ -28,7 +28,10 @@
     is_finishing: bool
 
     def finish(self, now: bool = False) -> bool:
-        """Accept no more messages; the peer gets the rest, then the end of the stream."""
+        """Accept no more messages, and shut down our side once the buffered ones are written.
+
+        now: discard the buffered messages instead. Returns whether our side is shut down.
+        """
         ...
 
 
@@ -36,11 +39,11 @@
     """What the core needs of a client: a client connection, or the sender of the fleet's own commands.
 
     open_requests: pending requests by sequence id.
-    undelivered: sequence ids of requests that were posted to the core and that it has yet to process.
-    interrupted: sequence ids of open requests whose interrupts the core has yet to process.
-    settled_count: how many requests were answered or interrupted.
-    completed_count: those of them whose answers were put, or interrupted.
-    has_left: the client waits for no answer any more.
+    undelivered: sequence ids of requests that were posted to the core, but not processed by it yet.
+    interrupted: sequence ids of open requests whose interrupts the core has not processed yet.
+    settled_count: number of requests for which an answer was decided, or which were dropped.
+    completed_count: number of settled requests whose answers were passed to put(), or which were dropped.
+    has_left: the client has disconnected and no longer waits for answers.
     """
 
     peer: PeerAddress
@@ -53,12 +56,15 @@
     write_buffer: ClientOutput
 
     def put(self, message: bytes) -> None:
-        """Send complete frames."""
+        """Send one or more complete frames."""
         ...
 
 
 class PendingRequest:
-    """A request with its client (None once answered) and its open attempt, if any."""
+    """A request with its client and its open attempt, if any.
+
+    number: the command's number in the decision module; client: None once the request is settled.
+    """
 
     __slots__ = (
         "attempt",
@@ -86,12 +92,15 @@
         self.priority = 1
         self.attempt: Attempt | None = None
         self.attempts_started = 0
-        self.statement_bytes = len(request.statement)  # reserved in the memory for statements
-        self.last_outcome = ""  # of its last attempt, as text for the event log
+        self.statement_bytes = len(request.statement)  # reserved in the statement memory
+        self.last_outcome = ""  # outcome of the last attempt, as text for the event log
 
 
 class PendingRequests:
-    """The table of pending requests; gives each its one final answer. On the core's thread only."""
+    """The pending requests of all clients. Settles each exactly once: answers it, or drops it.
+
+    On the core's thread only, but for is_over_open_limit().
+    """
 
     def __init__(self, core: "Core") -> None:
         self.core = core
@@ -99,18 +108,21 @@
         self.by_number: dict[int, PendingRequest] = {}
         self.by_transaction_id: dict[bytes, PendingRequest] = {}
         self.last_number = 0
-        self.settled_at_us = 0  # when the last one was answered or interrupted
+        self.settled_at_us = 0  # when a request was last settled
 
     def execute(self, client: Client, sequence_id: int, request: Request, received_at_us: int) -> None:
-        """Execute a client's request; received_at_us: when it was read, from which its timeout counts."""
+        """Begin to execute a client's request, or answer it at once if it is rejected.
+
+        received_at_us: when it was read; its client timeout counts from then on.
+        """
         self.last_number += 1
         pending = PendingRequest(
             self.last_number, client, sequence_id, request, received_at_us + request.timeout_us
         )
-        # Before the pop below, so that an interrupt finds it in one place or the other.
+        # Before the pop below: the reader thread must find an interrupted request in undelivered or here.
         client.open_requests[sequence_id] = pending
-        # Interrupted before it was processed; or its client has left; or it arrived after our end of stream,
-        # so that the client sends it elsewhere.
+        # Drop it if it was interrupted meanwhile, if its client has left, or if our side is shut down: the
+        # client then sends the request again to another gateway.
         if (
             client.undelivered.pop(sequence_id, None) is None
             or client.has_left
@@ -129,7 +141,7 @@
             self._admit(pending)
 
     def interrupt(self, client: Client, sequence_id: int) -> None:
-        """Handle an interrupt: no answer is expected any more."""
+        """Drop a request that its client has interrupted, if it is still open."""
         pending = client.open_requests.get(sequence_id)
         if pending:
             self.counters.add("interrupted")
@@ -138,8 +150,8 @@
     def client_ended(self, client: Client, end: ConnectionEnd, text: str) -> None:
         """Handle the end of a client's connection.
 
-        A client that closed, or whose connection broke, has left: its requests are dropped. One that sent
-        malformed bytes is still there: each of its requests gets an answer.
+        A client that closed its connection, or whose connection broke, has left: its requests are dropped.
+        A client that sent malformed bytes still waits: each of its requests is answered.
         """
         self.counters.add(f"client_connections_ended_{end.value}")
         is_unusual = bool(client.open_requests) and end in connection_ends.CAUSED_BY_US
@@ -159,24 +171,27 @@
                 self.force_answer(pending)
         else:
             self._abandon(list(client.open_requests.values()))
-        client.write_buffer.finish()  # buffered answers are still written; the reader closes
+        client.write_buffer.finish()  # buffered answers are still written; the reader closes the socket
 
     def answer(self, pending: PendingRequest, message: bytes) -> None:
-        """Send a request's final answer."""
-        client = self._settle(pending)  # before the answer, after which its next one may arrive
+        """Settle a request and send its final answer."""
+        client = self._settle(pending)  # first: the next request may arrive as soon as this answer is sent
         client.put(message)
         client.completed_count += 1
 
     def answer_result(self, pending: PendingRequest, rows: bytes) -> None:
-        """Answer a request with the rows of its result."""
+        """Answer a request with its complete result, and count the answer and its latency."""
         self.counters.add(counters.ANSWERED)
-        if self.core.gate:  # a canary is judged by it
+        if self.core.gate:  # a canary is judged by its answer times
             timeout_us = pending.request.timeout_us
             self.counters.add(counters.ANSWER_TIME_US, self.core.now - pending.timeout_at_us + timeout_us)
         self.answer(pending, thrift.encode_answer("execute", pending.sequence_id, rows))
 
     def answer_shed(self, number: int, longest_retry_after_us: int) -> None:
-        """Answer a request with a Shed; longest_retry_after_us: bound on its Retry-After time, 0: none."""
+        """Answer a request with a Shed: its command did not run.
+
+        longest_retry_after_us: upper limit of the Retry-After time; 0: no limit.
+        """
         pending = self._unanswered_request(number)
         retry_after_us = self.core.admission.retry_after_us(number)
         if longest_retry_after_us:
@@ -194,7 +209,7 @@
     def settle_rejected(self, pending: PendingRequest, retry_after_us: int) -> bytes:
         """Settle a request that the admission queue rejected; return the frame for its client.
 
-        The caller puts it and counts it as completed.
+        The caller sends the frame and increments the client's completed_count.
         """
         self.counters.add("rejected_admission")
         self._log_rejection(pending, "rejected_admission")
@@ -203,24 +218,28 @@
         return frame
 
     def shed_fields(self, retry_after_us: int) -> dict[bytes, bytes]:
-        """Return the fields of a Shed: the Retry-After time in ms, where it is known."""
+        """Return the fields of a Shed: the Retry-After time in ms; none if it is 0 or has no field name."""
         field = self.core.retry_after_field
         if not retry_after_us or not field:
             return {}
         return {field: b"%d" % ceil_to_ms(retry_after_us)}
 
     def force_answer(self, pending: PendingRequest) -> None:
-        """End a request now: the decision module answers it; if it does not, it fails."""
+        """Answer a request without waiting for its command any longer.
+
+        A request in the admission queue is shed. The decision module answers any other; if it raises, the
+        request is answered as failed.
+        """
         if not pending.client:
             return
         if self.core.admission.is_queued(pending.number):
-            self.answer_shed(pending.number, 0)  # it was never attempted
+            self.answer_shed(pending.number, 0)  # no attempt was started
             return
         self.core.decisions.call(None, self.core.gateway.abandon, pending.number)
-        self.answer_failed(pending.number)  # in case the module raises for this command again
+        self.answer_failed(pending.number)  # no effect unless the decision module raised
 
     def forget(self, pending: PendingRequest) -> None:
-        """Forget a request that is answered and has no open attempt."""
+        """Remove a settled request without an open attempt, and release the memory of its statement."""
         if pending.statement_bytes:
             self.core.statement_memory.release(pending.statement_bytes)
             pending.statement_bytes = 0
@@ -230,13 +249,16 @@
                 self.core.admission_queue.command_ended(self.core.now, pending.number)
 
     def unanswered(self) -> list[PendingRequest]:
-        """Return the requests whose clients still wait."""
+        """Return the requests that are not settled."""
         return [pending for pending in self.by_number.values() if pending.client]
 
     def is_over_open_limit(self) -> bool:
-        """Whether as many requests are open as the settings allow; an estimate from any other thread."""
-        most = self.core.agreement.max_open_commands
-        return 0 < most <= len(self.by_number) - self.core.admission.queued_count()
+        """Whether max_open_commands requests are open, not counting those in the admission queue.
+
+        May be called from any thread; other threads than the core's get an estimate.
+        """
+        limit = self.core.agreement.max_open_commands
+        return 0 < limit <= len(self.by_number) - self.core.admission.queued_count()
 
     def _admit(self, pending: PendingRequest) -> None:
         self.by_number[pending.number] = pending
@@ -253,7 +275,7 @@
         self.counters.add(reason)
         self._log_rejection(pending, reason)
         self.answer(pending, message)
-        if pending.attempt:  # it ends with the request
+        if pending.attempt:  # of no use once its request is answered
             self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
 
     def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
@@ -269,10 +291,10 @@
         self.core.events.add(event)
 
     def _abandon(self, abandoned: list[PendingRequest]) -> None:
-        """Drop requests for whose answers a client does not wait any more.
+        """Drop requests whose client no longer waits for their answers.
 
-        All are settled before the decision module hears of the first: its results may concern the others.
-        Guards against attempts and answers for a client that has left.
+        All are settled before the decision module is told of the first: as a result it may dispatch or shed
+        another one of them, which would start attempts or send answers for a client that has left.
         """
         for pending in abandoned:
             self._mark_settled(pending).completed_count += 1
@@ -284,16 +306,16 @@
                 self.forget(pending)
 
     def _settle(self, pending: PendingRequest) -> Client:
-        """Count a request as answered; return its client."""
+        """Mark a request as settled, and forget it unless an attempt is open; return its client."""
         client = self._mark_settled(pending)
         if not pending.attempt:
             self.forget(pending)
         return client
 
     def _mark_settled(self, pending: PendingRequest) -> Client:
-        """Count a request as answered or interrupted, and let go of its client, which is returned."""
+        """Mark a request as settled, detach it from its client and return the client."""
         client = pending.client
-        assert client is not None, "a request is settled once"
+        assert client is not None, "the request is already settled"
         client.open_requests.pop(pending.sequence_id, None)
         client.settled_count += 1
         client.interrupted.discard(pending.sequence_id)
@@ -302,7 +324,7 @@
         return client
 
     def _check_answered(self, pending: PendingRequest) -> None:
-        """Answer a request that is overdue by a fault of ours: the module answers well before."""
+        """At the client timeout: answer a request that the decision module, by a fault, has not answered."""
         if pending.client:
             self.counters.add("requests_overdue")
             logger.error("request was not answered in time number={}", pending.number)
