--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -136,7 +136,7 @@
             return
         request = self._read(sequence_id, fields, statement)
         if request:
-            self._hand_to_core(sequence_id, request, call.received_at_us)
+            self._post_to_core(sequence_id, request, call.received_at_us)
 
     def _reject(self, sequence_id: int, reason: str = "") -> None:
         """Shed a request here, with the others of this read; reason: the name of its counter, if any."""
@@ -169,13 +169,13 @@
             self.backpressure.pause_for(self.core.agreement.connect_timeout_us / 1e6)
             return None
 
-    def _hand_to_core(self, sequence_id: int, request: Request, received_at_us: int) -> None:
+    def _post_to_core(self, sequence_id: int, request: Request, received_at_us: int) -> None:
         if not self.core.overload.admits(request.timeout_us):
             self._reject(sequence_id, "rejected_overload")
             return
         if not self.core.statement_memory.reserve(len(request.statement)):
             self._reject(sequence_id, "rejected_statement_memory")
             return
-        self.client.handed_over_count += 1
+        self.client.posted_count += 1
         self.client.undelivered[sequence_id] = True
         self.core.post(self.core.execute, self.client, sequence_id, request, received_at_us)
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: its socket, its reader thread, and its graceful end."""
+"""A client connection: its socket, its reader thread, and the ways in which it is closed."""
 
 import socket
 import time
@@ -19,20 +19,20 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-CLOSING_PAUSE_S = 0.5  # between reads of a connection that waits for its last answers
-MAX_CLOSING_READ_BYTES = 65_536  # read at once during the shutdown: 32 requests of usual size
-FULL_POLL_INTERVAL_S = 0.05  # between reads in a pause once the deferred calls are full
-MESSAGE_TIMEOUT_S = 2.0  # in which a peer completes a message; the protocol wants an end within 3 s
-IDLE_TIMEOUT_S = 5.0  # without a request; usual clients close their own connection after 4 s
-MAX_READ_WAIT_US = 500_000  # between checks of the two timeouts above
-PAUSE_MARGIN_US = 1000  # that a read waits beyond the end of a pause, so that the pause is over then
-CROSSING_TIME_S = 0.1  # in which what was sent has arrived: twice the protocol's time for crossing messages
-POLL_INTERVAL_S = 0.01  # between checks of a dismissed connection: the protocol's crossing time is 50 ms
-UNKNOWN_PEER = PeerAddress("", "")  # of a connection that has no address
+CLOSING_PAUSE_S = 0.5  # pause between reads, in the shutdown, of a connection that still has open requests
+MAX_CLOSING_READ_BYTES = 65_536  # limit of one read in the shutdown: 32 requests of usual size
+FULL_POLL_INTERVAL_S = 0.05  # time between reads in a pause once no more calls can be deferred
+MESSAGE_TIMEOUT_S = 2.0  # time to complete a message: the protocol requires that we end the connection in 3 s
+IDLE_TIMEOUT_S = 5.0  # time without a request; usual clients close an idle connection after 4 s themselves
+MAX_READ_WAIT_US = 500_000  # longest wait of a read, so that the two timeouts above are checked
+PAUSE_MARGIN_US = 1000  # added to a read's wait for the end of a pause, so that the pause is over then
+TRANSIT_TIME_S = 0.1  # longest time that bytes are on the network: twice the protocol's 50 ms
+POLL_INTERVAL_S = 0.01  # time between checks of a closing connection: short beside the protocol's 50 ms
+UNKNOWN_PEER = PeerAddress("", "")  # peer of a connection without an address, as in the simulation
 
 
 class ClientConnection:
-    """One connection of a client. Its reader thread feeds the core, which answers through its write buffer.
+    """A client connection. Its reader thread posts calls to the core, which puts answers in its write buffer.
 
     peer, open_requests, undelivered, interrupted, settled_count, completed_count, has_left and write_buffer
     are described in pending_requests.Client. The core also uses end_requested, may_end and is_busy().
@@ -54,17 +54,17 @@
             MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + max_message_bytes), core.counters, core.flusher
         )
         self.open_requests: dict[int, PendingRequest] = {}  # by sequence id
-        self.undelivered: dict[int, bool] = {}  # sequence ids posted to the core that it has yet to process
-        self.interrupted: set[int] = set()  # sequence ids of open requests whose interrupts wait for the core
-        self.handed_over_count = 0  # requests that were handed to the core
-        self.settled_count = 0  # those of them that are answered or interrupted
-        self.completed_count = 0  # those of them whose answers are in the write buffer, or interrupted
-        self.is_ending = False  # it is not read any more, or is to end
-        self.has_left = False  # it closed, or its connection broke: it waits for no answer any more
-        self.is_dismissed = False  # to end once nothing is open
-        self.end_requested = False  # the core was asked whether it may end, because it is idle
-        self.may_end = False  # the core has said so
-        self.local_end: tuple[ConnectionEnd, str] | None = None
+        self.undelivered: dict[int, bool] = {}  # sequence ids posted to the core, not processed yet
+        self.interrupted: set[int] = set()  # sequence ids whose interrupts the core has not processed
+        self.posted_count = 0  # number of requests posted to the core
+        self.settled_count = 0  # number of these that are answered or dropped
+        self.completed_count = 0  # number of these whose answers are in the write buffer, or that are dropped
+        self.is_ending = False  # no further reads, or about to end
+        self.has_left = False  # the client closed it, or it broke: no answers are expected any more
+        self.is_draining = False  # to end once nothing is open
+        self.end_requested = False  # the core was asked whether the idle connection may end
+        self.may_end = False  # the core's reply to that: it may
+        self.local_end: tuple[ConnectionEnd, str] | None = None  # why we ended it, with a detail for the log
         self.backpressure = Backpressure()
         self.calls = ClientCalls(self, reader)
         self.idle_timer = IdleTimer()
@@ -75,41 +75,44 @@
 
     @property
     def last_active_at(self) -> float:
-        """When something last arrived or was open, by the monotonic clock."""
+        """Monotonic time at which a call last arrived or a request was last open."""
         return self.idle_timer.last_active_at
 
     def put(self, message: bytes) -> None:
-        """Send complete frames; the connection ends where that is not possible.
+        """Send complete frames, or end the connection if its write buffer can't take them.
 
-        While the unread answers of all clients take too much memory, a connection that has some ends as well.
-        Drawback: one that only reads slowly ends together with those that do not read at all.
+        While the unread answers of all clients together exceed their memory limit, a connection with over
+        MAX_RESULT_BYTES of them is ended too. Drawback: this ends clients that read slowly along with those
+        that do not read at all.
         """
-        is_crowding = self.write_buffer.size > MAX_RESULT_BYTES and self.core.statement_memory.is_crowded()
-        is_sent = not is_crowding and self.write_buffer.put(message) >= 0
+        is_over_limit = (
+            self.write_buffer.size > MAX_RESULT_BYTES and self.core.statement_memory.are_answers_over_limit()
+        )
+        is_sent = not is_over_limit and self.write_buffer.put(message) >= 0
         if not is_sent and (self.write_buffer.is_closed or not self.write_buffer.is_finishing):
             self.core.counters.add("answers_undeliverable")
             self.end(ConnectionEnd.RESET if self.write_buffer.is_closed else ConnectionEnd.BACKED_UP, "")
 
     def end(self, end: ConnectionEnd, text: str) -> None:
-        """End the connection from our side, now; its reader thread wakes and reports the end."""
+        """End the connection at once and discard buffered answers; its reader wakes and reports the end."""
         self.local_end = self.local_end or (end, text)
         self.is_ending = True
         self.write_buffer.finish(now=True)
 
-    def dismiss(self) -> None:
-        """End the connection as idle, or for a shutdown; what has arrived is answered first."""
+    def drain(self) -> None:
+        """End the connection once all that has arrived is read and answered."""
         self.is_ending = True
-        self.is_dismissed = True
+        self.is_draining = True
         self.backpressure.stop()
         self.connection.shutdown(socket.SHUT_RD)
 
     def is_busy(self) -> bool:
-        """Whether a request of this client is still to be answered."""
-        return self.handed_over_count != self.completed_count or len(self.backpressure.calls) > 0
+        """Whether a request of this client has yet to be answered, also a deferred one."""
+        return self.posted_count != self.completed_count or len(self.backpressure.calls) > 0
 
     def open_count(self) -> int:
-        """Return how many requests the client has open."""
-        return self.handed_over_count - self.settled_count - len(self.interrupted)
+        """Return the number of requests posted to the core that are neither settled nor interrupted."""
+        return self.posted_count - self.settled_count - len(self.interrupted)
 
     def run(self) -> None:
         """Read until the connection ends, then close it."""
@@ -119,20 +122,20 @@
             self.connection.close()
 
     def report_end(self, end: ConnectionEnd, text: str) -> None:
-        """From the reader thread: tell the core that the connection is not read any more."""
+        """From the reader thread: tell the core that reading has ended, and why."""
         if self.local_end:
             end, text = self.local_end
         self.is_ending = True
-        if end in connection_ends.CLIENT_STILL_WAITS:  # posted behind its own requests: each gets its answer
+        if end in connection_ends.CLIENT_STILL_WAITS:  # posted behind its requests, so that each is answered
             self.calls.reject_deferred()
             self.write_rejections()
             self.core.post(self.core.client_ended, self, end, text)
-        else:  # ahead of all events: nothing must be sent to engines for it any more
+        else:  # ahead of all other events: no more attempts must be sent for this client
             self.has_left = True
             self.core.post_urgent(self.core.client_ended, self, end, text)
 
     def write_rejections(self) -> bool:
-        """From the reader thread: send the pending rejections in one write; return whether there were any."""
+        """From the reader thread: send the collected rejections in one write; return whether any existed."""
         if not self.calls.rejections:
             return False
         self.put(b"".join(self.calls.take_rejections()))
@@ -142,28 +145,29 @@
         text = ""
         try:
             end = self._read()
-            if self.write_buffer.error:  # a write failed, and the reader was only woken
+            if self.write_buffer.error:  # a failed write has ended the connection and woken the reader
                 end, text = connection_ends.classify_exception(self.write_buffer.error)
-        # A fault of ours ends this connection, not the program.
+        # An internal fault ends this connection only.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
             end, text = connection_ends.classify_exception(error)
         self.report_end(end, text)
         self._linger()
 
     def _linger(self) -> None:
-        """Read and discard until the peer has closed too, or has had the time to.
+        """Read and discard until the peer has closed its side too, or a time limit has passed.
 
-        Closing a socket with unread bytes sends a reset, which can destroy answers on their way. What is read
-        here arrived after our end of stream, so the client sends it again elsewhere: it is never handled.
+        Closing a socket with unread bytes sends a reset, which can destroy answers that the peer has yet to
+        read. What is read here arrived after we shut down our side: the client sends it again to another
+        gateway, so it is never handled.
         """
-        deadline_s = time.monotonic() + MESSAGE_TIMEOUT_S  # for what is still to be written
-        is_end_awaited = False
+        deadline_s = time.monotonic() + MESSAGE_TIMEOUT_S  # for writing the buffered answers
+        is_end_awaited = False  # our side is shut down; the peer's end of stream is due
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(POLL_INTERVAL_S * 1e6))
             while time.monotonic() < deadline_s and not self.write_buffer.is_closed:
                 if self.write_buffer.is_end_sent and not is_end_awaited:
                     is_end_awaited = True
-                    deadline_s = min(deadline_s, time.monotonic() + CROSSING_TIME_S)
+                    deadline_s = min(deadline_s, time.monotonic() + TRANSIT_TIME_S)
                 if self._has_peer_closed():
                     break
         self.write_buffer.finish(now=True)
@@ -173,9 +177,9 @@
             has_more = len(self.connection.sock.recv(MAX_CLOSING_READ_BYTES)) > 0
         except BlockingIOError:
             return False
-        if not has_more and self.write_buffer.is_end_sent and not self.is_dismissed:
+        if not has_more and self.write_buffer.is_end_sent and not self.is_draining:
             return True
-        time.sleep(POLL_INTERVAL_S)  # a peer that goes on writing must not take up the processor
+        time.sleep(POLL_INTERVAL_S)  # limits the processor time for a peer that keeps writing
         return False
 
     def _read(self) -> ConnectionEnd:
@@ -184,7 +188,7 @@
             received_at_us = self.core.clock()
             if self.write_buffer.is_finishing:
                 return ConnectionEnd.IDLE
-            if not has_more and not self.is_dismissed:
+            if not has_more and not self.is_draining:
                 return ConnectionEnd.CLOSED
             if not has_more:
                 self._end_if_settled()
@@ -193,14 +197,14 @@
                 for frame in self.decoder.frames():
                     self.idle_timer.call_received()
                     self.calls.handle(frame, received_at_us)
-                self._answer_rejected()
+                self._send_rejections()
             self._end_if_allowed()
             self._check_idle()
 
     def _end_if_allowed(self) -> None:
-        """Say the end of our stream where the core allows it, between two reads.
+        """Shut down our side if the core allows it; called between two reads.
 
-        Guards against an end while a request that was read is on its way to the core.
+        Only the reader thread does this: the core can't know of a request that was read but not posted yet.
         """
         if self.may_end:
             self.may_end = False
@@ -209,23 +213,24 @@
                 self.write_buffer.finish()
 
     def _end_if_settled(self) -> None:
-        """End a dismissed connection whose stream is at its end, once nothing is open."""
+        """End a draining connection of which everything was read, once nothing is open."""
         if self.core.is_rejecting:
-            self._end_soon()
+            self._end_when_answered()
         elif not self.is_busy():
             self._request_end()
-        time.sleep(POLL_INTERVAL_S)  # more may still arrive
+        time.sleep(POLL_INTERVAL_S)  # more bytes may still arrive
 
-    def _answer_rejected(self) -> None:
+    def _send_rejections(self) -> None:
+        """Send the rejections of this read, and begin a pause or end the connection if there were any."""
         if not self.write_rejections():
             self.backpressure.record_accepted()
         elif self.core.is_rejecting:
-            self._end_soon()
+            self._end_when_answered()
         else:
             self.backpressure.record_rejected()
 
     def _check_idle(self) -> None:
-        """End an idle connection; guards against clients that send nothing, or never complete a message."""
+        """End a connection that has been idle, or in the middle of a message, for too long."""
         is_mid_message = len(self.decoder.buffer) > 0
         is_busy = self.is_busy()
         was_answered = self.write_buffer.end_offset > 0
@@ -233,22 +238,22 @@
         if self.idle_timer.idle_s(is_mid_message, is_busy, was_answered) <= limit_s:
             return
         if is_mid_message:
-            raise ProtocolError("half a message")
+            raise ProtocolError("a message was not completed within the time limit")
         if not is_busy:
             self._request_end()
 
     def _receive(self) -> bool:
         """Read what arrives, waiting no longer than a pause lasts; return False at the end of the stream.
 
-        A pause only defers requests. The connection is still read, so that an interrupt, or that the client
-        has left, is noticed before its command goes to an engine. Once the deferred calls are full it is read
-        slowly, so that its own connection holds the client back; that it has left is still noticed at once.
+        A pause only defers requests: the connection is still read, so that an interrupt or a disconnect is
+        noticed before the command goes to an engine. Once no more calls can be deferred it is read slowly,
+        and TCP flow control holds the client back; a disconnect is still noticed at once.
         """
         pause_s = self.backpressure.remaining_pause_s()
         is_pausing = pause_s > 0
         is_full = is_pausing and self.backpressure.is_full()
         if is_full and self.connection.has_peer_closed(min(pause_s, FULL_POLL_INTERVAL_S)):
-            return False  # whatever it sent before: nothing is attempted for a client that has left
+            return False  # unread calls do not matter: nothing is attempted for a client that has left
         self._set_read_timeout(self._read_wait_us(pause_s))
         try:
             count = self.decoder.buffer.receive(self.connection.sock)
@@ -259,7 +264,7 @@
         return count > 0
 
     def _read_wait_us(self, pause_s: float) -> int:
-        """Return how long the next read may wait."""
+        """Return how long the next read may wait; pause_s: the rest of the pause, 0 or less if none."""
         if pause_s <= 0:
             return int(POLL_INTERVAL_S * 1e6) if self.end_requested else MAX_READ_WAIT_US
         if self.backpressure.calls:
@@ -273,17 +278,19 @@
             set_read_timeout(self.connection.sock, wait_us)
 
     def _receive_rest(self) -> None:
-        """In the shutdown, read all that has arrived before it is answered; the rest crosses our end."""
+        """In the shutdown, read all that has arrived, up to a limit, so that it is answered before we end.
+
+        What arrives later the client sends again to another gateway, once it sees our end of stream.
+        """
         buffer = self.decoder.buffer
         while len(buffer) < MAX_CLOSING_READ_BYTES and self.connection.is_readable():
             if not buffer.receive(self.connection.sock):
                 return
 
-    def _end_soon(self) -> None:
-        """Say the end of our stream: all that had arrived is answered, and nothing is accepted any more.
+    def _end_when_answered(self) -> None:
+        """In the shutdown, shut down our side if nothing is open, else read slowly until that is so.
 
-        The client sends later requests elsewhere. A connection that waits for answers is read slowly, and
-        ends with the last of them.
+        The client then sends further requests to another gateway.
         """
         if self.is_busy():
             self.backpressure.pause_for(CLOSING_PAUSE_S)
@@ -291,7 +298,7 @@
             self.write_buffer.finish()
 
     def _request_end(self) -> None:
-        """Ask the core whether this idle connection may end; posted behind all that it has to answer."""
+        """Ask the core whether this idle connection may end; posted behind all calls that wait for it."""
         if not self.end_requested:
             self.end_requested = True
             self.core.post(self.core.close_if_idle, self)
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -9,7 +9,7 @@
 
 from gullhold.interface import Agreement
 from gullhold.net import host_port
-from gullhold.net.client_connection import CROSSING_TIME_S, POLL_INTERVAL_S, ClientConnection
+from gullhold.net.client_connection import POLL_INTERVAL_S, TRANSIT_TIME_S, ClientConnection
 from gullhold.net.core import Core
 from gullhold.net.pending_requests import PeerAddress
 from gullhold.net.request_reader import RequestReader
@@ -71,8 +71,8 @@
         Guards against requests that lie unread when the process ends: their connections are reset.
         """
         for client in list(self.clients):
-            if not client.is_dismissed:
-                client.dismiss()
+            if not client.is_draining:
+                client.drain()
 
     def has_clients(self) -> bool:
         """Whether any connection of a client is still open; from any thread."""
@@ -121,7 +121,7 @@
         """
         if len(self.clients) < self.max_clients * (RESERVED_PLACES_DIVISOR - 1) // RESERVED_PLACES_DIVISOR:
             return True
-        latest_s = time.monotonic() - CROSSING_TIME_S  # a newer one is about to send a request
+        latest_s = time.monotonic() - TRANSIT_TIME_S  # a newer one is about to send a request
         idle = [
             client
             for client in list(self.clients)
@@ -130,7 +130,5 @@
         if idle:
             self.core.counters.add("idle_clients_closed")
             # First those that were never sent anything; of these the longest idle one.
-            min(
-                idle, key=lambda client: (client.write_buffer.end_offset > 0, client.last_active_at)
-            ).dismiss()
+            min(idle, key=lambda client: (client.write_buffer.end_offset > 0, client.last_active_at)).drain()
         return len(self.clients) < self.max_clients
--- a/gullhold/net/statement_memory.py
+++ b/gullhold/net/statement_memory.py
@@ -35,6 +35,6 @@
         with self.lock:
             self.used_bytes -= size
 
-    def is_crowded(self) -> bool:
+    def are_answers_over_limit(self) -> bool:
         """Whether unread answers of all clients take more than max_bytes."""
         return sum(client.write_buffer.size for client in list(self.clients)) > self.max_bytes
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -29,7 +29,7 @@
         until(lambda: inside.end_requested)  # it asks the core for its end
         monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 60)
         seq = client.ask()
-        until(lambda: inside.handed_over_count == 1)
+        until(lambda: inside.posted_count == 1)
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert not gateway.count("client_connections_ended_idle")
 
@@ -39,7 +39,7 @@
     engine = Engine()
     gateway, client = start(engine)
     inside = idle(gateway, client)
-    monkeypatch.setattr(client_connection, "CROSSING_TIME_S", 2.0)
+    monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 2.0)
     inside.write_buffer.finish()
     client.ask()
     assert read_to_end(client) == (b"", True)
@@ -56,7 +56,7 @@
     inside = idle(gateway, client)
     with BlockedCore(gateway.core):
         client.ask()
-        until(lambda: inside.handed_over_count == 1)
+        until(lambda: inside.posted_count == 1)
         inside.write_buffer.finish()  # as it would be, had the core looked an instant earlier
     until(lambda: gateway.count("interrupted") == 1)
     assert read_to_end(client) == (b"", True)
@@ -71,7 +71,7 @@
         quiet = inside.last_active_at
         seq = client.send("check", b"\x02\0\1\1")
         until(lambda: inside.last_active_at > quiet)
-        inside.dismiss()
+        inside.drain()
         until(lambda: inside.end_requested)
     assert client.answer() == (seq, b"")
     assert read_to_end(client) == (b"", True)
@@ -93,9 +93,9 @@
 
 def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(start, monkeypatch):
     gateway, client = start(Engine())
-    monkeypatch.setattr(client_connection, "CROSSING_TIME_S", 1.0)
+    monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 1.0)
     inside = idle(gateway, client)
-    inside.dismiss()
+    inside.drain()
     assert read_to_end(client) == (b"", True)
     assert gateway.listener.clients
     assert inside.connection.fileno() >= 0
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -127,7 +127,7 @@
     (inside,) = gateway.listener.clients
     gateway.core.post(time.sleep, 0.2)
     seqs = [client.ask() for _ in range(3)]
-    inside.dismiss()
+    inside.drain()
     assert sorted(client.answer() for _ in seqs) == [(seq, b"a\tb\tc\n") for seq in seqs]
     assert client.answer() is None
 
@@ -137,7 +137,7 @@
     gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
-    time.sleep(client_connection.CROSSING_TIME_S + 0.05)
+    time.sleep(client_connection.TRANSIT_TIME_S + 0.05)
     new = [Caller(gateway.address) for _ in range(5)]
     for caller in new:
         seq = caller.ask()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -60,7 +60,7 @@
             client.ask()
         until(lambda: len(gateway.listener.clients) == 1)
         (inside,) = gateway.listener.clients
-        until(lambda: inside.handed_over_count == 20)
+        until(lambda: inside.posted_count == 20)
         client.sock.close()
         until(lambda: inside.is_ending)
     until(lambda: gateway.count("interrupted") == 20)
