--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -1,4 +1,4 @@
-"""The calls of one client: each is deferred, rejected, answered with an error, or handed to the core."""
+"""Handles the calls of one client connection: defers, rejects or answers each, or posts it to the core."""
 
 from typing import TYPE_CHECKING, cast
 from weakref import ref
@@ -6,46 +6,47 @@
 from gullhold.net import thrift
 from gullhold.net.client_limits import MAX_OPEN_REQUESTS
 from gullhold.net.connection_ends import ProtocolError
-from gullhold.net.received_call import FIRST_MAP, ReceivedCall
+from gullhold.net.received_call import FIELDS_ARGUMENT, ReceivedCall
 from gullhold.net.request_reader import Request, RequestError, RequestReader
 
 if TYPE_CHECKING:
     from gullhold.net.client_connection import ClientConnection
 
-FIRST_NUMBER = (1, thrift.I32)
-SECOND_STRING = (2, thrift.STRING)
+# Field id and type of arguments; FIELDS_ARGUMENT of execute is defined in received_call.
+SEQUENCE_ID_ARGUMENT = (1, thrift.I32)  # of interrupt
+STATEMENT_ARGUMENT = (2, thrift.STRING)  # of execute
 
 
 class ClientCalls:
-    """Handles the calls of one connection, in its reader thread."""
+    """Handles the calls of one connection, on its reader thread."""
 
     __slots__ = ("_client", "backpressure", "core", "counters", "last_sequence_id", "reader", "rejections")
 
     def __init__(self, client: "ClientConnection", reader: RequestReader) -> None:
-        # Weak: a cycle of references would keep each ended connection, and its buffers, until the garbage
-        # collector runs.
+        # Weak, since the connection refers to this object: a reference cycle would keep each ended connection
+        # and its buffers in memory until the garbage collector runs.
         self._client = ref(client)
         self.core = client.core
         self.counters = client.core.counters
         self.backpressure = client.backpressure
         self.reader = reader
         self.last_sequence_id = 0
-        self.rejections: list[bytes] = []  # frames for requests of the last read that are rejected at once
+        self.rejections: list[bytes] = []  # frames that reject requests of the current read
 
     @property
     def client(self) -> "ClientConnection":
-        """The connection. It owns this object, and lives while one of its calls is handled."""
+        """The connection that owns this object; it exists while one of its calls is handled."""
         return cast("ClientConnection", self._client())
 
     def handle(self, frame: bytes, received_at_us: int) -> None:
-        """Handle a call that was read, or defer it until the pause is over; interrupts are never deferred."""
+        """Handle a call that was read, or defer it during a pause; interrupts are never deferred."""
         call = ReceivedCall(frame, received_at_us)
         if call.method == "interrupt":
-            sequence_id = call.fields.get(FIRST_NUMBER)
+            sequence_id = call.fields.get(SEQUENCE_ID_ARGUMENT)
             if sequence_id is not None:
                 self._interrupt(sequence_id)
         elif not self.backpressure.must_defer():
-            self._take(call)
+            self._process(call)
         elif call.method == "execute" and self.backpressure.is_full():
             self.counters.add("requests_received")
             self._reject(call.sequence_id, "rejected_backpressure")
@@ -58,16 +59,16 @@
             deferred = self.backpressure.take_due(self.core.clock())
             if deferred is None:
                 return
-            self._take(deferred)
+            self._process(deferred)
 
     def take_rejections(self) -> list[bytes]:
-        """Remove and return the frames of rejections since the last call."""
+        """Remove and return the frames of all rejections since the last call."""
         rejections = self.rejections
         self.rejections = []
         return rejections
 
     def reject_deferred(self) -> None:
-        """Shed each deferred request: the connection is not read any more."""
+        """Shed each deferred request, as the connection is no longer read."""
         for deferred in self.backpressure.calls:
             if deferred.method == "execute":
                 self.rejections.append(thrift.encode_shed(deferred.sequence_id, {}))
@@ -79,14 +80,14 @@
             self.counters.add("interrupted")
             return
         if client.undelivered.pop(sequence_id, None) is not None:
-            return  # the core ignores it when it gets to it
-        client.interrupted.add(sequence_id)  # no longer open, though the core has yet to settle it
+            return  # the core drops the request when it processes it
+        client.interrupted.add(sequence_id)  # does not count as open, though the core has not settled it yet
         if sequence_id in client.open_requests:
             self.core.post_urgent(self.core.interrupt, client, sequence_id)
-        else:  # answered before, or never received
+        else:  # already answered, or never received
             client.interrupted.discard(sequence_id)
 
-    def _take(self, call: ReceivedCall) -> None:
+    def _process(self, call: ReceivedCall) -> None:
         if call.message_type != thrift.CALL:
             return
         if call.method == "execute":
@@ -103,16 +104,19 @@
             )
 
     def _execute(self, call: ReceivedCall) -> None:
-        """Hand a request to the core; an unusable or rejected one is answered here."""
+        """Post a request to the core, or answer it here if it is unusable or rejected.
+
+        The cheapest checks come first: most of a flood is shed after its header is decoded.
+        """
         sequence_id = call.sequence_id
         if sequence_id <= self.last_sequence_id:
             raise ProtocolError(f"request {sequence_id} after {self.last_sequence_id}")
         self.last_sequence_id = sequence_id
         self.counters.add("requests_received")
-        if self.core.is_rejecting:  # late in the shutdown: costs the core nothing
+        if self.core.is_rejecting:  # in the shutdown; rejecting here costs the core nothing
             self._reject(sequence_id)
             return
-        if self.core.overload.is_overloaded():  # decided by the header: what is shed costs little
+        if self.core.overload.is_overloaded():  # before the arguments are decoded, which costs more
             self._reject(sequence_id, "rejected_overload")
             return
         if self.core.requests.is_over_open_limit():
@@ -122,8 +126,8 @@
             self.counters.add("rejected_connection_limit")
             self.client.put(thrift.encode_shed(sequence_id, {}))
             return
-        fields = call.fields.get(FIRST_MAP)
-        statement = call.fields.get(SECOND_STRING)
+        fields = call.fields.get(FIELDS_ARGUMENT)
+        statement = call.fields.get(STATEMENT_ARGUMENT)
         if fields is None or statement is None:
             self.counters.add("invalid_requests")
             self.client.put(
@@ -134,18 +138,18 @@
             return
         if self._is_rejected_early(sequence_id, fields, call.received_at_us):
             return
-        request = self._read(sequence_id, fields, statement)
+        request = self._read_request(sequence_id, fields, statement)
         if request:
             self._post_to_core(sequence_id, request, call.received_at_us)
 
     def _reject(self, sequence_id: int, reason: str = "") -> None:
-        """Shed a request here, with the others of this read; reason: the name of its counter, if any."""
+        """Shed a request, in one write with the others of this read; reason: its counter, if any."""
         if reason:
             self.counters.add(reason)
         self.rejections.append(thrift.encode_shed(sequence_id, {}))
 
     def _is_rejected_early(self, sequence_id: int, fields: dict[bytes, bytes], received_at_us: int) -> bool:
-        """Reject a request that the admission queue is known to reject; return whether it was rejected."""
+        """Shed a request that the admission queue is known to reject; return whether it was shed."""
         queue = self.core.admission_queue
         if not queue or not queue.known_rejections:
             return False
@@ -158,14 +162,14 @@
         self.rejections.append(thrift.encode_shed(sequence_id, *shed_fields))
         return True
 
-    def _read(self, sequence_id: int, fields: dict[bytes, bytes], statement: bytes) -> Request | None:
-        """Read a request; an unusable one is answered with a Fault, and None is returned."""
+    def _read_request(self, sequence_id: int, fields: dict[bytes, bytes], statement: bytes) -> Request | None:
+        """Validate and convert a request; answer an unusable one with a Fault and return None."""
         try:
             return self.reader.read_request(fields, statement, *self.client.peer)
         except RequestError as error:
             self.counters.add("invalid_requests")
             self.client.put(thrift.encode_fault(sequence_id, str(error)))
-            # Guards against clients that repeat an unusable request at once.
+            # Slows down clients that repeat an unusable request immediately.
             self.backpressure.pause_for(self.core.agreement.connect_timeout_us / 1e6)
             return None
 
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -1,4 +1,4 @@
-"""Validates the arguments of execute and converts them to the units of the decision module."""
+"""Validates the arguments of execute, and converts them to a Request in the decision module's units."""
 
 import re
 from collections.abc import Mapping
@@ -14,11 +14,15 @@
 if TYPE_CHECKING:
     from gullhold.admission.client_identity import ClientIdentifier
 
-FIGURE = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
+NUMBER_PATTERN = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
 TRANSACTION_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}\Z")
-IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-+\--<>-~]*\Z")  # printable, but no separators of RESP field lists
-TIMEOUT_ROUNDING = 2  # clients may round a profile's timeout up: at most to twice as much
-NO_ORDERING_KEY = 0
+IDEMPOTENCY_KEY_PATTERN = re.compile(
+    rb"[!-+\--<>-~]*\Z"
+)  # printable ASCII without "," and "=", which separate RESP fields
+MAX_TIMEOUT_FACTOR = (
+    2  # largest client timeout, as a multiple of the longest of the profiles: clients may round up
+)
+NO_ORDERING_KEY = 0  # key of a command that may run beside any other
 
 
 class Request(NamedTuple):
@@ -35,19 +39,19 @@
     work_us: int  # estimated work on one core
     memory_mb: float  # estimated memory
     table_group: int  # 0: none
-    is_retry: bool  # the client has sent it before
-    flow: bytes = b""  # the client inside its tenant, where there is an admission queue
+    is_retry: bool  # the client has sent this command before
+    flow: bytes = b""  # name of the client's flow; empty without an admission queue
 
 
 class RequestFault(StrEnum):
-    """What is wrong with a field."""
+    """What is wrong with a field of a request; the value is part of the text for the client."""
 
-    UNKNOWN = "unknown"  # a name that the agreement does not have
+    UNKNOWN = "unknown"  # a name that is not in the agreement
     UNUSABLE = "unusable"  # missing, malformed or out of range
 
 
 class RequestError(Exception):
-    """A request that can't be used; the message, for the client, names the fault and the field."""
+    """An invalid request; the message, which is sent to the client, names the fault and the field."""
 
     def __init__(self, fault: RequestFault, field: bytes) -> None:
         super().__init__(f"{fault} {field.decode()}")
@@ -56,10 +60,10 @@
 
 
 class RequestReader:
-    """Turns the arguments of execute into a Request, with the names of one agreement.
+    """Converts the arguments of execute to a Request, by the profiles and tenants of one agreement.
 
-    client_identity: tells clients apart where there is an admission queue; retry_after_field: the field of
-    Shed that says when the client may ask again.
+    client_identity: determines the flow of a request; None without an admission queue. retry_after_field: the
+    field of a Shed that holds the Retry-After time; empty if there is none.
     """
 
     def __init__(
@@ -71,16 +75,16 @@
         self._agreement = agreement
         self._client_identity = client_identity
         self._retry_after_field = retry_after_field
-        # Indexes by name; a name may be absent from a request, which finds nothing.
+        # Indexes by name. None, for a request without the field, is never a key.
         self._profiles: dict[bytes | None, int] = {
             profile.name.encode(): i for i, profile in enumerate(agreement.profiles)
         }
         self._tenants: dict[bytes | None, int] = {
             tenant.name.encode(): i for i, tenant in enumerate(agreement.tenants)
         }
-        # A request may state no more than this deployment can do.
+        # The largest values that this deployment can serve; a request with a larger one is unusable.
         longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
-        self._max_timeout_ms = TIMEOUT_ROUNDING * longest_timeout_us / US_PER_MS or float("inf")
+        self._max_timeout_ms = MAX_TIMEOUT_FACTOR * longest_timeout_us / US_PER_MS or float("inf")
         self._max_work_ms = self._max_timeout_ms * max(agreement.cores_by_kind, default=1.0)
         self._max_memory_mb = max(agreement.memory_mb_by_kind, default=float("inf"))
 
@@ -91,9 +95,9 @@
         known_rejections: KnownRejections,
         now_us: int,
     ) -> tuple[dict[bytes, bytes]] | None:
-        """Decide whether the admission queue is known to reject this request, without asking it.
+        """Look up whether the admission queue would reject this request now.
 
-        Returns the fields of the Shed in a tuple, or None where the request has to be read.
+        Returns the fields of the Shed in a tuple of one, or None if the request must go through the queue.
         """
         if self._client_identity is None:  # there is no admission queue
             return None
@@ -105,7 +109,7 @@
             return None
         if b"second" not in fields or retry_at_us is None:
             return ({},)
-        # A retry before its Retry-After time gets the rest of that time again.
+        # A retry that comes before its Retry-After time gets the remainder of that time.
         if now_us < retry_at_us and self._retry_after_field:
             return (self._retry_after(retry_at_us - now_us),)
         return None
@@ -113,7 +117,10 @@
     def read_request(
         self, fields: Mapping[bytes, bytes], statement: bytes, address: str = "", connection: str = ""
     ) -> Request:
-        """Read a request from a client at an address, on a connection. Raises RequestError."""
+        """Convert a request, if it is valid. Raises RequestError.
+
+        address, connection: the client's host and HOST:PORT, by which its flow may be determined.
+        """
         if not _has_transaction_id(fields):
             raise RequestError(RequestFault.UNUSABLE, b"txn")
         profile = self._profile(fields)
@@ -122,8 +129,8 @@
         if self._client_identity:
             flow = self._client_identity.flow(fields, unknown_tenant, address, connection)
         idempotency_key = self._idempotency_key(fields, profile)
-        timeout_ms = _figure(fields, b"limit", self._max_timeout_ms, default=b"")
-        work_ms = _figure(fields, b"cpu", self._max_work_ms)
+        timeout_ms = _number(fields, b"limit", self._max_timeout_ms, default=b"")
+        work_ms = _number(fields, b"cpu", self._max_work_ms)
         group, table = table_group(statement.decode("utf-8", "replace"))
         return Request(
             transaction_id=fields[b"txn"],
@@ -135,14 +142,14 @@
             ordering_key=self._ordering_key(profile, table),
             timeout_us=int(timeout_ms * US_PER_MS),
             work_us=int(work_ms * US_PER_MS),
-            memory_mb=_figure(fields, b"memory", self._max_memory_mb),
+            memory_mb=_number(fields, b"memory", self._max_memory_mb),
             table_group=group,
             is_retry=b"second" in fields,
             flow=flow,
         )
 
     def _retry_after(self, wait_us: int) -> dict[bytes, bytes]:
-        """Return the fields of a Shed that asks for a wait, rounded up to whole milliseconds."""
+        """Return the fields of a Shed with a Retry-After time, rounded up to whole milliseconds."""
         return {self._retry_after_field: b"%d" % ceil_to_ms(wait_us)}
 
     def _profile(self, fields: Mapping[bytes, bytes]) -> int:
@@ -152,7 +159,7 @@
         return profile
 
     def _tenant(self, fields: Mapping[bytes, bytes]) -> tuple[int, bytes | None]:
-        """Return the tenant's index, and the name of a tenant that shares in the part of others."""
+        """Return the tenant's index, and the name of an unknown tenant that uses the share of others."""
         if self._client_identity:
             tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
         else:
@@ -165,13 +172,13 @@
     def _idempotency_key(self, fields: Mapping[bytes, bytes], profile: int) -> bytes:
         key = fields.get(b"unique", b"")
         is_required = self._agreement.profiles[profile].idempotency == Idempotency.KEYED
-        is_missing = is_required and not key  # without it no engine recognizes a repeat
+        is_missing = is_required and not key  # without the key no engine recognizes a retry
         if is_missing or not IDEMPOTENCY_KEY_PATTERN.match(key):
             raise RequestError(RequestFault.UNUSABLE, b"unique")
         return key
 
     def _ordering_key(self, profile: int, table: str) -> int:
-        """Return the key of the commands that must run one after the other: those on one table."""
+        """Return the key of a command that must not overlap others on its table, as its profile says."""
         if not table or not self._agreement.profiles[profile].ordered:
             return NO_ORDERING_KEY
         return crc32(table.encode()) or 1
@@ -181,9 +188,9 @@
     return TRANSACTION_ID_PATTERN.match(fields.get(b"txn", b"")) is not None
 
 
-def _figure(fields: Mapping[bytes, bytes], name: bytes, maximum: float, default: bytes = b"0") -> float:
-    """Return a number of a request. Raises RequestError where it is none, or over the maximum."""
+def _number(fields: Mapping[bytes, bytes], name: bytes, maximum: float, default: bytes = b"0") -> float:
+    """Return the value of a numeric field. Raises RequestError if it is not a number or over the maximum."""
     text = fields.get(name, default)
-    if not FIGURE.match(text) or float(text) > maximum:
+    if not NUMBER_PATTERN.match(text) or float(text) > maximum:
         raise RequestError(RequestFault.UNUSABLE, name)
     return float(text)
