--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -1,4 +1,4 @@
-"""Backpressure on one client: pauses in which its calls are deferred, and the deferred calls."""
+"""Backpressure on one client connection: pauses during which its calls are deferred."""
 
 import time
 from collections import deque
@@ -6,88 +6,88 @@
 from gullhold.net.client_limits import MAX_OPEN_REQUESTS
 from gullhold.net.received_call import ReceivedCall
 
-MAX_DEFERRED_BYTES = 32_768  # of calls deferred in a pause: 32 of usual size
-DEFERRED_PART = 0.4  # of the client timeout, for which a call is deferred at most
-# Bounds of the pause (s) after a rejection that needed no decision.
+MAX_DEFERRED_BYTES = 32_768  # total size of deferred calls: 32 of usual size
+MAX_DEFERRED_FRACTION = 0.4  # longest deferral of a call, as a fraction of its client timeout
+# Shortest and longest pause after a rejection by the reader thread.
 MIN_PAUSE_S = 0.05
 MAX_PAUSE_S = 0.4
 
 
 class Backpressure:
-    """The pauses of one connection. On its reader's thread only, but for stop().
+    """The pauses and deferred calls of one connection. On its reader thread only, but for stop().
 
-    A pause only defers new requests: interrupts and the end of the connection are handled at once.
+    Interrupts and the end of the connection are handled in a pause too.
     """
 
-    __slots__ = ("calls", "is_stopped", "pause_s", "resume_at_s", "size_bytes")
+    __slots__ = ("deferred_calls", "is_stopped", "pause_s", "resume_at_s", "deferred_bytes")
 
     def __init__(self) -> None:
-        self.calls: deque[ReceivedCall] = deque()
-        self.size_bytes = 0  # of the deferred calls
-        self.pause_s = 0.0  # the last pause after a rejection
-        self.resume_at_s = 0.0  # when the pause is over, by the monotonic clock
+        self.deferred_calls: deque[ReceivedCall] = deque()
+        self.deferred_bytes = 0  # total size of deferred_calls
+        self.pause_s = 0.0  # length of the last pause after a rejection; 0: the next one is the shortest
+        self.resume_at_s = 0.0  # monotonic time at which the pause is over
         self.is_stopped = False
 
     def stop(self) -> None:
-        """End the pause, and begin no further one: the connection is to end. From any thread."""
+        """End the pause and prevent further ones, as the connection is to end. From any thread."""
         self.is_stopped = True
 
     def pause_for(self, seconds: float) -> None:
-        """Defer what is read in the next seconds."""
+        """Begin a pause of this length; it replaces the current one."""
         self.resume_at_s = time.monotonic() + seconds
 
     def remaining_pause_s(self) -> float:
-        """Return the time until the pause is over; zero or less: there is no pause."""
+        """Return the time until the pause is over; 0 or less if there is none."""
         return 0.0 if self.is_stopped else self.resume_at_s - time.monotonic()
 
     def record_rejected(self) -> None:
-        """Begin a pause after an immediate rejection.
+        """Begin a pause after a rejection by the reader thread, twice as long as the last one.
 
-        Guards other clients against one that retries at once: its pauses grow exponentially.
+        Protects other clients from one that retries immediately.
         """
-        if time.monotonic() >= self.resume_at_s:  # else deferred calls would wait longer and longer
+        if time.monotonic() >= self.resume_at_s:  # extending a pause would keep its calls deferred
             self.pause_s = min(max(2 * self.pause_s, MIN_PAUSE_S), MAX_PAUSE_S)
             self.pause_for(self.pause_s)
 
     def record_accepted(self) -> None:
-        """Shorten the next pause: nothing of the last read was rejected."""
+        """Halve the next pause, as nothing of the last read was rejected."""
         if self.pause_s and time.monotonic() >= self.resume_at_s:
             self.pause_s = self.pause_s / 2 if self.pause_s > MIN_PAUSE_S else 0.0
 
     def must_defer(self) -> bool:
-        """Whether a call that is read now must wait: in a pause, or behind calls deferred in one."""
-        return len(self.calls) > 0 or self.remaining_pause_s() > 0
+        """Whether a call that is read now must be deferred: in a pause, or behind other deferred calls."""
+        return len(self.deferred_calls) > 0 or self.remaining_pause_s() > 0
 
     def is_full(self) -> bool:
-        """Whether as much is deferred as a usual client has open requests."""
-        return len(self.calls) >= MAX_OPEN_REQUESTS or self.size_bytes > MAX_DEFERRED_BYTES
+        """Whether no more calls can be deferred: the limit is the open requests of a usual client."""
+        return len(self.deferred_calls) >= MAX_OPEN_REQUESTS or self.deferred_bytes > MAX_DEFERRED_BYTES
 
     def defer(self, call: ReceivedCall) -> None:
-        """Defer a call."""
-        self.calls.append(call)
-        self.size_bytes += call.size
+        """Add a call to the deferred ones."""
+        self.deferred_calls.append(call)
+        self.deferred_bytes += call.size
 
     def take_due(self, now_us: int) -> ReceivedCall | None:
-        """Remove and return the oldest deferred call if it is due; None: it is not. There must be one."""
+        """Remove and return the oldest deferred call, or None if it is not due. There must be one."""
         if self.remaining_pause_s() <= 0 or self.oldest_remaining_s(now_us) <= 0:
-            call = self.calls.popleft()
-            self.size_bytes -= call.size
+            call = self.deferred_calls.popleft()
+            self.deferred_bytes -= call.size
             return call
         return None
 
     def remove_request(self, sequence_id: int) -> bool:
         """Remove the deferred request with this sequence id; return whether there was one."""
-        for position, call in enumerate(self.calls):
+        for position, call in enumerate(self.deferred_calls):
             if call.sequence_id == sequence_id and call.method == "execute":
-                del self.calls[position]
-                self.size_bytes -= call.size
+                del self.deferred_calls[position]
+                self.deferred_bytes -= call.size
                 return True
         return False
 
     def oldest_remaining_s(self, now_us: int) -> float:
-        """Return for how long the oldest deferred call may still wait: part of its client timeout.
+        """Return how long the oldest deferred call may still be deferred: not for most of its client timeout.
 
-        Guards against several pauses in a row that outlast the timeout.
+        Without this limit several pauses in a row could outlast the timeout.
         """
-        call = self.calls[0]
-        return DEFERRED_PART * call.timeout_s - (now_us - call.received_at_us) / 1e6
+        call = self.deferred_calls[0]
+        return MAX_DEFERRED_FRACTION * call.timeout_s - (now_us - call.received_at_us) / 1e6
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -55,7 +55,7 @@
 
     def take_deferred(self) -> None:
         """Handle the deferred calls that are due."""
-        while self.backpressure.calls:
+        while self.backpressure.deferred_calls:
             deferred = self.backpressure.take_due(self.core.clock())
             if deferred is None:
                 return
@@ -69,7 +69,7 @@
 
     def reject_deferred(self) -> None:
         """Shed each deferred request, as the connection is no longer read."""
-        for deferred in self.backpressure.calls:
+        for deferred in self.backpressure.deferred_calls:
             if deferred.method == "execute":
                 self.rejections.append(thrift.encode_shed(deferred.sequence_id, {}))
 
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -108,7 +108,7 @@
 
     def is_busy(self) -> bool:
         """Whether a request of this client has yet to be answered, also a deferred one."""
-        return self.posted_count != self.completed_count or len(self.backpressure.calls) > 0
+        return self.posted_count != self.completed_count or len(self.backpressure.deferred_calls) > 0
 
     def open_count(self) -> int:
         """Return the number of requests posted to the core that are neither settled nor interrupted."""
@@ -267,7 +267,7 @@
         """Return how long the next read may wait; pause_s: the rest of the pause, 0 or less if none."""
         if pause_s <= 0:
             return int(POLL_INTERVAL_S * 1e6) if self.end_requested else MAX_READ_WAIT_US
-        if self.backpressure.calls:
+        if self.backpressure.deferred_calls:
             oldest_s = self.backpressure.oldest_remaining_s(self.core.clock())
             pause_s = min(pause_s, max(oldest_s, POLL_INTERVAL_S))
         return int(min(pause_s * 1e6 + PAUSE_MARGIN_US, MAX_READ_WAIT_US))
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -1,4 +1,4 @@
-"""Passes requests on to the decision module, through the admission queue if there is one."""
+"""Submits requests to the decision module, by way of the admission queue if there is one."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
@@ -9,24 +9,27 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-QUEUE_POLL_US = 20_000  # between checks for requests that expire in the queue
-MAX_REJECTED_AT_ONCE = 500  # of the queue at the shutdown
-REJECTION_INTERVAL_US = 1000  # between two such parts
-QUEUED_REQUEST_BYTES = 2000  # memory of a queued request beside its statement
+QUEUE_POLL_US = 20_000  # time between checks for requests that expire in the queue
+MAX_REJECTED_AT_ONCE = 500  # queued requests rejected in one event at the shutdown
+REJECTION_INTERVAL_US = 1000  # time between two such events
+QUEUED_REQUEST_BYTES = 2000  # memory of a queued request without its statement
 
 
 class RequestAdmission:
-    """Carries out the admission queue's decisions; without a queue all requests go on at once."""
+    """Carries out the admission queue's decisions; without a queue every request is submitted at once.
+
+    On the core's thread only, but for queued_count().
+    """
 
     def __init__(self, core: "Core") -> None:
         self.core = core
 
     def start(self) -> None:
-        """Begin to check the queue periodically."""
+        """Begin to check the queue for expired requests periodically."""
         self._poll()
 
     def submit(self, pending: PendingRequest) -> None:
-        """Queue a request, or pass it on at once where there is no queue."""
+        """Queue a request, or submit it to the decision module if there is no queue."""
         queue = self.core.admission_queue
         if not queue:
             self._submit_to_decisions(pending)
@@ -47,7 +50,7 @@
         self._carry_out(decisions)
 
     def forward_ready(self) -> bool:
-        """Pass on what the decision module has room for; return whether there was anything."""
+        """Submit the queued requests that the decision module has room for; return whether any were taken."""
         queue = self.core.admission_queue
         decisions = queue.take_ready(self.core.now) if queue else None
         if decisions:
@@ -55,9 +58,9 @@
         return bool(decisions)
 
     def reject_queued(self) -> None:
-        """Reject all queued requests, a part now and the rest a little later.
+        """Reject all queued requests, some in this event and the rest in later ones.
 
-        Guards against one event that takes as long as there are requests, before which all others wait.
+        One event for all of them would delay every other event in proportion to their number.
         """
         if self.core.admission_queue is None:
             return
@@ -75,13 +78,13 @@
         return self.core.admission_queue.queued_count if self.core.admission_queue else 0
 
     def retry_after_us(self, number: int) -> int:
-        """Return the Retry-After time for a request that is shed; 0: not known."""
+        """Return the Retry-After time for a request that is shed; 0: there is none."""
         if self.core.admission_queue and self.core.retry_after_field:
             return self.core.admission_queue.retry_after_us(self.core.now, number)
         return 0
 
     def _carry_out(self, decisions: Sequence[AdmissionDecision]) -> None:
-        """Pass requests on or reject them; thousands of rejections cost one write for each connection."""
+        """Submit or reject requests; all rejections for one client are sent in one write."""
         requests = self.core.requests
         frames: dict[Client, list[bytes]] = {}
         for decision in decisions:
@@ -100,7 +103,7 @@
             client.completed_count += len(parts)
 
     def _submit_to_decisions(self, pending: PendingRequest) -> None:
-        """Pass a request on to the decision module."""
+        """Submit a request to the decision module."""
         request = pending.request
         self.core.decisions.call(
             pending,
@@ -117,7 +120,7 @@
         )
 
     def _poll(self) -> None:
-        """Reject queued requests shortly before their client timeouts; repeats itself."""
+        """Reject queued requests shortly before their client timeouts, and schedule the next check."""
         queue = self.core.admission_queue
         if queue is None:
             return
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -121,17 +121,17 @@
         client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
     until(
         lambda: (
-            len(inside.backpressure.calls) >= client_limits.MAX_OPEN_REQUESTS
-            or inside.backpressure.size_bytes > backpressure.MAX_DEFERRED_BYTES
+            len(inside.backpressure.deferred_calls) >= client_limits.MAX_OPEN_REQUESTS
+            or inside.backpressure.deferred_bytes > backpressure.MAX_DEFERRED_BYTES
         )
     )
-    assert inside.backpressure.size_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
-    assert len(inside.backpressure.calls) <= client_limits.MAX_OPEN_REQUESTS
+    assert inside.backpressure.deferred_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
+    assert len(inside.backpressure.deferred_calls) <= client_limits.MAX_OPEN_REQUESTS
     # The rest is read slowly, a buffer at a time, and turned away: an interrupt may stand behind it.
     turned, began = gateway.count("rejected_backpressure"), time.monotonic()
     until(lambda: gateway.count("rejected_backpressure") > turned)
-    assert inside.backpressure.size_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
-    assert len(inside.backpressure.calls) <= client_limits.MAX_OPEN_REQUESTS
+    assert inside.backpressure.deferred_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
+    assert len(inside.backpressure.deferred_calls) <= client_limits.MAX_OPEN_REQUESTS
     # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
     client.sock.close()
     until(lambda: inside.has_left)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,7 +6,7 @@
 from gullhold.net.counters import Counters
 from gullhold.net.event_loop import EventLoop
 from gullhold.net.event_queue import EventQueue, PostedEvent
-from gullhold.net.overload import FEW_EVENTS, MAX_AGE_DIVISOR, MAX_WAIT_DIVISOR, OverloadControl
+from gullhold.net.overload import MAX_AGE_DIVISOR, MAX_WAIT_DIVISOR, MIN_EVENTS_FOR_AGE_CHECK, OverloadControl
 from gullhold.testing.deployment import settings
 
 TIMEOUT_US = 4_000_000  # of all profiles of a small deployment
@@ -70,7 +70,7 @@
 
 def test_a_request_is_admitted_while_the_oldest_event_is_young(loop_and_control):
     loop, control = loop_and_control
-    for _ in range(FEW_EVENTS):
+    for _ in range(MIN_EVENTS_FOR_AGE_CHECK):
         loop.post(print)
     loop.now_us += MAX_AGE_US
     assert control.admits(TIMEOUT_US)
@@ -82,7 +82,7 @@
 
 def test_a_request_with_a_shorter_timeout_of_its_own_waits_for_less(loop_and_control):
     loop, control = loop_and_control
-    for _ in range(FEW_EVENTS):
+    for _ in range(MIN_EVENTS_FOR_AGE_CHECK):
         loop.post(print)
     loop.now_us += MAX_AGE_US // 2
     assert control.admits(TIMEOUT_US)
@@ -92,7 +92,7 @@
 def test_a_few_events_that_are_old_after_a_pause_of_the_process_are_no_overload(loop_and_control):
     """Guards against requests that are shed though the core is done with what waits in a moment."""
     loop, control = loop_and_control
-    for _ in range(FEW_EVENTS - 1):
+    for _ in range(MIN_EVENTS_FOR_AGE_CHECK - 1):
         loop.post(print)
     loop.now_us += 100 * MAX_AGE_US
     assert control.admits(TIMEOUT_US)
