--- a/gullhold/net/client_limits.py
+++ b/gullhold/net/client_limits.py
@@ -1,4 +1,4 @@
-"""What the protocol allows on one connection of a client."""
+"""The protocol's limits for one client connection."""
 
-MAX_OPEN_REQUESTS = 32  # requests that a client has open on a connection, from the protocol
-MAX_RESULT_BYTES = 48_000  # bytes of a result, from the protocol
+MAX_OPEN_REQUESTS = 32  # requests that may be open on a connection at once
+MAX_RESULT_BYTES = 48_000  # largest result of a command
--- a/gullhold/net/idle_timer.py
+++ b/gullhold/net/idle_timer.py
@@ -4,26 +4,27 @@
 
 
 class IdleTimer:
-    """Times of one connection, by the monotonic clock.
+    """When a connection was opened and last active, by the monotonic clock.
 
-    Used by the connection's reader thread; other threads read last_active_at.
+    On the connection's reader thread only; other threads may read last_active_at.
     """
 
     __slots__ = ("connected_at", "is_mid_message", "last_active_at")
 
     def __init__(self) -> None:
         self.connected_at = time.monotonic()
-        self.last_active_at = self.connected_at  # when something last arrived or was open
-        self.is_mid_message = False  # in the middle of a message
+        self.last_active_at = self.connected_at  # when a call last arrived or a request was last open
+        self.is_mid_message = False  # at the last check, part of a message had arrived
 
     def call_received(self) -> None:
-        """Note that a call was read."""
+        """Restart the idle time, as a complete call was read."""
         self.last_active_at = time.monotonic()
 
     def idle_s(self, is_mid_message: bool, is_busy: bool, was_answered: bool) -> float:
-        """Return how long the connection has been idle; one that was never answered: since it connected.
+        """Return how long the connection has been idle, or in the middle of the same message.
 
-        is_mid_message: a message has begun and is not complete. is_busy: something is still to be answered.
+        While nothing was answered on it, the time since it was opened counts. is_mid_message: a message has
+        begun to arrive and is not complete. is_busy: a request has yet to be answered.
         """
         now = time.monotonic()
         if is_mid_message != self.is_mid_message or is_busy:
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of clients, and makes room for them."""
+"""Accepts client connections, and closes idle ones where the number of connections nears its limit."""
 
 import socket
 import time
@@ -17,13 +17,14 @@
 if TYPE_CHECKING:
     from gullhold.admission.client_identity import ClientIdentifier
 
-RESERVED_PLACES_DIVISOR = 8  # 1/8 of the places is kept free for new clients
+RESERVED_DIVISOR = 8  # 1/8 of max_clients is kept free for new connections
 
 
 class Listener:
-    """Accepts connections until the process ends: those in the backlog count as accepted.
+    """Accepts connections until the process ends, also in the shutdown.
 
-    clients: the open client connections, shared with the statement memory.
+    To a client, a connection in the kernel's backlog is already established. max_clients: limit of open
+    client connections. clients: the open client connections, shared with the statement memory.
     """
 
     def __init__(
@@ -45,12 +46,12 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(host_port(address))
         self.sock.listen(socket.SOMAXCONN)
-        self._accepted: tuple[socket.socket, tuple[str, int]] | None = None  # but not served yet
+        self._accepted: tuple[socket.socket, tuple[str, int]] | None = None  # accepted, but not served yet
 
     def run(self) -> None:
-        """Accept connections until the socket is closed.
+        """Accept connections until the listening socket is closed.
 
-        While descriptors or threads are short, connections wait and are accepted later.
+        While the process lacks descriptors or threads, connections wait and are accepted later.
         """
         while True:
             try:
@@ -59,29 +60,29 @@
                 self._start_client(*self._accepted)
                 self._accepted = None
                 self.core.counters.add("client_connections_accepted")
-            except Exception as error:  # noqa: BLE001  of any kind: without this thread nobody accepts connections
+            except Exception as error:  # noqa: BLE001  without this thread no connection is accepted
                 if self.sock.fileno() < 0:
                     return
                 self._handle_accept_error(error)
                 time.sleep(POLL_INTERVAL_S)
 
     def close_clients(self) -> None:
-        """Answer what has arrived on all connections, then end them; called from the core at the shutdown.
+        """Drain all connections; called from the core at the shutdown.
 
-        Guards against requests that lie unread when the process ends: their connections are reset.
+        A process that ends while requests are unread resets their connections.
         """
         for client in list(self.clients):
             if not client.is_draining:
                 client.drain()
 
     def has_clients(self) -> bool:
-        """Whether any connection of a client is still open; from any thread."""
+        """Whether any client connection is still open. From any thread."""
         return bool(self.clients)
 
     def _start_client(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        """Wait until there is room, then serve an accepted connection in a thread of its own.
+        """Wait until the limit allows one more, then serve an accepted connection in a thread of its own.
 
-        Raises RuntimeError where the thread can't be started.
+        Raises RuntimeError if the thread can't be started.
         """
         while not self._make_room():
             self.core.counters.add("accepts_deferred")
@@ -98,8 +99,8 @@
             raise
 
     def _handle_accept_error(self, error: Exception) -> None:
-        """Count a connection that could not be served now; a broken one is closed, others are retried."""
-        if self._accepted and isinstance(error, OSError):  # the client left before we could serve it
+        """Count a connection that could not be served; close it if it is broken, else it is tried again."""
+        if self._accepted and isinstance(error, OSError):  # the client disconnected before it was served
             sock, _ = self._accepted
             sock.close()
             self._accepted = None
@@ -111,17 +112,17 @@
     def _serve(self, client: ClientConnection) -> None:
         try:
             client.run()
-        finally:  # its descriptor is closed, which frees its place
+        finally:  # only now, with its descriptor closed, it no longer counts against the limit
             self.clients.discard(client)
 
     def _make_room(self) -> bool:
-        """Whether there is room for one more; where it is scarce, the longest idle connection is closed.
+        """Whether one more connection is allowed. Near the limit, also drain the longest idle connection.
 
-        Guards against hundreds that say nothing, or ask once and stay, while others wait outside.
+        Without this, idle connections by the hundred would keep new clients waiting in the backlog.
         """
-        if len(self.clients) < self.max_clients * (RESERVED_PLACES_DIVISOR - 1) // RESERVED_PLACES_DIVISOR:
+        if len(self.clients) < self.max_clients * (RESERVED_DIVISOR - 1) // RESERVED_DIVISOR:
             return True
-        latest_s = time.monotonic() - TRANSIT_TIME_S  # a newer one is about to send a request
+        latest_s = time.monotonic() - TRANSIT_TIME_S  # a newer connection is about to send a request
         idle = [
             client
             for client in list(self.clients)
@@ -129,6 +130,6 @@
         ]
         if idle:
             self.core.counters.add("idle_clients_closed")
-            # First those that were never sent anything; of these the longest idle one.
+            # First the connections on which nothing was ever answered; among these the longest idle one.
             min(idle, key=lambda client: (client.write_buffer.end_offset > 0, client.last_active_at)).drain()
         return len(self.clients) < self.max_clients
--- a/gullhold/net/statement.py
+++ b/gullhold/net/statement.py
@@ -1,10 +1,11 @@
-"""The group of tables that a statement reads or writes: the number at the end of the schema's name."""
+"""Finds the table group of a statement: the number that ends its schema name, as 17 in sales_17.orders."""
 
 import re
 from typing import NamedTuple
 
-# Strings with doubled quotes, comments, and names, plain or quoted, joined by dots.
+# One part of a name: plain, or in one of the quotes of common SQL dialects.
 NAME = r'(?:[^\W\d]\w*|"(?:[^"]|"")*"|`[^`]*`|\[[^\]\'"]*\])'
+# Strings and comments, which are skipped; names of parts joined by dots; any other character.
 TOKEN_PATTERN = re.compile(
     r"(?P<skipped>'(?:[^']|'')*(?:'|$)|--[^\n]*|/\*.*?(?:\*/|$))"
     rf"|(?P<name>{NAME}(?:\s*\.\s*{NAME})*)|(?P<sign>[^\s\w])",
@@ -16,25 +17,25 @@
 KEYWORDS_AFTER_TABLES = frozenset(
     ("where", "group", "order", "having", "limit", "set", "on", "select", "values")
 )
-STAGING_SCHEMA = "staging"  # holds intermediate results; its tables have no group
+STAGING_SCHEMA = "staging"  # schema of intermediate results; its tables have no group
 QUOTES = '"`[]'
 
 
 class TableGroup(NamedTuple):
-    """The first table that counts: its group's number and its name; (0, "") where a statement has none."""
+    """The number of a group, and the full name of the table that it was taken from."""
 
     group: int
     table: str
 
 
-NO_GROUP = TableGroup(0, "")
+NO_GROUP = TableGroup(0, "")  # result for a statement without a table that has a group
 
 
 def table_group(statement: str) -> TableGroup:
-    """Find the group of the tables that a statement reads or writes.
+    """Find the group of the first table that a statement reads or writes; the statement is only tokenized.
 
-    A name where a table must stand is certain. Another one with such a schema may be a column of an alias: it
-    counts only where no certain one follows.
+    A name at a position where SQL expects a table is certain. A name elsewhere may be a column of an alias
+    that looks like such a schema: it is used only if no certain one is found.
     """
     uncertain: TableGroup | None = None
     is_table_expected = False
@@ -64,7 +65,7 @@
 
 
 def _group_of_name(name: str) -> TableGroup | None:
-    """Return the group of a dotted name whose schema states one."""
+    """Return the group of a dotted name, or None if its schema name does not end in one."""
     parts = [part.strip(QUOTES) for part in NAME_PATTERN.findall(name)]
     if len(parts) < 2:
         return None
--- a/gullhold/net/statement_memory.py
+++ b/gullhold/net/statement_memory.py
@@ -1,4 +1,4 @@
-"""The memory for statements of waiting requests, of all clients together."""
+"""Limits the memory for statements of pending requests and for unread answers, of all clients together."""
 
 from threading import Lock
 from typing import TYPE_CHECKING
@@ -8,12 +8,12 @@
 
 
 class StatementMemory:
-    """Bytes of statements that all clients together may have waiting, and whether answers are read too late.
+    """Reserves memory for statements, and checks the memory for unread answers; each may use max_bytes.
 
-    Guards the memory limit of the process against many clients that send much at once or never read: what one
-    connection may buffer is small, what hundreds may is not. May be used from any thread.
+    Protects the memory limit of the process: one connection buffers little, but hundreds of clients that send
+    large statements or do not read answers would exceed it. May be used from any thread.
 
-    clients: the open client connections, kept by the listener.
+    clients: the open client connections, maintained by the listener.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -23,7 +23,7 @@
         self.clients: set[ClientConnection] = set()
 
     def reserve(self, size: int) -> bool:
-        """Reserve bytes for a statement; False where they exceed the limit. release() returns them."""
+        """Reserve bytes for a statement until release(); False if that would exceed max_bytes."""
         with self.lock:
             if self.used_bytes + size > self.max_bytes:
                 return False
@@ -31,10 +31,10 @@
             return True
 
     def release(self, size: int) -> None:
-        """Return the reserved bytes of a statement."""
+        """Return bytes that were reserved for a statement."""
         with self.lock:
             self.used_bytes -= size
 
     def are_answers_over_limit(self) -> bool:
-        """Whether unread answers of all clients take more than max_bytes."""
+        """Whether the buffered answers that clients have not read yet exceed max_bytes."""
         return sum(client.write_buffer.size for client in list(self.clients)) > self.max_bytes
