--- a/gullhold/net/buffer.py
+++ b/gullhold/net/buffer.py
@@ -1,14 +1,14 @@
-"""The read buffer of a connection: grows as needed, is compacted in place, and shrinks when empty."""
+"""The read buffer of a connection: grows as needed, is compacted in place, and shrinks when it is empty."""
 
 import socket
 
 from gullhold.net.connection_ends import ProtocolError
 
-INITIAL_BYTES = 4096  # bytes: a page of memory, enough for most messages
+INITIAL_BYTES = 4096  # a page of memory, enough for most messages
 
 
 class Buffer:
-    """Bytes that arrived and are not consumed yet: data[start:end]. max_bytes: of the largest message."""
+    """The bytes that have arrived and are not consumed yet, data[start:end]; max_bytes: their limit."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -20,7 +20,7 @@
         return self.end - self.start
 
     def receive(self, sock: socket.socket) -> int:
-        """Read once from a socket; return the number of bytes, 0 at the end of the stream."""
+        """Read from a socket once; return the number of bytes read, 0 at the end of the stream."""
         self._make_room(1)
         with memoryview(self.data) as view, view[self.end :] as tail:
             count = sock.recv_into(tail)
@@ -28,23 +28,23 @@
         return count
 
     def put(self, data: bytes) -> None:
-        """Append bytes. Raises ProtocolError where they exceed max_bytes."""
+        """Append bytes. Raises ProtocolError if the buffer would exceed max_bytes."""
         self._make_room(len(data))
         self.data[self.end : self.end + len(data)] = data
         self.end += len(data)
 
     def peek(self, size: int, offset: int = 0) -> bytes | None:
-        """Return so many bytes from an offset on, None unless all have arrived."""
+        """Return size bytes at an offset without consuming them; None if not all have arrived."""
         begin = self.start + offset
         return bytes(self.data[begin : begin + size]) if begin + size <= self.end else None
 
-    def find(self, mark: bytes, offset: int = 0) -> int:
-        """Return the offset of a mark, or -1."""
-        found = self.data.find(mark, self.start + offset, self.end)
+    def find(self, delimiter: bytes, offset: int = 0) -> int:
+        """Return the offset of the first delimiter at or after an offset, or -1."""
+        found = self.data.find(delimiter, self.start + offset, self.end)
         return found - self.start if found >= 0 else -1
 
     def consume(self, size: int) -> None:
-        """Discard the first bytes, which are read."""
+        """Discard the first size bytes."""
         self.start += size
         if self.start < self.end:
             return
@@ -54,11 +54,12 @@
             self.data = bytearray(INITIAL_BYTES)
 
     def _make_room(self, size: int) -> None:
+        """Compact or extend data, so that size bytes can be appended. Raises ProtocolError over max_bytes."""
         if self.end + size <= len(self.data):
             return
         used = len(self)
         if used + size > self.max_bytes:
-            raise ProtocolError(f"a message of over {self.max_bytes} bytes")
+            raise ProtocolError(f"message exceeds the limit of {self.max_bytes} bytes")
         if self.start:
             self.data[:used] = self.data[self.start : self.end]
             self.start = 0
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -1,32 +1,38 @@
-"""RESP arrays of bulk strings: decodes the replies of engines and encodes commands to them."""
+"""RESP arrays of bulk strings: decodes replies of engines and encodes commands to them."""
 
 from collections.abc import Iterable, Iterator
 
 from gullhold.net.buffer import Buffer
 from gullhold.net.connection_ends import ProtocolError
 
-MAX_HEADER_BYTES = 16  # of a length line: more digits than any length that fits a buffer
-MAX_STRINGS_PER_ARRAY = 64  # several times what the protocol has
+MAX_HEADER_BYTES = 16  # length line without its end: room for more digits than any length that fits a buffer
+MAX_STRINGS_PER_ARRAY = 64  # several times as many as any array of the protocol has
 LINE_END = b"\r\n"
-ARRAY_MARK = b"*"
-STRING_MARK = b"$"
+ARRAY_PREFIX = b"*"
+STRING_PREFIX = b"$"
 
 
 class Decoder:
-    """Splits the bytes of one connection into arrays of byte strings. max_bytes: of the largest array."""
+    """Splits the bytes of a connection into arrays of byte strings; the caller puts the bytes into `buffer`.
+
+    max_bytes: upper limit of the bytes that are buffered at once.
+    """
 
     def __init__(self, max_bytes: int) -> None:
         self.buffer = Buffer(max_bytes)
-        self.strings: list[bytes] = []  # of the array that is being read
-        self.missing_count = 0  # strings of it that have not arrived
+        self.strings: list[bytes] = []  # read strings of the current array
+        self.missing_count = 0  # number of strings of the current array that are not read yet
 
     @property
     def is_mid_array(self) -> bool:
-        """Whether an array has begun and is not complete."""
+        """Whether an array has begun to arrive and is not complete."""
         return bool(self.missing_count or len(self.buffer))
 
     def arrays(self) -> Iterator[list[bytes]]:
-        """Iterate over the complete arrays. Raises ProtocolError at malformed bytes behind them."""
+        """Consume and yield the arrays that have arrived completely.
+
+        Raises ProtocolError at malformed bytes, after it has yielded the arrays before them.
+        """
         while True:
             if not self.missing_count and not self._begin_array():
                 return
@@ -39,63 +45,66 @@
             yield self.strings
 
     def _begin_array(self) -> bool:
-        """Read the header of an array; return False if it is not complete."""
-        header = self._peek_header(ARRAY_MARK)
+        """Consume the header of an array; return False if it is not complete."""
+        header = self._peek_header(ARRAY_PREFIX)
         if header is None:
             return False
         size, used = header
         self.buffer.consume(used)
         if not 0 < size <= MAX_STRINGS_PER_ARRAY:
-            raise ProtocolError(f"an array of {size}")
+            raise ProtocolError(f"array length out of range: {size}")
         self.strings = []
         self.missing_count = size
         return True
 
     def _read_string(self) -> bytes | None:
-        """Read the next string; return None if it is not complete."""
-        header = self._peek_header(STRING_MARK)
+        """Consume and return the next string, or None if it is not complete."""
+        header = self._peek_header(STRING_PREFIX)
         if header is None:
             return None
         size, used = header
         if not 0 <= size <= self.buffer.max_bytes - MAX_HEADER_BYTES:
-            raise ProtocolError(f"a string of {size}")
+            raise ProtocolError(f"string length out of range: {size}")
         body = self.buffer.peek(size + len(LINE_END), used)
         if body is None:
             return None
         if body[size:] != LINE_END:
-            raise ProtocolError("a string longer than its length")
+            raise ProtocolError("no line end after a string of the announced length")
         self.buffer.consume(used + len(body))
         return body[:size]
 
-    def _peek_header(self, mark: bytes) -> tuple[int, int] | None:
-        """Return the number after a mark and the size of its line, not consumed; None: not complete."""
+    def _peek_header(self, prefix: bytes) -> tuple[int, int] | None:
+        """Return the length in a header line and the size of the line, without consuming it.
+
+        Returns None if the line is not complete. prefix: the character with which it must begin.
+        """
         end = self.buffer.find(LINE_END)
         if end < 0 or end > MAX_HEADER_BYTES:
             if len(self.buffer) > MAX_HEADER_BYTES or end >= 0:
-                raise ProtocolError("a length without its line end")
-            if len(self.buffer) and self.buffer.peek(1) != mark:
+                raise ProtocolError("length line is too long")
+            if len(self.buffer) and self.buffer.peek(1) != prefix:
                 raise ProtocolError("not an array of bulk strings")
             return None
-        line = self.buffer.peek(end) or b""  # complete: its end was found
-        if line[:1] != mark or not line[1:].isdigit():
+        line = self.buffer.peek(end) or b""  # never None, as the line is complete
+        if line[:1] != prefix or not line[1:].isdigit():
             raise ProtocolError("not an array of bulk strings")
         return int(line[1:]), end + len(LINE_END)
 
 
 def encode(*strings: bytes) -> bytes:
-    """Encode one array."""
+    """Encode one array of bulk strings."""
     return b"*%d\r\n" % len(strings) + b"".join(
         b"$%d\r\n%s\r\n" % (len(string), string) for string in strings
     )
 
 
 def decode_fields(encoded: bytes) -> dict[bytes, bytes]:
-    """Decode a list name=value,name=value; `-` is the empty list."""
+    """Decode a field list (name=value,name=value); `-` or nothing is the empty list."""
     if encoded in (b"-", b""):
         return {}
     return dict(pair.partition(b"=")[::2] for pair in encoded.split(b","))
 
 
 def encode_fields(pairs: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Encode pairs as a list name=value,name=value."""
+    """Encode a field list (name=value,name=value); `-` if it is empty."""
     return b",".join(b"%s=%s" % pair for pair in pairs) or b"-"
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -1,4 +1,4 @@
-"""The Thrift binary protocol, strict and framed: bytes to messages and back, without a socket.
+"""Encodes and decodes messages of the Thrift binary protocol, strict and framed, without a socket.
 
 Specified in thrift-binary-protocol.md and thrift-rpc.md (https://github.com/apache/thrift, doc/specs). All
 numbers are big-endian. A frame is an int32 length and one message; a message is a header (version, type,
@@ -15,7 +15,7 @@
 
 
 class MessageType(IntEnum):
-    """Types of a message."""
+    """Types of a message, as the protocol numbers them."""
 
     CALL = 1
     REPLY = 2
@@ -24,7 +24,7 @@
 
 
 class FieldType(IntEnum):
-    """Types of a value, as the binary protocol numbers them."""
+    """Types of a field or container item, as the protocol numbers them."""
 
     STOP = 0  # ends a struct
     BOOL = 2
@@ -41,13 +41,13 @@
 
 
 class ApplicationErrorType(IntEnum):
-    """Types of an application exception that we send."""
+    """The types of application exceptions that the gateway sends, as the protocol numbers them."""
 
     UNKNOWN_METHOD = 1
     PROTOCOL_ERROR = 7
 
 
-# Short names, for this module and others.
+# Short aliases, for this module and others.
 CALL = MessageType.CALL
 REPLY = MessageType.REPLY
 EXCEPTION = MessageType.EXCEPTION
@@ -71,10 +71,10 @@
 SEQUENCE_TYPES = frozenset((FieldType.SET, FieldType.LIST))
 VALUE_TYPES = frozenset(FieldType) - {FieldType.STOP}
 
-VERSION_1 = 0x8001  # of the strict encoding
-MAX_NESTING = 16  # levels of containers; no message of ours has more than three
-LENGTH_SIZE = 4  # bytes of a length
-MESSAGE_HEADER = struct.Struct(">HBB")  # version, an unused byte, message type
+VERSION_1 = 0x8001  # first bytes of a message in the strict encoding
+MAX_NESTING = 16  # levels of structs and containers; the service's messages have three at most
+LENGTH_SIZE = 4  # bytes of the length of a frame or string
+MESSAGE_HEADER = struct.Struct(">HBB")  # start of a message header: version, unused byte, message type
 FIELD_HEADER = struct.Struct(">Bh")  # type, field id
 MAP_HEADER = struct.Struct(">BBi")  # types of keys and values, number of pairs
 I16_FORMAT = struct.Struct(">h")
@@ -82,25 +82,25 @@
 END_OF_STRUCT = bytes((FieldType.STOP,))
 
 # Field ids of the service's messages.
-RESULT_SUCCESS = 0  # in every result: what the method returns
-RESULT_SHED = 1  # in the result of execute: the exceptions that it throws
+RESULT_SUCCESS = 0  # in every result: the value that the method returns
+RESULT_SHED = 1  # in the result of execute, this and the next: an exception that it throws
 RESULT_FAULT = 2
-ANSWER_BODY = 1
+ANSWER_BODY = 1  # in an Answer, the struct that a method returns
 ANSWER_FIELDS = 2
 ANSWER_GOOD = 3
-EXCEPTION_FIELDS = 1
-APPLICATION_ERROR_MESSAGE = 1
+EXCEPTION_FIELDS = 1  # in a Shed or Fault: its map of strings
+APPLICATION_ERROR_MESSAGE = 1  # in an application exception, this and the next
 APPLICATION_ERROR_TYPE = 2
-CHECK_UNUSED = 1  # the one argument of check
+CHECK_UNUSED = 1  # the only argument of check, which has no meaning
 
-MAX_CHECK_REPLY_BYTES = 4096  # a reply to check has no body: far more than it needs
+MAX_CHECK_REPLY_BYTES = 4096  # far more than a reply to check takes, as it has no body
 
 Fields = dict[tuple[int, int], Any]
-"""The values of a struct by field id and type."""
+"""The values of a struct, by (field id, field type)."""
 
 
 class MessageHeader(NamedTuple):
-    """The header of one message."""
+    """The header of a message."""
 
     method: str
     message_type: int  # a MessageType
@@ -108,7 +108,7 @@
 
 
 class Message(NamedTuple):
-    """One message: a call, or a reply to one. fields: the struct of its arguments or of its result."""
+    """A call or a reply; fields: the struct of the call's arguments, or of its result or exception."""
 
     method: str
     message_type: int  # a MessageType
@@ -117,11 +117,11 @@
 
 
 class FrameReader:
-    """A reader of the values in one frame. All methods raise ProtocolError for malformed bytes."""
+    """Reads the values of one frame in order. All methods raise ProtocolError for malformed bytes."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.position = 0  # position of the next byte
+        self.position = 0  # index of the next byte to read
 
     def read(self, size: int) -> bytes:
         """Read the next bytes."""
@@ -130,21 +130,21 @@
         self.position += size
         return self.data[self.position - size : self.position]
 
-    def read_number(self, form: struct.Struct) -> int:
-        """Read the next number, of the given form."""
-        return form.unpack(self.read(form.size))[0]
+    def read_number(self, number_format: struct.Struct) -> int:
+        """Read the next integer, encoded in this format."""
+        return number_format.unpack(self.read(number_format.size))[0]
 
     def read_string(self) -> bytes:
-        """Read the next string."""
+        """Read the next string as bytes, which may be any."""
         return self.read(self.read_number(I32_FORMAT))
 
     def read_value(self, value_type: int, depth: int = 0) -> Any:
-        """Read the next value of a type.
+        """Read the next value, of this type.
 
-        Numbers that no message of ours holds (I8, I16, I64, DOUBLE) are returned as their bytes.
+        Numbers of types that the service's messages do not use (I8, I16, I64, DOUBLE) are returned as bytes.
         """
         if depth > MAX_NESTING:
-            raise ProtocolError("structs too deep")
+            raise ProtocolError("structs or containers are nested too deeply")
         if value_type in SIZE_BY_FIXED_TYPE:
             return self._read_fixed(value_type)
         if value_type == STRING:
@@ -157,10 +157,10 @@
             item_type = self.read(1)[0]
             size = self._read_container_size(item_type)
             return [self.read_value(item_type, depth + 1) for _ in range(size)]
-        raise ProtocolError(f"unknown type {value_type}")
+        raise ProtocolError(f"unknown field type {value_type}")
 
     def read_struct(self, depth: int = 0) -> Fields:
-        """Read a struct."""
+        """Read the fields of a struct, up to and including its end."""
         fields: Fields = {}
         while value_type := self.read(1)[0]:
             field_id = self.read_number(I16_FORMAT)
@@ -189,7 +189,7 @@
         return str(key) if isinstance(key, dict | list) else key
 
     def _read_string_map(self) -> dict[bytes, bytes]:
-        """Read a map of strings to strings. Nearly every call consists of one, hence few calls inside."""
+        """Read a map of strings to strings: the bulk of most calls, hence written with few function calls."""
         strings: dict[bytes, bytes] = {}
         data = self.data
         end = len(data)
@@ -211,28 +211,31 @@
     def _read_container_size(self, *item_types: int) -> int:
         size = self.read_number(I32_FORMAT)
         if size < 0 or size > len(self.data) - self.position:  # no value is shorter than a byte
-            raise ProtocolError(f"a container of {size}")
+            raise ProtocolError(f"container size negative or larger than its frame: {size}")
         if size and not VALUE_TYPES.issuperset(item_types):
-            raise ProtocolError("unknown type in a container")
+            raise ProtocolError("unknown item type in a container")
         return size
 
 
 class Decoder:
-    """Splits the bytes of one connection, put into `buffer`, into frames or calls."""
+    """Splits the bytes of a connection into frames or calls; the caller puts the bytes into `buffer`."""
 
     def __init__(self, max_bytes: int) -> None:
         self.buffer = Buffer(max_bytes)
 
     def calls(self) -> Iterator[Message]:
-        """Iterate over the calls that are complete. Raises ProtocolError."""
+        """Consume and decode the calls that have arrived completely. Raises ProtocolError."""
         return map(decode_call, self.frames())
 
     def frames(self) -> Iterator[bytes]:
-        """Iterate over the frames that are complete, without their lengths. Raises ProtocolError."""
+        """Consume the frames that have arrived completely; yield each without its length.
+
+        Raises ProtocolError for an invalid length.
+        """
         while (length := self.buffer.peek(LENGTH_SIZE)) is not None:
             size = I32_FORMAT.unpack(length)[0]
             if not MESSAGE_HEADER.size <= size <= self.buffer.max_bytes - LENGTH_SIZE:
-                raise ProtocolError(f"a frame of {size} bytes")
+                raise ProtocolError(f"frame length out of range: {size} bytes")
             frame = self.buffer.peek(size, LENGTH_SIZE)
             if frame is None:
                 return
@@ -241,35 +244,35 @@
 
 
 def decode_message(frame: bytes, *message_types: int) -> Message:
-    """Decode the message in one frame. Raises ProtocolError, also where its type is none of these."""
+    """Decode the message in a frame. Raises ProtocolError, also if its type is not one of message_types."""
     reader = FrameReader(frame)
     header = _read_header(reader, message_types)
     return Message(*header, reader.read_struct())
 
 
 def read_call_header(reader: FrameReader) -> MessageHeader:
-    """Read the header of the call in one frame; its arguments, a struct, are next. Raises ProtocolError."""
+    """Read the header of a call; the struct of its arguments is next. Raises ProtocolError."""
     return _read_header(reader, (CALL, ONEWAY))
 
 
 def _read_header(reader: FrameReader, message_types: Collection[int]) -> MessageHeader:
     version, _, message_type = MESSAGE_HEADER.unpack(reader.read(MESSAGE_HEADER.size))
     if version != VERSION_1 or message_type not in message_types:
-        raise ProtocolError("not a strict binary message of its kind")
+        raise ProtocolError("not a strict binary message, or of an unexpected type")
     try:
         method = reader.read_string().decode()
     except UnicodeDecodeError:
-        raise ProtocolError("a method name that is no text") from None
+        raise ProtocolError("method name is not valid UTF-8") from None
     return MessageHeader(method, message_type, reader.read_number(I32_FORMAT))
 
 
 def decode_call(frame: bytes) -> Message:
-    """Decode the call in one frame. Raises ProtocolError."""
+    """Decode the call in a frame. Raises ProtocolError."""
     return decode_message(frame, CALL, ONEWAY)
 
 
 def encode_string(data: bytes) -> bytes:
-    """Encode a string."""
+    """Encode a string: its length, then its bytes."""
     return I32_FORMAT.pack(len(data)) + data
 
 
@@ -280,14 +283,14 @@
 
 
 def encode_message(message_type: int, method: str, sequence_id: int, body: bytes) -> bytes:
-    """Encode a frame with one message, whose arguments or result, a whole struct, is the body."""
+    """Encode a frame with one message; body: the encoded struct of its arguments, result or exception."""
     header = MESSAGE_HEADER.pack(VERSION_1, 0, message_type)
     message = header + encode_string(method.encode()) + I32_FORMAT.pack(sequence_id) + body
     return I32_FORMAT.pack(len(message)) + message
 
 
 def encode_answer(method: str, sequence_id: int, body: bytes = b"", good: bool = True) -> bytes:
-    """Encode a reply with an Answer: its body, no fields, and whether all is well."""
+    """Encode a reply with an Answer that has this body, no fields, and this value of `good`."""
     return encode_message(
         REPLY,
         method,
@@ -306,7 +309,7 @@
 
 def encode_shed(sequence_id: int, fields: Mapping[bytes, bytes]) -> bytes:
     """Encode a reply to execute that throws a Shed with these fields."""
-    if not fields:  # under overload most answers are these
+    if not fields:  # fast path: most answers under overload
         return PLAIN_SHED_START + I32_FORMAT.pack(sequence_id) + PLAIN_SHED_END
     return _encode_exception(sequence_id, RESULT_SHED, fields)
 
@@ -330,19 +333,20 @@
 
 
 def _split_at_sequence_id(frame: bytes, sequence_id: int) -> tuple[bytes, bytes]:
-    """Return what stands before and after the sequence id in a frame that has it once."""
+    """Return the bytes before and after the sequence id of a frame that contains them only once."""
     start, _, end = frame.partition(I32_FORMAT.pack(sequence_id))
     return start, end
 
 
-PLACEHOLDER_ID = 0x5EC1D5EC  # a sequence id whose bytes stand nowhere else in a plain shed
+PLACEHOLDER_ID = 0x5EC1D5EC  # a sequence id whose bytes occur nowhere else in a Shed without fields
+# The frame of a Shed without fields, before and after its sequence id.
 PLAIN_SHED_START, PLAIN_SHED_END = _split_at_sequence_id(
     _encode_exception(PLACEHOLDER_ID, RESULT_SHED, {}), PLACEHOLDER_ID
 )
 
 
 def encode_application_exception(method: str, sequence_id: int, error_type: int, text: str) -> bytes:
-    """Encode an application exception."""
+    """Encode an application exception, which reports that a call itself is invalid."""
     return encode_message(
         EXCEPTION,
         method,
@@ -356,13 +360,13 @@
 
 
 def encode_check_call(sequence_id: int) -> bytes:
-    """Encode a call of check, with which a client asks whether we serve."""
+    """Encode a call of check, with which a client asks whether the gateway serves."""
     return encode_message(
         CALL, "check", sequence_id, FIELD_HEADER.pack(BOOL, CHECK_UNUSED) + bytes((1,)) + END_OF_STRUCT
     )
 
 
 def is_good_answer(frame: bytes) -> bool:
-    """Whether a frame holds an Answer whose `good` is true. Raises ProtocolError."""
+    """Whether a frame is a reply with an Answer whose `good` is true. Raises ProtocolError."""
     answer_fields = decode_message(frame, REPLY, EXCEPTION).fields.get((RESULT_SUCCESS, STRUCT), {})
     return answer_fields.get((ANSWER_GOOD, BOOL), False)
