--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -1,6 +1,7 @@
-"""One thread that completes the writes that the system did not take at once, for all connections.
+"""One thread that completes blocked writes for all connections.
 
-It is started before any connection: a thread for each blocked write might not be started when it is needed.
+It is started before any connection is opened: a thread started for each blocked write might fail to start
+when it is needed.
 """
 
 import os
@@ -13,38 +14,41 @@
 
 from gullhold.net.write_buffer import WriteBuffer
 
-MAX_READ_BYTES = 4096  # of one read of the wake-up pipe
-FAULT_WAIT_S = 0.01  # after a failure, until the next turn
+MAX_READ_BYTES = 4096  # limit of one read of the wake-up pipe
+FAULT_WAIT_S = 0.01  # time until the next attempt after an exception, or after a write of nothing
 
 
 class Flusher:
-    """Write buffers that wait until their sockets are writable. watch() may be called from any thread."""
+    """Polls the sockets of blocked write buffers, and flushes each when it is writable.
+
+    On its own thread only, but for watch().
+    """
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.waiting: dict[WriteBuffer, bool] = {}  # a set, in the order in which they came
+        self.waiting: dict[WriteBuffer, bool] = {}  # blocked write buffers: an ordered set
         self.wake_read_end, self.wake_write_end = os.pipe()
         os.set_blocking(self.wake_read_end, False)
         os.set_blocking(self.wake_write_end, False)
 
     def watch(self, buffer: WriteBuffer) -> None:
-        """From any thread: flush this buffer as soon as its socket is writable."""
+        """Flush this buffer once, as soon as its socket is writable. From any thread."""
         self._add(buffer)
-        with suppress(BlockingIOError):  # full: there are enough bytes to wake the thread
+        with suppress(BlockingIOError):  # the pipe is full, so the thread will wake
             os.write(self.wake_write_end, b"w")
 
     def run(self) -> None:
-        """Flush buffers for ever."""
+        """Flush buffers until the process ends."""
         while True:
             try:
-                self.turn()
-            # Without this thread, connections would stay blocked.
+                self.flush_writable()
+            # Without this thread, blocked connections would stay blocked.
             except Exception:  # noqa: BLE001  the outermost loop of the thread
                 logger.exception("flusher failed, continuing")
                 time.sleep(FAULT_WAIT_S)
 
-    def turn(self) -> None:
-        """Wait until some sockets are writable, and flush their buffers."""
+    def flush_writable(self) -> None:
+        """Wait until some sockets are writable or a buffer was added, and flush the writable ones."""
         poll = select.poll()
         poll.register(self.wake_read_end, select.POLLIN)
         by_descriptor: dict[int, list[WriteBuffer]] = {}
@@ -58,16 +62,16 @@
         if self.wake_read_end in ready:
             with suppress(BlockingIOError):
                 os.read(self.wake_read_end, MAX_READ_BYTES)
-        is_all_written = True
+        did_each_write = True
         for descriptor in ready:
             for buffer in by_descriptor.get(descriptor, ()):
-                count = buffer.flush()  # where something remains, the buffer calls watch() again
-                is_all_written = is_all_written and count > 0
-        if not is_all_written:  # writable, yet nothing was taken: a shortage
+                count = buffer.flush()  # if bytes remain, the buffer calls watch() again
+                did_each_write = did_each_write and count > 0
+        if not did_each_write:  # writable, but nothing was accepted: the system lacks memory
             time.sleep(FAULT_WAIT_S)
 
     def _take_all(self) -> list[WriteBuffer]:
-        """Remove and return all waiting buffers; those that still wait are added again by _add()."""
+        """Remove and return all waiting buffers; the caller adds those that still wait again."""
         with self.lock:
             taken = list(self.waiting)
             self.waiting = {}
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -49,8 +49,8 @@
         header = self._peek_header(ARRAY_PREFIX)
         if header is None:
             return False
-        size, used = header
-        self.buffer.consume(used)
+        size, header_size = header
+        self.buffer.consume(header_size)
         if not 0 < size <= MAX_STRINGS_PER_ARRAY:
             raise ProtocolError(f"array length out of range: {size}")
         self.strings = []
@@ -62,15 +62,15 @@
         header = self._peek_header(STRING_PREFIX)
         if header is None:
             return None
-        size, used = header
+        size, header_size = header
         if not 0 <= size <= self.buffer.max_bytes - MAX_HEADER_BYTES:
             raise ProtocolError(f"string length out of range: {size}")
-        body = self.buffer.peek(size + len(LINE_END), used)
+        body = self.buffer.peek(size + len(LINE_END), header_size)
         if body is None:
             return None
         if body[size:] != LINE_END:
             raise ProtocolError("no line end after a string of the announced length")
-        self.buffer.consume(used + len(body))
+        self.buffer.consume(header_size + len(body))
         return body[:size]
 
     def _peek_header(self, prefix: bytes) -> tuple[int, int] | None:
--- a/gullhold/net/write_buffer.py
+++ b/gullhold/net/write_buffer.py
@@ -1,4 +1,4 @@
-"""The write buffer of a connection: writes at once what the system takes; the flusher writes the rest."""
+"""The write buffer of a connection: writes at once what the socket accepts; the flusher writes the rest."""
 
 import socket
 from collections import deque
@@ -15,29 +15,35 @@
 
 
 class Rejection(IntEnum):
-    """Why put() rejected a message; the offsets that it returns otherwise are positive."""
+    """Why put() rejected a message; negative, as it returns a positive offset otherwise."""
 
     CLOSED_OR_FULL = -1
     NOT_ALLOWED = -2  # is_allowed() returned False
 
 
 class BufferedMessage:
-    """A message in a write buffer. renew: encodes it again for the time at which it is written."""
+    """A message in a write buffer.
 
-    __slots__ = ("data", "end_offset", "is_started", "remaining", "renew")
+    remaining: the bytes that are not written yet. end_offset: as returned by put(). reencode: if given,
+    returns the message as of the time at which it is written. is_started: some of its bytes are written.
+    """
+
+    __slots__ = ("data", "end_offset", "is_started", "remaining", "reencode")
 
-    def __init__(self, data: bytes, end_offset: int, renew: Callable[[], bytes] | None) -> None:
+    def __init__(self, data: bytes, end_offset: int, reencode: Callable[[], bytes] | None) -> None:
         self.data = data
         self.remaining: bytes | memoryview = data
         self.end_offset = end_offset
-        self.renew = renew
+        self.reencode = reencode
         self.is_started = False
 
 
 class WriteBuffer:
     """Writes complete messages in order; put() never blocks. Nothing is written before attach().
 
-    max_bytes: bytes that may wait; flusher: writes what the system did not take at once.
+    An offset counts the bytes of all messages that were put, from the first on. max_bytes: limit of the bytes
+    that wait. flusher: writes what the socket did not accept at once.
+
     All methods may be called from any thread.
     """
 
@@ -48,17 +54,17 @@
         self.connection: Connection | None = None
         self.lock = Lock()
         self.pending: deque[BufferedMessage] = deque()
-        self.size = 0  # of the messages that wait, in bytes
-        self.end_offset = 0  # behind all messages that were ever put
-        self.broken_at: int | None = None  # end offset of the first message that was lost
-        self.error: OSError | None = None  # of the write that ended the connection
-        self.is_flushing = False  # the flusher waits to write on
-        self.is_closed = False  # nothing is written any more
-        self.is_finishing = False  # no message is accepted any more
-        self.is_end_sent = False  # all is written, and our side is shut down
+        self.size = 0  # bytes that wait in pending
+        self.end_offset = 0  # end of the last message that was put
+        self.broken_at: int | None = None  # end offset of the first message that was discarded
+        self.error: OSError | None = None  # error of the write that ended the connection
+        self.is_flushing = False  # the flusher waits until the socket is writable
+        self.is_closed = False  # no more bytes are written
+        self.is_finishing = False  # no more messages are accepted
+        self.is_end_sent = False  # all bytes are written, and our side is shut down
 
     def attach(self, connection: Connection) -> None:
-        """Begin to write: the connection is open."""
+        """Begin to write to a connection, which has just been established."""
         with self.lock:
             self.connection = connection
             self._write()
@@ -67,12 +73,12 @@
         self,
         data: bytes,
         is_allowed: Callable[[], bool] | None = None,
-        renew: Callable[[], bytes] | None = None,
+        reencode: Callable[[], bytes] | None = None,
     ) -> int:
-        """Queue one message; return the offset of its end, or a Rejection.
+        """Write or queue one message; return the offset of its end, or a Rejection.
 
-        is_allowed(): called right before the message would be written. renew(): called where the message had
-        to wait, returns it as it is to be written.
+        is_allowed(): called right before the message would be written; False rejects it. reencode(): called
+        when a message that had to wait is written; returns the message to write in its place.
         """
         with self.lock:
             if self.is_closed or self.is_finishing or self.size + len(data) > self.max_bytes:
@@ -82,19 +88,22 @@
             self.end_offset += len(data)
             self.size += len(data)
             must_wait = self.is_flushing or self.connection is None
-            self.pending.append(BufferedMessage(data, self.end_offset, renew if must_wait else None))
+            self.pending.append(BufferedMessage(data, self.end_offset, reencode if must_wait else None))
             if not must_wait:
-                self._write(renew)
+                self._write(reencode)
             return self.end_offset
 
     def is_written(self, offset: int) -> bool:
-        """Whether all bytes up to this offset were written."""
+        """Whether all bytes up to this offset were written to the socket."""
         with self.lock:
-            first_left = self.pending[0].end_offset if self.pending else self.broken_at
-            return first_left is None or offset < first_left
+            first_unwritten = self.pending[0].end_offset if self.pending else self.broken_at
+            return first_unwritten is None or offset < first_unwritten
 
     def withdraw(self, data: bytes) -> bool:
-        """Remove a message of which nothing was written; return whether it was removed."""
+        """Remove a message if none of it was written; data: the object that was passed to put().
+
+        Returns whether it was removed.
+        """
         with self.lock:
             for position, message in enumerate(self.pending):
                 if message.data is data and not message.is_started:
@@ -104,10 +113,10 @@
             return False
 
     def finish(self, now: bool = False) -> bool:
-        """Accept no more messages; once all is written, shut down our side. now: discard what waits.
+        """Accept no more messages, and shut down our side once all are written; now: discard those that wait.
 
-        Returns whether that is done. The reader closes after the peer has: closing over unread bytes resets
-        the connection, which discards what the peer has not read yet.
+        Returns whether our side is shut down. The reader closes the socket after the peer has closed its
+        side: a close with unread bytes resets the connection, and the peer loses what it has not read yet.
         """
         with self.lock:
             self.is_finishing = True
@@ -118,7 +127,7 @@
             return self.is_end_sent or self.is_closed
 
     def flush(self) -> int:
-        """From the flusher: write on; return how many bytes were written."""
+        """From the flusher: write as much as the socket accepts; return the number of bytes written."""
         with self.lock:
             before = self.size
             self.is_flushing = False
@@ -126,20 +135,20 @@
             return before - self.size
 
     def descriptor(self) -> int:
-        """Return the descriptor to poll until more can be written; -1: nothing waits any more."""
+        """Return the descriptor to poll until the socket is writable; -1 if nothing waits any more."""
         with self.lock:
             if self.connection is None or not self.is_flushing or self.is_closed:
                 return -1
             return self.connection.fileno()
 
     def _send_end(self) -> None:
-        """With the lock held: shut down our side, which the peer reads as the end of the stream."""
+        """With the lock held: shut down our side, so that the peer reads the end of the stream."""
         if self.connection is not None and not self.is_end_sent:
             self.connection.shutdown(socket.SHUT_WR)
         self.is_end_sent = True
 
     def _end_now(self) -> None:
-        """With the lock held: discard what waits, and wake the reader, which closes the connection."""
+        """With the lock held: discard what waits, and wake the reader, which closes the socket."""
         if self.pending and not self.is_closed:
             self.broken_at = self.pending[0].end_offset
         self.is_closed = True
@@ -149,15 +158,15 @@
         if self.connection is not None:
             self.connection.shutdown()
 
-    def _write(self, renew: Callable[[], bytes] | None = None) -> None:
-        """With the lock held: write as much as the system takes now, and leave the rest to the flusher.
+    def _write(self, reencode: Callable[[], bytes] | None = None) -> None:
+        """With the lock held: write as much as the socket accepts, and leave the rest to the flusher.
 
-        renew: of the last message, kept in case that nothing of it is written now.
+        reencode: that of the only message, kept in case nothing of it is written now.
         """
         while self.pending and self.connection is not None and not self.is_closed:
             message = self.pending[0]
-            if message.renew:
-                self._replace(message, message.renew())
+            if message.reencode:
+                self._replace(message, message.reencode())
             try:
                 count = self.connection.send(message.remaining)
             except OSError as error:
@@ -166,28 +175,28 @@
                 return
             self.size -= count
             if count < len(message.remaining):
-                self._leave_to_flusher(message, count, renew)
+                self._leave_to_flusher(message, count, reencode)
                 return
             self.pending.popleft()
         if self.is_finishing and not self.pending and not self.is_closed:
             self._send_end()
 
     def _leave_to_flusher(
-        self, message: BufferedMessage, count: int, renew: Callable[[], bytes] | None
+        self, message: BufferedMessage, count: int, reencode: Callable[[], bytes] | None
     ) -> None:
-        """With the lock held: have the flusher write all but the first count bytes of a message."""
+        """With the lock held: leave all but the first count bytes of a message to the flusher."""
         if count:
             message.is_started = True
-            message.renew = None
+            message.reencode = None
             message.remaining = memoryview(message.remaining)[count:]
         else:
-            message.renew = message.renew or renew
+            message.reencode = message.reencode or reencode
         self.is_flushing = True
         self.counters.add("partial_writes")
-        assert self.flusher is not None, "a write buffer of a socket has a flusher"
+        assert self.flusher is not None, "the core has no flusher, but the socket did not accept all bytes"
         self.flusher.watch(self)
 
     def _replace(self, message: BufferedMessage, data: bytes) -> None:
-        """With the lock held: replace the bytes of a message of which nothing was written."""
+        """With the lock held: replace the bytes of a message of which nothing was written yet."""
         self.size += len(data) - len(message.remaining)
         message.remaining = data
