--- a/gullhold/net/write_buffer.py
+++ b/gullhold/net/write_buffer.py
@@ -56,7 +56,7 @@
         self.pending: deque[BufferedMessage] = deque()
         self.size = 0  # bytes that wait in pending
         self.end_offset = 0  # end of the last message that was put
-        self.broken_at: int | None = None  # end offset of the first message that was discarded
+        self.first_discarded_offset: int | None = None  # end offset of the first message that was discarded
         self.error: OSError | None = None  # error of the write that ended the connection
         self.is_flushing = False  # the flusher waits until the socket is writable
         self.is_closed = False  # no more bytes are written
@@ -77,8 +77,8 @@
     ) -> int:
         """Write or queue one message; return the offset of its end, or a Rejection.
 
-        is_allowed(): called right before the message would be written; False rejects it. reencode(): called
-        when a message that had to wait is written; returns the message to write in its place.
+        is_allowed(): called right before the message is written, but not before attach(); False rejects it.
+        reencode(): called when a message that had to wait is written; returns the message to write instead.
         """
         with self.lock:
             if self.is_closed or self.is_finishing or self.size + len(data) > self.max_bytes:
@@ -96,7 +96,7 @@
     def is_written(self, offset: int) -> bool:
         """Whether all bytes up to this offset were written to the socket."""
         with self.lock:
-            first_unwritten = self.pending[0].end_offset if self.pending else self.broken_at
+            first_unwritten = self.pending[0].end_offset if self.pending else self.first_discarded_offset
             return first_unwritten is None or offset < first_unwritten
 
     def withdraw(self, data: bytes) -> bool:
@@ -150,7 +150,7 @@
     def _end_now(self) -> None:
         """With the lock held: discard what waits, and wake the reader, which closes the socket."""
         if self.pending and not self.is_closed:
-            self.broken_at = self.pending[0].end_offset
+            self.first_discarded_offset = self.pending[0].end_offset
         self.is_closed = True
         self.is_flushing = False
         self.pending.clear()
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -6,7 +6,7 @@
 from gullhold.net.connection_ends import ProtocolError
 
 
-def test_a_buffer_grows_compacts_gives_room_back_and_has_an_end():
+def test_a_buffer_grows_compacts_shrinks_and_has_a_limit():
     one = buffer.Buffer(20_000)
     one.put(b"x" * 9000)
     one.consume(8000)
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -19,7 +19,7 @@
     return inside
 
 
-def test_a_request_that_comes_before_the_end_for_idleness_is_said_is_answered(start, monkeypatch):
+def test_a_request_that_arrives_before_an_idle_connection_is_shut_down_is_answered(start, monkeypatch):
     """The reader had decided; what came until the core had closed was lost, and its answers with it."""
     engine = Engine()
     gateway, client = start(engine)
@@ -34,7 +34,7 @@
     assert not gateway.count("client_connections_ended_idle")
 
 
-def test_a_request_that_comes_after_the_end_is_said_is_never_sent_on_and_resets_nothing(start, monkeypatch):
+def test_a_request_that_arrives_after_the_shutdown_of_our_side_is_ignored_without_a_reset(start, monkeypatch):
     """The client sends it again elsewhere: forwarded here too it would run for nobody, or twice."""
     engine = Engine()
     gateway, client = start(engine)
@@ -50,7 +50,7 @@
     assert gateway.core.gateway.submitted == 0
 
 
-def test_a_request_read_just_before_the_end_is_said_and_handed_on_after_it_goes_nowhere(start):
+def test_a_request_read_before_the_shutdown_of_our_side_and_processed_after_it_is_dropped(start):
     engine = Engine()
     gateway, client = start(engine)
     inside = idle(gateway, client)
@@ -63,7 +63,7 @@
     assert not engine.received
 
 
-def test_a_check_that_waits_in_the_cores_queue_is_answered_before_an_end_for_idleness(start):
+def test_a_check_in_the_cores_queue_is_answered_before_an_idle_connection_ends(start):
     """It is no open request, so the connection looks idle while the core has yet to come to it."""
     gateway, client = start(Engine())
     inside = idle(gateway, client)
@@ -77,7 +77,7 @@
     assert read_to_end(client) == (b"", True)
 
 
-def test_an_end_over_unread_bytes_takes_no_answer_along(start):
+def test_answers_arrive_whole_when_a_connection_ends_with_unread_bytes(start):
     """A close over unread bytes is a reset: what the client had yet to read was lost with it."""
     rows = b"x\ty\tz\n" * 900
     gateway, client = start(Engine(ok(*[rows] * 8)))
@@ -91,7 +91,7 @@
     assert read_to_end(client) == (b"", True)
 
 
-def test_closing_connections_hold_their_room_until_their_descriptors_are_given_back(start, monkeypatch):
+def test_a_closing_connection_counts_as_open_until_its_descriptor_is_closed(start, monkeypatch):
     gateway, client = start(Engine())
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 1.0)
     inside = idle(gateway, client)
@@ -103,7 +103,7 @@
     assert inside.connection.fileno() < 0
 
 
-def test_a_connection_that_ended_is_freed_without_the_garbage_collector(start):
+def test_an_ended_connection_is_freed_without_the_garbage_collector(start):
     """A cycle of references once kept each, with its buffers, until the collector came round."""
     gateway, client = start(Engine())
     seq = client.ask()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -11,7 +11,7 @@
 from gullhold.testing.scripted import Engine, endless, says
 
 
-def test_a_broken_frame_ends_that_connection_alone(start):
+def test_a_malformed_frame_ends_only_its_own_connection(start):
     gateway, client = start(Engine())
     for data in (
         b"\xff\xff\xff\xff",
@@ -30,7 +30,7 @@
     assert gateway.count("client_connections_ended_malformed") == 4
 
 
-def test_a_sequence_number_that_is_open_ends_the_connection_and_its_work(start):
+def test_a_repeated_sequence_id_ends_the_connection_and_its_open_request(start):
     engine = Engine(endless)
     gateway, client = start(engine)
     client.ask(seq=5)
@@ -41,7 +41,7 @@
     until(lambda: engine.messages(b"abort"))
 
 
-def test_a_client_that_ends_its_side_has_gone_and_what_it_had_open_is_given_up(start):
+def test_a_client_that_shuts_down_its_side_has_left_and_its_requests_are_dropped(start):
     """The end of the client's side is no half close: nothing is sent for it any more (the users' term).
 
     Before that, its queued requests were still sent and answered.
@@ -69,9 +69,7 @@
     until(lambda: gateway.count("client_connections_ended_idle") == 2)
 
 
-def test_those_who_say_nothing_or_half_or_take_all_back_are_closed_and_their_room_is_given_on(
-    start, monkeypatch
-):
+def test_connections_without_a_complete_request_are_closed_and_make_room_for_others(start, monkeypatch):
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.2)
     gateway, client = start(Engine(endless))
     half, back = Caller(gateway.address), Caller(gateway.address)
@@ -92,7 +90,7 @@
     assert all(caller.answer() is None for caller in crowd[:30])
 
 
-def test_what_bad_clients_ask_at_full_speed_is_refused_and_bounded(start):
+def test_invalid_requests_and_those_over_the_connection_limit_are_rejected(start):
     engine = Engine(says(b"500"))
     gateway, client = start(engine)
     for name, word in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
@@ -111,7 +109,7 @@
     until(lambda: gateway.count("client_connections_ended_malformed") == 1)
 
 
-def test_hundreds_taken_back_before_the_core_comes_to_them_never_reach_the_module(start):
+def test_requests_interrupted_before_the_core_processes_them_never_reach_the_decision_module(start):
     gateway, client = start(Engine())
     gateway.core.post(time.sleep, 0.3)  # the core is behind
     for _ in range(20):
@@ -120,7 +118,7 @@
     assert gateway.core.gateway.submitted == 0
 
 
-def test_one_dismissed_for_room_is_still_answered_what_had_come(start):
+def test_requests_that_arrived_before_a_connection_is_drained_are_answered(start):
     gateway, client = start(Engine())
     client.send("check", b"\x02\0\1\1")
     client.answer()
@@ -132,7 +130,7 @@
     assert client.answer() is None
 
 
-def test_a_connection_that_came_just_now_makes_room_for_nobody(start):
+def test_a_connection_accepted_just_now_is_not_closed_to_make_room(start):
     gateway, client = start(Engine())
     gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
@@ -145,7 +143,7 @@
     assert all(caller.answer() is None for caller in old[:4])
 
 
-def test_a_request_that_was_taken_back_makes_room_at_once_for_the_next(start):
+def test_an_interrupted_request_does_not_count_as_open_before_the_core_settles_it(start):
     gateway, client = start(Engine(endless))
     seqs = [client.ask() for _ in range(32)]
     until(lambda: len(client_open(gateway)) == 32)
@@ -157,7 +155,7 @@
     assert not gateway.count("rejected_connection_limit")
 
 
-def test_a_client_that_ends_before_the_listener_goes_on_holds_no_room(start, monkeypatch):
+def test_a_connection_that_ends_before_its_thread_start_returns_does_not_count_as_open(start, monkeypatch):
     class Inline(Thread):
         def start(self):
             self.run()  # it is over before start() returns
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("how", ["closes", "ends its side", "resets", "interrupts"])
-def test_nothing_goes_out_for_a_client_that_left_while_its_command_was_held(gateway_without_engines, how):
+def test_no_attempt_is_sent_for_a_client_that_leaves_while_its_command_waits(gateway_without_engines, how):
     gateway, client, feed = gateway_without_engines()
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
@@ -51,7 +51,7 @@
     engine.close()
 
 
-def test_a_client_that_left_is_passed_over_where_its_requests_wait_behind_a_flood(start):
+def test_the_end_of_a_client_is_processed_before_its_waiting_requests(start):
     """Its end waited behind its own requests and all others: each was sent first, and given up after."""
     engine = Engine()
     gateway, client = start(engine)
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("how", ["closes", "interrupts"])
-def test_a_pause_after_a_refusal_does_not_keep_the_news_that_a_client_left(gateway_without_engines, how):
+def test_a_disconnect_or_interrupt_is_noticed_during_a_pause(gateway_without_engines, how):
     """The reader slept: the held command went out while its client's end lay unread."""
     gateway, client, feed = gateway_without_engines(connect_timeout=3.0)
     other, engine = Caller(gateway.address), Engine()
@@ -91,7 +91,7 @@
     engine.close()
 
 
-def test_what_comes_in_a_pause_is_taken_after_it_in_its_order_and_can_be_taken_back(start):
+def test_calls_deferred_in_a_pause_are_handled_after_it_unless_interrupted(start):
     engine = Engine(endless, ok())
     gateway, client = start(engine, connect_timeout=0.5)
     held = client.ask("once")
@@ -111,7 +111,7 @@
     client.interrupt(held)
 
 
-def test_a_flood_in_a_pause_is_held_to_what_a_usual_client_has_open(start):
+def test_deferred_calls_are_limited_during_a_pause(start):
     gateway, client = start(Engine(endless), connect_timeout=1.0)
     client.ask("once")
     client.ask("odd")
@@ -139,7 +139,7 @@
     until(lambda: not gateway.listener.clients)
 
 
-def test_statements_that_wait_hold_no_more_than_their_part_of_the_memory(start):
+def test_a_request_is_shed_when_the_statement_memory_is_exhausted(start):
     """Thirty-two of the largest on each of ten connections were sixty megabytes, of a limit of eighty."""
     engine = Engine(endless)
     gateway, client = start(engine)
@@ -157,7 +157,7 @@
     until(lambda: len(engine.messages(b"fetch")) == 3)
 
 
-def test_answers_that_are_not_read_hold_no_more_than_their_part_of_the_memory(start):
+def test_connections_that_do_not_read_are_ended_when_unread_answers_exceed_their_memory(start):
     """A connection may hold eight megabytes, and there may be hundreds."""
     gateway, client = start(Engine())
     room, frame = gateway.core.statement_memory, thrift.encode_answer("execute", 1, b"x\ty\tz\n" * 8000)
@@ -181,7 +181,7 @@
     assert client.answer() == (seq, b"a\tb\tc\n")  # who reads is served on
 
 
-def test_bytes_that_make_no_sense_cost_their_connection_and_leave_no_command_without_its_answer(start):
+def test_open_requests_are_answered_when_malformed_bytes_end_their_connection(start):
     """What was open there was dropped unanswered, its client still waiting for it."""
     engine = Engine(endless)
     gateway, client = start(engine)
@@ -196,7 +196,7 @@
     assert gateway.count("client_connections_ended_malformed") == 1
 
 
-def test_what_waits_in_a_pause_is_answered_when_the_connection_ends_by_bytes_that_make_no_sense(start):
+def test_deferred_requests_are_answered_when_malformed_bytes_end_their_connection(start):
     gateway, client = start(Engine(endless), connect_timeout=2.0)
     held, bad, seq = client.ask("once"), client.ask("odd"), client.ask()
     client.sock.sendall(b"\xff\xff\xff\xff")
@@ -228,7 +228,7 @@
     return inside
 
 
-def test_a_client_that_leaves_is_dropped_whole_where_one_dropped_request_sheds_others(
+def test_all_requests_of_a_client_that_leaves_are_dropped_when_dropping_one_sheds_others(
     gateway_with_queued_requests,
 ):
     """Guards against an event that fails half way: the other requests stayed open and could be sent."""
@@ -242,7 +242,7 @@
     assert not gateway.count("internal_faults")
 
 
-def test_nothing_goes_out_for_a_client_that_leaves_where_one_dropped_request_makes_room_for_another(
+def test_no_attempt_is_sent_for_a_client_that_leaves_when_dropping_one_request_makes_room_for_another(
     gateway_with_queued_requests,
 ):
     """Guards against attempts for a client that has left: its requests were dropped one after the other."""
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -27,7 +27,7 @@
     return taken
 
 
-def test_events_keep_their_order_and_those_that_go_first_go_before_all_others():
+def test_events_keep_their_order_and_those_that_go_first_precede_all_others():
     queue = EventQueue()
     queue.put(event("a"))
     queue.put(event("reply 1"), goes_first=True)
@@ -38,7 +38,7 @@
     assert queue.take(wait_us=1000) is None
 
 
-def test_the_oldest_event_of_either_lane_is_known():
+def test_the_age_is_that_of_the_oldest_event_of_both_lanes():
     queue = EventQueue()
     assert queue.oldest_age_us(1000) == 0
     queue.put(event("a", posted_at_us=300))
@@ -68,7 +68,7 @@
     return loop, control
 
 
-def test_a_request_is_admitted_while_the_oldest_event_is_young(loop_and_control):
+def test_a_request_is_admitted_until_the_oldest_event_exceeds_the_maximum_age(loop_and_control):
     loop, control = loop_and_control
     for _ in range(MIN_EVENTS_FOR_AGE_CHECK):
         loop.post(print)
@@ -80,7 +80,7 @@
     assert control.is_overloaded()
 
 
-def test_a_request_with_a_shorter_timeout_of_its_own_waits_for_less(loop_and_control):
+def test_a_request_with_a_shorter_client_timeout_is_rejected_at_a_smaller_age(loop_and_control):
     loop, control = loop_and_control
     for _ in range(MIN_EVENTS_FOR_AGE_CHECK):
         loop.post(print)
@@ -89,7 +89,7 @@
     assert not control.admits(TIMEOUT_US // 4)
 
 
-def test_a_few_events_that_are_old_after_a_pause_of_the_process_are_no_overload(loop_and_control):
+def test_requests_are_admitted_when_only_a_few_events_are_old(loop_and_control):
     """Guards against requests that are shed though the core is done with what waits in a moment."""
     loop, control = loop_and_control
     for _ in range(MIN_EVENTS_FOR_AGE_CHECK - 1):
@@ -100,7 +100,7 @@
     assert not control.admits(TIMEOUT_US)
 
 
-def test_many_young_events_that_take_long_are_an_overload_too(loop_and_control):
+def test_requests_are_rejected_when_many_young_events_would_take_too_long(loop_and_control):
     """Guards against a burst: all of it is posted before the first event has grown old."""
     loop, control = loop_and_control
     for _ in range(200):
@@ -113,7 +113,7 @@
     assert not control.admits(TIMEOUT_US)
 
 
-def test_one_pause_of_the_process_is_not_taken_for_the_cost_of_events(loop_and_control):
+def test_one_long_interval_does_not_count_as_the_cost_of_an_event(loop_and_control):
     loop, control = loop_and_control
     control.record_interval(3_600_000_000)
     for _ in range(10):
@@ -121,7 +121,7 @@
     assert control.admits(TIMEOUT_US)
 
 
-def test_before_the_core_serves_requests_wait_for_it():
+def test_requests_are_admitted_before_the_core_serves():
     loop = StoppedClockLoop(Counters())
     control = OverloadControl(loop, read_agreement(settings()))
     loop.post(print)
--- a/tests/test_overload_service.py
+++ b/tests/test_overload_service.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("cores", ["all cores", "one core"])
-def test_at_sigterm_under_a_flood_all_that_was_read_is_answered(cores):
+def test_all_requests_that_were_read_are_answered_when_sigterm_comes_during_a_flood(cores):
     """Guards against requests that were read and closed with no answer: thousands, in time or not."""
     with RunningDeployment(operator=PATIENT_QUEUE, slots=0, timeout_s=8.0, max_open=30000) as running:
         assert serving_status(running.address)
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -14,7 +14,7 @@
 from gullhold.testing.scripted import Engine, ok
 
 
-def test_a_drain_between_two_pages_costs_no_answer(tmp_path):
+def test_a_result_is_complete_when_its_engine_drains_between_two_pages(tmp_path):
     feed = DiscoveryService()
 
     def drains(conn, verb, *words):
@@ -32,7 +32,7 @@
     gateway.end()
 
 
-def test_a_client_that_leaves_between_two_pages_ends_the_exchange_with_one_word(start):
+def test_the_engine_is_told_when_the_client_leaves_between_two_pages(start):
     def leaves(conn, verb, *words):
         if verb == b"more":
             client.sock.close()
@@ -49,7 +49,7 @@
     assert len(engine.messages(b"fetch")) == 1
 
 
-def test_the_end_of_a_process_says_so_and_resets_no_connection(launch):
+def test_connections_of_resting_clients_end_without_a_reset_when_the_process_ends(launch):
     """Exiting over unread bytes resets: some clients rest until the gateway ends them, and ask just then."""
     engine, port = Engine(), free_port()
     process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
@@ -81,7 +81,7 @@
     assert [end for end in ends if end[0]] == []
 
 
-def test_what_is_asked_to_the_very_end_gets_its_answer_or_a_connection_that_ends_in_good_order(launch):
+def test_requests_sent_during_the_shutdown_are_answered_or_their_connection_ends_without_a_reset(launch):
     """Clients that ask again at once: the reader slept between reads, and the process ended over the rest."""
     engine, port = Engine(), free_port()
     told = config(engine) | {"listen": f"127.0.0.1:{port}"}
@@ -121,7 +121,7 @@
     assert not odd
 
 
-def test_frames_read_by_clients_are_whole_however_their_connection_ends(start):
+def test_answers_put_before_the_end_of_a_connection_arrive_whole_and_later_ones_are_dropped(start):
     """What was put before the end goes out whole, and nothing after it."""
     gateway, client = start(Engine(ok(b"x\ty\tz\n" * 800)))
     seq = client.ask()
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -28,7 +28,7 @@
 }
 
 
-def test_a_request_is_read_in_the_modules_units():
+def test_a_request_is_converted_to_the_decision_modules_units():
     reader = request_reader.RequestReader(AGREEMENT)
     got = reader.read_request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
     assert (got.timeout_us, got.work_us, got.memory_mb, got.table_group, got.is_retry) == (
@@ -70,13 +70,13 @@
         {b"limit": None},
     ],
 )
-def test_a_request_that_cannot_be_used_is_refused(change):
+def test_an_invalid_field_raises_request_error(change):
     fields = {k: v for k, v in {**ASKED, **change}.items() if v is not None}
     with pytest.raises(request_reader.RequestError):
         request_reader.RequestReader(AGREEMENT).read_request(fields, b"select 1")
 
 
-def test_a_reader_turns_away_unasked_only_what_the_door_has_shut():
+def test_a_known_rejection_applies_only_to_its_flow_and_profile_and_until_its_time():
     identifier = ClientIdentifier(records.read('door: client: field: "desk"', "x").door.client, ["acme"])
     agreement = read_agreement(adjust_settings(deployment.settings(), (("acme", 1.0),)))
     reader, peer = request_reader.RequestReader(agreement, identifier, b"back"), ("127.0.0.1", "127.0.0.1:5")
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -14,7 +14,7 @@
     arrays=st.lists(st.lists(st.binary(max_size=7000), min_size=1, max_size=5), min_size=1, max_size=4),
     cuts=PIECE_SIZES,
 )
-def test_resp_arrays_come_out_the_same_however_they_are_cut(arrays, cuts):
+def test_arrays_are_decoded_alike_however_their_bytes_are_split(arrays, cuts):
     data = b"".join(resp.encode(*words) for words in arrays)
     assert read_in_pieces(resp.Decoder(MAX_MESSAGE_BYTES), resp.Decoder.arrays, data, cuts) == arrays
 
@@ -37,14 +37,14 @@
         b"*x\r\n",
     ],
 )
-def test_resp_that_is_not_an_array_of_bulk_strings_is_malformed(data):
+def test_bytes_other_than_an_array_of_bulk_strings_raise_protocol_error(data):
     machine = resp.Decoder(MAX_MESSAGE_BYTES)
     machine.buffer.put(data)
     with pytest.raises(ProtocolError):
         list(machine.arrays())
 
 
-def test_resp_field_lists():
+def test_field_lists_are_decoded_and_encoded():
     assert resp.decode_fields(b"-") == {}
     assert resp.decode_fields(b"a=1,load=inflight:7;util:0.6") == {
         b"a": b"1",
--- a/tests/test_statement.py
+++ b/tests/test_statement.py
@@ -34,5 +34,5 @@
         ("select max(lake_5.t.x) as m", 0),
     ],
 )
-def test_the_group_is_that_of_the_schema_read_or_written(sql, group):
+def test_the_group_is_taken_from_the_schema_of_the_first_table(sql, group):
     assert statement.table_group(sql).group == group
--- a/tests/test_thrift.py
+++ b/tests/test_thrift.py
@@ -13,7 +13,7 @@
 
 @SEEDED
 @given(bodies=st.lists(st.binary(max_size=9000), min_size=1, max_size=5), cuts=PIECE_SIZES)
-def test_thrift_calls_come_out_the_same_however_they_are_cut(bodies, cuts):
+def test_calls_are_decoded_alike_however_their_bytes_are_split(bodies, cuts):
     data = b"".join(
         encode_call(seq=i, fields={b"txn": b"%d" % i, b"verb": b""}, body=body)
         for i, body in enumerate(bodies)
@@ -23,7 +23,7 @@
     assert all(c.fields[1, thrift.MAP] == {b"txn": b"%d" % c.sequence_id, b"verb": b""} for c in calls)
 
 
-def test_thrift_steps_over_fields_that_it_does_not_know():
+def test_unknown_fields_of_a_call_are_skipped():
     inner = (
         b"\x08\x00\x07"
         + struct.pack(">i", 5)
@@ -76,7 +76,7 @@
         encode_string(struct.pack(">HBB", 0x8001, 0, 1) + encode_string(b"x") + bytes(4) + b"\x63\x00\x01"),
     ],
 )
-def test_thrift_that_is_not_strict_binary_is_malformed(data):
+def test_invalid_thrift_bytes_raise_protocol_error(data):
     machine = thrift.Decoder(MAX_MESSAGE_BYTES)
     machine.buffer.put(data)
     with pytest.raises(ProtocolError):
@@ -85,7 +85,7 @@
 
 @SEEDED
 @given(data=st.binary(max_size=300))
-def test_any_bytes_are_a_call_or_malformed(data):
+def test_random_bytes_decode_or_raise_protocol_error(data):
     for machine, read in (
         (thrift.Decoder(MAX_MESSAGE_BYTES), thrift.Decoder.calls),
         (resp.Decoder(MAX_MESSAGE_BYTES), resp.Decoder.arrays),
@@ -98,7 +98,7 @@
                 break
 
 
-def test_answers_are_whole_strict_frames():
+def test_replies_are_encoded_as_complete_strict_frames():
     for message, kind in (
         (thrift.encode_answer("execute", 7, b"a\tb\tc\n"), thrift.REPLY),
         (thrift.encode_shed(7, {}), thrift.REPLY),
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -24,7 +24,7 @@
         return socket.create_connection(sock.getsockname()), sock.accept()[0]
 
 
-def test_a_pipe_takes_back_only_what_has_not_begun_and_knows_what_went_whole():
+def test_only_messages_of_which_nothing_was_written_can_be_withdrawn():
     ours, theirs = tcp_pair()
     pipe, connection = WriteBuffer(50_000_000, Counters(), flushing()), Connection(ours)
     waits = b"w" * 10
@@ -49,7 +49,7 @@
     theirs.close()
 
 
-def test_a_pipe_that_backs_up_refuses_and_one_that_ends_wakes_its_writer():
+def test_a_full_write_buffer_rejects_and_finishing_it_wakes_the_reader_and_the_flusher():
     ours, theirs = tcp_pair()
     pipe, connection = WriteBuffer(10_000_000, Counters(), flushing()), Connection(ours)
     pipe.attach(connection)
