--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -1,4 +1,4 @@
-"""The end of a client's connection, for idleness or malformed bytes, and events at that moment."""
+"""The end of a client connection, when it is idle or malformed bytes arrive, and what arrives just then."""
 
 import gc
 import socket
@@ -11,39 +11,39 @@
 from gullhold.testing.scripted import Engine, ok
 
 
-def idle(gateway, caller):
-    """The gateway's connection of a client that has sent one health check."""
+def idle_connection(gateway, caller):
+    """Send one check on a client's connection; return the gateway's side of it."""
     caller.send("check", b"\x02\0\1\1")
     assert caller.answer()[1] == b""
-    (inside,) = gateway.listener.clients
-    return inside
+    (gateway_side,) = gateway.listener.clients
+    return gateway_side
 
 
 def test_a_request_that_arrives_before_an_idle_connection_is_shut_down_is_answered(start, monkeypatch):
-    """The reader had decided; what came until the core had closed was lost, and its answers with it."""
+    """Guards against an end that was decided before the request arrived, and that leaves it unanswered."""
     engine = Engine()
     gateway, client = start(engine)
-    inside = idle(gateway, client)
+    gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
         monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.0)
-        until(lambda: inside.end_requested)  # it asks the core for its end
+        until(lambda: gateway_side.end_requested)  # the reader has asked the core whether it may end
         monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 60)
         seq = client.ask()
-        until(lambda: inside.posted_count == 1)
+        until(lambda: gateway_side.posted_count == 1)
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert not gateway.count("client_connections_ended_idle")
 
 
 def test_a_request_that_arrives_after_the_shutdown_of_our_side_is_ignored_without_a_reset(start, monkeypatch):
-    """The client sends it again elsewhere: forwarded here too it would run for nobody, or twice."""
+    """The client sends it again to another gateway: submitted here too, it could run twice."""
     engine = Engine()
     gateway, client = start(engine)
-    inside = idle(gateway, client)
+    gateway_side = idle_connection(gateway, client)
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 2.0)
-    inside.write_buffer.finish()
+    gateway_side.write_buffer.finish()
     client.ask()
     assert read_to_end(client) == (b"", True)
-    until(lambda: len(inside.decoder.buffer) or inside.is_ending)
+    until(lambda: len(gateway_side.decoder.buffer) or gateway_side.is_ending)
     client.sock.close()
     until(lambda: not gateway.listener.clients)
     assert not engine.received
@@ -53,40 +53,40 @@
 def test_a_request_read_before_the_shutdown_of_our_side_and_processed_after_it_is_dropped(start):
     engine = Engine()
     gateway, client = start(engine)
-    inside = idle(gateway, client)
+    gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
         client.ask()
-        until(lambda: inside.posted_count == 1)
-        inside.write_buffer.finish()  # as it would be, had the core looked an instant earlier
+        until(lambda: gateway_side.posted_count == 1)
+        gateway_side.write_buffer.finish()  # as if the core had allowed the end just before
     until(lambda: gateway.count("interrupted") == 1)
     assert read_to_end(client) == (b"", True)
     assert not engine.received
 
 
 def test_a_check_in_the_cores_queue_is_answered_before_an_idle_connection_ends(start):
-    """It is no open request, so the connection looks idle while the core has yet to come to it."""
+    """A check does not count as open, so the connection looks idle while the check waits for the core."""
     gateway, client = start(Engine())
-    inside = idle(gateway, client)
+    gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
-        quiet = inside.last_active_at
+        idle_since = gateway_side.last_active_at
         seq = client.send("check", b"\x02\0\1\1")
-        until(lambda: inside.last_active_at > quiet)
-        inside.drain()
-        until(lambda: inside.end_requested)
+        until(lambda: gateway_side.last_active_at > idle_since)
+        gateway_side.drain()
+        until(lambda: gateway_side.end_requested)
     assert client.answer() == (seq, b"")
     assert read_to_end(client) == (b"", True)
 
 
 def test_answers_arrive_whole_when_a_connection_ends_with_unread_bytes(start):
-    """A close over unread bytes is a reset: what the client had yet to read was lost with it."""
+    """Closing a socket with unread bytes resets the connection, and the client loses unread answers."""
     rows = b"x\ty\tz\n" * 900
     gateway, client = start(Engine(ok(*[rows] * 8)))
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    asked = [client.ask() for _ in range(30)]
+    seqs = [client.ask() for _ in range(30)]
     until(lambda: gateway.count("answered") == 30)
     client.sock.sendall(b"\xff\xff\xff\xff" + b"noise" * 20_000)
-    answers = [client.answer() for _ in asked]
-    assert {seq for seq, _ in answers} == set(asked)
+    answers = [client.answer() for _ in seqs]
+    assert {seq for seq, _ in answers} == set(seqs)
     assert all(body == rows * 8 for _, body in answers)
     assert read_to_end(client) == (b"", True)
 
@@ -94,25 +94,25 @@
 def test_a_closing_connection_counts_as_open_until_its_descriptor_is_closed(start, monkeypatch):
     gateway, client = start(Engine())
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 1.0)
-    inside = idle(gateway, client)
-    inside.drain()
+    gateway_side = idle_connection(gateway, client)
+    gateway_side.drain()
     assert read_to_end(client) == (b"", True)
     assert gateway.listener.clients
-    assert inside.connection.fileno() >= 0
+    assert gateway_side.connection.fileno() >= 0
     until(lambda: not gateway.listener.clients)
-    assert inside.connection.fileno() < 0
+    assert gateway_side.connection.fileno() < 0
 
 
 def test_an_ended_connection_is_freed_without_the_garbage_collector(start):
-    """A cycle of references once kept each, with its buffers, until the collector came round."""
+    """Guards against a reference cycle, which keeps the connection and its buffers until a collection."""
     gateway, client = start(Engine())
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
-    inside = ref(next(iter(gateway.listener.clients)))
+    gateway_side = ref(next(iter(gateway.listener.clients)))
     gc.collect()
     gc.disable()
     try:
         client.sock.close()
-        until(lambda: inside() is None)
+        until(lambda: gateway_side() is None)
     finally:
         gc.enable()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections: when they are closed, what is bounded on them, and which ones make room for others."""
+"""Client connections: when they end, which requests on them are rejected, and which are closed for others."""
 
 import socket
 import time
@@ -22,9 +22,9 @@
         other = Caller(gateway.address)
         other.sock.sendall(data)
         assert other.answer() is None
-    cut = Caller(gateway.address)
-    cut.sock.sendall(b"\0\0\1\0abc")
-    cut.sock.close()
+    incomplete = Caller(gateway.address)
+    incomplete.sock.sendall(b"\0\0\1\0abc")
+    incomplete.sock.close()
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
     assert gateway.count("client_connections_ended_malformed") == 4
@@ -36,22 +36,22 @@
     client.ask(seq=5)
     until(lambda: engine.messages(b"fetch"))
     client.ask(seq=5)
-    assert client.answer() == (5, "shed")  # what it had asked gets its one answer, and only that
+    assert client.answer() == (5, "shed")  # the open request gets its one answer, the second call none
     assert client.answer() is None
     until(lambda: engine.messages(b"abort"))
 
 
 def test_a_client_that_shuts_down_its_side_has_left_and_its_requests_are_dropped(start):
-    """The end of the client's side is no half close: nothing is sent for it any more (the users' term).
+    """By the protocol this is no half close: no further attempts are sent for the client, nor any answers.
 
-    Before that, its queued requests were still sent and answered.
+    Guards against queued requests that are still sent to engines and answered.
     """
     engine = Engine(endless)
     gateway, client = start(engine)
     client.ask("once")
     until(lambda: engine.messages(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
-    assert client.answer() is None  # no answer is owed, and our side ends too
+    assert client.answer() is None  # no answer is due, and the gateway shuts down its side too
     until(lambda: engine.messages(b"abort") and not gateway.core.requests.by_number)
     assert len(engine.messages(b"fetch")) == 1
     assert not gateway.count("answered")
@@ -64,7 +64,7 @@
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
     assert idle.answer() is None
-    assert client.answer() == (seq, "fault")  # long after the time for idle ones
+    assert client.answer() == (seq, "fault")  # long after the idle timeout
     assert client.answer() is None
     until(lambda: gateway.count("client_connections_ended_idle") == 2)
 
@@ -72,46 +72,46 @@
 def test_connections_without_a_complete_request_are_closed_and_make_room_for_others(start, monkeypatch):
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.2)
     gateway, client = start(Engine(endless))
-    half, back = Caller(gateway.address), Caller(gateway.address)
-    half.sock.sendall(b"\0\0\1\0\x80\1")
+    incomplete, interrupting = Caller(gateway.address), Caller(gateway.address)
+    incomplete.sock.sendall(b"\0\0\1\0\x80\1")
     for _ in range(30):
-        back.interrupt(back.ask())
-    for caller in (client, half, back):
+        interrupting.interrupt(interrupting.ask())
+    for caller in (client, incomplete, interrupting):
         assert caller.answer() is None
-    # What was taken back at once counts for no share of the fleet.
+    # Requests that are interrupted at once do not count as traffic of this gateway.
     assert gateway.core.gateway.components.traffic.count < 1
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 60)
     gateway.listener.max_clients = 10
-    crowd = [Caller(gateway.address) for _ in range(40)]
-    asks = Caller(gateway.address)
-    seq = asks.send("check", b"\x02\0\1\1")
-    assert asks.answer() == (seq, b"")
+    idle = [Caller(gateway.address) for _ in range(40)]
+    active = Caller(gateway.address)
+    seq = active.send("check", b"\x02\0\1\1")
+    assert active.answer() == (seq, b"")
     assert gateway.count("idle_clients_closed") >= 31
-    assert all(caller.answer() is None for caller in crowd[:30])
+    assert all(caller.answer() is None for caller in idle[:30])
 
 
 def test_invalid_requests_and_those_over_the_connection_limit_are_rejected(start):
     engine = Engine(says(b"500"))
     gateway, client = start(engine)
-    for name, word in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
-        seq = client.ask(**{name: word})
+    for name, value in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
+        seq = client.ask(**{name: value})
         assert client.answer() == (seq, "fault")
     assert not engine.received
-    seq = client.ask()  # an id that no engine knows: an error on each
+    seq = client.ask()  # every attempt ends with error 500
     assert client.answer() == (seq, "shed")
     assert len(engine.messages(b"fetch")) <= 6
-    many = Caller(gateway.address)
+    over_limit = Caller(gateway.address)
     engine.script[:] = [endless]
     for _ in range(60):
-        many.ask()
+        over_limit.ask()
     until(lambda: gateway.count("rejected_connection_limit") == 28)
-    many.ask(seq=7)  # a number that was there before
+    over_limit.ask(seq=7)  # a sequence id that was used before
     until(lambda: gateway.count("client_connections_ended_malformed") == 1)
 
 
 def test_requests_interrupted_before_the_core_processes_them_never_reach_the_decision_module(start):
     gateway, client = start(Engine())
-    gateway.core.post(time.sleep, 0.3)  # the core is behind
+    gateway.core.post(time.sleep, 0.3)  # blocks the core, so that events wait
     for _ in range(20):
         client.interrupt(client.ask())
     until(lambda: gateway.count("interrupted") == 20)
@@ -122,10 +122,10 @@
     gateway, client = start(Engine())
     client.send("check", b"\x02\0\1\1")
     client.answer()
-    (inside,) = gateway.listener.clients
+    (gateway_side,) = gateway.listener.clients
     gateway.core.post(time.sleep, 0.2)
     seqs = [client.ask() for _ in range(3)]
-    inside.drain()
+    gateway_side.drain()
     assert sorted(client.answer() for _ in seqs) == [(seq, b"a\tb\tc\n") for seq in seqs]
     assert client.answer() is None
 
@@ -147,7 +147,7 @@
     gateway, client = start(Engine(endless))
     seqs = [client.ask() for _ in range(32)]
     until(lambda: len(client_open(gateway)) == 32)
-    gateway.core.post(time.sleep, 0.3)  # the core is behind
+    gateway.core.post(time.sleep, 0.3)  # blocks the core, so that events wait
     for seq in seqs[:5]:
         client.interrupt(seq)
         client.ask()
@@ -156,13 +156,13 @@
 
 
 def test_a_connection_that_ends_before_its_thread_start_returns_does_not_count_as_open(start, monkeypatch):
-    class Inline(Thread):
+    class InlineThread(Thread):
         def start(self):
-            self.run()  # it is over before start() returns
+            self.run()  # has ended before start() returns
 
     gateway, client = start(Engine())
     until(lambda: gateway.count("client_connections_accepted") == 1)
-    monkeypatch.setattr(listener, "Thread", Inline)
+    monkeypatch.setattr(listener, "Thread", InlineThread)
     for _ in range(3):
         Caller(gateway.address).sock.close()
     until(lambda: gateway.count("client_connections_accepted") == 4)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: nothing is sent for them any more, and every other request is answered."""
+"""Clients that disconnect: no more attempts are sent for them, and all other requests are answered."""
 
 import socket
 import time
@@ -17,21 +17,21 @@
 @pytest.fixture
 def gateway_without_engines(tmp_path):
     """A gateway that queues requests until its discovery service lists an engine."""
-    made = []
+    gateways = []
 
-    def make(**other):
-        feed = DiscoveryService()
-        made.append(Gateway(tmp_path, config(**other) | {"coordinator": feed.address}))
-        return made[-1], Caller(made[-1].address), feed
+    def make(**limits):
+        discovery = DiscoveryService()
+        gateways.append(Gateway(tmp_path, config(**limits) | {"coordinator": discovery.address}))
+        return gateways[-1], Caller(gateways[-1].address), discovery
 
     yield make
-    for gateway in made:
+    for gateway in gateways:
         gateway.end()
 
 
 @pytest.mark.parametrize("how", ["closes", "ends its side", "resets", "interrupts"])
 def test_no_attempt_is_sent_for_a_client_that_leaves_while_its_command_waits(gateway_without_engines, how):
-    gateway, client, feed = gateway_without_engines()
+    gateway, client, discovery = gateway_without_engines()
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
     until(lambda: gateway.core.requests.by_number)
@@ -44,7 +44,7 @@
     else:
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
-    feed.send(event(2, ("s-0", engine.address, "ready")))
+    discovery.send(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask(txn=b"f%015x" % 7)
     assert other.answer() == (seq, b"a\tb\tc\n")
     assert [words[2] for words in engine.messages(b"fetch")] == [b"f%015x" % 7]
@@ -52,17 +52,17 @@
 
 
 def test_the_end_of_a_client_is_processed_before_its_waiting_requests(start):
-    """Its end waited behind its own requests and all others: each was sent first, and given up after."""
+    """Guards against an end that waits behind all requests: each would be sent before it is dropped."""
     engine = Engine()
     gateway, client = start(engine)
     with BlockedCore(gateway.core):
         for _ in range(20):
             client.ask()
         until(lambda: len(gateway.listener.clients) == 1)
-        (inside,) = gateway.listener.clients
-        until(lambda: inside.posted_count == 20)
+        (gateway_side,) = gateway.listener.clients
+        until(lambda: gateway_side.posted_count == 20)
         client.sock.close()
-        until(lambda: inside.is_ending)
+        until(lambda: gateway_side.is_ending)
     until(lambda: gateway.count("interrupted") == 20)
     assert gateway.core.gateway.submitted == 0
     assert not engine.received
@@ -70,12 +70,12 @@
 
 @pytest.mark.parametrize("how", ["closes", "interrupts"])
 def test_a_disconnect_or_interrupt_is_noticed_during_a_pause(gateway_without_engines, how):
-    """The reader slept: the held command went out while its client's end lay unread."""
-    gateway, client, feed = gateway_without_engines(connect_timeout=3.0)
+    """Guards against a reader that sleeps in the pause: the waiting command would be sent to an engine."""
+    gateway, client, discovery = gateway_without_engines(connect_timeout=3.0)
     other, engine = Caller(gateway.address), Engine()
     seq = client.ask(limit=7000)
     until(lambda: gateway.core.requests.by_number)
-    client.ask("odd")  # unusable: whoever asks so is not listened to for a while
+    client.ask("odd")  # an unknown profile: an invalid request begins a pause
     assert client.answer()[1] == "fault"
     began = time.monotonic()
     if how == "closes":
@@ -84,7 +84,7 @@
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
     assert time.monotonic() - began < 1
-    feed.send(event(2, ("s-0", engine.address, "ready")))
+    discovery.send(event(2, ("s-0", engine.address, "ready")))
     seq = other.ask()
     assert other.answer() == (seq, b"a\tb\tc\n")
     assert len(engine.messages(b"fetch")) == 1
@@ -94,21 +94,21 @@
 def test_calls_deferred_in_a_pause_are_handled_after_it_unless_interrupted(start):
     engine = Engine(endless, ok())
     gateway, client = start(engine, connect_timeout=0.5)
-    held = client.ask("once")
+    running = client.ask("once")
     until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
-    bad = client.ask("odd")
-    first, back, last = (client.ask(txn=b"f%015x" % n) for n in (1, 2, 3))
-    client.interrupt(back)
+    invalid = client.ask("odd")
+    first, interrupted, last = (client.ask(txn=b"f%015x" % n) for n in (1, 2, 3))
+    client.interrupt(interrupted)
     check = client.send("check", b"\x02\0\1\1")
     answers = [client.answer() for _ in range(4)]
-    assert answers[0] == (bad, "fault")
+    assert answers[0] == (invalid, "fault")
     assert time.monotonic() - began >= 0.5
     assert set(answers[1:]) == {(first, b"a\tb\tc\n"), (last, b"a\tb\tc\n"), (check, b"")}
     assert sorted(words[2] for words in engine.messages(b"fetch")[1:]) == [b"f%015x" % n for n in (1, 3)]
     assert gateway.count("requests_received") == 5
     assert gateway.count("interrupted") == 1
-    client.interrupt(held)
+    client.interrupt(running)
 
 
 def test_deferred_calls_are_limited_during_a_pause(start):
@@ -116,92 +116,94 @@
     client.ask("once")
     client.ask("odd")
     assert client.answer()[1] == "fault"
-    (inside,) = gateway.listener.clients
+    (gateway_side,) = gateway.listener.clients
     for _ in range(400):
         client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
     until(
         lambda: (
-            len(inside.backpressure.deferred_calls) >= client_limits.MAX_OPEN_REQUESTS
-            or inside.backpressure.deferred_bytes > backpressure.MAX_DEFERRED_BYTES
+            len(gateway_side.backpressure.deferred_calls) >= client_limits.MAX_OPEN_REQUESTS
+            or gateway_side.backpressure.deferred_bytes > backpressure.MAX_DEFERRED_BYTES
         )
     )
-    assert inside.backpressure.deferred_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
-    assert len(inside.backpressure.deferred_calls) <= client_limits.MAX_OPEN_REQUESTS
-    # The rest is read slowly, a buffer at a time, and turned away: an interrupt may stand behind it.
-    turned, began = gateway.count("rejected_backpressure"), time.monotonic()
-    until(lambda: gateway.count("rejected_backpressure") > turned)
-    assert inside.backpressure.deferred_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
-    assert len(inside.backpressure.deferred_calls) <= client_limits.MAX_OPEN_REQUESTS
-    # That it has left stands behind two megabytes, and is seen in the pause: it was seen when that was over.
+    assert gateway_side.backpressure.deferred_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
+    assert len(gateway_side.backpressure.deferred_calls) <= client_limits.MAX_OPEN_REQUESTS
+    # The rest is read slowly, a buffer at a time, and rejected: an interrupt may follow it.
+    rejected, began = gateway.count("rejected_backpressure"), time.monotonic()
+    until(lambda: gateway.count("rejected_backpressure") > rejected)
+    assert gateway_side.backpressure.deferred_bytes <= 2 * backpressure.MAX_DEFERRED_BYTES
+    assert len(gateway_side.backpressure.deferred_calls) <= client_limits.MAX_OPEN_REQUESTS
+    # The end of the stream follows two megabytes, yet is noticed during the pause and not only after it.
     client.sock.close()
-    until(lambda: inside.has_left)
+    until(lambda: gateway_side.has_left)
     assert time.monotonic() - began < 0.5
     until(lambda: not gateway.listener.clients)
 
 
 def test_a_request_is_shed_when_the_statement_memory_is_exhausted(start):
-    """Thirty-two of the largest on each of ten connections were sixty megabytes, of a limit of eighty."""
+    """Without a limit, 32 of the largest statements on each of 10 connections took 60 of 80 MB."""
     engine = Engine(endless)
     gateway, client = start(engine)
     assert gateway.core.statement_memory.max_bytes == 192 * 2**20 // 8
     gateway.core.statement_memory.max_bytes = 10_000
-    asked = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
+    seqs = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
     until(lambda: len(engine.messages(b"fetch")) == 2)
     other = Caller(gateway.address)
     big = other.ask(body=b"select 1 from sales_3.t" + b" " * 4000)
     assert other.answer() == (big, "shed")
     assert gateway.count("rejected_statement_memory") == 1
-    client.interrupt(asked[0])
+    client.interrupt(seqs[0])
     until(lambda: gateway.core.statement_memory.used_bytes < 5000)
     other.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000)
     until(lambda: len(engine.messages(b"fetch")) == 3)
 
 
 def test_connections_that_do_not_read_are_ended_when_unread_answers_exceed_their_memory(start):
-    """A connection may hold eight megabytes, and there may be hundreds."""
+    """One connection may buffer 8 MB of answers, and there may be hundreds."""
     gateway, client = start(Engine())
-    room, frame = gateway.core.statement_memory, thrift.encode_answer("execute", 1, b"x\ty\tz\n" * 8000)
-    room.max_bytes = 2_000_000
-    crowd = []
+    memory, frame = gateway.core.statement_memory, thrift.encode_answer("execute", 1, b"x\ty\tz\n" * 8000)
+    memory.max_bytes = 2_000_000
+    unread = []
     for _ in range(12):
-        crowd.append(Caller(gateway.address))
-        crowd[-1].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        unread.append(Caller(gateway.address))
+        unread[-1].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     until(lambda: len(gateway.listener.clients) == 13)
-    asks = client.sock.getsockname()[1]
-    inside = [one for one in list(gateway.listener.clients) if one.peer.connection != f"127.0.0.1:{asks}"]
-    most = 0
+    reading_port = client.sock.getsockname()[1]
+    unread_sides = [
+        one for one in list(gateway.listener.clients) if one.peer.connection != f"127.0.0.1:{reading_port}"
+    ]
+    most_bytes = 0
     for _ in range(400):
-        for one in inside:
+        for one in unread_sides:
             if not one.write_buffer.is_closed:
                 one.put(frame)
-        most = max(most, sum(one.write_buffer.size for one in inside))
-    assert room.max_bytes < most < room.max_bytes + 12 * 2 * len(frame)
+        most_bytes = max(most_bytes, sum(one.write_buffer.size for one in unread_sides))
+    assert memory.max_bytes < most_bytes < memory.max_bytes + 12 * 2 * len(frame)
     assert 0 < gateway.count("answers_undeliverable") <= 12
     seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")  # who reads is served on
+    assert client.answer() == (seq, b"a\tb\tc\n")  # a client that reads is still served
 
 
 def test_open_requests_are_answered_when_malformed_bytes_end_their_connection(start):
-    """What was open there was dropped unanswered, its client still waiting for it."""
+    """Guards against requests that are dropped though their client still waits for the answers."""
     engine = Engine(endless)
     gateway, client = start(engine)
     other = Caller(gateway.address)
-    kept = other.ask("once", limit=2000)
-    asked = [client.ask(), client.ask("once")]
+    other_seq = other.ask("once", limit=2000)
+    seqs = [client.ask(), client.ask("once")]
     until(lambda: len(engine.messages(b"fetch")) == 3)
     client.sock.sendall(b"\xff\xff\xff\xff" * 10)
-    assert {client.answer(), client.answer()} == {(asked[0], "shed"), (asked[1], "fault")}
+    assert {client.answer(), client.answer()} == {(seqs[0], "shed"), (seqs[1], "fault")}
     assert client.answer() is None
-    assert other.answer() == (kept, "fault")  # at its own time, untouched by that
+    assert other.answer() == (other_seq, "fault")  # at its own client timeout
     assert gateway.count("client_connections_ended_malformed") == 1
 
 
 def test_deferred_requests_are_answered_when_malformed_bytes_end_their_connection(start):
     gateway, client = start(Engine(endless), connect_timeout=2.0)
-    held, bad, seq = client.ask("once"), client.ask("odd"), client.ask()
+    running, invalid, deferred = client.ask("once"), client.ask("odd"), client.ask()
     client.sock.sendall(b"\xff\xff\xff\xff")
-    assert client.answer() == (bad, "fault")
-    assert {client.answer(), client.answer()} == {(seq, "shed"), (held, "fault")}
+    assert client.answer() == (invalid, "fault")
+    assert {client.answer(), client.answer()} == {(deferred, "shed"), (running, "fault")}
     assert client.answer() is None
 
 
@@ -216,28 +218,28 @@
 
 
 def leave_while_the_core_is_blocked(gateway, client, requests, blocked_s):
-    """Close a client's connection so that its end is handled once the core was blocked for so long."""
+    """Close a client's connection; the core handles its end after it was blocked for blocked_s."""
     until(lambda: client_open(gateway) == requests and gateway.count("attempts_ended_overloaded"))
     until(lambda: not any(connection.open for connection in list(gateway.core.pool.connections)))
-    (inside,) = gateway.listener.clients
+    (gateway_side,) = gateway.listener.clients
     with BlockedCore(gateway.core):
         client.sock.close()
-        until(lambda: inside.has_left)
+        until(lambda: gateway_side.has_left)
         time.sleep(blocked_s)
     until(lambda: gateway.count(CLIENT_CLOSED) == 1 and not gateway.listener.clients)
-    return inside
+    return gateway_side
 
 
 def test_all_requests_of_a_client_that_leaves_are_dropped_when_dropping_one_sheds_others(
     gateway_with_queued_requests,
 ):
-    """Guards against an event that fails half way: the other requests stayed open and could be sent."""
+    """Guards against an event that fails half way and leaves the other requests open to be sent."""
     gateway, client, _ = gateway_with_queued_requests
     requests = {client.ask(limit=600) for _ in range(20)}
-    inside = leave_while_the_core_is_blocked(gateway, client, requests, blocked_s=0.7)
-    assert not inside.open_requests
+    gateway_side = leave_while_the_core_is_blocked(gateway, client, requests, blocked_s=0.7)
+    assert not gateway_side.open_requests
     assert not gateway.core.requests.by_number
-    assert inside.write_buffer.is_finishing
+    assert gateway_side.write_buffer.is_finishing
     assert not gateway.count("shed")
     assert not gateway.count("internal_faults")
 
@@ -245,7 +247,7 @@
 def test_no_attempt_is_sent_for_a_client_that_leaves_when_dropping_one_request_makes_room_for_another(
     gateway_with_queued_requests,
 ):
-    """Guards against attempts for a client that has left: its requests were dropped one after the other."""
+    """Guards against requests that are dropped one by one: the second would be sent in place of the first."""
     gateway, client, engine = gateway_with_queued_requests
     requests = {client.ask(limit=4000) for _ in range(6)}
     leave_while_the_core_is_blocked(gateway, client, requests, blocked_s=2.1)
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -126,9 +126,9 @@
     gateway, client = start(Engine(ok(b"x\ty\tz\n" * 800)))
     seq = client.ask()
     until(lambda: gateway.count("answered") == 1)
-    (inside,) = gateway.listener.clients
-    inside.write_buffer.finish()
-    inside.put(thrift.encode_shed(99, {}))  # too late: passed over, no fault
+    (gateway_side,) = gateway.listener.clients
+    gateway_side.write_buffer.finish()
+    gateway_side.put(thrift.encode_shed(99, {}))  # too late: passed over, no fault
     assert client.answer() == (seq, b"x\ty\tz\n" * 800)
     assert read_to_end(client) == (b"", True)
     assert not gateway.count("answers_undeliverable")
