--- a/tests/byte_streams.py
+++ b/tests/byte_streams.py
@@ -1,4 +1,4 @@
-"""Bytes as they may arrive, for tests of the protocols' state machines without sockets."""
+"""Input bytes in pieces of any size, for tests of decoders without sockets."""
 
 import struct
 from collections.abc import Callable, Iterable
@@ -11,30 +11,31 @@
 
 MAX_MESSAGE_BYTES = 60_000
 
-PIECE_SIZES = st.lists(st.integers(1, 4000), max_size=12)
+PIECE_SIZES = st.lists(st.integers(1, 4000), max_size=12)  # sizes in bytes
 
-SEEDED = settings(derandomize=True, deadline=None, database=None, max_examples=60)
+# The same examples in every run.
+DETERMINISTIC = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 
 
 def read_in_pieces(
-    machine: Any, read: Callable[[Any], Iterable[Any]], data: bytes, sizes: list[int]
+    decoder: Any, read: Callable[[Any], Iterable[Any]], data: bytes, sizes: list[int]
 ) -> list[Any]:
-    """All that a state machine finds in data that comes in pieces.
+    """Return all that a decoder yields for data that arrive in pieces.
 
-    sizes: of the first pieces, in bytes; they are taken out of the list. The rest comes byte by byte if the
+    sizes: bytes of the first pieces; they are removed from the list. The rest arrives byte by byte if the
     data are short, or else in larger pieces.
     """
     found, at = [], 0
     while at < len(data):
         size = sizes.pop(0) if sizes else 1 if len(data) < 600 else 997
-        machine.buffer.put(data[at : at + size])
-        found += list(read(machine))
+        decoder.buffer.put(data[at : at + size])
+        found += list(read(decoder))
         at += size
     return found
 
 
 def encode_string(data: bytes) -> bytes:
-    """A string of the Thrift protocol: its length in 4 bytes, then its bytes."""
+    """Return a Thrift string: its length in 4 bytes, then its bytes."""
     return struct.pack(">i", len(data)) + data
 
 
@@ -46,7 +47,10 @@
     kind: int = thrift.CALL,
     extra: bytes = b"",
 ) -> bytes:
-    """A client's frame, built by hand; extra: bytes of fields before the others."""
+    """Return the frame of a call, built without the encoder under test.
+
+    extra: encoded fields that precede the others.
+    """
     pairs = b"".join(encode_string(key) + encode_string(value) for key, value in (fields or {}).items())
     arguments = extra + b"\x0d\x00\x01" + struct.pack(">BBi", 11, 11, len(fields or {})) + pairs
     arguments += b"\x0b\x00\x02" + encode_string(body) if body is not None else b""
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -1,4 +1,4 @@
-"""The buffer of a connection."""
+"""The read buffer of a connection."""
 
 import pytest
 
@@ -7,15 +7,15 @@
 
 
 def test_a_buffer_grows_compacts_shrinks_and_has_a_limit():
-    one = buffer.Buffer(20_000)
-    one.put(b"x" * 9000)
-    one.consume(8000)
-    size = len(one.data)
-    one.put(b"y" * (size - 1500))  # fits once what was used has made room
-    assert len(one.data) == size
-    assert one.peek(1001) == b"x" * 1000 + b"y"
+    read_buffer = buffer.Buffer(20_000)
+    read_buffer.put(b"x" * 9000)
+    read_buffer.consume(8000)
+    size = len(read_buffer.data)
+    read_buffer.put(b"y" * (size - 1500))  # fits only after consumed bytes are removed
+    assert len(read_buffer.data) == size
+    assert read_buffer.peek(1001) == b"x" * 1000 + b"y"
     with pytest.raises(ProtocolError):
-        one.put(b"z" * 20_000)
-    one.consume(len(one))
-    assert len(one.data) == buffer.INITIAL_BYTES
-    assert len(one) == 0
+        read_buffer.put(b"z" * 20_000)
+    read_buffer.consume(len(read_buffer))
+    assert len(read_buffer.data) == buffer.INITIAL_BYTES
+    assert len(read_buffer) == 0
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""The queue of the core's events, and the estimate of how long a new one waits for the core."""
+"""The order and age of queued events, and which requests the overload control admits."""
 
 import pytest
 
@@ -9,18 +9,18 @@
 from gullhold.net.overload import MAX_AGE_DIVISOR, MAX_WAIT_DIVISOR, MIN_EVENTS_FOR_AGE_CHECK, OverloadControl
 from gullhold.testing.deployment import settings
 
-TIMEOUT_US = 4_000_000  # of all profiles of a small deployment
+TIMEOUT_US = 4_000_000  # client timeout of all profiles of a small deployment
 MAX_WAIT_US = TIMEOUT_US // MAX_WAIT_DIVISOR
 MAX_AGE_US = TIMEOUT_US // MAX_AGE_DIVISOR
 
 
 def event(name, posted_at_us=0):
-    """An event that a test can tell from others."""
+    """Return an event with a name."""
     return PostedEvent(posted_at_us, print, (name,))
 
 
 def names(queue):
-    """Take all events; their names."""
+    """Take all events of a queue; return their names."""
     taken = []
     while (each := queue.take()) is not None:
         taken.append(each.args[0])
@@ -51,12 +51,12 @@
 
 
 class StoppedClockLoop(EventLoop):
-    """A loop whose time a test sets."""
+    """An event loop with a clock that the test sets."""
 
     now_us = 1_000_000
 
     def clock(self):
-        """Return the time that the test has set."""
+        """Return now_us."""
         return self.now_us
 
 
@@ -90,7 +90,7 @@
 
 
 def test_requests_are_admitted_when_only_a_few_events_are_old(loop_and_control):
-    """Guards against requests that are shed though the core is done with what waits in a moment."""
+    """After a pause of the process all events are old, but a few of them are soon processed."""
     loop, control = loop_and_control
     for _ in range(MIN_EVENTS_FOR_AGE_CHECK - 1):
         loop.post(print)
@@ -101,7 +101,7 @@
 
 
 def test_requests_are_rejected_when_many_young_events_would_take_too_long(loop_and_control):
-    """Guards against a burst: all of it is posted before the first event has grown old."""
+    """In a burst all events are posted before the first of them is old."""
     loop, control = loop_and_control
     for _ in range(200):
         control.record_interval(MAX_WAIT_US // 100)
--- a/tests/test_overload_service.py
+++ b/tests/test_overload_service.py
@@ -1,4 +1,4 @@
-"""Crowds that ask for far more than a gateway can do, judged by what their clients wrote and got."""
+"""A gateway process under far more load than it can take, judged by what its clients sent and received."""
 
 import time
 
@@ -9,12 +9,12 @@
 from gullhold.testing.load_process import Crowd, LoadProcesses
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, serving_status
 
-KILL_AT_S = 3.7  # after SIGTERM, with client timeouts of 3 s and more
+KILL_AT_S = 3.7  # time from SIGTERM to the kill, with client timeouts of 3 s and more
 PATIENT_QUEUE = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
 
 
 def crowd(open_each, limit_ms, processes=2, clients=8):
-    """Clients with ten connections each and so many requests open on each of these."""
+    """Clients with 10 connections each and open_each open requests on each connection."""
     options = {
         "open": 10 * open_each,
         "connections": 10,
@@ -25,12 +25,12 @@
 
 
 def answers(counts):
-    """How many requests were answered, in any way."""
+    """Number of requests with an answer of any kind."""
     return counts.answered + counts.shed + counts.failed
 
 
 def run_crowd(open_each, operator):
-    """Three seconds of a crowd with a client timeout of 1 s; its counts, and the gateway after its end."""
+    """Run clients with a client timeout of 1 s for 3 s; check the gateway's exit and return their counts."""
     with RunningDeployment(operator=operator, slots=16, timeout_s=1.0, max_open=1000) as running:
         clients = LoadProcesses(running.address, crowd(open_each, limit_ms=1000))
         clients.start()
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("operator", ["", PATIENT_QUEUE], ids=["no queue", "queue"])
 def test_a_crowd_gets_its_answers_and_costs_no_more_than_half_of_what_is_answered_well(operator):
-    """Guards against a queue before the core that grows with what clients send: nothing came in time."""
+    """Guards against an event queue that grows with the load until no answer arrives in time."""
     usual = run_crowd(2, operator)
     crowded = run_crowd(32, operator)
     assert usual.answered > 100
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("cores", ["all cores", "one core"])
 def test_all_requests_that_were_read_are_answered_when_sigterm_comes_during_a_flood(cores):
-    """Guards against requests that were read and closed with no answer: thousands, in time or not."""
+    """Guards against requests that are read but not answered before the connection closes."""
     with RunningDeployment(operator=PATIENT_QUEUE, slots=0, timeout_s=8.0, max_open=30000) as running:
         assert serving_status(running.address)
         if cores == "one core":
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -1,4 +1,4 @@
-"""What happens between the pages of a result, and at the end of the process."""
+"""Events between the pages of a result, and connections at the end of the process."""
 
 import signal
 import threading
@@ -15,16 +15,16 @@
 
 
 def test_a_result_is_complete_when_its_engine_drains_between_two_pages(tmp_path):
-    feed = DiscoveryService()
+    discovery = DiscoveryService()
 
     def drains(conn, verb, *words):
         if verb == b"more":
-            feed.send(event(2, ("s-0", engine.address, "draining")))
+            discovery.send(event(2, ("s-0", engine.address, "draining")))
             until(lambda: gateway.count("endpoint_list_events") == 2)
         ok(b"1\t2\t3\n", b"4\t5\t6\n")(conn, verb, *words)
 
     engine = Engine(drains)
-    gateway = Gateway(tmp_path, config(engine) | {"coordinator": feed.address})
+    gateway = Gateway(tmp_path, config(engine) | {"coordinator": discovery.address})
     client = Caller(gateway.address)
     seq = client.ask("once")
     assert client.answer() == (seq, b"1\t2\t3\n4\t5\t6\n")
@@ -50,7 +50,10 @@
 
 
 def test_connections_of_resting_clients_end_without_a_reset_when_the_process_ends(launch):
-    """Exiting over unread bytes resets: some clients rest until the gateway ends them, and ask just then."""
+    """A process that exits with unread bytes resets the connection.
+
+    Idle clients that send a request just when the gateway shuts down its side cause this.
+    """
     engine, port = Engine(), free_port()
     process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: listens(port))
@@ -59,10 +62,10 @@
         seq = caller.ask()
         assert caller.answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGTERM)
-    ends, sent = [], len(engine.messages(b"fetch"))
+    ends, fetch_count = [], len(engine.messages(b"fetch"))
 
-    def rests(caller):
-        """Reads to the end that the gateway says, and asks in that very moment."""
+    def request_at_end(caller):
+        """Read to the end of the stream, and send a request at that moment."""
         ends.append(read_to_end(caller))
         try:
             caller.ask()
@@ -70,44 +73,47 @@
         except OSError:
             ends.append((b"", False))
 
-    threads = [threading.Thread(target=rests, args=(caller,)) for caller in callers]
+    threads = [threading.Thread(target=request_at_end, args=(caller,)) for caller in callers]
     for thread in threads:
         thread.start()
     assert process.wait(PATIENCE) == 0
     for thread in threads:
         thread.join()
     assert ends.count((b"", True)) >= 10
-    assert len(engine.messages(b"fetch")) == sent
+    assert len(engine.messages(b"fetch")) == fetch_count
     assert [end for end in ends if end[0]] == []
 
 
 def test_requests_sent_during_the_shutdown_are_answered_or_their_connection_ends_without_a_reset(launch):
-    """Clients that ask again at once: the reader slept between reads, and the process ended over the rest."""
+    """Guards against a reader that sleeps between reads while clients send their next requests at once.
+
+    The process then exits with unread requests and resets the connections.
+    """
     engine, port = Engine(), free_port()
-    told = config(engine) | {"listen": f"127.0.0.1:{port}"}
-    for item in told["settings"]["categories"]:
+    configuration = config(engine) | {"listen": f"127.0.0.1:{port}"}
+    for item in configuration["settings"]["categories"]:
         item["give_up"] = 1.0
-    process = launch(told)
+    process = launch(configuration)
     until(lambda: listens(port))
-    broken, odd = [], []
+    wrong_results, wrong_ids = [], []
 
-    def asks():
+    def send_requests():
         caller = Caller(("127.0.0.1", port))
         while True:
             try:
                 seq = caller.ask(limit=900)
             except OSError:
-                return  # it had ended before
+                return  # the connection had ended before
             answer = caller.answer()
             if answer is None:
                 return
             if answer[0] != seq:
-                odd.append(answer)
+                wrong_ids.append(answer)
             if answer[1] not in (b"a\tb\tc\n", "shed"):
-                broken.append(answer)
+                wrong_results.append(answer)
             time.sleep(0.002)
 
-    threads = [threading.Thread(target=asks) for _ in range(8)]
+    threads = [threading.Thread(target=send_requests) for _ in range(8)]
     for thread in threads:
         thread.start()
     time.sleep(0.3)
@@ -117,18 +123,17 @@
     assert time.monotonic() - began < 1.0 + 0.7
     for thread in threads:
         thread.join(PATIENCE)
-    assert not broken
-    assert not odd
+    assert not wrong_results
+    assert not wrong_ids
 
 
 def test_answers_put_before_the_end_of_a_connection_arrive_whole_and_later_ones_are_dropped(start):
-    """What was put before the end goes out whole, and nothing after it."""
     gateway, client = start(Engine(ok(b"x\ty\tz\n" * 800)))
     seq = client.ask()
     until(lambda: gateway.count("answered") == 1)
     (gateway_side,) = gateway.listener.clients
     gateway_side.write_buffer.finish()
-    gateway_side.put(thrift.encode_shed(99, {}))  # too late: passed over, no fault
+    gateway_side.put(thrift.encode_shed(99, {}))  # dropped, as our side ends; not counted as undeliverable
     assert client.answer() == (seq, b"x\ty\tz\n" * 800)
     assert read_to_end(client) == (b"", True)
     assert not gateway.count("answers_undeliverable")
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Requests of clients: read in the decision module's units, or rejected."""
+"""The request reader: conversion to the decision module's units, invalid fields, and known rejections."""
 
 import pytest
 
@@ -17,8 +17,7 @@
     }
 )
 
-
-ASKED = {
+VALID_FIELDS = {
     b"verb": b"lookup",
     b"txn": b"9b1f03aa5c7e2d41",
     b"limit": b"1500",
@@ -30,30 +29,38 @@
 
 def test_a_request_is_converted_to_the_decision_modules_units():
     reader = request_reader.RequestReader(AGREEMENT)
-    got = reader.read_request({**ASKED, b"second": b"1"}, b"select * from sales_17.t")
-    assert (got.timeout_us, got.work_us, got.memory_mb, got.table_group, got.is_retry) == (
+    request = reader.read_request({**VALID_FIELDS, b"second": b"1"}, b"select * from sales_17.t")
+    assert (
+        request.timeout_us,
+        request.work_us,
+        request.memory_mb,
+        request.table_group,
+        request.is_retry,
+    ) == (
         1_500_000,
         820_500,
         96.0,
         17,
         True,
     )
-    assert got.ordering_key == 0
-    assert got.idempotency_key == b""
-    assert got.profile == got.tenant == 0
+    assert request.ordering_key == 0
+    assert request.idempotency_key == b""
+    assert request.profile == request.tenant == 0
     one, other = (
-        reader.read_request({**ASKED, b"verb": b"load", b"unique": b"5c"}, b"insert into a_1.%s" % t)
+        reader.read_request({**VALID_FIELDS, b"verb": b"load", b"unique": b"5c"}, b"insert into a_1.%s" % t)
         for t in (b"x", b"y")
     )
     assert one.ordering_key
     assert other.ordering_key
     assert one.ordering_key != other.ordering_key
-    bare = reader.read_request({k: v for k, v in ASKED.items() if k not in (b"cpu", b"memory")}, b"")
-    assert bare.work_us == bare.memory_mb == bare.table_group == 0
+    minimal = reader.read_request(
+        {k: v for k, v in VALID_FIELDS.items() if k not in (b"cpu", b"memory")}, b""
+    )
+    assert minimal.work_us == minimal.memory_mb == minimal.table_group == 0
 
 
 @pytest.mark.parametrize(
-    "change",
+    "changed_fields",
     [
         {b"verb": b"load"},
         {b"unique": b"a,b"},
@@ -70,8 +77,8 @@
         {b"limit": None},
     ],
 )
-def test_an_invalid_field_raises_request_error(change):
-    fields = {k: v for k, v in {**ASKED, **change}.items() if v is not None}
+def test_an_invalid_field_raises_request_error(changed_fields):
+    fields = {k: v for k, v in {**VALID_FIELDS, **changed_fields}.items() if v is not None}
     with pytest.raises(request_reader.RequestError):
         request_reader.RequestReader(AGREEMENT).read_request(fields, b"select 1")
 
@@ -83,13 +90,12 @@
     fields = {b"verb": b"read", b"txn": b"%016x" % 1, b"team": b"acme", b"desk": b"d"}
     known = {RejectedFlow(0, b"c:d", 0): KnownRejection(1000, 5_000_000)}
     assert reader.known_rejection(fields, peer, known, 999) == ({},)
-    assert reader.known_rejection(fields, peer, known, 1000) is None  # its time is over
+    assert reader.known_rejection(fields, peer, known, 1000) is None  # no longer known to be rejected
     assert reader.known_rejection(fields | {b"desk": b"other"}, peer, known, 5) is None
     assert reader.known_rejection(fields | {b"verb": b"mark"}, peer, known, 5) is None
-    assert (
-        reader.known_rejection(fields | {b"txn": b"no"}, peer, known, 5) is None
-    )  # unusable: that is the answer
-    # A repeat is told the time of the first promise; once that has come, the door decides.
+    # An invalid request is answered as such.
+    assert reader.known_rejection(fields | {b"txn": b"no"}, peer, known, 5) is None
+    # A retry gets the remainder of the first Retry-After time; after that the admission queue decides.
     assert reader.known_rejection(fields | {b"second": b"1"}, peer, known, 0) == ({b"back": b"5000"},)
     assert (
         reader.known_rejection(
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,7 +1,7 @@
-"""RESP arrays and field lists: complete, cut at random; malformed ones."""
+"""RESP arrays, decoded whole and in pieces, malformed arrays, and field lists."""
 
 import pytest
-from byte_streams import MAX_MESSAGE_BYTES, PIECE_SIZES, SEEDED, read_in_pieces
+from byte_streams import DETERMINISTIC, MAX_MESSAGE_BYTES, PIECE_SIZES, read_in_pieces
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -9,14 +9,14 @@
 from gullhold.net.connection_ends import ProtocolError
 
 
-@SEEDED
+@DETERMINISTIC
 @given(
     arrays=st.lists(st.lists(st.binary(max_size=7000), min_size=1, max_size=5), min_size=1, max_size=4),
-    cuts=PIECE_SIZES,
+    piece_sizes=PIECE_SIZES,
 )
-def test_arrays_are_decoded_alike_however_their_bytes_are_split(arrays, cuts):
-    data = b"".join(resp.encode(*words) for words in arrays)
-    assert read_in_pieces(resp.Decoder(MAX_MESSAGE_BYTES), resp.Decoder.arrays, data, cuts) == arrays
+def test_arrays_are_decoded_alike_however_their_bytes_are_split(arrays, piece_sizes):
+    data = b"".join(resp.encode(*strings) for strings in arrays)
+    assert read_in_pieces(resp.Decoder(MAX_MESSAGE_BYTES), resp.Decoder.arrays, data, piece_sizes) == arrays
 
 
 @pytest.mark.parametrize(
@@ -38,10 +38,10 @@
     ],
 )
 def test_bytes_other_than_an_array_of_bulk_strings_raise_protocol_error(data):
-    machine = resp.Decoder(MAX_MESSAGE_BYTES)
-    machine.buffer.put(data)
+    decoder = resp.Decoder(MAX_MESSAGE_BYTES)
+    decoder.buffer.put(data)
     with pytest.raises(ProtocolError):
-        list(machine.arrays())
+        list(decoder.arrays())
 
 
 def test_field_lists_are_decoded_and_encoded():
--- a/tests/test_statement.py
+++ b/tests/test_statement.py
@@ -1,4 +1,4 @@
-"""The group of tables of a statement."""
+"""The table group of a statement."""
 
 import pytest
 
--- a/tests/test_thrift.py
+++ b/tests/test_thrift.py
@@ -1,9 +1,16 @@
-"""Thrift messages: complete, byte by byte, cut at random; malformed ones."""
+"""Thrift messages: decoded whole and in pieces, malformed, and encoded."""
 
 import struct
 
 import pytest
-from byte_streams import MAX_MESSAGE_BYTES, PIECE_SIZES, SEEDED, encode_call, encode_string, read_in_pieces
+from byte_streams import (
+    DETERMINISTIC,
+    MAX_MESSAGE_BYTES,
+    PIECE_SIZES,
+    encode_call,
+    encode_string,
+    read_in_pieces,
+)
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -11,14 +18,14 @@
 from gullhold.net.connection_ends import ProtocolError
 
 
-@SEEDED
-@given(bodies=st.lists(st.binary(max_size=9000), min_size=1, max_size=5), cuts=PIECE_SIZES)
-def test_calls_are_decoded_alike_however_their_bytes_are_split(bodies, cuts):
+@DETERMINISTIC
+@given(bodies=st.lists(st.binary(max_size=9000), min_size=1, max_size=5), piece_sizes=PIECE_SIZES)
+def test_calls_are_decoded_alike_however_their_bytes_are_split(bodies, piece_sizes):
     data = b"".join(
         encode_call(seq=i, fields={b"txn": b"%d" % i, b"verb": b""}, body=body)
         for i, body in enumerate(bodies)
     )
-    calls = read_in_pieces(thrift.Decoder(MAX_MESSAGE_BYTES), thrift.Decoder.calls, data, cuts)
+    calls = read_in_pieces(thrift.Decoder(MAX_MESSAGE_BYTES), thrift.Decoder.calls, data, piece_sizes)
     assert [(c.sequence_id, c.fields[2, thrift.STRING]) for c in calls] == list(enumerate(bodies))
     assert all(c.fields[1, thrift.MAP] == {b"txn": b"%d" % c.sequence_id, b"verb": b""} for c in calls)
 
@@ -77,43 +84,43 @@
     ],
 )
 def test_invalid_thrift_bytes_raise_protocol_error(data):
-    machine = thrift.Decoder(MAX_MESSAGE_BYTES)
-    machine.buffer.put(data)
+    decoder = thrift.Decoder(MAX_MESSAGE_BYTES)
+    decoder.buffer.put(data)
     with pytest.raises(ProtocolError):
-        list(machine.calls())
+        list(decoder.calls())
 
 
-@SEEDED
+@DETERMINISTIC
 @given(data=st.binary(max_size=300))
 def test_random_bytes_decode_or_raise_protocol_error(data):
-    for machine, read in (
+    for decoder, read in (
         (thrift.Decoder(MAX_MESSAGE_BYTES), thrift.Decoder.calls),
         (resp.Decoder(MAX_MESSAGE_BYTES), resp.Decoder.arrays),
     ):
         for piece in (data, encode_string(encode_call()[4:12] + data), b"*2\r\n$" + data):
             try:
-                machine.buffer.put(piece)
-                list(read(machine))
+                decoder.buffer.put(piece)
+                list(read(decoder))
             except ProtocolError:
                 break
 
 
 def test_replies_are_encoded_as_complete_strict_frames():
-    for message, kind in (
+    for message, message_type in (
         (thrift.encode_answer("execute", 7, b"a\tb\tc\n"), thrift.REPLY),
         (thrift.encode_shed(7, {}), thrift.REPLY),
         (thrift.encode_fault(7, "no"), thrift.REPLY),
         (thrift.encode_application_exception("x", 7, thrift.UNKNOWN_METHOD, "?"), thrift.EXCEPTION),
     ):
-        size, version, _, found = struct.unpack(">iHBB", message[:8])
+        size, version, _, found_type = struct.unpack(">iHBB", message[:8])
         assert size == len(message) - 4
         assert version == 0x8001
-        assert found == kind
-        scan = thrift.FrameReader(message[8:])
-        scan.read_string()
-        assert scan.read_number(thrift.I32_FORMAT) == 7
-        result = scan.read_struct()
-        assert scan.position == len(scan.data)
+        assert found_type == message_type
+        reader = thrift.FrameReader(message[8:])
+        reader.read_string()
+        assert reader.read_number(thrift.I32_FORMAT) == 7
+        result = reader.read_struct()
+        assert reader.position == len(reader.data)
         if message == thrift.encode_answer("execute", 7, b"a\tb\tc\n"):
             assert result[0, thrift.STRUCT][1, thrift.STRING] == b"a\tb\tc\n"
             assert result[0, thrift.STRUCT][3, thrift.BOOL] is True
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -1,4 +1,4 @@
-"""The write buffer of a connection: withdrawal, backpressure and its end."""
+"""The write buffer of a connection: withdrawal, its limit and its end."""
 
 import socket
 from threading import Thread
@@ -11,54 +11,54 @@
 from gullhold.net.write_buffer import WriteBuffer
 
 
-def flushing():
-    """A flusher that runs."""
+def running_flusher():
+    """Return a flusher whose thread is running."""
     flusher = Flusher()
     Thread(target=flusher.run, daemon=True).start()
     return flusher
 
 
 def tcp_pair():
-    """Two sockets of one connection over loopback."""
+    """Return both sockets of a connection over loopback."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return socket.create_connection(sock.getsockname()), sock.accept()[0]
 
 
 def test_only_messages_of_which_nothing_was_written_can_be_withdrawn():
     ours, theirs = tcp_pair()
-    pipe, connection = WriteBuffer(50_000_000, Counters(), flushing()), Connection(ours)
-    waits = b"w" * 10
-    assert pipe.put(waits) == 10
-    assert not pipe.is_written(10)
-    assert pipe.withdraw(waits)
-    assert not pipe.withdraw(waits)
-    pipe.attach(connection)
+    write_buffer, connection = WriteBuffer(50_000_000, Counters(), running_flusher()), Connection(ours)
+    waiting = b"w" * 10
+    assert write_buffer.put(waiting) == 10
+    assert not write_buffer.is_written(10)
+    assert write_buffer.withdraw(waiting)
+    assert not write_buffer.withdraw(waiting)
+    write_buffer.attach(connection)
     large, last = b"x" * 9_000_000, b"y" * 10
-    end = pipe.put(large)  # more than the system takes: a writer goes on with it
-    pipe.put(last)
-    assert not pipe.is_written(end)
-    assert not pipe.withdraw(large)
-    assert pipe.withdraw(last)
-    assert not pipe.finish()
-    got = bytearray()
-    while data := theirs.recv(1 << 20):  # to the end: our side is shut once all is out
-        got += data
-    assert bytes(got) == large
-    assert pipe.is_written(end)
-    assert pipe.put(b"z") == -1
+    end = write_buffer.put(large)  # more than the socket accepts: the flusher writes the rest
+    write_buffer.put(last)
+    assert not write_buffer.is_written(end)
+    assert not write_buffer.withdraw(large)
+    assert write_buffer.withdraw(last)
+    assert not write_buffer.finish()
+    received = bytearray()
+    while data := theirs.recv(1 << 20):  # ends when all is written and our side is shut down
+        received += data
+    assert bytes(received) == large
+    assert write_buffer.is_written(end)
+    assert write_buffer.put(b"z") == -1
     theirs.close()
 
 
 def test_a_full_write_buffer_rejects_and_finishing_it_wakes_the_reader_and_the_flusher():
     ours, theirs = tcp_pair()
-    pipe, connection = WriteBuffer(10_000_000, Counters(), flushing()), Connection(ours)
-    pipe.attach(connection)
-    assert pipe.put(b"x" * 9_000_000) > 0
-    assert pipe.put(b"x" * 9_000_000) == -1
-    assert pipe.flusher.waiting
-    assert pipe.finish(now=True)
-    until(lambda: not pipe.flusher.waiting)
-    assert ours.recv(1) == b""  # the reader wakes, and closes: until then the number is nobody else's
+    write_buffer, connection = WriteBuffer(10_000_000, Counters(), running_flusher()), Connection(ours)
+    write_buffer.attach(connection)
+    assert write_buffer.put(b"x" * 9_000_000) > 0
+    assert write_buffer.put(b"x" * 9_000_000) == -1
+    assert write_buffer.flusher.waiting
+    assert write_buffer.finish(now=True)
+    until(lambda: not write_buffer.flusher.waiting)
+    assert ours.recv(1) == b""  # the reader wakes; until it closes the socket, the descriptor is not reused
     assert ours.fileno() >= 0
     assert connection.fileno() >= 0
     connection.close()
