--- a/tests/byte_streams.py
+++ b/tests/byte_streams.py
@@ -44,7 +44,7 @@
     seq: int = 1,
     fields: dict[bytes, bytes] | None = None,
     body: bytes | None = b"select 1",
-    kind: int = thrift.CALL,
+    message_type: int = thrift.CALL,
     extra: bytes = b"",
 ) -> bytes:
     """Return the frame of a call, built without the encoder under test.
@@ -54,5 +54,5 @@
     pairs = b"".join(encode_string(key) + encode_string(value) for key, value in (fields or {}).items())
     arguments = extra + b"\x0d\x00\x01" + struct.pack(">BBi", 11, 11, len(fields or {})) + pairs
     arguments += b"\x0b\x00\x02" + encode_string(body) if body is not None else b""
-    header = struct.pack(">HBB", 0x8001, 0, kind) + encode_string(method) + struct.pack(">i", seq)
+    header = struct.pack(">HBB", 0x8001, 0, message_type) + encode_string(method) + struct.pack(">i", seq)
     return encode_string(header + arguments + b"\0")
--- a/tests/test_thrift.py
+++ b/tests/test_thrift.py
@@ -63,7 +63,7 @@
         encode_string(b"\0\0\0\x07execute" + bytes(9)),
         encode_string(encode_call()[4:-1]),
         encode_string(encode_call()[4:20]),
-        encode_string(encode_call(kind=thrift.REPLY)[4:]),
+        encode_string(encode_call(message_type=thrift.REPLY)[4:]),
         encode_string(encode_call(method=b"\xff\xfe")[4:]),
         encode_string(
             struct.pack(">HBB", 0x8001, 0, 1)
