--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -59,7 +59,7 @@
         return len(self.deferred_calls) > 0 or self.remaining_pause_s() > 0
 
     def is_full(self) -> bool:
-        """Whether no more calls can be deferred: the limit is the open requests of a usual client."""
+        """Whether no more requests can be deferred: a usual client has no more than this open."""
         return len(self.deferred_calls) >= MAX_OPEN_REQUESTS or self.deferred_bytes > MAX_DEFERRED_BYTES
 
     def defer(self, call: ReceivedCall) -> None:
@@ -85,9 +85,9 @@
         return False
 
     def oldest_remaining_s(self, now_us: int) -> float:
-        """Return how long the oldest deferred call may still be deferred: not for most of its client timeout.
+        """Return for how long the oldest deferred call may still be deferred; 0 or less: it is due.
 
-        Without this limit several pauses in a row could outlast the timeout.
+        Limits deferral to a part of the client timeout, which several pauses in a row could outlast.
         """
         call = self.deferred_calls[0]
         return MAX_DEFERRED_FRACTION * call.timeout_s - (now_us - call.received_at_us) / 1e6
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -81,7 +81,7 @@
             return
         if client.undelivered.pop(sequence_id, None) is not None:
             return  # the core drops the request when it processes it
-        client.interrupted.add(sequence_id)  # does not count as open, though the core has not settled it yet
+        client.interrupted.add(sequence_id)  # no longer counted as open, though not settled yet
         if sequence_id in client.open_requests:
             self.core.post_urgent(self.core.interrupt, client, sequence_id)
         else:  # already answered, or never received
@@ -110,7 +110,7 @@
         """
         sequence_id = call.sequence_id
         if sequence_id <= self.last_sequence_id:
-            raise ProtocolError(f"request {sequence_id} after {self.last_sequence_id}")
+            raise ProtocolError(f"sequence id {sequence_id} is not greater than {self.last_sequence_id}")
         self.last_sequence_id = sequence_id
         self.counters.add("requests_received")
         if self.core.is_rejecting:  # in the shutdown; rejecting here costs the core nothing
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -26,8 +26,8 @@
 IDLE_TIMEOUT_S = 5.0  # time without a request; usual clients close an idle connection after 4 s themselves
 MAX_READ_WAIT_US = 500_000  # longest wait of a read, so that the two timeouts above are checked
 PAUSE_MARGIN_US = 1000  # added to a read's wait for the end of a pause, so that the pause is over then
-TRANSIT_TIME_S = 0.1  # longest time that bytes are on the network: twice the protocol's 50 ms
-POLL_INTERVAL_S = 0.01  # time between checks of a closing connection: short beside the protocol's 50 ms
+TRANSIT_TIME_S = 0.1  # limit of the network delay: twice the 50 ms that the protocol states
+POLL_INTERVAL_S = 0.01  # time between checks of a closing connection: a fraction of that delay
 UNKNOWN_PEER = PeerAddress("", "")  # peer of a connection without an address, as in the simulation
 
 
@@ -75,7 +75,7 @@
 
     @property
     def last_active_at(self) -> float:
-        """Monotonic time at which a call last arrived or a request was last open."""
+        """Monotonic time at which a message last began or ended, or a request was last open."""
         return self.idle_timer.last_active_at
 
     def put(self, message: bytes) -> None:
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -15,7 +15,7 @@
 from gullhold.net.write_buffer import WriteBuffer
 
 MAX_READ_BYTES = 4096  # limit of one read of the wake-up pipe
-FAULT_WAIT_S = 0.01  # time until the next attempt after an exception, or after a write of nothing
+FAULT_WAIT_S = 0.01  # pause after an exception, or after a flush that wrote nothing
 
 
 class Flusher:
@@ -71,7 +71,7 @@
             time.sleep(FAULT_WAIT_S)
 
     def _take_all(self) -> list[WriteBuffer]:
-        """Remove and return all waiting buffers; the caller adds those that still wait again."""
+        """Remove and return all waiting buffers; the caller re-adds those that still wait."""
         with self.lock:
             taken = list(self.waiting)
             self.waiting = {}
--- a/gullhold/net/idle_timer.py
+++ b/gullhold/net/idle_timer.py
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         self.connected_at = time.monotonic()
-        self.last_active_at = self.connected_at  # when a call last arrived or a request was last open
+        self.last_active_at = self.connected_at  # when a message last began or ended, or a request was open
         self.is_mid_message = False  # at the last check, part of a message had arrived
 
     def call_received(self) -> None:
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -36,7 +36,7 @@
 
 
 class Client(Protocol):
-    """What the core needs of a client: a client connection, or the sender of the fleet's own commands.
+    """What the core needs of a client: a client connection, or the sender of scheduled commands.
 
     open_requests: pending requests by sequence id.
     undelivered: sequence ids of requests that were posted to the core, but not processed by it yet.
@@ -188,7 +188,7 @@
         self.answer(pending, thrift.encode_answer("execute", pending.sequence_id, rows))
 
     def answer_shed(self, number: int, longest_retry_after_us: int) -> None:
-        """Answer a request with a Shed: its command did not run.
+        """Answer a request with a Shed, and its Retry-After time where one is known.
 
         longest_retry_after_us: upper limit of the Retry-After time; 0: no limit.
         """
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -30,11 +30,11 @@
     idempotency_key: bytes
     profile: int  # index of the profile in the agreement
     tenant: int  # index of the tenant in the agreement
-    ordering_key: int  # 0: none
+    ordering_key: int  # commands with the same key must not overlap; NO_ORDERING_KEY: no such limit
     timeout_us: int  # client timeout
     work_us: int  # estimated work on one core
     memory_mb: float  # estimated memory
-    table_group: int  # 0: none
+    table_group: int  # group of the tables that the statement uses; 0: none
     is_retry: bool  # the client has sent this command before
     flow: bytes = b""  # name of the client's flow; empty without an admission queue
 
@@ -93,7 +93,8 @@
     ) -> tuple[dict[bytes, bytes]] | None:
         """Look up whether the admission queue would reject this request now.
 
-        Returns the fields of the Shed in a tuple of one, or None if the request must go through the queue.
+        Returns the fields of the Shed, possibly none, as the only item of a tuple; None if the request is
+        to go through the queue.
         """
         if self._client_identity is None:  # there is no admission queue
             return None
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -124,7 +124,7 @@
         self.position = 0  # index of the next byte to read
 
     def read(self, size: int) -> bytes:
-        """Read the next bytes."""
+        """Read the next size bytes."""
         if size < 0 or self.position + size > len(self.data):
             raise ProtocolError("a value runs past its frame")
         self.position += size
