--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -27,7 +27,7 @@
 MAX_READ_WAIT_US = 500_000  # longest wait of a read, so that the two timeouts above are checked
 PAUSE_MARGIN_US = 1000  # added to a read's wait for the end of a pause, so that the pause is over then
 TRANSIT_TIME_S = 0.1  # limit of the network delay: twice the 50 ms that the protocol states
-POLL_INTERVAL_S = 0.01  # time between checks of a closing connection: a fraction of that delay
+POLL_INTERVAL_S = 0.01  # time between checks of a closing connection: far less than TRANSIT_TIME_S
 UNKNOWN_PEER = PeerAddress("", "")  # peer of a connection without an address, as in the simulation
 
 
@@ -54,7 +54,7 @@
             MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + max_message_bytes), core.counters, core.flusher
         )
         self.open_requests: dict[int, PendingRequest] = {}  # by sequence id
-        self.undelivered: dict[int, bool] = {}  # sequence ids posted to the core, not processed yet
+        self.undelivered: dict[int, bool] = {}  # ids of requests posted to the core, not processed yet
         self.interrupted: set[int] = set()  # sequence ids whose interrupts the core has not processed
         self.posted_count = 0  # number of requests posted to the core
         self.settled_count = 0  # number of these that are answered or dropped
@@ -63,7 +63,7 @@
         self.has_left = False  # the client closed it, or it broke: no answers are expected any more
         self.is_draining = False  # to end once nothing is open
         self.end_requested = False  # the core was asked whether the idle connection may end
-        self.may_end = False  # the core's reply to that: it may
+        self.may_end = False  # the core has allowed that
         self.local_end: tuple[ConnectionEnd, str] | None = None  # why we ended it, with a detail for the log
         self.backpressure = Backpressure()
         self.calls = ClientCalls(self, reader)
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -60,7 +60,7 @@
                 self._start_client(*self._accepted)
                 self._accepted = None
                 self.core.counters.add("client_connections_accepted")
-            except Exception as error:  # noqa: BLE001  without this thread no connection is accepted
+            except Exception as error:  # noqa: BLE001  of any kind: without this thread nothing is accepted
                 if self.sock.fileno() < 0:
                     return
                 self._handle_accept_error(error)
