--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -91,7 +91,9 @@
         is_sent = not is_over_limit and self.write_buffer.put(message) >= 0
         if not is_sent and (self.write_buffer.is_closed or not self.write_buffer.is_finishing):
             self.core.counters.add("answers_undeliverable")
-            self.end(ConnectionEnd.RESET if self.write_buffer.is_closed else ConnectionEnd.BACKED_UP, "")
+            self.end(
+                ConnectionEnd.RESET if self.write_buffer.is_closed else ConnectionEnd.PEER_NOT_READING, ""
+            )
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """End the connection at once and discard buffered answers; its reader wakes and reports the end."""
@@ -189,7 +191,7 @@
             if self.write_buffer.is_finishing:
                 return ConnectionEnd.IDLE
             if not has_more and not self.is_draining:
-                return ConnectionEnd.CLOSED
+                return ConnectionEnd.CLOSED_BY_PEER
             if not has_more:
                 self._end_if_settled()
             with self.core.reading_lock:
--- a/gullhold/net/decision_results.py
+++ b/gullhold/net/decision_results.py
@@ -1,4 +1,4 @@
-"""Calls the decision module and carries out the results that each call returns."""
+"""Calls to the decision module, and how their results are carried out."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -13,7 +13,7 @@
     Outcome,
     ReportDemand,
     Result,
-    SetTerms,
+    SetGrantAndPriority,
     Shed,
     StartTimer,
 )
@@ -25,7 +25,7 @@
 
 
 class Decisions:
-    """Calls the decision module and carries out its decisions. On the core's thread only."""
+    """Calls the decision module and carries out the results. On the core's thread only."""
 
     def __init__(self, core: "Core") -> None:
         self.core = core
@@ -35,14 +35,14 @@
     ) -> None:
         """Call a method of the module; if it raises, the request of this call is answered as failed."""
         core = self.core
-        core.gateway.results = []  # so that a failing call leaves only its own results
+        core.gateway.results = []  # if the call raises, this holds only its own results
         try:
             results = method(core.now, *args)
-        # Guards the other commands against one that makes the module fail.
-        except Exception:  # noqa: BLE001  a fault of the module ends one request, not the event
+        # A request that makes the module raise must not affect the others.
+        except Exception:  # noqa: BLE001  a fault of the module fails one request, not the event
             core.counters.add("decision_faults")
             logger.exception("decisions failed method={}", method.__name__)
-            results = list(core.gateway.results)  # the decisions until then hold
+            results = list(core.gateway.results)  # those made before the exception are carried out
             if pending and pending.client and not pending.attempt:
                 core.defer(core.requests.force_answer, pending)
         for result in results:
@@ -55,7 +55,7 @@
                 core.attempts.start(result)
             case StartTimer():
                 self._start_timer(result)
-            case SetTerms():
+            case SetGrantAndPriority():
                 self._set_terms(result)
             case CancelAttempt():
                 self._cancel_attempt(result)
@@ -68,13 +68,13 @@
             case ReportDemand():
                 core.report_demand(result.demands)
             case _:
-                raise TypeError(f"an unknown result of the decision module: {result!r}")
+                raise TypeError(f"unknown result of the decision module: {result!r}")
 
     def _start_timer(self, timer: StartTimer) -> None:
         core = self.core
         core.call_later(core.now + timer.delay_us, self.call, None, core.gateway.timer_fired, timer.token)
 
-    def _set_terms(self, terms: SetTerms) -> None:
+    def _set_terms(self, terms: SetGrantAndPriority) -> None:
         pending = self.core.requests.by_number.get(terms.command)
         if pending is None:
             return
@@ -91,4 +91,4 @@
     def _cancel_attempt(self, cancel: CancelAttempt) -> None:
         pending = self.core.requests.by_number.get(cancel.command)
         if pending and pending.attempt and pending.attempt.number == cancel.attempt:
-            self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
+            self.core.attempts.abandon(pending.attempt, Outcome.CANCELLED)
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from gullhold.interface import Agreement
-from gullhold.net import host_port
+from gullhold.net import split_host_port
 from gullhold.net.client_connection import POLL_INTERVAL_S, TRANSIT_TIME_S, ClientConnection
 from gullhold.net.core import Core
 from gullhold.net.pending_requests import PeerAddress
@@ -44,7 +44,7 @@
         self.clients = core.statement_memory.clients
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.bind(host_port(address))
+        self.sock.bind(split_host_port(address))
         self.sock.listen(socket.SOMAXCONN)
         self._accepted: tuple[socket.socket, tuple[str, int]] | None = None  # accepted, but not served yet
 
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -154,18 +154,18 @@
         A client that sent malformed bytes still waits: each of its requests is answered.
         """
         self.counters.add(f"client_connections_ended_{end.value}")
-        is_unusual = bool(client.open_requests) and end in connection_ends.CAUSED_BY_US
+        is_unusual = bool(client.open_requests) and end in connection_ends.CAUSED_BY_GATEWAY
         event = LoggedEvent(
             self.core.now,
-            EventKind.CLOSE,
+            EventKind.CONNECTION_CLOSED,
             end.value,
             connection=f"client {client.peer.connection}",
-            before="open",
-            after="closed",
+            old_state="open",
+            new_state="closed",
             open=len(client.open_requests),
             detail=text,
         )
-        self.core.events.add(event, is_unusual)
+        self.core.event_log.add(event, is_unusual)
         if end in connection_ends.CLIENT_STILL_WAITS:
             for pending in list(client.open_requests.values()):
                 self.force_answer(pending)
@@ -276,19 +276,19 @@
         self._log_rejection(pending, reason)
         self.answer(pending, message)
         if pending.attempt:  # of no use once its request is answered
-            self.core.attempts.stop(pending.attempt, Outcome.CANCELLED)
+            self.core.attempts.abandon(pending.attempt, Outcome.CANCELLED)
 
     def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
         event = LoggedEvent(
             self.core.now,
-            EventKind.REFUSAL,
+            EventKind.ERROR_ANSWER,
             reason,
             pending.request.transaction_id,
             pending.client.peer.connection if pending.client else "",
             "sent" if pending.attempt else "queued",
             "answered",
         )
-        self.core.events.add(event)
+        self.core.event_log.add(event)
 
     def _abandon(self, abandoned: list[PendingRequest]) -> None:
         """Drop requests whose client no longer waits for their answers.
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -3,7 +3,7 @@
 import signal
 
 import pytest
-from serving import PATIENCE, until
+from serving import WAIT_TIMEOUT_S, until
 
 from faults.plan import Plan
 from faults.traffic import FaultyGateway
@@ -44,7 +44,7 @@
         assert ("Traceback" in gateway.log_text()) == (name == "waits that fail")  # logged, and gone on from
         plan.clear()
         gateway.process.send_signal(signal.SIGTERM)
-        assert gateway.process.wait(PATIENCE) == 0
+        assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
@@ -71,8 +71,11 @@
     assert connection_ends.classify_os_error(TimeoutError(110, "ETIMEDOUT")) == ConnectionEnd.RESET
     assert (
         connection_ends.classify_os_error(TimeoutError(110, "ETIMEDOUT"), connecting=True)
-        == ConnectionEnd.NOT_UP
+        == ConnectionEnd.CONNECT_TIMEOUT
     )
     assert connection_ends.classify_os_error(BlockingIOError(11, "EAGAIN")) == ConnectionEnd.IDLE
     assert connection_ends.classify_os_error(OSError(113, "EHOSTUNREACH")) == ConnectionEnd.RESET
-    assert connection_ends.classify_os_error(OSError(105, "ENOBUFS"), connecting=True) == ConnectionEnd.SHORT
+    assert (
+        connection_ends.classify_os_error(OSError(105, "ENOBUFS"), connecting=True)
+        == ConnectionEnd.LOCAL_EXHAUSTION
+    )
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -19,10 +19,12 @@
     return gateway_side
 
 
-def test_a_request_that_arrives_before_an_idle_connection_is_shut_down_is_answered(start, monkeypatch):
+def test_a_request_that_arrives_before_an_idle_connection_is_shut_down_is_answered(
+    start_gateway, monkeypatch
+):
     """Guards against an end that was decided before the request arrived, and that leaves it unanswered."""
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
         monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.0)
@@ -34,10 +36,12 @@
     assert not gateway.count("client_connections_ended_idle")
 
 
-def test_a_request_that_arrives_after_the_shutdown_of_our_side_is_ignored_without_a_reset(start, monkeypatch):
+def test_a_request_that_arrives_after_the_shutdown_of_our_side_is_ignored_without_a_reset(
+    start_gateway, monkeypatch
+):
     """The client sends it again to another gateway: submitted here too, it could run twice."""
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     gateway_side = idle_connection(gateway, client)
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 2.0)
     gateway_side.write_buffer.finish()
@@ -47,12 +51,12 @@
     client.sock.close()
     until(lambda: not gateway.listener.clients)
     assert not engine.received
-    assert gateway.core.gateway.submitted == 0
+    assert gateway.core.gateway.submitted_count == 0
 
 
-def test_a_request_read_before_the_shutdown_of_our_side_and_processed_after_it_is_dropped(start):
+def test_a_request_read_before_the_shutdown_of_our_side_and_processed_after_it_is_dropped(start_gateway):
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
         client.ask()
@@ -63,9 +67,9 @@
     assert not engine.received
 
 
-def test_a_check_in_the_cores_queue_is_answered_before_an_idle_connection_ends(start):
+def test_a_check_in_the_cores_queue_is_answered_before_an_idle_connection_ends(start_gateway):
     """A check does not count as open, so the connection looks idle while the check waits for the core."""
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
         idle_since = gateway_side.last_active_at
@@ -77,10 +81,10 @@
     assert read_to_end(client) == (b"", True)
 
 
-def test_answers_arrive_whole_when_a_connection_ends_with_unread_bytes(start):
+def test_answers_arrive_whole_when_a_connection_ends_with_unread_bytes(start_gateway):
     """Closing a socket with unread bytes resets the connection, and the client loses unread answers."""
     rows = b"x\ty\tz\n" * 900
-    gateway, client = start(Engine(ok(*[rows] * 8)))
+    gateway, client = start_gateway(Engine(ok(*[rows] * 8)))
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     seqs = [client.ask() for _ in range(30)]
     until(lambda: gateway.count("answered") == 30)
@@ -91,8 +95,8 @@
     assert read_to_end(client) == (b"", True)
 
 
-def test_a_closing_connection_counts_as_open_until_its_descriptor_is_closed(start, monkeypatch):
-    gateway, client = start(Engine())
+def test_a_closing_connection_counts_as_open_until_its_descriptor_is_closed(start_gateway, monkeypatch):
+    gateway, client = start_gateway(Engine())
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 1.0)
     gateway_side = idle_connection(gateway, client)
     gateway_side.drain()
@@ -103,9 +107,9 @@
     assert gateway_side.connection.fileno() < 0
 
 
-def test_an_ended_connection_is_freed_without_the_garbage_collector(start):
+def test_an_ended_connection_is_freed_without_the_garbage_collector(start_gateway):
     """Guards against a reference cycle, which keeps the connection and its buffers until a collection."""
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     seq = client.ask()
     assert client.answer() == (seq, b"a\tb\tc\n")
     gateway_side = ref(next(iter(gateway.listener.clients)))
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -4,15 +4,15 @@
 import time
 from threading import Thread
 
-from serving import client_open, until
+from serving import open_sequence_ids, until
 
 from gullhold.net import client_connection, listener, thrift
 from gullhold.testing.client import Caller
 from gullhold.testing.scripted import Engine, endless, says
 
 
-def test_a_malformed_frame_ends_only_its_own_connection(start):
-    gateway, client = start(Engine())
+def test_a_malformed_frame_ends_only_its_own_connection(start_gateway):
+    gateway, client = start_gateway(Engine())
     for data in (
         b"\xff\xff\xff\xff",
         b"\x7f\xff\xff\xff",
@@ -30,9 +30,9 @@
     assert gateway.count("client_connections_ended_malformed") == 4
 
 
-def test_a_repeated_sequence_id_ends_the_connection_and_its_open_request(start):
+def test_a_repeated_sequence_id_ends_the_connection_and_its_open_request(start_gateway):
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     client.ask(seq=5)
     until(lambda: engine.messages(b"fetch"))
     client.ask(seq=5)
@@ -41,13 +41,13 @@
     until(lambda: engine.messages(b"abort"))
 
 
-def test_a_client_that_shuts_down_its_side_has_left_and_its_requests_are_dropped(start):
+def test_a_client_that_shuts_down_its_side_has_left_and_its_requests_are_dropped(start_gateway):
     """By the protocol this is no half close: no further attempts are sent for the client, nor any answers.
 
     Guards against queued requests that are still sent to engines and answered.
     """
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     client.ask("once")
     until(lambda: engine.messages(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
@@ -57,10 +57,10 @@
     assert not gateway.count("answered")
 
 
-def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start, monkeypatch):
+def test_an_idle_client_connection_is_closed_but_not_while_a_request_is_open(start_gateway, monkeypatch):
     monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.1)
-    gateway, client = start(Engine(endless))
+    gateway, client = start_gateway(Engine(endless))
     idle = Caller(gateway.address)
     seq = client.ask("once", limit=1200)
     assert idle.answer() is None
@@ -69,9 +69,11 @@
     until(lambda: gateway.count("client_connections_ended_idle") == 2)
 
 
-def test_connections_without_a_complete_request_are_closed_and_make_room_for_others(start, monkeypatch):
+def test_connections_without_a_complete_request_are_closed_and_make_room_for_others(
+    start_gateway, monkeypatch
+):
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.2)
-    gateway, client = start(Engine(endless))
+    gateway, client = start_gateway(Engine(endless))
     incomplete, interrupting = Caller(gateway.address), Caller(gateway.address)
     incomplete.sock.sendall(b"\0\0\1\0\x80\1")
     for _ in range(30):
@@ -90,9 +92,9 @@
     assert all(caller.answer() is None for caller in idle[:30])
 
 
-def test_invalid_requests_and_those_over_the_connection_limit_are_rejected(start):
+def test_invalid_requests_and_those_over_the_connection_limit_are_rejected(start_gateway):
     engine = Engine(says(b"500"))
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     for name, value in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
         seq = client.ask(**{name: value})
         assert client.answer() == (seq, "fault")
@@ -109,17 +111,17 @@
     until(lambda: gateway.count("client_connections_ended_malformed") == 1)
 
 
-def test_requests_interrupted_before_the_core_processes_them_never_reach_the_decision_module(start):
-    gateway, client = start(Engine())
+def test_requests_interrupted_before_the_core_processes_them_never_reach_the_decision_module(start_gateway):
+    gateway, client = start_gateway(Engine())
     gateway.core.post(time.sleep, 0.3)  # blocks the core, so that events wait
     for _ in range(20):
         client.interrupt(client.ask())
     until(lambda: gateway.count("interrupted") == 20)
-    assert gateway.core.gateway.submitted == 0
+    assert gateway.core.gateway.submitted_count == 0
 
 
-def test_requests_that_arrived_before_a_connection_is_drained_are_answered(start):
-    gateway, client = start(Engine())
+def test_requests_that_arrived_before_a_connection_is_drained_are_answered(start_gateway):
+    gateway, client = start_gateway(Engine())
     client.send("check", b"\x02\0\1\1")
     client.answer()
     (gateway_side,) = gateway.listener.clients
@@ -130,8 +132,8 @@
     assert client.answer() is None
 
 
-def test_a_connection_accepted_just_now_is_not_closed_to_make_room(start):
-    gateway, client = start(Engine())
+def test_a_connection_accepted_just_now_is_not_closed_to_make_room(start_gateway):
+    gateway, client = start_gateway(Engine())
     gateway.listener.max_clients = 8
     old = [Caller(gateway.address) for _ in range(6)]
     until(lambda: len(gateway.listener.clients) == 7)
@@ -143,24 +145,26 @@
     assert all(caller.answer() is None for caller in old[:4])
 
 
-def test_an_interrupted_request_does_not_count_as_open_before_the_core_settles_it(start):
-    gateway, client = start(Engine(endless))
+def test_an_interrupted_request_does_not_count_as_open_before_the_core_settles_it(start_gateway):
+    gateway, client = start_gateway(Engine(endless))
     seqs = [client.ask() for _ in range(32)]
-    until(lambda: len(client_open(gateway)) == 32)
+    until(lambda: len(open_sequence_ids(gateway)) == 32)
     gateway.core.post(time.sleep, 0.3)  # blocks the core, so that events wait
     for seq in seqs[:5]:
         client.interrupt(seq)
         client.ask()
-    until(lambda: len(client_open(gateway)) == 32 and gateway.count("interrupted") == 5)
+    until(lambda: len(open_sequence_ids(gateway)) == 32 and gateway.count("interrupted") == 5)
     assert not gateway.count("rejected_connection_limit")
 
 
-def test_a_connection_that_ends_before_its_thread_start_returns_does_not_count_as_open(start, monkeypatch):
+def test_a_connection_that_ends_before_its_thread_start_returns_does_not_count_as_open(
+    start_gateway, monkeypatch
+):
     class InlineThread(Thread):
         def start(self):
             self.run()  # has ended before start() returns
 
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     until(lambda: gateway.count("client_connections_accepted") == 1)
     monkeypatch.setattr(listener, "Thread", InlineThread)
     for _ in range(3):
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -4,8 +4,8 @@
 import time
 
 import pytest
-from races import CLIENT_CLOSED, BlockedCore
-from serving import Gateway, client_open, until
+from races import CLIENTS_CLOSED_COUNTER, BlockedCore
+from serving import Gateway, open_sequence_ids, until
 
 from gullhold.net import backpressure, client_limits, thrift
 from gullhold.testing.client import Caller
@@ -51,10 +51,10 @@
     engine.close()
 
 
-def test_the_end_of_a_client_is_processed_before_its_waiting_requests(start):
+def test_the_end_of_a_client_is_processed_before_its_waiting_requests(start_gateway):
     """Guards against an end that waits behind all requests: each would be sent before it is dropped."""
     engine = Engine()
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     with BlockedCore(gateway.core):
         for _ in range(20):
             client.ask()
@@ -64,7 +64,7 @@
         client.sock.close()
         until(lambda: gateway_side.is_ending)
     until(lambda: gateway.count("interrupted") == 20)
-    assert gateway.core.gateway.submitted == 0
+    assert gateway.core.gateway.submitted_count == 0
     assert not engine.received
 
 
@@ -91,9 +91,9 @@
     engine.close()
 
 
-def test_calls_deferred_in_a_pause_are_handled_after_it_unless_interrupted(start):
+def test_calls_deferred_in_a_pause_are_handled_after_it_unless_interrupted(start_gateway):
     engine = Engine(endless, ok())
-    gateway, client = start(engine, connect_timeout=0.5)
+    gateway, client = start_gateway(engine, connect_timeout=0.5)
     running = client.ask("once")
     until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
@@ -111,8 +111,8 @@
     client.interrupt(running)
 
 
-def test_deferred_calls_are_limited_during_a_pause(start):
-    gateway, client = start(Engine(endless), connect_timeout=1.0)
+def test_deferred_calls_are_limited_during_a_pause(start_gateway):
+    gateway, client = start_gateway(Engine(endless), connect_timeout=1.0)
     client.ask("once")
     client.ask("odd")
     assert client.answer()[1] == "fault"
@@ -139,10 +139,10 @@
     until(lambda: not gateway.listener.clients)
 
 
-def test_a_request_is_shed_when_the_statement_memory_is_exhausted(start):
+def test_a_request_is_shed_when_the_statement_memory_is_exhausted(start_gateway):
     """Without a limit, 32 of the largest statements on each of 10 connections took 60 of 80 MB."""
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     assert gateway.core.statement_memory.max_bytes == 192 * 2**20 // 8
     gateway.core.statement_memory.max_bytes = 10_000
     seqs = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
@@ -157,9 +157,9 @@
     until(lambda: len(engine.messages(b"fetch")) == 3)
 
 
-def test_connections_that_do_not_read_are_ended_when_unread_answers_exceed_their_memory(start):
+def test_connections_that_do_not_read_are_ended_when_unread_answers_exceed_their_memory(start_gateway):
     """One connection may buffer 8 MB of answers, and there may be hundreds."""
-    gateway, client = start(Engine())
+    gateway, client = start_gateway(Engine())
     memory, frame = gateway.core.statement_memory, thrift.encode_answer("execute", 1, b"x\ty\tz\n" * 8000)
     memory.max_bytes = 2_000_000
     unread = []
@@ -183,10 +183,10 @@
     assert client.answer() == (seq, b"a\tb\tc\n")  # a client that reads is still served
 
 
-def test_open_requests_are_answered_when_malformed_bytes_end_their_connection(start):
+def test_open_requests_are_answered_when_malformed_bytes_end_their_connection(start_gateway):
     """Guards against requests that are dropped though their client still waits for the answers."""
     engine = Engine(endless)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     other = Caller(gateway.address)
     other_seq = other.ask("once", limit=2000)
     seqs = [client.ask(), client.ask("once")]
@@ -198,8 +198,8 @@
     assert gateway.count("client_connections_ended_malformed") == 1
 
 
-def test_deferred_requests_are_answered_when_malformed_bytes_end_their_connection(start):
-    gateway, client = start(Engine(endless), connect_timeout=2.0)
+def test_deferred_requests_are_answered_when_malformed_bytes_end_their_connection(start_gateway):
+    gateway, client = start_gateway(Engine(endless), connect_timeout=2.0)
     running, invalid, deferred = client.ask("once"), client.ask("odd"), client.ask()
     client.sock.sendall(b"\xff\xff\xff\xff")
     assert client.answer() == (invalid, "fault")
@@ -219,14 +219,14 @@
 
 def leave_while_the_core_is_blocked(gateway, client, requests, blocked_s):
     """Close a client's connection; the core handles its end after it was blocked for blocked_s."""
-    until(lambda: client_open(gateway) == requests and gateway.count("attempts_ended_overloaded"))
-    until(lambda: not any(connection.open for connection in list(gateway.core.pool.connections)))
+    until(lambda: open_sequence_ids(gateway) == requests and gateway.count("attempts_ended_overloaded"))
+    until(lambda: not any(connection.open_attempts for connection in list(gateway.core.pool.connections)))
     (gateway_side,) = gateway.listener.clients
     with BlockedCore(gateway.core):
         client.sock.close()
         until(lambda: gateway_side.has_left)
         time.sleep(blocked_s)
-    until(lambda: gateway.count(CLIENT_CLOSED) == 1 and not gateway.listener.clients)
+    until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1 and not gateway.listener.clients)
     return gateway_side
 
 
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -1,9 +1,9 @@
-"""What is logged of requests and connections: every event is kept, lines come at a bounded rate."""
+"""The log of request and connection events: all are kept in memory, lines are rate-limited."""
 
 import signal
 import time
 
-from serving import free_port, listens, until
+from serving import free_port, is_listening, until
 
 from gullhold.net import eventlog
 from gullhold.net.eventlog import EventKind, EventLog, LoggedEvent
@@ -12,12 +12,14 @@
 from gullhold.testing.scripted import Engine, ok, resets
 
 
-def test_lines_keep_to_their_rate_and_what_is_left_out_is_counted(monkeypatch):
+def test_lines_are_suppressed_and_counted_when_they_exceed_the_rate_limit(monkeypatch):
     logged, log = [], EventLog()
-    monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
+    monkeypatch.setattr(
+        eventlog.logger, "info", lambda template, *args: logged.append(template.format(*args))
+    )
     for n in range(1000):  # within a second
         log.add(LoggedEvent(1_000_000 + n * 1000, EventKind.RETRY, f"reset {n}"))
-    assert eventlog.BURST <= len(logged) <= eventlog.BURST + eventlog.RATE_PER_S + 1
+    assert eventlog.MAX_BURST_LINES <= len(logged) <= eventlog.MAX_BURST_LINES + eventlog.MAX_LINES_PER_S + 1
     log.add(LoggedEvent(9_000_000, EventKind.RETRY, "the last"))
     assert "suppressed=" in logged[-1]
     assert "reason=the_last" in logged[-1]
@@ -25,14 +27,21 @@
     assert log.lines()[-1].startswith("at_us=9000000 event=retry")
 
 
-def test_a_kind_that_comes_often_keeps_no_other_from_the_log(monkeypatch):
+def test_event_is_logged_when_only_another_kind_exceeds_the_rate_limit(monkeypatch):
     logged, log = [], EventLog()
-    monkeypatch.setattr(eventlog.logger, "info", lambda form, *words: logged.append(form.format(*words)))
+    monkeypatch.setattr(
+        eventlog.logger, "info", lambda template, *args: logged.append(template.format(*args))
+    )
     for n in range(200):
         log.add(LoggedEvent(n, EventKind.RETRY, "reset"))
     log.add(
         LoggedEvent(
-            200, EventKind.CLOSE, "closed", connection="engine 127.0.0.1:1", before="open", after="closed"
+            200,
+            EventKind.CONNECTION_CLOSED,
+            "closed",
+            connection="engine 127.0.0.1:1",
+            old_state="open",
+            new_state="closed",
         )
     )
     assert (
@@ -41,11 +50,11 @@
     )
 
 
-def test_a_request_that_failed_and_went_again_can_be_followed_in_the_log(launch, tmp_path):
+def test_log_shows_the_reset_and_the_retry_of_a_request(launch_gateway, tmp_path):
     port, engine, log = free_port(), Engine(resets, ok()), tmp_path / "log"
     with open(log, "wb") as file:
-        process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"}, stderr=file)
-    until(lambda: listens(port))
+        process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"}, stderr=file)
+    until(lambda: is_listening(port))
     client = Caller(("127.0.0.1", port))
     seq = client.ask(txn=b"00000000000000ab")
     assert client.answer() == (seq, b"a\tb\tc\n")
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -4,8 +4,8 @@
 import threading
 import time
 
-from races import CLIENT_CLOSED, read_to_end
-from serving import PATIENCE, Gateway, free_port, listens, until
+from races import CLIENTS_CLOSED_COUNTER, read_to_end
+from serving import WAIT_TIMEOUT_S, Gateway, free_port, is_listening, until
 
 from gullhold.net import resp, thrift
 from gullhold.testing.client import Caller
@@ -32,31 +32,31 @@
     gateway.end()
 
 
-def test_the_engine_is_told_when_the_client_leaves_between_two_pages(start):
+def test_the_engine_is_told_when_the_client_leaves_between_two_pages(start_gateway):
     def leaves(conn, verb, *words):
         if verb == b"more":
             client.sock.close()
-            until(lambda: gateway.count(CLIENT_CLOSED) == 1)
+            until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1)
             conn.sendall(resp.encode(words[0], b"chunk", b"page=1", b"4\t5\t6\n"))
         if verb == b"fetch":
             conn.sendall(resp.encode(words[0], b"200", b"pages=2,cost=20,need=64", b"1\t2\t3\n"))
 
     engine = Engine(leaves)
-    gateway, client = start(engine)
+    gateway, client = start_gateway(engine)
     client.ask()
     until(lambda: engine.messages(b"done") or engine.messages(b"abort"))
     until(lambda: not gateway.core.requests.by_number)
     assert len(engine.messages(b"fetch")) == 1
 
 
-def test_connections_of_resting_clients_end_without_a_reset_when_the_process_ends(launch):
+def test_connections_of_resting_clients_end_without_a_reset_when_the_process_ends(launch_gateway):
     """A process that exits with unread bytes resets the connection.
 
     Idle clients that send a request just when the gateway shuts down its side cause this.
     """
     engine, port = Engine(), free_port()
-    process = launch(config(engine) | {"listen": f"127.0.0.1:{port}"})
-    until(lambda: listens(port))
+    process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
+    until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(10)]
     for caller in callers:
         seq = caller.ask()
@@ -76,7 +76,7 @@
     threads = [threading.Thread(target=request_at_end, args=(caller,)) for caller in callers]
     for thread in threads:
         thread.start()
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     for thread in threads:
         thread.join()
     assert ends.count((b"", True)) >= 10
@@ -84,7 +84,9 @@
     assert [end for end in ends if end[0]] == []
 
 
-def test_requests_sent_during_the_shutdown_are_answered_or_their_connection_ends_without_a_reset(launch):
+def test_requests_sent_during_the_shutdown_are_answered_or_their_connection_ends_without_a_reset(
+    launch_gateway,
+):
     """Guards against a reader that sleeps between reads while clients send their next requests at once.
 
     The process then exits with unread requests and resets the connections.
@@ -93,8 +95,8 @@
     configuration = config(engine) | {"listen": f"127.0.0.1:{port}"}
     for item in configuration["settings"]["categories"]:
         item["give_up"] = 1.0
-    process = launch(configuration)
-    until(lambda: listens(port))
+    process = launch_gateway(configuration)
+    until(lambda: is_listening(port))
     wrong_results, wrong_ids = [], []
 
     def send_requests():
@@ -119,16 +121,16 @@
     time.sleep(0.3)
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(WAIT_TIMEOUT_S) == 0
     assert time.monotonic() - began < 1.0 + 0.7
     for thread in threads:
-        thread.join(PATIENCE)
+        thread.join(WAIT_TIMEOUT_S)
     assert not wrong_results
     assert not wrong_ids
 
 
-def test_answers_put_before_the_end_of_a_connection_arrive_whole_and_later_ones_are_dropped(start):
-    gateway, client = start(Engine(ok(b"x\ty\tz\n" * 800)))
+def test_answers_put_before_the_end_of_a_connection_arrive_whole_and_later_ones_are_dropped(start_gateway):
+    gateway, client = start_gateway(Engine(ok(b"x\ty\tz\n" * 800)))
     seq = client.ask()
     until(lambda: gateway.count("answered") == 1)
     (gateway_side,) = gateway.listener.clients
