--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -34,7 +34,7 @@
 class _WriteBuffer:
     """The interface of a connection's write buffer, for a client without a connection."""
 
-    is_dead = is_finishing = False
+    is_closed = is_finishing = False
 
     def finish(self, now: bool = False) -> None:
         """Nothing to close."""
@@ -55,7 +55,7 @@
         """on_ended is called once for each command that was sent, on the core's thread."""
         self._core = core
         self._reader = reader
-        self.open: dict[int, Any] = {}
+        self.open_requests: dict[int, Any] = {}
         self.undelivered: dict[int, bool] = {}
         self.interrupted: set[int] = set()
         self.settled_count = 0
@@ -92,7 +92,7 @@
         if is_repeat:
             fields[b"second"] = b"1"
         try:
-            request = self._reader.request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
+            request = self._reader.read_request(fields, command.statement.encode(), CLIENT_NAME, CLIENT_NAME)
         except RequestError as error:
             raise RejectedError(str(error)) from None
         if not self._core.statement_memory.reserve(len(request.statement)):
@@ -105,7 +105,7 @@
     def put(self, message: bytes) -> None:
         """Take complete frames, each with one answer. Called on the core's thread."""
         while message:
-            size = FRAME_LENGTH_BYTES + thrift.I32S.unpack(message[:FRAME_LENGTH_BYTES])[0]
+            size = FRAME_LENGTH_BYTES + thrift.I32_FORMAT.unpack(message[:FRAME_LENGTH_BYTES])[0]
             answer = thrift.decode_message(message[FRAME_LENGTH_BYTES:size], thrift.REPLY, thrift.EXCEPTION)
             message = message[size:]
             self._on_ended(answer.sequence_id, *_outcome(answer.fields))
