--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -195,7 +195,7 @@
 
     def _run(self) -> None:
         self.membership.tick(monotonic_us())
-        while self.membership.state != MemberState.OUT:
+        while self.membership.state != MemberState.LEFT:
             self._guarded(self._carry_out_all)
             try:
                 event = self.queue.get(timeout=self._sleep_s())
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -66,7 +66,7 @@
         self.identity = Identity(name, nonce)
         self.rules = rules
         self.lease = Lease(rules.terms)
-        self.state = MemberState.ALONE
+        self.state = MemberState.NO_LEASE
         self.out: list[MembershipAction] = []
         self.calls = CallLanes(rules, random_fraction)
         claim_backoff = rules.backoff(random_fraction)
@@ -88,7 +88,7 @@
 
     def fencing_token(self, role: str, now: int) -> int:
         """The token under which to act on a role now; 0: this member does not certainly lead it."""
-        if self.state not in (MemberState.IN, MemberState.LEAVING):
+        if self.state not in (MemberState.JOINED, MemberState.LEAVING):
             return 0
         if role in self.claims.excess or not self.lease.is_valid(now):
             return 0
@@ -113,7 +113,7 @@
 
     def tick(self, now: int) -> None:
         """Do what is due: check the lease, and make the next call in each lane."""
-        if self.state == MemberState.OUT:
+        if self.state == MemberState.LEFT:
             return
         self._check_lease(now)
         self._start_call(CallLane.LEASE, self._next_lease_call, now)
@@ -135,7 +135,7 @@
         return max(now, min(times)) if times else now + self.rules.max_backoff_us
 
     def _next_state_call_at(self, now: int) -> int:
-        if self.state != MemberState.IN or self.must_read_members:
+        if self.state != MemberState.JOINED or self.must_read_members:
             return 0
         next_at = self.claims.next_call_at(now)
         return next_at if self.is_ready else min(next_at, self.ready_at)
@@ -148,26 +148,26 @@
         self.calls.replied(lane_of(call.request), is_done, now)
         if is_done:
             self.newest_revision = max(self.newest_revision, reply.revision)
-        if not self.calls.is_void(call) and self.state != MemberState.OUT:
+        if not self.calls.is_void(call) and self.state != MemberState.LEFT:
             self._handle_reply(now, call, reply)
         self.tick(now)
 
     def member_changed(self, now: int, key: str, value: str | None, revision: int) -> None:
         """Take a change of a member's key; value None: it was deleted."""
-        if revision <= self.newest_revision and self.state not in (MemberState.IN, MemberState.LEAVING):
+        if revision <= self.newest_revision and self.state not in (MemberState.JOINED, MemberState.LEAVING):
             return  # a read has shown a newer state
         self.newest_revision = max(self.newest_revision, revision)
         name = key.removeprefix(MEMBERS_PREFIX)
         record = None if value is None else MemberRecord.decode(value, revision)
         is_own_key = name == self.identity.name
-        if is_own_key and self.state == MemberState.IN and revision > self.identity.key_revision:
+        if is_own_key and self.state == MemberState.JOINED and revision > self.identity.key_revision:
             self._own_key_changed(now, record, revision)
         if record is None:
             self.members.pop(name, None)
             self.claims.claim_now(now)
         else:
             self.members[name] = record.is_ready
-        if self.state == MemberState.IN:
+        if self.state == MemberState.JOINED:
             self._reassign_roles(now)
         self.tick(now)
 
@@ -189,11 +189,11 @@
 
     def leave(self, now: int) -> None:
         """Shut down gracefully: give up all roles, then end the lease."""
-        if self.state in (MemberState.LEAVING, MemberState.OUT):
+        if self.state in (MemberState.LEAVING, MemberState.LEFT):
             return
         self.leave_at = now + self.rules.leave_us
         if not self.lease.id:
-            self._change_state(MemberState.OUT, "left")
+            self._change_state(MemberState.LEFT, "left")
             return
         self._change_state(MemberState.LEAVING, "shutdown requested")
         self.calls.end_delays()
@@ -233,10 +233,10 @@
         self._reset_roles(reason)
         self.lease.clear()
         if self.state == MemberState.LEAVING:
-            self._change_state(MemberState.OUT, reason)
+            self._change_state(MemberState.LEFT, reason)
         else:
             self.calls.delay(CallLane.LEASE, now)
-            self._change_state(MemberState.ALONE, reason)
+            self._change_state(MemberState.NO_LEASE, reason)
 
     def _superseded(self, now: int) -> None:
         """Stop for good and free our roles at once: a later process of the same name replaces this one."""
@@ -248,11 +248,11 @@
     def _end(self, reason: str) -> None:
         self._reset_roles(reason)
         self.lease.clear()
-        self._change_state(MemberState.OUT, reason)
+        self._change_state(MemberState.LEFT, reason)
 
     def _joined(self, now: int, revision: int, is_ready: bool) -> None:
         """Record that our key is in the store."""
-        is_first = self.state != MemberState.IN
+        is_first = self.state != MemberState.JOINED
         self.identity.key_revision = revision
         self.is_ready = is_ready
         if is_first:
@@ -260,7 +260,7 @@
                 self.identity.incarnation = revision
             self.ready_at = now + self.rules.settle_us
             self.claims.joined(now)
-            self._change_state(MemberState.IN, "joined")
+            self._change_state(MemberState.JOINED, "joined")
         self._reassign_roles(now)
         if is_first:
             self.claims.review_all(now)
@@ -272,7 +272,7 @@
 
     def _start_call(self, lane: CallLane, choose: Callable[[int], CallPlan | None], now: int) -> None:
         """Make the call that choose(now) plans, if any."""
-        if not self.calls.may_start(lane, now) or self.state == MemberState.OUT:
+        if not self.calls.may_start(lane, now) or self.state == MemberState.LEFT:
             return
         plan = choose(now)
         if plan is not None:
@@ -300,11 +300,11 @@
                 return CallPlan(CallPurpose.JOIN, request, (is_ready,))
             case MemberState.LEAVING:
                 return self.claims.leaving_call()
-            case MemberState.IN if self.must_read_members:
+            case MemberState.JOINED if self.must_read_members:
                 return CallPlan(CallPurpose.READ_MEMBERS, ReadPrefix(MEMBERS_PREFIX))
-            case MemberState.IN if not self.is_ready and now >= self.ready_at:
+            case MemberState.JOINED if not self.is_ready and now >= self.ready_at:
                 return CallPlan(CallPurpose.BECOME_READY, self.identity.write_key(True, self.lease.id))
-            case MemberState.IN:
+            case MemberState.JOINED:
                 return self.claims.next_call(now, self.lease.id)
         return None
 
@@ -333,7 +333,7 @@
         if reply.proof != Proof.DONE:
             return  # the store may have granted a lease: without keys it expires unused
         self.lease.renew(reply.lease, call.sent_at)
-        if self.state == MemberState.ALONE:
+        if self.state == MemberState.NO_LEASE:
             self._change_state(MemberState.READING, "lease granted")
 
     def _renewal_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
@@ -359,7 +359,7 @@
         self._emit(WatchMembers(reply.revision + 1))
         if own_item and own_record and is_ours and own_item.lease == self.lease.id:
             self._joined(now, own_item.revision, own_record.is_ready)  # also if the reply to JOIN was lost
-        elif self.state == MemberState.IN:
+        elif self.state == MemberState.JOINED:
             self._lose_lease(now, KEY_ENDED)
         else:
             self.identity.key_revision = own_item.revision if own_item else 0
--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -24,12 +24,12 @@
 class MemberState(StrEnum):
     """State of a member; the values appear in the log."""
 
-    ALONE = "alone"  # it has no lease
+    NO_LEASE = "alone"  # it has no lease
     READING = "reading"  # it has a lease, and reads the list of members
     JOINING = "joining"  # it writes its own key
-    IN = "in"  # it leads the roles that are assigned to it
+    JOINED = "in"  # it leads the roles that are assigned to it
     LEAVING = "leaving"  # it gives up its roles
-    OUT = "out"  # it has left for good, or a later process has its name
+    LEFT = "out"  # it has left for good, or a later process has its name
 
 
 class CallLane(StrEnum):
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -69,7 +69,7 @@
     def fencing_token(self, role: str, now: int) -> int:
         """Does not look at the lease."""
         del now
-        return self.claims.tokens.get(role, 0) if self.state == MemberState.IN else 0
+        return self.claims.tokens.get(role, 0) if self.state == MemberState.JOINED else 0
 
 
 class ActsWhileReleasing(Membership):
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -144,10 +144,10 @@
         if self.is_asleep[index]:
             return [] if index in self.dead else [Action(ActionKind.WAKE, index)]
         found = []
-        if self.faults and member.state == MemberState.IN:
+        if self.faults and member.state == MemberState.JOINED:
             found.append(Action(ActionKind.SLEEP, index))
             found.append(Action(ActionKind.DIE, index))
-        if self.faults and member.state != MemberState.OUT:
+        if self.faults and member.state != MemberState.LEFT:
             found.append(Action(ActionKind.RESTART, index))
         if self._unwatched(index):
             found.append(Action(ActionKind.WATCH, index))
@@ -291,14 +291,14 @@
     def settled(self) -> None:
         """Raise InvariantError unless each role has a leader that may act and each name a live process."""
         for index, member in enumerate(self.members):
-            if self._should_be_in(index) and member.state != MemberState.IN:
+            if self._should_be_in(index) and member.state != MemberState.JOINED:
                 raise InvariantError(
                     f"the process of {member.identity.name} that joined last is {member.state}"
                 )
         alive = [
             index
             for index, member in enumerate(self.members)
-            if index not in self.dead and member.state != MemberState.OUT
+            if index not in self.dead and member.state != MemberState.LEFT
         ]
         for role in self.roles:
             tokens = [self.members[index].fencing_token(role, self.clock(index)) for index in alive]
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -63,7 +63,7 @@
     ):
         (call,) = calls(one)
         one.call_replied(now, call, reply)
-    assert one.state == MemberState.IN
+    assert one.state == MemberState.JOINED
     assert one.claims.tokens == dict.fromkeys(roles, 3)
     return one
 
@@ -133,7 +133,7 @@
     one.set_busy("d", False)
     one.tick(500_000)
     one.tick(S)  # nothing was heard of either: leaving ends all the same
-    assert one.state == MemberState.OUT
+    assert one.state == MemberState.LEFT
 
 
 def test_a_role_with_work_in_progress_is_not_released_to_another_member():
