--- a/gullhold/fleet/occurrence.py
+++ b/gullhold/fleet/occurrence.py
@@ -12,13 +12,13 @@
 
     INTENT = "intent"  # an attempt may have been sent
     SHED = "shed"  # the last attempt certainly had no effect; another may follow
-    UNDONE = "undone"  # the last attempt was never sent; another may follow
+    NOT_SENT = "undone"  # the last attempt was never sent; another may follow
     ANSWERED = "answered"  # final
     FAILED = "failed"  # final
     SKIPPED = "skipped"  # final
 
 
-OPEN_STATES = (OccurrenceState.INTENT, OccurrenceState.SHED, OccurrenceState.UNDONE)
+OPEN_STATES = (OccurrenceState.INTENT, OccurrenceState.SHED, OccurrenceState.NOT_SENT)
 
 
 class Occurrence(NamedTuple):
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -315,7 +315,7 @@
         self.unsent_intent = None
         self.in_flight = occurrence
         if time_limit_us <= 0:
-            self.attempt_ended(now, OccurrenceState.UNDONE, "no time was left")
+            self.attempt_ended(now, OccurrenceState.NOT_SENT, "no time was left")
             return
         key = idempotency_key(self.rules.name, occurrence.due_us)
         self.out.append(SendAttempt(occurrence.due_us, occurrence.attempts, key, now, time_limit_us))
@@ -323,7 +323,7 @@
     def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
         """Record the end of the attempt.
 
-        state: ANSWERED, SHED (it had no effect), UNDONE (it was never sent) or FAILED (it may have run).
+        state: ANSWERED, SHED (it had no effect), NOT_SENT (no attempt reached the core) or FAILED (it may have run).
         """
         occurrence = self.in_flight
         self.in_flight = None
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -115,6 +115,6 @@
                 is_repeat=attempt.attempt > 1,
             )
         except RejectedError as error:
-            command.attempt_ended(unix_us(), OccurrenceState.UNDONE, str(error))
+            command.attempt_ended(unix_us(), OccurrenceState.NOT_SENT, str(error))
         else:
             self._role_by_number[number] = role
--- a/gullhold/testing/scheduled_command_explorer.py
+++ b/gullhold/testing/scheduled_command_explorer.py
@@ -26,7 +26,7 @@
     ScheduledProfile(idempotency, 3 * US_PER_SECOND, 2 * US_PER_SECOND, True) for idempotency in Idempotency
 )
 RULES = ScheduledCommandRules("a", 60 * US_PER_SECOND, 3, False, 100_000)
-NO_EFFECT = (OccurrenceState.SHED, OccurrenceState.UNDONE)
+NO_EFFECT = (OccurrenceState.SHED, OccurrenceState.NOT_SENT)
 START_US = 1000 * US_PER_SECOND + 1
 FIRST_TOKEN = 4
 MAX_STEP_US = 900_000  # that passes in one step of a walk
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -46,7 +46,7 @@
         (UNIQ._replace(is_deduplicated_everywhere=False), OccurrenceState.INTENT, 1, 2, 0, "not all engines"),
         (ONCE, OccurrenceState.INTENT, 1, 0, 0, "check its effect by hand"),
         (ONCE, OccurrenceState.SHED, 1, 5, 10, ""),
-        (ONCE, OccurrenceState.UNDONE, 2, 5, 10, ""),
+        (ONCE, OccurrenceState.NOT_SENT, 2, 5, 10, ""),
         (ONCE, OccurrenceState.SHED, 1, 61, 0, "its window is over"),
     ],
 )
