--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -24,7 +24,7 @@
 from gullhold.interface import Agreement
 
 if TYPE_CHECKING:
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.fleet.lane import Lane
     from gullhold.fleet.watcher import Watcher
     from gullhold.operator.records import FleetRecord
@@ -38,7 +38,7 @@
     """One member's side, and the allocator's if this member leads that role. On the fleet's thread."""
 
     def __init__(
-        self, fleet: "Fleet", record: "FleetRecord", agreement: Agreement, clock: Callable[[], int]
+        self, fleet: "FleetMember", record: "FleetRecord", agreement: Agreement, clock: Callable[[], int]
     ) -> None:
         """record: of the operator file. clock: monotonic us. Raises BudgetRuleError."""
         self.fleet = fleet
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -1,4 +1,4 @@
-"""A fleet's member: one thread that decides, and others that wait for the store.
+"""A member of a fleet: one thread that decides, and others that wait for the store.
 
 The core never waits for any of them: scheduled commands and decisions of budgets and policies are posted to
 it, and answers come back as events on the queue of the fleet's thread. A store that does not answer causes
@@ -59,7 +59,7 @@
     from gullhold.net.core import Core
     from gullhold.operator.records import FleetRecord
 
-__all__ = ["Fleet", "UnusableFleetError"]
+__all__ = ["FleetMember", "UnusableFleetError"]
 
 WORK_LANE = "work"  # of heartbeats and scheduled commands
 MAX_SLEEP_S = 0.5  # of the fleet's thread: a clock that jumps is noticed by then
@@ -68,7 +68,7 @@
 NONCE_BITS = 64
 
 
-class Fleet:
+class FleetMember:
     """A member of a fleet, from start() until leave() is done; then `stopped` is set."""
 
     def __init__(self, record: "FleetRecord", configuration: "Configuration", core: "Core") -> None:
--- a/gullhold/fleet/role_driver.py
+++ b/gullhold/fleet/role_driver.py
@@ -7,7 +7,7 @@
 from gullhold.fleet.store_calls import ReadPrefix, Reply
 
 if TYPE_CHECKING:
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
 
 
 class RoleDriver:
@@ -16,7 +16,7 @@
     All methods are called on the fleet's thread.
     """
 
-    def __init__(self, fleet: "Fleet") -> None:
+    def __init__(self, fleet: "FleetMember") -> None:
         """fleet: has the role states, the lanes and the watchers."""
         self._fleet = fleet
 
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -17,7 +17,7 @@
 from gullhold.fleet.store_calls import ReadPrefix, Reply
 
 if TYPE_CHECKING:
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import Scheduled
 
 
@@ -25,7 +25,7 @@
     """The scheduled commands of one member, by role. All methods are called on the fleet's thread."""
 
     def __init__(
-        self, fleet: "Fleet", records: "dict[str, Scheduled]", client: ScheduledCommandClient
+        self, fleet: "FleetMember", records: "dict[str, Scheduled]", client: ScheduledCommandClient
     ) -> None:
         """records: of the operator file, by role; client: sends attempts."""
         self._fleet = fleet
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:  # heavy, and needed only where an operator file asks for it
     from gullhold.admission.client_identity import ClientIdentifier
     from gullhold.admission.queue import AdmissionQueue
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import DoorRecord, FleetRecord
 
 LISTEN_RETRY_LIMIT_S = 5.0  # for an address that is still taken, or a socket
@@ -117,7 +117,7 @@
 
 def build_fleet_member(
     fleet_record: "FleetRecord", configuration: Configuration, core: Core
-) -> "Fleet | None":
+) -> "FleetMember | None":
     """Build the member of a fleet that an operator's record asks for, not started yet; None where it is off.
 
     Raises ConfigurationError.
@@ -129,7 +129,7 @@
     except ImportError as error:
         raise ConfigurationError(f"fleet needs the libraries of requirements-full.txt: {error}") from None
     try:
-        return driver.Fleet(fleet_record, configuration, core)
+        return driver.FleetMember(fleet_record, configuration, core)
     except driver.UnusableFleetError as error:
         raise ConfigurationError(str(error)) from None
 
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from gullhold.budgets.allocator_role import AllocatorRole
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import FleetRecord
 
 VOTE_LANE = "words"  # of the member's calls
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        fleet: "Fleet",
+        fleet: "FleetMember",
         record: "FleetRecord",
         agreement: Agreement,
         clock: Callable[[], int],
@@ -138,7 +138,7 @@
         )
 
     def start(self, watch: Callable[..., Watcher]) -> None:
-        """Start the watchers. watch: Fleet.watch."""
+        """Start the watchers. watch: FleetMember.watch."""
         self.watcher = watch("policy", WATCHED, self._changed, self._watch_gap)
         self.fleet.watch_role(ROLE, "words", ROOT)
 
