--- a/gullhold/fleet/call_lanes.py
+++ b/gullhold/fleet/call_lanes.py
@@ -31,7 +31,7 @@
     def start(self, lane: CallLane, plan: CallPlan, now: int) -> PendingCall:
         """Number a call that is made now."""
         self.last_number += 1
-        call = PendingCall(self.last_number, plan.purpose, plan.request, now, plan.about)
+        call = PendingCall(self.last_number, plan.purpose, plan.request, now, plan.context)
         self.under_way[lane] = call
         return call
 
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -367,7 +367,7 @@
 
     def _join_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         if reply.proof == Proof.DONE and reply.succeeded:
-            (is_ready,) = call.about
+            (is_ready,) = call.context
             self.members[self.identity.name] = is_ready
             self._joined(now, reply.revision, is_ready)
         else:  # another process wrote the key, or our call may have been carried out: read the members
--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -73,12 +73,12 @@
 class CallPlan(NamedTuple):
     """A call that is to be made.
 
-    about: context for its reply: the roles that the call is for, or for JOIN whether the member is ready.
+    context: what the reply is handled with: the roles that the call is for, or for JOIN whether the member is ready.
     """
 
     purpose: CallPurpose
     request: Request
-    about: tuple[Any, ...] = ()
+    context: tuple[Any, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -214,7 +214,7 @@
         """Take the reply to a claim; whether to read the members, as our own key is not what we expected."""
         if reply.proof == Proof.DONE and reply.succeeded:
             self.claim_backoff.reset()
-            for role in call.about:
+            for role in call.context:
                 self.wanted.pop(role, None)
                 self.own_keys.pop(role, None)
                 self.won(role, reply.revision)
@@ -223,16 +223,16 @@
             self._observe_all(now, call, reply)
             return not reply.items
         elif reply.proof == Proof.UNKNOWN:
-            self._mark_unsure(call.about)
+            self._mark_unsure(call.context)
         return False
 
     def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         """Take the reply to a release of roles."""
         if reply.proof == Proof.DONE and reply.succeeded:
-            for role in call.about:
+            for role in call.context:
                 self.review(now, role)
         else:
-            self._mark_unsure(call.about)
+            self._mark_unsure(call.context)
 
     def audit_replied(self, now: int, reply: Reply) -> None:
         """Take the reply to a read of the keys attached to our lease."""
@@ -255,7 +255,7 @@
 
     def _observe_all(self, now: int, call: PendingCall, reply: Reply) -> None:
         items = {item.key.removeprefix(ROLES_PREFIX): item for item in reply.items}
-        for role in call.about:
+        for role in call.context:
             self.unsure.pop(role, None)
             self.observe(now, role, items.get(role))
 
--- a/gullhold/fleet/store_calls.py
+++ b/gullhold/fleet/store_calls.py
@@ -112,10 +112,10 @@
 
 
 class PendingCall(NamedTuple):
-    """A request under way. sent_at: when it was handed out (us); about: context for its reply."""
+    """A request under way. sent_at: when it was handed out (us); context: what its reply is handled with."""
 
     number: int
     purpose: str
     request: Request
     sent_at: int
-    about: tuple[Any, ...] = ()
+    context: tuple[Any, ...] = ()
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -85,7 +85,7 @@
 
         def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
             """Only now."""
-            for role in call.about:
+            for role in call.context:
                 self.tokens.pop(role, None)
             super().release_replied(now, call, reply)
 
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -124,7 +124,7 @@
     one.leave(0)
     (release,) = calls(one)
     assert release.purpose == "release"
-    assert release.about == ("e",)
+    assert release.context == ("e",)
     assert one.fencing_token("d", 0)
     assert not one.fencing_token("e", 0)
     one.call_replied(0, release, Reply(Proof.DONE, 7))
