--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -25,7 +25,7 @@
     """The settings of a member."""
     roles = record.duties
     return MembershipRules(
-        terms=LeaseTerms(record.lease // US_PER_SECOND, record.drift.rate, record.drift.margin),
+        lease_terms=LeaseTerms(record.lease // US_PER_SECOND, record.drift.rate, record.drift.margin),
         settle_us=roles.settle,
         moves_per_second=roles.moves,
         min_backoff_us=roles.pauses.least,
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -109,7 +109,9 @@
                 raise UnusableFleetError(str(error)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = MemberRollout(self, record, agreement, monotonic_us, rules.terms.guaranteed_us())
+            self.policies = MemberRollout(
+                self, record, agreement, monotonic_us, rules.lease_terms.guaranteed_us()
+            )
         self._features = [feature for feature in (self.budgets, self.policies) if feature]
 
     def _roles(self) -> list[str]:
--- a/gullhold/fleet/lease.py
+++ b/gullhold/fleet/lease.py
@@ -12,17 +12,17 @@
 class LeaseTerms(NamedTuple):
     """Settings of leases, from the operator file.
 
-    ttl_s: time to live in integer seconds. drift: largest relative difference of two clocks' rates.
+    ttl_s: time to live in integer seconds. max_drift: largest relative difference of two clocks' rates.
     margin_us: how much too early a store may end a lease at most.
     """
 
     ttl_s: int
-    drift: float
+    max_drift: float
     margin_us: int
 
     def guaranteed_us(self) -> int:
         """How long a lease certainly holds after the call that granted or renewed it was sent."""
-        return int(self.ttl_s * US_PER_SECOND * (1 - self.drift)) - self.margin_us
+        return int(self.ttl_s * US_PER_SECOND * (1 - self.max_drift)) - self.margin_us
 
 
 class Lease:
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -65,7 +65,7 @@
         """nonce: distinguishes processes of the same name; random_fraction: draws from [0, 1)."""
         self.identity = Identity(name, nonce)
         self.rules = rules
-        self.lease = Lease(rules.terms)
+        self.lease = Lease(rules.lease_terms)
         self.state = MemberState.NO_LEASE
         self.out: list[MembershipAction] = []
         self.calls = CallLanes(rules, random_fraction)
@@ -242,7 +242,7 @@
         """Stop for good and free our roles at once: a later process of the same name replaces this one."""
         self._reset_roles(SUPERSEDED)
         self.claims.busy = set()
-        self.leave_at = now + self.rules.terms.guaranteed_us()
+        self.leave_at = now + self.rules.lease_terms.guaranteed_us()
         self._change_state(MemberState.LEAVING, SUPERSEDED)
 
     def _end(self, reason: str) -> None:
@@ -282,7 +282,7 @@
         if self.state == MemberState.LEAVING and not self.claims.busy:
             return CallPlan(CallPurpose.REVOKE_LEASE, RevokeLease(self.lease.id))
         if not self.lease.id:
-            return CallPlan(CallPurpose.GRANT_LEASE, GrantLease(self.rules.terms.ttl_s))
+            return CallPlan(CallPurpose.GRANT_LEASE, GrantLease(self.rules.lease_terms.ttl_s))
         if now >= self.lease.renew_at():
             return CallPlan(CallPurpose.RENEW_LEASE, KeepLeaseAlive(self.lease.id))
         return None
--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -130,7 +130,7 @@
     leave_us: how long leaving waits for work under way.
     """
 
-    terms: LeaseTerms
+    lease_terms: LeaseTerms
     settle_us: int
     moves_per_second: float
     min_backoff_us: int
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -62,7 +62,7 @@
         self.assignment = RoleAssignment(roles)
         self.claim_backoff = claim_backoff
         self.move_limit = RateLimit(rules.moves_per_second, now)
-        self.audit_interval_us = AUDIT_INTERVAL_LEASES * rules.terms.guaranteed_us()
+        self.audit_interval_us = AUDIT_INTERVAL_LEASES * rules.lease_terms.guaranteed_us()
         self.audit_at = 0
         self.tokens: dict[str, int] = {}
         self.excess: dict[str, int] = {}
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -28,8 +28,8 @@
     """Counts a lease by its own clock for as long as it was granted."""
 
     def __init__(self, name: str, nonce: str, rules: MembershipRules, *other: Any) -> None:
-        terms: LeaseTerms = rules.terms._replace(drift=0.0)
-        super().__init__(name, nonce, rules._replace(terms=terms), *other)
+        terms: LeaseTerms = rules.lease_terms._replace(max_drift=0.0)
+        super().__init__(name, nonce, rules._replace(lease_terms=terms), *other)
 
 
 class LeaseFromReply(Membership):
