--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -90,7 +90,7 @@
         """The token under which to act on a role now; 0: this member does not certainly lead it."""
         if self.state not in (MemberState.JOINED, MemberState.LEAVING):
             return 0
-        if role in self.claims.excess or not self.lease.is_valid(now):
+        if role in self.claims.to_release or not self.lease.is_valid(now):
             return 0
         return self.claims.tokens.get(role, 0)
 
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -42,10 +42,10 @@
 class RoleClaims:
     """The roles that one member leads, claims or gives up.
 
-    tokens: fencing tokens of the roles whose key is ours. excess: roles to give up, with the token of their
-    key. wanted: roles to claim, each with the time from which to do so. own_keys: of those, the revision of a
-    key that is ours already. unsure: roles whose key has to be read. busy: roles that are not given up, as
-    work on them is under way.
+    tokens: fencing tokens of the roles whose key is ours. to_release: roles to give up, with the token of
+    their key. claim_at: roles to claim, each with the time from which to do so. own_key_revisions: of those,
+    the revision of a key that is ours already. unverified: roles whose key has to be read before anything
+    else is done with them. busy: roles that are not given up yet, as work on them is under way.
     """
 
     def __init__(
@@ -65,10 +65,10 @@
         self.audit_interval_us = AUDIT_INTERVAL_LEASES * rules.lease_terms.guaranteed_us()
         self.audit_at = 0
         self.tokens: dict[str, int] = {}
-        self.excess: dict[str, int] = {}
-        self.wanted: dict[str, int] = {}
-        self.own_keys: dict[str, int] = {}
-        self.unsure: dict[str, bool] = {}  # in order of arrival
+        self.to_release: dict[str, int] = {}
+        self.claim_at: dict[str, int] = {}
+        self.own_key_revisions: dict[str, int] = {}
+        self.unverified: dict[str, bool] = {}  # in order of arrival
         self.busy: set[str] = set()
         self._emit = emit
 
@@ -76,10 +76,10 @@
         """Lose all roles, and forget what was known of others."""
         for role in list(self.tokens):
             self.lost(role, reason)
-        self.wanted = {}
-        self.excess = {}
-        self.own_keys = {}
-        self.unsure = {}
+        self.claim_at = {}
+        self.to_release = {}
+        self.own_key_revisions = {}
+        self.unverified = {}
 
     def won(self, role: str, token: int) -> None:
         """Record that the role's key is ours."""
@@ -110,18 +110,18 @@
         is_assigned = self._is_assigned(role)
         if role not in self.tokens:
             if is_assigned:
-                self.wanted.setdefault(role, now)
+                self.claim_at.setdefault(role, now)
             else:
-                self.wanted.pop(role, None)
+                self.claim_at.pop(role, None)
         elif is_assigned:
-            self.excess.pop(role, None)
+            self.to_release.pop(role, None)
         else:
-            self.excess[role] = self.tokens[role]
+            self.to_release[role] = self.tokens[role]
 
     def claim_now(self, now: int) -> None:
-        """Claim all wanted roles without delay: a member has gone, and its roles are free."""
-        for role in self.wanted:
-            self.wanted[role] = now
+        """Make all planned claims due now: a member has left, and its roles are free."""
+        for role in self.claim_at:
+            self.claim_at[role] = now
 
     def _is_assigned(self, role: str) -> bool:
         return self.assignment.leaders.get(role) == self.identity.name
@@ -130,8 +130,8 @@
 
     def next_call(self, now: int, lease_id: int) -> CallPlan | None:
         """The next call to make, if any."""
-        if self.unsure:
-            roles = tuple(self.unsure)[:MAX_ROLES_PER_CALL]
+        if self.unverified:
+            roles = tuple(self.unverified)[:MAX_ROLES_PER_CALL]
             reads = tuple(Get(ROLES_PREFIX + role) for role in roles)
             return CallPlan(CallPurpose.INSPECT_ROLES, Transaction((), reads), roles)
         if now >= self.audit_at:
@@ -141,14 +141,14 @@
             count = self.move_limit.take(now, min(len(releasable), MAX_ROLES_PER_CALL))
             if count:
                 return self._release_call(releasable[:count])
-        due = [role for role, at in self.wanted.items() if at <= now]
+        due = [role for role, at in self.claim_at.items() if at <= now]
         return self._claim_call(due[:MAX_ROLES_PER_CALL], lease_id) if due else None
 
     def next_call_at(self, now: int) -> int:
         """When next_call() will return a call at the latest."""
-        if self.unsure:
+        if self.unverified:
             return 0
-        times = [self.audit_at, *self.wanted.values()]
+        times = [self.audit_at, *self.claim_at.values()]
         if self.releasable():
             times.append(self.move_limit.ready_at(now))
         return min(times)
@@ -165,13 +165,13 @@
 
     def releasable(self) -> list[tuple[str, int]]:
         """Roles that can be given up now, with the tokens of their keys."""
-        return [(role, token) for role, token in self.excess.items() if role not in self.busy]
+        return [(role, token) for role, token in self.to_release.items() if role not in self.busy]
 
     def _release_call(self, releases: list[tuple[str, int]]) -> CallPlan:
         """Stop acting on the roles, and give them up: others may learn of that before our reply arrives."""
         for role, _ in releases:
             self.lost(role, "released")
-            self.excess.pop(role, None)
+            self.to_release.pop(role, None)
         conditions = tuple((ROLES_PREFIX + role, token) for role, token in releases)
         deletes = tuple(Delete(key) for key, _ in conditions)
         roles = tuple(role for role, _ in releases)
@@ -182,7 +182,7 @@
         keys = [ROLES_PREFIX + role for role in roles]
         value = LeaderRecord(identity.name, identity.nonce, identity.incarnation).encode()
         own_condition = (identity.key, identity.key_revision)
-        role_conditions = [(ROLES_PREFIX + role, self.own_keys.get(role, 0)) for role in roles]
+        role_conditions = [(ROLES_PREFIX + role, self.own_key_revisions.get(role, 0)) for role in roles]
         transaction = Transaction(
             (own_condition, *role_conditions),
             tuple(Put(key, value, lease_id) for key in keys),
@@ -206,7 +206,7 @@
         return False
 
     def inspect_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-        """Take the reply to a read of unsure roles' keys."""
+        """Take the reply to a read of the keys of unverified roles."""
         if reply.proof == Proof.DONE:
             self._observe_all(now, call, reply)
 
@@ -215,15 +215,15 @@
         if reply.proof == Proof.DONE and reply.succeeded:
             self.claim_backoff.reset()
             for role in call.context:
-                self.wanted.pop(role, None)
-                self.own_keys.pop(role, None)
+                self.claim_at.pop(role, None)
+                self.own_key_revisions.pop(role, None)
                 self.won(role, reply.revision)
                 self.review(now, role)  # it may be assigned to another by now
         elif reply.proof == Proof.DONE:
             self._observe_all(now, call, reply)
             return not reply.items
         elif reply.proof == Proof.UNKNOWN:
-            self._mark_unsure(call.context)
+            self._mark_unverified(call.context)
         return False
 
     def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
@@ -232,7 +232,7 @@
             for role in call.context:
                 self.review(now, role)
         else:
-            self._mark_unsure(call.context)
+            self._mark_unverified(call.context)
 
     def audit_replied(self, now: int, reply: Reply) -> None:
         """Take the reply to a read of the keys attached to our lease."""
@@ -241,34 +241,34 @@
         self.audit_at = now + self.audit_interval_us
         attached = {key.removeprefix(ROLES_PREFIX) for key in reply.keys if key.startswith(ROLES_PREFIX)}
         # Keys that we do not know of: a call that was given up was carried out after all.
-        self._mark_unsure(attached - self.tokens.keys() - self.unsure.keys())
+        self._mark_unverified(attached - self.tokens.keys() - self.unverified.keys())
         for role in self.tokens.keys() - attached:  # nobody but us deletes it while the lease holds
             self.lost(role, "key removed")
-            self.excess.pop(role, None)
+            self.to_release.pop(role, None)
             self.review(now, role)
 
-    def _mark_unsure(self, roles: Iterable[str]) -> None:
+    def _mark_unverified(self, roles: Iterable[str]) -> None:
         """Have the keys of these roles read; until then the roles are not acted on."""
         for role in roles:
-            self.wanted.pop(role, None)
-            self.unsure[role] = True
+            self.claim_at.pop(role, None)
+            self.unverified[role] = True
 
     def _observe_all(self, now: int, call: PendingCall, reply: Reply) -> None:
         items = {item.key.removeprefix(ROLES_PREFIX): item for item in reply.items}
         for role in call.context:
-            self.unsure.pop(role, None)
-            self.observe(now, role, items.get(role))
+            self.unverified.pop(role, None)
+            self.handle_role_key(now, role, items.get(role))
 
-    def observe(self, now: int, role: str, item: KeyValue | None) -> None:
+    def handle_role_key(self, now: int, role: str, item: KeyValue | None) -> None:
         """Take the stored key of a role that we do not certainly lead; item None: there is none."""
         is_ours = item is not None and LeaderRecord.decode(item.value).nonce == self.identity.nonce
         is_assigned = self._is_assigned(role)
-        self.own_keys.pop(role, None)
+        self.own_key_revisions.pop(role, None)
         if is_ours and is_assigned:
             # The reply to a call was lost: write the key again, so that no older call can undo it.
-            self.own_keys[role] = cast("KeyValue", item).revision
-            self.wanted[role] = now
+            self.own_key_revisions[role] = cast("KeyValue", item).revision
+            self.claim_at[role] = now
         elif is_ours:
-            self.excess[role] = cast("KeyValue", item).revision
+            self.to_release[role] = cast("KeyValue", item).revision
         elif is_assigned:
-            self.wanted[role] = now if item is None else now + self.claim_backoff.next_delay_us()
+            self.claim_at[role] = now if item is None else now + self.claim_backoff.next_delay_us()
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -120,12 +120,12 @@
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Writes nothing anew."""
 
-        def observe(self, now: int, role: str, item: KeyValue | None) -> None:
+        def handle_role_key(self, now: int, role: str, item: KeyValue | None) -> None:
             """Leads at once."""
-            super().observe(now, role, item)
-            if role in self.own_keys:
-                self.wanted.pop(role)
-                self.won(role, self.own_keys.pop(role))
+            super().handle_role_key(now, role, item)
+            if role in self.own_key_revisions:
+                self.claim_at.pop(role)
+                self.won(role, self.own_key_revisions.pop(role))
 
 
 class ClaimsHeld(Membership):
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -86,7 +86,7 @@
 
 def test_a_key_left_behind_by_a_lost_call_is_found_by_the_audit_and_released():
     one = joined(("d", "e"))
-    one.claims.excess, one.claims.assignment.leaders["e"] = {}, "b"
+    one.claims.to_release, one.claims.assignment.leaders["e"] = {}, "b"
     one.claims.lost("e", "test")
     one.lease.valid_until = one.claims.audit_at = 6 * S
     one.lease.valid_until += 100 * S
@@ -139,7 +139,7 @@
 def test_a_role_with_work_in_progress_is_not_released_to_another_member():
     one = joined(("d", "e"))
     one.set_busy("d", True)
-    one.claims.excess = {"d": 3}
+    one.claims.to_release = {"d": 3}
     assert one.claims.releasable() == []
     one.set_busy("d", False)
     assert one.claims.releasable() == [("d", 3)]
