--- a/benchmarks/leadership_decisions.py
+++ b/benchmarks/leadership_decisions.py
@@ -77,7 +77,7 @@
                 claiming += 1
             reply = _reply(action.call.request, revision, others, member, lease_s)
             member.call_replied(now, action.call, reply)
-        if not member.out:
+        if not member.actions:
             now = max(now + 1000, member.due(now))
             member.tick(now)
     assigned = sum(leader == "n0" for leader in member.claims.assignment.leaders.values())
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -143,7 +143,7 @@
             if member not in reports:
                 self.allocator.member_left(member, now)
         self.revision = reply.revision
-        self.out.append(
+        self.actions.append(
             LogEvent("info", "budget allocator active", {"members": len(reports), "rows": len(rows)})
         )
 
@@ -163,7 +163,7 @@
     def _take_report(self, member: str, value: str, now: int) -> None:
         report = decode_report(value)
         if report is None:
-            self.out.append(LogEvent("warning", "unreadable usage report", {"reporter": member}))
+            self.actions.append(LogEvent("warning", "unreadable usage report", {"reporter": member}))
         elif report.has_left:
             self._acting_allocator.member_left(member, now, report.usage)
             self._delete_if_not_charged(member)
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -67,7 +67,7 @@
         self.rules = rules
         self.lease = Lease(rules.lease_terms)
         self.state = MemberState.NO_LEASE
-        self.out: list[MembershipAction] = []
+        self.actions: list[MembershipAction] = []
         self.calls = CallLanes(rules, random_fraction)
         claim_backoff = rules.backoff(random_fraction)
         self.claims = self.claims_type(self.identity, rules, roles, claim_backoff, now, self._emit)
@@ -82,9 +82,9 @@
 
     def take_actions(self) -> list[MembershipAction]:
         """Return the actions to carry out now, in order."""
-        out = self.out
-        self.out = []
-        return out
+        actions = self.actions
+        self.actions = []
+        return actions
 
     def fencing_token(self, role: str, now: int) -> int:
         """The token under which to act on a role now; 0: this member does not certainly lead it."""
@@ -202,7 +202,7 @@
     # States
 
     def _emit(self, action: MembershipAction) -> None:
-        self.out.append(action)
+        self.actions.append(action)
 
     def _change_state(self, state: MemberState, reason: str) -> None:
         """Change the state and emit an event; the only place that does."""
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -73,7 +73,7 @@
         self.root = root
         self.token = 0
         self.serials = count(1)
-        self.out: list[RoleAction] = []
+        self.actions: list[RoleAction] = []
         self.reading: CallSerial | None = None
         self.writing: CallSerial | None = None
         self.retry_at = 0
@@ -84,9 +84,9 @@
 
     def take_actions(self) -> list[RoleAction]:
         """Return the actions to carry out now, in order."""
-        out = self.out
-        self.out = []
-        return out
+        actions = self.actions
+        self.actions = []
+        return actions
 
     def won(self, token: int, now: int) -> None:
         """Begin to lead the role, under this fencing token."""
@@ -124,7 +124,7 @@
             self.reading = (self.token, next(self.serials))
             self.early_changes = []
             self.min_read_revision = self.newest_revision
-            self.out.append(ReadKeys(self.reading, self.root))
+            self.actions.append(ReadKeys(self.reading, self.root))
 
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
         """Take the reply to WriteKeys; all keys are read again unless it shows what the store holds now."""
@@ -151,7 +151,7 @@
         self.newest_revision = max(self.newest_revision, reply.revision)
         self.is_loaded = True
         self._on_loaded(now, reply)
-        self.out.append(WatchKeys(reply.revision + 1))
+        self.actions.append(WatchKeys(reply.revision + 1))
         for change in self.early_changes:
             self.changed(now, *change)
         self.step(now)
@@ -171,7 +171,7 @@
 
     def _write(self, operations: list[Operation], conditions: tuple[Condition, ...]) -> None:
         self.writing = (self.token, next(self.serials))
-        self.out.append(WriteKeys(self.writing, self.token, tuple(operations), conditions))
+        self.actions.append(WriteKeys(self.writing, self.token, tuple(operations), conditions))
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
         """Take all keys, after a read."""
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -88,7 +88,7 @@
         self.member = member
         self.records = OccurrenceRecords(scheduled_command_prefix(rules.name))
         self.token = 0
-        self.out: list[ScheduledCommandAction] = []
+        self.actions: list[ScheduledCommandAction] = []
         self.is_off = False
         self.is_leaving = False
         self.is_loaded = False
@@ -103,9 +103,9 @@
 
     def take_actions(self) -> list[ScheduledCommandAction]:
         """Return the actions to carry out now, in order."""
-        out = self.out
-        self.out = []
-        return out
+        actions = self.actions
+        self.actions = []
+        return actions
 
     def won(self, token: int, now: int) -> None:
         """Begin to lead the role, under this fencing token: read all records."""
@@ -122,7 +122,7 @@
         """
         self.token = 0
         self.pending_write = None
-        self.out.append(SetBusy(False))
+        self.actions.append(SetBusy(False))
         if self.in_flight:
             self._log("warning", "in flight when the role was lost", due_us=self.in_flight.due_us)
 
@@ -144,7 +144,7 @@
             return
         if not self.is_loaded:
             self.is_reading = True
-            self.out.append(ReadRecords(self.records.prefix))
+            self.actions.append(ReadRecords(self.records.prefix))
         elif not self.records.handled_until:  # a new command has due times from now on
             self._write(WritePurpose.START, None, now)
         elif self.outcome:
@@ -233,7 +233,7 @@
             started_us=occurrence.started_us or now,
             reason="",
         )
-        self.out.append(SetBusy(True))
+        self.actions.append(SetBusy(True))
         self.retry_at.pop(intent.due_us, None)
         self._write(WritePurpose.INTENT, intent, max(self.records.handled_until, intent.due_us))
 
@@ -243,7 +243,7 @@
         self.pending_write = PendingWrite(self.serial, purpose, occurrence)
         operations = self.records.write_operations(occurrence, handled_until)
         conditions = (self.records.unchanged_condition(occurrence),) if occurrence else ()
-        self.out.append(WriteRecord(self.serial, self.token, tuple(operations), conditions))
+        self.actions.append(WriteRecord(self.serial, self.token, tuple(operations), conditions))
 
     def records_read(self, now: int, reply: Reply) -> None:
         """Take the reply to ReadRecords."""
@@ -279,7 +279,7 @@
         occurrence = cast("Occurrence", write.occurrence)  # except for WritePurpose.START
         if write.purpose == WritePurpose.INTENT:  # written or not, no attempt was sent for it
             self.unsent_intent = occurrence
-            self.out.append(SetBusy(False))
+            self.actions.append(SetBusy(False))
         elif write.purpose == WritePurpose.SETTLE and occurrence.due_us in self.records.by_due_time:
             self.outcome = occurrence  # written again, unless a read shows another leader's work
         self.is_loaded = False
@@ -296,7 +296,7 @@
                 self.pause_until = now + RELOAD_DELAY_US
             return
         if purpose == WritePurpose.SETTLE:
-            self.out.append(SetBusy(occurrence.is_open))
+            self.actions.append(SetBusy(occurrence.is_open))
         self._log(
             LOG_LEVELS.get(occurrence.state, "info"),
             occurrence.state,
@@ -318,12 +318,12 @@
             self.attempt_ended(now, OccurrenceState.NOT_SENT, "no time was left")
             return
         key = idempotency_key(self.rules.name, occurrence.due_us)
-        self.out.append(SendAttempt(occurrence.due_us, occurrence.attempts, key, now, time_limit_us))
+        self.actions.append(SendAttempt(occurrence.due_us, occurrence.attempts, key, now, time_limit_us))
 
     def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
         """Record the end of the attempt.
 
-        state: ANSWERED, SHED (it had no effect), NOT_SENT (no attempt reached the core) or FAILED (it may have run).
+        state: ANSWERED, SHED (it had no effect), NOT_SENT (it was never sent) or FAILED (it may have run).
         """
         occurrence = self.in_flight
         self.in_flight = None
@@ -341,4 +341,4 @@
         self.step(now)
 
     def _log(self, level: str, text: str, **facts: Any) -> None:
-        self.out.append(LogEvent(level, text, facts | {"command": self.rules.name, "token": self.token}))
+        self.actions.append(LogEvent(level, text, facts | {"command": self.rules.name, "token": self.token}))
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -222,7 +222,7 @@
                 "version": self.change.version.number,
                 "reason": self.change.reason,
             }
-            self.out.append(LogEvent("info", "policy: change state changed", facts))
+            self.actions.append(LogEvent("info", "policy: change state changed", facts))
 
     def _progress(self) -> tuple[int, ChangeState] | None:
         """The change's number and state."""
--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -15,9 +15,9 @@
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
         super()._write(purpose, occurrence, handled_until)
         if purpose == WritePurpose.INTENT and not self.in_flight:
-            write = self.out.pop()
+            write = self.actions.pop()
             self._send(occurrence, occurrence.started_us)
-            self.out.append(write)
+            self.actions.append(write)
 
 
 class RunsAgain(ScheduledCommand):
@@ -39,8 +39,8 @@
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
         super()._send(occurrence, now)
-        if self.out and isinstance(self.out[-1], SendAttempt):
-            self.out[-1] = replace(self.out[-1], idempotency_key=idempotency_key(self.member, now))
+        if self.actions and isinstance(self.actions[-1], SendAttempt):
+            self.actions[-1] = replace(self.actions[-1], idempotency_key=idempotency_key(self.member, now))
 
 
 class AnyRecord(ScheduledCommand):
@@ -48,7 +48,7 @@
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
         super()._write(purpose, occurrence, handled_until)
-        self.out[-1] = replace(self.out[-1], conditions=())
+        self.actions[-1] = replace(self.actions[-1], conditions=())
 
     def records_read(self, now: int, reply: Reply) -> None:
         """Keeps what it remembers, whatever the store says."""
