--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -73,8 +73,8 @@
 class CallPlan(NamedTuple):
     """A call that is to be made.
 
-    context: what the reply is handled with: the roles that the call is for; for JOIN, whether the member joins
-    as ready.
+    context: what the reply is handled with: the roles that the call is for, or for JOIN whether the member
+    joins as ready.
     """
 
     purpose: CallPurpose
