--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -8,7 +8,7 @@
 from gullhold.fleet.membership_types import MembershipRules
 from gullhold.fleet.recovery import ScheduledCommandRules, ScheduledProfile
 from gullhold.fleet.scheduled_command import ScheduledCommand
-from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
+from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE_PREFIX
 from gullhold.interface import Agreement, DeduplicationScope, Profile
 
 if TYPE_CHECKING:
@@ -40,7 +40,9 @@
     """The scheduled commands by role. Raises UnusableFleetError."""
     max_clock_skew_us = record.drift.skew
     return {
-        SCHEDULED_COMMAND_ROLE + item.name: _scheduled_command(item, agreement, member, max_clock_skew_us)
+        SCHEDULED_COMMAND_ROLE_PREFIX + item.name: _scheduled_command(
+            item, agreement, member, max_clock_skew_us
+        )
         for item in record.schedule
     }
 
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -42,9 +42,9 @@
 from gullhold.fleet.store_calls import OnChange, PendingCall, Reply
 from gullhold.fleet.store_client import StoreClient
 from gullhold.fleet.store_schema import (
-    HEARTBEAT_ROLE,
+    HEARTBEAT_ROLE_PREFIX,
     MEMBERS_PREFIX,
-    SCHEDULED_COMMAND_ROLE,
+    SCHEDULED_COMMAND_ROLE_PREFIX,
     fleet_prefix,
 )
 from gullhold.fleet.watcher import Watcher
@@ -99,7 +99,7 @@
         client = ScheduledCommandClient(
             core, RequestReader(agreement), self._post_attempt_ended, self._random.getrandbits
         )
-        records = {SCHEDULED_COMMAND_ROLE + item.name: item for item in record.schedule}
+        records = {SCHEDULED_COMMAND_ROLE_PREFIX + item.name: item for item in record.schedule}
         self._scheduled_command_driver = ScheduledCommandDriver(self, records, client)
         self.budgets = None
         if record.budgets:
@@ -117,7 +117,7 @@
     def _roles(self) -> list[str]:
         """The roles of the fleet, in the order in which they are assigned."""
         roles = list(self.scheduled_commands)
-        roles += [f"{HEARTBEAT_ROLE}{number}" for number in range(self.record.duties.beats)]
+        roles += [f"{HEARTBEAT_ROLE_PREFIX}{number}" for number in range(self.record.duties.beats)]
         if self.record.budgets:
             roles.append(ALLOCATOR_ROLE)
         if self.record.policy.on:
@@ -257,7 +257,7 @@
     def _role_won(self, role: str, token: int) -> None:
         if role in self.scheduled_commands:
             self._scheduled_command_driver.won(role, token)
-        elif role.startswith(HEARTBEAT_ROLE):
+        elif role.startswith(HEARTBEAT_ROLE_PREFIX):
             self._heartbeats.won(role, monotonic_us())
         else:
             self._role_driver.won(role, token)
@@ -265,7 +265,7 @@
     def _role_lost(self, role: str) -> None:
         if role in self.scheduled_commands:
             self._scheduled_command_driver.lost(role)
-        elif role.startswith(HEARTBEAT_ROLE):
+        elif role.startswith(HEARTBEAT_ROLE_PREFIX):
             self._heartbeats.lost(role)
         else:
             self._role_driver.lost(role)
--- a/gullhold/fleet/occurrence_records.py
+++ b/gullhold/fleet/occurrence_records.py
@@ -5,8 +5,8 @@
 from gullhold.fleet.occurrence import Occurrence
 from gullhold.fleet.store_calls import Condition, Delete, KeyValue, Operation, Put
 from gullhold.fleet.store_schema import (
-    HANDLED_UNTIL,
-    OCCURRENCES,
+    HANDLED_UNTIL_KEY,
+    OCCURRENCES_PREFIX,
     decode_occurrence,
     encode_occurrence,
     occurrence_key,
@@ -36,8 +36,8 @@
         self._revisions = {}
         for item in items:
             name = item.key.removeprefix(self.prefix)
-            occurrence = decode_occurrence(item.value) if name.startswith(OCCURRENCES) else None
-            if name == HANDLED_UNTIL:
+            occurrence = decode_occurrence(item.value) if name.startswith(OCCURRENCES_PREFIX) else None
+            if name == HANDLED_UNTIL_KEY:
                 self.handled_until = int(item.value)
             elif occurrence:
                 self._set(occurrence, item.revision)
@@ -64,7 +64,7 @@
             key = occurrence_key(self.prefix, occurrence.due_us)
             operations.append(Put(key, encode_occurrence(occurrence)))
         if handled_until > self.handled_until:
-            operations.append(Put(self.prefix + HANDLED_UNTIL, str(handled_until)))
+            operations.append(Put(self.prefix + HANDLED_UNTIL_KEY, str(handled_until)))
         return operations
 
     def unchanged_condition(self, occurrence: Occurrence) -> Condition:
--- a/gullhold/fleet/store_schema.py
+++ b/gullhold/fleet/store_schema.py
@@ -18,12 +18,12 @@
 SCHEDULED_COMMANDS_PREFIX = "plan/"  # + command: the keys of a scheduled command
 
 # Names of roles, by their kind.
-SCHEDULED_COMMAND_ROLE = "schedule/"  # + command
-HEARTBEAT_ROLE = "beat/"  # + number
+SCHEDULED_COMMAND_ROLE_PREFIX = "schedule/"  # + command
+HEARTBEAT_ROLE_PREFIX = "beat/"  # + number
 
 # Under the prefix of a scheduled command.
-HANDLED_UNTIL = "upto"  # the time up to which its due times have been handled
-OCCURRENCES = "run/"  # + due time, with leading zeros: one occurrence
+HANDLED_UNTIL_KEY = "upto"  # the time up to which its due times have been handled
+OCCURRENCES_PREFIX = "run/"  # + due time, with leading zeros: one occurrence
 DUE_DIGITS = 20  # of a due time in a key, so that keys sort by time
 
 
@@ -93,12 +93,12 @@
 
 def occurrence_key(prefix: str, due_us: int) -> str:
     """The key of an occurrence; prefix: of the command's keys."""
-    return f"{prefix}{OCCURRENCES}{due_us:0{DUE_DIGITS}d}"
+    return f"{prefix}{OCCURRENCES_PREFIX}{due_us:0{DUE_DIGITS}d}"
 
 
 def is_occurrence_key(key: str) -> bool:
     """Whether a key, with the prefix of its command, is that of an occurrence."""
-    return f"/{OCCURRENCES}" in key
+    return f"/{OCCURRENCES_PREFIX}" in key
 
 
 def encode_occurrence(occurrence: Occurrence) -> str:
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -12,7 +12,7 @@
 from gullhold.fleet.clocks import US_PER_SECOND, unix_us
 from gullhold.fleet.role_state import LogEvent
 from gullhold.fleet.store_calls import Reply
-from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
+from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE_PREFIX
 from gullhold.fleet.watcher import Watcher
 from gullhold.interface import Agreement, BudgetKind
 from gullhold.net import counters
@@ -173,7 +173,7 @@
         policy = parse_policy(version.text, f"policy {version.number}")
         self.core.post_urgent(self._apply, serial, self._for_core(version, policy))
         for name in self.deployment.scheduled_commands:
-            command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE + name]
+            command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE_PREFIX + name]
             command.is_off = not policy.schedules.get(name, True)
         if serial != AT_START and self.settings.snapshot and not self.member.tried_change:
             self._write_snapshot(version)
