--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -30,7 +30,7 @@
         moves_per_second=roles.moves,
         min_backoff_us=roles.pauses.least,
         max_backoff_us=roles.pauses.most,
-        leave_us=roles.leaving,
+        leave_timeout_us=roles.leaving,
     )
 
 
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -191,7 +191,7 @@
         """Shut down gracefully: give up all roles, then end the lease."""
         if self.state in (MemberState.LEAVING, MemberState.LEFT):
             return
-        self.leave_at = now + self.rules.leave_us
+        self.leave_at = now + self.rules.leave_timeout_us
         if not self.lease.id:
             self._change_state(MemberState.LEFT, "left")
             return
--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -128,7 +128,7 @@
 
     settle_us: how long a member that joins others waits before roles move to it. moves_per_second: how many
     roles one member gives up to others at most. min_backoff_us, max_backoff_us: between attempts of a call.
-    leave_us: how long leaving waits for work under way.
+    leave_timeout_us: how long leaving waits for work under way.
     """
 
     lease_terms: LeaseTerms
@@ -136,7 +136,7 @@
     moves_per_second: float
     min_backoff_us: int
     max_backoff_us: int
-    leave_us: int
+    leave_timeout_us: int
 
     def backoff(self, random_fraction: Callable[[], float]) -> Backoff:
         """A new backoff between attempts of a call; random_fraction: draws from [0, 1)."""
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -73,7 +73,7 @@
 
     take_actions() hands out ScheduledCommandActions; due() is when to step(). All times are Unix us.
 
-    token: fencing token, 0 while this member does not lead the role. is_off: a policy has turned it off.
+    token: fencing token, 0 while this member does not lead the role. is_disabled: a policy has turned it off.
     in_flight: the occurrence with an open attempt. outcome: of an attempt that ended, not written yet.
     unsent_intent: an intent that may have been written, but whose attempt was not sent.
     """
@@ -89,7 +89,7 @@
         self.records = OccurrenceRecords(scheduled_command_prefix(rules.name))
         self.token = 0
         self.actions: list[ScheduledCommandAction] = []
-        self.is_off = False
+        self.is_disabled = False
         self.is_leaving = False
         self.is_loaded = False
         self.is_reading = False
@@ -194,7 +194,7 @@
         due_us = self.calendar.after(self.records.handled_until)
         if due_us > now:
             return
-        if self.is_off:
+        if self.is_disabled:
             self._skip_until(now, "off by the fleet's policy", now)
             return
         too_late = now - self.rules.window_us - 1
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -174,7 +174,7 @@
         self.core.post_urgent(self._apply, serial, self._for_core(version, policy))
         for name in self.deployment.scheduled_commands:
             command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE_PREFIX + name]
-            command.is_off = not policy.schedules.get(name, True)
+            command.is_disabled = not policy.schedules.get(name, True)
         if serial != AT_START and self.settings.snapshot and not self.member.tried_change:
             self._write_snapshot(version)
 
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -43,7 +43,7 @@
     moves_per_second=100,
     min_backoff_us=50_000,
     max_backoff_us=100_000,
-    leave_us=500_000,
+    leave_timeout_us=500_000,
 )
 FIXED_FRACTION = 0.5  # in place of a random one: delays are the same in every run
 START_US = 10_000_000
