--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -102,7 +102,7 @@
         report = self.reports.collected(now, collected, is_lease_valid)
         if report is not None:
             lease_id = self.reports.lease_id
-            self._report_lane().put(self._report_call(report, lease_id), self._report_written, lease_id)
+            self._report_lane().submit(self._report_call(report, lease_id), self._report_written, lease_id)
 
     def _report_lane(self) -> "Lane":
         return self.fleet.lanes[REPORT_LANE]
@@ -126,7 +126,7 @@
         allocations = self.allocations
         if self.reports.is_row_read and allocations.lease_id == self.reports.lease_id:
             report = UsageReport(allocations.seen_write, allocations.report(()), has_left=True)
-            self._report_lane().put(self._report_call(report, 0), self._given_back)
+            self._report_lane().submit(self._report_call(report, 0), self._given_back)
         else:
             self._given_back(None)
 
@@ -141,7 +141,7 @@
     def _read_row(self) -> None:
         """Read our row, after we have joined or after changes of it were missed."""
         request = ReadPrefix(f"{ALLOCATIONS}{self._member_key()}")
-        self._report_lane().put(request, self._row_read, self.reports.lease_id)
+        self._report_lane().submit(request, self._row_read, self.reports.lease_id)
 
     def _row_read(self, lease_id: int, reply: Reply) -> None:
         if lease_id != self.reports.lease_id:
@@ -149,7 +149,7 @@
         if reply.proof != Proof.DONE:
             self.reports.row_read_failed()
             return
-        self._row_watcher.follow(reply.revision + 1)
+        self._row_watcher.watch_from(reply.revision + 1)
         for item in reply.items:
             self._row_changed(item.key, item.value, item.revision)
 
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -155,7 +155,7 @@
         return StoreClient(self.record.register_, prefix, self.record.timeout / US_PER_SECOND)
 
     def watch(self, name: str, prefix: str, on_change: OnChange, on_gap: Callable[[], Any]) -> Watcher:
-        """Watch the keys with this prefix, from the revision that is passed to Watcher.follow().
+        """Watch the keys with this prefix, from the revision that is passed to Watcher.watch_from().
 
         on_change(key, value or None if it was deleted, revision) is called on the fleet's thread for each
         change, on_gap() if changes were missed.
@@ -242,7 +242,7 @@
     def _carry_out(self, action: MembershipAction) -> None:
         match action:
             case CallStore(call):
-                self.lanes[lane_of(call.request)].put(call.request, self._call_replied, call)
+                self.lanes[lane_of(call.request)].submit(call.request, self._call_replied, call)
             case RoleWon(role, token):
                 self.log_event("info", "role acquired", role=role, token=token)
                 self._role_won(role, token)
@@ -250,7 +250,7 @@
                 self.log_event("info", "role lost", role=role, reason=reason)
                 self._role_lost(role)
             case WatchMembers(revision):
-                self._members_watcher.follow(revision)
+                self._members_watcher.watch_from(revision)
             case StateChanged(text, facts):
                 self.log_event("info", text, **facts)
 
--- a/gullhold/fleet/heartbeats.py
+++ b/gullhold/fleet/heartbeats.py
@@ -54,7 +54,7 @@
         self._being_written.add(role)
         value = encode_heartbeat(role, token, self._membership.identity.name)
         request = self._membership.fenced_transaction(role, token, (Put(HEARTBEATS_PREFIX + role, value),))
-        self._lane().put(request, self._written, role, token)
+        self._lane().submit(request, self._written, role, token)
 
     def _written(self, role: str, token: int, reply: Reply) -> None:
         self._being_written.discard(role)
--- a/gullhold/fleet/lane.py
+++ b/gullhold/fleet/lane.py
@@ -31,7 +31,7 @@
         self._requests: SimpleQueue[tuple[Request, Callable[..., Any], tuple[Any, ...]]] = SimpleQueue()
         start_thread(self._run, f"fleet {name}")
 
-    def put(self, request: Request, on_reply: Callable[..., Any], *context: Any) -> None:
+    def submit(self, request: Request, on_reply: Callable[..., Any], *context: Any) -> None:
         """Queue a request; on_reply(*context, reply) is called on the fleet's thread."""
         self._requests.put((request, on_reply, context))
 
--- a/gullhold/fleet/role_driver.py
+++ b/gullhold/fleet/role_driver.py
@@ -52,12 +52,12 @@
         fleet = self._fleet
         match action:
             case ReadKeys(serial, prefix):
-                fleet.lanes[role].put(ReadPrefix(prefix), self._read, role, serial)
+                fleet.lanes[role].submit(ReadPrefix(prefix), self._read, role, serial)
             case WriteKeys(serial, token, operations, conditions):
                 request = fleet.membership.fenced_transaction(role, token, operations, conditions)
-                fleet.lanes[role].put(request, self._written, role, serial, token)
+                fleet.lanes[role].submit(request, self._written, role, serial, token)
             case WatchKeys(revision):
-                fleet.watchers[role].follow(revision)
+                fleet.watchers[role].watch_from(revision)
             case LogEvent(level, text, facts):
                 token = fleet.role_states[role].token
                 fleet.log_event(level, text, role=role, token=token, **facts)
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -73,10 +73,10 @@
     def _carry_out(self, role: str, action: ScheduledCommandAction) -> None:
         match action:
             case ReadRecords(prefix):
-                self._lane().put(ReadPrefix(prefix), self._records_read, role)
+                self._lane().submit(ReadPrefix(prefix), self._records_read, role)
             case WriteRecord(serial, token, operations, conditions):
                 request = self._fleet.membership.fenced_transaction(role, token, operations, conditions)
-                self._lane().put(request, self._record_written, role, serial, token)
+                self._lane().submit(request, self._record_written, role, serial, token)
             case SetBusy(is_busy):
                 self._fleet.membership.set_busy(role, is_busy)
             case SendAttempt():
--- a/gullhold/fleet/watcher.py
+++ b/gullhold/fleet/watcher.py
@@ -50,7 +50,7 @@
         self._follow_requests: SimpleQueue[int] = SimpleQueue()
         start_thread(self._run, f"fleet watch {name}")
 
-    def follow(self, revision: int) -> None:
+    def watch_from(self, revision: int) -> None:
         """Watch from this revision on; no effect on a running watch. May be called on any thread."""
         self._follow_requests.put(revision)
 
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -158,13 +158,13 @@
             for action in actions:
                 match action:
                     case CallStore(serial, request):
-                        self.fleet.lanes[VOTE_LANE].put(request, self._replied, serial)
+                        self.fleet.lanes[VOTE_LANE].submit(request, self._replied, serial)
                     case AdoptVersion(serial, version):
                         self._adopt(serial, version)
                     case StopDispatching(number):
                         self.core.post_urgent(self._confirm_stopped, number)
                     case WatchPolicy(revision):
-                        self.watcher.follow(revision)
+                        self.watcher.watch_from(revision)
                     case LogEvent(level, text, facts):
                         self.fleet.log_event(level, "policy: " + text, **facts)
         self._resize_budgets()
