--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -27,11 +27,11 @@
 from gullhold.fleet.membership_types import (
     CallLane,
     CallStore,
+    LogStateChange,
     MembershipAction,
     MemberState,
     RoleLost,
     RoleWon,
-    StateChanged,
     WatchMembers,
     lane_of,
 )
@@ -251,7 +251,7 @@
                 self._role_lost(role)
             case WatchMembers(revision):
                 self._members_watcher.watch_from(revision)
-            case StateChanged(text, facts):
+            case LogStateChange(text, facts):
                 self.log_event("info", text, **facts)
 
     def _role_won(self, role: str, token: int) -> None:
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -16,10 +16,10 @@
     CallPlan,
     CallPurpose,
     CallStore,
+    LogStateChange,
     MembershipAction,
     MembershipRules,
     MemberState,
-    StateChanged,
     WatchMembers,
     is_stale,
     lane_of,
@@ -207,7 +207,7 @@
     def _change_state(self, state: MemberState, reason: str) -> None:
         """Change the state and emit an event; the only place that does."""
         facts = {"state": state, "reason": reason, "incarnation": self.identity.incarnation}
-        self._emit(StateChanged("member state changed", facts))
+        self._emit(LogStateChange("member state changed", facts))
         self.state = state
 
     def _check_lease(self, now: int) -> None:
--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -1,4 +1,4 @@
-"""States, calls, actions and rules of a fleet's member."""
+"""Types of a fleet's membership: the states of a member, its calls to the store, its actions and settings."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,21 +22,21 @@
 
 
 class MemberState(StrEnum):
-    """State of a member; the values appear in the log."""
+    """State of a fleet's member; the values appear in the log."""
 
-    NO_LEASE = "alone"  # it has no lease
-    READING = "reading"  # it has a lease, and reads the list of members
-    JOINING = "joining"  # it writes its own key
-    JOINED = "in"  # it leads the roles that are assigned to it
-    LEAVING = "leaving"  # it gives up its roles
-    LEFT = "out"  # it has left for good, or a later process has its name
+    NO_LEASE = "alone"  # it has no lease, and asks for one
+    READING = "reading"  # it has a lease, and reads the keys of all members
+    JOINING = "joining"  # it writes its own key, attached to its lease
+    JOINED = "in"  # its key is in the store; it claims the roles that are assigned to it
+    LEAVING = "leaving"  # it gives up its roles and then its lease
+    LEFT = "out"  # final: it has shut down, or a later process has taken its name
 
 
 class CallLane(StrEnum):
-    """Calls of one lane wait for each other; calls for the lease must not wait behind any others."""
+    """Each lane has one call under way at a time; the lease has its own, so that no other call delays it."""
 
     LEASE = "lease"
-    STATE = "state"
+    STATE = "state"  # calls for the keys of members and roles
 
 
 class CallPurpose(StrEnum):
@@ -48,8 +48,8 @@
     READ_MEMBERS = "read"
     JOIN = "join"
     BECOME_READY = "ready"
-    INSPECT_ROLES = "look"  # read the keys of roles whose leader is not known
-    AUDIT_LEASE = "audit"  # read which keys are attached to our lease
+    INSPECT_ROLES = "look"  # read the keys of roles that this member may or may not lead
+    AUDIT_LEASE = "audit"  # read which keys are attached to this member's lease
     CLAIM_ROLES = "claim"
     RELEASE_ROLES = "release"
 
@@ -62,18 +62,18 @@
 
 
 def is_stale(request: Request, reply: Reply, newest_revision: int) -> bool:
-    """Whether a reply shows an older state of the store than one that is known already.
+    """Whether a reply shows an older state of the store than newest_revision, the newest one seen so far.
 
-    Guards against stale reads, which would show keys that do not exist any more.
+    Guards against stale reads, which may show keys that do not exist any more.
     """
     reads_state = isinstance(request, ReadPrefix | Transaction | ReadLeaseKeys)
     return reply.proof == Proof.DONE and reply.revision < newest_revision and reads_state
 
 
 class CallPlan(NamedTuple):
-    """A call that is to be made.
+    """A call to the store that is to be made.
 
-    context: what the reply is handled with: the roles that the call is for, or for JOIN whether the member
+    context: values needed to handle its reply: the roles that the call is for, or for JOIN whether the member
     joins as ready.
     """
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallStore:
-    """Action: make the call; answered by call_replied()."""
+    """Action: send the request to the store; its reply goes to Membership.call_replied()."""
 
     call: PendingCall
 
@@ -107,28 +107,29 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchMembers:
-    """Action: watch the members' keys from this revision on; answered by member_changed() for each change."""
+    """Action: watch the keys of members from this revision on; changes go to Membership.member_changed()."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class StateChanged:
-    """Action: log an event, with its facts as fields."""
+class LogStateChange:
+    """Action: log a change of the member's state. facts: fields of the log line."""
 
     text: str
     facts: dict[str, Any]
 
 
-MembershipAction = CallStore | RoleWon | RoleLost | WatchMembers | StateChanged
+MembershipAction = CallStore | RoleWon | RoleLost | WatchMembers | LogStateChange
 
 
 class MembershipRules(NamedTuple):
-    """Settings of a member, from the operator file; times in us.
+    """Settings of a member, from the operator file.
 
-    settle_us: how long a member that joins others waits before roles move to it. moves_per_second: how many
-    roles one member gives up to others at most. min_backoff_us, max_backoff_us: between attempts of a call.
-    leave_timeout_us: how long leaving waits for work under way.
+    settle_us: how long a member that joins others waits before roles may be assigned to it.
+    moves_per_second: how many roles one member gives up to other members in a second at most.
+    min_backoff_us, max_backoff_us: bounds of the delay before a failed call is made again.
+    leave_timeout_us: how long leaving waits for work under way and for the reply of the store.
     """
 
     lease_terms: LeaseTerms
@@ -139,5 +140,5 @@
     leave_timeout_us: int
 
     def backoff(self, random_fraction: Callable[[], float]) -> Backoff:
-        """A new backoff between attempts of a call; random_fraction: draws from [0, 1)."""
+        """Create the backoff of one series of calls. random_fraction: draws from [0, 1)."""
         return Backoff(self.min_backoff_us, self.max_backoff_us, random_fraction)
--- a/gullhold/fleet/store_calls.py
+++ b/gullhold/fleet/store_calls.py
@@ -1,28 +1,29 @@
-"""Calls to the store of a fleet and what their replies prove. No I/O, no wire.
+"""Requests to the store of a fleet, their replies, and what each reply proves. Data types only.
 
-The store ("register" in the commands and the operator file) has keys, a revision that grows with each change
-of any key, leases whose end deletes the keys attached to them, and transactions that compare revisions.
+The store ("register" in the commands and the operator file) is a key-value store with the semantics of etcd:
+keys; a revision that grows with each change of any key; leases whose end deletes the keys attached to them;
+and transactions that compare the revisions of keys.
 """
 
 from collections.abc import Callable
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-OnChange = Callable[[str, str | None, int], Any]  # key, value or None if it was deleted, revision
+OnChange = Callable[[str, str | None, int], Any]  # (key, value or None if the key was deleted, revision)
 
-MAX_TRANSACTION_OPERATIONS = 100  # comparisons, or operations; the published default allows 128
+MAX_TRANSACTION_OPERATIONS = 100  # and as many conditions; etcd allows 128 by default
 
 
 class Proof(StrEnum):
-    """What a reply proves about its call."""
+    """Whether a request was carried out, as far as its reply proves it; the values appear in the log."""
 
     DONE = "done"
     NOT_DONE = "not done"
-    UNKNOWN = "may have been done"  # it may have been carried out, or still be
+    UNKNOWN = "may have been done"  # it may have been carried out already, or may be carried out later
 
 
 class KeyValue(NamedTuple):
-    """One key in the store. revision: of its last change; lease 0: none."""
+    """One key in the store. revision: of its last change; lease: the one it is attached to, 0 for none."""
 
     key: str
     value: str
@@ -43,7 +44,7 @@
 
 
 class RevokeLease(NamedTuple):
-    """End a lease now, and delete every key attached to it in one revision."""
+    """End a lease now, which deletes every key attached to it in one revision."""
 
     lease: int
 
@@ -55,13 +56,13 @@
 
 
 class ReadPrefix(NamedTuple):
-    """Read all keys with this prefix at one revision, the newest."""
+    """Read all keys with this prefix, as of the newest revision."""
 
     prefix: str
 
 
 class Put(NamedTuple):
-    """Operation: write a key. lease: whose end deletes it; 0: none."""
+    """Operation: write a key. lease: the one to attach it to, 0 for none."""
 
     key: str
     value: str
@@ -85,7 +86,7 @@
 
 
 class Transaction(NamedTuple):
-    """Carry out all operations in one revision if every condition holds, else the reads in `otherwise`."""
+    """Carry out all operations in one revision if every condition holds, or else the reads in `otherwise`."""
 
     conditions: tuple[Condition, ...] = ()
     operations: tuple[Operation, ...] = ()
@@ -98,8 +99,9 @@
 class Reply(NamedTuple):
     """The reply to a request; all fields but the proof are valid only with Proof.DONE.
 
-    revision: of the store at that moment; succeeded: a transaction's conditions held; items: what was read;
-    lease: the one granted; ttl_s: of a renewed lease, 0 if it does not exist; keys: those of a lease.
+    revision: of the store when it replied; succeeded: the conditions of a transaction held; items: the keys
+    that were read; lease: the one granted; ttl_s: of a granted or renewed lease, 0 if the lease does not
+    exist; keys: the names of the keys attached to a lease.
     """
 
     proof: Proof
@@ -112,7 +114,11 @@
 
 
 class PendingCall(NamedTuple):
-    """A request under way. sent_at: when it was handed out (us); context: what its reply is handled with."""
+    """A request that has no reply yet.
+
+    sent_at: monotonic us at which it was handed out, which is not after it was sent; context: values needed
+    to handle its reply.
+    """
 
     number: int
     purpose: str
--- a/gullhold/fleet/store_schema.py
+++ b/gullhold/fleet/store_schema.py
@@ -1,8 +1,8 @@
 """Names of a fleet's keys in the store, and the JSON of their values.
 
-Names and values for members, roles, heartbeats and scheduled commands are translated here; the rest of the
-package uses the terms of the glossary. Released versions write these names, so they must not change. Budgets
-and policies have schemas of their own.
+Members, roles, heartbeats and scheduled commands are stored under names that differ from those in the code
+("duties" for roles, "owner" for a leader); this module translates them. Released versions write the stored
+names, so they must not change. Budgets and policies have schemas of their own.
 """
 
 import json
@@ -10,21 +10,21 @@
 
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState
 
-GULLHOLD_PREFIX = "/gullhold/"  # other programs may share the store
+GULLHOLD_PREFIX = "/gullhold/"  # of all keys of this program; others may share the store
 
-MEMBERS_PREFIX = "members/"  # + member: the key of a member, attached to its lease
-ROLES_PREFIX = "duties/"  # + role: the key of a role's leader, attached to the leader's lease
-HEARTBEATS_PREFIX = "beats/"  # + role: what the leader of a heartbeat role writes
-SCHEDULED_COMMANDS_PREFIX = "plan/"  # + command: the keys of a scheduled command
+MEMBERS_PREFIX = "members/"  # + name of a member: its key, attached to its lease
+ROLES_PREFIX = "duties/"  # + name of a role: its key, attached to the lease of its leader
+HEARTBEATS_PREFIX = "beats/"  # + name of a heartbeat role: what its leader writes periodically
+SCHEDULED_COMMANDS_PREFIX = "plan/"  # + name of a scheduled command + "/": its keys
 
-# Names of roles, by their kind.
-SCHEDULED_COMMAND_ROLE_PREFIX = "schedule/"  # + command
-HEARTBEAT_ROLE_PREFIX = "beat/"  # + number
+# Names of roles begin with their kind.
+SCHEDULED_COMMAND_ROLE_PREFIX = "schedule/"  # + name of the scheduled command
+HEARTBEAT_ROLE_PREFIX = "beat/"  # + number, from 0
 
-# Under the prefix of a scheduled command.
-HANDLED_UNTIL_KEY = "upto"  # the time up to which its due times have been handled
-OCCURRENCES_PREFIX = "run/"  # + due time, with leading zeros: one occurrence
-DUE_DIGITS = 20  # of a due time in a key, so that keys sort by time
+# Keys under the prefix of a scheduled command.
+HANDLED_UNTIL_KEY = "upto"  # Unix us up to which all due times have been handled
+OCCURRENCES_PREFIX = "run/"  # + due time in Unix us: one occurrence
+DUE_DIGITS = 20  # of a due time in a key, with leading zeros, so that keys sort by time
 
 
 def fleet_prefix(fleet_name: str) -> str:
@@ -33,7 +33,7 @@
 
 
 def _decode_object(text: str) -> dict[str, Any]:
-    """Decode a JSON object; {} for an unreadable value, as an unknown version may have written it."""
+    """Decode a JSON object; return {} if the value is none, as another version may have written it."""
     try:
         value = json.loads(text)
     except ValueError:
@@ -44,8 +44,8 @@
 class MemberRecord(NamedTuple):
     """The value of a member's key.
 
-    nonce: distinguishes processes of the same name. incarnation: revision at which the process first joined;
-    0 in the value that it joins with.
+    nonce: random; distinguishes processes of the same name. incarnation: revision of the store at which the
+    process first joined; 0 in the value that it joins with, as the revision is not known yet.
     """
 
     nonce: str | None
@@ -58,13 +58,13 @@
 
     @classmethod
     def decode(cls, text: str, revision: int) -> "MemberRecord":
-        """Decode a stored text. revision: of the key; used if the incarnation is missing."""
+        """Decode a stored text. revision: of the key; it is the incarnation if the text has 0 or none."""
         fields = _decode_object(text)
         return cls(fields.get("nonce"), bool(fields.get("ready")), fields.get("since") or revision)
 
 
 class LeaderRecord(NamedTuple):
-    """The value of a role's key: who leads it."""
+    """The value of a role's key: the member that leads it, with the nonce and incarnation of its process."""
 
     member: str | None
     nonce: str | None
@@ -76,13 +76,13 @@
 
     @classmethod
     def decode(cls, text: str) -> "LeaderRecord":
-        """Decode a stored text."""
+        """Decode a stored text; fields that are missing are None."""
         fields = _decode_object(text)
         return cls(fields.get("owner"), fields.get("nonce"), fields.get("incarnation"))
 
 
 def encode_heartbeat(role: str, token: int, member: str) -> str:
-    """The stored text of a heartbeat."""
+    """The stored text of a heartbeat. token: fencing token under which it is written."""
     return f'{{"duty": "{role}", "token": {token}, "by": "{member}"}}'
 
 
@@ -92,12 +92,12 @@
 
 
 def occurrence_key(prefix: str, due_us: int) -> str:
-    """The key of an occurrence; prefix: of the command's keys."""
+    """The key of an occurrence. prefix: scheduled_command_prefix() of its command."""
     return f"{prefix}{OCCURRENCES_PREFIX}{due_us:0{DUE_DIGITS}d}"
 
 
 def is_occurrence_key(key: str) -> bool:
-    """Whether a key, with the prefix of its command, is that of an occurrence."""
+    """Whether a key of a scheduled command, with the command's prefix, is that of an occurrence."""
     return f"/{OCCURRENCES_PREFIX}" in key
 
 
@@ -118,7 +118,7 @@
 
 
 def decode_occurrence(text: str) -> Occurrence | None:
-    """Decode the stored text of an occurrence; None if it can't be read."""
+    """Decode the stored text of an occurrence; return None if it is not valid."""
     try:
         return _occurrence(**json.loads(text))
     except (ValueError, TypeError):
@@ -135,7 +135,7 @@
     why: str = "",
     count: int = 1,
 ) -> Occurrence:
-    """Create an occurrence from its stored fields; a state of another version stays as it is."""
+    """Create an occurrence from its stored fields; a state that only another version knows stays a string."""
     try:
         known_state: OccurrenceState | str = OccurrenceState(state)
     except ValueError:
