--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -1,4 +1,4 @@
-"""Creates the components of a fleet's member from the operator's record."""
+"""Creates the settings and the scheduled commands of a fleet's member from the operator file."""
 
 from typing import TYPE_CHECKING
 
@@ -14,15 +14,15 @@
 if TYPE_CHECKING:
     from gullhold.operator.records import FleetRecord, Scheduled
 
-WAIT_FOR_PREVIOUS = "wait"  # value of `overlap` in the operator file: wait for the previous occurrence
+WAIT_FOR_PREVIOUS = "wait"  # value of a scheduled command's `overlap` in the operator file
 
 
 class UnusableFleetError(Exception):
-    """A fleet record that does not fit the agreement; the text is one plain line."""
+    """`fleet` of the operator file does not fit the agreement; the text is one line for the operator."""
 
 
 def membership_rules(record: "FleetRecord") -> MembershipRules:
-    """The settings of a member."""
+    """The settings of a member's lease, roles and calls to the store. record: of the operator file."""
     roles = record.duties
     return MembershipRules(
         lease_terms=LeaseTerms(record.lease // US_PER_SECOND, record.drift.rate, record.drift.margin),
@@ -37,7 +37,10 @@
 def scheduled_commands(
     record: "FleetRecord", agreement: Agreement, member: str
 ) -> dict[str, ScheduledCommand]:
-    """The scheduled commands by role. Raises UnusableFleetError."""
+    """The scheduled commands, by the name of their role. member: name of this member.
+
+    Raises UnusableFleetError.
+    """
     max_clock_skew_us = record.drift.skew
     return {
         SCHEDULED_COMMAND_ROLE_PREFIX + item.name: _scheduled_command(
@@ -73,7 +76,7 @@
 
 
 def _profile(item: "Scheduled", agreement: Agreement, path: str) -> Profile:
-    """The profile of a scheduled command; path: of the command in the operator file, for errors."""
+    """The profile that a scheduled command names. path: of the command in the operator file, for errors."""
     profiles = {profile.name: profile for profile in reversed(agreement.profiles)}  # the first of each name
     if item.profile not in profiles:
         raise UnusableFleetError(f"{path}: {item.profile!r} is no profile of the agreement")
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -1,8 +1,8 @@
-"""A member of a fleet: one thread that decides, and others that wait for the store.
+"""A member of a fleet: one thread that decides, and others that call the store and wait for its replies.
 
-The core never waits for any of them: scheduled commands and decisions of budgets and policies are posted to
-it, and answers come back as events on the queue of the fleet's thread. A store that does not answer causes
-retries here and does not affect the core.
+The core's thread, which serves clients, never waits for any of them: scheduled commands and changes of
+budgets and policies are posted to it, and their results come back as events on the queue of the fleet's
+thread. A store that does not answer causes retries here and does not affect the core.
 """
 
 import random
@@ -61,29 +61,31 @@
 
 __all__ = ["FleetMember", "UnusableFleetError"]
 
-WORK_LANE = "work"  # of heartbeats and scheduled commands
-MAX_SLEEP_S = 0.5  # of the fleet's thread: a clock that jumps is noticed by then
-MIN_SLEEP_S = 0.002  # something that is due but can't be done yet must not cause a busy loop
-WATCH_SILENCE_LEASES = 2  # lease times for which a watch may be silent before it is opened again
+WORK_LANE = "work"  # for the keys of heartbeats and scheduled commands
+MAX_SLEEP_S = 0.5  # of the fleet's thread, so that it notices a jump of the Unix clock
+MIN_SLEEP_S = (
+    0.002  # of the fleet's thread; work that is due but can't be done yet must not cause a busy loop
+)
+WATCH_SILENCE_LEASES = 2  # times to live of a lease; a watch that is silent for longer is opened again
 NONCE_BITS = 64
 
 
 class FleetMember:
-    """A member of a fleet, from start() until leave() is done; then `stopped` is set."""
+    """A member of a fleet, from start() until it has left; then `stopped` is set."""
 
     def __init__(self, record: "FleetRecord", configuration: "Configuration", core: "Core") -> None:
-        """record: of the operator file. Raises UnusableFleetError."""
+        """record: of the operator file. Raises UnusableFleetError if it does not fit the agreement."""
         agreement = configuration.agreement
         self.record = record
         self.core = core
         self.name = configuration.name or configuration.listen_address
-        self.queue: SimpleQueue[events.Event] = SimpleQueue()  # calls for the fleet's thread
+        self.queue: SimpleQueue[events.Event] = SimpleQueue()  # calls that the fleet's thread is to make
         self.stopped = Event()
         self.lanes: dict[str, Lane] = {}
         self.role_states: dict[str, RoleState] = {}
-        self.watchers: dict[str, Watcher] = {}  # of the keys of led roles, by role
+        self.watchers: dict[str, Watcher] = {}  # of the keys of the role states, by role
         self.scheduled_commands = assembly.scheduled_commands(record, agreement, self.name)
-        # Seeded differently at each start, as the nonce distinguishes processes of the same name.
+        # The seed differs at each start, so that the nonce distinguishes processes of the same name.
         self._random = random.Random(configuration.seed ^ time.time_ns())
         self._event_log = EventLog(record.name, self.name)
         self._availability_log = AvailabilityLog(self._event_log)
@@ -127,7 +129,7 @@
     # Called on any thread
 
     def start(self) -> None:
-        """Start the threads."""
+        """Start the lanes, the watchers and the fleet's thread."""
         if self.record.events:
             self._event_log.add_file(self.record.events)
         names = [*CallLane, WORK_LANE]
@@ -142,23 +144,23 @@
         start_thread(self._run, "fleet")
 
     def leave(self) -> None:
-        """Shut down gracefully: give up all roles; `stopped` is set when that is done."""
+        """Shut down gracefully: give up all roles and the lease; `stopped` is set when that is done."""
         self.post(self._leave)
 
     def post(self, call: Callable[..., Any], *arguments: Any) -> None:
-        """Make a call on the fleet's thread."""
+        """Have the fleet's thread make a call."""
         self.queue.put(events.Invoke(call, arguments))
 
     def _new_session(self) -> StoreClient:
-        """Open a session with the store."""
+        """Create a session with the store, for one thread."""
         prefix = fleet_prefix(self.record.name)
         return StoreClient(self.record.register_, prefix, self.record.timeout / US_PER_SECOND)
 
     def watch(self, name: str, prefix: str, on_change: OnChange, on_gap: Callable[[], Any]) -> Watcher:
-        """Watch the keys with this prefix, from the revision that is passed to Watcher.watch_from().
+        """Create a watcher of the keys with this prefix; Watcher.watch_from() starts it. name: of its thread.
 
-        on_change(key, value or None if it was deleted, revision) is called on the fleet's thread for each
-        change, on_gap() if changes were missed.
+        On the fleet's thread, on_change(key, value or None if it was deleted, revision) is called for each
+        change, and on_gap() if changes were missed.
         """
         pauses = self.record.duties.pauses
         return Watcher(
@@ -172,7 +174,7 @@
         )
 
     def watch_role(self, role: str, name: str, prefix: str) -> None:
-        """Watch the keys of a role on behalf of its role state."""
+        """Create the watcher that passes changes of a role's keys to its role state. name: of its thread."""
         self.watchers[role] = self.watch(
             name,
             prefix,
@@ -181,21 +183,22 @@
         )
 
     def log_event(self, level: str, text: str, **facts: Any) -> None:
-        """Write a log line, with its facts as fields."""
+        """Write a log line. facts: its fields."""
         self._event_log.log(level, text, **facts)
 
     def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
-        """Write a log line if the store refused a write under an outdated fencing token."""
+        """Write a log line if a reply shows that a write was refused, as its fencing token is outdated."""
         self._event_log.log_refused_effect(role, token, reply)
 
     @property
     def work_lane(self) -> Lane:
-        """The lane of heartbeats and scheduled commands."""
+        """The lane for the keys of heartbeats and scheduled commands."""
         return self.lanes[WORK_LANE]
 
     # On the fleet's thread
 
     def _run(self) -> None:
+        """Handle events and do what is due until the member has left."""
         self.membership.tick(monotonic_us())
         while self.membership.state != MemberState.LEFT:
             self._guarded(self._carry_out_all)
@@ -224,7 +227,7 @@
             self._event_log.log_fault(call)
 
     def _sleep_s(self) -> float:
-        """How long to wait for an event before something is due."""
+        """How long to wait for an event: until something is due, within the bounds."""
         now = monotonic_us()
         times = [self.membership.due(now), self._heartbeats.due() or now + US_PER_SECOND]
         times += [feature.due(now) for feature in self._features]
@@ -284,7 +287,7 @@
         self.membership.watch_gap(monotonic_us())
 
     def _post_attempt_ended(self, *outcome: Any) -> None:
-        """Pass the end of an attempt on; called on the core's thread."""
+        """Pass the end of an attempt on to the fleet's thread; called on the core's thread."""
         self.post(self._scheduled_command_driver.attempt_ended, *outcome)
 
     def _leave(self) -> None:
--- a/gullhold/fleet/lane.py
+++ b/gullhold/fleet/lane.py
@@ -1,4 +1,4 @@
-"""A thread that carries out requests to the store one after the other."""
+"""A thread that sends requests to the store, one after the other."""
 
 from collections.abc import Callable
 from queue import SimpleQueue
@@ -9,23 +9,24 @@
 
 
 class StoreSession(Protocol):
-    """One session with the store, as a lane needs it."""
+    """The interface of a session with the store that a lane uses."""
 
     def call(self, request: Request) -> Reply:
-        """Carry out one request."""
+        """Send one request and wait for its reply; raises nothing."""
         ...
 
 
 class Lane:
-    """A queue of requests, with its own thread and its own session with the store.
+    """A queue of requests to the store, with its own thread and its own session.
 
-    Requests of one lane are carried out in order; those of different lanes do not wait for each other.
+    The requests of one lane are sent in order, each after the reply to the one before; different lanes do not
+    wait for each other.
     """
 
     def __init__(
         self, name: str, make_session: Callable[[], StoreSession], post: Callable[..., None]
     ) -> None:
-        """post(call, *arguments): makes the call on the fleet's thread."""
+        """post(call, *arguments): has the fleet's thread make a call."""
         self._make_session = make_session
         self._post = post
         self._requests: SimpleQueue[tuple[Request, Callable[..., Any], tuple[Any, ...]]] = SimpleQueue()
