--- a/gullhold/fleet/calendar.py
+++ b/gullhold/fleet/calendar.py
@@ -1,7 +1,7 @@
-"""When a scheduled command is due: calendar expressions by a library, with time zones and daylight saving.
+"""When a scheduled command is due: cron expressions, with time zones and daylight saving time, by a library.
 
-Times are Unix time in integer microseconds. A time of day that does not exist on a day, as the clocks go
-forward, is due when they have gone forward; one that exists twice is due the first time.
+Times are Unix time in integer microseconds. A time of day that is skipped as clocks go forward is due right
+after the skip; one that comes twice as clocks go back is due the first time.
 """
 
 from datetime import datetime
@@ -11,20 +11,20 @@
 
 from gullhold.fleet.clocks import US_PER_SECOND
 
-MAX_COUNTED = 10_000  # due times; larger numbers are reported as this
+MAX_COUNTED = 10_000  # due times of an expression that are counted; of more, the number is reported as this
 
 
 class InvalidCalendarError(Exception):
-    """A calendar that can't be used; the text is one plain line."""
+    """A calendar that can't be used; the text is one line for the operator."""
 
 
 class Calendar:
-    """The due times of one command: a calendar expression in a time zone, or a fixed interval."""
+    """The due times of one command: a cron expression in a time zone, or the multiples of an interval."""
 
     def __init__(self, expression: str, zone_name: str, interval_us: int) -> None:
-        """Exactly one of expression (five or six fields) and interval_us is set.
+        """Exactly one of expression and interval_us is set.
 
-        Raises InvalidCalendarError.
+        expression: of five fields, or of six with the seconds first. Raises InvalidCalendarError.
         """
         self.expression = expression
         self.interval_us = interval_us
@@ -41,15 +41,18 @@
         except StopIteration:
             raise InvalidCalendarError(f"{expression!r} is never due") from None
 
-    def after(self, at_us: int) -> int:
-        """The first due time after this one."""
+    def next_after(self, at_us: int) -> int:
+        """The first due time after at_us."""
         if self.interval_us:
             return (at_us // self.interval_us + 1) * self.interval_us
         moment = datetime.fromtimestamp(at_us // US_PER_SECOND, self.zone)
         return int(next(CronSim(self.expression, moment)).timestamp()) * US_PER_SECOND
 
-    def between(self, after_us: int, until_us: int) -> tuple[int, int]:
-        """The number of due times after one time and up to another, and the last of them or else after_us."""
+    def count_between(self, after_us: int, until_us: int) -> tuple[int, int]:
+        """The number of due times after after_us and up to until_us, and the last of them (after_us if none).
+
+        Beyond MAX_COUNTED due times these are MAX_COUNTED and until_us.
+        """
         if until_us <= after_us:
             return 0, after_us
         if self.interval_us:
@@ -59,7 +62,7 @@
         count = 0
         last_us = after_us
         while count < MAX_COUNTED:
-            due_us = self.after(last_us)
+            due_us = self.next_after(last_us)
             if due_us > until_us:
                 return count, last_us
             count += 1
--- a/gullhold/fleet/events.py
+++ b/gullhold/fleet/events.py
@@ -1,15 +1,15 @@
-"""Items of the queue of the fleet's thread: calls for the thread to make."""
+"""Items of the queue of the fleet's thread, which calls each of them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
-Event = Callable[[], Any]  # any callable without parameters
+Event = Callable[[], Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Invoke:
-    """Event: make this call with these arguments."""
+    """Event: a function to call, with its arguments."""
 
     call: Callable[..., Any]
     arguments: tuple[Any, ...] = ()
--- a/gullhold/fleet/heartbeats.py
+++ b/gullhold/fleet/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: roles whose leader writes a key periodically, so that operators see that leadership works."""
+"""Heartbeats: roles whose leader only writes a key periodically, which shows that leadership works."""
 
 from collections.abc import Callable
 
@@ -18,28 +18,28 @@
         period_us: int,
         on_written: Callable[[str, int, Reply], None],
     ) -> None:
-        """lane(): the lane for writes; on_written(role, token, reply) is called for each write."""
+        """lane(): returns the lane for writes. on_written(role, token, reply): called after each write."""
         self._membership = membership
         self._lane = lane
         self._period_us = period_us
         self._on_written = on_written
-        self._next_at: dict[str, int] = {}  # by role
-        self._being_written: set[str] = set()
+        self._next_at: dict[str, int] = {}  # when the next heartbeat is due, by role
+        self._being_written: set[str] = set()  # roles with a write under way
 
     def won(self, role: str, now: int) -> None:
-        """Begin to lead the role: the first heartbeat is due now."""
+        """Start the heartbeats of a role that this member now leads; the first is due now."""
         self._next_at[role] = now
 
     def lost(self, role: str) -> None:
-        """Stop."""
+        """Stop the heartbeats of a role that this member does not lead any more."""
         self._next_at.pop(role, None)
 
     def due(self) -> int | None:
-        """When to step() at the latest; None: this member leads no heartbeat role."""
+        """When to step() next; None if this member leads no heartbeat role."""
         return min(self._next_at.values(), default=None)
 
     def step(self, now: int) -> None:
-        """Write the heartbeats that are due; at most one write of a role is under way."""
+        """Write the heartbeats that are due, but those whose previous write has no reply yet."""
         for role, at in self._next_at.items():
             if at > now:
                 continue
--- a/gullhold/fleet/lease.py
+++ b/gullhold/fleet/lease.py
@@ -1,7 +1,8 @@
-"""How long a lease certainly holds, by this process's own clock. Decisions only.
+"""How long a lease certainly holds, by this process's own clock. Performs no I/O.
 
-The store counts a lease's time from when it received the call, which is not before we sent it. Its clock may
-run faster than ours, by a share that the operator file states.
+The store counts a lease's time to live from when it received the call that granted or renewed the lease,
+which is not before the call was sent. Its clock may run faster than this process's, by a share that the
+operator file bounds.
 """
 
 from typing import NamedTuple
@@ -12,8 +13,8 @@
 class LeaseTerms(NamedTuple):
     """Settings of leases, from the operator file.
 
-    ttl_s: time to live in integer seconds. max_drift: largest relative difference of two clocks' rates.
-    margin_us: how much too early a store may end a lease at most.
+    ttl_s: time to live in integer seconds. max_drift: largest relative difference between the rates of this
+    process's clock and the store's. margin_us: how much too early the store may end a lease at most.
     """
 
     ttl_s: int
@@ -21,17 +22,21 @@
     margin_us: int
 
     def guaranteed_us(self) -> int:
-        """How long a lease certainly holds after the call that granted or renewed it was sent."""
+        """How long a lease certainly holds, from when the call that granted or renewed it was sent."""
         return int(self.ttl_s * US_PER_SECOND * (1 - self.max_drift)) - self.margin_us
 
 
 class Lease:
-    """One lease, from its grant to its end. is_valid() is correct at any time, also after a long sleep."""
+    """The lease of a member, if it has one. Times are us of a monotonic clock.
+
+    is_valid() depends on the clock alone, so it is correct even right after the process was suspended. id: 0
+    if there is no lease.
+    """
 
     __slots__ = ("id", "terms", "valid_until")
 
     def __init__(self, terms: LeaseTerms) -> None:
-        """Without a lease at first."""
+        """There is no lease at first."""
         self.terms = terms
         self.id = 0
         self.valid_until = 0
@@ -44,14 +49,14 @@
         self.valid_until = max(self.valid_until, sent_at + self.terms.guaranteed_us())
 
     def clear(self) -> None:
-        """Forget the lease: the store may not have it any more."""
+        """Forget the lease, as the store may have ended it."""
         self.id = 0
         self.valid_until = 0
 
     def is_valid(self, now: int) -> bool:
-        """Whether it certainly holds now."""
+        """Whether there is a lease that certainly holds now."""
         return self.id != 0 and now < self.valid_until
 
     def renew_at(self) -> int:
-        """When to renew it: early enough for two more attempts after a lost one."""
+        """When to renew it: a third into its guaranteed time, early enough for two more attempts if one is lost."""
         return self.valid_until - self.terms.guaranteed_us() * 2 // 3
--- a/gullhold/fleet/rate_limit.py
+++ b/gullhold/fleet/rate_limit.py
@@ -1,10 +1,10 @@
-"""A token bucket that bounds how many roles a member gives up in a second. Decisions only."""
+"""A rate limit: bounds how many roles a member gives up in a second."""
 
 from gullhold.fleet.clocks import US_PER_SECOND
 
 
-class RateLimit:
-    """A token bucket that holds the permits of one second."""
+class RateLimiter:
+    """A token bucket whose capacity is the permits of one second; it is full at first."""
 
     __slots__ = ("available", "rate", "updated_at")
 
@@ -15,7 +15,7 @@
         self.updated_at = now
 
     def take(self, now: int, wanted: int) -> int:
-        """Take up to `wanted` permits; return how many were taken."""
+        """Take up to `wanted` permits; return the number taken."""
         elapsed_us = max(0, now - self.updated_at)
         self.available = min(self.rate, self.available + elapsed_us * self.rate / US_PER_SECOND)
         self.updated_at = max(self.updated_at, now)
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -18,7 +18,7 @@
     RoleLost,
     RoleWon,
 )
-from gullhold.fleet.rate_limit import RateLimit
+from gullhold.fleet.rate_limit import RateLimiter
 from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.fleet.store_calls import (
     Delete,
@@ -61,7 +61,7 @@
         self.identity = identity
         self.assignment = RoleAssignment(roles)
         self.claim_backoff = claim_backoff
-        self.move_limit = RateLimit(rules.moves_per_second, now)
+        self.release_limiter = RateLimiter(rules.moves_per_second, now)
         self.audit_interval_us = AUDIT_INTERVAL_LEASES * rules.lease_terms.guaranteed_us()
         self.audit_at = 0
         self.tokens: dict[str, int] = {}
@@ -138,7 +138,7 @@
             return CallPlan(CallPurpose.AUDIT_LEASE, ReadLeaseKeys(lease_id))
         releasable = self.releasable()
         if releasable:
-            count = self.move_limit.take(now, min(len(releasable), MAX_ROLES_PER_CALL))
+            count = self.release_limiter.take(now, min(len(releasable), MAX_ROLES_PER_CALL))
             if count:
                 return self._release_call(releasable[:count])
         due = [role for role, at in self.claim_at.items() if at <= now]
@@ -150,7 +150,7 @@
             return 0
         times = [self.audit_at, *self.claim_at.values()]
         if self.releasable():
-            times.append(self.move_limit.ready_at(now))
+            times.append(self.release_limiter.ready_at(now))
         return min(times)
 
     def leaving_call(self) -> CallPlan | None:
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -41,12 +41,12 @@
 class DueTimes(Protocol):
     """The calendar of a scheduled command; Unix time in us."""
 
-    def after(self, at_us: int) -> int:
-        """The first due time after this one."""
+    def next_after(self, at_us: int) -> int:
+        """The first due time after at_us."""
         ...
 
-    def between(self, after_us: int, until_us: int) -> tuple[int, int]:
-        """The number of due times after one time and up to another, and the last of them."""
+    def count_between(self, after_us: int, until_us: int) -> tuple[int, int]:
+        """The number of due times after after_us and up to until_us, and the last of them."""
         ...
 
 
@@ -135,7 +135,7 @@
         if not self.token or self.is_reading or self.pending_write:
             return now + RETRY_DELAY_US
         times = [at for at in self.retry_at.values() if at > now]
-        times.append(self.calendar.after(self.records.handled_until) if self.is_loaded else now)
+        times.append(self.calendar.next_after(self.records.handled_until) if self.is_loaded else now)
         return max(now + MIN_STEP_US, self.pause_until, min(times))
 
     def step(self, now: int) -> None:
@@ -191,7 +191,7 @@
 
     def _begin_next(self, now: int) -> None:
         """Begin or skip what has become due."""
-        due_us = self.calendar.after(self.records.handled_until)
+        due_us = self.calendar.next_after(self.records.handled_until)
         if due_us > now:
             return
         if self.is_disabled:
@@ -209,7 +209,7 @@
 
     def _skip_until(self, until: int, reason: str, now: int) -> bool:
         """Skip the due times up to this one; whether there were any."""
-        count, last_due = self.calendar.between(self.records.handled_until, until)
+        count, last_due = self.calendar.count_between(self.records.handled_until, until)
         if not count:
             return False
         skipped = Occurrence(
--- a/tests/test_fleet_calendar.py
+++ b/tests/test_fleet_calendar.py
@@ -15,7 +15,7 @@
     zone = ZoneInfo("Europe/Brussels")
 
     def after(*when):
-        at = calendar.after(int(datetime(*when, tzinfo=zone).timestamp()) * S)
+        at = calendar.next_after(int(datetime(*when, tzinfo=zone).timestamp()) * S)
         return datetime.fromtimestamp(at // S, zone).strftime("%d %H:%M")
 
     assert after(2026, 3, 28, 12) == "29 03:00"  # 02:30 does not exist that day
@@ -25,9 +25,9 @@
 
 def test_a_calendar_counts_missed_due_times_and_names_expressions_that_it_cannot_use():
     calendar = Calendar("*/2 * * * * *", "UTC", 0)
-    assert calendar.between(1000 * S, 1009 * S) == (4, 1008 * S)
-    assert Calendar("", "UTC", 300_000).between(1000 * S, 1001 * S) == (3, 1000_800_000)
-    assert calendar.between(1000 * S, 999 * S) == (0, 1000 * S)
+    assert calendar.count_between(1000 * S, 1009 * S) == (4, 1008 * S)
+    assert Calendar("", "UTC", 300_000).count_between(1000 * S, 1001 * S) == (3, 1000_800_000)
+    assert calendar.count_between(1000 * S, 999 * S) == (0, 1000 * S)
     for bad in (
         ("61 * * * *", "UTC", 0),
         ("* * * * *", "Mars/Base", 0),
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -2,7 +2,7 @@
 
 from gullhold.fleet.backoff import Backoff
 from gullhold.fleet.lease import Lease, LeaseTerms
-from gullhold.fleet.rate_limit import RateLimit
+from gullhold.fleet.rate_limit import RateLimiter
 
 S = 1_000_000  # us
 
@@ -27,7 +27,7 @@
     assert [backoff.next_delay_us() for _ in range(6)] == [75, 150, 300, 600, 750, 750]
     backoff.reset()
     assert backoff.next_delay_us() == 75
-    limit = RateLimit(10, 0)
+    limit = RateLimiter(10, 0)
     assert limit.take(0, 50) == 10
     assert limit.take(50_000, 50) == 0
     assert limit.ready_at(50_000) > 50_000
