--- a/gullhold/fleet/lease.py
+++ b/gullhold/fleet/lease.py
@@ -58,5 +58,5 @@
         return self.id != 0 and now < self.valid_until
 
     def renew_at(self) -> int:
-        """When to renew it: a third into its guaranteed time, early enough for two more attempts if one is lost."""
+        """When to renew it: a third into its guaranteed time, which leaves time for two more attempts."""
         return self.valid_until - self.terms.guaranteed_us() * 2 // 3
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -1,8 +1,9 @@
-"""One member of the fleet: its lease, its key and the other members. Decisions only: no I/O, no clock.
+"""One member of a fleet: its lease, its key in the store and the other members. Performs no I/O.
 
-It hands out calls to the store, one at a time in each of two lanes, and takes the reply to each.
-fencing_token() is valid only while the lease certainly holds by our own clock; every effect is a transaction
-that compares the role's key with the token, so that a late one is refused.
+The member hands out calls to the store, one at a time in each of two lanes, and is given the reply to each.
+It has a fencing token for a role only while its lease certainly holds by its own clock. Every write for a
+role is a transaction that compares the revision of the role's key with the token, so that the store refuses a
+write that arrives after the role has moved.
 """
 
 from collections.abc import Callable, Iterable
@@ -40,18 +41,19 @@
 from gullhold.fleet.store_schema import MEMBERS_PREFIX, ROLES_PREFIX, MemberRecord
 
 SUPERSEDED = "superseded by a later process of this name"
-KEY_ENDED = "key removed"
+KEY_REMOVED = "key removed"
 
 
 class Membership:
-    """A member. take_actions() hands out MembershipActions; due() is when to tick() at the latest.
+    """One member. take_actions() returns MembershipActions; due() is when to tick() at the latest.
 
-    All times are us of a monotonic clock. members: whether each is ready, by name. newest_revision: the
-    newest revision of the store that a reply or a watch has shown. is_ready: roles may be assigned to this
-    member.
+    All times are us of a monotonic clock. members: whether each member is ready, by name; roles are assigned
+    to ready members only. newest_revision: the newest revision of the store that a reply or a watch has
+    shown. must_read_members: a change of the members may have been missed. is_ready, ready_at: whether this
+    member is ready, and from when on it is to be. leave_at: when leaving ends at the latest.
     """
 
-    claims_type = RoleClaims
+    claims_type = RoleClaims  # tests use subclasses
 
     def __init__(
         self,
@@ -62,7 +64,7 @@
         random_fraction: Callable[[], float],
         now: int,
     ) -> None:
-        """nonce: distinguishes processes of the same name; random_fraction: draws from [0, 1)."""
+        """nonce: random; distinguishes processes of the same name. random_fraction: draws from [0, 1)."""
         self.identity = Identity(name, nonce)
         self.rules = rules
         self.lease = Lease(rules.lease_terms)
@@ -87,7 +89,7 @@
         return actions
 
     def fencing_token(self, role: str, now: int) -> int:
-        """The token under which to act on a role now; 0: this member does not certainly lead it."""
+        """The token under which to act on a role now; 0 if this member does not certainly lead it."""
         if self.state not in (MemberState.JOINED, MemberState.LEAVING):
             return 0
         if role in self.claims.to_release or not self.lease.is_valid(now):
@@ -101,18 +103,18 @@
         operations: Iterable[Operation],
         conditions: Iterable[Condition] = (),
     ) -> Transaction:
-        """A transaction that is carried out only while the role is led under this token."""
+        """The transaction that carries out the operations only while the role is led under this token."""
         return Transaction(((ROLES_PREFIX + role, token), *conditions), tuple(operations))
 
     def set_busy(self, role: str, busy: bool) -> None:
-        """Record that work on a role has begun or ended; a busy role is not given up voluntarily."""
+        """Record that work on a role has begun or ended; while it is busy, it is not given up voluntarily."""
         if busy:
             self.claims.busy.add(role)
         else:
             self.claims.busy.discard(role)
 
     def tick(self, now: int) -> None:
-        """Do what is due: check the lease, and make the next call in each lane."""
+        """Do what is due: check the lease, and start the next call in each lane that has none under way."""
         if self.state == MemberState.LEFT:
             return
         self._check_lease(now)
@@ -141,7 +143,7 @@
         return next_at if self.is_ready else min(next_at, self.ready_at)
 
     def call_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-        """Take the reply to a call; there is exactly one to each."""
+        """Take the reply to a call; each call has exactly one."""
         if is_stale(call.request, reply, self.newest_revision):
             reply = reply._replace(proof=Proof.UNKNOWN)
         is_done = reply.proof == Proof.DONE
@@ -153,9 +155,9 @@
         self.tick(now)
 
     def member_changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take a change of a member's key; value None: it was deleted."""
+        """Take a change of a member's key. value: None if it was deleted."""
         if revision <= self.newest_revision and self.state not in (MemberState.JOINED, MemberState.LEAVING):
-            return  # a read has shown a newer state
+            return  # the last read of the members has shown this change, or the next one will
         self.newest_revision = max(self.newest_revision, revision)
         name = key.removeprefix(MEMBERS_PREFIX)
         record = None if value is None else MemberRecord.decode(value, revision)
@@ -173,22 +175,22 @@
 
     def _own_key_changed(self, now: int, record: MemberRecord | None, revision: int) -> None:
         if record is None:
-            self._lose_lease(now, KEY_ENDED)
+            self._lose_lease(now, KEY_REMOVED)
         elif record.nonce == self.identity.nonce:
             self.identity.key_revision = revision
             self.is_ready = record.is_ready
         elif record.incarnation > self.identity.incarnation:
             self._superseded(now)
-        else:  # an earlier process wrote our key, having found it missing: write it again
-            self._lose_lease(now, KEY_ENDED)
+        else:  # an earlier process of this name found the key missing and wrote it: join again
+            self._lose_lease(now, KEY_REMOVED)
 
     def watch_gap(self, now: int) -> None:
-        """Read the members again, as the watch may have missed changes."""
+        """Have the members read again, as the watch may have missed changes."""
         self.must_read_members = True
         self.tick(now)
 
     def leave(self, now: int) -> None:
-        """Shut down gracefully: give up all roles, then end the lease."""
+        """Shut down gracefully: give up all roles, then revoke the lease."""
         if self.state in (MemberState.LEAVING, MemberState.LEFT):
             return
         self.leave_at = now + self.rules.leave_timeout_us
@@ -205,16 +207,16 @@
         self.actions.append(action)
 
     def _change_state(self, state: MemberState, reason: str) -> None:
-        """Change the state and emit an event; the only place that does."""
+        """Change the state, and log that; no other method does."""
         facts = {"state": state, "reason": reason, "incarnation": self.identity.incarnation}
         self._emit(LogStateChange("member state changed", facts))
         self.state = state
 
     def _check_lease(self, now: int) -> None:
-        """Give up a lease that does not certainly hold any more; it is never renewed.
+        """Give up a lease that does not certainly hold any more, and never renew it.
 
-        Guards against a member whose calls arrive but whose replies are lost: it would keep roles for ever
-        that it can't act on, and no other member could claim them.
+        Guards against a member whose calls reach the store but whose replies are lost: its renewals would keep
+        the roles for ever, though it can't act on them, and no other member could claim them.
         """
         if self.lease.id and not self.lease.is_valid(now):
             self._lose_lease(now, "lease not confirmed in time")
@@ -222,14 +224,14 @@
             self._end("left without the register's word")
 
     def _reset_roles(self, reason: str) -> None:
-        """Lose all roles and our key, and ignore replies to the calls under way."""
+        """Lose all roles and this member's key, and ignore the replies to the calls under way."""
         self.claims.reset(reason)
         self.identity.key_revision = 0
         self.is_ready = False
         self.calls.void_all()
 
     def _lose_lease(self, now: int, reason: str) -> None:
-        """Begin again without a lease: the store may not have ours any more."""
+        """Forget the lease, which the store may have ended, and start again without one unless leaving."""
         self._reset_roles(reason)
         self.lease.clear()
         if self.state == MemberState.LEAVING:
@@ -239,7 +241,7 @@
             self._change_state(MemberState.NO_LEASE, reason)
 
     def _superseded(self, now: int) -> None:
-        """Stop for good and free our roles at once: a later process of the same name replaces this one."""
+        """Stop for good, as a later process of this name has joined; free all roles by revoking the lease."""
         self._reset_roles(SUPERSEDED)
         self.claims.busy = set()
         self.leave_at = now + self.rules.lease_terms.guaranteed_us()
@@ -251,7 +253,7 @@
         self._change_state(MemberState.LEFT, reason)
 
     def _joined(self, now: int, revision: int, is_ready: bool) -> None:
-        """Record that our key is in the store."""
+        """Record that this member's key is in the store. revision: of the key."""
         is_first = self.state != MemberState.JOINED
         self.identity.key_revision = revision
         self.is_ready = is_ready
@@ -271,7 +273,7 @@
     # Calls
 
     def _start_call(self, lane: CallLane, choose: Callable[[int], CallPlan | None], now: int) -> None:
-        """Make the call that choose(now) plans, if any."""
+        """Start the call that choose(now) returns, if any and if the lane is free."""
         if not self.calls.may_start(lane, now) or self.state == MemberState.LEFT:
             return
         plan = choose(now)
@@ -294,7 +296,7 @@
             case MemberState.READING:
                 return CallPlan(CallPurpose.READ_MEMBERS, ReadPrefix(MEMBERS_PREFIX))
             case MemberState.JOINING:
-                # If no other member is ready, no roles move: join as ready, without settling.
+                # If no other member is ready, there is none to take roles from: join as ready at once.
                 is_ready = not any(self.members.values())
                 request = self.identity.write_key(is_ready, self.lease.id)
                 return CallPlan(CallPurpose.JOIN, request, (is_ready,))
@@ -331,7 +333,7 @@
 
     def _grant_replied(self, call: PendingCall, reply: Reply) -> None:
         if reply.proof != Proof.DONE:
-            return  # the store may have granted a lease: without keys it expires unused
+            return  # a lease that was granted all the same has no keys, and expires unused
         self.lease.renew(reply.lease, call.sent_at)
         if self.state == MemberState.NO_LEASE:
             self._change_state(MemberState.READING, "lease granted")
@@ -358,9 +360,9 @@
             return
         self._emit(WatchMembers(reply.revision + 1))
         if own_item and own_record and is_ours and own_item.lease == self.lease.id:
-            self._joined(now, own_item.revision, own_record.is_ready)  # also if the reply to JOIN was lost
+            self._joined(now, own_item.revision, own_record.is_ready)  # even if the reply to JOIN was lost
         elif self.state == MemberState.JOINED:
-            self._lose_lease(now, KEY_ENDED)
+            self._lose_lease(now, KEY_REMOVED)
         else:
             self.identity.key_revision = own_item.revision if own_item else 0
             self._change_state(MemberState.JOINING, "members read")
@@ -370,7 +372,7 @@
             (is_ready,) = call.context
             self.members[self.identity.name] = is_ready
             self._joined(now, reply.revision, is_ready)
-        else:  # another process wrote the key, or our call may have been carried out: read the members
+        else:  # the key has changed, or the call may or may not have been carried out: read the members
             self.identity.key_revision = 0
             self._change_state(MemberState.READING, "join not confirmed")
 
