--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -215,8 +215,8 @@
     def _check_lease(self, now: int) -> None:
         """Give up a lease that does not certainly hold any more, and never renew it.
 
-        Guards against a member whose calls reach the store but whose replies are lost: its renewals would keep
-        the roles for ever, though it can't act on them, and no other member could claim them.
+        Guards against a member whose calls reach the store but whose replies are lost: its renewals would
+        keep the roles for ever, though it can't act on them, and no other member could claim them.
         """
         if self.lease.id and not self.lease.is_valid(now):
             self._lose_lease(now, "lease not confirmed in time")
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -1,7 +1,7 @@
-"""The roles that a member leads, claims and gives up. Decisions only.
+"""The roles that a member leads, claims and gives up. Performs no I/O.
 
-A role is led through a key that is attached to the leader's lease; the revision of that key's last change is
-the leader's fencing token, so tokens only grow.
+A member leads a role by holding the role's key in the store, attached to the member's lease. The revision of
+the key's last change is the fencing token of the leader, so the tokens of a role only grow.
 """
 
 from collections.abc import Callable, Iterable
@@ -33,19 +33,19 @@
 )
 from gullhold.fleet.store_schema import ROLES_PREFIX, LeaderRecord
 
-MAX_ROLES_PER_CALL = store_calls.MAX_TRANSACTION_OPERATIONS - 1  # beside the member's own key
-# Lease times between reads of the keys attached to our lease, which show calls that were given up but
-# carried out.
+MAX_ROLES_PER_CALL = store_calls.MAX_TRANSACTION_OPERATIONS - 1  # a claim has a condition more
+# Guaranteed lease times between reads of the keys attached to this member's lease, which show claims that
+# were carried out though their calls were given up.
 AUDIT_INTERVAL_LEASES = 5
 
 
 class RoleClaims:
     """The roles that one member leads, claims or gives up.
 
-    tokens: fencing tokens of the roles whose key is ours. to_release: roles to give up, with the token of
-    their key. claim_at: roles to claim, each with the time from which to do so. own_key_revisions: of those,
-    the revision of a key that is ours already. unverified: roles whose key has to be read before anything
-    else is done with them. busy: roles that are not given up yet, as work on them is under way.
+    tokens: fencing tokens of the roles that it leads. to_release: roles to give up, with the revision of
+    their key. claim_at: roles to claim, each with the time from which to do so (us). own_key_revisions: of
+    those, the revision of a key that this process wrote. unverified: roles whose key has to be read, as it may
+    be this process's. busy: roles that are not given up yet, as work on them is under way.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         now: int,
         emit: Callable[[MembershipAction], None],
     ) -> None:
-        """emit: called with RoleWon and RoleLost."""
+        """claim_backoff: delays claims of roles that others lead. emit: called with RoleWon and RoleLost."""
         self.identity = identity
         self.assignment = RoleAssignment(roles)
         self.claim_backoff = claim_backoff
@@ -73,7 +73,7 @@
         self._emit = emit
 
     def reset(self, reason: str) -> None:
-        """Lose all roles, and forget what was known of others."""
+        """Lose all roles, and forget all planned claims and releases."""
         for role in list(self.tokens):
             self.lost(role, reason)
         self.claim_at = {}
@@ -82,12 +82,12 @@
         self.unverified = {}
 
     def won(self, role: str, token: int) -> None:
-        """Record that the role's key is ours."""
+        """Record that this member leads the role, under this fencing token."""
         self.tokens[role] = token
         self._emit(RoleWon(role, token))
 
     def lost(self, role: str, reason: str) -> None:
-        """Record that the role's key may not be ours any more."""
+        """Record that this member may not lead the role any more, if it did."""
         if self.tokens.pop(role, 0):
             self._emit(RoleLost(role, reason))
 
@@ -96,7 +96,7 @@
         self.audit_at = now + self.audit_interval_us
 
     def reassign(self, now: int, ready_members: Iterable[str]) -> None:
-        """Find out what to claim and what to give up after the ready members have changed."""
+        """Assign the roles to these members; plan to claim or give up those whose assignment has changed."""
         for role in self.assignment.update_members(ready_members):
             self.review(now, role)
 
@@ -129,7 +129,7 @@
     # Calls
 
     def next_call(self, now: int, lease_id: int) -> CallPlan | None:
-        """The next call to make, if any."""
+        """Return the next call to make, if any is due; a release ends the leadership of its roles at once."""
         if self.unverified:
             roles = tuple(self.unverified)[:MAX_ROLES_PER_CALL]
             reads = tuple(Get(ROLES_PREFIX + role) for role in roles)
@@ -145,7 +145,7 @@
         return self._claim_call(due[:MAX_ROLES_PER_CALL], lease_id) if due else None
 
     def next_call_at(self, now: int) -> int:
-        """When next_call() will return a call at the latest."""
+        """When next_call() is to be called next."""
         if self.unverified:
             return 0
         times = [self.audit_at, *self.claim_at.values()]
@@ -154,7 +154,7 @@
         return min(times)
 
     def leaving_call(self) -> CallPlan | None:
-        """The call that gives up roles that are not busy, while others are.
+        """The call that gives up roles that are not busy while others are; None if there is none to make.
 
         Once none is busy, the end of the lease frees all roles in one call.
         """
@@ -164,11 +164,11 @@
         return self._release_call(idle[:MAX_ROLES_PER_CALL]) if idle else None
 
     def releasable(self) -> list[tuple[str, int]]:
-        """Roles that can be given up now, with the tokens of their keys."""
+        """Roles that can be given up now, with the revisions of their keys."""
         return [(role, token) for role, token in self.to_release.items() if role not in self.busy]
 
     def _release_call(self, releases: list[tuple[str, int]]) -> CallPlan:
-        """Stop acting on the roles, and give them up: others may learn of that before our reply arrives."""
+        """Return the call that gives up roles; from now on they are not led, as the reply may come late."""
         for role, _ in releases:
             self.lost(role, "released")
             self.to_release.pop(role, None)
@@ -193,7 +193,7 @@
     # Replies
 
     def call_replied(self, now: int, call: PendingCall, reply: Reply) -> bool:
-        """Take the reply to a call of next_call(); whether the members have to be read."""
+        """Take the reply to a call of next_call(); return whether the members have to be read again."""
         match call.purpose:
             case CallPurpose.INSPECT_ROLES:
                 self.inspect_replied(now, call, reply)
@@ -211,14 +211,14 @@
             self._observe_all(now, call, reply)
 
     def claim_replied(self, now: int, call: PendingCall, reply: Reply) -> bool:
-        """Take the reply to a claim; whether to read the members, as our own key is not what we expected."""
+        """Take the reply to a claim; return whether to read the members, as this member's key has changed."""
         if reply.proof == Proof.DONE and reply.succeeded:
             self.claim_backoff.reset()
             for role in call.context:
                 self.claim_at.pop(role, None)
                 self.own_key_revisions.pop(role, None)
                 self.won(role, reply.revision)
-                self.review(now, role)  # it may be assigned to another by now
+                self.review(now, role)  # it may be assigned to another member by now
         elif reply.proof == Proof.DONE:
             self._observe_all(now, call, reply)
             return not reply.items
@@ -235,20 +235,20 @@
             self._mark_unverified(call.context)
 
     def audit_replied(self, now: int, reply: Reply) -> None:
-        """Take the reply to a read of the keys attached to our lease."""
+        """Take the reply to a read of the keys attached to this member's lease."""
         if reply.proof != Proof.DONE:
             return
         self.audit_at = now + self.audit_interval_us
         attached = {key.removeprefix(ROLES_PREFIX) for key in reply.keys if key.startswith(ROLES_PREFIX)}
-        # Keys that we do not know of: a call that was given up was carried out after all.
+        # Keys that are not known here were written by a call that was given up but carried out.
         self._mark_unverified(attached - self.tokens.keys() - self.unverified.keys())
-        for role in self.tokens.keys() - attached:  # nobody but us deletes it while the lease holds
+        for role in self.tokens.keys() - attached:  # while the lease holds, only its holder deletes it
             self.lost(role, "key removed")
             self.to_release.pop(role, None)
             self.review(now, role)
 
     def _mark_unverified(self, roles: Iterable[str]) -> None:
-        """Have the keys of these roles read; until then the roles are not acted on."""
+        """Have the keys of these roles read before the roles are claimed or given up."""
         for role in roles:
             self.claim_at.pop(role, None)
             self.unverified[role] = True
@@ -260,12 +260,12 @@
             self.handle_role_key(now, role, items.get(role))
 
     def handle_role_key(self, now: int, role: str, item: KeyValue | None) -> None:
-        """Take the stored key of a role that we do not certainly lead; item None: there is none."""
+        """Plan to claim or give up a role that is not led here. item: its stored key, None if there is none."""
         is_ours = item is not None and LeaderRecord.decode(item.value).nonce == self.identity.nonce
         is_assigned = self._is_assigned(role)
         self.own_key_revisions.pop(role, None)
         if is_ours and is_assigned:
-            # The reply to a call was lost: write the key again, so that no older call can undo it.
+            # The reply to a call was lost. Write the key again, so that no older call can still undo it.
             self.own_key_revisions[role] = cast("KeyValue", item).revision
             self.claim_at[role] = now
         elif is_ours:
--- a/gullhold/fleet/role_driver.py
+++ b/gullhold/fleet/role_driver.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of role states."""
+"""Drives the role states of a fleet's member: passes events to them and carries out their actions."""
 
 from typing import TYPE_CHECKING
 
@@ -11,13 +11,13 @@
 
 
 class RoleDriver:
-    """Drives the role states of one member, each on the lane and with the watcher of its role.
+    """The role states of one member, each with the lane and the watcher that have the name of its role.
 
     All methods are called on the fleet's thread.
     """
 
     def __init__(self, fleet: "FleetMember") -> None:
-        """fleet: has the role states, the lanes and the watchers."""
+        """fleet: the member; it has the role states, the lanes and the watchers."""
         self._fleet = fleet
 
     def won(self, role: str, token: int) -> None:
@@ -29,11 +29,11 @@
         self._fleet.role_states[role].lost()
 
     def due(self, now: int) -> list[int]:
-        """When to step() each role at the latest."""
+        """When to step() each role next."""
         return [state.due(now) for state in self._fleet.role_states.values()]
 
     def step(self, role: str) -> None:
-        """Step a role, and carry out its actions."""
+        """Have a role take its next step, and carry out the actions."""
         state = self._fleet.role_states[role]
         state.step(monotonic_us())
         while actions := state.take_actions():
