--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -44,8 +44,8 @@
 
     tokens: fencing tokens of the roles that it leads. to_release: roles to give up, with the revision of
     their key. claim_at: roles to claim, each with the time from which to do so (us). own_key_revisions: of
-    those, the revision of a key that this process wrote. unverified: roles whose key has to be read, as it may
-    be this process's. busy: roles that are not given up yet, as work on them is under way.
+    those, the revision of a key that this process wrote. unverified: roles whose key has to be read, as this
+    process may have written it. busy: roles that are not given up yet, as work on them is under way.
     """
 
     def __init__(
@@ -260,7 +260,7 @@
             self.handle_role_key(now, role, items.get(role))
 
     def handle_role_key(self, now: int, role: str, item: KeyValue | None) -> None:
-        """Plan to claim or give up a role that is not led here. item: its stored key, None if there is none."""
+        """Plan to claim or give up a role that is not led here. item: its stored key, None if it has none."""
         is_ours = item is not None and LeaderRecord.decode(item.value).nonce == self.identity.nonce
         is_assigned = self._is_assigned(role)
         self.own_key_revisions.pop(role, None)
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -1,7 +1,7 @@
-"""The state of a role while this member leads it: its keys are read, then watched, and written one at a time.
+"""The base class of roles that keep state in the store: read it, watch it, and write it one call at a time.
 
-Decisions only. A role is a part of the fleet's work with one leader at a time; each kind of role is a
-subclass of RoleState that handles reads and changes of its keys and decides what to write next.
+A role is a part of the fleet's work that one member at a time leads. Each kind of role is a subclass of
+RoleState, which handles reads and changes of its keys and decides what to write next. Performs no I/O.
 """
 
 from dataclasses import dataclass
@@ -10,15 +10,15 @@
 
 from gullhold.fleet.store_calls import Condition, Operation, Proof, Reply
 
-IDLE_STEP_US = 2_000_000  # us between steps while nothing happens: each event causes a step of its own
-RETRY_US = 200_000  # us until the next attempt after a call that is not known to be carried out
+IDLE_STEP_US = 2_000_000  # us between steps while nothing is due; each event causes a step of its own
+RETRY_US = 200_000  # us until the next call after one that is not known to have been carried out
 
 CallSerial = tuple[int, int]  # (fencing token, number of the call under this token)
 
 
 @dataclass(frozen=True, slots=True)
 class ReadKeys:
-    """Action: read all keys with the prefix; answered by read()."""
+    """Action: read all keys with the prefix; the reply goes to read()."""
 
     serial: CallSerial
     prefix: str
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteKeys:
-    """Action: carry the operations out while the role is led under this token and the conditions hold.
+    """Action: carry the operations out if the role is led under this token and the conditions hold.
 
-    Answered by written().
+    The reply goes to written().
     """
 
     serial: CallSerial
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchKeys:
-    """Action: watch the role's keys from this revision on; answered by changed() for each change."""
+    """Action: watch the role's keys from this revision on; each change goes to changed()."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Action: log an event, with its facts as fields."""
+    """Action: write a log line. facts: its fields."""
 
     level: str
     text: str
@@ -57,20 +57,21 @@
 
 
 class RoleState:
-    """A role's keys while this member leads it.
+    """The state of one role on one member.
 
-    take_actions() hands out RoleActions; due() is when to step(). All times are us of a monotonic clock. A
+    take_actions() returns RoleActions; due() is when to step() next. All times are us of a monotonic clock. A
     kind of role implements the hooks _on_loaded(), _on_key_changed(), _write_next(), _next_write_at() and
     _write_confirmed().
 
     token: fencing token, 0 while this member does not lead the role. reading, writing: serials of the calls
-    under way. newest_revision: the newest one seen; min_read_revision: what it was when the read was sent, so
-    that a reply with an older revision is stale. early_changes: those that came before the reply to the read.
+    under way. is_loaded: the keys have been read and are kept up to date. newest_revision: the newest one of
+    the store that was seen; min_read_revision: what it was when the read was sent, so that a reply with an
+    older revision is stale. early_changes: changes that arrived before the reply to the read.
     """
 
-    def __init__(self, root: str) -> None:
-        """root: the prefix of the role's keys."""
-        self.root = root
+    def __init__(self, prefix: str) -> None:
+        """prefix: of the role's keys."""
+        self.prefix = prefix
         self.token = 0
         self.serials = count(1)
         self.actions: list[RoleAction] = []
@@ -89,7 +90,7 @@
         return actions
 
     def won(self, token: int, now: int) -> None:
-        """Begin to lead the role, under this fencing token."""
+        """Start to lead the role under this fencing token: read its keys."""
         self.token = token
         self.serials = count(1)
         self.writing = None
@@ -99,14 +100,14 @@
         self.step(now)
 
     def lost(self) -> None:
-        """Stop, as the leadership is not certain any more."""
+        """Stop, as this member may not lead the role any more."""
         self.token = 0
         self.is_loaded = False
         self.writing = None
         self.reading = None
 
     def due(self, now: int) -> int:
-        """When to step at the latest."""
+        """When to step() next, unless an event comes first."""
         if not self.token or self.reading or self.writing:
             return now + IDLE_STEP_US
         if not self.is_loaded:
@@ -115,7 +116,7 @@
         return now + IDLE_STEP_US if at is None else max(now, at, self.retry_at)
 
     def step(self, now: int) -> None:
-        """Take the next step, unless a call is under way."""
+        """Read or write what is due, unless a call is under way or a retry is delayed."""
         if not self.token or self.reading or self.writing or now < self.retry_at:
             return
         if self.is_loaded:
@@ -124,10 +125,10 @@
             self.reading = (self.token, next(self.serials))
             self.early_changes = []
             self.min_read_revision = self.newest_revision
-            self.actions.append(ReadKeys(self.reading, self.root))
+            self.actions.append(ReadKeys(self.reading, self.prefix))
 
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
-        """Take the reply to WriteKeys; all keys are read again unless it shows what the store holds now."""
+        """Take the reply to WriteKeys; have all keys read again unless it shows what the store has now."""
         if self.writing != serial:
             return
         self.writing = None
@@ -144,7 +145,7 @@
         if not self.token or self.reading != serial:
             return
         self.reading = None
-        # Guards against a stale read: the watch does not repeat changes that it does not show.
+        # Guards against a stale read: the watch would not report the changes that the read lacks again.
         if reply.proof != Proof.DONE or reply.revision < self.min_read_revision:
             self.retry_at = now + RETRY_US
             return
@@ -157,7 +158,7 @@
         self.step(now)
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take a change of a key; value None: it was deleted."""
+        """Take a change of a key. value: None if it was deleted."""
         self.newest_revision = max(self.newest_revision, revision)
         if self.reading:
             self.early_changes.append((key, value, revision))
@@ -165,7 +166,7 @@
             self.step(now)
 
     def watch_gap(self, now: int) -> None:
-        """Read all keys again, as the watch has missed changes."""
+        """Have all keys read again, as the watch has missed changes."""
         self.is_loaded = False
         self.step(now)
 
@@ -174,21 +175,21 @@
         self.actions.append(WriteKeys(self.writing, self.token, tuple(operations), conditions))
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
-        """Take all keys, after a read."""
+        """Replace what is known by the keys that were read."""
         raise NotImplementedError
 
     def _on_key_changed(self, now: int, key: str, value: str | None, revision: int) -> bool:
-        """Take a change of a key after the read; whether a step is due."""
+        """Take a change of a key after the read; return whether a step is due."""
         raise NotImplementedError
 
     def _write_next(self, now: int) -> None:
-        """Write what is due, if anything, through _write()."""
+        """Write what is due, if anything, by one call of _write()."""
         raise NotImplementedError
 
     def _next_write_at(self, now: int) -> int | None:
-        """When _write_next() is to be called at the latest; None: there is nothing to write."""
+        """When _write_next() is to be called; None if nothing is to be written."""
         raise NotImplementedError
 
     def _write_confirmed(self, reply: Reply) -> bool:
-        """Take the reply to a write, carried out or refused; whether the store's contents are still known."""
+        """Take the reply to a write, carried out or refused; return whether the keys are still known."""
         raise NotImplementedError
