--- a/gullhold/fleet/occurrence_records.py
+++ b/gullhold/fleet/occurrence_records.py
@@ -1,4 +1,4 @@
-"""The stored records of one scheduled command, as last read or written. Decisions only; times are Unix us."""
+"""The stored records of one scheduled command, as last read or written. Times are Unix us."""
 
 from collections.abc import Iterable
 
@@ -12,25 +12,28 @@
     occurrence_key,
 )
 
-MAX_SETTLED_RECORDS = 20  # settled occurrences that stay in the store, for staff and for the next leader
+MAX_SETTLED_RECORDS = (
+    20  # settled (final) occurrences that stay in the store, for operators and the next leader
+)
 
 
 class OccurrenceRecords:
-    """The occurrences that have a record, with the revisions of their keys.
+    """The occurrences of one command that have a record, and the revisions of the records' keys.
 
-    by_due_time: occurrences in the order in which they were read or first written. handled_until: the last
-    due time that has a record, or from which the command began; 0: a new command.
+    by_due_time: occurrences in the order in which they were read or first written. handled_until: no due time
+    up to this is begun any more; it is the last one that got a record, or the time at which the command was
+    first seen, or 0 if that is not stored yet.
     """
 
     def __init__(self, prefix: str) -> None:
-        """prefix: of the command's keys."""
+        """prefix: of the command's keys in the store."""
         self.prefix = prefix
         self.handled_until = 0
         self.by_due_time: dict[int, Occurrence] = {}
-        self._revisions: dict[int, int] = {}  # by due time
+        self._revisions: dict[int, int] = {}  # of the records' keys, by due time
 
     def load(self, items: Iterable[KeyValue]) -> None:
-        """Replace everything by what was read of the store."""
+        """Replace everything by the keys read from the store; records that are not valid are left out."""
         self.handled_until = 0
         self.by_due_time = {}
         self._revisions = {}
@@ -43,7 +46,7 @@
                 self._set(occurrence, item.revision)
 
     def written(self, occurrence: Occurrence, revision: int) -> None:
-        """Record that the occurrence was written at this revision."""
+        """Record that the occurrence was written. revision: of its key."""
         self._set(occurrence, revision)
         self.handled_until = max(self.handled_until, occurrence.due_us)
 
@@ -52,11 +55,11 @@
         self._revisions[occurrence.due_us] = revision
 
     def has_open(self) -> bool:
-        """Whether work on any occurrence may go on."""
+        """Whether any occurrence is open: further attempts may follow."""
         return any(occurrence.is_open for occurrence in self.by_due_time.values())
 
     def write_operations(self, occurrence: Occurrence | None, handled_until: int) -> list[Operation]:
-        """The operations that write an occurrence, if any, delete surplus records and move handled_until."""
+        """The operations that write an occurrence, if any, move handled_until and delete surplus records."""
         operations: list[Operation] = [
             Delete(occurrence_key(self.prefix, due_us)) for due_us in self._surplus()
         ]
@@ -68,17 +71,17 @@
         return operations
 
     def unchanged_condition(self, occurrence: Occurrence) -> Condition:
-        """The condition that the occurrence's record is as it is known here."""
+        """The condition that the occurrence's record in the store is unchanged, or does not exist yet."""
         key = occurrence_key(self.prefix, occurrence.due_us)
         return key, self._revisions.get(occurrence.due_us, 0)
 
     def drop_surplus(self) -> None:
-        """Forget the records that the last write has deleted."""
+        """Forget the records that the write just confirmed has deleted; to be called before written()."""
         for due_us in self._surplus():
             del self.by_due_time[due_us]
             del self._revisions[due_us]
 
     def _surplus(self) -> list[int]:
-        """Due times of the oldest settled occurrences beyond MAX_SETTLED_RECORDS."""
+        """Due times of the settled occurrences but for the MAX_SETTLED_RECORDS latest."""
         settled = sorted(due_us for due_us, occurrence in self.by_due_time.items() if not occurrence.is_open)
         return settled[:-MAX_SETTLED_RECORDS]
--- a/gullhold/fleet/recovery.py
+++ b/gullhold/fleet/recovery.py
@@ -1,9 +1,10 @@
-"""Recovery of a scheduled command's occurrence after its leader has changed or an attempt has ended badly.
+"""Whether an occurrence of a scheduled command is tried again after its leader or an attempt has failed.
 
-Decisions only. Engines do not check fencing tokens. So the leader writes an intent to the store before it
-sends an attempt, and the outcome after it; the next leader reads both and decides by the command's profile.
-An idempotent command is retried; a keyed one only with the same idempotency key, and while every engine still
-knows the key; a non-idempotent one is never retried after an intent without an outcome.
+Engines do not check fencing tokens, so a former leader's attempt may still run. Therefore the leader writes
+an intent to the store before it sends an attempt, and the outcome after it; the next leader reads both and
+decides by the command's profile. After an intent without an outcome, an idempotent command is sent again; a
+keyed one only under the same idempotency key and while every engine still knows the key; a non-idempotent one
+never. Performs no I/O.
 """
 
 from typing import NamedTuple
@@ -11,13 +12,15 @@
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState
 from gullhold.interface import Idempotency
 
-MIN_TIME_SHARE = 0.1  # of the client timeout; with less time left no attempt is started
+MIN_TIME_SHARE = 0.1  # of the client timeout; a keyed command with less time left is not sent again
 
 
 class ScheduledProfile(NamedTuple):
-    """The parts of a scheduled command's profile that recovery needs; times in us.
+    """The parts of a scheduled command's profile that recovery needs.
 
-    is_deduplicated_everywhere: all engines drop a repeat, not only those of one zone or cell.
+    timeout_us: client timeout of the command. dedup_window_us: how long an engine remembers an idempotency
+    key and drops repeats. is_deduplicated_everywhere: all engines drop a repeat, not only those of one zone
+    or cell.
     """
 
     idempotency: Idempotency
@@ -29,9 +32,10 @@
 class ScheduledCommandRules(NamedTuple):
     """Settings of one scheduled command, from the operator file.
 
-    window_us: how late an occurrence may begin. max_attempts: of one occurrence, by all members together.
-    waits_for_previous: an occurrence that is due while the previous one still runs waits for it (within its
-    window); otherwise it is skipped. max_clock_skew_us: largest difference of two hosts' Unix clocks.
+    window_us: how long after its due time an occurrence may still be attempted. max_attempts: of one
+    occurrence, by all members together. waits_for_previous: an occurrence that is due while the previous one
+    runs waits for it, up to its window; otherwise it is skipped. max_clock_skew_us: largest difference
+    between the Unix clocks of two hosts.
     """
 
     name: str
@@ -42,13 +46,13 @@
 
 
 class RetryAttempt(NamedTuple):
-    """Decision: another attempt may be made, with this time limit."""
+    """Decision: send another attempt, with this time limit."""
 
     time_limit_us: int
 
 
 class GiveUp(NamedTuple):
-    """Decision: the occurrence has failed."""
+    """Decision: settle the occurrence as failed. reason: for operators; it is stored."""
 
     reason: str
 
@@ -56,7 +60,7 @@
 def decide_recovery(
     rules: ScheduledCommandRules, profile: ScheduledProfile, occurrence: Occurrence, now: int
 ) -> RetryAttempt | GiveUp:
-    """Decide about an open occurrence that no member is working on. now: Unix time in us."""
+    """Decide about an open occurrence that this member has no attempt of. now: Unix us."""
     is_late = now > occurrence.due_us + rules.window_us
     if occurrence.attempts >= rules.max_attempts:
         return GiveUp(f"{occurrence.attempts} tries")
@@ -68,7 +72,7 @@
         return GiveUp("it may have run, and its window is over")
     if profile.idempotency == Idempotency.IDEMPOTENT:
         return RetryAttempt(profile.timeout_us)
-    if not profile.is_deduplicated_everywhere:  # only the old leader knows which engines know the key
+    if not profile.is_deduplicated_everywhere:  # only the former leader knows which engines would
         return GiveUp("it may have run, and not all engines would drop a repeat")
     return _recover_keyed(rules, profile, occurrence, now)
 
@@ -85,5 +89,5 @@
 def deduplicated_until(
     rules: ScheduledCommandRules, profile: ScheduledProfile, occurrence: Occurrence
 ) -> int:
-    """Until when engines certainly drop a repeat; counted from before the first attempt can have run."""
+    """Unix us until which engines certainly drop a repeat: no attempt ran before the first intent."""
     return occurrence.started_us + profile.dedup_window_us - rules.max_clock_skew_us
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -1,4 +1,4 @@
-"""Scheduled commands: how the leader of one handles its due times. Decisions only.
+"""Scheduled commands: how the leader of one handles its due times. Performs no I/O.
 
 Each occurrence has a record in the store, written under the leader's fencing token: the intent before an
 attempt is sent, the outcome after it. gullhold.fleet.recovery decides what may follow an intent without an
@@ -30,16 +30,16 @@
 from gullhold.fleet.store_schema import scheduled_command_prefix
 from gullhold.interface import Idempotency
 
-RETRY_DELAY_US = 500_000  # us until the next attempt after one without effect, as a client would wait
-RELOAD_DELAY_US = RETRY_DELAY_US // 2  # us until records are read again after a write that is not confirmed
-MIN_STEP_US = 20_000  # us between steps: calendars have a resolution of seconds
+RETRY_DELAY_US = 500_000  # us until the next attempt after one that was not answered, as a client would wait
+RELOAD_DELAY_US = RETRY_DELAY_US // 2  # us until records are read again after a write without confirmation
+MIN_STEP_US = 20_000  # us between steps at least; a cron expression has a resolution of a second
 
-# By state; all others: info.
+# Of the log lines of occurrences, by state; "info" for all others.
 LOG_LEVELS: dict[str, str] = {OccurrenceState.FAILED: "error", OccurrenceState.SKIPPED: "warning"}
 
 
 class DueTimes(Protocol):
-    """The calendar of a scheduled command; Unix time in us."""
+    """The due times of a scheduled command, in Unix us."""
 
     def next_after(self, at_us: int) -> int:
         """The first due time after at_us."""
@@ -51,17 +51,17 @@
 
 
 class WritePurpose(StrEnum):
-    """What a write to the store is for."""
+    """What a write to the store records."""
 
-    START = "start"  # a new command: only the time from which it has due times
-    INTENT = "intent"
-    SETTLE = "settle"  # the outcome of an attempt
-    SKIP = "skip"
+    START = "start"  # of a new command: the time from which it has due times, without an occurrence
+    INTENT = "intent"  # that an attempt is about to be sent
+    SETTLE = "settle"  # the outcome of an attempt, or that the occurrence has failed
+    SKIP = "skip"  # due times that are skipped
 
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """A write under way. occurrence: None only for WritePurpose.START."""
+    """A write to the store without a reply yet. occurrence: None only for WritePurpose.START."""
 
     serial: int
     purpose: WritePurpose
@@ -69,13 +69,15 @@
 
 
 class ScheduledCommand:
-    """One scheduled command while this member leads its role.
+    """One scheduled command on one member; it works while the member leads the command's role.
 
-    take_actions() hands out ScheduledCommandActions; due() is when to step(). All times are Unix us.
+    take_actions() returns ScheduledCommandActions; due() is when to step() next. All times are Unix us.
 
-    token: fencing token, 0 while this member does not lead the role. is_disabled: a policy has turned it off.
-    in_flight: the occurrence with an open attempt. outcome: of an attempt that ended, not written yet.
-    unsent_intent: an intent that may have been written, but whose attempt was not sent.
+    token: fencing token, 0 while this member does not lead the role. is_disabled: a policy has turned the
+    command off. in_flight: the occurrence with an open attempt of this member. outcome: of an attempt that
+    ended, not written yet. unsent_intent: an intent of this member that may have been written, but whose
+    attempt was never sent. retry_at: by due time, when an open occurrence may be worked on again.
+    pause_until: no step is taken before this time, after a call without confirmation.
     """
 
     def __init__(
@@ -98,7 +100,7 @@
         self.in_flight: Occurrence | None = None
         self.outcome: Occurrence | None = None
         self.unsent_intent: Occurrence | None = None
-        self.retry_at: dict[int, int] = {}  # by due time
+        self.retry_at: dict[int, int] = {}
         self.pause_until = 0
 
     def take_actions(self) -> list[ScheduledCommandAction]:
@@ -108,7 +110,7 @@
         return actions
 
     def won(self, token: int, now: int) -> None:
-        """Begin to lead the role, under this fencing token: read all records."""
+        """Start to lead the role under this fencing token: read all records."""
         self.token = token
         self.is_loaded = False
         self.is_reading = False
@@ -116,9 +118,10 @@
         self.step(now)
 
     def lost(self) -> None:
-        """Stop, as the leadership is not certain any more.
+        """Stop, as this member may not lead the role any more.
 
-        An open attempt goes on, and its outcome is remembered.
+        An open attempt goes on. Its outcome is kept, and written if this member leads the role again before
+        another has gone on with the occurrence.
         """
         self.token = 0
         self.pending_write = None
@@ -131,7 +134,7 @@
         self.is_leaving = True
 
     def due(self, now: int) -> int:
-        """When to step at the latest."""
+        """When to step() next, unless an event comes first."""
         if not self.token or self.is_reading or self.pending_write:
             return now + RETRY_DELAY_US
         times = [at for at in self.retry_at.values() if at > now]
@@ -139,7 +142,7 @@
         return max(now + MIN_STEP_US, self.pause_until, min(times))
 
     def step(self, now: int) -> None:
-        """Take the next step, unless a call is under way."""
+        """Do what is due next, unless a call is under way or a pause not over."""
         if not self.token or self.is_reading or self.pending_write or now < self.pause_until:
             return
         if not self.is_loaded:
@@ -167,19 +170,19 @@
             and known.attempts == outcome.attempts
         ):
             self._write(WritePurpose.SETTLE, outcome, self.records.handled_until)
-        else:  # another leader went on with it
+        else:  # another leader has gone on with the occurrence
             self.step(now)
 
     def _open_occurrence(self, now: int) -> Occurrence | None:
-        """An open occurrence that may be worked on now."""
+        """The first open occurrence that may be worked on now."""
         for occurrence in self.records.by_due_time.values():
             if occurrence.is_open and self.retry_at.get(occurrence.due_us, 0) <= now:
                 return occurrence
         return None
 
     def _recover(self, occurrence: Occurrence, now: int) -> None:
-        """Go on with an open occurrence that has no attempt of this member."""
-        if self.unsent_intent == occurrence:  # our own intent, written after all, and never sent
+        """Go on with an open occurrence, of which this member has no open attempt: retry or settle it."""
+        if self.unsent_intent == occurrence:  # an intent of this member, written after all and never sent
             self._write_intent(occurrence, now)
             return
         match decide_recovery(self.rules, self.profile, occurrence, now):
@@ -190,7 +193,7 @@
                 self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
 
     def _begin_next(self, now: int) -> None:
-        """Begin or skip what has become due."""
+        """Begin the next due time, or skip those that can't be begun."""
         due_us = self.calendar.next_after(self.records.handled_until)
         if due_us > now:
             return
@@ -208,7 +211,7 @@
         self._write_intent(first, now)
 
     def _skip_until(self, until: int, reason: str, now: int) -> bool:
-        """Skip the due times up to this one; whether there were any."""
+        """Skip the due times up to this one in one record; return whether there were any."""
         count, last_due = self.calendar.count_between(self.records.handled_until, until)
         if not count:
             return False
@@ -238,7 +241,7 @@
         self._write(WritePurpose.INTENT, intent, max(self.records.handled_until, intent.due_us))
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
-        """Write under our token, on the condition that the record is unchanged."""
+        """Write under the fencing token, on the condition that the occurrence's record is unchanged."""
         self.serial += 1
         self.pending_write = PendingWrite(self.serial, purpose, occurrence)
         operations = self.records.write_operations(occurrence, handled_until)
@@ -258,7 +261,7 @@
         self.step(now)
 
     def record_written(self, now: int, serial: int, reply: Reply, may_act: bool) -> None:
-        """Take the reply to a WriteRecord. may_act: whether the token certainly holds now."""
+        """Take the reply to a WriteRecord. may_act: whether the fencing token certainly holds now."""
         write = self.pending_write
         if write is None or write.serial != serial:
             return
@@ -275,13 +278,13 @@
         self.step(now)
 
     def _write_not_confirmed(self, write: PendingWrite, now: int) -> None:
-        """Read the records again, as a write was refused or may not have been carried out."""
-        occurrence = cast("Occurrence", write.occurrence)  # except for WritePurpose.START
+        """Have the records read again, as a write was refused or may not have been carried out."""
+        occurrence = cast("Occurrence", write.occurrence)  # None for WritePurpose.START, where it is not used
         if write.purpose == WritePurpose.INTENT:  # written or not, no attempt was sent for it
             self.unsent_intent = occurrence
             self.actions.append(SetBusy(False))
         elif write.purpose == WritePurpose.SETTLE and occurrence.due_us in self.records.by_due_time:
-            self.outcome = occurrence  # written again, unless a read shows another leader's work
+            self.outcome = occurrence  # written again, unless a read shows the work of another leader
         self.is_loaded = False
         self.pause_until = now + RELOAD_DELAY_US
 
@@ -291,7 +294,7 @@
         if purpose == WritePurpose.INTENT:
             if may_act:
                 self._send(occurrence, now)
-            else:  # no attempt is sent; this member or another may lead the role next
+            else:  # send nothing: another member may lead the role by now
                 self.unsent_intent = occurrence
                 self.pause_until = now + RELOAD_DELAY_US
             return
@@ -307,7 +310,7 @@
         )
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
-        """Send an attempt. One of a keyed command has to end while engines still know its key."""
+        """Send an attempt; that of a keyed command must end while engines still know its idempotency key."""
         time_limit_us = self.profile.timeout_us
         if self.profile.idempotency == Idempotency.KEYED:
             until = deduplicated_until(self.rules, self.profile, occurrence)
@@ -321,7 +324,7 @@
         self.actions.append(SendAttempt(occurrence.due_us, occurrence.attempts, key, now, time_limit_us))
 
     def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
-        """Record the end of the attempt.
+        """Record the end of the open attempt.
 
         state: ANSWERED, SHED (it had no effect), NOT_SENT (it was never sent) or FAILED (it may have run).
         """
--- a/gullhold/fleet/scheduled_command_actions.py
+++ b/gullhold/fleet/scheduled_command_actions.py
@@ -1,4 +1,4 @@
-"""Actions of a scheduled command, which its driver carries out."""
+"""Actions of a scheduled command, which ScheduledCommandDriver carries out."""
 
 from dataclasses import dataclass
 
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRecords:
-    """Action: read all keys of the command; answered by records_read()."""
+    """Action: read all keys of the command, those with the prefix; the reply goes to records_read()."""
 
     prefix: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """Action: carry the operations out while the role is led under this token and the conditions hold.
+    """Action: carry the operations out if the role is led under this token and the conditions hold.
 
-    Answered by record_written().
+    serial: number of the write, which is passed to record_written() with the reply.
     """
 
     serial: int
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Action: send an attempt of the occurrence; answered by attempt_ended().
+    """Action: send an attempt of the occurrence; its end goes to attempt_ended().
 
-    sent_at: time at which the token certainly held (Unix us); an attempt that is delayed until the time limit
-    has passed since then is never sent.
+    attempt: its number, from 1. sent_at: Unix us at which the fencing token certainly held; the time limit
+    counts from then, and an attempt that is delayed for longer is never sent.
     """
 
     due_us: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetBusy:
-    """Action: work on an occurrence has begun or ended."""
+    """Action: tell the membership whether work on an occurrence is under way, so that the role is kept."""
 
     is_busy: bool
 
--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -1,4 +1,4 @@
-"""The internal client that submits scheduled commands, which take the path of any client's command."""
+"""The internal client that submits scheduled commands, which the core handles like those of any client."""
 
 from collections.abc import Callable
 from itertools import count
@@ -14,37 +14,38 @@
     from gullhold.operator.records import Scheduled
 
 TRANSACTION_ID_BITS = 64
-FRAME_LENGTH_BYTES = 4  # of the length in front of each frame
-CLIENT_NAME = "fleet"  # client and host of scheduled commands
+FRAME_LENGTH_BYTES = 4  # size of the length field in front of each frame
+CLIENT_NAME = "fleet"  # client and peer host of all scheduled commands
 
-# Fields of a reply's result struct: one for each kind of final answer, and the fields inside these.
+# Keys (field number, type) of the fields of a decoded answer: one struct for each kind of final answer, and
+# the fields inside these structs.
 RESULT = (0, thrift.STRUCT)
 RESULT_DONE = (3, thrift.BOOL)
 SHED = (1, thrift.STRUCT)
 FAULT = (2, thrift.STRUCT)
 FAULT_DETAILS = (1, thrift.MAP)
 
-OnEnded = Callable[[int, OccurrenceState, str], Any]  # number of the command, its state, the reason
+OnEnded = Callable[[int, OccurrenceState, str], Any]  # (number of the attempt, its end, the reason)
 
 
 class RejectedError(Exception):
-    """A scheduled command that the gateway can't take; the text is the reason."""
+    """The gateway can't take the attempt, which is not sent; the text is the reason."""
 
 
 class _WriteBuffer:
-    """The interface of a connection's write buffer, for a client without a connection."""
+    """Stands in for a connection's write buffer, as this client has no connection."""
 
     is_dead = is_finishing = False
 
     def finish(self, now: bool = False) -> None:
-        """Nothing to close."""
+        """Do nothing: there is nothing to flush or close."""
 
 
 class ScheduledCommandClient:
-    """The client that submits scheduled commands. To the core it is a client connection.
+    """The client that submits attempts of scheduled commands.
 
-    The attributes without a leading underscore, and put(), are those that the core uses of a client
-    connection; answers arrive on the core's thread.
+    Its attributes without a leading underscore, and put(), are the interface of a client that the core uses
+    (gullhold.net.pending_requests.Client); put() is called on the core's thread, send() on the fleet's.
     """
 
     peer = PeerAddress("", CLIENT_NAME)
@@ -52,7 +53,7 @@
     def __init__(
         self, core: "Core", reader: RequestReader, on_ended: OnEnded, random_bits: Callable[[int], int]
     ) -> None:
-        """on_ended is called once for each command that was sent, on the core's thread."""
+        """on_ended: called once for each attempt that was sent, on the core's thread."""
         self._core = core
         self._reader = reader
         self.open: dict[int, Any] = {}
@@ -74,10 +75,10 @@
         idempotency_key: str,
         is_repeat: bool,
     ) -> int:
-        """Submit a command to the core; return its number. Raises RejectedError.
+        """Submit an attempt of a command to the core; return its number. Raises RejectedError.
 
-        counted_from: Unix us from which the time limit counts; after that the command is not sent any more.
-        idempotency_key: 32 hex digits.
+        counted_from: Unix us from which the time limit counts; once that is over, it is not dispatched.
+        idempotency_key: 32 hex digits. is_repeat: it is not the first attempt of its occurrence.
         """
         number = next(self._numbers)
         fields = {
@@ -103,7 +104,7 @@
         return number
 
     def put(self, message: bytes) -> None:
-        """Take complete frames, each with one answer. Called on the core's thread."""
+        """Take whole frames, each with the final answer to one attempt. Called on the core's thread."""
         while message:
             size = FRAME_LENGTH_BYTES + thrift.I32S.unpack(message[:FRAME_LENGTH_BYTES])[0]
             answer = thrift.decode_message(message[FRAME_LENGTH_BYTES:size], thrift.REPLY, thrift.EXCEPTION)
@@ -112,7 +113,7 @@
 
 
 def _outcome(args: dict[tuple[int, int], Any]) -> tuple[OccurrenceState, str]:
-    """The state of a command and the reason, from the fields of its answer."""
+    """How an attempt ended and the reason, from the fields of its answer."""
     if args.get(RESULT, {}).get(RESULT_DONE):
         return OccurrenceState.ANSWERED, ""
     if SHED in args:
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of scheduled commands."""
+"""Drives the scheduled commands of a fleet's member: passes events to them and carries out their actions."""
 
 from typing import TYPE_CHECKING
 
@@ -27,12 +27,12 @@
     def __init__(
         self, fleet: "FleetMember", records: "dict[str, Scheduled]", client: ScheduledCommandClient
     ) -> None:
-        """records: of the operator file, by role; client: sends attempts."""
+        """fleet: the member. records: of the operator file, by role. client: sends attempts."""
         self._fleet = fleet
         self._commands = fleet.scheduled_commands
         self._records = records
         self._client = client
-        self._role_by_number: dict[int, str] = {}  # of open attempts
+        self._role_by_number: dict[int, str] = {}  # of open attempts, by their number
 
     def won(self, role: str, token: int) -> None:
         """Begin to lead the role, under this fencing token."""
@@ -45,22 +45,22 @@
         self._carry_out_all(role)
 
     def leave(self) -> None:
-        """Start no more attempts."""
+        """Have no command start further attempts."""
         for command in self._commands.values():
             command.leave()
 
     def step(self, role: str) -> None:
-        """Step a command, and carry out its actions."""
+        """Have a command take its next step, and carry out the actions."""
         self._commands[role].step(unix_us())
         self._carry_out_all(role)
 
     def waits_us(self) -> list[int]:
-        """Time until the next step of each command that this member leads, in us."""
+        """How long until the next step of each command that this member leads, in us."""
         now = unix_us()
         return [command.due(now) - now for command in self._commands.values() if command.token]
 
     def attempt_ended(self, number: int, state: OccurrenceState, reason: str) -> None:
-        """Record the end of an attempt."""
+        """Pass the end of an attempt on to its command. number: of the attempt."""
         role = self._role_by_number.pop(number, None)
         if role:
             self._commands[role].attempt_ended(unix_us(), state, reason)
