--- a/gullhold/fleet/show.py
+++ b/gullhold/fleet/show.py
@@ -1,6 +1,6 @@
-"""`gullhold fleet members|roles|history`: contents of a fleet's store, as a table or as JSON.
+"""`gullhold fleet members|roles|history`: prints what a fleet's store holds, as a table or as JSON.
 
-The names of the columns are part of the command line's interface: operators' scripts use them.
+The names of the columns are part of the command line's interface, as scripts of operators use them.
 """
 
 import json
@@ -27,9 +27,9 @@
     is_occurrence_key,
 )
 
-TIMEOUT_S = 3.0  # of each call to the store: a person is waiting
+TIMEOUT_S = 3.0  # of each call to the store; an operator is waiting for the answer
 
-Row = Mapping[str, Any]  # by column
+Row = Mapping[str, Any]  # values by name of the column
 ReadItems = Callable[[str], Iterable[KeyValue]]  # reads the keys with a prefix; raises ConnectionError
 
 
@@ -64,7 +64,7 @@
 
 
 def occurrence_rows(read: ReadItems) -> list[Row]:
-    """The stored occurrences of scheduled commands, in order of time."""
+    """The stored occurrences of scheduled commands, ordered by due time."""
     rows = []
     for item in read(SCHEDULED_COMMANDS_PREFIX):
         occurrence = decode_occurrence(item.value) if is_occurrence_key(item.key) else None
@@ -94,13 +94,16 @@
 TABLES = {
     "members": member_rows,
     "roles": role_rows,
-    "duties": role_rows,  # the earlier name
+    "duties": role_rows,  # earlier name of "roles"
     "history": occurrence_rows,
 }
 
 
 def run(subject: str, address: str, fleet_name: str, as_json: bool) -> int:
-    """Print one of the TABLES; return the exit status, 1 if the store does not answer."""
+    """Print one of the TABLES. Return the exit status: 1 if the store does not answer, else 0.
+
+    subject: key of TABLES. address: HOST:PORT of the store.
+    """
     session = StoreClient(address, fleet_prefix(fleet_name), TIMEOUT_S)
 
     def read(prefix: str) -> Iterable[KeyValue]:
@@ -119,7 +122,7 @@
 
 
 def print_rows(title: str, rows: Sequence[Row], as_json: bool) -> None:
-    """Print rows as a table, or as one JSON object a line."""
+    """Print rows as a table with a title, or as one JSON object a line."""
     if as_json:
         for row in rows:
             print(json.dumps(row))
--- a/gullhold/fleet/store_client.py
+++ b/gullhold/fleet/store_client.py
@@ -1,7 +1,8 @@
-"""Client of the store: the JSON gateway of etcd's v3 key-value interface, by a client library.
+"""Client of the store: etcd's v3 key-value API as JSON over HTTP, by a client library.
 
-Replies state exactly what they prove. If no connection was established, or the store answered with an error
-that names its reason, nothing was done; after any other error a write may have been carried out, or still be.
+Each reply has the strongest Proof that holds. If no connection was established, or the store answered that
+something the request needs does not exist, nothing was done; after any other error a write may have been
+carried out already, or may be carried out later.
 """
 
 import json
@@ -32,8 +33,8 @@
 )
 from gullhold.net import host_port
 
-API_PATH = "/v3/"  # set, so that the library does not ask for the version first
-NOT_FOUND_CODE = 5  # error code of etcd's interface for something that does not exist
+API_PATH = "/v3/"  # given, so that the library does not ask the store for its version first
+NOT_FOUND_CODE = 5  # gRPC status code for something that does not exist, as in etcd's JSON errors
 
 Json = dict[str, Any]
 
@@ -42,22 +43,22 @@
     """One session with the store, for one thread."""
 
     def __init__(self, address: str, prefix: str, timeout_s: float) -> None:
-        """address: HOST:PORT; prefix: added to all keys of requests, and removed from keys in replies."""
+        """address: HOST:PORT. prefix: added to all keys of requests, and removed from keys in replies."""
         host, port = host_port(address)
         self.prefix = prefix
         self.timeout_s = timeout_s
         self._client = Etcd3Client(host=host, port=port, timeout=timeout_s, api_path=API_PATH)
-        self._client.session.trust_env = False  # ignore proxies that the environment names
+        self._client.session.trust_env = False  # ignore proxies that environment variables set
 
     def call(self, request: Request) -> Reply:
-        """Carry out one request. Raises nothing, whatever the store or the network does."""
+        """Send one request and wait for its reply. Raises nothing, whatever the store or the network does."""
         is_read = isinstance(request, ReadPrefix | ReadLeaseKeys)
         try:
             return self._carry_out(request)
         except Etcd3Exception as error:
             is_not_found = _is_not_found(error)
             if isinstance(request, RevokeLease) and is_not_found:
-                return Reply(Proof.DONE)  # no such lease: it has ended already
+                return Reply(Proof.DONE)  # the lease has ended already
             if is_read or is_not_found or _is_connect_failure(error):
                 return Reply(Proof.NOT_DONE)
             return Reply(Proof.UNKNOWN)
@@ -68,8 +69,8 @@
         """Watch the keys with this prefix, from a revision on, until the stream ends.
 
         on_change(key, value or None if it was deleted, revision) is called for each change. Returns False if
-        the store has no history back to the revision any more. Raises errors of requests, also after
-        max_silence_s without data.
+        the store has discarded its history back to the revision, so that changes are missed. Raises errors of
+        the requests library, also after max_silence_s without data.
         """
         create_request = self._key_range(prefix) | {"start_revision": revision}
         response = self._client.session.post(
@@ -80,7 +81,7 @@
         )
         with response:
             response.raise_for_status()
-            # None means chunks as they arrive; the annotations of requests allow only integers.
+            # None passes data on as it arrives; the annotations of the requests library allow only integers.
             for line in response.iter_lines(chunk_size=None):  # type: ignore[call-overload]
                 if not line.strip():
                     continue
@@ -100,7 +101,7 @@
         on_change(key, value, int(item["mod_revision"]))
 
     def close(self) -> None:
-        """End the session; a watch on another thread ends with an error."""
+        """Close the session's connections; a watch on another thread ends with an error."""
         self._client.session.close()
 
     def _carry_out(self, request: Request) -> Reply:
@@ -163,7 +164,7 @@
                 return {"request_delete_range": {"key": key}}
 
     def _key_range(self, prefix: str) -> Json:
-        """The range of all keys with this prefix: up to the first key that sorts after all of them."""
+        """The range of all keys with this prefix; its end is the first key that sorts after them."""
         first = self.prefix + prefix
         end = first[:-1] + chr(ord(first[-1]) + 1)
         return {"key": _encode(first), "range_end": _encode(end)}
@@ -193,7 +194,7 @@
 
 
 def _is_connect_failure(error: Etcd3Exception) -> bool:
-    """Whether no connection was established."""
+    """Whether the request was never sent, as no connection was established."""
     cause = error.__context__
     if isinstance(cause, requests.ConnectTimeout):
         return True
--- a/gullhold/fleet/watcher.py
+++ b/gullhold/fleet/watcher.py
@@ -14,19 +14,19 @@
 
 
 class WatchSession(Protocol):
-    """One session with the store, as a watcher needs it."""
+    """The interface of a session with the store that a watcher uses."""
 
     def watch(self, prefix: str, revision: int, max_silence_s: float, on_change: OnChange) -> bool:
-        """Watch keys until the stream ends; False: the history back to the revision is lost."""
+        """Watch keys until the stream ends; return False if the history since the revision is lost."""
         ...
 
 
 class Watcher:
     """Watches the keys with a prefix, for the life of the process.
 
-    on_change(key, value or None, revision) is called for each change, in order. on_gap() is called if the
-    store has no history back to the revision any more; the watcher then waits for follow(). Both are called
-    on the watcher's own thread.
+    on_change(key, value or None if it was deleted, revision) is called for each change, in order. on_gap() is
+    called if the store has discarded changes that were not reported yet; the watcher then waits for
+    watch_from(). Both are called on the watcher's own thread.
     """
 
     def __init__(
@@ -39,39 +39,41 @@
         on_change: OnChange,
         on_gap: Callable[[], Any],
     ) -> None:
-        """max_silence_s: how long a stream may be silent before it is opened again."""
+        """name: of the thread. max_silence_s: how long a stream may be without data before it is reopened."""
         self._make_session = make_session
         self._prefix = prefix
         self._max_silence_s = max_silence_s
         self._backoff = backoff
         self._on_change = on_change
         self._on_gap = on_gap
-        self._next_revision = 0
-        self._follow_requests: SimpleQueue[int] = SimpleQueue()
+        self._next_revision = 0  # the first one that was not reported yet
+        self._start_revisions: SimpleQueue[int] = SimpleQueue()  # of calls of watch_from()
         start_thread(self._run, f"fleet watch {name}")
 
     def watch_from(self, revision: int) -> None:
-        """Watch from this revision on; no effect on a running watch. May be called on any thread."""
-        self._follow_requests.put(revision)
+        """Start to watch from this revision on. A running stream goes on. May be called on any thread."""
+        self._start_revisions.put(revision)
 
     def _run(self) -> None:
         session = self._make_session()
-        self._next_revision = self._follow_requests.get()
+        self._next_revision = self._start_revisions.get()
         while True:
-            while not self._follow_requests.empty():
-                self._next_revision = max(self._next_revision, self._follow_requests.get())
+            while not self._start_revisions.empty():
+                self._next_revision = max(self._next_revision, self._start_revisions.get())
             opened_at = time.monotonic()
             try:
                 is_history_complete = session.watch(
                     self._prefix, self._next_revision, self._max_silence_s, self._record_change
                 )
             except (OSError, ValueError, KeyError, requests.RequestException):
-                is_history_complete = True  # silence, or a store that does not answer
+                is_history_complete = True  # the stream was silent, or the store does not answer
             if not is_history_complete:
                 self._on_gap()
-                self._next_revision = self._follow_requests.get()
+                self._next_revision = self._start_revisions.get()
                 continue
-            if time.monotonic() - opened_at >= self._max_silence_s:  # it was up, and nothing changed
+            if (
+                time.monotonic() - opened_at >= self._max_silence_s
+            ):  # the store could be reached for that long
                 self._backoff.reset()
             else:
                 time.sleep(self._backoff.next_delay_us() / US_PER_SECOND)
