--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -95,7 +95,7 @@
             self.name, nonce, rules, self._roles(), self._random.random, monotonic_us()
         )
         self._heartbeats = Heartbeats(
-            self.membership, lambda: self.work_lane, record.duties.beat, self.log_refused_effect
+            self.membership, lambda: self.work_lane, record.duties.beat, self.log_if_refused
         )
         self._role_driver = RoleDriver(self)
         client = ScheduledCommandClient(
@@ -114,6 +114,7 @@
             self.policies = MemberRollout(
                 self, record, agreement, monotonic_us, rules.lease_terms.guaranteed_us()
             )
+        # What the operator file turns on of these; each has start(), step() and due().
         self._features = [feature for feature in (self.budgets, self.policies) if feature]
 
     def _roles(self) -> list[str]:
@@ -186,9 +187,9 @@
         """Write a log line. facts: its fields."""
         self._event_log.log(level, text, **facts)
 
-    def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
+    def log_if_refused(self, role: str, token: int, reply: Reply) -> None:
         """Write a log line if a reply shows that a write was refused, as its fencing token is outdated."""
-        self._event_log.log_refused_effect(role, token, reply)
+        self._event_log.log_if_refused(role, token, reply)
 
     @property
     def work_lane(self) -> Lane:
--- a/gullhold/fleet/event_log.py
+++ b/gullhold/fleet/event_log.py
@@ -30,7 +30,7 @@
         details = "".join(f" {name}={_quoted(value)}" for name, value in facts.items() if value not in ABSENT)
         logger.bind(**fields).log(level.upper(), "fleet: {}{}", text, details)
 
-    def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
+    def log_if_refused(self, role: str, token: int, reply: Reply) -> None:
         """Write a line if a reply shows that a write was refused, as its fencing token is outdated."""
         if reply.proof == Proof.DONE and not reply.succeeded:
             self.log("warning", "write under a stale token refused", role=role, token=token)
@@ -53,14 +53,14 @@
     def __init__(self, event_log: EventLog) -> None:
         """event_log: writes the lines."""
         self._event_log = event_log
-        self._away_since: int | None = None
+        self._unreachable_since: int | None = None
 
     def record(self, reply: Reply, now: int) -> None:
         """Take the reply to any call to the store. now: us of a monotonic clock."""
-        if reply.proof == Proof.DONE and self._away_since is not None:
-            away_s = round((now - self._away_since) / US_PER_SECOND, 1)
-            self._event_log.log("warning", "register reachable again", outage_s=away_s)
-            self._away_since = None
-        elif reply.proof != Proof.DONE and self._away_since is None:
-            self._away_since = now
+        if reply.proof == Proof.DONE and self._unreachable_since is not None:
+            outage_s = round((now - self._unreachable_since) / US_PER_SECOND, 1)
+            self._event_log.log("warning", "register reachable again", outage_s=outage_s)
+            self._unreachable_since = None
+        elif reply.proof != Proof.DONE and self._unreachable_since is None:
+            self._unreachable_since = now
             self._event_log.log("warning", "register unreachable, serving standalone", proof=reply.proof)
--- a/gullhold/fleet/identity.py
+++ b/gullhold/fleet/identity.py
@@ -26,7 +26,7 @@
         """The name of the member's key."""
         return MEMBERS_PREFIX + self.name
 
-    def write_key(self, is_ready: bool, lease_id: int) -> Transaction:
+    def key_transaction(self, is_ready: bool, lease_id: int) -> Transaction:
         """Return the transaction that writes the key if it is unchanged.
 
         is_ready: whether roles may be assigned to the member. lease_id: the lease to attach the key to.
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -50,7 +50,7 @@
     All times are us of a monotonic clock. members: whether each member is ready, by name; roles are assigned
     to ready members only. newest_revision: the newest revision of the store that a reply or a watch has
     shown. must_read_members: a change of the members may have been missed. is_ready, ready_at: whether this
-    member is ready, and from when on it is to be. leave_at: when leaving ends at the latest.
+    member is ready, and from when on it is to be. leave_deadline: when leaving ends at the latest.
     """
 
     claims_type = RoleClaims  # tests use subclasses
@@ -78,7 +78,7 @@
         self.must_read_members = False
         self.is_ready = False
         self.ready_at = 0
-        self.leave_at = 0
+        self.leave_deadline = 0
 
     # Called by the driver
 
@@ -128,7 +128,7 @@
         if is_lease_valid:
             times.append(self.lease.valid_until)
         if self.state == MemberState.LEAVING:
-            times.append(self.leave_at)
+            times.append(self.leave_deadline)
         if CallLane.LEASE not in self.calls.under_way:
             renew_at = self.lease.renew_at() if self.lease.id else 0
             times.append(max(self.calls.retry_at[CallLane.LEASE], renew_at))
@@ -193,7 +193,7 @@
         """Shut down gracefully: give up all roles, then revoke the lease."""
         if self.state in (MemberState.LEAVING, MemberState.LEFT):
             return
-        self.leave_at = now + self.rules.leave_timeout_us
+        self.leave_deadline = now + self.rules.leave_timeout_us
         if not self.lease.id:
             self._change_state(MemberState.LEFT, "left")
             return
@@ -220,7 +220,7 @@
         """
         if self.lease.id and not self.lease.is_valid(now):
             self._lose_lease(now, "lease not confirmed in time")
-        if self.state == MemberState.LEAVING and now >= self.leave_at:
+        if self.state == MemberState.LEAVING and now >= self.leave_deadline:
             self._end("left without the register's word")
 
     def _reset_roles(self, reason: str) -> None:
@@ -244,7 +244,7 @@
         """Stop for good, as a later process of this name has joined; free all roles by revoking the lease."""
         self._reset_roles(SUPERSEDED)
         self.claims.busy = set()
-        self.leave_at = now + self.rules.lease_terms.guaranteed_us()
+        self.leave_deadline = now + self.rules.lease_terms.guaranteed_us()
         self._change_state(MemberState.LEAVING, SUPERSEDED)
 
     def _end(self, reason: str) -> None:
@@ -298,14 +298,14 @@
             case MemberState.JOINING:
                 # If no other member is ready, there is none to take roles from: join as ready at once.
                 is_ready = not any(self.members.values())
-                request = self.identity.write_key(is_ready, self.lease.id)
+                request = self.identity.key_transaction(is_ready, self.lease.id)
                 return CallPlan(CallPurpose.JOIN, request, (is_ready,))
             case MemberState.LEAVING:
                 return self.claims.leaving_call()
             case MemberState.JOINED if self.must_read_members:
                 return CallPlan(CallPurpose.READ_MEMBERS, ReadPrefix(MEMBERS_PREFIX))
             case MemberState.JOINED if not self.is_ready and now >= self.ready_at:
-                return CallPlan(CallPurpose.BECOME_READY, self.identity.write_key(True, self.lease.id))
+                return CallPlan(CallPurpose.BECOME_READY, self.identity.key_transaction(True, self.lease.id))
             case MemberState.JOINED:
                 return self.claims.next_call(now, self.lease.id)
         return None
--- a/gullhold/fleet/role_driver.py
+++ b/gullhold/fleet/role_driver.py
@@ -66,5 +66,5 @@
         self._fleet.role_states[role].read(monotonic_us(), serial, reply)
 
     def _written(self, role: str, serial: CallSerial, token: int, reply: Reply) -> None:
-        self._fleet.log_refused_effect(role, token, reply)
+        self._fleet.log_if_refused(role, token, reply)
         self._fleet.role_states[role].written(monotonic_us(), serial, reply)
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -91,7 +91,7 @@
         self._commands[role].records_read(unix_us(), reply)
 
     def _record_written(self, role: str, serial: int, token: int, reply: Reply) -> None:
-        self._fleet.log_refused_effect(role, token, reply)
+        self._fleet.log_if_refused(role, token, reply)
         may_act = self._fleet.membership.fencing_token(role, monotonic_us()) == token
         self._commands[role].record_written(unix_us(), serial, reply, may_act)
 
