--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -1,4 +1,4 @@
-"""Scheduled commands and the check of a run, for tests of fleets of real processes."""
+"""Helpers for tests with fleets of real processes: scheduled commands, and the check of a run."""
 
 import time
 from typing import Any
@@ -10,7 +10,7 @@
 def scheduled_command(
     name: str, profile: str, work_ms: int = 20, every: str = "300ms", **other: str
 ) -> dict[str, Any]:
-    """The operator file's record of a scheduled command, whose statement names it."""
+    """The fields of a scheduled command in the operator file; its statement names the command."""
     return {
         "name": f'"{name}"',
         "every": every,
@@ -21,7 +21,7 @@
 
 
 def due_once_in(seconds: int = 4) -> dict[str, str]:
-    """Fields of such a record that make it due once, so many seconds from now."""
+    """Fields that make a scheduled command due once a day, at a time that many seconds from now."""
     return {
         "every": "0s",
         "window": "20min",
@@ -30,7 +30,7 @@
 
 
 def check_run(rig: Rig, min_effects: int = 1) -> Check:
-    """Check all records of a run: no rule is broken, and there were at least so many effects."""
+    """Check the store's journal of a run: no rule is broken, and at least min_effects writes took effect."""
     check = Check(rig.lines())
     assert not check.broken, "\n".join(check.broken[:5]) + "\n" + rig.story()
     assert check.effects >= min_effects, rig.story()
--- a/tests/test_fleet_event_log.py
+++ b/tests/test_fleet_event_log.py
@@ -1,4 +1,4 @@
-"""Log lines of a fleet's member: a stable message with key=value fields, and the same fields for scripts."""
+"""Log lines of a fleet's member: facts are key=value pairs of the text, and fields for scripts."""
 
 import json
 
@@ -8,12 +8,12 @@
 from gullhold.fleet.store_calls import Proof, Reply
 
 
-def logged(play, *arguments):
-    """(text of the line, its fields) of each line that a call logs."""
+def logged(call, *arguments):
+    """Make a call; return (text, fields) of each line that it logs."""
     lines = []
     sink = logger.add(lambda line: lines.append((line.record["message"], line.record["extra"])))
     try:
-        play(*arguments)
+        call(*arguments)
     finally:
         logger.remove(sink)
     return lines
@@ -46,10 +46,10 @@
     }
 
 
-def test_an_outage_of_the_store_is_logged_at_its_begin_and_its_end():
+def test_an_outage_of_the_store_is_logged_when_it_begins_and_when_it_ends():
     availability = AvailabilityLog(EventLog("main", "n0"))
 
-    def play():
+    def record_replies():
         for at_us, proof in (
             (0, Proof.DONE),
             (1, Proof.UNKNOWN),
@@ -58,7 +58,7 @@
         ):
             availability.record(Reply(proof), at_us)
 
-    texts = [text for text, _ in logged(play)]
+    texts = [text for text, _ in logged(record_replies)]
     assert texts == [
         'fleet: register unreachable, serving standalone proof="may have been done"',
         "fleet: register reachable again outage_s=2.5",
