--- a/tests/test_fleet_occurrences.py
+++ b/tests/test_fleet_occurrences.py
@@ -1,4 +1,4 @@
-"""Scheduled commands of a fleet of real processes, through kills and sleeps."""
+"""Scheduled commands of a fleet of real processes whose leaders are killed, paused or shut down."""
 
 import time
 
@@ -19,25 +19,27 @@
         rig.members["n0"].process.wait(8)
         rig.start("n1")
 
-        def ended():
+        def settled_rows():
             rows = [row for row in Check(rig.lines()).occurrences().values() if row["state"] != "skipped"]
             return rows and rows[0]["state"] in ("answered", "failed") and rows
 
-        (row,) = rig.until(ended)
+        (row,) = rig.until(settled_rows)
         time.sleep(0.3)
         fetches = sum(len(rows) for rows in sent(rig.engines).values())
         assert fetches == sends, rig.story()
         assert row["state"] == (
             "answered" if (point, side) in (("intent", "before"), ("outcome", "after")) else "failed"
         )
-        told = [facts for _, _, what, facts in rig.events() if what == "occurrence failed"]
-        assert bool(told) == (row["state"] == "failed")
+        failures = [facts for _, _, what, facts in rig.events() if what == "occurrence failed"]
+        assert bool(failures) == (row["state"] == "failed")
         check_run(rig)
 
 
 def test_occurrences_continue_through_kills_and_pauses_as_their_profiles_allow():
-    kinds = {"plain": "read", "marked": "mark", "single": "once"}
-    with Rig(members=3, scheduled=[scheduled_command(name, kind, 60) for name, kind in kinds.items()]) as rig:
+    profiles = {"plain": "read", "marked": "mark", "single": "once"}
+    with Rig(
+        members=3, scheduled=[scheduled_command(name, profile, 60) for name, profile in profiles.items()]
+    ) as rig:
         rig.start()
         for step in range(4):
             name = rig.owner(("schedule/plain", "schedule/marked", "schedule/single")[step % 3])
@@ -53,20 +55,20 @@
         time.sleep(1.0)
         check = check_run(rig, 30)
         rows = check.occurrences()
-        assert {command for command, _ in rows} == set(kinds)
+        assert {command for command, _ in rows} == set(profiles)
         for engine in rig.engines:
-            for _, mark, kind, statement in engine.received:
-                assert (mark != "") or "marked" not in statement, kind
+            for _, key, profile, statement in engine.received:
+                assert (key != "") or "marked" not in statement, profile
         once = [(due, row) for (command, due), row in rows.items() if command == "single"]
         sends = sum(len(at) for statement, at in sent(rig.engines).items() if "single" in statement)
         assert sends <= sum(row["tries"] for _, row in once if row["state"] != "skipped")
-        marks = {}
+        times_by_key = {}  # when engines received each idempotency key
         for engine in rig.engines:
-            for at, mark, _, statement in engine.received:
+            for at, key, _, statement in engine.received:
                 if "marked" in statement:
-                    marks.setdefault(mark, []).append(at)
-        assert marks
-        assert all(max(at) - min(at) <= rig.dedup_s for at in marks.values())
+                    times_by_key.setdefault(key, []).append(at)
+        assert times_by_key
+        assert all(max(at) - min(at) <= rig.dedup_s for at in times_by_key.values())
 
 
 def test_at_sigterm_the_outcome_of_work_in_progress_is_written_before_the_role_is_released():
@@ -75,7 +77,7 @@
     ) as rig:
         rig.start("n0")
         rig.until(lambda: sum(len(engine.received) for engine in rig.engines))
-        rig.start("n1")  # the duty takes longer than a lease, and stays meanwhile
+        rig.start("n1")  # the work takes longer than a lease; the role stays with n0 until it ends
         rig.stop("n0")
         rows = rig.until(
             lambda: [row for row in Check(rig.lines()).occurrences().values() if row["state"] == "answered"]
--- a/tests/test_fleet_operator.py
+++ b/tests/test_fleet_operator.py
@@ -1,4 +1,4 @@
-"""The operator's side of a fleet: the file and the commands."""
+"""The fleet as operators see it: its part of the operator file, and the `gullhold fleet` commands."""
 
 import json
 import signal
@@ -12,8 +12,8 @@
 from gullhold.testing.fleet_checker import Check
 
 
-def test_a_record_that_cannot_be_used_is_one_line_with_its_place():
-    for text, why in (
+def test_invalid_fleet_settings_in_the_operator_file_are_rejected_with_the_reason():
+    for text, reason in (
         ("fleet: on: true", "needs fleet.register"),
         ("fleet: {lease: 1500ms}", "whole seconds"),
         ("fleet: {lease: 1s, drift: margin: 900ms}", "less than half"),
@@ -23,16 +23,18 @@
             "two commands of one name",
         ),
     ):
-        with pytest.raises(records.OperatorFileError, match=why):
+        with pytest.raises(records.OperatorFileError, match=reason):
             records.read(text, "x.cue")
-    read = records.read('fleet: schedule: [{name: "a", at: "0 6 * * *", profile: "p", statement: "s"}]', "x")
-    assert not read.fleet.on
-    assert read.fleet.schedule[0].window == 60_000_000
-    assert read.fleet.lease == 5_000_000
+    record = records.read(
+        'fleet: schedule: [{name: "a", at: "0 6 * * *", profile: "p", statement: "s"}]', "x"
+    )
+    assert not record.fleet.on
+    assert record.fleet.schedule[0].window == 60_000_000
+    assert record.fleet.lease == 5_000_000
 
 
 @pytest.mark.parametrize(
-    "item, why",
+    "fields, reason",
     [
         ({"profile": '"nothing"'}, "is no profile"),
         ({"every": "0s", "at": '"61 * * * *"'}, "no calendar expression"),
@@ -40,33 +42,33 @@
         ({"every": "0s", "at": '"* * * * *"', "zone": '"Mars"'}, "no such time"),
     ],
 )
-def test_a_schedule_that_does_not_fit_the_agreement_refuses_to_start(item, why):
-    with Rig(members=1, scheduled=[scheduled_command("a", "read") | item]) as rig:
+def test_the_gateway_exits_with_the_reason_when_a_scheduled_command_is_invalid(fields, reason):
+    with Rig(members=1, scheduled=[scheduled_command("a", "read") | fields]) as rig:
         rig.start("n0", wait=False)
         assert rig.members["n0"].process.wait(8) == 2
-        assert why in rig.members["n0"].log.read_text()
+        assert reason in rig.members["n0"].log.read_text()
 
 
-def test_staff_see_members_roles_and_occurrences(capsys):
+def test_the_fleet_commands_print_members_roles_and_occurrences(capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
 
     with Rig(members=2, beats=3, scheduled=[scheduled_command("a", "read")]) as rig:
         rig.start()
-        settled = RoleAssignment(["schedule/a", "beat/0", "beat/1", "beat/2"])
-        settled.update_members(["n0", "n1"])  # nothing moves any more between one look and the next
-        rig.until(lambda: {duty: who for duty, (who, _) in rig.owners().items()} == settled.leaders)
+        final = RoleAssignment(["schedule/a", "beat/0", "beat/1", "beat/2"])
+        final.update_members(["n0", "n1"])  # from then on no role moves between two commands
+        rig.until(lambda: {role: leader for role, (leader, _) in rig.owners().items()} == final.leaders)
         rig.until(lambda: Check(rig.lines()).occurrences())
-        found = {}
-        for what in ("members", "duties", "roles", "history"):
-            words = ["fleet", what, "--register", rig.register_address, "--name", "rig"]
-            assert main([*words, "--json"]) == 0
-            found[what] = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
-            assert main(words) == 0
-            assert what in capsys.readouterr().out
-        assert found["roles"] == found["duties"]
-        assert {row["member"] for row in found["members"]} == {"n0", "n1"}
-        assert sum(row["duties"] for row in found["members"]) == len(found["duties"]) == 4
-        assert found["history"][0]["command"] == "a"
+        rows = {}
+        for subject in ("members", "duties", "roles", "history"):
+            arguments = ["fleet", subject, "--register", rig.register_address, "--name", "rig"]
+            assert main([*arguments, "--json"]) == 0
+            rows[subject] = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
+            assert main(arguments) == 0
+            assert subject in capsys.readouterr().out
+        assert rows["roles"] == rows["duties"]
+        assert {row["member"] for row in rows["members"]} == {"n0", "n1"}
+        assert sum(row["duties"] for row in rows["members"]) == len(rows["duties"]) == 4
+        assert rows["history"][0]["command"] == "a"
         rig.store_process.process.send_signal(signal.SIGTERM)
         assert rig.store_process.process.wait(8) == 0
         assert main(["fleet", "members", "--register", rig.register_address]) == 1
