--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes, and the failures that one leader at a time is for."""
+"""Leadership of roles in a fleet of real processes, under failures of members, the store and the network."""
 
 import time
 
@@ -22,16 +22,18 @@
         rig.resume("n0")
         rig.until(lambda: Check(rig.lines()).late)
         rig.until(
-            lambda: any(what == "write under a stale token refused" for _, _, what, _ in rig.events("n0"))
+            lambda: any(event == "write under a stale token refused" for _, _, event, _ in rig.events("n0"))
         )
         check_run(rig, 10)
 
 
-def test_the_reply_that_names_the_leader_is_lost():
+def test_all_roles_are_led_when_replies_to_grants_joins_and_claims_are_lost():
     with Rig(members=2, beats=4) as rig:
-        rig.faults(lose=8)  # of the lease, of joining, of claiming
+        rig.faults(lose=8)  # replies: to calls that grant leases, join and claim roles
         rig.start()
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2 and len(rig.owners()) == 4)
+        rig.until(
+            lambda: len({leader for leader, _ in rig.owners().values()}) == 2 and len(rig.owners()) == 4
+        )
         assert sum(line["what"] == "reply lost" for line in rig.lines()) == 8
         rig.until(lambda: check_run(rig).effects > 10)
 
@@ -39,15 +41,19 @@
 def test_a_role_is_taken_over_within_the_lease_time_after_a_kill_and_at_once_after_sigterm():
     with Rig(members=3, beats=12) as rig:
         rig.start()
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 3)
-        began = time.time()
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 3)
+        killed = time.time()
         rig.kill("n0")
-        rig.until(lambda: len(rig.owners()) == 12 and "n0" not in {who for who, _ in rig.owners().values()})
-        assert time.time() - began < 1.6 * rig.lease_s
-        went = time.time()
+        rig.until(
+            lambda: len(rig.owners()) == 12 and "n0" not in {leader for leader, _ in rig.owners().values()}
+        )
+        assert time.time() - killed < 1.6 * rig.lease_s
+        terminated = time.time()
         rig.members["n1"].process.terminate()
-        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n2"} and len(rig.owners()) == 12)
-        assert time.time() - went < 0.5  # far less than a lease, on a busy machine too
+        rig.until(
+            lambda: {leader for leader, _ in rig.owners().values()} == {"n2"} and len(rig.owners()) == 12
+        )
+        assert time.time() - terminated < 0.5  # far less than a lease, on a busy machine too
         rig.stop("n1")
         check_run(rig, 20)
 
@@ -55,34 +61,38 @@
 def test_a_member_cut_off_from_the_store_keeps_serving_and_acts_in_no_role():
     with Rig(members=2, beats=4) as rig:
         rig.start()
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 2)
         rig.cut("n0")
-        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n1"} and len(rig.owners()) == 4)
+        rig.until(
+            lambda: {leader for leader, _ in rig.owners().values()} == {"n1"} and len(rig.owners()) == 4
+        )
         client = Caller(rig.members["n0"].address)
         seq = client.ask()
         assert client.answer() == (seq, b"a\tb\tc\n")
-        said = [what for _, _, what, _ in rig.events("n0")]
-        assert said.count("register unreachable, serving standalone") == 1
-        rig.heal("n0")  # what was held comes late, and is refused; then it is a member again
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        logged = [event for _, _, event, _ in rig.events("n0")]
+        assert logged.count("register unreachable, serving standalone") == 1
+        rig.heal("n0")  # held calls arrive late and are refused; then n0 joins again
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 2)
         check_run(rig, 10)
 
 
 @pytest.mark.parametrize(
     "way, sides", [(RelayMode.LOST, ("back",)), (RelayMode.HALVED, ("there",)), (RelayMode.HALVED, ("back",))]
 )
-def test_nothing_is_guessed_after_a_cut_in_one_direction_or_inside_a_message(way, sides):
+def test_no_rule_is_broken_when_the_connection_is_cut_in_one_direction_or_inside_a_message(way, sides):
     with Rig(members=2, beats=4) as rig:
         rig.start()
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 2)
         rig.cut("n0", way, sides)
-        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n1"} and len(rig.owners()) == 4)
+        rig.until(
+            lambda: {leader for leader, _ in rig.owners().values()} == {"n1"} and len(rig.owners()) == 4
+        )
         rig.heal("n0")
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 2)
         check_run(rig, 10)
 
 
-def test_the_store_is_killed_while_it_commits_and_restarted_with_valid_leases():
+def test_all_roles_are_led_when_the_store_is_killed_during_commits_and_restarted():
     with Rig(members=3, beats=9, beat_ms=20) as rig:
         rig.start()
         rig.until(lambda: len(rig.owners()) == 9)
@@ -106,7 +116,7 @@
         rig.until(
             lambda: (
                 len(rig.owners()) == 4
-                and any(what == "register reachable again" for _, _, what, _ in rig.events())
+                and any(event == "register reachable again" for _, _, event, _ in rig.events())
             )
         )
         rig.until(lambda: check_run(rig, 0).effects >= 1)
@@ -116,14 +126,14 @@
     with Rig(members=2, beats=4, drift="rate: 0.1, margin: 20ms") as rig:
         rig.start("n0", rate=0.92)
         rig.start("n1", rate=1.08)
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 2)
         for name in ("n0", "n1"):
             rig.cut(name)
-            rig.until(lambda name=name: name not in {who for who, _ in rig.owners().values()})
+            rig.until(lambda name=name: name not in {leader for leader, _ in rig.owners().values()})
             rig.heal(name)
         rig.stop("n0", "n1")
         check_run(rig, 10)
-        rig.start("n0", rate=0.5)  # far beyond: it may think that it owns too long, and is refused
+        rig.start("n0", rate=0.5)  # far beyond: n0 may act too long, and its writes are refused
         rig.owner("beat/0")
         rig.start("n1")
         rig.pause("n0")
@@ -133,13 +143,15 @@
         check_run(rig, 10)
 
 
-def test_all_members_start_at_once_and_most_are_killed_at_once():
+def test_the_remaining_members_lead_all_roles_when_most_are_killed_at_once():
     with Rig(members=6, beats=24) as rig:
         rig.start()
         rig.until(lambda: len(rig.owners()) == 24)
         rig.kill("n0", "n1", "n2", "n3")
         rig.until(
-            lambda: {who for who, _ in rig.owners().values()} <= {"n4", "n5"} and len(rig.owners()) == 24
+            lambda: (
+                {leader for leader, _ in rig.owners().values()} <= {"n4", "n5"} and len(rig.owners()) == 24
+            )
         )
         rig.until(lambda: check_run(rig).effects >= 24)
 
@@ -155,12 +167,12 @@
         assert check_run(rig, 6).moves == 0
 
 
-def test_of_two_processes_with_one_name_the_later_wins():
+def test_of_two_processes_with_one_name_the_later_stays():
     with Rig(members=2, beats=4) as rig:
         rig.start("n0")
         rig.until(lambda: len(rig.owners()) == 4)
-        twin = rig.members["n1"]
-        first = {token for _, token in rig.owners().values()}
+        later = rig.members["n1"]
+        old_tokens = {token for _, token in rig.owners().values()}
         rig.start("n1", name_="n0")
         rig.until(
             lambda: any(
@@ -169,21 +181,23 @@
             )
         )
         rig.until(
-            lambda: len(rig.owners()) == 4 and not first & {token for _, token in rig.owners().values()}
+            lambda: len(rig.owners()) == 4 and not old_tokens & {token for _, token in rig.owners().values()}
         )
         assert rig.members["n0"].process.poll() is None
-        assert twin.process.poll() is None
+        assert later.process.poll() is None
         check_run(rig, 4)
 
 
-def test_the_watch_history_is_compacted_while_a_member_is_paused():
+def test_a_paused_member_leads_roles_again_when_the_watch_history_was_compacted_meanwhile():
     with Rig(members=3, beats=6) as rig:
         rig.start()
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 3)
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 3)
         rig.pause("n0")
         rig.kill("n1")
-        rig.until(lambda: {who for who, _ in rig.owners().values()} == {"n2"} and len(rig.owners()) == 6)
+        rig.until(
+            lambda: {leader for leader, _ in rig.owners().values()} == {"n2"} and len(rig.owners()) == 6
+        )
         rig.faults(drop=1)
         rig.resume("n0")
-        rig.until(lambda: len({who for who, _ in rig.owners().values()}) == 2)
+        rig.until(lambda: len({leader for leader, _ in rig.owners().values()}) == 2)
         check_run(rig, 6)
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -1,4 +1,4 @@
-"""The decisions on scheduled commands alone: what an open occurrence may become, and what is sent."""
+"""The logic of scheduled commands, without I/O: what follows an open occurrence, and what is sent."""
 
 import json
 
@@ -23,47 +23,58 @@
 from gullhold.testing.scheduled_command_explorer import Play
 from gullhold.testing.walking import FindingKind
 
-S = 1_000_000  # us
+S = 1_000_000  # us in a second
 
-REPLAY, UNIQ, ONCE = (ScheduledProfile(effect, 10 * S, 15 * S, True) for effect in range(3))
-RULE = ScheduledCommandRules("a", 60 * S, 3, False, 100_000)
+IDEMPOTENT, KEYED, NON_IDEMPOTENT = (
+    ScheduledProfile(idempotency, 10 * S, 15 * S, True) for idempotency in range(3)
+)
+RULES = ScheduledCommandRules("a", 60 * S, 3, False, 100_000)
 
 
-def record(state=OccurrenceState.INTENT, tries=1, began=1000 * S, due=1000 * S):
-    """A stored occurrence; times in microseconds."""
-    return Occurrence(due, state, 4, tries, began, "n0")
+def occurrence(state=OccurrenceState.INTENT, attempts=1, started=1000 * S, due=1000 * S):
+    """A stored occurrence. started, due: Unix us."""
+    return Occurrence(due, state, 4, attempts, started, "n0")
 
 
 @pytest.mark.parametrize(
-    "kind, state, tries, after_s, limit_s, why",
+    "profile, state, attempts, after_s, limit_s, reason",
     [
-        (REPLAY, OccurrenceState.INTENT, 1, 5, 10, ""),
-        (REPLAY, OccurrenceState.INTENT, 1, 61, 0, "its window is over"),
-        (REPLAY, OccurrenceState.INTENT, 3, 5, 0, "3 tries"),
-        (UNIQ, OccurrenceState.INTENT, 1, 2, 10, ""),
-        (UNIQ, OccurrenceState.INTENT, 1, 10, 4.9, ""),
-        (UNIQ, OccurrenceState.INTENT, 1, 14, 0, "forgotten its mark"),
-        (UNIQ._replace(is_deduplicated_everywhere=False), OccurrenceState.INTENT, 1, 2, 0, "not all engines"),
-        (ONCE, OccurrenceState.INTENT, 1, 0, 0, "check its effect by hand"),
-        (ONCE, OccurrenceState.SHED, 1, 5, 10, ""),
-        (ONCE, OccurrenceState.NOT_SENT, 2, 5, 10, ""),
-        (ONCE, OccurrenceState.SHED, 1, 61, 0, "its window is over"),
+        (IDEMPOTENT, OccurrenceState.INTENT, 1, 5, 10, ""),
+        (IDEMPOTENT, OccurrenceState.INTENT, 1, 61, 0, "its window is over"),
+        (IDEMPOTENT, OccurrenceState.INTENT, 3, 5, 0, "3 tries"),
+        (KEYED, OccurrenceState.INTENT, 1, 2, 10, ""),
+        (KEYED, OccurrenceState.INTENT, 1, 10, 4.9, ""),
+        (KEYED, OccurrenceState.INTENT, 1, 14, 0, "forgotten its mark"),
+        (
+            KEYED._replace(is_deduplicated_everywhere=False),
+            OccurrenceState.INTENT,
+            1,
+            2,
+            0,
+            "not all engines",
+        ),
+        (NON_IDEMPOTENT, OccurrenceState.INTENT, 1, 0, 0, "check its effect by hand"),
+        (NON_IDEMPOTENT, OccurrenceState.SHED, 1, 5, 10, ""),
+        (NON_IDEMPOTENT, OccurrenceState.NOT_SENT, 2, 5, 10, ""),
+        (NON_IDEMPOTENT, OccurrenceState.SHED, 1, 61, 0, "its window is over"),
     ],
 )
-def test_recovery_of_an_open_occurrence_follows_its_profile(kind, state, tries, after_s, limit_s, why):
-    decision = decide_recovery(RULE, kind, record(state, tries), 1000 * S + after_s * S)
+def test_recovery_of_an_open_occurrence_follows_its_profile(
+    profile, state, attempts, after_s, limit_s, reason
+):
+    decision = decide_recovery(RULES, profile, occurrence(state, attempts), 1000 * S + after_s * S)
     if limit_s:
         assert decision == RetryAttempt(limit_s * S)
         assert isinstance(decision, RetryAttempt)
-        assert not why
+        assert not reason
     else:
         assert isinstance(decision, GiveUp)
-        assert why
-        assert why in decision.reason
+        assert reason
+        assert reason in decision.reason
 
 
 def test_an_occurrence_is_written_before_it_is_sent_and_after_it_is_answered():
-    play = Play(REPLAY).lead()
+    play = Play(IDEMPOTENT).lead()
     assert not play.sent
     assert not play.store.records()
     play.go(S)
@@ -78,77 +89,77 @@
 
 
 def test_an_occurrence_due_while_the_last_runs_is_skipped_or_waits_and_missed_ones_are_counted():
-    play = Play(REPLAY).lead().go(S).go(S)
+    play = Play(IDEMPOTENT).lead().go(S).go(S)
     assert play.states() == [(1001, "intent"), (1002, "skipped")]
     assert len(play.sent) == 1
-    play = Play(REPLAY, rules=RULE._replace(waits_for_previous=True)).lead().go(S).go(S)
+    play = Play(IDEMPOTENT, rules=RULES._replace(waits_for_previous=True)).lead().go(S).go(S)
     assert play.states() == [(1001, "intent")]
     play.end(OccurrenceState.ANSWERED)
     assert play.states()[1] == (1002, "intent")
-    late = Play(REPLAY, store=play.store, member="n1")
+    late = Play(IDEMPOTENT, store=play.store, member="n1")
     play.store.token, late.now = 9, 1200 * S
     late.lead()
     skipped = [item for item in play.store.records() if item.state == "skipped"]
     assert [(item.due_us // S, item.count) for item in skipped] == [(1139, 137), (1200, 60)]
-    assert late.states()[-2] == (1140, "intent")  # what is due and not too late runs
+    assert late.states()[-2] == (1140, "intent")  # the first due time within the window runs
 
 
 @pytest.mark.parametrize(
-    "kind, sends, states", [(REPLAY, 1, ["answered"]), (UNIQ, 1, ["answered"]), (ONCE, 0, ["failed"])]
+    "profile, sends, states",
+    [(IDEMPOTENT, 1, ["answered"]), (KEYED, 1, ["answered"]), (NON_IDEMPOTENT, 0, ["failed"])],
 )
-def test_after_a_leader_vanishes_behind_its_intent_the_next_leader_follows_the_profile(kind, sends, states):
-    first = Play(kind).lead().go(S)
+def test_the_next_leader_follows_the_profile_when_a_leader_vanishes_after_its_intent(profile, sends, states):
+    first = Play(profile).lead().go(S)
     first.store.token = 9
-    second = Play(kind, store=first.store, member="n1")
+    second = Play(profile, store=first.store, member="n1")
     second.now = first.now + 100_000
     second.lead()
     assert len(second.sent) == sends
     if sends:
-        assert second.sent[0].idempotency_key == first.sent[0].idempotency_key  # the same mark
+        assert second.sent[0].idempotency_key == first.sent[0].idempotency_key
         second.end(OccurrenceState.ANSWERED)
     assert [item.state for item in first.store.records()] == states
-    assert any(event.level == "error" for event in second.logged) == (kind is ONCE)
-    first.end(OccurrenceState.ANSWERED)  # the first one wakes: its outcome is refused
+    assert any(event.level == "error" for event in second.logged) == (profile is NON_IDEMPOTENT)
+    first.end(OccurrenceState.ANSWERED)  # the first leader resumes: its outcome is refused
     assert [item.state for item in first.store.records()] == states
     assert first.store.records()[0].member != "n2"
 
 
 def test_a_keyed_attempt_ends_while_its_idempotency_key_is_remembered():
-    kind = UNIQ._replace(timeout_us=30 * S)
-    first = Play(kind).lead().go(S)
-    assert (
-        first.sent[0].time_limit_us == 15 * S - 100_000
-    )  # its limit counts from the intent, as engines may do
+    profile = KEYED._replace(timeout_us=30 * S)
+    first = Play(profile).lead().go(S)
+    # The limit counts from the intent, as engines may count how long they remember a key.
+    assert first.sent[0].time_limit_us == 15 * S - 100_000
     first.store.token = 9
-    second = Play(kind, store=first.store)
+    second = Play(profile, store=first.store)
     second.now = first.now + 5 * S
     second.lead()
     assert second.sent[0].time_limit_us == 10 * S - 100_000
 
 
-@pytest.mark.parametrize("lost", [Proof.UNKNOWN, Proof.NOT_DONE])
-def test_an_intent_whose_reply_was_lost_is_sent_once_and_not_given_up(lost):
-    play = Play(ONCE).lead()
-    play.store.next_write = lost
+@pytest.mark.parametrize("proof", [Proof.UNKNOWN, Proof.NOT_DONE])
+def test_an_intent_whose_reply_was_lost_is_sent_once_and_not_given_up(proof):
+    play = Play(NON_IDEMPOTENT).lead()
+    play.store.next_write = proof
     play.go(S)
     assert not play.sent
     play.go(RETRY_DELAY_US)
     assert len(play.sent) == 1
     assert play.states()[0] == (1001, "intent")
-    play.store.next_write = lost
+    play.store.next_write = proof
     play.end(OccurrenceState.ANSWERED).go(RETRY_DELAY_US)
     assert play.states()[0] == (1001, "answered")
-    assert len([s for s in play.sent if s.due_us == 1001 * S]) == 1
+    assert len([attempt for attempt in play.sent if attempt.due_us == 1001 * S]) == 1
 
 
 def test_nothing_is_sent_if_the_fencing_token_is_invalid_once_the_intent_is_written():
-    play = Play(ONCE).lead()
+    play = Play(NON_IDEMPOTENT).lead()
     play.may_act = False
     play.go(S)
     assert play.states() == [(1001, "intent")]
     assert not play.sent
     play.command.lost()
-    other = Play(ONCE, store=play.store)
+    other = Play(NON_IDEMPOTENT, store=play.store)
     play.store.token, other.now = 9, play.now
     other.lead()
     assert other.states()[0] == (1001, "failed")
@@ -156,14 +167,14 @@
 
 
 def test_a_shed_attempt_is_retried_and_a_failed_one_only_if_idempotent():
-    play = Play(ONCE).lead().go(S).end(OccurrenceState.SHED)
+    play = Play(NON_IDEMPOTENT).lead().go(S).end(OccurrenceState.SHED)
     assert play.states() == [(1001, "shed")]
     play.go(RETRY_DELAY_US)
     assert len(play.sent) == 2
     play.end(OccurrenceState.FAILED, "reset")
     assert play.states() == [(1001, "failed")]
     assert play.logged[-1].level == "error"
-    play = Play(REPLAY).lead().go(S).end(OccurrenceState.FAILED)
+    play = Play(IDEMPOTENT).lead().go(S).end(OccurrenceState.FAILED)
     assert play.states() == [(1001, "intent")]
     play.go(RETRY_DELAY_US).end(OccurrenceState.ANSWERED)
     assert play.states() == [(1001, "answered")]
@@ -171,7 +182,7 @@
 
 
 def test_a_leaving_member_begins_nothing_and_settled_records_are_bounded():
-    play = Play(REPLAY).lead()
+    play = Play(IDEMPOTENT).lead()
     for _ in range(MAX_SETTLED_RECORDS + 15):
         play.go(S).end(OccurrenceState.ANSWERED)
     assert len(play.store.records()) <= MAX_SETTLED_RECORDS + 2
@@ -194,7 +205,7 @@
 
 
 def test_an_occurrence_record_round_trips_and_an_invalid_one_is_none():
-    one = record()
-    assert decode_occurrence(encode_occurrence(one)) == one
+    original = occurrence()
+    assert decode_occurrence(encode_occurrence(original)) == original
     assert decode_occurrence("{") is None
     assert decode_occurrence(json.dumps({"due_us": 1})) is None
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -1,4 +1,4 @@
-"""The store of a fleet: what each call proves, on the wire."""
+"""The client of the store: what its replies prove, and its watch, against a store in another process."""
 
 import time
 
@@ -22,14 +22,14 @@
 
 
 @pytest.fixture(scope="module")
-def register():
-    """A register without members, and a session with it."""
+def store():
+    """A rig without members, whose store runs, and a session with the store."""
     with Rig(members=0) as rig:
         yield rig, StoreClient(rig.register_address, "/t/", 1.0)
 
 
-def test_a_store_call_reports_exactly_what_it_proves(register):
-    rig, session = register
+def test_a_store_call_reports_exactly_what_it_proves(store):
+    rig, session = store
     lease = session.call(GrantLease(5)).lease
     first = session.call(Transaction((("a", 0),), (Put("a", "1", lease),), (Get("a"),)))
     assert first.proof == Proof.DONE
@@ -42,7 +42,7 @@
     assert session.call(KeepLeaseAlive(77)).ttl_s == 0
     rig.faults(lose=1)
     assert session.call(Transaction((), (Put("b", "1"),))).proof == Proof.UNKNOWN
-    assert session.call(ReadPrefix("b")).items[0].value == "1"  # it was carried out
+    assert session.call(ReadPrefix("b")).items[0].value == "1"  # that call was carried out
     assert session.call(Transaction((), (Put("c", "1", 77),))).proof == Proof.NOT_DONE  # no such lease
     rig.faults(stale=1, behind=1)
     old = session.call(ReadPrefix("b"))
@@ -56,37 +56,38 @@
     time.sleep(1.1)
 
 
-def test_a_key_that_is_deleted_twice_in_one_transaction_is_deleted_once(register):
-    _, session = register
+def test_a_key_that_is_deleted_twice_in_one_transaction_is_deleted_once(store):
+    _, session = store
     session.call(Transaction((), (Put("d", "1"),)))
-    gone = session.call(Transaction((), (Delete("d"), Delete("d"), Put("e", "1"))))
-    assert gone.proof == Proof.DONE
+    reply = session.call(Transaction((), (Delete("d"), Delete("d"), Put("e", "1"))))
+    assert reply.proof == Proof.DONE
     assert session.call(ReadPrefix("d")).items == ()
-    assert session.call(Transaction((), (Put("e", "2"),))).revision == gone.revision + 1
+    assert session.call(Transaction((), (Put("e", "2"),))).revision == reply.revision + 1
 
 
-def test_a_watch_reports_all_events_since_a_revision_or_a_gap(register):
-    rig, session = register
+def test_a_watch_reports_all_changes_since_a_revision_or_a_gap(store):
+    rig, session = store
     lease = session.call(GrantLease(5)).lease
-    began = session.call(Transaction((), (Put("w/a", "1", lease),))).revision
+    first = session.call(Transaction((), (Put("w/a", "1", lease),))).revision
     session.call(RevokeLease(lease))
     seen = []
-    with pytest.raises(Exception, match="timed out"):  # nothing more comes
-        session.watch("w/", began, 0.5, lambda *told: seen.append(told))
-    assert [told[:2] for told in seen] == [("w/a", "1"), ("w/a", None)]
+    with pytest.raises(Exception, match="timed out"):  # after the last change the stream is silent
+        session.watch("w/", first, 0.5, lambda *change: seen.append(change))
+    assert [change[:2] for change in seen] == [("w/a", "1"), ("w/a", None)]
     rig.faults(drop=1)
-    assert session.watch("w/", began, 0.5, seen.append) is False
+    assert session.watch("w/", first, 0.5, seen.append) is False
 
 
-def test_what_the_store_acknowledged_survives_a_kill(register):
-    rig, session = register
+def test_acknowledged_writes_and_leases_survive_a_kill_of_the_store(store):
+    rig, session = store
     lease = session.call(GrantLease(2)).lease
-    kept = [session.call(Transaction((), (Put(f"k/{i}", str(i), lease),))).revision for i in range(20)]
+    revisions = [session.call(Transaction((), (Put(f"k/{i}", str(i), lease),))).revision for i in range(20)]
     rig.kill_register()
     assert session.call(ReadPrefix("k/")).proof == Proof.NOT_DONE
     rig.start_register()
-    assert sorted(item.revision for item in session.call(ReadPrefix("k/")).items) == kept
-    assert session.call(KeepLeaseAlive(lease)).ttl_s == 2  # leases run anew: late, never early
+    assert sorted(item.revision for item in session.call(ReadPrefix("k/")).items) == revisions
+    # A restart of the store starts its leases again, so that they end late, never early.
+    assert session.call(KeepLeaseAlive(lease)).ttl_s == 2
     rig.faults(early_s=1.5)
     rig.until(lambda: not session.call(ReadPrefix("k/")).items, 1.5)
     rig.faults(early_s=0)
