--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -63,9 +63,7 @@
 
 WORK_LANE = "work"  # for the keys of heartbeats and scheduled commands
 MAX_SLEEP_S = 0.5  # of the fleet's thread, so that it notices a jump of the Unix clock
-MIN_SLEEP_S = (
-    0.002  # of the fleet's thread; work that is due but can't be done yet must not cause a busy loop
-)
+MIN_SLEEP_S = 0.002  # of the fleet's thread, so that work that is due but blocked causes no busy loop
 WATCH_SILENCE_LEASES = 2  # times to live of a lease; a watch that is silent for longer is opened again
 NONCE_BITS = 64
 
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -157,7 +157,7 @@
     def member_changed(self, now: int, key: str, value: str | None, revision: int) -> None:
         """Take a change of a member's key. value: None if it was deleted."""
         if revision <= self.newest_revision and self.state not in (MemberState.JOINED, MemberState.LEAVING):
-            return  # the last read of the members has shown this change, or the next one will
+            return  # a reply has shown a newer state of the store
         self.newest_revision = max(self.newest_revision, revision)
         name = key.removeprefix(MEMBERS_PREFIX)
         record = None if value is None else MemberRecord.decode(value, revision)
@@ -185,7 +185,7 @@
             self._lose_lease(now, KEY_REMOVED)
 
     def watch_gap(self, now: int) -> None:
-        """Have the members read again, as the watch may have missed changes."""
+        """Have the members read again, as the watch has missed changes."""
         self.must_read_members = True
         self.tick(now)
 
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -33,7 +33,7 @@
 )
 from gullhold.fleet.store_schema import ROLES_PREFIX, LeaderRecord
 
-MAX_ROLES_PER_CALL = store_calls.MAX_TRANSACTION_OPERATIONS - 1  # a claim has a condition more
+MAX_ROLES_PER_CALL = store_calls.MAX_TRANSACTION_OPERATIONS - 1  # a claim also compares the member's key
 # Guaranteed lease times between reads of the keys attached to this member's lease, which show claims that
 # were carried out though their calls were given up.
 AUDIT_INTERVAL_LEASES = 5
@@ -208,7 +208,7 @@
     def inspect_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         """Take the reply to a read of the keys of unverified roles."""
         if reply.proof == Proof.DONE:
-            self._observe_all(now, call, reply)
+            self._handle_role_keys(now, call, reply)
 
     def claim_replied(self, now: int, call: PendingCall, reply: Reply) -> bool:
         """Take the reply to a claim; return whether to read the members, as this member's key has changed."""
@@ -220,7 +220,7 @@
                 self.won(role, reply.revision)
                 self.review(now, role)  # it may be assigned to another member by now
         elif reply.proof == Proof.DONE:
-            self._observe_all(now, call, reply)
+            self._handle_role_keys(now, call, reply)
             return not reply.items
         elif reply.proof == Proof.UNKNOWN:
             self._mark_unverified(call.context)
@@ -242,7 +242,7 @@
         attached = {key.removeprefix(ROLES_PREFIX) for key in reply.keys if key.startswith(ROLES_PREFIX)}
         # Keys that are not known here were written by a call that was given up but carried out.
         self._mark_unverified(attached - self.tokens.keys() - self.unverified.keys())
-        for role in self.tokens.keys() - attached:  # while the lease holds, only its holder deletes it
+        for role in self.tokens.keys() - attached:  # while the lease holds, no other member deletes its keys
             self.lost(role, "key removed")
             self.to_release.pop(role, None)
             self.review(now, role)
@@ -253,7 +253,7 @@
             self.claim_at.pop(role, None)
             self.unverified[role] = True
 
-    def _observe_all(self, now: int, call: PendingCall, reply: Reply) -> None:
+    def _handle_role_keys(self, now: int, call: PendingCall, reply: Reply) -> None:
         items = {item.key.removeprefix(ROLES_PREFIX): item for item in reply.items}
         for role in call.context:
             self.unverified.pop(role, None)
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -145,7 +145,7 @@
         if not self.token or self.reading != serial:
             return
         self.reading = None
-        # Guards against a stale read: the watch would not report the changes that the read lacks again.
+        # Guards against a stale read: it lacks changes that the watch has reported and will not repeat.
         if reply.proof != Proof.DONE or reply.revision < self.min_read_revision:
             self.retry_at = now + RETRY_US
             return
