--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -167,7 +167,7 @@
         assert check_run(rig, 6).moves == 0
 
 
-def test_of_two_processes_with_one_name_the_later_stays():
+def test_of_two_processes_with_one_name_the_later_wins():
     with Rig(members=2, beats=4) as rig:
         rig.start("n0")
         rig.until(lambda: len(rig.owners()) == 4)
