--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -2,22 +2,22 @@
 
 from gullhold.decisions.command import Command
 from gullhold.decisions.estimators import Estimates
-from gullhold.decisions.retry_policy import MARGIN_US
+from gullhold.decisions.retry_policy import DEADLINE_MARGIN_US
 from gullhold.interface import Agreement
 
-MAX_SHORT_TARGETS = 2.5  # longest objective of a short command, in times the shortest of any profile
+MAX_SHORT_OBJECTIVES = 2.5  # longest objective of a short command, in multiples of the shortest profile's
 
 
 class CommandIntake:
-    """Numbers commands in their order of arrival."""
+    """Creates commands and numbers them in their order of arrival."""
 
     def __init__(self, agreement: Agreement, estimates: Estimates) -> None:
         self._profiles = agreement.profiles
         self._has_tenants = bool(agreement.tenants)
         self._estimates = estimates
-        shortest_target_us = min([profile.target_us for profile in agreement.profiles], default=0)
-        self._max_short_us = MAX_SHORT_TARGETS * shortest_target_us
-        self.submitted = 0  # commands so far
+        shortest_objective_us = min([profile.objective_us for profile in agreement.profiles], default=0)
+        self._max_short_us = MAX_SHORT_OBJECTIVES * shortest_objective_us
+        self.submitted_count = 0  # number of commands so far
 
     def new_command(
         self,
@@ -32,15 +32,19 @@
         need_mb: float,
         dataset: int,
     ) -> Command:
-        """Create a command. tenants: how many there are; a tenant's index beyond them counts as the first."""
+        """Create a command. tenants: the number of tenants.
+
+        A command with an unknown tenant's index counts as the first tenant's. If the agreement names no
+        tenants, each profile takes the place of a tenant.
+        """
         profile = self._profiles[profile_index]
         if not self._has_tenants:
             tenant = profile_index
-        self.submitted += 1
+        self.submitted_count += 1
         work = self._estimates.command_work(profile_index, stated_work)
-        allowed_us = profile.target_us + profile.target_stretch * work / profile.threads
-        target_at = int(now + allowed_us)
-        last_start_at = timeout_at - MARGIN_US
+        allowed_us = profile.objective_us + profile.objective_stretch * work / profile.threads
+        objective_at = int(now + allowed_us)
+        last_start_at = timeout_at - DEADLINE_MARGIN_US
         return Command(
             id=command_id,
             profile_index=profile_index,
@@ -49,12 +53,12 @@
             key=key,
             need_mb=need_mb if 0 < need_mb < float("inf") else 0.0,
             dataset=dataset,
-            order=self.submitted,
+            order=self.submitted_count,
             work=work,
             admitted_at=now,
-            target_at=target_at,
+            objective_at=objective_at,
             is_short=allowed_us <= self._max_short_us,
             last_start_at=last_start_at,
-            worthwhile_until=last_start_at if profile.late_benefit else target_at,
+            worthwhile_until=last_start_at if profile.late_benefit_share else objective_at,
             threads=profile.threads,
         )
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -1,34 +1,37 @@
-"""This gateway's traffic: commands that arrived, counted with exponential fading."""
+"""This gateway's traffic: a count of arrived commands that decays exponentially."""
 
 from math import exp
 
 from gullhold.interface import US_PER_SECOND, Agreement
 
-TRAFFIC_US = 15_000_000  # us in which the count of arrivals fades: longer than a burst
-MIN_SHARE = 0.1  # of an even share of the fleet, for a gateway without traffic
+TRAFFIC_DECAY_US = 15_000_000  # us, time constant of the count of arrivals: longer than a burst
+MIN_EVEN_SHARE_FRACTION = 0.1  # of an even share of the traffic, for a gateway without arrivals
 
 
 class TrafficMeter:
-    """A fading count of arrivals, and its share of the fleet's traffic."""
+    """A decaying count of arrivals, and this gateway's share of the fleet's traffic."""
 
     def __init__(self, agreement: Agreement, now: int) -> None:
         self._gateways = agreement.gateways
-        self._allowance = sum(tenant.allowance for tenant in agreement.tenants)  # commands/s of the fleet
-        self.count = self._allowance / agreement.gateways * TRAFFIC_US / US_PER_SECOND
+        # Commands/s of all tenants, at all gateways together.
+        self._allowance = sum(tenant.allowance for tenant in agreement.tenants)
+        self.count = self._allowance / agreement.gateways * TRAFFIC_DECAY_US / US_PER_SECOND
         self._counted_at = now
 
     def record_arrival(self, now: int) -> None:
         """Count a command that arrived."""
-        self.count = self.count * exp((self._counted_at - now) / TRAFFIC_US) + 1
+        self.count = self.count * exp((self._counted_at - now) / TRAFFIC_DECAY_US) + 1
         self._counted_at = now
 
     def withdraw_arrival(self) -> None:
-        """Uncount a command whose client has left."""
+        """Subtract a command whose client has left."""
         self.count = max(0.0, self.count - 1)
 
     def share_of(self, scale: float, now: int) -> float:
-        """Our share of the fleet, times scale: by traffic if tenants' allowances are stated, else even."""
+        """Return our share of the traffic, times scale: measured if tenants state allowances, else even."""
         if not self._allowance:
             return scale / self._gateways
-        rate = self.count * exp((self._counted_at - now) / TRAFFIC_US) * US_PER_SECOND / TRAFFIC_US
-        return scale * min(1.0, max(MIN_SHARE / self._gateways, rate / self._allowance))
+        rate = (
+            self.count * exp((self._counted_at - now) / TRAFFIC_DECAY_US) * US_PER_SECOND / TRAFFIC_DECAY_US
+        )
+        return scale * min(1.0, max(MIN_EVEN_SHARE_FRACTION / self._gateways, rate / self._allowance))
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -97,7 +97,7 @@
 
     def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
         """The engine's side has ended."""
-        self.fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
+        self.fail(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def fail(self, end: ConnectionEnd, text: str = "") -> None:
         """Report the end of reading, once."""
@@ -135,7 +135,7 @@
 
     def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
         """The client's side has ended."""
-        self._fail(ConnectionEnd.CLOSED if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
+        self._fail(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
     def end(self, end: ConnectionEnd, text: str) -> None:
         """Endpoint it from our side, now."""
@@ -201,7 +201,7 @@
         )
         self.reader = RequestReader(agreement, None, self.core.retry_after_field)
         self.engine_ids = configuration.engine_ids
-        self.event_stream = event_stream.EventStream(configuration.last_event, MAX_DISCOVERY_LINE_BYTES)
+        self.event_stream = event_stream.EventStream(configuration.last_event_index, MAX_DISCOVERY_LINE_BYTES)
         self.core.begin(configuration.list_changes)
         self.wake()
 
@@ -263,7 +263,7 @@
             "threads": census.engine_threads,
             "running": census.engine_attempts,
             "held": census.queued_tenants,
-            "sends": sum(len(connection.open) for connection in core.pool.connections),
+            "sends": sum(len(connection.open_attempts) for connection in core.pool.connections),
             "bytes": core.statement_memory.used_bytes,
         }
         return {name: size for name, size in sizes.items() if size}
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -48,14 +48,14 @@
     return call
 
 
-def _skip_cancel_confirmation(_stop: Method) -> Method:
+def _skip_cancel_confirmation(_abandon: Method) -> Method:
     def call(self: Attempts, attempt: Attempt, outcome: Outcome) -> None:
         connection, txn = attempt.connection, attempt.pending.request.transaction_id
-        is_open = connection and connection.open.get(txn) is attempt
+        is_open = connection and connection.open_attempts.get(txn) is attempt
         if is_open and not connection.write_buffer.withdraw(attempt.message):
             self.core.pool.send_control(connection, engine_protocol.ABORT, txn)
             connection.abandoned_ids.add(txn)
-            del connection.open[txn]
+            del connection.open_attempts[txn]
         self.core.defer(self.end, attempt, outcome)
 
     return call
@@ -139,7 +139,7 @@
 
 def _append_duplicate(received_array: Method) -> Method:
     def call(self: EngineReplies, connection: EngineConnection, words: list[bytes]) -> None:
-        attempt = connection.open.get(words[0])
+        attempt = connection.open_attempts.get(words[0])
         if words[1] == engine_protocol.ANSWER and attempt and attempt.pages:
             self._add_page(connection, attempt, words[3])
         else:
@@ -150,7 +150,7 @@
 
 MUTANTS: dict[str, Mutant] = {
     "draining ignored": Mutant(Rule.DRAIN, Gateway, "update_engines", _ignore_draining),
-    "cancel not confirmed": Mutant(Rule.OPEN_ONCE, Attempts, "stop", _skip_cancel_confirmation),
+    "cancel not confirmed": Mutant(Rule.OPEN_ONCE, Attempts, "abandon", _skip_cancel_confirmation),
     "answers sent twice": Mutant(Rule.ONE_ANSWER, PendingRequests, "answer", _send_answer_twice),
     "retries regardless of idempotency": Mutant(Rule.RUNS_ONCE, RetryPolicy, "may_retry", _retry_up_to_cap),
     "deduplication window doubled": Mutant(
@@ -165,7 +165,7 @@
     ),
     "finished requests kept": Mutant(Rule.CENSUS, PendingRequests, "forget", _keep_transaction_id),
     "broken connection taken for a failed connect": Mutant(
-        Rule.RUNS_ONCE, connection_ends, "outcome", _report_connect_failed
+        Rule.RUNS_ONCE, connection_ends, "attempt_outcome", _report_connect_failed
     ),
     "queued attempts not rechecked on connect": Mutant(
         Rule.CLIENT_LEFT, EnginePool, "connection_up", _skip_recheck
@@ -174,7 +174,7 @@
     "answers with another sequence number": Mutant(
         Rule.ONE_ANSWER, thrift, "encode_answer", _use_previous_sequence_number
     ),
-    "duplicate answers appended": Mutant(Rule.INTACT, EngineReplies, "_received_array", _append_duplicate),
+    "duplicate answers appended": Mutant(Rule.INTACT, EngineReplies, "_handle_array", _append_duplicate),
 }
 
 
--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -1,21 +1,21 @@
-"""Agreements that differ in all that the decision module heeds, for seeded and random calls."""
+"""Agreements that together cover all settings that the decisions use, for seeded and random calls."""
 
 from driver import MS, make_agreement, profile
 
 from gullhold.interface import DeduplicationScope, Idempotency, Tenant
 
-ODD_FIGURES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # estimates as they may come
+ARBITRARY_ESTIMATES = (0, -5, float("nan"), float("inf"), 1e300, 64.0)  # values that a client may send
 
 AGREEMENTS = {
     "tenants": make_agreement(
         profile(),
         profile(idempotency=Idempotency.NON_IDEMPOTENT, threads=3),
-        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE, target_us=2000 * MS),
+        profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.ZONE, objective_us=2000 * MS),
         tenants=(Tenant(0.7), Tenant(0.3)),
     ),
     "ordered keys": make_agreement(
         profile(idempotency=Idempotency.KEYED, ordered=True),
-        profile(ordered=True, late_benefit=0.0),
+        profile(ordered=True, late_benefit_share=0.0),
         profile(idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.CELL),
         retry_budget_base=2.0,
         retry_budget_share=0.2,
@@ -35,8 +35,8 @@
         max_attempts=6,
     ),
     "no cancels": make_agreement(
-        profile(late_benefit=0.0),
-        profile(threads=3, benefit=6.0, target_us=1500 * MS),
+        profile(late_benefit_share=0.0),
+        profile(threads=3, benefit=6.0, objective_us=1500 * MS),
         max_attempts=6,
         supports_cancel=False,
         honors_grants=False,
--- a/tests/decisions/test_decisions_rules.py
+++ b/tests/decisions/test_decisions_rules.py
@@ -1,63 +1,65 @@
-"""The rules under random calls, and input of any value."""
+"""The driver's rules under random calls, and input of any value."""
 
 import pytest
 from agreements import AGREEMENTS
 from driver import MS, Driver, make_agreement, profile
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from scenarios import FOUR_READY_ENGINES, ODD_ESTIMATES
+from scenarios import ARBITRARY_ESTIMATES, FOUR_READY_ENGINES
 
 from gullhold.interface import EngineState, Fail, Outcome, Tenant
 
 STEP = st.tuples(st.integers(0, 12), st.integers(0, 9999))
 
 
-def play(agreement, steps):
-    """Play one random run; returns all results of the gateway."""
-    world = Driver(agreement)
-    for kind, number in steps:
-        out = world.running_ids()
-        if kind <= 4:
-            world.submit(
+def make_calls(agreement, steps):
+    """Make the calls of these steps, and check that nothing is left at the end; return all results."""
+    driver = Driver(agreement)
+    for action, number in steps:
+        running = driver.running_ids()
+        if action <= 4:
+            driver.submit(
                 number % len(agreement.profiles),
                 tenant=number % 3,
                 key=number % 4,
                 timeout_us=(200 + number % 3800) * MS,
-                need=ODD_ESTIMATES[number % 6],
-                estimate=ODD_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
+                need_mb=ARBITRARY_ESTIMATES[number % 6],
+                estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
             )
-        elif kind <= 7 and out:
-            world.end_attempt(
-                out[number % len(out)],
+        elif action <= 7 and running:
+            driver.end_attempt(
+                running[number % len(running)],
                 number % 8,
                 cost=100 * MS,
-                report=(ODD_ESTIMATES[number % 6], number % 9 / 8)[: number % 3],
+                report=(ARBITRARY_ESTIMATES[number % 6], number % 9 / 8)[: number % 3],
             )
-        elif kind == 8:
-            born = world.now if number % 3 == 0 else 0
-            world.update_engines(
-                (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, born),
+        elif action == 8:
+            started_us = driver.now if number % 3 == 0 else 0
+            driver.update_engines(
+                (number % 5, number % 2, number // 7 % 2, number // 10 % 3, number // 30 % 3, started_us),
                 full=number % 11 == 0,
             )
-        elif kind == 9 and out:
-            world.client_left(out[number % len(out)])
-        elif kind == 10:
-            owed = [ident for ident, cmd in world.commands.items() if not cmd.is_over]
-            if owed:
-                world.abandon(owed[number % len(owed)])
+        elif action == 9 and running:
+            driver.client_left(running[number % len(running)])
+        elif action == 10:
+            unanswered = [
+                command_id for command_id, command in driver.commands.items() if not command.is_over
+            ]
+            if unanswered:
+                driver.abandon(unanswered[number % len(unanswered)])
         else:
-            world.wait(number % 700 * MS)
-    world.wait(5000 * MS)
-    for ident in world.running_ids():
-        world.end_attempt(ident, Outcome.RESET)
-    assert not world.gateway.commands
-    assert not world.gateway.components.key_order.by_key
-    world.now += 20_000 * MS  # what timed out where nothing can be cancelled is over by now, and forgotten
-    world.update_engines()
-    assert not world.gateway.components.thread_use.running_on
-    assert not world.gateway.components.thread_use.total
-    assert not any(engine.threads or engine.attempts for engine in world.gateway.components.engines.by_slot)
-    return [(type(result), result) for result in world.log]
+            driver.wait(number % 700 * MS)
+    driver.wait(5000 * MS)
+    for command_id in driver.running_ids():
+        driver.end_attempt(command_id, Outcome.RESET)
+    assert not driver.gateway.commands
+    assert not driver.gateway.components.key_order.by_key
+    driver.now += 20_000 * MS  # by now no timed-out attempt is assumed to run on
+    driver.update_engines()
+    assert not driver.gateway.components.thread_use.timed_out
+    assert not driver.gateway.components.thread_use.total
+    assert not any(engine.threads or engine.attempts for engine in driver.gateway.components.engines.by_slot)
+    return [(type(result), result) for result in driver.log]
 
 
 @pytest.mark.parametrize("agreement", list(AGREEMENTS.values()))
@@ -70,31 +72,32 @@
     phases=[Phase.generate],
 )
 @given(steps=st.lists(STEP, min_size=20, max_size=70))
-def test_rules_hold_at_every_step(agreement, steps):
-    first = [(8, 0), (8, 21), (8, 12), (8, 33)]
-    assert play(agreement, first + steps) == play(agreement, first + steps)  # and same calls, same decisions
+def test_rules_hold_and_results_repeat_under_random_calls(agreement, steps):
+    initial_list = [(8, 0), (8, 21), (8, 12), (8, 33)]
+    # The same calls give the same results.
+    assert make_calls(agreement, initial_list + steps) == make_calls(agreement, initial_list + steps)
 
 
 def test_invalid_input_is_ignored():
-    world = Driver(make_agreement(tenants=(Tenant(1.0),), cores_by_kind=(), memory_mb_by_kind=()))
-    world.update_engines(*FOUR_READY_ENGINES)
-    assert world.gateway.attempt_ended(world.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
-    assert world.gateway.client_left(world.now, 77) == []
-    unknown = world.gateway.submit(world.now, 900, 5, 0, 0, world.now + MS, 0, 0.0, 0, False)
+    driver = Driver(make_agreement(tenants=(Tenant(1.0),), cores_by_kind=(), memory_mb_by_kind=()))
+    driver.update_engines(*FOUR_READY_ENGINES)
+    assert driver.gateway.attempt_ended(driver.now, 77, 0, Outcome.ANSWERED, True, 5, 0, 0, ()) == []
+    assert driver.gateway.client_left(driver.now, 77) == []
+    unknown = driver.gateway.submit(driver.now, 900, 5, 0, 0, driver.now + MS, 0, 0.0, 0, False)
     assert unknown == [Fail(900)]
     assert type(unknown[0]) is Fail
-    world.submit(0, tenant=9, work=0)
-    assert len(world.running_ids()) == 1
+    driver.submit(0, tenant=9, work=0)
+    assert len(driver.running_ids()) == 1
 
 
-@pytest.mark.parametrize("told", ODD_ESTIMATES)
-def test_an_unusable_estimate_loses_no_command(told):
-    world = Driver(make_agreement(profile(), profile(threads=3)))
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
-    for need in ODD_ESTIMATES:
-        ident = world.submit(estimate=told, need=need)
-        if world.commands[ident].open_attempt:
-            world.end_attempt(ident, Outcome.ANSWERED)
-    world.wait(8000 * MS)
-    assert world.gateway.components.estimates.by_profile[0].work_bias > 0
-    assert all(cmd.is_over or cmd.final for cmd in world.commands.values())
+@pytest.mark.parametrize("estimate", ARBITRARY_ESTIMATES)
+def test_every_command_gets_a_final_answer_whatever_the_estimates(estimate):
+    driver = Driver(make_agreement(profile(), profile(threads=3)))
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    for need_mb in ARBITRARY_ESTIMATES:
+        command_id = driver.submit(estimate=estimate, need_mb=need_mb)
+        if driver.commands[command_id].open_attempt:
+            driver.end_attempt(command_id, Outcome.ANSWERED)
+    driver.wait(8000 * MS)
+    assert driver.gateway.components.estimates.by_profile[0].work_bias > 0
+    assert all(command.is_over or command.final for command in driver.commands.values())
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,6 +1,7 @@
-"""A driver that makes calls on a Gateway and checks the seven rules after each, with records of its own.
+"""A driver that makes calls on a Gateway and checks its results against rules, with records of its own.
 
-Times are in microseconds, on a clock that the driver moves.
+The rules are those of check_final() and check_dispatch(). Times are in microseconds, on a clock that the
+tests move.
 """
 
 from dataclasses import dataclass, field
@@ -25,22 +26,22 @@
 )
 
 MS = 1000
-START = 5_000_000
-WORK = 100 * MS
-FINAL = (Shed, Fail)
+START = 5_000_000  # time at which the clock of a driver starts, us
+WORK = 100 * MS  # work of a command unless a test states another one, core-us
+FINAL_ANSWERS = (Shed, Fail)
 
 
-def profile(**other: Any) -> Profile:
-    """A profile of short idempotent commands, with what the test names changed."""
-    plain = {
+def profile(**changes: Any) -> Profile:
+    """Return a profile of short idempotent commands, with these changes."""
+    defaults = {
         "threads": 1,
-        "target_us": 500 * MS,
-        "target_stretch": 2.0,
+        "objective_us": 500 * MS,
+        "objective_stretch": 2.0,
         "timeout_us": 4000 * MS,
         "benefit": 1.0,
-        "late_benefit": 0.3,
+        "late_benefit_share": 0.3,
         "idempotency": Idempotency.IDEMPOTENT,
-        "dedup_scope": DeduplicationScope.FLEET,
+        "dedup_scope": DeduplicationScope.ALL_ENGINES,
         "dedup_window_us": 1500 * MS,
         "ordered": False,
         "zones": None,
@@ -48,12 +49,12 @@
         "loads_dataset": False,
         "waits_for_loads": False,
     }
-    return Profile(**plain | other)
+    return Profile(**defaults | changes)
 
 
-def make_agreement(*profiles: Profile, **other: Any) -> Agreement:
-    """An agreement over such profiles, with what the test names changed."""
-    plain = {
+def make_agreement(*profiles: Profile, **changes: Any) -> Agreement:
+    """Return an agreement with these profiles, or with one such profile, and with these changes."""
+    defaults = {
         "profiles": profiles or (profile(),),
         "tenants": (),
         "gateways": 1,
@@ -76,11 +77,11 @@
         "retry_budget_window_us": 0,
         "cross_zone_costs": False,
     }
-    return Agreement(**plain | other)
+    return Agreement(**defaults | changes)
 
 
 class SentAttempt(NamedTuple):
-    """One attempt of a command: its engine's id, when it was sent and its number, which counts from 0."""
+    """One attempt of a command: id of its engine, time of its dispatch, and its number, counted from 0."""
 
     engine: int
     sent_at: int
@@ -89,11 +90,11 @@
 
 @dataclass
 class SubmittedCommand:
-    """What the driver knows of a command.
+    """The driver's record of a command.
 
-    final: the type of its final answer, once it has one. is_over: no final answer is due any more.
-    attempt_ends_at: deadline of the open attempt. attempts_sent_at: when each attempt was sent.
-    first_run: the first attempt that may have run.
+    final: the type of the Shed or Fail that ended it, if any. is_over: no final answer is due any more, as it
+    was given or the client has left. attempt_ends_at: deadline of the open attempt. attempts_sent_at: time of
+    each attempt's dispatch. first_run: the first attempt that may have run.
     """
 
     profile: Profile
@@ -110,7 +111,7 @@
 
 @dataclass
 class ListedEngine:
-    """An engine as it was last listed; zone, kind and cell are indexes."""
+    """The latest endpoint list entry of an engine; zone, kind and cell are indexes."""
 
     zone: int
     kind: int
@@ -120,37 +121,37 @@
 
 
 class Driver:
-    """Takes the place of the service: records requests and answers, and fails at the first broken rule."""
+    """Takes the place of the service: records commands and results, and fails at the first broken rule."""
 
     def __init__(self, agreement: Agreement, seed: int = 1) -> None:
         self.agreement = agreement
         self.now = START
         self.gateway = Gateway(seed, agreement, self.now)
-        self.fleet: dict[int, ListedEngine] = {}  # by engine id
+        self.engines: dict[int, ListedEngine] = {}  # by engine id
         self.commands: dict[int, SubmittedCommand] = {}  # by command id
-        self.ids_by_key: dict[int, list[int]] = {}  # ids of commands with an ordered key, in order of arrival
-        self.settles_until: dict[int, int] = {}  # by ordered key
-        self.log: list[Result] = []  # all results of the gateway
+        self.ids_by_key: dict[int, list[int]] = {}  # by ordered key: ids of commands in order of arrival
+        self.settles_until: dict[int, int] = {}  # end of the settling time, by ordered key
+        self.log: list[Result] = []  # all results that were carried out
         self.retried_at: list[int] = []
         self.submitted_at: list[int] = []
         self.warmup_work: dict[int, list[tuple[int, int]]] = {}  # (time, work) of attempts, by warming engine
         self.timers: list[tuple[int, int]] = []  # (time, token), ascending
-        self.serial = 0
+        self.last_command_id = 0
 
     def update_engines(
         self, *entries: tuple[int, int, int, EngineState, int, int], full: bool = False
     ) -> None:
-        """The endpoint list changes: (id, zone, kind, state, cell, started_us) of each entry.
+        """Change the endpoint list. Each entry is (id, zone, kind, state, cell, started_us).
 
         full: engines without an entry are removed.
         """
         if full:
-            for known in self.fleet.values():
-                known.state = EngineState.REMOVED
-        for ident, *facts in entries:
-            self.fleet[ident] = ListedEngine(*facts)
-        rows = [EngineEntry(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
-        self.carry_out(self.gateway.update_engines(self.now, rows, full))
+            for engine in self.engines.values():
+                engine.state = EngineState.REMOVED
+        for engine_id, *fields in entries:
+            self.engines[engine_id] = ListedEngine(*fields)
+        engine_entries = [EngineEntry(entry[0], entry[1], 1.0, *entry[2:]) for entry in entries]
+        self.carry_out(self.gateway.update_engines(self.now, engine_entries, full))
 
     def submit(
         self,
@@ -159,49 +160,49 @@
         key: int = 0,
         work: int = WORK,
         timeout_us: int | None = None,
-        need: float = 64.0,
+        need_mb: float = 64.0,
         estimate: float | None = None,
     ) -> int:
-        """A command arrives; returns its id.
+        """Submit a command that arrives now; return its id.
 
-        need: the memory that it needs, in MB. estimate: of its work, where that is not its work.
+        need_mb: the memory that it needs. estimate: the work that its client states, if not its true work.
         """
-        self.serial += 1
+        self.last_command_id += 1
         command_profile = self.agreement.profiles[profile_index]
         timeout_at = self.now + (timeout_us or command_profile.timeout_us)
-        self.commands[self.serial] = SubmittedCommand(command_profile, key, timeout_at, work)
+        self.commands[self.last_command_id] = SubmittedCommand(command_profile, key, timeout_at, work)
         if command_profile.ordered and key:
-            self.ids_by_key.setdefault(key, []).append(self.serial)
+            self.ids_by_key.setdefault(key, []).append(self.last_command_id)
         self.submitted_at.append(self.now)
         self.carry_out(
             self.gateway.submit(
                 self.now,
-                self.serial,
+                self.last_command_id,
                 profile_index,
                 tenant,
                 key,
                 timeout_at,
                 work if estimate is None else estimate,
-                need,
-                self.serial % 5,
+                need_mb,
+                self.last_command_id % 5,
                 False,
             )
         )
-        return self.serial
+        return self.last_command_id
 
     def end_attempt(
         self,
-        ident: int,
+        command_id: int,
         outcome: Outcome | int,
         cost: int = WORK,
         closed: bool = False,
         report: tuple[float, ...] = (),
     ) -> None:
-        """The open attempt of a command ends.
+        """End the open attempt of a command.
 
         cost: the work that its answer reports. closed: the command ends with it. report: its load report.
         """
-        command = self.commands[ident]
+        command = self.commands[command_id]
         attempt, command.open_attempt = command.open_attempt, None
         command.is_over = command.is_over or outcome == Outcome.ANSWERED
         if outcome not in NEVER_RAN and command.first_run is None:
@@ -212,7 +213,7 @@
         self.carry_out(
             self.gateway.attempt_ended(
                 self.now,
-                ident,
+                command_id,
                 attempt.number,
                 outcome,
                 command.is_over or closed,
@@ -223,52 +224,52 @@
             )
         )
 
-    def client_left(self, ident: int) -> None:
-        """The client of a command leaves."""
-        self.commands[ident].is_over = True
-        self.carry_out(self.gateway.client_left(self.now, ident))
+    def client_left(self, command_id: int) -> None:
+        """Let the client of a command leave."""
+        self.commands[command_id].is_over = True
+        self.carry_out(self.gateway.client_left(self.now, command_id))
 
-    def abandon(self, ident: int) -> None:
-        """The service must end a command now; an open attempt is cancelled."""
-        command = self.commands[ident]
-        attempt, command.open_attempt = command.open_attempt, None  # the service cancels it beside the answer
+    def abandon(self, command_id: int) -> None:
+        """Let the service end a command now, and cancel its open attempt."""
+        command = self.commands[command_id]
+        attempt, command.open_attempt = command.open_attempt, None  # the service cancels it by itself
         if attempt and command.first_run is None:
             command.first_run = attempt
-        self.carry_out(self.gateway.abandon(self.now, ident))
+        self.carry_out(self.gateway.abandon(self.now, command_id))
         assert command.is_over, "no final answer"
         if attempt:
             command.open_attempt = attempt
-            self.end_attempt(ident, Outcome.CANCELLED)
+            self.end_attempt(command_id, Outcome.CANCELLED)
 
     def running_ids(self) -> list[int]:
-        """Ids of commands with an open attempt, in order of arrival."""
-        return [ident for ident, command in self.commands.items() if command.open_attempt]
+        """Return the ids of commands with an open attempt, in order of arrival."""
+        return [command_id for command_id, command in self.commands.items() if command.open_attempt]
 
     def wait(self, span_us: int) -> None:
-        """Time passes: timers fire, attempts whose time is up time out."""
+        """Move the clock: timers fire, and open attempts time out at their deadlines."""
         until = self.now + span_us
         while True:
             ends = [
-                (command.attempt_ends_at, ident)
-                for ident, command in self.commands.items()
+                (command.attempt_ends_at, command_id)
+                for command_id, command in self.commands.items()
                 if command.open_attempt
             ]
             first = min([at for at, _ in self.timers + ends], default=until + 1)
             if first > until:
                 break
             self.now = max(self.now, first)
-            for at, ident in ends:
-                if at <= self.now and self.commands[ident].open_attempt:
-                    self.end_attempt(ident, Outcome.TIMED_OUT)
+            for at, command_id in ends:
+                if at <= self.now and self.commands[command_id].open_attempt:
+                    self.end_attempt(command_id, Outcome.TIMED_OUT)
             if self.timers and self.timers[0][0] <= self.now:
                 self.carry_out(self.gateway.timer_fired(self.now, self.timers.pop(0)[1]))
         self.now = until
-        for ident, command in self.commands.items():
-            late = self.now > command.timeout_at and not command.is_over and not command.final
-            assert not late, f"command {ident} has no final answer"
+        for command_id, command in self.commands.items():
+            is_late = self.now > command.timeout_at and not command.is_over and not command.final
+            assert not is_late, f"command {command_id} has no final answer"
 
     def carry_out(self, results: list[Result]) -> None:
-        """Carry out results, each checked first."""
+        """Carry out results, after checking each of them."""
         for result in results:
             self.log.append(result)
             if isinstance(result, StartTimer):
@@ -276,7 +277,7 @@
                 self.timers.sort()
                 continue
             command = self.commands[result.command]
-            if isinstance(result, FINAL):
+            if isinstance(result, FINAL_ANSWERS):
                 self.check_final(type(result), command)
                 command.final, command.is_over = type(result), True
             elif isinstance(result, Dispatch):
@@ -291,27 +292,27 @@
                 assert command.open_attempt.number == result.attempt
 
     def results_of(self, result_type: type) -> list[Any]:
-        """The results of one type so far: those of other types may have equal fields."""
+        """Return the results of exactly this type: those of other types may compare as equal."""
         return [result for result in self.log if type(result) is result_type]
 
     def check_final(self, final: type[Shed] | type[Fail], command: SubmittedCommand) -> None:
-        """Rules 1 and 2: one answer in time; shed only where a repeat does no harm."""
+        """Check the rules for final answers: one answer, in time; shed only if a retry does no harm."""
         assert not command.is_over
         assert self.now <= command.timeout_at
         assert not command.open_attempt
         idempotency = command.profile.idempotency
         if final == Shed and command.first_run and idempotency != Idempotency.IDEMPOTENT:
             assert idempotency == Idempotency.KEYED
-            assert command.profile.dedup_scope == DeduplicationScope.FLEET
+            assert command.profile.dedup_scope == DeduplicationScope.ALL_ENGINES
             assert self.now < command.first_run.sent_at + command.profile.dedup_window_us
 
-    def check_dispatch(self, ident: int, command: SubmittedCommand, engine: int) -> None:
-        """All seven rules at a dispatch."""
+    def check_dispatch(self, command_id: int, command: SubmittedCommand, engine: int) -> None:
+        """Check the rules for dispatches."""
         command_profile = command.profile
-        listed = self.fleet[engine]
+        listed = self.engines[engine]
         assert not command.is_over
         assert self.now < command.timeout_at
-        assert not command.open_attempt, "two attempts at once"
+        assert not command.open_attempt, "two open attempts of one command"
         assert len(command.attempts_sent_at) < self.agreement.max_attempts
         assert listed.state == EngineState.READY, "dispatched to an engine that drains or is removed"
         if command.first_run and command_profile.idempotency != Idempotency.IDEMPOTENT:
@@ -321,52 +322,52 @@
         if listed.started_us and self.now < listed.started_us + self.agreement.warmup_us:
             self.check_warmup(command, engine, listed)
         if command_profile.ordered and command.key:
-            self.check_key_order(ident, command)
+            self.check_key_order(command_id, command)
         if command.attempts_sent_at:
             self.check_retry_budget()
 
     def check_deduplication(self, command: SubmittedCommand, listed: ListedEngine) -> None:
-        """A retry of what may have run stays in the deduplication window and scope."""
+        """Check that a retry of what may have run stays within the deduplication window and scope."""
         command_profile = command.profile
         assert command_profile.idempotency == Idempotency.KEYED
         assert self.now < command.first_run.sent_at + command_profile.dedup_window_us
-        first = self.fleet[command.first_run.engine]
+        first = self.engines[command.first_run.engine]
         if command_profile.dedup_scope == DeduplicationScope.ZONE:
             assert first.zone == listed.zone, "left its deduplication scope"
         if command_profile.dedup_scope == DeduplicationScope.CELL:
             assert first.cell == listed.cell, "left its deduplication scope"
 
     def check_warmup(self, command: SubmittedCommand, engine: int, listed: ListedEngine) -> None:
-        """A warming engine gets no more than our share of its capacity, and one command (rounded by lot)."""
+        """Check that a warming engine gets at most our share of its capacity, and one command by rounding."""
         agreement = self.agreement
         sent = self.warmup_work.setdefault(engine, [])
         sent.append((self.now, command.work))
         work = sum(work for at, work in sent if at > self.now - agreement.overload_window_us)
         elapsed = self.now - listed.started_us
-        grown = (
+        capacity_share = (
             agreement.warmup_initial_share
             + (1 - agreement.warmup_initial_share) * elapsed / agreement.warmup_us
         )
         capacity = (
             agreement.overload_multiple
-            * grown
+            * capacity_share
             * agreement.cores_by_kind[listed.kind]
             * agreement.overload_window_us
         )
         assert work <= capacity / agreement.gateways + command.work, "warming engine overloaded"
 
-    def check_key_order(self, ident: int, command: SubmittedCommand) -> None:
-        """All earlier commands of the key are over, and the key has settled."""
+    def check_key_order(self, command_id: int, command: SubmittedCommand) -> None:
+        """Check that all earlier commands with the key are over, and that the key has settled."""
         ids = self.ids_by_key[command.key]
-        for other in ids[: ids.index(ident)]:
+        for other in ids[: ids.index(command_id)]:
             earlier = self.commands[other]
-            assert earlier.is_over, "out of order"
-            assert not earlier.open_attempt, "out of order"
+            assert earlier.is_over, "an earlier command with the key is not over"
+            assert not earlier.open_attempt, "an earlier command with the key has an open attempt"
         has_settled = self.now >= self.settles_until.get(command.key, 0)
         assert command.attempts_sent_at or has_settled, "the key has not settled"
 
     def check_retry_budget(self) -> None:
-        """This retry fits into the retry budget."""
+        """Check that this retry fits into the retry budget."""
         agreement = self.agreement
         self.retried_at.append(self.now)
         since = self.now - agreement.retry_budget_window_us
@@ -374,4 +375,4 @@
         submitted = sum(at > since for at in self.submitted_at)
         if agreement.retry_budget_base is not None:
             budget = agreement.retry_budget_base + agreement.retry_budget_share * submitted
-            assert retries <= budget, "over budget"
+            assert retries <= budget, "more retries than the retry budget allows"
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -1,4 +1,4 @@
-"""Starts gateways on loopback for tests, in this process or in one of their own."""
+"""Starts gateways on loopback addresses for tests, in this process or in one of their own."""
 
 import json
 import os
@@ -14,47 +14,47 @@
 from gullhold.testing import gateway_log
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 8  # seconds until a wait fails: far more than any of these takes
+WAIT_TIMEOUT_S = 8  # far longer than any of these waits takes
 POLL_INTERVAL_S = 0.005
 
 
 def until(condition):
-    """Wait until a condition holds; fail after PATIENCE."""
-    end = time.monotonic() + PATIENCE
+    """Wait until a condition holds; fail after WAIT_TIMEOUT_S."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(POLL_INTERVAL_S)
 
 
 class Gateway:
     """A gateway in this process.
 
-    held: names of threads that go() starts later; door_record: settings of an admission queue.
+    delayed_threads: names of threads that the test starts later; door_record: settings of an admission queue.
     """
 
-    def __init__(self, tmp_path, configuration, held=(), door_record=None):
+    def __init__(self, tmp_path, configuration, delayed_threads=(), door_record=None):
         path = write_configuration(tmp_path, configuration)
         parts = build_parts(load_configuration(path), door_record)
         self.core = parts.core
         self.listener = parts.listener
-        self.coordinator = parts.discovery_client
+        self.discovery_client = parts.discovery_client
         self.address = self.listener.sock.getsockname()
         self.configuration = load_configuration(path)
-        self.parts = parts.background_threads()
-        self.parts["core"] = lambda: self.core.run(self.configuration.list_changes)
-        self.go(*(name for name in self.parts if name not in held))
+        self.thread_functions = parts.background_threads()
+        self.thread_functions["core"] = lambda: self.core.run(self.configuration.list_changes)
+        self.start_threads(*(name for name in self.thread_functions if name not in delayed_threads))
 
-    def go(self, *names):
-        """Start these threads; those held back at first wait for it."""
+    def start_threads(self, *names):
+        """Start threads by name."""
         for name in names:
-            Thread(target=self.parts[name], daemon=True).start()
+            Thread(target=self.thread_functions[name], daemon=True).start()
 
     def count(self, name):
-        """Return a counter."""
+        """Return the value of a counter."""
         return self.core.counters.counts[name]
 
     def end(self):
-        """End it; it must have nothing open or reserved by then."""
+        """Stop the gateway, once no request is open; nothing may be left open or reserved then."""
         until(lambda: not self.core.requests.by_number)
         self.core.post(setattr, self.core, "stopped", True)
         until(lambda: self.core.stopped)
@@ -75,8 +75,8 @@
     return path
 
 
-def launched(tmp_path, configuration, *arguments, stderr=subprocess.PIPE):
-    """Start Python with these arguments, by default a gateway, in a process of its own."""
+def start_process(tmp_path, configuration, *arguments, stderr=subprocess.PIPE):
+    """Start a Python process with these arguments, by default those of a gateway."""
     path = write_configuration(tmp_path, configuration)
     environment = {**os.environ, "GW_CONFIG": str(path)}
     environment.pop("GW_LISTEN", None)
@@ -90,7 +90,7 @@
     )
 
 
-def listens(port):
+def is_listening(port):
     """Whether something listens on a port of this machine."""
     with socket.socket() as sock:
         return sock.connect_ex(("127.0.0.1", port)) == 0
@@ -102,6 +102,6 @@
         return sock.getsockname()[1]
 
 
-def client_open(gateway):
-    """Numbers of all that clients have open."""
+def open_sequence_ids(gateway):
+    """Return the sequence ids of the requests whose clients wait for an answer."""
     return {cmd.sequence_id for cmd in gateway.core.requests.by_number.values() if cmd.client}
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 import pytest
-from agreements import AGREEMENTS, ODD_FIGURES
+from agreements import AGREEMENTS, ARBITRARY_ESTIMATES
 from driver import MS, Driver, make_agreement, profile
 from recording import Recorder
 
@@ -24,7 +24,7 @@
     LogLine,
     Outcome,
     ReportDemand,
-    SetTerms,
+    SetGrantAndPriority,
     Shed,
     StartTimer,
     Tenant,
@@ -48,7 +48,7 @@
 # Result types that stand for the number that a result once began with.
 TAGS = {
     Dispatch: 0,
-    SetTerms: 1,
+    SetGrantAndPriority: 1,
     CancelAttempt: 2,
     Shed: 3,
     Fail: 4,
@@ -140,15 +140,15 @@
             key=number % 4,
             work=self.draw.choice((3, 20, 100, 400)) * MS,
             timeout_us=(200 + number % 3800) * MS,
-            need=ODD_FIGURES[number % 6],
-            estimate=ODD_FIGURES[number // 7 % 6] if number % 5 == 0 else None,
+            need_mb=ARBITRARY_ESTIMATES[number % 6],
+            estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
         )
 
     def end(self) -> None:
         """An open attempt ends with a drawn outcome."""
         if out := self.world.running_ids():
             outcome = self.draw.choice((0, 0, 0, 0, 0, *range(8)))
-            report = (self.draw.choice(ODD_FIGURES), self.draw.random())[: self.draw.randrange(3)]
+            report = (self.draw.choice(ARBITRARY_ESTIMATES), self.draw.random())[: self.draw.randrange(3)]
             cost = self.draw.choice((2, 50, 100, 900)) * MS
             self.world.end_attempt(self.draw.choice(out), outcome, cost=cost, report=report)
 
@@ -259,8 +259,8 @@
     """Long commands on few engines, slower and slower: pressure, samples, fits, health and cold starts."""
     recorder = Recorder(TAGS)
     agreement = make_agreement(
-        profile(threads=2, target_us=3000 * MS, timeout_us=9000 * MS),
-        profile(threads=1, target_us=200 * MS),
+        profile(threads=2, objective_us=3000 * MS, timeout_us=9000 * MS),
+        profile(threads=1, objective_us=200 * MS),
         report_fields=("util",),
         gateways=2,
         tenants=(Tenant(0.6, 40.0), Tenant(0.4, 30.0)),
@@ -277,7 +277,7 @@
                 *((ident, 0, 0, EngineState.READY, 0, born * (ident == 3)) for ident in range(4))
             )
             for step in range(2500):
-                world.submit(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need=40.0)
+                world.submit(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need_mb=40.0)
                 out = world.running_ids()
                 slowest = 1 + step // 300
                 if len(out) > 3 * slowest or draw.random() < 0.5:
