--- a/gullhold/testing/budget_variant.py
+++ b/gullhold/testing/budget_variant.py
@@ -33,7 +33,7 @@
     make_allocator: Callable[..., Allocator] = Allocator
     compares_reports: bool = True
     reserve_after_us: int = LINGER_US
-    drift: float = TERMS.drift
+    drift: float = TERMS.max_drift
 
     def lengthened(self, time_us: int) -> int:
         """Return a time as a member's clock has to count it."""
