--- a/gullhold/fleet/role_driver.py
+++ b/gullhold/fleet/role_driver.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of role states."""
+"""Drives the role states of a fleet's member: passes events to them and carries out their actions."""
 
 from typing import TYPE_CHECKING
 
@@ -7,17 +7,17 @@
 from gullhold.fleet.store_calls import ReadPrefix, Reply
 
 if TYPE_CHECKING:
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
 
 
 class RoleDriver:
-    """Drives the role states of one member, each on the lane and with the watcher of its role.
+    """The role states of one member, each with the lane and the watcher that have the name of its role.
 
     All methods are called on the fleet's thread.
     """
 
-    def __init__(self, fleet: "Fleet") -> None:
-        """fleet: has the role states, the lanes and the watchers."""
+    def __init__(self, fleet: "FleetMember") -> None:
+        """fleet: the member; it has the role states, the lanes and the watchers."""
         self._fleet = fleet
 
     def won(self, role: str, token: int) -> None:
@@ -29,11 +29,11 @@
         self._fleet.role_states[role].lost()
 
     def due(self, now: int) -> list[int]:
-        """When to step() each role at the latest."""
+        """When to step() each role next."""
         return [state.due(now) for state in self._fleet.role_states.values()]
 
     def step(self, role: str) -> None:
-        """Step a role, and carry out its actions."""
+        """Have a role take its next step, and carry out the actions."""
         state = self._fleet.role_states[role]
         state.step(monotonic_us())
         while actions := state.take_actions():
@@ -52,12 +52,12 @@
         fleet = self._fleet
         match action:
             case ReadKeys(serial, prefix):
-                fleet.lanes[role].put(ReadPrefix(prefix), self._read, role, serial)
+                fleet.lanes[role].submit(ReadPrefix(prefix), self._read, role, serial)
             case WriteKeys(serial, token, operations, conditions):
                 request = fleet.membership.fenced_transaction(role, token, operations, conditions)
-                fleet.lanes[role].put(request, self._written, role, serial, token)
+                fleet.lanes[role].submit(request, self._written, role, serial, token)
             case WatchKeys(revision):
-                fleet.watchers[role].follow(revision)
+                fleet.watchers[role].watch_from(revision)
             case LogEvent(level, text, facts):
                 token = fleet.role_states[role].token
                 fleet.log_event(level, text, role=role, token=token, **facts)
@@ -66,5 +66,5 @@
         self._fleet.role_states[role].read(monotonic_us(), serial, reply)
 
     def _written(self, role: str, serial: CallSerial, token: int, reply: Reply) -> None:
-        self._fleet.log_refused_effect(role, token, reply)
+        self._fleet.log_if_refused(role, token, reply)
         self._fleet.role_states[role].written(monotonic_us(), serial, reply)
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of scheduled commands."""
+"""Drives the scheduled commands of a fleet's member: passes events to them and carries out their actions."""
 
 from typing import TYPE_CHECKING
 
@@ -17,7 +17,7 @@
 from gullhold.fleet.store_calls import ReadPrefix, Reply
 
 if TYPE_CHECKING:
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import Scheduled
 
 
@@ -25,14 +25,14 @@
     """The scheduled commands of one member, by role. All methods are called on the fleet's thread."""
 
     def __init__(
-        self, fleet: "Fleet", records: "dict[str, Scheduled]", client: ScheduledCommandClient
+        self, fleet: "FleetMember", records: "dict[str, Scheduled]", client: ScheduledCommandClient
     ) -> None:
-        """records: of the operator file, by role; client: sends attempts."""
+        """fleet: the member. records: of the operator file, by role. client: sends attempts."""
         self._fleet = fleet
         self._commands = fleet.scheduled_commands
         self._records = records
         self._client = client
-        self._role_by_number: dict[int, str] = {}  # of open attempts
+        self._role_by_number: dict[int, str] = {}  # of open attempts, by their number
 
     def won(self, role: str, token: int) -> None:
         """Begin to lead the role, under this fencing token."""
@@ -45,22 +45,22 @@
         self._carry_out_all(role)
 
     def leave(self) -> None:
-        """Start no more attempts."""
+        """Have no command start further attempts."""
         for command in self._commands.values():
             command.leave()
 
     def step(self, role: str) -> None:
-        """Step a command, and carry out its actions."""
+        """Have a command take its next step, and carry out the actions."""
         self._commands[role].step(unix_us())
         self._carry_out_all(role)
 
     def waits_us(self) -> list[int]:
-        """Time until the next step of each command that this member leads, in us."""
+        """How long until the next step of each command that this member leads, in us."""
         now = unix_us()
         return [command.due(now) - now for command in self._commands.values() if command.token]
 
     def attempt_ended(self, number: int, state: OccurrenceState, reason: str) -> None:
-        """Record the end of an attempt."""
+        """Pass the end of an attempt on to its command. number: of the attempt."""
         role = self._role_by_number.pop(number, None)
         if role:
             self._commands[role].attempt_ended(unix_us(), state, reason)
@@ -73,10 +73,10 @@
     def _carry_out(self, role: str, action: ScheduledCommandAction) -> None:
         match action:
             case ReadRecords(prefix):
-                self._lane().put(ReadPrefix(prefix), self._records_read, role)
+                self._lane().submit(ReadPrefix(prefix), self._records_read, role)
             case WriteRecord(serial, token, operations, conditions):
                 request = self._fleet.membership.fenced_transaction(role, token, operations, conditions)
-                self._lane().put(request, self._record_written, role, serial, token)
+                self._lane().submit(request, self._record_written, role, serial, token)
             case SetBusy(is_busy):
                 self._fleet.membership.set_busy(role, is_busy)
             case SendAttempt():
@@ -91,7 +91,7 @@
         self._commands[role].records_read(unix_us(), reply)
 
     def _record_written(self, role: str, serial: int, token: int, reply: Reply) -> None:
-        self._fleet.log_refused_effect(role, token, reply)
+        self._fleet.log_if_refused(role, token, reply)
         may_act = self._fleet.membership.fencing_token(role, monotonic_us()) == token
         self._commands[role].record_written(unix_us(), serial, reply, may_act)
 
@@ -115,6 +115,6 @@
                 is_repeat=attempt.attempt > 1,
             )
         except RejectedError as error:
-            command.attempt_ended(unix_us(), OccurrenceState.UNDONE, str(error))
+            command.attempt_ended(unix_us(), OccurrenceState.NOT_SENT, str(error))
         else:
             self._role_by_number[number] = role
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:  # slow to import; needed only if an operator file turns them on
     from gullhold.admission.client_identity import ClientIdentifier
     from gullhold.admission.queue import AdmissionQueue
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import DoorRecord, FleetRecord
 
 LISTEN_RETRY_LIMIT_S = 5.0  # for retries while the address is in use or sockets are short
@@ -118,7 +118,7 @@
 
 def build_fleet_member(
     fleet_record: "FleetRecord", configuration: Configuration, core: Core
-) -> "Fleet | None":
+) -> "FleetMember | None":
     """Build this gateway's fleet member, without starting it; None if the record turns the fleet off.
 
     Raises ConfigurationError.
@@ -130,7 +130,7 @@
     except ImportError as error:
         raise ConfigurationError(f"the fleet needs the packages of requirements-full.txt: {error}") from None
     try:
-        return driver.Fleet(fleet_record, configuration, core)
+        return driver.FleetMember(fleet_record, configuration, core)
     except driver.UnusableFleetError as error:
         raise ConfigurationError(str(error)) from None
 
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -12,7 +12,7 @@
 from gullhold.fleet.clocks import US_PER_SECOND, unix_us
 from gullhold.fleet.role_state import LogEvent
 from gullhold.fleet.store_calls import Reply
-from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE
+from gullhold.fleet.store_schema import SCHEDULED_COMMAND_ROLE_PREFIX
 from gullhold.fleet.watcher import Watcher
 from gullhold.interface import Agreement, BudgetKind
 from gullhold.net import counters
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from gullhold.budgets.allocator_role import AllocatorRole
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import FleetRecord
 
 VOTE_LANE = "words"  # of the member's calls
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        fleet: "Fleet",
+        fleet: "FleetMember",
         record: "FleetRecord",
         agreement: Agreement,
         clock: Callable[[], int],
@@ -138,7 +138,7 @@
         )
 
     def start(self, watch: Callable[..., Watcher]) -> None:
-        """Start the watchers. watch: Fleet.watch."""
+        """Start the watchers. watch: FleetMember.watch."""
         self.watcher = watch("policy", WATCHED, self._changed, self._watch_gap)
         self.fleet.watch_role(ROLE, "words", ROOT)
 
@@ -158,13 +158,13 @@
             for action in actions:
                 match action:
                     case CallStore(serial, request):
-                        self.fleet.lanes[VOTE_LANE].put(request, self._replied, serial)
+                        self.fleet.lanes[VOTE_LANE].submit(request, self._replied, serial)
                     case AdoptVersion(serial, version):
                         self._adopt(serial, version)
                     case StopDispatching(number):
                         self.core.post_urgent(self._confirm_stopped, number)
                     case WatchPolicy(revision):
-                        self.watcher.follow(revision)
+                        self.watcher.watch_from(revision)
                     case LogEvent(level, text, facts):
                         self.fleet.log_event(level, "policy: " + text, **facts)
         self._resize_budgets()
@@ -173,8 +173,8 @@
         policy = parse_policy(version.text, f"policy {version.number}")
         self.core.post_urgent(self._apply, serial, self._for_core(version, policy))
         for name in self.deployment.scheduled_commands:
-            command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE + name]
-            command.is_off = not policy.schedules.get(name, True)
+            command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE_PREFIX + name]
+            command.is_disabled = not policy.schedules.get(name, True)
         if serial != AT_START and self.settings.snapshot and not self.member.tried_change:
             self._write_snapshot(version)
 
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -28,8 +28,8 @@
     """Counts a lease by its own clock for as long as it was granted."""
 
     def __init__(self, name: str, nonce: str, rules: MembershipRules, *other: Any) -> None:
-        terms: LeaseTerms = rules.terms._replace(drift=0.0)
-        super().__init__(name, nonce, rules._replace(terms=terms), *other)
+        terms: LeaseTerms = rules.lease_terms._replace(max_drift=0.0)
+        super().__init__(name, nonce, rules._replace(lease_terms=terms), *other)
 
 
 class LeaseFromReply(Membership):
@@ -69,7 +69,7 @@
     def fencing_token(self, role: str, now: int) -> int:
         """Does not look at the lease."""
         del now
-        return self.claims.tokens.get(role, 0) if self.state == MemberState.IN else 0
+        return self.claims.tokens.get(role, 0) if self.state == MemberState.JOINED else 0
 
 
 class ActsWhileReleasing(Membership):
@@ -85,7 +85,7 @@
 
         def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
             """Only now."""
-            for role in call.about:
+            for role in call.context:
                 self.tokens.pop(role, None)
             super().release_replied(now, call, reply)
 
@@ -120,12 +120,12 @@
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Writes nothing anew."""
 
-        def observe(self, now: int, role: str, item: KeyValue | None) -> None:
+        def handle_role_key(self, now: int, role: str, item: KeyValue | None) -> None:
             """Leads at once."""
-            super().observe(now, role, item)
-            if role in self.own_keys:
-                self.wanted.pop(role)
-                self.won(role, self.own_keys.pop(role))
+            super().handle_role_key(now, role, item)
+            if role in self.own_key_revisions:
+                self.claim_at.pop(role)
+                self.won(role, self.own_key_revisions.pop(role))
 
 
 class ClaimsHeld(Membership):
