--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -37,15 +37,15 @@
 class ClientIdentifier:
     """Identifies tenants and clients by the operator's rule.
 
-    rule: the operator's record; tenants: names by index; tenant_of_others: the index of the tenant whose
+    rule: the operator's record; tenants: names by index; fallback_tenant: the index of the tenant whose
     share unknown tenants use, or None where only known tenants are accepted.
     """
 
     def __init__(
-        self, rule: "ClientRule", tenants: Sequence[str], tenant_of_others: int | None = None
+        self, rule: "ClientRule", tenants: Sequence[str], fallback_tenant: int | None = None
     ) -> None:
         self._tenants = {name: index for index, name in enumerate(tenants)}
-        self._tenant_of_others = tenant_of_others
+        self._tenant_of_others = fallback_tenant
         self._field = rule.field.encode()
         self._is_by_address = rule.otherwise == "address"
         self._networks = None
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -95,13 +95,13 @@
     from gullhold.admission.queue import AdmissionQueue  # noqa: PLC0415  only where it is on
 
     tenant_names = [tenant.name for tenant in agreement.tenants]
-    tenant_of_others = None
+    fallback_tenant = None
     if door_record.tenants == "open":
         if door_record.others not in tenant_names:
             raise ConfigurationError(f"door.others: {door_record.others!r} is no tenant of the agreement")
-        tenant_of_others = tenant_names.index(door_record.others)
+        fallback_tenant = tenant_names.index(door_record.others)
     try:
-        client_identity = ClientIdentifier(door_record.client, tenant_names, tenant_of_others)
+        client_identity = ClientIdentifier(door_record.client, tenant_names, fallback_tenant)
     except ValueError as error:
         raise ConfigurationError(f"door.client.networks: {error}") from None
     queue = AdmissionQueue(
--- a/tests/test_client_identity.py
+++ b/tests/test_client_identity.py
@@ -21,6 +21,6 @@
     assert len(flow({b"desk": b"x" * 5000}, "10.9.9.9")) < 20
     assert identifier.tenant(b"b") == (1, None)
     assert identifier.tenant(b"zz") == (UNKNOWN_TENANT, None)
-    opened = ClientIdentifier(made, ["a", "b"], tenant_of_others=1)
+    opened = ClientIdentifier(made, ["a", "b"], fallback_tenant=1)
     assert opened.tenant(b"zz") == (1, b"zz")
     assert opened.flow({}, b"zz", "10.9.9.9", "x") == b"t:zz"
