--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -219,11 +219,11 @@
         self.flow_table.forget_idle(now_us)
         return decisions
 
-    def reject_some(self, now_us: int, most: int) -> list[Reject]:
-        """Reject so many that wait, without a Retry-After time: the gateway shuts down. Empty: none waits."""
+    def reject_batch(self, now_us: int, max_count: int) -> list[Reject]:
+        """Reject up to max_count waiting commands without a Retry-After time, at shutdown; empty: none waits."""
         self._now_us = now_us
         waiting = (command for command in self.commands.values() if command.is_waiting)
-        rejected = list(islice(waiting, most))
+        rejected = list(islice(waiting, max_count))
         for command in rejected:
             self._move(command, ENDED)
         return [Reject(command.number, 0) for command in rejected]
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -61,7 +61,7 @@
         """
         if self.core.admission_queue is None:
             return
-        rejections = self.core.admission_queue.reject_some(self.core.now, MAX_REJECTED_AT_ONCE)
+        rejections = self.core.admission_queue.reject_batch(self.core.now, MAX_REJECTED_AT_ONCE)
         if rejections:
             self._carry_out(rejections)
             self.core.call_later(self.core.now + REJECTION_INTERVAL_US, self.reject_queued)
