--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -68,7 +68,7 @@
             return self._tenant_of_others, name
         return UNKNOWN_TENANT, None
 
-    def flow(
+    def flow_name(
         self, fields: Mapping[bytes, bytes], unknown_tenant: bytes | None, address: str, connection: str
     ) -> bytes:
         """Return the name of a command's flow.
@@ -76,17 +76,17 @@
         An unknown tenant is one flow, whatever its clients are.
         """
         if unknown_tenant is not None:
-            return _flow_name(NameKind.TENANT, unknown_tenant)
+            return _bounded_name(NameKind.TENANT, unknown_tenant)
         client = fields.get(self._field) if self._field else None
         if client:
-            return _flow_name(NameKind.CLIENT, client)
+            return _bounded_name(NameKind.CLIENT, client)
         network = self._network_rule(address)
         if network is not None:
             names = {"network": network.name, "address": address}
             name = names.get(network.identified_by, connection)
-            return _flow_name(NameKind.NETWORK, str(name).encode())
+            return _bounded_name(NameKind.NETWORK, str(name).encode())
         name = address if self._is_by_address else connection
-        return _flow_name(NameKind.ADDRESS, str(name).encode())
+        return _bounded_name(NameKind.ADDRESS, str(name).encode())
 
     def _network_rule(self, address: str) -> NetworkRule | None:
         """Return the rule of the smallest network that an address is in."""
@@ -105,7 +105,7 @@
     return f"::ffff:{network.network_address}/{IPV4_MAPPED_PREFIX_BITS + network.prefixlen}"
 
 
-def _flow_name(kind: NameKind, name: bytes) -> bytes:
+def _bounded_name(kind: NameKind, name: bytes) -> bytes:
     """Return a key of bounded size for a name."""
     if len(name) > MAX_PLAIN_NAME_BYTES:
         return kind + b"#" + blake2b(name, digest_size=NAME_HASH_BYTES).digest()
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -220,7 +220,7 @@
         return decisions
 
     def reject_batch(self, now_us: int, max_count: int) -> list[Reject]:
-        """Reject up to max_count waiting commands without a Retry-After time, at shutdown; empty: none waits."""
+        """Reject up to max_count waiting commands without a Retry-After time, at shutdown."""
         self._now_us = now_us
         waiting = (command for command in self.commands.values() if command.is_waiting)
         rejected = list(islice(waiting, max_count))
