--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -111,7 +111,7 @@
             self.tenants.move_to_end(tenant)
             self._forget_idle_flows(tenant_queue, now_us)
             if not tenant_queue.flows and (
-                self.fair_queue.owes_nothing(tenant_queue.child)
+                self.fair_queue.can_be_forgotten(tenant_queue.child)
                 or len(self.tenants) > self._settings.max_exact_flows
             ):
                 assert tenant_queue.child.state is IDLE
@@ -121,7 +121,7 @@
         for flow in _longest_unused(tenant_queue):
             self._retry_scheduler.expire(flow.retries, now_us)
             is_over_limit = len(tenant_queue.flows) > self._settings.max_exact_flows
-            if _is_idle(flow) and (is_over_limit or tenant_queue.fair_queue.owes_nothing(flow.child)):
+            if _is_idle(flow) and (is_over_limit or tenant_queue.fair_queue.can_be_forgotten(flow.child)):
                 self._forget(tenant_queue, flow)
             else:
                 tenant_queue.flows.move_to_end(flow.key)
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gullhold.admission.fair_queue import IDLE, PARKED, RARE_PART_OF_QUANTUM, READY, FairQueue
+from gullhold.admission.fair_queue import IDLE, PARKED, READY, UNSERVED_PREFERENCE, FairQueue
 
 QUANTUM = 10.0
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 5), st.floats(1.0, 40.0))
@@ -115,7 +115,7 @@
 def most_lag(count):
     """The factor of the largest command by which one of so many children lags at most, proven in the note."""
     harmonic = sum(1 / number for number in range(1, count))
-    return 1 + harmonic + RARE_PART_OF_QUANTUM * harmonic
+    return 1 + harmonic + UNSERVED_PREFERENCE * harmonic
 
 
 @pytest.mark.parametrize("count", [2, 3, 6, 12, 40])
@@ -194,7 +194,7 @@
     assert abs(done[one] - done[other]) <= 20  # no burst for the one that was away
     fair.charge(one, 200.0)  # a command that needed far more than was said
     fair.leave(one)
-    assert not fair.owes_nothing(one)  # to be remembered: leaving and coming back must not clear it
+    assert not fair.can_be_forgotten(one)  # to be remembered: leaving and coming back must not clear it
     fair.join(one)
     done = played(fair, (one, other), lambda _: 10.0, 10)
     assert done[one] == 0
