--- a/gullhold/admission/fair_queue.py
+++ b/gullhold/admission/fair_queue.py
@@ -7,9 +7,9 @@
 of any other child.
 
 A child that was idle and has not been served since is preferred by a part of a quantum, so that children with
-few commands need not wait behind those with many. The quantum is the largest work charged at once since some
-child has been backlogged. A command's estimated work is charged when the command is picked, and corrected
-once its answer states the real work.
+few commands need not wait behind those with many. The quantum is the largest work charged at once in the
+present busy period, in which some child was always backlogged. A command's estimated work is charged when it
+is picked, and corrected once its answer states the real work.
 docs/notes/admission-queue.md has the bound on lag, and why no scheduling rule has a much smaller one.
 """
 
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -26,8 +26,8 @@
     QUEUED,
     RUNNING,
     CommandState,
-    Lane,
     QueuedCommand,
+    TenantProfile,
 )
 from gullhold.admission.rejection_table import RejectionTable
 from gullhold.admission.retry_after import RetryScheduler
@@ -86,7 +86,7 @@
         self.queued_count = 0  # with those that are blocked
         self.queued_bytes = 0
         self.forwarded_count = 0
-        self.forwarded_by_lane: dict[tuple[int, int], int] = {}  # by Lane
+        self.forwarded_by_tenant_profile: dict[tuple[int, int], int] = {}  # by TenantProfile
         self._profiles = profiles
         self._expiries: list[ExpiryRow] = []  # a heap
         self._last_order = 0
@@ -170,7 +170,7 @@
             self._work.charge(command, command.work_us)
             self._move(command, FORWARDED)
             decisions.append(Forward(command.number))
-            self._lane_changed(command.lane)
+            self._forwarded_count_changed(command.tenant_profile)
         return decisions
 
     def attempt_sent(self, number: int) -> None:
@@ -271,12 +271,12 @@
             self.queued_bytes -= command.size
             if command.key:
                 self._unblock_next(command)
-        lane = command.lane
+        tenant_profile = command.tenant_profile
         if new_state is FORWARDED:
-            self._count_forwarded(lane, 1)
+            self._count_forwarded(tenant_profile, 1)
         elif old_state is FORWARDED:
-            self._count_forwarded(lane, -1)
-            self._lane_changed(lane)
+            self._count_forwarded(tenant_profile, -1)
+            self._forwarded_count_changed(tenant_profile)
         if new_state is ENDED:
             del self.commands[command.number]
 
@@ -307,25 +307,28 @@
         elif line[0].state is BLOCKED:
             self._enqueue(line[0], goes_first=True)  # it has waited, and goes before later arrivals
 
-    def _count_forwarded(self, lane: Lane, change: int) -> None:
+    def _count_forwarded(self, tenant_profile: TenantProfile, change: int) -> None:
         self.forwarded_count += change
-        count = self.forwarded_by_lane.get(lane, 0) + change
+        count = self.forwarded_by_tenant_profile.get(tenant_profile, 0) + change
         if count:
-            self.forwarded_by_lane[lane] = count
+            self.forwarded_by_tenant_profile[tenant_profile] = count
         else:
-            del self.forwarded_by_lane[lane]
+            del self.forwarded_by_tenant_profile[tenant_profile]
 
     def _is_open(self, tenant: int, profile: int) -> bool:
         """Whether the decision module has room for more of this tenant's profile."""
-        return self.forwarded_by_lane.get((tenant, profile), 0) < self.settings.max_forwarded_per_lane
+        return (
+            self.forwarded_by_tenant_profile.get((tenant, profile), 0)
+            < self.settings.max_forwarded_per_tenant_profile
+        )
 
-    def _lane_changed(self, lane: Lane) -> None:
-        """Let the flow whose turn it is be picked again, where the lane is open now."""
-        if not self._is_open(*lane):
+    def _forwarded_count_changed(self, tenant_profile: TenantProfile) -> None:
+        """Let the parked flow whose turn it is be picked again, if such commands may be forwarded now."""
+        if not self._is_open(*tenant_profile):
             return
-        tenant_queue = self.flow_table.tenants.get(lane.tenant)
+        tenant_queue = self.flow_table.tenants.get(tenant_profile.tenant)
         if tenant_queue is not None and tenant_queue.queued_count:
-            tenant_queue.profile_opened(lane.profile)
+            tenant_queue.profile_opened(tenant_profile.profile)
             self._unpark_tenant(tenant_queue)
 
     def _unpark_tenant(self, tenant_queue: TenantQueue) -> None:
--- a/gullhold/admission/queued_command.py
+++ b/gullhold/admission/queued_command.py
@@ -34,7 +34,7 @@
 }
 
 
-class Lane(NamedTuple):
+class TenantProfile(NamedTuple):
     """The commands of one profile of one tenant."""
 
     tenant: int
@@ -51,7 +51,7 @@
         "expires_us",
         "flow",
         "key",
-        "lane",
+        "tenant_profile",
         "may_have_run",
         "number",
         "order",
@@ -84,7 +84,7 @@
         self.expires_us = expires_us  # when it is answered, if it still waits
         self.tenant_queue = tenant_queue
         self.flow = flow
-        self.lane = Lane(tenant_queue.tenant, profile)
+        self.tenant_profile = TenantProfile(tenant_queue.tenant, profile)
         self.work_us = work_us  # estimated
         self.charged_us = 0.0
         self.cost_us = 0  # that answers stated
--- a/gullhold/admission/settings.py
+++ b/gullhold/admission/settings.py
@@ -28,7 +28,7 @@
     max_queued: int  # commands
     max_queued_bytes: int
     max_forwarded: int  # commands that the decision module may hold
-    max_forwarded_per_lane: int  # the same of one profile of one tenant
+    max_forwarded_per_tenant_profile: int  # the same of one profile of one tenant
     max_exact_flows: int  # flows of one client each
     shared_flows: int  # shared flows of a tenant's other clients
     salt_interval_us: int  # after which clients are distributed anew over shared flows
@@ -45,7 +45,7 @@
             max_queued=record.waiting,
             max_queued_bytes=record.bytes,
             max_forwarded=record.held,
-            max_forwarded_per_lane=record.window,
+            max_forwarded_per_tenant_profile=record.window,
             max_exact_flows=record.exact,
             shared_flows=record.shared,
             salt_interval_us=record.redeal,
--- a/tests/admission_world.py
+++ b/tests/admission_world.py
@@ -163,8 +163,8 @@
         command.stage = Stage.FORWARDED
         self.forwarded.append(ident)
         rows = [self.open_commands[other] for other in self.forwarded]
-        lane = (command.tenant, command.profile_index)
-        assert sum((row.tenant, row.profile_index) == lane for row in rows) <= self.rule.window
+        tenant_profile = (command.tenant, command.profile_index)
+        assert sum((row.tenant, row.profile_index) == tenant_profile for row in rows) <= self.rule.window
         assert len(self.forwarded) <= self.rule.held
 
     def _reject(self, rejection: Reject) -> None:
@@ -246,7 +246,7 @@
         assert exact_count == queue.flow_table.exact_flow_count <= self.rule.exact
         if not self.open_commands:
             assert not queue.commands_by_key
-            assert not queue.forwarded_by_lane
+            assert not queue.forwarded_by_tenant_profile
             assert not queue.forwarded_count
 
 
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -54,7 +54,7 @@
             world.queue.command_ended(world.now, ident)
         world.now += 100
         assert len(world.queue.flow_table.tenants) < 600
-        assert len(world.queue.forwarded_by_lane) <= world.rule.held
+        assert len(world.queue.forwarded_by_tenant_profile) <= world.rule.held
     assert world.queue.flow_table.exact_flow_count <= 2, "one-off clients took queues of their own"
 
 
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -54,7 +54,7 @@
     )
     assert (
         len(gateway.core.gateway.commands)
-        <= 4 * 2 * 16 + gateway.core.admission_queue.settings.max_forwarded_per_lane
+        <= 4 * 2 * 16 + gateway.core.admission_queue.settings.max_forwarded_per_tenant_profile
     )
     began = time.monotonic()
     answers = [client.answer()[1] for _ in range(30)]
