--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -163,7 +163,7 @@
         decisions = []
         tenants = self.flow_table.fair_queue
         while self.forwarded_count < self.settings.max_forwarded and (child := tenants.pick()) is not None:
-            command = child.owner.next_command(self._is_open)
+            command = child.owner.next_command(self._can_forward)
             if command is None:
                 tenants.park(child)
                 continue
@@ -283,8 +283,8 @@
     def _enqueue(self, command: QueuedCommand, goes_first: bool) -> None:
         self._move(command, QUEUED)
         tenant_queue = command.tenant_queue
-        is_open = self._is_open(tenant_queue.tenant, command.profile)
-        tenant_queue.add(self._now_us, command, goes_first, is_open)
+        can_forward = self._can_forward(tenant_queue.tenant, command.profile)
+        tenant_queue.add(self._now_us, command, goes_first, can_forward)
         tenants = self.flow_table.fair_queue
         if tenant_queue.child.state is IDLE:
             tenants.join(tenant_queue.child)
@@ -315,7 +315,7 @@
         else:
             del self.forwarded_by_tenant_profile[tenant_profile]
 
-    def _is_open(self, tenant: int, profile: int) -> bool:
+    def _can_forward(self, tenant: int, profile: int) -> bool:
         """Whether the decision module has room for more of this tenant's profile."""
         return (
             self.forwarded_by_tenant_profile.get((tenant, profile), 0)
@@ -324,11 +324,11 @@
 
     def _forwarded_count_changed(self, tenant_profile: TenantProfile) -> None:
         """Let the parked flow whose turn it is be picked again, if such commands may be forwarded now."""
-        if not self._is_open(*tenant_profile):
+        if not self._can_forward(*tenant_profile):
             return
         tenant_queue = self.flow_table.tenants.get(tenant_profile.tenant)
         if tenant_queue is not None and tenant_queue.queued_count:
-            tenant_queue.profile_opened(tenant_profile.profile)
+            tenant_queue.unpark_first(tenant_profile.profile)
             self._unpark_tenant(tenant_queue)
 
     def _unpark_tenant(self, tenant_queue: TenantQueue) -> None:
--- a/gullhold/admission/tenant_queue.py
+++ b/gullhold/admission/tenant_queue.py
@@ -60,18 +60,18 @@
             self._drain_rates[profile] = DrainRate(now_us)
         return self._drain_rates[profile]
 
-    def add(self, now_us: int, command: QueuedCommand, goes_first: bool, is_open: bool) -> None:
-        """Queue a command in its flow; is_open: its profile may be forwarded now."""
+    def add(self, now_us: int, command: QueuedCommand, goes_first: bool, can_forward: bool) -> None:
+        """Queue a command in its flow; can_forward: its profile may be forwarded now."""
         flow = command.flow
         is_only = flow.add(command, goes_first)
         self.queued_count += 1
         self.drain_rate(command.profile, now_us).record_queued(now_us)
         if flow.child.state is IDLE:
             self.fair_queue.join(flow.child)
-        elif flow.child.state is PARKED and is_open:
+        elif flow.child.state is PARKED and can_forward:
             self.fair_queue.unpark(flow.child)
         elif flow.child.state is PARKED and is_only:
-            self._await_profile(flow, command.profile)
+            self._add_parked_row(flow, command.profile)
 
     def remove(self, now_us: int, command: QueuedCommand, is_forwarded: bool) -> None:
         """Remove a command from its flow, wherever it stands."""
@@ -83,20 +83,20 @@
         if not flow.queued_count:
             self.fair_queue.leave(flow.child)
 
-    def next_command(self, is_open: Callable[[int, int], bool]) -> QueuedCommand | None:
+    def next_command(self, can_forward: Callable[[int, int], bool]) -> QueuedCommand | None:
         """Return the command whose turn it is among open profiles, or None.
 
-        is_open: whether commands of a tenant and a profile may be forwarded. Flows with none are parked.
+        can_forward: whether commands of a tenant and a profile may be forwarded. Flows with none are parked.
         """
         while (child := self.fair_queue.pick()) is not None:
             flow = child.owner
-            heads = [head for profile, head in flow.heads() if is_open(self.tenant, profile)]
+            heads = [head for profile, head in flow.heads() if can_forward(self.tenant, profile)]
             if heads:
                 return min(heads, key=lambda command: command.order)
             self._park(flow)
         return None
 
-    def profile_opened(self, profile: int) -> None:
+    def unpark_first(self, profile: int) -> None:
         """Commands of a profile may be forwarded: the parked flow whose turn is first may be picked again."""
         heap = self._parked.get(profile)
         while heap:
@@ -112,9 +112,9 @@
         self._last_parking += 1
         flow.parking = self._last_parking
         for profile in flow.profiles:
-            self._await_profile(flow, profile)
+            self._add_parked_row(flow, profile)
 
-    def _await_profile(self, flow: Flow, profile: int) -> None:
+    def _add_parked_row(self, flow: Flow, profile: int) -> None:
         """Remember a parked flow for the time when a profile opens."""
         heap = self._parked.setdefault(profile, [])
         heappush(heap, ParkedRow(self.fair_queue.due(flow.child), flow.parking, flow))
