--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -1,4 +1,4 @@
-"""Determines the flow of a command: its tenant, and the client inside it, as a name of bounded size."""
+"""Identifies the tenant of a command, and the client inside the tenant by a name of bounded size."""
 
 import ipaddress
 import socket
@@ -12,33 +12,36 @@
 if TYPE_CHECKING:
     from gullhold.operator.records import ClientRule
 
-MAX_PLAIN_NAME_BYTES = 48  # longer names are replaced by their hash
+MAX_PLAIN_NAME_BYTES = 48  # longer names are replaced by their hashes
 NAME_HASH_BYTES = 16
 IPV6_BITS = 128
-IPV4_MAPPED_PREFIX_BITS = 96  # of ::ffff:0:0/96
+IPV4_MAPPED_PREFIX_BITS = 96  # prefix length of ::ffff:0:0/96, the IPv4 addresses mapped into IPv6
 
 
 class NameKind(bytes, Enum):
-    """First byte of a flow's name: what the rest names, so that names of two kinds never collide."""
+    """First byte of a client's name: what the rest identifies, so that names of two kinds never collide."""
 
     TENANT = b"t"
     CLIENT = b"c"
     NETWORK = b"n"
-    ADDRESS = b"a"  # or connection
+    ADDRESS = b"a"  # IP address or connection outside the rule's networks
 
 
 class NetworkRule(NamedTuple):
-    """How clients of a network are told apart; identified_by: "network", "address" or "connection"."""
+    """How the clients in a network are told apart.
+
+    identified_by: "network" (all clients in it are one), "address" or "connection".
+    """
 
     name: str
     identified_by: str
 
 
 class ClientIdentifier:
-    """Identifies tenants and clients by the operator's rule.
+    """Identifies tenants by their names, and clients by the rule of the operator file.
 
-    rule: the operator's record; tenants: names by index; fallback_tenant: the index of the tenant whose
-    share unknown tenants use, or None where only known tenants are accepted.
+    tenants: names by index in the agreement; fallback_tenant: the index of the tenant whose share unknown
+    tenants use, or None where only known tenants are accepted.
     """
 
     def __init__(
@@ -58,7 +61,10 @@
                 self._networks[prefix] = NetworkRule(network.name, network.each)
 
     def tenant(self, name: bytes) -> tuple[int, bytes | None]:
-        """Return a tenant's index or UNKNOWN_TENANT, and the name of an unknown tenant that is accepted."""
+        """Return a tenant's index or UNKNOWN_TENANT, and the name of an unknown tenant that is accepted.
+
+        Where the agreement names no tenants, all commands belong to one tenant of index 0.
+        """
         known_tenant = self._tenants.get(name.decode("utf-8", "replace"))
         if known_tenant is not None:
             return known_tenant, None
@@ -68,12 +74,13 @@
             return self._tenant_of_others, name
         return UNKNOWN_TENANT, None
 
-    def flow_name(
+    def client_name(
         self, fields: Mapping[bytes, bytes], unknown_tenant: bytes | None, address: str, connection: str
     ) -> bytes:
-        """Return the name of a command's flow.
+        """Return the name of a command's client inside its tenant, of bounded size.
 
-        An unknown tenant is one flow, whatever its clients are.
+        fields: of the request; unknown_tenant: the name that tenant() returned; address, connection: of the
+        client's socket. All clients of an unknown tenant count as one.
         """
         if unknown_tenant is not None:
             return _bounded_name(NameKind.TENANT, unknown_tenant)
@@ -94,19 +101,19 @@
             return None
         try:
             return self._networks.get(_as_ipv6(ipaddress.ip_network(address)))
-        except ValueError:  # no IP address
+        except ValueError:  # the address is no IP address
             return None
 
 
 def _as_ipv6(network: ipaddress.IPv4Network | ipaddress.IPv6Network) -> str:
-    """Return a network as IPv6 text, IPv4 inside its mapped range: one table serves both."""
+    """Return a network as IPv6 text, IPv4 in the mapped range, so that one table holds both."""
     if network.version == 6:
         return str(network)
     return f"::ffff:{network.network_address}/{IPV4_MAPPED_PREFIX_BITS + network.prefixlen}"
 
 
 def _bounded_name(kind: NameKind, name: bytes) -> bytes:
-    """Return a key of bounded size for a name."""
+    """Return a kind and a name as bytes of bounded size; a long name is replaced by its hash."""
     if len(name) > MAX_PLAIN_NAME_BYTES:
         return kind + b"#" + blake2b(name, digest_size=NAME_HASH_BYTES).digest()
     return kind + b":" + name
--- a/gullhold/admission_interface.py
+++ b/gullhold/admission_interface.py
@@ -1,12 +1,12 @@
 """Types that the admission queue shares with the network code.
 
-They stand apart from gullhold.admission so that a gateway without an admission queue never imports it.
+This is a module of its own so that a gateway without an admission queue never imports gullhold.admission.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
-UNKNOWN_TENANT = -1  # index of a tenant whose commands are not accepted
+UNKNOWN_TENANT = -1  # in place of a tenant's index: the tenant is unknown, and its commands are not accepted
 
 
 class Forward(NamedTuple):
@@ -16,29 +16,31 @@
 
 
 class Reject(NamedTuple):
-    """Decision: the final answer is a shed, which is always true since the command never went out."""
+    """Decision: shed the command, which is true since no attempt of it was ever sent."""
 
     command: int
-    retry_after_us: int  # 0: no time can be given
+    retry_after_us: int  # 0: no Retry-After time can be given
 
 
 AdmissionDecision = Forward | Reject
 
 
 class RejectedFlow(NamedTuple):
-    """Key of the known rejections: new commands of a client of a tenant, of one profile."""
+    """Key of the known rejections: the new commands of one tenant, client and profile."""
 
     tenant: int
-    client: bytes
-    profile: int | None
+    client: bytes  # name from ClientIdentifier.client_name()
+    profile: (
+        int | None
+    )  # index in the agreement; None: a profile that is not in it, for which nothing is recorded
 
 
 class KnownRejection(NamedTuple):
-    """Until when new commands of a flow are known to be rejected without a Retry-After time."""
+    """How long new commands of a flow are known to be rejected without a Retry-After time."""
 
-    until_us: int
-    first_retry_at_us: int | None  # when the first Retry-After time of the flow begins; None: there is none
+    until_us: int  # end of the rejections
+    first_retry_at_us: int | None  # begin of the flow's first retry window; None: it has none
 
 
 KnownRejections = Mapping[tuple[int, bytes, int | None], KnownRejection]
-"""Known rejections by RejectedFlow; a plain tuple, which is made faster, finds the same entry."""
+"""Known rejections by RejectedFlow. A look-up with a plain tuple finds the same entry, and is faster."""
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -98,7 +98,7 @@
         if self._client_identity is None:  # there is no admission queue
             return None
         tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
-        flow = self._client_identity.flow_name(fields, unknown_tenant, *peer)
+        flow = self._client_identity.client_name(fields, unknown_tenant, *peer)
         profile = self._profiles.get(fields.get(b"verb"))
         rejects_until_us, retry_at_us = known_rejections.get((tenant, flow, profile), (0, None))
         if now_us >= rejects_until_us or not _has_transaction_id(fields):
@@ -120,7 +120,7 @@
         tenant, unknown_tenant = self._tenant(fields)
         flow = b""
         if self._client_identity:
-            flow = self._client_identity.flow_name(fields, unknown_tenant, address, connection)
+            flow = self._client_identity.client_name(fields, unknown_tenant, address, connection)
         idempotency_key = self._idempotency_key(fields, profile)
         timeout_ms = _figure(fields, b"limit", self._max_timeout_ms, default=b"")
         work_ms = _figure(fields, b"cpu", self._max_work_ms)
--- a/tests/test_admission_fairness.py
+++ b/tests/test_admission_fairness.py
@@ -93,7 +93,8 @@
     made = door_record('door: client: field: "desk"').client
     identifier = ClientIdentifier(made, ["a"])
     names = {
-        identifier.flow_name({b"desk": b"many"}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)
+        identifier.client_name({b"desk": b"many"}, None, "10.0.0.1", f"10.0.0.1:{port}")
+        for port in range(1000)
     }
     assert len(names) == 1
     world = World(weights=(1.0,), checked=False)
@@ -105,7 +106,7 @@
 def test_a_thousand_clients_behind_one_address_are_told_apart_only_if_the_operator_says_so(each, flows):
     made = door_record(f'door: client: networks: [{{net: "10.0.0.0/8", name: "nat", each: "{each}"}}]')
     identifier = ClientIdentifier(made.client, ["a"])
-    names = [identifier.flow_name({}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)]
+    names = [identifier.client_name({}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)]
     assert len(set(names)) == flows
     world = World("door: {exact: 64, shared: 16}", weights=(1.0,), slots=16, checked=False)
     for i in range(4000):
--- a/tests/test_client_identity.py
+++ b/tests/test_client_identity.py
@@ -11,7 +11,7 @@
         {net: "10.0.0.0/8", name: "offices"}, {net: "10.1.0.0/16", name: "nat", each: "connection"},
         {net: "10.1.2.0/24", name: "desks", each: "address"}, {net: "2001:db8::/32", name: "six"}]}""").client
     identifier = ClientIdentifier(made, ["a", "b"])
-    flow = lambda fields, address: identifier.flow_name(fields, None, address, address + ":1")  # noqa: E731
+    flow = lambda fields, address: identifier.client_name(fields, None, address, address + ":1")  # noqa: E731
     assert flow({b"desk": b"7"}, "10.9.9.9") == flow({b"desk": b"7"}, "10.1.1.1") == b"c:7"
     assert flow({}, "10.9.9.9") == flow({}, "10.8.1.1") == b"n:offices"
     assert flow({}, "10.1.9.9") == b"n:10.1.9.9:1"
@@ -23,4 +23,4 @@
     assert identifier.tenant(b"zz") == (UNKNOWN_TENANT, None)
     opened = ClientIdentifier(made, ["a", "b"], fallback_tenant=1)
     assert opened.tenant(b"zz") == (1, b"zz")
-    assert opened.flow_name({}, b"zz", "10.9.9.9", "x") == b"t:zz"
+    assert opened.client_name({}, b"zz", "10.9.9.9", "x") == b"t:zz"
