--- a/gullhold/admission/drain_rate.py
+++ b/gullhold/admission/drain_rate.py
@@ -1,15 +1,16 @@
-"""How fast a queue drains, measured only while something waits in it."""
+"""Measures how fast a queue drains while commands wait in it."""
 
 from math import exp
 
-DECAY_TIME_US = 2_000_000  # longer than a few commands take, shorter than disturbances last
-MIN_MEASURED_US = 200_000  # time with queued commands, below which the rate is not known
+DECAY_TIME_US = 2_000_000  # exponential decay; longer than a few commands run, shorter than disturbances last
+MIN_MEASURED_US = 200_000  # least decayed time with queued commands from which the rate is known
 
 
 class DrainRate:
-    """Work taken from a queue while commands wait, divided by that time; both decay exponentially.
+    """Work removed from a queue while commands wait, divided by the time they wait; both decay exponentially.
 
-    Time in which nothing waits is not counted: then the rate is the clients' demand, not what engines can do.
+    Time in which no command waits is not counted: the rate is then limited by the clients' demand, and says
+    nothing about the engines' capacity.
     """
 
     __slots__ = ("_busy_us", "_queued_count", "_updated_us", "_work_us")
@@ -21,18 +22,18 @@
         self._work_us = 0.0
 
     def record_queued(self, now_us: int) -> None:
-        """Count a command that is queued."""
+        """Count a command that enters the queue."""
         self._advance(now_us)
         self._queued_count += 1
 
     def record_removed(self, now_us: int, work_us: float) -> None:
-        """Count a command that left the queue; work_us: its work, 0 where it was rejected or withdrawn."""
+        """Count a command that left the queue; work_us: its work, 0 if it was rejected or its client left."""
         self._advance(now_us)
         self._queued_count -= 1
         self._work_us += work_us
 
     def rate(self, now_us: int) -> float:
-        """Return the work (us) taken per us; 0: not known yet."""
+        """Return the work (us) removed per us of time; 0: not known yet."""
         self._advance(now_us)
         if self._busy_us < MIN_MEASURED_US:
             return 0.0
--- a/gullhold/admission/flow.py
+++ b/gullhold/admission/flow.py
@@ -1,4 +1,4 @@
-"""The queue of one flow: of a client that has a queue of its own, or of all clients that share one."""
+"""A flow: the queued commands of one heavy client, or of all clients that share a queue."""
 
 from collections import deque
 from typing import TYPE_CHECKING, NamedTuple
@@ -10,18 +10,21 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-NEVER_PARKED = 0  # serial numbers of parkings begin at 1
+NEVER_PARKED = 0  # parking_serial of a flow that was never parked; serial numbers begin at 1
 
 
 class SharedFlowKey(NamedTuple):
-    """Key of a shared flow; the epoch changes with the salt."""
+    """Key of a shared flow; the epoch is incremented when the salt of the hashes is replaced."""
 
     epoch: int
     bucket: int
 
 
 class ProfileQueue:
-    """The commands of one profile in a flow: those that go first, as timely retries do, and the others."""
+    """The queued commands of one profile in a flow.
+
+    first: go before the others: timely retries, and commands that were blocked by their ordering key.
+    """
 
     __slots__ = ("first", "others", "work_us")
 
@@ -31,11 +34,11 @@
         self.work_us = 0.0
 
     def head(self) -> QueuedCommand:
-        """Return the next command."""
+        """Return the command to forward next; there must be one."""
         return self.first[0] if self.first else self.others[0]
 
     def is_empty(self) -> bool:
-        """Whether no command waits."""
+        """Whether no command is queued."""
         return not self.first and not self.others
 
     def add(self, command: QueuedCommand, goes_first: bool) -> None:
@@ -44,7 +47,7 @@
         self.work_us += command.work_us
 
     def remove(self, command: QueuedCommand) -> None:
-        """Remove a command, wherever it stands."""
+        """Remove a command at any position."""
         if self.head() is command:
             (self.first or self.others).popleft()
         elif command in self.first:
@@ -55,9 +58,9 @@
 
 
 class Flow:
-    """One queue of a tenant: of one heavy client, or shared by the clients that hash to it.
+    """A flow of a tenant: exact, of one heavy client, or shared by the clients that hash to its bucket.
 
-    key: the client's name, or a SharedFlowKey.
+    key: of an exact flow the client's name, of a shared one a SharedFlowKey.
     """
 
     __slots__ = (
@@ -66,7 +69,7 @@
         "client_counts",
         "estimate_bias",
         "key",
-        "parking",
+        "parking_serial",
         "profiles",
         "queued_count",
         "retries",
@@ -75,15 +78,15 @@
     def __init__(self, key: bytes | SharedFlowKey, weight: float, fair_queue: FairQueue["Flow"]) -> None:
         self.key = key
         self.child: Child[Flow] = fair_queue.add(self, weight)
-        self.profiles: dict[int, ProfileQueue] = {}  # those that are not empty
+        self.profiles: dict[int, ProfileQueue] = {}  # by profile, without empty queues
         self.queued_count = 0
-        self.blocked_count = 0  # commands behind an earlier one of their ordering key
-        self.estimate_bias = 1.0  # real work divided by estimates
-        self.client_counts: dict[bytes, int] | None = None  # of a shared flow: queued commands by client
+        self.blocked_count = 0  # commands that wait for an earlier one of their ordering key
+        self.estimate_bias = 1.0  # moving average of real work divided by estimated work
+        self.client_counts: dict[bytes, int] | None = None  # queued commands by client; None: an exact flow
         if isinstance(key, SharedFlowKey):
             self.client_counts = {}
         self.retries = FlowRetries()
-        self.parking = NEVER_PARKED  # serial number of the parking that counts
+        self.parking_serial = NEVER_PARKED  # of the last time it was parked
 
     @property
     def is_exact(self) -> bool:
@@ -91,17 +94,17 @@
         return self.client_counts is None
 
     def backlog_us(self, profile: int) -> float:
-        """Return the queued work of a profile."""
+        """Return the estimated work (us) of the queued commands of a profile."""
         queue = self.profiles.get(profile)
         return queue.work_us if queue is not None else 0.0
 
     def heads(self) -> "Iterator[tuple[int, QueuedCommand]]":
-        """Yield each profile with its next command."""
+        """Yield each profile that has queued commands, with the command to forward next."""
         for profile, queue in self.profiles.items():
             yield profile, queue.head()
 
     def add(self, command: QueuedCommand, goes_first: bool) -> bool:
-        """Queue a command; return whether it is the only one of its profile."""
+        """Queue a command; return whether it is the only queued one of its profile."""
         queue = self.profiles.get(command.profile)
         is_only = queue is None
         if queue is None:
@@ -113,7 +116,7 @@
         return is_only
 
     def remove(self, command: QueuedCommand) -> None:
-        """Remove a command, wherever it stands."""
+        """Remove a queued command at any position."""
         queue = self.profiles[command.profile]
         queue.remove(command)
         if queue.is_empty():
--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -13,25 +13,27 @@
 from gullhold.admission.sketch import WIDTH, Sketch
 from gullhold.admission.tenant_queue import TenantQueue
 
-MIN_QUANTUM_US = 50_000.0  # the work of a command whose work is not known
-HEAVY_SHARE = 0.5  # of an even share among max_exact_flows, from which on a client is heavy
-SKETCH_NOISE = 2.8  # e, rounded up: an estimate may be too high by this part of all work / WIDTH
-TENANTS_PER_EVENT = 2  # that are checked for idle flows
-FLOWS_PER_TENANT = 4  # that are checked for each of them
-NAME_KIND_BYTES = 2  # before a client's name in the name of its flow
+MIN_QUANTUM_US = 50_000.0  # the work assumed for a command that states none
+# A client is heavy if its recent work is above this part of an even share among max_exact_flows, scaled by
+# the fraction of these that exist.
+HEAVY_SHARE = 0.5
+SKETCH_ERROR_FACTOR = 2.8  # e, rounded up: estimates are too high by at most this times all work / WIDTH
+TENANTS_CHECKED_PER_CALL = 2  # for idle flows
+FLOWS_CHECKED_PER_TENANT = 4  # in one call
+NAME_KIND_BYTES = 2  # kind and separator, which precede the plain name in ClientIdentifier.client_name()
 SALT_BITS = 128
 DEFAULT_WEIGHT = 1.0
 
 
 class FlowMatch(NamedTuple):
-    """The flow in which a client's commands are queued now, and whether the client retried in time."""
+    """The flow for a client's new command, and whether the command is a retry inside a retry window."""
 
     flow: Flow
     is_timely_retry: bool
 
 
 class FlowTable:
-    """Tenants by index, each with its flows; finds the flow of a client and forgets what is idle."""
+    """Tenant queues by index, each with its flows; finds the flow of a client and forgets idle flows."""
 
     def __init__(
         self, settings: AdmissionSettings, retry_scheduler: RetryScheduler, random: Random, now_us: int
@@ -40,16 +42,19 @@
         self._retry_scheduler = retry_scheduler
         self._random = random
         self.fair_queue: FairQueue[TenantQueue] = FairQueue(MIN_QUANTUM_US)
-        self.tenants: OrderedDict[int, TenantQueue] = OrderedDict()  # the longest unused first
+        self.tenants: OrderedDict[int, TenantQueue] = OrderedDict()  # by index, least recently used first
         self.exact_flow_count = 0
-        self.client_weights: dict[bytes, float] = {}
+        self.client_weights: dict[bytes, float] = {}  # by plain name
         self._tenant_weights: list[float] = [DEFAULT_WEIGHT]
         self._sketch = Sketch(self._draw_salt())
         self._epoch = 0
         self._next_salt_us = now_us + settings.salt_interval_us
 
     def set_weights(self, tenant_weights: Sequence[float], client_weights: Mapping[str, float]) -> None:
-        """Set new weights, also for flows that are backlogged; what was used stays used."""
+        """Set new weights, also for backlogged flows; work charged under the old weights stays charged.
+
+        tenant_weights: by index; empty: one tenant.
+        """
         min_weight = min((weight for weight in tenant_weights if weight > 0), default=DEFAULT_WEIGHT)
         self._tenant_weights = [
             weight / min_weight if weight > 0 else DEFAULT_WEIGHT for weight in tenant_weights
@@ -58,11 +63,13 @@
         for tenant_queue in self.tenants.values():
             self.fair_queue.set_weight(tenant_queue.child, self._tenant_weights[tenant_queue.tenant])
             for flow in tenant_queue.flows.values():
-                if isinstance(flow.key, bytes):  # an exact flow
+                if isinstance(
+                    flow.key, bytes
+                ):  # an exact flow; clients in shared flows have the default weight
                     tenant_queue.fair_queue.set_weight(flow.child, self._client_weight(flow.key))
 
     def tenant_queue(self, tenant: int) -> TenantQueue:
-        """Return the queue of a tenant, made if need be."""
+        """Return the queue of a tenant; creates it if there is none."""
         tenant_queue = self.tenants.get(tenant)
         if tenant_queue is None:
             weight = self._tenant_weights[tenant]
@@ -73,17 +80,17 @@
         return tenant_queue
 
     def has(self, tenant_queue: TenantQueue) -> bool:
-        """Whether a tenant's queue was not forgotten."""
+        """Whether the table still holds this queue: it has not been forgotten."""
         return self.tenants.get(tenant_queue.tenant) is tenant_queue
 
     def match_flow(
         self, tenant_queue: TenantQueue, client: bytes, work_us: float, now_us: int, is_retry: bool
     ) -> FlowMatch:
-        """Return the flow of a client, made if need be; work_us: of its new command."""
+        """Return the flow for a client's new command of the given work; creates it if there is none."""
         flow = tenant_queue.flows.get(client)
         if flow is not None:
-            tenant_queue.flows.move_to_end(client)  # it has an exact flow: nothing is to be estimated
-        elif self._deserves_exact_flow(client, work_us) and self._make_room_for_exact_flow():
+            tenant_queue.flows.move_to_end(client)  # it has an exact flow: the sketch is not needed
+        elif self._qualifies_for_exact_flow(client, work_us) and self._make_room_for_exact_flow():
             flow = tenant_queue.flow(client, self._client_weight(client))
             self.exact_flow_count += 1
         if flow is not None and not is_retry:
@@ -95,18 +102,18 @@
         return FlowMatch(flow, is_timely)
 
     def replace_salt_if_due(self, now_us: int) -> None:
-        """Distribute clients anew over shared flows from time to time."""
+        """Redistribute the clients over the shared flows after each salt interval."""
         if now_us >= self._next_salt_us:
             self._next_salt_us = now_us + self._settings.salt_interval_us
             self._epoch += 1
             self._sketch.replace_salt(self._draw_salt())
 
     def forget_idle(self, now_us: int) -> None:
-        """Forget idle flows and tenants that owe nothing; over the limits also those that owe something.
+        """Forget idle flows and tenants not ahead of their shares; over the limits, also those ahead.
 
-        Checks a few at each call, in rotation: more than one event can add, without walking the whole tables.
+        Each call checks a few, in rotation: more than one event can add, but never the whole tables.
         """
-        for _ in range(min(TENANTS_PER_EVENT, len(self.tenants))):
+        for _ in range(min(TENANTS_CHECKED_PER_CALL, len(self.tenants))):
             tenant, tenant_queue = next(iter(self.tenants.items()))
             self.tenants.move_to_end(tenant)
             self._forget_idle_flows(tenant_queue, now_us)
@@ -118,7 +125,7 @@
                 del self.tenants[tenant]
 
     def _forget_idle_flows(self, tenant_queue: TenantQueue, now_us: int) -> None:
-        for flow in _longest_unused(tenant_queue):
+        for flow in _least_recently_used(tenant_queue):
             self._retry_scheduler.expire(flow.retries, now_us)
             is_over_limit = len(tenant_queue.flows) > self._settings.max_exact_flows
             if _is_idle(flow) and (is_over_limit or tenant_queue.fair_queue.can_be_forgotten(flow.child)):
@@ -131,36 +138,36 @@
             self.exact_flow_count -= 1
         tenant_queue.forget(flow)
 
-    def _deserves_exact_flow(self, client: bytes, work_us: float) -> bool:
-        """Whether a client is heavy, or has a weight of its own. Counts its work."""
+    def _qualifies_for_exact_flow(self, client: bytes, work_us: float) -> bool:
+        """Whether a client is heavy or has a configured weight; counts the new work in the sketch."""
         total_work = self._sketch.total_work()
         known_work = self._sketch.add(client, work_us)
         max_flows = self._settings.max_exact_flows
-        heavy_share = max(SKETCH_NOISE / WIDTH, HEAVY_SHARE * self.exact_flow_count / max_flows**2)
+        heavy_share = max(SKETCH_ERROR_FACTOR / WIDTH, HEAVY_SHARE * self.exact_flow_count / max_flows**2)
         return known_work > total_work * heavy_share or client[NAME_KIND_BYTES:] in self.client_weights
 
     def _make_room_for_exact_flow(self) -> bool:
-        """Whether one more flow may have a queue of its own; an idle one may be forgotten for it."""
+        """Whether one more exact flow fits; at the limit, an idle one is forgotten to make room."""
         if self.exact_flow_count < self._settings.max_exact_flows:
             return True
-        for tenant_queue, flow in self._longest_unused_flows():
+        for tenant_queue, flow in self._least_recently_used_flows():
             if flow.is_exact and _is_idle(flow):
                 self._forget(tenant_queue, flow)
                 return True
         return False
 
-    def _longest_unused_flows(self) -> Iterator[tuple[TenantQueue, Flow]]:
-        for tenant_queue in islice(self.tenants.values(), TENANTS_PER_EVENT):
-            for flow in _longest_unused(tenant_queue):
+    def _least_recently_used_flows(self) -> Iterator[tuple[TenantQueue, Flow]]:
+        for tenant_queue in islice(self.tenants.values(), TENANTS_CHECKED_PER_CALL):
+            for flow in _least_recently_used(tenant_queue):
                 yield tenant_queue, flow
 
     def _use_retry_window(
         self, tenant_queue: TenantQueue, flow: Flow, shared_keys: Sequence[SharedFlowKey], now_us: int
     ) -> bool:
-        """Whether a client that retries now does so in time; its window is then used up.
+        """Whether a client that retries now is inside a retry window, which is then used up.
 
-        The window was given out by the flow in which the client was then: its own, or a shared one, perhaps
-        under the previous salt.
+        The window belongs to the flow that the client was in when it was rejected: its present flow, or a
+        shared one under the present or the previous salt.
         """
         candidates: list[FlowRetries] = [flow.retries]
         for key in shared_keys:
@@ -170,7 +177,7 @@
         return any(self._retry_scheduler.use_window(retries, now_us) for retries in candidates)
 
     def _shared_keys(self, client: bytes) -> tuple[SharedFlowKey, SharedFlowKey]:
-        """Return the keys of a client's shared flow under the present salt and under the one before."""
+        """Return the keys of a client's shared flow under the present and the previous salt."""
         sketch = self._sketch
         return (
             SharedFlowKey(self._epoch, self._bucket(client, sketch.salt)),
@@ -178,7 +185,7 @@
         )
 
     def _bucket(self, client: bytes, salt: bytes) -> int:
-        return self._sketch.places(client, salt)[0] % self._settings.shared_flows
+        return self._sketch.counter_indexes(client, salt)[0] % self._settings.shared_flows
 
     def _client_weight(self, client: bytes) -> float:
         return self.client_weights.get(client[NAME_KIND_BYTES:], DEFAULT_WEIGHT)
@@ -187,10 +194,10 @@
         return self._random.getrandbits(SALT_BITS).to_bytes(SALT_BITS // 8, "little")
 
 
-def _longest_unused(tenant_queue: TenantQueue) -> list[Flow]:
-    return list(islice(tenant_queue.flows.values(), FLOWS_PER_TENANT))
+def _least_recently_used(tenant_queue: TenantQueue) -> list[Flow]:
+    return list(islice(tenant_queue.flows.values(), FLOWS_CHECKED_PER_TENANT))
 
 
 def _is_idle(flow: Flow) -> bool:
-    """Whether nothing is queued or blocked in a flow, and no client has a retry window in it."""
+    """Whether a flow has no queued or blocked commands and no retry windows."""
     return not flow.blocked_count and flow.child.state is IDLE and not flow.retries.windows
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -1,11 +1,11 @@
-"""The admission queue: which commands wait, are forwarded to the decision module, or are rejected.
+"""The admission queue: decides which commands wait, are forwarded to the decision module, or are rejected.
 
-Free of I/O and of sockets; one owner calls it, each call with the time in whole microseconds. Results are
-Forward, to pass the command on to the decision module, and Reject, its final answer: a shed, which is always
-true here since the command never went out.
+It does no I/O and is not thread-safe; each call states the time in whole microseconds. Results are Forward,
+which passes a command on to the decision module, and Reject, the command's final answer: a shed, which is
+true since no attempt of the command was ever sent.
 
-What is rejected here is for a limit of the queue's own: it is full, or the command's time is up. What the
-decision module queues, sends, retries or sheds stays its own decision.
+The queue rejects for its own limits only: it is full, or the command would wait or has waited too long. What
+the decision module queues, sends, retries or sheds is decided there.
 """
 
 from collections import deque
@@ -41,34 +41,34 @@
 if TYPE_CHECKING:
     from gullhold.operator.records import DoorRecord
 
-EXPIRY_MARGIN_US = 40_000  # before the client timeout: two polls and the time of a crossing message
-FREE_PART_OF_FLOW = 0.5  # part of the free places that one flow may take
-MIN_PLACES_OF_FLOW = 4  # commands that a flow may always queue while any place is free
-STALE_EXPIRIES_ALLOWED = 1024  # rows; fewer stale ones are not cleaned up
-REJECTIONS_PER_EXACT_FLOW = 2
+EXPIRY_MARGIN_US = 40_000  # before the client timeout: two polls, and a message on its way
+MAX_FREE_SHARE_PER_FLOW = 0.5  # of the free capacity, for each client of a flow
+MIN_QUEUED_PER_FLOW = 4  # commands that a flow may queue at least, while the queue is not full
+STALE_EXPIRIES_ALLOWED = 1024  # stale heap rows that are kept without a rebuild of the heap
+REJECTIONS_PER_EXACT_FLOW = 2  # known rejections, at most
 
 
-class KeyLine(NamedTuple):
-    """The commands of a profile that must run one after the other."""
+class ProfileKey(NamedTuple):
+    """Commands of one profile with this ordering key are forwarded in order of arrival."""
 
     profile: int
-    key: int
+    ordering_key: int
 
 
 class ExpiryRow(NamedTuple):
-    """When a command is answered at the latest; orders of arrival are unique."""
+    """Row of the heap of expiries; `order` is unique, so commands are never compared."""
 
-    expires_us: int
+    expires_at_us: int
     order: int
     command: QueuedCommand
 
 
 class AdmissionQueue:
-    """Fair queues in front of one decision module.
+    """Fair queues of commands in front of one decision module.
 
-    record: of the operator file; tenant_weights: shares of the agreement's tenants by index (empty: one
-    tenant); profiles: the agreement's; max_retry_after_us: the longest Retry-After time that the agreement
-    allows (0: not stated).
+    record: from the operator file; tenant_weights: shares of the agreement's tenants by index (empty: one
+    tenant); profiles: of the agreement, by index; max_retry_after_us: the longest Retry-After time that the
+    agreement allows (0: not stated).
     """
 
     def __init__(
@@ -82,33 +82,33 @@
     ) -> None:
         self.settings = AdmissionSettings.from_record(record, max_retry_after_us)
         self.commands: dict[int, QueuedCommand] = {}  # by number, until they end
-        self.commands_by_key: dict[KeyLine, deque[QueuedCommand]] = {}
-        self.queued_count = 0  # with those that are blocked
+        self.commands_by_key: dict[ProfileKey, deque[QueuedCommand]] = {}
+        self.queued_count = 0  # queued and blocked commands
         self.queued_bytes = 0
-        self.forwarded_count = 0
+        self.forwarded_count = 0  # with the decision module, without an open attempt
         self.forwarded_by_tenant_profile: dict[tuple[int, int], int] = {}  # by TenantProfile
         self._profiles = profiles
         self._expiries: list[ExpiryRow] = []  # a heap
         self._last_order = 0
-        self._now_us = now_us
+        self._now_us = now_us  # time of the latest call
         random = Random(seed)
         self.retry_scheduler = RetryScheduler(self.settings.retry_after, random.random)
         self.flow_table = FlowTable(self.settings, self.retry_scheduler, random, now_us)
         self.rejections = RejectionTable(REJECTIONS_PER_EXACT_FLOW * self.settings.max_exact_flows)
-        self._work = WorkAccounting(self.flow_table)
+        self._accounting = WorkAccounting(self.flow_table)
         self.set_weights(tenant_weights, self.settings.client_weights)
 
     @property
     def known_rejections(self) -> KnownRejections:
-        """Flows whose new commands are rejected for a moment. May be read from any thread."""
+        """Clients whose new commands are rejected for the next milliseconds. Any thread may read it."""
         return self.rejections.entries
 
     @property
     def client_weights(self) -> Mapping[bytes, float]:
-        """Weights of clients by name, as the last set_weights() set them."""
+        """Weights of clients by plain name, from the last call of set_weights()."""
         return self.flow_table.client_weights
 
-    # Events
+    # Calls for events
 
     def submit(
         self,
@@ -117,21 +117,22 @@
         tenant: int,
         client: bytes,
         profile: int,
-        key: int,
+        ordering_key: int,
         work_us: int,
-        size: int,
+        size_bytes: int,
         timeout_at_us: int,
         is_retry: bool,
     ) -> list[Reject]:
         """Queue or reject a new command.
 
-        tenant: index; client: name of its flow; key: ordering key, 0: none; work_us: 0: not stated; size:
-        bytes that it takes while queued.
+        tenant, profile: indexes in the agreement; client: ClientIdentifier.client_name(); ordering_key: 0:
+        none; work_us: the client's estimate, 0: not stated; size_bytes: memory that it takes while queued;
+        is_retry: the client has sent it before.
         """
         self._now_us = now_us
         self.flow_table.replace_salt_if_due(now_us)
         self._last_order += 1
-        estimate_us = self._work.estimate_us(work_us)
+        estimate_us = self._accounting.estimate_us(work_us)
         tenant_queue = self.flow_table.tenant_queue(tenant)
         flow, is_timely_retry = self.flow_table.match_flow(
             tenant_queue, client, estimate_us, now_us, is_retry
@@ -141,9 +142,9 @@
             order=self._last_order,
             client=client,
             profile=profile,
-            key=key if self._profiles[profile].ordered else 0,
-            size=size,
-            expires_us=timeout_at_us - EXPIRY_MARGIN_US,
+            ordering_key=ordering_key if self._profiles[profile].ordered else 0,
+            size_bytes=size_bytes,
+            expires_at_us=timeout_at_us - EXPIRY_MARGIN_US,
             tenant_queue=tenant_queue,
             flow=flow,
             work_us=estimate_us * flow.estimate_bias,
@@ -152,13 +153,13 @@
         late_us = 0
         if not is_timely_retry:
             late_us = lateness_us(command, wait_us, self._profiles[profile], self.settings, now_us)
-        if now_us >= command.expires_us or late_us or self._is_full(flow, size):
+        if now_us >= command.expires_at_us or late_us or self._is_full(flow, size_bytes):
             return [self._reject_new(command, wait_us, late_us, is_retry)]
         self._accept(command, is_timely_retry)
         return []
 
     def take_ready(self, now_us: int) -> list[Forward]:
-        """Return what the decision module has room for now. Must be called after every event."""
+        """Forward the commands that the decision module has room for. Must be called after every event."""
         self._now_us = now_us
         decisions = []
         tenants = self.flow_table.fair_queue
@@ -167,76 +168,82 @@
             if command is None:
                 tenants.park(child)
                 continue
-            self._work.charge(command, command.work_us)
-            self._move(command, FORWARDED)
+            self._accounting.charge(command, command.work_us)
+            self._change_state(command, FORWARDED)
             decisions.append(Forward(command.number))
             self._forwarded_count_changed(command.tenant_profile)
         return decisions
 
     def attempt_sent(self, number: int) -> None:
-        """Note that the decision module started an attempt of a command."""
+        """Record that the decision module started an attempt of a command."""
         command = self.commands.get(number)
         if command is not None and command.state is FORWARDED:
-            self._move(command, RUNNING)
+            self._change_state(command, RUNNING)
 
     def attempt_ended(self, now_us: int, number: int, cost_us: int, may_have_run: bool) -> None:
-        """Note that an attempt ended; the command may be queued there again. cost_us: 0: not stated."""
+        """Record that an attempt ended, after which the decision module may queue the command again.
+
+        cost_us: work that the answer stated, 0: not stated; may_have_run: an engine may have run the attempt.
+        """
         self._now_us = now_us
         command = self.commands.get(number)
         if command is not None and command.state is RUNNING:
             command.cost_us += cost_us
             command.may_have_run = command.may_have_run or may_have_run
-            self._move(command, FORWARDED)
+            self._change_state(command, FORWARDED)
 
     def command_ended(self, now_us: int, number: int) -> None:
-        """Forget a command that is answered and has no open attempt; correct what it was charged."""
+        """Remove a command that has been answered and has no open attempt, and correct its charged work."""
         self._now_us = now_us
         command = self.commands.get(number)
         if command is None:
             return
         was_forwarded = not command.is_waiting
-        self._move(command, ENDED)
+        self._change_state(command, ENDED)
         if was_forwarded:
-            self._work.settle(command)
+            self._accounting.settle(command)
         self.flow_table.forget_idle(now_us)
 
     def is_queued(self, number: int) -> bool:
-        """Whether a command still waits here, unknown to the decision module."""
+        """Whether a command is blocked or queued, unknown to the decision module."""
         command = self.commands.get(number)
         return command is not None and command.is_waiting
 
     def expire(self, now_us: int) -> list[Reject]:
-        """Reject what still waits shortly before its client timeout. Must be called periodically."""
+        """Reject commands that still wait shortly before their timeouts. Must be called periodically."""
         self._now_us = now_us
         decisions = []
-        while self._expiries and self._expiries[0].expires_us <= now_us:
+        while self._expiries and self._expiries[0].expires_at_us <= now_us:
             command = heappop(self._expiries).command
             if command.is_waiting:
                 retry_after_us = self._retry_after_us(command, expected_wait_us(command, now_us), now_us)
-                self._move(command, ENDED)
+                self._change_state(command, ENDED)
                 decisions.append(Reject(command.number, retry_after_us))
         self.flow_table.replace_salt_if_due(now_us)
         self.flow_table.forget_idle(now_us)
         return decisions
 
     def reject_batch(self, now_us: int, max_count: int) -> list[Reject]:
-        """Reject up to max_count waiting commands without a Retry-After time, at shutdown."""
+        """Reject up to max_count waiting commands, without a Retry-After time since the gateway shuts down.
+
+        Returns an empty list once no command waits.
+        """
         self._now_us = now_us
         waiting = (command for command in self.commands.values() if command.is_waiting)
         rejected = list(islice(waiting, max_count))
         for command in rejected:
-            self._move(command, ENDED)
+            self._change_state(command, ENDED)
         return [Reject(command.number, 0) for command in rejected]
 
     def retry_after_us(self, now_us: int, number: int) -> int:
-        """Return the Retry-After time for a command that the decision module shed; 0: none can be given."""
+        """Return the Retry-After time (us) of a command that the decision module shed; 0: none."""
         command = self.commands.get(number)
         if command is None:
             return 0
         return self._retry_after_us(command, expected_wait_us(command, now_us), now_us)
 
     def set_weights(self, tenant_weights: Sequence[float], client_weights: Mapping[str, float]) -> None:
-        """Set new weights, also for flows that are backlogged; what was used stays used."""
+        """Set new weights, also for backlogged flows; work charged under the old weights stays charged."""
         self.flow_table.set_weights(tenant_weights, client_weights)
 
     # State
@@ -244,18 +251,20 @@
     def _accept(self, command: QueuedCommand, goes_first: bool) -> None:
         self.commands[command.number] = command
         self.queued_count += 1
-        self.queued_bytes += command.size
+        self.queued_bytes += command.size_bytes
         self._remember_expiry(command)
         command.flow.blocked_count += 1
-        if command.key:
-            line = self.commands_by_key.setdefault(KeyLine(command.profile, command.key), deque())
-            line.append(command)
-            if line[0] is not command:
+        if command.ordering_key:
+            same_key_commands = self.commands_by_key.setdefault(
+                ProfileKey(command.profile, command.ordering_key), deque()
+            )
+            same_key_commands.append(command)
+            if same_key_commands[0] is not command:
                 return
         self._enqueue(command, goes_first)
 
-    def _move(self, command: QueuedCommand, new_state: CommandState) -> None:
-        """Change a command's state, and the counts that depend on it."""
+    def _change_state(self, command: QueuedCommand, new_state: CommandState) -> None:
+        """Change a command's state, the counts that depend on it, and its place in the queues."""
         old_state = command.state
         assert new_state in NEXT_STATES[old_state], f"command {command.number}: {old_state} to {new_state}"
         was_waiting = command.is_waiting
@@ -268,8 +277,8 @@
             self._dequeue(command, is_forwarded=new_state is FORWARDED)
         if was_waiting:
             self.queued_count -= 1
-            self.queued_bytes -= command.size
-            if command.key:
+            self.queued_bytes -= command.size_bytes
+            if command.ordering_key:
                 self._unblock_next(command)
         tenant_profile = command.tenant_profile
         if new_state is FORWARDED:
@@ -281,7 +290,7 @@
             del self.commands[command.number]
 
     def _enqueue(self, command: QueuedCommand, goes_first: bool) -> None:
-        self._move(command, QUEUED)
+        self._change_state(command, QUEUED)
         tenant_queue = command.tenant_queue
         can_forward = self._can_forward(tenant_queue.tenant, command.profile)
         tenant_queue.add(self._now_us, command, goes_first, can_forward)
@@ -298,14 +307,16 @@
             self.flow_table.fair_queue.leave(tenant_queue.child)
 
     def _unblock_next(self, command: QueuedCommand) -> None:
-        """Queue the next command of an ordering key, once the earlier one waits no more."""
-        key_line = KeyLine(command.profile, command.key)
-        line = self.commands_by_key[key_line]
-        line.remove(command)
-        if not line:
-            del self.commands_by_key[key_line]
-        elif line[0].state is BLOCKED:
-            self._enqueue(line[0], goes_first=True)  # it has waited, and goes before later arrivals
+        """Queue the next command of an ordering key when the earlier one no longer waits."""
+        profile_key = ProfileKey(command.profile, command.ordering_key)
+        same_key_commands = self.commands_by_key[profile_key]
+        same_key_commands.remove(command)
+        if not same_key_commands:
+            del self.commands_by_key[profile_key]
+        elif same_key_commands[0].state is BLOCKED:
+            self._enqueue(
+                same_key_commands[0], goes_first=True
+            )  # it has waited already: it goes before later arrivals
 
     def _count_forwarded(self, tenant_profile: TenantProfile, change: int) -> None:
         self.forwarded_count += change
@@ -316,14 +327,14 @@
             del self.forwarded_by_tenant_profile[tenant_profile]
 
     def _can_forward(self, tenant: int, profile: int) -> bool:
-        """Whether the decision module has room for more of this tenant's profile."""
+        """Whether one more command of a tenant and profile may be forwarded."""
         return (
             self.forwarded_by_tenant_profile.get((tenant, profile), 0)
             < self.settings.max_forwarded_per_tenant_profile
         )
 
     def _forwarded_count_changed(self, tenant_profile: TenantProfile) -> None:
-        """Let the parked flow whose turn it is be picked again, if such commands may be forwarded now."""
+        """Unpark the flow that is next for a tenant and profile, if their commands may be forwarded now."""
         if not self._can_forward(*tenant_profile):
             return
         tenant_queue = self.flow_table.tenants.get(tenant_profile.tenant)
@@ -336,21 +347,23 @@
             self.flow_table.fair_queue.unpark(tenant_queue.child)
 
     def _remember_expiry(self, command: QueuedCommand) -> None:
-        heappush(self._expiries, ExpiryRow(command.expires_us, command.order, command))
-        # Guards against a heap full of commands that were forwarded long ago.
+        heappush(self._expiries, ExpiryRow(command.expires_at_us, command.order, command))
+        # Rows of forwarded or ended commands are removed, so that the heap stays bounded.
         if len(self._expiries) > 2 * self.queued_count + STALE_EXPIRIES_ALLOWED:
             self._expiries = [row for row in self._expiries if row.command.is_waiting]
             heapify(self._expiries)
 
     # Rejections
 
-    def _is_full(self, flow: Flow, size: int) -> bool:
-        """Whether the queue is full, or the flow has its part of the free places."""
-        free_places = self.settings.max_queued - self.queued_count
-        if free_places <= 0 or self.queued_bytes + size > self.settings.max_queued_bytes:
+    def _is_full(self, flow: Flow, size_bytes: int) -> bool:
+        """Whether the queue is full, or the flow already has its share of the free capacity."""
+        free_capacity = self.settings.max_queued - self.queued_count
+        if free_capacity <= 0 or self.queued_bytes + size_bytes > self.settings.max_queued_bytes:
             return True
         client_count = len(flow.client_counts) if flow.client_counts else 1
-        return flow.queued_count >= max(MIN_PLACES_OF_FLOW, FREE_PART_OF_FLOW * free_places * client_count)
+        return flow.queued_count >= max(
+            MIN_QUEUED_PER_FLOW, MAX_FREE_SHARE_PER_FLOW * free_capacity * client_count
+        )
 
     def _reject_new(self, command: QueuedCommand, wait_us: float, late_us: int, is_retry: bool) -> Reject:
         retry_after_us = self._retry_after_us(command, wait_us, self._now_us, is_retry)
@@ -361,7 +374,7 @@
     def _retry_after_us(
         self, command: QueuedCommand, wait_us: float, now_us: int, is_retry: bool = False
     ) -> int:
-        """Return the Retry-After time by the backlog and the drain rate; 0: none can be given."""
+        """Return the Retry-After time (us), from the backlog and the drain rate; 0: none can be given."""
         if not self.settings.retry_after.is_offered:
             return 0
         rate = service_rate(command, now_us)
--- a/gullhold/admission/queued_command.py
+++ b/gullhold/admission/queued_command.py
@@ -1,4 +1,4 @@
-"""One command at the admission queue, from its arrival to its end."""
+"""A command and its states at the admission queue, from its arrival to its end."""
 
 from enum import IntEnum
 from typing import TYPE_CHECKING, NamedTuple
@@ -11,14 +11,14 @@
 class CommandState(IntEnum):
     """Where a command is between its arrival and its end."""
 
-    BLOCKED = 0  # behind an earlier command of its ordering key
+    BLOCKED = 0  # waits for an earlier command of its profile and ordering key
     QUEUED = 1  # in its flow's queue
-    FORWARDED = 2  # with the decision module, no attempt is open
-    RUNNING = 3  # an attempt is open
-    ENDED = 4
+    FORWARDED = 2  # passed to the decision module, without an open attempt
+    RUNNING = 3  # with an open attempt
+    ENDED = 4  # rejected, answered or withdrawn, without an open attempt
 
 
-# Python 3.11 calls a function at each access to a member through its class: too slow for inner loops.
+# Access to an enum member through its class costs a function call in Python 3.11: too slow for inner loops.
 BLOCKED = CommandState.BLOCKED
 QUEUED = CommandState.QUEUED
 FORWARDED = CommandState.FORWARDED
@@ -35,28 +35,28 @@
 
 
 class TenantProfile(NamedTuple):
-    """The commands of one profile of one tenant."""
+    """A tenant and a profile, by index: the forwarded commands of such a pair are limited."""
 
     tenant: int
     profile: int
 
 
 class QueuedCommand:
-    """One command; its state is changed only by the AdmissionQueue."""
+    """A command in the admission queue; only AdmissionQueue changes its state."""
 
     __slots__ = (
         "charged_us",
         "client",
         "cost_us",
-        "expires_us",
+        "expires_at_us",
         "flow",
-        "key",
+        "ordering_key",
         "tenant_profile",
         "may_have_run",
         "number",
         "order",
         "profile",
-        "size",
+        "size_bytes",
         "state",
         "tenant_queue",
         "work_us",
@@ -68,30 +68,32 @@
         order: int,
         client: bytes,
         profile: int,
-        key: int,
-        size: int,
-        expires_us: int,
+        ordering_key: int,
+        size_bytes: int,
+        expires_at_us: int,
         tenant_queue: "TenantQueue",
         flow: "Flow",
         work_us: float,
     ) -> None:
         self.number = number
-        self.order = order  # of arrival
+        self.order = order  # serial number by arrival
         self.client = client
         self.profile = profile
-        self.key = key  # ordering key; 0: none
-        self.size = size  # bytes
-        self.expires_us = expires_us  # when it is answered, if it still waits
+        self.ordering_key = ordering_key  # 0: none
+        self.size_bytes = size_bytes
+        self.expires_at_us = (
+            expires_at_us  # rejected then if it still waits; shortly before its client timeout
+        )
         self.tenant_queue = tenant_queue
         self.flow = flow
         self.tenant_profile = TenantProfile(tenant_queue.tenant, profile)
-        self.work_us = work_us  # estimated
-        self.charged_us = 0.0
-        self.cost_us = 0  # that answers stated
-        self.may_have_run = False
+        self.work_us = work_us  # estimated work on one core
+        self.charged_us = 0.0  # work charged to its tenant and flow so far
+        self.cost_us = 0  # work that its attempts' answers stated
+        self.may_have_run = False  # whether an attempt may have run at an engine
         self.state = BLOCKED
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the command still waits here, unknown to the decision module."""
+        """Whether the command is blocked or queued, unknown to the decision module."""
         return self.state <= QUEUED
--- a/gullhold/admission/rejection_table.py
+++ b/gullhold/admission/rejection_table.py
@@ -1,18 +1,19 @@
-"""Flows whose new commands are known to be rejected for a moment."""
+"""Clients whose new commands are known to be rejected for the next milliseconds."""
 
 from gullhold.admission.queued_command import QueuedCommand
 from gullhold.admission_interface import KnownRejection, RejectedFlow
 
-MAX_REJECTION_US = 50_000  # longest time of an entry: little of any latency objective
+MAX_REJECTION_US = 50_000  # longest validity of an entry: a small part of any latency objective
 
 
 class RejectionTable:
-    """Known rejections by flow, at most max_entries of them.
+    """Known rejections by tenant, client and profile, at most max_entries of them.
 
-    Until a flow's queue has drained by a rejected command's lateness, its new commands would be rejected
-    alike. Reader threads look here first, which relieves the core's thread of clients that retry at once.
+    After a rejection a client's new commands would be rejected too, until its flow's queue has drained by
+    as much as the rejected command would have been late. Reader threads look here first, so that clients that
+    retry at once do not load the core's thread.
 
-    entries is read by other threads: an entry is replaced as one object, never changed.
+    Other threads read `entries`: an entry is replaced as a whole, never modified.
     """
 
     def __init__(self, max_entries: int) -> None:
@@ -20,7 +21,10 @@
         self._max_entries = max_entries
 
     def record(self, command: QueuedCommand, now_us: int, late_us: int) -> None:
-        """Record a rejection without a Retry-After time; late_us: by how much it would be too late."""
+        """Record a rejection without a Retry-After time; late_us: by how much the command would be late.
+
+        A full table drops expired entries; if it stays full, nothing is recorded.
+        """
         if len(self.entries) >= self._max_entries:
             self.entries = {
                 flow: rejection for flow, rejection in self.entries.items() if rejection.until_us > now_us
--- a/gullhold/admission/retry_after.py
+++ b/gullhold/admission/retry_after.py
@@ -1,4 +1,4 @@
-"""When clients whose commands were rejected may retry (Retry-After), and who retried in time; bounded."""
+"""Retry windows (Retry-After) for clients whose commands were rejected, in bounded number."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,23 +8,26 @@
 
 
 class RetryWindow(NamedTuple):
-    """The time in which one client may retry (us)."""
+    """The time span in which one client may retry."""
 
     begin_us: int
     end_us: int
 
 
 class FlowRetries:
-    """The retry windows that were given out in one flow, in order; each is used once."""
+    """The retry windows given to clients of one flow, by begin; each is used once.
+
+    A window is not bound to a client: any retry in the flow that comes inside it uses it up.
+    """
 
     __slots__ = ("next_begin_us", "windows")
 
     def __init__(self) -> None:
         self.windows: deque[RetryWindow] = deque()
-        self.next_begin_us = 0  # no window of this flow begins earlier from now on
+        self.next_begin_us = 0  # earliest begin of the flow's next window
 
     def expire(self, now_us: int) -> int:
-        """Forget the windows that are over; return how many."""
+        """Forget the windows that have ended; return their number."""
         count = 0
         while self.windows and self.windows[0].end_us < now_us:
             self.windows.popleft()
@@ -32,23 +35,23 @@
         return count
 
     def use(self, now_us: int) -> bool:
-        """Whether a window is open now; it is then used up."""
+        """Whether the first window has begun; it is then used up."""
         if self.windows and self.windows[0].begin_us <= now_us:
             self.windows.popleft()
             return True
         return False
 
     def count_within(self, now_us: int, span_us: float) -> int:
-        """Count the windows that begin within a span from now; an open one may never be used."""
+        """Count the windows that begin within a span from now; one that has begun may never be used."""
         return sum(now_us < window.begin_us <= now_us + span_us for window in self.windows)
 
     def first_begin_us(self) -> int | None:
-        """Return when the first window begins; None: there is none."""
+        """Return the begin of the first window; None: there is none."""
         return self.windows[0].begin_us if self.windows else None
 
 
 class RetryScheduler:
-    """Gives out retry windows, as many as the share of service reserved for retries allows.
+    """Gives out retry windows, as many as the share of service reserved for retries can serve.
 
     draw_fraction: returns a random number from 0 to 1.
     """
@@ -59,11 +62,11 @@
         self.window_count = 0  # over all flows
 
     def expire(self, retries: FlowRetries, now_us: int) -> None:
-        """Forget the windows of a flow that are over."""
+        """Forget the windows of a flow that have ended."""
         self.window_count -= retries.expire(now_us)
 
     def use_window(self, retries: FlowRetries, now_us: int) -> bool:
-        """Whether a client that retries now does so inside a window, which is then used up."""
+        """Whether a retry that arrives now is inside a window of the flow, which is then used up."""
         self.expire(retries, now_us)
         if not retries.use(now_us):
             return False
@@ -71,10 +74,11 @@
         return True
 
     def schedule(self, retries: FlowRetries, now_us: int, wait_us: float, gap_us: float) -> int:
-        """Return the Retry-After time in us, or 0 where none can be given.
+        """Give out a window and return its Retry-After time (us); 0: the limits allow none.
 
-        wait_us: until what is queued has been forwarded; gap_us: what one more command takes of the service
-        reserved for retries. Each window stands behind the one before it, so clients don't return together.
+        wait_us: until the queued commands of the flow have been forwarded; gap_us: the time for which one
+        retry uses the service reserved for retries. Windows begin at least that far apart, so that clients do
+        not return all at once.
         """
         settings = self._settings
         self.expire(retries, now_us)
@@ -93,7 +97,10 @@
         return retry_after_us
 
     def repeat(self, retries: FlowRetries, now_us: int) -> int:
-        """Return a time inside the windows given out, for a client that retried too early."""
+        """Return a Retry-After time within the windows given out, for a client that retried too early.
+
+        Such a client gets no new window, so that early retries do not delay the other clients.
+        """
         first_us = retries.windows[0].begin_us
         last_us = retries.windows[-1].begin_us
         return max(1, int(first_us - now_us + (last_us - first_us) * self._draw_fraction()))
--- a/gullhold/admission/settings.py
+++ b/gullhold/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the admission queue in the code's terms, translated from the operator's record."""
+"""Settings of the admission queue, translated from the operator file's names."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -11,14 +11,14 @@
 class RetryAfterSettings:
     """How clients of rejected commands are asked to retry."""
 
-    is_offered: bool  # the shed reply has a field for it
-    min_us: int
-    max_us: int
-    spread: float  # part of the wait over which clients are spread
-    grace_us: int  # after a window, in which a retry still counts as in time
+    is_offered: bool  # the operator file names a field of the shed reply for it
+    min_us: int  # shortest wait before a window
+    max_us: int  # longest Retry-After time
+    spread: float  # random addition to a Retry-After time, at most this part of it
+    grace_us: int  # time after the latest Retry-After time in which a retry is still inside its window
     max_windows_per_flow: int
-    max_windows: int
-    reserved_share: float  # of a flow's service, for retries in time
+    max_windows: int  # over all flows
+    reserved_share: float  # of a flow's service, for retries inside their windows
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,19 +26,19 @@
     """Limits and rules of the admission queue."""
 
     max_queued: int  # commands
-    max_queued_bytes: int
-    max_forwarded: int  # commands that the decision module may hold
-    max_forwarded_per_tenant_profile: int  # the same of one profile of one tenant
-    max_exact_flows: int  # flows of one client each
-    shared_flows: int  # shared flows of a tenant's other clients
-    salt_interval_us: int  # after which clients are distributed anew over shared flows
-    patience: float  # wait, in latency objectives, over which new commands are rejected
-    client_weights: dict[str, float]
+    max_queued_bytes: int  # memory of the queued commands
+    max_forwarded: int  # commands with the decision module that have no open attempt
+    max_forwarded_per_tenant_profile: int  # of these, of one tenant and profile
+    max_exact_flows: int  # flows of a single heavy client each
+    shared_flows: int  # flows of a tenant that its other clients share
+    salt_interval_us: int  # between redistributions of clients over shared flows
+    patience: float  # expected wait, in latency objectives, above which new commands are rejected
+    client_weights: dict[str, float]  # by name; other clients have weight 1
     retry_after: RetryAfterSettings
 
     @classmethod
     def from_record(cls, record: "DoorRecord", max_retry_after_us: int) -> "AdmissionSettings":
-        """Translate the operator's record; max_retry_after_us: of the agreement, 0: not stated."""
+        """Translate the operator file's record; max_retry_after_us: the agreement's limit, 0: not stated."""
         retry = record.come_back
         max_us = min(retry.most, max_retry_after_us) if max_retry_after_us else retry.most
         return cls(
--- a/gullhold/admission/tenant_queue.py
+++ b/gullhold/admission/tenant_queue.py
@@ -1,4 +1,4 @@
-"""The flows of one tenant and the fair choice among them."""
+"""The flows of one tenant, and the fair choice among them."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 
 
 class ParkedRow(NamedTuple):
-    """Row of a heap of parked flows, by the time of their turns; a parking is of one flow."""
+    """Row of a heap of parked flows, ordered by due time; serials are unique, so flows are not compared."""
 
-    due: float
-    parking: int
+    due: float  # virtual time, FairQueue.due()
+    parking_serial: int
     flow: Flow
 
 
 class TenantQueue:
     """A tenant's flows: exact ones for heavy clients, shared ones for the rest.
 
-    tenant: index in the agreement; tenants: the fair queue of all tenants, weight: the tenant's in it;
-    min_quantum: of the choice among flows, in work.
+    tenant: index in the agreement; weight: of the tenant in the fair queue of all tenants; tenants: that
+    queue; min_quantum: of the fair queue of the flows, in us of work.
     """
 
     def __init__(
@@ -32,36 +32,36 @@
         self.tenant = tenant
         self.child: Child[TenantQueue] = tenants.add(self, weight)
         self.fair_queue: FairQueue[Flow] = FairQueue(min_quantum)
-        self.flows: OrderedDict[bytes | SharedFlowKey, Flow] = OrderedDict()  # the longest unused first
+        self.flows: OrderedDict[bytes | SharedFlowKey, Flow] = OrderedDict()  # least recently used first
         self.queued_count = 0
-        self._parked: dict[int, list[ParkedRow]] = {}  # heaps by profile
-        self._last_parking = 0
+        self._parked: dict[int, list[ParkedRow]] = {}  # a heap for each profile, with stale rows
+        self._last_parking_serial = 0
         self._drain_rates: dict[int, DrainRate] = {}  # by profile
 
     def flow(self, key: bytes | SharedFlowKey, weight: float) -> Flow:
-        """Return the flow of a key, made if need be."""
+        """Return the flow of a key; creates it if there is none."""
         flow = self.flows.get(key)
         if flow is None:
             flow = self.flows[key] = Flow(key, weight, self.fair_queue)
         return flow
 
     def has(self, flow: Flow) -> bool:
-        """Whether a flow was not forgotten."""
+        """Whether the tenant still holds this flow: it has not been forgotten."""
         return self.flows.get(flow.key) is flow
 
     def forget(self, flow: Flow) -> None:
-        """Forget an idle flow, with what it owes."""
+        """Forget an idle flow, and by how much it is ahead of its share."""
         assert flow.child.state is IDLE
         del self.flows[flow.key]
 
     def drain_rate(self, profile: int, now_us: int) -> DrainRate:
-        """Return how fast the tenant's commands of a profile are forwarded."""
+        """Return the drain rate of the tenant's commands of a profile; creates it if there is none."""
         if profile not in self._drain_rates:
             self._drain_rates[profile] = DrainRate(now_us)
         return self._drain_rates[profile]
 
     def add(self, now_us: int, command: QueuedCommand, goes_first: bool, can_forward: bool) -> None:
-        """Queue a command in its flow; can_forward: its profile may be forwarded now."""
+        """Queue a command in its flow; can_forward: commands of its profile may be forwarded now."""
         flow = command.flow
         is_only = flow.add(command, goes_first)
         self.queued_count += 1
@@ -74,7 +74,7 @@
             self._add_parked_row(flow, command.profile)
 
     def remove(self, now_us: int, command: QueuedCommand, is_forwarded: bool) -> None:
-        """Remove a command from its flow, wherever it stands."""
+        """Remove a command from its flow; is_forwarded: it was forwarded, not rejected or withdrawn."""
         flow = command.flow
         flow.remove(command)
         self.queued_count -= 1
@@ -84,9 +84,10 @@
             self.fair_queue.leave(flow.child)
 
     def next_command(self, can_forward: Callable[[int, int], bool]) -> QueuedCommand | None:
-        """Return the command whose turn it is among open profiles, or None.
+        """Return the command to forward next, or None.
 
-        can_forward: whether commands of a tenant and a profile may be forwarded. Flows with none are parked.
+        can_forward: tells whether commands of a tenant and profile may be forwarded now. A flow that has no
+        such commands is parked when its turn comes.
         """
         while (child := self.fair_queue.pick()) is not None:
             flow = child.owner
@@ -97,7 +98,7 @@
         return None
 
     def unpark_first(self, profile: int) -> None:
-        """Commands of a profile may be forwarded: the parked flow whose turn is first may be picked again."""
+        """Unpark the flow that is due first among those parked with commands of a profile."""
         heap = self._parked.get(profile)
         while heap:
             row = heappop(heap)
@@ -109,20 +110,20 @@
 
     def _park(self, flow: Flow) -> None:
         self.fair_queue.park(flow.child)
-        self._last_parking += 1
-        flow.parking = self._last_parking
+        self._last_parking_serial += 1
+        flow.parking_serial = self._last_parking_serial
         for profile in flow.profiles:
             self._add_parked_row(flow, profile)
 
     def _add_parked_row(self, flow: Flow, profile: int) -> None:
-        """Remember a parked flow for the time when a profile opens."""
+        """Add a parked flow to the heap of a profile, from which unpark_first() takes it."""
         heap = self._parked.setdefault(profile, [])
-        heappush(heap, ParkedRow(self.fair_queue.due(flow.child), flow.parking, flow))
+        heappush(heap, ParkedRow(self.fair_queue.due(flow.child), flow.parking_serial, flow))
         if len(heap) > 2 * len(self.flows) + STALE_ROWS_ALLOWED:
             heap[:] = [row for row in heap if self._is_current(row)]
             heapify(heap)
 
     def _is_current(self, row: ParkedRow) -> bool:
-        """Whether a row is of its flow's last parking; older rows have an outdated turn."""
+        """Whether a row is of its flow's present parking; earlier rows have outdated due times."""
         flow = row.flow
-        return flow.parking == row.parking and self.has(flow) and flow.child.state is PARKED
+        return flow.parking_serial == row.parking_serial and self.has(flow) and flow.child.state is PARKED
--- a/gullhold/admission/wait_estimate.py
+++ b/gullhold/admission/wait_estimate.py
@@ -1,4 +1,4 @@
-"""How long a new command would wait, and by how much that would be too long."""
+"""Estimates how long a new command would wait, and by how much that is too long."""
 
 from gullhold.admission.queued_command import QueuedCommand
 from gullhold.admission.settings import AdmissionSettings
@@ -6,9 +6,9 @@
 
 
 def service_rate(command: QueuedCommand, now_us: int) -> float:
-    """Return the work in a us that a command's flow gets of its profile while backlogged; 0: not known.
+    """Return the work (us) per us that a command's backlogged flow is served of the profile; 0: not known.
 
-    From the drain rate of all that the tenant has of the profile, and the flow's share of the tenant.
+    It is the drain rate of the tenant's commands of the profile times the flow's share of the tenant.
     """
     tenant_queue = command.tenant_queue
     drain_rate = tenant_queue.drain_rate(command.profile, now_us).rate(now_us)
@@ -16,7 +16,7 @@
 
 
 def expected_wait_us(command: QueuedCommand, now_us: int) -> float:
-    """Return the time until a new command would be forwarded; 0: the rate is not known or none waits."""
+    """Return the time until a new command would be forwarded; 0: rate not known, or no command waits."""
     rate = service_rate(command, now_us)
     backlog_us = command.flow.backlog_us(command.profile)
     if not rate or not backlog_us:
@@ -27,12 +27,15 @@
 def lateness_us(
     command: QueuedCommand, wait_us: float, profile: Profile, settings: AdmissionSettings, now_us: int
 ) -> int:
-    """Return by how much a new command would wait too long, with timely retries let in before it; 0: not."""
+    """Return by how much a new command would wait too long; 0: it would not.
+
+    Retries due within the allowed wait count as queued before it, up to the service reserved for retries.
+    """
     if not wait_us:
         return 0
     flow = command.flow
     target_us = profile.target_us + profile.target_stretch * command.work_us / profile.threads
-    allowed_us = min(settings.patience * target_us, command.expires_us - now_us)
+    allowed_us = min(settings.patience * target_us, command.expires_at_us - now_us)
     wait_per_command_us = wait_us * command.work_us / (flow.backlog_us(command.profile) + command.work_us)
     retries_us = flow.retries.count_within(now_us, allowed_us) * wait_per_command_us
     reserved_us = settings.retry_after.reserved_share * allowed_us
--- a/tests/admission_world.py
+++ b/tests/admission_world.py
@@ -50,7 +50,7 @@
     client: bytes
     tenant: int
     profile_index: int
-    key: int
+    ordering_key: int
     work: int
     timeout_at: int
     stage: Stage = Stage.QUEUED
@@ -108,7 +108,7 @@
         client: bytes = b"c:a",
         tenant: int = 0,
         profile_index: int = 0,
-        key: int = 0,
+        ordering_key: int = 0,
         work: int = 50 * MS,
         estimate_factor: float = 1.0,
         timeout_us: int = 4 * SECOND,
@@ -118,7 +118,7 @@
         self.last_id += 1
         ident = self.last_id
         timeout_at = self.now + timeout_us
-        self.open_commands[ident] = OpenCommand(client, tenant, profile_index, key, work, timeout_at)
+        self.open_commands[ident] = OpenCommand(client, tenant, profile_index, ordering_key, work, timeout_at)
         self.clients[ident] = client
         estimate = int(work * estimate_factor)
         self.carry_out(
@@ -128,7 +128,7 @@
                 tenant,
                 client,
                 profile_index,
-                key,
+                ordering_key,
                 estimate,
                 COMMAND_BYTES,
                 timeout_at,
@@ -151,13 +151,13 @@
 
     def _forward(self, ident: int) -> None:
         command = self.open_commands[ident]
-        if self.ordered[command.profile_index] and command.key:
+        if self.ordered[command.profile_index] and command.ordering_key:
             earlier = [
                 other
                 for other, row in self.open_commands.items()
                 if other < ident
                 and row.stage is Stage.QUEUED
-                and (row.profile_index, row.key) == (command.profile_index, command.key)
+                and (row.profile_index, row.ordering_key) == (command.profile_index, command.ordering_key)
             ]
             assert not earlier, "out of order"
         command.stage = Stage.FORWARDED
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -92,8 +92,8 @@
 def test_keyed_commands_of_several_clients_keep_their_order():
     world = World(weights=(1.0,), ordered=(True, False), slots=1)
     for i in range(12):  # checked where they are handed on
-        world.submit(b"c:%d" % (i % 4), key=7)
-        world.submit(b"c:%d" % (i % 4), key=0)
+        world.submit(b"c:%d" % (i % 4), ordering_key=7)
+        world.submit(b"c:%d" % (i % 4), ordering_key=0)
     world.wait(10 * SECOND)
     assert not world.open_commands
 
--- a/tests/test_sketch.py
+++ b/tests/test_sketch.py
@@ -8,14 +8,16 @@
 
 def test_names_built_to_collide_under_one_salt_part_under_the_next():
     sketch = Sketch(b"0" * 16)
-    names, at = [], sketch.places(b"victim", sketch.salt)[0] % 128
+    names, victim_bucket = [], sketch.counter_indexes(b"victim", sketch.salt)[0] % 128
     for i in range(20_000):
-        if sketch.places(b"%d" % i, sketch.salt)[0] % 128 == at:
+        if sketch.counter_indexes(b"%d" % i, sketch.salt)[0] % 128 == victim_bucket:
             names.append(b"%d" % i)
     assert len(names) > 100
     sketch.replace_salt(b"1" * 16)
-    places = Counter(sketch.places(name, sketch.salt)[0] % 128 for name in [b"victim", *names])
-    assert places.most_common(1)[0][1] < len(names) / 8
+    bucket_counts = Counter(
+        sketch.counter_indexes(name, sketch.salt)[0] % 128 for name in [b"victim", *names]
+    )
+    assert bucket_counts.most_common(1)[0][1] < len(names) / 8
 
 
 def test_a_sketch_never_counts_too_little_and_tells_the_heavy_apart():
