--- a/tests/admission_world.py
+++ b/tests/admission_world.py
@@ -1,4 +1,4 @@
-"""An admission queue between simulated clients and simulated decisions, checked after each step.
+"""An admission queue between simulated clients and a simulated decision module, checked after each step.
 
 Times are in microseconds.
 """
@@ -18,17 +18,17 @@
 
 MS = 1000
 SECOND = 1_000_000
-EXPIRY_INTERVAL_US = 20 * MS  # between two looks for expired commands
+EXPIRY_INTERVAL_US = 20 * MS  # between two calls of expire()
 COMMAND_BYTES = 100
 
 
 def door_record(text: str = "") -> records.DoorRecord:
-    """The admission queue's settings, from the text of an operator file."""
+    """The admission queue's record, from the text of an operator file that is appended to a minimal one."""
     return records.read('door: {on: true, come_back: field: "retry_ms"}\n' + text, "test.cue").door
 
 
 class Stage(Enum):
-    """Where an open command is: in the queue, forwarded to the decisions, or running at an engine."""
+    """Where an open command is: in the queue, forwarded to the decision module, or running at an engine."""
 
     QUEUED = auto()
     FORWARDED = auto()
@@ -45,7 +45,7 @@
 
 @dataclass
 class OpenCommand:
-    """A command without an answer; work: how long it really runs."""
+    """A command that is not answered yet; work: time for which it really runs."""
 
     client: bytes
     tenant: int
@@ -57,23 +57,25 @@
 
 
 class Running(NamedTuple):
-    """An attempt at an engine."""
+    """An open attempt at an engine."""
 
     ends_at: int
     command: int
 
 
 class TimedResult(NamedTuple):
-    """A result of the queue and when it came."""
+    """A result of the queue, and its time."""
 
     at: int
     result: Forward | Reject
 
 
 class World:
-    """Clients, an admission queue and decisions that send as many commands at once as there are slots.
+    """Clients, an admission queue, and a decision module with `slots` attempts open at once.
 
-    It keeps records of its own, and compares the queue with them after each step if checked is true.
+    It keeps records of its own, and compares the queue with them after each step if `checked` is true.
+    text: more of the operator file; weights: of the tenants; ordered: for each profile, whether commands with
+    an ordering key must keep their order.
     """
 
     def __init__(
@@ -85,20 +87,20 @@
         seed: int = 1,
         checked: bool = True,
     ) -> None:
-        self.rule = door_record(text)
+        self.record = door_record(text)
         self.slots = slots
         self.checked = checked
         self.ordered = ordered
         self.now = SECOND
         self.queue = AdmissionQueue(
-            seed, self.rule, weights, [profile(ordered=each) for each in ordered], 0, self.now
+            seed, self.record, weights, [profile(ordered=each) for each in ordered], 0, self.now
         )
         self.last_id = 0
         self.open_commands: dict[int, OpenCommand] = {}
-        self.forwarded: list[int] = []  # ids, in order
+        self.forwarded: list[int] = []  # command ids, in order
         self.running: list[Running] = []
         self.ends: dict[int, CommandEnd] = {}
-        self.clients: dict[int, bytes] = {}  # by command id, also of those that ended
+        self.clients: dict[int, bytes] = {}  # by command id, also of ended commands
         self.retry_after_us: dict[int, int] = {}  # of rejected commands
         self.work_done: Counter[bytes] = Counter()  # by client
         self.results: list[TimedResult] = []
@@ -114,7 +116,7 @@
         timeout_us: int = 4 * SECOND,
         is_retry: bool = False,
     ) -> int:
-        """A command arrives; returns its id. estimate_factor: its estimate in terms of its work."""
+        """Submit a new command; return its id. estimate_factor: its stated estimate divided by its work."""
         self.last_id += 1
         ident = self.last_id
         timeout_at = self.now + timeout_us
@@ -139,10 +141,10 @@
         return ident
 
     def carry_out(self, results: Iterable[Forward | Reject]) -> None:
-        """Check each result against the queue's promises, then carry it out."""
+        """Check each result against the queue's guarantees, then carry it out."""
         for result in results:
             self.results.append(TimedResult(self.now, result))
-            assert self.open_commands[result.command].stage is Stage.QUEUED, "decided twice"
+            assert self.open_commands[result.command].stage is Stage.QUEUED, "second result for a command"
             if isinstance(result, Forward):
                 self._forward(result.command)
             else:
@@ -159,17 +161,19 @@
                 and row.stage is Stage.QUEUED
                 and (row.profile_index, row.ordering_key) == (command.profile_index, command.ordering_key)
             ]
-            assert not earlier, "out of order"
+            assert not earlier, "forwarded before an earlier command of its key"
         command.stage = Stage.FORWARDED
         self.forwarded.append(ident)
         rows = [self.open_commands[other] for other in self.forwarded]
         tenant_profile = (command.tenant, command.profile_index)
-        assert sum((row.tenant, row.profile_index) == tenant_profile for row in rows) <= self.rule.window
-        assert len(self.forwarded) <= self.rule.held
+        assert sum((row.tenant, row.profile_index) == tenant_profile for row in rows) <= self.record.window
+        assert len(self.forwarded) <= self.record.held
 
     def _reject(self, rejection: Reject) -> None:
-        assert self.now <= self.open_commands[rejection.command].timeout_at, "too late"
-        assert rejection.retry_after_us <= self.rule.come_back.most
+        assert self.now <= self.open_commands[rejection.command].timeout_at, (
+            "rejected after its client timeout"
+        )
+        assert rejection.retry_after_us <= self.record.come_back.most
         self.retry_after_us[rejection.command] = rejection.retry_after_us
         self._end(rejection.command, CommandEnd.REJECTED)
 
@@ -178,7 +182,7 @@
         del self.open_commands[ident]
 
     def forward_all(self) -> None:
-        """The decisions send what they have slots for, and the queue forwards, until nothing changes."""
+        """Start attempts while slots are free, and let the queue forward, until nothing changes."""
         while True:
             while self.forwarded and len(self.running) < self.slots:
                 ident = self.forwarded.pop(0)
@@ -193,7 +197,7 @@
         self.check()
 
     def wait(self, span_us: int) -> None:
-        """Time passes: attempts end and are answered, and the queue expires what is due."""
+        """Let time pass: attempts end and are answered, and the queue expires commands."""
         until = self.now + span_us
         while True:
             expiry_at = (self.now // EXPIRY_INTERVAL_US + 1) * EXPIRY_INTERVAL_US
@@ -217,7 +221,7 @@
         self._end(attempt.command, CommandEnd.ANSWERED)
 
     def client_left(self, ident: int) -> None:
-        """The client of a command leaves, at whatever stage the command is."""
+        """Let the client of a command leave, at any stage of the command."""
         stage = self.open_commands[ident].stage
         self.running = [attempt for attempt in self.running if attempt.command != ident]
         self.forwarded = [other for other in self.forwarded if other != ident]
@@ -228,12 +232,12 @@
         self.forward_all()
 
     def check(self) -> None:
-        """Compare the queue's counts and bounds with the records of this world."""
-        if not self.checked:  # long runs
+        """Compare the queue's counts and bounds with the records kept here."""
+        if not self.checked:  # off in long runs, where it takes too long
             return
         queue = self.queue
         queued = [command for command in self.open_commands.values() if command.stage is Stage.QUEUED]
-        assert queue.queued_count == len(queued) <= self.rule.waiting
+        assert queue.queued_count == len(queued) <= self.record.waiting
         assert set(queue.commands) == set(self.open_commands)
         assert queue.forwarded_count == len(self.forwarded)
         assert queue.queued_bytes == COMMAND_BYTES * len(queued)
@@ -243,7 +247,7 @@
         blocked_count = sum(command.state is CommandState.BLOCKED for command in queue.commands.values())
         assert sum(flow.queued_count for flow in flows) + blocked_count == len(queued)
         exact_count = sum(flow.is_exact for flow in flows)
-        assert exact_count == queue.flow_table.exact_flow_count <= self.rule.exact
+        assert exact_count == queue.flow_table.exact_flow_count <= self.record.exact
         if not self.open_commands:
             assert not queue.commands_by_key
             assert not queue.forwarded_by_tenant_profile
@@ -251,7 +255,7 @@
 
 
 def keep_open(world: World, span_us: int, **clients: int) -> None:
-    """A closed loop: each client keeps so many commands open. The work of the first second does not count."""
+    """Keep as many commands open for each client as it has in `clients`; work_done omits the first second."""
     until, is_counting = world.now + span_us, False
     while world.now < until:
         if not is_counting and world.now > until - span_us + SECOND:
--- a/tests/test_admission_fairness.py
+++ b/tests/test_admission_fairness.py
@@ -1,4 +1,4 @@
-"""Fair shares of clients and tenants in the admission queue, however many requests each has open."""
+"""Fair shares of clients and tenants in the admission queue, however many commands each has open."""
 
 from collections import Counter
 
@@ -9,9 +9,9 @@
 
 
 def test_a_client_gets_its_share_however_many_a_crowding_one_has_open():
-    for many in (40, 400):
-        world = World(weights=(1.0,), checked=many == 40)
-        keep_open(world, 6 * SECOND, polite=12, crowding=many)
+    for open_count in (40, 400):
+        world = World(weights=(1.0,), checked=open_count == 40)
+        keep_open(world, 6 * SECOND, polite=12, crowding=open_count)
         assert abs(world.work_done[b"polite"] / world.work_done.total() - 0.5) <= 0.05
 
 
@@ -24,45 +24,47 @@
     assert abs(world.work_done[b"c:two"] / world.work_done.total() - 0.9) <= 0.05
 
 
-def test_estimates_that_lie_tenfold_either_way_gain_and_lose_nothing():
+def test_shares_stay_even_when_estimates_are_wrong_by_a_factor_of_ten():
     world = World(weights=(1.0,), slots=8, checked=False)
-    says = {b"low": 0.1, b"true": 1.0, b"high": 10.0}
+    estimate_factors = {b"low": 0.1, b"true": 1.0, b"high": 10.0}
     until = world.now + 12 * SECOND
     while world.now < until:
-        have = Counter(cmd.client for cmd in world.open_commands.values())
-        for name, lie in says.items():
-            for _ in range(20 - have[name]):
-                world.submit(name, estimate_factor=lie)
+        open_counts = Counter(command.client for command in world.open_commands.values())
+        for name, factor in estimate_factors.items():
+            for _ in range(20 - open_counts[name]):
+                world.submit(name, estimate_factor=factor)
         world.wait(10 * MS)
         if world.now < until - 8 * SECOND:
             world.work_done.clear()
-    shares = [world.work_done[name] / world.work_done.total() for name in says]
+    shares = [world.work_done[name] / world.work_done.total() for name in estimate_factors]
     assert max(shares) - min(shares) <= 0.07, shares
 
 
-def test_names_made_up_at_full_speed_fill_no_table_and_push_out_nobody():
+def test_tables_stay_bounded_and_a_steady_client_is_served_when_others_make_up_names():
     world = World("door: {exact: 16, shared: 8}", weights=(1.0,))
-    until, made = world.now + 8 * SECOND, 0
+    until, made_up_count = world.now + 8 * SECOND, 0
     while world.now < until:
-        have = sum(cmd.client == b"c:desk" for cmd in world.open_commands.values())
-        for _ in range(4 - have):
+        open_count = sum(command.client == b"c:desk" for command in world.open_commands.values())
+        for _ in range(4 - open_count):
             world.submit(b"c:desk", timeout_us=2 * SECOND)
-        for _ in range(5):  # 500 names a second at 80 commands a second
-            made += 1
-            world.submit(b"c:made up %d" % made, timeout_us=2 * SECOND)
+        for _ in range(5):  # 500 new names a second, where 80 commands a second can run
+            made_up_count += 1
+            world.submit(b"c:made up %d" % made_up_count, timeout_us=2 * SECOND)
         world.wait(10 * MS)
         (queues,) = world.queue.flow_table.tenants.values()
         assert len(queues.flows) <= 16 + 2 * 8 + 16
         rows = queues.fair_queue.ahead + queues.fair_queue.eligible
         children = [row.child for row in rows] + [flow.child for flow in queues.flows.values()]
-        assert len({id(child) for child in children}) <= 64, "children that are held, also by stale rows"
+        assert len({id(child) for child in children}) <= 64, (
+            "children that are referenced, also by stale rows"
+        )
     assert world.queue.flow_table.exact_flow_count <= 2
     assert world.work_done[b"c:desk"] >= 0.08 * world.work_done.total(), (
-        "as much as one of the eight shared queues"
+        "less than one of the eight shared flows"
     )
 
 
-def test_a_flow_idle_for_an_hour_returns_with_a_burst_and_gets_its_share_only():
+def test_a_client_gets_only_its_share_when_it_returns_with_a_burst_after_idling():
     world = World(weights=(1.0,), checked=False)
     keep_open(world, 2 * SECOND, away=10, steady=10)
     keep_open(world, 20 * SECOND, steady=10)
@@ -71,27 +73,30 @@
     assert abs(world.work_done[b"away"] / world.work_done.total() - 0.5) <= 0.06
 
 
-def test_a_flow_parked_again_and_again_does_not_take_the_turn_of_one_that_asks_rarely():
-    """Each parking once counted: the crowding client was brought back before all others (p50 1.6 s)."""
+def test_a_flow_that_is_parked_repeatedly_does_not_delay_one_that_sends_rarely():
+    """Guards against rows of earlier parkings that unpark a flow.
+
+    The flow with many commands then went before all others (median wait 1.6 s).
+    """
     world = World("door: window: 1", weights=(1.0,), slots=8, checked=False)
     waits, until = [], world.now + 6 * SECOND
-    asked, next_at = {}, world.now + SECOND
+    sent_at, next_at = {}, world.now + SECOND
     while world.now < until:
-        have = sum(cmd.client == b"c:crowd" for cmd in world.open_commands.values())
-        for _ in range(160 - have):
+        open_count = sum(command.client == b"c:crowd" for command in world.open_commands.values())
+        for _ in range(160 - open_count):
             world.submit(b"c:crowd")
         if next_at <= world.now:
             next_at += 125 * MS
-            asked[world.submit(b"c:polite")] = world.now
+            sent_at[world.submit(b"c:polite")] = world.now
         world.wait(2 * MS)
-        waits += [world.now - asked.pop(ident) for ident in list(asked) if ident in world.ends]
+        waits += [world.now - sent_at.pop(ident) for ident in list(sent_at) if ident in world.ends]
     assert len(waits) > 30
     assert sorted(waits)[int(0.95 * len(waits))] <= 110 * MS
 
 
-def test_one_client_on_a_thousand_connections_is_one_client():
-    made = door_record('door: client: field: "desk"').client
-    identifier = ClientIdentifier(made, ["a"])
+def test_a_client_gets_one_share_when_it_uses_a_thousand_connections():
+    client_rule = door_record('door: client: field: "desk"').client
+    identifier = ClientIdentifier(client_rule, ["a"])
     names = {
         identifier.client_name({b"desk": b"many"}, None, "10.0.0.1", f"10.0.0.1:{port}")
         for port in range(1000)
@@ -102,12 +107,12 @@
     assert abs(world.work_done[b"c:one"] / world.work_done.total() - 0.5) <= 0.05
 
 
-@pytest.mark.parametrize("each, flows", [("address", 1), ("connection", 1000)])
-def test_a_thousand_clients_behind_one_address_are_told_apart_only_if_the_operator_says_so(each, flows):
-    made = door_record(f'door: client: networks: [{{net: "10.0.0.0/8", name: "nat", each: "{each}"}}]')
-    identifier = ClientIdentifier(made.client, ["a"])
+@pytest.mark.parametrize("each, client_count", [("address", 1), ("connection", 1000)])
+def test_clients_behind_one_address_are_told_apart_only_when_the_rule_is_by_connection(each, client_count):
+    record = door_record(f'door: client: networks: [{{net: "10.0.0.0/8", name: "nat", each: "{each}"}}]')
+    identifier = ClientIdentifier(record.client, ["a"])
     names = [identifier.client_name({}, None, "10.0.0.1", f"10.0.0.1:{port}") for port in range(1000)]
-    assert len(set(names)) == flows
+    assert len(set(names)) == client_count
     world = World("door: {exact: 64, shared: 16}", weights=(1.0,), slots=16, checked=False)
     for i in range(4000):
         world.submit(names[i % 1000], work=20 * MS)
@@ -121,17 +126,17 @@
 
 
 def test_a_tenant_whose_clients_retry_at_once_twice_takes_nothing_from_another():
-    """Two tenants of equal share: one's clients come back at once, twice, with no wait."""
+    """Two tenants of equal share; rejected commands of one are retried at once, up to twice."""
     world = World(weights=(0.5, 0.5), slots=4, checked=False)
-    until, tries = world.now + 8 * SECOND, {}
+    until, retry_counts = world.now + 8 * SECOND, {}
     while world.now < until:
-        for tenant, many in ((0, 12), (1, 60)):
-            have = sum(cmd.tenant == tenant for cmd in world.open_commands.values())
-            for _ in range(many - have):
-                tries[world.submit(b"c:%d" % tenant, tenant)] = 0
-        for ident in [ident for ident in tries if world.ends.get(ident) == CommandEnd.REJECTED]:
-            count = tries.pop(ident)
+        for tenant, target in ((0, 12), (1, 60)):
+            open_count = sum(command.tenant == tenant for command in world.open_commands.values())
+            for _ in range(target - open_count):
+                retry_counts[world.submit(b"c:%d" % tenant, tenant)] = 0
+        for ident in [ident for ident in retry_counts if world.ends.get(ident) == CommandEnd.REJECTED]:
+            count = retry_counts.pop(ident)
             if world.clients[ident] == b"c:1" and count < 2:
-                tries[world.submit(b"c:1", 1, is_retry=True)] = count + 1
+                retry_counts[world.submit(b"c:1", 1, is_retry=True)] = count + 1
         world.wait(10 * MS)
     assert abs(world.work_done[b"c:0"] / world.work_done.total() - 0.5) <= 0.05
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""The admission queue alone: order, deadlines, bounds and known rejections."""
+"""The admission queue with simulated time: order, expiry, bounds and known rejections."""
 
 from admission_world import MS, SECOND, CommandEnd, Stage, World, keep_open
 from hypothesis import given, settings
@@ -40,7 +40,7 @@
     assert len(world.ends) == world.last_id
 
 
-def test_thousands_of_tenants_that_send_once_leave_nothing_behind():
+def test_tables_stay_small_when_thousands_of_tenants_send_one_command_each():
     world = World(weights=[1.0] * 5000, slots=8)
     for tenant in range(5000):
         world.queue.submit(
@@ -54,24 +54,24 @@
             world.queue.command_ended(world.now, ident)
         world.now += 100
         assert len(world.queue.flow_table.tenants) < 600
-        assert len(world.queue.forwarded_by_tenant_profile) <= world.rule.held
-    assert world.queue.flow_table.exact_flow_count <= 2, "one-off clients took queues of their own"
+        assert len(world.queue.forwarded_by_tenant_profile) <= world.record.held
+    assert world.queue.flow_table.exact_flow_count <= 2, "clients with one command got exact flows"
 
 
-def test_what_is_due_here_is_answered_in_time_by_a_shed():
+def test_waiting_commands_are_shed_shortly_before_their_client_timeout():
     world = World(weights=(1.0,), slots=1)
-    first = [world.submit(work=SECOND, timeout_us=3 * SECOND) for _ in range(8)]
+    submitted = [world.submit(work=SECOND, timeout_us=3 * SECOND) for _ in range(8)]
     world.wait(8 * SECOND)
-    assert set(first) <= set(world.ends)
+    assert set(submitted) <= set(world.ends)
     assert CommandEnd.REJECTED in world.ends.values()
     at = [at for at, decision in world.results if isinstance(decision, Reject)]
-    assert all(SECOND + 2900 * MS <= when <= 4 * SECOND for when in at)
+    assert all(SECOND + 2900 * MS <= rejected_at <= 4 * SECOND for rejected_at in at)
 
 
-def test_a_client_that_leaves_takes_its_commands_along():
+def test_the_queue_is_empty_when_all_clients_have_left():
     world = World(weights=(1.0,), slots=1)
-    many = [world.submit(b"c:%d" % (i % 3)) for i in range(30)]
-    for ident in reversed(many):
+    submitted = [world.submit(b"c:%d" % (i % 3)) for i in range(30)]
+    for ident in reversed(submitted):
         if ident in world.open_commands:
             world.client_left(ident)
     assert not world.queue.commands
@@ -80,8 +80,8 @@
     assert world.queue.flow_table.fair_queue.backlogged_count == 0
 
 
-def test_one_profile_that_can_not_go_does_not_hold_up_another():
-    """The decisions had no use for more loads: the client's lookups behind them are still forwarded."""
+def test_a_profile_at_its_forwarding_limit_does_not_block_another():
+    """A client's lookups are forwarded although its loads, queued before them, have reached the limit."""
     world = World(weights=(1.0,), slots=0)
     for _ in range(10):
         world.submit(profile_index=0)
@@ -89,33 +89,36 @@
     assert world.open_commands[ident].stage is Stage.FORWARDED
 
 
-def test_keyed_commands_of_several_clients_keep_their_order():
+def test_commands_with_one_ordering_key_keep_their_order_across_clients():
     world = World(weights=(1.0,), ordered=(True, False), slots=1)
-    for i in range(12):  # checked where they are handed on
+    for i in range(12):  # World checks the order when they are forwarded
         world.submit(b"c:%d" % (i % 4), ordering_key=7)
         world.submit(b"c:%d" % (i % 4), ordering_key=0)
     world.wait(10 * SECOND)
     assert not world.open_commands
 
 
-def test_what_is_shut_is_only_what_would_be_turned_away_with_no_word_and_only_shortly():
+def test_known_rejections_are_short_and_bounded_and_only_for_flows_without_a_retry_after_time():
     world = World("door: come_back: each: 1", weights=(1.0,), slots=1)
     keep_open(world, 3 * SECOND, **{"c:a": 60})
     assert set(world.queue.known_rejections) == {(0, b"c:a", 0)}
-    until, first = world.queue.known_rejections[0, b"c:a", 0]
+    until, first_retry_at = world.queue.known_rejections[0, b"c:a", 0]
     assert until <= world.now + 50 * MS
-    assert first is None or first > 0
-    for i in range(3000):  # bounded whatever the names
+    assert first_retry_at is None or first_retry_at > 0
+    for i in range(3000):  # more names than fit
         command = next(iter(world.queue.commands.values()))
         command.client = b"%d" % i
         world.queue.rejections.record(command, world.now, 1000)
-    assert len(world.queue.known_rejections) <= 2 * world.rule.exact
+    assert len(world.queue.known_rejections) <= 2 * world.record.exact
 
 
-def test_light_traffic_is_no_slow_drain_and_loads_before_it_hold_up_no_lookup():
-    """The drain was measured over all time and profiles counted as one line: lookups were turned away."""
+def test_no_command_is_rejected_under_light_load_of_two_profiles():
+    """Guards against a drain rate that is measured also while nothing waits, or over all profiles together.
+
+    With such a rate lookups were rejected here.
+    """
     world = World(weights=(1.0,), slots=8, checked=False)
-    for i in range(200):  # ten a second where 160 can be done, now and then four together
+    for i in range(200):  # 10 to 40 lookups a second, where 160 can run
         for _ in range(4 if i % 5 == 0 else 1):
             world.submit(work=50 * MS)
         if i % 4 == 0:
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -1,4 +1,4 @@
-"""The admission queue of a gateway on loopback sockets."""
+"""The admission queue in a gateway that serves on loopback sockets."""
 
 import time
 from threading import Thread
@@ -19,30 +19,30 @@
 
 @pytest.fixture
 def start(tmp_path):
-    """Starts a gateway with an admission queue and some engines; all of it ends with the test."""
-    made, engines = [], []
+    """A function that starts a gateway with an admission queue; gateways and engines end with the test."""
+    gateways, engines = [], []
 
     def make(*parts, more="", tenants=(), cores=2, **other):
-        rule = records.read(ADMISSION_RULES + more, "test.cue").door
-        told = config(*parts, **other)
-        adjust_settings(told["settings"], tenants, cores)
-        made.append(Gateway(tmp_path, told, door_record=rule))
+        record = records.read(ADMISSION_RULES + more, "test.cue").door
+        configuration = config(*parts, **other)
+        adjust_settings(configuration["settings"], tenants, cores)
+        gateways.append(Gateway(tmp_path, configuration, door_record=record))
         engines.extend(parts)
-        return made[-1], Caller(made[-1].address)
+        return gateways[-1], Caller(gateways[-1].address)
 
     yield make
-    for gateway in made:
+    for gateway in gateways:
         gateway.end()
-        door = gateway.core.admission_queue
-        assert not door.commands
-        assert not door.queued_count
-        assert not door.forwarded_count
-        assert not door.commands_by_key
+        queue = gateway.core.admission_queue
+        assert not queue.commands
+        assert not queue.queued_count
+        assert not queue.forwarded_count
+        assert not queue.commands_by_key
     for engine in engines:
         engine.close()
 
 
-def test_what_waits_at_the_door_is_unknown_to_the_module_and_answered_in_time(start):
+def test_queued_commands_are_unknown_to_the_decision_module_and_shed_in_time(start):
     gateway, client = start(Engine(endless), more="door: patience: 100")
     for _ in range(30):
         client.ask(limit=600, client=b"one")
@@ -56,13 +56,13 @@
         len(gateway.core.gateway.commands)
         <= 4 * 2 * 16 + gateway.core.admission_queue.settings.max_forwarded_per_tenant_profile
     )
-    began = time.monotonic()
+    began_s = time.monotonic()
     answers = [client.answer()[1] for _ in range(30)]
     assert set(answers) == {"shed"}
-    assert time.monotonic() - began < 0.7
+    assert time.monotonic() - began_s < 0.7
 
 
-def test_a_client_that_leaves_or_takes_back_frees_the_door(start):
+def test_the_queue_is_empty_after_clients_interrupt_or_disconnect(start):
     gateway, client = start(Engine(endless), more="door: patience: 100")
     other = Caller(gateway.address)
     seqs = [client.ask(client=b"one") for _ in range(30)]
@@ -75,7 +75,7 @@
     until(lambda: not gateway.core.requests.by_number)
 
 
-def test_an_engine_that_drains_gets_nothing_of_what_waits(start):
+def test_queued_commands_go_to_another_engine_when_one_drains(start):
     engine, later = WorkingEngine(slots=1), Engine()
     gateway, client = start(engine, cores=1, more="door: patience: 100")
     for _ in range(20):
@@ -93,7 +93,7 @@
     later.close()
 
 
-def test_unknown_tenants_share_in_the_part_of_others_or_are_refused(start):
+def test_unknown_tenants_use_the_share_of_the_fallback_tenant_or_are_refused(start):
     tenants = (("a", 0.7), ("rest", 0.3))
     _, client = start(Engine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}')
     client.ask(team=b"never heard of")
@@ -106,31 +106,31 @@
 
 def test_inside_one_tenant_a_crowding_client_takes_no_more_than_its_share():
     with RunningDeployment(operator=ADMISSION_RULES, tenants=(("one", 1.0),), memory_mb=192) as running:
-        made = [
+        clients = [
             load_client.LoadClient(running.address, "one", "polite", open=16).start(),
             load_client.LoadClient(running.address, "one", "crowding", open=160, connections=8).start(),
         ]
         time.sleep(1.5)
-        for client in made:
+        for client in clients:
             client.reset_counts()
         time.sleep(3)
-        counts = [client.counts.answered for client in made]
-        for client in made:
+        counts = [client.counts.answered for client in clients]
+        for client in clients:
             client.stop()
-        for client in made:
+        for client in clients:
             client.join()
         assert abs(counts[0] / sum(counts) - 0.5) <= 0.1, counts
-        assert made[1].counts.retry_after_received > 0
-        assert not made[0].counts.unanswered + made[1].counts.unanswered
+        assert clients[1].counts.retry_after_received > 0
+        assert not clients[0].counts.unanswered + clients[1].counts.unanswered
 
 
-def test_at_sigterm_ten_thousand_wait_and_clients_go_on_asking_it_ends_in_time():
-    """Without an end to what it takes, a gateway had not ended 10 s after SIGTERM."""
+def test_gateway_ends_in_time_at_sigterm_when_ten_thousand_commands_wait_and_more_arrive():
+    """Guards against a gateway that goes on accepting commands: it had not ended 10 s after SIGTERM."""
     more = "door: {patience: 1000, waiting: 30000}"
     with RunningDeployment(
         operator=ADMISSION_RULES + more, slots=0, timeout_s=8.0, max_open=30000
     ) as running:
-        made = [
+        clients = [
             load_client.LoadClient(
                 running.address,
                 "",
@@ -142,25 +142,26 @@
             ).start()
             for i in range(32)
         ]
-        deadline = time.monotonic() + 8
+        deadline_s = time.monotonic() + 8
         while (
-            sum(c.counts.attempts - c.counts.answered - c.counts.shed - c.counts.failed for c in made) < 9_900
+            sum(c.counts.attempts - c.counts.answered - c.counts.shed - c.counts.failed for c in clients)
+            < 9_900
         ):
-            assert time.monotonic() < deadline
+            assert time.monotonic() < deadline_s
             time.sleep(0.05)
-        began = time.monotonic()
+        began_s = time.monotonic()
         running.process.terminate()
         waiter = Thread(target=running.process.wait, args=(10,))
         waiter.start()
         waiter.join(10)
-        took = time.monotonic() - began
-        for client in made:
+        took_s = time.monotonic() - began_s
+        for client in clients:
             client.stop()
-        for client in made:
+        for client in clients:
             client.join()
-        assert running.process.returncode == 0, took
-        assert took < 3.7, took
+        assert running.process.returncode == 0, took_s
+        assert took_s < 3.7, took_s
         assert "overdue" not in running.log_text()
         assert "internal_faults" not in running.log_text()
-        # Each command that was taken is answered; what crossed the end was never taken.
-        assert sum(client.counts.shed for client in made) > 9_000
+        # Each accepted command is answered; commands that arrived during the shutdown were not accepted.
+        assert sum(client.counts.shed for client in clients) > 9_000
--- a/tests/test_admission_retry_after.py
+++ b/tests/test_admission_retry_after.py
@@ -1,4 +1,4 @@
-"""Retry-After of the admission queue: clients that wait for it and clients that retry at once."""
+"""Retry-After times of the admission queue: clients that wait for them, and clients that retry at once."""
 
 import random
 from typing import NamedTuple
@@ -16,15 +16,18 @@
 
 
 class Overload(NamedTuple):
-    """What became of the retries of a run: the part that was answered, and how many there were."""
+    """Results of a run: the fraction of its retries that was answered, and their number."""
 
-    answered_part: float
+    answered_fraction: float
     retry_count: int
     world: World
 
 
 def overload(waits_for_retry_after: bool, seed: int) -> Overload:
-    """Twenty seconds of twice the load that the slots can do; rejected commands are retried up to twice."""
+    """Run 20 s at twice the load that the slots can serve; rejected commands are retried up to twice.
+
+    Retries wait for the Retry-After time, or else follow the rejection at once.
+    """
     world = World("door: patience: 0.9", weights=(1.0,), seed=seed, checked=False)
     draw, next_at = random.Random(seed), world.now
     due_retries: list[DueRetry] = []
@@ -32,7 +35,7 @@
     attempts_by_id: dict[int, int] = {}
     until = world.now + 20 * SECOND
     while world.now < until:
-        while next_at <= world.now:  # 160 commands a second, from twenty clients, at four slots of 50 ms
+        while next_at <= world.now:  # 160 commands a second from 20 clients; four slots serve 80
             next_at += int(draw.expovariate(160 / SECOND))
             attempts_by_id[world.submit(b"c:%d" % draw.randrange(20), timeout_us=2 * SECOND)] = 1
         for retry in [retry for retry in due_retries if retry.due_at <= world.now]:
@@ -51,31 +54,31 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_those_who_come_back_when_told_mostly_succeed_those_at_once_do_not(seed):
-    told, many, world = overload(True, seed)
-    assert many > 50, (told, many)
-    assert told >= 0.9, (told, many)
-    assert world.queue.retry_scheduler.window_count <= world.rule.come_back.all
-    at_once, others, _ = overload(False, seed)
-    assert others > many
-    assert at_once < told
+def test_retries_mostly_succeed_after_the_retry_after_time_but_less_often_at_once(seed):
+    waited, count, world = overload(True, seed)
+    assert count > 50, (waited, count)
+    assert waited >= 0.9, (waited, count)
+    assert world.queue.retry_scheduler.window_count <= world.record.come_back.all
+    at_once, at_once_count, _ = overload(False, seed)
+    assert at_once_count > count
+    assert at_once < waited
 
 
-def test_one_who_comes_back_too_early_gains_nothing_and_pushes_nobody_back():
+def test_early_retries_get_rejected_and_leave_the_retry_windows_unchanged():
     world = World("door: patience: 0.5", weights=(1.0,), slots=1)
     keep_open(world, 3 * SECOND, a=60)
-    refused = [
+    rejected = [
         ident
-        for ident, how in world.ends.items()
-        if how == CommandEnd.REJECTED and world.retry_after_us[ident]
+        for ident, end in world.ends.items()
+        if end == CommandEnd.REJECTED and world.retry_after_us[ident]
     ]
-    assert refused
-    book = next(iter(world.queue.flow_table.tenants.values())).flows[b"a"].retries
-    while world.queue.retry_scheduler.use_window(book, world.now):  # those that are due by now
+    assert rejected
+    retries = next(iter(world.queue.flow_table.tenants.values())).flows[b"a"].retries
+    while world.queue.retry_scheduler.use_window(retries, world.now):  # the windows that have begun
         pass
-    before = list(book.windows), book.next_begin_us
-    early = world.last_id
+    before = list(retries.windows), retries.next_begin_us
+    last_id_before = world.last_id
     for _ in range(20):
         world.submit(b"a", is_retry=True)
-        assert (list(book.windows), book.next_begin_us) == before
-    assert CommandEnd.REJECTED in [how for ident, how in world.ends.items() if ident > early]
+        assert (list(retries.windows), retries.next_begin_us) == before
+    assert CommandEnd.REJECTED in [end for ident, end in world.ends.items() if ident > last_id_before]
--- a/tests/test_sketch.py
+++ b/tests/test_sketch.py
@@ -1,4 +1,4 @@
-"""The sketch that counts clients without a row for each."""
+"""The sketch that estimates the work of clients without a counter for each."""
 
 import random
 from collections import Counter
@@ -6,7 +6,7 @@
 from gullhold.admission.sketch import Sketch
 
 
-def test_names_built_to_collide_under_one_salt_part_under_the_next():
+def test_names_that_collide_under_one_salt_spread_under_the_next():
     sketch = Sketch(b"0" * 16)
     names, victim_bucket = [], sketch.counter_indexes(b"victim", sketch.salt)[0] % 128
     for i in range(20_000):
@@ -20,15 +20,15 @@
     assert bucket_counts.most_common(1)[0][1] < len(names) / 8
 
 
-def test_a_sketch_never_counts_too_little_and_tells_the_heavy_apart():
+def test_estimates_are_never_too_low_and_those_of_light_names_stay_small():
     sketch, draw = Sketch(b"x" * 16), random.Random(5)
-    true = Counter()
+    true_work = Counter()
     for _ in range(20_000):
         name = b"%d" % min(int(draw.paretovariate(1.0)), 50_000)
-        true[name] += 1
-        known = sketch.add(name, 1.0)
-        assert known >= true[name] - 1
-    heavy = [name for name, count in true.items() if count > 200]
-    light = [name for name, count in true.items() if count < 3]
+        true_work[name] += 1
+        estimate = sketch.add(name, 1.0)
+        assert estimate >= true_work[name] - 1
+    heavy = [name for name, count in true_work.items() if count > 200]
+    light = [name for name, count in true_work.items() if count < 3]
     assert all(sketch.add(name, 0.0) < 60 for name in light)
     assert len(heavy) > 5
