--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The fair queue alone: shares, lag, weights, corrections."""
+"""The fair queue: shares, lag, weights, corrections of charged work, parking."""
 
 import random
 
@@ -49,10 +49,10 @@
             assert lag <= largest + max(largest, QUANTUM) + 1e-6, (other, lag)
 
 
-class LagPlay:
-    """Children that come and leave; worst: the most that one lagged, by the bound for so many children.
+class LagSimulation:
+    """Children that join and leave a fair queue; worst: the largest lag so far, divided by the bound.
 
-    bound(largest): of the lag, for the largest command so far.
+    bound(largest): the bound on the lag, where `largest` is the work of the largest command so far.
     """
 
     def __init__(self, weights, bound):
@@ -60,7 +60,7 @@
         self.children = [self.fair.add(number, weight) for number, weight in enumerate(weights)]
         self.bound = bound
         self.queued = {child: [] for child in self.children}
-        self.behind = {}  # ideal less real work since a child became backlogged
+        self.lags = {}  # of backlogged children: ideal less real work since they became so
         self.largest = 0.0
         self.worst = 0.0
 
@@ -70,83 +70,88 @@
         self.queued[child].append(work)
         if child.state == IDLE:
             self.fair.join(child)
-            self.behind[child] = 0.0
+            self.lags[child] = 0.0
 
     def pick(self):
-        """Take the command whose turn it is, if there is one."""
+        """Serve the next command, if there is one."""
         picked = self.fair.pick()
         if picked is None:
             return
         size = self.queued[picked].pop(0)
         self.largest = max(self.largest, size)
-        total = sum(child.weight for child in self.behind)
-        for child in self.behind:
-            self.behind[child] += size * child.weight / total
-        self.behind[picked] -= size
+        total = sum(child.weight for child in self.lags)
+        for child in self.lags:
+            self.lags[child] += size * child.weight / total
+        self.lags[picked] -= size
         self.fair.charge(picked, size)
         if not self.queued[picked]:
             self.fair.leave(picked)
-            del self.behind[picked]
-        self.worst = max(self.worst, max(self.behind.values(), default=0.0) / self.bound(self.largest))
+            del self.lags[picked]
+        self.worst = max(self.worst, max(self.lags.values(), default=0.0) / self.bound(self.largest))
 
 
 def one_command_and_one_quantum(largest):
-    """The bound that the listed property has, for six children."""
+    """The bound on lag that the test with generated steps checks, for six children."""
     return largest + max(largest, QUANTUM)
 
 
-def worst_of_seeded_play(seed):
-    """The worst lag of six children in a play that is drawn from a seed."""
+def worst_lag_of_seeded_run(seed):
+    """The largest lag of six children in a run drawn from a seed, divided by its bound."""
     draw = random.Random(seed)
-    play = LagPlay([draw.choice([0.5, 1.0, 1.0, 2.0, 5.0]) for _ in range(6)], one_command_and_one_quantum)
+    run = LagSimulation(
+        [draw.choice([0.5, 1.0, 1.0, 2.0, 5.0]) for _ in range(6)], one_command_and_one_quantum
+    )
     for _ in range(draw.randint(20, 300)):
         if draw.randint(0, 9) < 5:
-            play.submit(draw.randint(0, 5), draw.uniform(1.0, 40.0))
+            run.submit(draw.randint(0, 5), draw.uniform(1.0, 40.0))
         else:
-            play.pick()
-    return play.worst
+            run.pick()
+    return run.worst
 
 
-def test_in_seeded_plays_none_lags_by_more_than_one_largest_command_and_one_quantum():
-    """Guards against children that come and leave: what the others were owed moved with them."""
-    assert max(worst_of_seeded_play(seed) for seed in range(600)) <= 1.0
+def test_in_seeded_runs_no_child_lags_by_more_than_one_largest_command_and_one_quantum():
+    """Guards against children whose joining or leaving changes the lag of the others."""
+    assert max(worst_lag_of_seeded_run(seed) for seed in range(600)) <= 1.0
 
 
-def most_lag(count):
-    """The factor of the largest command by which one of so many children lags at most, proven in the note."""
+def lag_bound_factor(count):
+    """The proven bound on the lag of one of `count` children, divided by the largest command.
+
+    The proof is in docs/notes/admission-queue.md.
+    """
     harmonic = sum(1 / number for number in range(1, count))
     return 1 + harmonic + UNSERVED_PREFERENCE * harmonic
 
 
 @pytest.mark.parametrize("count", [2, 3, 6, 12, 40])
 def test_the_proven_bound_holds_where_each_child_leaves_after_its_turn(count):
-    """The worst for any rule: equal children of one command each, so that the last one is left behind."""
-    play = LagPlay([1.0] * count, lambda largest: max(largest, QUANTUM) * most_lag(count))
+    """The worst case of any scheduling rule: equal children of one command each; the last one lags most."""
+    run = LagSimulation([1.0] * count, lambda largest: max(largest, QUANTUM) * lag_bound_factor(count))
     for index in range(count):
-        play.submit(index, 40.0)
+        run.submit(index, 40.0)
     for _ in range(count):
-        play.pick()
+        run.pick()
     lag_of_any_rule = sum(1 / number for number in range(2, count + 1))
-    assert play.worst * most_lag(count) >= lag_of_any_rule - 1e-9
-    assert play.worst <= 1.0
+    assert run.worst * lag_bound_factor(count) >= lag_of_any_rule - 1e-9
+    assert run.worst <= 1.0
 
 
 @pytest.mark.parametrize("count", [2, 12, 40])
-def test_the_proven_bound_holds_in_plays_with_many_children(count):
+def test_the_proven_bound_holds_in_seeded_runs_with_up_to_forty_children(count):
     for seed in range(20):
         draw = random.Random(seed)
         weights = [draw.choice([0.5, 1.0, 1.0, 2.0, 5.0]) for _ in range(count)]
-        play = LagPlay(weights, lambda largest: max(largest, QUANTUM) * most_lag(count))
+        run = LagSimulation(weights, lambda largest: max(largest, QUANTUM) * lag_bound_factor(count))
         for _ in range(400):
             if draw.random() < 0.5:
-                play.submit(draw.randrange(count), draw.choice([1.0, 40.0, draw.uniform(1.0, 40.0)]))
+                run.submit(draw.randrange(count), draw.choice([1.0, 40.0, draw.uniform(1.0, 40.0)]))
             else:
-                play.pick()
-        assert play.worst <= 1.0, seed
+                run.pick()
+        assert run.worst <= 1.0, seed
 
 
-def played(fair, children, size, rounds):
-    """Pick and charge so often; the work done by each child. size: the work of one command of a child."""
+def served_work(fair, children, size, rounds):
+    """Pick and charge `rounds` commands; return the work of each child. size(child): work of its commands."""
     done = dict.fromkeys(children, 0.0)
     for _ in range(rounds):
         picked = fair.pick()
@@ -161,66 +166,66 @@
     big, small = fair.add(None, 1.0), fair.add(None, 1.0)
     fair.join(big)
     fair.join(small)
-    done = played(fair, (big, small), lambda child: 100.0 if child == big else 1.0, 2000)
+    done = served_work(fair, (big, small), lambda child: 100.0 if child == big else 1.0, 2000)
     assert abs(done[big] - done[small]) <= 100 + QUANTUM
 
 
-def test_what_an_estimate_left_out_is_charged_when_the_answer_tells():
-    """Estimates that lie tenfold either way: shares of real work are still even in the long run."""
+def test_shares_of_real_work_stay_even_when_wrong_estimates_are_corrected_by_answers():
+    """Estimates are wrong by a factor of ten in both directions, and corrected after up to eight commands."""
     fair, draw = FairQueue(QUANTUM), random.Random(3)
     low, high, true = (fair.add(None, 1.0) for _ in range(3))
-    said = {low: 1.0, high: 100.0, true: 10.0}
-    for child in said:
+    estimates = {low: 1.0, high: 100.0, true: 10.0}
+    for child in estimates:
         fair.join(child)
-    real, late = dict.fromkeys(said, 0.0), []
+    real, uncorrected = dict.fromkeys(estimates, 0.0), []
     for _ in range(6000):
         picked = fair.pick()
-        fair.charge(picked, said[picked])
+        fair.charge(picked, estimates[picked])
         real[picked] += 10.0
-        late.append(picked)
-        if len(late) > 8:  # eight are out at once
-            child = late.pop(draw.randrange(8))
-            fair.charge(child, 10.0 - said[child])
+        uncorrected.append(picked)
+        if len(uncorrected) > 8:  # eight commands run at once
+            child = uncorrected.pop(draw.randrange(8))
+            fair.charge(child, 10.0 - estimates[child])
     assert max(real.values()) - min(real.values()) < 0.02 * sum(real.values())
 
 
-def test_idleness_earns_no_credit_and_debts_are_kept():
+def test_idle_time_earns_no_credit_and_a_child_ahead_of_its_share_stays_ahead_when_it_rejoins():
     fair = FairQueue(QUANTUM)
     one, other = fair.add(None, 1.0), fair.add(None, 1.0)
     fair.join(one)
-    played(fair, (one,), lambda _: 10.0, 500)  # an hour alone
+    served_work(fair, (one,), lambda _: 10.0, 500)  # alone
     fair.join(other)
-    done = played(fair, (one, other), lambda _: 10.0, 100)
-    assert abs(done[one] - done[other]) <= 20  # no burst for the one that was away
-    fair.charge(one, 200.0)  # a command that needed far more than was said
+    done = served_work(fair, (one, other), lambda _: 10.0, 100)
+    assert abs(done[one] - done[other]) <= 20  # no burst for the one that was idle
+    fair.charge(one, 200.0)  # a command that needed far more than its estimate
     fair.leave(one)
-    assert not fair.can_be_forgotten(one)  # to be remembered: leaving and coming back must not clear it
+    assert not fair.can_be_forgotten(one)  # it must not be forgotten: leaving and rejoining must not clear it
     fair.join(one)
-    done = played(fair, (one, other), lambda _: 10.0, 10)
+    done = served_work(fair, (one, other), lambda _: 10.0, 10)
     assert done[one] == 0
 
 
-def test_weights_change_while_children_are_backlogged():
+def test_shares_follow_a_weight_that_changes_while_children_are_backlogged():
     fair = FairQueue(QUANTUM)
     children = [fair.add(None, 1.0) for _ in range(3)]
     for child in children:
         fair.join(child)
-    played(fair, children, lambda _: 10.0, 99)
+    served_work(fair, children, lambda _: 10.0, 99)
     fair.set_weight(children[0], 4.0)
-    done = played(fair, children, lambda _: 10.0, 600)
+    done = served_work(fair, children, lambda _: 10.0, 600)
     assert abs(done[children[0]] / done[children[1]] - 4) < 0.2
     assert fair.total_weight == 6.0
 
 
-def test_a_parked_child_keeps_its_turn():
+def test_a_parked_child_keeps_its_lag():
     fair = FairQueue(QUANTUM)
     one, other = fair.add(None, 1.0), fair.add(None, 1.0)
     fair.join(one)
     fair.join(other)
     fair.park(one)
     assert one.state == PARKED
-    played(fair, (one, other), lambda _: 10.0, 4)
+    served_work(fair, (one, other), lambda _: 10.0, 4)
     fair.unpark(one)
     assert one.state == READY
-    done = played(fair, (one, other), lambda _: 10.0, 3)
-    assert done[one] == 30  # what it missed, first
+    done = served_work(fair, (one, other), lambda _: 10.0, 3)
+    assert done[one] == 30  # it is served first what it missed
