--- a/gullhold/simulator_adapter/__init__.py
+++ b/gullhold/simulator_adapter/__init__.py
@@ -1,7 +1,7 @@
-"""The adapter through which the operators' simulator runs the decisions of many gateways over its own wire.
+"""Adapter through which the operators' simulator runs many gateways' decision modules over its protocol.
 
 wire      codes of records and layouts of their fields
-events    records of a batch, as typed events
-actions   results of a gateway, as records of a reply
-host      one gateway for each instance of the simulator
+events    decodes the records of a batch into typed events
+actions   encodes results of a gateway as records of a reply
+host      runs one gateway for each instance in the simulator
 """
--- a/gullhold/simulator_adapter/__main__.py
+++ b/gullhold/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input and writes one reply for each to standard output."""
+"""Reads batches of events from standard input, and writes a reply to each to standard output."""
 
 import struct
 import sys
@@ -9,21 +9,21 @@
 
 
 def main() -> None:
-    """Serve until the input ends; a malformed frame ends the process with a plain message."""
+    """Answer batches until the input ends; a malformed frame ends the process with a message and status 1."""
     batches = sys.stdin.buffer
     replies = sys.stdout.buffer
     host = Host()
     while length := batches.read(LENGTH.size):
         try:
             reply = host.reply(_read_body(batches, length))
-        except (struct.error, ValueError) as fault:
-            sys.exit(f"gullhold.simulator_adapter: malformed frame: {fault}")
+        except (struct.error, ValueError) as error:
+            sys.exit(f"gullhold.simulator_adapter: malformed frame: {error}")
         replies.write(reply)
         replies.flush()
 
 
 def _read_body(batches: BinaryIO, length: bytes) -> bytes:
-    """Read the rest of a frame. Raises ValueError or struct.error if it is too short."""
+    """Read the rest of a frame after its length. Raises ValueError or struct.error if it is too short."""
     (size,) = LENGTH.unpack(length)
     body = batches.read(size - LENGTH.size) if size >= BATCH_HEADER.size else b""
     if len(body) < BATCH_HEADER.size - LENGTH.size or len(body) < size - LENGTH.size:
--- a/gullhold/simulator_adapter/actions.py
+++ b/gullhold/simulator_adapter/actions.py
@@ -16,18 +16,18 @@
 from gullhold.simulator_adapter import wire
 from gullhold.simulator_adapter.wire import ActionCode
 
-MAX_TEXT_BYTES = 60_000  # of a text; its length field allows 65535
+MAX_TEXT_BYTES = 60_000  # longer texts are cut; the length field allows 65535
 
 
 def text_record(code: ActionCode, instance: int, text: str) -> bytes:
-    """Encode a log line (DEBUG) or the report of a fault (BUG)."""
+    """Encode a text as a record: code DEBUG for a log line, BUG for an exception in the decision module."""
     raw = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
     fields_size = wire.TEXT.size - wire.RECORD_HEADER.size + len(raw)
     return wire.TEXT.pack(code, fields_size, instance, len(raw)) + raw
 
 
 def encode_result(instance: int, result: Result) -> bytes:
-    """Encode one result as a record. Raises TypeError for a ReportDemand: the simulator has no budgets."""
+    """Encode a result as a record. Raises TypeError for a ReportDemand: the simulator has no budgets."""
     match result:
         case Dispatch(command, engine, deadline_us):
             deadline_s = deadline_us / US_PER_SECOND
@@ -49,5 +49,5 @@
 
 
 def _record(layout: Struct, code: ActionCode, instance: int, *fields: float) -> bytes:
-    """Encode a record of fixed size."""
+    """Encode a record whose layout has a fixed size."""
     return layout.pack(code, layout.size - wire.RECORD_HEADER.size, instance, *fields)
--- a/gullhold/simulator_adapter/events.py
+++ b/gullhold/simulator_adapter/events.py
@@ -1,6 +1,7 @@
-"""Decodes the records of a batch into typed events. Times are in seconds, as on the wire.
+"""Decodes the records of a batch into typed events.
 
-The host converts them to microseconds. Each decoder raises struct.error if the fields are too short.
+Times are in seconds, as on the wire; Host converts them to microseconds. Each decoder raises struct.error if
+the fields are too short.
 """
 
 import struct
@@ -14,7 +15,7 @@
 
 
 class NewInstance(NamedTuple):
-    """A gateway starts."""
+    """An instance starts; settings: text of the deployment's settings."""
 
     instance: int
     seed: int
@@ -22,7 +23,7 @@
 
 
 class EndpointsAnnounced(NamedTuple):
-    """Discovery gives an instance the engines of a numbered list."""
+    """Discovery announces the engines of a numbered list to an instance."""
 
     instance: int
     list_number: int
@@ -31,7 +32,7 @@
 
 
 class CommandArrived(NamedTuple):
-    """A command arrives."""
+    """A command arrives at an instance."""
 
     instance: int
     command: int
@@ -46,7 +47,7 @@
 
 
 class AnswerBegan(NamedTuple):
-    """An attempt's answer has begun."""
+    """The answer of an attempt has begun."""
 
     instance: int
     command: int
@@ -56,7 +57,10 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt ended. work_us, need_mb: work and memory that it used, 0: not stated."""
+    """An attempt ended.
+
+    work_us, need_mb: work and memory that it used, 0: not stated; report: the engine's load report.
+    """
 
     instance: int
     command: int
@@ -70,27 +74,27 @@
 
 
 class ClientLeft(NamedTuple):
-    """A client left."""
+    """The client of a command left."""
 
     instance: int
     command: int
 
 
 class TimerFired(NamedTuple):
-    """A timer fired."""
+    """A timer of an instance fired."""
 
     instance: int
     token: int
 
 
 class Retired(NamedTuple):
-    """A gateway has been killed."""
+    """An instance has been killed."""
 
     instance: int
 
 
 class StatusNoted(NamedTuple):
-    """A status note on an open attempt."""
+    """A status note on an open attempt arrived."""
 
     instance: int
     command: int
@@ -112,8 +116,8 @@
 )
 
 
-def records(body: bytes) -> Iterator[tuple[int, bytes]]:
-    """Iterate over the (code, fields) pairs of a batch. Raises ValueError if one is too short.
+def split_records(body: bytes) -> Iterator[tuple[int, bytes]]:
+    """Iterate over the (code, fields) pairs of a batch. Raises ValueError if the last one is cut off.
 
     body: the batch without its length field.
     """
@@ -122,18 +126,18 @@
         code, size = wire.RECORD_HEADER.unpack_from(body, at)
         at += wire.RECORD_HEADER.size
         if at + size > len(body):
-            raise ValueError(f"record of code {code} runs past its frame")
+            raise ValueError(f"record of code {code} extends past the end of its frame")
         yield code, body[at : at + size]
         at += size
 
 
 def decode_page(fields: bytes) -> tuple[int, list[EngineEntry]]:
-    """Decode the number of a list of engines, and its entries. Raises ValueError if it is too short."""
-    number, size = wire.PAGE.unpack_from(fields)
-    if len(fields) < wire.PAGE.size + size * wire.PAGE_ENTRY.size:
-        raise ValueError("list shorter than its count")
+    """Decode the number of a list of engines, and its entries. Raises ValueError if entries are missing."""
+    number, count = wire.PAGE.unpack_from(fields)
+    if len(fields) < wire.PAGE.size + count * wire.PAGE_ENTRY.size:
+        raise ValueError("list of engines has fewer entries than it states")
     entries = []
-    for index in range(size):
+    for index in range(count):
         at = wire.PAGE.size + index * wire.PAGE_ENTRY.size
         zone, weight, kind, code, cell, started_s, engine = wire.PAGE_ENTRY.unpack_from(fields, at)
         state = wire.STATE_BY_CODE.get(code, EngineState.REMOVED)
@@ -142,7 +146,7 @@
 
 
 def decode(code: int, fields: bytes) -> Event | None:
-    """Decode the event of a record; None: one that the adapter ignores."""
+    """Decode the event of a record; None: the adapter ignores it."""
     decoder = DECODERS.get(code)
     if decoder is None or len(fields) < wire.INSTANCE.size:
         return None
@@ -172,11 +176,11 @@
 
 def _answer(fields: bytes) -> AttemptEnded | None:
     unpacked = wire.ANSWER.unpack_from(fields)
-    instance, command, attempt, latency_s, used, _, ending, is_closed, figures = unpacked
-    if ending not in wire.OUTCOME_BY_CODE:
+    instance, command, attempt, latency_s, used, _, outcome_code, is_closed, figure_count = unpacked
+    if outcome_code not in wire.OUTCOME_BY_CODE:
         return None
     start = wire.ANSWER.size
-    figures = min(figures, (len(fields) - start) // wire.REPORT_FIGURE_SIZE)
+    figure_count = min(figure_count, (len(fields) - start) // wire.REPORT_FIGURE_SIZE)
     return AttemptEnded(
         instance,
         command,
@@ -184,9 +188,9 @@
         latency_s,
         (used >> wire.USED_MEMORY_BITS) * wire.USED_WORK_UNIT_US,
         (used & wire.USED_MEMORY_MASK) * wire.USED_MEMORY_UNIT_MB,
-        wire.OUTCOME_BY_CODE[ending],
+        wire.OUTCOME_BY_CODE[outcome_code],
         bool(is_closed),
-        struct.unpack_from(f">{figures}f", fields, start),
+        struct.unpack_from(f">{figure_count}f", fields, start),
     )
 
 
--- a/gullhold/simulator_adapter/host.py
+++ b/gullhold/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""Runs one gateway for each instance of the simulator: takes batches of events and returns replies."""
+"""Runs the decision module of one gateway for each instance in the simulator, by batches of events."""
 
 import traceback
 from math import isfinite
@@ -21,23 +21,23 @@
     TimerFired,
     decode,
     decode_page,
-    records,
+    split_records,
 )
 from gullhold.simulator_adapter.wire import ActionCode, ArrivalOption, EventCode, Scope
 
-FAULT_LINES = 6  # last lines of a traceback that are sent to the simulator: the last call and the error
+MAX_TRACEBACK_LINES = 6  # the last ones, sent to the simulator: they have the last call and the error
 
 
 class Host:
-    """The instances of one process, and the numbered lists of engines that their events refer to."""
+    """The gateways of all instances, and the numbered lists of engines that events refer to."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
-        self.lists: dict[int, list[EngineEntry]] = {}
-        self.now = 0  # us, of the batch
+        self.gateways: dict[int, Gateway] = {}  # by instance
+        self.engine_lists: dict[int, list[EngineEntry]] = {}  # by number
+        self.now = 0  # time of the batch (us)
 
     def reply(self, body: bytes) -> bytes:
-        """Handle one batch, given without its length field; return the reply frame.
+        """Handle a batch, given without its length field; return the reply frame.
 
         Raises struct.error or ValueError if the batch is malformed.
         """
@@ -46,10 +46,10 @@
         _, now_s, number = wire.BATCH_HEADER.unpack(header)
         self.now = microseconds(now_s)
         actions: list[bytes] = []
-        for code, fields in records(body):
+        for code, fields in split_records(body):
             if code == EventCode.PAGE:
                 list_number, entries = decode_page(fields)
-                self.lists[list_number] = entries
+                self.engine_lists[list_number] = entries
                 continue
             event = decode(code, fields)
             if event is not None:
@@ -58,11 +58,11 @@
         return wire.REPLY_HEADER.pack(size, len(actions), number) + b"".join(actions)
 
     def _actions(self, event: Event) -> list[bytes]:
-        """Deliver an event and encode its results; an exception in the decisions becomes a record too."""
+        """Deliver an event and encode its results, or an exception in the decision module, as records."""
         try:
             results = self._deliver(event)
-        except Exception:  # noqa: BLE001  the wire wants any fault of the decisions in a record
-            text = "".join(traceback.format_exc().splitlines(True)[-FAULT_LINES:])
+        except Exception:  # noqa: BLE001  the protocol reports any exception of a gateway in a record
+            text = "".join(traceback.format_exc().splitlines(True)[-MAX_TRACEBACK_LINES:])
             return [text_record(ActionCode.BUG, event.instance, text)]
         return [encode_result(event.instance, result) for result in results]
 
@@ -81,7 +81,7 @@
         return self._call(gateway, event)
 
     def _call(self, gateway: Gateway, event: Event) -> list[Result]:
-        """Make the call of the gateway for an event."""
+        """Call the method of the gateway that handles an event."""
         match event:
             case EndpointsAnnounced():
                 return self._announce(gateway, event)
@@ -102,7 +102,7 @@
     def _announce(self, gateway: Gateway, event: EndpointsAnnounced) -> list[Result]:
         if event.scope == Scope.FAILED:
             return []
-        entries = self.lists.get(event.list_number, [])
+        entries = self.engine_lists.get(event.list_number, [])
         return gateway.update_engines(self.now, entries, event.scope != Scope.DELTA)
 
     def _submit(self, gateway: Gateway, event: CommandArrived) -> list[Result]:
--- a/gullhold/simulator_adapter/wire.py
+++ b/gullhold/simulator_adapter/wire.py
@@ -1,6 +1,7 @@
-"""Codes of records and layouts of their fields on the simulator's wire (sable-e031; big-endian, no padding).
+"""Codes of records and layouts of fields in the simulator's protocol, sable-e031 (big-endian, no padding).
 
-Events (simulator to adapter) and actions (adapter to simulator) have separate codes.
+Events (simulator to adapter) and actions (adapter to simulator) have separate codes. The names are the
+protocol's.
 """
 
 from enum import IntEnum, IntFlag
@@ -10,9 +11,9 @@
 
 BATCH_HEADER = Struct(">IdI")  # bytes of the frame, time (s), number of the batch
 REPLY_HEADER = Struct(">III")  # bytes of the frame, number of records, number of the batch
-LENGTH = Struct(">I")  # the first field of a header
+LENGTH = Struct(">I")  # bytes of the frame, the first field of a header
 RECORD_HEADER = Struct(">BI")  # code, bytes of the fields
-INSTANCE = Struct(">I")  # the first field of each event but a list of engines
+INSTANCE = Struct(">I")  # the first field of every event but PAGE
 
 
 class EventCode(IntEnum):
@@ -31,7 +32,7 @@
 
 
 class ActionCode(IntEnum):
-    """Codes of actions that the adapter uses."""
+    """Codes of actions that the adapter sends."""
 
     BUSY = 1
     PROVIDE = 3
@@ -44,35 +45,39 @@
 
 
 class Scope(IntEnum):
-    """Contents of an announcement of engines."""
+    """What an announcement of engines contains."""
 
     DELTA = 0  # changed entries
     FULL = 1
-    CACHED = 2  # all entries, as the instance saw them last
+    CACHED = 2  # all entries, as the instance last received them
     FAILED = 3  # nothing: a call to the discovery service failed
 
 
 class ArrivalOption(IntFlag):
-    """Options of an arriving request."""
+    """Options of an arriving command."""
 
     HAS_COST_HINT = 1
     IS_REPEAT = 2
 
 
-# Fields of events.
+# Fields of events. A request is a command, a class its profile; `until` and `start` are times in s.
 NEW_INSTANCE = Struct(">IQI")  # instance, seed, bytes of the settings that follow
 ANNOUNCE = Struct(">IIIB")  # instance, list, revision, scope
-ARRIVAL = Struct(">IIHIQddffB")  # instance, request, class, tenant, key, until, work, MB, tables, options
-ESTABLISHED = Struct(">IIHId")  # instance, request, attempt, engine, time since the send
-ANSWER = Struct(">IIHdIIBBB")  # instance, request, attempt, time, used, engine, ending, over, report figures
+ARRIVAL = Struct(
+    ">IIHIQddffB"
+)  # instance, request, class, tenant, key, until, work (s), MB, data set, options
+ESTABLISHED = Struct(">IIHId")  # instance, request, attempt, engine, latency (s)
+ANSWER = Struct(
+    ">IIHdIIBBB"
+)  # instance, request, attempt, latency (s), used, engine, outcome, closed, figures
 CLIENT_GONE = Struct(">II")  # instance, request
 TIMEOUT_FIRED = Struct(">IQ")  # instance, token
 UPDATE_OF = Struct(">IIHIBf")  # instance, request, attempt, engine, kind, value
 PAGE = Struct(">II")  # list, number of entries that follow
-PAGE_ENTRY = Struct(">HfBBHdI")  # zone, weight, kind, state, cell, start (s), engine
-REPORT_FIGURE_SIZE = 4  # bytes of an f32
+PAGE_ENTRY = Struct(">HfBBHdI")  # zone, weight, kind, state, cell, start, engine
+REPORT_FIGURE_SIZE = 4  # bytes of one figure of a report, a 32-bit float
 
-# Records of actions: code, bytes of the fields, instance, and:
+# Records of actions. The comments list the fields that follow code, bytes of the fields, and instance.
 BUSY = Struct(">BIIId")  # request, retry after (s)
 PROVIDE = Struct(">BIIIfB")  # request, MB, priority
 TEXT = Struct(">BIIH")  # bytes of the text that follows
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: seeded batches give the replies recorded on commit 90bd584, byte for byte."""
+"""The simulator adapter: replies to seeded batches equal those recorded on commit 90bd584, byte for byte."""
 
 import io
 import struct
@@ -51,36 +51,36 @@
 BATCHES = 400
 FIRST_S = 8.125
 REPLIES_HASH = "a1b2f9f5f431ab6fc14059cf6c058142ef49867bb7a05e5f77b27423095e1104"
-ENDINGS = (0, 0, 0, 0, 0, 0, 13, 8, 4, 14, 10, 1, 9, 77)
+OUTCOME_CODES = (0, 0, 0, 0, 0, 0, 13, 8, 4, 14, 10, 1, 9, 77)
 ODD_TIMES = (0.0, 1e300, float("nan"), float("inf"))
 
 
 def record(code, layout, *fields, more=b""):
-    """A record of a batch."""
+    """An encoded record of a batch; more: bytes after the fields of the layout."""
     body = struct.pack(">" + layout, *fields) + more
     return struct.pack(">BI", code, len(body)) + body
 
 
 def batch(now_s, number, records):
-    """A batch without its length."""
+    """An encoded batch, without its length field."""
     return struct.pack(">dI", now_s, number) + b"".join(records)
 
 
 def actions(reply):
-    """The (code, fields) pairs of a reply, whose header must hold their number and size."""
+    """The (code, fields) pairs of a reply, whose header must state their number and the size."""
     size, count, _ = struct.unpack_from(">III", reply)
     assert size == len(reply)
-    found, at = [], 12
-    while at < len(reply):
-        code, length = struct.unpack_from(">BI", reply, at)
-        found.append((code, reply[at + 5 : at + 5 + length]))
-        at += 5 + length
+    found, offset = [], 12
+    while offset < len(reply):
+        code, length = struct.unpack_from(">BI", reply, offset)
+        found.append((code, reply[offset + 5 : offset + 5 + length]))
+        offset += 5 + length
     assert len(found) == count
     return found
 
 
 class Simulator:
-    """Batches drawn from a seed; what it draws follows the replies as the simulator's own events do."""
+    """Sends a Host batches drawn from a seed; like the simulator's, their events depend on the replies."""
 
     def __init__(self, seed):
         self.draw = Random(seed)
@@ -88,8 +88,8 @@
         self.now_s = FIRST_S
         self.attempts, self.sent, self.timers, self.requests = {}, [], [], 0
 
-    def first(self):
-        """Two instances with four engines each, one of them warming up."""
+    def initial_records(self):
+        """Records that start two instances with four engines each, one of these warming up."""
         text = SETTINGS.encode()
         entries = b"".join(
             struct.pack(">HfBBHdI", n % 2, 1.0, 0, 2, n % 3, self.now_s if n == 3 else 0.0, 1000 + n)
@@ -102,7 +102,7 @@
         return records
 
     def event(self):
-        """One event; some are of unknown codes and instances, or hold figures that can't be."""
+        """One event; some have an unknown code or instance, or impossible figures."""
         draw, instance = self.draw, self.draw.choice((1, 1, 1, 2, 2, 2, 9))
         kind = draw.random()
         if kind < 0.45:
@@ -114,32 +114,42 @@
             return record(3, "IIHIQddffB", *fields, tables, draw.randrange(8))
         if kind < 0.75 and self.sent:
             instance, request, engine = self.sent.pop(draw.randrange(len(self.sent)))
-            return self.end(instance, request, engine)
+            return self.answer(instance, request, engine)
         if kind < 0.85 and self.timers:
             instance, token = self.timers.pop(0)
             return record(7, "IQ", instance, token)
-        return self.rare(instance)
+        return self.other_event(instance)
 
-    def end(self, instance, request, engine):
-        """An answer of an engine."""
+    def answer(self, instance, request, engine):
+        """The end of an attempt at an engine."""
         draw = self.draw
         used = draw.choice((0, (80 << 12) + 12, (700 << 12) + 4095))
         report = draw.choice((b"", struct.pack(">f", draw.random())))
-        figures = len(report) // 4 + draw.choice((0, 0, 2))  # more are counted than came
-        trial = self.attempts[instance, request] - 1
-        over = draw.random() < 0.2
-        fields = (instance, request, trial, draw.random(), used, engine, draw.choice(ENDINGS), over, figures)
+        figure_count = len(report) // 4 + draw.choice((0, 0, 2))  # sometimes more than the record has
+        attempt = self.attempts[instance, request] - 1
+        is_closed = draw.random() < 0.2
+        fields = (
+            instance,
+            request,
+            attempt,
+            draw.random(),
+            used,
+            engine,
+            draw.choice(OUTCOME_CODES),
+            is_closed,
+            figure_count,
+        )
         return record(5, "IIHdIIBBB", *fields, more=report)
 
-    def rare(self, instance):
-        """The events that are not of each request."""
+    def other_event(self, instance):
+        """An event that does not occur for each request."""
         draw, request = self.draw, self.draw.randrange(1, self.requests + 2)
-        trial = self.attempts.get((instance, request), 1) - 1
+        attempt = self.attempts.get((instance, request), 1) - 1
         return draw.choice(
             (
                 record(6, "II", instance, request),
-                record(4, "IIHId", instance, request, trial, 1000, 0.1),
-                record(11, "IIHIBf", instance, request, trial, 1000, draw.randrange(5), draw.random()),
+                record(4, "IIHId", instance, request, attempt, 1000, 0.1),
+                record(11, "IIHIBf", instance, request, attempt, 1000, draw.randrange(5), draw.random()),
                 record(2, "IIIB", instance, draw.choice((5, 6)), 2, draw.choice((0, 3))),
                 record(8, "IB", instance, 0),
                 record(99, "I", instance),
@@ -148,9 +158,11 @@
             )
         )
 
-    def turn(self, number):
-        """One batch; returns its reply."""
-        records = self.first() if number == 0 else [self.event() for _ in range(self.draw.randrange(6))]
+    def send_batch(self, number):
+        """Send the next batch to the host; return the reply."""
+        records = (
+            self.initial_records() if number == 0 else [self.event() for _ in range(self.draw.randrange(6))]
+        )
         reply = self.host.reply(batch(self.now_s, number, records))
         for code, fields in actions(reply):
             if code == 8:
@@ -166,18 +178,18 @@
 
 
 def test_seeded_batches_give_the_recorded_replies():
-    replies, kinds = sha256(), set()
+    replies, codes = sha256(), set()
     for seed in range(4):
         simulator = Simulator(seed)
         for number in range(BATCHES):
-            reply = simulator.turn(number)
+            reply = simulator.send_batch(number)
             replies.update(reply)
-            kinds.update(code for code, _ in actions(reply))
-    assert kinds >= {1, 3, 6, 7, 8, 12}
+            codes.update(code for code, _ in actions(reply))
+    assert codes >= {1, 3, 6, 7, 8, 12}
     assert replies.hexdigest() == REPLIES_HASH
 
 
-def test_a_fault_of_the_decisions_is_told_in_a_record():
+def test_an_exception_of_a_gateway_is_reported_in_a_record():
     text = b"domain.cores_by_kind=x"
     (code, fields), *others = actions(
         Host().reply(batch(FIRST_S, 7, [record(1, "IQI", 3, 1, len(text), more=text)]))
@@ -188,7 +200,7 @@
     assert b"ValueError" in fields
 
 
-def test_events_of_unknown_instances_with_times_that_cannot_be_are_passed_over():
+def test_events_of_unknown_instances_are_ignored_when_their_times_are_not_numbers():
     arrival = record(3, "IIHIQddffB", 3, 1, 0, 0, 0, float("nan"), float("nan"), 1.0, 1.0, 1)
     assert Host().reply(batch(FIRST_S, 7, [arrival])) == struct.pack(">III", 12, 0, 7)
 
