--- a/gullhold/__main__.py
+++ b/gullhold/__main__.py
@@ -1,6 +1,6 @@
-"""The command line: its sub-commands, their options, and what runs them.
+"""The command line: its sub-commands, their options, and the functions that run them.
 
-What a sub-command needs is imported when it runs: `serve` must not load the libraries of the others.
+Each sub-command imports its modules when it runs, so that `serve` does not load the libraries of the others.
 """
 
 import argparse
@@ -17,11 +17,12 @@
 
 PROGRAM = "gullhold"
 CONFIGURATION_VARIABLE = "GW_CONFIG"
-STATUS_UNUSABLE = 2
+STATUS_UNUSABLE = 2  # exit status for arguments that cannot be used
 DEMO_RUNS = {"both": (False, True), "on": (True,), "off": (False,)}  # whether each has an admission queue
-EARLIER_COMMAND_NAMES = {"try": "demo", "register": "store", "rehearse": "simulate"}  # they still work
+# Earlier names and their present ones; they still work, but the help does not list them.
+EARLIER_COMMAND_NAMES = {"try": "demo", "register": "store", "rehearse": "simulate"}
 FLEET_SUBJECTS = ("members", "roles", "history", "budgets", "plan", "report")
-EARLIER_FLEET_SUBJECTS = ("duties",)  # the roles
+EARLIER_FLEET_SUBJECTS = ("duties",)  # the same as "roles"; not listed by the help either
 
 
 def _add_serve(commands: "Commands") -> None:
@@ -38,9 +39,10 @@
 
 
 def _serve(args: argparse.Namespace) -> int:
-    # What is imported stays until the end: the collector need not look at it, now or later.
+    # Imported objects live until the process ends: no garbage collection runs during the import, and freeze()
+    # excludes them from all later ones.
     gc.disable()
-    from gullhold.net import service  # noqa: PLC0415  only this needs what it imports
+    from gullhold.net import service  # noqa: PLC0415  only this command needs its imports
 
     gc.freeze()
     gc.enable()
@@ -60,7 +62,7 @@
 
 
 def _add_file_options(parser: argparse.ArgumentParser) -> None:
-    """Add the files that serve and config read."""
+    """Add the options for the files that `serve` and `config` read."""
     parser.add_argument(
         "--config",
         default=os.environ.get(CONFIGURATION_VARIABLE),
@@ -176,7 +178,7 @@
     try:
         demands = [int(number) for number in args.wants.split(",") if number]
     except ValueError:
-        print(f"gullhold: --wants {args.wants}: whole numbers with commas are needed", file=sys.stderr)
+        print(f"gullhold: --wants {args.wants}: expected whole numbers separated by commas", file=sys.stderr)
         return STATUS_UNUSABLE
     return budgets.run_plan(args.members, args.whole, demands, args.floor, args.grain, args.alone, args.json)
 
@@ -282,8 +284,10 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Build the parser with all sub-commands; `run` of what it parses runs the one that was named."""
-    parser = argparse.ArgumentParser(prog=PROGRAM, description="A query gateway: what runs, where, when.")
+    """Build the parser of all sub-commands; it sets `run` to the function of the one that is named."""
+    parser = argparse.ArgumentParser(
+        prog=PROGRAM, description="A query gateway: decides what runs, where and when."
+    )
     commands = parser.add_subparsers(prog=PROGRAM, dest="command", metavar="COMMAND", required=True)
     _add_serve(commands)
     _add_config(commands)
@@ -295,7 +299,8 @@
     _add_simulate(commands)
     _add_version(commands)
     for earlier_name, name in EARLIER_COMMAND_NAMES.items():
-        commands.choices[earlier_name] = commands.choices[name]  # `aliases` would list it in the help
+        # add_parser(aliases=...) would list the name in the help.
+        commands.choices[earlier_name] = commands.choices[name]
     return parser
 
 
@@ -309,4 +314,4 @@
     exit_status = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(exit_status)  # does not wait for the hundreds of threads left, which own nothing
+    os._exit(exit_status)  # does not wait for the hundreds of remaining threads, which hold nothing to save
--- a/gullhold/demo.py
+++ b/gullhold/demo.py
@@ -1,6 +1,6 @@
-"""The command `demo`: test engines, a gateway and three tenants' clients on loopback.
+"""The command `demo`: runs test engines, a gateway and clients of three tenants on loopback.
 
-It runs without and with an admission queue, and prints what each client got.
+It runs them without and with an admission queue, and prints a table of each client's results.
 """
 
 import time
@@ -16,8 +16,8 @@
 CROWDED_TENANT = "nightly"
 TENANTS = (("north", 1 / 3), ("south", 1 / 3), (CROWDED_TENANT, 1 / 3))
 DESKS = (("north", "desk-1"), ("north", "desk-2"), ("south", "desk-3"), ("south", "desk-4"))
-TARGET_S = 0.5  # the latency objective that the table counts by
-WORK_MS = 50.0  # of each command; eight slots do 160 of them a second
+TARGET_S = 0.5  # latency objective; the table counts the answers within it
+WORK_MS = 50.0  # of each command; eight slots serve 160 commands a second
 DESK_OPEN_COMMANDS = 2
 SMALL_JOB_OPEN_COMMANDS = 4
 BIG_JOB_OPEN_COMMANDS = 80
@@ -28,7 +28,7 @@
 
 
 def make_clients(address: tuple[str, int], seed: int) -> list[LoadClient]:
-    """Make four desks with a few open commands, and two jobs in one tenant of which one crowds the other."""
+    """Create the clients: four desks with few open commands, and a small and a big job in one tenant."""
     desks = [
         LoadClient(address, tenant, name, open=DESK_OPEN_COMMANDS, work_ms=WORK_MS, seed=seed)
         for tenant, name in DESKS
@@ -54,7 +54,7 @@
 
 
 def format_p95_ms(client: LoadClient) -> str:
-    """Return the 95th percentile of the latencies in ms; "-" where there is none."""
+    """Return the 95th percentile of the latencies in ms, or "-" without latencies."""
     latencies = sorted(client.counts.latencies_s)
     if not latencies:
         return "-"
@@ -82,7 +82,7 @@
 
 
 def run_once(title: str, operator: str, duration_s: float, seed: int, console: Console) -> list[LoadClient]:
-    """Run the gateway under the text of an operator file; return the clients with their counts."""
+    """Run gateway and clients under the text of an operator file; return the clients with their counts."""
     with RunningDeployment(tenants=TENANTS, operator=operator, target_s=TARGET_S, seed=seed) as running:
         clients = [client.start() for client in make_clients(running.address, seed)]
         show_progress(title, clients, duration_s, console)
@@ -95,7 +95,7 @@
 
 
 def show_progress(title: str, clients: list[LoadClient], duration_s: float, console: Console) -> None:
-    """Show the clients' counts until the time is over."""
+    """Show the clients' counts on the console until duration_s has passed."""
     end_s = time.monotonic() + duration_s
     with Live(console=console, refresh_per_second=1 / REFRESH_INTERVAL_S, transient=True) as live:
         while (left_s := end_s - time.monotonic()) > 0:
@@ -107,7 +107,7 @@
 def run(duration_s: float, admission_choices: Iterable[bool], seed: int) -> int:
     """Run once for each choice, with an admission queue or without; return the exit status.
 
-    The status is 1 where a client got no answer at all.
+    The status is 1 if a client got no answer at all, else 0.
     """
     console = Console()
     status = 0
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: earlier names of commands and options work beside the current ones, unlisted."""
+"""The command line: earlier names of commands and options work, but the help does not list them."""
 
 import argparse
 import re
@@ -28,16 +28,16 @@
 
 
 def parsed(words: list[str]) -> dict[str, object]:
-    """Return what a command line parses to, without the name of the command as it was typed."""
+    """Parse a command line; return the arguments without the command's name, which must be as typed."""
     arguments = vars(build_parser().parse_args(words))
     assert arguments.pop("command") == words[0]
     return arguments
 
 
 def help_of(words: list[str], capsys: pytest.CaptureFixture[str]) -> str:
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         build_parser().parse_args([*words, "--help"])
-    assert ended.value.code == 0
+    assert exit_info.value.code == 0
     return capsys.readouterr().out
 
 
@@ -46,15 +46,15 @@
     assert parsed(earlier) == parsed(current)
 
 
-def test_each_earlier_command_name_is_compared():
+def test_all_earlier_command_names_are_covered_by_the_comparison():
     assert {earlier[0] for earlier, _ in EARLIER_AND_CURRENT} == set(EARLIER_COMMAND_NAMES)
 
 
 def test_an_earlier_option_refuses_what_the_current_one_refuses(capsys):
     for words in (["try", "--door", "ajar"], ["demo", "--admission-queue", "ajar"]):
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exit_info:
             build_parser().parse_args(words)
-        assert ended.value.code == 2
+        assert exit_info.value.code == 2
         assert "invalid choice: 'ajar'" in capsys.readouterr().err
 
 
@@ -66,7 +66,7 @@
     assert TABLES["duties"] is TABLES["roles"]
 
 
-def test_the_help_lists_current_names_alone(capsys):
+def test_the_help_lists_only_current_names(capsys):
     overview = help_of([], capsys)
     listed = re.findall(r"^    ([a-z]+) ", overview, re.MULTILINE)
     (commands,) = (a for a in build_parser()._actions if isinstance(a, argparse._SubParsersAction))
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the operators' build leaves behind: a start that has nothing left to compile."""
+"""The deploy file: its build compiles all modules, and its lists name all modules that decide and serve."""
 
 import os
 import shutil
@@ -10,10 +10,11 @@
 
 
 def test_a_start_after_the_build_compiles_nothing(tmp_path):
-    """Starting processes read compiled files and do not compile.
+    """Guards against processes that compile modules when they start.
 
-    Hundreds of processes that started at once without write access each compiled the same files: a third
-    of the time of a start, and on a busy machine one process did not reach its first wait within 20 s.
+    Hundreds of processes that started at once without write access each compiled the same files. That took a
+    third of the start time, and on a busy machine one process did not reach its first wait for events within
+    20 s.
     """
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     shutil.copytree(ROOT / "gullhold", tmp_path / "gullhold", ignore=shutil.ignore_patterns("__pycache__"))
@@ -28,7 +29,7 @@
 
 
 def test_the_deploy_file_names_all_modules_that_decide_and_serve():
-    """Guards against a module that was renamed or added and is not listed for the operators' bench."""
+    """Guards against a renamed or added module that is missing from the lists for the operators' bench."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     listed = [*deploy["policy"], *deploy["node"]]
     assert [path for path in listed if not (ROOT / path).exists()] == []
