--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -48,7 +48,7 @@
         self, rule: "ClientRule", tenants: Sequence[str], fallback_tenant: int | None = None
     ) -> None:
         self._tenants = {name: index for index, name in enumerate(tenants)}
-        self._tenant_of_others = fallback_tenant
+        self._fallback_tenant = fallback_tenant
         self._field = rule.field.encode()
         self._is_by_address = rule.otherwise == "address"
         self._networks = None
@@ -70,8 +70,8 @@
             return known_tenant, None
         if not self._tenants:
             return 0, None
-        if self._tenant_of_others is not None:
-            return self._tenant_of_others, name
+        if self._fallback_tenant is not None:
+            return self._fallback_tenant, name
         return UNKNOWN_TENANT, None
 
     def client_name(
--- a/gullhold/admission/fair_queue.py
+++ b/gullhold/admission/fair_queue.py
@@ -108,7 +108,7 @@
         return Child(owner, weight, self.virtual_time)
 
     def can_be_forgotten(self, child: Child[Owner]) -> bool:
-        """Whether a child is idle and not ahead of its share: a new child in its index would get as much."""
+        """Whether a child is idle and not ahead of its share: a new child in its place would get as much."""
         return child.state is IDLE and child.start <= self.virtual_time
 
     def join(self, child: Child[Owner]) -> None:
--- a/gullhold/admission/flow.py
+++ b/gullhold/admission/flow.py
@@ -23,7 +23,7 @@
 class ProfileQueue:
     """The queued commands of one profile in a flow.
 
-    first: go before the others: timely retries, and commands that were blocked by their ordering key.
+    first: commands that go before the others: timely retries, and those that were blocked by an ordering key.
     """
 
     __slots__ = ("first", "others", "work_us")
--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -20,7 +20,7 @@
 SKETCH_ERROR_FACTOR = 2.8  # e, rounded up: estimates are too high by at most this times all work / WIDTH
 TENANTS_CHECKED_PER_CALL = 2  # for idle flows
 FLOWS_CHECKED_PER_TENANT = 4  # in one call
-NAME_KIND_BYTES = 2  # kind and separator, which precede the plain name in ClientIdentifier.client_name()
+NAME_KIND_BYTES = 2  # of a client's name: its kind and a separator, before the name that the client states
 SALT_BITS = 128
 DEFAULT_WEIGHT = 1.0
 
@@ -44,7 +44,7 @@
         self.fair_queue: FairQueue[TenantQueue] = FairQueue(MIN_QUANTUM_US)
         self.tenants: OrderedDict[int, TenantQueue] = OrderedDict()  # by index, least recently used first
         self.exact_flow_count = 0
-        self.client_weights: dict[bytes, float] = {}  # by plain name
+        self.client_weights: dict[bytes, float] = {}  # by name without its kind
         self._tenant_weights: list[float] = [DEFAULT_WEIGHT]
         self._sketch = Sketch(self._draw_salt())
         self._epoch = 0
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -42,7 +42,7 @@
     from gullhold.operator.records import DoorRecord
 
 EXPIRY_MARGIN_US = 40_000  # before the client timeout: two polls, and a message on its way
-MAX_FREE_SHARE_PER_FLOW = 0.5  # of the free capacity, for each client of a flow
+MAX_FREE_SHARE_PER_CLIENT = 0.5  # of the free capacity; a flow may use it for each of its clients
 MIN_QUEUED_PER_FLOW = 4  # commands that a flow may queue at least, while the queue is not full
 STALE_EXPIRIES_ALLOWED = 1024  # stale heap rows that are kept without a rebuild of the heap
 REJECTIONS_PER_EXACT_FLOW = 2  # known rejections, at most
@@ -90,7 +90,7 @@
         self._profiles = profiles
         self._expiries: list[ExpiryRow] = []  # a heap
         self._last_order = 0
-        self._now_us = now_us  # time of the latest call
+        self._now_us = now_us  # time that the latest call stated
         random = Random(seed)
         self.retry_scheduler = RetryScheduler(self.settings.retry_after, random.random)
         self.flow_table = FlowTable(self.settings, self.retry_scheduler, random, now_us)
@@ -105,7 +105,7 @@
 
     @property
     def client_weights(self) -> Mapping[bytes, float]:
-        """Weights of clients by plain name, from the last call of set_weights()."""
+        """Weights of clients by name without its kind, from the last call of set_weights()."""
         return self.flow_table.client_weights
 
     # Calls for events
@@ -193,7 +193,7 @@
             self._change_state(command, FORWARDED)
 
     def command_ended(self, now_us: int, number: int) -> None:
-        """Remove a command that has been answered and has no open attempt, and correct its charged work."""
+        """Remove an answered or withdrawn command without an open attempt, and correct its charged work."""
         self._now_us = now_us
         command = self.commands.get(number)
         if command is None:
@@ -314,9 +314,8 @@
         if not same_key_commands:
             del self.commands_by_key[profile_key]
         elif same_key_commands[0].state is BLOCKED:
-            self._enqueue(
-                same_key_commands[0], goes_first=True
-            )  # it has waited already: it goes before later arrivals
+            # It has waited already, so that it goes before later arrivals.
+            self._enqueue(same_key_commands[0], goes_first=True)
 
     def _count_forwarded(self, tenant_profile: TenantProfile, change: int) -> None:
         self.forwarded_count += change
@@ -356,13 +355,13 @@
     # Rejections
 
     def _is_full(self, flow: Flow, size_bytes: int) -> bool:
-        """Whether the queue is full, or the flow already has its share of the free capacity."""
+        """Whether the queue is full, or the flow already uses its share of the free capacity."""
         free_capacity = self.settings.max_queued - self.queued_count
         if free_capacity <= 0 or self.queued_bytes + size_bytes > self.settings.max_queued_bytes:
             return True
         client_count = len(flow.client_counts) if flow.client_counts else 1
         return flow.queued_count >= max(
-            MIN_QUEUED_PER_FLOW, MAX_FREE_SHARE_PER_FLOW * free_capacity * client_count
+            MIN_QUEUED_PER_FLOW, MAX_FREE_SHARE_PER_CLIENT * free_capacity * client_count
         )
 
     def _reject_new(self, command: QueuedCommand, wait_us: float, late_us: int, is_retry: bool) -> Reject:
--- a/gullhold/admission/retry_after.py
+++ b/gullhold/admission/retry_after.py
@@ -15,7 +15,7 @@
 
 
 class FlowRetries:
-    """The retry windows given to clients of one flow, by begin; each is used once.
+    """The retry windows given to clients of one flow, in order; each is used once.
 
     A window is not bound to a client: any retry in the flow that comes inside it uses it up.
     """
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self.windows: deque[RetryWindow] = deque()
-        self.next_begin_us = 0  # earliest begin of the flow's next window
+        self.next_begin_us = 0  # the flow's next window begins at this time or later
 
     def expire(self, now_us: int) -> int:
         """Forget the windows that have ended; return their number."""
@@ -46,7 +46,7 @@
         return sum(now_us < window.begin_us <= now_us + span_us for window in self.windows)
 
     def first_begin_us(self) -> int | None:
-        """Return the begin of the first window; None: there is none."""
+        """Return the time when the first window begins; None: there is none."""
         return self.windows[0].begin_us if self.windows else None
 
 
--- a/gullhold/admission_interface.py
+++ b/gullhold/admission_interface.py
@@ -30,16 +30,14 @@
 
     tenant: int
     client: bytes  # name from ClientIdentifier.client_name()
-    profile: (
-        int | None
-    )  # index in the agreement; None: a profile that is not in it, for which nothing is recorded
+    profile: int | None  # index in the agreement; None: not in it, so that there is never an entry
 
 
 class KnownRejection(NamedTuple):
     """How long new commands of a flow are known to be rejected without a Retry-After time."""
 
     until_us: int  # end of the rejections
-    first_retry_at_us: int | None  # begin of the flow's first retry window; None: it has none
+    first_retry_at_us: int | None  # when the flow's first retry window begins; None: it has none
 
 
 KnownRejections = Mapping[tuple[int, bytes, int | None], KnownRejection]
