--- a/gullhold/admission/queued_command.py
+++ b/gullhold/admission/queued_command.py
@@ -81,9 +81,7 @@
         self.profile = profile
         self.ordering_key = ordering_key  # 0: none
         self.size_bytes = size_bytes
-        self.expires_at_us = (
-            expires_at_us  # rejected then if it still waits; shortly before its client timeout
-        )
+        self.expires_at_us = expires_at_us  # it is rejected then if it still waits
         self.tenant_queue = tenant_queue
         self.flow = flow
         self.tenant_profile = TenantProfile(tenant_queue.tenant, profile)
--- a/gullhold/admission/tenant_queue.py
+++ b/gullhold/admission/tenant_queue.py
@@ -12,7 +12,7 @@
 
 
 class ParkedRow(NamedTuple):
-    """Row of a heap of parked flows, ordered by due time; a serial belongs to one flow: flows are not compared."""
+    """Row of a heap of parked flows, by due time; a serial belongs to one flow, so flows are not compared."""
 
     due: float  # virtual time, FairQueue.due()
     parking_serial: int
--- a/gullhold/simulator_adapter/events.py
+++ b/gullhold/simulator_adapter/events.py
@@ -38,8 +38,8 @@
     command: int
     profile: int
     tenant: int
-    key: int
-    timeout_s: float
+    ordering_key: int
+    timeout_at_s: float
     work_s: float
     need_mb: float
     dataset: float
@@ -59,7 +59,8 @@
 class AttemptEnded(NamedTuple):
     """An attempt ended.
 
-    work_us, need_mb: work and memory that it used, 0: not stated; report: the engine's load report.
+    work_us, need_mb: work and memory that it used, 0: not stated; is_closed: the command has its final
+    answer, or its client has left; report: the engine's load report.
     """
 
     instance: int
--- a/gullhold/simulator_adapter/wire.py
+++ b/gullhold/simulator_adapter/wire.py
@@ -60,16 +60,15 @@
     IS_REPEAT = 2
 
 
-# Fields of events. A request is a command, a class its profile; `until` and `start` are times in s.
+# Fields of events. `request` is a command, `class` its profile; `until` and `start` are points in time (s).
 NEW_INSTANCE = Struct(">IQI")  # instance, seed, bytes of the settings that follow
 ANNOUNCE = Struct(">IIIB")  # instance, list, revision, scope
-ARRIVAL = Struct(
-    ">IIHIQddffB"
-)  # instance, request, class, tenant, key, until, work (s), MB, data set, options
+# Fields of ARRIVAL: instance, request, class, tenant, ordering key, until, work (s), MB, data set, options.
+ARRIVAL = Struct(">IIHIQddffB")
 ESTABLISHED = Struct(">IIHId")  # instance, request, attempt, engine, latency (s)
-ANSWER = Struct(
-    ">IIHdIIBBB"
-)  # instance, request, attempt, latency (s), used, engine, outcome, closed, figures
+# Fields of ANSWER: instance, request, attempt, latency (s), used, engine, outcome, whether the request is
+# over, number of report figures that follow.
+ANSWER = Struct(">IIHdIIBBB")
 CLIENT_GONE = Struct(">II")  # instance, request
 TIMEOUT_FIRED = Struct(">IQ")  # instance, token
 UPDATE_OF = Struct(">IIHIBf")  # instance, request, attempt, engine, kind, value
--- a/tests/admission_world.py
+++ b/tests/admission_world.py
@@ -56,7 +56,7 @@
     stage: Stage = Stage.QUEUED
 
 
-class Running(NamedTuple):
+class RunningAttempt(NamedTuple):
     """An open attempt at an engine."""
 
     ends_at: int
@@ -98,7 +98,7 @@
         self.last_id = 0
         self.open_commands: dict[int, OpenCommand] = {}
         self.forwarded: list[int] = []  # command ids, in order
-        self.running: list[Running] = []
+        self.running: list[RunningAttempt] = []
         self.ends: dict[int, CommandEnd] = {}
         self.clients: dict[int, bytes] = {}  # by command id, also of ended commands
         self.retry_after_us: dict[int, int] = {}  # of rejected commands
@@ -188,7 +188,7 @@
                 ident = self.forwarded.pop(0)
                 command = self.open_commands[ident]
                 command.stage = Stage.RUNNING
-                self.running.append(Running(self.now + int(command.work), ident))
+                self.running.append(RunningAttempt(self.now + int(command.work), ident))
                 self.queue.attempt_sent(ident)
             results = self.queue.take_ready(self.now)
             if not results:
@@ -212,7 +212,7 @@
             self.forward_all()
         self.now = until
 
-    def _answer(self, attempt: Running) -> None:
+    def _answer(self, attempt: RunningAttempt) -> None:
         self.running.remove(attempt)
         command = self.open_commands[attempt.command]
         self.work_done[command.client] += command.work
--- a/tests/test_admission_fairness.py
+++ b/tests/test_admission_fairness.py
@@ -56,11 +56,11 @@
         rows = queues.fair_queue.ahead + queues.fair_queue.eligible
         children = [row.child for row in rows] + [flow.child for flow in queues.flows.values()]
         assert len({id(child) for child in children}) <= 64, (
-            "children that are referenced, also by stale rows"
+            "too many children are referenced, perhaps by stale rows"
         )
     assert world.queue.flow_table.exact_flow_count <= 2
     assert world.work_done[b"c:desk"] >= 0.08 * world.work_done.total(), (
-        "less than one of the eight shared flows"
+        "less than one of the eight shared flows gets"
     )
 
 
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -171,7 +171,7 @@
 
 
 def test_shares_of_real_work_stay_even_when_wrong_estimates_are_corrected_by_answers():
-    """Estimates are wrong by a factor of ten in both directions, and corrected after up to eight commands."""
+    """Estimates are wrong by a factor of ten either way; eight commands run at once and end in any order."""
     fair, draw = FairQueue(QUANTUM), random.Random(3)
     low, high, true = (fair.add(None, 1.0) for _ in range(3))
     estimates = {low: 1.0, high: 100.0, true: 10.0}
