--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -45,7 +45,7 @@
 MAX_FREE_SHARE_PER_CLIENT = 0.5  # of the free capacity; a flow may use it for each of its clients
 MIN_QUEUED_PER_FLOW = 4  # commands that a flow may queue at least, while the queue is not full
 STALE_EXPIRIES_ALLOWED = 1024  # stale heap rows that are kept without a rebuild of the heap
-REJECTIONS_PER_EXACT_FLOW = 2  # known rejections, at most
+REJECTIONS_PER_EXACT_FLOW = 2  # the limit of known rejections is this times max_exact_flows
 
 
 class ProfileKey(NamedTuple):
--- a/gullhold/admission_interface.py
+++ b/gullhold/admission_interface.py
@@ -36,7 +36,7 @@
 class KnownRejection(NamedTuple):
     """How long new commands of a flow are known to be rejected without a Retry-After time."""
 
-    until_us: int  # end of the rejections
+    until_us: int  # new commands are rejected until then
     first_retry_at_us: int | None  # when the flow's first retry window begins; None: it has none
 
 
