--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -1,8 +1,8 @@
-"""A fleet's member: one thread that decides, and others that wait for the store.
+"""A member of a fleet: one thread that decides, and others that call the store and wait for its replies.
 
-The core never waits for any of them: scheduled commands and decisions of budgets and policies are posted to
-it, and answers come back as events on the queue of the fleet's thread. A store that does not answer causes
-retries here and does not affect the core.
+The core's thread, which serves clients, never waits for any of them: scheduled commands and changes of
+budgets and policies are posted to it, and their results come back as events on the queue of the fleet's
+thread. A store that does not answer causes retries here and does not affect the core.
 """
 
 import random
@@ -27,11 +27,11 @@
 from gullhold.fleet.membership_types import (
     CallLane,
     CallStore,
+    LogStateChange,
     MembershipAction,
     MemberState,
     RoleLost,
     RoleWon,
-    StateChanged,
     WatchMembers,
     lane_of,
 )
@@ -42,9 +42,9 @@
 from gullhold.fleet.store_calls import OnChange, PendingCall, Reply
 from gullhold.fleet.store_client import StoreClient
 from gullhold.fleet.store_schema import (
-    HEARTBEAT_ROLE,
+    HEARTBEAT_ROLE_PREFIX,
     MEMBERS_PREFIX,
-    SCHEDULED_COMMAND_ROLE,
+    SCHEDULED_COMMAND_ROLE_PREFIX,
     fleet_prefix,
 )
 from gullhold.fleet.watcher import Watcher
@@ -59,31 +59,31 @@
     from gullhold.net.core import Core
     from gullhold.operator.records import FleetRecord
 
-__all__ = ["Fleet", "UnusableFleetError"]
+__all__ = ["FleetMember", "UnusableFleetError"]
 
-WORK_LANE = "work"  # of heartbeats and scheduled commands
-MAX_SLEEP_S = 0.5  # of the fleet's thread: a clock that jumps is noticed by then
-MIN_SLEEP_S = 0.002  # something that is due but can't be done yet must not cause a busy loop
-WATCH_SILENCE_LEASES = 2  # lease times for which a watch may be silent before it is opened again
+WORK_LANE = "work"  # for the keys of heartbeats and scheduled commands
+MAX_SLEEP_S = 0.5  # of the fleet's thread, so that it notices a jump of the Unix clock
+MIN_SLEEP_S = 0.002  # of the fleet's thread, so that work that is due but blocked causes no busy loop
+WATCH_SILENCE_LEASES = 2  # times to live of a lease; a watch that is silent for longer is opened again
 NONCE_BITS = 64
 
 
-class Fleet:
-    """A member of a fleet, from start() until leave() is done; then `stopped` is set."""
+class FleetMember:
+    """A member of a fleet, from start() until it has left; then `stopped` is set."""
 
     def __init__(self, record: "FleetRecord", configuration: "Configuration", core: "Core") -> None:
-        """record: of the operator file. Raises UnusableFleetError."""
+        """record: of the operator file. Raises UnusableFleetError if it does not fit the agreement."""
         agreement = configuration.agreement
         self.record = record
         self.core = core
         self.name = configuration.name or configuration.listen_address
-        self.queue: SimpleQueue[events.Event] = SimpleQueue()  # calls for the fleet's thread
+        self.queue: SimpleQueue[events.Event] = SimpleQueue()  # calls that the fleet's thread is to make
         self.stopped = Event()
         self.lanes: dict[str, Lane] = {}
         self.role_states: dict[str, RoleState] = {}
-        self.watchers: dict[str, Watcher] = {}  # of the keys of led roles, by role
+        self.watchers: dict[str, Watcher] = {}  # of the keys of the role states, by role
         self.scheduled_commands = assembly.scheduled_commands(record, agreement, self.name)
-        # Seeded differently at each start, as the nonce distinguishes processes of the same name.
+        # The seed differs at each start, so that the nonce distinguishes processes of the same name.
         self._random = random.Random(configuration.seed ^ time.time_ns())
         self._event_log = EventLog(record.name, self.name)
         self._availability_log = AvailabilityLog(self._event_log)
@@ -93,13 +93,13 @@
             self.name, nonce, rules, self._roles(), self._random.random, monotonic_us()
         )
         self._heartbeats = Heartbeats(
-            self.membership, lambda: self.work_lane, record.duties.beat, self.log_refused_effect
+            self.membership, lambda: self.work_lane, record.duties.beat, self.log_if_refused
         )
         self._role_driver = RoleDriver(self)
         client = ScheduledCommandClient(
             core, RequestReader(agreement), self._post_attempt_ended, self._random.getrandbits
         )
-        records = {SCHEDULED_COMMAND_ROLE + item.name: item for item in record.schedule}
+        records = {SCHEDULED_COMMAND_ROLE_PREFIX + item.name: item for item in record.schedule}
         self._scheduled_command_driver = ScheduledCommandDriver(self, records, client)
         self.budgets = None
         if record.budgets:
@@ -109,13 +109,16 @@
                 raise UnusableFleetError(str(error)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = MemberRollout(self, record, agreement, monotonic_us, rules.terms.guaranteed_us())
+            self.policies = MemberRollout(
+                self, record, agreement, monotonic_us, rules.lease_terms.guaranteed_us()
+            )
+        # What the operator file turns on of these; each has start(), step() and due().
         self._features = [feature for feature in (self.budgets, self.policies) if feature]
 
     def _roles(self) -> list[str]:
         """The roles of the fleet, in the order in which they are assigned."""
         roles = list(self.scheduled_commands)
-        roles += [f"{HEARTBEAT_ROLE}{number}" for number in range(self.record.duties.beats)]
+        roles += [f"{HEARTBEAT_ROLE_PREFIX}{number}" for number in range(self.record.duties.beats)]
         if self.record.budgets:
             roles.append(ALLOCATOR_ROLE)
         if self.record.policy.on:
@@ -125,7 +128,7 @@
     # Called on any thread
 
     def start(self) -> None:
-        """Start the threads."""
+        """Start the lanes, the watchers and the fleet's thread."""
         if self.record.events:
             self._event_log.add_file(self.record.events)
         names = [*CallLane, WORK_LANE]
@@ -140,23 +143,23 @@
         start_thread(self._run, "fleet")
 
     def leave(self) -> None:
-        """Shut down gracefully: give up all roles; `stopped` is set when that is done."""
+        """Shut down gracefully: give up all roles and the lease; `stopped` is set when that is done."""
         self.post(self._leave)
 
     def post(self, call: Callable[..., Any], *arguments: Any) -> None:
-        """Make a call on the fleet's thread."""
+        """Have the fleet's thread make a call."""
         self.queue.put(events.Invoke(call, arguments))
 
     def _new_session(self) -> StoreClient:
-        """Open a session with the store."""
+        """Create a session with the store, for one thread."""
         prefix = fleet_prefix(self.record.name)
         return StoreClient(self.record.register_, prefix, self.record.timeout / US_PER_SECOND)
 
     def watch(self, name: str, prefix: str, on_change: OnChange, on_gap: Callable[[], Any]) -> Watcher:
-        """Watch the keys with this prefix, from the revision that is passed to Watcher.follow().
+        """Create a watcher of the keys with this prefix; Watcher.watch_from() starts it. name: of its thread.
 
-        on_change(key, value or None if it was deleted, revision) is called on the fleet's thread for each
-        change, on_gap() if changes were missed.
+        On the fleet's thread, on_change(key, value or None if it was deleted, revision) is called for each
+        change, and on_gap() if changes were missed.
         """
         pauses = self.record.duties.pauses
         return Watcher(
@@ -170,7 +173,7 @@
         )
 
     def watch_role(self, role: str, name: str, prefix: str) -> None:
-        """Watch the keys of a role on behalf of its role state."""
+        """Create the watcher that passes changes of a role's keys to its role state. name: of its thread."""
         self.watchers[role] = self.watch(
             name,
             prefix,
@@ -179,23 +182,24 @@
         )
 
     def log_event(self, level: str, text: str, **facts: Any) -> None:
-        """Write a log line, with its facts as fields."""
+        """Write a log line. facts: its fields."""
         self._event_log.log(level, text, **facts)
 
-    def log_refused_effect(self, role: str, token: int, reply: Reply) -> None:
-        """Write a log line if the store refused a write under an outdated fencing token."""
-        self._event_log.log_refused_effect(role, token, reply)
+    def log_if_refused(self, role: str, token: int, reply: Reply) -> None:
+        """Write a log line if a reply shows that a write was refused, as its fencing token is outdated."""
+        self._event_log.log_if_refused(role, token, reply)
 
     @property
     def work_lane(self) -> Lane:
-        """The lane of heartbeats and scheduled commands."""
+        """The lane for the keys of heartbeats and scheduled commands."""
         return self.lanes[WORK_LANE]
 
     # On the fleet's thread
 
     def _run(self) -> None:
+        """Handle events and do what is due until the member has left."""
         self.membership.tick(monotonic_us())
-        while self.membership.state != MemberState.OUT:
+        while self.membership.state != MemberState.LEFT:
             self._guarded(self._carry_out_all)
             try:
                 event = self.queue.get(timeout=self._sleep_s())
@@ -222,7 +226,7 @@
             self._event_log.log_fault(call)
 
     def _sleep_s(self) -> float:
-        """How long to wait for an event before something is due."""
+        """How long to wait for an event: until something is due, within the bounds."""
         now = monotonic_us()
         times = [self.membership.due(now), self._heartbeats.due() or now + US_PER_SECOND]
         times += [feature.due(now) for feature in self._features]
@@ -240,7 +244,7 @@
     def _carry_out(self, action: MembershipAction) -> None:
         match action:
             case CallStore(call):
-                self.lanes[lane_of(call.request)].put(call.request, self._call_replied, call)
+                self.lanes[lane_of(call.request)].submit(call.request, self._call_replied, call)
             case RoleWon(role, token):
                 self.log_event("info", "role acquired", role=role, token=token)
                 self._role_won(role, token)
@@ -248,14 +252,14 @@
                 self.log_event("info", "role lost", role=role, reason=reason)
                 self._role_lost(role)
             case WatchMembers(revision):
-                self._members_watcher.follow(revision)
-            case StateChanged(text, facts):
+                self._members_watcher.watch_from(revision)
+            case LogStateChange(text, facts):
                 self.log_event("info", text, **facts)
 
     def _role_won(self, role: str, token: int) -> None:
         if role in self.scheduled_commands:
             self._scheduled_command_driver.won(role, token)
-        elif role.startswith(HEARTBEAT_ROLE):
+        elif role.startswith(HEARTBEAT_ROLE_PREFIX):
             self._heartbeats.won(role, monotonic_us())
         else:
             self._role_driver.won(role, token)
@@ -263,7 +267,7 @@
     def _role_lost(self, role: str) -> None:
         if role in self.scheduled_commands:
             self._scheduled_command_driver.lost(role)
-        elif role.startswith(HEARTBEAT_ROLE):
+        elif role.startswith(HEARTBEAT_ROLE_PREFIX):
             self._heartbeats.lost(role)
         else:
             self._role_driver.lost(role)
@@ -282,7 +286,7 @@
         self.membership.watch_gap(monotonic_us())
 
     def _post_attempt_ended(self, *outcome: Any) -> None:
-        """Pass the end of an attempt on; called on the core's thread."""
+        """Pass the end of an attempt on to the fleet's thread; called on the core's thread."""
         self.post(self._scheduled_command_driver.attempt_ended, *outcome)
 
     def _leave(self) -> None:
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:  # slow to import; needed only if an operator file turns them on
     from gullhold.admission.client_identity import ClientIdentifier
     from gullhold.admission.queue import AdmissionQueue
-    from gullhold.fleet.driver import Fleet
+    from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import DoorRecord, FleetRecord
 
 LISTEN_RETRY_LIMIT_S = 5.0  # for retries while the address is in use or sockets are short
@@ -85,7 +85,7 @@
         configuration.engine_ids,
     )
     core.discovery_lags = discovery_client.has_unapplied_events
-    core.close_clients = listener.end_clients
+    core.close_clients = listener.close_clients
     core.has_clients = listener.has_clients
     return GatewayParts(core, listener, discovery_client)
 
@@ -96,13 +96,13 @@
     from gullhold.admission.queue import AdmissionQueue  # noqa: PLC0415  only if it is on
 
     tenant_names = [tenant.name for tenant in agreement.tenants]
-    tenant_of_others = None
+    fallback_tenant = None
     if door_record.tenants == "open":
         if door_record.others not in tenant_names:
             raise ConfigurationError(f"door.others: {door_record.others!r} is no tenant of the agreement")
-        tenant_of_others = tenant_names.index(door_record.others)
+        fallback_tenant = tenant_names.index(door_record.others)
     try:
-        client_identity = ClientIdentifier(door_record.client, tenant_names, tenant_of_others)
+        client_identity = ClientIdentifier(door_record.client, tenant_names, fallback_tenant)
     except ValueError as error:
         raise ConfigurationError(f"door.client.networks: {error}") from None
     queue = AdmissionQueue(
@@ -118,7 +118,7 @@
 
 def build_fleet_member(
     fleet_record: "FleetRecord", configuration: Configuration, core: Core
-) -> "Fleet | None":
+) -> "FleetMember | None":
     """Build this gateway's fleet member, without starting it; None if the record turns the fleet off.
 
     Raises ConfigurationError.
@@ -130,7 +130,7 @@
     except ImportError as error:
         raise ConfigurationError(f"the fleet needs the packages of requirements-full.txt: {error}") from None
     try:
-        return driver.Fleet(fleet_record, configuration, core)
+        return driver.FleetMember(fleet_record, configuration, core)
     except driver.UnusableFleetError as error:
         raise ConfigurationError(str(error)) from None
 
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -43,7 +43,7 @@
     moves_per_second=100,
     min_backoff_us=50_000,
     max_backoff_us=100_000,
-    leave_us=500_000,
+    leave_timeout_us=500_000,
 )
 FIXED_FRACTION = 0.5  # in place of a random one: delays are the same in every run
 START_US = 10_000_000
@@ -144,10 +144,10 @@
         if self.is_asleep[index]:
             return [] if index in self.dead else [Action(ActionKind.WAKE, index)]
         found = []
-        if self.faults and member.state == MemberState.IN:
+        if self.faults and member.state == MemberState.JOINED:
             found.append(Action(ActionKind.SLEEP, index))
             found.append(Action(ActionKind.DIE, index))
-        if self.faults and member.state != MemberState.OUT:
+        if self.faults and member.state != MemberState.LEFT:
             found.append(Action(ActionKind.RESTART, index))
         if self._unwatched(index):
             found.append(Action(ActionKind.WATCH, index))
@@ -291,14 +291,14 @@
     def settled(self) -> None:
         """Raise InvariantError unless each role has a leader that may act and each name a live process."""
         for index, member in enumerate(self.members):
-            if self._should_be_in(index) and member.state != MemberState.IN:
+            if self._should_be_in(index) and member.state != MemberState.JOINED:
                 raise InvariantError(
                     f"the process of {member.identity.name} that joined last is {member.state}"
                 )
         alive = [
             index
             for index, member in enumerate(self.members)
-            if index not in self.dead and member.state != MemberState.OUT
+            if index not in self.dead and member.state != MemberState.LEFT
         ]
         for role in self.roles:
             tokens = [self.members[index].fencing_token(role, self.clock(index)) for index in alive]
@@ -362,10 +362,10 @@
             member.identity.key_revision,
             member.is_ready,
             tuple(sorted(claims.tokens.items())),
-            tuple(sorted(claims.excess.items())),
-            tuple(sorted((role, max(0, at - now)) for role, at in claims.wanted.items())),
-            tuple(sorted(claims.own_keys.items())),
-            tuple(claims.unsure),
+            tuple(sorted(claims.to_release.items())),
+            tuple(sorted((role, max(0, at - now)) for role, at in claims.claim_at.items())),
+            tuple(sorted(claims.own_key_revisions.items())),
+            tuple(claims.unverified),
             tuple(sorted(member.members)),
             tuple(max(0, at - now) for at in member.calls.retry_at.values()),
             member.must_read_members,
