--- a/gullhold/fleet/recovery.py
+++ b/gullhold/fleet/recovery.py
@@ -89,5 +89,8 @@
 def deduplicated_until(
     rules: ScheduledCommandRules, profile: ScheduledProfile, occurrence: Occurrence
 ) -> int:
-    """Unix us until which engines certainly drop a repeat: no attempt ran before the first intent."""
+    """Unix us until which engines certainly drop a repeat, counted from the first intent.
+
+    No attempt has run before that, by the clock of any host within the stated skew.
+    """
     return occurrence.started_us + profile.dedup_window_us - rules.max_clock_skew_us
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -130,7 +130,7 @@
             self._log("warning", "in flight when the role was lost", due_us=self.in_flight.due_us)
 
     def leave(self) -> None:
-        """Start no more attempts; the outcome of an open one is still written."""
+        """Start no more attempts, as this member shuts down; the outcome of an open one is still written."""
         self.is_leaving = True
 
     def due(self, now: int) -> int:
