--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -22,7 +22,7 @@
     connection: str
 
 
-class ClientOutput(Protocol):
+class ClientWriteBuffer(Protocol):
     """The part of a client's write buffer that the core uses."""
 
     is_finishing: bool
@@ -53,7 +53,7 @@
     settled_count: int
     completed_count: int
     has_left: bool
-    write_buffer: ClientOutput
+    write_buffer: ClientWriteBuffer
 
     def put(self, message: bytes) -> None:
         """Send one or more complete frames."""
--- a/gullhold/net/shutdown.py
+++ b/gullhold/net/shutdown.py
@@ -12,7 +12,7 @@
     from gullhold.net.core import Core
 
 NEW_REQUESTS_US = 600_000  # time in which new requests still arrive
-MAX_COUNTED_TIMEOUT_US = 3_000_000  # largest value that counts of the longest client timeout
+MAX_COUNTED_TIMEOUT_US = 3_000_000  # upper limit for the longest client timeout
 QUIET_US = 350_000  # time without a new answer after which an early end may begin
 REJECTING_US = 600_000  # time before the last answers in which all new requests are rejected
 RECHECK_US = QUIET_US // 4  # time between checks whether all requests are answered
