--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -71,7 +71,7 @@
     """Walks, mutants and searches of the allocator and its members; the slowest mutants come first."""
     names = sorted(budget_mutants.MUTANTS, key=lambda name: name not in SLOW_MUTANTS)
     return ExplorationPlan(
-        walk=partial(budget_explorer.walk, steps=WALK_STEPS, marks=True),
+        walk=partial(budget_explorer.walk, steps=WALK_STEPS, with_fingerprints=True),
         find_mutant={
             name: partial(budget_mutants.find, name, size.max_mutant_walks, WALK_STEPS) for name in names
         },
--- a/benchmarks/policy_rollout.py
+++ b/benchmarks/policy_rollout.py
@@ -56,7 +56,7 @@
 def exploration_plan(size: ExplorationSize) -> ExplorationPlan:
     """Walks, mutants and searches of the coordinator and its members."""
     return ExplorationPlan(
-        walk=partial(rollout_explorer.walk, steps=WALK_STEPS, marks=True),
+        walk=partial(rollout_explorer.walk, steps=WALK_STEPS, with_fingerprints=True),
         find_mutant={
             name: partial(rollout_mutants.find, name, size.max_mutant_walks, WALK_STEPS)
             for name in rollout_mutants.MUTANTS
--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -64,16 +64,18 @@
             yield action
 
 
-def walk(seed: int, steps: int, faults: int = 10, marks: bool = False, **variant: Any) -> set[int]:
+def walk(
+    seed: int, steps: int, faults: int = 10, with_fingerprints: bool = False, **variant: Any
+) -> set[int]:
     """Walk once, then calm down; raises InvariantError with its story.
 
-    Returns marks of the states that were met, where asked for. variant: fields of Variant.
+    Returns fingerprints of the states that were met, where asked for. variant: fields of Variant.
     """
     draw = random.Random(seed).random
     world = World((LedgerKind.HELD, LedgerKind.WINDOWED)[seed % 2], faults, **variant)
     is_in_rounds = seed // 2 % 4 != 0  # three walks of four; the others take any action
     actions = rounds(world, draw) if is_in_rounds else walking.random_actions(world, draw, FAULTS)
-    return walking.run_walk(world, actions, steps, seed, marks)
+    return walking.run_walk(world, actions, steps, seed, with_fingerprints)
 
 
 def explore(
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -261,7 +261,7 @@
         entries = [entry for row in rows for entry in decode_row(row).entries.values()]
         return sum(allocated_amount(entry) for entry in entries)
 
-    def mark(self) -> Hashable:
+    def fingerprint(self) -> Hashable:
         """Return what makes two states the same: all but absolute time and numbers of writes."""
         return (
             tuple(member.state() for member in self.members),
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -56,12 +56,12 @@
 def walk(seed: int, steps: int, make: MakeMember = Membership, faults: int = 6) -> set[int]:
     """One walk, by a strategy that its seed says, then calm; raises InvariantError with its story.
 
-    The marks of the states that it met.
+    The fingerprints of the states that it met.
     """
     draw = random.Random(seed).random
     world = settled_world(make, faults=faults)
     strategy = STRATEGIES[seed % len(STRATEGIES)](draw)
-    return walking.run_walk(world, _chosen(strategy, world), steps, seed, marks=True)
+    return walking.run_walk(world, _chosen(strategy, world), steps, seed, with_fingerprints=True)
 
 
 class Strategy(Protocol):
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -333,10 +333,10 @@
 
     # What tells states apart
 
-    def mark(self) -> tuple:
+    def fingerprint(self) -> tuple:
         """What makes two states the same: all but absolute time."""
         return (
-            tuple(self._member_mark(index) for index in range(len(self.members))),
+            tuple(self._member_fingerprint(index) for index in range(len(self.members))),
             tuple(tuple(item) for _, item in sorted(self.model.keys.items())),
             tuple((lease, end - self.now) for lease, end in sorted(self.model.leases.items())),
             tuple((index, call.purpose, call.request) for index, call in self.calls),
@@ -351,7 +351,7 @@
             self.late_name,
         )
 
-    def _member_mark(self, index: int) -> tuple:
+    def _member_fingerprint(self, index: int) -> tuple:
         member = self.members[index]
         claims = member.claims
         now = self.clock(index)
--- a/gullhold/testing/rollout_explorer.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -41,17 +41,19 @@
         )
 
 
-def walk(seed: int, steps: int, faults: int = 10, marks: bool = False, **variant: Any) -> set[int]:
+def walk(
+    seed: int, steps: int, faults: int = 10, with_fingerprints: bool = False, **variant: Any
+) -> set[int]:
     """Walk once, then calm down; raises InvariantError with its story.
 
-    Returns the marks of the states that it met, where asked for. variant: fields of RolloutVariant.
+    Returns the fingerprints of the states that it met, where asked for. variant: fields of RolloutVariant.
     """
     draw = random.Random(seed).random
     overlap = (Overlap.STRICT, Overlap.LOOSE)[seed % 2]
     cut_off_rule = (CutOffRule.KEEP, CutOffRule.STAND)[seed // 2 % 2]
     world = World(overlap, faults, **{"cut_off_rule": cut_off_rule} | variant)
     actions = rounds(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
-    return walking.run_walk(world, actions, steps, seed, marks)
+    return walking.run_walk(world, actions, steps, seed, with_fingerprints)
 
 
 def explore(
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -229,10 +229,10 @@
 
     # States
 
-    def mark(self) -> tuple:
+    def fingerprint(self) -> tuple:
         """What makes two states the same: all but absolute time."""
         return (
-            tuple(self._mark_of_member(member) for member in self.members),
+            tuple(self._member_fingerprint(member) for member in self.members),
             tuple((key, item.value, item.revision) for key, item in sorted(self.model.keys.items())),
             tuple((tag[0], str(request)) for _, request, tag in self.calls),
             tuple((tag[0], reply.proof, reply.succeeded) for _, tag, reply in self.replies),
@@ -240,11 +240,11 @@
             tuple(self.watched_from),
             self.leader,
             self.faults,
-            tuple(self._mark_of_coordinator(coordinator) for coordinator in self.holders),
+            tuple(self._coordinator_fingerprint(coordinator) for coordinator in self.holders),
         )
 
     @staticmethod
-    def _mark_of_member(member: SimulatedMember) -> tuple:
+    def _member_fingerprint(member: SimulatedMember) -> tuple:
         return (
             member.name,
             member.cut,
@@ -259,7 +259,7 @@
         )
 
     @staticmethod
-    def _mark_of_coordinator(coordinator: RolloutCoordinator) -> tuple:
+    def _coordinator_fingerprint(coordinator: RolloutCoordinator) -> tuple:
         return (
             coordinator.token,
             coordinator.is_loaded,
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -1,7 +1,7 @@
 """What explorers of worlds share: the search through all actions, and random walks.
 
-A world has act(kind, ...), which raises InvariantError, actions(), mark(), which tells states apart, and, for
-random walks, calm() and settled(). An action is a tuple of its kind and what else act() takes.
+A world has act(kind, ...), which raises InvariantError, actions(), fingerprint(), which tells states apart,
+and, for random walks, calm() and settled(). An action is a tuple of its kind and what else act() takes.
 """
 
 import copy
@@ -43,9 +43,9 @@
             draw.shuffle(actions)
             for action in actions:
                 successor = _after(state, action, story)
-                mark = hash(successor.mark())
-                if mark not in met:
-                    met.add(mark)
+                fingerprint = hash(successor.fingerprint())
+                if fingerprint not in met:
+                    met.add(fingerprint)
                     following.append((successor, (*story, action)))
                 if len(met) >= max_states:
                     return Explored(len(met), level)
@@ -93,10 +93,13 @@
     return actions[int(draw() * len(actions))]
 
 
-def run_walk(world: Any, actions: Iterator[Action], steps: int, seed: int, marks: bool) -> set[int]:
+def run_walk(
+    world: Any, actions: Iterator[Action], steps: int, seed: int, with_fingerprints: bool
+) -> set[int]:
     """Take so many actions, then end the faults and check that the world settles.
 
-    marks: whether to return the marks of the states that were met. Raises InvariantError with its story.
+    with_fingerprints: whether to return the fingerprints of the states that were met. Raises InvariantError
+    with its story.
     """
     story: list[Action] = []
     met: set[int] = set()
@@ -105,8 +108,8 @@
             action = next(actions)
             story.append(action)
             world.act(*action)
-            if marks:
-                met.add(hash(world.mark()))
+            if with_fingerprints:
+                met.add(hash(world.fingerprint()))
         world.calm()
         world.settled()
     except InvariantError as violation:
