--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -67,7 +67,7 @@
 def walk(
     seed: int, steps: int, faults: int = 10, with_fingerprints: bool = False, **variant: Any
 ) -> set[int]:
-    """Walk once, then calm down; raises InvariantError with its story.
+    """Walk once, then settle; raises InvariantError with its story.
 
     Returns fingerprints of the states that were met, where asked for. variant: fields of Variant.
     """
@@ -83,6 +83,6 @@
 ) -> walking.Explored:
     """Return (states met, the depth that was fully searched) from a fleet that has allocated."""
     world = World(kind, 0, **variant)
-    world.calm()
+    world.settle()
     world.faults = faults
     return walking.explore(world, depth, max_states, seed)
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -279,7 +279,7 @@
             tuple((until - self.now, calls) for until, calls in self.lingering),
         )
 
-    def calm(self) -> None:
+    def settle(self) -> None:
         """No more faults: all is carried out in turn, everybody reports, and one leader allocates."""
         self.faults = 0
         self.delayed_requests = []
@@ -288,9 +288,9 @@
         for member in self.members:
             member.cut = False
         for _ in range(SETTLED):
-            self._calm_moment()
+            self._settle_step()
 
-    def _calm_moment(self) -> None:
+    def _settle_step(self) -> None:
         self.act(ActionKind.TIME)
         for index, member in enumerate(self.members):
             if self.kind == LedgerKind.HELD:
@@ -301,7 +301,7 @@
             self.act(ActionKind.COME, name)
         self.finish_calls(MAX_QUIET_STEPS)
 
-    def settled(self) -> None:
+    def check_settled(self) -> None:
         """Raise InvariantError unless all that may be allocated is allocated among those who live."""
         allocated = sum(member.allocation.allocated for member in self.members)
         if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # one of it may be on its way
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -36,8 +36,8 @@
 ) -> World:
     """A world whose members have settled."""
     world = World(names, roles, make, faults=0)
-    world.calm()
-    world.settled()
+    world.settle()
+    world.check_settled()
     world.faults = faults
     return world
 
@@ -54,7 +54,7 @@
 
 
 def walk(seed: int, steps: int, make: MakeMember = Membership, faults: int = 6) -> set[int]:
-    """One walk, by a strategy that its seed says, then calm; raises InvariantError with its story.
+    """One walk, by a strategy that its seed says, then settle; raises InvariantError with its story.
 
     The fingerprints of the states that it met.
     """
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -49,7 +49,7 @@
 START_US = 10_000_000
 MAX_EFFECTS = 2  # that are under way at once
 SETTLING_STEPS = 60  # moments in which a fleet without faults has to lead every role
-MAX_CALM_ACTIONS = 40  # in one such moment
+MAX_ACTIONS_PER_SETTLING_STEP = 40  # in one such moment
 
 
 def fixed_fraction() -> float:
@@ -288,7 +288,7 @@
             return False
         return MemberRecord.decode(item.value, item.revision).nonce != identity.nonce
 
-    def settled(self) -> None:
+    def check_settled(self) -> None:
         """Raise InvariantError unless each role has a leader that may act and each name a live process."""
         for index, member in enumerate(self.members):
             if self._should_be_in(index) and member.state != MemberState.JOINED:
@@ -315,7 +315,7 @@
         )
         return not has_later_process or not identity.incarnation
 
-    def calm(self) -> None:
+    def settle(self) -> None:
         """No more faults: what was held back is lost, who sleeps wakes, everything is carried out in turn."""
         self.faults = 0
         self.effects = []
@@ -325,7 +325,7 @@
         orderly = (ActionKind.CARRY_OUT, ActionKind.REPLY, ActionKind.WATCH)
         for _ in range(SETTLING_STEPS):
             self.act(ActionKind.TIME)
-            for _ in range(MAX_CALM_ACTIONS):
+            for _ in range(MAX_ACTIONS_PER_SETTLING_STEP):
                 action = next((action for action in self.actions() if action.kind in orderly), None)
                 if action is None:
                     break
--- a/gullhold/testing/rollout_explorer.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -44,7 +44,7 @@
 def walk(
     seed: int, steps: int, faults: int = 10, with_fingerprints: bool = False, **variant: Any
 ) -> set[int]:
-    """Walk once, then calm down; raises InvariantError with its story.
+    """Walk once, then settle; raises InvariantError with its story.
 
     Returns the fingerprints of the states that it met, where asked for. variant: fields of RolloutVariant.
     """
@@ -61,7 +61,7 @@
 ) -> walking.Explored:
     """Explore from a fleet with one change just proposed; most: states after which it stops."""
     world = World(overlap, 0, **variant)
-    world.calm()
+    world.settle()
     world.act(ActionKind.PROPOSE, GOOD_TEXT)
     world.faults = faults
     return walking.explore(world, depth, most, seed)
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -270,7 +270,7 @@
             len(coordinator.votes.votes),
         )
 
-    def calm(self) -> None:
+    def settle(self) -> None:
         """No more faults: all is carried out in turn, missing members come, one coordinator leads."""
         self.faults = 0
         self.delayed_requests = []
@@ -283,7 +283,7 @@
             self.act(ActionKind.TIME)
             self.finish_calls(MAX_CALLS_IN_STEP)
 
-    def settled(self) -> None:
+    def check_settled(self) -> None:
         """Raises InvariantError unless every member goes by what is in force, and no change is left open."""
         keys = self.model.keys
         if CHANGE_KEY in keys:
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -1,7 +1,8 @@
 """What explorers of worlds share: the search through all actions, and random walks.
 
 A world has act(kind, ...), which raises InvariantError, actions(), fingerprint(), which tells states apart,
-and, for random walks, calm() and settled(). An action is a tuple of its kind and what else act() takes.
+and, for random walks, settle() and check_settled(). An action is a tuple of its kind and the other arguments
+of act().
 """
 
 import copy
@@ -110,8 +111,8 @@
             world.act(*action)
             if with_fingerprints:
                 met.add(hash(world.fingerprint()))
-        world.calm()
-        world.settled()
+        world.settle()
+        world.check_settled()
     except InvariantError as violation:
         raise InvariantError(f"seed {seed}: {violation}; after {story}") from None
     return met
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -77,7 +77,7 @@
 )
 def test_a_canary_runs_on_some_members_and_is_dropped_if_it_is_bad(text, comes):
     world = rollout_world.World(Overlap.LOOSE, faults=0)
-    world.calm()
+    world.settle()
     world.act(ActionKind.PROPOSE, text)
     seen = set()
     for _ in range(16):
@@ -89,8 +89,8 @@
             seen.add(decode_change(item.value).state)
         tried = [one.number for one in world.members if one.number]
         assert len(tried) <= 1 or world.decided
-    world.calm()
-    world.settled()
+    world.settle()
+    world.check_settled()
     assert world.decided == (1 if comes else 0)
     assert (ChangeState.CANARY in seen) == (text != rollout_world.REFUSED_TEXT)
 
@@ -163,7 +163,7 @@
 
 def test_a_member_without_a_vote_steps_at_its_next_poll():
     world = rollout_world.World(Overlap.LOOSE, faults=0)
-    world.calm()
+    world.settle()
     for one in world.members:
         now = one()
         assert one.decisions.due(now) == max(now, one.decisions.refresh_at)
