--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -20,13 +20,19 @@
 CALL_FAULT_CHANCE = 0.06  # that a call fails
 SPEND_CHANCES = (0.7, 0.5)  # that a member spends all that it may: twice in a moment
 FREQUENT_CHANCES = (
-    (ActionKind.END, 0.4),
-    (ActionKind.COME, 0.4),
-    (ActionKind.HEAL, 0.1),
-    (ActionKind.LATE, 0.15),
-    (ActionKind.LOST, 0.1),
+    (ActionKind.RELEASE, 0.4),
+    (ActionKind.JOIN, 0.4),
+    (ActionKind.RECONNECT, 0.1),
+    (ActionKind.EXECUTE_DELAYED_CALL, 0.15),
+    (ActionKind.LOSE_ROLE, 0.1),
+)
+RARE_ACTIONS = (
+    ActionKind.CRASH,
+    ActionKind.DISCONNECT,
+    ActionKind.ELECT,
+    ActionKind.MISS_CHANGES,
+    ActionKind.LEAVE,
 )
-RARE_ACTIONS = (ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.LEAVE)
 RARE_CHANCE = 0.2
 
 
@@ -37,7 +43,7 @@
     something breaks. What was held back comes some moments later.
     """
     while True:
-        yield (ActionKind.TIME,)
+        yield (ActionKind.ADVANCE_TIME,)
         for index, member in enumerate(world.members):
             if draw() < REPORT_CHANCE and world.may_report(member):
                 yield (ActionKind.REPORT, index)
@@ -45,7 +51,7 @@
         for chance in SPEND_CHANCES:
             for index, member in enumerate(world.members):
                 if draw() < chance and member.allocation.allows(1):
-                    yield (ActionKind.SPEND, index)
+                    yield (ActionKind.ACQUIRE, index)
             action = world.next_orderly_action()
             if action and draw() < chance:
                 yield action
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -38,7 +38,14 @@
 
 DEMANDS = (0, 4, TOTAL)  # of a member in turn, while demand changes
 SETTLED_DEMAND = 3  # of each member in the end
-FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.LEAVE)
+FAULTS = (
+    *CALL_FAULTS,
+    ActionKind.CRASH,
+    ActionKind.DISCONNECT,
+    ActionKind.ELECT,
+    ActionKind.MISS_CHANGES,
+    ActionKind.LEAVE,
+)
 SETTLED = 30  # moments in which a fleet without faults has to have allocated all
 MAX_QUIET_STEPS = 60  # steps in which all that is under way is carried out
 
@@ -72,10 +79,10 @@
         self.lingering: list[Lingering] = []
         self.is_settling = False
         for name in NAMES:
-            self._do_come(name)
+            self._do_join(name)
         self._do_elect(0)
 
-    def _do_come(self, name: str) -> None:
+    def _do_join(self, name: str) -> None:
         """A process begins, and has a lease."""
         member = SimulatedMember(self, name, RATES[len(self.members) % len(RATES)])
         self.members.append(member)
@@ -102,29 +109,29 @@
 
     def actions(self) -> list[Action]:
         """Return all that may be next."""
-        found: list[Action] = [(ActionKind.TIME,), *self.call_actions(), *self.holder_actions()]
+        found: list[Action] = [(ActionKind.ADVANCE_TIME,), *self.call_actions(), *self.holder_actions()]
         for index, member in enumerate(self.members):
             found += self._member_actions(index, member)
-        return found + [(ActionKind.COME, name) for name in self._missing_names()]
+        return found + [(ActionKind.JOIN, name) for name in self._missing_names()]
 
     def _member_actions(self, index: int, member: SimulatedMember) -> list[Action]:
         found: list[Action] = []
         if member.allocation.allows(1):
-            found.append((ActionKind.SPEND, index))
+            found.append((ActionKind.ACQUIRE, index))
         if member.running:
-            found.append((ActionKind.END, index))
+            found.append((ActionKind.RELEASE, index))
         if not member.cut and self._rows(member):
-            found.append((ActionKind.HEAR, index))
+            found.append((ActionKind.NOTIFY_MEMBER, index))
         if self.may_report(member):
             found.append((ActionKind.REPORT, index))
         if self.faults:
             found += [
-                (ActionKind.DIE, index),
+                (ActionKind.CRASH, index),
                 (ActionKind.LEAVE, index),
-                (ActionKind.HEAL if member.cut else ActionKind.CUT, index),
+                (ActionKind.RECONNECT if member.cut else ActionKind.DISCONNECT, index),
             ]
         elif member.cut:
-            found.append((ActionKind.HEAL, index))
+            found.append((ActionKind.RECONNECT, index))
         return found
 
     def _missing_names(self) -> list[str]:
@@ -138,7 +145,7 @@
             return action
         for index, member in enumerate(self.members):
             if not member.cut and self._rows(member):
-                return ActionKind.HEAR, index
+                return ActionKind.NOTIFY_MEMBER, index
         return None
 
     def may_report(self, member: SimulatedMember) -> bool:
@@ -157,7 +164,7 @@
         self.HANDLERS[what](self, whom)
         self.check()
 
-    def _do_time(self, _: Any) -> None:
+    def _do_advance_time(self, _: Any) -> None:
         self.now += QUANTUM_US
         for member in self.members:
             lease_id = member.lease.id
@@ -169,7 +176,7 @@
                 member.allocation.release(1)
         self._step_holders()
 
-    def _do_reply(self, index: int) -> None:
+    def _do_deliver_reply(self, index: int) -> None:
         caller, (what, *context), reply = self.replies.pop(index)
         if what != "reported":
             self._call_holder(caller, what, *context, reply)
@@ -184,7 +191,7 @@
             member.reported_revision = item.revision if item else 0
             self._report(member)
 
-    def _do_spend(self, index: int) -> None:
+    def _do_acquire(self, index: int) -> None:
         member = self.members[index]
         while member.allocation.allows(1):
             member.allocation.acquire(1)
@@ -192,14 +199,14 @@
             if self.kind == LedgerKind.HELD:
                 member.running.append(self.now)
 
-    def _do_end(self, index: int) -> None:
+    def _do_release(self, index: int) -> None:
         member = self.members[index]
         older_half = -(-len(member.running) // 2)
         for _ in range(older_half):
             member.running.pop(0)
             member.allocation.release(1)
 
-    def _do_hear(self, index: int) -> None:
+    def _do_notify_member(self, index: int) -> None:
         member = self.members[index]
         member.applied_revision, _, value = self._rows(member)[0]
         if value is not None:
@@ -213,7 +220,7 @@
         member.demand = SETTLED_DEMAND if self.is_settling else DEMANDS[turn % len(DEMANDS)]
         self._report(member)
 
-    def _do_die(self, index: int) -> None:
+    def _do_crash(self, index: int) -> None:
         """What it began goes on for as long as it may after it became unable to begin more.
 
         That is now, but for what it had begun when it lost an earlier lease: that long after the loss.
@@ -238,7 +245,7 @@
             self._drop_calls(member)
             self.model.call(self._report_call(member, has_left=True), self.now)
             self.model.end(member.lease.id)
-        self._do_die(self.members.index(member))
+        self._do_crash(self.members.index(member))
 
     def check(self) -> None:
         """Raise InvariantError where more than the total is in use, or was spent within any window."""
@@ -291,14 +298,14 @@
             self._settle_step()
 
     def _settle_step(self) -> None:
-        self.act(ActionKind.TIME)
+        self.act(ActionKind.ADVANCE_TIME)
         for index, member in enumerate(self.members):
             if self.kind == LedgerKind.HELD:
-                self.act(ActionKind.END, index)
+                self.act(ActionKind.RELEASE, index)
             if self.may_report(member):
                 self.act(ActionKind.REPORT, index)
         for name in self._missing_names():
-            self.act(ActionKind.COME, name)
+            self.act(ActionKind.JOIN, name)
         self.finish_calls(MAX_QUIET_STEPS)
 
     def check_settled(self) -> None:
@@ -308,13 +315,13 @@
             raise InvariantError(f"{allocated} are divided though nothing is wrong any more")
 
     HANDLERS = RolePairWorld.HANDLERS | {
-        ActionKind.COME: _do_come,
-        ActionKind.TIME: _do_time,
-        ActionKind.REPLY: _do_reply,
-        ActionKind.SPEND: _do_spend,
-        ActionKind.END: _do_end,
-        ActionKind.HEAR: _do_hear,
+        ActionKind.JOIN: _do_join,
+        ActionKind.ADVANCE_TIME: _do_advance_time,
+        ActionKind.DELIVER_REPLY: _do_deliver_reply,
+        ActionKind.ACQUIRE: _do_acquire,
+        ActionKind.RELEASE: _do_release,
+        ActionKind.NOTIFY_MEMBER: _do_notify_member,
         ActionKind.REPORT: _do_report,
-        ActionKind.DIE: _do_die,
+        ActionKind.CRASH: _do_crash,
         ActionKind.LEAVE: _do_leave,
     }
--- a/gullhold/testing/membership_actions.py
+++ b/gullhold/testing/membership_actions.py
@@ -9,32 +9,32 @@
 class ActionKind(StrEnum):
     """What can happen next in a world."""
 
-    TIME = "time"
-    CARRY_OUT = "carry out"  # a call that is under way
+    ADVANCE_TIME = "time"
+    EXECUTE_CALL = "carry out"  # a call that is under way
     LOSE_REPLY = "lose the reply"
-    HOLD_BACK = "hold back"  # a call that may still be carried out, after it was given up
-    REFUSE = "refuse"
-    ANSWER_LATE = "answer late"  # a call is carried out, and its reply is held back
-    ARRIVE = "arrive"  # a reply that was held back
-    REPLY = "reply"
-    LATE = "late"  # a call that was held back is carried out
-    LAND = "land"  # an effect is carried out
+    DELAY_CALL = "hold back"  # a call that may still be carried out, after it was given up
+    REJECT_CALL = "refuse"
+    DELAY_REPLY = "answer late"  # a call is carried out, and its reply is held back
+    RELEASE_REPLY = "arrive"  # a reply that was held back
+    DELIVER_REPLY = "reply"
+    EXECUTE_DELAYED_CALL = "late"  # a call that was held back is carried out
+    EXECUTE_EFFECT = "land"  # an effect is carried out
     JOIN = "come"  # a further member
-    WAKE = "wake"
-    SLEEP = "sleep"
-    DIE = "die"
+    RESUME = "wake"
+    PAUSE = "sleep"
+    CRASH = "die"
     RESTART = "restart"  # a new process of the same name, while the old one goes on
-    WATCH = "tell"  # a member is notified of changes
-    EFFECT = "effect"  # a member begins an effect
+    NOTIFY_MEMBER = "tell"  # a member is notified of changes
+    BEGIN_EFFECT = "effect"  # a member begins an effect
 
 
 CALL_FAULTS = (
     ActionKind.LOSE_REPLY,
-    ActionKind.HOLD_BACK,
-    ActionKind.REFUSE,
-    ActionKind.ANSWER_LATE,
+    ActionKind.DELAY_CALL,
+    ActionKind.REJECT_CALL,
+    ActionKind.DELAY_REPLY,
 )
-FAULTS = (*CALL_FAULTS, ActionKind.SLEEP, ActionKind.RESTART, ActionKind.DIE)
+FAULTS = (*CALL_FAULTS, ActionKind.PAUSE, ActionKind.RESTART, ActionKind.CRASH)
 
 
 class Action(NamedTuple):
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -18,7 +18,12 @@
 Draw = Callable[[], float]  # a random fraction, from [0, 1)
 
 # What happens at once where nothing is wrong.
-ORDERLY = (ActionKind.CARRY_OUT, ActionKind.REPLY, ActionKind.WATCH, ActionKind.LAND)
+ORDERLY = (
+    ActionKind.EXECUTE_CALL,
+    ActionKind.DELIVER_REPLY,
+    ActionKind.NOTIFY_MEMBER,
+    ActionKind.EXECUTE_EFFECT,
+)
 FREQUENT_CALLS = (
     CallPurpose.RENEW_LEASE,
     CallPurpose.AUDIT_LEASE,
@@ -142,7 +147,7 @@
             rare = _faults_of_rare_calls(world, actions)
             if rare:
                 return rare
-        return [action for action in actions if action.kind not in (*ORDERLY, ActionKind.TIME)]
+        return [action for action in actions if action.kind not in (*ORDERLY, ActionKind.ADVANCE_TIME)]
 
     def _orderly(self, actions: list[Action]) -> Action:
         return next((action for action in actions if action.kind in ORDERLY), actions[0])
@@ -173,11 +178,11 @@
                 return action
         is_target_asleep = self.target is not None and world.is_asleep[self.target]
         if is_target_asleep and self.draw() < self.WAKE_CHANCE:
-            return Action(ActionKind.WAKE, self.target)
+            return Action(ActionKind.RESUME, self.target)
         return self._orderly(actions)
 
     def _hold_back(self, world: World, actions: list[Action]) -> Action | None:
-        kinds = (ActionKind.HOLD_BACK, ActionKind.ANSWER_LATE)
+        kinds = (ActionKind.DELAY_CALL, ActionKind.DELAY_REPLY)
         found = [action for action in _faults_of_rare_calls(world, actions) if action.kind in kinds]
         if not found:
             return self._add_member(actions)
@@ -193,12 +198,12 @@
         return _pick(joins, self.draw) if joins else None
 
     def _disturb(self, _world: World, actions: list[Action]) -> Action | None:
-        kinds = (ActionKind.SLEEP, ActionKind.RESTART)
+        kinds = (ActionKind.PAUSE, ActionKind.RESTART)
         found = [action for action in actions if action.kind in kinds and action.index == self.target]
         return _pick(found, self.draw) if found else None
 
     def _release(self, _world: World, actions: list[Action]) -> Action | None:
-        kinds = (ActionKind.LATE, ActionKind.ARRIVE)
+        kinds = (ActionKind.EXECUTE_DELAYED_CALL, ActionKind.RELEASE_REPLY)
         return next((action for action in actions if action.kind in kinds), None)
 
 
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -119,15 +119,17 @@
 
     def actions(self) -> list[Action]:
         """All that can be next."""
-        found = [Action(ActionKind.TIME)]
+        found = [Action(ActionKind.ADVANCE_TIME)]
         for number in range(len(self.calls)):
-            found.append(Action(ActionKind.CARRY_OUT, number))
+            found.append(Action(ActionKind.EXECUTE_CALL, number))
             if self.faults:
                 found += [Action(fault, number) for fault in CALL_FAULTS]
-        found += self._of_replies(ActionKind.ARRIVE, self.late_replies)
-        found += self._of_replies(ActionKind.REPLY, self.replies)
-        found += [Action(ActionKind.LATE, number) for number in range(len(self.late_requests))]
-        found += [Action(ActionKind.LAND, number) for number in range(len(self.effects))]
+        found += self._of_replies(ActionKind.RELEASE_REPLY, self.late_replies)
+        found += self._of_replies(ActionKind.DELIVER_REPLY, self.replies)
+        found += [
+            Action(ActionKind.EXECUTE_DELAYED_CALL, number) for number in range(len(self.late_requests))
+        ]
+        found += [Action(ActionKind.EXECUTE_EFFECT, number) for number in range(len(self.effects))]
         if self.late_name:
             found.append(Action(ActionKind.JOIN))
         for index in range(len(self.members)):
@@ -142,19 +144,19 @@
     def _of_member(self, index: int) -> list[Action]:
         member = self.members[index]
         if self.is_asleep[index]:
-            return [] if index in self.dead else [Action(ActionKind.WAKE, index)]
+            return [] if index in self.dead else [Action(ActionKind.RESUME, index)]
         found = []
         if self.faults and member.state == MemberState.JOINED:
-            found.append(Action(ActionKind.SLEEP, index))
-            found.append(Action(ActionKind.DIE, index))
+            found.append(Action(ActionKind.PAUSE, index))
+            found.append(Action(ActionKind.CRASH, index))
         if self.faults and member.state != MemberState.LEFT:
             found.append(Action(ActionKind.RESTART, index))
         if self._unwatched(index):
-            found.append(Action(ActionKind.WATCH, index))
+            found.append(Action(ActionKind.NOTIFY_MEMBER, index))
         if len(self.effects) < MAX_EFFECTS:
             for role in self.roles:
                 if member.fencing_token(role, self.clock(index)):
-                    found.append(Action(ActionKind.EFFECT, index, role))
+                    found.append(Action(ActionKind.BEGIN_EFFECT, index, role))
         return found
 
     def _unwatched(self, index: int) -> list[Change]:
@@ -176,37 +178,37 @@
 
     def _do(self, kind: ActionKind, index: int, role: str) -> None:
         match kind:
-            case ActionKind.TIME:
+            case ActionKind.ADVANCE_TIME:
                 self._pass_time()
-            case ActionKind.CARRY_OUT:
+            case ActionKind.EXECUTE_CALL:
                 member, call = self.calls.pop(index)
                 self.replies.append(SentReply(member, call, self.model.call(call.request, self.now)))
-            case ActionKind.ARRIVE:
+            case ActionKind.RELEASE_REPLY:
                 self.replies.append(self.late_replies.pop(index))
-            case ActionKind.REPLY:
+            case ActionKind.DELIVER_REPLY:
                 member, call, reply = self.replies.pop(index)
                 self.members[member].call_replied(self.clock(member), call, reply)
                 self._collect(member)
-            case ActionKind.LATE:
+            case ActionKind.EXECUTE_DELAYED_CALL:
                 self.model.call(self.late_requests.pop(index), self.now)
-            case ActionKind.EFFECT:
+            case ActionKind.BEGIN_EFFECT:
                 self._begin_effect(index, role)
-            case ActionKind.LAND:
+            case ActionKind.EXECUTE_EFFECT:
                 self._land(self.effects.pop(index))
             case _:
                 self._do_to_member(kind, index)
 
     def _do_to_member(self, kind: ActionKind, index: int) -> None:
         match kind:
-            case ActionKind.SLEEP:
+            case ActionKind.PAUSE:
                 self.is_asleep[index] = True
-            case ActionKind.DIE:
+            case ActionKind.CRASH:
                 self.is_asleep[index] = True
                 self.dead.add(index)
-            case ActionKind.WAKE:
+            case ActionKind.RESUME:
                 self.is_asleep[index] = False
                 self._tick(index)
-            case ActionKind.WATCH:
+            case ActionKind.NOTIFY_MEMBER:
                 self._notify(index)
             case ActionKind.JOIN:
                 self.add(self.late_name)
@@ -229,11 +231,11 @@
 
     def _fail_call(self, kind: ActionKind, member: int, call: PendingCall) -> None:
         match kind:
-            case ActionKind.ANSWER_LATE:
+            case ActionKind.DELAY_REPLY:
                 reply = self.model.call(call.request, self.now)
                 self.late_replies.append(SentReply(member, call, reply))
                 return
-            case ActionKind.HOLD_BACK:
+            case ActionKind.DELAY_CALL:
                 self.late_requests.append(call.request)
                 proof = Proof.UNKNOWN
             case ActionKind.LOSE_REPLY:
@@ -322,9 +324,9 @@
         self.replies = self.replies + self.late_replies
         self.late_replies = []
         self.is_asleep = [index in self.dead for index in range(len(self.members))]
-        orderly = (ActionKind.CARRY_OUT, ActionKind.REPLY, ActionKind.WATCH)
+        orderly = (ActionKind.EXECUTE_CALL, ActionKind.DELIVER_REPLY, ActionKind.NOTIFY_MEMBER)
         for _ in range(SETTLING_STEPS):
-            self.act(ActionKind.TIME)
+            self.act(ActionKind.ADVANCE_TIME)
             for _ in range(MAX_ACTIONS_PER_SETTLING_STEP):
                 action = next((action for action in self.actions() if action.kind in orderly), None)
                 if action is None:
--- a/gullhold/testing/role_pair_world.py
+++ b/gullhold/testing/role_pair_world.py
@@ -94,26 +94,26 @@
         """The actions that calls under way allow now."""
         found: list[Action] = []
         for number in range(len(self.calls)):
-            found.append((ActionKind.CARRY_OUT, number))
+            found.append((ActionKind.EXECUTE_CALL, number))
             if self.faults:
                 found += [(fault, number) for fault in CALL_FAULTS]
-        found += [(ActionKind.REPLY, number) for number in range(len(self.replies))]
-        found += [(ActionKind.LATE, number) for number in range(len(self.delayed_requests))]
+        found += [(ActionKind.DELIVER_REPLY, number) for number in range(len(self.replies))]
+        found += [(ActionKind.EXECUTE_DELAYED_CALL, number) for number in range(len(self.delayed_requests))]
         return found
 
     def holder_actions(self) -> list[Action]:
         """The actions that concern the two holders."""
         found = self._notifications()
         if self.faults:
-            found += [(ActionKind.ELECT, 0), (ActionKind.MISS, self.leader)]
+            found += [(ActionKind.ELECT, 0), (ActionKind.MISS_CHANGES, self.leader)]
         other = 1 - self.leader
         if self.holders[other].token:
-            found.append((ActionKind.LOST, other))
+            found.append((ActionKind.LOSE_ROLE, other))
         return found
 
     def _notifications(self) -> list[Action]:
         return [
-            (ActionKind.TELL, holder)
+            (ActionKind.NOTIFY_LEADER, holder)
             for holder in range(2)
             if self.changes_since(self.watched_from[holder], self.watched_prefix)
         ]
@@ -121,9 +121,9 @@
     def next_orderly_action(self) -> Action | None:
         """What happens next where nothing is wrong; None: nothing is under way."""
         if self.calls:
-            return ActionKind.CARRY_OUT, 0
+            return ActionKind.EXECUTE_CALL, 0
         if self.replies:
-            return ActionKind.REPLY, 0
+            return ActionKind.DELIVER_REPLY, 0
         return next(iter(self._notifications()), None)
 
     def changes_since(self, since: int | None, prefix: str) -> list[Change]:
@@ -178,28 +178,28 @@
         getattr(self.holders[holder], method)(self.clock(holder), *arguments)
         self._collect(holder)
 
-    def _do_carry_out(self, index: int) -> None:
+    def _do_execute_call(self, index: int) -> None:
         holder, request, tag = self.calls.pop(index)
         self.replies.append(SentReply(holder, tag, self.model.call(request, self.now)))
 
-    def _do_lose_the_reply(self, index: int) -> None:
+    def _do_lose_reply(self, index: int) -> None:
         holder, request, tag = self.calls.pop(index)
         self.model.call(request, self.now)
         self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
 
-    def _do_hold_back(self, index: int) -> None:
+    def _do_delay_call(self, index: int) -> None:
         holder, request, tag = self.calls.pop(index)
         self.delayed_requests.append(request)
         self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
 
-    def _do_refuse(self, index: int) -> None:
+    def _do_reject_call(self, index: int) -> None:
         holder, _, tag = self.calls.pop(index)
         self.replies.append(SentReply(holder, tag, Reply(Proof.NOT_DONE)))
 
-    def _do_late(self, index: int) -> None:
+    def _do_execute_delayed_call(self, index: int) -> None:
         self.model.call(self.delayed_requests.pop(index), self.now)
 
-    def _do_tell(self, holder: int) -> None:
+    def _do_notify_leader(self, holder: int) -> None:
         """Notify a holder of the changes of one revision."""
         changes = self.changes_since(self.watched_from[holder], self.watched_prefix)
         first_revision = changes[0][0]
@@ -208,7 +208,7 @@
             if revision == first_revision:
                 self._call_holder(holder, "changed", key, value, revision)
 
-    def _do_miss(self, holder: int) -> None:
+    def _do_miss_changes(self, holder: int) -> None:
         self._call_holder(holder, "watch_gap")
 
     def _do_elect(self, _: int) -> None:
@@ -219,25 +219,25 @@
         self.holders[self.leader].won(self.model.revision, self.clock(self.leader))
         self._collect(self.leader)
 
-    def _do_lost(self, holder: int) -> None:
+    def _do_lose_role(self, holder: int) -> None:
         self.holders[holder].lost()
 
-    def _do_cut(self, index: int) -> None:
+    def _do_disconnect(self, index: int) -> None:
         self.members[index].cut = True
 
-    def _do_heal(self, index: int) -> None:
+    def _do_reconnect(self, index: int) -> None:
         self.members[index].cut = False
 
     HANDLERS: ClassVar[Mapping[ActionKind, Callable[..., None]]] = {
-        ActionKind.CARRY_OUT: _do_carry_out,
-        ActionKind.LOSE_THE_REPLY: _do_lose_the_reply,
-        ActionKind.HOLD_BACK: _do_hold_back,
-        ActionKind.REFUSE: _do_refuse,
-        ActionKind.LATE: _do_late,
-        ActionKind.TELL: _do_tell,
-        ActionKind.MISS: _do_miss,
+        ActionKind.EXECUTE_CALL: _do_execute_call,
+        ActionKind.LOSE_REPLY: _do_lose_reply,
+        ActionKind.DELAY_CALL: _do_delay_call,
+        ActionKind.REJECT_CALL: _do_reject_call,
+        ActionKind.EXECUTE_DELAYED_CALL: _do_execute_delayed_call,
+        ActionKind.NOTIFY_LEADER: _do_notify_leader,
+        ActionKind.MISS_CHANGES: _do_miss_changes,
         ActionKind.ELECT: _do_elect,
-        ActionKind.LOST: _do_lost,
-        ActionKind.CUT: _do_cut,
-        ActionKind.HEAL: _do_heal,
+        ActionKind.LOSE_ROLE: _do_lose_role,
+        ActionKind.DISCONNECT: _do_disconnect,
+        ActionKind.RECONNECT: _do_reconnect,
     }
--- a/gullhold/testing/rollout_explorer.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -22,7 +22,7 @@
     was held back comes some steps later.
     """
     while True:
-        yield (ActionKind.TIME,)
+        yield (ActionKind.ADVANCE_TIME,)
         if world.may_propose() and draw() < 0.6:
             yield (ActionKind.PROPOSE, REFUSED_TEXT if draw() < 0.2 else GOOD_TEXT)
         for _ in range(int(draw() * 40)):
@@ -35,8 +35,19 @@
         yield from walking.occasional_action(
             world,
             draw,
-            ((ActionKind.COME, 0.5), (ActionKind.HEAL, 0.2), (ActionKind.LATE, 0.2), (ActionKind.LOST, 0.1)),
-            (ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.DEAF),
+            (
+                (ActionKind.JOIN, 0.5),
+                (ActionKind.RECONNECT, 0.2),
+                (ActionKind.EXECUTE_DELAYED_CALL, 0.2),
+                (ActionKind.LOSE_ROLE, 0.1),
+            ),
+            (
+                ActionKind.CRASH,
+                ActionKind.DISCONNECT,
+                ActionKind.ELECT,
+                ActionKind.MISS_CHANGES,
+                ActionKind.LOSE_WATCH,
+            ),
             0.25,
         )
 
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -30,7 +30,14 @@
 
 Action = tuple[Any, ...]  # (kind, argument of the kind)
 NAMES = ("a", "b", "c")
-FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.DEAF)
+FAULTS = (
+    *CALL_FAULTS,
+    ActionKind.CRASH,
+    ActionKind.DISCONNECT,
+    ActionKind.ELECT,
+    ActionKind.MISS_CHANGES,
+    ActionKind.LOSE_WATCH,
+)
 GOOD_TEXT = "good"
 SETTLING_STEPS = 40  # steps of time in which a world without faults has to settle
 MAX_CALLS_IN_STEP = 80  # calls and replies that are carried out in one of them at most
@@ -54,7 +61,7 @@
         self.proposed = 0
         self.history = RolloutHistory(overlap, self.now)
         for name in NAMES:
-            self._do_come(name)
+            self._do_join(name)
         self._do_elect(0)
 
     @staticmethod
@@ -87,31 +94,31 @@
 
     def actions(self) -> list[Action]:
         """All that may be next."""
-        found: list[Action] = [(ActionKind.TIME,)]
+        found: list[Action] = [(ActionKind.ADVANCE_TIME,)]
         found += self.call_actions() + self.holder_actions()
         if self.may_propose():
             found += [(ActionKind.PROPOSE, GOOD_TEXT), (ActionKind.PROPOSE, REFUSED_TEXT)]
         for index, member in enumerate(self.members):
             found += self._actions_of(index, member)
-        found += [(ActionKind.COME, name) for name in self._missing_names()]
+        found += [(ActionKind.JOIN, name) for name in self._missing_names()]
         return found
 
     def _actions_of(self, index: int, member: SimulatedMember) -> list[Action]:
         found: list[Action] = []
         if member.gate.may_dispatch():
-            found.append((ActionKind.SEND, index))
+            found.append((ActionKind.DISPATCH, index))
         if member.core_queue:
-            found.append((ActionKind.CORE, index))
+            found.append((ActionKind.PROCESS_CORE_REQUEST, index))
         if self._hears(member):
-            found.append((ActionKind.HEAR, index))
+            found.append((ActionKind.NOTIFY_MEMBER, index))
         if self.faults:
             found += [
-                (ActionKind.DIE, index),
-                (ActionKind.HEAL if member.cut else ActionKind.CUT, index),
-                (ActionKind.DEAF, index),
+                (ActionKind.CRASH, index),
+                (ActionKind.RECONNECT if member.cut else ActionKind.DISCONNECT, index),
+                (ActionKind.LOSE_WATCH, index),
             ]
         elif member.cut:
-            found.append((ActionKind.HEAL, index))
+            found.append((ActionKind.RECONNECT, index))
         return found
 
     def next_orderly_action(self) -> Action | None:
@@ -121,9 +128,9 @@
             return action
         for index, member in enumerate(self.members):
             if member.core_queue:
-                return ActionKind.CORE, index
+                return ActionKind.PROCESS_CORE_REQUEST, index
             if self._hears(member):
-                return ActionKind.HEAR, index
+                return ActionKind.NOTIFY_MEMBER, index
         return None
 
     def may_propose(self) -> bool:
@@ -150,12 +157,12 @@
             if member.gate.may_dispatch():
                 self.history.check_dispatch(member, self.now)
 
-    def _do_send(self, index: int) -> None:
+    def _do_dispatch(self, index: int) -> None:
         self.history.check_dispatch(self.members[index], self.now)
 
     # Actions
 
-    def _do_time(self, _: int) -> None:
+    def _do_advance_time(self, _: int) -> None:
         self.now += QUANTUM_US
         for member in self.members:
             self._renew_lease(member)
@@ -166,7 +173,7 @@
         member.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
         member.watched_from = None
 
-    def _do_reply(self, index: int) -> None:
+    def _do_deliver_reply(self, index: int) -> None:
         """Hand a reply to the holder that called, given by its index, or to the member that did."""
         caller, (method, *context), reply = self.replies.pop(index)
         if method != "replied":
@@ -175,7 +182,7 @@
             caller.decisions.replied(caller(), *context, reply)
             self._collect_member(caller)
 
-    def _do_hear(self, index: int) -> None:
+    def _do_notify_member(self, index: int) -> None:
         member = self.members[index]
         changes = self.changes_since(member.watched_from, WATCHED)
         first_revision = changes[0][0]
@@ -185,7 +192,7 @@
                 member.decisions.changed(member(), key, value, revision)
                 self._collect_member(member)
 
-    def _do_core(self, index: int) -> None:
+    def _do_process_core_request(self, index: int) -> None:
         """The core's thread comes to the next thing that it was asked for."""
         member = self.members[index]
         match member.core_queue.pop(0):
@@ -197,7 +204,7 @@
                 member.decisions.stopped(member(), number)
         self._collect_member(member)
 
-    def _do_deaf(self, index: int) -> None:
+    def _do_lose_watch(self, index: int) -> None:
         """Its watch lost what changed."""
         member = self.members[index]
         member.watched_from = None
@@ -217,13 +224,13 @@
         )
         self.model.call(propose(change, self.model.keys), self.now)
 
-    def _do_come(self, name: str) -> None:
+    def _do_join(self, name: str) -> None:
         member = SimulatedMember(self, name, RATES[NAMES.index(name)])
         self.members.append(member)
         self._grant(member)
         self._step(member)
 
-    def _do_die(self, index: int) -> None:
+    def _do_crash(self, index: int) -> None:
         member = self.members.pop(index)
         self.calls = [call for call in self.calls if call[0] is not member]
 
@@ -278,9 +285,9 @@
         for member in self.members:
             member.cut = False
         for name in self._missing_names():
-            self.act(ActionKind.COME, name)
+            self.act(ActionKind.JOIN, name)
         for _ in range(SETTLING_STEPS):
-            self.act(ActionKind.TIME)
+            self.act(ActionKind.ADVANCE_TIME)
             self.finish_calls(MAX_CALLS_IN_STEP)
 
     def check_settled(self) -> None:
@@ -302,13 +309,13 @@
                 )
 
     HANDLERS = RolePairWorld.HANDLERS | {
-        ActionKind.SEND: _do_send,
-        ActionKind.TIME: _do_time,
-        ActionKind.REPLY: _do_reply,
-        ActionKind.HEAR: _do_hear,
-        ActionKind.CORE: _do_core,
-        ActionKind.DEAF: _do_deaf,
+        ActionKind.DISPATCH: _do_dispatch,
+        ActionKind.ADVANCE_TIME: _do_advance_time,
+        ActionKind.DELIVER_REPLY: _do_deliver_reply,
+        ActionKind.NOTIFY_MEMBER: _do_notify_member,
+        ActionKind.PROCESS_CORE_REQUEST: _do_process_core_request,
+        ActionKind.LOSE_WATCH: _do_lose_watch,
         ActionKind.PROPOSE: _do_propose,
-        ActionKind.COME: _do_come,
-        ActionKind.DIE: _do_die,
+        ActionKind.JOIN: _do_join,
+        ActionKind.CRASH: _do_crash,
     }
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -81,7 +81,7 @@
     world.act(ActionKind.PROPOSE, text)
     seen = set()
     for _ in range(16):
-        world.act(ActionKind.TIME)
+        world.act(ActionKind.ADVANCE_TIME)
         while todo := world.next_orderly_action():
             world.act(*todo)
         item = world.model.keys.get(CHANGE_KEY)
