--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -21,7 +21,7 @@
 Packed = int | list[Any]  # a ledger entry as stored
 
 
-class GivesOnBeforeReturn(Ledger):
+class ReallocatesBeforeReturn(Ledger):
     """Gives an allocation on before it was given back."""
 
     def reallocate(self, targets: Mapping[str, int], write: int, now: int) -> dict[str, int]:
@@ -32,7 +32,7 @@
         return changed
 
 
-class ForgetsWindow(Ledger):
+class ForgetsSpentInWindow(Ledger):
     """Takes what was spent within the window for free once an allocation was reduced."""
 
     def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:
@@ -67,7 +67,7 @@
         return super().available(now) + self.reserve
 
 
-class RaisesTwice(Ledger):
+class AllocatesAvailableTwice(Ledger):
     """Gives the same available amount to each member that wants it."""
 
     def available(self, now: int) -> int:
@@ -101,7 +101,7 @@
     return MutantAllocator
 
 
-class KeepsRowsOfTheDeparted(Allocator):
+class KeepsRowsOfLeftMembers(Allocator):
     """Leaves the row of a member that has left in the store as it is, until nothing is charged to it."""
 
     def allocate(
@@ -208,7 +208,7 @@
         return {name: usage._replace(in_use=0) for name, usage in super().report(demands).items()}
 
 
-class _ReleasesTwice(Allocation):
+class _DoubleReleasingAllocation(Allocation):
     __slots__ = ()
 
     def release(self, amount: int, confirmed: bool = True) -> None:  # noqa: ARG002  the product's signature
@@ -216,47 +216,47 @@
         self.in_use -= min(self.in_use, 2 * amount)
 
 
-class GivesBackTwice(Allocations):
+class ReleasesTwice(Allocations):
     """Counts an end twice."""
 
     def __call__(self, kind: BudgetKind, subject: int) -> Allocation | None:
         """Return the allocation of a budget."""
         allocation = super().__call__(kind, subject)
         if type(allocation) is Allocation:
-            allocation = _ReleasesTwice(allocation.rule, self, allocation.allocated)
+            allocation = _DoubleReleasingAllocation(allocation.rule, self, allocation.allocated)
             self.allocations[kind, subject] = allocation
         return allocation
 
 
-LEDGERS = (
-    GivesOnBeforeReturn,
-    ForgetsWindow,
+LEDGER_MUTANTS = (
+    ReallocatesBeforeReturn,
+    ForgetsSpentInWindow,
     ForgetsInUse,
     ForgetsDeadMembers,
     NoReserve,
-    RaisesTwice,
+    AllocatesAvailableTwice,
     ForgetsExpiringOnLoad,
 )
-ROLES = (
+ROLE_MUTANTS = (
     NoFence,
     TakesUnknownForDone,
     IgnoresChangesWhileReading,
     IgnoresLeaseEnds,
     TakesLeaseEndForLeave,
 )
-MEMBERS = (
+MEMBER_MUTANTS = (
     IgnoresLeaseTime,
     KeepsOldAllocations,
     AcknowledgesUnapplied,
     ReportsNothingInUse,
-    GivesBackTwice,
+    ReleasesTwice,
 )
 MUTANTS: Mapping[str, Mapping[str, Any]] = {
-    **{ledger.__name__: {"make_allocator": allocator_with(ledger)} for ledger in LEDGERS},
+    **{ledger.__name__: {"make_allocator": allocator_with(ledger)} for ledger in LEDGER_MUTANTS},
     ForgetsLedgers.__name__: {"make_allocator": ForgetsLedgers},
-    KeepsRowsOfTheDeparted.__name__: {"make_allocator": KeepsRowsOfTheDeparted},
-    **{role.__name__: {"make_role": role} for role in ROLES},
-    **{member.__name__: {"make_allocations": member} for member in MEMBERS},
+    KeepsRowsOfLeftMembers.__name__: {"make_allocator": KeepsRowsOfLeftMembers},
+    **{role.__name__: {"make_role": role} for role in ROLE_MUTANTS},
+    **{member.__name__: {"make_allocations": member} for member in MEMBER_MUTANTS},
     "reports not compared": {"compares_reports": False},
     "reserve at once": {"reserve_after_us": 0},
     "drift left out": {"drift": 0.0},
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -32,14 +32,14 @@
         super().__init__(name, nonce, rules._replace(lease_terms=terms), *other)
 
 
-class LeaseFromReply(Membership):
+class CountsLeaseFromReply(Membership):
     """Counts a lease from when it received the reply."""
 
     def _renewal_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         super()._renewal_replied(now, call._replace(sent_at=now), reply)
 
 
-class TokenNotCompared(Membership):
+class OmitsToken(Membership):
     """Effects carry no token."""
 
     def fenced_transaction(
@@ -54,7 +54,7 @@
         return Transaction(tuple(conditions), tuple(operations))
 
 
-class OldToken(Membership):
+class KeepsOldTokens(Membership):
     """Acts after its lease was lost, under the tokens that it had, once it has another lease."""
 
     def _reset_roles(self, reason: str) -> None:
@@ -63,7 +63,7 @@
         self.claims.tokens = tokens
 
 
-class LeaseNotLooked(Membership):
+class IgnoresLeaseTime(Membership):
     """Goes by what it last knew, whatever the time."""
 
     def fencing_token(self, role: str, now: int) -> int:
@@ -90,7 +90,7 @@
             super().release_replied(now, call, reply)
 
 
-class MaybeIsDone(Membership):
+class TakesUnknownForDone(Membership):
     """Takes a lost reply to a claim for a yes."""
 
     def _handle_reply(self, now: int, call: PendingCall, reply: Reply) -> None:
@@ -99,7 +99,7 @@
         super()._handle_reply(now, call, reply)
 
 
-class MaybeIsNot(Membership):
+class TakesUnknownForNotDone(Membership):
     """Takes a lost reply to a release for a no, and goes on under the old token."""
 
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
@@ -114,7 +114,7 @@
                 super().release_replied(now, call, reply)
 
 
-class TokenReused(Membership):
+class ReusesToken(Membership):
     """Finds its own key after a lost reply and goes on under that token: an older call may still undo it."""
 
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
@@ -128,7 +128,7 @@
                 self.won(role, self.own_key_revisions.pop(role))
 
 
-class ClaimsHeld(Membership):
+class ClaimsUnconditionally(Membership):
     """Takes a role whatever the store has of it."""
 
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
@@ -140,14 +140,14 @@
             return plan._replace(request=request)
 
 
-class NameNotWatched(Membership):
+class IgnoresLaterProcess(Membership):
     """Does not see that a later process has its name."""
 
     def _superseded(self, now: int) -> None:
         pass
 
 
-class DeafToGoing(Membership):
+class IgnoresLeavingMembers(Membership):
     """Does not hear that a member has gone."""
 
     def member_changed(self, now: int, key: str, value: str | None, revision: int) -> None:
@@ -156,7 +156,7 @@
             super().member_changed(now, key, value, revision)
 
 
-class OldReplies(Membership):
+class AcceptsStaleReplies(Membership):
     """Believes replies to calls of a lease that is lost."""
 
     def call_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
@@ -165,7 +165,7 @@
         super().call_replied(now, call, reply)
 
 
-class JoinsOver(Membership):
+class JoinsUnconditionally(Membership):
     """Writes its own key whatever stands there: an older process may push out a later one."""
 
     def _next_state_call(self, now: int) -> CallPlan | None:
@@ -175,7 +175,7 @@
         return plan
 
 
-class NothingLetGo(Membership):
+class NeverReleases(Membership):
     """Keeps what others should have."""
 
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
@@ -186,7 +186,7 @@
             return []
 
 
-class NoLease(Membership):
+class ClaimsWithoutLease(Membership):
     """Claims with keys that are attached to no lease."""
 
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
@@ -200,21 +200,21 @@
 
 MUTANTS = (
     NoDriftMargin,
-    LeaseFromReply,
-    TokenNotCompared,
-    OldToken,
-    LeaseNotLooked,
+    CountsLeaseFromReply,
+    OmitsToken,
+    KeepsOldTokens,
+    IgnoresLeaseTime,
     ActsWhileReleasing,
-    MaybeIsDone,
-    MaybeIsNot,
-    TokenReused,
-    ClaimsHeld,
-    NameNotWatched,
-    DeafToGoing,
-    OldReplies,
-    JoinsOver,
-    NothingLetGo,
-    NoLease,
+    TakesUnknownForDone,
+    TakesUnknownForNotDone,
+    ReusesToken,
+    ClaimsUnconditionally,
+    IgnoresLaterProcess,
+    IgnoresLeavingMembers,
+    AcceptsStaleReplies,
+    JoinsUnconditionally,
+    NeverReleases,
+    ClaimsWithoutLease,
 )
 
 
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -16,7 +16,7 @@
 from gullhold.testing import rollout_explorer, walking
 
 
-class IgnoresLease(PolicyGate):
+class IgnoresLeaseTime(PolicyGate):
     """Dispatches whatever the time."""
 
     def may_dispatch(self) -> bool:
@@ -66,7 +66,7 @@
             self.gate.policy_known_until = now + self.gate.guaranteed_us
 
 
-class AcceptsUnfit(RolloutMember):
+class AcceptsUnfitVersion(RolloutMember):
     """Votes ready on what does not fit, and runs it."""
 
     def __init__(self, name, gate, _fits, figures) -> None:  # noqa: ANN001  the product's signature
@@ -92,7 +92,7 @@
             self.gate.is_stopped = False
 
 
-class TrustingPublisher(VotePublisher):
+class TrustsLostReplyPublisher(VotePublisher):
     """Takes a vote whose reply was lost for stored."""
 
     def written(self, reply: Reply) -> None:
@@ -107,7 +107,7 @@
 
     def __init__(self, name, gate, fits, figures) -> None:  # noqa: ANN001  the product's signature
         super().__init__(name, gate, fits, figures)
-        self.publisher = TrustingPublisher()
+        self.publisher = TrustsLostReplyPublisher()
 
 
 class AdoptsOnReady(RolloutMember):
@@ -182,14 +182,14 @@
         super()._change_state(decided, reason, canary_members)
 
 
-class ClosesEarly(RolloutCoordinator):
+class ClosesChangeEarly(RolloutCoordinator):
     """Forgets a change as soon as it is decided, whoever goes by what."""
 
     def _close(self) -> None:
         self._write([Delete(CHANGE_KEY)], ())
 
 
-class WaitsForExpired(RolloutCoordinator):
+class WaitsForExpiredVotes(RolloutCoordinator):
     """Waits for the votes of those whose lease is over."""
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
@@ -198,28 +198,28 @@
             super().changed(now, key, value, revision)
 
 
-GATES = (IgnoresLease, TrustsSilentWatch, IgnoresStop)
-MEMBERS = (
+GATE_MUTANTS = (IgnoresLeaseTime, TrustsSilentWatch, IgnoresStop)
+MEMBER_MUTANTS = (
     EnrollsUnconditionally,
     DispatchesUnenrolled,
-    AcceptsUnfit,
+    AcceptsUnfitVersion,
     StaysStopped,
     ReportsStopTooSoon,
     TrustsLostReply,
     AdoptsOnReady,
 )
-COORDINATORS = (
+COORDINATOR_MUTANTS = (
     DecidesByMajority,
     IgnoresEnrollment,
     IgnoresRefusals,
     SkipsPreparation,
-    ClosesEarly,
+    ClosesChangeEarly,
     WritesUnconditionally,
-    WaitsForExpired,
+    WaitsForExpiredVotes,
 )
-MUTANTS = {kind.__name__: {"make_gate": kind} for kind in GATES}
-MUTANTS |= {kind.__name__: {"make_member": kind} for kind in MEMBERS}
-MUTANTS |= {kind.__name__: {"make_coordinator": kind} for kind in COORDINATORS}
+MUTANTS = {kind.__name__: {"make_gate": kind} for kind in GATE_MUTANTS}
+MUTANTS |= {kind.__name__: {"make_member": kind} for kind in MEMBER_MUTANTS}
+MUTANTS |= {kind.__name__: {"make_coordinator": kind} for kind in COORDINATOR_MUTANTS}
 
 
 def find(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -9,7 +9,7 @@
 from gullhold.testing import scheduled_command_explorer, walking
 
 
-class SendsFirst(ScheduledCommand):
+class SendsBeforeIntent(ScheduledCommand):
     """Writes the intent after the attempt is sent."""
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
@@ -20,21 +20,21 @@
             self.actions.append(write)
 
 
-class RunsAgain(ScheduledCommand):
+class RetriesAnyProfile(ScheduledCommand):
     """Retries whatever the profile."""
 
     def _recover(self, occurrence: Occurrence, now: int) -> None:
         self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
 
 
-class ForgetsWindow(ScheduledCommand):
+class IgnoresDedupWindow(ScheduledCommand):
     """Gives a keyed command its whole client timeout, however old its key is."""
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
         super()._send(occurrence._replace(started_us=now), now)
 
 
-class NewMark(ScheduledCommand):
+class NewKeyPerAttempt(ScheduledCommand):
     """Makes an idempotency key for each attempt."""
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
@@ -43,7 +43,7 @@
             self.actions[-1] = replace(self.actions[-1], idempotency_key=idempotency_key(self.member, now))
 
 
-class AnyRecord(ScheduledCommand):
+class WritesUnconditionally(ScheduledCommand):
     """Writes records without comparing them with what it knows."""
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
@@ -57,7 +57,7 @@
         self.records.by_due_time.update(remembered)
 
 
-class FailureIsShed(ScheduledCommand):
+class TakesFailureForShed(ScheduledCommand):
     """Takes a failure for proof that nothing ran."""
 
     def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
@@ -66,7 +66,14 @@
         super().attempt_ended(now, taken_for, reason)
 
 
-MUTANTS = (SendsFirst, RunsAgain, ForgetsWindow, NewMark, AnyRecord, FailureIsShed)
+MUTANTS = (
+    SendsBeforeIntent,
+    RetriesAnyProfile,
+    IgnoresDedupWindow,
+    NewKeyPerAttempt,
+    WritesUnconditionally,
+    TakesFailureForShed,
+)
 
 
 def find(mutant: type[ScheduledCommand], walks: int) -> walking.Finding | None:
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -10,7 +10,7 @@
 
 from gullhold.budgets.ledger import Ledger, LedgerKind
 from gullhold.budgets.max_min_fairness import max_min_shares
-from gullhold.testing.budget_mutants import LEDGERS
+from gullhold.testing.budget_mutants import LEDGER_MUTANTS
 
 
 def test_an_allocation_is_passed_on_only_after_it_was_given_back():
@@ -290,7 +290,7 @@
         self.entries[member].allocated = 0
 
 
-@pytest.mark.parametrize("mutant", [*LEDGERS, ForgetsEntries, ForgetsAllocated])
+@pytest.mark.parametrize("mutant", [*LEDGER_MUTANTS, ForgetsEntries, ForgetsAllocated])
 def test_the_play_finds_ledger_mutants(mutant):
     for seed in range(3000):
         draw = Random(seed)
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -32,11 +32,11 @@
     "mutant",
     [
         membership_mutants.NoDriftMargin,
-        membership_mutants.TokenNotCompared,
-        membership_mutants.LeaseNotLooked,
+        membership_mutants.OmitsToken,
+        membership_mutants.IgnoresLeaseTime,
         membership_mutants.ActsWhileReleasing,
-        membership_mutants.MaybeIsDone,
-        membership_mutants.ClaimsHeld,
+        membership_mutants.TakesUnknownForDone,
+        membership_mutants.ClaimsUnconditionally,
     ],
 )
 def test_the_walks_find_membership_mutants(mutant):
