--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -73,7 +73,8 @@
     return ExplorationPlan(
         walk=partial(budget_explorer.walk, steps=WALK_STEPS, with_fingerprints=True),
         find_mutant={
-            name: partial(budget_mutants.find, name, size.max_mutant_walks, WALK_STEPS) for name in names
+            name: partial(budget_mutants.find_detecting_walk, name, size.max_mutant_walks, WALK_STEPS)
+            for name in names
         },
         searches=[
             partial(budget_explorer.explore, kind, SEARCH_DEPTH, size.max_states)
--- a/benchmarks/leadership_decisions.py
+++ b/benchmarks/leadership_decisions.py
@@ -116,8 +116,8 @@
     """The walk that finds a mutant, if any does; kind, number: its key and place in MUTANT_MODULES."""
     mutant = MUTANT_MODULES[kind].MUTANTS[number]
     if kind == "members":
-        return membership_mutants.find(mutant, max_walks, WALK_STEPS)
-    return scheduled_command_mutants.find(mutant, max_walks)
+        return membership_mutants.find_detecting_walk(mutant, max_walks, WALK_STEPS)
+    return scheduled_command_mutants.find_detecting_walk(mutant, max_walks)
 
 
 def exploration_plan(size: ExplorationSize) -> ExplorationPlan:
--- a/benchmarks/policy_rollout.py
+++ b/benchmarks/policy_rollout.py
@@ -58,7 +58,7 @@
     return ExplorationPlan(
         walk=partial(rollout_explorer.walk, steps=WALK_STEPS, with_fingerprints=True),
         find_mutant={
-            name: partial(rollout_mutants.find, name, size.max_mutant_walks, WALK_STEPS)
+            name: partial(rollout_mutants.find_detecting_walk, name, size.max_mutant_walks, WALK_STEPS)
             for name in rollout_mutants.MUTANTS
         },
         searches=[
--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -263,6 +263,8 @@
 }
 
 
-def find(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
+def find_detecting_walk(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
     """Return the first walk that finds a mutant; None: none of them does."""
-    return walking.find(lambda seed: budget_explorer.walk(seed, steps, **MUTANTS[name]), walks, first)
+    return walking.find_failing_walk(
+        lambda seed: budget_explorer.walk(seed, steps, **MUTANTS[name]), walks, first
+    )
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -218,6 +218,6 @@
 )
 
 
-def find(mutant: Callable[..., Membership], walks: int, steps: int) -> walking.Finding | None:
+def find_detecting_walk(mutant: Callable[..., Membership], walks: int, steps: int) -> walking.Finding | None:
     """Return the first walk that finds a mutant; None: none of them does."""
-    return walking.find(lambda seed: membership_explorer.walk(seed, steps, mutant), walks)
+    return walking.find_failing_walk(lambda seed: membership_explorer.walk(seed, steps, mutant), walks)
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -222,6 +222,8 @@
 MUTANTS |= {kind.__name__: {"make_coordinator": kind} for kind in COORDINATOR_MUTANTS}
 
 
-def find(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
+def find_detecting_walk(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
     """Return the first walk that finds a mutant; None: none of them does."""
-    return walking.find(lambda seed: rollout_explorer.walk(seed, steps, **MUTANTS[name]), walks, first)
+    return walking.find_failing_walk(
+        lambda seed: rollout_explorer.walk(seed, steps, **MUTANTS[name]), walks, first
+    )
--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -76,6 +76,6 @@
 )
 
 
-def find(mutant: type[ScheduledCommand], walks: int) -> walking.Finding | None:
+def find_detecting_walk(mutant: type[ScheduledCommand], walks: int) -> walking.Finding | None:
     """Return the first walk that finds a mutant; None: none of them does."""
-    return walking.find(lambda seed: scheduled_command_explorer.walk(seed, make=mutant), walks)
+    return walking.find_failing_walk(lambda seed: scheduled_command_explorer.walk(seed, make=mutant), walks)
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -133,7 +133,7 @@
     kind: FindingKind
 
 
-def find(walk: Callable[[int], Any], walks: int, first: int = 0) -> Finding | None:
+def find_failing_walk(walk: Callable[[int], Any], walks: int, first: int = 0) -> Finding | None:
     """Take walks of consecutive seeds up to the first that finds something; None: none of them did."""
     for seed in range(first, first + walks):
         try:
--- a/tests/test_mutant_search.py
+++ b/tests/test_mutant_search.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gullhold.testing.walking import Finding, FindingKind, InvariantError, find
+from gullhold.testing.walking import Finding, FindingKind, InvariantError, find_failing_walk
 
 
 def test_a_rule_that_breaks_is_a_violation():
@@ -10,9 +10,9 @@
         if seed == 3:
             raise InvariantError("seed 3: two leaders; after [('time',)]")
 
-    assert find(walk, 10) == Finding(3, "seed 3: two leaders", FindingKind.VIOLATION)
-    assert find(walk, 3) is None
-    assert find(walk, 10, first=4) is None
+    assert find_failing_walk(walk, 10) == Finding(3, "seed 3: two leaders", FindingKind.VIOLATION)
+    assert find_failing_walk(walk, 3) is None
+    assert find_failing_walk(walk, 10, first=4) is None
 
 
 @pytest.mark.parametrize("error", [KeyError("a"), AttributeError("b"), AssertionError("c")])
@@ -20,4 +20,4 @@
     def walk(_seed):
         raise error
 
-    assert find(walk, 2) == Finding(0, repr(error), FindingKind.CRASH)
+    assert find_failing_walk(walk, 2) == Finding(0, repr(error), FindingKind.CRASH)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -218,7 +218,7 @@
 
 @pytest.mark.parametrize("name", [name for name in rollout_mutants.MUTANTS if name != "IgnoresEnrollment"])
 def test_the_walks_find_change_mutants(name):  # the one left out takes 610 walks: benchmarks.policy_rollout
-    finding = rollout_mutants.find(name, 250, 500)
+    finding = rollout_mutants.find_detecting_walk(name, 250, 500)
     assert finding is not None, finding
     assert finding.kind is FindingKind.VIOLATION, finding
 
@@ -243,7 +243,7 @@
     ],
 )
 def test_the_walks_find_reallocation_mutants(name):  # those left out: benchmarks.budgets
-    finding = budget_mutants.find(name, 60, 800)
+    finding = budget_mutants.find_detecting_walk(name, 60, 800)
     assert finding is not None
     if name not in FOUND_BY_A_CRASH:
         assert finding.kind is FindingKind.VIOLATION, finding
