--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -15,7 +15,7 @@
 )
 from benchmarks.harness import rounded_quantile
 from gullhold.testing.fleet import Rig
-from gullhold.testing.fleet_checker import Check, marks, sent
+from gullhold.testing.fleet_checker import FleetChecker, attempts_by_key, attempts_by_statement
 from gullhold.testing.running import cpu_s, resident_mb
 
 PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the word in a statement's table
@@ -90,18 +90,18 @@
 
 def judge(rig: Rig, commands: Iterable[str]) -> dict[str, Any]:
     """What the store's journal and the engines' records say of a run."""
-    check = Check(rig.lines())
+    check = FleetChecker(rig.lines())
     occurrences = check.occurrences()
-    late_effects = [line for line in check.broken if "token" in line or "effect" in line]
-    for line in check.broken[:5]:
+    late_effects = [line for line in check.violations if "token" in line or "effect" in line]
+    for line in check.violations[:5]:
         print("broken:", line)
     states = [record["state"] for record in occurrences.values()]
     return {
-        "owners_accepted_at_once": len(check.broken) - len(late_effects),
+        "owners_accepted_at_once": len(check.violations) - len(late_effects),
         "late_effects_accepted": len(late_effects),
-        "late_effects_tried": check.late,
+        "late_effects_tried": check.rejected_effects,
         "effects": check.effects,
-        "moves": check.moves,
+        "moves": check.leader_changes,
         "occurrences": len(occurrences),
         "occurrences_lost": sum(count_missing(check, command) for command in commands),
         "non_replayable_twice": _count_repeats(rig, occurrences),
@@ -114,7 +114,7 @@
 def _count_repeats(rig: Rig, occurrences: dict[tuple[str, int], Any]) -> int:
     """Attempts of non-idempotent commands beyond those that their records allow for."""
     repeats = 0
-    for statement, attempts in sent(rig.engines).items():
+    for statement, attempts in attempts_by_statement(rig.engines).items():
         if NON_IDEMPOTENT not in statement:
             continue
         table = statement.split()[3]
@@ -127,13 +127,13 @@
 def _count_late_repeats(rig: Rig) -> int:
     """Idempotency keys that were sent over a longer time than engines remember them."""
     late = 0
-    for attempts in marks(rig.engines).values():
+    for attempts in attempts_by_key(rig.engines).values():
         times = [at for at, _ in attempts]
         late += max(times) - min(times) > rig.dedup_s
     return late
 
 
-def count_missing(check: Check, command: str) -> int:
+def count_missing(check: FleetChecker, command: str) -> int:
     """Due times of a command without a record, between the first and the last that are recorded."""
     recorded = sorted(
         (due, record["count"] if record["state"] == "skipped" else 1)
@@ -170,7 +170,7 @@
             times = _run_one_handover(rig, rig.names[turn % MEMBERS], is_kill)
             (after_kill if is_kill else after_sigterm).extend(times)
             _wait_for_leaders(rig)
-        broken = Check(rig.lines()).broken
+        broken = FleetChecker(rig.lines()).violations
     return Handovers(rounded_quantile(after_kill), rounded_quantile(after_sigterm), len(broken))
 
 
@@ -189,7 +189,7 @@
         rig.members[name].terminate()
     rig.until(lambda: all(rig.owners().get(role, (name, 0))[0] != name for role in roles))
     time.sleep(0.3)
-    handovers = Check(rig.lines()).handovers()
+    handovers = FleetChecker(rig.lines()).handovers()
     times = []
     for role in roles:
         first_effects = [
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -16,7 +16,7 @@
 
 from gullhold.testing import PATIENCE_S, gateway_log
 from gullhold.testing.deployment import config
-from gullhold.testing.fleet_checker import Check
+from gullhold.testing.fleet_checker import FleetChecker
 from gullhold.testing.fleet_process import Member, StoreProcess
 from gullhold.testing.recording_engine import RecordingEngine
 from gullhold.testing.relay import Direction, RelayMode
@@ -296,7 +296,7 @@
 
     def owners(self) -> dict[str, tuple[str, int]]:
         """(member, token) of the leader of each role, by the store's journal."""
-        return Check(self.lines()).owners()
+        return FleetChecker(self.lines()).leaders()
 
     def owner(self, role: str, other_than: str = "") -> str:
         """Wait until a member leads a role, and not this one; its name."""
--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -43,19 +43,19 @@
     acquired_at: float
 
 
-class Check:
-    """Goes through a journal once. Everything that is wrong is in `broken`, a line each.
+class FleetChecker:
+    """Goes through a journal once. Everything that is wrong is in `violations`, a line each.
 
-    effects: those carried out; late: those refused, of a token that is no more; moves: changes of a role's
-    leader.
+    effects: number of effects carried out; rejected_effects: number refused because their token was no longer
+    valid; leader_changes: how often a role's new leader was another member than the one before.
     """
 
     def __init__(self, lines: Iterable[Line]) -> None:
         """lines: of the journal, in their order."""
-        self.broken: list[str] = []
-        self.late = 0
+        self.violations: list[str] = []
+        self.rejected_effects = 0
         self.effects = 0
-        self.moves = 0
+        self.leader_changes = 0
         self._leaders: dict[str, Leader] = {}
         self._highest_tokens: dict[str, int] = defaultdict(int)
         self._roles_by_lease: dict[int, set[str]] = defaultdict(set)
@@ -66,11 +66,11 @@
         for line in lines:
             line_revision = line.get("revision", revision)
             if line_revision < revision:
-                self.broken.append(f"the register went back from revision {revision}: {line}")
+                self.violations.append(f"the register went back from revision {revision}: {line}")
             revision = line_revision
             self._check_line(line)
 
-    def owners(self) -> dict[str, tuple[str, int]]:
+    def leaders(self) -> dict[str, tuple[str, int]]:
         """(member, token) of the leader of each role at the end."""
         return {role: (leader.member, leader.token) for role, leader in self._leaders.items()}
 
@@ -149,16 +149,16 @@
     def _check_acquisition(self, at: float, role: str, leader: Leader) -> None:
         old = self._leaders.get(role)
         if old and old.member != leader.member:
-            self.broken.append(
+            self.violations.append(
                 f"{role} was taken from {tuple(old)} by {leader.member} at revision {leader.token}"
             )
         if leader.token <= self._highest_tokens[role]:
-            self.broken.append(f"the token of {role} did not grow: {leader.token}")
+            self.violations.append(f"the token of {role} did not grow: {leader.token}")
         if old:
             self._roles_by_lease[old.lease].discard(role)
         acquisitions = self._acquisitions[role]
         if acquisitions and acquisitions[-1].member != leader.member:
-            self.moves += 1
+            self.leader_changes += 1
         self._highest_tokens[role] = leader.token
         self._leaders[role] = leader
         self._roles_by_lease[leader.lease].add(role)
@@ -166,7 +166,7 @@
 
     def _check_effect(self, line: Line, tokens: dict[str, int], effects: list[str]) -> None:
         if len(tokens) != 1:
-            self.broken.append(f"an effect with {len(tokens)} tokens: {effects}")
+            self.violations.append(f"an effect with {len(tokens)} tokens: {effects}")
             return
         ((role, token),) = tokens.items()
         leader = self._leaders.get(role)
@@ -175,12 +175,12 @@
             self.effects += 1
             self._first_effects.setdefault((role, token), line["at"])
             if token != current:
-                self.broken.append(f"{role}: an effect under token {token}, now {current or 'nobody'}'s")
+                self.violations.append(f"{role}: an effect under token {token}, now {current or 'nobody'}'s")
         elif token != current:
-            self.late += 1
+            self.rejected_effects += 1
 
 
-def marks(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
+def attempts_by_key(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
     """(time, profile) of what engines were sent, by idempotency key."""
     found = defaultdict(list)
     for engine in engines:
@@ -190,7 +190,7 @@
     return found
 
 
-def sent(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
+def attempts_by_statement(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
     """(time, profile) of what engines were sent, by statement."""
     found = defaultdict(list)
     for engine in engines:
--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from gullhold.testing.fleet import Rig
-from gullhold.testing.fleet_checker import Check
+from gullhold.testing.fleet_checker import FleetChecker
 
 
 def scheduled_command(
@@ -29,9 +29,9 @@
     }
 
 
-def check_run(rig: Rig, min_effects: int = 1) -> Check:
+def check_run(rig: Rig, min_effects: int = 1) -> FleetChecker:
     """Check the store's journal of a run: no rule is broken, and at least min_effects writes took effect."""
-    check = Check(rig.lines())
-    assert not check.broken, "\n".join(check.broken[:5]) + "\n" + rig.story()
+    check = FleetChecker(rig.lines())
+    assert not check.violations, "\n".join(check.violations[:5]) + "\n" + rig.story()
     assert check.effects >= min_effects, rig.story()
     return check
--- a/tests/test_fleet_occurrences.py
+++ b/tests/test_fleet_occurrences.py
@@ -6,7 +6,7 @@
 from fleet_runs import check_run, due_once_in, scheduled_command
 
 from gullhold.testing.fleet import Rig
-from gullhold.testing.fleet_checker import Check, sent
+from gullhold.testing.fleet_checker import FleetChecker, attempts_by_statement
 
 
 @pytest.mark.parametrize(
@@ -20,12 +20,14 @@
         rig.start("n1")
 
         def settled_rows():
-            rows = [row for row in Check(rig.lines()).occurrences().values() if row["state"] != "skipped"]
+            rows = [
+                row for row in FleetChecker(rig.lines()).occurrences().values() if row["state"] != "skipped"
+            ]
             return rows and rows[0]["state"] in ("answered", "failed") and rows
 
         (row,) = rig.until(settled_rows)
         time.sleep(0.3)
-        fetches = sum(len(rows) for rows in sent(rig.engines).values())
+        fetches = sum(len(rows) for rows in attempts_by_statement(rig.engines).values())
         assert fetches == sends, rig.story()
         assert row["state"] == (
             "answered" if (point, side) in (("intent", "before"), ("outcome", "after")) else "failed"
@@ -60,7 +62,9 @@
             for _, key, profile, statement in engine.received:
                 assert (key != "") or "marked" not in statement, profile
         once = [(due, row) for (command, due), row in rows.items() if command == "single"]
-        sends = sum(len(at) for statement, at in sent(rig.engines).items() if "single" in statement)
+        sends = sum(
+            len(at) for statement, at in attempts_by_statement(rig.engines).items() if "single" in statement
+        )
         assert sends <= sum(row["tries"] for _, row in once if row["state"] != "skipped")
         times_by_key = {}  # when engines received each idempotency key
         for engine in rig.engines:
@@ -80,7 +84,9 @@
         rig.start("n1")  # the work takes longer than a lease; the role stays with n0 until it ends
         rig.stop("n0")
         rows = rig.until(
-            lambda: [row for row in Check(rig.lines()).occurrences().values() if row["state"] == "answered"]
+            lambda: [
+                row for row in FleetChecker(rig.lines()).occurrences().values() if row["state"] == "answered"
+            ]
         )
         assert rows[0]["by"] == "n0"
         assert rig.owner("schedule/long", "n0") == "n1"
--- a/tests/test_fleet_operator.py
+++ b/tests/test_fleet_operator.py
@@ -9,7 +9,7 @@
 from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.operator import records
 from gullhold.testing.fleet import Rig
-from gullhold.testing.fleet_checker import Check
+from gullhold.testing.fleet_checker import FleetChecker
 
 
 def test_invalid_fleet_settings_in_the_operator_file_are_rejected_with_the_reason():
@@ -57,7 +57,7 @@
         final = RoleAssignment(["schedule/a", "beat/0", "beat/1", "beat/2"])
         final.update_members(["n0", "n1"])  # from then on no role moves between two commands
         rig.until(lambda: {role: leader for role, (leader, _) in rig.owners().items()} == final.leaders)
-        rig.until(lambda: Check(rig.lines()).occurrences())
+        rig.until(lambda: FleetChecker(rig.lines()).occurrences())
         rows = {}
         for subject in ("members", "duties", "roles", "history"):
             arguments = ["fleet", subject, "--register", rig.register_address, "--name", "rig"]
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -7,7 +7,7 @@
 
 from gullhold.testing.client import Caller
 from gullhold.testing.fleet import Rig
-from gullhold.testing.fleet_checker import Check
+from gullhold.testing.fleet_checker import FleetChecker
 from gullhold.testing.relay import RelayMode
 
 
@@ -20,7 +20,7 @@
         assert rig.owner("beat/1", "n0") == "n1"
         time.sleep(0.2)
         rig.resume("n0")
-        rig.until(lambda: Check(rig.lines()).late)
+        rig.until(lambda: FleetChecker(rig.lines()).rejected_effects)
         rig.until(
             lambda: any(event == "write under a stale token refused" for _, _, event, _ in rig.events("n0"))
         )
@@ -164,7 +164,7 @@
             rig.start("n1")
             time.sleep(0.5)
             rig.stop("n1")
-        assert check_run(rig, 6).moves == 0
+        assert check_run(rig, 6).leader_changes == 0
 
 
 def test_of_two_processes_with_one_name_the_later_wins():
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -236,12 +236,12 @@
 
 
 def test_the_checker_of_journals_reads_the_stored_one(stored: Path) -> None:
-    from gullhold.testing.fleet_checker import Check  # noqa: PLC0415  nothing else reads journals
+    from gullhold.testing.fleet_checker import FleetChecker  # noqa: PLC0415  nothing else reads journals
 
     expected = rows((stored / "fleet" / "duties.printed").read_text("utf-8"))
-    check = Check(lines_of(stored / "fleet"))
-    assert not check.broken
-    assert check.owners() == {row["duty"]: (row["owner"], row["token"]) for row in expected}
+    check = FleetChecker(lines_of(stored / "fleet"))
+    assert not check.violations
+    assert check.leaders() == {row["duty"]: (row["owner"], row["token"]) for row in expected}
 
 
 # Gateways
