--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -7,7 +7,7 @@
 from benchmarks.budget_rig import MEMBERS, make_rig, start_client, threads_budget, windowed_budget
 from benchmarks.fleet_load import count_fault_lines, stop_clients
 from gullhold.testing import load_client
-from gullhold.testing.budget_checker import AllocationHistory, most_at_once, most_in_window, retries
+from gullhold.testing.budget_checker import AllocationHistory, peak_in_window, peak_threads, retries
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 
@@ -68,16 +68,16 @@
 
 def judge(rig: Rig) -> dict[str, Any]:
     """The figures of a run: what engines counted, the store's journal shows and the gateways logged."""
-    peaks = [most_at_once(engine.attempts).amount for engine in rig.engines]
+    peaks = [peak_threads(engine.attempts).amount for engine in rig.engines]
     retried = retries(rig.engines)
-    most_retries = most_in_window(retried, RETRY_WINDOW_S).amount
+    most_retries = peak_in_window(retried, RETRY_WINDOW_S).amount
     history = AllocationHistory(rig.lines())
     over_total = sum(peak > TOTALS["threads"] for peak in peaks)
     over_total += most_retries > TOTALS["further"]
-    over_total += sum(most > TOTALS[budget.partition("/")[0]] for budget, most in history.most.items())
+    over_total += sum(most > TOTALS[budget.partition("/")[0]] for budget, most in history.max_sums.items())
     return {
         "over_whole": over_total,
-        "moves": history.moves,
+        "moves": history.increases,
         "rules_broken": count_fault_lines(rig),
         "further_sends": len(retried),
         "most_at_once": peaks,
--- a/benchmarks/budget_rig.py
+++ b/benchmarks/budget_rig.py
@@ -55,4 +55,4 @@
 def allocations(rig: Rig) -> dict[str, int]:
     """Each member's allocation of the one engine's threads, by name."""
     history = AllocationHistory(rig.lines())
-    return history.now(next(iter(history.most), ""))
+    return history.allocated_by_name(next(iter(history.max_sums), ""))
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -249,11 +249,11 @@
         rig.start()
         rig.until(lambda: len(allocations(rig)) == members)
         calls_before = count_store_calls(rig)
-        bytes_before = AllocationHistory(rig.lines()).bytes
+        bytes_before = AllocationHistory(rig.lines()).bytes_written
         for turn in range(2):
             client = start_client(rig, f"n{turn}", turn, work_ms=60.0)
             time.sleep(seconds / 2)
             stop_clients([client])
         calls = count_store_calls(rig) - calls_before
-        size = AllocationHistory(rig.lines()).bytes - bytes_before
+        size = AllocationHistory(rig.lines()).bytes_written - bytes_before
         return MemberCost(round(calls / members / seconds, 2), round(size / members / seconds))
--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -19,7 +19,7 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient, StoreUnavailableError
 from gullhold.rollout.policy_version import PolicyError
 from gullhold.testing import load_client
-from gullhold.testing.budget_checker import AllocationHistory, most_at_once
+from gullhold.testing.budget_checker import AllocationHistory, peak_threads
 from gullhold.testing.fleet import Rig
 from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
@@ -156,8 +156,8 @@
     """What engines, clients, the store's journal and the gateways' logs say of a run."""
     check = RolloutChecker(rig.lines())
     overlaps = measure_overlaps(rig, applied)
-    over_on_engine = most_at_once(rig.engines[0].attempts).amount > TOTAL_THREADS
-    over_allocated = max(AllocationHistory(rig.lines()).most.values(), default=0) > TOTAL_THREADS
+    over_on_engine = peak_threads(rig.engines[0].attempts).amount > TOTAL_THREADS
+    over_allocated = max(AllocationHistory(rig.lines()).max_sums.values(), default=0) > TOTAL_THREADS
     return {
         "changes": len(outcomes),
         "in_force": sum(outcome.status == ExitStatus.IN_FORCE for outcome in outcomes),
--- a/gullhold/testing/budget_checker.py
+++ b/gullhold/testing/budget_checker.py
@@ -51,7 +51,7 @@
     usage: Mapping[str, Sequence[int]]
 
 
-def most_at_once(attempts: Iterable[AttemptRecord]) -> Peak:
+def peak_threads(attempts: Iterable[AttemptRecord]) -> Peak:
     """Return the peak of the threads that ran in an engine at one instant.
 
     An attempt that ends at the instant at which another starts is taken to have ended first.
@@ -70,7 +70,7 @@
     return peak
 
 
-def most_in_window(rows: Iterable[tuple[float, float]], window_s: float) -> Peak:
+def peak_in_window(rows: Iterable[tuple[float, float]], window_s: float) -> Peak:
     """Return the peak of what fell into any window, and when that ended; rows: (time, amount)."""
     rows = sorted(rows)
     first = 0
@@ -113,19 +113,19 @@
 class AllocationHistory:
     """Goes through a journal once: allocations as written, their sums, their moves.
 
-    most: {budget: the most that allocations summed to at any revision}. moves: raises of an allocation.
-    writes, bytes: writes of allocations, and the size of all rows and reports.
+    max_sums: the highest sum of allocations at any revision, by budget. increases: how often an allocation
+    was raised. writes: transactions that wrote allocations. bytes_written: size of all rows and reports.
     """
 
     def __init__(self, lines: Iterable[Mapping[str, Any]]) -> None:
         """lines: of the store's journal."""
         self.rows: dict[str, dict[str, int]] = {}
-        self.most: dict[str, int] = defaultdict(int)
-        self.moves = 0
+        self.max_sums: dict[str, int] = defaultdict(int)
+        self.increases = 0
         self.history: list[AllocationsAt] = []
         self.reports: list[ReportAt] = []
         self.writes = 0
-        self.bytes = 0
+        self.bytes_written = 0
         for line in lines:
             if line["what"] == "began":
                 self._begin(line["keys"])
@@ -147,12 +147,12 @@
             if fleet_key.startswith(REPORTS) and kind == "put":
                 member = fleet_key.removeprefix(REPORTS)
                 self.reports.append(ReportAt(line["at"], member, json.loads(value)["told"]))
-                self.bytes += len(value)
+                self.bytes_written += len(value)
             if fleet_key.startswith(ALLOCATIONS):
                 has_rows = True
                 row = _decode_row(value) if kind == "put" else {}
                 self._write_row(fleet_key.removeprefix(ALLOCATIONS), row)
-                self.bytes += len(value or "")
+                self.bytes_written += len(value or "")
         if has_rows:
             self.writes += 1
             self._record_sums(line["at"])
@@ -160,7 +160,7 @@
     def _write_row(self, member: str, row: dict[str, int]) -> None:
         previous = self.rows.get(member, {})
         self.rows[member] = row
-        self.moves += sum(amount > previous.get(name, 0) for name, amount in row.items())
+        self.increases += sum(amount > previous.get(name, 0) for name, amount in row.items())
 
     def _record_sums(self, at: float) -> None:
         by_budget: dict[str, dict[str, int]] = {}
@@ -170,10 +170,10 @@
                 if amount:
                     members[member] = amount
         for name, members in by_budget.items():
-            self.most[name] = max(self.most[name], sum(members.values()))
+            self.max_sums[name] = max(self.max_sums[name], sum(members.values()))
         self.history.append(AllocationsAt(at, by_budget))
 
-    def now(self, budget: str) -> dict[str, int]:
+    def allocated_by_name(self, budget: str) -> dict[str, int]:
         """Return what each name has of a budget, all its processes together, as last written."""
         found: dict[str, int] = defaultdict(int)
         for member, row in self.rows.items():
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -15,8 +15,8 @@
 from gullhold.testing.budget_checker import (
     AllocationHistory,
     first_attempts,
-    most_at_once,
-    most_in_window,
+    peak_in_window,
+    peak_threads,
     retries,
 )
 from gullhold.testing.counting_engine import CountingEngine
@@ -66,11 +66,11 @@
 def checked(fleet, total=12, min_attempts=1):
     """Engines never had more than the total, allocations never summed to more; the history of them."""
     for engine in fleet.engines:
-        most, when = most_at_once(engine.attempts)
+        most, when = peak_threads(engine.attempts)
         assert most <= total, f"{most} at {when - fleet.began:.3f}\n{fleet.story()}"
     history = AllocationHistory(fleet.lines())
-    assert history.most, fleet.story()
-    assert max(history.most.values()) <= total, fleet.story()
+    assert history.max_sums, fleet.story()
+    assert max(history.max_sums.values()) <= total, fleet.story()
     assert sum(len(engine.attempts) for engine in fleet.engines) >= min_attempts
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
@@ -80,7 +80,7 @@
 def allocations(fleet):
     """{member: its allocation of the one engine's threads}."""
     history = AllocationHistory(fleet.lines())
-    return history.now(next(iter(history.most), ""))
+    return history.allocated_by_name(next(iter(history.max_sums), ""))
 
 
 def test_a_member_with_all_demand_gets_all_but_the_floors_of_the_others():
@@ -93,7 +93,7 @@
         other = client(fleet, "n1")
         fleet.until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
         time.sleep(0.3)
-        assert most_at_once(fleet.engines[0].attempts)[0] == 10
+        assert peak_threads(fleet.engines[0].attempts)[0] == 10
         stop_clients(other)
         checked(fleet, min_attempts=50)
 
@@ -169,7 +169,7 @@
         fleet.stop("n0")
         fleet.until(lambda: allocations(fleet).get("n2", 0) >= 11)
         stop_clients(one)
-        assert checked(fleet, min_attempts=50).moves >= 8
+        assert checked(fleet, min_attempts=50).increases >= 8
 
 
 def test_all_members_restart_at_once_under_the_same_and_under_other_names():
@@ -212,10 +212,10 @@
             time.sleep(0.9)
             stop_clients(one)
         sends = first_attempts(fleet.engines)
-        most, _ = most_in_window(sends, window_s)
+        most, _ = peak_in_window(sends, window_s)
         assert 20 <= most <= 30, (most, len(sends))
         assert len(sends) > 40, (most, len(sends))
-        assert AllocationHistory(fleet.lines()).moves >= 5
+        assert AllocationHistory(fleet.lines()).increases >= 5
 
 
 def test_retries_are_counted_for_the_fleet_over_any_window():
@@ -227,7 +227,7 @@
             time.sleep(0.8)
             stop_clients(*clients)
         further = retries(fleet.engines)
-        most, _ = most_in_window(further, 2.0)
+        most, _ = peak_in_window(further, 2.0)
         assert 6 <= most <= 12, (most, len(further))
         assert len(further) >= 12, (most, len(further))
 
@@ -249,7 +249,7 @@
         time.sleep(5.0)
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
-    most, _ = most_in_window(calls, 2.0)
+    most, _ = peak_in_window(calls, 2.0)
     assert 3 <= most <= 6, (most, len(calls))
     assert len(calls) >= 8, (most, len(calls))
 
@@ -272,8 +272,8 @@
         stop_clients(*clients)
         late = [row for row in fleet.engines[0].attempts if row.started_at > lowered]
         assert len(late) >= 8
-        assert most_at_once(late)[0] <= 4
-        assert most_at_once(fleet.engines[0].attempts)[0] <= 12
+        assert peak_threads(late)[0] <= 4
+        assert peak_threads(fleet.engines[0].attempts)[0] <= 12
 
 
 def test_an_allocation_below_one_command_rotates_and_every_member_is_served():
@@ -309,7 +309,7 @@
         stop_clients(*clients)
         # What it stands in a window: of its 16 cores a twentieth, growing half as fast as a line.
         grown = 0.05 + 0.95 / 2 * (time.time() - fleet.born_ms[0] / 1000) / 60
-        most, _ = most_in_window(
+        most, _ = peak_in_window(
             [(row.started_at, row.work_ms / 1000) for row in fleet.engines[0].attempts], 1.0
         )
         assert 0.1 <= most <= 16 * grown, (most, 16 * grown)
@@ -325,7 +325,7 @@
             time.sleep(1.0)
             stop_clients(one)
         assert (
-            checked(fleet, min_attempts=200).moves >= 5
+            checked(fleet, min_attempts=200).increases >= 5
         )  # of 12 threads for 60 ms each: at most 1,200 in 6 s
 
 
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -9,7 +9,7 @@
 from gullhold.rollout.policy_change import OnSilence, Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.testing import load_client
-from gullhold.testing.budget_checker import most_at_once
+from gullhold.testing.budget_checker import peak_threads
 from gullhold.testing.rollout_checker import by_policy
 
 
@@ -172,6 +172,6 @@
         time.sleep(1.5)
         end(clients)
         flights = fleet.engines[0].attempts
-        assert most_at_once(flights)[0] <= 12
-        assert 3 <= most_at_once([row for row in flights if row.started_at > decided + 0.5])[0] <= 5
+        assert peak_threads(flights)[0] <= 12
+        assert 3 <= peak_threads([row for row in flights if row.started_at > decided + 0.5])[0] <= 5
         judged(fleet, [20], strict=True)
