--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -21,7 +21,7 @@
 from gullhold.testing import load_client
 from gullhold.testing.budget_checker import AllocationHistory, peak_threads
 from gullhold.testing.fleet import Rig
-from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
+from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy, measure_overlap
 
 TOTAL_THREADS = 24  # of the fleet's budget
 LOWERED_BY = 8  # threads, by every second policy
@@ -162,7 +162,7 @@
         "changes": len(outcomes),
         "in_force": sum(outcome.status == ExitStatus.IN_FORCE for outcome in outcomes),
         "dropped": sum(outcome.status == ExitStatus.DROPPED for outcome in outcomes),
-        "split": check.split,
+        "split": check.divergent_changes,
         "mixed_sends": overlaps.strict_mixed,
         "overlap_p99_ms": rounded_quantile(overlaps.lengths_ms, 0.99),
         "overlap_most_ms": max(overlaps.lengths_ms),
@@ -188,19 +188,19 @@
 
 def measure_overlaps(rig: Rig, applied: Sequence[AppliedChange]) -> Overlaps:
     """How far attempts under the policy before a change and under its own were mixed."""
-    attempts = by_policy(rig.engines, [change.grant_mb for change in applied])
+    attempts = attempts_with_policy(rig.engines, [change.grant_mb for change in applied])
     strict_mixed = 0
     lengths_ms = []
     for place, change in enumerate(applied, 1):
         pair = [
-            (attempt.at, attempt.place >= place)
+            (attempt.at, attempt.policy_index >= place)
             for attempt in attempts
-            if attempt.place in (place - 1, place)
+            if attempt.policy_index in (place - 1, place)
         ]
-        mixture = measure_mixture(pair)
+        overlap = measure_overlap(pair)
         if change.overlap == Overlap.STRICT:
-            strict_mixed += mixture.stale_attempts
-        lengths_ms.append(mixture.overlap_ms)
+            strict_mixed += overlap.stale_attempts
+        lengths_ms.append(overlap.overlap_ms)
     return Overlaps(strict_mixed, lengths_ms)
 
 
--- a/benchmarks/policy_rollout_runs.py
+++ b/benchmarks/policy_rollout_runs.py
@@ -19,7 +19,7 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.testing import load_client
 from gullhold.testing.fleet import Rig
-from gullhold.testing.rollout_checker import RolloutChecker, by_policy
+from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy
 
 STRICT_OUTCOME_S = 8  # in which a strict change has to be in force with everything up
 LOOSE_OUTCOME_S = 5
@@ -66,7 +66,7 @@
         seconds = time.monotonic() - began
         own_calls = count * CALLS_TO_PROPOSE + sum(durations) / POLL_INTERVAL_S
         calls = count_store_calls(rig) - calls_before - idle_calls_per_s * seconds - own_calls
-        held_p99_s = rounded_quantile(RolloutChecker(rig.lines()).stopped_s, 0.99)
+        held_p99_s = rounded_quantile(RolloutChecker(rig.lines()).stop_times_s, 0.99)
         return RolloutCost(
             None if held_p99_s is None else round(held_p99_s * 1000, 1),
             rounded_quantile(durations),
@@ -112,12 +112,14 @@
     began = time.time()
     rig.start(RETURNING_MEMBER)
     clients = start_load(rig, [RETURNING_MEMBER], LOAD_RATE_PER_S)
-    rig.until(lambda: any(attempt.at > began for attempt in by_policy(rig.engines, [MAX_GRANT_MB])))
+    rig.until(
+        lambda: any(attempt.at > began for attempt in attempts_with_policy(rig.engines, [MAX_GRANT_MB]))
+    )
     time.sleep(0.3)
     first_at = next(flight.started_at for flight in rig.engines[0].attempts if flight.started_at > began)
     stop_clients(clients)
-    attempts = by_policy(rig.engines, [MAX_GRANT_MB])
-    wrong = sum(attempt.at > began and not attempt.place for attempt in attempts)
+    attempts = attempts_with_policy(rig.engines, [MAX_GRANT_MB])
+    wrong = sum(attempt.at > began and not attempt.policy_index for attempt in attempts)
     return round(first_at - began, 2), wrong
 
 
--- a/gullhold/testing/rollout_checker.py
+++ b/gullhold/testing/rollout_checker.py
@@ -24,36 +24,36 @@
     attempts: Sequence[AttemptRecord]
 
 
-class Dispatched(NamedTuple):
-    """One attempt: its time in s, and the place of its policy, from 1; 0: what no change has touched."""
+class PolicyAttempt(NamedTuple):
+    """One attempt: its time in s, and the index of its policy, from 1; 0: what no change has touched."""
 
     at: float
-    place: int
+    policy_index: int
 
 
-class Mixture(NamedTuple):
+class PolicyOverlap(NamedTuple):
     """Attempts under an older policy after the first one under a newer, and the longest such overlap."""
 
     stale_attempts: int
     overlap_ms: float
 
 
-def by_policy(engines: Iterable[Engine], grants: Sequence[int]) -> list[Dispatched]:
+def attempts_with_policy(engines: Iterable[Engine], grants: Sequence[int]) -> list[PolicyAttempt]:
     """All attempts in order of time, each with its policy.
 
-    grants: MB that each policy grants, in the order in which they came into force, from place 1 on.
+    grants: MB that each policy grants, in the order in which they came into force, from index 1 on.
     """
     places = {float(mb): place for place, mb in enumerate(grants, 1)}
     attempts = [
-        Dispatched(attempt.started_at, places.get(attempt.memory_mb, 0))
+        PolicyAttempt(attempt.started_at, places.get(attempt.memory_mb, 0))
         for engine in engines
         for attempt in engine.attempts
     ]
     return sorted(attempts)
 
 
-def measure_mixture(attempts: Iterable[tuple[float, int]]) -> Mixture:
-    """How far policies were mixed in attempts in order of time: (time in s, place of its policy)."""
+def measure_overlap(attempts: Iterable[tuple[float, int]]) -> PolicyOverlap:
+    """How far policies were mixed in attempts in order of time: (time in s, index of its policy)."""
     first_at: dict[int, float] = {}
     last_at: dict[int, float] = {}
     count = 0
@@ -68,23 +68,24 @@
         for old, ended_at in last_at.items():
             if old < new:
                 longest_s = max(longest_s, ended_at - began_at)
-    return Mixture(count, round(longest_s * 1000, 1))
+    return PolicyOverlap(count, round(longest_s * 1000, 1))
 
 
 class RolloutChecker:
     """Goes through a store's journal: what was decided, and what members had voted by then.
 
     decided_without_all: decisions made while an enrolled member had not voted ready, or still for a strict
-    change; decided_though_refused: decisions on what a member had refused; split: ended changes after which
-    not all members had adopted one version; stopped_s: for each member and strict change, the time from its
-    preparation to its adoption by the member; outcomes: {number: "decided" or "dropped"}.
+    change; decided_though_refused: decisions on a version that a member had refused; divergent_changes: ended
+    changes after which the members had not all adopted one version; stop_times_s: for each member and strict
+    change, the time from its preparation to its adoption by the member; outcomes: {number: "decided" or
+    "dropped"}.
     """
 
     def __init__(self, lines: Journal) -> None:
         self.decided_without_all = 0
         self.decided_though_refused = 0
-        self.split = 0
-        self.stopped_s: list[float] = []
+        self.divergent_changes = 0
+        self.stop_times_s: list[float] = []
         self.outcomes: dict[int, str] = {}
         self._votes: dict[str, dict[str, Any]] = {}  # stored values by member (name and lease)
         self._members: dict[int, set[str]] = {}  # by lease
@@ -113,7 +114,7 @@
                 self._change_written(json.loads(value), at)
         elif kind == "delete" and key == CHANGE_KEY:
             versions = {vote["under"] for vote in self._votes.values()}
-            self.split += len(versions) > 1
+            self.divergent_changes += len(versions) > 1
 
     def _put(self, key: str, value: str, lease: int, at: float) -> None:
         if not key.startswith(VOTES):
@@ -122,7 +123,7 @@
         vote = json.loads(value)
         was_stopped = self._votes.get(member, {}).get("word") == "still"
         if was_stopped and vote["word"] == "under":
-            self.stopped_s.append(at - self._prepared_at)
+            self.stop_times_s.append(at - self._prepared_at)
         self._votes[member] = vote
         self._members.setdefault(lease, set()).add(member)
 
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -11,7 +11,7 @@
 from gullhold.testing import load_client
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
-from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
+from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy, measure_overlap
 
 CLIENT_SEEDS = count(1)  # each client draws its own ids
 
@@ -81,7 +81,7 @@
     check = RolloutChecker(fleet.lines())
     assert not check.decided_without_all, fleet.story()
     assert not check.decided_though_refused, fleet.story()
-    wrong, overlap = measure_mixture(by_policy(fleet.engines, grants))
+    wrong, overlap = measure_overlap(attempts_with_policy(fleet.engines, grants))
     assert not (strict and wrong), (wrong, overlap, fleet.story())
     assert overlap <= overlap_ms, (wrong, overlap, fleet.story())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -12,7 +12,7 @@
 from gullhold.rollout.policy_version import PolicyError, PolicyVersion
 from gullhold.rollout.store_schema import CHANGE_KEY, decode_change, encode_change
 from gullhold.testing.counting_engine import CountingEngine
-from gullhold.testing.rollout_checker import RolloutChecker, by_policy
+from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy
 
 
 @pytest.mark.parametrize("overlap", [Overlap.LOOSE, Overlap.STRICT])
@@ -32,7 +32,7 @@
         assert end(clients) > 60
         assert not any(one.counts.failed + one.counts.unanswered for one in clients)
         judged(fleet, grants, overlap == Overlap.STRICT, 300)
-        assert {place for _, place in by_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
+        assert {place for _, place in attempts_with_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
         assert client.current().text == granting(23)
         assert len(client.history()) == 4
 
@@ -65,7 +65,7 @@
         time.sleep(0.3)
         end(clients)
         check = judged(fleet, [20, 21], strict=True)
-        assert {place for _, place in by_policy(fleet.engines, [20, 21])} == {0}
+        assert {place for _, place in attempts_with_policy(fleet.engines, [20, 21])} == {0}
         assert check.outcomes == {1: "dropped", 2: "dropped"}
 
 
@@ -136,7 +136,7 @@
         fleet.start(victim)
         on(fleet, 0)
         time.sleep(0.1)
-        tried = [at for at, place in by_policy(fleet.engines, [20]) if place]
+        tried = [at for at, place in attempts_with_policy(fleet.engines, [20]) if place]
         assert not tried or max(tried) < time.time() - 0.05  # all are back on the parent
         record = propose(client, fleet, granting(21), canary=Canary(0.34, 1_200_000, 0.3, 9.0))
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -10,7 +10,7 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.testing import load_client
 from gullhold.testing.budget_checker import peak_threads
-from gullhold.testing.rollout_checker import by_policy
+from gullhold.testing.rollout_checker import attempts_with_policy
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
         time.sleep(0.4)
         end(clients)
         judged(fleet, [20], strict=True)
-        assert by_policy(fleet.engines, [20])[-1][1] == 1
+        assert attempts_with_policy(fleet.engines, [20])[-1][1] == 1
 
 
 def test_a_member_cut_off_after_voting_ready_rejects_requests_once_its_lease_expires():
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -36,15 +36,15 @@
     simulated_rollout_member,
 )
 from gullhold.testing.action_kind import ActionKind
-from gullhold.testing.rollout_checker import RolloutChecker, measure_mixture
+from gullhold.testing.rollout_checker import RolloutChecker, measure_overlap
 from gullhold.testing.walking import FindingKind
 
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
 
 
 def test_the_checkers_find_mixed_policies_and_decisions_without_all_votes():
-    assert measure_mixture([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
-    assert measure_mixture([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
+    assert measure_overlap([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
+    assert measure_overlap([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
     change = PolicyChange(VERSION, ChangeState.DECIDED)
 
     def line(key, value, lease=0):
