--- a/gullhold/testing/scheduled_command_explorer.py
+++ b/gullhold/testing/scheduled_command_explorer.py
@@ -1,7 +1,7 @@
 """Checks the decisions on scheduled commands alone: leaders that vanish and wake, lost replies, all outcomes.
 
-A Play has one leader's command over a model of the store; a walk has several leaders over one store, of which
-only the last has the token.
+A CommandHarness runs one leader's command over a model of the store. A walk has several leaders over one
+store, of which only the newest has the current fencing token.
 """
 
 import random
@@ -103,7 +103,7 @@
         ]
 
 
-class Play:
+class CommandHarness:
     """A command over a store, step by step; the attempts that it sends and its log are kept."""
 
     def __init__(
@@ -114,7 +114,7 @@
         member: str = "n0",
         make: MakeCommand = ScheduledCommand,
     ) -> None:
-        """store: shared with other plays, or None for one of its own."""
+        """store: shared with other harnesses, or None for one of its own."""
         self.store = store or Store()
         self.now = START_US  # Unix us
         self.sent: list[SendAttempt] = []
@@ -122,12 +122,12 @@
         self.command = make(rules, profile, Calendar("", "UTC", US_PER_SECOND), member)
         self.may_act = True
 
-    def lead(self) -> "Play":
+    def lead(self) -> "CommandHarness":
         """It leads the role, under the store's token."""
         self.command.won(self.store.token, self.now)
-        return self.go()
+        return self.advance()
 
-    def go(self, us: int = 0) -> "Play":
+    def advance(self, us: int = 0) -> "CommandHarness":
         """Time passes, and all that is asked for is done."""
         self.now += us
         self.command.step(self.now)
@@ -148,10 +148,10 @@
             case LogEvent():
                 self.logged.append(action)
 
-    def end(self, state: OccurrenceState, reason: str = "") -> "Play":
+    def end_attempt(self, state: OccurrenceState, reason: str = "") -> "CommandHarness":
         """The attempt that is out is over."""
         self.command.attempt_ended(self.now, state, reason)
-        return self.go()
+        return self.advance()
 
     def states(self) -> list[tuple[int, str]]:
         """(due in s, state) of each occurrence."""
@@ -173,7 +173,7 @@
     by_due: dict[int, list[Attempt]] = field(default_factory=dict)
 
 
-class CheckedPlay(Play):
+class CheckedCommandHarness(CommandHarness):
     """Checks each attempt when it is sent, beside all that other leaders sent before it."""
 
     def __init__(self, profile: ScheduledProfile, attempts: Attempts, **other: Any) -> None:
@@ -182,10 +182,10 @@
         self.profile = profile
         self.attempts = attempts
 
-    def go(self, us: int = 0) -> "CheckedPlay":
-        """As a Play, then check what was sent."""
+    def advance(self, us: int = 0) -> "CheckedCommandHarness":
+        """As a CommandHarness, then check what was sent."""
         already_sent = len(self.sent)
-        super().go(us)
+        super().advance(us)
         for attempt in self.sent[already_sent:]:
             self._check(attempt)
         return self
@@ -215,10 +215,10 @@
                 if attempt.sent_at + attempt.time_limit_us > known_until:
                     raise InvariantError("a uniqued one may run when its mark is forgotten")
 
-    def end(self, state: OccurrenceState, reason: str = "") -> "CheckedPlay":
+    def end_attempt(self, state: OccurrenceState, reason: str = "") -> "CheckedCommandHarness":
         """What became of the attempt is kept."""
         self.attempts.by_due[self.command.in_flight.due_us][-1].state = state
-        return super().end(state, reason)
+        return super().end_attempt(state, reason)
 
 
 class Walk:
@@ -232,17 +232,19 @@
         self.store = Store()
         self.attempts = Attempts()
         self.numbers = count()
-        self.plays = [self._new_play().lead()]
+        self.harnesses = [self._new_harness().lead()]
 
-    def _new_play(self) -> CheckedPlay:
+    def _new_harness(self) -> CheckedCommandHarness:
         member = f"n{next(self.numbers)}"
-        return CheckedPlay(self.profile, self.attempts, store=self.store, member=member, make=self.make)
+        return CheckedCommandHarness(
+            self.profile, self.attempts, store=self.store, member=member, make=self.make
+        )
 
     def step(self) -> None:
         """One thing drawn by chance."""
         drawn = self.random.random()
-        first = self.plays[0]
-        last = self.plays[-1]
+        first = self.harnesses[0]
+        last = self.harnesses[-1]
         if drawn < TAKEOVER_BELOW:
             self._take_over(last.now)
         elif drawn < LOST_REPLY_BELOW:
@@ -251,21 +253,21 @@
             self._pass_time(self.random.randrange(MAX_STEP_US))
         elif last.command.in_flight:
             states = (OccurrenceState.ANSWERED, OccurrenceState.FAILED, OccurrenceState.SHED)
-            last.end(self.random.choice(states))
+            last.end_attempt(self.random.choice(states))
         elif first.command.in_flight and first is not last:
-            first.end(OccurrenceState.ANSWERED)
+            first.end_attempt(OccurrenceState.ANSWERED)
 
     def _take_over(self, now: int) -> None:
-        play = self._new_play()
-        self.plays.append(play)
+        harness = self._new_harness()
+        self.harnesses.append(harness)
         self.store.token += 1
-        play.now = now
-        play.lead()
+        harness.now = now
+        harness.lead()
 
     def _pass_time(self, us: int) -> None:
-        for play in self.plays:
-            play.may_act = play is self.plays[-1]
-            play.go(us)
+        for harness in self.harnesses:
+            harness.may_act = harness is self.harnesses[-1]
+            harness.advance(us)
 
 
 def walk(seed: int, steps: int = 60, make: MakeCommand = ScheduledCommand) -> None:
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -20,7 +20,7 @@
     scheduled_command_explorer,
     scheduled_command_mutants,
 )
-from gullhold.testing.scheduled_command_explorer import Play
+from gullhold.testing.scheduled_command_explorer import CommandHarness
 from gullhold.testing.walking import FindingKind
 
 S = 1_000_000  # us in a second
@@ -74,32 +74,34 @@
 
 
 def test_an_occurrence_is_written_before_it_is_sent_and_after_it_is_answered():
-    play = Play(IDEMPOTENT).lead()
-    assert not play.sent
-    assert not play.store.records()
-    play.go(S)
-    assert play.states() == [(1001, "intent")]
-    assert len(play.sent) == 1
-    play.end(OccurrenceState.ANSWERED)
-    assert play.states() == [(1001, "answered")]
-    assert not play.command.in_flight
-    play.go(S)
-    assert len(play.sent) == 2
-    assert play.sent[0].idempotency_key != play.sent[1].idempotency_key
+    harness = CommandHarness(IDEMPOTENT).lead()
+    assert not harness.sent
+    assert not harness.store.records()
+    harness.advance(S)
+    assert harness.states() == [(1001, "intent")]
+    assert len(harness.sent) == 1
+    harness.end_attempt(OccurrenceState.ANSWERED)
+    assert harness.states() == [(1001, "answered")]
+    assert not harness.command.in_flight
+    harness.advance(S)
+    assert len(harness.sent) == 2
+    assert harness.sent[0].idempotency_key != harness.sent[1].idempotency_key
 
 
 def test_an_occurrence_due_while_the_last_runs_is_skipped_or_waits_and_missed_ones_are_counted():
-    play = Play(IDEMPOTENT).lead().go(S).go(S)
-    assert play.states() == [(1001, "intent"), (1002, "skipped")]
-    assert len(play.sent) == 1
-    play = Play(IDEMPOTENT, rules=RULES._replace(waits_for_previous=True)).lead().go(S).go(S)
-    assert play.states() == [(1001, "intent")]
-    play.end(OccurrenceState.ANSWERED)
-    assert play.states()[1] == (1002, "intent")
-    late = Play(IDEMPOTENT, store=play.store, member="n1")
-    play.store.token, late.now = 9, 1200 * S
+    harness = CommandHarness(IDEMPOTENT).lead().advance(S).advance(S)
+    assert harness.states() == [(1001, "intent"), (1002, "skipped")]
+    assert len(harness.sent) == 1
+    harness = (
+        CommandHarness(IDEMPOTENT, rules=RULES._replace(waits_for_previous=True)).lead().advance(S).advance(S)
+    )
+    assert harness.states() == [(1001, "intent")]
+    harness.end_attempt(OccurrenceState.ANSWERED)
+    assert harness.states()[1] == (1002, "intent")
+    late = CommandHarness(IDEMPOTENT, store=harness.store, member="n1")
+    harness.store.token, late.now = 9, 1200 * S
     late.lead()
-    skipped = [item for item in play.store.records() if item.state == "skipped"]
+    skipped = [item for item in harness.store.records() if item.state == "skipped"]
     assert [(item.due_us // S, item.count) for item in skipped] == [(1139, 137), (1200, 60)]
     assert late.states()[-2] == (1140, "intent")  # the first due time within the window runs
 
@@ -109,29 +111,29 @@
     [(IDEMPOTENT, 1, ["answered"]), (KEYED, 1, ["answered"]), (NON_IDEMPOTENT, 0, ["failed"])],
 )
 def test_the_next_leader_follows_the_profile_when_a_leader_vanishes_after_its_intent(profile, sends, states):
-    first = Play(profile).lead().go(S)
+    first = CommandHarness(profile).lead().advance(S)
     first.store.token = 9
-    second = Play(profile, store=first.store, member="n1")
+    second = CommandHarness(profile, store=first.store, member="n1")
     second.now = first.now + 100_000
     second.lead()
     assert len(second.sent) == sends
     if sends:
         assert second.sent[0].idempotency_key == first.sent[0].idempotency_key
-        second.end(OccurrenceState.ANSWERED)
+        second.end_attempt(OccurrenceState.ANSWERED)
     assert [item.state for item in first.store.records()] == states
     assert any(event.level == "error" for event in second.logged) == (profile is NON_IDEMPOTENT)
-    first.end(OccurrenceState.ANSWERED)  # the first leader resumes: its outcome is refused
+    first.end_attempt(OccurrenceState.ANSWERED)  # the first leader resumes: its outcome is refused
     assert [item.state for item in first.store.records()] == states
     assert first.store.records()[0].member != "n2"
 
 
 def test_a_keyed_attempt_ends_while_its_idempotency_key_is_remembered():
     profile = KEYED._replace(timeout_us=30 * S)
-    first = Play(profile).lead().go(S)
+    first = CommandHarness(profile).lead().advance(S)
     # The limit counts from the intent, as engines may count how long they remember a key.
     assert first.sent[0].time_limit_us == 15 * S - 100_000
     first.store.token = 9
-    second = Play(profile, store=first.store)
+    second = CommandHarness(profile, store=first.store)
     second.now = first.now + 5 * S
     second.lead()
     assert second.sent[0].time_limit_us == 10 * S - 100_000
@@ -139,57 +141,57 @@
 
 @pytest.mark.parametrize("proof", [Proof.UNKNOWN, Proof.NOT_DONE])
 def test_an_intent_whose_reply_was_lost_is_sent_once_and_not_given_up(proof):
-    play = Play(NON_IDEMPOTENT).lead()
-    play.store.next_write = proof
-    play.go(S)
-    assert not play.sent
-    play.go(RETRY_DELAY_US)
-    assert len(play.sent) == 1
-    assert play.states()[0] == (1001, "intent")
-    play.store.next_write = proof
-    play.end(OccurrenceState.ANSWERED).go(RETRY_DELAY_US)
-    assert play.states()[0] == (1001, "answered")
-    assert len([attempt for attempt in play.sent if attempt.due_us == 1001 * S]) == 1
+    harness = CommandHarness(NON_IDEMPOTENT).lead()
+    harness.store.next_write = proof
+    harness.advance(S)
+    assert not harness.sent
+    harness.advance(RETRY_DELAY_US)
+    assert len(harness.sent) == 1
+    assert harness.states()[0] == (1001, "intent")
+    harness.store.next_write = proof
+    harness.end_attempt(OccurrenceState.ANSWERED).advance(RETRY_DELAY_US)
+    assert harness.states()[0] == (1001, "answered")
+    assert len([attempt for attempt in harness.sent if attempt.due_us == 1001 * S]) == 1
 
 
 def test_nothing_is_sent_if_the_fencing_token_is_invalid_once_the_intent_is_written():
-    play = Play(NON_IDEMPOTENT).lead()
-    play.may_act = False
-    play.go(S)
-    assert play.states() == [(1001, "intent")]
-    assert not play.sent
-    play.command.lost()
-    other = Play(NON_IDEMPOTENT, store=play.store)
-    play.store.token, other.now = 9, play.now
+    harness = CommandHarness(NON_IDEMPOTENT).lead()
+    harness.may_act = False
+    harness.advance(S)
+    assert harness.states() == [(1001, "intent")]
+    assert not harness.sent
+    harness.command.lost()
+    other = CommandHarness(NON_IDEMPOTENT, store=harness.store)
+    harness.store.token, other.now = 9, harness.now
     other.lead()
     assert other.states()[0] == (1001, "failed")
     assert not other.sent
 
 
 def test_a_shed_attempt_is_retried_and_a_failed_one_only_if_idempotent():
-    play = Play(NON_IDEMPOTENT).lead().go(S).end(OccurrenceState.SHED)
-    assert play.states() == [(1001, "shed")]
-    play.go(RETRY_DELAY_US)
-    assert len(play.sent) == 2
-    play.end(OccurrenceState.FAILED, "reset")
-    assert play.states() == [(1001, "failed")]
-    assert play.logged[-1].level == "error"
-    play = Play(IDEMPOTENT).lead().go(S).end(OccurrenceState.FAILED)
-    assert play.states() == [(1001, "intent")]
-    play.go(RETRY_DELAY_US).end(OccurrenceState.ANSWERED)
-    assert play.states() == [(1001, "answered")]
-    assert [attempt.attempt for attempt in play.sent] == [1, 2]
+    harness = CommandHarness(NON_IDEMPOTENT).lead().advance(S).end_attempt(OccurrenceState.SHED)
+    assert harness.states() == [(1001, "shed")]
+    harness.advance(RETRY_DELAY_US)
+    assert len(harness.sent) == 2
+    harness.end_attempt(OccurrenceState.FAILED, "reset")
+    assert harness.states() == [(1001, "failed")]
+    assert harness.logged[-1].level == "error"
+    harness = CommandHarness(IDEMPOTENT).lead().advance(S).end_attempt(OccurrenceState.FAILED)
+    assert harness.states() == [(1001, "intent")]
+    harness.advance(RETRY_DELAY_US).end_attempt(OccurrenceState.ANSWERED)
+    assert harness.states() == [(1001, "answered")]
+    assert [attempt.attempt for attempt in harness.sent] == [1, 2]
 
 
 def test_a_leaving_member_begins_nothing_and_settled_records_are_bounded():
-    play = Play(IDEMPOTENT).lead()
+    harness = CommandHarness(IDEMPOTENT).lead()
     for _ in range(MAX_SETTLED_RECORDS + 15):
-        play.go(S).end(OccurrenceState.ANSWERED)
-    assert len(play.store.records()) <= MAX_SETTLED_RECORDS + 2
-    sent = len(play.sent)
-    play.command.leave()
-    play.go(5 * S)
-    assert len(play.sent) == sent
+        harness.advance(S).end_attempt(OccurrenceState.ANSWERED)
+    assert len(harness.store.records()) <= MAX_SETTLED_RECORDS + 2
+    sent = len(harness.sent)
+    harness.command.leave()
+    harness.advance(5 * S)
+    assert len(harness.sent) == sent
 
 
 def test_random_walks_of_leaders_that_vanish_and_resume_break_no_profile():
