--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -33,7 +33,7 @@
 )
 from gullhold.testing.role_pair_world import QUANTUM_US, RATES, TERMS, RolePairWorld
 from gullhold.testing.simulated_budget_member import SimulatedMember
-from gullhold.testing.store_model import Model
+from gullhold.testing.store_model import StoreModel
 from gullhold.testing.walking import InvariantError
 
 DEMANDS = (0, 4, TOTAL)  # of a member in turn, while demand changes
@@ -74,7 +74,7 @@
         roles = [
             self.variant.make_role(budgets, make_allocator=self.variant.make_allocator) for _ in range(2)
         ]
-        super().__init__(Model(ROOT), "duties/" + ROLE, REPORTS, roles, faults)
+        super().__init__(StoreModel(ROOT), "duties/" + ROLE, REPORTS, roles, faults)
         self.spent: list[int] = []
         self.lingering: list[Lingering] = []
         self.is_settling = False
@@ -89,7 +89,7 @@
         self._grant(member)
 
     def _grant(self, member: SimulatedMember) -> None:
-        member.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
+        member.lease.renew(self.store.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
         member.reported_revision = 0
         member.applied_revision = 0
         member.allocations.begin_lease(member.lease.id)
@@ -120,7 +120,7 @@
             found.append((ActionKind.ACQUIRE, index))
         if member.running:
             found.append((ActionKind.RELEASE, index))
-        if not member.cut and self._rows(member):
+        if not member.is_disconnected and self._rows(member):
             found.append((ActionKind.NOTIFY_MEMBER, index))
         if self.may_report(member):
             found.append((ActionKind.REPORT, index))
@@ -128,9 +128,9 @@
             found += [
                 (ActionKind.CRASH, index),
                 (ActionKind.LEAVE, index),
-                (ActionKind.RECONNECT if member.cut else ActionKind.DISCONNECT, index),
+                (ActionKind.RECONNECT if member.is_disconnected else ActionKind.DISCONNECT, index),
             ]
-        elif member.cut:
+        elif member.is_disconnected:
             found.append((ActionKind.RECONNECT, index))
         return found
 
@@ -144,7 +144,7 @@
         if action:
             return action
         for index, member in enumerate(self.members):
-            if not member.cut and self._rows(member):
+            if not member.is_disconnected and self._rows(member):
                 return ActionKind.NOTIFY_MEMBER, index
         return None
 
@@ -187,7 +187,7 @@
         if reply.proof == Proof.DONE and reply.succeeded:
             member.reported_revision = reply.revision
         else:  # as the driver does: what is stored is looked at, and everything is reported again
-            item = self.model.keys.get(REPORTS + member.key())
+            item = self.store.keys.get(REPORTS + member.key())
             member.reported_revision = item.revision if item else 0
             self._report(member)
 
@@ -241,10 +241,10 @@
     def _do_leave(self, index: int) -> None:
         """In good order: nothing is begun any more, the last report is written, the lease ends."""
         member = self.members[index]
-        if member.lease.is_valid(member()) and not member.cut:
+        if member.lease.is_valid(member()) and not member.is_disconnected:
             self._drop_calls(member)
-            self.model.call(self._report_call(member, has_left=True), self.now)
-            self.model.end(member.lease.id)
+            self.store.call(self._report_call(member, has_left=True), self.now)
+            self.store.end_lease(member.lease.id)
         self._do_crash(self.members.index(member))
 
     def check(self) -> None:
@@ -264,7 +264,7 @@
 
     def _stored_allocations(self) -> int:
         """Return the sum of all allocations in the store, as one that reads it sees them."""
-        rows = [item.value for key, item in self.model.keys.items() if key.startswith(ALLOCATIONS)]
+        rows = [item.value for key, item in self.store.keys.items() if key.startswith(ALLOCATIONS)]
         entries = [entry for row in rows for entry in decode_row(row).entries.values()]
         return sum(allocated_amount(entry) for entry in entries)
 
@@ -272,7 +272,7 @@
         """Return what makes two states the same: all but absolute time and numbers of writes."""
         return (
             tuple(member.state() for member in self.members),
-            tuple((key, item.value) for key, item in sorted(self.model.keys.items())),
+            tuple((key, item.value) for key, item in sorted(self.store.keys.items())),
             tuple((tag, str(request)) for _, request, tag in self.calls),
             tuple((tag, reply.proof, reply.succeeded) for _, tag, reply in self.replies),
             tuple(map(str, self.delayed_requests)),
@@ -293,7 +293,7 @@
         self.is_settling = True
         self.holders[1 - self.leader].lost()
         for member in self.members:
-            member.cut = False
+            member.is_disconnected = False
         for _ in range(SETTLED):
             self._settle_step()
 
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -29,7 +29,7 @@
     SentReply,
 )
 from gullhold.testing.role_pair_world import QUANTUM_US, TERMS
-from gullhold.testing.store_model import Change, Model
+from gullhold.testing.store_model import Change, StoreModel
 from gullhold.testing.walking import InvariantError
 
 CLOCK_RATES = (0.87, 1.0, 1.1)  # of members' clocks against the store's: within the drift of 0.15
@@ -68,7 +68,7 @@
     ) -> None:
         """faults: how many may happen."""
         self.now = START_US
-        self.model = Model(MEMBERS_PREFIX, TERMS.ttl_s)
+        self.store = StoreModel(MEMBERS_PREFIX, TERMS.ttl_s)
         self.make = make
         self.roles = roles
         self.faults = faults
@@ -162,7 +162,7 @@
     def _unwatched(self, index: int) -> list[Change]:
         """Changes of which a member is to be notified."""
         first = self.next_watched[index]
-        return [change for change in self.model.past if first is not None and change[0] >= first]
+        return [change for change in self.store.changes if first is not None and change[0] >= first]
 
     # What happens
 
@@ -182,7 +182,7 @@
                 self._pass_time()
             case ActionKind.EXECUTE_CALL:
                 member, call = self.calls.pop(index)
-                self.replies.append(SentReply(member, call, self.model.call(call.request, self.now)))
+                self.replies.append(SentReply(member, call, self.store.call(call.request, self.now)))
             case ActionKind.RELEASE_REPLY:
                 self.replies.append(self.late_replies.pop(index))
             case ActionKind.DELIVER_REPLY:
@@ -190,7 +190,7 @@
                 self.members[member].call_replied(self.clock(member), call, reply)
                 self._collect(member)
             case ActionKind.EXECUTE_DELAYED_CALL:
-                self.model.call(self.late_requests.pop(index), self.now)
+                self.store.call(self.late_requests.pop(index), self.now)
             case ActionKind.BEGIN_EFFECT:
                 self._begin_effect(index, role)
             case ActionKind.EXECUTE_EFFECT:
@@ -218,7 +218,7 @@
 
     def _pass_time(self) -> None:
         self.now += QUANTUM_US
-        self.model.expire(self.now)
+        self.store.expire_leases(self.now)
         for index, is_asleep in enumerate(self.is_asleep):
             if not is_asleep:
                 self._tick(index)
@@ -232,14 +232,14 @@
     def _fail_call(self, kind: ActionKind, member: int, call: PendingCall) -> None:
         match kind:
             case ActionKind.DELAY_REPLY:
-                reply = self.model.call(call.request, self.now)
+                reply = self.store.call(call.request, self.now)
                 self.late_replies.append(SentReply(member, call, reply))
                 return
             case ActionKind.DELAY_CALL:
                 self.late_requests.append(call.request)
                 proof = Proof.UNKNOWN
             case ActionKind.LOSE_REPLY:
-                self.model.call(call.request, self.now)
+                self.store.call(call.request, self.now)
                 proof = Proof.UNKNOWN
             case _:
                 proof = Proof.NOT_DONE
@@ -252,23 +252,25 @@
         self.effects.append(SentEffect(role, token, member.fenced_transaction(role, token, operations)))
 
     def _land(self, effect: SentEffect) -> None:
-        reply = self.model.call(effect.request, self.now)
+        reply = self.store.call(effect.request, self.now)
         if reply.proof != Proof.DONE or not reply.succeeded:
             return
         role, token, _ = effect
-        if token < self.model.accepted.get(role, 0):
-            raise InvariantError(f"an effect on {role} under {token} after {self.model.accepted[role]}")
-        leader = self.model.keys.get(ROLES_PREFIX + role)
+        if token < self.store.accepted_tokens.get(role, 0):
+            raise InvariantError(
+                f"an effect on {role} under {token} after {self.store.accepted_tokens[role]}"
+            )
+        leader = self.store.keys.get(ROLES_PREFIX + role)
         if leader is None or leader.revision != token:
             raise InvariantError(f"an effect on {role} under {token}, which is nobody's")
-        self.model.accepted[role] = token
+        self.store.accepted_tokens[role] = token
 
     # What is checked
 
     def check(self) -> None:
         """What holds at every moment: one leader of a role, under its own token."""
         for role in self.roles:
-            leader = self.model.keys.get(ROLES_PREFIX + role)
+            leader = self.store.keys.get(ROLES_PREFIX + role)
             acting = []
             for index, member in enumerate(self.members):
                 token = member.fencing_token(role, self.clock(index))
@@ -285,7 +287,7 @@
 
     def _knows_later_process(self, index: int) -> bool:
         identity = self.members[index].identity
-        item = self.model.keys.get(identity.key)
+        item = self.store.keys.get(identity.key)
         if item is None or item.revision >= (self.next_watched[index] or 0):
             return False
         return MemberRecord.decode(item.value, item.revision).nonce != identity.nonce
@@ -339,8 +341,8 @@
         """What makes two states the same: all but absolute time."""
         return (
             tuple(self._member_fingerprint(index) for index in range(len(self.members))),
-            tuple(tuple(item) for _, item in sorted(self.model.keys.items())),
-            tuple((lease, end - self.now) for lease, end in sorted(self.model.leases.items())),
+            tuple(tuple(item) for _, item in sorted(self.store.keys.items())),
+            tuple((lease, end - self.now) for lease, end in sorted(self.store.leases.items())),
             tuple((index, call.purpose, call.request) for index, call in self.calls),
             tuple((index, call.purpose, reply) for index, call, reply in self.replies),
             tuple((index, call.purpose, reply) for index, call, reply in self.late_replies),
--- a/gullhold/testing/role_pair_world.py
+++ b/gullhold/testing/role_pair_world.py
@@ -22,17 +22,17 @@
 Tag = tuple[str, CallSerial]  # the method of a role state that takes the reply, the serial of the call
 
 
-class StoreModel(Protocol):
+class StoreInterface(Protocol):
     """A model of the store, as a RolePairWorld needs it."""
 
     revision: int
-    past: list[Change]
+    changes: list[Change]
 
     def call(self, request: Request, now: int) -> Reply:
         """Carry a request out."""
         ...
 
-    def expire(self, now: int) -> None:
+    def expire_leases(self, now: int) -> None:
         """End the leases that have run out."""
         ...
 
@@ -58,20 +58,28 @@
 
 
 class RolePairWorld:
-    """A world in which two processes may lead one role, and members on clocks of their own hold leases.
+    """A world in which two processes may lead one role, and members with clocks of their own hold leases.
 
-    role_key: the role's key in the store; watched_prefix: of the keys of which a leader is notified;
-    holders: the two role states; watched_from: the revision from which each is notified; leader: the index
-    of the holder that leads; calls, replies: under way; delayed_requests: given up by their callers, and may
-    still be carried out. A subclass has members, with lease, cut and a clock to call, _grant(member), act(),
-    and HANDLERS: this table with the methods of its own kinds of action.
+    role_key: the role's key in the store; watched_prefix: prefix of the keys of whose changes a leader is
+    notified; holders: the two role states; watched_from: the revision from which each holder is notified;
+    leader: the index of the holder that leads; calls, replies: under way; delayed_requests: given up by their
+    callers, and may still be carried out.
+
+    A subclass adds the members, each callable as its clock and with the attributes lease and is_disconnected,
+    the methods _grant(member) and act(), and HANDLERS: this table with the methods of its own kinds of
+    action.
     """
 
     def __init__(
-        self, model: StoreModel, role_key: str, watched_prefix: str, holders: Sequence[RoleState], faults: int
+        self,
+        store: StoreInterface,
+        role_key: str,
+        watched_prefix: str,
+        holders: Sequence[RoleState],
+        faults: int,
     ) -> None:
         """faults: how many may happen."""
-        self.model = model
+        self.store = store
         self.role_key = role_key
         self.watched_prefix = watched_prefix
         self.holders = holders
@@ -130,9 +138,9 @@
         """Return the changes of these keys from a revision on; None: nothing is watched."""
         if since is None:
             return []
-        past = self.model.past
-        first = bisect_left(past, since, key=lambda change: change[0])
-        return [change for change in past[first:] if change[1].startswith(prefix)]
+        changes = self.store.changes
+        first = bisect_left(changes, since, key=lambda change: change[0])
+        return [change for change in changes[first:] if change[1].startswith(prefix)]
 
     def finish_calls(self, max_actions: int) -> None:
         """Carry out in turn all that is under way, in so many actions at most."""
@@ -158,17 +166,17 @@
 
     def _renew_lease(self, member: Any) -> None:
         """Do what a member does for its lease in each step of time: renew, clear or acquire it."""
-        if not member.cut and member.lease.is_valid(member()):
-            reply = self.model.call(KeepLeaseAlive(member.lease.id), self.now)
+        if not member.is_disconnected and member.lease.is_valid(member()):
+            reply = self.store.call(KeepLeaseAlive(member.lease.id), self.now)
             if reply.ttl_s:
                 member.lease.renew(member.lease.id, member())
         if member.lease.id and not member.lease.is_valid(member()):
             member.lease.clear()
-        if not member.lease.id and not member.cut:
+        if not member.lease.id and not member.is_disconnected:
             self._grant(member)
 
     def _step_holders(self) -> None:
-        self.model.expire(self.now)
+        self.store.expire_leases(self.now)
         for holder in range(2):
             self.holders[holder].step(self.clock(holder))
             self._collect(holder)
@@ -180,11 +188,11 @@
 
     def _do_execute_call(self, index: int) -> None:
         holder, request, tag = self.calls.pop(index)
-        self.replies.append(SentReply(holder, tag, self.model.call(request, self.now)))
+        self.replies.append(SentReply(holder, tag, self.store.call(request, self.now)))
 
     def _do_lose_reply(self, index: int) -> None:
         holder, request, tag = self.calls.pop(index)
-        self.model.call(request, self.now)
+        self.store.call(request, self.now)
         self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
 
     def _do_delay_call(self, index: int) -> None:
@@ -197,7 +205,7 @@
         self.replies.append(SentReply(holder, tag, Reply(Proof.NOT_DONE)))
 
     def _do_execute_delayed_call(self, index: int) -> None:
-        self.model.call(self.delayed_requests.pop(index), self.now)
+        self.store.call(self.delayed_requests.pop(index), self.now)
 
     def _do_notify_leader(self, holder: int) -> None:
         """Notify a holder of the changes of one revision."""
@@ -213,20 +221,20 @@
 
     def _do_elect(self, _: int) -> None:
         """The other one leads the role now; the one that led before does not know yet."""
-        self.model.revision += 1
-        self.model.put(self.role_key, "", 0)
+        self.store.revision += 1
+        self.store.put(self.role_key, "", 0)
         self.leader = 1 - self.leader
-        self.holders[self.leader].won(self.model.revision, self.clock(self.leader))
+        self.holders[self.leader].won(self.store.revision, self.clock(self.leader))
         self._collect(self.leader)
 
     def _do_lose_role(self, holder: int) -> None:
         self.holders[holder].lost()
 
     def _do_disconnect(self, index: int) -> None:
-        self.members[index].cut = True
+        self.members[index].is_disconnected = True
 
     def _do_reconnect(self, index: int) -> None:
-        self.members[index].cut = False
+        self.members[index].is_disconnected = False
 
     HANDLERS: ClassVar[Mapping[ActionKind, Callable[..., None]]] = {
         ActionKind.EXECUTE_CALL: _do_execute_call,
--- a/gullhold/testing/rollout_history.py
+++ b/gullhold/testing/rollout_history.py
@@ -30,15 +30,16 @@
 class RolloutHistory:
     """Versions that came into force, in order, and canaries. Times are in us of the world.
 
-    decided: number of the version in force; order: numbers in the order in which they came into force;
-    decided_at: when each one did; is_open: whether a change was open when the store was last looked at.
+    version_in_force: number of the version in force; order: numbers in the order in which they came into
+    force; in_force_since: when each of them came into force; is_open: whether a change was open when the
+    store was last read; canaries: the last canary of each version, by its number.
     """
 
     def __init__(self, overlap: Overlap, now: int) -> None:
         """Version 0 is in force. overlap: of all changes."""
         self.overlap = overlap
-        self.decided = 0
-        self.decided_at = {0: now}
+        self.version_in_force = 0
+        self.in_force_since = {0: now}
         self.order = [0]
         self.is_open = False
         self.canaries: dict[int, CanaryRun] = {}
@@ -54,32 +55,36 @@
                 self.canaries[change.version.number] = CanaryRun(now, change.canary_members)
         if was_open and not self.is_open:
             _check_in_force_everywhere(current, members)
-        if current.number != self.decided:
+        if current.number != self.version_in_force:
             _check_not_refused(current, members)
-            self.decided = current.number
-            self.decided_at[current.number] = now
+            self.version_in_force = current.number
+            self.in_force_since[current.number] = now
             self.order.append(current.number)
 
     def check_dispatch(self, member: SimulatedMember, now: int) -> None:
         """Raise InvariantError where a member may not dispatch under the version that its core has."""
-        if member.number not in self.order:
+        if member.version_number not in self.order:
             if not self._is_canary(member, now):
-                raise InvariantError(f"{member.name} sends under {member.number}, which was never decided")
+                raise InvariantError(
+                    f"{member.name} sends under {member.version_number}, which was never decided"
+                )
             return
-        if member.number == self.order[-1]:
+        if member.version_number == self.order[-1]:
             return
         if self.overlap == Overlap.STRICT:
             raise InvariantError(
-                f"{member.name} sends under {member.number} when {self.order[-1]} is in force"
+                f"{member.name} sends under {member.version_number} when {self.order[-1]} is in force"
             )
-        successor = self.order[self.order.index(member.number) + 1]
-        late_us = now - self.decided_at[successor]
+        successor = self.order[self.order.index(member.version_number) + 1]
+        late_us = now - self.in_force_since[successor]
         if late_us > MAX_OVERLAP_US:
-            raise InvariantError(f"{member.name} sends under {member.number} {late_us} us after it was over")
+            raise InvariantError(
+                f"{member.name} sends under {member.version_number} {late_us} us after it was over"
+            )
 
     def _is_canary(self, member: SimulatedMember, now: int) -> bool:
         """Whether it may dispatch under a version that is not decided, in a canary that may still run."""
-        canary = self.canaries.get(member.number, NO_CANARY)
+        canary = self.canaries.get(member.version_number, NO_CANARY)
         is_member = member.decisions.key().removeprefix(VOTES) in canary.members
         return is_member and now <= canary.seen_at + MAX_OVERLAP_US
 
@@ -87,7 +92,9 @@
 def _check_in_force_everywhere(current: PolicyVersion, members: Iterable[SimulatedMember]) -> None:
     """The end of a change tells operators that its version is in force everywhere."""
     late = [
-        member.name for member in members if member.gate.may_dispatch() and member.number != current.number
+        member.name
+        for member in members
+        if member.gate.may_dispatch() and member.version_number != current.number
     ]
     if late:
         raise InvariantError(
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -25,7 +25,7 @@
 from gullhold.testing.rollout_history import REFUSED_TEXT, REFUSING_NAME, RolloutHistory
 from gullhold.testing.rollout_variant import RolloutVariant
 from gullhold.testing.simulated_rollout_member import SimulatedMember
-from gullhold.testing.store_model import Model
+from gullhold.testing.store_model import StoreModel
 from gullhold.testing.walking import InvariantError
 
 Action = tuple[Any, ...]  # (kind, argument of the kind)
@@ -56,7 +56,7 @@
         """overlap: of all changes; variant: fields of RolloutVariant."""
         self.variant = RolloutVariant(**variant)
         coordinators = [self.variant.make_coordinator() for _ in range(2)]
-        super().__init__(Model(ROOT), "duties/" + ROLE, ROOT, coordinators, faults)
+        super().__init__(StoreModel(ROOT), "duties/" + ROLE, ROOT, coordinators, faults)
         self.overlap = overlap
         self.proposed = 0
         self.history = RolloutHistory(overlap, self.now)
@@ -84,7 +84,7 @@
         self._collect_member(member)
 
     def _hears(self, member: SimulatedMember) -> bool:
-        return not member.cut and bool(self.changes_since(member.watched_from, WATCHED))
+        return not member.is_disconnected and bool(self.changes_since(member.watched_from, WATCHED))
 
     def _missing_names(self) -> list[str]:
         present = {member.name for member in self.members}
@@ -114,10 +114,10 @@
         if self.faults:
             found += [
                 (ActionKind.CRASH, index),
-                (ActionKind.RECONNECT if member.cut else ActionKind.DISCONNECT, index),
+                (ActionKind.RECONNECT if member.is_disconnected else ActionKind.DISCONNECT, index),
                 (ActionKind.LOSE_WATCH, index),
             ]
-        elif member.cut:
+        elif member.is_disconnected:
             found.append((ActionKind.RECONNECT, index))
         return found
 
@@ -135,21 +135,21 @@
 
     def may_propose(self) -> bool:
         """One change is open at a time."""
-        return CHANGE_KEY not in self.model.keys
+        return CHANGE_KEY not in self.store.keys
 
     def act(self, kind: ActionKind, argument: Any = 0) -> None:
         """Do one thing; raises InvariantError."""
         self.faults -= kind in FAULTS
         self.HANDLERS[kind](self, argument)
-        self.history.observe(self.model.keys, self.members, self.now)
+        self.history.observe(self.store.keys, self.members, self.now)
         self.check()
 
     # What must hold
 
     @property
-    def decided(self) -> int:
+    def version_in_force(self) -> int:
         """Number of the version in force."""
-        return self.history.decided
+        return self.history.version_in_force
 
     def check(self) -> None:
         """Raise InvariantError where a member that may dispatch goes by a version that it must not."""
@@ -170,7 +170,7 @@
         self._step_holders()
 
     def _grant(self, member: SimulatedMember) -> None:
-        member.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
+        member.lease.renew(self.store.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
         member.watched_from = None
 
     def _do_deliver_reply(self, index: int) -> None:
@@ -197,8 +197,8 @@
         member = self.members[index]
         match member.core_queue.pop(0):
             case AdoptVersion(serial, version):
-                member.number = version.number
-                member.text = version.text
+                member.version_number = version.number
+                member.version_text = version.text
                 member.decisions.adopted(member(), serial)
             case StopDispatching(number):
                 member.decisions.stopped(member(), number)
@@ -213,7 +213,7 @@
 
     def _do_propose(self, text: str) -> None:
         self.proposed += 1
-        version = PolicyVersion(self.proposed, self.history.decided, "", "", 0, text).sealed()
+        version = PolicyVersion(self.proposed, self.history.version_in_force, "", "", 0, text).sealed()
         has_canary = self.overlap == Overlap.LOOSE and self.proposed % 2
         change = PolicyChange(
             version,
@@ -222,7 +222,7 @@
             patience_us=PATIENCE_US,
             canary=Canary(CANARY_SHARE, 2 * PATIENCE_US) if has_canary else None,
         )
-        self.model.call(propose(change, self.model.keys), self.now)
+        self.store.call(propose(change, self.store.keys), self.now)
 
     def _do_join(self, name: str) -> None:
         member = SimulatedMember(self, name, RATES[NAMES.index(name)])
@@ -240,7 +240,7 @@
         """What makes two states the same: all but absolute time."""
         return (
             tuple(self._member_fingerprint(member) for member in self.members),
-            tuple((key, item.value, item.revision) for key, item in sorted(self.model.keys.items())),
+            tuple((key, item.value, item.revision) for key, item in sorted(self.store.keys.items())),
             tuple((tag[0], str(request)) for _, request, tag in self.calls),
             tuple((tag[0], reply.proof, reply.succeeded) for _, tag, reply in self.replies),
             tuple(str(request) for request in self.delayed_requests),
@@ -254,8 +254,8 @@
     def _member_fingerprint(member: SimulatedMember) -> tuple:
         return (
             member.name,
-            member.cut,
-            member.number,
+            member.is_disconnected,
+            member.version_number,
             member.decisions.state,
             member.gate.is_stopped,
             member.gate.may_dispatch(),
@@ -283,7 +283,7 @@
         self.delayed_requests = []
         self.holders[1 - self.leader].lost()
         for member in self.members:
-            member.cut = False
+            member.is_disconnected = False
         for name in self._missing_names():
             self.act(ActionKind.JOIN, name)
         for _ in range(SETTLING_STEPS):
@@ -292,7 +292,7 @@
 
     def check_settled(self) -> None:
         """Raises InvariantError unless every member goes by what is in force, and no change is left open."""
-        keys = self.model.keys
+        keys = self.store.keys
         if CHANGE_KEY in keys:
             raise InvariantError(f"a change stays {keys[CHANGE_KEY].value[-120:]}")
         # It may have been decided while the member that refuses it was down.
@@ -302,10 +302,11 @@
             if is_refused and member.name == REFUSING_NAME:
                 if may_dispatch:
                     raise InvariantError(f"{member.name} sends though it can't run what is in force")
-            elif not may_dispatch or member.number != self.decided:
+            elif not may_dispatch or member.version_number != self.version_in_force:
                 state = member.decisions.state
                 raise InvariantError(
-                    f"{member.name} is {state} under {member.number}, {self.decided} in force"
+                    f"{member.name} is {state} under version {member.version_number}, "
+                    f"not under version {self.version_in_force}, which is in force"
                 )
 
     HANDLERS = RolePairWorld.HANDLERS | {
--- a/gullhold/testing/simulated_budget_member.py
+++ b/gullhold/testing/simulated_budget_member.py
@@ -24,7 +24,7 @@
         self.rate = rate
         self.world = world
         self.lease = Lease(TERMS)
-        self.cut = False
+        self.is_disconnected = False
         self.reported_revision = 0
         self.applied_revision = 0
         rule = world.variant.allocation_rule(world.kind)
@@ -48,7 +48,7 @@
         """Return what makes two states of it the same."""
         return (
             self.name,
-            self.cut,
+            self.is_disconnected,
             self.allocation.allocated,
             self.allocation.in_use,
             self.demand,
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -22,12 +22,12 @@
         self.world = world
         self.name = name
         self.rate = rate
-        self.cut = False
+        self.is_disconnected = False
         self.lease = Lease(TERMS)
         self.core_queue: list[AdoptVersion | StopDispatching] = []  # what the core's thread has yet to do
         self.watched_from: int | None = None  # revision from which it follows changes; None: it does not
-        self.number = 0
-        self.text = ""
+        self.version_number = 0
+        self.version_text = ""
         self.answered = 0
         self.failed = 0
         variant = world.variant
@@ -42,7 +42,7 @@
 
     def figures(self) -> CommandFigures:
         """More commands at each call, which fail under FAILING_TEXT."""
-        if self.text == FAILING_TEXT:
+        if self.version_text == FAILING_TEXT:
             self.failed += COMMANDS_IN_REPORT
         else:
             self.answered += COMMANDS_IN_REPORT
--- a/gullhold/testing/store_model.py
+++ b/gullhold/testing/store_model.py
@@ -26,7 +26,7 @@
 Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
 
 
-class Model:
+class StoreModel:
     """Keys with revisions, leases, and the history of the keys with one prefix."""
 
     def __init__(self, prefix: str, ttl_s: int = TERMS.ttl_s) -> None:
@@ -34,54 +34,54 @@
         self.prefix = prefix
         self.ttl_s = ttl_s
         self.revision = 1
-        self.serial = 0  # the id of the newest lease
+        self.last_lease_id = 0
         self.keys: dict[str, KeyValue] = {}
         self.leases: dict[int, int] = {}  # when each ends, us
-        self.past: list[Change] = []
-        self.accepted: dict[str, int] = {}  # the highest token under which an effect on each role came
+        self.changes: list[Change] = []
+        self.accepted_tokens: dict[str, int] = {}  # the highest token under which an effect on each role came
 
     def put(self, key: str, value: str, lease: int) -> None:
         """Write a key in the current revision."""
         self.keys[key] = KeyValue(key, value, self.revision, lease)
         self._record(key, value)
 
-    def drop(self, key: str) -> None:
+    def delete(self, key: str) -> None:
         """Delete a key in the current revision."""
         if self.keys.pop(key, None):
             self._record(key, None)
 
     def _record(self, key: str, value: str | None) -> None:
         if key.startswith(self.prefix):
-            self.past.append((self.revision, key, value))
+            self.changes.append((self.revision, key, value))
 
-    def end(self, lease: int) -> None:
+    def end_lease(self, lease: int) -> None:
         """End a lease, and delete its keys in one revision."""
         self.leases.pop(lease, None)
         attached = [key for key, item in self.keys.items() if item.lease == lease]
         if attached:
             self.revision += 1
         for key in attached:
-            self.drop(key)
+            self.delete(key)
 
-    def expire(self, now: int) -> None:
+    def expire_leases(self, now: int) -> None:
         """End the leases that have run out."""
         for lease in [lease for lease, end in self.leases.items() if end <= now]:
-            self.end(lease)
+            self.end_lease(lease)
 
     def call(self, request: Request, now: int) -> Reply:
         """Carry a request out; its reply."""
         match request:
             case GrantLease(ttl_s):
-                self.serial += 1
-                self.leases[self.serial] = now + ttl_s * US_PER_SECOND
-                return Reply(Proof.DONE, self.revision, lease=self.serial, ttl_s=ttl_s)
+                self.last_lease_id += 1
+                self.leases[self.last_lease_id] = now + ttl_s * US_PER_SECOND
+                return Reply(Proof.DONE, self.revision, lease=self.last_lease_id, ttl_s=ttl_s)
             case KeepLeaseAlive(lease):
                 if lease not in self.leases:
                     return Reply(Proof.DONE, self.revision)
                 self.leases[lease] = now + self.ttl_s * US_PER_SECOND
                 return Reply(Proof.DONE, self.revision, ttl_s=self.ttl_s)
             case RevokeLease(lease):
-                self.end(lease)
+                self.end_lease(lease)
                 return Reply(Proof.DONE, self.revision)
             case ReadLeaseKeys(lease):
                 attached = tuple(key for key, item in self.keys.items() if item.lease == lease)
@@ -110,7 +110,7 @@
                 case Put(key, value, lease):
                     self.put(key, value, lease)
                 case Delete(key):
-                    self.drop(key)
+                    self.delete(key)
         return Reply(Proof.DONE, self.revision, succeeded=succeeded, items=items)
 
     def _revision_of(self, key: str) -> int:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -84,14 +84,14 @@
         world.act(ActionKind.ADVANCE_TIME)
         while todo := world.next_orderly_action():
             world.act(*todo)
-        item = world.model.keys.get(CHANGE_KEY)
+        item = world.store.keys.get(CHANGE_KEY)
         if item:
             seen.add(decode_change(item.value).state)
-        tried = [one.number for one in world.members if one.number]
-        assert len(tried) <= 1 or world.decided
+        tried = [one.version_number for one in world.members if one.version_number]
+        assert len(tried) <= 1 or world.version_in_force
     world.settle()
     world.check_settled()
-    assert world.decided == (1 if comes else 0)
+    assert world.version_in_force == (1 if comes else 0)
     assert (ChangeState.CANARY in seen) == (text != rollout_world.REFUSED_TEXT)
 
 
