--- a/gullhold/testing/membership_actions.py
+++ b/gullhold/testing/membership_actions.py
@@ -1,4 +1,4 @@
-"""What can happen next in a world of members, and what is under way in it."""
+"""Kinds of action in a simulated world of members, and the messages that are under way in it."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,25 +7,25 @@
 
 
 class ActionKind(StrEnum):
-    """What can happen next in a world."""
-
-    ADVANCE_TIME = "time"
-    EXECUTE_CALL = "carry out"  # a call that is under way
-    LOSE_REPLY = "lose the reply"
-    DELAY_CALL = "hold back"  # a call that may still be carried out, after it was given up
-    REJECT_CALL = "refuse"
-    DELAY_REPLY = "answer late"  # a call is carried out, and its reply is held back
-    RELEASE_REPLY = "arrive"  # a reply that was held back
-    DELIVER_REPLY = "reply"
-    EXECUTE_DELAYED_CALL = "late"  # a call that was held back is carried out
-    EXECUTE_EFFECT = "land"  # an effect is carried out
-    JOIN = "come"  # a further member
-    RESUME = "wake"
-    PAUSE = "sleep"
-    CRASH = "die"
-    RESTART = "restart"  # a new process of the same name, while the old one goes on
-    NOTIFY_MEMBER = "tell"  # a member is notified of changes
-    BEGIN_EFFECT = "effect"  # a member begins an effect
+    """What can happen next; the values appear in the traces of failed walks."""
+
+    ADVANCE_TIME = "time"  # time advances by one step
+    EXECUTE_CALL = "carry out"  # the store executes a call; its reply is under way
+    LOSE_REPLY = "lose the reply"  # the store executes a call, and the reply is lost
+    DELAY_CALL = "hold back"  # the caller gives the call up; the store executes it later or never
+    REJECT_CALL = "refuse"  # the store rejects a call: it is known not to have been executed
+    DELAY_REPLY = "answer late"  # the store executes a call, and its reply is delayed
+    RELEASE_REPLY = "arrive"  # a delayed reply is under way again
+    DELIVER_REPLY = "reply"  # a reply reaches its caller
+    EXECUTE_DELAYED_CALL = "late"  # the store executes a delayed call
+    EXECUTE_EFFECT = "land"  # the store executes an effect: a write under a fencing token
+    JOIN = "come"  # a further member starts
+    RESUME = "wake"  # a paused process goes on
+    PAUSE = "sleep"  # a process stands still while time advances, as under SIGSTOP
+    CRASH = "die"  # a process ends without releasing anything
+    RESTART = "restart"  # a new process of the same name starts, while the old one still runs
+    NOTIFY_MEMBER = "tell"  # a watch notifies a member of changes
+    BEGIN_EFFECT = "effect"  # a member sends an effect to the store
 
 
 CALL_FAULTS = (
@@ -38,7 +38,7 @@
 
 
 class Action(NamedTuple):
-    """One action. index: of the call, reply, effect or member that it concerns."""
+    """One action. index: of the call, reply, effect or member that it concerns; role: of BEGIN_EFFECT."""
 
     kind: ActionKind
     index: int = 0
@@ -46,14 +46,14 @@
 
 
 class SentCall(NamedTuple):
-    """A call under way."""
+    """A call that the store has not executed yet; member: the index of its caller."""
 
     member: int
     call: PendingCall
 
 
 class SentReply(NamedTuple):
-    """A reply under way."""
+    """A reply that has not reached its caller yet; member: the index of that caller."""
 
     member: int
     call: PendingCall
@@ -61,7 +61,7 @@
 
 
 class SentEffect(NamedTuple):
-    """An effect under way."""
+    """An effect that the store has not executed yet: a write for a role under a fencing token."""
 
     role: str
     token: int
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -1,8 +1,10 @@
-"""What explorers of worlds share: the search through all actions, and random walks.
+"""Search through all action sequences and random walks, for explorers of simulated worlds.
 
-A world has act(kind, ...), which raises InvariantError, actions(), fingerprint(), which tells states apart,
-and, for random walks, settle() and check_settled(). An action is a tuple of its kind and the other arguments
-of act().
+A world is a simulated fleet whose next event is chosen by the explorer. It has actions(), which lists the
+actions that are possible now, act(kind, ...), which carries one out and raises InvariantError if an invariant
+breaks, and fingerprint(), which is equal for equivalent states. For random walks it also has settle(), which
+ends the faults and lets the world reach a steady state, and check_settled(), which raises InvariantError if
+that state is not as it should be. An action is a tuple of its kind and the other arguments of act().
 """
 
 import copy
@@ -11,61 +13,65 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-FAULT_CHANCE = 0.15  # of an action of a kind that is to come seldom
-TIME_CHANCE = 0.12  # of letting time pass: otherwise no lease ever ends
+FAULT_CHANCE = 0.15  # that a fault stays among the actions that are drawn from
+TIME_CHANCE = 0.12  # that time advances: otherwise no lease ever expires
 
 Action = Sequence[Any]
 Draw = Callable[[], float]  # a random fraction, from [0, 1)
 
 
 class InvariantError(Exception):
-    """A rule that does not hold; the text says which."""
+    """An invariant does not hold; the text says which. Explorers add the trace of actions before it."""
 
 
 class Explored(NamedTuple):
-    """How far a search came: states met, and the depth up to which all actions were tried."""
+    """Result of a search: the number of distinct states, and the depth up to which all actions were tried."""
 
     states: int
     depth: int
 
 
 def explore(world: Any, depth: int, max_states: int, seed: int = 0) -> Explored:
-    """Try every action that can be next, breadth first; raises InvariantError with its story.
+    """Try every possible action, breadth first; raises InvariantError with the trace of actions.
 
-    max_states: after which it stops. Which actions come first at one depth is drawn from the seed.
+    max_states: number of distinct states after which the search stops. The seed decides in which order the
+    actions of one depth are tried.
     """
     draw = random.Random(seed)
-    layer: list[tuple[Any, tuple[Action, ...]]] = [(world, ())]  # worlds with their stories
-    met: set[int] = set()
+    frontier: list[tuple[Any, tuple[Action, ...]]] = [(world, ())]  # worlds with their traces
+    seen: set[int] = set()
     for level in range(depth):
-        following = []
-        for state, story in layer:
+        next_frontier = []
+        for state, trace in frontier:
             actions = state.actions()
             draw.shuffle(actions)
             for action in actions:
-                successor = _after(state, action, story)
+                successor = _after(state, action, trace)
                 fingerprint = hash(successor.fingerprint())
-                if fingerprint not in met:
-                    met.add(fingerprint)
-                    following.append((successor, (*story, action)))
-                if len(met) >= max_states:
-                    return Explored(len(met), level)
-        layer = following
-    return Explored(len(met), depth)
+                if fingerprint not in seen:
+                    seen.add(fingerprint)
+                    next_frontier.append((successor, (*trace, action)))
+                if len(seen) >= max_states:
+                    return Explored(len(seen), level)
+        frontier = next_frontier
+    return Explored(len(seen), depth)
 
 
-def _after(world: Any, action: Action, story: tuple[Action, ...]) -> Any:
-    """Return a copy of a world, after an action."""
+def _after(world: Any, action: Action, trace: tuple[Action, ...]) -> Any:
+    """Return a copy of a world in which an action was carried out; the world itself stays as it is."""
     successor = copy.deepcopy(world)
     try:
         successor.act(*action)
     except InvariantError as violation:
-        raise InvariantError(f"{violation}; after {[*story, action]}") from None
+        raise InvariantError(f"{violation}; after {[*trace, action]}") from None
     return successor
 
 
 def random_actions(world: Any, draw: Draw, faults: Sequence[str]) -> Iterator[Action]:
-    """Yield random actions without end; faults: kinds that come seldom."""
+    """Yield random actions without end; faults: kinds of action that are drawn only seldom.
+
+    The first one of a world's actions() lets time advance.
+    """
     while True:
         actions = world.actions()
         chosen = [action for action in actions if action[0] not in faults or draw() < FAULT_CHANCE]
@@ -75,9 +81,10 @@
 def occasional_action(
     world: Any, draw: Draw, kinds: Iterable[tuple[str, float]], rare_kinds: Sequence[str], rare_chance: float
 ) -> Iterator[Action]:
-    """Yield at most one action: of the first of these (kind, chance) that is drawn, else perhaps a rare one.
+    """Yield at most one action.
 
-    rare_chance: of an action of a rare kind.
+    kinds: (kind, probability), tried in this order; the first one that is possible and drawn is yielded.
+    Where none is, an action of a rare kind is yielded with probability rare_chance.
     """
     actions = world.actions()
     for kind, chance in kinds:
@@ -97,36 +104,36 @@
 def run_walk(
     world: Any, actions: Iterator[Action], steps: int, seed: int, with_fingerprints: bool
 ) -> set[int]:
-    """Take so many actions, then end the faults and check that the world settles.
+    """Take a number of actions, then end the faults and check that the world settles.
 
-    with_fingerprints: whether to return the fingerprints of the states that were met. Raises InvariantError
-    with its story.
+    with_fingerprints: whether to return the fingerprints of the states that were seen; else the set is empty.
+    Raises InvariantError with the seed and the trace of actions.
     """
-    story: list[Action] = []
-    met: set[int] = set()
+    trace: list[Action] = []
+    seen: set[int] = set()
     try:
         for _ in range(steps):
             action = next(actions)
-            story.append(action)
+            trace.append(action)
             world.act(*action)
             if with_fingerprints:
-                met.add(hash(world.fingerprint()))
+                seen.add(hash(world.fingerprint()))
         world.settle()
         world.check_settled()
     except InvariantError as violation:
-        raise InvariantError(f"seed {seed}: {violation}; after {story}") from None
-    return met
+        raise InvariantError(f"seed {seed}: {violation}; after {trace}") from None
+    return seen
 
 
 class FindingKind(StrEnum):
-    """How a walk showed that something is wrong."""
+    """How a walk failed."""
 
-    VIOLATION = "violation"  # a rule did not hold
-    CRASH = "crash"  # the code under test raised an exception of its own: no rule was judged
+    VIOLATION = "violation"  # an invariant did not hold
+    CRASH = "crash"  # the code under test raised another exception, so that no invariant was checked
 
 
 class Finding(NamedTuple):
-    """The first walk that showed something: its seed, the rule that broke or the exception, and which."""
+    """The first walk that failed: its seed, the broken invariant or the exception, and which of the two."""
 
     seed: int
     text: str
@@ -134,13 +141,16 @@
 
 
 def find_failing_walk(walk: Callable[[int], Any], walks: int, first: int = 0) -> Finding | None:
-    """Take walks of consecutive seeds up to the first that finds something; None: none of them did."""
+    """Run walks with consecutive seeds up to the first that fails; None: none of them failed.
+
+    first: the first seed. The text of a finding leaves out the trace of actions.
+    """
     for seed in range(first, first + walks):
         try:
             walk(seed)
         except InvariantError as violation:
-            rule = str(violation).partition("; after")[0]
-            return Finding(seed, rule, FindingKind.VIOLATION)
+            invariant = str(violation).partition("; after")[0]
+            return Finding(seed, invariant, FindingKind.VIOLATION)
         except Exception as error:  # noqa: BLE001  a mutant may raise anything; reported as a crash
             return Finding(seed, repr(error), FindingKind.CRASH)
     return None
--- a/tests/test_mutant_search.py
+++ b/tests/test_mutant_search.py
@@ -1,11 +1,11 @@
-"""The search for mutants: a rule that breaks and a crash are told apart."""
+"""The search for a failing walk tells a broken invariant from a crash of the code under test."""
 
 import pytest
 
 from gullhold.testing.walking import Finding, FindingKind, InvariantError, find_failing_walk
 
 
-def test_a_rule_that_breaks_is_a_violation():
+def test_a_walk_that_breaks_an_invariant_is_reported_as_a_violation():
     def walk(seed):
         if seed == 3:
             raise InvariantError("seed 3: two leaders; after [('time',)]")
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("error", [KeyError("a"), AttributeError("b"), AssertionError("c")])
-def test_a_mutant_that_falls_over_its_own_state_is_a_crash(error):
+def test_a_walk_that_raises_another_exception_is_reported_as_a_crash(error):
     def walk(_seed):
         raise error
 
