--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -176,8 +176,8 @@
                 self.plan.pop(0)
                 self.wait = int(self.draw() * self.MAX_WAIT_STEPS)
                 return action
-        is_target_asleep = self.target is not None and world.is_asleep[self.target]
-        if is_target_asleep and self.draw() < self.WAKE_CHANCE:
+        is_target_paused = self.target is not None and world.is_paused[self.target]
+        if is_target_paused and self.draw() < self.WAKE_CHANCE:
             return Action(ActionKind.RESUME, self.target)
         return self._orderly(actions)
 
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -1,6 +1,7 @@
-"""A world of members for explorers: a model of the store, members on clocks of their own, calls under way.
+"""A simulated world of members: a model of the store, members with clocks of their own, calls under way.
 
-The members' clocks run within the stated drift. The rules of leadership are checked after every action.
+The members' clocks deviate from the store's clock by no more than the allowed drift. The invariants of
+leadership are checked after every action.
 """
 
 from collections.abc import Callable
@@ -32,11 +33,11 @@
 from gullhold.testing.store_model import Change, StoreModel
 from gullhold.testing.walking import InvariantError
 
-CLOCK_RATES = (0.87, 1.0, 1.1)  # of members' clocks against the store's: within the drift of 0.15
-# Of these roles "a" leads the first alone, and "c" the second until "b" joins.
+CLOCK_RATES = (0.87, 1.0, 1.1)  # of members' clocks, relative to the store's: within the drift of 0.15
+# Role assignment gives the first role to "a" at all times, and the second one to "c" until "b" joins.
 ROLES = ("d0", "d5")
 NAMES = ("a", "c")
-LATE_NAME = "b"
+JOINING_NAME = "b"
 RULES = MembershipRules(
     TERMS,
     settle_us=0,
@@ -45,15 +46,15 @@
     max_backoff_us=100_000,
     leave_timeout_us=500_000,
 )
-FIXED_FRACTION = 0.5  # in place of a random one: delays are the same in every run
+FIXED_FRACTION = 0.5  # in place of a random fraction, so that backoff delays are the same in every run
 START_US = 10_000_000
-MAX_EFFECTS = 2  # that are under way at once
-SETTLING_STEPS = 60  # moments in which a fleet without faults has to lead every role
-MAX_ACTIONS_PER_SETTLING_STEP = 40  # in one such moment
+MAX_EFFECTS = 2  # under way at once
+SETTLING_STEPS = 60  # steps of time within which a fleet without faults has to have a leader for every role
+MAX_ACTIONS_PER_SETTLING_STEP = 40  # orderly actions after each of these steps
 
 
 def fixed_fraction() -> float:
-    """What a member takes for a random fraction."""
+    """Stand in for the random source of a member."""
     return FIXED_FRACTION
 
 
@@ -61,46 +62,49 @@
 
 
 class World:
-    """Members, store, and what is under way. act() takes one of actions(); raises InvariantError."""
+    """Members, the store, and the calls, replies and effects under way.
+
+    act() carries out one of actions(). Members and processes are given by their index in `members`.
+    """
 
     def __init__(
         self, names: tuple[str, ...], roles: tuple[str, ...], make: MakeMember = Membership, faults: int = 3
     ) -> None:
-        """faults: how many may happen."""
+        """faults: number of faults that may still happen; make: the class of members, or a mutant of it."""
         self.now = START_US
         self.store = StoreModel(MEMBERS_PREFIX, TERMS.ttl_s)
         self.make = make
         self.roles = roles
         self.faults = faults
         self.members: list[Membership] = []
-        self.rates: list[float] = []  # of the members' clocks
-        self.next_watched: list[int | None] = []  # from which revision each is notified
-        self.is_asleep: list[bool] = []
-        self.dead: set[int] = set()
+        self.rates: list[float] = []  # of each member's clock, relative to the store's
+        self.watched_from: list[int | None] = []  # first revision to notify each of; None: no watch
+        self.is_paused: list[bool] = []
+        self.crashed: set[int] = set()
         self.calls: list[SentCall] = []
         self.replies: list[SentReply] = []
-        self.late_replies: list[SentReply] = []
-        self.late_requests: list[Request] = []
+        self.delayed_replies: list[SentReply] = []
+        self.delayed_requests: list[Request] = []
         self.effects: list[SentEffect] = []
-        self.processes = 0
-        self.late_name = LATE_NAME
+        self.process_count = 0
+        self.joining_name = JOINING_NAME
         for name in names:
-            self.add(name)
+            self.start_process(name)
 
-    def add(self, name: str) -> None:
-        """Start a process."""
+    def start_process(self, name: str) -> None:
+        """Start a process of a member; the name may be one that another process has."""
         index = len(self.members)
-        self.processes += 1
+        self.process_count += 1
         self.rates.append(CLOCK_RATES[index % len(CLOCK_RATES)])
-        nonce = f"x{self.processes}"
+        nonce = f"x{self.process_count}"
         member = self.make(name, nonce, RULES, self.roles, fixed_fraction, self.clock(index))
         self.members.append(member)
-        self.next_watched.append(None)
-        self.is_asleep.append(False)
+        self.watched_from.append(None)
+        self.is_paused.append(False)
         self._tick(index)
 
     def clock(self, index: int) -> int:
-        """What a member's clock shows."""
+        """Return the time on a member's clock, in us."""
         return int(self.now * self.rates[index])
 
     def _tick(self, index: int) -> None:
@@ -113,45 +117,45 @@
                 case CallStore(call):
                     self.calls.append(SentCall(index, call))
                 case WatchMembers(revision):
-                    self.next_watched[index] = revision
+                    self.watched_from[index] = revision
 
-    # What can be next
+    # Possible actions
 
     def actions(self) -> list[Action]:
-        """All that can be next."""
+        """Return all actions that are possible now."""
         found = [Action(ActionKind.ADVANCE_TIME)]
         for number in range(len(self.calls)):
             found.append(Action(ActionKind.EXECUTE_CALL, number))
             if self.faults:
                 found += [Action(fault, number) for fault in CALL_FAULTS]
-        found += self._of_replies(ActionKind.RELEASE_REPLY, self.late_replies)
-        found += self._of_replies(ActionKind.DELIVER_REPLY, self.replies)
+        found += self._reply_actions(ActionKind.RELEASE_REPLY, self.delayed_replies)
+        found += self._reply_actions(ActionKind.DELIVER_REPLY, self.replies)
         found += [
-            Action(ActionKind.EXECUTE_DELAYED_CALL, number) for number in range(len(self.late_requests))
+            Action(ActionKind.EXECUTE_DELAYED_CALL, number) for number in range(len(self.delayed_requests))
         ]
         found += [Action(ActionKind.EXECUTE_EFFECT, number) for number in range(len(self.effects))]
-        if self.late_name:
+        if self.joining_name:
             found.append(Action(ActionKind.JOIN))
         for index in range(len(self.members)):
-            found += self._of_member(index)
+            found += self._member_actions(index)
         return found
 
-    def _of_replies(self, kind: ActionKind, replies: list[SentReply]) -> list[Action]:
+    def _reply_actions(self, kind: ActionKind, replies: list[SentReply]) -> list[Action]:
         return [
-            Action(kind, number) for number, reply in enumerate(replies) if not self.is_asleep[reply.member]
+            Action(kind, number) for number, reply in enumerate(replies) if not self.is_paused[reply.member]
         ]
 
-    def _of_member(self, index: int) -> list[Action]:
+    def _member_actions(self, index: int) -> list[Action]:
         member = self.members[index]
-        if self.is_asleep[index]:
-            return [] if index in self.dead else [Action(ActionKind.RESUME, index)]
+        if self.is_paused[index]:
+            return [] if index in self.crashed else [Action(ActionKind.RESUME, index)]
         found = []
         if self.faults and member.state == MemberState.JOINED:
             found.append(Action(ActionKind.PAUSE, index))
             found.append(Action(ActionKind.CRASH, index))
         if self.faults and member.state != MemberState.LEFT:
             found.append(Action(ActionKind.RESTART, index))
-        if self._unwatched(index):
+        if self._pending_changes(index):
             found.append(Action(ActionKind.NOTIFY_MEMBER, index))
         if len(self.effects) < MAX_EFFECTS:
             for role in self.roles:
@@ -159,24 +163,24 @@
                     found.append(Action(ActionKind.BEGIN_EFFECT, index, role))
         return found
 
-    def _unwatched(self, index: int) -> list[Change]:
-        """Changes of which a member is to be notified."""
-        first = self.next_watched[index]
+    def _pending_changes(self, index: int) -> list[Change]:
+        """Return the changes of which a member is still to be notified."""
+        first = self.watched_from[index]
         return [change for change in self.store.changes if first is not None and change[0] >= first]
 
-    # What happens
+    # Carrying out actions
 
     def act(self, kind: ActionKind, index: int = 0, role: str = "") -> None:
-        """Do one thing; raises InvariantError."""
+        """Carry out one action; raises InvariantError."""
         if kind in FAULTS:
             self.faults -= 1
         if kind in CALL_FAULTS:
             self._fail_call(kind, *self.calls.pop(index))
         else:
-            self._do(kind, index, role)
+            self._carry_out(kind, index, role)
         self.check()
 
-    def _do(self, kind: ActionKind, index: int, role: str) -> None:
+    def _carry_out(self, kind: ActionKind, index: int, role: str) -> None:
         match kind:
             case ActionKind.ADVANCE_TIME:
                 self._pass_time()
@@ -184,48 +188,48 @@
                 member, call = self.calls.pop(index)
                 self.replies.append(SentReply(member, call, self.store.call(call.request, self.now)))
             case ActionKind.RELEASE_REPLY:
-                self.replies.append(self.late_replies.pop(index))
+                self.replies.append(self.delayed_replies.pop(index))
             case ActionKind.DELIVER_REPLY:
                 member, call, reply = self.replies.pop(index)
                 self.members[member].call_replied(self.clock(member), call, reply)
                 self._collect(member)
             case ActionKind.EXECUTE_DELAYED_CALL:
-                self.store.call(self.late_requests.pop(index), self.now)
+                self.store.call(self.delayed_requests.pop(index), self.now)
             case ActionKind.BEGIN_EFFECT:
                 self._begin_effect(index, role)
             case ActionKind.EXECUTE_EFFECT:
-                self._land(self.effects.pop(index))
+                self._execute_effect(self.effects.pop(index))
             case _:
-                self._do_to_member(kind, index)
+                self._act_on_member(kind, index)
 
-    def _do_to_member(self, kind: ActionKind, index: int) -> None:
+    def _act_on_member(self, kind: ActionKind, index: int) -> None:
         match kind:
             case ActionKind.PAUSE:
-                self.is_asleep[index] = True
+                self.is_paused[index] = True
             case ActionKind.CRASH:
-                self.is_asleep[index] = True
-                self.dead.add(index)
+                self.is_paused[index] = True
+                self.crashed.add(index)
             case ActionKind.RESUME:
-                self.is_asleep[index] = False
+                self.is_paused[index] = False
                 self._tick(index)
             case ActionKind.NOTIFY_MEMBER:
                 self._notify(index)
             case ActionKind.JOIN:
-                self.add(self.late_name)
-                self.late_name = ""
+                self.start_process(self.joining_name)
+                self.joining_name = ""
             case ActionKind.RESTART:
-                self.add(self.members[index].identity.name)
+                self.start_process(self.members[index].identity.name)
 
     def _pass_time(self) -> None:
         self.now += QUANTUM_US
         self.store.expire_leases(self.now)
-        for index, is_asleep in enumerate(self.is_asleep):
-            if not is_asleep:
+        for index, is_paused in enumerate(self.is_paused):
+            if not is_paused:
                 self._tick(index)
 
     def _notify(self, index: int) -> None:
-        for revision, key, value in self._unwatched(index):
-            self.next_watched[index] = revision + 1
+        for revision, key, value in self._pending_changes(index):
+            self.watched_from[index] = revision + 1
             self.members[index].member_changed(self.clock(index), key, value, revision)
             self._collect(index)
 
@@ -233,10 +237,10 @@
         match kind:
             case ActionKind.DELAY_REPLY:
                 reply = self.store.call(call.request, self.now)
-                self.late_replies.append(SentReply(member, call, reply))
+                self.delayed_replies.append(SentReply(member, call, reply))
                 return
             case ActionKind.DELAY_CALL:
-                self.late_requests.append(call.request)
+                self.delayed_requests.append(call.request)
                 proof = Proof.UNKNOWN
             case ActionKind.LOSE_REPLY:
                 self.store.call(call.request, self.now)
@@ -251,66 +255,69 @@
         operations = (Put(HEARTBEATS_PREFIX + role, str(token)),)
         self.effects.append(SentEffect(role, token, member.fenced_transaction(role, token, operations)))
 
-    def _land(self, effect: SentEffect) -> None:
+    def _execute_effect(self, effect: SentEffect) -> None:
         reply = self.store.call(effect.request, self.now)
         if reply.proof != Proof.DONE or not reply.succeeded:
             return
         role, token, _ = effect
         if token < self.store.accepted_tokens.get(role, 0):
             raise InvariantError(
-                f"an effect on {role} under {token} after {self.store.accepted_tokens[role]}"
+                f"an effect on {role} under token {token} after one under {self.store.accepted_tokens[role]}"
             )
         leader = self.store.keys.get(ROLES_PREFIX + role)
         if leader is None or leader.revision != token:
-            raise InvariantError(f"an effect on {role} under {token}, which is nobody's")
+            raise InvariantError(f"an effect on {role} under token {token}, which no leader has")
         self.store.accepted_tokens[role] = token
 
-    # What is checked
+    # Invariants
 
     def check(self) -> None:
-        """What holds at every moment: one leader of a role, under its own token."""
+        """Raise InvariantError unless each role has at most one active leader, which holds the current token.
+
+        A member that knows of a later process of its name must not act.
+        """
         for role in self.roles:
             leader = self.store.keys.get(ROLES_PREFIX + role)
-            acting = []
+            active = []
             for index, member in enumerate(self.members):
                 token = member.fencing_token(role, self.clock(index))
                 if token:
-                    acting.append((index, token))
-            if len(acting) > 1:
-                raise InvariantError(f"{role} has {len(acting)} owners at once: {acting}")
-            for index, token in acting:
+                    active.append((index, token))
+            if len(active) > 1:
+                raise InvariantError(f"{role} has {len(active)} leaders at once: {active}")
+            for index, token in active:
                 name = self.members[index].identity.name
                 if leader is None or leader.revision != token:
-                    raise InvariantError(f"{name} acts on {role} under {token}, which is not its own")
+                    raise InvariantError(f"{name} acts on {role} under token {token}, which is not current")
                 if self._knows_later_process(index):
-                    raise InvariantError(f"{name} acts though it knows a later process of its name")
+                    raise InvariantError(f"{name} acts though it knows of a later process of its name")
 
     def _knows_later_process(self, index: int) -> bool:
         identity = self.members[index].identity
         item = self.store.keys.get(identity.key)
-        if item is None or item.revision >= (self.next_watched[index] or 0):
+        if item is None or item.revision >= (self.watched_from[index] or 0):
             return False
         return MemberRecord.decode(item.value, item.revision).nonce != identity.nonce
 
     def check_settled(self) -> None:
-        """Raise InvariantError unless each role has a leader that may act and each name a live process."""
+        """Raise InvariantError unless each role has a leader that may act, and each name a joined process."""
         for index, member in enumerate(self.members):
-            if self._should_be_in(index) and member.state != MemberState.JOINED:
+            if self._should_be_joined(index) and member.state != MemberState.JOINED:
                 raise InvariantError(
-                    f"the process of {member.identity.name} that joined last is {member.state}"
+                    f"the latest process of {member.identity.name} has not joined: it is {member.state}"
                 )
         alive = [
             index
             for index, member in enumerate(self.members)
-            if index not in self.dead and member.state != MemberState.LEFT
+            if index not in self.crashed and member.state != MemberState.LEFT
         ]
         for role in self.roles:
             tokens = [self.members[index].fencing_token(role, self.clock(index)) for index in alive]
             if alive and not any(tokens):
-                raise InvariantError(f"{role} has no owner though nothing is wrong any more")
+                raise InvariantError(f"{role} has no leader though the faults are over")
 
-    def _should_be_in(self, index: int) -> bool:
-        if index in self.dead:
+    def _should_be_joined(self, index: int) -> bool:
+        if index in self.crashed:
             return False
         identity = self.members[index].identity
         has_later_process = any(
@@ -320,12 +327,16 @@
         return not has_later_process or not identity.incarnation
 
     def settle(self) -> None:
-        """No more faults: what was held back is lost, who sleeps wakes, everything is carried out in turn."""
+        """End the faults, and let the fleet reach a steady state.
+
+        Delayed calls and effects under way are lost, delayed replies are delivered, and paused processes
+        resume. From then on all calls, replies and notifications are handled at once and in order.
+        """
         self.faults = 0
         self.effects = []
-        self.replies = self.replies + self.late_replies
-        self.late_replies = []
-        self.is_asleep = [index in self.dead for index in range(len(self.members))]
+        self.replies = self.replies + self.delayed_replies
+        self.delayed_replies = []
+        self.is_paused = [index in self.crashed for index in range(len(self.members))]
         orderly = (ActionKind.EXECUTE_CALL, ActionKind.DELIVER_REPLY, ActionKind.NOTIFY_MEMBER)
         for _ in range(SETTLING_STEPS):
             self.act(ActionKind.ADVANCE_TIME)
@@ -335,24 +346,24 @@
                     break
                 self.act(*action)
 
-    # What tells states apart
+    # Fingerprints
 
     def fingerprint(self) -> tuple:
-        """What makes two states the same: all but absolute time."""
+        """Return a value that is equal for two states that differ in absolute time only."""
         return (
             tuple(self._member_fingerprint(index) for index in range(len(self.members))),
             tuple(tuple(item) for _, item in sorted(self.store.keys.items())),
             tuple((lease, end - self.now) for lease, end in sorted(self.store.leases.items())),
             tuple((index, call.purpose, call.request) for index, call in self.calls),
             tuple((index, call.purpose, reply) for index, call, reply in self.replies),
-            tuple((index, call.purpose, reply) for index, call, reply in self.late_replies),
-            tuple(self.late_requests),
+            tuple((index, call.purpose, reply) for index, call, reply in self.delayed_replies),
+            tuple(self.delayed_requests),
             tuple((effect.role, effect.token) for effect in self.effects),
-            tuple(self.next_watched),
-            tuple(self.is_asleep),
-            tuple(sorted(self.dead)),
+            tuple(self.watched_from),
+            tuple(self.is_paused),
+            tuple(sorted(self.crashed)),
             self.faults,
-            self.late_name,
+            self.joining_name,
         )
 
     def _member_fingerprint(self, index: int) -> tuple:
