--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -1,8 +1,8 @@
-"""Explores the decisions of members alone: orders of calls, losses, sleeps, lease ends and restarts.
+"""Explores the membership logic without I/O: orders of calls, losses, pauses, lease expiries and restarts.
 
-From a fleet that has settled every action that can be next is tried, to a stated depth; states that were met
-before are recognised. Random walks go far deeper, and end with the faults taken away: then every role has to
-be led again.
+explore() tries all actions that are possible from a settled fleet, up to a given depth; states that were seen
+before are recognised by their fingerprints. walk() takes one random walk, which goes far deeper, and ends
+with the faults taken away: then every role has to get a leader again.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 Draw = Callable[[], float]  # a random fraction, from [0, 1)
 
-# What happens at once where nothing is wrong.
+# Actions that happen at once and in order while there are no faults.
 ORDERLY = (
     ActionKind.EXECUTE_CALL,
     ActionKind.DELIVER_REPLY,
@@ -30,7 +30,7 @@
     CallPurpose.GRANT_LEASE,
     CallPurpose.READ_MEMBERS,
 )
-MAX_PLAN_STEPS = 6  # of a targeted strategy: no more calls are waited for
+MAX_PLAN_STEPS = 6  # of a targeted strategy, which inserts no further step at this length
 
 
 def settled_world(
@@ -39,7 +39,7 @@
     roles: tuple[str, ...] = ROLES,
     faults: int = 3,
 ) -> World:
-    """A world whose members have settled."""
+    """Return a world whose members have joined and whose roles all have leaders."""
     world = World(names, roles, make, faults=0)
     world.settle()
     world.check_settled()
@@ -50,18 +50,18 @@
 def explore(
     depth: int, max_states: int, make: MakeMember = Membership, faults: int = 2, seed: int = 0
 ) -> walking.Explored:
-    """(states met, the depth up to which all were tried) from a settled fleet.
+    """Try all actions from a settled fleet; raises InvariantError with the trace of actions.
 
-    Raises InvariantError with its story.
-    max_states: states after which it stops. Which actions come first at one depth is drawn from the seed.
+    max_states: number of distinct states after which the search stops. The seed decides in which order the
+    actions of one depth are tried.
     """
     return walking.explore(settled_world(make, faults=faults), depth, max_states, seed)
 
 
 def walk(seed: int, steps: int, make: MakeMember = Membership, faults: int = 6) -> set[int]:
-    """One walk, by a strategy that its seed says, then settle; raises InvariantError with its story.
+    """Take one random walk, let the world settle, and return the fingerprints of the states that were seen.
 
-    The fingerprints of the states that it met.
+    The seed also chooses the strategy. Raises InvariantError with the trace of actions.
     """
     draw = random.Random(seed).random
     world = settled_world(make, faults=faults)
@@ -70,10 +70,10 @@
 
 
 class Strategy(Protocol):
-    """How a walk chooses its actions."""
+    """Chooses the actions of a walk."""
 
     def choose(self, world: World) -> Action:
-        """The next action."""
+        """Return the next action."""
         ...
 
 
@@ -87,7 +87,7 @@
 
 
 def _faults_of_rare_calls(world: World, actions: list[Action]) -> list[Action]:
-    """Faults of the calls that are made seldom."""
+    """Return the possible faults of calls that members make seldom, such as claims of roles."""
     return [
         action
         for action in actions
@@ -96,18 +96,18 @@
 
 
 class RandomStrategy:
-    """Everything late, out of turn, and under faults."""
+    """Chooses any action: calls and replies are late, out of order and lost."""
 
-    TIME_CHANCE = 0.12  # time has to pass, or no lease ever ends
-    RARE_CALL_CHANCE = 0.4  # faults have to meet the calls that are made seldom
-    NO_CALL_FAULT_CHANCE = 0.8
+    TIME_CHANCE = 0.12  # that time advances: otherwise no lease ever expires
+    RARE_CALL_CHANCE = 0.4  # that a fault hits a rare call, if one is under way
+    NO_CALL_FAULT_CHANCE = 0.8  # that the action is drawn from those that are no faults of calls
 
     def __init__(self, draw: Draw) -> None:
-        """draw: decides."""
+        """draw: source of random fractions, from [0, 1)."""
         self.draw = draw
 
     def choose(self, world: World) -> Action:
-        """The next action."""
+        """Return the next action."""
         actions = world.actions()
         if self.draw() < self.TIME_CHANCE:
             return actions[0]
@@ -121,20 +121,20 @@
 
 
 class OrderlyStrategy:
-    """Everything at once and in turn, but for a few deviations: at these, whatever is possible.
+    """Handles everything at once and in order, but for a few deviations, which are any other possible action.
 
-    What was held back, and who sleeps, waits for a further deviation.
+    Delayed calls and replies and paused processes go on only by a further deviation.
     """
 
     DEVIATION_CHANCE = 0.08
-    RARE_CALL_CHANCE = 0.5
+    RARE_CALL_CHANCE = 0.5  # that a deviation is a fault of a rare call, if one is under way
 
     def __init__(self, draw: Draw) -> None:
-        """draw: decides."""
+        """draw: source of random fractions, from [0, 1)."""
         self.draw = draw
 
     def choose(self, world: World) -> Action:
-        """The next action: a deviation about once in twelve."""
+        """Return the next action: a deviation with probability DEVIATION_CHANCE."""
         actions = world.actions()
         if self.draw() < self.DEVIATION_CHANCE:
             deviations = self._deviations(world, actions)
@@ -154,20 +154,20 @@
 
 
 class TargetedStrategy(OrderlyStrategy):
-    """Holds a call or its reply back, disturbs its member, and lets what was held back arrive later."""
+    """Delays a call or its reply, disturbs the calling member, and lets the delayed one go on later."""
 
-    WAKE_CHANCE = 0.04
-    MAX_WAIT_STEPS = 25  # between two steps of the plan
+    RESUME_CHANCE = 0.04  # that the target resumes, at each action while it is paused
+    MAX_WAIT_STEPS = 25  # actions between two steps of the plan
 
     def __init__(self, draw: Draw) -> None:
-        """draw: decides."""
+        """draw: source of random fractions, from [0, 1)."""
         super().__init__(draw)
-        self.plan = [self._hold_back, self._disturb, self._release]
+        self.plan = [self._delay, self._disturb, self._release]
         self.wait = 0
-        self.target: int | None = None  # a member
+        self.target: int | None = None  # index of the member whose call was delayed
 
     def choose(self, world: World) -> Action:
-        """The next action: an orderly one, or the next step of the plan when its time has come."""
+        """Return the next step of the plan when it is due and possible, or else an orderly action."""
         actions = world.actions()
         self.wait -= 1
         if self.wait <= 0 and self.plan:
@@ -177,11 +177,11 @@
                 self.wait = int(self.draw() * self.MAX_WAIT_STEPS)
                 return action
         is_target_paused = self.target is not None and world.is_paused[self.target]
-        if is_target_paused and self.draw() < self.WAKE_CHANCE:
+        if is_target_paused and self.draw() < self.RESUME_CHANCE:
             return Action(ActionKind.RESUME, self.target)
         return self._orderly(actions)
 
-    def _hold_back(self, world: World, actions: list[Action]) -> Action | None:
+    def _delay(self, world: World, actions: list[Action]) -> Action | None:
         kinds = (ActionKind.DELAY_CALL, ActionKind.DELAY_REPLY)
         found = [action for action in _faults_of_rare_calls(world, actions) if action.kind in kinds]
         if not found:
@@ -191,9 +191,9 @@
         return action
 
     def _add_member(self, actions: list[Action]) -> Action | None:
-        """No rare call is under way: a process that joins makes some."""
+        """Start a process, which makes rare calls, where none is under way."""
         if len(self.plan) < MAX_PLAN_STEPS:
-            self.plan.insert(0, self._hold_back)
+            self.plan.insert(0, self._delay)
         joins = [action for action in actions if action.kind in (ActionKind.JOIN, ActionKind.RESTART)]
         return _pick(joins, self.draw) if joins else None
 
