--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -1,6 +1,7 @@
-"""Deliberate faults in the decisions of members: the explorer finds each one, or it has a gap.
+"""Mutants of the membership logic: the walks of the explorer have to find each of them.
 
-A mutant is the product's class with one method changed: the membership itself, or its role claims.
+A mutant is the product's class, the membership or its role claims, with one method changed. A mutant that no
+walk finds shows a gap in the explorer or its invariants.
 """
 
 from collections.abc import Callable, Iterable
@@ -25,7 +26,7 @@
 
 
 class NoDriftMargin(Membership):
-    """Counts a lease by its own clock for as long as it was granted."""
+    """Takes a lease for valid for as long as it was granted, without the margin for clock drift."""
 
     def __init__(self, name: str, nonce: str, rules: MembershipRules, *other: Any) -> None:
         terms: LeaseTerms = rules.lease_terms._replace(max_drift=0.0)
@@ -33,14 +34,14 @@
 
 
 class CountsLeaseFromReply(Membership):
-    """Counts a lease from when it received the reply."""
+    """Counts the duration of a lease from the receipt of the reply, not from the sending of the call."""
 
     def _renewal_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
         super()._renewal_replied(now, call._replace(sent_at=now), reply)
 
 
 class OmitsToken(Membership):
-    """Effects carry no token."""
+    """Sends effects without the fencing token."""
 
     def fenced_transaction(
         self,
@@ -49,13 +50,13 @@
         operations: Iterable[Operation],
         conditions: Iterable[Condition] = (),
     ) -> Transaction:
-        """Compares nothing of the role."""
+        """Return a transaction that does not depend on the role's key."""
         del role, token
         return Transaction(tuple(conditions), tuple(operations))
 
 
 class KeepsOldTokens(Membership):
-    """Acts after its lease was lost, under the tokens that it had, once it has another lease."""
+    """Keeps its tokens when it loses its lease, and acts under them again once it has another lease."""
 
     def _reset_roles(self, reason: str) -> None:
         tokens = dict(self.claims.tokens)
@@ -64,34 +65,34 @@
 
 
 class IgnoresLeaseTime(Membership):
-    """Goes by what it last knew, whatever the time."""
+    """Acts on a role after its lease has expired by its own clock."""
 
     def fencing_token(self, role: str, now: int) -> int:
-        """Does not look at the lease."""
+        """Return the token without looking at the lease."""
         del now
         return self.claims.tokens.get(role, 0) if self.state == MemberState.JOINED else 0
 
 
 class ActsWhileReleasing(Membership):
-    """Goes on acting until the reply that a role was given up."""
+    """Goes on acting on a role that it releases until the reply to the release arrives."""
 
-    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
-        """Keeps the token until the reply."""
+    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+        """Keeps the token of a released role until the reply."""
 
         def lost(self, role: str, reason: str) -> None:
-            """Not when the call goes out."""
+            """Keep the token when the release is sent."""
             if reason != "released":
                 super().lost(role, reason)
 
         def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-            """Only now."""
+            """Drop the token when the reply arrives."""
             for role in call.context:
                 self.tokens.pop(role, None)
             super().release_replied(now, call, reply)
 
 
 class TakesUnknownForDone(Membership):
-    """Takes a lost reply to a claim for a yes."""
+    """Takes a claim whose reply was lost for successful."""
 
     def _handle_reply(self, now: int, call: PendingCall, reply: Reply) -> None:
         if call.purpose == CallPurpose.CLAIM_ROLES and reply.proof == Proof.UNKNOWN:
@@ -100,13 +101,13 @@
 
 
 class TakesUnknownForNotDone(Membership):
-    """Takes a lost reply to a release for a no, and goes on under the old token."""
+    """Takes a release whose reply was lost for not executed, and goes on under the old token."""
 
-    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
-        """Goes on."""
+    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+        """Goes on with the roles after a lost reply to their release."""
 
         def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-            """Takes the roles back."""
+            """Take the roles back if it is unknown whether they were released."""
             if reply.proof == Proof.UNKNOWN:
                 for key, token in call.request.conditions:
                     self.won(key.removeprefix(ROLES_PREFIX), token)
@@ -115,13 +116,16 @@
 
 
 class ReusesToken(Membership):
-    """Finds its own key after a lost reply and goes on under that token: an older call may still undo it."""
+    """Goes on under the token of its own key that it finds after a lost reply to the claim.
 
-    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
-        """Writes nothing anew."""
+    An older call that is still under way may yet delete that key.
+    """
+
+    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+        """Does not write the role's key again for a new token."""
 
         def handle_role_key(self, now: int, role: str, item: KeyValue | None) -> None:
-            """Leads at once."""
+            """Take the role under the token found."""
             super().handle_role_key(now, role, item)
             if role in self.own_key_revisions:
                 self.claim_at.pop(role)
@@ -129,10 +133,10 @@
 
 
 class ClaimsUnconditionally(Membership):
-    """Takes a role whatever the store has of it."""
+    """Claims a role whether or not another member holds it."""
 
-    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
-        """Compares its own key alone."""
+    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+        """Claims on the condition of the member's own key alone."""
 
         def _claim_call(self, roles: list[str], lease_id: int) -> CallPlan:
             plan = super()._claim_call(roles, lease_id)
@@ -141,32 +145,32 @@
 
 
 class IgnoresLaterProcess(Membership):
-    """Does not see that a later process has its name."""
+    """Ignores that a later process has its name."""
 
     def _superseded(self, now: int) -> None:
         pass
 
 
 class IgnoresLeavingMembers(Membership):
-    """Does not hear that a member has gone."""
+    """Ignores that another member has left."""
 
     def member_changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Not of a deleted key, but for its own."""
+        """Ignore the deletion of any key but its own."""
         if value is not None or key == self.identity.key:
             super().member_changed(now, key, value, revision)
 
 
 class AcceptsStaleReplies(Membership):
-    """Believes replies to calls of a lease that is lost."""
+    """Accepts replies to calls that it sent under a lease that it has lost since."""
 
     def call_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
-        """All of them."""
+        """Accept every reply."""
         self.calls.void_until = 0
         super().call_replied(now, call, reply)
 
 
 class JoinsUnconditionally(Membership):
-    """Writes its own key whatever stands there: an older process may push out a later one."""
+    """Writes its own key whatever it holds: an older process may displace a later one of its name."""
 
     def _next_state_call(self, now: int) -> CallPlan | None:
         plan = super()._next_state_call(now)
@@ -176,21 +180,21 @@
 
 
 class NeverReleases(Membership):
-    """Keeps what others should have."""
+    """Keeps roles that are assigned to other members."""
 
-    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
-        """Gives nothing up."""
+    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+        """Releases no role."""
 
         def releasable(self) -> list[tuple[str, int]]:
-            """Nothing."""
+            """Return no roles."""
             return []
 
 
 class ClaimsWithoutLease(Membership):
-    """Claims with keys that are attached to no lease."""
+    """Writes role keys without attaching them to its lease."""
 
-    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
-        """Attaches nothing."""
+    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+        """Claims with keys that do not expire."""
 
         def _claim_call(self, roles: list[str], lease_id: int) -> CallPlan:
             plan = super()._claim_call(roles, lease_id)
@@ -219,5 +223,5 @@
 
 
 def find_detecting_walk(mutant: Callable[..., Membership], walks: int, steps: int) -> walking.Finding | None:
-    """Return the first walk that finds a mutant; None: none of them does."""
+    """Return the first walk that fails with a mutant; None: none of them does."""
     return walking.find_failing_walk(lambda seed: membership_explorer.walk(seed, steps, mutant), walks)
