--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -1,4 +1,7 @@
-"""Deliberate faults in the decisions on scheduled commands: the walks find each one, or they have a gap."""
+"""Mutants of the scheduled command logic: the walks have to find each of them.
+
+A mutant that no walk finds shows a gap in the walks or their invariants.
+"""
 
 from dataclasses import replace
 
@@ -10,7 +13,7 @@
 
 
 class SendsBeforeIntent(ScheduledCommand):
-    """Writes the intent after the attempt is sent."""
+    """Sends an attempt before its intent is written."""
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
         super()._write(purpose, occurrence, handled_until)
@@ -21,21 +24,21 @@
 
 
 class RetriesAnyProfile(ScheduledCommand):
-    """Retries whatever the profile."""
+    """Sends an attempt that may have run once more, whatever the command's idempotency."""
 
     def _recover(self, occurrence: Occurrence, now: int) -> None:
         self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
 
 
 class IgnoresDedupWindow(ScheduledCommand):
-    """Gives a keyed command its whole client timeout, however old its key is."""
+    """Gives each attempt the whole client timeout, however little is left of the deduplication window."""
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
         super()._send(occurrence._replace(started_us=now), now)
 
 
 class NewKeyPerAttempt(ScheduledCommand):
-    """Makes an idempotency key for each attempt."""
+    """Makes a new idempotency key for each attempt."""
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
         super()._send(occurrence, now)
@@ -44,24 +47,24 @@
 
 
 class WritesUnconditionally(ScheduledCommand):
-    """Writes records without comparing them with what it knows."""
+    """Writes records without the condition that they are as it last read them."""
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
         super()._write(purpose, occurrence, handled_until)
         self.actions[-1] = replace(self.actions[-1], conditions=())
 
     def records_read(self, now: int, reply: Reply) -> None:
-        """Keeps what it remembers, whatever the store says."""
+        """Keep the records that it remembers, whatever the store has."""
         remembered = dict(self.records.by_due_time)
         super().records_read(now, reply)
         self.records.by_due_time.update(remembered)
 
 
 class TakesFailureForShed(ScheduledCommand):
-    """Takes a failure for proof that nothing ran."""
+    """Takes a failed attempt for one that was shed and so had no effect."""
 
     def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
-        """As if it had been shed."""
+        """Handle a failure like a shed attempt."""
         taken_for = OccurrenceState.SHED if state == OccurrenceState.FAILED else state
         super().attempt_ended(now, taken_for, reason)
 
@@ -77,5 +80,5 @@
 
 
 def find_detecting_walk(mutant: type[ScheduledCommand], walks: int) -> walking.Finding | None:
-    """Return the first walk that finds a mutant; None: none of them does."""
+    """Return the first walk that fails with a mutant; None: none of them does."""
     return walking.find_failing_walk(lambda seed: scheduled_command_explorer.walk(seed, make=mutant), walks)
--- a/gullhold/testing/store_model.py
+++ b/gullhold/testing/store_model.py
@@ -1,6 +1,6 @@
-"""A small model of a fleet's store, for explorers of decisions.
+"""A small model of a fleet's store, for explorers.
 
-It shares no code with the stand-in that serves the store on the wire (gullhold.testing.register).
+It shares no code with the stand-in that serves the store's interface over HTTP (gullhold.testing.register).
 """
 
 from gullhold.fleet.clocks import US_PER_SECOND
@@ -23,22 +23,22 @@
 from gullhold.testing.role_pair_world import TERMS
 from gullhold.testing.walking import InvariantError
 
-Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
+Change = tuple[int, str, str | None]  # revision, key, value or None if it was deleted
 
 
 class StoreModel:
-    """Keys with revisions, leases, and the history of the keys with one prefix."""
+    """Keys with revisions, leases, and the changes of the keys that have a given prefix."""
 
     def __init__(self, prefix: str, ttl_s: int = TERMS.ttl_s) -> None:
-        """ttl_s: what each lease is renewed for."""
+        """prefix: of the keys whose changes are kept; ttl_s: the time to live that a renewed lease gets."""
         self.prefix = prefix
         self.ttl_s = ttl_s
         self.revision = 1
         self.last_lease_id = 0
         self.keys: dict[str, KeyValue] = {}
-        self.leases: dict[int, int] = {}  # when each ends, us
+        self.leases: dict[int, int] = {}  # expiry by lease id, us
         self.changes: list[Change] = []
-        self.accepted_tokens: dict[str, int] = {}  # the highest token under which an effect on each role came
+        self.accepted_tokens: dict[str, int] = {}  # highest token of an executed effect, by role
 
     def put(self, key: str, value: str, lease: int) -> None:
         """Write a key in the current revision."""
@@ -46,7 +46,7 @@
         self._record(key, value)
 
     def delete(self, key: str) -> None:
-        """Delete a key in the current revision."""
+        """Delete a key in the current revision; nothing happens if it does not exist."""
         if self.keys.pop(key, None):
             self._record(key, None)
 
@@ -55,7 +55,7 @@
             self.changes.append((self.revision, key, value))
 
     def end_lease(self, lease: int) -> None:
-        """End a lease, and delete its keys in one revision."""
+        """Remove a lease, and delete its keys in one revision."""
         self.leases.pop(lease, None)
         attached = [key for key, item in self.keys.items() if item.lease == lease]
         if attached:
@@ -64,12 +64,12 @@
             self.delete(key)
 
     def expire_leases(self, now: int) -> None:
-        """End the leases that have run out."""
+        """Remove the leases that have expired."""
         for lease in [lease for lease, end in self.leases.items() if end <= now]:
             self.end_lease(lease)
 
     def call(self, request: Request, now: int) -> Reply:
-        """Carry a request out; its reply."""
+        """Execute a request, and return its reply."""
         match request:
             case GrantLease(ttl_s):
                 self.last_lease_id += 1
@@ -90,13 +90,13 @@
                 items = tuple(item for key, item in sorted(self.keys.items()) if key.startswith(prefix))
                 return Reply(Proof.DONE, self.revision, items=items)
             case Transaction():
-                return self._carry_out(request)
+                return self._execute_transaction(request)
 
-    def _carry_out(self, request: Transaction) -> Reply:
+    def _execute_transaction(self, request: Transaction) -> Reply:
         succeeded = all(self._revision_of(key) == revision for key, revision in request.conditions)
         operations: tuple[Operation, ...] = request.operations if succeeded else request.otherwise
         written = [operation.key for operation in operations if isinstance(operation, Put | Delete)]
-        if len(set(written)) < len(written):  # a store rejects the whole transaction: etcd's "duplicate key"
+        if len(set(written)) < len(written):  # etcd rejects the whole transaction: "duplicate key"
             raise InvariantError(f"a key is written twice in one transaction: {sorted(written)}")
         puts = [operation for operation in operations if isinstance(operation, Put)]
         if any(put.lease and put.lease not in self.leases for put in puts):
