--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -109,7 +109,7 @@
 
     def actions(self) -> list[Action]:
         """Return all that may be next."""
-        found: list[Action] = [(ActionKind.ADVANCE_TIME,), *self.call_actions(), *self.holder_actions()]
+        found: list[Action] = [(ActionKind.ADVANCE_TIME,), *self.call_actions(), *self.candidate_actions()]
         for index, member in enumerate(self.members):
             found += self._member_actions(index, member)
         return found + [(ActionKind.JOIN, name) for name in self._missing_names()]
@@ -174,12 +174,12 @@
             while member.running and member.running[0] <= self.now - LINGER_US:  # nothing runs longer
                 member.running.pop(0)
                 member.allocation.release(1)
-        self._step_holders()
+        self._step_candidates()
 
     def _do_deliver_reply(self, index: int) -> None:
         caller, (what, *context), reply = self.replies.pop(index)
         if what != "reported":
-            self._call_holder(caller, what, *context, reply)
+            self._call_candidate(caller, what, *context, reply)
         elif caller in self.members and context[0] == REPORTS + caller.key():
             self._reported(caller, reply)
 
@@ -280,7 +280,8 @@
             self.leader,
             self.faults,
             tuple(
-                (role.token, role.is_loaded, role.fence, role.reading, role.writing) for role in self.holders
+                (role.token, role.is_loaded, role.fence, role.reading, role.writing)
+                for role in self.candidates
             ),
             tuple(at - self.now for at in self.spent),
             tuple((until - self.now, calls) for until, calls in self.lingering),
@@ -291,7 +292,7 @@
         self.faults = 0
         self.delayed_requests = []
         self.is_settling = True
-        self.holders[1 - self.leader].lost()
+        self.candidates[1 - self.leader].lost()
         for member in self.members:
             member.is_disconnected = False
         for _ in range(SETTLED):
--- a/gullhold/testing/role_pair_world.py
+++ b/gullhold/testing/role_pair_world.py
@@ -1,6 +1,7 @@
-"""A world of two processes that may lead one role: calls to a model of the store that are under way.
+"""Base of simulated worlds in which two processes are candidates for the leadership of one role.
 
-Explorers act in it, one action at a time. An action is a tuple of its kind and what else act() takes.
+Explorers carry out one action at a time in it. An action is a tuple of its kind and the other arguments of
+act().
 """
 
 from bisect import bisect_left
@@ -13,27 +14,27 @@
 from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
 from gullhold.testing.walking import Action
 
-QUANTUM_US = 250_000  # of one step of time: a lease lasts four of them
+QUANTUM_US = 250_000  # duration of one step of time: a lease lasts four of them
 TERMS = LeaseTerms(1, 0.15, 0)
-RATES = (0.87, 1.1, 1.0)  # of clocks against the store's: within the drift
+RATES = (0.87, 1.1, 1.0)  # of clocks, relative to the store's: within the drift of TERMS
 START_US = 10_000_000
 
-Change = tuple[int, str, str | None]  # revision, key, value or None where it was deleted
-Tag = tuple[str, CallSerial]  # the method of a role state that takes the reply, the serial of the call
+Change = tuple[int, str, str | None]  # revision, key, value or None if it was deleted
+Tag = tuple[str, CallSerial]  # name of the role state's method that takes the reply, serial of the call
 
 
 class StoreInterface(Protocol):
-    """A model of the store, as a RolePairWorld needs it."""
+    """What a RolePairWorld needs of the model of the store."""
 
     revision: int
     changes: list[Change]
 
     def call(self, request: Request, now: int) -> Reply:
-        """Carry a request out."""
+        """Execute a request, and return its reply."""
         ...
 
     def expire_leases(self, now: int) -> None:
-        """End the leases that have run out."""
+        """Remove the leases that have expired."""
         ...
 
     def put(self, key: str, value: str, lease: int) -> None:
@@ -42,28 +43,28 @@
 
 
 class SentCall(NamedTuple):
-    """A call under way, of one of the two holders."""
+    """A call of a candidate that the store has not executed yet."""
 
-    holder: int
+    candidate: int
     request: Request
     tag: Tag
 
 
 class SentReply(NamedTuple):
-    """A reply under way, to one of the two holders."""
+    """A reply that has not reached its candidate yet."""
 
-    holder: int
+    candidate: int
     tag: Tag
     reply: Reply
 
 
 class RolePairWorld:
-    """A world in which two processes may lead one role, and members with clocks of their own hold leases.
+    """A world in which two candidates may lead one role, and members with clocks of their own hold leases.
 
     role_key: the role's key in the store; watched_prefix: prefix of the keys of whose changes a leader is
-    notified; holders: the two role states; watched_from: the revision from which each holder is notified;
-    leader: the index of the holder that leads; calls, replies: under way; delayed_requests: given up by their
-    callers, and may still be carried out.
+    notified; candidates: the role states of the two processes; watched_from: the revision from which each
+    candidate is notified; leader: the index of the candidate that leads; calls, replies: under way;
+    delayed_requests: given up by their callers, and may still be executed.
 
     A subclass adds the members, each callable as its clock and with the attributes lease and is_disconnected,
     the methods _grant(member) and act(), and HANDLERS: this table with the methods of its own kinds of
@@ -75,14 +76,14 @@
         store: StoreInterface,
         role_key: str,
         watched_prefix: str,
-        holders: Sequence[RoleState],
+        candidates: Sequence[RoleState],
         faults: int,
     ) -> None:
-        """faults: how many may happen."""
+        """faults: number of faults that may still happen."""
         self.store = store
         self.role_key = role_key
         self.watched_prefix = watched_prefix
-        self.holders = holders
+        self.candidates = candidates
         self.faults = faults
         self.now = START_US
         self.watched_from: list[int | None] = [None, None]
@@ -92,14 +93,14 @@
         self.replies: list[SentReply] = []
         self.delayed_requests: list[Request] = []
 
-    def clock(self, holder: int) -> int:
-        """Return what the clock of a holder shows, in us."""
-        return int(self.now * RATES[holder + 1])
+    def clock(self, candidate: int) -> int:
+        """Return the time on a candidate's clock, in us."""
+        return int(self.now * RATES[candidate + 1])
 
-    # What can be next
+    # Possible actions
 
     def call_actions(self) -> list[Action]:
-        """The actions that calls under way allow now."""
+        """Return the actions that are possible for the calls and replies under way."""
         found: list[Action] = []
         for number in range(len(self.calls)):
             found.append((ActionKind.EXECUTE_CALL, number))
@@ -109,25 +110,25 @@
         found += [(ActionKind.EXECUTE_DELAYED_CALL, number) for number in range(len(self.delayed_requests))]
         return found
 
-    def holder_actions(self) -> list[Action]:
-        """The actions that concern the two holders."""
+    def candidate_actions(self) -> list[Action]:
+        """Return the actions that concern the two candidates."""
         found = self._notifications()
         if self.faults:
             found += [(ActionKind.ELECT, 0), (ActionKind.MISS_CHANGES, self.leader)]
         other = 1 - self.leader
-        if self.holders[other].token:
+        if self.candidates[other].token:
             found.append((ActionKind.LOSE_ROLE, other))
         return found
 
     def _notifications(self) -> list[Action]:
         return [
-            (ActionKind.NOTIFY_LEADER, holder)
-            for holder in range(2)
-            if self.changes_since(self.watched_from[holder], self.watched_prefix)
+            (ActionKind.NOTIFY_LEADER, candidate)
+            for candidate in range(2)
+            if self.changes_since(self.watched_from[candidate], self.watched_prefix)
         ]
 
     def next_orderly_action(self) -> Action | None:
-        """What happens next where nothing is wrong; None: nothing is under way."""
+        """Return the next action in the order of a world without faults; None: nothing is under way."""
         if self.calls:
             return ActionKind.EXECUTE_CALL, 0
         if self.replies:
@@ -135,7 +136,7 @@
         return next(iter(self._notifications()), None)
 
     def changes_since(self, since: int | None, prefix: str) -> list[Change]:
-        """Return the changes of these keys from a revision on; None: nothing is watched."""
+        """Return the changes from a revision on of keys with a prefix; since None: there is no watch."""
         if since is None:
             return []
         changes = self.store.changes
@@ -143,29 +144,29 @@
         return [change for change in changes[first:] if change[1].startswith(prefix)]
 
     def finish_calls(self, max_actions: int) -> None:
-        """Carry out in turn all that is under way, in so many actions at most."""
+        """Carry out in order what is under way; max_actions: limit for a world that never becomes idle."""
         for _ in range(max_actions):
             action = self.next_orderly_action()
             if not action:
                 break
             self.act(*action)
 
-    # What happens
+    # Carrying out actions
 
-    def _collect(self, holder: int) -> None:
-        """Take what a holder asks for: its calls are under way from now on."""
-        for action in self.holders[holder].take_actions():
+    def _collect(self, candidate: int) -> None:
+        """Take over a candidate's actions: its calls are under way from now on."""
+        for action in self.candidates[candidate].take_actions():
             match action:
                 case ReadKeys(serial, prefix):
-                    self.calls.append(SentCall(holder, ReadPrefix(prefix), ("read", serial)))
+                    self.calls.append(SentCall(candidate, ReadPrefix(prefix), ("read", serial)))
                 case WriteKeys(serial, token, operations, conditions):
                     request = Transaction(((self.role_key, token), *conditions), operations)
-                    self.calls.append(SentCall(holder, request, ("written", serial)))
+                    self.calls.append(SentCall(candidate, request, ("written", serial)))
                 case WatchKeys(revision):
-                    self.watched_from[holder] = max(self.watched_from[holder] or 0, revision)
+                    self.watched_from[candidate] = max(self.watched_from[candidate] or 0, revision)
 
     def _renew_lease(self, member: Any) -> None:
-        """Do what a member does for its lease in each step of time: renew, clear or acquire it."""
+        """Renew, clear or acquire a member's lease, as a member does in each step of time."""
         if not member.is_disconnected and member.lease.is_valid(member()):
             reply = self.store.call(KeepLeaseAlive(member.lease.id), self.now)
             if reply.ttl_s:
@@ -175,60 +176,60 @@
         if not member.lease.id and not member.is_disconnected:
             self._grant(member)
 
-    def _step_holders(self) -> None:
+    def _step_candidates(self) -> None:
         self.store.expire_leases(self.now)
-        for holder in range(2):
-            self.holders[holder].step(self.clock(holder))
-            self._collect(holder)
+        for candidate in range(2):
+            self.candidates[candidate].step(self.clock(candidate))
+            self._collect(candidate)
 
-    def _call_holder(self, holder: int, method: str, *arguments: Any) -> None:
-        """Call a method of a holder, and collect what it asks for."""
-        getattr(self.holders[holder], method)(self.clock(holder), *arguments)
-        self._collect(holder)
+    def _call_candidate(self, candidate: int, method: str, *arguments: Any) -> None:
+        """Call a method of a candidate with its time, and take over its actions."""
+        getattr(self.candidates[candidate], method)(self.clock(candidate), *arguments)
+        self._collect(candidate)
 
     def _do_execute_call(self, index: int) -> None:
-        holder, request, tag = self.calls.pop(index)
-        self.replies.append(SentReply(holder, tag, self.store.call(request, self.now)))
+        candidate, request, tag = self.calls.pop(index)
+        self.replies.append(SentReply(candidate, tag, self.store.call(request, self.now)))
 
     def _do_lose_reply(self, index: int) -> None:
-        holder, request, tag = self.calls.pop(index)
+        candidate, request, tag = self.calls.pop(index)
         self.store.call(request, self.now)
-        self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
+        self.replies.append(SentReply(candidate, tag, Reply(Proof.UNKNOWN)))
 
     def _do_delay_call(self, index: int) -> None:
-        holder, request, tag = self.calls.pop(index)
+        candidate, request, tag = self.calls.pop(index)
         self.delayed_requests.append(request)
-        self.replies.append(SentReply(holder, tag, Reply(Proof.UNKNOWN)))
+        self.replies.append(SentReply(candidate, tag, Reply(Proof.UNKNOWN)))
 
     def _do_reject_call(self, index: int) -> None:
-        holder, _, tag = self.calls.pop(index)
-        self.replies.append(SentReply(holder, tag, Reply(Proof.NOT_DONE)))
+        candidate, _, tag = self.calls.pop(index)
+        self.replies.append(SentReply(candidate, tag, Reply(Proof.NOT_DONE)))
 
     def _do_execute_delayed_call(self, index: int) -> None:
         self.store.call(self.delayed_requests.pop(index), self.now)
 
-    def _do_notify_leader(self, holder: int) -> None:
-        """Notify a holder of the changes of one revision."""
-        changes = self.changes_since(self.watched_from[holder], self.watched_prefix)
+    def _do_notify_leader(self, candidate: int) -> None:
+        """Notify a candidate of the changes of one revision."""
+        changes = self.changes_since(self.watched_from[candidate], self.watched_prefix)
         first_revision = changes[0][0]
-        self.watched_from[holder] = first_revision + 1
+        self.watched_from[candidate] = first_revision + 1
         for revision, key, value in changes:
             if revision == first_revision:
-                self._call_holder(holder, "changed", key, value, revision)
+                self._call_candidate(candidate, "changed", key, value, revision)
 
-    def _do_miss_changes(self, holder: int) -> None:
-        self._call_holder(holder, "watch_gap")
+    def _do_miss_changes(self, candidate: int) -> None:
+        self._call_candidate(candidate, "watch_gap")
 
     def _do_elect(self, _: int) -> None:
-        """The other one leads the role now; the one that led before does not know yet."""
+        """Make the other candidate the leader; the former leader does not know yet."""
         self.store.revision += 1
         self.store.put(self.role_key, "", 0)
         self.leader = 1 - self.leader
-        self.holders[self.leader].won(self.store.revision, self.clock(self.leader))
+        self.candidates[self.leader].won(self.store.revision, self.clock(self.leader))
         self._collect(self.leader)
 
-    def _do_lose_role(self, holder: int) -> None:
-        self.holders[holder].lost()
+    def _do_lose_role(self, candidate: int) -> None:
+        self.candidates[candidate].lost()
 
     def _do_disconnect(self, index: int) -> None:
         self.members[index].is_disconnected = True
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -95,7 +95,7 @@
     def actions(self) -> list[Action]:
         """All that may be next."""
         found: list[Action] = [(ActionKind.ADVANCE_TIME,)]
-        found += self.call_actions() + self.holder_actions()
+        found += self.call_actions() + self.candidate_actions()
         if self.may_propose():
             found += [(ActionKind.PROPOSE, GOOD_TEXT), (ActionKind.PROPOSE, REFUSED_TEXT)]
         for index, member in enumerate(self.members):
@@ -167,17 +167,17 @@
         for member in self.members:
             self._renew_lease(member)
             self._step(member)
-        self._step_holders()
+        self._step_candidates()
 
     def _grant(self, member: SimulatedMember) -> None:
         member.lease.renew(self.store.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
         member.watched_from = None
 
     def _do_deliver_reply(self, index: int) -> None:
-        """Hand a reply to the holder that called, given by its index, or to the member that did."""
+        """Hand a reply to the candidate that called, given by its index, or to the member that did."""
         caller, (method, *context), reply = self.replies.pop(index)
         if method != "replied":
-            self._call_holder(caller, method, *context, reply)
+            self._call_candidate(caller, method, *context, reply)
         elif caller in self.members:
             caller.decisions.replied(caller(), *context, reply)
             self._collect_member(caller)
@@ -247,7 +247,7 @@
             tuple(self.watched_from),
             self.leader,
             self.faults,
-            tuple(self._coordinator_fingerprint(coordinator) for coordinator in self.holders),
+            tuple(self._coordinator_fingerprint(coordinator) for coordinator in self.candidates),
         )
 
     @staticmethod
@@ -281,7 +281,7 @@
         """No more faults: all is carried out in turn, missing members come, one coordinator leads."""
         self.faults = 0
         self.delayed_requests = []
-        self.holders[1 - self.leader].lost()
+        self.candidates[1 - self.leader].lost()
         for member in self.members:
             member.is_disconnected = False
         for name in self._missing_names():
