--- a/gullhold/testing/scheduled_command_explorer.py
+++ b/gullhold/testing/scheduled_command_explorer.py
@@ -1,4 +1,4 @@
-"""Checks the decisions on scheduled commands alone: leaders that vanish and wake, lost replies, all outcomes.
+"""Explores the scheduled command logic without I/O: leaders that take over, lost replies, all outcomes.
 
 A CommandHarness runs one leader's command over a model of the store. A walk has several leaders over one
 store, of which only the newest has the current fencing token.
@@ -26,31 +26,35 @@
     ScheduledProfile(idempotency, 3 * US_PER_SECOND, 2 * US_PER_SECOND, True) for idempotency in Idempotency
 )
 RULES = ScheduledCommandRules("a", 60 * US_PER_SECOND, 3, False, 100_000)
-NO_EFFECT = (OccurrenceState.SHED, OccurrenceState.NOT_SENT)
+NO_EFFECT = (OccurrenceState.SHED, OccurrenceState.NOT_SENT)  # outcomes that prove that nothing ran
 START_US = 1000 * US_PER_SECOND + 1
 FIRST_TOKEN = 4
-MAX_STEP_US = 900_000  # that passes in one step of a walk
+MAX_STEP_US = 900_000  # longest time that passes in one step of a walk
 
-# Of a walk's steps: up to each bound, of a random fraction.
-TAKEOVER_BELOW = 0.12  # another takes over; who led before sleeps, and may wake
-LOST_REPLY_BELOW = 0.3
-TIME_BELOW = 0.6
+# Each step of a walk draws a fraction, and does the first of these whose bound is above it.
+TAKEOVER_BELOW = 0.12  # another leader takes over; former leaders go on, with an old token
+LOST_REPLY_BELOW = 0.3  # the reply to the next write is lost, or the write is not executed
+TIME_BELOW = 0.6  # time advances; above it, an attempt ends
 
 MakeCommand = Callable[..., ScheduledCommand]
 
 
 class Store:
-    """A model of the store, for one command. next_write: what becomes of the next write, if not DONE."""
+    """A model of the store, for one command.
+
+    token: the fencing token of the current leader; next_write: what becomes of the next write; None: it is
+    done.
+    """
 
     def __init__(self) -> None:
-        """Nothing is in it."""
+        """Begin with an empty store."""
         self.items: dict[str, tuple[str, int]] = {}  # value and revision, by key
         self.revision = 1
-        self.token = FIRST_TOKEN  # of the leader
+        self.token = FIRST_TOKEN
         self.next_write: Proof | None = None
 
     def read(self, prefix: str) -> Reply:
-        """All keys with a prefix."""
+        """Return all keys with a prefix."""
         found = [
             KeyValue(key, value, revision)
             for key, (value, revision) in sorted(self.items.items())
@@ -59,7 +63,7 @@
         return Reply(Proof.DONE, self.revision, items=tuple(found))
 
     def write(self, action: WriteRecord) -> Reply:
-        """A transaction under a token; an occurrence that is settled may not change."""
+        """Execute a transaction under a token; raises InvariantError if it changes a settled occurrence."""
         succeeded = action.token == self.token and all(
             self._revision_of(key) == revision for key, revision in action.conditions
         )
@@ -95,7 +99,7 @@
             raise InvariantError(f"{old.state} became {decode_occurrence(value).state}")
 
     def records(self) -> list[Occurrence]:
-        """All occurrences that are kept."""
+        """Return all occurrences in the store, in order of their keys."""
         return [
             decode_occurrence(value)
             for key, (value, _) in sorted(self.items.items())
@@ -104,7 +108,11 @@
 
 
 class CommandHarness:
-    """A command over a store, step by step; the attempts that it sends and its log are kept."""
+    """Runs one leader's command over a model of the store.
+
+    sent, logged: the attempts and log events that the command asked for; may_act: whether the member's lease
+    still allows effects when a write has been replied to.
+    """
 
     def __init__(
         self,
@@ -114,7 +122,7 @@
         member: str = "n0",
         make: MakeCommand = ScheduledCommand,
     ) -> None:
-        """store: shared with other harnesses, or None for one of its own."""
+        """store: shared with other harnesses, or None for a new one."""
         self.store = store or Store()
         self.now = START_US  # Unix us
         self.sent: list[SendAttempt] = []
@@ -123,12 +131,12 @@
         self.may_act = True
 
     def lead(self) -> "CommandHarness":
-        """It leads the role, under the store's token."""
+        """Make the command's member the leader, under the store's current token."""
         self.command.won(self.store.token, self.now)
         return self.advance()
 
     def advance(self, us: int = 0) -> "CommandHarness":
-        """Time passes, and all that is asked for is done."""
+        """Let time advance, and carry out all actions of the command."""
         self.now += us
         self.command.step(self.now)
         while actions := self.command.take_actions():
@@ -149,18 +157,18 @@
                 self.logged.append(action)
 
     def end_attempt(self, state: OccurrenceState, reason: str = "") -> "CommandHarness":
-        """The attempt that is out is over."""
+        """End the attempt in flight with an outcome."""
         self.command.attempt_ended(self.now, state, reason)
         return self.advance()
 
     def states(self) -> list[tuple[int, str]]:
-        """(due in s, state) of each occurrence."""
+        """Return (due time in s, state) of each occurrence."""
         return [(item.due_us // US_PER_SECOND, item.state) for item in self.store.records()]
 
 
 @dataclass
 class Attempt:
-    """An attempt that some leader sent; state None: it is not over."""
+    """An attempt that a leader sent; state None: it has not ended."""
 
     sent: SendAttempt
     state: OccurrenceState | None = None
@@ -174,16 +182,16 @@
 
 
 class CheckedCommandHarness(CommandHarness):
-    """Checks each attempt when it is sent, beside all that other leaders sent before it."""
+    """Checks each attempt when it is sent, against the earlier attempts of all leaders."""
 
     def __init__(self, profile: ScheduledProfile, attempts: Attempts, **other: Any) -> None:
-        """attempts: of all leaders."""
+        """attempts: of all leaders, shared between their harnesses."""
         super().__init__(profile, **other)
         self.profile = profile
         self.attempts = attempts
 
     def advance(self, us: int = 0) -> "CheckedCommandHarness":
-        """As a CommandHarness, then check what was sent."""
+        """Advance, then check the attempts that were sent."""
         already_sent = len(self.sent)
         super().advance(us)
         for attempt in self.sent[already_sent:]:
@@ -194,15 +202,15 @@
         records = {item.due_us: item for item in self.store.records()}
         record = records.get(attempt.due_us)
         if record is None or record.attempts < attempt.attempt:
-            raise InvariantError("a send without its intent")
+            raise InvariantError("an attempt was sent without a stored intent")
         earlier = self.attempts.by_due.setdefault(attempt.due_us, [])
         self._check_earlier(attempt, [other for other in earlier if other.state not in NO_EFFECT])
         if len(earlier) >= RULES.max_attempts:
-            raise InvariantError(f"{len(earlier) + 1} sends of one occurrence")
+            raise InvariantError(f"{len(earlier) + 1} attempts of one occurrence")
         earlier.append(Attempt(attempt))
 
     def _check_earlier(self, attempt: SendAttempt, may_have_run: list[Attempt]) -> None:
-        """may_have_run: earlier attempts of the occurrence that may have had an effect."""
+        """Check a repeated attempt; may_have_run: earlier attempts that may have had an effect."""
         if not may_have_run:
             return
         match self.profile.idempotency:
@@ -210,22 +218,22 @@
                 raise InvariantError("a non-replayable one is sent again though it may have run")
             case Idempotency.KEYED:
                 if any(other.sent.idempotency_key != attempt.idempotency_key for other in may_have_run):
-                    raise InvariantError("a uniqued one is sent again under another mark")
+                    raise InvariantError("a keyed command is sent again under another idempotency key")
                 known_until = may_have_run[0].sent.sent_at + self.profile.dedup_window_us
                 if attempt.sent_at + attempt.time_limit_us > known_until:
-                    raise InvariantError("a uniqued one may run when its mark is forgotten")
+                    raise InvariantError("a keyed command may run after engines forgot its idempotency key")
 
     def end_attempt(self, state: OccurrenceState, reason: str = "") -> "CheckedCommandHarness":
-        """What became of the attempt is kept."""
+        """Record the outcome of the attempt, then end it."""
         self.attempts.by_due[self.command.in_flight.due_us][-1].state = state
         return super().end_attempt(state, reason)
 
 
 class Walk:
-    """One random walk of several leaders; raises InvariantError."""
+    """A random walk of several leaders, of which the last in `harnesses` is the current one."""
 
     def __init__(self, seed: int, make: MakeCommand) -> None:
-        """make: makes each leader's command."""
+        """make: the class of the leaders' commands, or a mutant of it."""
         self.random = random.Random(seed)
         self.make = make
         self.profile = PROFILES[seed % len(PROFILES)]
@@ -241,7 +249,7 @@
         )
 
     def step(self) -> None:
-        """One thing drawn by chance."""
+        """Carry out one random action; raises InvariantError."""
         drawn = self.random.random()
         first = self.harnesses[0]
         last = self.harnesses[-1]
@@ -271,7 +279,7 @@
 
 
 def walk(seed: int, steps: int = 60, make: MakeCommand = ScheduledCommand) -> None:
-    """One random walk; raises InvariantError."""
-    one = Walk(seed, make)
+    """Take one random walk; raises InvariantError."""
+    random_walk = Walk(seed, make)
     for _ in range(steps):
-        one.step()
+        random_walk.step()
