--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -1,7 +1,7 @@
-"""The world in which decisions of budgets are explored: members, two processes that may lead, a small store.
+"""The simulated world of budgets: members, two processes that may lead the allocator role, and a model store.
 
-Members are on clocks of their own within the stated drift. What is really begun is counted in the world's own
-time; it may never pass the total.
+Clocks of members deviate from the world's time by no more than the allowed drift. What members really use is
+counted in the world's time; it may never exceed the budget's total.
 """
 
 from collections.abc import Hashable
@@ -36,8 +36,8 @@
 from gullhold.testing.store_model import StoreModel
 from gullhold.testing.walking import InvariantError
 
-DEMANDS = (0, 4, TOTAL)  # of a member in turn, while demand changes
-SETTLED_DEMAND = 3  # of each member in the end
+DEMANDS = (0, 4, TOTAL)  # of a member, in turn, until the world settles
+SETTLED_DEMAND = 3  # of each member once the world settles
 FAULTS = (
     *CALL_FAULTS,
     ActionKind.CRASH,
@@ -46,28 +46,28 @@
     ActionKind.MISS_CHANGES,
     ActionKind.LEAVE,
 )
-SETTLED = 30  # moments in which a fleet without faults has to have allocated all
-MAX_QUIET_STEPS = 60  # steps in which all that is under way is carried out
+SETTLING_STEPS = 30  # steps of time within which a fleet without faults has to allocate everything
+MAX_ACTIONS_PER_SETTLING_STEP = 60  # to carry out what is under way
 
-Action = tuple[Any, ...]  # (what, whom)
+Action = tuple[Any, ...]  # (kind, argument of the kind)
 
 
 class Lingering(NamedTuple):
-    """So many calls of a dead member that may run until a time in us."""
+    """A number of calls of a crashed member that may run until a time in us."""
 
     until: int
     calls: int
 
 
 class World(RolePairWorld):
-    """Members, two processes that may lead, store, and what is under way.
+    """Members, two candidates for the allocator role, the store, and the calls under way.
 
-    act() takes one of actions(); raises InvariantError. spent: when each amount of a windowed budget was
-    spent; lingering: work of members that have died; is_settling: demand changes no more.
+    act() carries out one of actions(). spent: times at which an amount of 1 of a windowed budget was spent,
+    in us; lingering: calls of crashed members; is_settling: whether demand has stopped changing.
     """
 
     def __init__(self, kind: LedgerKind, faults: int = 4, **variant: Any) -> None:
-        """variant: fields of Variant."""
+        """kind: of the ledger; faults: number of faults that may still happen; variant: fields of Variant."""
         self.kind = kind
         self.variant = Variant(**variant)
         budgets = {BUDGET: self.variant.budget(kind)}
@@ -83,7 +83,7 @@
         self._do_elect(0)
 
     def _do_join(self, name: str) -> None:
-        """A process begins, and has a lease."""
+        """Start a member's process, and grant it a lease."""
         member = SimulatedMember(self, name, RATES[len(self.members) % len(RATES)])
         self.members.append(member)
         self._grant(member)
@@ -108,7 +108,7 @@
         return Transaction(conditions, (write,))
 
     def actions(self) -> list[Action]:
-        """Return all that may be next."""
+        """Return all actions that are possible now."""
         found: list[Action] = [(ActionKind.ADVANCE_TIME,), *self.call_actions(), *self.candidate_actions()]
         for index, member in enumerate(self.members):
             found += self._member_actions(index, member)
@@ -139,7 +139,7 @@
         return [name for name in NAMES if name not in present]
 
     def next_orderly_action(self) -> Action | None:
-        """Return what happens next where nothing is wrong; None: nothing is under way."""
+        """Return the next action in the order of a world without faults; None: nothing is under way."""
         action = super().next_orderly_action()
         if action:
             return action
@@ -149,19 +149,19 @@
         return None
 
     def may_report(self, member: SimulatedMember) -> bool:
-        """Whether a member may report: one report of it is under way at a time."""
+        """Whether a member may report now: it sends its next report only after the reply to the last one."""
         is_reporting = any(caller is member for caller, *_ in self.calls)
         return member.lease.is_valid(member()) and not is_reporting
 
     def _rows(self, member: SimulatedMember) -> list[tuple[int, str, str | None]]:
-        """Return the writes of a member's row, as (revision, key, value), that it has not taken in."""
+        """Return the writes of a member's row that it has not applied yet, as (revision, key, value)."""
         key = ALLOCATIONS + member.key()
         return [row for row in self.changes_since(member.applied_revision + 1, key) if row[1] == key]
 
-    def act(self, what: ActionKind, whom: Any = 0) -> None:
-        """Do one thing; raises InvariantError."""
-        self.faults -= what in FAULTS
-        self.HANDLERS[what](self, whom)
+    def act(self, kind: ActionKind, argument: Any = 0) -> None:
+        """Carry out one action; raises InvariantError."""
+        self.faults -= kind in FAULTS
+        self.HANDLERS[kind](self, argument)
         self.check()
 
     def _do_advance_time(self, _: Any) -> None:
@@ -171,22 +171,22 @@
             self._renew_lease(member)
             if lease_id and member.lease.id != lease_id:
                 member.lease_lost_at = self.now
-            while member.running and member.running[0] <= self.now - LINGER_US:  # nothing runs longer
+            while member.running and member.running[0] <= self.now - LINGER_US:  # no call runs longer
                 member.running.pop(0)
                 member.allocation.release(1)
         self._step_candidates()
 
     def _do_deliver_reply(self, index: int) -> None:
-        caller, (what, *context), reply = self.replies.pop(index)
-        if what != "reported":
-            self._call_candidate(caller, what, *context, reply)
+        caller, (method, *context), reply = self.replies.pop(index)
+        if method != "reported":
+            self._call_candidate(caller, method, *context, reply)
         elif caller in self.members and context[0] == REPORTS + caller.key():
             self._reported(caller, reply)
 
     def _reported(self, member: SimulatedMember, reply: Reply) -> None:
         if reply.proof == Proof.DONE and reply.succeeded:
             member.reported_revision = reply.revision
-        else:  # as the driver does: what is stored is looked at, and everything is reported again
+        else:  # like the product's driver: read the stored revision, and report everything again
             item = self.store.keys.get(REPORTS + member.key())
             member.reported_revision = item.revision if item else 0
             self._report(member)
@@ -221,9 +221,9 @@
         self._report(member)
 
     def _do_crash(self, index: int) -> None:
-        """What it began goes on for as long as it may after it became unable to begin more.
+        """End a member without releasing anything; its calls run on for up to LINGER_US.
 
-        That is now, but for what it had begun when it lost an earlier lease: that long after the loss.
+        That time counts from now; for calls that began before the loss of an earlier lease, from that loss.
         """
         member = self.members.pop(index)
         self._drop_calls(member)
@@ -231,15 +231,15 @@
         self._linger(member.lease_lost_at, earlier_calls)
         self._linger(self.now, len(member.running) - earlier_calls)
 
-    def _linger(self, unable_since: int, calls: int) -> None:
+    def _linger(self, inactive_since: int, calls: int) -> None:
         if calls:
-            self.lingering.append(Lingering(unable_since + LINGER_US, calls))
+            self.lingering.append(Lingering(inactive_since + LINGER_US, calls))
 
     def _drop_calls(self, member: SimulatedMember) -> None:
         self.calls = [row for row in self.calls if row[0] is not member]
 
     def _do_leave(self, index: int) -> None:
-        """In good order: nothing is begun any more, the last report is written, the lease ends."""
+        """Shut a member down in order: it writes its last report, and its lease ends."""
         member = self.members[index]
         if member.lease.is_valid(member()) and not member.is_disconnected:
             self._drop_calls(member)
@@ -248,7 +248,7 @@
         self._do_crash(self.members.index(member))
 
     def check(self) -> None:
-        """Raise InvariantError where more than the total is in use, or was spent within any window."""
+        """Raise InvariantError if too much is in use, was spent within a window, or is allocated."""
         self.lingering = [row for row in self.lingering if row.until > self.now]
         if self.kind == LedgerKind.HELD:
             used = sum(len(member.running) for member in self.members)
@@ -257,19 +257,19 @@
             self.spent = [at for at in self.spent if at > self.now - WINDOW_US]
             used = len(self.spent)
         if used > TOTAL:
-            raise InvariantError(f"{used} of {TOTAL} are in use")
+            raise InvariantError(f"{used} of a total of {TOTAL} are in use")
         allocated = self._stored_allocations()
         if allocated > TOTAL - RESERVE * len(NAMES):
             raise InvariantError(f"{allocated} of {TOTAL - RESERVE * len(NAMES)} are allocated")
 
     def _stored_allocations(self) -> int:
-        """Return the sum of all allocations in the store, as one that reads it sees them."""
+        """Return the sum of all allocations in the store."""
         rows = [item.value for key, item in self.store.keys.items() if key.startswith(ALLOCATIONS)]
         entries = [entry for row in rows for entry in decode_row(row).entries.values()]
         return sum(allocated_amount(entry) for entry in entries)
 
     def fingerprint(self) -> Hashable:
-        """Return what makes two states the same: all but absolute time and numbers of writes."""
+        """Return a value that is equal for states that differ only in time and in numbers of writes."""
         return (
             tuple(member.state() for member in self.members),
             tuple((key, item.value) for key, item in sorted(self.store.keys.items())),
@@ -288,17 +288,20 @@
         )
 
     def settle(self) -> None:
-        """No more faults: all is carried out in turn, everybody reports, and one leader allocates."""
+        """End the faults, and let the fleet reach a steady state.
+
+        Delayed calls are lost, missing members start, all report the same demand, and one leader allocates.
+        """
         self.faults = 0
         self.delayed_requests = []
         self.is_settling = True
         self.candidates[1 - self.leader].lost()
         for member in self.members:
             member.is_disconnected = False
-        for _ in range(SETTLED):
-            self._settle_step()
+        for _ in range(SETTLING_STEPS):
+            self._take_settling_step()
 
-    def _settle_step(self) -> None:
+    def _take_settling_step(self) -> None:
         self.act(ActionKind.ADVANCE_TIME)
         for index, member in enumerate(self.members):
             if self.kind == LedgerKind.HELD:
@@ -307,13 +310,13 @@
                 self.act(ActionKind.REPORT, index)
         for name in self._missing_names():
             self.act(ActionKind.JOIN, name)
-        self.finish_calls(MAX_QUIET_STEPS)
+        self.finish_calls(MAX_ACTIONS_PER_SETTLING_STEP)
 
     def check_settled(self) -> None:
-        """Raise InvariantError unless all that may be allocated is allocated among those who live."""
+        """Raise InvariantError unless all that can be allocated is allocated to the running members."""
         allocated = sum(member.allocation.allocated for member in self.members)
-        if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # one of it may be on its way
-            raise InvariantError(f"{allocated} are divided though nothing is wrong any more")
+        if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # 1 may be in transfer between members
+            raise InvariantError(f"{allocated} are allocated after the end of the faults, though more can be")
 
     HANDLERS = RolePairWorld.HANDLERS | {
         ActionKind.JOIN: _do_join,
