--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -1,7 +1,7 @@
-"""Explores the decisions of budgets alone: one leader that allocates, another that takes over, members.
+"""Explores the budget logic without I/O: one leader that allocates, another that takes over, and members.
 
-The search goes through all orders of actions to some depth. Random walks end with the faults taken away: then
-nothing of the total may be lost.
+explore() tries all orders of actions up to a given depth. walk() takes one random walk, and ends with the
+faults taken away: then all of the budget's total has to be in use again.
 """
 
 import random
@@ -13,12 +13,12 @@
 from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
 from gullhold.testing.budget_world import FAULTS, Action, World
 
-MAX_STEPS_PER_MOMENT = 14  # calls carried out within a moment of a walk
-# Chances within a moment of a walk.
+MAX_ORDERLY_ACTIONS = 14  # calls and replies handled in one step of time
+# Probabilities within one step of time.
 REPORT_CHANCE = 0.5  # that a member reports
-STOP_CHANCE = 0.05  # that what is under way waits for the next moment
-CALL_FAULT_CHANCE = 0.06  # that a call fails
-SPEND_CHANCES = (0.7, 0.5)  # that a member spends all that it may: twice in a moment
+STOP_CHANCE = 0.05  # that the rest of what is under way waits for the next step of time
+CALL_FAULT_CHANCE = 0.06  # that a call is hit by a fault
+ACQUIRE_CHANCES = (0.7, 0.5)  # that a member acquires all that it may, and that one more action follows
 FREQUENT_CHANCES = (
     (ActionKind.RELEASE, 0.4),
     (ActionKind.JOIN, 0.4),
@@ -33,22 +33,22 @@
     ActionKind.MISS_CHANGES,
     ActionKind.LEAVE,
 )
-RARE_CHANCE = 0.2
+RARE_CHANCE = 0.2  # that a rare action is taken where no frequent one is
 
 
-def rounds(world: World, draw: Callable[[], float]) -> Iterator[Action]:
-    """Yield actions moment after moment, for ever.
+def random_steps(world: World, draw: Callable[[], float]) -> Iterator[Action]:
+    """Yield the actions of one step of time after another, without end.
 
-    Some members report, most of what is under way is carried out, most members spend, and now and then
-    something breaks. What was held back comes some moments later.
+    In each step some members report, most calls under way are handled, most members acquire, and at most one
+    fault or other rare action happens. Delayed calls are executed some steps later.
     """
     while True:
         yield (ActionKind.ADVANCE_TIME,)
         for index, member in enumerate(world.members):
             if draw() < REPORT_CHANCE and world.may_report(member):
                 yield (ActionKind.REPORT, index)
-        yield from _calls_carried_out(world, draw)
-        for chance in SPEND_CHANCES:
+        yield from _handled_calls(world, draw)
+        for chance in ACQUIRE_CHANCES:
             for index, member in enumerate(world.members):
                 if draw() < chance and member.allocation.allows(1):
                     yield (ActionKind.ACQUIRE, index)
@@ -58,8 +58,8 @@
         yield from walking.occasional_action(world, draw, FREQUENT_CHANCES, RARE_ACTIONS, RARE_CHANCE)
 
 
-def _calls_carried_out(world: World, draw: Callable[[], float]) -> Iterator[Action]:
-    for _ in range(MAX_STEPS_PER_MOMENT):
+def _handled_calls(world: World, draw: Callable[[], float]) -> Iterator[Action]:
+    for _ in range(MAX_ORDERLY_ACTIONS):
         action = world.next_orderly_action()
         if not action or draw() < STOP_CHANCE:
             return
@@ -73,21 +73,22 @@
 def walk(
     seed: int, steps: int, faults: int = 10, with_fingerprints: bool = False, **variant: Any
 ) -> set[int]:
-    """Walk once, then settle; raises InvariantError with its story.
+    """Take one random walk, then let the world settle; raises InvariantError with the trace of actions.
 
-    Returns fingerprints of the states that were met, where asked for. variant: fields of Variant.
+    Returns the fingerprints of the states that were seen, if asked for. The seed also chooses the kind of
+    ledger. variant: fields of Variant.
     """
     draw = random.Random(seed).random
     world = World((LedgerKind.HELD, LedgerKind.WINDOWED)[seed % 2], faults, **variant)
-    is_in_rounds = seed // 2 % 4 != 0  # three walks of four; the others take any action
-    actions = rounds(world, draw) if is_in_rounds else walking.random_actions(world, draw, FAULTS)
+    is_mostly_orderly = seed // 2 % 4 != 0  # three walks of four; the others take any action
+    actions = random_steps(world, draw) if is_mostly_orderly else walking.random_actions(world, draw, FAULTS)
     return walking.run_walk(world, actions, steps, seed, with_fingerprints)
 
 
 def explore(
     kind: LedgerKind, depth: int, max_states: int, faults: int = 2, seed: int = 0, **variant: Any
 ) -> walking.Explored:
-    """Return (states met, the depth that was fully searched) from a fleet that has allocated."""
+    """Try all actions from a fleet that has allocated its budget; max_states: after which it stops."""
     world = World(kind, 0, **variant)
     world.settle()
     world.faults = faults
--- a/gullhold/testing/budget_variant.py
+++ b/gullhold/testing/budget_variant.py
@@ -1,4 +1,4 @@
-"""What a world of budgets is made of: the product's classes and rules, or a mutant's."""
+"""The classes and settings of a simulated world of budgets: the product's, or a mutant's."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,21 +11,22 @@
 from gullhold.interface import BudgetKind
 from gullhold.testing.role_pair_world import TERMS
 
-WINDOW_US = 1_600_000  # us of real time: no whole number of steps of time
-LINGER_US = 1_100_000  # us of real time: no whole number of steps of time
+WINDOW_US = 1_600_000  # in world time; no multiple of QUANTUM_US, so that it ends between two steps
+LINGER_US = 1_100_000  # longest run of a call, in world time; no multiple of QUANTUM_US either
 TOTAL = 10
-RESERVE = 1  # of each member
+RESERVE = 1  # held back for each member
 NAMES = ("a", "b", "c")
 BUDGET = "b"  # the budget's name; its one subject is 0
-KIND = BudgetKind.THREADS  # any kind will do: the ledger's kind is stated
+KIND = BudgetKind.THREADS  # any will do: worlds state the kind of ledger separately
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """What a world is made of: the product's classes and settings, or a mutant's.
+    """Classes and settings of a world: the product's, or a mutant's.
 
-    compares_reports: whether a report is compared with the last one; reserve_after_us: how long after its
-    start a member may spend its reserve; drift: by which windows and lingering times are lengthened.
+    compares_reports: whether a report is written only if the last one is still stored; reserve_after_us: how
+    long after its start a member may use its reserve; drift: fraction by which windows and lingering times
+    are lengthened.
     """
 
     make_allocations: Callable[..., Allocations] = Allocations
@@ -36,11 +37,11 @@
     drift: float = TERMS.max_drift
 
     def lengthened(self, time_us: int) -> int:
-        """Return a time as a member's clock has to count it."""
+        """Return the time that a member's clock has to count for at least this much world time."""
         return int(time_us * (1 + self.drift))
 
     def allocation_rule(self, kind: LedgerKind) -> AllocationRule:
-        """Return the members' rule."""
+        """Return the rule of the members' allocations for this kind of ledger."""
         reserve_after_us = 0
         if self.reserve_after_us:
             own_window_us = WINDOW_US if kind == LedgerKind.WINDOWED else 0
@@ -54,7 +55,7 @@
         )
 
     def budget(self, kind: LedgerKind) -> Budget:
-        """Return the allocator's rule."""
+        """Return the budget as the allocator knows it."""
         return Budget(
             kind, TOTAL, self.lengthened(WINDOW_US), self.lengthened(LINGER_US), RESERVE, len(NAMES)
         )
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -271,7 +271,7 @@
     def fingerprint(self) -> Hashable:
         """Return a value that is equal for states that differ only in time and in numbers of writes."""
         return (
-            tuple(member.state() for member in self.members),
+            tuple(member.fingerprint() for member in self.members),
             tuple((key, item.value) for key, item in sorted(self.store.keys.items())),
             tuple((tag, str(request)) for _, request, tag in self.calls),
             tuple((tag, reply.proof, reply.succeeded) for _, tag, reply in self.replies),
--- a/gullhold/testing/simulated_budget_member.py
+++ b/gullhold/testing/simulated_budget_member.py
@@ -1,4 +1,4 @@
-"""A gateway in the world of budgets: its clock, lease, allocation and the calls that it has begun."""
+"""A simulated gateway in the world of budgets: clock, lease, allocation and running calls."""
 
 from collections.abc import Hashable
 from typing import TYPE_CHECKING
@@ -12,11 +12,11 @@
 
 
 class SimulatedMember:
-    """One process: its clock, lease and allocation, and what it knows of its own report.
+    """One process of a member, which is callable as its clock.
 
-    running: when each call under way was begun; reported_revision: that of its report in the store;
-    applied_revision: of the newest row that it has taken in; lease_lost_at: when it last became
-    unable to begin anything more.
+    running: times at which its calls under way began, in world time; reported_revision: revision of its
+    report in the store; applied_revision: revision of the newest row of allocations that it has applied;
+    lease_lost_at: world time at which it last lost a lease, after which it could begin nothing more.
     """
 
     def __init__(self, world: "World", name: str, rate: float) -> None:
@@ -37,15 +37,15 @@
         self.lease_lost_at = 0
 
     def __call__(self) -> int:
-        """Return what its clock says."""
+        """Return the time on its clock, in us."""
         return int(self.world.now * self.rate)
 
     def key(self) -> str:
-        """Return what tells it apart."""
+        """Return its name and lease, which identify it in the store."""
         return f"{self.name}/{self.lease.id:x}"
 
-    def state(self) -> Hashable:
-        """Return what makes two states of it the same."""
+    def fingerprint(self) -> Hashable:
+        """Return a value that is equal for equivalent states of it."""
         return (
             self.name,
             self.is_disconnected,
