--- a/gullhold/testing/budget_checker.py
+++ b/gullhold/testing/budget_checker.py
@@ -1,7 +1,7 @@
-"""The checker of a fleet's budgets: counts what engines saw, and reads the store's journal.
+"""Checks the budgets of a fleet by what its engines recorded and by the store's journal.
 
-It shares nothing with what it checks but the stored forms: budget/parts/MEMBER holds a row of allocations,
-budget/asks/MEMBER a report.
+It shares no code with what it checks. It knows only the stored form: budget/parts/MEMBER holds a member's row
+of allocations, budget/asks/MEMBER its report.
 """
 
 import json
@@ -13,17 +13,17 @@
 
 ALLOCATIONS = "budget/parts/"
 REPORTS = "budget/asks/"
-FLEET_KEY_PARTS = 3  # "/", the program's name and the fleet's, before a key of the fleet
+FLEET_KEY_PARTS = 3  # parts of /gullhold/FLEET/, which comes before a key of the fleet
 
 
 class CountingEngine(Protocol):
-    """An engine that records each attempt."""
+    """An engine that keeps a record of each attempt that it was sent."""
 
     attempts: Sequence[AttemptRecord]
 
 
 class Peak(NamedTuple):
-    """The highest sum, and when it was reached."""
+    """The highest sum, and the time in s at which it was reached."""
 
     amount: float
     at: float
@@ -37,14 +37,14 @@
 
 
 class AllocationsAt(NamedTuple):
-    """All allocations after a write at a time in s: {budget: {member: allocation}}."""
+    """All allocations after a write, with its time in s: {budget: {member: amount}}."""
 
     at: float
     by_budget: Mapping[str, Mapping[str, int]]
 
 
 class ReportAt(NamedTuple):
-    """A member's report at a time in s: {budget: [in use, used, requested]}."""
+    """A member's report, with its time in s: {budget: [in use, used, requested]}."""
 
     at: float
     member: str
@@ -52,7 +52,7 @@
 
 
 def peak_threads(attempts: Iterable[AttemptRecord]) -> Peak:
-    """Return the peak of the threads that ran in an engine at one instant.
+    """Return the peak of the threads that attempts used at one instant.
 
     An attempt that ends at the instant at which another starts is taken to have ended first.
     """
@@ -71,7 +71,7 @@
 
 
 def peak_in_window(rows: Iterable[tuple[float, float]], window_s: float) -> Peak:
-    """Return the peak of what fell into any window, and when that ended; rows: (time, amount)."""
+    """Return the peak of the amounts within any window, and the window's end; rows: (time in s, amount)."""
     rows = sorted(rows)
     first = 0
     total: float = 0
@@ -87,12 +87,12 @@
 
 
 def _starts(engines: Iterable[CountingEngine]) -> list[tuple[float, bytes]]:
-    """Return (start, number of the command) of all attempts over all engines, in order."""
+    """Return (start in s, txn id of the command) of all attempts at all engines, in order of time."""
     return sorted((attempt.started_at, attempt.txn) for engine in engines for attempt in engine.attempts)
 
 
 def retries(engines: Iterable[CountingEngine]) -> list[TimedAmount]:
-    """Return all attempts of a command but its first, over all engines."""
+    """Return all attempts but the first of each command, over all engines."""
     seen: set[bytes] = set()
     found = []
     for at, txn in _starts(engines):
@@ -103,7 +103,7 @@
 
 
 def first_attempts(engines: Iterable[CountingEngine]) -> list[TimedAmount]:
-    """Return the first attempt of each command."""
+    """Return the first attempt of each command, over all engines."""
     first: dict[bytes, float] = {}
     for at, txn in _starts(engines):
         first.setdefault(txn, at)
@@ -111,14 +111,15 @@
 
 
 class AllocationHistory:
-    """Goes through a journal once: allocations as written, their sums, their moves.
+    """Goes through a journal once, and keeps the allocations after each write and their sums.
 
-    max_sums: the highest sum of allocations at any revision, by budget. increases: how often an allocation
-    was raised. writes: transactions that wrote allocations. bytes_written: size of all rows and reports.
+    rows: the last row of allocations, by member. max_sums: the highest sum of allocations at any revision, by
+    budget. increases: how often an allocation was raised. writes: transactions that wrote allocations.
+    bytes_written: size of all rows and reports.
     """
 
     def __init__(self, lines: Iterable[Mapping[str, Any]]) -> None:
-        """lines: of the store's journal."""
+        """lines: of the store's journal, in their order."""
         self.rows: dict[str, dict[str, int]] = {}
         self.max_sums: dict[str, int] = defaultdict(int)
         self.increases = 0
@@ -133,7 +134,7 @@
                 self._transaction(line)
 
     def _begin(self, keys: Iterable[Sequence[Any]]) -> None:
-        """The store began, with these keys."""
+        """The store started with these keys: take the rows from them."""
         self.rows = {}
         for key, value, *_ in keys:
             fleet_key = _fleet_key(key)
@@ -174,7 +175,7 @@
         self.history.append(AllocationsAt(at, by_budget))
 
     def allocated_by_name(self, budget: str) -> dict[str, int]:
-        """Return what each name has of a budget, all its processes together, as last written."""
+        """Return the allocation of each member name, over all its processes, as last written."""
         found: dict[str, int] = defaultdict(int)
         for member, row in self.rows.items():
             found[member.partition("/")[0]] += row.get(budget, 0)
@@ -187,5 +188,5 @@
 
 
 def _fleet_key(key: str) -> str:
-    """Return a key without the prefix of the fleet."""
+    """Return a key without the prefix of its fleet, /gullhold/FLEET/."""
     return key.split("/", FLEET_KEY_PARTS)[FLEET_KEY_PARTS]
