--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -1,6 +1,7 @@
-"""Deliberate faults in the decisions of budgets: the explorer finds each one, or it has a gap.
+"""Mutants of the budget logic: the walks of the explorer have to find each of them.
 
-A mutant is what a walk's world is made of: the product's classes with one method changed.
+A mutant states what a world is made of: one of the product's classes has one method changed, or a setting is
+wrong. A mutant that no walk finds shows a gap in the explorer or its invariants.
 """
 
 from collections.abc import Iterable, Mapping
@@ -22,10 +23,10 @@
 
 
 class ReallocatesBeforeReturn(Ledger):
-    """Gives an allocation on before it was given back."""
+    """Allocates an amount again before its former member has given it back."""
 
     def reallocate(self, targets: Mapping[str, int], write: int, now: int) -> dict[str, int]:
-        """Allocate."""
+        """Allocate, and forget the reductions that are not acknowledged yet."""
         changed = super().reallocate(targets, write, now)
         for entry in self.entries.values():
             entry.reductions = []
@@ -33,60 +34,60 @@
 
 
 class ForgetsSpentInWindow(Ledger):
-    """Takes what was spent within the window for free once an allocation was reduced."""
+    """Takes what was spent within the window for available once an allocation was reduced."""
 
     def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:
-        """Take in a report."""
+        """Apply a report, and forget what expires with the window."""
         super().report(member, seen_write, in_use, now)
         self.entries[member].expiring = []
 
 
 class ForgetsInUse(Ledger):
-    """Takes what is in use for ended when an allocation is given back."""
+    """Takes calls in flight for ended when their allocation is given back."""
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  the fault
-        """Take in a report."""
+    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  this is the fault
+        """Apply a report as if nothing were in use."""
         super().report(member, seen_write, 0, now)
 
 
 class ForgetsDeadMembers(Ledger):
-    """Takes all that a dead member began for ended."""
+    """Takes all calls of a member that has left for ended."""
 
     def member_left(self, member: str, inactive_at: int, spent: int | None = None) -> None:
-        """Record that a member has left."""
+        """Record that a member has left, and forget what it may still use."""
         super().member_left(member, inactive_at, spent)
         if member in self.entries:
             self.entries[member].expiring = []
 
 
 class NoReserve(Ledger):
-    """Allocates also what is held back as members' reserve."""
+    """Allocates the reserve of the members too."""
 
     def available(self, now: int) -> int:
-        """Return what may be given out."""
+        """Return the available amount with the reserve."""
         return super().available(now) + self.reserve
 
 
 class AllocatesAvailableTwice(Ledger):
-    """Gives the same available amount to each member that wants it."""
+    """Allocates the same available amount to each member that requests it."""
 
     def available(self, now: int) -> int:
-        """Return what may be given out."""
+        """Return the available amount as if only the largest charge counted."""
         charges = [entry.charge(now) for entry in self.entries.values()]
         return self.total - self.reserve - max(charges or [0])
 
 
 class ForgetsExpiringOnLoad(Ledger):
-    """Takes what may go on for ended when another takes the ledger over."""
+    """Takes calls that may still run for ended when another process takes over the ledger."""
 
     def load(self, member: str, packed: Packed, now: int) -> None:
-        """Take over a member's entry."""
+        """Load a member's entry without what is still to expire."""
         super().load(member, packed, now)
         self.entries[member].expiring = []
 
 
 def allocator_with(ledger_type: type[Ledger]) -> type[Allocator]:
-    """Return an allocator type whose ledgers are of this type."""
+    """Return a class of allocators whose ledgers are of this type."""
 
     class MutantAllocator(Allocator):
         def _open_ledger(self, name: str) -> Ledger | None:
@@ -102,29 +103,32 @@
 
 
 class KeepsRowsOfLeftMembers(Allocator):
-    """Leaves the row of a member that has left in the store as it is, until nothing is charged to it."""
+    """Leaves the row of a member that has left in the store until nothing is charged to it."""
 
     def allocate(
         self, write: int, now: int, max_budgets: int = MAX_BUDGETS_PER_ROUND
     ) -> dict[str, dict[str, int]]:
-        """Allocate."""
+        """Allocate without writing the rows of members that have left."""
         self.left = {}
         return super().allocate(write, now, max_budgets)
 
 
 class ForgetsLedgers(Allocator):
-    """Begins with nobody charged when it takes over."""
+    """Begins with no member charged for anything when it takes over."""
 
     def load(self, rows: Mapping[str, Mapping[str, Packed]], now: int) -> None:
-        """Go on from rows."""
+        """Load the members without their entries."""
         super().load({member: {} for member in rows}, now)
 
 
 class NoFence(AllocatorRole):
-    """Compares its writes with the token alone: an abandoned one may come between two later ones."""
+    """Writes on the condition of the fencing token alone, without the fence.
+
+    A write that was given up may then be executed between two later ones.
+    """
 
     def take_actions(self) -> list[RoleAction]:
-        """Return what is to be done now."""
+        """Return the product's actions with no conditions on writes."""
         return [
             replace(action, conditions=()) if isinstance(action, WriteKeys) else action
             for action in super().take_actions()
@@ -132,66 +136,66 @@
 
 
 class TakesUnknownForDone(AllocatorRole):
-    """Takes a write whose reply was lost for done, and its fence for the last one."""
+    """Takes a write whose reply was lost for done, and the last known fence for current."""
 
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
-        """Take in the reply to a write."""
+        """Handle the reply to a write, an unknown outcome as success."""
         if reply.proof == Proof.UNKNOWN and self.writing == serial:
             reply = reply._replace(proof=Proof.DONE, revision=self.fence)
         super().written(now, serial, reply)
 
 
 class IgnoresChangesWhileReading(AllocatorRole):
-    """Loses what changes while it reads."""
+    """Ignores changes that arrive while it reads the stored budgets."""
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take in a change."""
+        """Handle a change, but not during a read."""
         if not self.reading:
             super().changed(now, key, value, revision)
 
 
 class IgnoresLeaseEnds(AllocatorRole):
-    """Does not see that a lease has ended."""
+    """Ignores that the lease of a member has ended."""
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take in a change."""
+        """Handle a change, but not the deletion of a report."""
         if value is not None:
             super().changed(now, key, value, revision)
 
 
 class TakesLeaseEndForLeave(AllocatorRole):
-    """Takes an ended lease for one that was given back with nothing in use."""
+    """Takes an expired lease for a shutdown in order with nothing in use."""
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take in a change."""
+        """Handle a change, the deletion of a report as a shutdown in order."""
         if value is None and self.is_loaded:
             self.allocator.member_left(key.removeprefix(REPORTS), now, {})
         super().changed(now, key, value, revision)
 
 
 class IgnoresLeaseTime(Allocations):
-    """Goes by what it last read, whatever the time."""
+    """Uses its allocations after its lease has expired by its own clock."""
 
-    def is_valid(self, now: int) -> bool:  # noqa: ARG002  that is the fault
-        """Whether allocations hold."""
+    def is_valid(self, now: int) -> bool:  # noqa: ARG002  this is the fault
+        """Whether it has ever had a lease."""
         return self.lease_id != 0
 
 
 class KeepsOldAllocations(Allocations):
-    """Keeps the allocations of a lease that has ended under the next one."""
+    """Keeps the allocations of a lease that has ended when it gets the next one."""
 
     def begin_lease(self, lease_id: int) -> None:
-        """Note the current lease."""
+        """Set the current lease without dropping allocations."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
             self.seen_write = 0
 
 
 class AcknowledgesUnapplied(Allocations):
-    """Says that it goes by a reduction, and goes on by the larger allocation."""
+    """Acknowledges a reduced allocation, and goes on using the larger one."""
 
     def apply_write(self, lease_id: int, write: int, written: Mapping[str, int]) -> None:
-        """Take in a write."""
+        """Apply a write, but keep each allocation that it reduces."""
         before = {key: allocation.allocated for key, allocation in self.allocations.items()}
         super().apply_write(lease_id, write, written)
         if not written:
@@ -201,10 +205,10 @@
 
 
 class ReportsNothingInUse(Allocations):
-    """Says that nothing is in use."""
+    """Reports that nothing is in use."""
 
     def report(self, demands: Iterable[Demand]) -> dict[str, Usage]:
-        """Return the usage."""
+        """Return the usage with nothing in use."""
         return {name: usage._replace(in_use=0) for name, usage in super().report(demands).items()}
 
 
@@ -212,15 +216,15 @@
     __slots__ = ()
 
     def release(self, amount: int, confirmed: bool = True) -> None:  # noqa: ARG002  the product's signature
-        """Give an amount back."""
+        """Release twice the amount."""
         self.in_use -= min(self.in_use, 2 * amount)
 
 
 class ReleasesTwice(Allocations):
-    """Counts an end twice."""
+    """Counts each release twice."""
 
     def __call__(self, kind: BudgetKind, subject: int) -> Allocation | None:
-        """Return the allocation of a budget."""
+        """Return an allocation that releases twice."""
         allocation = super().__call__(kind, subject)
         if type(allocation) is Allocation:
             allocation = _DoubleReleasingAllocation(allocation.rule, self, allocation.allocated)
@@ -264,7 +268,7 @@
 
 
 def find_detecting_walk(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
-    """Return the first walk that finds a mutant; None: none of them does."""
+    """Return the first walk that fails with a mutant; None: none of them does."""
     return walking.find_failing_walk(
         lambda seed: budget_explorer.walk(seed, steps, **MUTANTS[name]), walks, first
     )
