--- a/gullhold/testing/rollout_history.py
+++ b/gullhold/testing/rollout_history.py
@@ -1,4 +1,4 @@
-"""What came into force in a world of rollouts, as seen in its store, and the rules that it has to keep."""
+"""The versions that came into force in a simulated world of rollouts, and the invariants on them."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
@@ -12,13 +12,13 @@
 from gullhold.testing.simulated_rollout_member import SimulatedMember
 from gullhold.testing.walking import InvariantError
 
-REFUSING_NAME = "b"  # the member that refuses REFUSED_TEXT
-REFUSED_TEXT = "bad"  # a policy that one member refuses
-MAX_OVERLAP_US = TERMS.ttl_s * US_PER_SECOND  # for which members may dispatch under different versions
+REFUSING_NAME = "b"  # the one member that refuses REFUSED_TEXT
+REFUSED_TEXT = "bad"  # a policy that one member cannot run
+MAX_OVERLAP_US = TERMS.ttl_s * US_PER_SECOND  # longest time that a replaced version may still be used
 
 
 class CanaryRun(NamedTuple):
-    """A canary as last seen: time in us, and keys of its members without their prefix."""
+    """A canary when it was last seen running: world time in us, and keys of its members without prefix."""
 
     seen_at: int
     members: tuple[str, ...]
@@ -28,15 +28,15 @@
 
 
 class RolloutHistory:
-    """Versions that came into force, in order, and canaries. Times are in us of the world.
+    """Versions that came into force, in order, and canaries. Times are in us of world time.
 
     version_in_force: number of the version in force; order: numbers in the order in which they came into
     force; in_force_since: when each of them came into force; is_open: whether a change was open when the
-    store was last read; canaries: the last canary of each version, by its number.
+    store was last read; canaries: the last state of each canary, by the number of its version.
     """
 
     def __init__(self, overlap: Overlap, now: int) -> None:
-        """Version 0 is in force. overlap: of all changes."""
+        """Begin with version 0 in force. overlap: of all changes."""
         self.overlap = overlap
         self.version_in_force = 0
         self.in_force_since = {0: now}
@@ -45,7 +45,7 @@
         self.canaries: dict[int, CanaryRun] = {}
 
     def observe(self, keys: Mapping[str, Any], members: Iterable[SimulatedMember], now: int) -> None:
-        """Take in the store's keys after an action. Raises InvariantError."""
+        """Update the history from the store's keys after an action; raises InvariantError."""
         current = current_version(keys)
         was_open = self.is_open
         self.is_open = CHANGE_KEY in keys
@@ -62,35 +62,37 @@
             self.order.append(current.number)
 
     def check_dispatch(self, member: SimulatedMember, now: int) -> None:
-        """Raise InvariantError where a member may not dispatch under the version that its core has."""
+        """Raise InvariantError if a member must not dispatch under the version that its core uses."""
         if member.version_number not in self.order:
             if not self._is_canary(member, now):
                 raise InvariantError(
-                    f"{member.name} sends under {member.version_number}, which was never decided"
+                    f"{member.name} dispatches under version {member.version_number}, which was never decided"
                 )
             return
         if member.version_number == self.order[-1]:
             return
         if self.overlap == Overlap.STRICT:
             raise InvariantError(
-                f"{member.name} sends under {member.version_number} when {self.order[-1]} is in force"
+                f"{member.name} dispatches under version {member.version_number} "
+                f"when {self.order[-1]} is in force"
             )
         successor = self.order[self.order.index(member.version_number) + 1]
         late_us = now - self.in_force_since[successor]
         if late_us > MAX_OVERLAP_US:
             raise InvariantError(
-                f"{member.name} sends under {member.version_number} {late_us} us after it was over"
+                f"{member.name} dispatches under version {member.version_number} "
+                f"{late_us} us after it was replaced"
             )
 
     def _is_canary(self, member: SimulatedMember, now: int) -> bool:
-        """Whether it may dispatch under a version that is not decided, in a canary that may still run."""
+        """Whether a member is in a canary of its undecided version that may still run."""
         canary = self.canaries.get(member.version_number, NO_CANARY)
         is_member = member.decisions.key().removeprefix(VOTES) in canary.members
         return is_member and now <= canary.seen_at + MAX_OVERLAP_US
 
 
 def _check_in_force_everywhere(current: PolicyVersion, members: Iterable[SimulatedMember]) -> None:
-    """The end of a change tells operators that its version is in force everywhere."""
+    """Check the end of a change: it tells operators that the version in force is used everywhere."""
     late = [
         member.name
         for member in members
@@ -98,7 +100,7 @@
     ]
     if late:
         raise InvariantError(
-            f"{late} go by another than {current.number}, which is said to be in force everywhere"
+            f"{late} use another version than {current.number}, which is reported as in force everywhere"
         )
 
 
@@ -106,4 +108,4 @@
     if current.text != REFUSED_TEXT:
         return
     if any(member.name == REFUSING_NAME and member.gate.may_dispatch() for member in members):
-        raise InvariantError(f"{current.number} is in force though {REFUSING_NAME} turned it down")
+        raise InvariantError(f"{current.number} is in force though {REFUSING_NAME} refused it")
--- a/gullhold/testing/rollout_variant.py
+++ b/gullhold/testing/rollout_variant.py
@@ -1,4 +1,4 @@
-"""What a world of rollouts is made of: the product's classes and rules, or a mutant's."""
+"""The classes and the rule of a simulated world of rollouts: the product's, or a mutant's."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutVariant:
-    """The classes of members, gates and coordinators, and the rule of members that are cut off."""
+    """Classes of members, gates and coordinators, and the rule of members that are cut off."""
 
     make_member: Callable[..., RolloutMember] = RolloutMember
     make_gate: Callable[..., PolicyGate] = PolicyGate
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -1,7 +1,7 @@
-"""The world in which rollouts are explored: members, coordinators, a store, and what must hold.
+"""The simulated world of rollouts: members, two candidates for the coordinator role, and a model store.
 
-What a member's core really goes by, and when it dispatches, is kept by the world; what members say of
-themselves is not believed.
+The world itself records which version each member's core uses and when it may dispatch; it does not rely on
+what members report.
 """
 
 from typing import Any
@@ -38,22 +38,22 @@
     ActionKind.MISS_CHANGES,
     ActionKind.LOSE_WATCH,
 )
-GOOD_TEXT = "good"
-SETTLING_STEPS = 40  # steps of time in which a world without faults has to settle
-MAX_CALLS_IN_STEP = 80  # calls and replies that are carried out in one of them at most
-PATIENCE_US = 4 * QUANTUM_US
-CANARY_SHARE = 0.4  # of the members: one of three
+GOOD_TEXT = "good"  # a policy that every member can run
+SETTLING_STEPS = 40  # steps of time within which a world without faults has to settle
+MAX_ACTIONS_PER_SETTLING_STEP = 80  # to carry out what is under way
+PATIENCE_US = 4 * QUANTUM_US  # how long a change waits for votes
+CANARY_SHARE = 0.4  # of the members: one out of three
 
 
 class World(RolePairWorld):
-    """Members, coordinators, the store, and calls under way.
+    """Members, two candidates for the coordinator role, the store, and the calls under way.
 
-    act() takes one of actions(); raises InvariantError. proposed: number of the last proposal; history:
-    what came into force.
+    act() carries out one of actions(). proposed: number of the version that was proposed last; history: the
+    versions that came into force.
     """
 
     def __init__(self, overlap: Overlap, faults: int = 6, **variant: Any) -> None:
-        """overlap: of all changes; variant: fields of RolloutVariant."""
+        """overlap: of all changes; faults: how many may still happen; variant: fields of RolloutVariant."""
         self.variant = RolloutVariant(**variant)
         coordinators = [self.variant.make_coordinator() for _ in range(2)]
         super().__init__(StoreModel(ROOT), "duties/" + ROLE, ROOT, coordinators, faults)
@@ -66,7 +66,7 @@
 
     @staticmethod
     def fits(version: PolicyVersion, name: str) -> str:
-        """Return what keeps a member from running a version: one is refused by one member alone."""
+        """Return why a member cannot run a version, or ""; one member alone refuses one policy."""
         return "no such tenant" if version.text == REFUSED_TEXT and name == REFUSING_NAME else ""
 
     def _collect_member(self, member: SimulatedMember) -> None:
@@ -83,33 +83,33 @@
         member.decisions.step(member(), member.lease.id if member.lease.is_valid(member()) else 0)
         self._collect_member(member)
 
-    def _hears(self, member: SimulatedMember) -> bool:
+    def _has_changes(self, member: SimulatedMember) -> bool:
         return not member.is_disconnected and bool(self.changes_since(member.watched_from, WATCHED))
 
     def _missing_names(self) -> list[str]:
         present = {member.name for member in self.members}
         return [name for name in NAMES if name not in present]
 
-    # What may happen
+    # Possible actions
 
     def actions(self) -> list[Action]:
-        """All that may be next."""
+        """Return all actions that are possible now."""
         found: list[Action] = [(ActionKind.ADVANCE_TIME,)]
         found += self.call_actions() + self.candidate_actions()
         if self.may_propose():
             found += [(ActionKind.PROPOSE, GOOD_TEXT), (ActionKind.PROPOSE, REFUSED_TEXT)]
         for index, member in enumerate(self.members):
-            found += self._actions_of(index, member)
+            found += self._member_actions(index, member)
         found += [(ActionKind.JOIN, name) for name in self._missing_names()]
         return found
 
-    def _actions_of(self, index: int, member: SimulatedMember) -> list[Action]:
+    def _member_actions(self, index: int, member: SimulatedMember) -> list[Action]:
         found: list[Action] = []
         if member.gate.may_dispatch():
             found.append((ActionKind.DISPATCH, index))
         if member.core_queue:
             found.append((ActionKind.PROCESS_CORE_REQUEST, index))
-        if self._hears(member):
+        if self._has_changes(member):
             found.append((ActionKind.NOTIFY_MEMBER, index))
         if self.faults:
             found += [
@@ -122,37 +122,37 @@
         return found
 
     def next_orderly_action(self) -> Action | None:
-        """What happens next where nothing is wrong; None: nothing is under way."""
+        """Return the next action in the order of a world without faults; None: nothing is under way."""
         action = super().next_orderly_action()
         if action:
             return action
         for index, member in enumerate(self.members):
             if member.core_queue:
                 return ActionKind.PROCESS_CORE_REQUEST, index
-            if self._hears(member):
+            if self._has_changes(member):
                 return ActionKind.NOTIFY_MEMBER, index
         return None
 
     def may_propose(self) -> bool:
-        """One change is open at a time."""
+        """Whether a change may be proposed: only one is open at a time."""
         return CHANGE_KEY not in self.store.keys
 
     def act(self, kind: ActionKind, argument: Any = 0) -> None:
-        """Do one thing; raises InvariantError."""
+        """Carry out one action; raises InvariantError."""
         self.faults -= kind in FAULTS
         self.HANDLERS[kind](self, argument)
         self.history.observe(self.store.keys, self.members, self.now)
         self.check()
 
-    # What must hold
+    # Invariants
 
     @property
     def version_in_force(self) -> int:
-        """Number of the version in force."""
+        """Return the number of the version in force."""
         return self.history.version_in_force
 
     def check(self) -> None:
-        """Raise InvariantError where a member that may dispatch goes by a version that it must not."""
+        """Raise InvariantError if a member may dispatch under a version that it must not use now."""
         for member in self.members:
             if member.gate.may_dispatch():
                 self.history.check_dispatch(member, self.now)
@@ -160,7 +160,7 @@
     def _do_dispatch(self, index: int) -> None:
         self.history.check_dispatch(self.members[index], self.now)
 
-    # Actions
+    # Carrying out actions
 
     def _do_advance_time(self, _: int) -> None:
         self.now += QUANTUM_US
@@ -174,7 +174,7 @@
         member.watched_from = None
 
     def _do_deliver_reply(self, index: int) -> None:
-        """Hand a reply to the candidate that called, given by its index, or to the member that did."""
+        """Deliver a reply to the candidate (given by its index) or the member that sent the call."""
         caller, (method, *context), reply = self.replies.pop(index)
         if method != "replied":
             self._call_candidate(caller, method, *context, reply)
@@ -193,7 +193,7 @@
                 self._collect_member(member)
 
     def _do_process_core_request(self, index: int) -> None:
-        """The core's thread comes to the next thing that it was asked for."""
+        """Let the core's thread process the oldest request of its queue."""
         member = self.members[index]
         match member.core_queue.pop(0):
             case AdoptVersion(serial, version):
@@ -205,7 +205,7 @@
         self._collect_member(member)
 
     def _do_lose_watch(self, index: int) -> None:
-        """Its watch lost what changed."""
+        """Tell a member that its watch missed changes; it has no watch until it has read the policy."""
         member = self.members[index]
         member.watched_from = None
         member.decisions.watch_gap(member())
@@ -234,10 +234,10 @@
         member = self.members.pop(index)
         self.calls = [call for call in self.calls if call[0] is not member]
 
-    # States
+    # Fingerprints and settling
 
     def fingerprint(self) -> tuple:
-        """What makes two states the same: all but absolute time."""
+        """Return a value that is equal for two states that differ in absolute time only."""
         return (
             tuple(self._member_fingerprint(member) for member in self.members),
             tuple((key, item.value, item.revision) for key, item in sorted(self.store.keys.items())),
@@ -278,7 +278,10 @@
         )
 
     def settle(self) -> None:
-        """No more faults: all is carried out in turn, missing members come, one coordinator leads."""
+        """End the faults, and let the fleet reach a steady state.
+
+        Delayed calls are lost, missing members start, and one coordinator leads.
+        """
         self.faults = 0
         self.delayed_requests = []
         self.candidates[1 - self.leader].lost()
@@ -288,20 +291,22 @@
             self.act(ActionKind.JOIN, name)
         for _ in range(SETTLING_STEPS):
             self.act(ActionKind.ADVANCE_TIME)
-            self.finish_calls(MAX_CALLS_IN_STEP)
+            self.finish_calls(MAX_ACTIONS_PER_SETTLING_STEP)
 
     def check_settled(self) -> None:
-        """Raises InvariantError unless every member goes by what is in force, and no change is left open."""
+        """Raise InvariantError unless every member uses the version in force, and no change is open."""
         keys = self.store.keys
         if CHANGE_KEY in keys:
-            raise InvariantError(f"a change stays {keys[CHANGE_KEY].value[-120:]}")
-        # It may have been decided while the member that refuses it was down.
+            raise InvariantError(f"a change is still open: {keys[CHANGE_KEY].value[-120:]}")
+        # The refused version may have been decided while the member that refuses it was down.
         is_refused = CURRENT_KEY in keys and decode_version(keys[CURRENT_KEY].value).text == REFUSED_TEXT
         for member in self.members:
             may_dispatch = member.gate.may_dispatch()
             if is_refused and member.name == REFUSING_NAME:
                 if may_dispatch:
-                    raise InvariantError(f"{member.name} sends though it can't run what is in force")
+                    raise InvariantError(
+                        f"{member.name} may dispatch though it can't run the version in force"
+                    )
             elif not may_dispatch or member.version_number != self.version_in_force:
                 state = member.decisions.state
                 raise InvariantError(
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -1,4 +1,4 @@
-"""A gateway in the world of rollouts: clock, lease, decisions, and the version that its core goes by."""
+"""A simulated gateway in the world of rollouts: clock, lease, rollout logic, and its core's version."""
 
 from typing import TYPE_CHECKING
 
@@ -10,22 +10,28 @@
 if TYPE_CHECKING:
     from gullhold.testing.rollout_world import World
 
-FAILING_TEXT = "sour"  # a policy under which commands fail
-COMMANDS_IN_REPORT = 30  # that a member's figures grow by each time they are asked for
+FAILING_TEXT = "sour"  # a policy under which every command fails
+COMMANDS_PER_REPORT = 30  # by which a member's figures grow each time they are requested
 
 
 class SimulatedMember:
-    """One gateway: clock, lease, decisions, and the version that its core goes by."""
+    """One gateway, which is callable as its clock.
+
+    decisions: the product's rollout logic of a member; version_number, version_text: the version that its
+    core uses; answered, failed: commands so far.
+    """
 
     def __init__(self, world: "World", name: str, rate: float) -> None:
-        """rate: of its clock against the world's."""
+        """rate: of its clock, relative to the world's."""
         self.world = world
         self.name = name
         self.rate = rate
         self.is_disconnected = False
         self.lease = Lease(TERMS)
-        self.core_queue: list[AdoptVersion | StopDispatching] = []  # what the core's thread has yet to do
-        self.watched_from: int | None = None  # revision from which it follows changes; None: it does not
+        self.core_queue: list[
+            AdoptVersion | StopDispatching
+        ] = []  # requests to the core's thread that it has not processed
+        self.watched_from: int | None = None  # revision from which it is notified; None: no watch
         self.version_number = 0
         self.version_text = ""
         self.answered = 0
@@ -37,13 +43,13 @@
         )
 
     def __call__(self) -> int:
-        """Its clock, us."""
+        """Return the time on its clock, in us."""
         return int(self.world.now * self.rate)
 
     def figures(self) -> CommandFigures:
-        """More commands at each call, which fail under FAILING_TEXT."""
+        """Return figures with more commands at each call; they fail under FAILING_TEXT."""
         if self.version_text == FAILING_TEXT:
-            self.failed += COMMANDS_IN_REPORT
+            self.failed += COMMANDS_PER_REPORT
         else:
-            self.answered += COMMANDS_IN_REPORT
+            self.answered += COMMANDS_PER_REPORT
         return CommandFigures(self.answered, self.failed, self.answered)
