--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -14,7 +14,7 @@
 class Allocations:
     """A ShareLookup: called with a budget's kind and subject, it returns the Allocation or None.
 
-    lease_id: the lease under which the allocations are valid; seen_write: the newest write of the allocator
+    lease_id: the lease under which the allocations are valid; applied_write: the newest write of the allocator
     that is applied; was_reduced: whether a write since the last report has lowered an allocation.
     """
 
@@ -40,7 +40,7 @@
         self.kinds = {kind for kind, _ in rules}
         self.started_at = clock()
         self.lease_id = 0
-        self.seen_write = 0
+        self.applied_write = 0
         self.was_reduced = False
         self.allocations: dict[BudgetKey, Allocation] = {}
         self.written: Mapping[str, int] = {}  # allocations by name, as last read
@@ -104,13 +104,13 @@
         """Apply a write of allocations, by name, for this lease; an older write has no effect."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
-            self.seen_write = 0
+            self.applied_write = 0
             self.written = {}
-        if write <= self.seen_write:
+        if write <= self.applied_write:
             return
         is_reduced = any(written.get(name, 0) < amount for name, amount in self.written.items())
         self.was_reduced = self.was_reduced or is_reduced
-        self.seen_write = write
+        self.applied_write = write
         self.written = written
         for (kind, subject), allocation in self.allocations.items():
             allocation.allocated = written.get(self.label(kind, subject), 0)
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -130,8 +130,8 @@
             self.changed[name] = None
             self.left[member] = None
 
-    def report(self, member: str, seen_write: int, usage: Mapping[str, Usage], now: int) -> None:
-        """Take a member's report. seen_write: the newest write that the member has applied.
+    def report(self, member: str, applied_write: int, usage: Mapping[str, Usage], now: int) -> None:
+        """Take a member's report. applied_write: the newest write that the member has applied.
 
         A member is present from its first report on. Budgets without a rule are ignored; nothing is in use of
         budgets that the report does not name any more.
@@ -139,21 +139,21 @@
         before = self.present.get(member, set())
         self.present[member] = set()
         for name, member_usage in usage.items():
-            self._report_budget(member, name, seen_write, member_usage, now)
+            self._report_budget(member, name, applied_write, member_usage, now)
         for name in before | self.rows.get(member, set()):
             if name not in self.present[member]:
                 self.demands[name].pop(member, None)
-                self.ledgers[name].report(member, seen_write, 0, now)
+                self.ledgers[name].report(member, applied_write, 0, now)
                 self.changed[name] = None
 
-    def _report_budget(self, member: str, name: str, seen_write: int, usage: Usage, now: int) -> None:
+    def _report_budget(self, member: str, name: str, applied_write: int, usage: Usage, now: int) -> None:
         ledger = self._open_ledger(name)
         if ledger is None:
             return
         self.present[member].add(name)
         self.rows.setdefault(member, set()).add(name)
         charge_before = ledger.charge(member, now)
-        ledger.report(member, seen_write, usage.in_use, now)
+        ledger.report(member, applied_write, usage.in_use, now)
         demand = self.demands[name].get(member)
         if demand is None:
             demand = MemberDemand()
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -168,7 +168,7 @@
             self._acting_allocator.member_left(member, now, report.usage)
             self._delete_if_not_charged(member)
         else:
-            self._acting_allocator.report(member, report.seen_write, report.usage, now)
+            self._acting_allocator.report(member, report.applied_write, report.usage, now)
 
     def _delete_if_not_charged(self, member: str) -> None:
         if member not in self._acting_allocator.rows:
--- a/gullhold/budgets/budget_schema.py
+++ b/gullhold/budgets/budget_schema.py
@@ -35,11 +35,11 @@
 class UsageReport(NamedTuple):
     """A member's report: its usage by budget name.
 
-    seen_write: the newest write of allocations that it has applied. has_left: the last report of a member
+    applied_write: the newest write of allocations that it has applied. has_left: the last report of a member
     that has shut down gracefully.
     """
 
-    seen_write: int
+    applied_write: int
     usage: Mapping[str, Usage]
     has_left: bool = False
 
@@ -64,7 +64,7 @@
 
 def encode_report(report: UsageReport) -> str:
     """Return the stored form of a report."""
-    return _dump({"seen": report.seen_write, "told": report.usage, "left": report.has_left})
+    return _dump({"seen": report.applied_write, "told": report.usage, "left": report.has_left})
 
 
 def decode_report(text: str) -> UsageReport | None:
--- a/gullhold/budgets/core_budgets.py
+++ b/gullhold/budgets/core_budgets.py
@@ -52,7 +52,7 @@
         allocations.was_reduced = False
         self.on_collected(
             CollectedUsage(
-                allocations.lease_id, allocations.seen_write, was_reduced, usage, allocations.allocated()
+                allocations.lease_id, allocations.applied_write, was_reduced, usage, allocations.allocated()
             )
         )
 
--- a/gullhold/budgets/ledger.py
+++ b/gullhold/budgets/ledger.py
@@ -44,11 +44,11 @@
     write; expiring: charges that end at a certain time; has_left: the member can begin nothing more.
     """
 
-    __slots__ = ("allocated", "expiring", "has_left", "in_use", "reductions", "seen_write")
+    __slots__ = ("allocated", "expiring", "has_left", "in_use", "reductions", "applied_write")
 
     def __init__(self) -> None:
         self.allocated = 0
-        self.seen_write = 0
+        self.applied_write = 0
         self.in_use = 0
         self.reductions: list[Reduction] = []
         self.expiring: list[ExpiringCharge] = []
@@ -170,16 +170,16 @@
     def _allocated(self, member: str) -> int:
         return self.entries[member].allocated if member in self.entries else 0
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:
         """Take a member's report; one that is older than the last has no effect.
 
-        seen_write: the newest write that the member has applied; in_use: or spent within the window.
+        applied_write: the newest write that the member has applied; in_use: or spent within the window.
         """
         entry = self.entries.setdefault(member, LedgerEntry())
-        if entry.has_left or seen_write < entry.seen_write or self.kind == LedgerKind.WEIGHT:
+        if entry.has_left or applied_write < entry.applied_write or self.kind == LedgerKind.WEIGHT:
             return
-        entry.seen_write = seen_write
-        entry.reductions = [reduction for reduction in entry.reductions if reduction.write > seen_write]
+        entry.applied_write = applied_write
+        entry.reductions = [reduction for reduction in entry.reductions if reduction.write > applied_write]
         if self.kind == LedgerKind.HELD:
             entry.in_use = in_use
         elif in_use > entry.allocated:  # charged until the window has passed, whatever is spent from now on
--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -125,7 +125,7 @@
         self.reports.has_given_back = True
         allocations = self.allocations
         if self.reports.is_row_read and allocations.lease_id == self.reports.lease_id:
-            report = UsageReport(allocations.seen_write, allocations.report(()), has_left=True)
+            report = UsageReport(allocations.applied_write, allocations.report(()), has_left=True)
             self._report_lane().submit(self._report_call(report, 0), self._given_back)
         else:
             self._given_back(None)
--- a/gullhold/budgets/report_state.py
+++ b/gullhold/budgets/report_state.py
@@ -15,12 +15,12 @@
 class CollectedUsage(NamedTuple):
     """Usage as the core's thread collected it.
 
-    lease_id, seen_write: lease and newest applied write of the allocations; was_reduced: whether any
+    lease_id, applied_write: lease and newest applied write of the allocations; was_reduced: whether any
     allocation was reduced since the last collection; usage, allocations: by budget name.
     """
 
     lease_id: int
-    seen_write: int
+    applied_write: int
     was_reduced: bool
     usage: Mapping[str, Usage]
     allocations: Mapping[str, int]
@@ -82,13 +82,13 @@
         if self.is_leaving:
             usage = {name: row._replace(requested=0) for name, row in usage.items()}
         if self.is_writing or not self.throttle.should_write(
-            now, collected.seen_write, self.was_reduced, usage, collected.allocations
+            now, collected.applied_write, self.was_reduced, usage, collected.allocations
         ):
             return None
-        self.throttle.written(now, collected.seen_write, usage)
+        self.throttle.written(now, collected.applied_write, usage)
         self.was_reduced = False
         self.is_writing = True
-        return UsageReport(collected.seen_write, usage)
+        return UsageReport(collected.applied_write, usage)
 
     def _schedule_next(self, now: int, collected: CollectedUsage) -> None:
         self.is_collecting = False
--- a/gullhold/budgets/report_throttle.py
+++ b/gullhold/budgets/report_throttle.py
@@ -16,32 +16,32 @@
         """min_interval_us: between two writes."""
         self.min_interval_us = min_interval_us
         self.last_usage: dict[str, Usage] | None = None
-        self.last_seen_write = 0
+        self.last_applied_write = 0
         self.last_written_at = 0
 
     def reset(self) -> None:
         """Forget the last report, as nothing has been reported under a new lease."""
         self.last_usage = None
-        self.last_seen_write = 0
+        self.last_applied_write = 0
 
     def should_write(
         self,
         now: int,
-        seen_write: int,
+        applied_write: int,
         was_reduced: bool,
         usage: Mapping[str, Usage],
         allocations: Mapping[str, int],
     ) -> bool:
         """Whether to write a report now.
 
-        seen_write: the newest write of allocations that the member has applied; was_reduced: whether one
+        applied_write: the newest write of allocations that the member has applied; was_reduced: whether one
         since the last report has lowered any allocation; usage, allocations: by budget name.
         """
         if self.last_usage is None:
             return True
         if now < self.last_written_at + self.min_interval_us:
             return False
-        if was_reduced and seen_write > self.last_seen_write:  # a reduction has to be acknowledged
+        if was_reduced and applied_write > self.last_applied_write:  # a reduction has to be acknowledged
             return True
         if set(usage) != set(self.last_usage):
             return True
@@ -51,10 +51,10 @@
             for name, new in usage.items()
         )
 
-    def written(self, now: int, seen_write: int, usage: Mapping[str, Usage]) -> None:
+    def written(self, now: int, applied_write: int, usage: Mapping[str, Usage]) -> None:
         """Record that a report is written."""
         self.last_usage = dict(usage)
-        self.last_seen_write = seen_write
+        self.last_applied_write = applied_write
         self.last_written_at = now
 
     @staticmethod
--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -35,18 +35,18 @@
 class ForgetsWindow(Ledger):
     """Takes what was spent within the window for free once an allocation was reduced."""
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:
         """Take in a report."""
-        super().report(member, seen_write, in_use, now)
+        super().report(member, applied_write, in_use, now)
         self.entries[member].expiring = []
 
 
 class ForgetsInUse(Ledger):
     """Takes what is in use for ended when an allocation is given back."""
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  the fault
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  the fault
         """Take in a report."""
-        super().report(member, seen_write, 0, now)
+        super().report(member, applied_write, 0, now)
 
 
 class ForgetsDeadMembers(Ledger):
@@ -184,7 +184,7 @@
         """Note the current lease."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
-            self.seen_write = 0
+            self.applied_write = 0
 
 
 class AcknowledgesUnapplied(Allocations):
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -96,7 +96,7 @@
         usage = member.allocations.report((Demand(KIND, 0, member.demand),))
         key = REPORTS + member.key()
         conditions = ((key, member.reported_revision),) if self.variant.compares_reports else ()
-        text = encode_report(UsageReport(member.allocations.seen_write, usage, has_left))
+        text = encode_report(UsageReport(member.allocations.applied_write, usage, has_left))
         write = Put(key, text, 0 if has_left else member.lease.id)
         return Transaction(conditions, (write,))
 
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -171,13 +171,13 @@
             name = list(self.members)[k % len(self.members)]
             allocation = self.members[name]
             in_use, *_ = allocation.report(0, self.now)
-            if allocation.owner.seen_write:
-                self.reports.append((name, allocation.owner.seen_write, in_use))
+            if allocation.owner.applied_write:
+                self.reports.append((name, allocation.owner.applied_write, in_use))
         while len(self.reports) > k % 4:
-            name, seen_write, in_use = self.reports[k % len(self.reports)]
+            name, applied_write, in_use = self.reports[k % len(self.reports)]
             del self.reports[k % len(self.reports)]
             if name in self.ledger.entries:
-                self.ledger.report(name, seen_write, in_use, self.now)
+                self.ledger.report(name, applied_write, in_use, self.now)
                 self.stored = {name: entry.pack() for name, entry in self.ledger.entries.items()}
 
     def lose(self, k):
@@ -275,10 +275,10 @@
 class TakesOldReports(Ledger):
     """Goes by whatever report comes last."""
 
-    def report(self, member, seen_write, in_use, now):
+    def report(self, member, applied_write, in_use, now):
         """Take in the report as if it were the newest."""
-        self.entries[member].seen_write = 0
-        super().report(member, seen_write, in_use, now)
+        self.entries[member].applied_write = 0
+        super().report(member, applied_write, in_use, now)
 
 
 class ForgetsAllocated(Ledger):
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -27,7 +27,7 @@
 def collected(in_use=0, used=0, requested=0, allocated=10, **other):
     """What one collection found: the use and the allocation of the budget `b/0`."""
     usage = {"b/0": Usage(in_use, used, requested)}
-    facts = {"lease_id": 7, "seen_write": 0, "was_reduced": False} | other
+    facts = {"lease_id": 7, "applied_write": 0, "was_reduced": False} | other
     return CollectedUsage(usage=usage, allocations={"b/0": allocated}, **facts)
 
 
