--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -78,7 +78,7 @@
 
     ledgers: by budget name; demands: by budget name and member; present: the budgets that each member
     reports; rows: the budgets in whose ledger each member is; departed: members that nothing is charged to
-    any more; left: members that have left since the last allocate(), whose rows still show what they had.
+    any more; newly_left: members that have left since the last allocate(), whose rows still show what they had.
     """
 
     def __init__(self, budgets: Mapping[str, Budget], weights: Mapping[str, float] | None = None) -> None:
@@ -93,7 +93,7 @@
         self.scheduled: list[tuple[int, str]] = []  # heap of (time, budget) to allocate again
         self.rotations: dict[str, Rotation] = {}
         self.departed: set[str] = set()
-        self.left: dict[str, None] = {}
+        self.newly_left: dict[str, None] = {}
 
     def rule(self, name: str) -> Budget | None:
         """Return the rule for a budget, None if there is none."""
@@ -128,7 +128,7 @@
             spent = None if last_usage is None else last_usage.get(name, NO_USAGE).in_use
             self.ledgers[name].member_left(member, inactive_at, spent)
             self.changed[name] = None
-            self.left[member] = None
+            self.newly_left[member] = None
 
     def report(self, member: str, applied_write: int, usage: Mapping[str, Usage], now: int) -> None:
         """Take a member's report. applied_write: the newest write that the member has applied.
@@ -177,8 +177,8 @@
         while self.scheduled and self.scheduled[0][0] <= now:
             _, name = heappop(self.scheduled)
             self.changed[name] = None
-        changes: dict[str, dict[str, int]] = {member: {} for member in self.left if member in self.rows}
-        self.left = {}
+        changes: dict[str, dict[str, int]] = {member: {} for member in self.newly_left if member in self.rows}
+        self.newly_left = {}
         for name in list(self.changed)[:max_budgets]:
             del self.changed[name]
             if name not in self.ledgers:
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -80,9 +80,9 @@
         if now < self.last_write_at + MIN_WRITE_INTERVAL_US:
             return
         write = self.token * WRITES_PER_TOKEN + next(self.serials)
-        left = self._acting_allocator.left
+        newly_left = self._acting_allocator.newly_left
         changes = self._acting_allocator.allocate(write, now)
-        members = [*(member for member in left if member in changes), *self.rows_to_write, *changes]
+        members = [*(member for member in newly_left if member in changes), *self.rows_to_write, *changes]
         self.rows_to_write = dict.fromkeys(members)
         self._take_departed()
         if not self.rows_to_write and not self.members_to_delete:
--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -108,7 +108,7 @@
         self, write: int, now: int, max_budgets: int = MAX_BUDGETS_PER_ROUND
     ) -> dict[str, dict[str, int]]:
         """Allocate."""
-        self.left = {}
+        self.newly_left = {}
         return super().allocate(write, now, max_budgets)
 
 
