--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -61,14 +61,14 @@
             self.allocations[kind, subject] = allocation
         return allocation
 
-    def resize(self, totals: Mapping[tuple[BudgetKind, str], int]) -> None:
+    def set_totals(self, totals: Mapping[tuple[BudgetKind, str], int]) -> None:
         """Set totals by kind and name of the subject, "" for all of the kind; more is never requested."""
-        self.rules = {key: self._resized(key, rule, totals) for key, rule in self.rules.items()}
+        self.rules = {key: self._rule_with_total(key, rule, totals) for key, rule in self.rules.items()}
         for key, allocation in self.allocations.items():
             kind, _ = key
             allocation.rule = self.rules.get(key) or self.rules[kind, None]
 
-    def _resized(
+    def _rule_with_total(
         self, key: RuleKey, rule: AllocationRule, totals: Mapping[tuple[BudgetKind, str], int]
     ) -> AllocationRule:
         kind, subject = key
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -68,7 +68,7 @@
     requested: int
 
 
-def resized(budgets: Mapping[str, Budget], totals: Mapping[str, int]) -> dict[str, Budget]:
+def with_totals(budgets: Mapping[str, Budget], totals: Mapping[str, int]) -> dict[str, Budget]:
     """Return the budgets with these totals; a budget without one keeps its own."""
     return {name: budget._replace(total=totals.get(name, budget.total)) for name, budget in budgets.items()}
 
@@ -279,9 +279,9 @@
         else:
             self.rotations[name] = rotation
 
-    def resize(self, totals: Mapping[str, int]) -> None:
+    def set_totals(self, totals: Mapping[str, int]) -> None:
         """Set totals by name or by word for a kind; larger allocations are reduced later."""
-        self.budgets = resized(self.budgets, totals)
+        self.budgets = with_totals(self.budgets, totals)
         for name, ledger in self.ledgers.items():
             total = self._known_rule(name).total
             if ledger.total != total:
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import cast
 
-from gullhold.budgets.allocator import Allocator, Budget, resized
+from gullhold.budgets.allocator import Allocator, Budget, with_totals
 from gullhold.budgets.budget_schema import (
     ALLOCATIONS,
     FENCE,
@@ -55,11 +55,11 @@
         self.rows_to_write: dict[str, None] = {}  # members, in this order
         self.members_to_delete: dict[str, None] = {}
 
-    def resize(self, totals: Mapping[str, int]) -> None:
+    def set_totals(self, totals: Mapping[str, int]) -> None:
         """Set totals by name or word for a kind, for this allocator and later ones."""
-        self.budgets = resized(self.budgets, totals)
+        self.budgets = with_totals(self.budgets, totals)
         if self.allocator:
-            self.allocator.resize(totals)
+            self.allocator.set_totals(totals)
 
     def lost(self) -> None:
         """Stop, as the leadership is not certain any more; the ledgers are forgotten."""
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -215,7 +215,7 @@
 
     def _apply(self, serial: int, policy: CorePolicy) -> None:
         if self.fleet.budgets:
-            self.fleet.budgets.allocations.resize(_by_kind(policy.budget_totals))
+            self.fleet.budgets.allocations.set_totals(_by_kind(policy.budget_totals))
         self.core.apply_policy(policy.terms, self.gate, policy.tenant_shares, policy.client_weights)
         self.core.counters.add(f"policy_{policy.number}_applied")
         self.fleet.post(self._adopted, serial)
@@ -243,7 +243,7 @@
             self._lower_totals(current, change)
         # Once the change is decided, the totals stay as they are until every member has adopted it.
         allocator_role = cast("AllocatorRole", self.fleet.role_states[BUDGETS_ROLE])
-        allocator_role.resize(self.lowest_totals)
+        allocator_role.set_totals(self.lowest_totals)
 
     def _may_come_into_force(self, change: PolicyChange) -> bool:
         is_checked = change.state in (ChangeState.CHECKED, ChangeState.PREPARED)
