--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -14,8 +14,8 @@
 class Allocations:
     """A ShareLookup: called with a budget's kind and subject, it returns the Allocation or None.
 
-    lease_id: the lease under which the allocations are valid; applied_write: the newest write of the allocator
-    that is applied; was_reduced: whether a write since the last report has lowered an allocation.
+    lease_id: the lease under which the allocations are valid; applied_write: number of the newest write of the
+    allocator that is applied; was_reduced: whether a write since the last report has lowered an allocation.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.applied_write = 0
         self.was_reduced = False
         self.allocations: dict[BudgetKey, Allocation] = {}
-        self.written: Mapping[str, int] = {}  # allocations by name, as last read
+        self.stored_amounts: Mapping[str, int] = {}  # by budget name, as last read from the store
         for kind, subject in rules:
             if subject is not None:  # always reported; budgets of engines only once they are used
                 self(kind, subject)
@@ -57,7 +57,7 @@
             rule = self.rules.get((kind, subject)) or self.rules.get((kind, None))
             if rule is None:
                 return None
-            allocation = Allocation(rule, self, self.written.get(self.label(kind, subject), 0))
+            allocation = Allocation(rule, self, self.stored_amounts.get(self.label(kind, subject), 0))
             self.allocations[kind, subject] = allocation
         return allocation
 
@@ -100,20 +100,20 @@
         valid_until = self.lease.valid_until
         return not token or (self.clock() < valid_until and self.lease.id == token)
 
-    def apply_write(self, lease_id: int, write: int, written: Mapping[str, int]) -> None:
+    def apply_write(self, lease_id: int, write: int, stored_amounts: Mapping[str, int]) -> None:
         """Apply a write of allocations, by name, for this lease; an older write has no effect."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
             self.applied_write = 0
-            self.written = {}
+            self.stored_amounts = {}
         if write <= self.applied_write:
             return
-        is_reduced = any(written.get(name, 0) < amount for name, amount in self.written.items())
+        is_reduced = any(stored_amounts.get(name, 0) < amount for name, amount in self.stored_amounts.items())
         self.was_reduced = self.was_reduced or is_reduced
         self.applied_write = write
-        self.written = written
+        self.stored_amounts = stored_amounts
         for (kind, subject), allocation in self.allocations.items():
-            allocation.allocated = written.get(self.label(kind, subject), 0)
+            allocation.allocated = stored_amounts.get(self.label(kind, subject), 0)
 
     def begin_lease(self, lease_id: int) -> None:
         """Begin the current lease, unless it is known; under a new one nothing is allocated yet."""
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -78,7 +78,8 @@
 
     ledgers: by budget name; demands: by budget name and member; present: the budgets that each member
     reports; rows: the budgets in whose ledger each member is; departed: members that nothing is charged to
-    any more; newly_left: members that have left since the last allocate(), whose rows still show what they had.
+    any more; newly_left: members that have left since the last allocate(), whose rows still show what they
+    had.
     """
 
     def __init__(self, budgets: Mapping[str, Budget], weights: Mapping[str, float] | None = None) -> None:
--- a/gullhold/budgets/core_budgets.py
+++ b/gullhold/budgets/core_budgets.py
@@ -40,9 +40,9 @@
         self.core.post_urgent(self._apply, writes)
 
     def _apply(self, writes: Sequence[AllocationWrite]) -> None:
-        for lease_id, write, written in writes:
+        for lease_id, write, stored_amounts in writes:
             self.allocations.begin_lease(lease_id)
-            self.allocations.apply_write(lease_id, write, written)
+            self.allocations.apply_write(lease_id, write, stored_amounts)
         self.core.apply_budgets(self.allocations, self._collect)
 
     def _collect(self, demands: Sequence[Demand]) -> None:
--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -190,11 +190,11 @@
 class AcknowledgesUnapplied(Allocations):
     """Says that it goes by a reduction, and goes on by the larger allocation."""
 
-    def apply_write(self, lease_id: int, write: int, written: Mapping[str, int]) -> None:
+    def apply_write(self, lease_id: int, write: int, stored_amounts: Mapping[str, int]) -> None:
         """Take in a write."""
         before = {key: allocation.allocated for key, allocation in self.allocations.items()}
-        super().apply_write(lease_id, write, written)
-        if not written:
+        super().apply_write(lease_id, write, stored_amounts)
+        if not stored_amounts:
             return
         for key, allocated in before.items():
             self.allocations[key].allocated = max(allocated, self.allocations[key].allocated)
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -204,8 +204,8 @@
         member.applied_revision, _, value = self._rows(member)[0]
         if value is not None:
             write, entries = decode_row(value)
-            written = {name: allocated_amount(packed) for name, packed in entries.items()}
-            member.allocations.apply_write(member.lease.id, write, written)
+            stored_amounts = {name: allocated_amount(packed) for name, packed in entries.items()}
+            member.allocations.apply_write(member.lease.id, write, stored_amounts)
 
     def _do_report(self, index: int) -> None:
         member = self.members[index]
