--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -34,7 +34,8 @@
 class AllocatorRole(RoleState):
     """The allocator's keys while this member leads the role.
 
-    fence: revision of the fence as last written; revision: of the newest report that was taken.
+    fence_revision: of the fence as last written; report_revision: of the newest report that was taken, both in
+    the store.
     """
 
     def __init__(
@@ -49,8 +50,8 @@
         self.weights = weights
         self.make_allocator = make_allocator
         self.allocator: Allocator | None = None
-        self.fence = 0
-        self.revision = 0
+        self.fence_revision = 0
+        self.report_revision = 0
         self.last_write_at = 0
         self.rows_to_write: dict[str, None] = {}  # members, in this order
         self.members_to_delete: dict[str, None] = {}
@@ -89,7 +90,7 @@
             return
         operations = self._next_operations(write)
         self.last_write_at = now
-        self._write(operations, ((FENCE, self.fence),))
+        self._write(operations, ((FENCE, self.fence_revision),))
 
     def _take_departed(self) -> None:
         """Have the keys of departed members deleted."""
@@ -118,20 +119,20 @@
 
     def _write_confirmed(self, reply: Reply) -> bool:
         if reply.succeeded:
-            self.fence = reply.revision
+            self.fence_revision = reply.revision
         return reply.succeeded
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
         """Take the rows first, then the reports; members with a row but without a report have left."""
         self.allocator = self.make_allocator(self.budgets, self.weights)
-        self.fence = 0
+        self.fence_revision = 0
         self.rows_to_write = {}
         self.members_to_delete = {}
         rows = {}
         reports = {}
         for item in reply.items:
             if item.key == FENCE:
-                self.fence = item.revision
+                self.fence_revision = item.revision
             elif item.key.startswith(ALLOCATIONS):
                 rows[item.key.removeprefix(ALLOCATIONS)] = decode_row(item.value).entries
             elif item.key.startswith(REPORTS):
@@ -142,16 +143,16 @@
         for member in rows:
             if member not in reports:
                 self.allocator.member_left(member, now)
-        self.revision = reply.revision
+        self.report_revision = reply.revision
         self.actions.append(
             LogEvent("info", "budget allocator active", {"members": len(reports), "rows": len(rows)})
         )
 
     def _on_key_changed(self, now: int, key: str, value: str | None, revision: int) -> bool:
         """Take a change of a report; value None: the member's lease has ended."""
-        if revision <= self.revision and value is not None:
+        if revision <= self.report_revision and value is not None:
             return False  # a newer one was read; a repeated deletion has no effect
-        self.revision = max(self.revision, revision)
+        self.report_revision = max(self.report_revision, revision)
         member = key.removeprefix(REPORTS)
         if value is not None:
             self._take_report(member, value, now)
--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -137,7 +137,7 @@
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
         """Take in the reply to a write."""
         if reply.proof == Proof.UNKNOWN and self.writing == serial:
-            reply = reply._replace(proof=Proof.DONE, revision=self.fence)
+            reply = reply._replace(proof=Proof.DONE, revision=self.fence_revision)
         super().written(now, serial, reply)
 
 
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -273,7 +273,8 @@
             self.leader,
             self.faults,
             tuple(
-                (role.token, role.is_loaded, role.fence, role.reading, role.writing) for role in self.holders
+                (role.token, role.is_loaded, role.fence_revision, role.reading, role.writing)
+                for role in self.holders
             ),
             tuple(at - self.now for at in self.spent),
             tuple((until - self.now, calls) for until, calls in self.lingering),
