--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -15,7 +15,8 @@
     """A ShareLookup: called with a budget's kind and subject, it returns the Allocation or None.
 
     lease_id: the lease under which the allocations are valid; applied_write: number of the newest write of
-    the allocator that is applied; was_reduced: whether a write since the last report has lowered an allocation.
+    the allocator that is applied; was_reduced: whether a write since the last report has lowered an
+    allocation.
     """
 
     def __init__(
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -76,10 +76,11 @@
 class Allocator:
     """All budgets of a fleet. What allocate() returns to be written is charged already.
 
-    ledgers: by budget name; demands: by budget name and member; present: the budgets that each member
-    reports; rows: the budgets in whose ledger each member is; departed: members that nothing is charged to
-    any more; newly_left: members that have left since the last allocate(), whose rows still show what they
-    had.
+    ledgers: by budget name; demands: by budget name and member; reported_budgets: names of the budgets in
+    each present member's last report; row_budgets: names of the budgets whose ledger has an entry for the
+    member; to_reallocate: names of the budgets to allocate again, in this order; uncharged: members that no
+    ledger has an entry for any more, so that their keys can be deleted; newly_left: members that have left
+    since the last allocate(), whose stored rows still show what they had.
     """
 
     def __init__(self, budgets: Mapping[str, Budget], weights: Mapping[str, float] | None = None) -> None:
@@ -88,12 +89,12 @@
         self.weights = weights or {}
         self.ledgers: dict[str, Ledger] = {}
         self.demands: dict[str, dict[str, MemberDemand]] = {}
-        self.present: dict[str, set[str]] = {}
-        self.rows: dict[str, set[str]] = {}
-        self.changed: dict[str, None] = {}  # budgets to allocate again, in this order
+        self.reported_budgets: dict[str, set[str]] = {}
+        self.row_budgets: dict[str, set[str]] = {}
+        self.to_reallocate: dict[str, None] = {}
         self.scheduled: list[tuple[int, str]] = []  # heap of (time, budget) to allocate again
         self.rotations: dict[str, Rotation] = {}
-        self.departed: set[str] = set()
+        self.uncharged: set[str] = set()
         self.newly_left: dict[str, None] = {}
 
     def rule(self, name: str) -> Budget | None:
@@ -123,12 +124,12 @@
 
         last_usage: its last report, if it has shut down gracefully.
         """
-        self.present.pop(member, None)
-        for name in self.rows.get(member, ()):
+        self.reported_budgets.pop(member, None)
+        for name in self.row_budgets.get(member, ()):
             self.demands[name].pop(member, None)
             spent = None if last_usage is None else last_usage.get(name, NO_USAGE).in_use
             self.ledgers[name].member_left(member, inactive_at, spent)
-            self.changed[name] = None
+            self.to_reallocate[name] = None
             self.newly_left[member] = None
 
     def report(self, member: str, applied_write: int, usage: Mapping[str, Usage], now: int) -> None:
@@ -137,34 +138,34 @@
         A member is present from its first report on. Budgets without a rule are ignored; nothing is in use of
         budgets that the report does not name any more.
         """
-        before = self.present.get(member, set())
-        self.present[member] = set()
+        before = self.reported_budgets.get(member, set())
+        self.reported_budgets[member] = set()
         for name, member_usage in usage.items():
             self._report_budget(member, name, applied_write, member_usage, now)
-        for name in before | self.rows.get(member, set()):
-            if name not in self.present[member]:
+        for name in before | self.row_budgets.get(member, set()):
+            if name not in self.reported_budgets[member]:
                 self.demands[name].pop(member, None)
                 self.ledgers[name].report(member, applied_write, 0, now)
-                self.changed[name] = None
+                self.to_reallocate[name] = None
 
     def _report_budget(self, member: str, name: str, applied_write: int, usage: Usage, now: int) -> None:
         ledger = self._open_ledger(name)
         if ledger is None:
             return
-        self.present[member].add(name)
-        self.rows.setdefault(member, set()).add(name)
+        self.reported_budgets[member].add(name)
+        self.row_budgets.setdefault(member, set()).add(name)
         charge_before = ledger.charge(member, now)
         ledger.report(member, applied_write, usage.in_use, now)
         demand = self.demands[name].get(member)
         if demand is None:
             demand = MemberDemand()
             self.demands[name][member] = demand
-            self.changed[name] = None
+            self.to_reallocate[name] = None
         demand_before = (demand.credited(now), demand.due())
         demand.report(usage.used, usage.requested, ledger.entries[member].allocated, now)
         demand_after = (demand.credited(now), demand.due())
         if demand_after != demand_before or ledger.charge(member, now) != charge_before:
-            self.changed[name] = None
+            self.to_reallocate[name] = None
 
     def allocate(
         self, write: int, now: int, max_budgets: int = MAX_BUDGETS_PER_ROUND
@@ -177,11 +178,13 @@
         """
         while self.scheduled and self.scheduled[0][0] <= now:
             _, name = heappop(self.scheduled)
-            self.changed[name] = None
-        changes: dict[str, dict[str, int]] = {member: {} for member in self.newly_left if member in self.rows}
+            self.to_reallocate[name] = None
+        changes: dict[str, dict[str, int]] = {
+            member: {} for member in self.newly_left if member in self.row_budgets
+        }
         self.newly_left = {}
-        for name in list(self.changed)[:max_budgets]:
-            del self.changed[name]
+        for name in list(self.to_reallocate)[:max_budgets]:
+            del self.to_reallocate[name]
             if name not in self.ledgers:
                 continue
             changed, ended = self._allocate_budget(name, write, now)
@@ -236,10 +239,10 @@
 
     def _remove_from_rows(self, name: str, members: set[str]) -> None:
         for member in members:
-            self.rows[member].discard(name)
-            if not self.rows[member] and member not in self.present:
-                del self.rows[member]
-                self.departed.add(member)
+            self.row_budgets[member].discard(name)
+            if not self.row_budgets[member] and member not in self.reported_budgets:
+                del self.row_budgets[member]
+                self.uncharged.add(member)
 
     def _schedule_next(
         self, name: str, targets: Mapping[str, int], demands: Mapping[str, int], now: int
@@ -276,7 +279,7 @@
             served = sum(amount > 0 for amount in targets.values())
             first = (rotation.first + max(1, served)) % len(targets)
             self.rotations[name] = Rotation(now + ROTATION_US, first)
-            self.changed[name] = None
+            self.to_reallocate[name] = None
         else:
             self.rotations[name] = rotation
 
@@ -287,11 +290,11 @@
             total = self._known_rule(name).total
             if ledger.total != total:
                 ledger.total = total
-                self.changed[name] = None
+                self.to_reallocate[name] = None
 
     def due(self) -> int | None:
         """Return when to allocate again at the latest; None: not before the next report."""
-        if self.changed:
+        if self.to_reallocate:
             return 0
         return self.scheduled[0][0] if self.scheduled else None
 
@@ -310,7 +313,7 @@
     def row(self, member: str) -> dict[str, PackedEntry]:
         """Return the packed ledger entries of a member by budget name, to store them."""
         packed = {}
-        for name in sorted(self.rows.get(member, ())):
+        for name in sorted(self.row_budgets.get(member, ())):
             entry = self.ledgers[name].entries.get(member)
             if entry and not entry.is_empty():
                 packed[name] = entry.pack()
@@ -326,10 +329,10 @@
                 ledger = self._open_ledger(name)
                 if ledger:
                     ledger.load(member, packed, now)
-                    self.rows.setdefault(member, set()).add(name)
-                    self.changed[name] = None
-            if member not in self.rows:
-                self.departed.add(member)
+                    self.row_budgets.setdefault(member, set()).add(name)
+                    self.to_reallocate[name] = None
+            if member not in self.row_budgets:
+                self.uncharged.add(member)
 
 
 def plan_allocations(
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -34,8 +34,8 @@
 class AllocatorRole(RoleState):
     """The allocator's keys while this member leads the role.
 
-    fence_revision: of the fence as last written; report_revision: of the newest report that was taken, both in
-    the store.
+    fence_revision: revision of the fence as last written; report_revision: of the newest report that was
+    taken. token, as in RoleState: the fencing token, 0 while this member does not lead.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         return cast("Allocator", self.allocator)
 
     def _next_write_at(self, _now: int) -> int | None:
-        has_writes = self.rows_to_write or self.members_to_delete or self._acting_allocator.departed
+        has_writes = self.rows_to_write or self.members_to_delete or self._acting_allocator.uncharged
         at = 0 if has_writes else self._acting_allocator.due()
         return None if at is None else max(at, self.last_write_at + MIN_WRITE_INTERVAL_US)
 
@@ -85,19 +85,19 @@
         changes = self._acting_allocator.allocate(write, now)
         members = [*(member for member in newly_left if member in changes), *self.rows_to_write, *changes]
         self.rows_to_write = dict.fromkeys(members)
-        self._take_departed()
+        self._take_uncharged()
         if not self.rows_to_write and not self.members_to_delete:
             return
         operations = self._next_operations(write)
         self.last_write_at = now
         self._write(operations, ((FENCE, self.fence_revision),))
 
-    def _take_departed(self) -> None:
-        """Have the keys of departed members deleted."""
-        departed = self._acting_allocator.departed
-        self._acting_allocator.departed = set()
-        self.members_to_delete |= dict.fromkeys(departed)
-        for member in departed:
+    def _take_uncharged(self) -> None:
+        """Have the keys of members deleted that nothing is charged to any more."""
+        uncharged = self._acting_allocator.uncharged
+        self._acting_allocator.uncharged = set()
+        self.members_to_delete |= dict.fromkeys(uncharged)
+        for member in uncharged:
             self.rows_to_write.pop(member, None)
 
     def _next_operations(self, write: int) -> list[Operation]:
@@ -156,9 +156,9 @@
         member = key.removeprefix(REPORTS)
         if value is not None:
             self._take_report(member, value, now)
-        elif member in self._acting_allocator.present:
+        elif member in self._acting_allocator.reported_budgets:
             self._acting_allocator.member_left(member, now)
-            self._delete_if_not_charged(member)
+            self._delete_keys_if_uncharged(member)
         return True
 
     def _take_report(self, member: str, value: str, now: int) -> None:
@@ -167,10 +167,10 @@
             self.actions.append(LogEvent("warning", "unreadable usage report", {"reporter": member}))
         elif report.has_left:
             self._acting_allocator.member_left(member, now, report.usage)
-            self._delete_if_not_charged(member)
+            self._delete_keys_if_uncharged(member)
         else:
             self._acting_allocator.report(member, report.applied_write, report.usage, now)
 
-    def _delete_if_not_charged(self, member: str) -> None:
-        if member not in self._acting_allocator.rows:
+    def _delete_keys_if_uncharged(self, member: str) -> None:
+        if member not in self._acting_allocator.row_budgets:
             self.members_to_delete[member] = None
--- a/tests/test_budget_allocator.py
+++ b/tests/test_budget_allocator.py
@@ -20,7 +20,7 @@
     """Everybody knows all, uses what it has, and demands this; the allocations in the end."""
     for _ in range(rounds):
         allocator.allocate(write, now)
-        for member in allocator.present:
+        for member in allocator.reported_budgets:
             allocated = allocator.ledgers["b"].allocations().get(member, 0)
             demand = demands.get(member, 0)
             allocator.report(member, write, {"b": Usage(0, min(allocated, demand), demand)}, now)
@@ -39,7 +39,7 @@
 def test_an_idle_fleet_writes_nothing_and_a_member_with_less_demand_gives_up_what_others_need():
     allocator = fleet("a", "b")
     settle(allocator, {"a": 100})
-    assert not allocator.changed
+    assert not allocator.to_reallocate
     assert allocator.allocate(9, 0) == {}
     allocator.report("a", 9, {"b": NO_USAGE}, 0)
     allocator.report("b", 9, {"b": Usage(0, 1, 100)}, 0)
@@ -94,9 +94,9 @@
     assert sum(allocations.values()) == 100
     assert sum(allocations[f"m{i}"] for i in range(500, 600)) == 100
     other = Allocator({"b": Budget(LedgerKind.HELD, 100, linger_us=S)})
-    other.load({member: allocator.row(member) for member in allocator.present}, 0)
+    other.load({member: allocator.row(member) for member in allocator.reported_budgets}, 0)
     assert other.ledgers["b"].charged(0) == 100
-    assert len(other.rows) == 100
+    assert len(other.row_budgets) == 100
     other.member_left("m550", 0)
     other.report("new", 0, {"b": Usage(0, 0, 5)}, 0)
     other.allocate(50, 0)
@@ -140,7 +140,7 @@
     allocator.member_left("a", 0, {})
     allocator.allocate(4, 0)
     assert not allocator.ledgers
-    assert allocator.departed == {"a"}
+    assert allocator.uncharged == {"a"}
     assert allocator.row("a") == {}
 
 
