--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -46,7 +46,7 @@
     __slots__ = (
         "allocated",
         "in_use",
-        "owner",
+        "allocations",
         "peak",
         "rejected",
         "rule",
@@ -55,9 +55,9 @@
         "was_short",
     )
 
-    def __init__(self, rule: AllocationRule, owner: "Allocations", allocated: int = 0) -> None:
+    def __init__(self, rule: AllocationRule, allocations: "Allocations", allocated: int = 0) -> None:
         self.rule = rule
-        self.owner = owner
+        self.allocations = allocations
         self.allocated = allocated
         self.in_use = 0
         self.spent: deque[TimedAmount] = deque()
@@ -69,26 +69,26 @@
     def available_reserve(self, now: int) -> int:
         """Return what may be spent besides the allocation."""
         reserve = self.rule.reserve
-        return reserve if reserve and now >= self.owner.started_at + self.rule.reserve_after_us else 0
+        return reserve if reserve and now >= self.allocations.started_at + self.rule.reserve_after_us else 0
 
     def limit(self, now: int | None = None) -> int:
         """Return the largest amount that may be in use at a time, by default now."""
         if now is None:
-            now = self.owner.clock()
-        return self.available_reserve(now) + (self.allocated if self.owner.is_valid(now) else 0)
+            now = self.allocations.clock()
+        return self.available_reserve(now) + (self.allocated if self.allocations.is_valid(now) else 0)
 
     def allows(self, amount: int) -> bool:
         """Whether this amount may be acquired now."""
-        now = self.owner.clock()
+        now = self.allocations.clock()
         if self.used(now) + amount <= self.limit(now):
             return True
         self.was_short = True
-        self.owner.request_report()
+        self.allocations.request_report()
         return False
 
     def acquire(self, amount: int) -> None:
         """Acquire an amount, after allows(); request more before the allocation runs out."""
-        now = self.owner.clock()
+        now = self.allocations.clock()
         self.in_use += amount
         if self.rule.kind is not LedgerKind.HELD:
             self.spent.append((now, amount))
@@ -98,7 +98,7 @@
         if used > self.peak:
             self.peak = used
             if used * (HEADROOM_DIVISOR + 1) > self.allocated * HEADROOM_DIVISOR:
-                self.owner.request_report()
+                self.allocations.request_report()
 
     def release(self, amount: int, confirmed: bool = True) -> None:
         """Release an amount of a held budget. Not confirmed: the work was cancelled, and may run on.
@@ -110,12 +110,12 @@
         if confirmed:
             self.in_use -= amount
         else:
-            self.settling.append((self.owner.clock() + self.rule.settle_us, amount))
+            self.settling.append((self.allocations.clock() + self.rule.settle_us, amount))
 
     def record_rejection(self, amount: int) -> None:
         """Count an amount that could not be acquired."""
         self.rejected += amount
-        self.owner.request_report()
+        self.allocations.request_report()
 
     def used(self, now: int) -> int:
         """Return what is in use, or was spent within the window."""
@@ -140,10 +140,10 @@
         in_use = self.used(now)
         peak = max(self.peak, in_use)
         # After a shortage the allocation counts as fully used, even if it is too small for one command.
-        used = max(peak, self.allocated) if self.was_short else peak
+        reported_peak = max(peak, self.allocated) if self.was_short else peak
         usage = Usage(
             max(0, in_use - self.available_reserve(now)),
-            used,
+            reported_peak,
             requested_amount(peak, unmet + self.rejected, self.rule.total),
         )
         self.peak = in_use
--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -7,8 +7,8 @@
 from gullhold.fleet.lease import Lease
 from gullhold.interface import BudgetKind, Demand
 
-BudgetKey = tuple[BudgetKind, int]  # kind and subject
-RuleKey = tuple[BudgetKind, int | None]  # subject None: a budget for each subject
+BudgetKey = tuple[BudgetKind, int]  # kind and subject: an engine's id, a tenant's index, or 0
+RuleKey = tuple[BudgetKind, int | None]  # subject None: the rule is for the budget of each subject
 
 
 class Allocations:
@@ -22,17 +22,18 @@
     def __init__(
         self,
         rules: Mapping[RuleKey, AllocationRule],
-        label: Callable[[BudgetKind, int], str],
+        budget_name: Callable[[BudgetKind, int], str],
         lease: Lease,
         clock: Callable[[], int],
         on_shortage: Callable[[], None] = lambda: None,
     ) -> None:
-        """label: returns the fleet's name of a budget. lease: changed by another thread. clock: monotonic us.
+        """Begin with allocations of 0, for all budgets whose rule names a subject.
 
-        on_shortage: called when an allocation runs out, once between two reports.
+        budget_name: returns the name that a budget has in the store. lease: changed by another thread. clock:
+        monotonic us. on_shortage: called when an allocation runs out, once between two reports.
         """
         self.rules = dict(rules)
-        self.label = label
+        self.budget_name = budget_name
         self.lease = lease
         self.clock = clock
         self.on_shortage = on_shortage
@@ -46,11 +47,11 @@
         self.allocations: dict[BudgetKey, Allocation] = {}
         self.stored_amounts: Mapping[str, int] = {}  # by budget name, as last read from the store
         for kind, subject in rules:
-            if subject is not None:  # always reported; budgets of engines only once they are used
+            if subject is not None:  # reported from the start; budgets of engines only once they are used
                 self(kind, subject)
 
     def __call__(self, kind: BudgetKind, subject: int) -> Allocation | None:
-        """Return the allocation of a budget."""
+        """Return the allocation of a budget, None if the fleet has no such budget."""
         if kind not in self.kinds:
             return None
         allocation = self.allocations.get((kind, subject))
@@ -58,12 +59,12 @@
             rule = self.rules.get((kind, subject)) or self.rules.get((kind, None))
             if rule is None:
                 return None
-            allocation = Allocation(rule, self, self.stored_amounts.get(self.label(kind, subject), 0))
+            allocation = Allocation(rule, self, self.stored_amounts.get(self.budget_name(kind, subject), 0))
             self.allocations[kind, subject] = allocation
         return allocation
 
     def set_totals(self, totals: Mapping[tuple[BudgetKind, str], int]) -> None:
-        """Set totals by kind and name of the subject, "" for all of the kind; more is never requested."""
+        """Set the totals, the most to request, by kind and name of the subject; "": each of the kind."""
         self.rules = {key: self._rule_with_total(key, rule, totals) for key, rule in self.rules.items()}
         for key, allocation in self.allocations.items():
             kind, _ = key
@@ -73,12 +74,12 @@
         self, key: RuleKey, rule: AllocationRule, totals: Mapping[tuple[BudgetKind, str], int]
     ) -> AllocationRule:
         kind, subject = key
-        name = "" if subject is None else self.label(kind, subject).partition("/")[2]
+        name = "" if subject is None else self.budget_name(kind, subject).partition("/")[2]
         total_of_kind = totals.get((kind, ""), rule.total)
         return rule._replace(total=totals.get((kind, name), total_of_kind))
 
     def request_report(self) -> None:
-        """Request a report, as an allocation runs out; once until the next report."""
+        """Call on_shortage because an allocation runs out, once until the next report."""
         if not self.is_report_requested:
             self.is_report_requested = True
             self.on_shortage()
@@ -93,16 +94,16 @@
         return self.was_valid
 
     def fencing_token(self) -> int:
-        """Return the lease under which the last amount was allowed, 0 if none."""
+        """Return the id of the lease under which the last amount was allowed; 0: by the reserve alone."""
         return self.lease_id if self.was_valid else 0
 
     def token_valid(self, token: object) -> bool:
-        """Whether a fencing token is still valid. May be called on any thread."""
+        """Whether work with this fencing token may still begin. May be called on any thread."""
         valid_until = self.lease.valid_until
         return not token or (self.clock() < valid_until and self.lease.id == token)
 
     def apply_write(self, lease_id: int, write: int, stored_amounts: Mapping[str, int]) -> None:
-        """Apply a write of allocations, by name, for this lease; an older write has no effect."""
+        """Apply a write of allocations, by budget name, under this lease; an older write has no effect."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
             self.applied_write = 0
@@ -114,10 +115,10 @@
         self.applied_write = write
         self.stored_amounts = stored_amounts
         for (kind, subject), allocation in self.allocations.items():
-            allocation.allocated = stored_amounts.get(self.label(kind, subject), 0)
+            allocation.allocated = stored_amounts.get(self.budget_name(kind, subject), 0)
 
     def begin_lease(self, lease_id: int) -> None:
-        """Begin the current lease, unless it is known; under a new one nothing is allocated yet."""
+        """Begin a lease unless it is the current one; under a new lease nothing is allocated yet."""
         if lease_id != self.lease_id:
             self.apply_write(lease_id, 0, {})
             for allocation in self.allocations.values():
@@ -126,7 +127,8 @@
     def report(self, demands: Iterable[Demand]) -> dict[str, Usage]:
         """Return the usage by name of all budgets with a rule, a demand or anything in use.
 
-        demands: what queued commands lack, with an entry for each ready engine.
+        demands: what queued commands need beyond what is in use, with an entry, possibly of 0, for each ready
+        engine.
         """
         now = self.clock()
         unmet = {(kind, subject): amount for kind, subject, amount in demands}
@@ -137,11 +139,11 @@
         for key, allocation in list(self.allocations.items()):
             is_wanted = key in unmet or key in self.rules
             if is_wanted or allocation.used(now) or allocation.rejected:
-                usage[self.label(*key)] = allocation.report(unmet.get(key, 0), now)
+                usage[self.budget_name(*key)] = allocation.report(unmet.get(key, 0), now)
             else:
-                del self.allocations[key]  # its engine was removed
+                del self.allocations[key]  # the engine is gone or not ready any more
         return usage
 
     def allocated(self) -> dict[str, int]:
-        """Return the current allocations by name."""
-        return {self.label(*key): allocation.allocated for key, allocation in self.allocations.items()}
+        """Return the current allocations by budget name."""
+        return {self.budget_name(*key): allocation.allocated for key, allocation in self.allocations.items()}
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -162,7 +162,7 @@
             self.demands[name][member] = demand
             self.to_reallocate[name] = None
         demand_before = (demand.credited(now), demand.due())
-        demand.report(usage.used, usage.requested, ledger.entries[member].allocated, now)
+        demand.report(usage.peak, usage.requested, ledger.entries[member].allocated, now)
         demand_after = (demand.credited(now), demand.due())
         if demand_after != demand_before or ledger.charge(member, now) != charge_before:
             self.to_reallocate[name] = None
--- a/gullhold/budgets/budget_rules.py
+++ b/gullhold/budgets/budget_rules.py
@@ -23,7 +23,7 @@
     "share": BudgetKind.TRAFFIC_SHARE,
     "lists": BudgetKind.DISCOVERY_CALLS,
 }
-KIND_WORDS = {kind: word for word, kind in BUDGET_KINDS.items()}
+KIND_NAMES = {kind: name for name, kind in BUDGET_KINDS.items()}
 LEDGER_KINDS = {
     BudgetKind.THREADS: LedgerKind.HELD,
     BudgetKind.MEMORY: LedgerKind.HELD,
@@ -61,10 +61,10 @@
     return [tenant.name for tenant in agreement.tenants] or [profile.name for profile in agreement.profiles]
 
 
-def budget_label(kind: BudgetKind, subject: int, tenants: list[str]) -> str:
+def subject_budget_name(kind: BudgetKind, subject: int, tenants: list[str]) -> str:
     """Return the name of the budget of one subject."""
     subject_name = tenants[subject] if kind in PER_TENANT_KINDS else subject
-    return f"{KIND_WORDS[kind]}/{subject_name}"
+    return f"{KIND_NAMES[kind]}/{subject_name}"
 
 
 def build_rules(records: Iterable["BudgetRecord"], agreement: Agreement, drift: float) -> BudgetRules:
--- a/gullhold/budgets/budget_schema.py
+++ b/gullhold/budgets/budget_schema.py
@@ -1,8 +1,9 @@
-"""Keys of budgets in the fleet's store, and the JSON of their values. Stored names must not change.
+"""Keys of budgets in the fleet's store, and the JSON of their values.
 
-Under `budget/`: `asks/MEMBER`, a member's report, attached to its lease and so present as long as the member.
-`parts/MEMBER`, the allocations of a member with the allocator's charges. `fence`, written and compared with
-every write of the allocator; it also shows the allocator's totals to staff.
+Under `budget/`: `asks/MEMBER`, a member's report, attached to its lease, so that the key exists as long as
+the member does. `parts/MEMBER`, the member's row: its allocations and the allocator's charges. `fence`,
+written by and compared in every write of the allocator; it also shows the allocator's totals to staff.
+Members of several versions share the store, so the stored names must not change.
 """
 
 import json
@@ -14,18 +15,19 @@
 ALLOCATIONS = ROOT + "parts/"
 FENCE = ROOT + "fence"
 
-PackedEntry = int | list[Any]  # a member's entry in a ledger, as LedgerEntry.pack() returns it
+PackedEntry = int | list[Any]  # a member's ledger entry in the form of LedgerEntry.pack()
 
 
 class Usage(NamedTuple):
     """A member's report on one budget, in the budget's unit.
 
-    in_use: of its allocation, now or spent within the window; used: the largest amount since the last report;
-    requested: the allocation that it would like.
+    in_use: of its allocation, in use now or spent within the window; peak: the largest amount in use since
+    the last report, but the whole allocation if an amount was refused since then; requested: the allocation
+    that the member asks for.
     """
 
     in_use: int
-    used: int
+    peak: int
     requested: int
 
 
@@ -33,10 +35,10 @@
 
 
 class UsageReport(NamedTuple):
-    """A member's report: its usage by budget name.
+    """A member's report on all budgets that it uses. usage: by budget name.
 
-    applied_write: the newest write of allocations that it has applied. has_left: the last report of a member
-    that has shut down gracefully.
+    applied_write: number of the newest write of allocations that the member has applied. has_left: this is
+    the last report, as the member has shut down gracefully.
     """
 
     applied_write: int
@@ -45,14 +47,14 @@
 
 
 class AllocationRow(NamedTuple):
-    """A member's stored row: the number of the write and, by budget name, the packed ledger entries."""
+    """A member's stored row. write: number of the write; entries: packed ledger entries by budget name."""
 
     write: int
     entries: dict[str, PackedEntry]
 
 
 class BudgetTotal(NamedTuple):
-    """The allocator's total for a budget, and how much of it is reserved."""
+    """The total of a budget, and the part of it that is reserved and never allocated."""
 
     total: int
     reserve: int
@@ -72,8 +74,8 @@
     try:
         stored = json.loads(text)
         usage = {
-            name: Usage(int(in_use), int(used), int(requested))
-            for name, (in_use, used, requested) in stored["told"].items()
+            name: Usage(int(in_use), int(peak), int(requested))
+            for name, (in_use, peak, requested) in stored["told"].items()
         }
         return UsageReport(int(stored["seen"]), usage, bool(stored.get("left")))
     except (ValueError, TypeError, KeyError, AttributeError):
@@ -86,7 +88,7 @@
 
 
 def decode_row(text: str) -> AllocationRow:
-    """Decode a stored row; an empty one with write 0 if it can't be read."""
+    """Decode a stored row; if it can't be read, return write 0 without entries."""
     try:
         stored = json.loads(text)
         return AllocationRow(int(stored["write"]), dict(stored["row"]))
@@ -95,7 +97,7 @@
 
 
 def encode_fence(write: int, totals: Mapping[str, BudgetTotal]) -> str:
-    """Return the stored form of the fence. totals: by budget name, or the word for all of one kind."""
+    """Return the stored form of the fence. totals: by budget name, or by kind if for all its subjects."""
     return _dump({"write": write, "wholes": totals})
 
 
@@ -114,7 +116,7 @@
 
 
 def has_pending_charges(packed: PackedEntry) -> bool:
-    """Whether a packed entry holds reductions or expiring charges, or more in use than is allocated."""
+    """Whether an entry charges more than its allocation: a reduction, an expiring charge, or excess use."""
     if isinstance(packed, int):
         return False
     allocated, in_use, reductions, expiring, _ = packed
--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -9,7 +9,7 @@
 
 from gullhold.budgets.allocations import Allocations
 from gullhold.budgets.allocator_role import ROLE, AllocatorRole
-from gullhold.budgets.budget_rules import budget_label, build_rules, tenant_names
+from gullhold.budgets.budget_rules import build_rules, subject_budget_name, tenant_names
 from gullhold.budgets.budget_schema import (
     ALLOCATIONS,
     REPORTS,
@@ -31,7 +31,7 @@
 
 REPORT_LANE = "reports"
 LANES = (REPORT_LANE, ROLE)  # calls of the member and of the allocator do not wait for each other
-GIVING_BACK = ROLE + "/spent"  # a busy role, so that the membership does not end before the last report
+FINAL_REPORT_ROLE = ROLE + "/spent"  # a busy role, so that the membership does not end before the last report
 
 
 class MemberBudgets:
@@ -48,15 +48,15 @@
         tenants = tenant_names(agreement)
         self.allocations = Allocations(
             rules.allocations,
-            lambda kind, subject: budget_label(kind, subject, tenants),
+            lambda kind, subject: subject_budget_name(kind, subject, tenants),
             fleet.membership.lease,
             clock,
-            on_shortage=lambda: fleet.post(self.reports.hasten),
+            on_shortage=lambda: fleet.post(self.reports.collect_soon),
         )
         fleet.role_states[ROLE] = AllocatorRole(rules.budgets)
         self.reports = ReportState(record.look)
         self.row: dict[str, int] = {}  # allocations by budget name, as last read
-        self.unapplied: list[AllocationWrite] = []  # not posted to the core's thread yet
+        self.unapplied_writes: list[AllocationWrite] = []  # not posted to the core's thread yet
         self.core_budgets = CoreBudgets(
             fleet.core, self.allocations, lambda collected: fleet.post(self._usage_collected, collected)
         )
@@ -73,7 +73,7 @@
 
     def due(self, now: int) -> int:
         """Return when to step() at the latest."""
-        return self.reports.due(now, bool(self.unapplied))
+        return self.reports.due(now, bool(self.unapplied_writes))
 
     def step(self, now: int) -> None:
         """Begin to collect usage if that is due."""
@@ -81,25 +81,25 @@
         if lease.id and lease.id != self.reports.lease_id:
             self.reports.begin_lease(lease.id)
             self.row = {}
-            self.unapplied.append(AllocationWrite(lease.id, 0, {}))
-        if self.reports.should_collect(now, bool(self.unapplied)):
-            writes = self.unapplied
-            self.unapplied = []
+            self.unapplied_writes.append(AllocationWrite(lease.id, 0, {}))
+        if self.reports.should_collect(now, bool(self.unapplied_writes)):
+            writes = self.unapplied_writes
+            self.unapplied_writes = []
             self.reports.is_collecting = True
             self.core_budgets.apply(writes)
-        if self.reports.is_leaving and self.core.has_ended and not self.reports.has_given_back:
-            self._give_back()
+        if self.reports.is_leaving and self.core.has_ended and not self.reports.is_final_report_sent:
+            self._send_final_report()
 
     def leave(self) -> None:
         """Shut down gracefully: the lease is kept until the last report is written."""
         self.reports.is_leaving = True
-        if not self.reports.has_given_back:
-            self.fleet.membership.set_busy(GIVING_BACK, True)
+        if not self.reports.is_final_report_sent:
+            self.fleet.membership.set_busy(FINAL_REPORT_ROLE, True)
 
     def _usage_collected(self, collected: CollectedUsage) -> None:
         now = self.clock()
         is_lease_valid = self.fleet.membership.lease.is_valid(now)
-        report = self.reports.collected(now, collected, is_lease_valid)
+        report = self.reports.usage_collected(now, collected, is_lease_valid)
         if report is not None:
             lease_id = self.reports.lease_id
             self._report_lane().submit(self._report_call(report, lease_id), self._report_written, lease_id)
@@ -116,26 +116,26 @@
         write = Put(key, encode_report(report), lease_id)
         return Transaction(((key, self.reports.revision),), (write,), (Get(key),))
 
-    def _give_back(self) -> None:
+    def _send_final_report(self) -> None:
         """Write the last report: what may still run, and what was spent within a window.
 
         The core's thread has ended, so that nothing more is spent. The report is not attached to the lease,
         so that it stays until the allocator has read it.
         """
-        self.reports.has_given_back = True
+        self.reports.is_final_report_sent = True
         allocations = self.allocations
-        if self.reports.is_row_read and allocations.lease_id == self.reports.lease_id:
+        if self.reports.is_row_requested and allocations.lease_id == self.reports.lease_id:
             report = UsageReport(allocations.applied_write, allocations.report(()), has_left=True)
-            self._report_lane().submit(self._report_call(report, 0), self._given_back)
+            self._report_lane().submit(self._report_call(report, 0), self._final_report_written)
         else:
-            self._given_back(None)
+            self._final_report_written(None)
 
-    def _given_back(self, _reply: Reply | None) -> None:
+    def _final_report_written(self, _reply: Reply | None) -> None:
         """Let the lease end. If the last report was refused, this member counts as killed."""
-        self.fleet.membership.set_busy(GIVING_BACK, False)
+        self.fleet.membership.set_busy(FINAL_REPORT_ROLE, False)
 
     def _report_written(self, lease_id: int, reply: Reply) -> None:
-        if self.reports.written(lease_id, reply):
+        if self.reports.report_written(lease_id, reply):
             self._read_row()
 
     def _read_row(self) -> None:
@@ -162,7 +162,7 @@
         if row != self.row:
             self._log_row(write, row)
         self.row = row
-        self.unapplied.append(AllocationWrite(self.reports.lease_id, write, row))
+        self.unapplied_writes.append(AllocationWrite(self.reports.lease_id, write, row))
 
     def _log_row(self, write: int, row: dict[str, int]) -> None:
         changed = {}
--- a/gullhold/budgets/report_throttle.py
+++ b/gullhold/budgets/report_throttle.py
@@ -51,7 +51,7 @@
             for name, new in usage.items()
         )
 
-    def written(self, now: int, applied_write: int, usage: Mapping[str, Usage]) -> None:
+    def record_report(self, now: int, applied_write: int, usage: Mapping[str, Usage]) -> None:
         """Record that a report is written."""
         self.last_usage = dict(usage)
         self.last_applied_write = applied_write
@@ -64,12 +64,12 @@
         Changed use with an unchanged request is reported after STALE_US: guards against a store that shows
         the use from before a burst for as long as the burst lasts. Harm: one write in that time.
         """
-        has_given_back = new.in_use < old.in_use and old.in_use > allocated
-        if has_given_back:
+        is_released = new.in_use < old.in_use and old.in_use > allocated
+        if is_released:
             return True
-        idle_changed = is_mostly_idle(new.used, allocated) != is_mostly_idle(old.used, allocated)
+        idle_changed = is_mostly_idle(new.peak, allocated) != is_mostly_idle(old.peak, allocated)
         if new.requested > allocated and idle_changed:
             return True
         if abs(new.requested - old.requested) > MIN_CHANGE * max(old.requested, allocated):
             return True
-        return is_stale and abs(new.used - old.used) > MIN_CHANGE * max(old.used, allocated)
+        return is_stale and abs(new.peak - old.peak) > MIN_CHANGE * max(old.peak, allocated)
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -10,7 +10,7 @@
 from gullhold.budgets.budget_schema import ROOT
 from gullhold.budgets.ledger import LedgerKind
 from gullhold.budgets.stored_budgets import StoredBudget, stored_budgets
-from gullhold.budgets.usage_report import budget_names, render_page, watch_budgets
+from gullhold.budgets.usage_report import budget_names, render_page, sample_budgets
 from gullhold.fleet.show import TIMEOUT_S, Row, print_rows
 from gullhold.fleet.store_calls import KeyValue, Proof, ReadPrefix
 from gullhold.fleet.store_client import StoreClient
@@ -115,7 +115,7 @@
 def run_report(address: str, fleet_name: str, seconds: float, path: str) -> int:
     """`fleet report`: watch a running fleet for some time and write a page; return the exit status."""
     try:
-        samples = watch_budgets(_reader(address, fleet_name), seconds)
+        samples = sample_budgets(_reader(address, fleet_name), seconds)
     except ConnectionError:
         return _print_no_answer(address)
     with open(path, "w", encoding="utf-8") as out:
--- a/gullhold/budgets/stored_budgets.py
+++ b/gullhold/budgets/stored_budgets.py
@@ -82,7 +82,7 @@
         if report is None:
             return
         for name, usage in report.usage.items():
-            self._budget(name).used[member] = usage.used
+            self._budget(name).used[member] = usage.peak
             self.requested[name, member] = usage.requested
 
     def read_row(self, member: str, value: str) -> None:
--- a/gullhold/budgets/usage_report.py
+++ b/gullhold/budgets/usage_report.py
@@ -31,7 +31,7 @@
     budget: StoredBudget
 
 
-def watch_budgets(
+def sample_budgets(
     read: Callable[[], Iterable[KeyValue]], seconds: float, interval_s: float = SAMPLE_INTERVAL_S
 ) -> list[Sample]:
     """Sample a running fleet's budgets for some seconds. read: returns the stored keys of budgets."""
--- a/tests/test_budget_allocations.py
+++ b/tests/test_budget_allocations.py
@@ -119,12 +119,12 @@
     throttle = ReportThrottle(min_interval_us=1000)
     allocations = {"b": 10}
     assert throttle.should_write(0, 0, False, {"b": NO_USAGE}, allocations)
-    throttle.written(0, 0, {"b": NO_USAGE})
+    throttle.record_report(0, 0, {"b": NO_USAGE})
     assert not throttle.should_write(500, 9, True, {"b": NO_USAGE}, allocations)  # too soon
     assert throttle.should_write(1000, 9, True, {"b": NO_USAGE}, allocations)  # a reduction is acknowledged
     assert not throttle.should_write(1000, 9, False, {"b": Usage(0, 1, 1)}, allocations)  # it has plenty
     assert throttle.should_write(1000, 0, False, {"b": Usage(0, 9, 12)}, allocations)  # a burst
-    throttle.written(1000, 0, {"b": Usage(12, 12, 15)})
+    throttle.record_report(1000, 0, {"b": Usage(12, 12, 15)})
     assert not throttle.should_write(2000, 0, False, {"b": Usage(12, 12, 15)}, allocations)
     assert throttle.should_write(2000, 0, False, {"b": Usage(11, 12, 15)}, allocations)  # given back
     # Asks, and spends little.
@@ -137,7 +137,7 @@
 def test_the_usage_that_staff_see_is_only_some_reports_old():
     throttle = ReportThrottle(min_interval_us=1000)
     allocations = {"b": 10}
-    throttle.written(0, 0, {"b": Usage(5, 5, 12)})  # a burst begins ...
+    throttle.record_report(0, 0, {"b": Usage(5, 5, 12)})  # a burst begins ...
     in_burst = {"b": Usage(9, 9, 12)}  # ... moves no allocation more, and is reported
     assert not throttle.should_write(STALE_US - 1, 0, False, in_burst, allocations)
     assert throttle.should_write(STALE_US, 0, False, in_burst, allocations)
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -163,7 +163,7 @@
             name, allocated, write = self.writes[k % len(self.writes)]
             del self.writes[k % len(self.writes)]
             if name in self.members:
-                self.members[name].owner.apply_write(7, write, {"b/0": allocated})
+                self.members[name].allocations.apply_write(7, write, {"b/0": allocated})
 
     def report(self, k):
         """A member reports; reports beyond a few under way arrive, in an order drawn from k."""
@@ -171,8 +171,8 @@
             name = list(self.members)[k % len(self.members)]
             allocation = self.members[name]
             in_use, *_ = allocation.report(0, self.now)
-            if allocation.owner.applied_write:
-                self.reports.append((name, allocation.owner.applied_write, in_use))
+            if allocation.allocations.applied_write:
+                self.reports.append((name, allocation.allocations.applied_write, in_use))
         while len(self.reports) > k % 4:
             name, applied_write, in_use = self.reports[k % len(self.reports)]
             del self.reports[k % len(self.reports)]
@@ -234,7 +234,7 @@
         """Time passes, and most members renew their leases."""
         self.now += k * S // 40
         for allocation in self.members.values():
-            lease = allocation.owner.lease
+            lease = allocation.allocations.lease
             if lease.valid_until > self.now - S // 2:  # most keep their lease
                 lease.valid_until = self.now + LEASE_US
 
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -6,7 +6,7 @@
 
 from gullhold.budgets.allocation import AllocationRule
 from gullhold.budgets.allocator import Budget
-from gullhold.budgets.budget_rules import BudgetRuleError, budget_label, budget_name, build_rules
+from gullhold.budgets.budget_rules import BudgetRuleError, budget_name, build_rules, subject_budget_name
 from gullhold.budgets.budget_schema import Usage, UsageReport
 from gullhold.budgets.ledger import LedgerKind
 from gullhold.budgets.report_state import QUIET_INTERVALS, CollectedUsage, ReportState
@@ -24,72 +24,72 @@
     return state
 
 
-def collected(in_use=0, used=0, requested=0, allocated=10, **other):
+def collected(in_use=0, peak=0, requested=0, allocated=10, **other):
     """What one collection found: the use and the allocation of the budget `b/0`."""
-    usage = {"b/0": Usage(in_use, used, requested)}
+    usage = {"b/0": Usage(in_use, peak, requested)}
     facts = {"lease_id": 7, "applied_write": 0, "was_reduced": False} | other
     return CollectedUsage(usage=usage, allocations={"b/0": allocated}, **facts)
 
 
 def test_a_member_reports_once_and_then_reads_its_row():
     state = reporting()
-    report = state.collected(0, collected(), True)
+    report = state.usage_collected(0, collected(), True)
     assert report == UsageReport(0, {"b/0": Usage(0, 0, 0)})
-    assert state.collected(S, collected(used=9, requested=12), True) is None  # the first is under way
-    assert state.written(7, Reply(Proof.DONE, 5))
+    assert state.usage_collected(S, collected(peak=9, requested=12), True) is None  # the first is under way
+    assert state.report_written(7, Reply(Proof.DONE, 5))
     assert state.revision == 5
-    assert state.collected(2 * S, collected(used=9, requested=12), True)
-    assert not state.written(7, Reply(Proof.DONE, 6))
+    assert state.usage_collected(2 * S, collected(peak=9, requested=12), True)
+    assert not state.report_written(7, Reply(Proof.DONE, 6))
     assert state.revision == 6
 
 
 def test_a_rejected_report_is_written_again_over_the_stored_one():
     state = reporting()
-    assert state.collected(0, collected(), True)
+    assert state.usage_collected(0, collected(), True)
     stored = KeyValue("budget/asks/a/7", "{}", 4)
-    assert not state.written(7, Reply(Proof.DONE, 9, succeeded=False, items=(stored,)))
+    assert not state.report_written(7, Reply(Proof.DONE, 9, succeeded=False, items=(stored,)))
     assert state.revision == 4
-    assert not state.is_row_read
-    assert state.collected(S, collected(), True)
-    assert not state.written(7, Reply(Proof.UNKNOWN))
+    assert not state.is_row_requested
+    assert state.usage_collected(S, collected(), True)
+    assert not state.report_written(7, Reply(Proof.UNKNOWN))
     assert state.revision == 0
-    assert state.collected(2 * S, collected(), True)
+    assert state.usage_collected(2 * S, collected(), True)
 
 
 def test_nothing_is_reported_for_another_lease_or_without_one():
     state = reporting()
-    assert state.collected(0, collected(lease_id=6), True) is None
-    assert state.collected(0, collected(), False) is None
-    assert state.collected(0, collected(), True)
+    assert state.usage_collected(0, collected(lease_id=6), True) is None
+    assert state.usage_collected(0, collected(), False) is None
+    assert state.usage_collected(0, collected(), True)
     state.begin_lease(8)
-    assert not state.written(7, Reply(Proof.DONE, 5))
+    assert not state.report_written(7, Reply(Proof.DONE, 5))
     assert state.revision == 0
 
 
 def test_usage_is_collected_rarely_while_idle_and_soon_after_a_change():
     state = reporting()
     assert not state.should_collect(S, True)  # one is under way
-    state.collected(0, collected(), True)
+    state.usage_collected(0, collected(), True)
     assert state.due(0, False) == LOOK_US * QUIET_INTERVALS
     assert state.due(0, True) == 0
     assert not state.should_collect(LOOK_US, False)
     assert state.should_collect(LOOK_US, True)
-    state.hasten()
+    state.collect_soon()
     assert state.should_collect(LOOK_US, False)
-    state.collected(S, collected(in_use=12), True)  # more in use than is allocated
+    state.usage_collected(S, collected(in_use=12), True)  # more in use than is allocated
     assert state.due(S, False) == S + LOOK_US
-    state.collected(2 * S, collected(was_reduced=True), True)  # under way: not acknowledged yet
-    state.collected(3 * S, collected(), True)
+    state.usage_collected(2 * S, collected(was_reduced=True), True)  # under way: not acknowledged yet
+    state.usage_collected(3 * S, collected(), True)
     assert state.due(3 * S, False) == 3 * S + LOOK_US
 
 
 def test_a_leaving_member_requests_nothing_and_stops_reporting_once_all_is_given_back():
     state = reporting()
     state.is_leaving = True
-    assert state.collected(0, collected(3, 3, 9), True).usage == {"b/0": Usage(3, 3, 0)}
-    state.written(7, Reply(Proof.DONE, 5))
-    state.has_given_back = True
-    assert state.collected(S, collected(0, 0, 0), True) is None
+    assert state.usage_collected(0, collected(3, 3, 9), True).usage == {"b/0": Usage(3, 3, 0)}
+    state.report_written(7, Reply(Proof.DONE, 5))
+    state.is_final_report_sent = True
+    assert state.usage_collected(S, collected(0, 0, 0), True) is None
 
 
 def record(word, tenant="", **other):
@@ -126,7 +126,9 @@
     assert {name: budget.total for name, budget in budgets.items()} == {"open": 10, "open/t1": 3}
     totals = {subject: rule.total for (_, subject), rule in allocations.items()}
     assert totals == {0: 10, 1: 3}
-    assert budget_name(records[0]) == budget_label(BudgetKind.OPEN_COMMANDS, 1, ["t0", "t1"]) == "open/t1"
+    assert (
+        budget_name(records[0]) == subject_budget_name(BudgetKind.OPEN_COMMANDS, 1, ["t0", "t1"]) == "open/t1"
+    )
     _, by_profile = build_rules([record("open")], agreement(tenants=()), 0.0)
     assert set(by_profile) == {(BudgetKind.OPEN_COMMANDS, 0), (BudgetKind.OPEN_COMMANDS, 1)}
 
