--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -1,8 +1,8 @@
-"""What one member may spend of one budget, by its own clock. Decisions only, on the core's thread.
+"""What one member may spend of one budget, by its own clock. Performs no I/O; on the core's thread.
 
-An allocation is valid only while the lease under which it was read certainly holds: soon after, the allocator
-gives it to another member. A member may always spend its reserve too, once nothing that an earlier process of
-the same member has begun can still go on.
+An allocation is valid only while the lease under which it was read certainly holds: soon after that, the
+allocator gives it to another member. Besides, a member may always spend its reserve, from the time on when
+nothing that an earlier process of the same name has begun can still be running.
 """
 
 from collections import deque
@@ -19,9 +19,9 @@
 class AllocationRule(NamedTuple):
     """The rule for one budget, or for the budgets of all engines or tenants. Times are us.
 
-    total: of the fleet; more is never requested. window_us: of a windowed budget. settle_us: how long
-    cancelled work may run on. reserve: what may be spent besides the allocation, from reserve_after_us after
-    the start.
+    total: of the whole fleet, and the most that a member requests. window_us: length of the window of a
+    windowed budget. settle_us: how long cancelled work may run on. reserve: what may be spent besides the
+    allocation, from reserve_after_us after the start of the process.
     """
 
     kind: LedgerKind
@@ -32,15 +32,17 @@
     reserve_after_us: int = 0
 
 
-TimedAmount = tuple[int, int]  # (us of the member's clock, amount); a plain tuple, as each command makes one
+TimedAmount = tuple[int, int]  # (us of the member's clock, amount); a plain tuple: each command creates one
 
 
 class Allocation:
     """One member's allocation of one budget: a BudgetShare.
 
-    in_use: including what was spent within the window; spent: amounts with the time of spending; settling:
-    amounts of cancelled work with the time at which it has certainly ended; peak, rejected, was_short: since
-    the last report.
+    allocations: all allocations of the member; allocated: the amount, as last applied; in_use: what is in
+    use, or was spent within the window; spent: amounts of a windowed budget with the time of spending;
+    settling: amounts of cancelled work with the time at which it has certainly ended. Since the last report:
+    peak: the largest amount in use; rejected: the sum of the amounts that could not be acquired; was_short:
+    whether allows() has refused an amount.
     """
 
     __slots__ = (
@@ -67,18 +69,18 @@
         self.was_short = False
 
     def available_reserve(self, now: int) -> int:
-        """Return what may be spent besides the allocation."""
+        """Return the reserve, 0 until reserve_after_us after the start."""
         reserve = self.rule.reserve
         return reserve if reserve and now >= self.allocations.started_at + self.rule.reserve_after_us else 0
 
     def limit(self, now: int | None = None) -> int:
-        """Return the largest amount that may be in use at a time, by default now."""
+        """Return the largest amount that may be in use at the time `now`, by default the clock's."""
         if now is None:
             now = self.allocations.clock()
         return self.available_reserve(now) + (self.allocated if self.allocations.is_valid(now) else 0)
 
     def allows(self, amount: int) -> bool:
-        """Whether this amount may be acquired now."""
+        """Whether this amount may be acquired now; if not, request a report of the shortage."""
         now = self.allocations.clock()
         if self.used(now) + amount <= self.limit(now):
             return True
@@ -87,7 +89,7 @@
         return False
 
     def acquire(self, amount: int) -> None:
-        """Acquire an amount, after allows(); request more before the allocation runs out."""
+        """Acquire an amount, after allows(); request a report before the allocation runs out."""
         now = self.allocations.clock()
         self.in_use += amount
         if self.rule.kind is not LedgerKind.HELD:
@@ -101,9 +103,10 @@
                 self.allocations.request_report()
 
     def release(self, amount: int, confirmed: bool = True) -> None:
-        """Release an amount of a held budget. Not confirmed: the work was cancelled, and may run on.
+        """Release an amount of a held budget; a windowed amount is released when its window has passed.
 
-        Work under way is not cancelled when the allocation is reduced.
+        confirmed: False if the work was cancelled and may run on, so that its amount stays in use for
+        settle_us. A smaller allocation cancels no work: in_use may exceed it until the work has ended.
         """
         if self.rule.kind is not LedgerKind.HELD:
             return
@@ -113,12 +116,12 @@
             self.settling.append((self.allocations.clock() + self.rule.settle_us, amount))
 
     def record_rejection(self, amount: int) -> None:
-        """Count an amount that could not be acquired."""
+        """Count an amount that could not be acquired as demand, and request a report."""
         self.rejected += amount
         self.allocations.request_report()
 
     def used(self, now: int) -> int:
-        """Return what is in use, or was spent within the window."""
+        """Return in_use, without what has settled or left the window until now."""
         if self.settling:
             self._remove_until(self.settling, now)
         if self.spent:
@@ -134,12 +137,16 @@
             self.in_use -= amount
 
     def report(self, unmet: int, now: int) -> Usage:
-        """Return the usage since the last report, and reset the counts. unmet: what queued commands lack."""
+        """Return the usage since the last report, and reset the counts.
+
+        unmet: what queued commands need beyond what is in use.
+        """
         if self.rule.kind is LedgerKind.WEIGHT:
             return Usage(0, unmet, unmet)
         in_use = self.used(now)
         peak = max(self.peak, in_use)
-        # After a shortage the allocation counts as fully used, even if it is too small for one command.
+        # After a shortage the allocation counts as fully used, even if it is too small for one command:
+        # otherwise the allocator would take it for idle.
         reported_peak = max(peak, self.allocated) if self.was_short else peak
         usage = Usage(
             max(0, in_use - self.available_reserve(now)),
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -1,12 +1,13 @@
-"""Allocates many budgets to the members of a fleet, at the leader of that role. Decisions only.
+"""Allocates all budgets of a fleet to its members, on the leader of that role. Performs no I/O.
 
-Members are identified by a key that distinguishes processes of the same name. Each writes one report of all
-its budgets, and one row with all its allocations is written for it, so that the number of calls grows neither
-with budgets nor with other members. A row also holds the ledgers' charges of that member, from which the next
-allocator goes on.
+Members are identified by a key that distinguishes processes of the same name. Each member writes one report
+on all its budgets, and the allocator writes one row with all its allocations, so that a member's number of
+calls grows neither with the budgets nor with the other members. A row also holds what the ledgers charge the
+member with; from this the next allocator continues.
 
 A budget is named by its kind and subject, as in `threads/77`. A rule is for all budgets of a kind (`threads`)
-or for one of them. A ledger is opened when a member first reports a budget, and closed when none does.
+or for one of them. A ledger is opened when a member first reports a budget, and closed when it has no
+entries.
 """
 
 from collections.abc import Mapping
@@ -19,17 +20,18 @@
 from gullhold.budgets.ledger import Ledger, LedgerKind
 from gullhold.budgets.max_min_fairness import damp_changes, max_min_shares
 
-MAX_BUDGETS_PER_ROUND = 200  # in one round of allocation: half a second among 1,000 members
-MAX_BUDGETS = 50_000  # at the same time; members have only their reserve of further ones
-ROTATION_US = 1_000_000  # us until other members are served first, if not all can have a usable amount
+MAX_BUDGETS_PER_ROUND = 200  # of one call of allocate(): takes half a second with 1,000 members
+MAX_BUDGETS = 50_000  # with a ledger at the same time; members have only their reserve of further budgets
+ROTATION_US = 1_000_000  # until other members are served first, if not all can have a usable amount
 
 
 class Budget(NamedTuple):
     """The rule for one budget, or for the budgets of all engines or tenants.
 
-    total: of the fleet. window_us, linger_us: as in Ledger. reserve_per_member: what each member may spend
-    besides its allocation, also while it can't be reached; reserved for max_members. floor: smallest
-    allocation of each member. granularity: smallest amount that is usable.
+    total: of the whole fleet. window_us, linger_us: as in Ledger. reserve_per_member: what each member may
+    spend besides its allocation, even while it can't reach the store; it is reserved for max_members members.
+    floor: smallest allocation of each member. granularity: smallest usable amount, such as what one command
+    needs.
     """
 
     kind: LedgerKind
@@ -47,20 +49,24 @@
         return self.reserve_per_member * self.max_members
 
     def open_ledger(self) -> Ledger:
-        """Return a new ledger for it."""
+        """Return a new, empty ledger under this rule."""
         return Ledger(self.kind, self.total, self.window_us, self.linger_us, self.reserve)
 
 
 @dataclass(frozen=True, slots=True)
 class Rotation:
-    """The index of the member that is served first, until a time (us), while not all can be served."""
+    """Which member is served first while not all can be served. first: its index; until: a time in us."""
 
     until: int
     first: int
 
 
 class BudgetSummary(NamedTuple):
-    """Sums of one budget over all members, for staff."""
+    """One budget, summed over all members.
+
+    charged: the most that may be in use; available: what may still be allocated; requested: the sum of
+    requests.
+    """
 
     total: int
     charged: int
@@ -69,12 +75,12 @@
 
 
 def with_totals(budgets: Mapping[str, Budget], totals: Mapping[str, int]) -> dict[str, Budget]:
-    """Return the budgets with these totals; a budget without one keeps its own."""
+    """Return the budgets with these totals, by name or kind; a budget not named keeps its total."""
     return {name: budget._replace(total=totals.get(name, budget.total)) for name, budget in budgets.items()}
 
 
 class Allocator:
-    """All budgets of a fleet. What allocate() returns to be written is charged already.
+    """All budgets of a fleet. The changes that allocate() returns are charged before they are written.
 
     ledgers: by budget name; demands: by budget name and member; reported_budgets: names of the budgets in
     each present member's last report; row_budgets: names of the budgets whose ledger has an entry for the
@@ -84,7 +90,7 @@
     """
 
     def __init__(self, budgets: Mapping[str, Budget], weights: Mapping[str, float] | None = None) -> None:
-        """budgets: by name, or by word for a kind. weights: by member, 1 by default."""
+        """budgets: by name, or by kind for all subjects. weights: by member, 1 by default."""
         self.budgets = dict(budgets)
         self.weights = weights or {}
         self.ledgers: dict[str, Ledger] = {}
@@ -98,7 +104,7 @@
         self.newly_left: dict[str, None] = {}
 
     def rule(self, name: str) -> Budget | None:
-        """Return the rule for a budget, None if there is none."""
+        """Return the rule for a budget: its own, else that of its kind; None if there is none."""
         return self.budgets.get(name) or self.budgets.get(name.partition("/")[0])
 
     def _known_rule(self, name: str) -> Budget:
@@ -120,9 +126,10 @@
     def member_left(
         self, member: str, inactive_at: int, last_usage: Mapping[str, Usage] | None = None
     ) -> None:
-        """Record that a member has left: it can begin nothing from inactive_at on.
+        """Record that a member has left.
 
-        last_usage: its last report, if it has shut down gracefully.
+        inactive_at: from this time on it can begin nothing more. last_usage: from its last report, if it has
+        shut down gracefully; None: its use is unknown.
         """
         self.reported_budgets.pop(member, None)
         for name in self.row_budgets.get(member, ()):
@@ -133,10 +140,10 @@
             self.newly_left[member] = None
 
     def report(self, member: str, applied_write: int, usage: Mapping[str, Usage], now: int) -> None:
-        """Take a member's report. applied_write: the newest write that the member has applied.
+        """Take a member's report; a member is present from its first report on.
 
-        A member is present from its first report on. Budgets without a rule are ignored; nothing is in use of
-        budgets that the report does not name any more.
+        applied_write: number of the newest write that the member has applied. Budgets without a rule are
+        ignored. Of budgets that the report does not name any more, the member uses nothing.
         """
         before = self.reported_budgets.get(member, set())
         self.reported_budgets[member] = set()
@@ -170,11 +177,12 @@
     def allocate(
         self, write: int, now: int, max_budgets: int = MAX_BUDGETS_PER_ROUND
     ) -> dict[str, dict[str, int]]:
-        """Return the allocations that change with this write, by member and budget.
+        """Return the allocations that change with this write, by member and budget name.
 
-        Empty for a member whose row has to be written for another reason. Those that have left come first:
-        what they had may go to others with this write, and the rows in the store must never sum to more than
-        the total. At most max_budgets are handled, the others with the next writes.
+        write: number of the write, larger than any before. A member without changed allocations is contained
+        if its row has to be written for another reason. Members that have left come first: what they had may
+        go to others with this write, and the stored rows must never sum to more than the total. At most
+        max_budgets budgets are reallocated now, the others with the next writes.
         """
         while self.scheduled and self.scheduled[0][0] <= now:
             _, name = heappop(self.scheduled)
@@ -190,12 +198,12 @@
             changed, ended = self._allocate_budget(name, write, now)
             for member, amount in changed.items():
                 changes.setdefault(member, {})[name] = amount
-            for member in ended:  # its row is written too, without this budget
+            for member in ended:  # its row has to be written too, without this budget
                 changes.setdefault(member, {})
         return changes
 
     def _allocate_budget(self, name: str, write: int, now: int) -> tuple[dict[str, int], set[str]]:
-        """Return the changed allocations of one budget, and the members that are no longer in its ledger."""
+        """Return the changed allocations of a budget, and the members whose ledger entry was removed."""
         ledger = self.ledgers[name]
         entries_before = set(ledger.entries)
         demands = self._credited_demands(name, now)
@@ -247,13 +255,13 @@
     def _schedule_next(
         self, name: str, targets: Mapping[str, int], demands: Mapping[str, int], now: int
     ) -> None:
-        """Schedule the next allocation: a charge expires, credited demand falls, or the rotation ends."""
+        """Schedule the next reallocation: a charge expires, credited demand falls, or the rotation ends."""
         ledger = self.ledgers[name]
         due_times = [demand.due() for demand in self.demands[name].values()]
         times = [due for due in due_times if due and due > now]
         next_expiry = ledger.next_expiry()
         if ledger.allocations() != targets and next_expiry:
-            times.append(next_expiry)  # without one, a report will come: something is still to be released
+            times.append(next_expiry)  # if no charge expires, a report will trigger the reallocation
         self._update_rotation(name, targets, demands, now)
         if name in self.rotations:
             times.append(self.rotations[name].until)
@@ -263,9 +271,9 @@
     def _update_rotation(
         self, name: str, targets: Mapping[str, int], demands: Mapping[str, int], now: int
     ) -> None:
-        """Rotate who is served first while any member's allocation is too small to be usable.
+        """Change every ROTATION_US who is served first, while any member's allocation is too small to use.
 
-        Guards against starvation of the same members for ever.
+        Otherwise the same members would never be served.
         """
         granularity = self._known_rule(name).granularity
         is_any_unserved = any(
@@ -284,7 +292,7 @@
             self.rotations[name] = rotation
 
     def set_totals(self, totals: Mapping[str, int]) -> None:
-        """Set totals by name or by word for a kind; larger allocations are reduced later."""
+        """Set totals by name or kind; for a lowered total the next allocate() reduces allocations."""
         self.budgets = with_totals(self.budgets, totals)
         for name, ledger in self.ledgers.items():
             total = self._known_rule(name).total
@@ -293,13 +301,13 @@
                 self.to_reallocate[name] = None
 
     def due(self) -> int | None:
-        """Return when to allocate again at the latest; None: not before the next report."""
+        """Return when to call allocate() at the latest; None: not before the next report."""
         if self.to_reallocate:
             return 0
         return self.scheduled[0][0] if self.scheduled else None
 
     def summaries(self, now: int) -> dict[str, BudgetSummary]:
-        """Return the sums of each budget by name."""
+        """Return the sums over all members by budget name."""
         return {
             name: BudgetSummary(
                 ledger.total,
@@ -311,7 +319,7 @@
         }
 
     def row(self, member: str) -> dict[str, PackedEntry]:
-        """Return the packed ledger entries of a member by budget name, to store them."""
+        """Return the row to store for a member: its packed ledger entries by budget name."""
         packed = {}
         for name in sorted(self.row_budgets.get(member, ())):
             entry = self.ledgers[name].entries.get(member)
@@ -320,9 +328,9 @@
         return packed
 
     def load(self, rows: Mapping[str, Mapping[str, PackedEntry]], now: int) -> None:
-        """Go on from the rows, by member, that another allocator stored.
+        """Continue from the rows, by member, that another allocator stored.
 
-        For members with a row but without a report, which have left, the caller has to call member_left().
+        The caller has to call member_left() for members with a row but without a report: they have left.
         """
         for member, row in rows.items():
             for name, packed in row.items():
@@ -338,7 +346,7 @@
 def plan_allocations(
     budget: Budget, demands: Mapping[str, int], weights: Mapping[str, float] | None = None
 ) -> dict[str, int]:
-    """Return what each member would be allocated of one budget in a steady state, without a ledger."""
+    """Return what each member is allocated of one budget once these demands have lasted for a while."""
     weights = weights or {}
     return max_min_shares(
         max(0, budget.total - budget.reserve),
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -1,8 +1,9 @@
-"""The role that allocates the fleet's budgets: reads reports, allocates, writes rows. Decisions only.
+"""The role that allocates the fleet's budgets: reads reports, allocates, writes rows. Performs no I/O.
 
-One write is under way at a time. The fence is written and compared with every write, so that an abandoned
-call can't be carried out between two later ones. After a reply that proves nothing, or if the fence has
-changed, everything is read again.
+One write is under way at a time. Each write also writes a key, the fence, and is carried out only if the
+fence has the revision of the previous write, so that a call that was given up can't be carried out between
+two later ones. If a reply does not show whether the write was carried out, or if the fence has changed,
+everything is read again.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,16 +24,16 @@
 from gullhold.fleet.role_state import LogEvent, RoleState
 from gullhold.fleet.store_calls import MAX_TRANSACTION_OPERATIONS, Delete, Operation, Put, Reply
 
-ROLE = "budgets"  # the role's name in the store and in the log
-FENCE_OPERATIONS = 2  # of each write: the write of the fence and the comparison of the role's token
-OPERATIONS_PER_MEMBER = 2  # a row, and possibly a report to delete
+ROLE = "budgets"  # name of the role in the store and in the log
+FENCE_OPERATIONS = 2  # in each transaction: the write of the fence and the comparison of the role's token
+OPERATIONS_PER_MEMBER = 2  # at most: its row, and its report if both are deleted
 MAX_MEMBERS_PER_WRITE = (MAX_TRANSACTION_OPERATIONS - FENCE_OPERATIONS) // OPERATIONS_PER_MEMBER
-WRITES_PER_TOKEN = 1 << 20  # numbers of writes reserved for each token, so that they grow over tokens too
-MIN_WRITE_INTERVAL_US = 20_000  # us between writes, so that one write answers several reports
+WRITES_PER_TOKEN = 1 << 20  # write numbers reserved for each fencing token, so that they always increase
+MIN_WRITE_INTERVAL_US = 20_000  # between two writes, so that one write answers several reports
 
 
 class AllocatorRole(RoleState):
-    """The allocator's keys while this member leads the role.
+    """The allocator and its keys in the store while this member leads the role.
 
     fence_revision: revision of the fence as last written; report_revision: of the newest report that was
     taken. token, as in RoleState: the fencing token, 0 while this member does not lead.
@@ -44,7 +45,7 @@
         weights: Mapping[str, float] | None = None,
         make_allocator: Callable[[Mapping[str, Budget], Mapping[str, float] | None], Allocator] = Allocator,
     ) -> None:
-        """budgets, weights: as in Allocator."""
+        """budgets, weights: as in Allocator. make_allocator: the Allocator type to use."""
         super().__init__(ROOT)
         self.budgets = dict(budgets)
         self.weights = weights
@@ -57,19 +58,19 @@
         self.members_to_delete: dict[str, None] = {}
 
     def set_totals(self, totals: Mapping[str, int]) -> None:
-        """Set totals by name or word for a kind, for this allocator and later ones."""
+        """Set totals by budget name or kind, for the current allocator and later ones."""
         self.budgets = with_totals(self.budgets, totals)
         if self.allocator:
             self.allocator.set_totals(totals)
 
     def lost(self) -> None:
-        """Stop, as the leadership is not certain any more; the ledgers are forgotten."""
+        """Stop, because the leadership is not certain any more, and drop the allocator with its ledgers."""
         super().lost()
         self.allocator = None
 
     @property
     def _acting_allocator(self) -> Allocator:
-        """The allocator, once all keys were read; keys are written and watched only then."""
+        """The allocator; exists once all keys were read, before which nothing is written or watched."""
         return cast("Allocator", self.allocator)
 
     def _next_write_at(self, _now: int) -> int | None:
@@ -93,7 +94,7 @@
         self._write(operations, ((FENCE, self.fence_revision),))
 
     def _take_uncharged(self) -> None:
-        """Have the keys of members deleted that nothing is charged to any more."""
+        """Mark the keys of members for deletion that no ledger has an entry for any more."""
         uncharged = self._acting_allocator.uncharged
         self._acting_allocator.uncharged = set()
         self.members_to_delete |= dict.fromkeys(uncharged)
@@ -101,7 +102,7 @@
             self.rows_to_write.pop(member, None)
 
     def _next_operations(self, write: int) -> list[Operation]:
-        """Return the write of the fence and as many other operations as fit into one transaction."""
+        """Return the write of the fence and as many due operations as fit into one transaction."""
         totals = {name: BudgetTotal(budget.total, budget.reserve) for name, budget in self.budgets.items()}
         operations: list[Operation] = [Put(FENCE, encode_fence(write, totals))]
         members = list(self.rows_to_write)[:MAX_MEMBERS_PER_WRITE]
@@ -123,7 +124,7 @@
         return reply.succeeded
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
-        """Take the rows first, then the reports; members with a row but without a report have left."""
+        """Load the rows first, then the reports; members with a row but without a report have left."""
         self.allocator = self.make_allocator(self.budgets, self.weights)
         self.fence_revision = 0
         self.rows_to_write = {}
@@ -149,9 +150,9 @@
         )
 
     def _on_key_changed(self, now: int, key: str, value: str | None, revision: int) -> bool:
-        """Take a change of a report; value None: the member's lease has ended."""
+        """Take a change of a report. value: None if it was deleted, as the member's lease has ended."""
         if revision <= self.report_revision and value is not None:
-            return False  # a newer one was read; a repeated deletion has no effect
+            return False  # a newer report was read already; a repeated deletion has no effect
         self.report_revision = max(self.report_revision, revision)
         member = key.removeprefix(REPORTS)
         if value is not None:
--- a/gullhold/budgets/budget_rules.py
+++ b/gullhold/budgets/budget_rules.py
@@ -1,4 +1,4 @@
-"""Rules of a fleet's budgets, from the operator's records and the agreement. Decisions only."""
+"""Derives the rules of a fleet's budgets from the operator file's records and the agreement."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
@@ -9,10 +9,10 @@
 from gullhold.budgets.ledger import LedgerKind
 from gullhold.interface import Agreement, BudgetKind
 
-if TYPE_CHECKING:  # loading them takes long, and a gateway without an operator file needs none
+if TYPE_CHECKING:  # this import takes long, and a gateway without an operator file does not need it
     from gullhold.operator.records import BudgetRecord
 
-# By their names in the operator file.
+# Kinds of budgets by their names in the operator file.
 BUDGET_KINDS = {
     "threads": BudgetKind.THREADS,
     "memory": BudgetKind.MEMORY,
@@ -36,33 +36,33 @@
 }
 PER_ENGINE_KINDS = frozenset({BudgetKind.THREADS, BudgetKind.MEMORY, BudgetKind.WARMUP})
 PER_TENANT_KINDS = frozenset({BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS})
-SETTLE_US = 500_000  # us that cancelled work may run on at an engine: twice the time of a cancel on its way
-LINGER_MARGIN_US = 1_000_000  # us added to the longest client timeout: no attempt at an engine lasts longer
+SETTLE_US = 500_000  # for which cancelled work may run on at an engine: twice a cancel's transmission time
+LINGER_MARGIN_US = 1_000_000  # added to the longest client timeout: no attempt at an engine lasts longer
 
 
 class BudgetRuleError(Exception):
-    """A budget that does not fit the agreement; the text is one plain line."""
+    """A budget does not fit the agreement. The message is one line, to be shown to the operator."""
 
 
 class BudgetRules(NamedTuple):
-    """budgets: rules for the allocator, by name or by word for a kind; allocations: for this member."""
+    """budgets: rules for the allocator, by budget name or kind; allocations: rules for this member."""
 
     budgets: dict[str, Budget]
     allocations: dict[RuleKey, AllocationRule]
 
 
 def budget_name(record: "BudgetRecord") -> str:
-    """Return the name of a record's budget: the word for its kind, and the tenant's name if it has one."""
+    """Return the name of a record's budget: its kind, and the tenant if it is for one tenant."""
     return f"{record.of}/{record.tenant}" if record.tenant else record.of
 
 
 def tenant_names(agreement: Agreement) -> list[str]:
-    """Return the names of the tenants by index; without tenants, profiles take their place."""
+    """Return the names of the tenants by index, or of the profiles if the agreement has no tenants."""
     return [tenant.name for tenant in agreement.tenants] or [profile.name for profile in agreement.profiles]
 
 
 def subject_budget_name(kind: BudgetKind, subject: int, tenants: list[str]) -> str:
-    """Return the name of the budget of one subject."""
+    """Return the name of the budget of one subject, an engine's id or a tenant's index."""
     subject_name = tenants[subject] if kind in PER_TENANT_KINDS else subject
     return f"{KIND_NAMES[kind]}/{subject_name}"
 
@@ -70,13 +70,13 @@
 def build_rules(records: Iterable["BudgetRecord"], agreement: Agreement, drift: float) -> BudgetRules:
     """Return the rules for the budgets of the operator file. Raises BudgetRuleError.
 
-    drift: largest relative difference of two clocks' rates; windows and lingering times are longer by it, so
-    that they do not end too early by a fast clock.
+    drift: largest relative difference between the rates of two clocks. Windows and linger times are extended
+    by it, so that they do not end too early on a fast clock.
     """
     tenants = tenant_names(agreement)
     longest_timeout_us = max((profile.timeout_us for profile in agreement.profiles), default=0)
     rules = BudgetRules({}, {})
-    for record in sorted(records, key=lambda record: record.tenant):  # budgets of all tenants come first
+    for record in sorted(records, key=lambda record: record.tenant):  # those for all tenants come first
         budget = _budget(record, agreement, longest_timeout_us, drift)
         if record.tenant and record.tenant not in tenants:
             raise BudgetRuleError(f"fleet.budgets: {record.tenant!r} is no tenant of the agreement")
@@ -103,7 +103,7 @@
 
 
 def _window_us(record: "BudgetRecord", agreement: Agreement) -> int:
-    """Return the window that the record or else the agreement states."""
+    """Return the window from the record, or else from the agreement; 0 if the budget has none."""
     kind = BUDGET_KINDS[record.of]
     agreed_windows_us = {
         BudgetKind.RETRIES: agreement.retry_budget_window_us,
@@ -111,12 +111,14 @@
     }
     window_us = record.window or agreed_windows_us.get(kind, 0)
     if LEDGER_KINDS[kind] == LedgerKind.WINDOWED and not window_us:
-        raise BudgetRuleError(f"fleet.budgets: {record.of}: neither it nor the agreement states a window")
+        raise BudgetRuleError(
+            f"fleet.budgets: {record.of}: neither it nor the agreement states a window; set `window`"
+        )
     return window_us
 
 
 def _allocation_rule(budget: Budget, drift: float) -> AllocationRule:
-    # The reserve may be spent only when work of an earlier process of the same member has ended.
+    # The reserve may be spent only when the work of an earlier process of the same name has certainly ended.
     reserve_after_us = budget.window_us if budget.kind == LedgerKind.WINDOWED else budget.linger_us
     return AllocationRule(
         kind=budget.kind,
--- a/gullhold/budgets/core_budgets.py
+++ b/gullhold/budgets/core_budgets.py
@@ -1,4 +1,4 @@
-"""A member's allocations on the core's thread, which never waits: all calls reach it as posts."""
+"""A member's allocations on the core's thread, which never waits: each call is posted to its queue."""
 
 from collections.abc import Callable, Mapping, Sequence
 from queue import Empty, SimpleQueue
@@ -11,11 +11,14 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-CORE_TIMEOUT_S = 1.0  # for the core's answer to the thread that follows the endpoint list
+CORE_TIMEOUT_S = 1.0  # for the core's answer to the thread that reads the endpoint list
 
 
 class AllocationWrite(NamedTuple):
-    """Allocations by budget name, as read under a lease; write 0: the lease has just begun."""
+    """A write of allocations, as read under a lease.
+
+    write: its number, 0 if the lease has just begun; allocations: amounts by budget name.
+    """
 
     lease_id: int
     write: int
@@ -23,17 +26,17 @@
 
 
 class CoreBudgets:
-    """Applies allocations and collects usage on the core's thread."""
+    """Applies allocations and collects usage on the core's thread, on behalf of other threads."""
 
     def __init__(
         self, core: "Core", allocations: Allocations, on_collected: Callable[[CollectedUsage], None]
     ) -> None:
-        """on_collected: called on the core's thread after each apply()."""
+        """on_collected: called on the core's thread with the usage, after each apply()."""
         self.core = core
         self.allocations = allocations
         self.on_collected = on_collected
         core.fences.append(allocations)
-        self.apply(())  # before the first command, so that budgets are in force from the start
+        self.apply(())  # before the first command, so that no command escapes the budgets
 
     def apply(self, writes: Sequence[AllocationWrite]) -> None:
         """Apply these writes, then collect the usage. May be called on any thread."""
@@ -57,15 +60,15 @@
         )
 
     def may_call_discovery(self) -> bool:
-        """Whether the discovery service may be called now; if so, the call is counted.
+        """Whether the discovery service may be called now; if so, the call is counted against its budget.
 
-        Called on the thread that follows the endpoint list; waits for the core for CORE_TIMEOUT_S at most.
+        Called on the thread that reads the endpoint list; blocks it for CORE_TIMEOUT_S at most.
         """
         answer: SimpleQueue[bool] = SimpleQueue()
         self.core.post_urgent(self._acquire_discovery_call, answer)
         try:
             return answer.get(timeout=CORE_TIMEOUT_S)
-        except Empty:  # if the core allows it later, the call is counted but not made
+        except Empty:  # if the core allows it later, the call is counted but never made
             return False
 
     def _acquire_discovery_call(self, answer: "SimpleQueue[bool]") -> None:
--- a/gullhold/budgets/demand.py
+++ b/gullhold/budgets/demand.py
@@ -1,25 +1,27 @@
-"""How much a member requests, and how much of that the allocator credits. Decisions only."""
+"""How much of a budget a member requests, and how much of the request the allocator credits."""
 
-HEADROOM_DIVISOR = 4  # a member requests a quarter more than it uses, before its allocation runs out
-IDLE_TIMEOUT_US = (
-    2_000_000  # us for which a mostly idle allocation may go with a larger request: some reports
-)
-IDLE_RATIO = 2  # an allocation of more than this times the used amount is mostly idle
+HEADROOM_DIVISOR = 4  # a member requests a quarter more than it uses, so that it rarely runs out
+IDLE_TIMEOUT_US = 2_000_000  # until a request above a mostly idle allocation is cut: time for several reports
+IDLE_RATIO = 2  # an allocation of more than this times the peak use is mostly idle
 
 
 def requested_amount(peak: int, unmet: int, total: int) -> int:
-    """Return the amount that a member requests: what it uses, headroom, and what it lacks now."""
+    """Return the amount that a member requests: its peak use, headroom, and unmet demand."""
     headroom = -(-peak // HEADROOM_DIVISOR)
     return min(total, peak + headroom + unmet)
 
 
 def is_mostly_idle(peak: int, allocated: int) -> bool:
-    """Whether more of an allocation is idle than used."""
+    """Whether more of an allocation is idle than was in use at the peak."""
     return peak * IDLE_RATIO < allocated
 
 
 class MemberDemand:
-    """One member's demand for one budget, at the allocator. Times are us of the allocator's clock."""
+    """One member's demand for one budget, as the allocator knows it. Times are us of the allocator's clock.
+
+    requested, peak: as in the last report; idle_since: since when a request above a mostly idle allocation
+    lasts, None if it does not.
+    """
 
     __slots__ = ("idle_since", "requested", "peak")
 
@@ -29,28 +31,28 @@
         self.idle_since: int | None = None
 
     def report(self, peak: int, requested: int, allocated: int, now: int) -> None:
-        """Take a report."""
+        """Take the member's report. allocated: its current allocation."""
         self.peak = peak
         self.requested = requested
         self.update_idle(allocated, now)
 
     def update_idle(self, allocated: int, now: int) -> None:
-        """Record since when the allocation is mostly idle; called when it or the report has changed."""
+        """Set idle_since; to be called when the allocation or the report has changed."""
         if not is_mostly_idle(self.peak, allocated) or self.requested <= allocated:
             self.idle_since = None
         elif self.idle_since is None:
             self.idle_since = now
 
     def credited(self, now: int) -> int:
-        """Return how much of the request counts.
+        """Return how much of the request is considered in the allocation.
 
-        Guards against a member that requests everything and spends nothing: after the idle timeout only
-        IDLE_RATIO times what it uses is credited.
+        Guards against a member that requests everything and spends nothing: after IDLE_TIMEOUT_US only
+        IDLE_RATIO times its peak use is credited.
         """
         if self.idle_since is None or now < self.idle_since + IDLE_TIMEOUT_US:
             return self.requested
         return min(self.requested, IDLE_RATIO * self.peak)
 
     def due(self) -> int | None:
-        """Return when the credited demand may fall without a report; None: it does not."""
+        """Return when the credited demand may fall without a new report; None: it will not."""
         return None if self.idle_since is None else self.idle_since + IDLE_TIMEOUT_US
