--- a/gullhold/budgets/ledger.py
+++ b/gullhold/budgets/ledger.py
@@ -1,10 +1,10 @@
-"""The allocator's ledger of one budget: how much of it may be allocated now. Decisions only.
+"""The allocator's ledger of one budget: how much of it may be allocated now. Performs no I/O.
 
-Members are identified by a key that distinguishes processes of the same name: after a restart it is another
-member. Each member is charged with all that it can still spend: its allocation; a larger one whose reduction
-it may not have seen yet; what it has in use; and, for a windowed budget, what it has spent within the window.
-Only what no member is charged with may be allocated. So the total is never exceeded, whichever message is
-lost or late and whichever process is paused.
+Members are identified by a key that distinguishes processes of the same name: a restarted process is another
+member. Each member is charged with the most that it may still use: its allocation; a larger earlier one whose
+reduction it may not have seen yet; what it has in use; and, for a windowed budget, what it has spent within
+the window. Only what no member is charged with may be allocated. So the total is never exceeded, whichever
+messages are lost or late and whichever processes are paused.
 """
 
 from bisect import insort
@@ -20,28 +20,32 @@
 
     HELD = "held"  # an amount in use at the same time
     WINDOWED = "windowed"  # an amount spent within any window
-    WEIGHT = "weight"  # proportions only: there is no total to keep to
+    WEIGHT = "weight"  # proportions only: use is not limited by the total
 
 
 class Reduction(NamedTuple):
-    """A reduction of an allocation, which the member has seen once it reports this write or a later one."""
+    """A reduction that the member may not have seen yet: it has once it reports this write or a later one.
+
+    write: number of the write with the reduction; previous: the allocation before it.
+    """
 
     write: int
     previous: int
 
 
 class ExpiringCharge(NamedTuple):
-    """An amount that a member could spend or has spent, charged until a time (us)."""
+    """An amount that a member may have spent, charged until a time in us."""
 
     until: int
     amount: int
 
 
 class LedgerEntry:
-    """One member in a ledger. Times are us of the allocator's clock.
+    """One member's entry in a ledger. Times are us of the allocator's clock.
 
-    allocated: as last written for the member; in_use: as last reported; reductions: not acknowledged yet, by
-    write; expiring: charges that end at a certain time; has_left: the member can begin nothing more.
+    allocated: as last written for the member; applied_write: number of the newest write that the member has
+    reported as applied; in_use: as last reported; reductions: those not acknowledged yet, in order of their
+    writes; expiring: charges that end at a known time; has_left: the member can begin nothing more.
     """
 
     __slots__ = ("allocated", "expiring", "has_left", "in_use", "reductions", "applied_write")
@@ -55,7 +59,7 @@
         self.has_left = False
 
     def charge(self, now: int) -> int:
-        """Return the most that the member can have in use now, or have spent over the last window."""
+        """Return the most that the member may have in use now, or have spent within the last window."""
         highest = max(self.allocated, self.in_use)
         for _, previous in self.reductions:
             highest = max(highest, previous)
@@ -71,7 +75,7 @@
     def pack(self) -> PackedEntry:
         """Return the stored form: [allocated, in use, reductions, expiring amounts, has left].
 
-        If there is only an allocation, it is a plain number.
+        An entry with an allocation alone is stored as a plain number.
         """
         if self.in_use or self.reductions or self.expiring or self.has_left:
             amounts = [amount for _, amount in self.expiring]
@@ -80,7 +84,7 @@
 
     @classmethod
     def unpack(cls, packed: PackedEntry, until: int) -> "LedgerEntry":
-        """Read the stored form. Expiring charges end at `until`, as their times were of another clock."""
+        """Read the stored form. until: when expiring charges end, as their times are not stored."""
         entry = cls()
         if isinstance(packed, int):
             entry.allocated = packed
@@ -94,8 +98,9 @@
 class Ledger:
     """The ledger of one budget.
 
-    window_us: of a windowed budget. linger_us: how long work may go on after its member has become unable to
-    begin more. reserve: never allocated, for members that can't be reached.
+    window_us: length of the window of a windowed budget. linger_us: how long work may go on after its member
+    has become unable to begin more. reserve: part of the total that is never allocated, as members may always
+    spend it. entries: by member.
     """
 
     def __init__(
@@ -109,11 +114,11 @@
         self.entries: dict[str, LedgerEntry] = {}
 
     def charge(self, member: str, now: int) -> int:
-        """Return the most that one member may have in use."""
+        """Return the most that one member may have in use or have spent."""
         return self.entries[member].charge(now) if member in self.entries else 0
 
     def charged(self, now: int) -> int:
-        """Return the most that all members together may have in use."""
+        """Return the most that all members together may have in use or have spent."""
         return sum(entry.charge(now) for entry in self.entries.values())
 
     def available(self, now: int) -> int:
@@ -121,15 +126,15 @@
         return self.total - self.reserve - self.charged(now)
 
     def allocations(self) -> dict[str, int]:
-        """Return the allocations, as last written, of the members that have not left."""
+        """Return the allocations, as last written, of the members that have not left, by member."""
         return {member: entry.allocated for member, entry in self.entries.items() if not entry.has_left}
 
     def reallocate(self, targets: Mapping[str, int], write: int, now: int) -> dict[str, int]:
-        """Return the allocations to write now: all reductions, and increases as far as possible.
+        """Return the changed allocations to write: all reductions, and the increases that are possible now.
 
-        targets: the allocation that each member should have; a member that is not in it should have none.
-        write: number of this write. Only changed allocations are returned. They are charged before any member
-        is notified, so that whether or not the write arrives no member can have more.
+        targets: the allocation that each member should have, none for a member that is missing. write: number
+        of this write. The changes are charged at once, before they are written, so that no member can have
+        more than it is charged with, whether or not the write arrives.
         """
         changed: dict[str, int] = {}
         for member in self.allocations():
@@ -152,15 +157,16 @@
             changed[member] = target
 
     def _raise(self, targets: Mapping[str, int], now: int, changed: dict[str, int]) -> None:
-        """Raise allocations towards their targets, the smallest increase first, while any is available."""
+        """Raise allocations towards their targets, the smallest increase first, as far as available."""
         available = self.total * len(targets) if self.kind == LedgerKind.WEIGHT else self.available(now)
         for member, target in sorted(targets.items(), key=lambda row: row[1] - self._allocated(row[0])):
             entry = self.entries[member]
             if entry.has_left or target <= entry.allocated:
                 continue
             before = entry.charge(now)
-            # It is charged with `before` already. Guards against allocations that sum to more than the total
-            # where more is charged, as by what members have in use, and that stay when the use has ended.
+            # The member is charged with `before` already, so up to there a raise costs nothing. A negative
+            # `available`, as when members have more in use than allocated, limits even this: otherwise the
+            # allocations would sum to more than the total, and still do so after the use has ended.
             raised = min(target, before + available)
             if raised > entry.allocated:
                 entry.allocated = raised
@@ -173,7 +179,8 @@
     def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:
         """Take a member's report; one that is older than the last has no effect.
 
-        applied_write: the newest write that the member has applied; in_use: or spent within the window.
+        applied_write: number of the newest write that the member has applied; in_use: what it has in use, or
+        has spent within the window.
         """
         entry = self.entries.setdefault(member, LedgerEntry())
         if entry.has_left or applied_write < entry.applied_write or self.kind == LedgerKind.WEIGHT:
@@ -182,15 +189,16 @@
         entry.reductions = [reduction for reduction in entry.reductions if reduction.write > applied_write]
         if self.kind == LedgerKind.HELD:
             entry.in_use = in_use
-        elif in_use > entry.allocated:  # charged until the window has passed, whatever is spent from now on
+        elif in_use > entry.allocated:  # charged for a whole window, whatever is spent from now on
             entry.expiring = [row for row in entry.expiring if row.until > now and row.amount > in_use]
             entry.expiring.append(ExpiringCharge(now + self.window_us, in_use))
 
     def member_left(self, member: str, inactive_at: int, spent: int | None = None) -> None:
-        """Record that a member has left: it can begin nothing from inactive_at on, but its work may linger.
+        """Record that a member has left; its work may still go on for a while, and stays charged.
 
-        spent: what it last reported to have in use, or spent within the window, if it has shut down
-        gracefully; None: unknown, so that all that it could spend is charged.
+        inactive_at: from this time on it can begin nothing more. spent: what it had in use, or had spent
+        within the window, by its last report, if it has shut down gracefully; None: unknown, so that all that
+        it could spend is charged.
         """
         entry = self.entries.get(member)
         if entry is None or entry.has_left:
@@ -206,11 +214,11 @@
         entry.has_left = True
 
     def _expiry_us(self) -> int:
-        """How long a charge goes on after its member has left."""
+        """How long a charge lasts after its member has become unable to begin more."""
         return self.window_us if self.kind == LedgerKind.WINDOWED else self.linger_us
 
     def remove_expired(self, now: int, present: Container[str] = ()) -> None:
-        """Drop charges that have ended, and empty entries of members that are not present."""
+        """Remove charges that have ended, and the empty entries of members that are not present."""
         for member, entry in list(self.entries.items()):
             entry.expiring = [row for row in entry.expiring if row.until > now]
             if entry.is_empty() and (entry.has_left or member not in present):
@@ -223,7 +231,8 @@
     def load(self, member: str, packed: PackedEntry, now: int) -> None:
         """Load a member's entry as another allocator stored it.
 
-        Its expiring charges end a full period from now. A report from before now must not be used for a
-        member that is still present.
+        Its expiring charges last a full period from now. The entry does not say which writes the member has
+        applied: a report that is older than the entry must not be applied to it, as it would be taken for
+        new.
         """
         self.entries[member] = LedgerEntry.unpack(packed, now + self._expiry_us())
--- a/gullhold/budgets/max_min_fairness.py
+++ b/gullhold/budgets/max_min_fairness.py
@@ -1,7 +1,7 @@
-"""Weighted max-min fairness: how much of a total each member should be allocated.
+"""Weighted max-min fairness: how much of a total each member should be allocated. Performs no I/O.
 
-Decisions only. Amounts are integers in the budget's own unit. Computed by progressive filling: the member
-with the smallest share over weight is served first, until its demand is met or the total is used up.
+Amounts are integers in the budget's own unit. The shares are computed by progressive filling: the member with
+the smallest share divided by its weight is served first, until its demand is met or the total is used up.
 """
 
 from collections.abc import Hashable, Mapping, Sequence
@@ -10,7 +10,7 @@
 
 MemberKey = TypeVar("MemberKey", bound=Hashable)
 
-MAX_IDLE_CHANGE = 0.1  # of an allocation; a change up to this is not written if no member waits for it
+MAX_IDLE_CHANGE = 0.1  # of an allocation: changes up to this are not made if no member lacks anything
 
 
 def max_min_shares(
@@ -21,14 +21,14 @@
     granularity: int = 1,
     first: int = 0,
 ) -> dict[MemberKey, int]:
-    """Return the share of each member; their sum is the total.
+    """Return the share of each member; the shares sum to the total.
 
     Every member gets at least the floor, if the total is large enough. Then the member with the smallest
-    share over weight is served first, up to its demand. What no member demands is distributed by weight, for
-    bursts.
+    share divided by its weight is served first, up to its demand. What no member demands is distributed by
+    weight, so that members have it at hand for bursts.
 
     demands, weights: by member. granularity: smallest usable amount; all shares but one are multiples of it.
-    first: if not every member can have that amount, members from this index on are served.
+    first: index of the member to serve first; matters if not every member can have a usable amount.
     """
     if not demands or total <= 0:
         return dict.fromkeys(demands, 0)
@@ -58,14 +58,14 @@
     granularity: int,
     first: int,
 ) -> dict[MemberKey, int]:
-    """Divide in units of the granularity; the member with the largest share also gets the remainder."""
+    """Distribute units of the granularity; the member with the largest share also gets the remainder."""
     unit_demands = {member: _ceil_div(demand, granularity) for member, demand in demands.items()}
     units = max_min_shares(
         total // granularity, unit_demands, weights, _ceil_div(floor, granularity), first=first
     )
     shares = {member: count * granularity for member, count in units.items()}
     largest = max(shares, key=lambda member: shares[member])
-    shares[largest] += total % granularity  # usable only together with complete units
+    shares[largest] += total % granularity  # smaller than a unit: of use only beside complete units
     return shares
 
 
@@ -80,7 +80,10 @@
     weights: Mapping[MemberKey, float],
     remaining: int,
 ) -> int:
-    """Raise the smallest shares by weight until all demands are met or nothing remains; return the rest."""
+    """Raise the smallest shares, by weight, until all demands are met or nothing remains.
+
+    Changes `shares`; returns what remains.
+    """
     while unsatisfied and remaining:
         total_weight = sum(weights[member] for member in unsatisfied)
         level = min(
@@ -110,7 +113,10 @@
     weights: Mapping[MemberKey, float],
     remaining: int,
 ) -> int:
-    """Give the last units one by one to the member with the smallest share over weight; return the rest."""
+    """Give the remaining units one by one to the member with the smallest share divided by its weight.
+
+    Changes `shares`; returns what remains once all demands are met.
+    """
     queue = [(shares[member] / weights[member], index, member) for index, member in enumerate(unsatisfied)]
     heapify(queue)
     while queue and remaining:
@@ -128,7 +134,7 @@
     weights: Mapping[MemberKey, float],
     remaining: int,
 ) -> None:
-    """Distribute what no member demands, by weight; units lost to rounding go to the first members."""
+    """Add what no member demands to the shares, by weight; units lost to rounding go to the first members."""
     total_weight = sum(weights[member] for member in members)
     rounded = [int(remaining * weights[member] / total_weight) for member in members]
     for member, increase in zip(members, rounded, strict=True):
@@ -143,10 +149,10 @@
     demands: Mapping[MemberKey, int],
     max_idle_change: float = MAX_IDLE_CHANGE,
 ) -> Mapping[MemberKey, int]:
-    """Return the proposed allocations without small changes that no member needs.
+    """Return the proposed allocations without small changes that no member needs, to save writes.
 
-    An allocation that would change by at most max_idle_change of it stays as it is, unless a member demands
-    more than it has or the members have changed.
+    An allocation that would change by at most the fraction max_idle_change stays as it is, unless any member
+    demands more than it has or the set of members has changed.
     """
     is_short = any(demands[member] > current.get(member, 0) for member in proposed)
     if is_short or set(current) != set(proposed):
--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -1,7 +1,8 @@
-"""Drives a member's budgets: between the fleet's thread, the core and the store.
+"""Connects a member's budgets on the core's thread with the fleet's thread and the store.
 
 The core's thread spends and counts (`core_budgets`); the fleet's thread posts allocations to it and receives
-the collected usage. The allocator's role runs on the fleet's thread, with a lane of its own for its calls.
+the collected usage. The allocator's role runs on the fleet's thread, with a lane of its own for its calls, so
+that they do not wait for the member's calls.
 """
 
 from collections.abc import Callable
@@ -30,17 +31,17 @@
     from gullhold.operator.records import FleetRecord
 
 REPORT_LANE = "reports"
-LANES = (REPORT_LANE, ROLE)  # calls of the member and of the allocator do not wait for each other
-FINAL_REPORT_ROLE = ROLE + "/spent"  # a busy role, so that the membership does not end before the last report
+LANES = (REPORT_LANE, ROLE)  # of the member's calls and of the allocator's: neither wait for the other
+FINAL_REPORT_ROLE = ROLE + "/spent"  # set as busy, so that the membership outlasts the final report
 
 
 class MemberBudgets:
-    """One member's side, and the allocator's if this member leads that role. On the fleet's thread."""
+    """One member's budgets, and the allocator if this member leads its role. On the fleet's thread."""
 
     def __init__(
         self, fleet: "FleetMember", record: "FleetRecord", agreement: Agreement, clock: Callable[[], int]
     ) -> None:
-        """record: of the operator file. clock: monotonic us. Raises BudgetRuleError."""
+        """record: the fleet's record in the operator file. clock: monotonic us. Raises BudgetRuleError."""
         self.fleet = fleet
         self.core = fleet.core
         self.clock = clock
@@ -62,13 +63,13 @@
         )
 
     def start(self, watch: "Callable[..., Watcher]") -> None:
-        """Watch our row, and the reports for the allocator's role."""
+        """Watch this member's row, and the reports for the allocator's role. watch: returns a Watcher."""
         prefix = f"{ALLOCATIONS}{self.fleet.name}/"
         self._row_watcher = watch("parts", prefix, self._row_changed, self._read_row)
         self.fleet.watch_role(ROLE, "reports", REPORTS)
 
     def may_call_discovery(self) -> bool:
-        """Whether the discovery service may be called now; for the thread that follows the endpoint list."""
+        """Whether the discovery service may be called now; for the thread that reads the endpoint list."""
         return self.core_budgets.may_call_discovery()
 
     def due(self, now: int) -> int:
@@ -76,7 +77,7 @@
         return self.reports.due(now, bool(self.unapplied_writes))
 
     def step(self, now: int) -> None:
-        """Begin to collect usage if that is due."""
+        """Begin a new lease, collect usage or send the final report, whichever is due."""
         lease = self.fleet.membership.lease
         if lease.id and lease.id != self.reports.lease_id:
             self.reports.begin_lease(lease.id)
@@ -91,7 +92,7 @@
             self._send_final_report()
 
     def leave(self) -> None:
-        """Shut down gracefully: the lease is kept until the last report is written."""
+        """Begin a graceful shutdown: the lease is kept until the final report is written."""
         self.reports.is_leaving = True
         if not self.reports.is_final_report_sent:
             self.fleet.membership.set_busy(FINAL_REPORT_ROLE, True)
@@ -111,16 +112,20 @@
         return f"{self.fleet.name}/{self.reports.lease_id:x}"
 
     def _report_call(self, report: UsageReport, lease_id: int) -> Transaction:
-        """The write of a report, compared with the last one: an abandoned call must not undo a newer one."""
+        """Return the write of a report.
+
+        It is conditional on the revision of the last report, so that a call that was given up and is carried
+        out late can't overwrite a newer report.
+        """
         key = REPORTS + self._member_key()
         write = Put(key, encode_report(report), lease_id)
         return Transaction(((key, self.reports.revision),), (write,), (Get(key),))
 
     def _send_final_report(self) -> None:
-        """Write the last report: what may still run, and what was spent within a window.
+        """Write the final report: what may still be running, and what was spent within a window.
 
-        The core's thread has ended, so that nothing more is spent. The report is not attached to the lease,
-        so that it stays until the allocator has read it.
+        Called after the core's thread has ended, so that nothing more is spent. The report is not attached to
+        the lease, so that it remains until the allocator has read it.
         """
         self.reports.is_final_report_sent = True
         allocations = self.allocations
@@ -131,7 +136,7 @@
             self._final_report_written(None)
 
     def _final_report_written(self, _reply: Reply | None) -> None:
-        """Let the lease end. If the last report was refused, this member counts as killed."""
+        """Let the lease end. If the final report was refused, the allocator treats this member as killed."""
         self.fleet.membership.set_busy(FINAL_REPORT_ROLE, False)
 
     def _report_written(self, lease_id: int, reply: Reply) -> None:
@@ -139,7 +144,7 @@
             self._read_row()
 
     def _read_row(self) -> None:
-        """Read our row, after we have joined or after changes of it were missed."""
+        """Read this member's row, after it has joined or after changes of the row were missed."""
         request = ReadPrefix(f"{ALLOCATIONS}{self._member_key()}")
         self._report_lane().submit(request, self._row_read, self.reports.lease_id)
 
@@ -154,7 +159,7 @@
             self._row_changed(item.key, item.value, item.revision)
 
     def _row_changed(self, key: str, value: str | None, _revision: int) -> None:
-        """Take a change of a row under our name."""
+        """Take a change of a row under this member's name; rows of its earlier leases are ignored."""
         if value is None or key != ALLOCATIONS + self._member_key():
             return
         write, entries = decode_row(value)
--- a/gullhold/budgets/report_throttle.py
+++ b/gullhold/budgets/report_throttle.py
@@ -1,26 +1,26 @@
-"""Decides when a member's report is written to the store. Decisions only."""
+"""Decides whether a member's report is worth a write to the store. Performs no I/O."""
 
 from collections.abc import Mapping
 
 from gullhold.budgets.budget_schema import Usage
 from gullhold.budgets.demand import is_mostly_idle
 
-MIN_CHANGE = 0.1  # of what was reported; smaller changes are not written
-STALE_US = 2_000_000  # us after which changed use is reported even if it affects no allocation, for staff
+MIN_CHANGE = 0.1  # of what was reported or allocated; smaller changes are not written
+STALE_US = 2_000_000  # until changed use is reported even if it affects no allocation, for staff
 
 
 class ReportThrottle:
-    """Lets the first report through, then those that may change allocations of other members."""
+    """Lets the first report through, then those that may change allocations or that staff should see."""
 
     def __init__(self, min_interval_us: int) -> None:
-        """min_interval_us: between two writes."""
+        """min_interval_us: between two reports."""
         self.min_interval_us = min_interval_us
         self.last_usage: dict[str, Usage] | None = None
         self.last_applied_write = 0
         self.last_written_at = 0
 
     def reset(self) -> None:
-        """Forget the last report, as nothing has been reported under a new lease."""
+        """Let the next report through, as for a new lease or after a failed write."""
         self.last_usage = None
         self.last_applied_write = 0
 
@@ -34,14 +34,14 @@
     ) -> bool:
         """Whether to write a report now.
 
-        applied_write: the newest write of allocations that the member has applied; was_reduced: whether one
-        since the last report has lowered any allocation; usage, allocations: by budget name.
+        applied_write: number of the newest write of allocations that the member has applied; was_reduced:
+        whether a write since the last report has lowered any allocation; usage, allocations: by budget name.
         """
         if self.last_usage is None:
             return True
         if now < self.last_written_at + self.min_interval_us:
             return False
-        if was_reduced and applied_write > self.last_applied_write:  # a reduction has to be acknowledged
+        if was_reduced and applied_write > self.last_applied_write:  # the allocator waits for this
             return True
         if set(usage) != set(self.last_usage):
             return True
@@ -52,7 +52,7 @@
         )
 
     def record_report(self, now: int, applied_write: int, usage: Mapping[str, Usage]) -> None:
-        """Record that a report is written."""
+        """Record the report that is written now."""
         self.last_usage = dict(usage)
         self.last_applied_write = applied_write
         self.last_written_at = now
@@ -61,8 +61,8 @@
     def _is_changed(new: Usage, old: Usage, allocated: int, is_stale: bool) -> bool:
         """Whether the usage of one budget has changed so that the allocator or staff should know.
 
-        Changed use with an unchanged request is reported after STALE_US: guards against a store that shows
-        the use from before a burst for as long as the burst lasts. Harm: one write in that time.
+        Changed use with an unchanged request is reported after STALE_US: otherwise the store would show the
+        use from before a burst for as long as the burst lasts. This costs at most one write in that time.
         """
         is_released = new.in_use < old.in_use and old.in_use > allocated
         if is_released:
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -1,6 +1,6 @@
-"""`gullhold fleet budgets|plan|report`: shows a fleet's budgets, a planned allocation, a report on a run.
+"""`gullhold fleet budgets|plan|report`: a fleet's budgets, a planned allocation, a report over some time.
 
-The names of the columns are part of the command line's interface: operators' scripts use them.
+The column titles are part of the command line's interface: operators' scripts use them.
 """
 
 import sys
@@ -18,7 +18,7 @@
 
 
 def rows(items: Iterable[KeyValue]) -> list[Row]:
-    """Return a row for each budget. items: the stored keys of budgets."""
+    """Return a printable row for each budget. items: all keys under the budgets' root in the store."""
     return [_row(name, budget) for name, budget in sorted(stored_budgets(items).items())]
 
 
@@ -46,11 +46,11 @@
 
 
 def _reader(address: str, fleet_name: str) -> Callable[[], Sequence[KeyValue]]:
-    """Return a function that reads the stored keys of budgets; it raises ConnectionError."""
-    session = StoreClient(address, fleet_prefix(fleet_name), TIMEOUT_S)
+    """Return a function that reads all keys of budgets, or raises ConnectionError."""
+    store = StoreClient(address, fleet_prefix(fleet_name), TIMEOUT_S)
 
     def read() -> Sequence[KeyValue]:
-        reply = session.call(ReadPrefix(ROOT))
+        reply = store.call(ReadPrefix(ROOT))
         if reply.proof != Proof.DONE:
             raise ConnectionError
         return reply.items
@@ -59,7 +59,7 @@
 
 
 def run(address: str, fleet_name: str, as_json: bool) -> int:
-    """`fleet budgets`: print them; return the exit status, 1 if the store does not answer."""
+    """Run `fleet budgets`: print the budgets; return the exit status, 1 if the store does not answer."""
     try:
         print_rows(f"budgets of {fleet_name}", rows(_reader(address, fleet_name)()), as_json)
     except ConnectionError:
@@ -81,9 +81,9 @@
     reserve_per_member: int,
     as_json: bool,
 ) -> int:
-    """`fleet plan`: print what this many members would be allocated; return the exit status.
+    """Run `fleet plan`: print what this many members would be allocated; return the exit status.
 
-    demands: of the first members, all others have the last of these; empty: all demand the total.
+    demands: of the first members; the others have the last of these. Without any, each demands the total.
     """
     budget = Budget(
         LedgerKind.HELD,
@@ -97,7 +97,7 @@
     all_demands = [*demands, *[last_demand] * members][:members]
     demand_by_member = {f"member {index + 1}": demand for index, demand in enumerate(all_demands)}
     allocations = plan_allocations(budget, demand_by_member)
-    found = [
+    plan_rows = [
         {
             "member": member,
             "wants": all_demands[index],
@@ -108,17 +108,17 @@
     ]
     allocated = sum(allocations.values())
     title = f"{total} among {members}: {allocated} given, {reserve_per_member * members} kept back"
-    print_rows(title, found, as_json)
+    print_rows(title, plan_rows, as_json)
     return 0
 
 
 def run_report(address: str, fleet_name: str, seconds: float, path: str) -> int:
-    """`fleet report`: watch a running fleet for some time and write a page; return the exit status."""
+    """Run `fleet report`: sample a running fleet for some time, write a page; return the exit status."""
     try:
         samples = sample_budgets(_reader(address, fleet_name), seconds)
     except ConnectionError:
         return _print_no_answer(address)
     with open(path, "w", encoding="utf-8") as out:
         out.write(render_page(fleet_name, samples))
-    print(f"{len(samples)} looks at {len(budget_names(samples))} budgets: {path}")
+    print(f"{len(samples)} samples of {len(budget_names(samples))} budgets written to {path}")
     return 0
--- a/gullhold/budgets/stored_budgets.py
+++ b/gullhold/budgets/stored_budgets.py
@@ -1,4 +1,4 @@
-"""A fleet's budgets as the store shows them, for staff."""
+"""Reads a fleet's budgets from the reports and rows in the store, to show them to staff."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -23,8 +23,9 @@
 class StoredBudget:
     """One budget as stored.
 
-    allocations, used: by member. waiting: members that request more than they have. charged_for: members that
-    may still use a larger allocation, since reduced, or that have left while their work may go on.
+    allocations: by member; used: by member, the peak use in its last report. waiting:
+    members that request more than they are allocated. charged_for: members that are charged with more than
+    their allocation: its reduction may not be applied yet, or they have left and their work may go on.
     """
 
     total: int
@@ -39,12 +40,12 @@
         return sum(self.allocations.values())
 
     def used_by_all(self) -> int:
-        """Return the sum of what the members use."""
+        """Return the sum of the members' use."""
         return sum(self.used.values())
 
 
 def stored_budgets(items: Iterable[KeyValue]) -> dict[str, StoredBudget]:
-    """Return the budgets, by name, of all keys under the budgets' root."""
+    """Return the budgets by name. items: all keys under the budgets' root in the store."""
     items = list(items)
     totals: dict[str, BudgetTotal] = {}
     for item in items:
@@ -62,7 +63,7 @@
 
 
 class _Reader:
-    """Collects budgets from reports, then from rows."""
+    """Collects the budgets, first from the reports, then from the rows."""
 
     def __init__(self, totals: dict[str, BudgetTotal]) -> None:
         self.totals = totals
@@ -77,7 +78,7 @@
         return self.budgets[name]
 
     def read_report(self, member: str, value: str) -> None:
-        """Take a member's report; an unreadable one is ignored."""
+        """Add a member's report; one that can't be decoded is ignored."""
         report = decode_report(value)
         if report is None:
             return
@@ -86,7 +87,7 @@
             self.requested[name, member] = usage.requested
 
     def read_row(self, member: str, value: str) -> None:
-        """Take a member's row."""
+        """Add a member's row."""
         for name, packed in decode_row(value).entries.items():
             budget = self._budget(name)
             budget.allocations[member] = allocated_amount(packed)
@@ -94,7 +95,7 @@
                 budget.charged_for.append(member)
 
     def find_waiting(self) -> None:
-        """Find the members that request more than they have."""
+        """Add the members that request more than they are allocated; called after all reports and rows."""
         for (name, member), requested in self.requested.items():
             budget = self.budgets[name]
             if requested > budget.allocations.get(member, 0):
--- a/gullhold/budgets/usage_report.py
+++ b/gullhold/budgets/usage_report.py
@@ -1,4 +1,4 @@
-"""The page of `gullhold fleet report`: a running fleet's budgets, sampled for some time."""
+"""The HTML page of `gullhold fleet report`: a running fleet's budgets, sampled for some time."""
 
 import time
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -11,21 +11,21 @@
 from gullhold.fleet.store_calls import KeyValue
 
 SAMPLE_INTERVAL_S = 0.25
-MIN_SAMPLES = 2  # for a plot
+MIN_SAMPLES = 2  # a chart needs two points
 TEMPLATE = "usage_report.html.j2"
 CHART_WIDTH = 900  # pixels
 CHART_HEIGHT = 320  # pixels
 
 
 class Sample(NamedTuple):
-    """The budgets of a fleet at one time, in s since the first sample."""
+    """All budgets of a fleet, by name, at a time. at_s: seconds since the sampling began."""
 
     at_s: float
     budgets: Mapping[str, StoredBudget]
 
 
 class BudgetSample(NamedTuple):
-    """One budget at one time, in s since the first sample."""
+    """One budget at a time. at_s: seconds since the sampling began."""
 
     at_s: float
     budget: StoredBudget
@@ -34,7 +34,10 @@
 def sample_budgets(
     read: Callable[[], Iterable[KeyValue]], seconds: float, interval_s: float = SAMPLE_INTERVAL_S
 ) -> list[Sample]:
-    """Sample a running fleet's budgets for some seconds. read: returns the stored keys of budgets."""
+    """Sample a running fleet's budgets for some seconds.
+
+    read: returns all keys under the budgets' root in the store.
+    """
     began = time.monotonic()
     samples = []
     sample_count = max(MIN_SAMPLES, int(seconds / interval_s))
@@ -46,12 +49,12 @@
 
 
 def budget_names(samples: Iterable[Sample]) -> list[str]:
-    """Return the names of all budgets in the samples, sorted."""
+    """Return the sorted names of all budgets that occur in any sample."""
     return sorted({name for sample in samples for name in sample.budgets})
 
 
 def render_page(fleet_name: str, samples: Sequence[Sample]) -> str:
-    """Return the report as HTML: for each budget a plot, and figures on allocation, use and waiting."""
+    """Return the page: figures on the allocation, use and waiting of each budget, and a chart of each."""
     import jinja2  # noqa: PLC0415  only a report needs it
 
     source = files("gullhold.budgets").joinpath(TEMPLATE).read_text("utf-8")
@@ -80,7 +83,7 @@
 
 
 def _chart(name: str, samples: Sequence[BudgetSample]) -> str:
-    """Return an SVG of one budget over time: each member's allocation, the sum of use, and the total."""
+    """Return an SVG chart of one budget over time: each member's allocation, the sum of use, the total."""
     import pygal  # noqa: PLC0415  only a report needs it
 
     chart = pygal.XY(
