--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -120,5 +120,5 @@
         return _print_no_answer(address)
     with open(path, "w", encoding="utf-8") as out:
         out.write(render_page(fleet_name, samples))
-    print(f"{len(samples)} samples of {len(budget_names(samples))} budgets written to {path}")
+    print(f"{len(samples)} samples of {len(budget_names(samples))} budgets: {path}")
     return 0
--- a/gullhold/budgets/stored_budgets.py
+++ b/gullhold/budgets/stored_budgets.py
@@ -23,9 +23,9 @@
 class StoredBudget:
     """One budget as stored.
 
-    allocations: by member; used: by member, the peak use in its last report. waiting:
-    members that request more than they are allocated. charged_for: members that are charged with more than
-    their allocation: its reduction may not be applied yet, or they have left and their work may go on.
+    allocations: by member; used: by member, the peak use in its last report. waiting: members that request
+    more than they are allocated. charged_for: members that are charged with more than their allocation: its
+    reduction may not be applied yet, or they have left and their work may go on.
     """
 
     total: int
