--- a/tests/budgeting.py
+++ b/tests/budgeting.py
@@ -1,4 +1,4 @@
-"""A member's allocations under a lease and a clock that a test moves."""
+"""Makes a member's allocations with a lease and a clock that the test controls."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -10,22 +10,22 @@
 from gullhold.interface import BudgetKind
 
 S = 1_000_000  # us
-KIND = BudgetKind.THREADS  # of the one budget; its rule states how it is accounted for
+KIND = BudgetKind.THREADS  # of the one budget; how it is accounted for is a parameter of make_allocation()
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 0
 
     def __call__(self) -> int:
-        """The time now, in microseconds."""
+        """Return the time in us."""
         return self.now
 
 
 class MemberAllocation(NamedTuple):
-    """A member's allocations, the one of them that a test is about, and the lease that they hold under."""
+    """All allocations of a member, the allocation of the one budget among them, and their lease."""
 
     allocations: Allocations
     allocation: Allocation
@@ -35,7 +35,10 @@
 def make_allocation(
     kind: LedgerKind, clock: Callable[[], int] | None = None, total: int = 1000, **rule: Any
 ) -> MemberAllocation:
-    """A member's allocation of one budget; its lease is valid for a thousand seconds."""
+    """Return a member's allocation of one budget, named "b/0", with lease 7, valid for 1,000 s.
+
+    clock: by default one that stays at 0. rule: more fields of the AllocationRule.
+    """
     lease = Lease(LeaseTerms(1000, 0.0, 0))
     lease.renew(7, 0)
     allocations = Allocations(
@@ -48,7 +51,7 @@
 
 
 def try_acquire(allocation: Allocation, amount: int = 1) -> bool:
-    """Acquire an amount if the allocation allows it; returns whether it did."""
+    """Acquire an amount if the allocation allows it; return whether it does."""
     if not allocation.allows(amount):
         return False
     allocation.acquire(amount)
--- a/tests/test_budget_allocator.py
+++ b/tests/test_budget_allocator.py
@@ -1,4 +1,4 @@
-"""The allocator: all budgets of a fleet, as members report, come and leave."""
+"""Tests the allocator of all budgets of a fleet, as members report, join and leave."""
 
 from gullhold.budgets.allocator import ROTATION_US, Allocator, Budget, plan_allocations
 from gullhold.budgets.budget_schema import NO_USAGE, Usage
@@ -8,8 +8,8 @@
 S = 1_000_000  # us
 
 
-def fleet(*members, **budgets):
-    """An allocator of these budgets (by default one of 60), to which each member has reported no use."""
+def make_allocator(*members, **budgets):
+    """Return an allocator to which each member has reported no use. budgets: by default "b", of 60."""
     allocator = Allocator(budgets or {"b": Budget(LedgerKind.HELD, 60)})
     for member in members:
         allocator.report(member, 0, dict.fromkeys(allocator.budgets, NO_USAGE), 0)
@@ -17,7 +17,10 @@
 
 
 def settle(allocator, demands, write=1, now=0, rounds=4):
-    """Everybody knows all, uses what it has, and demands this; the allocations in the end."""
+    """Return the allocations after some rounds in which all writes arrive and each member uses what it has.
+
+    demands: by member, 0 by default.
+    """
     for _ in range(rounds):
         allocator.allocate(write, now)
         for member in allocator.reported_budgets:
@@ -28,16 +31,16 @@
     return allocator.ledgers["b"].allocations()
 
 
-def test_one_of_six_members_with_all_demand_gets_nearly_all_and_even_demand_is_served_evenly():
+def test_a_member_with_all_demand_gets_nearly_all_and_equal_demand_gets_equal_allocations():
     names = [f"m{i}" for i in range(6)]
-    allocations = settle(fleet(*names), {"m2": 500})
+    allocations = settle(make_allocator(*names), {"m2": 500})
     assert allocations["m2"] / 60 >= 0.9
     assert sum(allocations.values()) == 60
-    assert set(settle(fleet(*names), dict.fromkeys(names, 500)).values()) == {10}
+    assert set(settle(make_allocator(*names), dict.fromkeys(names, 500)).values()) == {10}
 
 
-def test_an_idle_fleet_writes_nothing_and_a_member_with_less_demand_gives_up_what_others_need():
-    allocator = fleet("a", "b")
+def test_nothing_is_written_without_change_and_an_idle_allocation_passes_to_a_member_with_demand():
+    allocator = make_allocator("a", "b")
     settle(allocator, {"a": 100})
     assert not allocator.to_reallocate
     assert allocator.allocate(9, 0) == {}
@@ -48,11 +51,11 @@
     assert allocator.allocate(11, 0) == {"b": {"b": 59}}
 
 
-def test_a_hoarder_loses_its_surplus_in_bounded_time():
-    allocator = fleet("a", "b")
+def test_a_member_that_requests_all_and_uses_nothing_loses_its_allocation_after_the_idle_timeout():
+    allocator = make_allocator("a", "b")
     for at in (0, S, 2 * S, 3 * S):
         allocator.allocate(1 + at, at)
-        allocator.report("a", 1 + at, {"b": Usage(0, 0, 60)}, at)  # asks for all, spends nothing
+        allocator.report("a", 1 + at, {"b": Usage(0, 0, 60)}, at)  # requests all, uses nothing
         allocator.report("b", 1 + at, {"b": Usage(9, 30, 60)}, at)
         allocator.allocate(2 + at, at)
         allocator.report("a", 2 + at, {"b": Usage(0, 0, 60)}, at)
@@ -62,19 +65,19 @@
     assert allocator.ledgers["b"].allocations() == {"a": 1, "b": 59}
 
 
-def test_a_reallocation_handles_a_bounded_number_of_budgets_and_skips_none_for_good():
-    allocator = fleet("a", "b", **{f"b{i}": Budget(LedgerKind.HELD, 10) for i in range(50)})
+def test_a_reallocation_handles_at_most_max_budgets_and_the_next_ones_handle_the_others():
+    allocator = make_allocator("a", "b", **{f"b{i}": Budget(LedgerKind.HELD, 10) for i in range(50)})
     allocator.allocate(1, 0, max_budgets=50)
     allocator.report(
         "b", 1, {f"b{i}": Usage(0, 9, 9) for i in range(50)}, 0
-    )  # a does not know of its reductions
+    )  # a has not acknowledged its reductions
     seen = [set(allocator.allocate(2 + turn, 0, max_budgets=20).get("a", ())) for turn in range(3)]
     assert [len(names) for names in seen] == [20, 20, 10]
     assert len(set.union(*seen)) == 50
 
 
-def test_alternating_demand_moves_allocations_and_never_exceeds_the_total():
-    allocator = fleet("a", "b", b=Budget(LedgerKind.WINDOWED, 20, window_us=2 * S))
+def test_the_total_is_not_exceeded_when_alternating_demand_moves_allocations():
+    allocator = make_allocator("a", "b", b=Budget(LedgerKind.WINDOWED, 20, window_us=2 * S))
     moved = 0
     for second in range(20):
         for turn in range(3):
@@ -88,8 +91,8 @@
     assert moved > 20
 
 
-def test_a_thousand_members_share_a_total_of_a_hundred_and_the_next_allocator_continues():
-    allocator = fleet(*(f"m{i}" for i in range(1000)), b=Budget(LedgerKind.HELD, 100, linger_us=S))
+def test_the_next_allocator_continues_from_the_rows_of_a_thousand_members():
+    allocator = make_allocator(*(f"m{i}" for i in range(1000)), b=Budget(LedgerKind.HELD, 100, linger_us=S))
     allocations = settle(allocator, {f"m{i}": 1 for i in range(500, 600)})
     assert sum(allocations.values()) == 100
     assert sum(allocations[f"m{i}"] for i in range(500, 600)) == 100
@@ -104,8 +107,8 @@
     assert other.summaries(0)["b"][:2] == (100, other.ledgers["b"].charged(0))
 
 
-def test_a_total_of_a_hundred_rotates_among_a_thousand_members():
-    allocator = fleet(*(f"m{i}" for i in range(1000)), b=Budget(LedgerKind.HELD, 100, floor=0))
+def test_every_member_is_served_in_turn_when_the_total_is_smaller_than_the_number_of_members():
+    allocator = make_allocator(*(f"m{i}" for i in range(1000)), b=Budget(LedgerKind.HELD, 100, floor=0))
     served = set()
     now = 0
     for number in range(1, 60):
@@ -119,11 +122,11 @@
 
 def test_reserves_are_not_allocated_and_a_plan_shows_the_allocations():
     budget = Budget(LedgerKind.HELD, 60, reserve_per_member=2, max_members=10)
-    assert sum(settle(fleet("a", "b", b=budget), {"a": 99}).values()) == 40
+    assert sum(settle(make_allocator("a", "b", b=budget), {"a": 99}).values()) == 40
     assert plan_allocations(budget, {"a": 99, "b": 0}) == {"a": 39, "b": 1}
 
 
-def test_budgets_for_each_engine_open_and_close_as_engines_join_and_leave():
+def test_a_ledger_opens_when_its_budget_is_reported_and_closes_when_nothing_is_charged():
     allocator = Allocator({"threads": Budget(LedgerKind.HELD, 10), "threads/7": Budget(LedgerKind.HELD, 3)})
     allocator.report("a", 0, {f"threads/{i}": Usage(0, 5, 5) for i in range(300)}, 0)
     allocator.allocate(1, 0, max_budgets=1000)
@@ -144,8 +147,8 @@
     assert allocator.row("a") == {}
 
 
-def test_what_a_departed_member_had_is_passed_on_with_a_write_of_its_row():
-    """Guards against rows in the store that sum to more than the total while the departed one's stays."""
+def test_the_row_of_a_member_that_has_left_is_written_with_the_write_that_passes_on_its_allocation():
+    """Guards against stored rows that sum to more than the total while the row of that member stays."""
     allocator = Allocator({"threads": Budget(LedgerKind.HELD, 10, linger_us=S)})
     allocator.report("a", 0, {"threads/7": Usage(0, 6, 6)}, 0)
     allocator.allocate(1, 0)
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -1,4 +1,4 @@
-"""Who should have how much of a budget: max-min fair shares, and changes that are left alone."""
+"""Tests max-min fair shares of a budget, and which small changes of allocations are not made."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,11 +7,11 @@
 
 
 def even(names, weight=1):
-    """The same weight for each name."""
+    """Return the same weight, or demand, for each name."""
     return dict.fromkeys(names, weight)
 
 
-def test_a_total_goes_to_demand_and_no_member_is_below_the_floor():
+def test_shares_follow_demand_and_weight_and_are_not_below_the_floor():
     names = [f"n{i}" for i in range(6)]
     shares = max_min_shares(60, {name: 100 if name == "n0" else 0 for name in names}, even(names), 1)
     assert shares == {"n0": 55} | dict.fromkeys(names[1:], 1)
@@ -39,13 +39,13 @@
     least = min(floor, total // len(rows))
     assert all(share >= least for share in shares.values())
     unsatisfied = [i for i, demand in demands.items() if shares[i] < demand]
-    for i in unsatisfied:  # it has no less for its weight than anybody above the floor
+    for i in unsatisfied:  # no member above the floor has more for its weight
         for j, share in shares.items():
             if share > max(least, 1):
                 assert (share - 1) / weights[j] <= (shares[i] + 1) / weights[i]
 
 
-def test_shares_below_one_command_rotate():
+def test_shares_are_usable_amounts_and_begin_at_the_given_member_when_not_all_can_be_served():
     demands = dict.fromkeys("abcd", 3)
     shares = max_min_shares(10, demands, even("abcd"), 1, granularity=3)
     assert sorted(shares.values()) == [0, 3, 3, 4]
@@ -54,7 +54,7 @@
     assert sum(max_min_shares(2, demands, even("abcd"), 0, granularity=3).values()) == 2
 
 
-def test_small_changes_without_benefit_are_not_made():
+def test_small_changes_are_not_made_when_no_member_needs_them():
     current, demands = {"a": 50, "b": 50}, {"a": 10, "b": 12}
     assert damp_changes(current, {"a": 48, "b": 52}, demands) == current
     assert damp_changes(current, {"a": 20, "b": 80}, demands) == {"a": 20, "b": 80}
