--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -260,8 +260,9 @@
         due_times = [demand.due() for demand in self.demands[name].values()]
         times = [due for due in due_times if due and due > now]
         next_expiry = ledger.next_expiry()
+        # If no charge expires, something is still to be released, and its report triggers the reallocation.
         if ledger.allocations() != targets and next_expiry:
-            times.append(next_expiry)  # if no charge expires, a report will trigger the reallocation
+            times.append(next_expiry)
         self._update_rotation(name, targets, demands, now)
         if name in self.rotations:
             times.append(self.rotations[name].until)
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -204,7 +204,7 @@
         self.ledger.member_left(name, self.now + LEASE_US)
 
     def leave(self, k):
-        """Shut down a member gracefully, unless it has work in use."""
+        """Shut down a member gracefully, unless it holds an amount in use."""
         for name in list(self.members)[k % 3 : k % 3 + 1]:
             allocation = self.members[name]
             if not allocation.in_use or self.kind == LedgerKind.WINDOWED:
@@ -265,7 +265,7 @@
 @pytest.mark.parametrize("kind", [LedgerKind.HELD, LedgerKind.WINDOWED])
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(steps=STEPS)
-def test_use_never_exceeds_the_total_whatever_is_lost_late_or_dead(kind, steps):
+def test_use_does_not_exceed_the_total_when_messages_are_lost_or_late_and_members_die(kind, steps):
     simulation = LedgerSimulation(kind)
     simulation.join(0)
     for action, k in steps:
@@ -299,7 +299,7 @@
 
 
 @pytest.mark.parametrize("mutant", [*LEDGERS, ForgetsEntries, ForgetsAllocated])
-def test_the_play_finds_ledger_mutants(mutant):
+def test_the_simulation_finds_each_ledger_mutant(mutant):
     for seed in range(3000):
         draw = Random(seed)
         simulation = LedgerSimulation(
@@ -315,9 +315,9 @@
     pytest.fail("not found")
 
 
-@pytest.mark.parametrize("make, available", [(Ledger, 1), (TakesOldReports, 6)])
-def test_an_older_report_that_arrives_late_is_ignored(make, available):
-    ledger = make(LedgerKind.HELD, 10)
+@pytest.mark.parametrize("ledger_type, available", [(Ledger, 1), (TakesOldReports, 6)])
+def test_an_older_report_that_arrives_late_is_ignored(ledger_type, available):
+    ledger = ledger_type(LedgerKind.HELD, 10)
     ledger.reallocate({"a": 10}, 1, 0)
     ledger.reallocate({"a": 4}, 2, 0)
     ledger.report("a", 2, 9, 0)
