--- a/gullhold/budgets/ledger.py
+++ b/gullhold/budgets/ledger.py
@@ -2,9 +2,9 @@
 
 Members are identified by a key that distinguishes processes of the same name: a restarted process is another
 member. Each member is charged with the most that it may still use: its allocation; a larger earlier one whose
-reduction it may not have seen yet; what it has in use; and, for a windowed budget, what it has spent within
-the window. Only what no member is charged with may be allocated. So the total is never exceeded, whichever
-messages are lost or late and whichever processes are paused.
+reduction it may not have applied yet; what it has in use; and, for a windowed budget, what it has spent
+within the window. Only what no member is charged with may be allocated. So the total is never exceeded,
+whichever messages are lost or late and whichever processes are paused.
 """
 
 from bisect import insort
@@ -24,7 +24,7 @@
 
 
 class Reduction(NamedTuple):
-    """A reduction that the member may not have seen yet: it has once it reports this write or a later one.
+    """A reduction of an allocation; applied for certain once the member reports this write or a later one.
 
     write: number of the write with the reduction; previous: the allocation before it.
     """
@@ -122,7 +122,7 @@
         return sum(entry.charge(now) for entry in self.entries.values())
 
     def available(self, now: int) -> int:
-        """Return what may be allocated now; negative after the total was lowered below what is charged."""
+        """Return what may be allocated now; negative if more is charged, as after the total was lowered."""
         return self.total - self.reserve - self.charged(now)
 
     def allocations(self) -> dict[str, int]:
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -312,7 +312,7 @@
                 simulation.check()
         except AssertionError:
             return
-    pytest.fail("not found")
+    pytest.fail("no seed of the simulation finds this mutant")
 
 
 @pytest.mark.parametrize("ledger_type, available", [(Ledger, 1), (TakesOldReports, 6)])
@@ -321,5 +321,5 @@
     ledger.reallocate({"a": 10}, 1, 0)
     ledger.reallocate({"a": 4}, 2, 0)
     ledger.report("a", 2, 9, 0)
-    ledger.report("a", 1, 0, 0)  # the simulation hardly finds this: nine actions in one order
+    ledger.report("a", 1, 0, 0)  # the simulation finds this too rarely: it takes nine actions in one order
     assert ledger.available(0) == available
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -45,7 +45,7 @@
     return lambda seed: CountingEngine(slots=64, seed=seed, **facts)
 
 
-def client(fleet, name, rate=0.0, **facts):
+def start_client(fleet, name, rate=0.0, **facts):
     """Start a client of one gateway. rate: commands per second; 0: always has `open` commands open."""
     facts = {
         "open": 40,
@@ -66,14 +66,14 @@
         one.join()
 
 
-def checked(fleet, total=12, min_attempts=1):
+def check_fleet(fleet, total=12, min_attempts=1):
     """Check that neither use at an engine nor the allocations ever exceeded the total.
 
     Returns the history of the allocations.
     """
     for engine in fleet.engines:
         most, when = most_at_once(engine.attempts)
-        assert most <= total, f"{most} at {when - fleet.began:.3f}\n{fleet.story()}"
+        assert most <= total, f"{most} in use at {when - fleet.began:.3f} s\n{fleet.story()}"
     history = AllocationHistory(fleet.lines())
     assert history.most, fleet.story()
     assert max(history.most.values()) <= total, fleet.story()
@@ -92,24 +92,24 @@
 def test_a_member_with_all_demand_gets_all_but_the_floors_of_the_others():
     with make_rig() as fleet:
         fleet.start()
-        one = client(fleet, "n0")
+        one = start_client(fleet, "n0")
         fleet.until(lambda: allocations(fleet) == {"n0": 10, "n1": 1, "n2": 1})
         time.sleep(0.5)
         stop_clients(one)
-        other = client(fleet, "n1")
+        other = start_client(fleet, "n1")
         fleet.until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
         time.sleep(0.3)
         assert most_at_once(fleet.engines[0].attempts)[0] == 10
         stop_clients(other)
-        checked(fleet, min_attempts=50)
+        check_fleet(fleet, min_attempts=50)
 
 
 def test_a_paused_member_begins_nothing_when_its_allocation_was_reallocated_before_it_resumes():
     with make_rig(2) as fleet:
         fleet.start()
         # Long commands: of many short ones the pause may hit one between the last check of the allocation and
-        # the write to the engine, which nothing here can prevent (docs/notes/budgets.md).
-        clients = [client(fleet, name, work_ms=150.0) for name in ("n0", "n1")]
+        # the write to the engine, which nothing here can refuse (docs/notes/budgets.md).
+        clients = [start_client(fleet, name, work_ms=150.0) for name in ("n0", "n1")]
         fleet.until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
         fleet.pause("n0")
         fleet.until(lambda: allocations(fleet).get("n1", 0) == 12)
@@ -118,20 +118,20 @@
         time.sleep(0.7)
         fleet.until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
         stop_clients(*clients)
-        checked(fleet, min_attempts=100)
+        check_fleet(fleet, min_attempts=100)
 
 
 def test_a_killed_member_is_charged_until_its_running_work_has_ended():
     with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
         fleet.start()
-        clients = [client(fleet, name, work_ms=700.0, limit_ms=2500) for name in ("n0", "n1")]
+        clients = [start_client(fleet, name, work_ms=700.0, limit_ms=2500) for name in ("n0", "n1")]
         fleet.until(lambda: len(fleet.engines[0].open) == 12)
         fleet.kill("n0")
         fleet.until(lambda: allocations(fleet).get("n1", 0) == 12)
         time.sleep(0.8)
         fleet.until(lambda: len(fleet.engines[0].open) == 12)  # it is less for a moment between two commands
         stop_clients(*clients)
-        checked(fleet, min_attempts=20)
+        check_fleet(fleet, min_attempts=20)
 
 
 @pytest.mark.parametrize("side, act", [("before", "kill"), ("after", "kill"), ("before", "stop")])
@@ -143,9 +143,9 @@
         others = [name for name in fleet.names if name != allocator]
         fleet.start(allocator, point="divide", side=side, act=act, nth=4)
         fleet.owner("budgets")
-        clients = [client(fleet, allocator, rate=40.0)]
+        clients = [start_client(fleet, allocator, rate=40.0)]
         fleet.start(*others)
-        clients += [client(fleet, name) for name in others]
+        clients += [start_client(fleet, name) for name in others]
         if act == "kill":
             fleet.members[allocator].process.wait(8)
         else:
@@ -159,41 +159,41 @@
             )
         time.sleep(0.5)
         stop_clients(*clients)
-        checked(fleet, min_attempts=50)
+        check_fleet(fleet, min_attempts=50)
 
 
 def test_the_total_is_not_exceeded_when_replies_are_lost_while_allocations_move_or_a_member_leaves():
     with make_rig() as fleet:
         fleet.start()
         for turn in range(4):
-            one = client(fleet, f"n{turn % 2}")
+            one = start_client(fleet, f"n{turn % 2}")
             fleet.faults(lose=6)
             time.sleep(0.8)
             stop_clients(one)
-        one = client(fleet, "n2")
+        one = start_client(fleet, "n2")
         fleet.faults(lose=3)
         fleet.stop("n0")
         fleet.until(lambda: allocations(fleet).get("n2", 0) >= 11)
         stop_clients(one)
-        assert checked(fleet, min_attempts=50).moves >= 8
+        assert check_fleet(fleet, min_attempts=50).moves >= 8
 
 
 def test_the_total_is_not_exceeded_when_all_members_restart_under_the_same_or_other_names():
     with make_rig(4, make=counting_engine(runs_on=True)) as fleet:
         for names in (("n0", "n1"), ("n0", "n1"), ("n2", "n3")):
             fleet.start(*names)
-            clients = [client(fleet, name, work_ms=300.0) for name in names]
+            clients = [start_client(fleet, name, work_ms=300.0) for name in names]
             fleet.until(lambda names=names: sum(allocations(fleet).get(name, 0) for name in names) >= 12)
             time.sleep(0.3)
             fleet.kill(*names)
             stop_clients(*clients)
-        checked(fleet, min_attempts=20)
+        check_fleet(fleet, min_attempts=20)
 
 
 def test_the_total_is_not_exceeded_when_most_members_are_replaced_and_a_partition_heals():
     with make_rig(5) as fleet:
         fleet.start()
-        clients = [client(fleet, name) for name in ("n3", "n4")]
+        clients = [start_client(fleet, name) for name in ("n3", "n4")]
         fleet.until(lambda: allocations(fleet).get("n3", 0) + allocations(fleet).get("n4", 0) >= 9)
         for name in ("n0", "n1", "n2"):
             fleet.kill(name)
@@ -203,7 +203,7 @@
         fleet.heal("n3")
         fleet.until(lambda: allocations(fleet).get("n3", 0) >= 4)
         stop_clients(*clients)
-        checked(fleet, min_attempts=50)
+        check_fleet(fleet, min_attempts=50)
 
 
 def test_no_window_exceeds_its_total_when_demand_moves_between_members_with_drifting_clocks():
@@ -214,7 +214,7 @@
             fleet.start(name, rate=(1.08, 1.0, 0.93)[i])
         fleet.until(lambda: len(allocations(fleet)) == 3)
         for turn in range(6):
-            one = client(fleet, f"n{turn % 3}", rate=60.0, work_ms=10.0)
+            one = start_client(fleet, f"n{turn % 3}", rate=60.0, work_ms=10.0)
             time.sleep(0.9)
             stop_clients(one)
         sends = first_attempts(fleet.engines)
@@ -229,7 +229,9 @@
     with make_rig(budgets=[budget], engines=2, make=counting_engine(failure_rate=0.4)) as fleet:
         fleet.start()
         for turn in range(4):
-            clients = [client(fleet, f"n{(turn + i) % 3}", rate=rate) for i, rate in enumerate((50.0, 5.0))]
+            clients = [
+                start_client(fleet, f"n{(turn + i) % 3}", rate=rate) for i, rate in enumerate((50.0, 5.0))
+            ]
             time.sleep(0.8)
             stop_clients(*clients)
         further = retries(fleet.engines)
@@ -263,7 +265,7 @@
 def test_use_falls_to_a_lowered_total_without_cancelled_work():
     with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
         fleet.start()
-        clients = [client(fleet, name, work_ms=400.0, limit_ms=2000) for name in ("n0", "n1")]
+        clients = [start_client(fleet, name, work_ms=400.0, limit_ms=2000) for name in ("n0", "n1")]
         fleet.until(lambda: len(fleet.engines[0].open) == 12)
         fleet.budgets[0]["whole"] = 4
         for name in ("n1", "n0"):
@@ -273,7 +275,7 @@
         stop_clients(*clients)
         lowered = time.time() + 1.5  # work begun under the former total has ended by then
         time.sleep(1.6)
-        clients = [client(fleet, name, work_ms=100.0) for name in ("n0", "n1")]
+        clients = [start_client(fleet, name, work_ms=100.0) for name in ("n0", "n1")]
         time.sleep(0.8)
         stop_clients(*clients)
         late = [row for row in fleet.engines[0].attempts if row.started_at > lowered]
@@ -289,10 +291,10 @@
     make = counting_engine(threads={"read": 3})
     with make_rig(budgets=[threads_budget(4, grain=3, floor=0)], make=make, adjust=three) as fleet:
         fleet.start()
-        clients = [client(fleet, name, open=3, work_ms=40.0, limit_ms=2900) for name in fleet.names]
+        clients = [start_client(fleet, name, open=3, work_ms=40.0, limit_ms=2900) for name in fleet.names]
         fleet.until(lambda: all(one.counts.answered >= 3 for one in clients))
         stop_clients(*clients)
-        checked(fleet, total=4, min_attempts=9)
+        check_fleet(fleet, total=4, min_attempts=9)
 
 
 def test_a_warming_engine_is_not_overloaded_while_members_change():
@@ -304,11 +306,11 @@
     with make_rig(budgets=[cold], adjust=rules) as fleet:
         fleet.born_ms[0] = int(time.time() * 1000)
         fleet.start("n0", "n1")
-        clients = [client(fleet, "n0", work_ms=20.0)]
+        clients = [start_client(fleet, "n0", work_ms=20.0)]
         fleet.until(lambda: len(fleet.engines[0].attempts) > 8)
         fleet.kill("n1")
         fleet.start("n2")
-        clients.append(client(fleet, "n2", work_ms=20.0))
+        clients.append(start_client(fleet, "n2", work_ms=20.0))
         time.sleep(1.5)
         fleet.start("n1")
         time.sleep(1.0)
@@ -328,18 +330,18 @@
         fleet.start()
         fleet.until(lambda: len(allocations(fleet)) == 2)
         for turn in range(6):
-            one = client(fleet, f"n{turn % 2}")
+            one = start_client(fleet, f"n{turn % 2}")
             time.sleep(1.0)
             stop_clients(one)
         assert (
-            checked(fleet, min_attempts=200).moves >= 5
+            check_fleet(fleet, min_attempts=200).moves >= 5
         )  # of 12 threads for 60 ms each: at most 1,200 in 6 s
 
 
 def test_each_member_serves_from_its_reserve_when_the_store_is_unreachable():
     with make_rig(2, [threads_budget(12, alone=2, members=3)]) as fleet:
         fleet.start()
-        clients = [client(fleet, "n0"), client(fleet, "n1")]
+        clients = [start_client(fleet, "n0"), start_client(fleet, "n1")]
         fleet.until(lambda: sum(allocations(fleet).values()) == 6)
         time.sleep(1.2)
         fleet.kill_register()
@@ -351,7 +353,7 @@
         fleet.start_register()
         fleet.until(lambda: sum(allocations(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
         stop_clients(*clients)
-        checked(fleet, min_attempts=50)
+        check_fleet(fleet, min_attempts=50)
         assert time.time() - gone < 6
 
 
@@ -360,7 +362,7 @@
 
     with make_rig(2, [threads_budget(12, alone=1, members=2)]) as fleet:
         fleet.start()
-        one = client(fleet, "n0")
+        one = start_client(fleet, "n0")
         fleet.until(lambda: allocations(fleet) == {"n0": 9, "n1": 1})
         at = ["--register", fleet.register_address, "--name", "rig"]
 
