--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -10,7 +10,7 @@
 from gullhold.admission_interface import UNKNOWN_TENANT
 
 if TYPE_CHECKING:
-    from gullhold.operator.records import ClientRule
+    from gullhold.operator.records import ClientIdentityRecord
 
 MAX_PLAIN_NAME_BYTES = 48  # longer names are replaced by their hashes
 NAME_HASH_BYTES = 16
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, rule: "ClientRule", tenants: Sequence[str], fallback_tenant: int | None = None
+        self, rule: "ClientIdentityRecord", tenants: Sequence[str], fallback_tenant: int | None = None
     ) -> None:
         self._tenants = {name: index for index, name in enumerate(tenants)}
         self._fallback_tenant = fallback_tenant
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -39,7 +39,7 @@
 from gullhold.interface import Profile
 
 if TYPE_CHECKING:
-    from gullhold.operator.records import DoorRecord
+    from gullhold.operator.records import AdmissionQueueRecord
 
 EXPIRY_MARGIN_US = 40_000  # before the client timeout: two polls, and a message on its way
 MAX_FREE_SHARE_PER_CLIENT = 0.5  # of the free capacity; a flow may use it for each of its clients
@@ -74,7 +74,7 @@
     def __init__(
         self,
         seed: int,
-        record: "DoorRecord",
+        record: "AdmissionQueueRecord",
         tenant_weights: Sequence[float],
         profiles: Sequence[Profile],
         max_retry_after_us: int,
--- a/gullhold/admission/settings.py
+++ b/gullhold/admission/settings.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from gullhold.operator.records import DoorRecord
+    from gullhold.operator.records import AdmissionQueueRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     retry_after: RetryAfterSettings
 
     @classmethod
-    def from_record(cls, record: "DoorRecord", max_retry_after_us: int) -> "AdmissionSettings":
+    def from_record(cls, record: "AdmissionQueueRecord", max_retry_after_us: int) -> "AdmissionSettings":
         """Translate the operator file's record; max_retry_after_us: the agreement's limit, 0: not stated."""
         retry = record.come_back
         max_us = min(retry.most, max_retry_after_us) if max_retry_after_us else retry.most
--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -12,7 +12,7 @@
 from gullhold.interface import Agreement, DeduplicationScope, Profile
 
 if TYPE_CHECKING:
-    from gullhold.operator.records import FleetRecord, Scheduled
+    from gullhold.operator.records import FleetRecord, ScheduledCommandRecord
 
 WAIT_FOR_PREVIOUS = "wait"  # value of a scheduled command's `overlap` in the operator file
 
@@ -51,7 +51,7 @@
 
 
 def _scheduled_command(
-    item: "Scheduled", agreement: Agreement, member: str, max_clock_skew_us: int
+    item: "ScheduledCommandRecord", agreement: Agreement, member: str, max_clock_skew_us: int
 ) -> ScheduledCommand:
     path = f"fleet.schedule {item.name!r}"
     profile = _profile(item, agreement, path)
@@ -75,7 +75,7 @@
     return ScheduledCommand(rules, scheduled_profile, calendar, member)
 
 
-def _profile(item: "Scheduled", agreement: Agreement, path: str) -> Profile:
+def _profile(item: "ScheduledCommandRecord", agreement: Agreement, path: str) -> Profile:
     """The profile that a scheduled command names. path: of the command in the operator file, for errors."""
     profiles = {profile.name: profile for profile in reversed(agreement.profiles)}  # the first of each name
     if item.profile not in profiles:
--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from gullhold.net.core import Core
-    from gullhold.operator.records import Scheduled
+    from gullhold.operator.records import ScheduledCommandRecord
 
 TRANSACTION_ID_BITS = 64
 FRAME_LENGTH_BYTES = 4  # size of the length field in front of each frame
@@ -69,7 +69,7 @@
 
     def send(
         self,
-        command: "Scheduled",
+        command: "ScheduledCommandRecord",
         time_limit_us: int,
         counted_from: int,
         idempotency_key: str,
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -18,14 +18,17 @@
 
 if TYPE_CHECKING:
     from gullhold.fleet.driver import FleetMember
-    from gullhold.operator.records import Scheduled
+    from gullhold.operator.records import ScheduledCommandRecord
 
 
 class ScheduledCommandDriver:
     """The scheduled commands of one member, by role. All methods are called on the fleet's thread."""
 
     def __init__(
-        self, fleet: "FleetMember", records: "dict[str, Scheduled]", client: ScheduledCommandClient
+        self,
+        fleet: "FleetMember",
+        records: "dict[str, ScheduledCommandRecord]",
+        client: ScheduledCommandClient,
     ) -> None:
         """fleet: the member. records: of the operator file, by role. client: sends attempts."""
         self._fleet = fleet
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -19,7 +19,7 @@
     from gullhold.admission.client_identity import ClientIdentifier
     from gullhold.admission.queue import AdmissionQueue
     from gullhold.fleet.driver import FleetMember
-    from gullhold.operator.records import DoorRecord, FleetRecord
+    from gullhold.operator.records import AdmissionQueueRecord, FleetRecord
 
 LISTEN_RETRY_LIMIT_S = 5.0  # for retries while the address is in use or sockets are short
 STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory for waiting statements, as much again for unread answers
@@ -53,7 +53,9 @@
         }
 
 
-def build_parts(configuration: Configuration, door_record: "DoorRecord | None" = None) -> GatewayParts:
+def build_parts(
+    configuration: Configuration, door_record: "AdmissionQueueRecord | None" = None
+) -> GatewayParts:
     """Build the core, the listener and the discovery client. Raises ConfigurationError.
 
     door_record: settings of the admission queue from the operator file; None: no queue.
@@ -90,7 +92,7 @@
     return GatewayParts(core, listener, discovery_client)
 
 
-def build_admission(door_record: "DoorRecord", agreement: Agreement, seed: int) -> Admission:
+def build_admission(door_record: "AdmissionQueueRecord", agreement: Agreement, seed: int) -> Admission:
     """Build the admission queue that a record of the operator file describes. Raises ConfigurationError."""
     from gullhold.admission.client_identity import ClientIdentifier  # noqa: PLC0415  only if it is on
     from gullhold.admission.queue import AdmissionQueue  # noqa: PLC0415  only if it is on
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -36,7 +36,7 @@
     model_config = ConfigDict(frozen=True, extra="forbid", strict=True)
 
 
-class Network(OperatorRecord):
+class ClientNetworkRecord(OperatorRecord):
     """A network, and the name of the client that its addresses belong to."""
 
     net: str
@@ -44,15 +44,15 @@
     each: str
 
 
-class ClientRule(OperatorRecord):
+class ClientIdentityRecord(OperatorRecord):
     """How the clients of a tenant are identified."""
 
     field: str
-    networks: tuple[Network, ...] = Field(default=(), strict=False)
+    networks: tuple[ClientNetworkRecord, ...] = Field(default=(), strict=False)
     otherwise: str
 
 
-class ComeBack(OperatorRecord):
+class RetryAfterRecord(OperatorRecord):
     """The Retry-After times for clients whose commands are rejected."""
 
     field: str
@@ -71,7 +71,7 @@
         return self
 
 
-class DoorRecord(OperatorRecord):
+class AdmissionQueueRecord(OperatorRecord):
     """The admission queue."""
 
     on: bool
@@ -85,9 +85,9 @@
     redeal: int
     tenants: str
     others: str
-    client: ClientRule
+    client: ClientIdentityRecord
     weights: dict[str, float]
-    come_back: ComeBack
+    come_back: RetryAfterRecord
 
     @model_validator(mode="after")
     def _check_tenant_of_others(self) -> Self:
@@ -96,7 +96,7 @@
         return self
 
 
-class Drift(OperatorRecord):
+class ClockDriftRecord(OperatorRecord):
     """How far the clocks of members may differ."""
 
     rate: float
@@ -104,25 +104,25 @@
     skew: int
 
 
-class Pauses(OperatorRecord):
+class BackoffRecord(OperatorRecord):
     """The shortest and the longest wait between retries."""
 
     least: int
     most: int
 
 
-class Duties(OperatorRecord):
+class RolesRecord(OperatorRecord):
     """How roles are distributed over members."""
 
     moves: int
     settle: int
-    pauses: Pauses
+    pauses: BackoffRecord
     leaving: int
     beats: int
     beat: int
 
 
-class Scheduled(OperatorRecord):
+class ScheduledCommandRecord(OperatorRecord):
     """A scheduled command of the fleet."""
 
     name: str
@@ -190,9 +190,9 @@
     register_: str = Field(alias="register")  # a model has a method of that name
     timeout: int
     lease: int
-    drift: Drift
-    duties: Duties
-    schedule: tuple[Scheduled, ...] = Field(default=(), strict=False)
+    drift: ClockDriftRecord
+    duties: RolesRecord
+    schedule: tuple[ScheduledCommandRecord, ...] = Field(default=(), strict=False)
     budgets: tuple[BudgetRecord, ...] = Field(default=(), strict=False)
     look: int
     policy: PolicyRecord
@@ -224,7 +224,7 @@
 class OperatorFile(OperatorRecord):
     """A complete operator file."""
 
-    door: DoorRecord
+    door: AdmissionQueueRecord
     fleet: FleetRecord
 
 
--- a/tests/admission_world.py
+++ b/tests/admission_world.py
@@ -22,7 +22,7 @@
 COMMAND_BYTES = 100
 
 
-def door_record(text: str = "") -> records.DoorRecord:
+def door_record(text: str = "") -> records.AdmissionQueueRecord:
     """The admission queue's record, from the text of an operator file that is appended to a minimal one."""
     return records.read('door: {on: true, come_back: field: "retry_ms"}\n' + text, "test.cue").door
 
