--- a/gullhold/net/configuration_command.py
+++ b/gullhold/net/configuration_command.py
@@ -34,7 +34,7 @@
         return []
     from gullhold.operator import records  # noqa: PLC0415  slow to import: only if there is such a file
 
-    return list(records.lines(operator_file))
+    return list(records.setting_lines(operator_file))
 
 
 def _configuration_lines(configuration: Configuration) -> Iterator[str]:
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -295,15 +295,15 @@
             return None
 
 
-def lines(record: BaseModel, path: str = "") -> Iterator[str]:
+def setting_lines(record: BaseModel, path: str = "") -> Iterator[str]:
     """Iterate over the lines that show a record, one for each setting."""
     for name, value in record:
         inner_path = f"{path}{type(record).model_fields[name].alias or name}"
         if isinstance(value, BaseModel):
-            yield from lines(value, f"{inner_path}.")
+            yield from setting_lines(value, f"{inner_path}.")
         elif isinstance(value, tuple):
             yield f"{inner_path}: {len(value)}"
             for i, item in enumerate(value):
-                yield from lines(item, f"{inner_path}.{i}.")
+                yield from setting_lines(item, f"{inner_path}.{i}.")
         else:
             yield f"{inner_path}: {value!r}"
