--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -85,7 +85,7 @@
         self.attempts_cap = attempts_cap
         self.window_us = window_us
         self.commands: dict[bytes, ObservedCommand] = {}
-        self.broken: list[Violation] = []
+        self.violations: list[Violation] = []
         self.leaving: dict[tuple[str, str], int] = {}  # by gateway and engine: when it was notified
         self.hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
@@ -97,7 +97,7 @@
 
     def add_violation(self, at: int, rule: Rule, text: str) -> None:
         """A rule was broken at this time (us)."""
-        self.broken.append(Violation(at, rule, text))
+        self.violations.append(Violation(at, rule, text))
 
     def phase_announced(self, gateway: "SimulatedGateway", engine_id: str, phase: str) -> None:
         """A gateway was notified of an engine's phase."""
@@ -200,4 +200,4 @@
             found = gateway.leftover_sizes() if gateway.is_alive else None
             if found:
                 self.add_violation(self.clock.now, Rule.CENSUS, f"{gateway.name}: {found}")
-        return self.broken
+        return self.violations
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -17,10 +17,10 @@
 class Result(NamedTuple):
     """What a run gave.
 
-    broken: the violations; trace: hash of all events, in hexadecimal; counts: events by name.
+    trace: hash of all events, in hexadecimal; counts: events by name.
     """
 
-    broken: list[Violation]
+    violations: list[Violation]
     trace: str
     counts: dict[str, int]
 
@@ -55,8 +55,8 @@
     world.clock.run(end_at_us)
     _release_expired_attempts(world)
     world.clock.run(end_at_us + 1)
-    broken = world.checker.finish(world.gateways.values())
-    return Result(broken, world.checker.hash.hexdigest(), dict(world.checker.counts))
+    violations = world.checker.finish(world.gateways.values())
+    return Result(violations, world.checker.hash.hexdigest(), dict(world.checker.counts))
 
 
 def _release_expired_attempts(world: World) -> None:
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -56,7 +56,7 @@
     else:
         runs = _run_seeds(console, seed_range, jobs)
     _print_coverage(console, runs)
-    failing = [each for each in runs if each.result.broken]
+    failing = [each for each in runs if each.result.violations]
     for each in failing:
         _print_violation(each, replay, command)
     if failing and shrink:
@@ -66,7 +66,7 @@
 
 def fails_by(rule: Rule, seed: int) -> Callable[[list[Fault]], bool]:
     """A function that tells whether a script breaks this rule in the world of this seed."""
-    return lambda faults: any(violation.rule == rule for violation in play(seed, faults).broken)
+    return lambda faults: any(violation.rule == rule for violation in play(seed, faults).violations)
 
 
 def _parse_seeds(text: str) -> range:
@@ -89,7 +89,7 @@
 
 
 def _print_violation(failing: Run, replay: str | None, command: str) -> None:
-    violations = failing.result.broken
+    violations = failing.result.violations
     first = violations[0]
     again = f"gullhold {command} --seeds {failing.seed}" + (f" --replay {replay}" if replay else "")
     print(
@@ -100,7 +100,7 @@
 
 def _write_shrunk(failing: Run, path: str, command: str) -> None:
     """Reduce a script to what its first violation needs, and write it."""
-    rule = failing.result.broken[0].rule
+    rule = failing.result.violations[0].rule
     reduced = script.shrink(failing.faults, fails_by(rule, failing.seed))
     Path(path).write_text(f"# seed {failing.seed}: {rule}\n" + script.format_script(reduced), "utf-8")
     print(
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -297,5 +297,5 @@
         recorded(recorder, streams.Stream, STREAM_CALLS),
     ):
         results = [play.play(seed) for seed in range(REHEARSED_SEEDS)]
-    assert [result.broken for result in results] == [[]] * REHEARSED_SEEDS
+    assert [result.violations for result in results] == [[]] * REHEARSED_SEEDS
     assert (recorder.records, recorder.digest()) == REHEARSAL_HASH
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -227,7 +227,7 @@
 def test_simulated_seeds_break_no_rule():
     for seed in range(6):
         result = play.play(seed)
-        assert not result.broken, (seed, result.broken)
+        assert not result.violations, (seed, result.violations)
         assert result.counts["answered"] > 200
         assert result.counts["fetched"] > 200
 
@@ -252,7 +252,7 @@
 def test_a_mutant_is_found(name):
     with mutants.applied(name):  # without it these seeds break nothing, as tested above
         assert mutants.MUTANTS[name].rule in {
-            violation.rule for violation in play.play(MUTANT_SEEDS[name]).broken
+            violation.rule for violation in play.play(MUTANT_SEEDS[name]).violations
         }
 
 
