--- a/gullhold/operator/__init__.py
+++ b/gullhold/operator/__init__.py
@@ -1,5 +1,5 @@
-"""The operator file: typed records, written in a part of CUE and unified with the schema that ships here.
+"""The operator file: settings of an installation, in a subset of CUE, checked against a built-in schema.
 
-parser turns the text into nodes, evaluation turns nodes into values, unification joins the file's values with
-the schema's, and records has the typed records for the other packages.
+parser builds the syntax tree (nodes), evaluation computes its values, unification combines the file's values
+with those of schema.cue, and records converts the result to typed records for the other packages.
 """
--- a/gullhold/operator/errors.py
+++ b/gullhold/operator/errors.py
@@ -1,11 +1,11 @@
-"""Errors in an operator file, with their place."""
+"""Errors in operator and policy files, with their location in the file."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 
-class Place(NamedTuple):
-    """A place in a file: its name, line and column from 1."""
+class Location(NamedTuple):
+    """A position in a file: the file's name, and the line and the column, both counted from 1."""
 
     file: str
     line: int
@@ -16,13 +16,13 @@
 
 
 class OperatorFileError(Exception):
-    """A file that can't be used; the message is one plain line with the place and the path of the fault.
+    """An operator or policy file is invalid; the message is one line of location, field path and description.
 
-    path: names of the fields, from the outermost, that lead to the fault; text: describes it.
+    path: names of the fields that lead to the invalid value, outermost first; text: the description.
     """
 
-    def __init__(self, place: Place, path: Sequence[str], text: str) -> None:
-        super().__init__(": ".join(part for part in (str(place), ".".join(path), text) if part))
-        self.place = place
+    def __init__(self, location: Location, path: Sequence[str], text: str) -> None:
+        super().__init__(": ".join(part for part in (str(location), ".".join(path), text) if part))
+        self.location = location
         self.path = tuple(path)
         self.text = text
--- a/gullhold/operator/evaluation.py
+++ b/gullhold/operator/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluates the syntax tree of a file to values, and converts values to plain Python."""
+"""Evaluates the syntax tree of a file to values, and converts concrete values to plain Python objects."""
 
 from typing import Any, cast, overload
 
@@ -36,20 +36,20 @@
     suggestion,
 )
 
-MAX_DEPTH = 64  # of nested nodes: guards against a definition that contains itself
-EVERY_FIELD = "[]"  # in a path: all fields or items that a rule is for
+MAX_DEPTH = 64  # nested nodes; guards against a definition that contains itself
+EVERY_FIELD = "[]"  # stands in the path of an error for all fields that a name rule matches
 
 
 def evaluate_file(root: RecordNode, is_closed: bool = False) -> Record:
-    """Return the value of a file's top-level record. is_closed: no other fields may be added.
+    """Return the value of a file's top-level record. Raises OperatorFileError.
 
-    Raises OperatorFileError.
+    is_closed: unification rejects fields that the record does not have; set for schemas.
     """
-    return Scope(root).evaluate(root)._replace(is_closed=is_closed)
+    return Evaluator(root).evaluate(root)._replace(is_closed=is_closed)
 
 
-class Scope:
-    """Evaluates nodes with the definitions of a file (names that begin with #)."""
+class Evaluator:
+    """Evaluates the nodes of one file, with its definitions (names that begin with #)."""
 
     def __init__(self, root: RecordNode) -> None:
         self._definitions = {
@@ -63,12 +63,17 @@
     def evaluate(self, node: Node, path: Path = (), depth: int = 0) -> Value: ...
 
     def evaluate(self, node: Node, path: Path = (), depth: int = 0) -> Value:
-        """Return the value of a node. Raises OperatorFileError."""
+        """Return the value of a node. Raises OperatorFileError.
+
+        path: field names that lead to the node, for errors; depth: number of nodes around it.
+        """
         if depth > MAX_DEPTH:
-            raise OperatorFileError(node.place, path, "definitions that hold themselves")
+            raise OperatorFileError(
+                node.location, path, "definitions refer to themselves, or values are nested too deep"
+            )
         match node:
             case Constant():
-                return Scalar(frozenset((node.type,)), (), node.value, node.place)
+                return Scalar(frozenset((node.type,)), (), node.value, node.location)
             case Reference():
                 return self._evaluate_reference(node, path, depth)
             case Bound():
@@ -80,17 +85,17 @@
             case RecordNode():
                 return self._evaluate_record(node, path, depth, is_closed=False)
             case OpenListNode():
-                return List(None, self.evaluate(node.item, path, depth + 1), node.place)
+                return List(None, self.evaluate(node.item, path, depth + 1), node.location)
             case ListNode():
                 return self._evaluate_list(node, path, depth)
 
     def _evaluate_reference(self, node: Reference, path: Path, depth: int) -> Value:
         if node.name in TYPES_BY_NAME:
-            return Scalar(TYPES_BY_NAME[node.name], (), ABSENT, node.place)
+            return Scalar(TYPES_BY_NAME[node.name], (), ABSENT, node.location)
         if node.name not in self._definitions:
             known_names = [*TYPES_BY_NAME, *self._definitions, "true", "false"]
             text = f"{node.name} is not known{suggestion(node.name, known_names)}"
-            raise OperatorFileError(node.place, path, text)
+            raise OperatorFileError(node.location, path, text)
         definition = self._definitions[node.name]
         if isinstance(definition, RecordNode):  # records in definitions are closed
             return self._evaluate_record(definition, path, depth + 1, is_closed=True)
@@ -106,14 +111,14 @@
             types = NUMBER_TYPES
         else:
             types = frozenset((limit_type,))
-        return Scalar(types, (bound,), ABSENT, node.place)
+        return Scalar(types, (bound,), ABSENT, node.location)
 
     def _evaluate_alternatives(self, node: Alternatives, path: Path, depth: int) -> Choices:
         choices = (
             Choice(alternative.is_default, self.evaluate(alternative.node, path, depth + 1))
             for alternative in node.alternatives
         )
-        return Choices(tuple(choices), node.place)
+        return Choices(tuple(choices), node.location)
 
     def _evaluate_conjunction(self, node: Conjunction, path: Path, depth: int) -> Value:
         first, *others = node.operands
@@ -124,7 +129,7 @@
 
     def _evaluate_list(self, node: ListNode, path: Path, depth: int) -> List:
         items = (self.evaluate(item, (*path, str(i)), depth + 1) for i, item in enumerate(node.items))
-        return List(tuple(items), None, node.place)
+        return List(tuple(items), None, node.location)
 
     def _evaluate_record(self, node: RecordNode, path: Path, depth: int, is_closed: bool) -> Record:
         fields: dict[str, RecordField] = {}
@@ -143,8 +148,8 @@
             if earlier is not None:
                 value = unify(earlier.value, value, inner_path)
                 is_optional = is_optional and earlier.is_optional
-            fields[name] = RecordField(value, is_optional, field.place)
-        return Record(fields, tuple(rules), is_closed and not rules, node.place)
+            fields[name] = RecordField(value, is_optional, field.location)
+        return Record(fields, tuple(rules), is_closed and not rules, node.location)
 
     def _evaluate_rule(self, field: Field, path: Path, depth: int) -> NameRule:
         inner_path = (*path, EVERY_FIELD)
@@ -154,9 +159,9 @@
 
 
 def concretize(value: Value, path: Path = ()) -> Any:
-    """Convert a value to plain Python: numbers (durations in us), strings, dicts and lists, with defaults.
+    """Convert a value to numbers (durations in us), strings, booleans, dicts and lists; defaults are applied.
 
-    Raises OperatorFileError for a value that is neither stated nor has a default.
+    Raises OperatorFileError for a required value that is neither stated nor has a default.
     """
     match value:
         case Choices():
@@ -177,12 +182,12 @@
     defaults = [choice.value for choice in value.choices if choice.is_default]
     candidates = defaults or [choice.value for choice in value.choices]
     if len(candidates) > 1 and _differ(candidates, path):
-        raise OperatorFileError(value.place, path, "must be said: there is no default")
+        raise OperatorFileError(value.location, path, "must be set: there is no default")
     return concretize(candidates[0], path)
 
 
 def _differ(candidates: list[Value], path: Path) -> bool:
-    """Whether the candidates for a value differ."""
+    """Whether alternatives without a default lead to different values, so that none can be chosen."""
     forms = {repr(value if _is_unstated(value) else concretize(value, path)) for value in candidates}
     return len(forms) > 1
 
@@ -190,12 +195,12 @@
 def _concretize_scalar(value: Scalar, path: Path) -> Any:
     if value.value is ABSENT:
         bounds = "".join(f" {bound.text}" for bound in value.bounds)
-        raise OperatorFileError(value.place, path, f"must be said: {format_types(value.types)}{bounds}")
+        raise OperatorFileError(value.location, path, f"must be set: {format_types(value.types)}{bounds}")
     return value.value
 
 
 def _is_unstated(value: Value) -> bool:
-    """Whether an optional field was omitted."""
+    """Whether a value is not concrete: nothing was stated for it, and it has no default."""
     match value:
         case Scalar():
             return value.value is ABSENT
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -1,7 +1,7 @@
-"""The records of an operator file, validated once, with the field names of the file.
+"""Typed records of an operator file's settings, validated, with the field names of the file.
 
-Other packages translate them into their own terms: admission/settings.py, fleet/assembly.py,
-budgets/budget_rules.py.
+Other packages translate them into settings under their own names: admission/settings.py, fleet/assembly.py,
+budgets/budget_rules.py. Durations are in integer microseconds.
 """
 
 from collections.abc import Iterator, Sequence
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from gullhold.operator.errors import OperatorFileError, Place
+from gullhold.operator.errors import Location, OperatorFileError
 from gullhold.operator.evaluation import concretize, evaluate_file
 from gullhold.operator.nodes import ListNode, Node, RecordNode
 from gullhold.operator.parser import parse
@@ -21,23 +21,28 @@
 US_PER_S = 1_000_000
 VALIDATOR_PREFIX = "Value error, "  # added by pydantic to the text of a ValueError
 
-# Kinds of budgets, by the file's names (BudgetRecord.of).
-BUDGETS_OF_TENANTS = ("open", "taken")
-BUDGETS_SPENT = ("taken", "lists")
-BUDGETS_HELD = ("threads", "memory", "open", "share")
+# Kinds of budgets, by the values of BudgetRecord.of. "further" and "cold" may have a window: if the file
+# states none, they take the window of the agreement.
+PER_TENANT_BUDGETS = ("open", "taken")
+WINDOW_REQUIRED_BUDGETS = ("taken", "lists")
+NO_WINDOW_BUDGETS = ("threads", "memory", "open", "share")
 
 
 class OperatorRecord(BaseModel):
-    """Base of all records: frozen, without additional fields. Durations are integer microseconds.
+    """Base class of the records: immutable; an unknown field is an error.
 
-    The fields are named as in the file; schema.cue documents them, with units, bounds and defaults.
+    The fields are named as in the file. schema.cue states the unit, the bounds and the default of each.
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid", strict=True)
 
 
 class ClientNetworkRecord(OperatorRecord):
-    """A network, and the name of the client that its addresses belong to."""
+    """An IP network, and how the clients in it are told apart.
+
+    net: address and prefix length; each: what counts as one client, "network" (the whole), "address" or
+    "connection"; name: of the client, if the whole network is one.
+    """
 
     net: str
     name: str
@@ -45,7 +50,11 @@
 
 
 class ClientIdentityRecord(OperatorRecord):
-    """How the clients of a tenant are identified."""
+    """How the client of a command is identified inside its tenant.
+
+    field: request field with the client's name, "": none; networks: for requests without that field;
+    otherwise: outside of all networks, "address" or "connection" identifies the client.
+    """
 
     field: str
     networks: tuple[ClientNetworkRecord, ...] = Field(default=(), strict=False)
@@ -53,7 +62,13 @@
 
 
 class RetryAfterRecord(OperatorRecord):
-    """The Retry-After times for clients whose commands are rejected."""
+    """Retry-After times for clients whose commands the admission queue sheds, and the capacity kept for them.
+
+    field: of the shed reply, in milliseconds, "": no Retry-After time is sent; least, most: bounds of the
+    time, in us; spread: random addition to it, as a part of it; part: of a flow's service, reserved for
+    retries in their windows; grace: us for which a retry that is late still counts as in its window; each,
+    all: limits of open windows in one flow and in all flows.
+    """
 
     field: str
     least: int
@@ -72,7 +87,15 @@
 
 
 class AdmissionQueueRecord(OperatorRecord):
-    """The admission queue."""
+    """The admission queue: fair queueing in front of the decision module.
+
+    window, held: limits of the commands that are with the decision module and not dispatched yet, of one
+    profile of one tenant and in all; waiting, bytes: limits of the queued commands and of their statements;
+    patience: expected wait, in latency objectives, above which a command is shed; exact: limit of the flows
+    of a single client each; shared: flows of a tenant that its other clients share; redeal: us between two
+    redistributions of clients over the shared flows; tenants: "closed" (only tenants of the agreement) or
+    "open"; others: the tenant whose share unknown tenants use; weights: of clients by name.
+    """
 
     on: bool
     window: int
@@ -92,12 +115,16 @@
     @model_validator(mode="after")
     def _check_tenant_of_others(self) -> Self:
         if self.tenants == "open" and not self.others:
-            raise ValueError('tenants: "open" needs others: the tenant in whose part they share')
+            raise ValueError('tenants: "open" needs others: the tenant whose share unknown tenants use')
         return self
 
 
 class ClockDriftRecord(OperatorRecord):
-    """How far the clocks of members may differ."""
+    """How much the clocks of the members' hosts may differ.
+
+    rate: largest relative difference of two clocks' rates; margin: by how many us the store may expire a
+    lease too early; skew: largest difference of two Unix clocks, in us.
+    """
 
     rate: float
     margin: int
@@ -105,14 +132,20 @@
 
 
 class BackoffRecord(OperatorRecord):
-    """The shortest and the longest wait between retries."""
+    """Bounds of the backoff between retries of a call to the store, in us."""
 
     least: int
     most: int
 
 
 class RolesRecord(OperatorRecord):
-    """How roles are distributed over members."""
+    """How roles are distributed over members.
+
+    moves: limit of the roles that a member gives up for another one, per second; settle: us that a new member
+    waits before roles move to it; pauses: backoff of the calls to the store; leaving: us that a member which
+    leaves waits for its work in progress; beats: number of heartbeat roles, whose leaders only write to the
+    store, every `beat` us, to monitor that leadership works.
+    """
 
     moves: int
     settle: int
@@ -123,7 +156,13 @@
 
 
 class ScheduledCommandRecord(OperatorRecord):
-    """A scheduled command of the fleet."""
+    """A command that the fleet submits at scheduled times.
+
+    at: calendar expression, in the time zone `zone`; every: interval in us, instead of `at`; work: expected
+    work in us on one core; memory: expected memory in MB; window: us after its due time within which an
+    occurrence may begin; tries: limit of its attempts; overlap: "skip" or "wait", what to do with an
+    occurrence while the previous one runs.
+    """
 
     name: str
     at: str
@@ -140,7 +179,14 @@
 
 
 class BudgetRecord(OperatorRecord):
-    """A budget of the fleet, or one for each engine or tenant."""
+    """A budget that is divided among the members of the fleet: one, or one for each engine or tenant.
+
+    of: the kind, which decides the unit; tenant: only of this tenant, "": of each tenant without a budget of
+    its own; whole: the total for the fleet; window: us over which spending is counted; linger: us for which
+    work of a stopped member is taken to run on; alone: the reserve of each member, which it may also use
+    without the store; members: number of members for which reserves are kept; floor: smallest allocation of a
+    member; grain: smallest amount that is usable.
+    """
 
     of: str
     tenant: str
@@ -155,26 +201,31 @@
     @model_validator(mode="after")
     def _check_reserve(self) -> Self:
         if self.alone and not self.members:
-            raise ValueError("alone needs members: for how many gateways it is kept back")
+            raise ValueError("alone needs members: the number of gateways for which it is kept back")
         if self.alone * self.members > self.whole:
             raise ValueError(f"alone for {self.members} members is over the whole of {self.whole}")
         return self
 
     @model_validator(mode="after")
     def _check_kind(self) -> Self:
-        if self.tenant and self.of not in BUDGETS_OF_TENANTS:
+        if self.tenant and self.of not in PER_TENANT_BUDGETS:
             raise ValueError(f"a budget of {self.of} has no tenant")
-        if self.of in BUDGETS_SPENT and not self.window:
+        if self.of in WINDOW_REQUIRED_BUDGETS and not self.window:
             raise ValueError(f"a budget of {self.of} needs a window")
         if self.of == "lists" and not self.alone:
-            raise ValueError("a budget of lists needs alone: it must hear of engines then too")
-        if self.window and self.of in BUDGETS_HELD:
+            raise ValueError("a budget of lists needs alone: a gateway without the register reads lists too")
+        if self.window and self.of in NO_WINDOW_BUDGETS:
             raise ValueError(f"a budget of {self.of} has no window")
         return self
 
 
 class PolicyRecord(OperatorRecord):
-    """Rollouts of policy changes."""
+    """Rollouts of policy changes to all members.
+
+    cut: when a member that can't reach the store during a rollout stops dispatching, "keep": when its lease
+    ends, "stand": earlier by a margin; snapshot: path of the file that keeps the policy in force, "": none;
+    spare: age in us up to which a member that starts without the store uses the snapshot, 0: never.
+    """
 
     on: bool
     cut: str
@@ -183,11 +234,17 @@
 
 
 class FleetRecord(OperatorRecord):
-    """Work on behalf of several gateways."""
+    """Work that several gateways coordinate through a store.
+
+    name: of the fleet, where several share a store; register_: HOST:PORT of the store; timeout: of a call to
+    it, in us; lease: lifetime of a member's lease without a renewal, in us; schedule: scheduled commands;
+    look: us between two collections of a member's usage of budgets; events: path of the file to which each
+    event is appended as a JSON line, "": only the log has the events.
+    """
 
     on: bool
     name: str
-    register_: str = Field(alias="register")  # a model has a method of that name
+    register_: str = Field(alias="register")  # BaseModel has a method named register
     timeout: int
     lease: int
     drift: ClockDriftRecord
@@ -203,7 +260,7 @@
         if self.on and not self.register_:
             raise ValueError("fleet.on needs fleet.register: HOST:PORT")
         if self.lease % US_PER_S:
-            raise ValueError("fleet.lease is in whole seconds")
+            raise ValueError("fleet.lease must be in whole seconds")
         if self.lease * (1 - self.drift.rate) - self.drift.margin < self.lease / 2:
             raise ValueError("fleet.drift leaves less than half of fleet.lease")
         if self.duties.pauses.least > self.duties.pauses.most:
@@ -217,7 +274,7 @@
             raise ValueError("fleet.schedule: two commands of one name")
         budgets = [(budget.of, budget.tenant) for budget in self.budgets]
         if len(set(budgets)) < len(budgets):
-            raise ValueError("fleet.budgets: two of the same")
+            raise ValueError("fleet.budgets: two of the same kind and tenant")
         return self
 
 
@@ -229,27 +286,35 @@
 
 
 def load(path: str | None) -> OperatorFile:
-    """Read the operator file at a path; None: all defaults. Raises OperatorFileError or OSError."""
+    """Read the operator file at a path; None: all settings have their defaults.
+
+    Raises OperatorFileError, or OSError if the file can't be read.
+    """
     if path is None:
         return read("", "no file")
     with open(path, encoding="utf-8") as file:
         try:
             return read(file.read(), str(path))
         except UnicodeDecodeError as error:
-            raise OperatorFileError(Place(str(path), 1, 1), (), f"not text: {error.reason}") from None
+            raise OperatorFileError(
+                Location(str(path), 1, 1), (), f"not UTF-8 text: {error.reason}"
+            ) from None
 
 
 def read(source: str, file_name: str) -> OperatorFile:
-    """Read an operator file from its text, and add defaults. Raises OperatorFileError."""
+    """Read the text of an operator file, with defaults for the settings it omits. Raises OperatorFileError.
+
+    file_name: for the locations in errors.
+    """
     root = parse(source, file_name)
     try:
         content = concretize(unify(_schema(), evaluate_file(root), ()))
     except OperatorFileError as error:
-        if error.place.file != SCHEMA:
+        if error.location.file != SCHEMA:
             raise
-        # A missing field has no place in the file: report the nearest record's place.
-        place = _nearest_place(root, error.path, file_name)
-        raise OperatorFileError(place, error.path, error.text) from None
+        # The location is in the schema if a required field is missing: report the nearest record of the file.
+        location = _nearest_location(root, error.path, file_name)
+        raise OperatorFileError(location, error.path, error.text) from None
     try:
         return OperatorFile.model_validate(content)
     except ValidationError as error:
@@ -257,46 +322,49 @@
 
 
 def _schema() -> Record:
-    """Return the value of the schema."""
+    """Return the value of schema.cue. It is closed: the file may have no other fields."""
     source = files("gullhold.operator").joinpath(SCHEMA).read_text("utf-8")
     return evaluate_file(parse(source, SCHEMA), is_closed=True)
 
 
 def _validation_error(error: ValidationError, root: RecordNode, file_name: str) -> OperatorFileError:
-    """Convert the first fault that pydantic found to an error with its place in the file."""
+    """Convert the first error that pydantic found to one with its location in the file."""
     first = error.errors()[0]
     path = tuple(str(step) for step in first["loc"])
     text = first["msg"].removeprefix(VALIDATOR_PREFIX)
-    return OperatorFileError(_nearest_place(root, path, file_name), path, text)
+    return OperatorFileError(_nearest_location(root, path, file_name), path, text)
 
 
-def _nearest_place(root: RecordNode, path: Sequence[str], file_name: str) -> Place:
-    """Return the place of the longest part of this path that the file has; its first line if it has none."""
+def _nearest_location(root: RecordNode, path: Sequence[str], file_name: str) -> Location:
+    """Return the location of the innermost field of a path that the file has; line 1 if it has none."""
     node: Node = root
-    place = Place(file_name, 1, 1)
+    location = Location(file_name, 1, 1)
     for step in path:
         found = _step_into(node, step)
         if found is None:
             break
-        node, place = found
-    return place
+        node, location = found
+    return location
 
 
-def _step_into(node: Node, step: str) -> tuple[Node, Place] | None:
-    """Return a field or an item of a node, and its place."""
+def _step_into(node: Node, step: str) -> tuple[Node, Location] | None:
+    """Return the node and the location of a record's field or a list's item; None if there is none."""
     match node:
         case RecordNode():
             fields = [field for field in node.fields if field.name == step]
-            return (fields[-1].node, fields[-1].place) if fields else None
+            return (fields[-1].node, fields[-1].location) if fields else None
         case ListNode() if step.isdigit() and int(step) < len(node.items):
             item = node.items[int(step)]
-            return item, item.place
+            return item, item.location
         case _:
             return None
 
 
 def setting_lines(record: BaseModel, path: str = "") -> Iterator[str]:
-    """Iterate over the lines that show a record, one for each setting."""
+    """Iterate over the lines that `gullhold config --operator` prints for a record, one for each setting.
+
+    path: names of the fields that lead to the record, each followed by a dot.
+    """
     for name, value in record:
         inner_path = f"{path}{type(record).model_fields[name].alias or name}"
         if isinstance(value, BaseModel):
--- a/gullhold/operator/schema.cue
+++ b/gullhold/operator/schema.cue
@@ -1,112 +1,125 @@
-// What an operator file may say. The operator's own file is unified with this one, once, at the start.
+// The schema of the operator file, with defaults (marked *) and bounds. The file is unified with it at startup.
 
 door: #Door
 fleet: #Fleet
 
-// Fair queues in front of the decision module.
+// The admission queue: fair queues in front of the decision module.
 #Door: {
 	on: *false | bool
 
-	// How much the module holds unsent: of one profile of one tenant, and in all.
+	// Limits of the commands that the decision module holds and has not dispatched: of one profile of one tenant,
+	// and in all.
 	window: *1 | (int & >=1 & <=64)
 	held:   *64 | (int & >=1 & <=4096)
 
-	// What may wait at the door: commands, and bytes of their statements.
+	// Limits of the queue: commands, and bytes of their statements.
 	waiting: *20000 | (int & >=16 & <=1000000)
 	bytes:   *64Mi | (int & >=64Ki & <=16Gi)
-	// The part of its latency target that a command may be expected to wait; beyond, it is turned away at once.
+	// A command is shed on arrival if its expected wait exceeds this multiple of its latency objective.
 	patience: *0.8 | (number & >0 & <=1000)
 
-	// Flows with a queue of their own, queues that the others share, and how often those are dealt anew.
+	// Limit of the flows of a single heavy client each; flows of a tenant that its other clients share; interval at
+	// which those clients are redistributed over the shared flows.
 	exact:  *512 | (int & >=8 & <=65536)
 	shared: *128 | (int & >=1 & <=65536)
 	redeal: *10s | (duration & >=1s & <=1h)
 
-	// Who may come: only tenants of the agreement, or anyone, who then shares in the part of `others`.
+	// "closed": commands of unknown tenants are rejected; "open": they use the share of the tenant `others`.
 	tenants: *"closed" | "open"
 	others:  *"" | string
 
 	client: #Client
-	// Weights of clients by name, against 1.
+	// Weights of clients in fair queueing, by name; other clients have weight 1.
 	weights: {[string]: number & >0 & <=1000}
 
 	come_back: #ComeBack
 }
 
-// Whose command it is inside a tenant: a field of the request, else its address under these networks.
+// How the client of a command is identified inside its tenant.
 #Client: {
+	// The request field with the client's name; "": none.
 	field:     *"" | string
+	// For requests without that field: networks by which the client's address is looked up.
 	networks:  [...#Network]
+	// Outside these networks: each connection, or each address, is one client.
 	otherwise: *"connection" | "address"
 }
 
 #Network: {
+	// Address and prefix length.
 	net:  string & =~"^[0-9a-fA-F:.]+/[0-9]+$"
+	// The client's name, if the whole network is one client.
 	name: string & =~"^."
-	// All of it is one client, or each address, or each connection.
+	// What counts as one client: the whole network, each address in it, or each connection from it.
 	each: *"network" | "address" | "connection"
 }
 
-// What those who are turned away are told.
+// Retry-After times for the clients of shed commands.
 #ComeBack: {
-	// The field of Shed that carries it, in milliseconds; "": nobody is told.
+	// The field of Shed with the time in milliseconds; "": no Retry-After times are sent.
 	field: *"" | string
+	// Bounds of the time.
 	least: *100ms | (duration & >=1ms & <=1min)
 	most:  *5s | (duration & >=10ms & <=1h)
-	// Those told the same are spread over this part of the time; the part of the service kept for them.
+	// Random addition to a time, at most this part of it, so that clients do not all retry together.
 	spread: *0.2 | (number & >=0 & <=1)
+	// The part of a flow's service that is reserved for retries in their windows.
 	part:   *0.5 | (number & >0 & <=0.9)
-	// How long after its time one who was told still counts as in time.
+	// How long after its Retry-After time a retry is still in its window.
 	grace: *1s | (duration & >=10ms & <=1min)
-	// Promises open at once, in one flow and in all.
+	// Limits of the windows that are open at the same time, in one flow and in all.
 	each: *64 | (int & >=1 & <=4096)
 	all:  *20000 | (int & >=1 & <=1000000)
 }
 
-// Work on behalf of several gateways, through a register: one owner at a time (docs/operators/leadership.md).
+// Work that several gateways coordinate through a store, the register: each role has one leader at a time
+// (docs/operators/leadership.md).
 #Fleet: {
 	on: *false | bool
-	// Which fleet, where several share a register.
+	// The name of the fleet, as several may share a register.
 	name: *"main" | (string & =~"^[A-Za-z0-9_.-]+$")
-	// HOST:PORT of the register, and how long one call may take.
+	// HOST:PORT of the register, and the timeout of a call to it.
 	register: *"" | (string & =~"^[^ ]+:[0-9]+$")
 	timeout:  *1s | (duration & >=10ms & <=1min)
-	// How long the register waits for a member's word, in whole seconds.
+	// How long a member's lease holds without a renewal, in whole seconds.
 	lease: *5s | (duration & >=1s & <=10min)
 	drift: #Drift
 	duties: #Duties
 	schedule: [...#Scheduled]
-	// Budgets of the fleet, divided among its gateways (docs/operators/budgets.md); how often one looks at its own.
+	// Budgets of the fleet, divided among its members (docs/operators/budgets.md).
 	budgets: [...#Budget]
+	// The interval at which a member collects its usage of them.
 	look:    *100ms | (duration & >=20ms & <=10s)
 	policy: #Policy
-	// A file to which each event is added as a line of JSON; "": the log alone.
+	// A file to which each event is appended as a line of JSON; "": only the log has the events.
 	events: *"" | string
 }
 
-// How far clocks may be off.
+// How much clocks may differ.
 #Drift: {
-	// The most that the rates of two hosts' clocks differ, as a share.
+	// The largest relative difference between the rates of two hosts' clocks.
 	rate: *0.01 | (number & >=0 & <=0.5)
-	// How much sooner than promised the register may forget a lease.
+	// How much too early the register may end a lease.
 	margin: *100ms | (duration & >=0s & <=1min)
-	// The most that two hosts' Unix clocks differ.
+	// The largest difference between two hosts' Unix clocks.
 	skew: *100ms | (duration & >=0s & <=1min)
 }
 
+// How roles (duties) are distributed over the members of the fleet.
 #Duties: {
-	// The most duties a second that one member lets go for another.
+	// How many roles a second one member gives up so that they move to another.
 	moves: *200 | (int & >=1 & <=100000)
-	// How long a member that comes among others waits until duties move to it.
+	// How long after a member joined others roles begin to move to it.
 	settle: *5s | (duration & >=0s & <=1h)
-	// Pauses between tries, growing and spread.
+	// Bounds of the backoff between retries; it is exponential, with random jitter.
 	pauses: {
 		least: *100ms | (duration & >=1ms & <=1min)
 		most:  *5s | (duration & >=10ms & <=1h)
 	}
-	// How long leaving waits for work that is under way.
+	// How long a member that leaves waits for its work in progress.
 	leaving: *4s | (duration & >=0s & <=10min)
-	// So many duties that do nothing but write who owns them, this often: to see that all of it works.
+	// Number of heartbeat roles, and their interval: a leader only writes to the register, which shows that leadership
+	// works.
 	beats: *0 | (int & >=0 & <=100000)
 	beat:  *1s | (duration & >=10ms & <=1h)
 }
@@ -114,17 +127,18 @@
 // A command that is sent on behalf of the fleet.
 #Scheduled: {
 	name: string & =~"^[A-Za-z0-9_.-]+$"
-	// When: an expression of five fields, or six with seconds first, in a zone; or every so often.
+	// When: a calendar expression of five fields, or six with seconds first, in a time zone; or a fixed interval.
 	at:    *"" | string
 	zone:  *"UTC" | string
 	every: *0s | (duration & >=0s & <=24h)
-	// What, in the words of the agreement. work: on one core; memory in MB.
+	// What: profile and tenant of the agreement, and the statement; its expected work on one core and memory in MB.
 	profile:   string
 	tenant:    *"" | string
 	statement: string
 	work:      *0s | (duration & >=0s & <=24h)
 	memory:    *0 | (int & >=0 & <=1000000)
-	// How late it may begin; how often it is tried; what to do while the last one still runs.
+	// How late an occurrence may begin; how many attempts it may have; whether it is skipped or waits while the
+	// previous one runs.
 	window:  *1min | (duration & >=100ms & <=24h)
 	tries:   *3 | (int & >=1 & <=10)
 	overlap: *"skip" | "wait"
@@ -132,32 +146,35 @@
 
 // One budget, or one for each engine (threads, memory, cold) or tenant (open, taken).
 #Budget: {
-	// threads, MB of memory on an engine; commands of a tenant open, or taken within the window; further sends
-	// within the window; work sent to a cold engine; share of the traffic; calls to the list's service within it.
+	// threads, memory: in use on an engine, memory in MB; open: pending commands of a tenant; taken: commands of a
+	// tenant accepted within the window; further: retries within the window; cold: work sent to an engine that is
+	// warming, within the window; share: of the traffic; lists: calls to the discovery service within the window.
 	of: "threads" | "memory" | "open" | "taken" | "further" | "cold" | "share" | "lists"
-	// open, taken: of this tenant alone; "": one like it for each that has none of its own.
+	// open, taken: the tenant that it is for; "": one budget for each tenant that has none of its own.
 	tenant: *"" | string
-	// Of the fleet; cold, share: millionths, where 1000000 is all that may be expected.
+	// The total for the fleet; cold, share: in millionths, 1000000 is the whole expected amount.
 	whole: *1000000 | (int & >=1 & <=1000000000000)
-	// 0s: what the agreement states (further, cold). linger: how long work goes on after its gateway has gone;
-	// 0s: the longest client timeout and a second.
+	// Within which spending is counted; 0s: the agreement's window (further, cold).
 	window: *0s | (duration & >=0s & <=1h)
+	// How long work may run on after its gateway has stopped; 0s: the longest client timeout and one second.
 	linger: *0s | (duration & >=0s & <=1h)
-	// What a gateway may spend besides its part, also while the register is away, kept back for so many gateways.
+	// The reserve of each member besides its allocation, usable also while the register does not answer, and the number
+	// of members for which it is kept.
 	alone:   *0 | (int & >=0 & <=1000000000000)
 	members: *0 | (int & >=0 & <=100000)
-	// The least part of each, and the least that is of use.
+	// The smallest allocation of a member, and the smallest amount that is usable.
 	floor: *1 | (int & >=0 & <=1000000000000)
 	grain: *1 | (int & >=1 & <=1000000000000)
 }
 
-// Changes of policy that take hold everywhere or nowhere (docs/operators/policy-rollout.md).
+// Changes of policy that all members adopt or none (docs/operators/policy-rollout.md).
 #Policy: {
 	on: *false | bool
-	// Cut off from the register with a change open: serve while the lease surely holds, or stop sooner.
+	// When a member that can't reach the register while a change is open stops dispatching: "keep": when its lease
+	// ends, "stand": earlier by a margin.
 	cut: *"keep" | "stand"
-	// Where what was last in force is kept, "": nowhere; for how long after that a gateway that starts without the
-	// register goes by it, 0s: it waits.
+	// A file that keeps the policy last in force; "": none.
 	snapshot: *"" | string
+	// The age up to which a gateway that starts without the register uses it; 0s: it waits for the register.
 	spare:    *0s | (duration & >=0s & <=24h)
 }
--- a/gullhold/operator/unification.py
+++ b/gullhold/operator/unification.py
@@ -1,6 +1,6 @@
-"""Unification of two values, such as the schema's and the file's, into the value that satisfies both.
+"""Unifies two values, such as the schema's and the file's, into the value that satisfies both, as CUE does.
 
-unify() is commutative except for the text of errors.
+unify() is commutative except for the text and the location of errors.
 """
 
 import operator
@@ -35,16 +35,17 @@
     "!=": operator.ne,
     "=~": lambda value, pattern: re.search(pattern, value) is not None,
 }
-COMPARISON_SIGNS = "<>=!"
-# In the texts of errors.
-VIOLATION = " is not "  # between a value and its constraint
-TYPE_MISMATCH = " must stand"  # for a value of another type, or a list of another length
+COMPARISON_SIGNS = "<>=!"  # first characters of the operators above
+# Parts of the texts of errors, by which _most_specific() tells one kind of error from another.
+VIOLATION = " is not "  # between a value and the bound or constant that it violates
+TYPE_MISMATCH = " is expected"  # at the end, for a value of another type or a list of another length
 
 
 def unify(expected: Value, found: Value, path: Path) -> Value:
-    """Return the value that satisfies both. Raises OperatorFileError if there is none.
+    """Return the value that satisfies both values. Raises OperatorFileError if there is none.
 
-    The text and the place of errors assume that the first is the schema's and the second the file's.
+    Errors name the location of `found`, which is the file's value, and state `expected`, the schema's value,
+    as the requirement. path: for errors.
     """
     match expected, found:
         case (Choices(), _) | (_, Choices()):
@@ -55,28 +56,29 @@
             return _unify_lists(expected, found, path)
         case Record(), Record():
             return _unify_records(expected, found, path)
-    raise OperatorFileError(found.place, path, f"{describe(found)} where {describe(expected)} must stand")
+    raise OperatorFileError(found.location, path, f"{describe(found)} where {describe(expected)} is expected")
 
 
 def _unify_scalars(expected: Scalar, found: Scalar, path: Path) -> Scalar:
     types = _common_types(expected, found)
     if types is not None and not types:
-        text = f"{describe(found)} where {format_types(expected.types)} must stand"
-        raise OperatorFileError(found.place, path, text)
+        text = f"{describe(found)} where {format_types(expected.types)} is expected"
+        raise OperatorFileError(found.location, path, text)
     are_both_known = expected.value is not ABSENT and found.value is not ABSENT
     if are_both_known and expected.value != found.value:
         text = f"{_format_known(found)} is not {_format_known(expected)}"
-        raise OperatorFileError(found.place, path, text)
+        raise OperatorFileError(found.location, path, text)
     known = found if expected.value is ABSENT else expected
-    unified = Scalar(types, expected.bounds + found.bounds, known.value, found.place)
+    unified = Scalar(types, expected.bounds + found.bounds, known.value, found.location)
     if unified.value is not ABSENT:
         for bound in unified.bounds:
             if not _is_within(unified.value, bound):
-                raise OperatorFileError(known.place, path, f"{_format_known(unified)} is not {bound.text}")
+                raise OperatorFileError(known.location, path, f"{_format_known(unified)} is not {bound.text}")
     return unified
 
 
 def _common_types(first: Scalar, second: Scalar) -> frozenset[ScalarType] | None:
+    """Return the types that both scalars allow; None: any type, empty: they have none in common."""
     if first.types is None:
         return second.types
     if second.types is None:
@@ -85,14 +87,14 @@
 
 
 def _format_known(scalar: Scalar) -> str:
-    """Return a known value, which has one type, in the syntax of a file."""
+    """Return a scalar that is not ABSENT, and so has one type, in the syntax of a file."""
     return format_scalar(next(iter(cast("frozenset[ScalarType]", scalar.types))), scalar.value)
 
 
 def _is_within(value: Any, bound: ValueBound) -> bool:
     try:
         return bool(COMPARISONS[bound.operator](value, bound.limit))
-    except TypeError:  # values of types that have no order
+    except TypeError:  # values of these two types can't be compared
         return bound.operator == "!="
 
 
@@ -114,8 +116,8 @@
         raise _most_specific(errors, path)
     if len(fitting) == 1:
         return fitting[0].value
-    place = expected.place if isinstance(found, Choices) else found.place
-    return Choices(tuple(fitting), place)
+    location = expected.location if isinstance(found, Choices) else found.location
+    return Choices(tuple(fitting), location)
 
 
 def _choices(value: Value) -> tuple[Choice, ...]:
@@ -123,10 +125,10 @@
 
 
 def _most_specific(errors: list[OperatorFileError], path: Path) -> OperatorFileError:
-    """Choose the error to report if no alternative can be unified.
+    """Return the error to report if no alternative can be unified with a value.
 
-    A violated bound of an alternative of the right type is the most specific error, another constant the
-    least. If all are violations, they are combined into one error that names all allowed values.
+    A violated bound is preferred to a different constant, and both to a wrong type. If all errors are
+    violated bounds or different constants, they are combined into one that names all allowed values.
     """
     errors = sorted(errors, key=lambda error: (TYPE_MISMATCH in error.text, _is_other_constant(error)))
     first = errors[0]
@@ -134,11 +136,11 @@
         return first
     value = first.text.split(VIOLATION, 1)[0]
     requirements = dict.fromkeys(error.text.split(VIOLATION, 1)[1] for error in errors)
-    return OperatorFileError(first.place, path, f"{value} is not {' or '.join(requirements)}")
+    return OperatorFileError(first.location, path, f"{value} is not {' or '.join(requirements)}")
 
 
 def _is_other_constant(error: OperatorFileError) -> bool:
-    """Whether a value was compared with a constant, not with a bound."""
+    """Whether the error says that a value differs from a constant, not that it violates a bound."""
     if VIOLATION not in error.text:
         return False
     requirement = error.text.rsplit(VIOLATION, 1)[1]
@@ -154,7 +156,7 @@
     item_rule = rules[0] if rules else None
     if len(rules) > 1:
         item_rule = unify(cast("Value", expected.item_rule), cast("Value", found.item_rule), (*path, "[]"))
-    return List(items, item_rule, found.place)
+    return List(items, item_rule, found.location)
 
 
 def _common_items(expected: List, found: List, path: Path) -> tuple[Value, ...] | None:
@@ -163,8 +165,8 @@
     if found.items is None:
         return expected.items
     if len(expected.items) != len(found.items):
-        text = f"{len(found.items)} items where {len(expected.items)} must stand"
-        raise OperatorFileError(found.place, path, text)
+        text = f"{len(found.items)} items where a list of {len(expected.items)} is expected"
+        raise OperatorFileError(found.location, path, text)
     pairs = zip(expected.items, found.items, strict=True)
     return tuple(unify(left, right, (*path, str(i))) for i, (left, right) in enumerate(pairs))
 
@@ -188,29 +190,29 @@
         for rule in _rules_for(found, name, field, inner_path):
             value = unify(value, rule, inner_path)
         fields[name] = field._replace(value=value)
-    return Record(fields, expected.rules + found.rules, expected.is_closed or found.is_closed, found.place)
+    return Record(fields, expected.rules + found.rules, expected.is_closed or found.is_closed, found.location)
 
 
 def _unify_fields(expected: RecordField, found: RecordField, path: Path) -> RecordField:
     value = unify(expected.value, found.value, path)
-    return RecordField(value, expected.is_optional and found.is_optional, found.place)
+    return RecordField(value, expected.is_optional and found.is_optional, found.location)
 
 
 def _rules_for(record: Record, name: str, field: RecordField, path: Path) -> list[Value]:
-    """Return a record's constraints on a field that it does not have itself.
+    """Return the values of a record's name rules that match a field which the record does not have itself.
 
-    Raises OperatorFileError if it does not allow the field.
+    Raises OperatorFileError if the record does not allow a field of this name.
     """
-    rules = [rule.value for rule in record.rules if _fits(rule.names, name)]
+    rules = [rule.value for rule in record.rules if _matches(rule.names, name)]
     if record.is_closed or (record.rules and not rules):
-        raise OperatorFileError(field.place, path, f"not a known name{suggestion(name, record.fields)}")
+        raise OperatorFileError(field.location, path, f"not a known name{suggestion(name, record.fields)}")
     return rules
 
 
-def _fits(names: Value, name: str) -> bool:
-    """Whether a field's name fulfils a condition on names."""
+def _matches(names: Value, name: str) -> bool:
+    """Whether a field's name satisfies the constraint of a name rule."""
     try:
-        unify(names, Scalar(frozenset((ScalarType.STRING,)), (), name, names.place), ())
+        unify(names, Scalar(frozenset((ScalarType.STRING,)), (), name, names.location), ())
     except OperatorFileError:
         return False
     return True
--- a/gullhold/operator/values.py
+++ b/gullhold/operator/values.py
@@ -1,10 +1,10 @@
-"""Values of nodes, which may still be partly unknown, and their text in errors."""
+"""Values of nodes, which may not be concrete yet (only constraints), and their text in errors."""
 
 from collections.abc import Iterable
 from difflib import get_close_matches
 from typing import Any, NamedTuple, TypeAlias
 
-from gullhold.operator.errors import Place
+from gullhold.operator.errors import Location
 from gullhold.operator.nodes import ScalarType
 
 NUMBER_TYPES = frozenset((ScalarType.INT, ScalarType.FLOAT))
@@ -16,13 +16,13 @@
     "bool": frozenset((ScalarType.BOOL,)),
     "duration": frozenset((ScalarType.DURATION,)),
 }
-DURATION_UNITS_US = {"h": 3_600_000_000, "min": 60_000_000, "s": 1_000_000, "ms": 1000}  # the largest first
-SIMILARITY = 0.5  # of an unknown name to a known one, from which on it is taken for a typing error
-ABSENT: Any = object()  # the value of a scalar with only types and bounds
+DURATION_UNITS_US = {"h": 3_600_000_000, "min": 60_000_000, "s": 1_000_000, "ms": 1000}  # largest first
+MIN_SIMILARITY = 0.5  # difflib ratio (0 to 1) to an unknown name from which on a known name is suggested
+ABSENT: Any = object()  # the value of a scalar of which only types and bounds are stated
 
 
 class ValueBound(NamedTuple):
-    """A comparison that a value has to satisfy. text: for errors."""
+    """A comparison that a value has to satisfy. text: as written in a file, such as >=1, for errors."""
 
     operator: str
     limit: Any
@@ -30,71 +30,71 @@
 
 
 class Scalar(NamedTuple):
-    """A scalar value, or ABSENT, and its constraints. types: None: any."""
+    """A scalar value, or ABSENT, and the constraints on it. types: the allowed types, None: any."""
 
     types: frozenset[ScalarType] | None
     bounds: tuple[ValueBound, ...]
     value: Any
-    place: Place
+    location: Location
 
 
 class RecordField(NamedTuple):
-    """A field of a record."""
+    """The value of a field of a record; is_optional: the field may be left out."""
 
     value: "Value"
     is_optional: bool
-    place: Place
+    location: Location
 
 
 class NameRule(NamedTuple):
-    """The constraint on fields whose names fulfil a condition."""
+    """A rule for the fields of certain names. names: constraint on the names; value: on the values."""
 
     names: "Value"
     value: "Value"
 
 
 class Record(NamedTuple):
-    """Fields by name, and rules for others. is_closed: no other fields may be added."""
+    """A record. rules: for fields of other names; is_closed: fields of other names are not allowed."""
 
     fields: dict[str, RecordField]
     rules: tuple[NameRule, ...]
     is_closed: bool
-    place: Place
+    location: Location
 
 
 class List(NamedTuple):
-    """A list. items: None if they are not stated; item_rule: the constraint on each item, None: none."""
+    """A list. items: None if none are stated; item_rule: a constraint on each item, None: no constraint."""
 
     items: tuple["Value", ...] | None
     item_rule: "Value | None"
-    place: Place
+    location: Location
 
 
 class Choice(NamedTuple):
-    """One of several alternatives."""
+    """One of the alternatives of Choices; is_default: it is chosen if nothing else decides."""
 
     is_default: bool
     value: "Value"
 
 
 class Choices(NamedTuple):
-    """Alternatives, one of which will be chosen."""
+    """Alternatives of which one will be chosen: by unification with another value, or as the default."""
 
     choices: tuple[Choice, ...]
-    place: Place
+    location: Location
 
 
 Value: TypeAlias = Scalar | Record | List | Choices
 
 
 def suggestion(name: str, known_names: Iterable[str]) -> str:
-    """Return a hint at the most similar known name, empty if none is similar."""
-    nearest = get_close_matches(name, list(known_names), n=1, cutoff=SIMILARITY)
+    """Return the end of an error that suggests the most similar known name; empty if none is similar."""
+    nearest = get_close_matches(name, list(known_names), n=1, cutoff=MIN_SIMILARITY)
     return f"; did you mean {nearest[0]}?" if nearest else ""
 
 
 def format_scalar(scalar_type: ScalarType, value: Any) -> str:
-    """Return a value in the syntax of a file."""
+    """Return a scalar value in the syntax of a file; a duration in the largest unit that divides it."""
     match scalar_type:
         case ScalarType.DURATION:
             return _format_duration(value)
@@ -114,12 +114,12 @@
 
 
 def format_types(types: Iterable[ScalarType] | None) -> str:
-    """Return types in words."""
+    """Return the names of types for an error, joined by "or"; None or no type: "anything"."""
     return " or ".join(sorted(types)) if types else "anything"
 
 
 def describe(value: Value) -> str:
-    """Return the kind of a value in words."""
+    """Return what kind of value it is, for an error about a wrong type."""
     match value:
         case Scalar():
             return format_types(value.types)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -54,8 +54,8 @@
     [
         ("door: {window: 65}", "f.cue:1:16: door.window: 65 is not <=64 or 1"),
         ("door: {\n  windw: 3\n}", "f.cue:2:3: door.windw: not a known name; did you mean window?"),
-        ('door: window: "a"', "f.cue:1:15: door.window: string where int must stand"),
-        ("door: redeal: 3", "f.cue:1:15: door.redeal: int where duration must stand"),
+        ('door: window: "a"', "f.cue:1:15: door.window: string where int is expected"),
+        ("door: redeal: 3", "f.cue:1:15: door.redeal: int where duration is expected"),
         ("door: redeal: 2h", "f.cue:1:15: door.redeal: 2h is not <=1h or 10s"),
         ("door: weights: {a: -1}", "f.cue:1:20: door.weights.a: -1 is not >0"),
         ('door: tenants: "opn"', 'f.cue:1:16: door.tenants: "opn" is not "closed" or "open"'),
@@ -66,10 +66,10 @@
         ('door: client: networks: [{net: "10", name: "x"}]', "f.cue:1:32: door.client.networks.0.net: "),
         ("door: {come_back: {least: 2s, most: 1s}}", "f.cue:1:8: door.come_back: least is over most"),
         ('door: tenants: "open"', "f.cue:1:1: door: "),
-        ("door: {\n window: }", "f.cue:2:10: '}' can't stand here"),
-        ("door: {window: 3", "the end of the file can't stand here"),
-        ("door: {window: ~}", "f.cue:1:16: '~' can't stand here"),
-        ("#A: {a: #A}\ndoor: #A", "definitions that hold themselves"),
+        ("door: {\n window: }", "f.cue:2:10: '}' is not expected here"),
+        ("door: {window: 3", "the end of the file is not expected here"),
+        ("door: {window: ~}", "f.cue:1:16: '~' is not expected here"),
+        ("#A: {a: #A}\ndoor: #A", "definitions refer to themselves"),
     ],
 )
 def test_a_bad_file_is_one_line_with_its_place_its_path_and_the_bound(written, want):
