--- a/gullhold/operator/unification.py
+++ b/gullhold/operator/unification.py
@@ -103,21 +103,21 @@
     expected_choices = _choices(expected)
     found_choices = _choices(found)
     has_default = any(choice.is_default for choice in (*expected_choices, *found_choices))
-    fitting: list[Choice] = []
+    unified: list[Choice] = []
     errors: list[OperatorFileError] = []
     for left in expected_choices:
         for right in found_choices:
             is_default = has_default and (left.is_default or right.is_default)
             try:
-                fitting.append(Choice(is_default, unify(left.value, right.value, path)))
+                unified.append(Choice(is_default, unify(left.value, right.value, path)))
             except OperatorFileError as error:
                 errors.append(error)
-    if not fitting:
+    if not unified:
         raise _most_specific(errors, path)
-    if len(fitting) == 1:
-        return fitting[0].value
+    if len(unified) == 1:
+        return unified[0].value
     location = expected.location if isinstance(found, Choices) else found.location
-    return Choices(tuple(fitting), location)
+    return Choices(tuple(unified), location)
 
 
 def _choices(value: Value) -> tuple[Choice, ...]:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator file: what is understood, and one plain line for what is not."""
+"""The operator file: valid files and their settings, and the one-line errors of invalid files."""
 
 import pytest
 from hypothesis import given, settings
@@ -13,19 +13,19 @@
 from gullhold.operator.unification import unify
 
 
-def test_an_empty_file_is_all_defaults_and_records_are_frozen():
-    told = records.read("", "f.cue")
-    assert not told.door.on
-    assert told.door.redeal == 10_000_000
-    assert told.door.client.networks == ()
+def test_an_empty_file_gives_all_defaults_in_immutable_records():
+    operator_file = records.read("", "f.cue")
+    assert not operator_file.door.on
+    assert operator_file.door.redeal == 10_000_000
+    assert operator_file.door.client.networks == ()
     with pytest.raises(ValidationError):
-        told.door.window = 3
+        operator_file.door.window = 3
 
 
-def test_units_nesting_comments_definitions_and_lists():
-    told = records.read(
+def test_units_nested_fields_comments_definitions_and_lists_are_read():
+    queue = records.read(
         """
-        // who crowds is told apart by desk
+        // Retry-After times of the admission queue
         #Slow: 2.5s
         door: on: true
         door: come_back: {least: 250ms, most: #Slow, field: "back"}
@@ -40,17 +40,17 @@
     """,
         "f.cue",
     ).door
-    assert told.on
-    assert told.come_back.least == 250_000
-    assert told.come_back.most == 2_500_000
-    assert told.bytes == 1 << 20
-    assert told.waiting == 5000
-    assert [net.each for net in told.client.networks] == ["network", "address"]
-    assert told.weights == {"big desk": 2.0, "small": 0.5}
+    assert queue.on
+    assert queue.come_back.least == 250_000
+    assert queue.come_back.most == 2_500_000
+    assert queue.bytes == 1 << 20
+    assert queue.waiting == 5000
+    assert [network.each for network in queue.client.networks] == ["network", "address"]
+    assert queue.weights == {"big desk": 2.0, "small": 0.5}
 
 
 @pytest.mark.parametrize(
-    "written, want",
+    "source, expected_text",
     [
         ("door: {window: 65}", "f.cue:1:16: door.window: 65 is not <=64 or 1"),
         ("door: {\n  windw: 3\n}", "f.cue:2:3: door.windw: not a known name; did you mean window?"),
@@ -72,26 +72,26 @@
         ("#A: {a: #A}\ndoor: #A", "definitions refer to themselves"),
     ],
 )
-def test_a_bad_file_is_one_line_with_its_place_its_path_and_the_bound(written, want):
-    with pytest.raises(OperatorFileError) as fault:
-        records.read(written, "f.cue")
-    assert want in str(fault.value)
-    assert "\n" not in str(fault.value)
-    assert str(fault.value).startswith("f.cue:")
+def test_an_invalid_file_gives_a_one_line_error_with_location_path_and_bound(source, expected_text):
+    with pytest.raises(OperatorFileError) as error:
+        records.read(source, "f.cue")
+    assert expected_text in str(error.value)
+    assert "\n" not in str(error.value)
+    assert str(error.value).startswith("f.cue:")
 
 
-def value(source):
-    """The value of one expression of an operator file."""
+def evaluate(source):
+    """Return the value of one expression of an operator file."""
     return evaluate_file(parse("x: " + source, "t")).fields["x"].value
 
 
 TERMS = ["int", ">=1", "<10", "5", "9", "*3 | int", "*2 | 5 | 9", "number", "!=9", '"a" | 5', "string"]
 
 
-def settled(source):
-    """The concrete value that an expression comes to, or `nothing` where it comes to none."""
+def concrete_or_nothing(compute):
+    """Return the concrete form of the value that compute() returns; "nothing" if there is an error."""
     try:
-        return concretize(source())
+        return concretize(compute())
     except OperatorFileError:
         return "nothing"
 
@@ -99,29 +99,32 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.lists(st.sampled_from(TERMS), min_size=2, max_size=4))
 def test_unification_does_not_depend_on_the_order_of_its_terms(terms):
-    def joined(order):
-        found = value(order[0])
+    def unify_all(order):
+        unified = evaluate(order[0])
         for term in order[1:]:
-            found = unify(found, value(term), ())
-        return found
+            unified = unify(unified, evaluate(term), ())
+        return unified
 
-    one = settled(lambda: joined(terms))
-    assert settled(lambda: joined(terms[::-1])) == one
-    assert settled(lambda: joined([*terms, terms[0]])) == one
-    if isinstance(one, int) and not any("|" in term for term in terms):
-        assert all(settled(lambda t=term: unify(value(t), value(str(one)), ())) == one for term in terms)
+    result = concrete_or_nothing(lambda: unify_all(terms))
+    assert concrete_or_nothing(lambda: unify_all(terms[::-1])) == result
+    assert concrete_or_nothing(lambda: unify_all([*terms, terms[0]])) == result
+    if isinstance(result, int) and not any("|" in term for term in terms):
+        assert all(
+            concrete_or_nothing(lambda t=term: unify(evaluate(t), evaluate(str(result)), ())) == result
+            for term in terms
+        )
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.text(alphabet='door:{}[]#*|&<>=." \n12sabw~_', max_size=60))
-def test_whatever_is_written_is_understood_or_refused_in_one_line(written):
+def test_any_text_is_read_or_gives_a_one_line_error(source):
     try:
-        records.read(written, "f.cue")
-    except OperatorFileError as fault:
-        assert "\n" not in str(fault).replace("\\n", "")
+        records.read(source, "f.cue")
+    except OperatorFileError as error:
+        assert "\n" not in str(error).replace("\\n", "")
 
 
-def test_the_command_line_prints_what_was_understood_or_the_fault(tmp_path, capsys):
+def test_the_config_command_prints_the_settings_or_the_error(tmp_path, capsys):
     path = tmp_path / "operator.cue"
     path.write_text('door: {on: true, client: field: "desk"}')
     assert main(["config", "--operator", str(path)]) == 0
