--- a/gullhold/simulation/client.py
+++ b/gullhold/simulation/client.py
@@ -87,7 +87,7 @@
             return
         self.has_left = True
         self.world.checker.client_left(self, list(self.open.values()))
-        if not self.endpoint.is_finishing and not self.endpoint.outgoing.over:
+        if not self.endpoint.is_finishing and not self.endpoint.outgoing.is_finished:
             self.endpoint.finish(StreamEnd.CLOSED)
         if reconnect:
             self.world.start_client(self.gateway.name, self.verbs, self.mean_gap_us)
--- a/gullhold/simulation/endpoints.py
+++ b/gullhold/simulation/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of simulated connections: they buffer what is written and pass what arrives to a reader."""
+"""The two sides of a simulated connection: they buffer written bytes, and pass arriving bytes to a reader."""
 
 from bisect import bisect_right
 from collections.abc import Callable
@@ -9,19 +9,19 @@
 
 
 class EndpointReader(Protocol):
-    """Handles what arrives at an endpoint."""
+    """Handles what arrives at an endpoint, such as a gateway's connection or a simulated engine."""
 
     def data_received(self, endpoint: "Endpoint", data: bytes) -> None:
-        """Bytes of the other side arrived."""
+        """Handle bytes that arrived from the other side."""
         ...
 
     def peer_closed(self, endpoint: "Endpoint", how: StreamEnd) -> None:
-        """The other side has ended."""
+        """Handle the end of the other side."""
         ...
 
 
 class Endpoint:
-    """One side of a connection; buffers what the stream's window does not take yet."""
+    """One side of a connection; buffers written bytes until the stream's window takes them."""
 
     def __init__(self, clock: Clock, reader: EndpointReader | None) -> None:
         """reader: None if it is set later, before the first event."""
@@ -29,15 +29,15 @@
         self.reader = reader
         self.outgoing: Stream | None = None  # set by connect()
         self.buffered = bytearray()
-        self.is_finishing = False  # nothing more is written on this side
+        self.is_finishing = False  # this side makes no further writes
         self.is_closed = False  # the other side has ended, or arriving bytes are dropped
-        self.written_bytes = 0  # bytes of all that was written
-        self.write_offsets: list[int] = []  # the offset of each write ...
-        self.write_times: list[int] = []  # ... and when it was made
+        self.written_bytes = 0  # total of all writes
+        self.write_offsets: list[int] = []  # offset of the first byte of each write
+        self.write_times: list[int] = []  # virtual time of each write, in us
 
     def write(self, data: bytes) -> None:
-        """Queue these bytes; BrokenPipeError where this side has ended."""
-        if self.is_finishing or self.outgoing.over:
+        """Queue bytes. Raises BrokenPipeError if this side has ended."""
+        if self.is_finishing or self.outgoing.is_finished:
             raise BrokenPipeError
         self.write_offsets.append(self.written_bytes)
         self.write_times.append(self.clock.now)
@@ -46,11 +46,11 @@
         self.resume_writing()
 
     def written_at(self, offset: int) -> int:
-        """When the byte at this offset was written."""
+        """Return the time of the write with the byte at this offset, in us."""
         return self.write_times[bisect_right(self.write_offsets, offset) - 1]
 
     def finish(self, how: StreamEnd = StreamEnd.CLOSED) -> None:
-        """Write nothing more. CLOSED: after what is buffered; RESET: at once, dropping what is buffered."""
+        """End this side. CLOSED: after the buffered bytes; RESET: at once, the buffered bytes are dropped."""
         self.is_finishing = True
         if how == StreamEnd.RESET:
             self.buffered.clear()
@@ -59,8 +59,8 @@
             self.resume_writing()
 
     def resume_writing(self) -> None:
-        """Write what is buffered, as far as the stream takes it."""
-        while self.buffered and not self.outgoing.over:
+        """Pass buffered bytes on while the stream takes them; after finish(), end it when none are left."""
+        while self.buffered and not self.outgoing.is_finished:
             taken = self.outgoing.write(bytes(self.buffered))
             if not taken:
                 return
@@ -69,12 +69,12 @@
             self.outgoing.finish(StreamEnd.CLOSED)
 
     def data_arrived(self, data: bytes) -> None:
-        """Bytes of the other side arrived."""
+        """Pass arrived bytes to the reader."""
         if not self.is_closed:
             self.reader.data_received(self, data)
 
     def end_arrived(self, how: StreamEnd) -> None:
-        """The other side has ended."""
+        """Tell the reader that the other side has ended, once."""
         if not self.is_closed:
             self.is_closed = True
             self.reader.peer_closed(self, how)
@@ -82,14 +82,14 @@
 
 def connect(
     clock: Clock,
-    chance: Callable[[], float],
+    random_fraction: Callable[[], float],
     near: Endpoint,
     far: Endpoint,
-    there: StreamConditions,
-    back: StreamConditions,
+    near_to_far: StreamConditions,
+    far_to_near: StreamConditions,
 ) -> DuplexStream:
-    """Connect two endpoints; there, back: the conditions from near to far and from far to near."""
-    connection = DuplexStream(clock, chance, near, far, there, back)
-    near.outgoing = connection.there
-    far.outgoing = connection.back
+    """Connect two endpoints; near_to_far, far_to_near: the conditions of each direction."""
+    connection = DuplexStream(clock, random_fraction, near, far, near_to_far, far_to_near)
+    near.outgoing = connection.near_to_far
+    far.outgoing = connection.far_to_near
     return connection
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -68,7 +68,7 @@
 
     def send(self, *words: bytes) -> None:
         """Send a message, unless the connection has ended."""
-        if not self.endpoint.is_finishing and not self.endpoint.outgoing.over:
+        if not self.endpoint.is_finishing and not self.endpoint.outgoing.is_finished:
             self.endpoint.write(resp.encode(*words))
 
     def send_malformed(self) -> None:
@@ -116,7 +116,7 @@
             for txn in list(session.running):
                 self.abandon(session, txn)
             session.endpoint.is_closed = True
-            if not session.endpoint.outgoing.over:
+            if not session.endpoint.outgoing.is_finished:
                 session.endpoint.finish(StreamEnd.RESET)
         self.sessions = []
         self.idempotency_keys = {}
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -1,7 +1,7 @@
-"""A gateway on virtual time: the product's core, decisions, connections and parsers; no thread, no socket.
+"""A gateway on virtual time: the product's core, decisions, connections and parsers, no threads, no sockets.
 
-What stands in for threads: a connection is fed by its endpoint, and the core takes a turn whenever
-something was posted or a timer is due. All else is the product's own code.
+Two things replace the threads: a connection's endpoint passes arriving bytes to it, and an event of the
+world's clock runs the core when a call was posted to it or a timer is due. All else is the product's code.
 """
 
 from collections.abc import Callable
@@ -26,94 +26,94 @@
 if TYPE_CHECKING:
     from gullhold.simulation.world import World
 
-MAX_MESSAGE_BYTES = 192 << 10  # bytes of the largest message, as a small deployment has it
+MAX_MESSAGE_BYTES = 192 << 10  # as in a small deployment
 MAX_CONNECTIONS = 200  # to engines, of one gateway
-STATEMENT_MEMORY = 24 << 20  # bytes of statements that wait
-MAX_DISCOVERY_LINE_BYTES = 1 << 20  # bytes of one line of the discovery service
-SERIALS = count()  # by which connections are ordered
+STATEMENT_MEMORY_BYTES = 24 << 20  # limit of the statements of pending requests
+MAX_DISCOVERY_LINE_BYTES = 1 << 20  # limit of one line from the discovery service
+CONNECTION_SERIALS = count()  # hashes of connections, so that sets of them have the same order in every run
 
 
 class EndpointSocket:
-    """The part of a socket's interface that connections use, on top of an endpoint."""
+    """The part of a socket's interface that connections use, implemented by an endpoint."""
 
-    def __init__(self, end: Endpoint) -> None:
-        self.end = end
+    def __init__(self, endpoint: Endpoint) -> None:
+        self.endpoint = endpoint
 
     def send(self, data: bytes | memoryview, _flags: int = 0) -> int:
-        """Write all: the endpoint buffers what the stream does not take."""
-        self.end.write(bytes(data))
+        """Write all the bytes: the endpoint buffers those that the stream does not take."""
+        self.endpoint.write(bytes(data))
         return len(data)
 
     def shutdown(self, _sides: int) -> None:
-        """Finish our side, after what is buffered."""
-        self.end.finish(StreamEnd.CLOSED)
+        """End this side after the buffered bytes, whichever sides are to be shut down."""
+        self.endpoint.finish(StreamEnd.CLOSED)
 
     def close(self) -> None:
-        """Finish our side, as a closed descriptor does."""
-        self.end.finish(StreamEnd.CLOSED)
+        """End this side after the buffered bytes, as closing a socket does."""
+        self.endpoint.finish(StreamEnd.CLOSED)
 
     def setsockopt(self, *_option: object) -> None:
-        """Endpoints have no socket options."""
+        """Do nothing: endpoints have no socket options."""
 
 
 class SimulatedEngineConnection(EngineConnection):
-    """A connection to an engine that is read from an endpoint in place of a reader thread."""
+    """A connection to an engine; its endpoint calls it in place of a reader thread."""
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
-        self.serial = next(SERIALS)
-        self.over = False  # its end was reported
+        self.serial = next(CONNECTION_SERIALS)
+        self.has_reported = False  # the end of reading
 
-    def __hash__(self) -> int:  # sets of connections are walked in the same order in every run
+    def __hash__(self) -> int:  # sets of connections have the same order in every run
         return self.serial
 
     def __eq__(self, other: object) -> bool:
         return self is other
 
     def start(self) -> None:
-        """Connect over the network, which calls up() or fail()."""
+        """Connect over the network, which calls connect_succeeded() or report_end() later."""
         self.core.world.network.connect(self)
 
-    def up(self, end: Endpoint) -> None:
-        """The connection is up."""
-        if not self.connected(Connection(EndpointSocket(end))):
-            self.fail(self.local_end)
+    def connect_succeeded(self, endpoint: Endpoint) -> None:
+        """Attach the endpoint of the new connection, unless the connection was closed in the meantime."""
+        if not self.connected(Connection(EndpointSocket(endpoint))):
+            self.report_end(self.local_end)
 
     def begin_close(self, end: ConnectionEnd) -> None:
-        """Endpoint it from our side; its reader reports a moment later."""
+        """Close it from the gateway's side; the end of reading is reported by an event, as by a thread."""
         super().begin_close(end)
         if self.connection is not None:
-            self.core.world.clock.after(0, self.fail, end)
+            self.core.world.clock.after(0, self.report_end, end)
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
-        """Bytes of the engine."""
-        if self.over:
+        """Decode and deliver bytes of the engine."""
+        if self.has_reported:
             return
         try:
             self.decoder.buffer.put(data)
             self.deliver()
         except ProtocolError as error:
-            self.fail(ConnectionEnd.MALFORMED, str(error))
+            self.report_end(ConnectionEnd.MALFORMED, str(error))
 
     def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
-        """The engine's side has ended."""
-        self.fail(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
+        """Handle the end of the engine's side."""
+        self.report_end(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
-    def fail(self, end: ConnectionEnd, text: str = "") -> None:
-        """Report the end of reading, once."""
-        if not self.over:
-            self.over = True
+    def report_end(self, end: ConnectionEnd, text: str = "") -> None:
+        """Report the end of reading to the core, once."""
+        if not self.has_reported:
+            self.has_reported = True
             self.reader_ended(end, text, self.connection)
 
 
 class SimulatedClientConnection(ClientConnection):
-    """A connection of a client that is read from an endpoint in place of a reader thread."""
+    """A connection of a client; its endpoint calls it in place of a reader thread."""
 
-    def __init__(self, end: Endpoint, core: Core, reader: RequestReader) -> None:
-        super().__init__(EndpointSocket(end), core, reader, MAX_MESSAGE_BYTES)
-        self.serial = next(SERIALS)
+    def __init__(self, endpoint: Endpoint, core: Core, reader: RequestReader) -> None:
+        super().__init__(EndpointSocket(endpoint), core, reader, MAX_MESSAGE_BYTES)
+        self.serial = next(CONNECTION_SERIALS)
         self.has_reported = False
-        end.reader = self
+        endpoint.reader = self
 
     def __hash__(self) -> int:
         return self.serial
@@ -122,7 +122,7 @@
         return self is other
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
-        """Bytes of the client."""
+        """Decode and handle bytes of the client, and write rejections as the reader thread does."""
         if self.has_reported:
             return
         try:
@@ -130,27 +130,29 @@
             for frame in self.decoder.frames():
                 self.calls.handle(frame, self.core.clock())
         except ProtocolError as error:
-            self._fail(ConnectionEnd.MALFORMED, str(error))
+            self._report_end_once(ConnectionEnd.MALFORMED, str(error))
         self.write_rejections()
 
     def peer_closed(self, _endpoint: Endpoint, end_kind: str) -> None:
-        """The client's side has ended."""
-        self._fail(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
+        """Handle the end of the client's side."""
+        self._report_end_once(
+            ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET
+        )
 
     def end(self, end: ConnectionEnd, text: str) -> None:
-        """Endpoint it from our side, now."""
+        """End it from the gateway's side, and report the end of reading at once."""
         super().end(end, text)
-        self._fail(end, text)
+        self._report_end_once(end, text)
 
-    def _fail(self, end: ConnectionEnd, text: str = "") -> None:
-        """Report the end of reading, once."""
+    def _report_end_once(self, end: ConnectionEnd, text: str = "") -> None:
+        """Report the end of reading to the core, once."""
         if not self.has_reported:
             self.has_reported = True
             self.report_end(end, text)
 
 
 class SimulatedCore(Core):
-    """The product's core on a world's clock."""
+    """The product's core on a world's clock, without its thread."""
 
     connect = SimulatedEngineConnection
 
@@ -160,16 +162,16 @@
         super().__init__(*args)
 
     def clock(self) -> int:
-        """Unix time in us, as the world has it."""
+        """Return Unix time in us; shifts of the wall clock do not change it."""
         return self.world.clock.start_us + self.world.clock.now
 
     def post(self, call: Callable[..., None], *args: object) -> None:
-        """Have the core make this call, and wake it."""
+        """Queue a call for the core, and schedule a turn in which it is made."""
         super().post(call, *args)
         self.simulated_gateway.wake()
 
     def post_first(self, call: Callable[..., None], *args: object) -> None:
-        """Have the core make this call before others, and wake it."""
+        """Queue a call for the core ahead of others, and schedule a turn in which it is made."""
         super().post_first(call, *args)
         self.simulated_gateway.wake()
 
@@ -177,16 +179,16 @@
 class SimulatedGateway:
     """One gateway process, from its start until it is killed.
 
-    world: its clock and network are used; configuration: as the service reads it.
+    world: provides the clock and the network; configuration: as a real process reads it at its start.
     """
 
     def __init__(self, world: "World", name: str, configuration: Configuration) -> None:
         self.world = world
         self.name = name
         self.is_alive = True
-        self.turn_event: Event | None = None  # of its next turn
+        self.turn_event: Event | None = None  # in which the core runs next
         self.endpoints: list[Endpoint] = []
-        self.last_event_arrival_us = 0  # of the endpoint list's watch events sent so far
+        self.last_event_arrival_us = 0  # when the last watch event sent to it arrives
         agreement = configuration.agreement
         now = world.clock.start_us + world.clock.now
         self.core = SimulatedCore(
@@ -197,7 +199,7 @@
             Counters(),
             MAX_MESSAGE_BYTES,
             MAX_CONNECTIONS,
-            StatementMemory(STATEMENT_MEMORY),
+            StatementMemory(STATEMENT_MEMORY_BYTES),
         )
         self.reader = RequestReader(agreement, None, self.core.retry_after_field)
         self.engine_ids = configuration.engine_ids
@@ -205,39 +207,39 @@
         self.core.begin(configuration.list_changes)
         self.wake()
 
-    def accept(self, end: Endpoint) -> None:
-        """A client connects at this end."""
-        self.endpoints.append(end)
-        self.core.statement_memory.clients.add(SimulatedClientConnection(end, self.core, self.reader))
+    def accept(self, endpoint: Endpoint) -> None:
+        """Accept a client's connection. endpoint: its gateway side."""
+        self.endpoints.append(endpoint)
+        self.core.statement_memory.clients.add(SimulatedClientConnection(endpoint, self.core, self.reader))
 
     def receive_list(self, data: bytes) -> None:
-        """Bytes of the discovery service's stream."""
+        """Handle bytes of the discovery service's stream: changes of the endpoint list."""
         if self.is_alive:
             self.event_stream.buffer.put(data)
             for event in self.event_stream.events():
                 self.core.list_changed(*list_change.parse_event(event, self.core.agreement, self.engine_ids))
 
     def open_endpoint(self, connection: SimulatedEngineConnection) -> Endpoint:
-        """The gateway's endpoint of a connection to an engine."""
+        """Return a new endpoint for the gateway's side of a connection to an engine."""
         endpoint = Endpoint(self.world.clock, connection)
         self.endpoints.append(endpoint)
         return endpoint
 
     def wake(self) -> None:
-        """Take a turn without a delay."""
+        """Schedule a turn of the core without delay, in place of a later one."""
         if self.turn_event:
             self.world.clock.cancel(self.turn_event)
-        self.turn_event = self.world.clock.after(0, self._turns)
+        self.turn_event = self.world.clock.after(0, self._run_turns)
 
     def kill(self) -> None:
-        """Stop at once, as by SIGKILL; its connections are reset."""
+        """Stop at once, as by SIGKILL; all connections are reset."""
         self.is_alive = False
         for endpoint in self.endpoints:
-            if not endpoint.outgoing.over:
+            if not endpoint.outgoing.is_finished:
                 endpoint.finish(StreamEnd.RESET)
             endpoint.is_closed = True
 
-    def _turns(self) -> None:
+    def _run_turns(self) -> None:
         self.turn_event = None
         if not self.is_alive:
             return
@@ -250,10 +252,10 @@
             core.turn(event)
         if self.turn_event is None:
             wait_us = max(0, core.next_timer_at_us() - core.now)
-            self.turn_event = self.world.clock.after(wait_us, self._turns)
+            self.turn_event = self.world.clock.after(wait_us, self._run_turns)
 
     def leftover_sizes(self) -> dict[str, int]:
-        """Sizes of the tables that still hold entries, by the names that reports have for them."""
+        """Return the sizes of the tables that still hold entries, by the names that violations print."""
         core = self.core
         census = core.gateway.census()
         sizes = {
--- a/gullhold/simulation/network.py
+++ b/gullhold/simulation/network.py
@@ -1,4 +1,4 @@
-"""The network between gateways and engines: its conditions by engine, and the connections over it."""
+"""The simulated network between gateways and engines, whose conditions are set for each engine."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -14,17 +14,17 @@
 if TYPE_CHECKING:
     from gullhold.simulation.gateway import SimulatedEngineConnection
 
-ONE_WAY_DELAY_US = 400  # between any two processes, where there is no fault
+ONE_WAY_DELAY_US = 400  # between any two processes, without a fault
 
 
 def healthy_conditions() -> StreamConditions:
-    """One direction of a connection without faults."""
+    """Return the conditions of one direction without faults."""
     return StreamConditions(ONE_WAY_DELAY_US)
 
 
 @dataclass(slots=True)
 class EnginePath:
-    """The network path to one engine, shared by all gateways: conditions and the connections made over it."""
+    """The network path between the gateways and one engine: its conditions and the connections over it."""
 
     engine: SimulatedEngine
     to_engine: StreamConditions = field(default_factory=healthy_conditions)
@@ -32,7 +32,7 @@
     connections: list[DuplexStream] = field(default_factory=list)
 
     def heal(self) -> None:
-        """End all faults of the path; what was held back by a silent direction arrives."""
+        """End all faults of the path; what a silent direction held back is sent."""
         for direction in (self.to_engine, self.from_engine):
             direction.delay_us = ONE_WAY_DELAY_US
             direction.max_segment_bytes = 0
@@ -42,7 +42,7 @@
 
 
 class Network:
-    """Connects gateways to engines."""
+    """Connects gateways to engines; a connect can be refused or time out, as the engine's path decides."""
 
     def __init__(
         self, clock: Clock, random: Random, engines: Iterable[SimulatedEngine], connect_timeout_us: int
@@ -53,23 +53,23 @@
         self.paths = {engine.address: EnginePath(engine) for engine in engines}
 
     def connect(self, connection: "SimulatedEngineConnection") -> None:
-        """Connect to the engine at the connection's address; calls up() or fail() on it later."""
+        """Connect to the engine at the connection's address; connect_succeeded() or report_end() follows."""
         path = self.paths[connection.endpoint.address]
         round_trip_us = 2 * path.to_engine.delay_us
         connect_us = round_trip_us + path.engine.connect_delay_us
         if path.engine.refuses_until > self.clock.now:
-            self.clock.after(round_trip_us, connection.fail, ConnectionEnd.REFUSED)
+            self.clock.after(round_trip_us, connection.report_end, ConnectionEnd.REFUSED)
         elif path.to_engine.is_silent or connect_us > self.connect_timeout_us:
-            self.clock.after(self.connect_timeout_us, connection.fail, ConnectionEnd.CONNECT_TIMEOUT)
+            self.clock.after(self.connect_timeout_us, connection.report_end, ConnectionEnd.CONNECT_TIMEOUT)
         else:
             self.clock.after(connect_us, self._connected, connection, path)
 
     def _connected(self, connection: "SimulatedEngineConnection", path: EnginePath) -> None:
         gateway = connection.core.simulated_gateway
-        if not gateway.is_alive or connection.over:
+        if not gateway.is_alive or connection.has_reported:
             return
         near = gateway.open_endpoint(connection)
         far = path.engine.accept(near)
         duplex = connect(self.clock, self.random.random, near, far, path.to_engine, path.from_engine)
         path.connections.append(duplex)
-        connection.up(near)
+        connection.connect_succeeded(near)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -117,49 +117,49 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.binary(max_size=40), max_size=12), st.integers(0, 5), st.integers(0, 900))
 def test_bytes_arrive_complete_and_in_order_at_any_segment_size_and_jitter(parts, piece, jitter):
-    clock, _, far, both = duplex_stream(max_segment_bytes=piece, jitter_us=jitter, window_bytes=10_000)
+    clock, _, far, connection = duplex_stream(max_segment_bytes=piece, jitter_us=jitter, window_bytes=10_000)
     for part in parts:
-        both.there.write(part)
+        connection.near_to_far.write(part)
         clock.run(clock.now + 70)
-    both.there.finish()
+    connection.near_to_far.finish()
     clock.run(10**7)
     assert far.data == b"".join(parts)
     assert far.how == StreamEnd.CLOSED
 
 
 def test_a_full_window_blocks_the_writer_until_bytes_have_arrived():
-    clock, near, far, both = duplex_stream(window_bytes=10, max_segment_bytes=4)
-    assert both.there.write(b"x" * 25) == 10
-    assert both.there.write(b"y") == 0
+    clock, near, far, connection = duplex_stream(window_bytes=10, max_segment_bytes=4)
+    assert connection.near_to_far.write(b"x" * 25) == 10
+    assert connection.near_to_far.write(b"y") == 0
     clock.run(1000)
     assert far.data == b"x" * 10
     assert near.resumed == 1
-    assert both.there.write(b"z" * 3) == 3
+    assert connection.near_to_far.write(b"z" * 3) == 3
 
 
 def test_a_reset_drops_bytes_under_way_and_notifies_both_sides():
-    clock, near, far, both = duplex_stream(delay_us=500)
-    both.there.write(b"first")
+    clock, near, far, connection = duplex_stream(delay_us=500)
+    connection.near_to_far.write(b"first")
     clock.run(600)
-    both.back.write(b"answer")
-    both.reset()
+    connection.far_to_near.write(b"answer")
+    connection.reset()
     clock.run(5000)
     assert (near.how, far.how) == (StreamEnd.RESET, StreamEnd.RESET)
     assert far.data == b"first"
     assert near.data == b""
     with pytest.raises(BrokenPipeError):
-        both.there.write(b"more")
+        connection.near_to_far.write(b"more")
 
 
 def test_a_silent_connection_delivers_nothing_until_it_is_healed():
-    clock, near, far, both = duplex_stream()
-    both.silence()
-    both.there.write(b"is anybody there")
-    both.back.finish()
+    clock, near, far, connection = duplex_stream()
+    connection.silence()
+    connection.near_to_far.write(b"is anybody there")
+    connection.far_to_near.finish()
     clock.run(10**6)
     assert far.data == b""
     assert near.how is None
-    both.heal()
+    connection.heal()
     clock.run(2 * 10**6)
     assert far.data == b"is anybody there"
     assert near.how == StreamEnd.CLOSED
