--- a/gullhold/simulation/clock.py
+++ b/gullhold/simulation/clock.py
@@ -1,15 +1,15 @@
-"""Virtual time: a clock that only its events move. The same calls give the same run on any machine."""
+"""Virtual time: a clock that advances only from event to event. The same calls give the same run anywhere."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 from typing import Any, NamedTuple
 
 START_US = 1_700_000_000_000_000  # Unix time at virtual time 0
-MAX_EVENTS_AT_ONE_INSTANT = 200_000
+MAX_EVENTS_AT_ONE_INSTANT = 200_000  # more are taken for a livelock
 
 
 class Event:
-    """A call that is scheduled; call is None once it is cancelled."""
+    """A scheduled call; call is None after it was cancelled."""
 
     __slots__ = ("args", "call")
 
@@ -19,7 +19,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An entry of the heap: by time, then by the order of scheduling. The serial number is unique."""
+    """An entry of the heap, ordered by time, then by the order of scheduling; serial numbers are unique."""
 
     due_at: int
     serial: int
@@ -27,20 +27,20 @@
 
 
 class LivelockError(Exception):
-    """More events than allowed happened at one instant: calls repeat without time passing."""
+    """Too many events were due at one instant: calls schedule each other again without time passing."""
 
 
 def first_scheduled(_count: int) -> int:
-    """Of events that are due at one instant, the index of the one that was scheduled first."""
+    """Return the index of the event that was scheduled first, of those that are due at one instant."""
     return 0
 
 
 class Clock:
-    """Virtual microseconds since a start.
+    """A clock and its scheduled events. now: virtual time in us since the start; it never goes back.
 
-    choose(count): index of the next of so many events that are due at one instant, in the order of their
-    scheduling; a search over orders gives another than the first. wall_us(): Unix time as processes see it,
-    which may jump; now never goes back. max_events_at_one_instant: beyond them run() raises LivelockError.
+    choose(count): returns the index of the event to run next, of `count` events that are due at one instant,
+    in the order of their scheduling; a search over possible orders chooses others than the first.
+    max_events_at_one_instant: above it run() raises LivelockError.
     """
 
     def __init__(
@@ -59,37 +59,37 @@
         self.last_serial = 0
 
     def wall_us(self) -> int:
-        """Unix time in us, as processes see it."""
+        """Return the Unix time in us that a process reads, which shift_wall_clock() changes."""
         return self.start_us + self.now + self.wall_offset_us
 
-    def jump(self, by_us: int) -> None:
-        """Set the wall clock forward or back; scheduled events are not moved."""
+    def shift_wall_clock(self, by_us: int) -> None:
+        """Set the wall clock forward, or back if negative; scheduled events keep their times."""
         self.wall_offset_us += by_us
 
     def at(self, due_at: int, call: Callable[..., Any], *args: Any) -> Event:
-        """Schedule a call at a time, at the earliest now. Returns what cancel() takes."""
+        """Schedule a call at a virtual time, not before now. Returns the event, for cancel()."""
         self.last_serial += 1
         event = Event(call, args)
         heappush(self.heap, ScheduledEvent(max(due_at, self.now), self.last_serial, event))
         return event
 
     def after(self, delay_us: int, call: Callable[..., Any], *args: Any) -> Event:
-        """Schedule a call after a delay. Returns what cancel() takes."""
+        """Schedule a call after a delay. Returns the event, for cancel()."""
         return self.at(self.now + delay_us, call, *args)
 
     @staticmethod
     def cancel(event: Event) -> None:
-        """Cancel a scheduled call; without effect on one that was made."""
+        """Cancel a scheduled call; it has no effect after the call was made."""
         event.call = None
 
     def next_due_at(self) -> int | None:
-        """When the next event is due; None: there is none."""
+        """Return when the next event is due, None if there is none; drops cancelled events."""
         while self.heap and self.heap[0].event.call is None:
             heappop(self.heap)
         return self.heap[0].due_at if self.heap else None
 
     def step(self) -> bool:
-        """Run the next event; False where there is none."""
+        """Advance to the next event and run it; returns False if there is none."""
         due_at = self.next_due_at()
         if due_at is None:
             return False
@@ -100,7 +100,7 @@
         return True
 
     def _pop_next(self, due_at: int) -> Event:
-        """Take the chosen one of the events that are due at this instant off the heap."""
+        """Remove the event that choose() selects, of those due at this instant, from the heap."""
         candidates = []
         while self.next_due_at() == due_at:
             candidates.append(heappop(self.heap))
@@ -111,7 +111,7 @@
         return event
 
     def run(self, until: int) -> None:
-        """Run all events that are due until this time. Raises LivelockError."""
+        """Run all events that are due up to and at a time, and advance to it. Raises LivelockError."""
         count_at_instant = 0
         instant = self.now
         while True:
--- a/gullhold/simulation/discovery.py
+++ b/gullhold/simulation/discovery.py
@@ -16,7 +16,7 @@
 
 
 class EnginePhase(StrEnum):
-    """Phases of an engine in the endpoint list, by their names on the wire."""
+    """Phases of an engine in the endpoint list; the values are their names on the wire."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -24,10 +24,10 @@
 
 
 class Discovery:
-    """The endpoint list and its watchers.
+    """The endpoint list, and the gateways that watch it.
 
-    gateways: by name, as they are at the time of an event; extra_delay_us: by how much events arrive later
-    than the network's delay.
+    gateways: by name; a change is sent to those that are in it at the time. extra_delay_us: added by a fault
+    to the network's delay of watch events.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
         self.engines = list(engines)
         self.gateways = gateways
         self.phases = {engine.id: EnginePhase.READY for engine in self.engines}
-        self.last_index = 1  # of the last change of the list
+        self.last_index = 1  # index of the last change of the list
         self.extra_delay_us = 0
 
     def complete_list(self) -> dict[str, Any]:
-        """The event that states the complete list as it is now, parsed from JSON."""
+        """Return the watch event that states the complete list as it is now, as parsed JSON."""
         members = ((engine.id, engine.address, self.phases[engine.id].value) for engine in self.engines)
         return event(self.last_index, *members, whole=True)
 
@@ -56,7 +56,7 @@
             self.checker.phase_announced(gateway, engine.id, self.phases[engine.id].value)
 
     def change_phase(self, engine: SimulatedEngine, phase: EnginePhase) -> None:
-        """Change an engine's phase and send the event to each gateway, behind all earlier events."""
+        """Change an engine's phase and send the event to each gateway, to arrive after all earlier events."""
         self.last_index += 1
         self.phases[engine.id] = phase
         change = event(self.last_index, (engine.id, engine.address, phase.value))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -66,7 +66,7 @@
     clock, seen = Clock(), []
     clock.after(100, lambda: seen.append(clock.now))
     before = clock.wall_us()
-    clock.jump(-2_000_000)
+    clock.shift_wall_clock(-2_000_000)
     assert clock.wall_us() == before - 2_000_000
     clock.run(200)
     assert seen == [100]
