--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -79,11 +79,11 @@
 class Checker:
     """Records what passes and collects violations."""
 
-    def __init__(self, clock: Clock, attempts_cap: int, window_us: int) -> None:
-        """window_us: the deduplication window of the engines."""
+    def __init__(self, clock: Clock, attempts_cap: int, dedup_window_us: int) -> None:
+        """dedup_window_us: the deduplication window of the engines."""
         self.clock = clock
         self.attempts_cap = attempts_cap
-        self.window_us = window_us
+        self.dedup_window_us = dedup_window_us
         self.commands: dict[bytes, ObservedCommand] = {}
         self.violations: list[Violation] = []
         self.leaving: dict[tuple[str, str], int] = {}  # by gateway and engine: when it was notified
@@ -136,7 +136,7 @@
         if earlier and command.verb == b"once":
             self.add_violation(at, Rule.RUNS_ONCE, f"{txn} at {engine.id}")
         if earlier and command.verb == b"mark":
-            is_too_late = written_at >= earlier[0].at + self.window_us
+            is_too_late = written_at >= earlier[0].at + self.dedup_window_us
             if is_too_late or not key:
                 text = f"{txn} {at - earlier[0].at} us after its first"
                 self.add_violation(at, Rule.DEDUPLICATION_WINDOW, text)
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -1,7 +1,7 @@
-"""A simulated engine: speaks the engine protocol byte for byte and reports to the checker what arrives.
+"""A simulated engine: speaks the engine protocol byte for byte, and reports arriving attempts to the checker.
 
 It runs attempts on its cores, remembers idempotency keys for its deduplication window, sends status notes,
-and misbehaves as the fault injector sets it to.
+and misbehaves as the fault injector directs.
 """
 
 from typing import TYPE_CHECKING
@@ -15,16 +15,16 @@
 if TYPE_CHECKING:
     from gullhold.simulation.world import World
 
-NOTE_INTERVAL_US = 120_000  # between status notes of an attempt; shorter than the settings promise
+NOTE_INTERVAL_US = 120_000  # between status notes of an attempt; shorter than the note period of the settings
 MAX_MESSAGE_BYTES = 1 << 18
-DUPLICATE_WORK_US = 1000  # work of an attempt that is dropped because its idempotency key is known
-MAX_ATTEMPTS_PER_CORE = 4  # beyond them an engine rejects attempts as overloaded
+DUPLICATE_WORK_US = 1000  # for an attempt that does not run again because its idempotency key is known
+MAX_ATTEMPTS_PER_CORE = 4  # with so many running, an engine rejects further attempts as overloaded
 US_PER_MS = 1000
 MALFORMED_MESSAGE = b"*2\r\n$not a length\r\n"
 
 
 class RunningAttempt:
-    """One attempt that runs on an engine, with the events of its end and of its next status note."""
+    """An attempt that runs on an engine, with the scheduled events of its end and of its next status note."""
 
     __slots__ = ("end_event", "note_event", "session", "txn")
 
@@ -36,9 +36,10 @@
 
 
 class EngineSession:
-    """A gateway's connection as its engine sees it.
+    """The engine's state of one connection from a gateway.
 
-    endpoint: the engine's side of the connection; gateway_endpoint: the gateway's side.
+    endpoint: the engine's side of the connection; gateway_endpoint: the gateway's side, which knows when each
+    byte was written.
     """
 
     def __init__(self, engine: "SimulatedEngine", endpoint: Endpoint, gateway_endpoint: Endpoint) -> None:
@@ -48,10 +49,10 @@
         self.decoder = resp.Decoder(MAX_MESSAGE_BYTES)
         self.received_bytes = 0
         self.running: dict[bytes, RunningAttempt] = {}  # by transaction id
-        self.answered: set[bytes] = set()  # transaction ids whose pages may still be fetched
+        self.answered: set[bytes] = set()  # transaction ids whose further pages may still be requested
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
-        """Handle bytes of the gateway."""
+        """Parse bytes of the gateway and pass each message to the engine, with the time of its writing."""
         self.received_bytes += len(data)
         self.decoder.buffer.put(data)
         message_offset = self._parsed_bytes()
@@ -60,7 +61,7 @@
             message_offset = self._parsed_bytes()
 
     def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
-        """Abandon all attempts: the gateway's side of the connection has ended."""
+        """Abandon all running attempts, as the gateway's side of the connection has ended."""
         for txn in list(self.running):
             self.engine.abandon(self, txn)
         if not self.endpoint.is_finishing:
@@ -72,7 +73,7 @@
             self.endpoint.write(resp.encode(*words))
 
     def send_malformed(self) -> None:
-        """Send bytes that no parser accepts."""
+        """Send bytes that violate the engine protocol, unless the connection has ended."""
         if not self.endpoint.is_finishing:
             self.endpoint.write(MALFORMED_MESSAGE)
 
@@ -83,9 +84,9 @@
 class SimulatedEngine:
     """An engine at an address.
 
-    Set by faults: slowdown: factor on the duration of attempts; connect_delay_us: by which connections come
-    up later; refuses_until: virtual time in us until which connections are refused; malformed_answers,
-    duplicate_answers: how many of the next answers are malformed or sent twice.
+    Faults set these attributes. slowdown: factor on the duration of attempts; connect_delay_us: added to the
+    time of connecting; refuses_until: virtual time in us until which connections are refused;
+    malformed_answers, duplicate_answers: how many of the next answers are malformed or sent twice.
     """
 
     def __init__(self, world: "World", engine_id: str, address: str, cores: int) -> None:
@@ -99,11 +100,11 @@
         self.malformed_answers = 0
         self.duplicate_answers = 0
         self.sessions: list[EngineSession] = []
-        self.idempotency_keys: dict[bytes, int] = {}  # and when each came first
+        self.idempotency_keys: dict[bytes, int] = {}  # when each first arrived
         self.running_count = 0
 
     def accept(self, gateway_endpoint: Endpoint) -> Endpoint:
-        """Accept a gateway's connection; returns the engine's side of it."""
+        """Accept a gateway's connection; returns the endpoint on the engine's side."""
         endpoint = Endpoint(self.world.clock, None)
         session = EngineSession(self, endpoint, gateway_endpoint)
         endpoint.reader = session
@@ -111,7 +112,7 @@
         return endpoint
 
     def crash(self) -> None:
-        """Reset all connections and forget all state; the restarted process serves at once."""
+        """Crash and restart: reset all connections, forget all state, and serve again at once."""
         for session in self.sessions:
             for txn in list(session.running):
                 self.abandon(session, txn)
@@ -122,7 +123,7 @@
         self.idempotency_keys = {}
 
     def handle_message(self, session: EngineSession, words: list[bytes], written_at: int) -> None:
-        """Handle one message of a gateway, which wrote it at this time (us)."""
+        """Handle a message of a gateway. written_at: virtual time in us at which the gateway wrote it."""
         verb, txn, *arguments = words
         match verb:
             case b"fetch":
@@ -141,7 +142,7 @@
                 session.answered.discard(txn)
 
     def abandon(self, session: EngineSession, txn: bytes) -> None:
-        """End an attempt without an answer: it was aborted, or its connection ended."""
+        """End an attempt without an answer, if it runs: it was aborted, replaced, or its connection ended."""
         session.answered.discard(txn)
         attempt = session.running.pop(txn, None)
         if attempt:
@@ -159,16 +160,16 @@
         if is_rejected:
             session.send(txn, b"503", b"-", b"")
             return
-        is_duplicate = self._is_known(key)
+        is_duplicate = self._is_known_key(key)
         self.abandon(session, txn)  # a second attempt on this connection replaces the first
         if key and not is_duplicate:
             self.idempotency_keys[key] = self.world.clock.now
         work_us = DUPLICATE_WORK_US if is_duplicate else US_PER_MS * int(body.split()[1])
         self._start(session, txn, work_us)
 
-    def _is_known(self, key: bytes) -> bool:
-        """Whether this idempotency key first came within the deduplication window."""
-        window_us = self.world.window_us
+    def _is_known_key(self, key: bytes) -> bool:
+        """Whether this idempotency key first arrived within the last deduplication window."""
+        window_us = self.world.dedup_window_us
         first_at = self.idempotency_keys.get(key, -window_us)
         return bool(key) and self.world.clock.now - first_at < window_us
 
--- a/gullhold/simulation/fault_injection.py
+++ b/gullhold/simulation/fault_injection.py
@@ -1,4 +1,4 @@
-"""Applies the faults of a script to a simulated world, and ends those that last for a while."""
+"""Injects the faults of a script into a simulated world, and ends those that last for a limited time."""
 
 from typing import TYPE_CHECKING
 
@@ -10,7 +10,8 @@
 if TYPE_CHECKING:
     from gullhold.simulation.world import World
 
-FAULT_US = 1_200_000  # duration of a fault whose size is not a duration
+FAULT_DURATION_US = 1_200_000  # duration of a fault whose size is not a duration
+# Kinds that scripts may have and a simulated world does not implement.
 UNSUPPORTED_KINDS = frozenset(
     (
         FaultKind.WINDOW,
@@ -24,38 +25,38 @@
 
 
 class FaultInjector:
-    """Injects faults into one world."""
+    """Injects faults into a simulated world."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
 
     def inject(self, fault: Fault) -> None:
-        """Inject a fault now; kinds in UNSUPPORTED_KINDS change nothing."""
+        """Inject a fault now; kinds in UNSUPPORTED_KINDS have no effect."""
         engine = self.world.engines[fault.place % len(self.world.engines)]
         match FAULT_RANGES[fault.kind].target:
             case FaultTarget.CONNECTION:
-                self._disturb_path(fault, self.world.network.paths[engine.address])
+                self._inject_path_fault(fault, self.world.network.paths[engine.address])
             case FaultTarget.ENGINE:
-                self._disturb_engine(fault, engine)
+                self._inject_engine_fault(fault, engine)
             case FaultTarget.DISCOVERY if fault.kind == FaultKind.LATE_LIST:
                 self.world.discovery.extra_delay_us = fault.size
-                self.world.clock.after(FAULT_US, setattr, self.world.discovery, "extra_delay_us", 0)
+                self.world.clock.after(FAULT_DURATION_US, setattr, self.world.discovery, "extra_delay_us", 0)
             case FaultTarget.GATEWAY if fault.kind == FaultKind.KILL:
                 self._kill(f"n{fault.place % self.world.size.gateways}")
             case FaultTarget.CLIENT if fault.kind == FaultKind.CLIENT_LEAVES:
                 client = self.world.clients[fault.place % len(self.world.clients)]
                 client.leave(reconnect=True)
 
-    def _disturb_path(self, fault: Fault, path: EnginePath) -> None:
+    def _inject_path_fault(self, fault: Fault, path: EnginePath) -> None:
         directions = (path.to_engine, path.from_engine)
         match fault.kind:
             case FaultKind.DELAY:
                 for direction in directions:
                     direction.delay_us = ONE_WAY_DELAY_US + fault.size
-                self.world.clock.after(FAULT_US, path.heal)
+                self.world.clock.after(FAULT_DURATION_US, path.heal)
             case FaultKind.PIECE:
                 path.from_engine.max_segment_bytes = fault.size
-                self.world.clock.after(FAULT_US, path.heal)
+                self.world.clock.after(FAULT_DURATION_US, path.heal)
             case FaultKind.SILENCE:
                 for direction in directions:
                     direction.is_silent = True
@@ -64,17 +65,17 @@
                 for connection in path.connections:
                     connection.reset()
 
-    def _disturb_engine(self, fault: Fault, engine: SimulatedEngine) -> None:
-        later = self.world.clock.after
+    def _inject_engine_fault(self, fault: Fault, engine: SimulatedEngine) -> None:
+        call_after = self.world.clock.after
         match fault.kind:
             case FaultKind.SLOW_CONNECT:
                 engine.connect_delay_us = fault.size
-                later(FAULT_US, setattr, engine, "connect_delay_us", 0)
+                call_after(FAULT_DURATION_US, setattr, engine, "connect_delay_us", 0)
             case FaultKind.REFUSE:
                 engine.refuses_until = self.world.clock.now + fault.size
             case FaultKind.SLOW:
                 engine.slowdown = float(fault.size)
-                later(FAULT_US, setattr, engine, "slowdown", 1.0)
+                call_after(FAULT_DURATION_US, setattr, engine, "slowdown", 1.0)
             case FaultKind.RESTART:
                 engine.crash()
             case FaultKind.MALFORMED_ANSWERS:
@@ -83,13 +84,15 @@
                 engine.duplicate_answers = fault.size
             case FaultKind.DRAIN:
                 self.world.discovery.change_phase(engine, EnginePhase.DRAINING)
-                later(2 * FAULT_US, self.world.discovery.change_phase, engine, EnginePhase.READY)
+                call_after(
+                    2 * FAULT_DURATION_US, self.world.discovery.change_phase, engine, EnginePhase.READY
+                )
             case FaultKind.REMOVE if self.world.discovery.phases[engine.id] != EnginePhase.REMOVED:
                 self.world.discovery.change_phase(engine, EnginePhase.REMOVED)
-                later(FAULT_US // 2, engine.crash)
+                call_after(FAULT_DURATION_US // 2, engine.crash)
 
     def _kill(self, name: str) -> None:
-        """Kill a gateway; another process takes its place, with clients of its own."""
+        """Kill a gateway and start another process of its name, with new clients."""
         gateway = self.world.gateways[name]
         self.world.checker.gateway_killed(gateway)
         for client in self.world.clients:
--- a/gullhold/simulation/world.py
+++ b/gullhold/simulation/world.py
@@ -50,9 +50,9 @@
         self.clock = Clock(choose=choose)
         self.random = Random(seed)
         self.agreement = make_agreement(seed, size.gateways)
-        self.window_us = self.agreement.profiles[1].dedup_window_us
+        self.dedup_window_us = self.agreement.profiles[1].dedup_window_us
         self.clients_send_until_us = CLIENTS_SEND_FOR_US
-        self.checker = Checker(self.clock, self.agreement.max_attempts, self.window_us)
+        self.checker = Checker(self.clock, self.agreement.max_attempts, self.dedup_window_us)
         self.engines = [
             SimulatedEngine(self, f"s-{number}", f"10.0.0.{number + 1}:5050", ENGINE_CORES)
             for number in range(size.engines)
