--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -1,8 +1,10 @@
-"""Judges a simulation by what passed on its streams alone; it shares no bookkeeping with what it judges.
+"""Checks the rules of a simulation from outside: what clients, engines and the discovery service observe.
 
-Rules: one answer to each command, in time, its rows complete; no retry of what must not run twice, or of a
-keyed command outside its deduplication window; never two attempts open at once; no more attempts than the
-cap; nothing new to an engine that left, nor for a client that left, after the grace of each. Times in us.
+It shares no state with the gateways, except for the sizes of their tables at the end. Rules: one answer to
+each command, in time and with complete rows; no second run of a non-idempotent command, and no retry of a
+command with an idempotency key outside its deduplication window; at most one open attempt, and at most the
+agreed number of attempts; no new attempt at an engine that drains or was removed, or for a client that left,
+after a grace period. Times are virtual, in us.
 """
 
 from collections import defaultdict
@@ -19,29 +21,31 @@
     from gullhold.simulation.engine import EngineSession, SimulatedEngine
     from gullhold.simulation.gateway import SimulatedGateway
 
-GRACE_US = 550_000  # from the notice that an engine leaves to the last attempt that may begin, with slack
-GONE_US = 100_000  # from the notice that a client left to the last attempt that may begin for it
+# Attempts may still be sent for this long after the notice that an engine leaves (the drain grace of the
+# settings, 500 ms, and slack), or that a client has left.
+DRAIN_GRACE_US = 550_000
+CLIENT_LEFT_GRACE_US = 100_000
 CLIENT_DELAY_US = 400  # one way between a client and its gateway
-SLACK_US = 50_000  # on sockets, beyond a client timeout
+ANSWER_SLACK_US = 50_000  # after its client timeout, within which an answer still counts as in time
 
 
 class Rule(StrEnum):
-    """The rules, by the names that reports and scripts have for them."""
+    """The rules; the values are their names in reports and in the files of shrunk scripts."""
 
-    OPEN_ONCE = "two at once"
-    RUNS_ONCE = "must not run twice"
-    DEDUPLICATION_WINDOW = "outside its window"
-    ATTEMPTS_CAP = "over the cap"
-    DRAIN = "drain"
-    CLIENT_LEFT = "client gone"
-    ONE_ANSWER = "one answer"
-    IN_TIME = "in time"
-    INTACT = "intact"
-    CENSUS = "census"
+    OPEN_ONCE = "two at once"  # a command has at most one open attempt
+    RUNS_ONCE = "must not run twice"  # a non-idempotent command does not run again
+    DEDUPLICATION_WINDOW = "outside its window"  # no retry when engines may have forgotten the key
+    MAX_ATTEMPTS = "over the cap"  # a command has at most the agreed number of attempts
+    DRAIN = "drain"  # no new attempt at an engine that drains or was removed
+    CLIENT_LEFT = "client gone"  # no new attempt for a client that left
+    ONE_ANSWER = "one answer"  # each command is answered exactly once
+    IN_TIME = "in time"  # a command is answered within its client timeout
+    INTACT = "intact"  # an answer has exactly the rows of the command's result
+    NO_LEFTOVERS = "census"  # at the end the gateways' tables are empty
 
 
 class Violation(NamedTuple):
-    """A rule that broke, when, and a line about it."""
+    """A broken rule, when it was broken, and a line with details."""
 
     at_us: int
     rule: Rule
@@ -49,7 +53,7 @@
 
 
 class ObservedAttempt:
-    """One attempt as it arrived at an engine; ran: the engine did not reject it."""
+    """An attempt as its engine observes it; ran: the engine accepted it."""
 
     def __init__(self, at: int, session: "EngineSession", ran: bool) -> None:
         self.at = at
@@ -58,49 +62,49 @@
         self.is_over = not ran
 
     def is_open(self) -> bool:
-        """Whether it has not ended, and its gateway has not closed the connection."""
+        """Whether it has not ended and its gateway has not closed the connection."""
         return not self.is_over and not self.session.gateway_endpoint.is_finishing
 
 
 class ObservedCommand:
-    """One command as its client sees it."""
+    """A command as its client observes it. at: when it was sent."""
 
     def __init__(self, at: int, client: "SimulatedClient", verb: bytes, limit_us: int) -> None:
         self.at = at
         self.client = client
         self.verb = verb
-        self.until = at + limit_us
+        self.deadline = at + limit_us
         self.attempts: list[ObservedAttempt] = []
         self.answers = 0
-        self.left_at: int | None = None
-        self.is_void = False  # its gateway was killed: it needs no answer
+        self.left_at: int | None = None  # when its gateway is notified that the client left
+        self.is_gateway_killed = False  # before it was answered: it needs no answer
 
 
 class Checker:
-    """Records what passes and collects violations."""
+    """Records the events of a simulation and collects violations of the rules."""
 
-    def __init__(self, clock: Clock, attempts_cap: int, dedup_window_us: int) -> None:
-        """dedup_window_us: the deduplication window of the engines."""
+    def __init__(self, clock: Clock, max_attempts: int, dedup_window_us: int) -> None:
+        """max_attempts: of a command; dedup_window_us: the deduplication window of the engines."""
         self.clock = clock
-        self.attempts_cap = attempts_cap
+        self.max_attempts = max_attempts
         self.dedup_window_us = dedup_window_us
         self.commands: dict[bytes, ObservedCommand] = {}
         self.violations: list[Violation] = []
-        self.leaving: dict[tuple[str, str], int] = {}  # by gateway and engine: when it was notified
-        self.hash = sha256()
+        self.leaving: dict[tuple[str, str], int] = {}  # when a gateway was notified, by both names
+        self.trace_hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
 
     def record(self, event: str, *details: Any) -> None:
-        """Add an event of this instant to the trace and to the counts."""
-        self.hash.update(repr((self.clock.now, event, *details)).encode())
+        """Add an event at the current time to the hash of the trace and to the counts."""
+        self.trace_hash.update(repr((self.clock.now, event, *details)).encode())
         self.counts[event] += 1
 
     def add_violation(self, at: int, rule: Rule, text: str) -> None:
-        """A rule was broken at this time (us)."""
+        """Add a violation of a rule. at: virtual time in us."""
         self.violations.append(Violation(at, rule, text))
 
     def phase_announced(self, gateway: "SimulatedGateway", engine_id: str, phase: str) -> None:
-        """A gateway was notified of an engine's phase."""
+        """Record that a gateway was notified of an engine's phase."""
         self.record("told", gateway.name, engine_id, phase)
         if phase == "ready":
             self.leaving.pop((gateway.name, engine_id), None)
@@ -108,21 +112,24 @@
             self.leaving.setdefault((gateway.name, engine_id), self.clock.now)
 
     def command_sent(self, client: "SimulatedClient", txn: bytes, verb: bytes, limit_us: int) -> None:
-        """A client sent a command."""
+        """Record that a client sent a command. limit_us: its client timeout."""
         self.record("asked", txn, verb)
         self.commands[txn] = ObservedCommand(self.clock.now, client, verb, limit_us)
 
     def attempt_arrived(
         self, session: "EngineSession", txn: bytes, key: bytes, written_at: int, ran: bool
     ) -> None:
-        """An attempt arrived at an engine; key: its idempotency key; written_at: when its gateway sent it."""
+        """Check an attempt that arrived at an engine.
+
+        key: its idempotency key; written_at: when its gateway sent it; ran: the engine accepted it.
+        """
         at = self.clock.now
         engine = session.engine
         self.record("fetched", engine.id, txn, ran)
         command = self.commands[txn]
         self._check_repeat(at, written_at, engine, txn, key)
-        if len(command.attempts) >= self.attempts_cap:
-            self.add_violation(at, Rule.ATTEMPTS_CAP, f"{txn}")
+        if len(command.attempts) >= self.max_attempts:
+            self.add_violation(at, Rule.MAX_ATTEMPTS, f"{txn}")
         self._check_leaving(at, written_at, engine, txn)
         command.attempts.append(ObservedAttempt(at, session, ran))
 
@@ -144,21 +151,27 @@
     def _check_leaving(self, at: int, written_at: int, engine: "SimulatedEngine", txn: bytes) -> None:
         command = self.commands[txn]
         left = self.leaving.get((command.client.gateway.name, engine.id))
-        if left is not None and written_at > left + GRACE_US:
-            self.add_violation(at, Rule.DRAIN, f"{txn} to {engine.id}, {written_at - left} us after the word")
-        if command.left_at is not None and written_at > command.left_at + GONE_US:
+        if left is not None and written_at > left + DRAIN_GRACE_US:
+            self.add_violation(
+                at, Rule.DRAIN, f"{txn} to {engine.id}, {written_at - left} us after the notice"
+            )
+        if command.left_at is not None and written_at > command.left_at + CLIENT_LEFT_GRACE_US:
             text = f"{txn}, {written_at - command.left_at} us after it left"
             self.add_violation(at, Rule.CLIENT_LEFT, text)
 
     def attempt_over(self, engine: "SimulatedEngine", txn: bytes) -> None:
-        """An attempt ended at an engine, or was abandoned there."""
+        """Record that an attempt ended at an engine, or was abandoned there."""
         self.record("over", engine.id, txn)
         for attempt in self.commands[txn].attempts:
             if attempt.session.engine is engine:
                 attempt.is_over = True
 
     def answered(self, client: "SimulatedClient", txn: bytes | None, body: bytes | None) -> None:
-        """A client received an answer; txn: None: to nothing open; body: None: rejected, or failed."""
+        """Check an answer that a client received.
+
+        txn: of the command, None if the sequence number is of no open command; body: the rows, None if the
+        command was rejected or failed.
+        """
         at = self.clock.now
         self.record("answered" if body is not None else "refused", txn)
         if txn is None:
@@ -167,7 +180,7 @@
             return
         command = self.commands[txn]
         command.answers += 1
-        late_us = at - command.until - SLACK_US - 2 * CLIENT_DELAY_US
+        late_us = at - command.deadline - ANSWER_SLACK_US - 2 * CLIENT_DELAY_US
         if late_us > 0:
             self.add_violation(at, Rule.IN_TIME, f"{txn} {late_us} us late")
         if body is not None:
@@ -177,27 +190,30 @@
         if body != complete_result(txn):
             self.add_violation(at, Rule.INTACT, f"{txn}: {len(body)} bytes")
         if not any(attempt.ran for attempt in self.commands[txn].attempts):
-            self.add_violation(at, Rule.INTACT, f"{txn}: no engine made it")
+            self.add_violation(at, Rule.INTACT, f"{txn}: no engine ran it")
 
     def client_left(self, client: "SimulatedClient", txns: Iterable[bytes]) -> None:
-        """A client closed with these open; its gateway is notified a one-way delay later."""
+        """Record that a client closed its connection. txns: of its open commands.
+
+        Its gateway is notified after the one-way delay.
+        """
         self.record("left", client.number)
         for txn in txns:
             self.commands[txn].left_at = self.clock.now + CLIENT_DELAY_US
 
     def gateway_killed(self, gateway: "SimulatedGateway") -> None:
-        """A gateway was killed: its pending commands need no answer."""
+        """Record that a gateway was killed: its pending commands need no answer."""
         for command in self.commands.values():
             if command.client.gateway is gateway and not command.answers:
-                command.is_void = True
+                command.is_gateway_killed = True
 
     def finish(self, gateways: Iterable["SimulatedGateway"]) -> list[Violation]:
-        """The violations, once every command should be answered and every table empty."""
+        """Check that every command is answered and every table empty; return all violations."""
         for txn, command in self.commands.items():
-            if not command.answers and command.left_at is None and not command.is_void:
-                self.add_violation(command.until, Rule.ONE_ANSWER, f"{txn} never had one")
+            if not command.answers and command.left_at is None and not command.is_gateway_killed:
+                self.add_violation(command.deadline, Rule.ONE_ANSWER, f"{txn} was not answered")
         for gateway in gateways:
-            found = gateway.leftover_sizes() if gateway.is_alive else None
-            if found:
-                self.add_violation(self.clock.now, Rule.CENSUS, f"{gateway.name}: {found}")
+            leftovers = gateway.leftover_sizes() if gateway.is_alive else None
+            if leftovers:
+                self.add_violation(self.clock.now, Rule.NO_LEFTOVERS, f"{gateway.name}: {leftovers}")
         return self.violations
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -163,7 +163,7 @@
     "first page taken for the complete result": Mutant(
         Rule.INTACT, EngineReplies, "_add_page", _stop_after_first_page
     ),
-    "finished requests kept": Mutant(Rule.CENSUS, PendingRequests, "forget", _keep_transaction_id),
+    "finished requests kept": Mutant(Rule.NO_LEFTOVERS, PendingRequests, "forget", _keep_transaction_id),
     "broken connection taken for a failed connect": Mutant(
         Rule.RUNS_ONCE, connection_ends, "attempt_outcome", _report_connect_failed
     ),
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -56,7 +56,7 @@
     _release_expired_attempts(world)
     world.clock.run(end_at_us + 1)
     violations = world.checker.finish(world.gateways.values())
-    return Result(violations, world.checker.hash.hexdigest(), dict(world.checker.counts))
+    return Result(violations, world.checker.trace_hash.hexdigest(), dict(world.checker.counts))
 
 
 def _release_expired_attempts(world: World) -> None:
