--- a/gullhold/simulation/client.py
+++ b/gullhold/simulation/client.py
@@ -13,17 +13,17 @@
     from gullhold.simulation.world import World
 
 MAX_MESSAGE_BYTES = 1 << 18
-MAX_OPEN = 30  # commands that a client has open at once
-MIN_LIMIT_MS = 400  # client timeout
-LIMIT_SPREAD_MS = 2400
-MIN_WORK_MS = 10
-WORK_SPREAD_MS = 400
-TABLES = 5
+MAX_OPEN = 30  # commands that a client has open at the same time
+MIN_LIMIT_MS = 400  # shortest client timeout
+LIMIT_SPREAD_MS = 2400  # added to it at random
+MIN_WORK_MS = 10  # shortest work of a command
+WORK_SPREAD_MS = 400  # added to it at random, small amounts more often
+TABLES = 5  # that the statements name
 US_PER_MS = 1000
 
 
 class SimulatedClient:
-    """One connection of a client to a gateway, on which commands follow each other at random gaps."""
+    """A client with one connection to a gateway, on which it sends commands at random intervals."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         verbs: Sequence[bytes],
         mean_gap_us: int,
     ) -> None:
-        """verbs: drawn from for each command; mean_gap_us: between commands."""
+        """verbs: of which one is drawn for each command; mean_gap_us: mean time between commands."""
         self.world = world
         self.number = number
         self.gateway = gateway
@@ -46,7 +46,10 @@
         self.has_left = False
 
     def send_next(self) -> None:
-        """Send a command and schedule the next one, until the client leaves or the span of commands ends."""
+        """Send a command, unless too many are open, and schedule the next one.
+
+        Ends when the client has left, or at the world's clients_send_until_us.
+        """
         world = self.world
         if self.has_left or world.clock.now > world.clients_send_until_us:
             return
@@ -71,18 +74,18 @@
         self.endpoint.write(encode_execute(self.last_seq, fields, body))
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
-        """Handle bytes of the gateway."""
+        """Decode bytes of the gateway and pass each answer to the checker."""
         self.decoder.buffer.put(data)
         for frame in self.decoder.frames():
             seq, body = decode_answer(frame)
             self.world.checker.answered(self, self.open.pop(seq, None), body)
 
     def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
-        """Reconnect: the gateway's side of the connection has ended."""
+        """Reconnect, unless this client has left, as the gateway's side of the connection has ended."""
         self.leave(reconnect=not self.has_left)
 
     def leave(self, reconnect: bool = False) -> None:
-        """Close, whatever is open; reconnect: a new connection of a like client takes its place."""
+        """Close the connection, also with commands open; reconnect: start a new client in its place."""
         if self.has_left:
             return
         self.has_left = True
@@ -94,13 +97,13 @@
 
 
 def encode_execute(seq: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
-    """A call that asks for a command."""
+    """Return the message of an execute call for a command."""
     arguments = b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
     return thrift.encode_message(thrift.CALL, "execute", seq, arguments + b"\0")
 
 
 def decode_answer(frame: memoryview) -> tuple[int, bytes | None]:
-    """The sequence number and the rows of an answer; None: it was rejected, or failed."""
+    """Return the sequence number and the rows of an answer; no rows (None) if it was rejected or failed."""
     reader = thrift.FrameReader(frame)
     kind = reader.read(4)[3]
     reader.read_string()
--- a/gullhold/simulation/fault_injection.py
+++ b/gullhold/simulation/fault_injection.py
@@ -54,7 +54,7 @@
                 for direction in directions:
                     direction.delay_us = ONE_WAY_DELAY_US + fault.size
                 self.world.clock.after(FAULT_DURATION_US, path.heal)
-            case FaultKind.PIECE:
+            case FaultKind.SMALL_SEGMENTS:
                 path.from_engine.max_segment_bytes = fault.size
                 self.world.clock.after(FAULT_DURATION_US, path.heal)
             case FaultKind.SILENCE:
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -9,15 +9,15 @@
 from gullhold.simulation.script import Fault, FaultTarget, draw_faults
 from gullhold.simulation.world import CLIENTS_SEND_FOR_US, World, WorldSize
 
-# Until all has ended after the clients' last commands: longer than any client timeout, and than the time for
-# which a timed-out attempt is taken to run on.
+# From the clients' last commands until all has ended: longer than any client timeout, and than the time for
+# which an attempt whose client timeout has passed is taken to run on.
 SETTLE_US = 9_000_000
 
 
 class Result(NamedTuple):
-    """What a run gave.
+    """The outcome of a simulation.
 
-    trace: hash of all events, in hexadecimal; counts: events by name.
+    trace: hash of all recorded events, in hexadecimal; counts: number of events by name.
     """
 
     violations: list[Violation]
@@ -26,7 +26,7 @@
 
 
 def faults_of_seed(seed: int, size: WorldSize) -> list[Fault]:
-    """The faults that a seed draws, of the kinds that can be injected."""
+    """Return the faults that a seed draws, only of the kinds that can be injected."""
     target_counts = {
         FaultTarget.CONNECTION: size.engines,
         FaultTarget.ENGINE: size.engines,
@@ -60,7 +60,7 @@
 
 
 def _release_expired_attempts(world: World) -> None:
-    """Post an empty list change, so that each gateway looks once more at attempts that may run on."""
+    """Send an empty list change, on which each gateway releases attempts that can't run any longer."""
     for gateway in world.gateways.values():
         if gateway.is_alive:
             gateway.core.list_changed((), {}, False)
--- a/gullhold/simulation/script.py
+++ b/gullhold/simulation/script.py
@@ -1,6 +1,6 @@
 """Scripts of faults: typed records with time, place and size; drawn from a seed, written, parsed and shrunk.
 
-Its text is one JSON object a line, for editors and for diffs; a line that starts with # is passed over.
+The file format is one JSON object per line, for editors and diffs; lines that start with # are ignored.
 """
 
 import json
@@ -11,9 +11,9 @@
 
 
 class FaultTarget(StrEnum):
-    """What a kind of fault is about."""
+    """What a kind of fault affects; a fault's `place` is its index among all of the target."""
 
-    CONNECTION = "connection"  # all connections to one engine
+    CONNECTION = "connection"  # the connections of all gateways to one engine
     ENGINE = "engine"
     DISCOVERY = "discovery"
     GATEWAY = "gateway"
@@ -21,10 +21,10 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of fault, by the names that scripts on disk have for them."""
+    """Kinds of fault; the values are their names in script files. FAULT_RANGES explains them."""
 
     DELAY = "delay"
-    PIECE = "piece"
+    SMALL_SEGMENTS = "piece"
     WINDOW = "window"
     SILENCE = "silence"
     RESET = "reset"
@@ -46,7 +46,7 @@
 
 
 class FaultRange(NamedTuple):
-    """What a kind of fault is about, and the least and most of its size."""
+    """What a kind of fault affects, and the smallest and the largest size; both 0: it has no size."""
 
     target: FaultTarget
     least: int
@@ -55,36 +55,40 @@
 
 FAULT_RANGES: Mapping[FaultKind, FaultRange] = {
     FaultKind.DELAY: FaultRange(FaultTarget.CONNECTION, 1_000, 3_000_000),  # us added to each segment
-    FaultKind.PIECE: FaultRange(FaultTarget.CONNECTION, 1, 64),  # bytes that arrive at once
-    FaultKind.WINDOW: FaultRange(FaultTarget.CONNECTION, 16, 4_096),  # bytes under way that block a writer
-    FaultKind.SILENCE: FaultRange(FaultTarget.CONNECTION, 50_000, 6_000_000),  # us for which nothing arrives
-    FaultKind.RESET: FaultRange(FaultTarget.CONNECTION, 0, 0),
+    FaultKind.SMALL_SEGMENTS: FaultRange(FaultTarget.CONNECTION, 1, 64),  # bytes of a segment
+    FaultKind.WINDOW: FaultRange(FaultTarget.CONNECTION, 16, 4_096),  # bytes in flight
+    FaultKind.SILENCE: FaultRange(FaultTarget.CONNECTION, 50_000, 6_000_000),  # us without arrivals
+    FaultKind.RESET: FaultRange(FaultTarget.CONNECTION, 0, 0),  # as by TCP RST
     FaultKind.SLOW_CONNECT: FaultRange(
         FaultTarget.ENGINE, 20_000, 900_000
     ),  # us that connecting takes longer
     FaultKind.REFUSE: FaultRange(FaultTarget.ENGINE, 10_000, 3_000_000),  # us of refused connections
     FaultKind.SLOW: FaultRange(FaultTarget.ENGINE, 2, 20),  # factor on the duration of attempts
-    FaultKind.RESTART: FaultRange(FaultTarget.ENGINE, 0, 0),  # restarts without its state
+    FaultKind.RESTART: FaultRange(FaultTarget.ENGINE, 0, 0),  # crash, and restart without state
     FaultKind.MALFORMED_ANSWERS: FaultRange(FaultTarget.ENGINE, 1, 5),  # answers that can't be parsed
     FaultKind.DUPLICATE_ANSWERS: FaultRange(FaultTarget.ENGINE, 1, 5),  # answers that are sent twice
-    FaultKind.DRAIN: FaultRange(FaultTarget.ENGINE, 0, 0),
-    FaultKind.REMOVE: FaultRange(FaultTarget.ENGINE, 0, 0),
-    FaultKind.LATE_LIST: FaultRange(FaultTarget.DISCOVERY, 100_000, 5_000_000),  # us
+    FaultKind.DRAIN: FaultRange(FaultTarget.ENGINE, 0, 0),  # draining in the endpoint list, later ready again
+    FaultKind.REMOVE: FaultRange(FaultTarget.ENGINE, 0, 0),  # out of the endpoint list, then it crashes
+    FaultKind.LATE_LIST: FaultRange(FaultTarget.DISCOVERY, 100_000, 5_000_000),  # us added to watch events
     FaultKind.DISCOVERY_MOVED: FaultRange(FaultTarget.DISCOVERY, 0, 0),
-    FaultKind.KILL: FaultRange(FaultTarget.GATEWAY, 0, 0),
+    FaultKind.KILL: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGKILL; another process takes its place
     FaultKind.STOP: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGTERM
     FaultKind.CLOCK_JUMP: FaultRange(FaultTarget.GATEWAY, -2_000_000, 2_000_000),  # us of the wall clock
-    FaultKind.RETRY_BURST: FaultRange(FaultTarget.CLIENT, 1, 50),  # attempts at once
-    FaultKind.CLIENT_LEAVES: FaultRange(FaultTarget.CLIENT, 0, 0),  # closes with commands open
+    FaultKind.RETRY_BURST: FaultRange(FaultTarget.CLIENT, 1, 50),  # simultaneous retries
+    FaultKind.CLIENT_LEAVES: FaultRange(FaultTarget.CLIENT, 0, 0),  # with commands open
 }
 
 
 class ScriptError(Exception):
-    """A script that can't be played; the text is one line."""
+    """A script is invalid; the message is one line that names the line of the script."""
 
 
 class Fault(NamedTuple):
-    """at_us: virtual time; place: which of the things that the kind is about; size: in the kind's unit."""
+    """A fault of a script.
+
+    at_us: virtual time; place: index of the engine, gateway or client, modulo their number; size: in the unit
+    that the kind has (FAULT_RANGES).
+    """
 
     at_us: int
     kind: FaultKind
@@ -93,32 +97,35 @@
 
 
 def draw_faults(seed: int, count: int, span_us: int, target_counts: Mapping[FaultTarget, int]) -> list[Fault]:
-    """Draw faults within a span, in order of time; target_counts: how many possible places a target has."""
-    draw = Random(seed)
-    possible = sorted(kind for kind, limits in FAULT_RANGES.items() if target_counts.get(limits.target))
-    found = []
+    """Draw faults at random times before span_us; they are sorted by time.
+
+    target_counts: how many places each target has; kinds whose target has none are not drawn.
+    """
+    random = Random(seed)
+    kinds = sorted(kind for kind, limits in FAULT_RANGES.items() if target_counts.get(limits.target))
+    faults = []
     for _ in range(count):
-        kind = draw.choice(possible)
+        kind = random.choice(kinds)
         limits = FAULT_RANGES[kind]
-        at_us = draw.randrange(span_us)
-        place = draw.randrange(target_counts[limits.target])
-        size = draw.randint(limits.least, limits.most)
-        found.append(Fault(at_us, kind, place, size))
-    return sorted(found)
+        at_us = random.randrange(span_us)
+        place = random.randrange(target_counts[limits.target])
+        size = random.randint(limits.least, limits.most)
+        faults.append(Fault(at_us, kind, place, size))
+    return sorted(faults)
 
 
 def format_script(faults: list[Fault]) -> str:
-    """The text of a script: a line for each fault."""
+    """Return the text of a script: a line for each fault."""
     return "".join(json.dumps(fault._asdict()) + "\n" for fault in faults)
 
 
 def parse_script(text: str) -> list[Fault]:
-    """Parse the text of a script; faults in order of time. Raises ScriptError."""
-    found = []
+    """Parse the text of a script; the faults are sorted by time. Raises ScriptError."""
+    faults = []
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip() and not line.startswith("#"):
-            found.append(_parse_fault(number, line))
-    return sorted(found)
+            faults.append(_parse_fault(number, line))
+    return sorted(faults)
 
 
 def _parse_fault(number: int, line: str) -> Fault:
@@ -127,24 +134,27 @@
     except (ValueError, TypeError):
         raise ScriptError(f"line {number}: not a fault") from None
     if fault.kind not in FAULT_RANGES:
-        raise ScriptError(f"line {number}: no fault is called {fault.kind!r}")
+        raise ScriptError(f"line {number}: unknown kind of fault {fault.kind!r}")
     kind = FaultKind(fault.kind)
     _, least, most = FAULT_RANGES[kind]
     if not least <= fault.size <= most or fault.at_us < 0 or fault.place < 0:
-        raise ScriptError(f"line {number}: {kind} is of {least} to {most}, at a time and place from 0 on")
+        raise ScriptError(
+            f"line {number}: {kind} needs a size of {least} to {most}, a time and a place from 0 on"
+        )
     return fault._replace(kind=kind)
 
 
 def kind_pairs(faults: list[Fault]) -> set[tuple[FaultKind, FaultKind]]:
-    """All pairs of different kinds of fault in a script."""
+    """Return all pairs of different kinds of fault in a script."""
     kinds = sorted({fault.kind for fault in faults})
     return {(one, other) for i, one in enumerate(kinds) for other in kinds[i + 1 :]}
 
 
 def shrink(faults: list[Fault], fails: Callable[[list[Fault]], bool]) -> list[Fault]:
-    """Reduce a script to one that still fails and of which no fault can be left out.
+    """Reduce a script that fails to one that still fails and of which no single fault can be left out.
 
-    Halves first, then one by one, until nothing more can be removed.
+    fails(script): whether a script fails. Halves are removed first, then smaller parts down to single faults,
+    until none can be removed.
     """
     size = max(1, len(faults) // 2)
     while True:
--- a/gullhold/simulation/world.py
+++ b/gullhold/simulation/world.py
@@ -20,16 +20,16 @@
 from gullhold.simulation.network import Network, healthy_conditions
 from gullhold.testing.deployment import settings
 
-CLIENTS_SEND_FOR_US = 6_000_000  # from the start; faults begin in the same span
+CLIENTS_SEND_FOR_US = 6_000_000  # from the start; faults are injected in the same time
 DEDUPLICATION_WINDOW_S = 0.4  # short, so that it ends while commands are open
-CANCEL_DISABLED_EVERY = 3  # of this many consecutive seeds one has attempts that can't be cancelled
+CANCEL_DISABLED_EVERY = 3  # one of so many consecutive seeds has engines without cancellation
 ENGINE_CORES = 4
-CONNECT_TIMEOUT_S = 1.0  # long, so that much may happen while a connection comes up
+CONNECT_TIMEOUT_S = 1.0  # long, so that other events happen while a connection is being established
 VERBS = (b"read", b"read", b"read", b"mark", b"once")
 
 
 class WorldSize(NamedTuple):
-    """How large a world is, and how many faults a seed draws for it."""
+    """The size of a world, and the number of faults that a seed draws for it."""
 
     gateways: int = 2
     engines: int = 3
@@ -39,9 +39,9 @@
 
 
 class World:
-    """All that takes part in a simulation.
+    """Everything that takes part in a simulation.
 
-    The order in which its parts draw from `random` is part of what a seed stands for.
+    A seed gives the same run only as long as the parts draw from `random` in the same order.
     """
 
     def __init__(self, seed: int, size: WorldSize, choose: Callable[[int], int] = first_scheduled) -> None:
@@ -68,18 +68,21 @@
             self.start_clients(name)
 
     def start_gateway(self, name: str) -> None:
-        """Start a gateway with the endpoint list as it is now, in place of an earlier one of this name."""
+        """Start a gateway with the current endpoint list; it replaces an earlier one of its name."""
         gateway = SimulatedGateway(self, name, self._configuration(name))
         self.gateways[name] = gateway
         self.discovery.report_complete_list(gateway)
 
     def start_clients(self, name: str) -> None:
-        """Start as many clients of a gateway as the world's size states."""
+        """Start the clients of a gateway, as many as the world's size states."""
         for _ in range(self.size.clients_per_gateway):
             self.start_client(name, VERBS, self.size.mean_gap_us)
 
     def start_client(self, name: str, verbs: Sequence[bytes], mean_gap_us: int) -> None:
-        """Connect a client to a gateway, unless that was killed; its first command follows within the gap."""
+        """Connect a new client to a gateway, unless that was killed.
+
+        Its first command follows after a random time of at most mean_gap_us.
+        """
         gateway = self.gateways[name]
         if not gateway.is_alive:
             return
@@ -109,12 +112,12 @@
 
 
 def make_agreement(seed: int, gateways: int) -> Agreement:
-    """The settings of a simulated deployment; the seed decides whether attempts can be cancelled."""
-    tree = settings()
-    tree["balancers"] = gateways
-    tree["domain"]["cores_by_kind"] = [ENGINE_CORES]
+    """Return the agreement of a simulated deployment; the seed decides whether attempts can be cancelled."""
+    deployment_settings = settings()
+    deployment_settings["balancers"] = gateways
+    deployment_settings["domain"]["cores_by_kind"] = [ENGINE_CORES]
     can_cancel = seed % CANCEL_DISABLED_EVERY > 0
-    tree["limits"] |= {"connect_timeout": CONNECT_TIMEOUT_S, "cancel": can_cancel}
-    for category in tree["categories"]:
+    deployment_settings["limits"] |= {"connect_timeout": CONNECT_TIMEOUT_S, "cancel": can_cancel}
+    for category in deployment_settings["categories"]:
         category["window"] = DEDUPLICATION_WINDOW_S
-    return read_agreement(json.loads(json.dumps(tree)))
+    return read_agreement(json.loads(json.dumps(deployment_settings)))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -193,7 +193,7 @@
     "line, why",
     [
         ("{", "line 1: not a fault"),
-        ('{"at_us": 1, "kind": "storm", "place": 0, "size": 1}', "is called 'storm'"),
+        ('{"at_us": 1, "kind": "storm", "place": 0, "size": 1}', "unknown kind of fault 'storm'"),
         ('{"at_us": 1, "kind": "slow", "place": 0, "size": 99}', "2 to 20"),
         ("[1]", "not a fault"),
         ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "from 0 on"),
