--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -1,7 +1,7 @@
-"""Mutants: deliberate faults of the product, by which the checker and the scripts are tested.
+"""Mutants: deliberate faults in the product, which test whether the checker and the scripts find faults.
 
-Each breaks a rule that the checker should report. A mutant replaces an attribute by its name, so a renaming
-in the product has to be made here too.
+Each breaks a rule, which the checker should report. A mutant replaces an attribute that it names by a string,
+so an attribute that is renamed in the product has to be renamed here too.
 """
 
 from collections.abc import Callable, Iterator
@@ -23,27 +23,27 @@
 from gullhold.net.write_buffer import WriteBuffer
 from gullhold.simulation.checker import Rule
 
-LOST_TIMER_INTERVAL = 5
+LOST_TIMER_INTERVAL = 5  # one of so many timers is lost
 
 Method = Callable[..., Any]
 
 
 class Mutant(NamedTuple):
-    """One deliberate fault: the rule that it breaks, and the attribute that is replaced."""
+    """A deliberate fault: the rule that it breaks, and the attribute of the product that it replaces."""
 
     rule: Rule
     owner: object  # a class or a module
     attribute: str
-    replacement: Callable[[Method], Method]  # makes it from the original
+    replacement: Callable[[Method], Method]  # builds the faulty attribute from the original one
 
 
-def _ignore_draining(engines: Method) -> Method:
+def _ignore_draining(update_engines: Method) -> Method:
     def call(self: Gateway, now: int, entries: list[EngineEntry], full: bool) -> list[Result]:
         entries_as_ready = [
             entry._replace(state=EngineState.READY) if entry.state == EngineState.DRAINING else entry
             for entry in entries
         ]
-        return engines(self, now, entries_as_ready, full)
+        return update_engines(self, now, entries_as_ready, full)
 
     return call
 
@@ -68,11 +68,11 @@
     return call
 
 
-def _retry_up_to_cap(_may_retry: Method) -> Method:
+def _retry_up_to_max_attempts(_may_retry: Method) -> Method:
     return lambda self, command, _now: command.attempts < self.agreement.max_attempts
 
 
-def _double_window(may_retry: Method) -> Method:
+def _double_dedup_window(may_retry: Method) -> Method:
     def call(self: RetryPolicy, command: Command, now: int) -> bool:
         profile = command.profile
         command.profile = profile._replace(dedup_window_us=2 * profile.dedup_window_us)
@@ -91,7 +91,7 @@
     return call
 
 
-def _lose_every_fifth(call_later: Method) -> Method:
+def _lose_every_fifth_timer(call_later: Method) -> Method:
     def call(self: EventLoop, due_at_us: int, callback: Method, *args: object) -> None:
         self.scheduled_count = getattr(self, "scheduled_count", 0) + 1
         if self.scheduled_count % LOST_TIMER_INTERVAL or callback == self.health.sweep:
@@ -119,14 +119,14 @@
     return lambda _is_written: Outcome.CONNECT_FAILED
 
 
-def _skip_recheck(_connection_up: Method) -> Method:
+def _skip_recheck_on_connect(_connection_up: Method) -> Method:
     def call(_self: EnginePool, connection: EngineConnection) -> None:
         connection.write_buffer.attach(connection.connection)
 
     return call
 
 
-def _keep_withdrawn(_withdraw: Method) -> Method:
+def _keep_withdrawn_attempts(_withdraw: Method) -> Method:
     def call(self: WriteBuffer, data: bytes) -> bool:
         return any(message.data is data for message in self.pending)
 
@@ -137,13 +137,13 @@
     return lambda method, seq, body=b"", good=True: answer(method, max(1, seq - 1), body, good)
 
 
-def _append_duplicate(received_array: Method) -> Method:
+def _append_duplicate_answer(handle_array: Method) -> Method:
     def call(self: EngineReplies, connection: EngineConnection, words: list[bytes]) -> None:
         attempt = connection.open_attempts.get(words[0])
         if words[1] == engine_protocol.ANSWER and attempt and attempt.pages:
             self._add_page(connection, attempt, words[3])
         else:
-            received_array(self, connection, words)
+            handle_array(self, connection, words)
 
     return call
 
@@ -152,14 +152,16 @@
     "draining ignored": Mutant(Rule.DRAIN, Gateway, "update_engines", _ignore_draining),
     "cancel not confirmed": Mutant(Rule.OPEN_ONCE, Attempts, "abandon", _skip_cancel_confirmation),
     "answers sent twice": Mutant(Rule.ONE_ANSWER, PendingRequests, "answer", _send_answer_twice),
-    "retries regardless of idempotency": Mutant(Rule.RUNS_ONCE, RetryPolicy, "may_retry", _retry_up_to_cap),
+    "retries regardless of idempotency": Mutant(
+        Rule.RUNS_ONCE, RetryPolicy, "may_retry", _retry_up_to_max_attempts
+    ),
     "deduplication window doubled": Mutant(
-        Rule.DEDUPLICATION_WINDOW, RetryPolicy, "may_retry", _double_window
+        Rule.DEDUPLICATION_WINDOW, RetryPolicy, "may_retry", _double_dedup_window
     ),
     "client disconnects ignored": Mutant(
         Rule.CLIENT_LEFT, PendingRequests, "client_ended", _ignore_client_end
     ),
-    "every fifth timer lost": Mutant(Rule.IN_TIME, EventLoop, "call_later", _lose_every_fifth),
+    "every fifth timer lost": Mutant(Rule.IN_TIME, EventLoop, "call_later", _lose_every_fifth_timer),
     "first page taken for the complete result": Mutant(
         Rule.INTACT, EngineReplies, "_add_page", _stop_after_first_page
     ),
@@ -168,19 +170,21 @@
         Rule.RUNS_ONCE, connection_ends, "attempt_outcome", _report_connect_failed
     ),
     "queued attempts not rechecked on connect": Mutant(
-        Rule.CLIENT_LEFT, EnginePool, "connection_up", _skip_recheck
+        Rule.CLIENT_LEFT, EnginePool, "connection_up", _skip_recheck_on_connect
     ),
-    "withdrawn attempts sent": Mutant(Rule.OPEN_ONCE, WriteBuffer, "withdraw", _keep_withdrawn),
+    "withdrawn attempts sent": Mutant(Rule.OPEN_ONCE, WriteBuffer, "withdraw", _keep_withdrawn_attempts),
     "answers with another sequence number": Mutant(
         Rule.ONE_ANSWER, thrift, "encode_answer", _use_previous_sequence_number
     ),
-    "duplicate answers appended": Mutant(Rule.INTACT, EngineReplies, "_handle_array", _append_duplicate),
+    "duplicate answers appended": Mutant(
+        Rule.INTACT, EngineReplies, "_handle_array", _append_duplicate_answer
+    ),
 }
 
 
 @contextmanager
 def applied(name: str) -> Iterator[None]:
-    """Apply a mutant of MUTANTS while the context lasts."""
+    """Apply a mutant of MUTANTS inside a `with` block."""
     mutant = MUTANTS[name]
     original = getattr(mutant.owner, mutant.attribute)
     with mock.patch.object(mutant.owner, mutant.attribute, mutant.replacement(original)):
--- a/gullhold/simulation/script.py
+++ b/gullhold/simulation/script.py
@@ -56,12 +56,10 @@
 FAULT_RANGES: Mapping[FaultKind, FaultRange] = {
     FaultKind.DELAY: FaultRange(FaultTarget.CONNECTION, 1_000, 3_000_000),  # us added to each segment
     FaultKind.SMALL_SEGMENTS: FaultRange(FaultTarget.CONNECTION, 1, 64),  # bytes of a segment
-    FaultKind.WINDOW: FaultRange(FaultTarget.CONNECTION, 16, 4_096),  # bytes in flight
+    FaultKind.WINDOW: FaultRange(FaultTarget.CONNECTION, 16, 4_096),  # bytes of the stream's window
     FaultKind.SILENCE: FaultRange(FaultTarget.CONNECTION, 50_000, 6_000_000),  # us without arrivals
     FaultKind.RESET: FaultRange(FaultTarget.CONNECTION, 0, 0),  # as by TCP RST
-    FaultKind.SLOW_CONNECT: FaultRange(
-        FaultTarget.ENGINE, 20_000, 900_000
-    ),  # us that connecting takes longer
+    FaultKind.SLOW_CONNECT: FaultRange(FaultTarget.ENGINE, 20_000, 900_000),  # us added to a connect
     FaultKind.REFUSE: FaultRange(FaultTarget.ENGINE, 10_000, 3_000_000),  # us of refused connections
     FaultKind.SLOW: FaultRange(FaultTarget.ENGINE, 2, 20),  # factor on the duration of attempts
     FaultKind.RESTART: FaultRange(FaultTarget.ENGINE, 0, 0),  # crash, and restart without state
@@ -70,7 +68,7 @@
     FaultKind.DRAIN: FaultRange(FaultTarget.ENGINE, 0, 0),  # draining in the endpoint list, later ready again
     FaultKind.REMOVE: FaultRange(FaultTarget.ENGINE, 0, 0),  # out of the endpoint list, then it crashes
     FaultKind.LATE_LIST: FaultRange(FaultTarget.DISCOVERY, 100_000, 5_000_000),  # us added to watch events
-    FaultKind.DISCOVERY_MOVED: FaultRange(FaultTarget.DISCOVERY, 0, 0),
+    FaultKind.DISCOVERY_MOVED: FaultRange(FaultTarget.DISCOVERY, 0, 0),  # to another address
     FaultKind.KILL: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGKILL; another process takes its place
     FaultKind.STOP: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGTERM
     FaultKind.CLOCK_JUMP: FaultRange(FaultTarget.GATEWAY, -2_000_000, 2_000_000),  # us of the wall clock
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -27,7 +27,7 @@
 
 
 class Run(NamedTuple):
-    """A simulation that was run: its seed, its script and its result."""
+    """A finished simulation: its seed, its script and its result."""
 
     seed: int
     faults: list[Fault]
@@ -37,16 +37,16 @@
 def run(seeds: str, jobs: int | None, replay: str | None, shrink: str | None, command: str) -> int:
     """Run the command; returns the exit status.
 
-    seeds: N or FIRST:END; jobs: processes at once, 0 or None: as there are cores; replay: path of a script to
-    run in place of those of the seeds; shrink: path to which the first failing script is written, reduced;
-    command: the sub-command's name, for the printed lines that say how to run a script again.
-    Status 0: no violation, 1: a violation, 2: the arguments can't be used.
+    seeds: N, or FIRST:END without END; jobs: number of processes, 0 or None: one for each core; replay: path
+    of a script, which is run with the first seed instead of the scripts that the seeds draw; shrink: path to
+    which the first failing script is written, reduced; command: the sub-command's name, for printed lines
+    that say how to repeat a run. Status 0: no violation, 1: a violation, 2: unusable arguments.
     """
     try:
         seed_range = _parse_seeds(seeds)
         faults = script.parse_script(Path(replay).read_text("utf-8")) if replay else None
         if not seed_range:
-            raise ValueError("no seed")
+            raise ValueError("the range contains no seed")
     except (OSError, ValueError, script.ScriptError) as error:
         print(f"gullhold: {replay or seeds}: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
@@ -65,7 +65,7 @@
 
 
 def fails_by(rule: Rule, seed: int) -> Callable[[list[Fault]], bool]:
-    """A function that tells whether a script breaks this rule in the world of this seed."""
+    """Return a function that tells whether a script breaks this rule in the world of this seed."""
     return lambda faults: any(violation.rule == rule for violation in play(seed, faults).violations)
 
 
@@ -84,22 +84,22 @@
 
 
 def _run_script(seed: int, faults: list[Fault]) -> Run:
-    logger.remove()  # gateways log each fault
+    logger.remove()  # simulated gateways would log every fault
     return Run(seed, faults, play(seed, faults))
 
 
 def _print_violation(failing: Run, replay: str | None, command: str) -> None:
     violations = failing.result.violations
     first = violations[0]
-    again = f"gullhold {command} --seeds {failing.seed}" + (f" --replay {replay}" if replay else "")
+    repeat_command = f"gullhold {command} --seeds {failing.seed}" + (f" --replay {replay}" if replay else "")
     print(
         f"seed {failing.seed}: {first.rule} at {first.at_us} us: {first.text} "
-        f"({len(violations)} in all); again: {again}"
+        f"({len(violations)} in all); again: {repeat_command}"
     )
 
 
 def _write_shrunk(failing: Run, path: str, command: str) -> None:
-    """Reduce a script to what its first violation needs, and write it."""
+    """Reduce a script to the faults that its first violation needs, and write it to a file."""
     rule = failing.result.violations[0].rule
     reduced = script.shrink(failing.faults, fails_by(rule, failing.seed))
     Path(path).write_text(f"# seed {failing.seed}: {rule}\n" + script.format_script(reduced), "utf-8")
@@ -110,7 +110,7 @@
 
 
 def _print_coverage(console: Console, runs: list[Run]) -> None:
-    """Print how many scripts had each kind of fault, and how often each event was observed."""
+    """Print how many scripts contained each kind of fault, and how often each event was recorded."""
     kind_counts: Counter[str] = Counter()
     event_counts: Counter[str] = Counter()
     pairs = set()
@@ -119,7 +119,9 @@
         event_counts.update(each.result.counts)
         pairs |= script.kind_pairs(each.faults)
     pair_total = len(SUPPORTED_KINDS) * (len(SUPPORTED_KINDS) - 1) // 2
-    table = Table(title=f"{len(runs)} scripts, {len(pairs)} of {pair_total} pairs of faults met together")
+    table = Table(
+        title=f"{len(runs)} scripts, {len(pairs)} of {pair_total} pairs of fault kinds occurred in one script"
+    )
     for column in ("fault", "scripts", "what passed", "times"):
         table.add_column(column)
     kinds = [(str(kind), str(kind_counts[kind])) for kind in sorted(SUPPORTED_KINDS)]
