--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Deterministic simulation: virtual time, byte streams, scripts of faults, gateways and deliberate faults."""
+"""Deterministic simulation: virtual time, byte streams, scripts of faults, gateways and mutants."""
 
 import os
 import subprocess
@@ -18,7 +18,8 @@
 from gullhold.simulation.world import World, WorldSize
 from gullhold.testing.running import ROOT
 
-# Mutants that one seed finds, and that seed; the others take many (docs/notes/deterministic-simulation.md).
+# A seed that finds the mutant, by mutant; those that take many seeds to find are left out
+# (docs/notes/deterministic-simulation.md).
 MUTANT_SEEDS = {
     "answers sent twice": 0,
     "draining ignored": 1,
@@ -38,13 +39,13 @@
     clock.at(20, seen.append, "c")
     clock.at(10, seen.append, "a")
     clock.at(10, seen.append, "b")
-    gone = clock.after(15, seen.append, "never")
-    clock.cancel(gone)
+    cancelled = clock.after(15, seen.append, "never")
+    clock.cancel(cancelled)
     clock.run(15)
     assert seen == ["a", "b"]
     assert clock.now == 15
     assert clock.next_due_at() == 20
-    clock.at(3, seen.append, "late")  # not before now
+    clock.at(3, seen.append, "late")  # in the past: due now
     clock.run(100)
     assert seen == ["a", "b", "late", "c"]
     assert clock.now == 100
@@ -75,30 +76,30 @@
 def test_too_many_events_at_one_instant_raise_a_livelock_error():
     clock = Clock(max_events_at_one_instant=50)
 
-    def again():
-        clock.after(0, again)
+    def schedule_again():
+        clock.after(0, schedule_again)
 
-    clock.after(0, again)
+    clock.after(0, schedule_again)
     with pytest.raises(LivelockError):
         clock.run(1)
 
 
 class RecordingPeer:
-    """One side of a stream, which records what arrives."""
+    """A peer of a connection that records what arrives."""
 
     def __init__(self):
         self.data, self.how, self.resumed = b"", None, 0
 
     def data_arrived(self, data):
-        """Keep the bytes."""
+        """Append the bytes to data."""
         self.data += data
 
     def end_arrived(self, how):
-        """Keep how the stream ended."""
+        """Record how the other side ended."""
         self.how = how
 
     def resume_writing(self):
-        """Count the calls."""
+        """Count the call."""
         self.resumed += 1
 
 
@@ -116,8 +117,10 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.binary(max_size=40), max_size=12), st.integers(0, 5), st.integers(0, 900))
-def test_bytes_arrive_complete_and_in_order_at_any_segment_size_and_jitter(parts, piece, jitter):
-    clock, _, far, connection = duplex_stream(max_segment_bytes=piece, jitter_us=jitter, window_bytes=10_000)
+def test_bytes_arrive_complete_and_in_order_at_any_segment_size_and_jitter(parts, segment_bytes, jitter_us):
+    clock, _, far, connection = duplex_stream(
+        max_segment_bytes=segment_bytes, jitter_us=jitter_us, window_bytes=10_000
+    )
     for part in parts:
         connection.near_to_far.write(part)
         clock.run(clock.now + 70)
@@ -175,22 +178,24 @@
 
 
 def test_a_seed_draws_one_script_that_survives_formatting_and_parsing():
-    one = script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
+    faults = script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
     assert (
-        one
+        faults
         == script.draw_faults(7, 12, 10**7, TARGET_COUNTS)
         != script.draw_faults(8, 12, 10**7, TARGET_COUNTS)
     )
-    assert script.parse_script("# by hand\n\n" + script.format_script(one)) == one
-    assert all(fault.place < TARGET_COUNTS[script.FAULT_RANGES[fault.kind].target] for fault in one)
-    met = {fault.kind for seed in range(60) for fault in script.draw_faults(seed, 12, 10**7, TARGET_COUNTS)}
-    assert met == set(script.FAULT_RANGES)
-    for_engines = script.draw_faults(1, 20, 100, {FaultTarget.ENGINE: 2})
-    assert all(script.FAULT_RANGES[fault.kind].target == FaultTarget.ENGINE for fault in for_engines)
+    assert script.parse_script("# a comment\n\n" + script.format_script(faults)) == faults
+    assert all(fault.place < TARGET_COUNTS[script.FAULT_RANGES[fault.kind].target] for fault in faults)
+    drawn_kinds = {
+        fault.kind for seed in range(60) for fault in script.draw_faults(seed, 12, 10**7, TARGET_COUNTS)
+    }
+    assert drawn_kinds == set(script.FAULT_RANGES)
+    engine_faults = script.draw_faults(1, 20, 100, {FaultTarget.ENGINE: 2})
+    assert all(script.FAULT_RANGES[fault.kind].target == FaultTarget.ENGINE for fault in engine_faults)
 
 
 @pytest.mark.parametrize(
-    "line, why",
+    "line, message",
     [
         ("{", "line 1: not a fault"),
         ('{"at_us": 1, "kind": "storm", "place": 0, "size": 1}', "unknown kind of fault 'storm'"),
@@ -199,29 +204,29 @@
         ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "from 0 on"),
     ],
 )
-def test_an_invalid_script_gives_an_error_with_its_line_number(line, why):
-    with pytest.raises(ScriptError, match=why):
+def test_an_invalid_script_gives_an_error_with_its_line_number(line, message):
+    with pytest.raises(ScriptError, match=message):
         script.parse_script(line)
 
 
 def test_a_failing_script_is_shrunk_to_the_faults_it_needs():
     faults = script.draw_faults(3, 40, 10**7, TARGET_COUNTS)
     needed = {faults[5], faults[31]}
-    tries = []
+    calls = []
 
-    def fails(some):
-        tries.append(1)
-        return needed <= set(some)
+    def fails(subset):
+        calls.append(1)
+        return needed <= set(subset)
 
     assert set(script.shrink(faults, fails)) == needed
-    assert len(tries) < 160
+    assert len(calls) < 160
     assert script.shrink([Fault(1, "reset", 0, 0)], lambda _: True) == []
     assert (
         len(script.kind_pairs([Fault(1, "reset", 0, 0), Fault(2, "kill", 0, 0), Fault(3, "kill", 1, 0)])) == 1
     )
 
 
-# Gateways on virtual time
+# Simulated gateways
 
 
 def test_simulated_seeds_break_no_rule():
@@ -234,7 +239,7 @@
 
 def test_a_seed_gives_the_same_trace_under_another_hash_seed():
     code = "from gullhold.simulation import play; print(play.play(3).trace)"
-    told = {
+    traces = {
         subprocess.run(
             [sys.executable, "-c", code],
             cwd=ROOT,
@@ -245,12 +250,12 @@
         ).stdout
         for seed in ("1", "77")
     }
-    assert told == {play.play(3).trace + "\n"}
+    assert traces == {play.play(3).trace + "\n"}
 
 
 @pytest.mark.parametrize("name", sorted(MUTANT_SEEDS))
-def test_a_mutant_is_found(name):
-    with mutants.applied(name):  # without it these seeds break nothing, as tested above
+def test_the_checker_reports_the_rule_that_a_mutant_breaks(name):
+    with mutants.applied(name):  # without a mutant, seeds 0 to 5 break no rule, as tested above
         assert mutants.MUTANTS[name].rule in {
             violation.rule for violation in play.play(MUTANT_SEEDS[name]).violations
         }
@@ -260,10 +265,10 @@
     path = tmp_path / "small"
     with mutants.applied("draining ignored"):
         faults = play.faults_of_seed(1, WorldSize())
-        fewer = script.shrink(faults, show.fails_by("drain", 1))
-        assert 0 < len(fewer) < len(faults)
-        assert "drain" in {fault.kind for fault in fewer}
-        path.write_text(script.format_script(fewer))
+        shrunk = script.shrink(faults, show.fails_by("drain", 1))
+        assert 0 < len(shrunk) < len(faults)
+        assert "drain" in {fault.kind for fault in shrunk}
+        path.write_text(script.format_script(shrunk))
         assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 1
         assert f"again: gullhold rehearse --seeds 1 --replay {path}" in capsys.readouterr().out
     assert main(["rehearse", "--seeds", "1", "--replay", str(path)]) == 0
@@ -281,13 +286,13 @@
     assert all(gateway.event_stream.last_index == 3 for gateway in world.gateways.values())
 
 
-def test_unusable_arguments_give_one_line(tmp_path, capsys):
+def test_unusable_arguments_give_a_one_line_error_and_exit_status_2(tmp_path, capsys):
     (tmp_path / "bad").write_text("not a fault\n")
-    for words in (
+    for arguments in (
         ["--replay", str(tmp_path / "bad")],
         ["--replay", str(tmp_path / "none")],
         ["--seeds", "x"],
         ["--seeds", "5:5"],
     ):
-        assert main(["rehearse", *words]) == 2
+        assert main(["rehearse", *arguments]) == 2
         assert capsys.readouterr().err.count("\n") == 1
