--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -141,10 +141,10 @@
 class RolesRecord(OperatorRecord):
     """How roles are distributed over members.
 
-    moves: limit of the roles that a member gives up for another one, per second; settle: us that a new member
-    waits before roles move to it; pauses: backoff of the calls to the store; leaving: us that a member which
-    leaves waits for its work in progress; beats: number of heartbeat roles, whose leaders only write to the
-    store, every `beat` us, to monitor that leadership works.
+    moves: limit of the roles that a member gives up for another one, per second; settle: us that a member
+    which joins others waits before roles move to it; pauses: backoff of the calls to the store; leaving: us
+    that a leaving member waits for its work in progress; beats: number of heartbeat roles, whose leaders only
+    write to the store, every `beat` us, to monitor that leadership works.
     """
 
     moves: int
--- a/gullhold/operator/schema.cue
+++ b/gullhold/operator/schema.cue
@@ -88,7 +88,7 @@
 	schedule: [...#Scheduled]
 	// Budgets of the fleet, divided among its members (docs/operators/budgets.md).
 	budgets: [...#Budget]
-	// The interval at which a member collects its usage of them.
+	// The interval at which a member collects its usage of these budgets.
 	look:    *100ms | (duration & >=20ms & <=10s)
 	policy: #Policy
 	// A file to which each event is appended as a line of JSON; "": only the log has the events.
@@ -109,7 +109,7 @@
 #Duties: {
 	// How many roles a second one member gives up so that they move to another.
 	moves: *200 | (int & >=1 & <=100000)
-	// How long after a member joined others roles begin to move to it.
+	// How long a member that joins others waits before roles move to it.
 	settle: *5s | (duration & >=0s & <=1h)
 	// Bounds of the backoff between retries; it is exponential, with random jitter.
 	pauses: {
--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -1,6 +1,6 @@
 """Checks the rules of a simulation from outside: what clients, engines and the discovery service observe.
 
-It shares no state with the gateways, except for the sizes of their tables at the end. Rules: one answer to
+It uses no state of the gateways but the sizes of their tables at the end. Rules: one answer to
 each command, in time and with complete rows; no second run of a non-idempotent command, and no retry of a
 command with an idempotency key outside its deduplication window; at most one open attempt, and at most the
 agreed number of attempts; no new attempt at an engine that drains or was removed, or for a client that left,
@@ -90,7 +90,7 @@
         self.dedup_window_us = dedup_window_us
         self.commands: dict[bytes, ObservedCommand] = {}
         self.violations: list[Violation] = []
-        self.leaving: dict[tuple[str, str], int] = {}  # when a gateway was notified, by both names
+        self.leaving: dict[tuple[str, str], int] = {}  # when notified, by gateway and engine
         self.trace_hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
 
@@ -145,7 +145,7 @@
         if earlier and command.verb == b"mark":
             is_too_late = written_at >= earlier[0].at + self.dedup_window_us
             if is_too_late or not key:
-                text = f"{txn} {at - earlier[0].at} us after its first"
+                text = f"{txn} {at - earlier[0].at} us after its first attempt"
                 self.add_violation(at, Rule.DEDUPLICATION_WINDOW, text)
 
     def _check_leaving(self, at: int, written_at: int, engine: "SimulatedEngine", txn: bytes) -> None:
--- a/gullhold/simulation/client.py
+++ b/gullhold/simulation/client.py
@@ -18,7 +18,7 @@
 LIMIT_SPREAD_MS = 2400  # added to it at random
 MIN_WORK_MS = 10  # shortest work of a command
 WORK_SPREAD_MS = 400  # added to it at random, small amounts more often
-TABLES = 5  # that the statements name
+TABLES = 5  # number of tables that the statements read
 US_PER_MS = 1000
 
 
@@ -81,7 +81,7 @@
             self.world.checker.answered(self, self.open.pop(seq, None), body)
 
     def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
-        """Reconnect, unless this client has left, as the gateway's side of the connection has ended."""
+        """Handle the end of the gateway's side: a new client takes this one's place, unless it has left."""
         self.leave(reconnect=not self.has_left)
 
     def leave(self, reconnect: bool = False) -> None:
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -18,7 +18,7 @@
 NOTE_INTERVAL_US = 120_000  # between status notes of an attempt; shorter than the note period of the settings
 MAX_MESSAGE_BYTES = 1 << 18
 DUPLICATE_WORK_US = 1000  # for an attempt that does not run again because its idempotency key is known
-MAX_ATTEMPTS_PER_CORE = 4  # with so many running, an engine rejects further attempts as overloaded
+MAX_ATTEMPTS_PER_CORE = 4  # an engine that runs so many rejects further attempts as overloaded
 US_PER_MS = 1000
 MALFORMED_MESSAGE = b"*2\r\n$not a length\r\n"
 
@@ -61,7 +61,7 @@
             message_offset = self._parsed_bytes()
 
     def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
-        """Abandon all running attempts, as the gateway's side of the connection has ended."""
+        """Handle the end of the gateway's side: abandon all running attempts, and end the engine's side."""
         for txn in list(self.running):
             self.engine.abandon(self, txn)
         if not self.endpoint.is_finishing:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -62,7 +62,7 @@
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
         self.serial = next(CONNECTION_SERIALS)
-        self.has_reported = False  # the end of reading
+        self.has_reported = False  # whether the end of reading was reported
 
     def __hash__(self) -> int:  # sets of connections have the same order in every run
         return self.serial
--- a/gullhold/simulation/script.py
+++ b/gullhold/simulation/script.py
@@ -11,7 +11,7 @@
 
 
 class FaultTarget(StrEnum):
-    """What a kind of fault affects; a fault's `place` is its index among all of the target."""
+    """What a kind of fault affects; the `place` of a fault is an index among these."""
 
     CONNECTION = "connection"  # the connections of all gateways to one engine
     ENGINE = "engine"
