--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -36,18 +36,18 @@
 class ForgetsSpentInWindow(Ledger):
     """Takes what was spent within the window for available once an allocation was reduced."""
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:
         """Apply a report, and forget what expires with the window."""
-        super().report(member, seen_write, in_use, now)
+        super().report(member, applied_write, in_use, now)
         self.entries[member].expiring = []
 
 
 class ForgetsInUse(Ledger):
     """Takes calls in flight for ended when their allocation is given back."""
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  this is the fault
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  this is the fault
         """Apply a report as if nothing were in use."""
-        super().report(member, seen_write, 0, now)
+        super().report(member, applied_write, 0, now)
 
 
 class ForgetsDeadMembers(Ledger):
@@ -109,7 +109,7 @@
         self, write: int, now: int, max_budgets: int = MAX_BUDGETS_PER_ROUND
     ) -> dict[str, dict[str, int]]:
         """Allocate without writing the rows of members that have left."""
-        self.left = {}
+        self.newly_left = {}
         return super().allocate(write, now, max_budgets)
 
 
@@ -141,7 +141,7 @@
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
         """Handle the reply to a write, an unknown outcome as success."""
         if reply.proof == Proof.UNKNOWN and self.writing == serial:
-            reply = reply._replace(proof=Proof.DONE, revision=self.fence)
+            reply = reply._replace(proof=Proof.DONE, revision=self.fence_revision)
         super().written(now, serial, reply)
 
 
@@ -188,17 +188,17 @@
         """Set the current lease without dropping allocations."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
-            self.seen_write = 0
+            self.applied_write = 0
 
 
 class AcknowledgesUnapplied(Allocations):
     """Acknowledges a reduced allocation, and goes on using the larger one."""
 
-    def apply_write(self, lease_id: int, write: int, written: Mapping[str, int]) -> None:
+    def apply_write(self, lease_id: int, write: int, stored_amounts: Mapping[str, int]) -> None:
         """Apply a write, but keep each allocation that it reduces."""
         before = {key: allocation.allocated for key, allocation in self.allocations.items()}
-        super().apply_write(lease_id, write, written)
-        if not written:
+        super().apply_write(lease_id, write, stored_amounts)
+        if not stored_amounts:
             return
         for key, allocated in before.items():
             self.allocations[key].allocated = max(allocated, self.allocations[key].allocated)
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -103,7 +103,7 @@
         usage = member.allocations.report((Demand(KIND, 0, member.demand),))
         key = REPORTS + member.key()
         conditions = ((key, member.reported_revision),) if self.variant.compares_reports else ()
-        text = encode_report(UsageReport(member.allocations.seen_write, usage, has_left))
+        text = encode_report(UsageReport(member.allocations.applied_write, usage, has_left))
         write = Put(key, text, 0 if has_left else member.lease.id)
         return Transaction(conditions, (write,))
 
@@ -211,8 +211,8 @@
         member.applied_revision, _, value = self._rows(member)[0]
         if value is not None:
             write, entries = decode_row(value)
-            written = {name: allocated_amount(packed) for name, packed in entries.items()}
-            member.allocations.apply_write(member.lease.id, write, written)
+            stored_amounts = {name: allocated_amount(packed) for name, packed in entries.items()}
+            member.allocations.apply_write(member.lease.id, write, stored_amounts)
 
     def _do_report(self, index: int) -> None:
         member = self.members[index]
@@ -280,7 +280,7 @@
             self.leader,
             self.faults,
             tuple(
-                (role.token, role.is_loaded, role.fence, role.reading, role.writing)
+                (role.token, role.is_loaded, role.fence_revision, role.reading, role.writing)
                 for role in self.candidates
             ),
             tuple(at - self.now for at in self.spent),
