--- a/gullhold/testing/rollout_checker.py
+++ b/gullhold/testing/rollout_checker.py
@@ -1,7 +1,7 @@
-"""Checks rollouts by what engines were sent and by the store's journal.
+"""Checks rollouts by the attempts that engines recorded and by the store's journal.
 
-A policy is recognised by the memory that it grants. The checker shares nothing with what it checks but the
-words of the engines' protocol and the keys and values of the store.
+The policy of an attempt is recognised by the memory that it grants. The checker shares no code with what it
+checks. It knows only the engines' protocol, and the keys and values of the store.
 """
 
 import json
@@ -25,27 +25,31 @@
 
 
 class PolicyAttempt(NamedTuple):
-    """One attempt: its time in s, and the index of its policy, from 1; 0: what no change has touched."""
+    """An attempt: its time in s, and the index of its policy from 1; 0: no change applied to it yet."""
 
     at: float
     policy_index: int
 
 
 class PolicyOverlap(NamedTuple):
-    """Attempts under an older policy after the first one under a newer, and the longest such overlap."""
+    """How long policies overlapped.
+
+    stale_attempts: number of attempts under an older policy after the first one under a newer; overlap_ms:
+    longest time from the first attempt under a policy to the last one under an older policy.
+    """
 
     stale_attempts: int
     overlap_ms: float
 
 
 def attempts_with_policy(engines: Iterable[Engine], grants: Sequence[int]) -> list[PolicyAttempt]:
-    """All attempts in order of time, each with its policy.
+    """Return all attempts in order of time, each with its policy.
 
-    grants: MB that each policy grants, in the order in which they came into force, from index 1 on.
+    grants: MB that each policy grants, in the order in which the policies came into force, from index 1 on.
     """
-    places = {float(mb): place for place, mb in enumerate(grants, 1)}
+    indexes = {float(mb): index for index, mb in enumerate(grants, 1)}
     attempts = [
-        PolicyAttempt(attempt.started_at, places.get(attempt.memory_mb, 0))
+        PolicyAttempt(attempt.started_at, indexes.get(attempt.memory_mb, 0))
         for engine in engines
         for attempt in engine.attempts
     ]
@@ -53,16 +57,16 @@
 
 
 def measure_overlap(attempts: Iterable[tuple[float, int]]) -> PolicyOverlap:
-    """How far policies were mixed in attempts in order of time: (time in s, index of its policy)."""
+    """Measure how long policies overlapped; attempts: (time in s, index of the policy), in order of time."""
     first_at: dict[int, float] = {}
     last_at: dict[int, float] = {}
     count = 0
     newest = 0
-    for at, place in attempts:
-        first_at.setdefault(place, at)
-        last_at[place] = at
-        count += place < newest
-        newest = max(newest, place)
+    for at, index in attempts:
+        first_at.setdefault(index, at)
+        last_at[index] = at
+        count += index < newest
+        newest = max(newest, index)
     longest_s = 0.0
     for new, began_at in first_at.items():
         for old, ended_at in last_at.items():
@@ -72,7 +76,7 @@
 
 
 class RolloutChecker:
-    """Goes through a store's journal: what was decided, and what members had voted by then.
+    """Goes through a store's journal once: which changes were decided, and how members had voted by then.
 
     decided_without_all: decisions made while an enrolled member had not voted ready, or still for a strict
     change; decided_though_refused: decisions on a version that a member had refused; divergent_changes: ended
@@ -102,10 +106,10 @@
                 self._votes = {}
                 self._members = {}
                 for key, value, _, lease in line["keys"]:
-                    self._put(_relative(key), value, lease, at)
+                    self._put(_fleet_key(key), value, lease, at)
             case "txn" if line["met"]:
                 for kind, key, value, lease in line["acts"]:
-                    self._apply_write(kind, _relative(key), value, lease, at)
+                    self._apply_write(kind, _fleet_key(key), value, lease, at)
 
     def _apply_write(self, kind: str, key: str, value: str, lease: int, at: float) -> None:
         if kind == "put":
@@ -147,10 +151,10 @@
         )
 
     def adopted_versions(self) -> dict[str, int]:
-        """Return the number of the version that each member has adopted, by the member's name."""
+        """Return the number of the version that each member last reported as adopted, by its name."""
         return {member.partition("/")[0]: vote["under"] for member, vote in self._votes.items()}
 
 
-def _relative(key: str) -> str:
-    """The key without the root and the name of the fleet: /ROOT/FLEET/KEY."""
+def _fleet_key(key: str) -> str:
+    """Return a key without the prefix of its fleet, /gullhold/FLEET/."""
     return key.split("/", 3)[3]
--- a/gullhold/testing/rollout_explorer.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -1,6 +1,7 @@
-"""Explores the decisions of a rollout alone: two coordinators that take over from each other, and members.
+"""Explores the rollout logic without I/O: two coordinators that take over from each other, and members.
 
-Random walks end with the faults taken away: then every member has to go by what is in force.
+explore() tries all orders of actions up to a given depth. walk() takes one random walk, and ends with the
+faults taken away: then every member has to use the version in force.
 """
 
 import random
@@ -15,11 +16,12 @@
 from gullhold.testing.rollout_world import FAULTS, GOOD_TEXT, Action, World
 
 
-def rounds(world: World, draw: Callable[[], float]) -> Iterator[Action]:
-    """Step after step of time, for ever.
+def random_steps(world: World, draw: Callable[[], float]) -> Iterator[Action]:
+    """Yield the actions of one step of time after another, without end.
 
-    Changes are proposed, most of what is under way is carried out, and now and then something breaks. What
-    was held back comes some steps later.
+    In each step a change may be proposed, calls and other events under way are handled, some of the calls
+    with a fault, and at most one rarer action such as a crash happens. Delayed calls are executed some steps
+    later.
     """
     while True:
         yield (ActionKind.ADVANCE_TIME,)
@@ -55,24 +57,25 @@
 def walk(
     seed: int, steps: int, faults: int = 10, with_fingerprints: bool = False, **variant: Any
 ) -> set[int]:
-    """Walk once, then settle; raises InvariantError with its story.
+    """Take one random walk, then let the world settle; raises InvariantError with the trace of actions.
 
-    Returns the fingerprints of the states that it met, where asked for. variant: fields of RolloutVariant.
+    Returns the fingerprints of the states that were seen, if asked for. The seed also chooses the overlap and
+    the rule of members that are cut off. variant: fields of RolloutVariant.
     """
     draw = random.Random(seed).random
     overlap = (Overlap.STRICT, Overlap.LOOSE)[seed % 2]
     cut_off_rule = (CutOffRule.KEEP, CutOffRule.STAND)[seed // 2 % 2]
     world = World(overlap, faults, **{"cut_off_rule": cut_off_rule} | variant)
-    actions = rounds(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
+    actions = random_steps(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
     return walking.run_walk(world, actions, steps, seed, with_fingerprints)
 
 
 def explore(
-    overlap: Overlap, depth: int, most: int, faults: int = 1, seed: int = 0, **variant: Any
+    overlap: Overlap, depth: int, max_states: int, faults: int = 1, seed: int = 0, **variant: Any
 ) -> walking.Explored:
-    """Explore from a fleet with one change just proposed; most: states after which it stops."""
+    """Try all actions after a change was proposed to a settled fleet; max_states: after which it stops."""
     world = World(overlap, 0, **variant)
     world.settle()
     world.act(ActionKind.PROPOSE, GOOD_TEXT)
     world.faults = faults
-    return walking.explore(world, depth, most, seed)
+    return walking.explore(world, depth, max_states, seed)
