--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -1,7 +1,8 @@
-"""The checker of a fleet: reads the store's journal and the engines' records, and knows none of our code.
+"""Checks the roles and effects of a fleet by the store's journal and the engines' records.
 
-What it takes as given is how things are stored: duties/NAME holds who leads a role, the revision of its last
-change is the fencing token, beats/ and plan/ are effects, whose transactions compare the token.
+It shares no code with what it checks. It knows only the stored form: duties/ROLE holds the leader of a role,
+and the revision of its last change is the fencing token; keys under beats/ and plan/ are effects, whose
+transactions are conditional on the token.
 """
 
 import json
@@ -20,7 +21,7 @@
 
 
 class Leader(NamedTuple):
-    """Who leads a role."""
+    """The leader of a role, its fencing token and its lease."""
 
     member: str
     token: int
@@ -28,7 +29,7 @@
 
 
 class Acquisition(NamedTuple):
-    """A member began to lead a role."""
+    """A member became the leader of a role."""
 
     at: float  # Unix s
     token: int
@@ -36,7 +37,7 @@
 
 
 class Handover(NamedTuple):
-    """A role passed to another member. first_effect_at None: it has had no effect yet."""
+    """A role passed to another member; times in Unix s. first_effect_at None: no effect so far."""
 
     role: str
     first_effect_at: float | None
@@ -44,14 +45,14 @@
 
 
 class FleetChecker:
-    """Goes through a journal once. Everything that is wrong is in `violations`, a line each.
+    """Goes through a journal once, and lists everything that is wrong in `violations`, a line each.
 
     effects: number of effects carried out; rejected_effects: number refused because their token was no longer
     valid; leader_changes: how often a role's new leader was another member than the one before.
     """
 
     def __init__(self, lines: Iterable[Line]) -> None:
-        """lines: of the journal, in their order."""
+        """lines: of the store's journal, in their order."""
         self.violations: list[str] = []
         self.rejected_effects = 0
         self.effects = 0
@@ -66,20 +67,20 @@
         for line in lines:
             line_revision = line.get("revision", revision)
             if line_revision < revision:
-                self.violations.append(f"the register went back from revision {revision}: {line}")
+                self.violations.append(f"the store went back from revision {revision}: {line}")
             revision = line_revision
             self._check_line(line)
 
     def leaders(self) -> dict[str, tuple[str, int]]:
-        """(member, token) of the leader of each role at the end."""
+        """Return (member, token) of the leader of each role at the end of the journal."""
         return {role: (leader.member, leader.token) for role, leader in self._leaders.items()}
 
     def occurrences(self) -> dict[OccurrenceKey, Any]:
-        """The last stored record of each occurrence."""
+        """Return the last stored record of each occurrence."""
         return {key: records[max(records)] for key, records in self._occurrences.items()}
 
     def handovers(self) -> list[Handover]:
-        """The changes of a role's leader."""
+        """Return the changes of each role's leader from one member to another."""
         return [
             Handover(role, self._first_effects.get((role, new.token)), new.at)
             for role, acquisitions in self._acquisitions.items()
@@ -98,11 +99,14 @@
                 self._check_start(line["keys"])
 
     def _check_start(self, keys: list[list]) -> None:
-        """A store that was killed: what it committed and had not yet written down is in its keys."""
+        """Take the leaders from the keys with which the store started.
+
+        A store that was killed may have committed changes that it had not yet written to the journal.
+        """
         self._leaders = {}
         self._roles_by_lease = defaultdict(set)
         for key, value, revision, lease in keys:
-            name = _without_fleet(key)
+            name = _fleet_key(key)
             if not name.startswith(ROLES):
                 continue
             role = name.removeprefix(ROLES)
@@ -111,8 +115,8 @@
             self._highest_tokens[role] = max(self._highest_tokens[role], revision)
 
     def _check_transaction(self, line: Line) -> None:
-        conditions = {_without_fleet(key): revision for key, revision in line["when"]}
-        writes = [(kind, _without_fleet(key), value, lease) for kind, key, value, lease in line["acts"]]
+        conditions = {_fleet_key(key): revision for key, revision in line["when"]}
+        writes = [(kind, _fleet_key(key), value, lease) for kind, key, value, lease in line["acts"]]
         effects = [key for kind, key, _, _ in writes if kind == "put" and key.startswith(EFFECTS)]
         if effects:
             tokens = {
@@ -153,7 +157,7 @@
                 f"{role} was taken from {tuple(old)} by {leader.member} at revision {leader.token}"
             )
         if leader.token <= self._highest_tokens[role]:
-            self.violations.append(f"the token of {role} did not grow: {leader.token}")
+            self.violations.append(f"the token of {role} did not increase: {leader.token}")
         if old:
             self._roles_by_lease[old.lease].discard(role)
         acquisitions = self._acquisitions[role]
@@ -181,7 +185,7 @@
 
 
 def attempts_by_key(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
-    """(time, profile) of what engines were sent, by idempotency key."""
+    """Return (time in s, profile) of the attempts that engines received, by idempotency key."""
     found = defaultdict(list)
     for engine in engines:
         for command in engine.received:
@@ -191,7 +195,7 @@
 
 
 def attempts_by_statement(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
-    """(time, profile) of what engines were sent, by statement."""
+    """Return (time in s, profile) of the attempts that engines received, by statement."""
     found = defaultdict(list)
     for engine in engines:
         for command in engine.received:
@@ -199,6 +203,6 @@
     return found
 
 
-def _without_fleet(key: str) -> str:
-    """A key without the prefix of its fleet, /gullhold/NAME/."""
+def _fleet_key(key: str) -> str:
+    """Return a key without the prefix of its fleet, /gullhold/FLEET/."""
     return key.split("/", 3)[3]
