--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -45,7 +45,7 @@
 class ForgetsInUse(Ledger):
     """Takes calls in flight for ended when their allocation is given back."""
 
-    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  this is the fault
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  the fault
         """Apply a report as if nothing were in use."""
         super().report(member, applied_write, 0, now)
 
@@ -176,7 +176,7 @@
 class IgnoresLeaseTime(Allocations):
     """Uses its allocations after its lease has expired by its own clock."""
 
-    def is_valid(self, now: int) -> bool:  # noqa: ARG002  this is the fault
+    def is_valid(self, now: int) -> bool:  # noqa: ARG002  that is the fault
         """Whether it has ever had a lease."""
         return self.lease_id != 0
 
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -76,7 +76,7 @@
 class ActsWhileReleasing(Membership):
     """Goes on acting on a role that it releases until the reply to the release arrives."""
 
-    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Keeps the token of a released role until the reply."""
 
         def lost(self, role: str, reason: str) -> None:
@@ -103,7 +103,7 @@
 class TakesUnknownForNotDone(Membership):
     """Takes a release whose reply was lost for not executed, and goes on under the old token."""
 
-    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Goes on with the roles after a lost reply to their release."""
 
         def release_replied(self, now: int, call: PendingCall, reply: Reply) -> None:
@@ -121,7 +121,7 @@
     An older call that is still under way may yet delete that key.
     """
 
-    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Does not write the role's key again for a new token."""
 
         def handle_role_key(self, now: int, role: str, item: KeyValue | None) -> None:
@@ -135,7 +135,7 @@
 class ClaimsUnconditionally(Membership):
     """Claims a role whether or not another member holds it."""
 
-    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Claims on the condition of the member's own key alone."""
 
         def _claim_call(self, roles: list[str], lease_id: int) -> CallPlan:
@@ -182,7 +182,7 @@
 class NeverReleases(Membership):
     """Keeps roles that are assigned to other members."""
 
-    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Releases no role."""
 
         def releasable(self) -> list[tuple[str, int]]:
@@ -193,7 +193,7 @@
 class ClaimsWithoutLease(Membership):
     """Writes role keys without attaching them to its lease."""
 
-    class claims_type(RoleClaims):  # noqa: N801  overrides the attribute of this name
+    class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
         """Claims with keys that do not expire."""
 
         def _claim_call(self, roles: list[str], lease_id: int) -> CallPlan:
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -1,4 +1,8 @@
-"""Deliberate faults in the decisions of a rollout: the explorer finds each one, or it has a gap."""
+"""Mutants of the rollout logic: the walks of the explorer have to find each of them.
+
+A mutant is the product's class of gates, members or coordinators with one method changed. A mutant that no
+walk finds shows a gap in the explorer or its invariants.
+"""
 
 from dataclasses import replace
 
@@ -17,36 +21,36 @@
 
 
 class IgnoresLeaseTime(PolicyGate):
-    """Dispatches whatever the time."""
+    """Dispatches after the member's lease has expired."""
 
     def may_dispatch(self) -> bool:
-        """As the product's, without the lease's end."""
+        """Decide without the expiry of the lease."""
         return not self.is_stopped and self.enrolled_lease != 0
 
 
 class TrustsSilentWatch(PolicyGate):
-    """Takes a watch that says nothing for a proof that nothing changed."""
+    """Takes a watch that reports nothing for a proof that the policy has not changed."""
 
     def may_dispatch(self) -> bool:
-        """As the product's, with the policy always known."""
+        """Decide as if the policy had just been confirmed."""
         self.policy_known_until = max(self.policy_known_until, self.clock() + self.guaranteed_us)
         return super().may_dispatch()
 
 
 class IgnoresStop(PolicyGate):
-    """Says that it has stopped, and dispatches."""
+    """Dispatches though the member has voted that it has stopped."""
 
     def may_dispatch(self) -> bool:
-        """As the product's, never stopped."""
+        """Decide as if never stopped."""
         self.is_stopped = False
         return super().may_dispatch()
 
 
 class EnrollsUnconditionally(RolloutMember):
-    """Enrolls without looking whether what it learned still holds."""
+    """Enrolls even if the policy has changed since it read it."""
 
     def step(self, now: int, lease: int) -> None:
-        """As the product's, without the conditions of the enrollment."""
+        """Step, and drop the conditions of an enrollment."""
         super().step(now, lease)
         in_flight = self.calls.in_flight
         if self.out and in_flight and in_flight.purpose == CallPurpose.ENROLL:
@@ -55,10 +59,10 @@
 
 
 class DispatchesUnenrolled(RolloutMember):
-    """Opens its gate when it has a lease, before it has learned anything."""
+    """Opens its gate as soon as it has a lease, before it has read the policy and enrolled."""
 
     def step(self, now: int, lease: int) -> None:
-        """As the product's, with the gate open."""
+        """Step, and open the gate in the states before enrollment."""
         super().step(now, lease)
         if self.state in (MemberState.LEARNING, MemberState.ENROLLING):
             self.gate.enrolled_lease = lease
@@ -67,14 +71,14 @@
 
 
 class AcceptsUnfitVersion(RolloutMember):
-    """Votes ready on what does not fit, and runs it."""
+    """Votes ready on a version that does not fit its settings, and adopts it."""
 
     def __init__(self, name, gate, _fits, figures) -> None:  # noqa: ANN001  the product's signature
         super().__init__(name, gate, lambda _version: "", figures)
 
 
 class StaysStopped(RolloutMember):
-    """Stays stopped though the change was dropped."""
+    """Stays stopped after a change was dropped."""
 
     def _consider_change(self) -> None:
         if self.change is None or self.change.state != ChangeState.DROPPED:
@@ -82,7 +86,7 @@
 
 
 class ReportsStopTooSoon(RolloutMember):
-    """Says that it has stopped before its core has."""
+    """Votes that it has stopped before its core has."""
 
     def _consider_change(self) -> None:
         super()._consider_change()
@@ -93,17 +97,17 @@
 
 
 class TrustsLostReplyPublisher(VotePublisher):
-    """Takes a vote whose reply was lost for stored."""
+    """Takes a vote for stored when the reply to its write was lost."""
 
     def written(self, reply: Reply) -> None:
-        """As the product's, whatever the reply proves."""
+        """Handle any reply as success."""
         if reply.proof != Proof.DONE:
             self._stored = self._written
         super().written(reply)
 
 
 class TrustsLostReply(RolloutMember):
-    """Takes a vote whose reply was lost for stored."""
+    """Takes a vote for stored when the reply to its write was lost."""
 
     def __init__(self, name, gate, fits, figures) -> None:  # noqa: ANN001  the product's signature
         super().__init__(name, gate, fits, figures)
@@ -111,7 +115,7 @@
 
 
 class AdoptsOnReady(RolloutMember):
-    """Goes by a change as soon as it has voted ready."""
+    """Adopts a version as soon as it has voted ready on it."""
 
     def _consider_change(self) -> None:
         super()._consider_change()
@@ -121,7 +125,7 @@
 
 
 class DecidesByMajority(RolloutCoordinator):
-    """Decides when most have voted."""
+    """Decides when more than half of the members have voted for the change."""
 
     def _all_support(self, kind: VoteKind) -> bool:
         number = self.change.version.number
@@ -130,11 +134,11 @@
         return count * 2 > len(votes)
 
 
-class UnconditionalWrites(RolloutCoordinator):
-    """Writes without some of the conditions."""
+class WritesWithFewerConditions(RolloutCoordinator):
+    """Base of mutants that write without some of the conditions."""
 
     def take_actions(self) -> list[RoleAction]:
-        """As the product's, with fewer conditions."""
+        """Return the product's actions with fewer conditions on writes."""
         return [
             replace(action, conditions=self._reduced(action.conditions))
             if isinstance(action, WriteKeys)
@@ -146,22 +150,22 @@
         raise NotImplementedError
 
 
-class IgnoresEnrollment(UnconditionalWrites):
-    """Decides whoever joined meanwhile."""
+class IgnoresEnrollment(WritesWithFewerConditions):
+    """Decides even if a member has enrolled since it counted the votes."""
 
     def _reduced(self, conditions: tuple[Condition, ...]) -> tuple[Condition, ...]:
         return tuple((key, revision) for key, revision in conditions if key != ENROLLMENT_KEY)
 
 
-class WritesUnconditionally(UnconditionalWrites):
-    """Writes whatever is stored: a write that was given up may come after another change."""
+class WritesUnconditionally(WritesWithFewerConditions):
+    """Writes without conditions: a write that was given up may be executed after another change."""
 
     def _reduced(self, conditions: tuple[Condition, ...]) -> tuple[Condition, ...]:  # noqa: ARG002  all go
         return ()
 
 
 class IgnoresRefusals(RolloutCoordinator):
-    """Counts a refusal as a vote like any other."""
+    """Counts a refusal as a vote for the change."""
 
     def _drop_if_refused(self) -> bool:
         return False
@@ -173,7 +177,7 @@
 
 
 class SkipsPreparation(RolloutCoordinator):
-    """Decides a strict change without anybody having stopped."""
+    """Decides a strict change without waiting for the members to stop."""
 
     def _change_state(
         self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
@@ -183,17 +187,17 @@
 
 
 class ClosesChangeEarly(RolloutCoordinator):
-    """Forgets a change as soon as it is decided, whoever goes by what."""
+    """Deletes a change as soon as it is decided, before all members have adopted its version."""
 
     def _close(self) -> None:
         self._write([Delete(CHANGE_KEY)], ())
 
 
 class WaitsForExpiredVotes(RolloutCoordinator):
-    """Waits for the votes of those whose lease is over."""
+    """Waits for the votes of members whose lease has expired."""
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """As the product's, deaf to votes that are deleted."""
+        """Handle a change, but not the deletion of a vote."""
         if value is not None or not key.startswith(VOTES):
             super().changed(now, key, value, revision)
 
@@ -223,7 +227,7 @@
 
 
 def find_detecting_walk(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
-    """Return the first walk that finds a mutant; None: none of them does."""
+    """Return the first walk that fails with a mutant; None: none of them does."""
     return walking.find_failing_walk(
         lambda seed: rollout_explorer.walk(seed, steps, **MUTANTS[name]), walks, first
     )
