--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -24,7 +24,7 @@
 
 
 class RetriesAnyProfile(ScheduledCommand):
-    """Sends an attempt that may have run once more, whatever the command's idempotency."""
+    """Repeats an attempt that may have run, whatever the command's idempotency."""
 
     def _recover(self, occurrence: Occurrence, now: int) -> None:
         self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
