--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -64,7 +64,7 @@
         self.gate = gate
         self.find_fault = find_fault
         self.state = MemberState.NO_LEASE
-        self.out: list[MemberAction] = []
+        self.actions: list[MemberAction] = []
         self.lease = 0
         self.version = INITIAL_VERSION
         self.change: PolicyChange | None = None
@@ -80,9 +80,9 @@
 
     def take_actions(self) -> list[MemberAction]:
         """Return the actions to carry out now, in order."""
-        out = self.out
-        self.out = []
-        return out
+        actions = self.actions
+        self.actions = []
+        return actions
 
     def key(self) -> str:
         """The key of this member's vote."""
@@ -152,7 +152,7 @@
             self._vote(self._enrolled_vote._replace(figures=self.figures.take(now)))
 
     def _call(self, now: int, purpose: CallPurpose, request: Transaction) -> None:
-        self.out.append(CallStore(self.calls.start(now, purpose), request))
+        self.actions.append(CallStore(self.calls.start(now, purpose), request))
 
     def _become(self, state: MemberState) -> None:
         """Change the state; the only place that does."""
@@ -172,7 +172,7 @@
         self.publisher.vote = vote
 
     def _log(self, level: str, text: str, **facts: object) -> None:
-        self.out.append(LogEvent(level, text, facts))
+        self.actions.append(LogEvent(level, text, facts))
 
     # Replies
 
@@ -219,7 +219,7 @@
         self.gate.is_stopped = False
         self.gate.snapshot_valid_until = 0
         self._confirm_policy()
-        self.out.append(WatchPolicy(self.revisions.read_at + 1))
+        self.actions.append(WatchPolicy(self.revisions.read_at + 1))
         self._log("info", "version adopted", version=self.version.number)
         self._consider_change()
 
@@ -268,7 +268,7 @@
         """Have the core use a version; nothing is dispatched until it does."""
         self.gate.stop()
         self.adoption_serial += 1
-        self.out.append(AdoptVersion(self.adoption_serial, version))
+        self.actions.append(AdoptVersion(self.adoption_serial, version))
 
     def _reject_current(self, now: int, reason: str) -> None:
         """Dispatch nothing, as the policy in force can't be run here."""
@@ -376,7 +376,7 @@
     def _stop_for(self, change: PolicyChange) -> None:
         if self._enrolled_vote.kind == VoteKind.READY:
             self.gate.stop()
-            self.out.append(StopDispatching(change.version.number))
+            self.actions.append(StopDispatching(change.version.number))
 
     def stopped(self, now: int, number: int) -> None:
         """Record that the core has stopped dispatching for this change."""
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -49,9 +49,9 @@
         """As the product's, without the conditions of the enrollment."""
         super().step(now, lease)
         in_flight = self.calls.in_flight
-        if self.out and in_flight and in_flight.purpose == CallPurpose.ENROLL:
-            call = self.out[-1]
-            self.out[-1] = CallStore(call.serial, Transaction((), call.request.operations))
+        if self.actions and in_flight and in_flight.purpose == CallPurpose.ENROLL:
+            call = self.actions[-1]
+            self.actions[-1] = CallStore(call.serial, Transaction((), call.request.operations))
 
 
 class DispatchesUnenrolled(RolloutMember):
