--- a/benchmarks/policy_rollout_calls.py
+++ b/benchmarks/policy_rollout_calls.py
@@ -9,7 +9,7 @@
 from gullhold.rollout.policy_change import Overlap, PolicyChange
 from gullhold.rollout.policy_version import PolicyVersion
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
-from gullhold.rollout.store_schema import CHANGE_KEY, CURRENT_KEY, VOTES, encode_change, encode_vote
+from gullhold.rollout.store_schema import CHANGE_KEY, CURRENT_KEY, VOTES_PREFIX, encode_change, encode_vote
 from gullhold.rollout.vote import Vote, VoteKind
 
 FIRST_REVISION = 10
@@ -73,7 +73,7 @@
     store = CoordinatorStore()
     version = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
     store.keys[CHANGE_KEY] = encode_change(PolicyChange(version, overlap=Overlap.STRICT))
-    vote_keys = [f"{VOTES}m{number}/1" for number in range(members)]
+    vote_keys = [f"{VOTES_PREFIX}m{number}/1" for number in range(members)]
     for key in vote_keys:
         store.keys[key] = encode_vote(Vote(0))
     coordinator.won(1, 0)
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/member_rollout.py
@@ -34,7 +34,7 @@
 from gullhold.rollout.policy_version import INITIAL_VERSION, PolicyError, PolicyVersion
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.rollout_member import RolloutMember
-from gullhold.rollout.store_schema import ROLE, ROOT, WATCHED
+from gullhold.rollout.store_schema import ROLE, ROLLOUT_PREFIX, WATCHED_PREFIX
 from gullhold.rollout.vote import CommandFigures
 
 if TYPE_CHECKING:
@@ -139,8 +139,8 @@
 
     def start(self, watch: Callable[..., Watcher]) -> None:
         """Start the watchers. watch: FleetMember.watch."""
-        self.watcher = watch("policy", WATCHED, self._changed, self._watch_gap)
-        self.fleet.watch_role(ROLE, "words", ROOT)
+        self.watcher = watch("policy", WATCHED_PREFIX, self._changed, self._watch_gap)
+        self.fleet.watch_role(ROLE, "words", ROLLOUT_PREFIX)
 
     def step(self, now: int) -> None:
         """Take the member's next step, and carry out its actions."""
--- a/gullhold/rollout/policy_client.py
+++ b/gullhold/rollout/policy_client.py
@@ -24,9 +24,9 @@
 from gullhold.rollout.proposal import current_version, propose
 from gullhold.rollout.store_schema import (
     CHANGE_KEY,
-    HISTORY,
-    ROOT,
-    VOTES,
+    HISTORY_PREFIX,
+    ROLLOUT_PREFIX,
+    VOTES_PREFIX,
     HistoryEntry,
     decode_change,
     decode_history_entry,
@@ -75,7 +75,7 @@
 
     def read(self) -> dict[str, KeyValue]:
         """Read all keys of the rollout. Raises StoreUnavailableError."""
-        reply = self.session.call(ReadPrefix(ROOT))
+        reply = self.session.call(ReadPrefix(ROLLOUT_PREFIX))
         if reply.proof != Proof.DONE:
             raise StoreUnavailableError
         return {item.key: item for item in reply.items}
@@ -87,7 +87,9 @@
     def history(self) -> list[HistoryEntry]:
         """The decided versions, oldest first."""
         keys = self.read()
-        return [decode_history_entry(keys[key].value) for key in sorted(keys) if key.startswith(HISTORY)]
+        return [
+            decode_history_entry(keys[key].value) for key in sorted(keys) if key.startswith(HISTORY_PREFIX)
+        ]
 
     def propose(
         self,
@@ -110,7 +112,7 @@
         parse_policy(text)
         keys = self.read()
         current = current_version(keys)
-        numbers = [int(key.removeprefix(HISTORY)) for key in keys if key.startswith(HISTORY)]
+        numbers = [int(key.removeprefix(HISTORY_PREFIX)) for key in keys if key.startswith(HISTORY_PREFIX)]
         version = PolicyVersion(
             max([current.number, *numbers]) + 1,
             current.number if parent is None else parent,
@@ -187,12 +189,12 @@
     """The members, by their votes on a change."""
     members: dict[str, list[str]] = {}
     for key, item in keys.items():
-        if not key.startswith(VOTES):
+        if not key.startswith(VOTES_PREFIX):
             continue
         vote = decode_vote(item.value)
         kind = vote.kind if number in (vote.change, vote.version) else "says nothing"
         reason = f": {vote.reason}" if vote.reason else ""
-        member, _, _ = key.removeprefix(VOTES).partition("/")
+        member, _, _ = key.removeprefix(VOTES_PREFIX).partition("/")
         members.setdefault(f"{kind}{reason}", []).append(member)
     lines = [
         f"{vote}: {', '.join(sorted(names)[:MAX_NAMES])} ({len(names)})"
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -26,10 +26,10 @@
     CHANGE_KEY,
     CURRENT_KEY,
     ENROLLMENT_KEY,
-    HISTORY,
-    ROOT,
-    VOTES,
-    WATCHED,
+    HISTORY_PREFIX,
+    ROLLOUT_PREFIX,
+    VOTES_PREFIX,
+    WATCHED_PREFIX,
     HistoryEntry,
     Outcome,
     decode_change,
@@ -51,7 +51,7 @@
     """The open change and the members' votes, while this member leads the role."""
 
     def __init__(self) -> None:
-        super().__init__(ROOT)
+        super().__init__(ROLLOUT_PREFIX)
         self.revision = 0  # the newest one that is included in this state
         self.change_since = 0  # when the change entered its state, us
         self._forget()
@@ -237,20 +237,20 @@
             self.change_revision = revision
         elif key == ENROLLMENT_KEY:
             self.enrollment_revision = revision
-        elif key.startswith(VOTES):
-            self.votes.set(key.removeprefix(VOTES), decode_vote(value))
-        elif key.startswith(HISTORY):
-            self.history.append(int(key.removeprefix(HISTORY)))
+        elif key.startswith(VOTES_PREFIX):
+            self.votes.set(key.removeprefix(VOTES_PREFIX), decode_vote(value))
+        elif key.startswith(HISTORY_PREFIX):
+            self.history.append(int(key.removeprefix(HISTORY_PREFIX)))
 
     def _on_key_changed(self, _now: int, key: str, value: str | None, revision: int) -> bool:
         if revision < self.revision:
             return False
         self.revision = revision
-        if key.startswith(VOTES):
+        if key.startswith(VOTES_PREFIX):
             vote = None if value is None else decode_vote(value)
-            self.votes.set(key.removeprefix(VOTES), vote)
+            self.votes.set(key.removeprefix(VOTES_PREFIX), vote)
         elif key == ENROLLMENT_KEY:
             self.enrollment_revision = revision
-        elif key.startswith(WATCHED) and not self.writing:
+        elif key.startswith(WATCHED_PREFIX) and not self.writing:
             self.is_loaded = False  # while we write, it is read when the reply has come
         return True
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -28,7 +28,7 @@
     CHANGE_KEY,
     CURRENT_KEY,
     ENROLLMENT_KEY,
-    VOTES,
+    VOTES_PREFIX,
     decode_change,
     decode_version,
     encode_vote,
@@ -368,7 +368,7 @@
         return self.find_fault(change.version)
 
     def _join_canary(self, change: PolicyChange) -> None:
-        is_chosen = self.key().removeprefix(VOTES) in change.canary_members
+        is_chosen = self.key().removeprefix(VOTES_PREFIX) in change.canary_members
         if is_chosen and not self.tried_change and self._enrolled_vote.kind == VoteKind.READY:
             self.tried_change = change.version.number
             self._hand_to_core(change.version)
--- a/gullhold/rollout/store_schema.py
+++ b/gullhold/rollout/store_schema.py
@@ -14,13 +14,15 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 
 ROLE = "policy"  # of the member that coordinates changes
-ROOT = "policy/"  # prefix of all keys of the rollout
-WATCHED = ROOT + "now/"  # prefix of the keys that every member watches
-CURRENT_KEY = WATCHED + "current"  # the version in force; absent: the initial one
-CHANGE_KEY = WATCHED + "change"  # the open change; absent: none is open
-ENROLLMENT_KEY = ROOT + "roll"  # written by every member that enrolls, so that a decision notices new members
-VOTES = ROOT + "words/"  # + a member's name and lease
-HISTORY = ROOT + "past/"  # + the number of a decided version
+ROLLOUT_PREFIX = "policy/"  # prefix of all keys of the rollout
+WATCHED_PREFIX = ROLLOUT_PREFIX + "now/"  # prefix of the keys that every member watches
+CURRENT_KEY = WATCHED_PREFIX + "current"  # the version in force; absent: the initial one
+CHANGE_KEY = WATCHED_PREFIX + "change"  # the open change; absent: none is open
+ENROLLMENT_KEY = (
+    ROLLOUT_PREFIX + "roll"
+)  # written by every member that enrolls, so that a decision notices new members
+VOTES_PREFIX = ROLLOUT_PREFIX + "words/"  # + a member's name and lease
+HISTORY_PREFIX = ROLLOUT_PREFIX + "past/"  # + the number of a decided version
 
 # Attribute of each stored field, by its stored name.
 VERSION_FIELDS = {
@@ -72,12 +74,12 @@
 
 def history_key(number: int) -> str:
     """The key of a version's history entry; keys sort by number."""
-    return f"{HISTORY}{number:010d}"
+    return f"{HISTORY_PREFIX}{number:010d}"
 
 
 def vote_key(member: str, lease: int) -> str:
     """The key of a member's vote; under another lease it counts as another member."""
-    return f"{VOTES}{member}/{lease:x}"
+    return f"{VOTES_PREFIX}{member}/{lease:x}"
 
 
 def version_to_stored(version: PolicyVersion) -> dict[str, Any]:
--- a/gullhold/testing/rollout_history.py
+++ b/gullhold/testing/rollout_history.py
@@ -7,7 +7,7 @@
 from gullhold.rollout.policy_change import ChangeState, Overlap
 from gullhold.rollout.policy_version import PolicyVersion
 from gullhold.rollout.proposal import current_version
-from gullhold.rollout.store_schema import CHANGE_KEY, VOTES, decode_change
+from gullhold.rollout.store_schema import CHANGE_KEY, VOTES_PREFIX, decode_change
 from gullhold.testing.role_pair_world import TERMS
 from gullhold.testing.simulated_rollout_member import SimulatedMember
 from gullhold.testing.walking import InvariantError
@@ -80,7 +80,7 @@
     def _is_canary(self, member: SimulatedMember, now: int) -> bool:
         """Whether it may dispatch under a version that is not decided, in a canary that may still run."""
         canary = self.canaries.get(member.number, NO_CANARY)
-        is_member = member.decisions.key().removeprefix(VOTES) in canary.members
+        is_member = member.decisions.key().removeprefix(VOTES_PREFIX) in canary.members
         return is_member and now <= canary.seen_at + MAX_OVERLAP_US
 
 
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -10,7 +10,7 @@
 from gullhold.rollout.policy_gate import PolicyGate
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.rollout_member import RolloutMember
-from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES
+from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES_PREFIX
 from gullhold.rollout.vote import VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
 from gullhold.testing import rollout_explorer, walking
@@ -194,7 +194,7 @@
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
         """As the product's, deaf to votes that are deleted."""
-        if value is not None or not key.startswith(VOTES):
+        if value is not None or not key.startswith(VOTES_PREFIX):
             super().changed(now, key, value, revision)
 
 
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -16,8 +16,8 @@
     CHANGE_KEY,
     CURRENT_KEY,
     ROLE,
-    ROOT,
-    WATCHED,
+    ROLLOUT_PREFIX,
+    WATCHED_PREFIX,
     decode_version,
 )
 from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
@@ -49,7 +49,7 @@
         """overlap: of all changes; variant: fields of RolloutVariant."""
         self.variant = RolloutVariant(**variant)
         coordinators = [self.variant.make_coordinator() for _ in range(2)]
-        super().__init__(Model(ROOT), "duties/" + ROLE, ROOT, coordinators, faults)
+        super().__init__(Model(ROLLOUT_PREFIX), "duties/" + ROLE, ROLLOUT_PREFIX, coordinators, faults)
         self.overlap = overlap
         self.proposed = 0
         self.history = RolloutHistory(overlap, self.now)
@@ -77,7 +77,7 @@
         self._collect_member(member)
 
     def _hears(self, member: SimulatedMember) -> bool:
-        return not member.cut and bool(self.changes_since(member.watched_from, WATCHED))
+        return not member.cut and bool(self.changes_since(member.watched_from, WATCHED_PREFIX))
 
     def _missing_names(self) -> list[str]:
         present = {member.name for member in self.members}
@@ -177,7 +177,7 @@
 
     def _do_hear(self, index: int) -> None:
         member = self.members[index]
-        changes = self.changes_since(member.watched_from, WATCHED)
+        changes = self.changes_since(member.watched_from, WATCHED_PREFIX)
         first_revision = changes[0][0]
         member.watched_from = first_revision + 1
         for revision, key, value in changes:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,7 +21,7 @@
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.store_schema import (
     CHANGE_KEY,
-    VOTES,
+    VOTES_PREFIX,
     decode_change,
     encode_change,
     encode_vote,
@@ -150,7 +150,7 @@
             7,
             items=(
                 KeyValue(CHANGE_KEY, encode_change(change), 5),
-                KeyValue(VOTES + "a/1", encode_vote(Vote(0)), 6),
+                KeyValue(VOTES_PREFIX + "a/1", encode_vote(Vote(0)), 6),
             ),
         ),
     )
