--- a/benchmarks/policy_rollout_calls.py
+++ b/benchmarks/policy_rollout_calls.py
@@ -13,7 +13,7 @@
 from gullhold.rollout.vote import Vote, VoteKind
 
 FIRST_REVISION = 10
-MEMBER_VOTES = (Vote(0, 1, VoteKind.READY), Vote(0, 1, VoteKind.STILL), Vote(1))  # of each, in this order
+MEMBER_VOTES = (Vote(0, 1, VoteKind.READY), Vote(0, 1, VoteKind.STOPPED), Vote(1))  # of each, in this order
 
 
 class CoordinatorCost(NamedTuple):
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -144,10 +144,10 @@
     def _await_stopped(self, now: int) -> None:
         if self._drop_if_refused():
             return
-        if self._all_support(VoteKind.STILL):
+        if self._all_support(VoteKind.STOPPED):
             self._change_state(ChangeState.DECIDED)
         else:
-            self._drop_if_overdue(now, VoteKind.STILL)
+            self._drop_if_overdue(now, VoteKind.STOPPED)
 
     def _close(self) -> None:
         """Delete the ended change once every member uses the version in force: the next may be opened."""
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -285,7 +285,7 @@
             self._become(MemberState.ENROLLING)
         elif self.state == MemberState.ACTIVE and self.tried_change:
             self.gate.is_stopped = False
-            self._vote(self._enrolled_vote._replace(kind=VoteKind.TRIAL))
+            self._vote(self._enrolled_vote._replace(kind=VoteKind.IN_CANARY))
             self._log("info", "canary version adopted", version=self.tried_change)
         elif self.state == MemberState.ACTIVE:
             self._vote(Vote(self.version.number))
@@ -384,5 +384,5 @@
         if self.state != MemberState.ACTIVE or change is None or not self.gate.is_stopped:
             return
         if change.version.number == number and change.state == ChangeState.PREPARED:
-            self._vote(Vote(self.version.number, number, VoteKind.STILL))
+            self._vote(Vote(self.version.number, number, VoteKind.STOPPED))
             self.step(now, self.lease)
--- a/gullhold/rollout/vote.py
+++ b/gullhold/rollout/vote.py
@@ -9,17 +9,17 @@
     """Kind of a vote, with the values that the store holds."""
 
     READY = "ready"  # the change can be run here
-    TRIAL = "trial"  # ready, and using it already, as part of the canary
+    IN_CANARY = "trial"  # ready, and using it already, as part of the canary
     REFUSED = "refused"  # the change can't be run here
-    STILL = "still"  # ready, and has stopped dispatching
-    UNDER = "under"  # no vote on a change: only the version in use
+    STOPPED = "still"  # ready, and has stopped dispatching
+    NO_VOTE = "under"  # no vote on a change: only the version in use
     UNREADABLE = "?"  # never written: a vote that can't be read
 
 
 # For each kind of vote that a change may wait for: the kinds that fulfil it.
 SUFFICIENT_KINDS: Mapping[VoteKind, frozenset[VoteKind]] = {
-    VoteKind.READY: frozenset((VoteKind.READY, VoteKind.TRIAL, VoteKind.STILL)),
-    VoteKind.STILL: frozenset((VoteKind.STILL,)),
+    VoteKind.READY: frozenset((VoteKind.READY, VoteKind.IN_CANARY, VoteKind.STOPPED)),
+    VoteKind.STOPPED: frozenset((VoteKind.STOPPED,)),
 }
 
 
@@ -64,7 +64,7 @@
 
     version: int
     change: int = 0
-    kind: VoteKind = VoteKind.UNDER
+    kind: VoteKind = VoteKind.NO_VOTE
     reason: str = ""
     figures: CommandFigures | None = None
 
--- a/gullhold/rollout/vote_tally.py
+++ b/gullhold/rollout/vote_tally.py
@@ -36,7 +36,7 @@
     def all_under(self, version: int) -> bool:
         """Whether each member uses the version and votes on no change."""
         return all(
-            position.version == version and position.kind == VoteKind.UNDER for position in self._counts
+            position.version == version and position.kind == VoteKind.NO_VOTE for position in self._counts
         )
 
     def first_refusal(self, change: int) -> tuple[str, Vote] | None:
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -88,7 +88,7 @@
         super()._consider_change()
         is_prepared = self.change and self.change.state == ChangeState.PREPARED
         if is_prepared and self.vote.kind == VoteKind.READY:
-            self._vote(self.vote._replace(kind=VoteKind.STILL))
+            self._vote(self.vote._replace(kind=VoteKind.STOPPED))
             self.gate.is_stopped = False
 
 
@@ -126,7 +126,7 @@
     def _all_support(self, kind: VoteKind) -> bool:
         number = self.change.version.number
         votes = self.votes.votes.values()
-        count = sum(vote.change == number and vote.kind in (kind, VoteKind.STILL) for vote in votes)
+        count = sum(vote.change == number and vote.kind in (kind, VoteKind.STOPPED) for vote in votes)
         return count * 2 > len(votes)
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -173,7 +173,7 @@
 
 
 def test_a_vote_is_read_as_it_was_stored_or_as_no_vote():
-    vote = Vote(2, 3, VoteKind.TRIAL, "", CommandFigures(4, 5, 6))
+    vote = Vote(2, 3, VoteKind.IN_CANARY, "", CommandFigures(4, 5, 6))
     assert json.loads(encode_vote(vote)) == {
         "under": 2,
         "about": 3,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -102,7 +102,7 @@
 
     def bad(trial, others, over=True):
         votes = {
-            "a/1": Vote(0, 1, VoteKind.TRIAL, "", CommandFigures(*trial)),
+            "a/1": Vote(0, 1, VoteKind.IN_CANARY, "", CommandFigures(*trial)),
             "b/1": Vote(0, 1, VoteKind.READY, "", CommandFigures(*others)),
         }
         return canary.find_fault(change, votes, over)
