--- a/gullhold/rollout/member_state.py
+++ b/gullhold/rollout/member_state.py
@@ -8,7 +8,7 @@
     """State of a member."""
 
     NO_LEASE = auto()
-    LEARNING = auto()  # reads the policy in force
+    READING_POLICY = auto()  # reads the policy in force
     ADOPTING = auto()  # waits until the core uses it
     ENROLLING = auto()  # writes its first vote
     ACTIVE = auto()  # dispatches under the policy, and takes part in changes
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -95,7 +95,7 @@
         if not lease or not self.calls.is_free(now):
             return
         match self.state:
-            case MemberState.LEARNING:
+            case MemberState.READING_POLICY:
                 reads = (Get(CURRENT_KEY), Get(CHANGE_KEY), Get(ENROLLMENT_KEY))
                 self._call(now, CallPurpose.READ_POLICY, Transaction((), reads))
             case MemberState.ENROLLING:
@@ -111,7 +111,7 @@
         self.publisher.reset()
         self.change = None
         self.tried_change = 0
-        self._become(MemberState.LEARNING if lease else MemberState.NO_LEASE)
+        self._become(MemberState.READING_POLICY if lease else MemberState.NO_LEASE)
 
     def _step_active(self, now: int) -> None:
         self._report_figures(now)
@@ -211,7 +211,7 @@
         # Refused: something has changed since the read. Unknown: this member may have enrolled. In both cases
         # the policy in force is read again.
         if reply.proof != Proof.DONE or not reply.succeeded:
-            self._become(MemberState.LEARNING)
+            self._become(MemberState.READING_POLICY)
             return
         self.publisher.set_stored(Vote(self.version.number), reply.revision)
         self._become(MemberState.ACTIVE)
@@ -260,7 +260,7 @@
             return
         self.version = version
         self.tried_change = 0
-        if self.state == MemberState.LEARNING:
+        if self.state == MemberState.READING_POLICY:
             self._become(MemberState.ADOPTING)
         self._hand_to_core(version)
 
@@ -275,7 +275,7 @@
         self.gate.enrolled_lease = 0
         self.calls.retry_at = now + UNUSABLE_RETRY_US
         self._log("error", "version in force rejected", reason=reason)
-        self._become(MemberState.LEARNING)
+        self._become(MemberState.READING_POLICY)
 
     def adopted(self, now: int, serial: int) -> None:
         """Record that the core uses the version from now on."""
@@ -322,7 +322,7 @@
         """Read the policy again, as the watch has missed changes; the lease and its key stay."""
         if self.state == MemberState.ACTIVE:
             self.gate.enrolled_lease = 0
-            self._become(MemberState.LEARNING)
+            self._become(MemberState.READING_POLICY)
             self.step(now, self.lease)
 
     def _consider_change(self) -> None:
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -60,7 +60,7 @@
     def step(self, now: int, lease: int) -> None:
         """As the product's, with the gate open."""
         super().step(now, lease)
-        if self.state in (MemberState.LEARNING, MemberState.ENROLLING):
+        if self.state in (MemberState.READING_POLICY, MemberState.ENROLLING):
             self.gate.enrolled_lease = lease
             self.gate.is_stopped = False
             self.gate.policy_known_until = now + self.gate.guaranteed_us
