--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -4,14 +4,14 @@
 from enum import StrEnum
 from typing import Protocol
 
-STAND_MARGIN_DIVISOR = 3  # 1 / share of a lease's time that is left unused: a renewal was missed by then
+EARLY_STOP_MARGIN_DIVISOR = 3  # 1 / share of a lease's time that is left unused: a renewal was missed by then
 
 
 class CutOffRule(StrEnum):
     """How long a member that is cut off while a change is open goes on (values in the operator file)."""
 
-    KEEP = "keep"  # until its lease ends
-    STAND = "stand"  # until a margin before its lease ends
+    UNTIL_LEASE_END = "keep"  # until its lease ends
+    BEFORE_LEASE_END = "stand"  # until a margin before its lease ends
 
 
 class LeaseView(Protocol):
@@ -51,8 +51,8 @@
         if now < self.snapshot_valid_until:
             return True
         margin_us = 0
-        if self.cut_off_rule == CutOffRule.STAND and self.open_change:
-            margin_us = self.guaranteed_us // STAND_MARGIN_DIVISOR
+        if self.cut_off_rule == CutOffRule.BEFORE_LEASE_END and self.open_change:
+            margin_us = self.guaranteed_us // EARLY_STOP_MARGIN_DIVISOR
         return (
             not self.is_stopped
             and now < valid_until - margin_us
--- a/gullhold/testing/rollout_explorer.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -48,7 +48,7 @@
     """
     draw = random.Random(seed).random
     overlap = (Overlap.STRICT, Overlap.LOOSE)[seed % 2]
-    cut_off_rule = (CutOffRule.KEEP, CutOffRule.STAND)[seed // 2 % 2]
+    cut_off_rule = (CutOffRule.UNTIL_LEASE_END, CutOffRule.BEFORE_LEASE_END)[seed // 2 % 2]
     world = World(overlap, faults, **{"cut_off_rule": cut_off_rule} | variant)
     actions = rounds(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
     return walking.run_walk(world, actions, steps, seed, marks)
--- a/gullhold/testing/rollout_variant.py
+++ b/gullhold/testing/rollout_variant.py
@@ -15,4 +15,4 @@
     make_member: Callable[..., RolloutMember] = RolloutMember
     make_gate: Callable[..., PolicyGate] = PolicyGate
     make_coordinator: Callable[..., RolloutCoordinator] = RolloutCoordinator
-    cut_off_rule: CutOffRule = CutOffRule.KEEP
+    cut_off_rule: CutOffRule = CutOffRule.UNTIL_LEASE_END
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -120,7 +120,7 @@
 
 def test_attempts_decided_before_the_gate_closed_are_not_sent_when_it_reopens():
     lease, now = Lease(LeaseTerms(1000, 0.0, 0)), [0]
-    gate = PolicyGate(lease, lambda: now[0], 10**9, CutOffRule.KEEP)
+    gate = PolicyGate(lease, lambda: now[0], 10**9, CutOffRule.UNTIL_LEASE_END)
     lease.renew(7, 0)
     gate.enrolled_lease = 7
     gate.policy_known_until = 10**9
