--- a/gullhold/rollout/policy_client.py
+++ b/gullhold/rollout/policy_client.py
@@ -21,7 +21,7 @@
     PolicyChange,
 )
 from gullhold.rollout.policy_version import PolicyError, PolicyVersion
-from gullhold.rollout.proposal import current_version, propose
+from gullhold.rollout.proposal import current_version, proposal_transaction
 from gullhold.rollout.store_schema import (
     CHANGE_KEY,
     HISTORY_PREFIX,
@@ -124,7 +124,7 @@
         change = PolicyChange(
             version, overlap=overlap, on_silence=on_silence, patience_us=patience_us, canary=canary
         )
-        reply = self.session.call(propose(change, keys))
+        reply = self.session.call(proposal_transaction(change, keys))
         if reply.proof == Proof.NOT_DONE:
             raise StoreUnavailableError
         if reply.proof == Proof.DONE and not reply.succeeded:
--- a/gullhold/rollout/proposal.py
+++ b/gullhold/rollout/proposal.py
@@ -22,7 +22,7 @@
     return decode_version(keys[CURRENT_KEY].value)
 
 
-def propose(change: PolicyChange, keys: Mapping[str, KeyValue]) -> Transaction:
+def proposal_transaction(change: PolicyChange, keys: Mapping[str, KeyValue]) -> Transaction:
     """Return the transaction that opens a change.
 
     Raises PolicyError if it can't be opened: another one is open, the version in force is not its parent, or
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -10,7 +10,7 @@
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
 from gullhold.rollout.policy_change import Canary, OnSilence, Overlap, PolicyChange
 from gullhold.rollout.policy_version import PolicyVersion
-from gullhold.rollout.proposal import propose
+from gullhold.rollout.proposal import proposal_transaction
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.store_schema import (
     CHANGE_KEY,
@@ -215,7 +215,7 @@
             patience_us=PATIENCE_US,
             canary=Canary(CANARY_SHARE, 2 * PATIENCE_US) if has_canary else None,
         )
-        self.model.call(propose(change, self.model.keys), self.now)
+        self.model.call(proposal_transaction(change, self.model.keys), self.now)
 
     def _do_come(self, name: str) -> None:
         member = SimulatedMember(self, name, RATES[NAMES.index(name)])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -17,7 +17,7 @@
 from gullhold.rollout.policy_change import Canary, ChangeState, OnSilence, Overlap, PolicyChange
 from gullhold.rollout.policy_gate import CutOffRule, PolicyGate
 from gullhold.rollout.policy_version import PolicyError, PolicyVersion
-from gullhold.rollout.proposal import propose
+from gullhold.rollout.proposal import proposal_transaction
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.store_schema import (
     CHANGE_KEY,
@@ -115,7 +115,7 @@
     others_only = {"b/1": Vote(0, 1, VoteKind.READY)}
     assert "none of its members" in canary.find_fault(change, others_only, False)
     with pytest.raises(PolicyError, match="can't be strict"):
-        propose(PolicyChange(VERSION, overlap=Overlap.STRICT, canary=change.canary), {})
+        proposal_transaction(PolicyChange(VERSION, overlap=Overlap.STRICT, canary=change.canary), {})
 
 
 def test_attempts_decided_before_the_gate_closed_are_not_sent_when_it_reopens():
