--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -50,8 +50,8 @@
 from gullhold.fleet.watcher import Watcher
 from gullhold.net.request_reader import RequestReader
 from gullhold.net.startup import start_thread
-from gullhold.rollout.member_rollout import LANES as ROLLOUT_LANES
-from gullhold.rollout.member_rollout import MemberRollout
+from gullhold.rollout.rollout_driver import LANES as ROLLOUT_LANES
+from gullhold.rollout.rollout_driver import RolloutDriver
 from gullhold.rollout.store_schema import ROLE as ROLLOUT_ROLE
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
                 raise UnusableFleetError(str(error)) from None
         self.policies = None
         if record.policy.on:
-            self.policies = MemberRollout(
+            self.policies = RolloutDriver(
                 self, record, agreement, monotonic_us, rules.lease_terms.guaranteed_us()
             )
         # What the operator file turns on of these; each has start(), step() and due().
--- a/gullhold/rollout/member_rollout.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -65,7 +65,7 @@
     state: ChangeState | None
 
 
-class MemberRollout:
+class RolloutDriver:
     """One member's side, and the coordinator's role.
 
     Called on the fleet's thread, except for the section below that the core's thread runs.
