--- a/gullhold/rollout/vote_publisher.py
+++ b/gullhold/rollout/vote_publisher.py
@@ -18,7 +18,7 @@
         self.vote: Vote | None = None
         self._stored: Vote | None = None  # None: not known
         self._revision = 0  # of the key
-        self._written: Vote | None = None  # the vote in the write under way
+        self._in_flight: Vote | None = None  # the vote in the write under way
 
     def set_stored(self, vote: Vote, revision: int) -> None:
         """Record that the vote has been stored, at this revision."""
@@ -33,7 +33,7 @@
     def request(self, key: str, lease: int) -> Transaction:
         """The transaction that writes the vote; until written() is called, the stored vote is unknown."""
         self._stored = None
-        self._written = self.vote
+        self._in_flight = self.vote
         operations = (Put(key, encode_vote(cast("Vote", self.vote)), lease),)
         return Transaction(((key, self._revision),), operations, (Get(key),))
 
@@ -42,7 +42,7 @@
         if reply.proof != Proof.DONE:
             return
         if reply.succeeded:
-            self._stored = self._written
+            self._stored = self._in_flight
             self._revision = reply.revision
         else:  # an earlier write without a reply was carried out: compare with its revision from now on
             self._revision = reply.items[0].revision if reply.items else 0
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -98,7 +98,7 @@
     def written(self, reply: Reply) -> None:
         """As the product's, whatever the reply proves."""
         if reply.proof != Proof.DONE:
-            self._stored = self._written
+            self._stored = self._in_flight
         super().written(reply)
 
 
