--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -88,7 +88,7 @@
             case ChangeState.PREPARED:
                 self._await_stopped(now)
             case ChangeState.DECIDED | ChangeState.DROPPED:
-                self._close()
+                self._delete_ended_change()
             case unknown:
                 raise PolicyError(f"a change in a state that this version does not know: {unknown}")
 
@@ -149,7 +149,7 @@
         else:
             self._drop_if_overdue(now, VoteKind.STOPPED)
 
-    def _close(self) -> None:
+    def _delete_ended_change(self) -> None:
         """Delete the ended change once every member uses the version in force: the next may be opened."""
         if self.votes.all_under(self.current.number):
             self._write_if_unchanged([Delete(CHANGE_KEY)])
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -221,7 +221,7 @@
         self._confirm_policy()
         self.actions.append(WatchPolicy(self.revisions.read_at + 1))
         self._log("info", "version adopted", version=self.version.number)
-        self._consider_change()
+        self._handle_change()
 
     def _refreshed(self, now: int, reply: Reply) -> None:
         """Take a read of the policy in force that was made besides the watch.
@@ -315,7 +315,7 @@
             except PolicyError as error:
                 self._log("error", "unreadable change", error=str(error))
                 return
-            self._consider_change()
+            self._handle_change()
         self.step(now, self.lease)
 
     def watch_gap(self, now: int) -> None:
@@ -325,7 +325,7 @@
             self._become(MemberState.READING_POLICY)
             self.step(now, self.lease)
 
-    def _consider_change(self) -> None:
+    def _handle_change(self) -> None:
         change = self.change
         if change is None or change.state == ChangeState.DECIDED:
             return
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -76,16 +76,16 @@
 class StaysStopped(RolloutMember):
     """Stays stopped though the change was dropped."""
 
-    def _consider_change(self) -> None:
+    def _handle_change(self) -> None:
         if self.change is None or self.change.state != ChangeState.DROPPED:
-            super()._consider_change()
+            super()._handle_change()
 
 
 class ReportsStopTooSoon(RolloutMember):
     """Says that it has stopped before its core has."""
 
-    def _consider_change(self) -> None:
-        super()._consider_change()
+    def _handle_change(self) -> None:
+        super()._handle_change()
         is_prepared = self.change and self.change.state == ChangeState.PREPARED
         if is_prepared and self.vote.kind == VoteKind.READY:
             self._vote(self.vote._replace(kind=VoteKind.STOPPED))
@@ -113,8 +113,8 @@
 class AdoptsOnReady(RolloutMember):
     """Goes by a change as soon as it has voted ready."""
 
-    def _consider_change(self) -> None:
-        super()._consider_change()
+    def _handle_change(self) -> None:
+        super()._handle_change()
         is_checked = self.change and self.change.state == ChangeState.CHECKED
         if self.state == MemberState.ACTIVE and is_checked and self.vote.kind == VoteKind.READY:
             self._adopt(0, self.change.version)
@@ -185,7 +185,7 @@
 class ClosesEarly(RolloutCoordinator):
     """Forgets a change as soon as it is decided, whoever goes by what."""
 
-    def _close(self) -> None:
+    def _delete_ended_change(self) -> None:
         self._write([Delete(CHANGE_KEY)], ())
 
 
