--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -84,7 +84,7 @@
         self.actions = []
         return actions
 
-    def key(self) -> str:
+    def own_vote_key(self) -> str:
         """The key of this member's vote."""
         return vote_key(self.name, self.lease)
 
@@ -116,7 +116,7 @@
     def _step_active(self, now: int) -> None:
         self._report_figures(now)
         if not self.publisher.is_stored():
-            request = self.publisher.request(self.key(), self.lease)
+            request = self.publisher.request(self.own_vote_key(), self.lease)
             self._call(now, CallPurpose.WRITE_VOTE, request)
         elif now >= self.refresh_at:
             reads = (Get(CURRENT_KEY), Get(CHANGE_KEY))
@@ -126,7 +126,7 @@
         """The transaction that writes the first vote if nothing has changed since the policy was read."""
         conditions = self.revisions.conditions((CURRENT_KEY, CHANGE_KEY, ENROLLMENT_KEY))
         vote = encode_vote(Vote(self.version.number))
-        operations = (Put(self.key(), vote, self.lease), Put(ENROLLMENT_KEY, self.name))
+        operations = (Put(self.own_vote_key(), vote, self.lease), Put(ENROLLMENT_KEY, self.name))
         return Transaction(conditions, operations)
 
     def due(self, now: int) -> int:
@@ -368,7 +368,7 @@
         return self.find_fault(change.version)
 
     def _join_canary(self, change: PolicyChange) -> None:
-        is_chosen = self.key().removeprefix(VOTES_PREFIX) in change.canary_members
+        is_chosen = self.own_vote_key().removeprefix(VOTES_PREFIX) in change.canary_members
         if is_chosen and not self.tried_change and self._enrolled_vote.kind == VoteKind.READY:
             self.tried_change = change.version.number
             self._hand_to_core(change.version)
--- a/gullhold/testing/rollout_history.py
+++ b/gullhold/testing/rollout_history.py
@@ -80,7 +80,7 @@
     def _is_canary(self, member: SimulatedMember, now: int) -> bool:
         """Whether it may dispatch under a version that is not decided, in a canary that may still run."""
         canary = self.canaries.get(member.number, NO_CANARY)
-        is_member = member.decisions.key().removeprefix(VOTES_PREFIX) in canary.members
+        is_member = member.decisions.own_vote_key().removeprefix(VOTES_PREFIX) in canary.members
         return is_member and now <= canary.seen_at + MAX_OVERLAP_US
 
 
