--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -149,7 +149,7 @@
 
     def _report_figures(self, now: int) -> None:
         if self._reports_figures() and now >= self.figures.due_at:
-            self._vote(self._enrolled_vote._replace(figures=self.figures.take(now)))
+            self._set_vote(self._enrolled_vote._replace(figures=self.figures.take(now)))
 
     def _call(self, now: int, purpose: CallPurpose, request: Transaction) -> None:
         self.actions.append(CallStore(self.calls.start(now, purpose), request))
@@ -168,7 +168,7 @@
         """The vote, once this member has enrolled."""
         return cast("Vote", self.publisher.vote)
 
-    def _vote(self, vote: Vote) -> None:
+    def _set_vote(self, vote: Vote) -> None:
         self.publisher.vote = vote
 
     def _log(self, level: str, text: str, **facts: object) -> None:
@@ -285,10 +285,10 @@
             self._become(MemberState.ENROLLING)
         elif self.state == MemberState.ACTIVE and self.tried_change:
             self.gate.is_stopped = False
-            self._vote(self._enrolled_vote._replace(kind=VoteKind.IN_CANARY))
+            self._set_vote(self._enrolled_vote._replace(kind=VoteKind.IN_CANARY))
             self._log("info", "canary version adopted", version=self.tried_change)
         elif self.state == MemberState.ACTIVE:
-            self._vote(Vote(self.version.number))
+            self._set_vote(Vote(self.version.number))
             self.gate.reopen()
             self._log("info", "version adopted", version=self.version.number)
         self.step(now, self.lease)
@@ -346,7 +346,7 @@
         if self.gate.is_stopped or self.gate.open_change:
             self.gate.reopen()
             self._log("info", "change aborted", version=change.version.number, reason=change.reason)
-        self._vote(Vote(self.version.number))
+        self._set_vote(Vote(self.version.number))
 
     def _check_change(self, change: PolicyChange) -> None:
         number = change.version.number
@@ -354,10 +354,10 @@
         if fault:
             self._log("warning", "change rejected", version=number, reason=fault)
             self.gate.open_change = 0
-            self._vote(Vote(self.version.number, number, VoteKind.REFUSED, fault))
+            self._set_vote(Vote(self.version.number, number, VoteKind.REFUSED, fault))
         else:
             self.gate.open_change = number
-            self._vote(Vote(self.version.number, number, VoteKind.READY))
+            self._set_vote(Vote(self.version.number, number, VoteKind.READY))
         self.figures.reset()
 
     def _fault_in(self, change: PolicyChange) -> str:
@@ -384,5 +384,5 @@
         if self.state != MemberState.ACTIVE or change is None or not self.gate.is_stopped:
             return
         if change.version.number == number and change.state == ChangeState.PREPARED:
-            self._vote(Vote(self.version.number, number, VoteKind.STOPPED))
+            self._set_vote(Vote(self.version.number, number, VoteKind.STOPPED))
             self.step(now, self.lease)
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -88,7 +88,7 @@
         super()._handle_change()
         is_prepared = self.change and self.change.state == ChangeState.PREPARED
         if is_prepared and self.vote.kind == VoteKind.READY:
-            self._vote(self.vote._replace(kind=VoteKind.STOPPED))
+            self._set_vote(self.vote._replace(kind=VoteKind.STOPPED))
             self.gate.is_stopped = False
 
 
