--- a/gullhold/rollout/call_slot.py
+++ b/gullhold/rollout/call_slot.py
@@ -1,12 +1,12 @@
-"""The one call to the store that a member of the rollout may have under way. Decisions only."""
+"""The single call to the store that a member of the rollout may have in flight. Performs no I/O."""
 
 from gullhold.rollout.member_state import CallInFlight, CallPurpose
 
 
 class CallSlot:
-    """The call under way, if any. Times are us of a monotonic clock.
+    """The call in flight, if any. Times are us of a monotonic clock.
 
-    sent_at: when the newest call was sent. retry_at: no call is sent before.
+    sent_at: when the last call was sent. retry_at: the earliest time of the next call.
     """
 
     def __init__(self) -> None:
@@ -16,7 +16,7 @@
         self._last_serial = 0
 
     def reset(self) -> None:
-        """Ignore the reply to a call under way, and allow the next one at once."""
+        """Ignore the reply to a call in flight, and allow the next call at once."""
         self.in_flight = None
         self.retry_at = 0
 
@@ -25,14 +25,14 @@
         return self.in_flight is None and now >= self.retry_at
 
     def start(self, now: int, purpose: CallPurpose) -> int:
-        """Record that a call is sent; return its serial."""
+        """Record that a call is sent now; return the serial that its reply will carry."""
         self._last_serial += 1
         self.in_flight = CallInFlight(purpose, self._last_serial)
         self.sent_at = now
         return self._last_serial
 
     def take_reply(self, serial: int) -> CallPurpose | None:
-        """Record the reply to a call; return the call's purpose, None if the reply is to be ignored."""
+        """Free the slot; return the purpose of the call, None if the reply is not to the call in flight."""
         call = self.in_flight
         if call is None or call.serial != serial:
             return None
--- a/gullhold/rollout/canary.py
+++ b/gullhold/rollout/canary.py
@@ -1,4 +1,4 @@
-"""The canary of a change: which members try it, and whether it fails there."""
+"""The canary of a change: chooses the members that try it, and decides whether it fails on them."""
 
 from collections.abc import Iterable, Mapping
 from hashlib import blake2s
@@ -7,11 +7,11 @@
 from gullhold.rollout.policy_change import Canary, PolicyChange
 from gullhold.rollout.vote import CommandFigures, Vote
 
-MIN_COMMANDS = 20  # of the canary's members together; with fewer the share of failures is not significant
+MIN_COMMANDS = 20  # finished by all canary members; with fewer the share of failures is not significant
 
 
 def choose_members(change: PolicyChange, members: Iterable[str]) -> tuple[str, ...]:
-    """The members that try the change: at least one, and different ones for each change."""
+    """Choose the members that try the change: at least one, and a different selection for each change."""
     ranked = sorted(members, key=lambda member: _rank(change.version.number, member))
     count = max(1, round(cast("Canary", change.canary).member_share * len(ranked)))
     return tuple(ranked[:count])
@@ -22,30 +22,30 @@
 
 
 def all_reported(change: PolicyChange, votes: Mapping[str, Vote]) -> bool:
-    """Whether each member of the canary that still votes has reported figures."""
+    """Whether each canary member that still has a vote has reported figures."""
     return all(vote.figures for member, vote in votes.items() if member in change.canary_members)
 
 
 def find_fault(change: PolicyChange, votes: Mapping[str, Vote], is_over: bool) -> str:
-    """Why the canary fails, one line; "" if it does not.
+    """Return one line on why the canary fails, "" if it does not.
 
-    is_over: its time has passed, so that the time that answers took counts too.
+    is_over: whether the canary's time has passed; only then are answer times compared too.
     """
     if not any(member in change.canary_members for member in votes):
         return "none of its members is left"
     canary = cast("Canary", change.canary)
-    tried = _total(change, votes, in_canary=True)
-    others = _total(change, votes, in_canary=False)
-    finished = tried.answered + tried.failed
-    if finished >= MIN_COMMANDS and tried.failed > canary.max_failed_share * finished:
-        return f"{tried.failed} of {finished} commands failed"
-    if not is_over or not tried.answered or not others.answered:
+    canary_total = _total(change, votes, in_canary=True)
+    others_total = _total(change, votes, in_canary=False)
+    finished = canary_total.answered + canary_total.failed
+    if finished >= MIN_COMMANDS and canary_total.failed > canary.max_failed_share * finished:
+        return f"{canary_total.failed} of {finished} commands failed"
+    if not is_over or not canary_total.answered or not others_total.answered:
         return ""
-    tried_mean_us = tried.answer_time_us / tried.answered
-    if tried_mean_us > canary.max_slowdown * others.answer_time_us / others.answered:
+    canary_mean_us = canary_total.answer_time_us / canary_total.answered
+    if canary_mean_us > canary.max_slowdown * others_total.answer_time_us / others_total.answered:
         return (
-            f"answers took {tried.answer_time_us // tried.answered} us, "
-            f"the others' {others.answer_time_us // others.answered}"
+            f"answers took {canary_total.answer_time_us // canary_total.answered} us, "
+            f"the others' {others_total.answer_time_us // others_total.answered}"
         )
     return ""
 
--- a/gullhold/rollout/canary_figures.py
+++ b/gullhold/rollout/canary_figures.py
@@ -1,4 +1,4 @@
-"""Figures on this member's commands since a canary began, which it reports with its vote. Decisions only."""
+"""Figures on this member's commands while a canary runs, reported in its vote. Performs no I/O."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,16 @@
 
 
 class CanaryFigures:
-    """The figures to report. due_at: when the next report is due, us of a monotonic clock."""
+    """Computes the figures to report. due_at: when the next report is due, us of a monotonic clock."""
 
     def __init__(self, read_figures: Callable[[], CommandFigures]) -> None:
-        """read_figures: figures on commands since the start of the process."""
+        """read_figures: returns figures on commands since the start of the process."""
         self.due_at = 0
         self._read_figures = read_figures
         self._baseline: CommandFigures | None = None  # figures at the first report
 
     def reset(self) -> None:
-        """Begin to count from zero with the next report."""
+        """Start from zero again: the next report is the new baseline."""
         self._baseline = None
 
     def take(self, now: int) -> CommandFigures:
--- a/gullhold/rollout/member_actions.py
+++ b/gullhold/rollout/member_actions.py
@@ -1,4 +1,4 @@
-"""Actions of a member of the rollout, which its driver carries out in order."""
+"""Actions that a rollout member hands to its driver, which carries them out in order."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallStore:
-    """Action: carry out the request; answered by replied()."""
+    """Action: send the request to the store; the reply goes to replied()."""
 
     serial: int
     request: Transaction
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdoptVersion:
-    """Action: have the core use this version; answered by adopted() when it does."""
+    """Action: have the core use this version, then call adopted()."""
 
     serial: int
     version: PolicyVersion
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StopDispatching:
-    """Action: have the core stop dispatching for this change; answered by stopped() when it has."""
+    """Action: have the core stop dispatching for the change of this number, then call stopped()."""
 
     change: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchPolicy:
-    """Action: watch the keys from this revision on; answered by changed() for each change."""
+    """Action: watch the keys below WATCHED_PREFIX from this revision on; each change goes to changed()."""
 
     revision: int
 
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -151,7 +151,7 @@
 
     def _delete_ended_change(self) -> None:
         """Delete the ended change once every member uses the version in force: the next may be opened."""
-        if self.votes.all_under(self.current.number):
+        if self.votes.all_use(self.current.number):
             self._write_if_unchanged([Delete(CHANGE_KEY)])
 
     def _all_support(self, kind: VoteKind) -> bool:
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -219,7 +219,7 @@
         self.gate.is_stopped = False
         self.gate.snapshot_valid_until = 0
         self._confirm_policy()
-        self.actions.append(WatchPolicy(self.revisions.read_at + 1))
+        self.actions.append(WatchPolicy(self.revisions.read_revision + 1))
         self._log("info", "version adopted", version=self.version.number)
         self._handle_change()
 
--- a/gullhold/rollout/vote.py
+++ b/gullhold/rollout/vote.py
@@ -1,4 +1,4 @@
-"""Votes of members on the open change."""
+"""Votes of members on the open change, and the figures that they report while a canary runs."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -6,17 +6,17 @@
 
 
 class VoteKind(StrEnum):
-    """Kind of a vote, with the values that the store holds."""
+    """Kind of a vote; the values are stored."""
 
     READY = "ready"  # the change can be run here
-    IN_CANARY = "trial"  # ready, and using it already, as part of the canary
+    IN_CANARY = "trial"  # ready, and uses the change already, as part of the canary
     REFUSED = "refused"  # the change can't be run here
     STOPPED = "still"  # ready, and has stopped dispatching
-    NO_VOTE = "under"  # no vote on a change: only the version in use
-    UNREADABLE = "?"  # never written: a vote that can't be read
+    NO_VOTE = "under"  # no vote on a change, only the version in use
+    UNREADABLE = "?"  # stands for a stored vote that can't be decoded; never written
 
 
-# For each kind of vote that a change may wait for: the kinds that fulfil it.
+# For each kind of vote that a change may wait for: the kinds that count as such a vote.
 SUFFICIENT_KINDS: Mapping[VoteKind, frozenset[VoteKind]] = {
     VoteKind.READY: frozenset((VoteKind.READY, VoteKind.IN_CANARY, VoteKind.STOPPED)),
     VoteKind.STOPPED: frozenset((VoteKind.STOPPED,)),
@@ -24,14 +24,14 @@
 
 
 class CommandFigures(NamedTuple):
-    """Figures on a member's commands: numbers answered and failed, total time of the answers (us)."""
+    """Figures on a member's commands: how many were answered and failed, and total answer time (us)."""
 
     answered: int
     failed: int
     answer_time_us: int
 
     def plus(self, other: "CommandFigures") -> "CommandFigures":
-        """The sum of two members' figures."""
+        """The sum of these figures and those of another member."""
         return CommandFigures(
             self.answered + other.answered,
             self.failed + other.failed,
@@ -39,7 +39,7 @@
         )
 
     def since(self, earlier: "CommandFigures") -> "CommandFigures":
-        """The difference from earlier figures of the same member."""
+        """The difference between these figures and earlier ones of the same member."""
         return CommandFigures(
             self.answered - earlier.answered,
             self.failed - earlier.failed,
@@ -48,7 +48,7 @@
 
 
 class VotePosition(NamedTuple):
-    """A vote without its reason and figures, by which votes are counted."""
+    """The parts of a vote by which votes are counted: all but reason and figures."""
 
     version: int
     change: int
@@ -58,8 +58,8 @@
 class Vote(NamedTuple):
     """One member's vote.
 
-    version: number of the version that the member uses; change: number of the change that it votes on, 0:
-    none; reason: of a refusal; figures: while a canary runs.
+    version: number of the version that the member uses; change: number of the change that it votes on, 0 if
+    none; reason: why the change is refused; figures: on its commands, while a canary runs.
     """
 
     version: int
@@ -69,9 +69,9 @@
     figures: CommandFigures | None = None
 
     def position(self) -> VotePosition:
-        """The position by which the vote is counted."""
+        """The parts of the vote by which it is counted."""
         return VotePosition(self.version, self.change, self.kind)
 
     def supports(self, change: int, kind: VoteKind) -> bool:
-        """Whether it is a vote of this kind, or of one that includes it, on the change."""
+        """Whether it is a vote on the change, of this kind or of one that counts as such."""
         return self.change == change and self.kind in SUFFICIENT_KINDS[kind]
--- a/gullhold/rollout/vote_tally.py
+++ b/gullhold/rollout/vote_tally.py
@@ -1,4 +1,4 @@
-"""The votes of a fleet's members, counted so that common questions need no pass over all members."""
+"""The votes of a fleet's members, counted so that common queries need no pass over all members."""
 
 from collections import Counter
 
@@ -6,11 +6,11 @@
 
 
 class VoteTally:
-    """Votes by member (name and lease, as in the key)."""
+    """Votes by member, identified by NAME/LEASE as in the vote's key."""
 
     def __init__(self) -> None:
         self.votes: dict[str, Vote] = {}
-        self._counts: Counter[VotePosition] = Counter()  # number of members by position
+        self._counts: Counter[VotePosition] = Counter()  # number of members for each position that occurs
 
     def set(self, member: str, vote: Vote | None) -> None:
         """Record a member's vote; None: the member's lease has ended."""
@@ -27,20 +27,20 @@
             del self._counts[position]
 
     def all_support(self, change: int, kind: VoteKind) -> bool:
-        """Whether there are members and all of them support the change with a vote of this kind."""
+        """Whether all members support the change with a vote of this kind; false if there are none."""
         sufficient = SUFFICIENT_KINDS[kind]
         return bool(self._counts) and all(
             position.change == change and position.kind in sufficient for position in self._counts
         )
 
-    def all_under(self, version: int) -> bool:
-        """Whether each member uses the version and votes on no change."""
+    def all_use(self, version: int) -> bool:
+        """Whether each member uses the version and has no vote on a change."""
         return all(
             position.version == version and position.kind == VoteKind.NO_VOTE for position in self._counts
         )
 
     def first_refusal(self, change: int) -> tuple[str, Vote] | None:
-        """(name and lease of a member that refuses the change, its vote); None: no member does."""
+        """A member that refuses the change, as (NAME/LEASE, vote); None if none does."""
         if not any(
             position.change == change and position.kind == VoteKind.REFUSED for position in self._counts
         ):
@@ -51,5 +51,5 @@
         return None
 
     def missing(self, change: int, kind: VoteKind) -> list[str]:
-        """The members that do not support the change with a vote of this kind, sorted."""
+        """The members that do not support the change with a vote of this kind, sorted by name."""
         return sorted(member for member, vote in self.votes.items() if not vote.supports(change, kind))
