--- a/gullhold/rollout/policy.py
+++ b/gullhold/rollout/policy.py
@@ -1,4 +1,4 @@
-"""The text of a policy: parses it, checks it against a deployment and converts it for other modules."""
+"""Parses the text of a policy, checks it against a deployment and converts it for other modules."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
@@ -14,15 +14,16 @@
 from gullhold.rollout.policy_version import PolicyError
 
 SCHEMA_FILE = "policy.cue"
-MAX_POLICY_CHARACTERS = 100_000  # a policy is one value in the store, whose length is limited
+MAX_POLICY_CHARACTERS = 100_000  # a policy is one value in the store, which limits their length
 
 
 class Policy(NamedTuple):
-    """The settings of a policy, by name; others are as in the agreement and in the operator file.
+    """The settings of a policy, by name; what it does not set is as in the agreement and the operator file.
 
-    The field names are the keys of the policy's text. shares: of tenants; priorities, grants (MB), sends
-    (maximum attempts of a command): by profile; budgets: totals by budget name; clients: weights in the
-    admission queue; schedules: whether a scheduled command runs.
+    The field names are the keys of the policy's text. shares: shares of capacity by tenant; priorities,
+    grants and sends: priority, largest memory grant (MB) and maximum attempts of a command, by profile;
+    budgets: totals by name of the budget; clients: weights in the admission queue by client; schedules:
+    whether a scheduled command runs, by its name.
     """
 
     shares: dict[str, float]
@@ -35,7 +36,7 @@
 
 
 class BudgetLimits(NamedTuple):
-    """One budget of the operator file: its total, and the part reserved for members without a lease."""
+    """One budget of the operator file: its total, and the reserve for members without a lease."""
 
     total: int
     reserve: int
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What a policy is checked against: the agreement, and names in the operator file."""
+    """What a policy is checked against: the agreement, and the features that the operator file sets up."""
 
     agreement: Agreement
     budgets: Mapping[str, BudgetLimits]
@@ -52,7 +53,7 @@
 
 
 class Difference(NamedTuple):
-    """One setting that differs between two policies; None: not set."""
+    """One setting that differs between two policies. before, after: None if it is not set."""
 
     field: str
     name: str
@@ -61,7 +62,7 @@
 
 
 def parse_policy(source: str, file: str = "policy") -> Policy:
-    """Parse a policy's text. Raises PolicyError with one line that names the place."""
+    """Parse a policy's text. file: named in errors. Raises PolicyError with one line that names the place."""
     if len(source) > MAX_POLICY_CHARACTERS:
         raise PolicyError(f"{file}: over {MAX_POLICY_CHARACTERS} characters")
     schema_source = files("gullhold.rollout").joinpath(SCHEMA_FILE).read_text("utf-8")
@@ -75,16 +76,16 @@
 
 
 def find_fault(policy: Policy, deployment: Deployment) -> str:
-    """Why a policy can't be used in this deployment, one line; "" if it can."""
+    """Return one line on why a policy can't be used in this deployment, "" if it can."""
     return (
-        _unknown_name(policy, deployment.agreement)
+        _fault_in_names(policy, deployment.agreement)
         or _fault_in_attempts(policy, deployment.agreement)
         or _fault_in_features(policy, deployment)
         or _fault_in_budgets(policy, deployment.budgets)
     )
 
 
-def _unknown_name(policy: Policy, agreement: Agreement) -> str:
+def _fault_in_names(policy: Policy, agreement: Agreement) -> str:
     tenants = {tenant.name for tenant in agreement.tenants}
     for name in policy.shares:
         if name not in tenants:
@@ -131,17 +132,17 @@
 
 
 def budget_totals(policy: Policy, budgets: Mapping[str, BudgetLimits]) -> dict[str, int]:
-    """Totals of all budgets of the operator file under a policy, by name."""
+    """The total of each budget of the operator file under a policy, by the budget's name."""
     return {name: policy.budgets.get(name, limits.total) for name, limits in budgets.items()}
 
 
 def tenant_shares(policy: Policy, agreement: Agreement) -> list[float]:
-    """Shares of the agreement's tenants, by index."""
+    """The tenants' shares under a policy, in the order of the agreement's tenants."""
     return [policy.shares.get(tenant.name, tenant.share) for tenant in agreement.tenants]
 
 
 def decision_terms(policy: Policy, agreement: Agreement) -> DecisionTerms:
-    """The policy's terms for the decision module; the smallest share above zero has weight 1."""
+    """The policy in the form that the decision module uses; the smallest share above 0 has weight 1."""
     shares = tenant_shares(policy, agreement)
     smallest_share = min((share for share in shares if share > 0), default=1.0)
     weights = [share / smallest_share for share in shares]
@@ -159,12 +160,12 @@
 
 
 def differences(old: Policy, new: Policy) -> list[Difference]:
-    """The settings that differ, in the order of the fields and then of the names."""
-    found = []
+    """The settings that differ, in the order of Policy's fields and then of the names."""
+    different = []
     for field in Policy._fields:
         before: dict[str, float] = getattr(old, field)
         after: dict[str, float] = getattr(new, field)
         for name in sorted({*before, *after}):
             if before.get(name) != after.get(name):
-                found.append(Difference(field, name, before.get(name), after.get(name)))
-    return found
+                different.append(Difference(field, name, before.get(name), after.get(name)))
+    return different
--- a/gullhold/rollout/policy_change.py
+++ b/gullhold/rollout/policy_change.py
@@ -1,7 +1,7 @@
-"""The one change of policy that may be open in a fleet, its states, and how one is proposed.
+"""The change of policy that may be open in a fleet: its states, its options and its trial on a canary.
 
-The states form a two-phase commit through the store: every state is a value of one key, so that the next
-leader of the role goes on where the last one failed, and a single write decides.
+At most one change is open. Its states form a two-phase commit through the store: each state is a value of one
+key, so that the next leader of the role continues where the last one failed, and a single write decides.
 """
 
 from collections.abc import Mapping
@@ -15,14 +15,14 @@
 
 
 class ChangeState(StrEnum):
-    """State of a change, with the values that the store holds."""
+    """State of a change; the values are stored."""
 
-    PROPOSED = "proposed"  # by staff; not checked yet
-    CHECKED = "checked"  # its digest and its parent are valid; each member checks it and votes
-    CANARY = "canary"  # some members use it for a stated time, and all report figures on their commands
-    PREPARED = "prepared"  # strict changes only: members stop dispatching
-    DECIDED = "decided"  # in force
-    DROPPED = "dropped"  # will never be in force
+    PROPOSED = "proposed"  # by an operator; not checked yet
+    CHECKED = "checked"  # the coordinator found its digest and parent valid; members check it and vote
+    CANARY = "canary"  # some members use it for a limited time, and all report figures on their commands
+    PREPARED = "prepared"  # for a strict change: members stop dispatching
+    DECIDED = "decided"  # in force; final
+    DROPPED = "dropped"  # never comes into force; final
 
 
 NEXT_STATES: Mapping[ChangeState, tuple[ChangeState, ...]] = {
@@ -35,32 +35,32 @@
     ),
     ChangeState.CANARY: (ChangeState.DECIDED, ChangeState.DROPPED),
     ChangeState.PREPARED: (ChangeState.DECIDED, ChangeState.DROPPED),
-    ChangeState.DECIDED: (),  # the key is deleted once every member has adopted the version in force
+    ChangeState.DECIDED: (),  # once every member uses the version in force, the change's key is deleted
     ChangeState.DROPPED: (),
 }
 FINAL_STATES = frozenset((ChangeState.DECIDED, ChangeState.DROPPED))
 
 
 class Overlap(StrEnum):
-    """Whether attempts under the old and the new version may run at the same time."""
+    """Whether attempts under the old and the new version may run at the same time: LOOSE if they may."""
 
     LOOSE = "loose"
     STRICT = "strict"
 
 
 class OnSilence(StrEnum):
-    """What happens if members do not vote in time: the change waits for them, or is dropped."""
+    """What happens if members have not voted in time: the change waits for them, or is dropped."""
 
     WAIT = "wait"
     DROP = "drop"
 
 
 class Canary(NamedTuple):
-    """A trial of a change on some of the members.
+    """A trial of a change on some of the members, before it is decided.
 
-    member_share: the share of the members; duration_us: of the trial. The change is dropped if more than
-    max_failed_share of their commands fail, or if their answers take more than max_slowdown times as long as
-    those of the other members.
+    member_share: share of the members that try it; duration_us: duration of the trial. The change is dropped
+    if more than max_failed_share of the canary members' commands fail, or if their mean answer time is more
+    than max_slowdown times that of the other members.
     """
 
     member_share: float
@@ -71,13 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyChange:
-    """The open change.
+    """A change of policy to another version.
 
-    patience_us: how long to wait for votes if on_silence is DROP; reason: why it was dropped; drop_requested:
-    by staff; canary_members: names and leases of the members that try it.
+    patience_us: how long members may take to vote before on_silence applies, in each state; reason: why the
+    change was dropped; drop_requested: an operator asked to drop it; canary_members: the members that try it,
+    as NAME/LEASE.
 
-    An unknown state, overlap or on_silence of another version is kept as text, so that it is written back
-    unchanged and equals none of the known values.
+    A state, overlap or on_silence that only another version of the program knows is kept as text, so that it
+    is written back unchanged and equals none of the known values.
     """
 
     version: PolicyVersion
--- a/gullhold/rollout/policy_client.py
+++ b/gullhold/rollout/policy_client.py
@@ -1,4 +1,4 @@
-"""Client for staff: reads, proposes and drops policies of a fleet, through one session with the store."""
+"""Client for operators: reads, proposes and drops policies of a fleet through one session with its store."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -36,18 +36,18 @@
     history_key,
 )
 
-TIMEOUT_S = 3.0  # of one call to the store
-POLL_INTERVAL_S = 0.1  # between reads while waiting for a change
-MAX_NAMES = 8  # members named for one kind of vote, to keep it on one line
+TIMEOUT_S = 3.0  # timeout of one call to the store
+POLL_INTERVAL_S = 0.1  # between reads of the store while waiting for a change
+MAX_NAMES = 8  # members named for each kind of vote, to keep the output on one line
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses of `gullhold policy`: the state of a change, or the failure of the command itself."""
+    """Exit status of `gullhold policy`: the state of a change, or the failure of the command itself."""
 
-    IN_FORCE = 0  # also of commands that are not about one change
-    INVALID = 2
+    IN_FORCE = 0  # also: a command that is not about one change has succeeded
+    INVALID = 2  # the arguments, the file or the proposal can't be used
     DROPPED = 3
-    UNKNOWN = 4
+    UNKNOWN = 4  # neither in force everywhere nor dropped yet, or the store does not answer
 
 
 class StoreUnavailableError(Exception):
@@ -55,7 +55,7 @@
 
 
 class Progress(NamedTuple):
-    """The state of a change, as an exit status and as a line of text."""
+    """The state of a change, as an exit status and as a line for the operator."""
 
     status: ExitStatus
     line: str
@@ -66,26 +66,26 @@
 
 
 class PolicyClient:
-    """Reads and proposes policies. report(line): called with lines on the progress of a change."""
+    """Reads, proposes and drops policies. report(line): called as the state of a change progresses."""
 
     def __init__(self, address: str, name: str, report: Callable[[str], None] = _ignore) -> None:
-        """address: of the store; name: of the fleet."""
+        """address: of the store, HOST:PORT; name: of the fleet."""
         self.session = StoreClient(address, fleet_prefix(name), TIMEOUT_S)
         self.report = report
 
     def read(self) -> dict[str, KeyValue]:
-        """Read all keys of the rollout. Raises StoreUnavailableError."""
+        """Read all keys of the rollout. Raises StoreUnavailableError if the store does not answer."""
         reply = self.session.call(ReadPrefix(ROLLOUT_PREFIX))
         if reply.proof != Proof.DONE:
             raise StoreUnavailableError
         return {item.key: item for item in reply.items}
 
     def current(self) -> PolicyVersion:
-        """The version in force."""
+        """Return the version in force."""
         return current_version(self.read())
 
     def history(self) -> list[HistoryEntry]:
-        """The decided versions, oldest first."""
+        """Return the versions whose changes have ended, decided or dropped, oldest first."""
         keys = self.read()
         return [
             decode_history_entry(keys[key].value) for key in sorted(keys) if key.startswith(HISTORY_PREFIX)
@@ -103,11 +103,11 @@
         patience_us: int = DEFAULT_PATIENCE_US,
         canary: Canary | None = None,
     ) -> PolicyVersion:
-        """Propose a text as a new version, and return it.
+        """Propose a policy's text as a new version, and return that version.
 
-        parent: the version that has to be in force; None: any. Raises PolicyError if the text can't be
-        proposed, StoreUnavailableError if the store does not answer. If only the reply was lost the version
-        is returned too; status() shows whether it was proposed.
+        parent: number of the version that must be in force; None: any. Raises PolicyError if the text can't
+        be proposed, StoreUnavailableError if the proposal was certainly not stored. If only the reply was
+        lost, the version is returned too; status() then shows whether it was proposed.
         """
         parse_policy(text)
         keys = self.read()
@@ -128,7 +128,9 @@
         if reply.proof == Proof.NOT_DONE:
             raise StoreUnavailableError
         if reply.proof == Proof.DONE and not reply.succeeded:
-            raise PolicyError("somebody else proposed at the same moment")
+            raise PolicyError(
+                "another change was proposed at the same time; look at it before proposing again"
+            )
         return version
 
     def drop(self) -> int:
@@ -147,10 +149,10 @@
         return change.version.number
 
     def status(self, number: int) -> Progress:
-        """The present state of a change."""
+        """Return the current state of the change to the version of this number."""
         keys = self.read()
         if history_key(number) in keys:
-            return _progress_decided(number, keys)
+            return _progress_of_ended(number, keys)
         if CHANGE_KEY in keys:
             change = decode_change(keys[CHANGE_KEY].value)
             if change.version.number == number:
@@ -159,7 +161,7 @@
         return Progress(ExitStatus.UNKNOWN, f"nothing is known of {number}")
 
     def wait(self, number: int, seconds: float) -> Progress:
-        """Wait until a change is decided, at most for this time; return its state."""
+        """Wait until a change is in force or dropped, at most for this time; return its state."""
         end = time.monotonic() + seconds
         last_line = ""
         while True:
@@ -175,7 +177,7 @@
             time.sleep(POLL_INTERVAL_S)
 
 
-def _progress_decided(number: int, keys: Mapping[str, KeyValue]) -> Progress:
+def _progress_of_ended(number: int, keys: Mapping[str, KeyValue]) -> Progress:
     outcome = decode_outcome(keys[history_key(number)].value)
     if outcome.state == ChangeState.DROPPED:
         return Progress(ExitStatus.DROPPED, f"{number} is dropped: {outcome.reason}")
@@ -186,7 +188,7 @@
 
 
 def _votes_line(number: int, keys: Mapping[str, KeyValue]) -> str:
-    """The members, by their votes on a change."""
+    """One line that lists the members by their votes on a change."""
     members: dict[str, list[str]] = {}
     for key, item in keys.items():
         if not key.startswith(VOTES_PREFIX):
--- a/gullhold/rollout/policy_commands.py
+++ b/gullhold/rollout/policy_commands.py
@@ -1,4 +1,4 @@
-"""`gullhold policy ...`: proposes changes of the policy and shows their state."""
+"""The commands `gullhold policy ...`, which propose changes of the policy and show their state."""
 
 import getpass
 import json
@@ -20,7 +20,7 @@
 
 
 def run(arguments: Namespace) -> ExitStatus:
-    """Run one sub-command of `gullhold policy`; return the exit status."""
+    """Run the sub-command of `gullhold policy` that the arguments name; return the exit status."""
     client = PolicyClient(arguments.register, arguments.name, print)
     try:
         return COMMANDS[arguments.what](client, arguments)
@@ -29,29 +29,29 @@
         return ExitStatus.INVALID
     except StoreUnavailableError:
         print(
-            f"gullhold: the register at {arguments.register} does not answer; what stands is not known",
+            f"gullhold: the register at {arguments.register} does not answer; the policy's state is unknown",
             file=sys.stderr,
         )
         return ExitStatus.UNKNOWN
 
 
 def difference_lines(old: str, new: str) -> list[str]:
-    """A line for each setting that differs between two policies' texts."""
+    """Return one line for each setting that differs between the texts of two policies."""
     lines = []
     for difference in differences(parse_policy(old), parse_policy(new)):
-        before = _shown(difference.before)
-        after = _shown(difference.after)
+        before = _format_setting(difference.before)
+        after = _format_setting(difference.after)
         lines.append(f"{difference.field} {difference.name}: {before} -> {after}")
     return lines
 
 
-def _shown(value: float | None) -> str:
+def _format_setting(value: float | None) -> str:
     return "as agreed" if value is None else str(value)
 
 
 def _read_file(arguments: Namespace) -> str:
     if not arguments.file:
-        raise PolicyError(f"policy {arguments.what} needs a file")
+        raise PolicyError(f"policy {arguments.what} needs a file with the policy's text")
     with open(arguments.file, encoding="utf-8") as file:
         return file.read()
 
@@ -102,14 +102,14 @@
 
 
 def _undo(client: PolicyClient, arguments: Namespace) -> ExitStatus:
-    """Propose the text of the parent version as a new version."""
+    """Propose the text of the parent of the version in force as a new version."""
     current = client.current()
     if not current.number:
-        raise PolicyError("nothing was changed yet")
+        raise PolicyError("no policy has been put in force yet: there is nothing to undo")
     texts = {entry.version.number: entry.version.text for entry in client.history()}
     texts[INITIAL_VERSION.number] = INITIAL_VERSION.text
     if current.parent not in texts:
-        raise PolicyError(f"{current.parent} is not kept any more")
+        raise PolicyError(f"{current.parent} is no longer in the history; propose its text from a file")
     reason = arguments.why or f"undo {current.number}"
     return _propose_text(client, arguments, texts[current.parent], reason)
 
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -1,31 +1,31 @@
-"""Whether the fleet's policy lets this gateway dispatch: its lease holds, the policy in force is known."""
+"""The gate that lets this gateway dispatch only while its lease holds and it knows the policy in force."""
 
 from collections.abc import Callable
 from enum import StrEnum
 from typing import Protocol
 
-EARLY_STOP_MARGIN_DIVISOR = 3  # 1 / share of a lease's time that is left unused: a renewal was missed by then
+EARLY_STOP_MARGIN_DIVISOR = 3  # a third of the lease's time before its end: a renewal was missed by then
 
 
 class CutOffRule(StrEnum):
-    """How long a member that is cut off while a change is open goes on (values in the operator file)."""
+    """How long a member that loses the store while a change is open keeps dispatching (operator file)."""
 
-    UNTIL_LEASE_END = "keep"  # until its lease ends
-    BEFORE_LEASE_END = "stand"  # until a margin before its lease ends
+    UNTIL_LEASE_END = "keep"  # as long as its lease certainly holds
+    BEFORE_LEASE_END = "stand"  # until a margin before that
 
 
 class LeaseView(Protocol):
-    """This member's lease, which another thread renews and clears."""
+    """This member's lease, renewed and cleared by the fleet's thread. valid_until: us of the gate's clock."""
 
     id: int
     valid_until: int
 
 
 class PolicyGate:
-    """Implements gullhold.interface.PolicyGate, and fences off attempts decided on before it was closed.
+    """Implements gullhold.interface.PolicyGate, and invalidates attempts decided on before it was closed.
 
-    Checked on the core's thread at each attempt, and changed by the fleet's thread. clock: monotonic us;
-    guaranteed_us: how long a lease certainly holds.
+    The core's thread checks it at each attempt; the fleet's thread changes it. clock: returns us of a
+    monotonic clock; guaranteed_us: how long a lease certainly holds.
     """
 
     def __init__(
@@ -35,17 +35,20 @@
         self.clock = clock
         self.guaranteed_us = guaranteed_us
         self.cut_off_rule = cut_off_rule
-        self.enrolled_lease = 0  # the lease under which this member has enrolled; 0: it has not
-        self.open_change = 0  # number of the change that this member has voted ready on
+        self.enrolled_lease = 0  # id of the lease under which this member has enrolled; 0: it has not
+        self.open_change = 0  # number of the change that this member has voted ready on; 0: none
         self.is_stopped = False
         self.stop_count = 0
-        # Set by reads of the policy in force: guards against a watch that has silently stopped.
+        # Extended by each read of the policy in force: guards against a watch that has silently stopped.
         self.policy_known_until = 0
-        self.snapshot_valid_until = 0  # while a snapshot is used, as the store was unreachable at the start
+        self.snapshot_valid_until = (
+            0  # end of the use of a snapshot, if the store was unreachable at the start
+        )
 
     def may_dispatch(self) -> bool:
         """Whether an attempt may be sent now."""
-        # The end of the lease is read before its id: another lease may begin in between.
+        # The lease's end is read before its id, as another lease may begin in between: the end of a newer
+        # lease must not be taken for that of the enrolled one.
         now = self.clock()
         valid_until = self.lease.valid_until
         if now < self.snapshot_valid_until:
@@ -61,7 +64,7 @@
         )
 
     def stop(self) -> None:
-        """Close the gate; attempts decided on before are not sent later either."""
+        """Close the gate; attempts decided on before are not sent after it reopens either."""
         self.is_stopped = True
         self.stop_count += 1
 
@@ -71,7 +74,7 @@
         self.open_change = 0
 
     def fencing_token(self) -> tuple[int, int]:
-        """The token of attempts that are decided on now: (lease, number of stops)."""
+        """The token of attempts that are decided on now: (id of the enrolled lease, number of stops)."""
         return self.enrolled_lease, self.stop_count
 
     def token_valid(self, token: object) -> bool:
@@ -79,7 +82,7 @@
         return self.may_dispatch() and token == self.fencing_token()
 
     def rejects_new(self) -> bool:
-        """Whether new commands are rejected, as the policy is unknown. Not while stopped: stops are short."""
+        """Whether new commands are rejected, as the policy is unknown; not while stopped, which is short."""
         now = self.clock()
         if now < self.snapshot_valid_until:
             return False
--- a/gullhold/rollout/policy_version.py
+++ b/gullhold/rollout/policy_version.py
@@ -1,4 +1,4 @@
-"""A numbered, immutable version of the fleet's policy, sealed with a digest."""
+"""A numbered, immutable version of the fleet's policy, with a digest of its content."""
 
 import json
 from hashlib import blake2s
@@ -8,13 +8,14 @@
 
 
 class PolicyError(Exception):
-    """A policy, a version of it or a change that can't be used; the text is one plain line."""
+    """A policy, version or change that can't be used; the message is one line for a person."""
 
 
 class PolicyVersion(NamedTuple):
     """One version of the policy.
 
-    parent: number of the version that it was made from; created_at_us: Unix time; digest: of all the rest.
+    parent: number of the version in force that it replaces; reason: why it is proposed; created_at_us: Unix
+    time; text: of the policy; digest: of all other fields.
     """
 
     number: int
@@ -26,11 +27,11 @@
     digest: str = ""
 
     def sealed(self) -> "PolicyVersion":
-        """Return the version with its digest."""
+        """Return the version with its digest filled in."""
         return self._replace(digest=self._computed_digest())
 
     def verify(self) -> None:
-        """Raise PolicyError unless the digest fits."""
+        """Raise PolicyError unless the digest matches the other fields."""
         if self.digest != self._computed_digest():
             raise PolicyError(f"the digest of {self.number} does not fit")
 
@@ -38,5 +39,5 @@
         return blake2s(json.dumps(self[:-1]).encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-# In force where nothing has been decided yet.
+# In force until a first change is decided.
 INITIAL_VERSION = PolicyVersion(0, 0, "", "what gateways were started with", 0, "policy: {}").sealed()
--- a/gullhold/rollout/proposal.py
+++ b/gullhold/rollout/proposal.py
@@ -1,4 +1,4 @@
-"""The transaction that opens a change, by what was read from the store."""
+"""Builds the transaction that proposes a change. Performs no I/O."""
 
 from collections.abc import Mapping
 
@@ -16,17 +16,17 @@
 
 
 def current_version(keys: Mapping[str, KeyValue]) -> PolicyVersion:
-    """The version in force among keys read from the store. Raises PolicyError."""
+    """The version in force, from the rollout's keys in the store. Raises PolicyError if it is unreadable."""
     if CURRENT_KEY not in keys:
         return INITIAL_VERSION
     return decode_version(keys[CURRENT_KEY].value)
 
 
 def proposal_transaction(change: PolicyChange, keys: Mapping[str, KeyValue]) -> Transaction:
-    """Return the transaction that opens a change.
+    """Return the transaction that opens a change. keys: the rollout's keys, as read from the store.
 
-    Raises PolicyError if it can't be opened: another one is open, the version in force is not its parent, or
-    a strict change has a canary.
+    Raises PolicyError if the change can't be opened: another one is open, the version in force is not its
+    parent, or it is strict and has a canary.
     """
     if CHANGE_KEY in keys:
         raise PolicyError(f"change {decode_change(keys[CHANGE_KEY].value).version.number} is open")
--- a/gullhold/rollout/rollout_driver.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -1,7 +1,7 @@
-"""Drives a member's side of the rollout: between the fleet's thread, the core and the store.
+"""Drives a member's side of the rollout: connects it with the fleet's thread, the core and the store.
 
-The core checks the gate at each attempt and never waits: policies and stops are posted to it, and it confirms
-them to the fleet's thread.
+The core checks the policy's gate before each attempt and never waits for the fleet's thread. New policies and
+requests to stop dispatching are posted to it, and it posts back a confirmation of each.
 """
 
 from collections.abc import Callable, Mapping
@@ -42,9 +42,10 @@
     from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import FleetRecord
 
-VOTE_LANE = "words"  # of the member's calls
-LANES = (VOTE_LANE, ROLE)  # calls of the member and of the coordinator do not wait for each other
-AT_START = 0  # serial of an adoption at the start, whose confirmation is ignored
+VOTE_LANE = "words"  # lane of the member's calls to the store
+# Two lanes, so that calls of the member and calls of the coordinator do not wait for each other.
+LANES = (VOTE_LANE, ROLE)
+AT_START = 0  # serial of adoptions at the start; their confirmations are ignored
 
 
 class CorePolicy(NamedTuple):
@@ -58,7 +59,10 @@
 
 
 class ResizeCause(NamedTuple):
-    """The policy that budget totals were last computed for; change, state: None while no change is open."""
+    """The state of the rollout that budget totals were last computed for.
+
+    version: number of the version in force; change, state: of the open change, None if none is open.
+    """
 
     version: int
     change: int | None
@@ -66,9 +70,9 @@
 
 
 class RolloutDriver:
-    """One member's side, and the coordinator's role.
+    """Runs one member's side of the rollout, and the coordinator while this member leads that role.
 
-    Called on the fleet's thread, except for the section below that the core's thread runs.
+    Methods are called on the fleet's thread, but for the section below that the core's thread runs.
     """
 
     def __init__(
@@ -79,7 +83,7 @@
         clock: Callable[[], int],
         guaranteed_us: int,
     ) -> None:
-        """record: of the fleet in the operator file; guaranteed_us: how long a lease certainly holds."""
+        """record: the fleet's, from the operator file; guaranteed_us: how long a lease certainly holds."""
         self.fleet = fleet
         self.core = fleet.core
         self.clock = clock
@@ -92,22 +96,23 @@
         schedules = [item.name for item in record.schedule]
         self.deployment = Deployment(agreement, budgets, schedules, has_admission_queue=bool(queue))
         self.gate = PolicyGate(fleet.membership.lease, clock, guaranteed_us, self.settings.cut)
-        self.member = RolloutMember(fleet.name, self.gate, self.find_fault, self._figures)
+        self.member = RolloutMember(fleet.name, self.gate, self.find_fault, self._read_figures)
         fleet.role_states[ROLE] = RolloutCoordinator()
-        # Budget totals while a change is open: neither old nor new allocations sum to more than either.
+        # Budget totals while a change is open: the lower of the old and the new one, so that the allocations
+        # exceed neither.
         self.lowest_totals: dict[str, int] = {}
-        self.resized_for: ResizeCause | None = None  # of the allocator's last resize
+        self.resized_for: ResizeCause | None = None  # at the allocator's last resize
         self.core.fences.append(self.gate)
-        self._adopt(AT_START, INITIAL_VERSION)  # before the first command: the gate is closed
+        self._adopt(AT_START, INITIAL_VERSION)  # before the first command; the gate is still closed
         self._use_snapshot()
 
     def _use_snapshot(self) -> None:
-        """Dispatch under the snapshot's policy for as long as the operator allows, without the store."""
+        """Dispatch under the snapshot's policy without the store, for as long as the operator file allows."""
         found = snapshot.read(self.settings.snapshot) if self.settings.snapshot else None
         if not found or not self.settings.spare:
             return
         version = found.version
-        age_us = unix_us() - found.at_us
+        age_us = unix_us() - found.known_at_us
         left_us = self.settings.spare - age_us
         self.fleet.log_event(
             "warning",
@@ -121,15 +126,15 @@
             self._adopt(AT_START, version)
 
     def find_fault(self, version: PolicyVersion) -> str:
-        """Why a version can't be run here, one line; "" if it can."""
+        """Return one line on why this gateway can't use the version, "" if it can."""
         try:
             policy = parse_policy(version.text, f"policy {version.number}")
         except PolicyError as error:
             return str(error)
         return find_fault(policy, self.deployment)
 
-    def _figures(self) -> CommandFigures:
-        """Figures on commands since the start, from the core's counters; shed commands count as failed."""
+    def _read_figures(self) -> CommandFigures:
+        """Return figures on commands since the start of the process; shed commands count as failed."""
         counts = self.core.counters.counts
         return CommandFigures(
             counts[counters.ANSWERED],
@@ -138,22 +143,22 @@
         )
 
     def start(self, watch: Callable[..., Watcher]) -> None:
-        """Start the watchers. watch: FleetMember.watch."""
+        """Start to watch the keys of the rollout. watch: FleetMember.watch."""
         self.watcher = watch("policy", WATCHED_PREFIX, self._changed, self._watch_gap)
         self.fleet.watch_role(ROLE, "words", ROLLOUT_PREFIX)
 
     def step(self, now: int) -> None:
-        """Take the member's next step, and carry out its actions."""
+        """Have the member take its next step, and carry out its actions."""
         lease = self.fleet.membership.lease
         self.member.step(now, lease.id if lease.is_valid(now) else 0)
         self._carry_out()
 
     def due(self, now: int) -> int:
-        """When to step() at the latest."""
+        """When to call step() at the latest."""
         return self.member.due(now)
 
     def _carry_out(self) -> None:
-        """Carry out the member's actions."""
+        """Carry out the member's actions, and those that result from them."""
         while actions := self.member.take_actions():
             for action in actions:
                 match action:
@@ -171,14 +176,14 @@
 
     def _adopt(self, serial: int, version: PolicyVersion) -> None:
         policy = parse_policy(version.text, f"policy {version.number}")
-        self.core.post_urgent(self._apply, serial, self._for_core(version, policy))
+        self.core.post_urgent(self._apply_policy, serial, self._to_core_policy(version, policy))
         for name in self.deployment.scheduled_commands:
             command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE_PREFIX + name]
             command.is_disabled = not policy.schedules.get(name, True)
-        if serial != AT_START and self.settings.snapshot and not self.member.tried_change:
+        if serial != AT_START and self.settings.snapshot and not self.member.canary_change:
             self._write_snapshot(version)
 
-    def _for_core(self, version: PolicyVersion, policy: Policy) -> CorePolicy:
+    def _to_core_policy(self, version: PolicyVersion, policy: Policy) -> CorePolicy:
         agreement = self.deployment.agreement
         return CorePolicy(
             version.number,
@@ -213,21 +218,21 @@
 
     # On the core's thread
 
-    def _apply(self, serial: int, policy: CorePolicy) -> None:
+    def _apply_policy(self, serial: int, policy: CorePolicy) -> None:
         if self.fleet.budgets:
-            self.fleet.budgets.allocations.resize(_by_kind(policy.budget_totals))
+            self.fleet.budgets.allocations.resize(_totals_by_kind(policy.budget_totals))
         self.core.apply_policy(policy.terms, self.gate, policy.tenant_shares, policy.client_weights)
         self.core.counters.add(f"policy_{policy.number}_applied")
         self.fleet.post(self._adopted, serial)
 
     def _confirm_stopped(self, number: int) -> None:
-        """Confirm that no attempt is sent from now on: the gate is closed, and checked at each attempt."""
+        """Confirm that no attempt is sent any more: the gate is closed, and is checked at each attempt."""
         self.fleet.post(self._stopped, number)
 
     # The allocator of budgets, on the fleet's thread
 
     def _resize_budgets(self) -> None:
-        """Have the allocator use the lowest totals while a change is open."""
+        """Have the allocator use the lower of the old and the new totals while a change is open."""
         version = self.member.version
         change = self.member.change
         cause = ResizeCause(version.number, None, None)
@@ -261,10 +266,10 @@
     return {name.decode(): weight for name, weight in weights.items()}
 
 
-def _by_kind(totals: Mapping[str, int]) -> dict[tuple[BudgetKind, str], int]:
-    """Totals by kind of budget and name of the tenant, "" for a budget of all tenants."""
-    found = {}
+def _totals_by_kind(totals: Mapping[str, int]) -> dict[tuple[BudgetKind, str], int]:
+    """Totals by kind of budget and name of the tenant, "" for a budget that all tenants share."""
+    by_kind = {}
     for name, total in totals.items():
         kind, _, tenant = name.partition("/")
-        found[BUDGET_KINDS[kind], tenant] = total
-    return found
+        by_kind[BUDGET_KINDS[kind], tenant] = total
+    return by_kind
--- a/gullhold/rollout/snapshot.py
+++ b/gullhold/rollout/snapshot.py
@@ -1,4 +1,4 @@
-"""A file with the policy version last known to be in force, for a start without the store."""
+"""The snapshot: a file with the policy version last known to be in force, for a start without the store."""
 
 import json
 import os
@@ -11,20 +11,17 @@
 
 
 class Snapshot(NamedTuple):
-    """A version, and the Unix time (us) at which it was known to be in force."""
+    """A version, and the Unix time (us) at which it was last known to be in force."""
 
     version: PolicyVersion
-    at_us: int
+    known_at_us: int
 
 
-def write(path: str | PathLike[str], version: PolicyVersion, at_us: int) -> None:
-    """Replace the snapshot atomically. at_us: Unix time.
-
-    Raises OSError if it can't be written.
-    """
+def write(path: str | PathLike[str], version: PolicyVersion, known_at_us: int) -> None:
+    """Replace the snapshot atomically. known_at_us: as in Snapshot. Raises OSError if it can't be written."""
     temporary_path = f"{path}.new"
     with open(temporary_path, "w", encoding="utf-8") as file:
-        json.dump({"at_us": at_us, "record": version_to_stored(version)}, file)
+        json.dump({"at_us": known_at_us, "record": version_to_stored(version)}, file)
         file.flush()
         os.fsync(file.fileno())
     os.replace(temporary_path, path)
@@ -41,7 +38,7 @@
 
 
 def read(path: str | PathLike[str]) -> Snapshot | None:
-    """Read the snapshot; None: there is no usable one."""
+    """Read the snapshot; return None if there is none or it can't be used."""
     try:
         with open(path, encoding="utf-8") as file:
             stored = json.load(file)
