--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -1,9 +1,10 @@
-"""The role that coordinates a change of policy. Decisions only: takes times, replies and changed keys.
+"""The role that coordinates a change of policy. Performs no I/O.
 
-All states are in the store, so that the next leader of the role goes on where the last one failed. One write
-decides; it compares the leader's token, the change as it was read, and the enrollment key, which every
-joining member writes: so each member has voted on this change, or the decision is refused. A member that is
-down has no key; it reads the policy in force before it dispatches anything.
+The whole state is in the store, so that the next leader of the role continues where the last one failed. A
+single write decides the change. Its conditions are the leader's token, the change as it was read, and the
+enrollment key, which every joining member writes: the store refuses the decision if a member has joined since
+the votes were read. A member that is down has no vote's key; it reads the policy in force before it
+dispatches anything.
 """
 
 from dataclasses import replace
@@ -43,27 +44,31 @@
 from gullhold.rollout.vote import VoteKind
 from gullhold.rollout.vote_tally import VoteTally
 
-MAX_HISTORY = 50  # versions that stay in the store, for staff; one transaction deletes older ones
-MAX_NAMES = 5  # members named in a reason, to keep it on one line
+MAX_HISTORY = 50  # ended versions kept in the store; the write that ends a change deletes older ones
+MAX_NAMES = 5  # members named in the reason of a dropped change, to keep it on one line
 
 
 class RolloutCoordinator(RoleState):
-    """The open change and the members' votes, while this member leads the role."""
+    """The open change and the members' votes, while this member leads the role.
+
+    revision: the newest store revision included in this state. change_since: when the change was first seen
+    in its present state, us.
+    """
 
     def __init__(self) -> None:
         super().__init__(ROLLOUT_PREFIX)
-        self.revision = 0  # the newest one that is included in this state
-        self.change_since = 0  # when the change entered its state, us
-        self._forget()
+        self.revision = 0
+        self.change_since = 0
+        self._clear()
 
-    def _forget(self) -> None:
+    def _clear(self) -> None:
         self.change: PolicyChange | None = None
         self.change_revision = 0
         self.current: PolicyVersion = INITIAL_VERSION
         self.current_revision = 0
         self.enrollment_revision = 0
         self.votes = VoteTally()
-        self.history: list[int] = []  # numbers of the versions in the store's history
+        self.history: list[int] = []  # numbers of the versions in the stored history, ascending
 
     def _next_write_at(self, now: int) -> int | None:
         """When the change's patience or canary ends; None: only votes, which cause a step, are awaited."""
@@ -84,19 +89,21 @@
             case ChangeState.CHECKED:
                 self._collect_votes(now)
             case ChangeState.CANARY:
-                self._watch_canary(now)
+                self._check_canary(now)
             case ChangeState.PREPARED:
-                self._await_stopped(now)
+                self._collect_stop_votes(now)
             case ChangeState.DECIDED | ChangeState.DROPPED:
                 self._delete_ended_change()
             case unknown:
-                raise PolicyError(f"a change in a state that this version does not know: {unknown}")
+                raise PolicyError(
+                    f"the open change is in a state that this version of the program does not know: {unknown}"
+                )
 
     # States
 
     @property
     def _open_change(self) -> PolicyChange:
-        """The open change; only for states in which there is one."""
+        """The open change, for callers that run only while one is open."""
         return cast("PolicyChange", self.change)
 
     def _check_proposal(self) -> None:
@@ -126,8 +133,8 @@
         else:
             self._change_state(ChangeState.DECIDED)
 
-    def _watch_canary(self, now: int) -> None:
-        """Drop the change as soon as its canary fails; decide it when the canary is over."""
+    def _check_canary(self, now: int) -> None:
+        """Drop the change as soon as its canary fails; decide it once the canary's time has passed."""
         if self._drop_if_refused():
             return
         is_over = now >= self.change_since + cast("Canary", self._open_change.canary).duration_us
@@ -141,7 +148,7 @@
         else:
             self._drop_if_overdue(now, VoteKind.READY)
 
-    def _await_stopped(self, now: int) -> None:
+    def _collect_stop_votes(self, now: int) -> None:
         if self._drop_if_refused():
             return
         if self._all_support(VoteKind.STOPPED):
@@ -158,7 +165,7 @@
         return self.votes.all_support(self._open_change.version.number, kind)
 
     def _drop_if_refused(self) -> bool:
-        """Drop the change if staff request it or a member refuses it; whether it was dropped."""
+        """Drop the change if an operator requests it or a member refuses it; return whether it is dropped."""
         refusal = self.votes.first_refusal(self._open_change.version.number)
         if self._open_change.drop_requested:
             self._change_state(ChangeState.DROPPED, "dropped by staff")
@@ -170,7 +177,7 @@
         return False
 
     def _drop_if_overdue(self, now: int, kind: VoteKind) -> None:
-        """Drop a change that lacks votes, once its patience has ended and if on_silence says so."""
+        """Drop a change that lacks votes of this kind once its patience has ended, if on_silence is DROP."""
         is_overdue = now >= self.change_since + self._open_change.patience_us
         if self._open_change.on_silence != OnSilence.DROP or not is_overdue:
             return
@@ -181,7 +188,7 @@
     def _change_state(
         self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
     ) -> None:
-        """Write the change's new state; the only place that does."""
+        """Write the change's new state. No other method writes it."""
         assert state in NEXT_STATES[self._open_change.state], f"{self._open_change.state} to {state}"
         change = replace(self._open_change, state=state, reason=reason, canary_members=canary_members)
         operations: list[Operation] = [Put(CHANGE_KEY, encode_change(change))]
@@ -204,15 +211,15 @@
     # Events
 
     def _write_confirmed(self, _reply: Reply) -> bool:
-        """Have all keys read again after each write."""
+        """Return False, so that all keys are read again after each write."""
         return False
 
     def _on_loaded(self, now: int, reply: Reply) -> None:
         before = self._progress()
-        self._forget()
+        self._clear()
         self.revision = reply.revision
         for item in reply.items:
-            self._load(item.key, item.value, item.revision)
+            self._load_key(item.key, item.value, item.revision)
         if self._progress() == before:
             return
         self.change_since = now
@@ -225,10 +232,10 @@
             self.actions.append(LogEvent("info", "policy: change state changed", facts))
 
     def _progress(self) -> tuple[int, ChangeState] | None:
-        """The change's number and state."""
+        """The number and state of the open change, if any."""
         return (self.change.version.number, self.change.state) if self.change else None
 
-    def _load(self, key: str, value: str, revision: int) -> None:
+    def _load_key(self, key: str, value: str, revision: int) -> None:
         if key == CURRENT_KEY:
             self.current = decode_version(value)
             self.current_revision = revision
@@ -252,5 +259,5 @@
         elif key == ENROLLMENT_KEY:
             self.enrollment_revision = revision
         elif key.startswith(WATCHED_PREFIX) and not self.writing:
-            self.is_loaded = False  # while we write, it is read when the reply has come
+            self.is_loaded = False  # during a write all keys are read again anyway, after the reply
         return True
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -1,8 +1,9 @@
-"""One gateway's side of the policy and its changes. Decisions only: takes times, replies and changed keys.
+"""One gateway's side of the rollout: adopts the policy in force and votes on changes. Performs no I/O.
 
-A member dispatches only while its gate is open: it has read the policy in force, has enrolled under a lease
-that certainly holds, and has not been asked to stop. So a member that is cut off stops by its own clock
-before the others can decide without it, and one that starts reads the policy before it dispatches.
+A member dispatches only while its gate is open: it has read the policy in force, has enrolled (stored its
+first vote) under a lease that certainly holds, and has not been asked to stop. So a member that loses the
+store stops by its own clock before the others can decide without it, and one that starts reads the policy
+before it dispatches.
 """
 
 from collections.abc import Callable
@@ -37,16 +38,20 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
 
-REFRESHES_PER_LEASE = 3  # reads of the policy in force in the time for which one read is valid
-UNUSABLE_RETRY_US = RETRY_US * 5  # us until a policy that can't be run here is read again: it rarely changes
+REFRESHES_PER_LEASE = 3  # reads of the policy in force during the time for which one read counts
+UNUSABLE_POLICY_RETRY_US = (
+    RETRY_US * 5
+)  # us between reads of a policy that can't be used here: it rarely changes
+# States of a change in which members vote on it.
 VOTING_STATES = frozenset((ChangeState.CHECKED, ChangeState.CANARY, ChangeState.PREPARED))
 
 
 class RolloutMember:
-    """A member of the rollout. take_actions() hands out MemberActions; due() is when to step() at the latest.
+    """A member of the rollout. take_actions() returns MemberActions; due() is when to step() at the latest.
 
-    Times are us of a monotonic clock. version: the one in force here, or about to be. change: the open one.
-    tried_change: number of the change that this member runs as part of the canary; 0: none.
+    Times are us of a monotonic clock. version: the version in force, adopted here or being adopted. change: the
+    open change. refresh_at: when the policy in force is to be read again. canary_change: number of the change that
+    this member tries as part of the canary; 0: none.
     """
 
     def __init__(
@@ -56,9 +61,9 @@
         find_fault: Callable[[PolicyVersion], str],
         read_figures: Callable[[], CommandFigures] = lambda: CommandFigures(0, 0, 0),
     ) -> None:
-        """find_fault(version): why it can't be run here, one line, "" if it can.
+        """find_fault: returns one line on why a version can't be used here, "" if it can.
 
-        read_figures(): figures on commands since the start of the process.
+        read_figures: returns figures on commands since the start of the process.
         """
         self.name = name
         self.gate = gate
@@ -73,9 +78,9 @@
         self.refresh_at = 0
         self.revisions = KeyRevisions()
         self.publisher = VotePublisher()
-        # The core
+        # Versions handed to the core
         self.adoption_serial = 0
-        self.tried_change = 0
+        self.canary_change = 0
         self.figures = CanaryFigures(read_figures)
 
     def take_actions(self) -> list[MemberAction]:
@@ -85,11 +90,11 @@
         return actions
 
     def own_vote_key(self) -> str:
-        """The key of this member's vote."""
+        """The key of this member's vote under its present lease."""
         return vote_key(self.name, self.lease)
 
     def step(self, now: int, lease: int) -> None:
-        """Take the next step, unless a call is under way. lease: id of this member's lease, 0: none."""
+        """Take the next step, unless a call is in flight. lease: id of this member's lease, 0: none."""
         if lease != self.lease:
             self._begin_lease(lease)
         if not lease or not self.calls.is_free(now):
@@ -110,8 +115,8 @@
         self.gate.reopen()
         self.publisher.reset()
         self.change = None
-        self.tried_change = 0
-        self._become(MemberState.READING_POLICY if lease else MemberState.NO_LEASE)
+        self.canary_change = 0
+        self._set_state(MemberState.READING_POLICY if lease else MemberState.NO_LEASE)
 
     def _step_active(self, now: int) -> None:
         self._report_figures(now)
@@ -130,42 +135,42 @@
         return Transaction(conditions, operations)
 
     def due(self, now: int) -> int:
-        """When to step() at the latest."""
+        """When to call step() at the latest."""
         if not self.lease or self.calls.in_flight or self.state == MemberState.ADOPTING:
-            return now + IDLE_STEP_US  # an event will come
+            return now + IDLE_STEP_US  # an event comes first: a lease, a reply or the end of the adoption
         at = now
         if self.state == MemberState.ACTIVE and self.publisher.is_stored():
             at = self.refresh_at
-            if self._reports_figures():
+            if self._must_report_figures():
                 at = min(at, self.figures.due_at)
         return max(now, at, self.calls.retry_at)
 
-    def _reports_figures(self) -> bool:
-        """Whether a canary runs: all members report figures on their commands, and this one has voted."""
+    def _must_report_figures(self) -> bool:
+        """Whether figures on commands are due: a canary runs, and this member has voted on its change."""
         change = self.change
         if change is None or change.state != ChangeState.CANARY:
             return False
         return self._enrolled_vote.change == change.version.number
 
     def _report_figures(self, now: int) -> None:
-        if self._reports_figures() and now >= self.figures.due_at:
+        if self._must_report_figures() and now >= self.figures.due_at:
             self._set_vote(self._enrolled_vote._replace(figures=self.figures.take(now)))
 
     def _call(self, now: int, purpose: CallPurpose, request: Transaction) -> None:
         self.actions.append(CallStore(self.calls.start(now, purpose), request))
 
-    def _become(self, state: MemberState) -> None:
-        """Change the state; the only place that does."""
+    def _set_state(self, state: MemberState) -> None:
+        """Change the state. No other method does."""
         self.state = state
 
     @property
     def vote(self) -> Vote | None:
-        """This member's vote, stored or not yet; None: it has not enrolled."""
+        """This member's vote, whether stored already or not; None: it has not enrolled."""
         return self.publisher.vote
 
     @property
     def _enrolled_vote(self) -> Vote:
-        """The vote, once this member has enrolled."""
+        """The vote, for callers that run only after this member has enrolled."""
         return cast("Vote", self.publisher.vote)
 
     def _set_vote(self, vote: Vote) -> None:
@@ -177,7 +182,7 @@
     # Replies
 
     def replied(self, now: int, serial: int, reply: Reply) -> None:
-        """Take the reply to a call."""
+        """Take the reply to the call with this serial."""
         purpose = self.calls.take_reply(serial)
         if purpose is None:
             return
@@ -185,16 +190,16 @@
             self.calls.retry_at = now + RETRY_US
         match purpose:
             case CallPurpose.READ_POLICY:
-                self._policy_read(now, reply)
+                self._on_policy_read(now, reply)
             case CallPurpose.ENROLL:
-                self._enrolled(reply)
+                self._on_enrolled(reply)
             case CallPurpose.WRITE_VOTE:
                 self.publisher.written(reply)
             case CallPurpose.REFRESH:
-                self._refreshed(now, reply)
+                self._on_refreshed(now, reply)
         self.step(now, self.lease)
 
-    def _policy_read(self, now: int, reply: Reply) -> None:
+    def _on_policy_read(self, now: int, reply: Reply) -> None:
         if reply.proof != Proof.DONE:
             return
         found = {item.key: item for item in reply.items}
@@ -207,14 +212,14 @@
             return
         self._adopt(now, current)
 
-    def _enrolled(self, reply: Reply) -> None:
-        # Refused: something has changed since the read. Unknown: this member may have enrolled. In both cases
-        # the policy in force is read again.
+    def _on_enrolled(self, reply: Reply) -> None:
+        # The policy is read again if the write was refused, as a key has changed since the read, and if its
+        # outcome is unknown, as this member may have enrolled.
         if reply.proof != Proof.DONE or not reply.succeeded:
-            self._become(MemberState.READING_POLICY)
+            self._set_state(MemberState.READING_POLICY)
             return
         self.publisher.set_stored(Vote(self.version.number), reply.revision)
-        self._become(MemberState.ACTIVE)
+        self._set_state(MemberState.ACTIVE)
         self.gate.enrolled_lease = self.lease
         self.gate.is_stopped = False
         self.gate.snapshot_valid_until = 0
@@ -223,15 +228,15 @@
         self._log("info", "version adopted", version=self.version.number)
         self._handle_change()
 
-    def _refreshed(self, now: int, reply: Reply) -> None:
-        """Take a read of the policy in force that was made besides the watch.
+    def _on_refreshed(self, now: int, reply: Reply) -> None:
+        """Take a read of the policy in force made in addition to the watch.
 
-        Guards against a watch that has fallen silent while the lease is renewed.
+        Guards against a watch that reports nothing any more while the lease is still renewed.
         """
         if reply.proof != Proof.DONE:
             return
         if reply.revision < self.revisions.newest():
-            return  # guards against a stale read
+            return  # a stale read: it lacks changes that were seen already
         found = {item.key: item for item in reply.items}
         for key in (CURRENT_KEY, CHANGE_KEY):
             item = found.get(key)
@@ -247,7 +252,7 @@
             self._confirm_policy()
 
     def _confirm_policy(self) -> None:
-        """Count the policy as known, from when the call that read it was sent."""
+        """Count the policy as known for a lease's time from when the call that read it was sent."""
         self.gate.policy_known_until = self.calls.sent_at + self.gate.guaranteed_us
         self.refresh_at = self.calls.sent_at + self.gate.guaranteed_us // REFRESHES_PER_LEASE
 
@@ -259,34 +264,34 @@
             self._reject_current(now, fault)
             return
         self.version = version
-        self.tried_change = 0
+        self.canary_change = 0
         if self.state == MemberState.READING_POLICY:
-            self._become(MemberState.ADOPTING)
+            self._set_state(MemberState.ADOPTING)
         self._hand_to_core(version)
 
     def _hand_to_core(self, version: PolicyVersion) -> None:
-        """Have the core use a version; nothing is dispatched until it does."""
+        """Have the core use a version; nothing is dispatched until it confirms that it does."""
         self.gate.stop()
         self.adoption_serial += 1
         self.actions.append(AdoptVersion(self.adoption_serial, version))
 
     def _reject_current(self, now: int, reason: str) -> None:
-        """Dispatch nothing, as the policy in force can't be run here."""
+        """Stop dispatching, as the policy in force can't be used here, and read it again later."""
         self.gate.enrolled_lease = 0
-        self.calls.retry_at = now + UNUSABLE_RETRY_US
+        self.calls.retry_at = now + UNUSABLE_POLICY_RETRY_US
         self._log("error", "version in force rejected", reason=reason)
-        self._become(MemberState.READING_POLICY)
+        self._set_state(MemberState.READING_POLICY)
 
     def adopted(self, now: int, serial: int) -> None:
-        """Record that the core uses the version from now on."""
+        """Record that the core now uses the version of the AdoptVersion with this serial."""
         if serial != self.adoption_serial:
             return
         if self.state == MemberState.ADOPTING:
-            self._become(MemberState.ENROLLING)
-        elif self.state == MemberState.ACTIVE and self.tried_change:
+            self._set_state(MemberState.ENROLLING)
+        elif self.state == MemberState.ACTIVE and self.canary_change:
             self.gate.is_stopped = False
             self._set_vote(self._enrolled_vote._replace(kind=VoteKind.IN_CANARY))
-            self._log("info", "canary version adopted", version=self.tried_change)
+            self._log("info", "canary version adopted", version=self.canary_change)
         elif self.state == MemberState.ACTIVE:
             self._set_vote(Vote(self.version.number))
             self.gate.reopen()
@@ -296,11 +301,11 @@
     # Changes
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take a change of a watched key; value None: it was deleted, so that no change is open any more."""
+        """Take a change of a watched key. value: None if it was deleted, as CHANGE_KEY is to close a change."""
         if self.state != MemberState.ACTIVE:
             return
         if not self.revisions.update(key, revision):
-            return  # a refresh may be ahead of the watch
+            return  # seen already: a refresh may be ahead of the watch
         if key == CURRENT_KEY and value is not None:
             try:
                 version = decode_version(value)
@@ -319,10 +324,10 @@
         self.step(now, self.lease)
 
     def watch_gap(self, now: int) -> None:
-        """Read the policy again, as the watch has missed changes; the lease and its key stay."""
+        """Read the policy again, as the watch has missed changes. The lease and the vote's key stay."""
         if self.state == MemberState.ACTIVE:
             self.gate.enrolled_lease = 0
-            self._become(MemberState.READING_POLICY)
+            self._set_state(MemberState.READING_POLICY)
             self.step(now, self.lease)
 
     def _handle_change(self) -> None:
@@ -330,17 +335,17 @@
         if change is None or change.state == ChangeState.DECIDED:
             return
         if change.state == ChangeState.DROPPED:
-            self._leave_dropped(change)
+            self._handle_dropped(change)
         elif change.state in VOTING_STATES and self._enrolled_vote.change != change.version.number:
             self._check_change(change)
         if change.state == ChangeState.CANARY:
             self._join_canary(change)
         elif change.state == ChangeState.PREPARED and change.overlap == Overlap.STRICT:
-            self._stop_for(change)
+            self._stop_dispatching(change)
 
-    def _leave_dropped(self, change: PolicyChange) -> None:
-        if self.tried_change:  # return to the version before
-            self.tried_change = 0
+    def _handle_dropped(self, change: PolicyChange) -> None:
+        if self.canary_change:  # return to the version in force
+            self.canary_change = 0
             self._hand_to_core(self.version)
             return
         if self.gate.is_stopped or self.gate.open_change:
@@ -369,17 +374,17 @@
 
     def _join_canary(self, change: PolicyChange) -> None:
         is_chosen = self.own_vote_key().removeprefix(VOTES_PREFIX) in change.canary_members
-        if is_chosen and not self.tried_change and self._enrolled_vote.kind == VoteKind.READY:
-            self.tried_change = change.version.number
+        if is_chosen and not self.canary_change and self._enrolled_vote.kind == VoteKind.READY:
+            self.canary_change = change.version.number
             self._hand_to_core(change.version)
 
-    def _stop_for(self, change: PolicyChange) -> None:
+    def _stop_dispatching(self, change: PolicyChange) -> None:
         if self._enrolled_vote.kind == VoteKind.READY:
             self.gate.stop()
             self.actions.append(StopDispatching(change.version.number))
 
     def stopped(self, now: int, number: int) -> None:
-        """Record that the core has stopped dispatching for this change."""
+        """Record that the core has stopped dispatching for the change of this number."""
         change = self.change
         if self.state != MemberState.ACTIVE or change is None or not self.gate.is_stopped:
             return
--- a/gullhold/rollout/store_schema.py
+++ b/gullhold/rollout/store_schema.py
@@ -1,6 +1,7 @@
 """Keys of the rollout in the fleet's store, and the JSON of their values.
 
-Every value is a JSON object. The names and the order of its fields are those of earlier versions.
+Every value but that of the enrollment key is a JSON object. The names and the order of the stored fields are
+kept for compatibility with earlier versions of the program.
 """
 
 import json
@@ -13,18 +14,16 @@
 from gullhold.rollout.policy_version import PolicyError, PolicyVersion
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 
-ROLE = "policy"  # of the member that coordinates changes
+ROLE = "policy"  # name of the role whose leader coordinates changes
 ROLLOUT_PREFIX = "policy/"  # prefix of all keys of the rollout
 WATCHED_PREFIX = ROLLOUT_PREFIX + "now/"  # prefix of the keys that every member watches
-CURRENT_KEY = WATCHED_PREFIX + "current"  # the version in force; absent: the initial one
+CURRENT_KEY = WATCHED_PREFIX + "current"  # the version in force; absent: INITIAL_VERSION
 CHANGE_KEY = WATCHED_PREFIX + "change"  # the open change; absent: none is open
-ENROLLMENT_KEY = (
-    ROLLOUT_PREFIX + "roll"
-)  # written by every member that enrolls, so that a decision notices new members
-VOTES_PREFIX = ROLLOUT_PREFIX + "words/"  # + a member's name and lease
-HISTORY_PREFIX = ROLLOUT_PREFIX + "past/"  # + the number of a decided version
+ENROLLMENT_KEY = ROLLOUT_PREFIX + "roll"  # written by each member that enrolls, so that no decision misses it
+VOTES_PREFIX = ROLLOUT_PREFIX + "words/"  # + MEMBER/LEASE, the lease in hexadecimal: the member's vote
+HISTORY_PREFIX = ROLLOUT_PREFIX + "past/"  # + number of a version whose change has ended: its history entry
 
-# Attribute of each stored field, by its stored name.
+# Names of attributes by the names of the stored fields that hold them.
 VERSION_FIELDS = {
     "number": "number",
     "parent": "parent",
@@ -59,38 +58,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The final state of a change, and why it was dropped."""
+    """The final state of a change. reason: why it was dropped."""
 
     state: ChangeState
     reason: str
 
 
 class HistoryEntry(NamedTuple):
-    """A version whose change has ended, and the outcome."""
+    """A version whose change has ended, and the outcome of that change."""
 
     version: PolicyVersion
     outcome: Outcome
 
 
 def history_key(number: int) -> str:
-    """The key of a version's history entry; keys sort by number."""
+    """The key of a version's history entry; the keys sort by the version's number."""
     return f"{HISTORY_PREFIX}{number:010d}"
 
 
 def vote_key(member: str, lease: int) -> str:
-    """The key of a member's vote; under another lease it counts as another member."""
+    """The key of a member's vote. A member with a new lease counts as another member."""
     return f"{VOTES_PREFIX}{member}/{lease:x}"
 
 
 def version_to_stored(version: PolicyVersion) -> dict[str, Any]:
-    """Convert a version to its stored fields."""
+    """Convert a version to the fields that are stored."""
     return _stored_fields(version, VERSION_FIELDS)
 
 
 def version_from_stored(fields: Any) -> PolicyVersion:
     """Convert stored fields to a version and verify its digest. Raises PolicyError."""
     try:
-        version = _version(fields)
+        version = _version_from_fields(fields)
     except (ValueError, TypeError):
         raise PolicyError("a record that can't be read") from None
     version.verify()
@@ -122,12 +121,12 @@
         fields = json.loads(text)
         canary = fields.get("canary")
         attributes = _attributes(fields, CHANGE_FIELDS)
-        attributes["version"] = _version(fields["record"])
+        attributes["version"] = _version_from_fields(fields["record"])
         attributes["canary"] = Canary(*canary) if canary else None
         attributes["canary_members"] = tuple(fields.get("trial", ()))
-        _convert(attributes, "state", ChangeState)
-        _convert(attributes, "overlap", Overlap)
-        _convert(attributes, "on_silence", OnSilence)
+        _convert_to_enum(attributes, "state", ChangeState)
+        _convert_to_enum(attributes, "overlap", Overlap)
+        _convert_to_enum(attributes, "on_silence", OnSilence)
         return PolicyChange(**attributes)
     except (ValueError, TypeError, KeyError):
         raise PolicyError("a change that can't be read") from None
@@ -145,7 +144,7 @@
         figures = fields.get("figures", ())
         attributes = _attributes(fields, VOTE_FIELDS)
         attributes["figures"] = CommandFigures(*figures) if figures else None
-        _convert(attributes, "kind", VoteKind)
+        _convert_to_enum(attributes, "kind", VoteKind)
         return Vote(**attributes)
     except (ValueError, TypeError, AttributeError):
         return UNREADABLE_VOTE
@@ -164,15 +163,15 @@
 def decode_outcome(text: str) -> Outcome:
     """Decode the outcome in a stored history entry."""
     fields = json.loads(text)
-    return Outcome(_known(fields["outcome"], ChangeState), fields["why"])
+    return Outcome(_enum_member(fields["outcome"], ChangeState), fields["why"])
 
 
 def decode_history_entry(text: str) -> HistoryEntry:
     """Decode a stored history entry; the digest of its version is not verified."""
-    return HistoryEntry(_version(json.loads(text)["record"]), decode_outcome(text))
+    return HistoryEntry(_version_from_fields(json.loads(text)["record"]), decode_outcome(text))
 
 
-def _version(fields: Any) -> PolicyVersion:
+def _version_from_fields(fields: Any) -> PolicyVersion:
     return PolicyVersion(**_attributes(fields, VERSION_FIELDS))
 
 
@@ -181,19 +180,19 @@
 
 
 def _attributes(fields: Any, names: Mapping[str, str]) -> dict[str, Any]:
-    """Convert a stored object to attributes. Raises TypeError if it has fields of other names."""
+    """Convert stored fields to attributes. Raises TypeError unless it is an object with known fields only."""
     if not isinstance(fields, dict) or not fields.keys() <= names.keys():
         raise TypeError("not an object with the fields that this version knows")
     return {names[stored]: value for stored, value in fields.items()}
 
 
-def _convert(attributes: dict[str, Any], name: str, kind: type[Kind]) -> None:
+def _convert_to_enum(attributes: dict[str, Any], name: str, kind: type[Kind]) -> None:
     if name in attributes:
-        attributes[name] = _known(attributes[name], kind)
+        attributes[name] = _enum_member(attributes[name], kind)
 
 
-def _known(value: Any, kind: type[Kind]) -> Any:
-    """The enum's member, or the value itself if it is unknown, as a later version may have written it."""
+def _enum_member(value: Any, kind: type[Kind]) -> Any:
+    """The enum's member, or the value itself if it is unknown: a later version may have written it."""
     try:
         return kind(value)
     except ValueError:
