--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -49,9 +49,9 @@
 class RolloutMember:
     """A member of the rollout. take_actions() returns MemberActions; due() is when to step() at the latest.
 
-    Times are us of a monotonic clock. version: the version in force, adopted here or being adopted. change: the
-    open change. refresh_at: when the policy in force is to be read again. canary_change: number of the change that
-    this member tries as part of the canary; 0: none.
+    Times are us of a monotonic clock. version: the version in force, adopted here or being adopted. change:
+    the open change. refresh_at: when the policy in force is to be read again. canary_change: number of the
+    change that this member tries as part of the canary; 0: none.
     """
 
     def __init__(
@@ -301,7 +301,7 @@
     # Changes
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take a change of a watched key. value: None if it was deleted, as CHANGE_KEY is to close a change."""
+        """Take a change of a watched key. value: None if it was deleted: CHANGE_KEY is, to close a change."""
         if self.state != MemberState.ACTIVE:
             return
         if not self.revisions.update(key, revision):
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -16,7 +16,7 @@
 CLIENT_SEEDS = count(1)  # each client draws its own ids
 
 
-def rig(members: int = 3, **other: Any) -> Rig:
+def make_fleet(members: int = 3, **other: Any) -> Rig:
     """A fleet with one counting engine, on which policies are enabled."""
     return Rig(
         members=members,
@@ -25,12 +25,12 @@
     )
 
 
-def granting(megabytes: int) -> str:
+def policy_granting(megabytes: int) -> str:
     """A policy that engines can recognize: it grants so many MB to each read."""
     return f"policy: grants: read: {megabytes}"
 
 
-def load(fleet: Rig, *names: str, rate: float = 40.0) -> list[load_client.LoadClient]:
+def start_clients(fleet: Rig, *names: str, rate: float = 40.0) -> list[load_client.LoadClient]:
     """Start a client of each of these gateways, by default of all; rate: requests a second of each."""
     return [
         load_client.LoadClient(
@@ -47,7 +47,7 @@
     ]
 
 
-def end(clients: list[load_client.LoadClient]) -> int:
+def stop_clients(clients: list[load_client.LoadClient]) -> int:
     """Stop the clients and wait for their outstanding requests; returns how many requests were answered."""
     for client in clients:
         client.stop()
@@ -56,7 +56,7 @@
     return sum(client.counts.answered for client in clients)
 
 
-def on(fleet: Rig, number: int = 0, names: Iterable[str] | None = None) -> None:
+def wait_until_in_force(fleet: Rig, number: int = 0, names: Iterable[str] | None = None) -> None:
     """Wait until a policy is in force at these gateways, by default at all."""
     expected = set(names or fleet.names)
 
@@ -67,13 +67,13 @@
     fleet.until(is_in_force)
 
 
-def propose(client: PolicyClient, fleet: Rig, text: str, **options: Any) -> PolicyVersion:
+def propose_when_possible(client: PolicyClient, fleet: Rig, text: str, **options: Any) -> PolicyVersion:
     """Propose a policy as soon as no other change is open; returns its version."""
     fleet.until(lambda: CHANGE_KEY not in client.read())
     return client.propose(text, "a", "b", **options)
 
 
-def judged(fleet: Rig, grants: list[int], strict: bool = False, overlap_ms: int = 1200) -> RolloutChecker:
+def check_run(fleet: Rig, grants: list[int], strict: bool = False, overlap_ms: int = 1200) -> RolloutChecker:
     """Check a run: policies overlap no longer than stated, and no change was decided without all votes.
 
     grants: the MB that tell each policy apart. strict: no two policies may be in force at one time.
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -4,7 +4,15 @@
 from contextlib import suppress
 
 import pytest
-from rollout_fleet import end, granting, judged, load, on, propose, rig
+from rollout_fleet import (
+    check_run,
+    make_fleet,
+    policy_granting,
+    propose_when_possible,
+    start_clients,
+    stop_clients,
+    wait_until_in_force,
+)
 
 from gullhold.fleet.store_calls import Put, Transaction
 from gullhold.rollout.policy_change import Canary, OnSilence, Overlap, PolicyChange
@@ -17,23 +25,23 @@
 
 @pytest.mark.parametrize("overlap", [Overlap.LOOSE, Overlap.STRICT])
 def test_a_change_under_load_is_in_force_everywhere_and_an_undo_is_an_ordinary_change(overlap):
-    with rig() as fleet:
+    with make_fleet() as fleet:
         fleet.start()
-        on(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
+        wait_until_in_force(fleet)
+        client, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet)
         time.sleep(0.3)
         grants = [20, 21, 22, 23]
         for i, mb in enumerate(grants):
-            record = client.propose(granting(mb), "a", "b", overlap=overlap)
+            record = client.propose(policy_granting(mb), "a", "b", overlap=overlap)
             assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
             assert record.number == i + 1
             time.sleep(0.1)
         time.sleep(0.2)
-        assert end(clients) > 60
+        assert stop_clients(clients) > 60
         assert not any(one.counts.failed + one.counts.unanswered for one in clients)
-        judged(fleet, grants, overlap == Overlap.STRICT, 300)
+        check_run(fleet, grants, overlap == Overlap.STRICT, 300)
         assert {place for _, place in by_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
-        assert client.current().text == granting(23)
+        assert client.current().text == policy_granting(23)
         assert len(client.history()) == 4
 
 
@@ -41,13 +49,13 @@
     budgets = [{"of": '"threads"', "whole": 12, "linger": "1s"}]
     # A lease that outlives the test's pause and the change's patience: guards against the silent member's
     # lease ending first, as it is no member then and its vote is not waited for.
-    with rig(budgets=budgets, lease_s=4) as fleet:
+    with make_fleet(budgets=budgets, lease_s=4) as fleet:
         fleet.start("n0", "n1")
         fleet.budgets = []
         fleet.start("n2")  # another file: it knows no such budget
-        on(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
-        record = propose(
+        wait_until_in_force(fleet)
+        client, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet)
+        record = propose_when_possible(
             client, fleet, "policy: {budgets: threads: 8, grants: read: 20}", overlap=Overlap.STRICT
         )
         status, line = client.wait(record.number, 8)
@@ -56,36 +64,36 @@
         # The change closes when n1 has voted, or its lease has ended.
         fleet.until(lambda: CHANGE_KEY not in client.read())
         fleet.pause("n1")
-        record = propose(client, fleet, granting(21), patience_us=400_000)
+        record = propose_when_possible(client, fleet, policy_granting(21), patience_us=400_000)
         status, line = client.wait(record.number, 8)
         assert status == ExitStatus.DROPPED
         assert "not ready in time: n1" in line
         fleet.resume("n1")
-        on(fleet, 0)
+        wait_until_in_force(fleet, 0)
         time.sleep(0.3)
-        end(clients)
-        check = judged(fleet, [20, 21], strict=True)
+        stop_clients(clients)
+        check = check_run(fleet, [20, 21], strict=True)
         assert {place for _, place in by_policy(fleet.engines, [20, 21])} == {0}
         assert check.outcomes == {1: "dropped", 2: "dropped"}
 
 
 def test_incomplete_or_invalid_policies_are_rejected_and_of_two_concurrent_proposals_one_is_accepted():
-    with rig(2) as fleet:
+    with make_fleet(2) as fleet:
         fleet.start()
-        on(fleet)
+        wait_until_in_force(fleet)
         client = PolicyClient(fleet.register_address, "rig")
         for text, why in (
             ("policy: sends: once: 2", "must never run twice"),
             ("policy: sends: read: 99", "the agreement allows 6"),
             ("policy: shares: nobody: 1", "no tenant"),
         ):
-            status, line = client.wait(propose(client, fleet, text).number, 5)
+            status, line = client.wait(propose_when_possible(client, fleet, text).number, 5)
             assert status == ExitStatus.DROPPED
             assert why in line
         for text in ("policy: {", "policy: unheard: 1", "policy: grants: read: 0"):
             with pytest.raises(PolicyError):
                 client.propose(text, "a", "b")
-        spoilt = PolicyVersion(9, 0, "a", "b", 0, granting(20)).sealed()._replace(reason="c")
+        spoilt = PolicyVersion(9, 0, "a", "b", 0, policy_granting(20)).sealed()._replace(reason="c")
         session = client.session
         fleet.until(lambda: CHANGE_KEY not in client.read())
         assert session.call(
@@ -96,14 +104,16 @@
         assert "digest" in line
         fleet.until(lambda: CHANGE_KEY not in client.read())
         with pytest.raises(PolicyError, match="not 7"):
-            client.propose(granting(20), "a", "b", parent=7)
-        first = propose(client, fleet, granting(20))
+            client.propose(policy_granting(20), "a", "b", parent=7)
+        first = propose_when_possible(client, fleet, policy_granting(20))
         with suppress(PolicyError):  # the first may be in force already
-            second = client.propose(granting(21), "z", "y", parent=first.parent)
+            second = client.propose(policy_granting(21), "z", "y", parent=first.parent)
             raise AssertionError(f"{second.number} beside {first.number}")
         assert client.wait(first.number, 5).status == ExitStatus.IN_FORCE
         fleet.pause("n0")
-        third = propose(client, fleet, granting(22), on_silence=OnSilence.WAIT, patience_us=60_000_000)
+        third = propose_when_possible(
+            client, fleet, policy_granting(22), on_silence=OnSilence.WAIT, patience_us=60_000_000
+        )
         assert client.status(third.number).status == ExitStatus.UNKNOWN
         fleet.until(lambda: third.number == client.drop())
         fleet.resume("n0")
@@ -111,14 +121,14 @@
             ExitStatus.DROPPED,
             f"{third.number} is dropped: dropped by staff",
         )
-        judged(fleet, [20])
+        check_run(fleet, [20])
 
 
 def test_a_bad_canary_is_dropped_though_its_coordinator_dies_and_a_good_one_is_promoted():
-    with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
+    with make_fleet(make=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
         fleet.start()
-        on(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, rate=60.0)
+        wait_until_in_force(fleet)
+        client, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, rate=60.0)
         canary = Canary(0.34, 6_000_000, 0.1, 9.0)
 
         def state():
@@ -134,14 +144,16 @@
         assert status == ExitStatus.DROPPED, line
         assert "canary: " in line, line
         fleet.start(victim)
-        on(fleet, 0)
+        wait_until_in_force(fleet, 0)
         time.sleep(0.1)
         tried = [at for at, place in by_policy(fleet.engines, [20]) if place]
         assert not tried or max(tried) < time.time() - 0.05  # all are back on the parent
-        record = propose(client, fleet, granting(21), canary=Canary(0.34, 1_200_000, 0.3, 9.0))
+        record = propose_when_possible(
+            client, fleet, policy_granting(21), canary=Canary(0.34, 1_200_000, 0.3, 9.0)
+        )
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
-        on(fleet, record.number)
-        end(clients)
+        wait_until_in_force(fleet, record.number)
+        stop_clients(clients)
         check = RolloutChecker(fleet.lines())
         assert check.outcomes == {1: "dropped", 2: "decided"}
         assert not check.decided_without_all
@@ -157,9 +169,9 @@
         "statement": '"select 1 from warm_1.t /* work=10 */"',
     }
     door = 'door: {on: true, client: field: "client", weights: {n0: 1}}'
-    with rig(2, scheduled=[words], fleet=door) as fleet:
+    with make_fleet(2, scheduled=[words], fleet=door) as fleet:
         fleet.start()
-        on(fleet)
+        wait_until_in_force(fleet)
         client = PolicyClient(fleet.register_address, "rig")
 
         def warmed():
@@ -178,4 +190,4 @@
         record = client.propose("policy: clients: n0: 4", "a", "b")
         assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
         fleet.until(lambda: warmed() > before + 1)
-        judged(fleet, [])
+        check_run(fleet, [])
--- a/tests/test_policy_commands.py
+++ b/tests/test_policy_commands.py
@@ -2,7 +2,7 @@
 
 import json
 
-from rollout_fleet import granting, on, rig
+from rollout_fleet import make_fleet, policy_granting, wait_until_in_force
 
 from gullhold.fleet.store_calls import Proof, ReadPrefix
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
@@ -14,10 +14,10 @@
     from gullhold.__main__ import main  # noqa: PLC0415
 
     path = tmp_path / "p.cue"
-    path.write_text(granting(20))
-    with rig(2) as fleet:
+    path.write_text(policy_granting(20))
+    with make_fleet(2) as fleet:
         fleet.start()
-        on(fleet)
+        wait_until_in_force(fleet)
         at = ["--register", fleet.register_address, "--name", "rig"]
         assert main(["policy", "check", str(path)]) == 0
         assert main(["policy", "diff", str(path), *at]) == 0
