--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes with policies on, its clients, and checks of what its gateways did."""
+"""A fleet of real processes with policies enabled, its clients, and checks of its gateways' behaviour."""
 
 from collections.abc import Iterable
 from itertools import count
@@ -13,11 +13,11 @@
 from gullhold.testing.fleet import Rig
 from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
-CLIENT_SEEDS = count(1)  # each client draws its own ids
+CLIENT_SEEDS = count(1)  # one for each client, so that their request ids differ
 
 
 def make_fleet(members: int = 3, **other: Any) -> Rig:
-    """A fleet with one counting engine, on which policies are enabled."""
+    """Return a fleet with one counting engine and policies enabled. other: arguments of Rig."""
     return Rig(
         members=members,
         engines=1,
@@ -26,12 +26,12 @@
 
 
 def policy_granting(megabytes: int) -> str:
-    """A policy that engines can recognize: it grants so many MB to each read."""
+    """Return the text of a policy that grants so many MB to each read, which the engine records."""
     return f"policy: grants: read: {megabytes}"
 
 
 def start_clients(fleet: Rig, *names: str, rate: float = 40.0) -> list[load_client.LoadClient]:
-    """Start a client of each of these gateways, by default of all; rate: requests a second of each."""
+    """Start a client for each of these gateways, by default for all; rate: requests per second of each."""
     return [
         load_client.LoadClient(
             fleet.members[name].address,
@@ -48,7 +48,7 @@
 
 
 def stop_clients(clients: list[load_client.LoadClient]) -> int:
-    """Stop the clients and wait for their outstanding requests; returns how many requests were answered."""
+    """Stop the clients and wait for their pending requests; return how many requests were answered."""
     for client in clients:
         client.stop()
     for client in clients:
@@ -57,7 +57,7 @@
 
 
 def wait_until_in_force(fleet: Rig, number: int = 0, names: Iterable[str] | None = None) -> None:
-    """Wait until a policy is in force at these gateways, by default at all."""
+    """Wait until these gateways, by default all, have adopted the version of this number."""
     expected = set(names or fleet.names)
 
     def is_in_force() -> bool:
@@ -68,27 +68,28 @@
 
 
 def propose_when_possible(client: PolicyClient, fleet: Rig, text: str, **options: Any) -> PolicyVersion:
-    """Propose a policy as soon as no other change is open; returns its version."""
+    """Propose a policy as soon as no other change is open; return its version."""
     fleet.until(lambda: CHANGE_KEY not in client.read())
     return client.propose(text, "a", "b", **options)
 
 
 def check_run(fleet: Rig, grants: list[int], strict: bool = False, overlap_ms: int = 1200) -> RolloutChecker:
-    """Check a run: policies overlap no longer than stated, and no change was decided without all votes.
+    """Check a run: versions overlapped no longer than overlap_ms, and every decision had all votes.
 
-    grants: the MB that tell each policy apart. strict: no two policies may be in force at one time.
+    grants: MB that each decided policy grants, in the order in which they came into force. strict: no attempt
+    may start under an old version after one has started under a newer one.
     """
-    check = RolloutChecker(fleet.lines())
-    assert not check.decided_without_all, fleet.story()
-    assert not check.decided_though_refused, fleet.story()
-    wrong, overlap = measure_mixture(by_policy(fleet.engines, grants))
-    assert not (strict and wrong), (wrong, overlap, fleet.story())
-    assert overlap <= overlap_ms, (wrong, overlap, fleet.story())
+    checker = RolloutChecker(fleet.lines())
+    assert not checker.decided_without_all, fleet.story()
+    assert not checker.decided_though_refused, fleet.story()
+    mixed_count, measured_ms = measure_mixture(by_policy(fleet.engines, grants))
+    assert not (strict and mixed_count), (mixed_count, measured_ms, fleet.story())
+    assert measured_ms <= overlap_ms, (mixed_count, measured_ms, fleet.story())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
-    return check
+    return checker
 
 
 def is_serving(fleet: Rig, name: str) -> bool:
-    """Whether a gateway answers its health check with good."""
+    """Whether a gateway's health check reports that it serves."""
     return health_check.is_serving(fleet.members[name].address, 1.0)
