--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Changes of policy, and the walks through them: the decisions alone."""
+"""Changes of policy without processes: the coordinator, the members, the gate and walks through a model."""
 
 from dataclasses import replace
 
@@ -47,71 +47,71 @@
     assert measure_mixture([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
     change = PolicyChange(VERSION, ChangeState.DECIDED)
 
-    def line(key, value, lease=0):
+    def journal_line(key, value, lease=0):
         return {"what": "txn", "met": True, "acts": [["put", f"/gullhold/rig/{key}", value, lease]]}
 
-    def journal(vote, change):
+    def journal_lines(vote, change):
         return [
-            line("policy/words/a/1", encode_vote(vote), 1),
-            line("policy/now/change", encode_change(change)),
+            journal_line("policy/words/a/1", encode_vote(vote), 1),
+            journal_line("policy/now/change", encode_change(change)),
         ]
 
     ready = Vote(0, 1, VoteKind.READY)
-    lines = journal(ready, change)
+    lines = journal_lines(ready, change)
     assert (RolloutChecker(lines).decided_without_all, RolloutChecker(lines).decided_though_refused) == (0, 0)
-    lines = journal(ready._replace(kind=VoteKind.REFUSED), change)
+    lines = journal_lines(ready._replace(kind=VoteKind.REFUSED), change)
     assert (RolloutChecker(lines).decided_without_all, RolloutChecker(lines).decided_though_refused) == (1, 1)
     lines.insert(1, {"what": "lease ended", "lease": 1, "revision": 9})
     assert RolloutChecker(lines).decided_without_all == 0
     strict = replace(change, overlap=Overlap.STRICT)
-    assert RolloutChecker(journal(ready, strict)).decided_without_all == 1
+    assert RolloutChecker(journal_lines(ready, strict)).decided_without_all == 1
 
 
 @pytest.mark.parametrize(
-    "text, comes",
+    "text, is_decided",
     [
         (rollout_world.GOOD_TEXT, True),
         (simulated_rollout_member.FAILING_TEXT, False),
         (rollout_world.REFUSED_TEXT, False),
     ],
 )
-def test_a_canary_runs_on_some_members_and_is_dropped_if_it_is_bad(text, comes):
+def test_a_canary_runs_on_some_members_and_the_change_is_dropped_when_it_fails_there(text, is_decided):
     world = rollout_world.World(Overlap.LOOSE, faults=0)
     world.calm()
     world.act(ActionKind.PROPOSE, text)
-    seen = set()
+    states = set()
     for _ in range(16):
         world.act(ActionKind.TIME)
-        while todo := world.next_orderly_action():
-            world.act(*todo)
+        while action := world.next_orderly_action():
+            world.act(*action)
         item = world.model.keys.get(CHANGE_KEY)
         if item:
-            seen.add(decode_change(item.value).state)
-        tried = [one.number for one in world.members if one.number]
-        assert len(tried) <= 1 or world.decided
+            states.add(decode_change(item.value).state)
+        numbers = [member.number for member in world.members if member.number]
+        assert len(numbers) <= 1 or world.decided
     world.calm()
     world.settled()
-    assert world.decided == (1 if comes else 0)
-    assert (ChangeState.CANARY in seen) == (text != rollout_world.REFUSED_TEXT)
+    assert world.decided == (1 if is_decided else 0)
+    assert (ChangeState.CANARY in states) == (text != rollout_world.REFUSED_TEXT)
 
 
-def test_a_canary_that_is_slower_than_the_others_is_out_of_its_bounds():
+def test_a_canary_fails_when_its_members_are_slower_or_fail_more_commands_than_allowed():
     change = PolicyChange(
         VERSION, ChangeState.CANARY, canary_members=("a/1",), canary=Canary(0.5, 1000, 0.1, 1.5)
     )
 
-    def bad(trial, others, over=True):
+    def fault(in_canary, others, is_over=True):
         votes = {
-            "a/1": Vote(0, 1, VoteKind.IN_CANARY, "", CommandFigures(*trial)),
+            "a/1": Vote(0, 1, VoteKind.IN_CANARY, "", CommandFigures(*in_canary)),
             "b/1": Vote(0, 1, VoteKind.READY, "", CommandFigures(*others)),
         }
-        return canary.find_fault(change, votes, over)
+        return canary.find_fault(change, votes, is_over)
 
-    assert "took 200 us, the others' 100" in bad((10, 0, 2000), (10, 0, 1000))
-    assert not bad((10, 0, 2000), (10, 0, 1000), over=False)
-    assert not bad((10, 0, 1500), (10, 0, 1000))
-    assert "3 of 23" in bad((20, 3, 0), (0, 0, 0), over=False)
-    assert not bad((10, 3, 0), (0, 0, 0))
+    assert "took 200 us, the others' 100" in fault((10, 0, 2000), (10, 0, 1000))
+    assert not fault((10, 0, 2000), (10, 0, 1000), is_over=False)
+    assert not fault((10, 0, 1500), (10, 0, 1000))
+    assert "3 of 23" in fault((20, 3, 0), (0, 0, 0), is_over=False)
+    assert not fault((10, 3, 0), (0, 0, 0))
     others_only = {"b/1": Vote(0, 1, VoteKind.READY)}
     assert "none of its members" in canary.find_fault(change, others_only, False)
     with pytest.raises(PolicyError, match="can't be strict"):
@@ -157,44 +157,44 @@
     assert coordinator.due(0) == 1000
     assert coordinator.due(999) == 1000
     coordinator.step(1000)
-    assert not any(isinstance(row, WriteKeys) for row in coordinator.take_actions())
+    assert not any(isinstance(action, WriteKeys) for action in coordinator.take_actions())
     assert coordinator.due(1000) == 1000 + IDLE_STEP_US
 
 
-def test_a_member_without_a_vote_steps_at_its_next_poll():
+def test_a_member_without_a_vote_to_write_steps_when_it_is_to_read_the_policy_again():
     world = rollout_world.World(Overlap.LOOSE, faults=0)
     world.calm()
-    for one in world.members:
-        now = one()
-        assert one.decisions.due(now) == max(now, one.decisions.refresh_at)
-        one.decisions.watch_gap(now)
-        assert one.decisions.due(now) == now + IDLE_STEP_US  # its call is under way
+    for member in world.members:
+        now = member()
+        assert member.decisions.due(now) == max(now, member.decisions.refresh_at)
+        member.decisions.watch_gap(now)
+        assert member.decisions.due(now) == now + IDLE_STEP_US  # its read of the policy is in flight
 
 
 def test_a_stale_read_is_ignored_by_coordinator_and_allocator():
     opened = encode_change(PolicyChange(VERSION))
-    coordinator, dividing = RolloutCoordinator(), AllocatorRole({"b": Budget(LedgerKind.HELD, 5)})
-    for one in (coordinator, dividing):
-        one.won(1, 0)
-        one.read(0, one.take_actions()[0].serial, Reply(Proof.DONE, 7))
-        assert one.is_loaded
-    coordinator.changed(0, CHANGE_KEY, opened, 9)  # it reads what was proposed
-    dividing.changed(0, REPORTS + "a/1", encode_report(UsageReport(0, {"b/0": Usage(0, 1, 1)})), 9)
-    dividing.watch_gap(0)
-    dividing.written(0, dividing.writing, Reply(Proof.DONE, 10, succeeded=False))
-    for one in (coordinator, dividing):
-        serial = one.take_actions()[-1].serial
-        one.read(0, serial, Reply(Proof.DONE, 7))
-        assert not one.is_loaded
-        assert not one.take_actions()
-        one.step(RETRY_US)
-        one.read(
+    coordinator, allocator = RolloutCoordinator(), AllocatorRole({"b": Budget(LedgerKind.HELD, 5)})
+    for role in (coordinator, allocator):
+        role.won(1, 0)
+        role.read(0, role.take_actions()[0].serial, Reply(Proof.DONE, 7))
+        assert role.is_loaded
+    coordinator.changed(0, CHANGE_KEY, opened, 9)  # it now reads all keys again
+    allocator.changed(0, REPORTS + "a/1", encode_report(UsageReport(0, {"b/0": Usage(0, 1, 1)})), 9)
+    allocator.watch_gap(0)
+    allocator.written(0, allocator.writing, Reply(Proof.DONE, 10, succeeded=False))
+    for role in (coordinator, allocator):
+        serial = role.take_actions()[-1].serial
+        role.read(0, serial, Reply(Proof.DONE, 7))
+        assert not role.is_loaded
+        assert not role.take_actions()
+        role.step(RETRY_US)
+        role.read(
             RETRY_US,
-            one.take_actions()[0].serial,
-            Reply(Proof.DONE, 11, items=(KeyValue(CHANGE_KEY, opened, 9),) if one is coordinator else ()),
+            role.take_actions()[0].serial,
+            Reply(Proof.DONE, 11, items=(KeyValue(CHANGE_KEY, opened, 9),) if role is coordinator else ()),
         )
-        assert one.is_loaded
-    assert any(isinstance(row, WriteKeys) for row in coordinator.take_actions())
+        assert role.is_loaded
+    assert any(isinstance(action, WriteKeys) for action in coordinator.take_actions())
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
@@ -209,7 +209,7 @@
     budget_explorer.walk(seed, 400)
 
 
-def test_a_small_fleet_is_explored():
+def test_systematic_exploration_of_a_small_fleet_breaks_no_rule():
     for overlap in (Overlap.STRICT, Overlap.LOOSE):
         states, depth = rollout_explorer.explore(overlap, 4, 500)
         assert states >= 300
@@ -217,13 +217,13 @@
 
 
 @pytest.mark.parametrize("name", [name for name in rollout_mutants.MUTANTS if name != "IgnoresEnrollment"])
-def test_the_walks_find_change_mutants(name):  # the one left out takes 610 walks: benchmarks.policy_rollout
+def test_the_walks_find_change_mutants(name):  # benchmarks.policy_rollout finds the other one: 610 walks
     finding = rollout_mutants.find(name, 250, 500)
     assert finding is not None, finding
     assert finding.kind is FindingKind.VIOLATION, finding
 
 
-# Mutants that fall over their own state before a rule is broken: known from a crash only.
+# Mutants that crash on their own inconsistent state before they break a rule.
 FOUND_BY_A_CRASH = frozenset(("ForgetsLedgers",))
 
 
@@ -242,7 +242,7 @@
         )
     ],
 )
-def test_the_walks_find_reallocation_mutants(name):  # those left out: benchmarks.budgets
+def test_the_walks_find_reallocation_mutants(name):  # benchmarks.budgets finds those left out
     finding = budget_mutants.find(name, 60, 800)
     assert finding is not None
     if name not in FOUND_BY_A_CRASH:
