--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Policies: their versions, what they may set, and what the decision module makes of them."""
+"""Policies: their texts, checks and stored versions, and how the decision module applies them."""
 
 import json
 
@@ -36,12 +36,12 @@
 )
 
 
-def test_a_policy_record_is_the_sealed_one_or_none():
+def test_a_stored_version_is_rejected_when_it_was_altered():
     version = PolicyVersion(1, 0, "a", "why", 5, "policy: {}").sealed()
     stored = encode_version(version)
     assert decode_version(stored) == version
     assert decode_version(encode_version(INITIAL_VERSION)) == INITIAL_VERSION
-    for spoilt in (
+    for unreadable in (
         stored[:-5],
         stored.replace('"why"', '"who"', 1),
         '{"number": 1}',
@@ -49,11 +49,11 @@
         encode_version(version._replace(text="policy: {grants: read: 1}")),
     ):
         with pytest.raises(PolicyError):
-            decode_version(spoilt)
+            decode_version(unreadable)
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    "text, reason",
     [
         ("policy: {", "line"),
         ("policy: shares: a: 0", ""),
@@ -64,15 +64,15 @@
         ("x" * 200_000, "characters"),
     ],
 )
-def test_a_policy_that_can_not_be_read_is_one_line(text, why):
-    with pytest.raises(PolicyError) as fault:
+def test_an_invalid_policy_text_is_rejected_with_one_line(text, reason):
+    with pytest.raises(PolicyError) as error:
         parse_policy(text)
-    assert "\n" not in str(fault.value)
-    assert not why or why in str(fault.value) or ":" in str(fault.value)
+    assert "\n" not in str(error.value)
+    assert not reason or reason in str(error.value) or ":" in str(error.value)
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    "text, reason",
     [
         ("shares: c: 1", "no tenant"),
         ("grants: none: 1", "no profile"),
@@ -85,13 +85,13 @@
         ("{shares: a: 2, sends: {read: 3, once: 1}, budgets: taken: 9}", ""),
     ],
 )
-def test_a_policy_is_checked_against_the_agreement_and_the_budgets(text, why):
+def test_a_policy_is_rejected_when_it_does_not_fit_the_deployment(text, reason):
     policy = parse_policy(f"policy: {text}")
-    found = find_fault(policy, Deployment(AGREEMENT, {"taken": BudgetLimits(10, 4)}))
-    assert (why in found) if why else not found
+    fault = find_fault(policy, Deployment(AGREEMENT, {"taken": BudgetLimits(10, 4)}))
+    assert (reason in fault) if reason else not fault
 
 
-def test_a_policy_is_by_index_for_the_decisions_and_by_name_for_staff():
+def test_settings_are_by_index_for_the_decision_module_and_by_name_for_operators():
     policy = parse_policy("policy: {shares: b: 0.35, grants: read: 20, priorities: once: 2}")
     weights, priorities, grants, sends = decision_terms(policy, AGREEMENT)
     assert weights == [2.0, 1.0]
@@ -108,18 +108,18 @@
 
 
 class Gate:
-    """A gate that a test opens and shuts."""
+    """A policy gate that a test opens and closes by its attributes."""
 
     def __init__(self):
-        self.open, self.away = True, False
+        self.is_open, self.is_policy_unknown = True, False
 
     def may_dispatch(self):
         """Whether attempts may be sent."""
-        return self.open
+        return self.is_open
 
     def rejects_new(self):
         """Whether new commands are rejected."""
-        return self.away
+        return self.is_policy_unknown
 
 
 def test_the_decisions_apply_a_policy_from_the_next_attempt_and_send_nothing_while_the_gate_is_closed():
@@ -133,36 +133,36 @@
     adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
     first = world.submit()
     assert SetGrantAndPriority(first, 20, 2) in world.results_of(SetGrantAndPriority)
-    gate.open = False
+    gate.is_open = False
     second = world.submit()
     world.wait(100 * MS)
     assert not world.commands[second].open_attempt
-    gate.open = True
+    gate.is_open = True
     adopt("policy: grants: read: 30")
     assert world.commands[second].open_attempt
     assert SetGrantAndPriority(second, 30, 3) in world.results_of(SetGrantAndPriority)
     adopt("policy: sends: read: 1")
-    world.end_attempt(first, Outcome.RESET)  # one send is all there is
+    world.end_attempt(first, Outcome.RESET)  # the policy allows one attempt
     assert world.commands[first].final == Shed
-    gate.away = True  # it is not known by what to decide
+    gate.is_policy_unknown = True
     third = world.submit()
     assert world.commands[third].final == Shed
     assert not world.commands[third].attempts_sent_at
 
 
-def test_while_the_gate_is_closed_every_command_still_gets_its_answer_in_time():
+def test_every_command_is_answered_in_time_while_the_gate_is_closed():
     world, gate = Driver(AGREEMENT), Gate()
     world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
-    gate.open = False
+    gate.is_open = False
     terms = decision_terms(parse_policy("policy: {}"), AGREEMENT)
     world.carry_out(world.gateway.apply_policy(world.now, terms, gate))
     for _ in range(5):
         world.submit()
-    world.wait(5000 * MS)  # the driver fails where one is late
+    world.wait(5000 * MS)  # the driver fails if an answer is late
     assert all(cmd.final == Shed for cmd in world.commands.values())
 
 
-def test_records_of_a_later_version_are_preserved():
+def test_unknown_values_of_a_later_version_are_kept_and_unknown_fields_are_rejected():
     stored = json.loads(encode_change(PolicyChange(INITIAL_VERSION)))
     later = json.dumps(stored | {"state": "paused", "overlap": "tight", "silence": "ask"})
     assert encode_change(decode_change(later)) == later
@@ -172,7 +172,7 @@
     assert encode_vote(decode_vote(vote)) == vote
 
 
-def test_a_vote_is_read_as_it_was_stored_or_as_no_vote():
+def test_a_vote_is_decoded_as_stored_or_as_unreadable():
     vote = Vote(2, 3, VoteKind.IN_CANARY, "", CommandFigures(4, 5, 6))
     assert json.loads(encode_vote(vote)) == {
         "under": 2,
@@ -182,5 +182,5 @@
         "figures": [4, 5, 6],
     }
     assert decode_vote(encode_vote(vote)) == vote
-    for spoilt in ("", "[]", "{}", "7", '{"under": 1, "unheard": 2}'):
-        assert decode_vote(spoilt) == UNREADABLE_VOTE
+    for unreadable in ("", "[]", "{}", "7", '{"under": 1, "unheard": 2}'):
+        assert decode_vote(unreadable) == UNREADABLE_VOTE
