--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -32,47 +32,47 @@
         ("decided", "after", "kill"),
     ],
 )
-def test_the_coordinator_is_killed_or_paused_during_a_change(state, side, act):
+def test_a_change_comes_into_force_when_its_coordinator_is_killed_or_paused(state, side, act):
     with make_fleet() as fleet:
-        spread = RoleAssignment(["policy"])
-        spread.update_members(fleet.names)
-        carrier = spread.leaders["policy"]
-        others = [name for name in fleet.names if name != carrier]
-        fleet.start(carrier, point=state, side=side, act=act, nth=1)
+        assignment = RoleAssignment(["policy"])
+        assignment.update_members(fleet.names)
+        coordinator = assignment.leaders["policy"]
+        others = [name for name in fleet.names if name != coordinator]
+        fleet.start(coordinator, point=state, side=side, act=act, nth=1)
         fleet.start(*others)
         wait_until_in_force(fleet)
-        fleet.until(lambda: fleet.owners()["policy"][0] == carrier)
-        client, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, *others)
-        record = client.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
-        status, line = client.wait(record.number, 8)
+        fleet.until(lambda: fleet.owners()["policy"][0] == coordinator)
+        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, *others)
+        version = policies.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
+        status, line = policies.wait(version.number, 8)
         assert status == ExitStatus.IN_FORCE, line
         wait_until_in_force(fleet, 1, others)
         if act == "stop":
-            fleet.resume(carrier)
+            fleet.resume(coordinator)
         else:
-            fleet.start(carrier)
+            fleet.start(coordinator)
         wait_until_in_force(fleet, 1)
-        clients += start_clients(fleet, carrier)
+        clients += start_clients(fleet, coordinator)
         time.sleep(0.3)
         assert stop_clients(clients) > 30
         check_run(fleet, [20], strict=True)
 
 
-@pytest.mark.parametrize("word, side", [("ready", "after"), ("still", "after"), ("still", "before")])
-def test_a_member_killed_after_its_vote_restarts_after_the_decision_and_another_joins_during_it(word, side):
+@pytest.mark.parametrize("vote, side", [("ready", "after"), ("still", "after"), ("still", "before")])
+def test_a_change_comes_into_force_when_a_member_is_killed_as_it_votes_and_another_joins(vote, side):
     with make_fleet() as fleet:
-        spread = RoleAssignment(["policy"])
-        spread.update_members(fleet.names)
-        first, victim = sorted(fleet.names, key=lambda name: name != spread.leaders["policy"])[:2]
+        assignment = RoleAssignment(["policy"])
+        assignment.update_members(fleet.names)
+        first, victim = sorted(fleet.names, key=lambda name: name != assignment.leaders["policy"])[:2]
         other = next(name for name in fleet.names if name not in (first, victim))
         fleet.start(first)
-        fleet.start(victim, point=word, side=side, act="kill", nth=1)
+        fleet.start(victim, point=vote, side=side, act="kill", nth=1)
         wait_until_in_force(fleet, 0, (first, victim))
-        client, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, first)
-        record = client.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
+        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, first)
+        version = policies.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
         fleet.members[victim].process.wait(8)
-        fleet.start(other)  # it enrols in the middle, before or after the decision
-        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
+        fleet.start(other)  # it enrolls during the change, before or after the decision
+        assert policies.wait(version.number, 8).status == ExitStatus.IN_FORCE
         fleet.start(victim)
         wait_until_in_force(fleet, 1)
         clients += start_clients(fleet, victim, other)
@@ -81,15 +81,15 @@
         check_run(fleet, [20], strict=True)
 
 
-def test_replies_are_lost_and_the_store_is_killed_during_changes():
+def test_changes_end_consistently_when_replies_are_lost_or_the_store_is_killed():
     with make_fleet() as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        client, clients, grants = PolicyClient(fleet.register_address, "rig"), start_clients(fleet), []
+        policies, clients, grants = PolicyClient(fleet.register_address, "rig"), start_clients(fleet), []
         for turn in range(4):
-            mb = 20 + turn
-            record = client.propose(
-                policy_granting(mb), "a", "b", overlap=(Overlap.STRICT, Overlap.LOOSE)[turn % 2]
+            grant_mb = 20 + turn
+            version = policies.propose(
+                policy_granting(grant_mb), "a", "b", overlap=(Overlap.STRICT, Overlap.LOOSE)[turn % 2]
             )
             if turn % 2:
                 fleet.faults(lose=6)
@@ -98,26 +98,26 @@
                 fleet.kill_register()
                 fleet.start_register()
                 fleet.faults(drop=1)
-            status, line = client.wait(record.number, 8)
+            status, line = policies.wait(version.number, 8)
             assert status in (ExitStatus.IN_FORCE, ExitStatus.DROPPED), line
-            grants += [mb] * (status == ExitStatus.IN_FORCE)
+            grants += [grant_mb] * (status == ExitStatus.IN_FORCE)
             time.sleep(0.2)
-        wait_until_in_force(fleet, client.current().number)
+        wait_until_in_force(fleet, policies.current().number)
         assert stop_clients(clients) > 60
         check_run(fleet, grants)
 
 
-def test_half_of_the_members_are_down_during_a_change_and_return_under_it():
+def test_members_that_are_down_during_a_change_return_under_the_new_version():
     with make_fleet(4) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        client = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.register_address, "rig")
         fleet.kill("n2")
-        fleet.pause("n3")  # it slept, and wakes believing in what was
+        fleet.pause("n3")  # when it goes on, it still holds the old policy
         clients = start_clients(fleet, "n0", "n1", "n3")
-        record = client.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
-        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
-        fleet.start("n2")  # with its old file
+        version = policies.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
+        assert policies.wait(version.number, 8).status == ExitStatus.IN_FORCE
+        fleet.start("n2")  # with its old operator file
         fleet.resume("n3")
         wait_until_in_force(fleet, 1)
         clients += start_clients(fleet, "n2")
@@ -129,36 +129,36 @@
 
 def test_a_member_cut_off_after_voting_ready_rejects_requests_once_its_lease_expires():
     with make_fleet() as fleet:
-        spread = RoleAssignment(["policy"])
-        spread.update_members(fleet.names)
-        victim = next(name for name in fleet.names if name != spread.leaders["policy"])
+        assignment = RoleAssignment(["policy"])
+        assignment.update_members(fleet.names)
+        victim = next(name for name in fleet.names if name != assignment.leaders["policy"])
         others = [name for name in fleet.names if name != victim]
         fleet.start()
         wait_until_in_force(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet)
+        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet)
         time.sleep(0.3)
         fleet.cut(victim)
-        record = client.propose(policy_granting(20), "a", "b", on_silence=OnSilence.WAIT)
-        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
+        version = policies.propose(policy_granting(20), "a", "b", on_silence=OnSilence.WAIT)
+        assert policies.wait(version.number, 8).status == ExitStatus.IN_FORCE
         wait_until_in_force(fleet, 1, others)
-        asker = clients[fleet.names.index(victim)]
-        fleet.until(lambda: asker.counts.shed > 3)  # a time to come back is not stated by this agreement
+        victim_client = clients[fleet.names.index(victim)]
+        # This agreement states no time after which to retry.
+        fleet.until(lambda: victim_client.counts.shed > 3)
         assert is_serving(fleet, victim) is False
         fleet.heal(victim)
-        wait_until_in_force(
-            fleet, 1
-        )  # its word stands at the register a moment before the reply that opens its gate
+        # The victim's vote is stored a moment before the reply to that write opens its gate.
+        wait_until_in_force(fleet, 1)
         fleet.until(lambda: is_serving(fleet, victim))
         time.sleep(0.2)
         stop_clients(clients)
         check_run(fleet, [20])
 
 
-def test_a_rolling_restart_during_a_change_that_lowers_a_budget():
+def test_a_lowered_budget_is_kept_when_members_restart_during_the_change():
     with make_fleet(4, budgets=[{"of": '"threads"', "whole": 12, "linger": "1s"}]) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        client = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.register_address, "rig")
         clients = [
             load_client.LoadClient(
                 fleet.members[name].address,
@@ -173,18 +173,20 @@
             for name in ("n0", "n1")
         ]
         time.sleep(0.4)
-        record = client.propose(
+        version = policies.propose(
             "policy: {budgets: threads: 5, grants: read: 20}", "a", "b", overlap=Overlap.STRICT
         )
         for name in ("n3", "n2"):
             fleet.stop(name)
             fleet.start(name)
-        assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
+        assert policies.wait(version.number, 8).status == ExitStatus.IN_FORCE
         wait_until_in_force(fleet, 1)
         decided = time.time()
         time.sleep(1.5)
         stop_clients(clients)
-        flights = fleet.engines[0].attempts
-        assert most_at_once(flights)[0] <= 12
-        assert 3 <= most_at_once([row for row in flights if row.started_at > decided + 0.5])[0] <= 5
+        attempts = fleet.engines[0].attempts
+        assert most_at_once(attempts)[0] <= 12
+        assert (
+            3 <= most_at_once([attempt for attempt in attempts if attempt.started_at > decided + 0.5])[0] <= 5
+        )
         check_run(fleet, [20], strict=True)
