--- a/tests/test_policy_commands.py
+++ b/tests/test_policy_commands.py
@@ -22,7 +22,7 @@
         assert main(["policy", "check", str(path)]) == 0
         assert main(["policy", "diff", str(path), *options]) == 0
         assert "grants read: as agreed -> 20" in capsys.readouterr().out
-        arguments = [
+        argv = [
             "policy",
             "propose",
             str(path),
@@ -34,7 +34,7 @@
             "--wait",
             "5",
         ]
-        assert main(arguments) == ExitStatus.IN_FORCE
+        assert main(argv) == ExitStatus.IN_FORCE
         assert main(["policy", "status", *options, "--number", "1"]) == ExitStatus.IN_FORCE
         assert main(["policy", "status", *options, "--number", "7"]) == ExitStatus.UNKNOWN
         assert main(["policy", "undo", *options, "--wait", "5"]) == ExitStatus.IN_FORCE
