--- a/gullhold/rollout/canary_figures.py
+++ b/gullhold/rollout/canary_figures.py
@@ -20,7 +20,7 @@
         """Start from zero again: the next report is the new baseline."""
         self._baseline = None
 
-    def take(self, now: int) -> CommandFigures:
+    def next_report(self, now: int) -> CommandFigures:
         """Return the figures since the first report, and schedule the next one."""
         self.due_at = now + REPORT_INTERVAL_US
         figures = self._read_figures()
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -3,8 +3,8 @@
 The whole state is in the store, so that the next leader of the role continues where the last one failed. A
 single write decides the change. Its conditions are the leader's token, the change as it was read, and the
 enrollment key, which every joining member writes: the store refuses the decision if a member has joined since
-the votes were read. A member that is down has no vote's key; it reads the policy in force before it
-dispatches anything.
+the votes were read, so that each member has voted on the change. A member that is down has no vote in the
+store; it reads the policy in force before it dispatches anything.
 """
 
 from dataclasses import replace
@@ -44,7 +44,8 @@
 from gullhold.rollout.vote import VoteKind
 from gullhold.rollout.vote_tally import VoteTally
 
-MAX_HISTORY = 50  # ended versions kept in the store; the write that ends a change deletes older ones
+# Ended versions kept in the store for operators to read; the write that ends a change deletes older ones.
+MAX_HISTORY = 50
 MAX_NAMES = 5  # members named in the reason of a dropped change, to keep it on one line
 
 
@@ -134,7 +135,7 @@
             self._change_state(ChangeState.DECIDED)
 
     def _check_canary(self, now: int) -> None:
-        """Drop the change as soon as its canary fails; decide it once the canary's time has passed."""
+        """Drop the change as soon as its canary fails; decide it once its time has passed with all figures."""
         if self._drop_if_refused():
             return
         is_over = now >= self.change_since + cast("Canary", self._open_change.canary).duration_us
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -39,9 +39,7 @@
 from gullhold.rollout.vote_publisher import VotePublisher
 
 REFRESHES_PER_LEASE = 3  # reads of the policy in force during the time for which one read counts
-UNUSABLE_POLICY_RETRY_US = (
-    RETRY_US * 5
-)  # us between reads of a policy that can't be used here: it rarely changes
+UNUSABLE_POLICY_RETRY_US = RETRY_US * 5  # us between reads of a policy that can't be used: it rarely changes
 # States of a change in which members vote on it.
 VOTING_STATES = frozenset((ChangeState.CHECKED, ChangeState.CANARY, ChangeState.PREPARED))
 
@@ -121,7 +119,7 @@
     def _step_active(self, now: int) -> None:
         self._report_figures(now)
         if not self.publisher.is_stored():
-            request = self.publisher.request(self.own_vote_key(), self.lease)
+            request = self.publisher.write_request(self.own_vote_key(), self.lease)
             self._call(now, CallPurpose.WRITE_VOTE, request)
         elif now >= self.refresh_at:
             reads = (Get(CURRENT_KEY), Get(CHANGE_KEY))
@@ -154,7 +152,7 @@
 
     def _report_figures(self, now: int) -> None:
         if self._must_report_figures() and now >= self.figures.due_at:
-            self._set_vote(self._enrolled_vote._replace(figures=self.figures.take(now)))
+            self._set_vote(self._enrolled_vote._replace(figures=self.figures.next_report(now)))
 
     def _call(self, now: int, purpose: CallPurpose, request: Transaction) -> None:
         self.actions.append(CallStore(self.calls.start(now, purpose), request))
--- a/gullhold/rollout/vote.py
+++ b/gullhold/rollout/vote.py
@@ -8,9 +8,9 @@
 class VoteKind(StrEnum):
     """Kind of a vote; the values are stored."""
 
-    READY = "ready"  # the change can be run here
+    READY = "ready"  # the change can be used here
     IN_CANARY = "trial"  # ready, and uses the change already, as part of the canary
-    REFUSED = "refused"  # the change can't be run here
+    REFUSED = "refused"  # the change can't be used here
     STOPPED = "still"  # ready, and has stopped dispatching
     NO_VOTE = "under"  # no vote on a change, only the version in use
     UNREADABLE = "?"  # stands for a stored vote that can't be decoded; never written
@@ -47,7 +47,7 @@
         )
 
 
-class VotePosition(NamedTuple):
+class VoteSummary(NamedTuple):
     """The parts of a vote by which votes are counted: all but reason and figures."""
 
     version: int
@@ -68,9 +68,9 @@
     reason: str = ""
     figures: CommandFigures | None = None
 
-    def position(self) -> VotePosition:
+    def summary(self) -> VoteSummary:
         """The parts of the vote by which it is counted."""
-        return VotePosition(self.version, self.change, self.kind)
+        return VoteSummary(self.version, self.change, self.kind)
 
     def supports(self, change: int, kind: VoteKind) -> bool:
         """Whether it is a vote on the change, of this kind or of one that counts as such."""
--- a/gullhold/rollout/vote_publisher.py
+++ b/gullhold/rollout/vote_publisher.py
@@ -30,7 +30,7 @@
         """Whether the stored copy is up to date."""
         return self.vote == self._stored
 
-    def request(self, key: str, lease: int) -> Transaction:
+    def write_request(self, key: str, lease: int) -> Transaction:
         """The transaction that writes the vote; until written() is called, the stored copy is unknown."""
         self._stored = None
         self._in_flight = self.vote
@@ -38,7 +38,7 @@
         return Transaction(((key, self._revision),), operations, (Get(key),))
 
     def written(self, reply: Reply) -> None:
-        """Take the reply to the transaction of request()."""
+        """Take the reply to the transaction of write_request()."""
         if reply.proof != Proof.DONE:
             return
         if reply.succeeded:
--- a/gullhold/rollout/vote_tally.py
+++ b/gullhold/rollout/vote_tally.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from gullhold.rollout.vote import SUFFICIENT_KINDS, Vote, VoteKind, VotePosition
+from gullhold.rollout.vote import SUFFICIENT_KINDS, Vote, VoteKind, VoteSummary
 
 
 class VoteTally:
@@ -10,40 +10,38 @@
 
     def __init__(self) -> None:
         self.votes: dict[str, Vote] = {}
-        self._counts: Counter[VotePosition] = Counter()  # number of members for each position that occurs
+        self._counts: Counter[VoteSummary] = Counter()  # number of members for each summary that occurs
 
     def set(self, member: str, vote: Vote | None) -> None:
         """Record a member's vote; None: the member's lease has ended."""
         old = self.votes.pop(member, None)
         if old is not None:
-            self._remove(old.position())
+            self._remove(old.summary())
         if vote is not None:
             self.votes[member] = vote
-            self._counts[vote.position()] += 1
+            self._counts[vote.summary()] += 1
 
-    def _remove(self, position: VotePosition) -> None:
-        self._counts[position] -= 1
-        if not self._counts[position]:
-            del self._counts[position]
+    def _remove(self, summary: VoteSummary) -> None:
+        self._counts[summary] -= 1
+        if not self._counts[summary]:
+            del self._counts[summary]
 
     def all_support(self, change: int, kind: VoteKind) -> bool:
         """Whether all members support the change with a vote of this kind; false if there are none."""
         sufficient = SUFFICIENT_KINDS[kind]
         return bool(self._counts) and all(
-            position.change == change and position.kind in sufficient for position in self._counts
+            summary.change == change and summary.kind in sufficient for summary in self._counts
         )
 
     def all_use(self, version: int) -> bool:
         """Whether each member uses the version and has no vote on a change."""
         return all(
-            position.version == version and position.kind == VoteKind.NO_VOTE for position in self._counts
+            summary.version == version and summary.kind == VoteKind.NO_VOTE for summary in self._counts
         )
 
     def first_refusal(self, change: int) -> tuple[str, Vote] | None:
         """A member that refuses the change, as (NAME/LEASE, vote); None if none does."""
-        if not any(
-            position.change == change and position.kind == VoteKind.REFUSED for position in self._counts
-        ):
+        if not any(summary.change == change and summary.kind == VoteKind.REFUSED for summary in self._counts):
             return None
         for member, vote in self.votes.items():
             if vote.change == change and vote.kind == VoteKind.REFUSED:
