--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -135,7 +135,7 @@
             self._change_state(ChangeState.DECIDED)
 
     def _check_canary(self, now: int) -> None:
-        """Drop the change as soon as its canary fails; decide it once its time has passed with all figures."""
+        """Drop the change as soon as its canary fails; decide it once it is over with all figures."""
         if self._drop_if_refused():
             return
         is_over = now >= self.change_since + cast("Canary", self._open_change.canary).duration_us
