--- a/gullhold/rollout/rollout_driver.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -58,7 +58,7 @@
     client_weights: dict[str, float]
 
 
-class ResizeCause(NamedTuple):
+class BudgetTotalsCause(NamedTuple):
     """The state of the rollout that budget totals were last computed for.
 
     version: number of the version in force; change, state: of the open change, None if none is open.
@@ -101,7 +101,7 @@
         # Budget totals while a change is open: the lower of the old and the new one, so that the allocations
         # exceed neither.
         self.lowest_totals: dict[str, int] = {}
-        self.resized_for: ResizeCause | None = None  # at the allocator's last resize
+        self.totals_set_for: BudgetTotalsCause | None = None  # when the totals of the allocator were last set
         self.core.fences.append(self.gate)
         self._adopt(AT_START, INITIAL_VERSION)  # before the first command; the gate is still closed
         self._use_snapshot()
@@ -172,7 +172,7 @@
                         self.watcher.watch_from(revision)
                     case LogEvent(level, text, facts):
                         self.fleet.log_event(level, "policy: " + text, **facts)
-        self._resize_budgets()
+        self._set_budget_totals()
 
     def _adopt(self, serial: int, version: PolicyVersion) -> None:
         policy = parse_policy(version.text, f"policy {version.number}")
@@ -231,16 +231,16 @@
 
     # The allocator of budgets, on the fleet's thread
 
-    def _resize_budgets(self) -> None:
+    def _set_budget_totals(self) -> None:
         """Have the allocator use the lower of the old and the new totals while a change is open."""
         version = self.member.version
         change = self.member.change
-        cause = ResizeCause(version.number, None, None)
+        cause = BudgetTotalsCause(version.number, None, None)
         if change is not None:
-            cause = ResizeCause(version.number, change.version.number, change.state)
-        if not self.fleet.budgets or cause == self.resized_for:
+            cause = BudgetTotalsCause(version.number, change.version.number, change.state)
+        if not self.fleet.budgets or cause == self.totals_set_for:
             return
-        self.resized_for = cause
+        self.totals_set_for = cause
         current = budget_totals(parse_policy(version.text), self.deployment.budgets)
         if change is None or change.state == ChangeState.DROPPED:
             self.lowest_totals = current
