--- a/gullhold/testing/rollout_explorer.py
+++ b/gullhold/testing/rollout_explorer.py
@@ -64,7 +64,7 @@
     """
     draw = random.Random(seed).random
     overlap = (Overlap.STRICT, Overlap.LOOSE)[seed % 2]
-    cut_off_rule = (CutOffRule.KEEP, CutOffRule.STAND)[seed // 2 % 2]
+    cut_off_rule = (CutOffRule.UNTIL_LEASE_END, CutOffRule.BEFORE_LEASE_END)[seed // 2 % 2]
     world = World(overlap, faults, **{"cut_off_rule": cut_off_rule} | variant)
     actions = random_steps(world, draw) if seed // 4 % 4 else walking.random_actions(world, draw, FAULTS)
     return walking.run_walk(world, actions, steps, seed, with_fingerprints)
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -10,14 +10,14 @@
 from gullhold.rollout.member_actions import AdoptVersion, CallStore, StopDispatching, WatchPolicy
 from gullhold.rollout.policy_change import Canary, OnSilence, Overlap, PolicyChange
 from gullhold.rollout.policy_version import PolicyVersion
-from gullhold.rollout.proposal import propose
+from gullhold.rollout.proposal import proposal_transaction
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.store_schema import (
     CHANGE_KEY,
     CURRENT_KEY,
     ROLE,
-    ROOT,
-    WATCHED,
+    ROLLOUT_PREFIX,
+    WATCHED_PREFIX,
     decode_version,
 )
 from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
@@ -56,7 +56,7 @@
         """overlap: of all changes; faults: how many may still happen; variant: fields of RolloutVariant."""
         self.variant = RolloutVariant(**variant)
         coordinators = [self.variant.make_coordinator() for _ in range(2)]
-        super().__init__(StoreModel(ROOT), "duties/" + ROLE, ROOT, coordinators, faults)
+        super().__init__(StoreModel(ROLLOUT_PREFIX), "duties/" + ROLE, ROLLOUT_PREFIX, coordinators, faults)
         self.overlap = overlap
         self.proposed = 0
         self.history = RolloutHistory(overlap, self.now)
@@ -84,7 +84,7 @@
         self._collect_member(member)
 
     def _has_changes(self, member: SimulatedMember) -> bool:
-        return not member.is_disconnected and bool(self.changes_since(member.watched_from, WATCHED))
+        return not member.is_disconnected and bool(self.changes_since(member.watched_from, WATCHED_PREFIX))
 
     def _missing_names(self) -> list[str]:
         present = {member.name for member in self.members}
@@ -184,7 +184,7 @@
 
     def _do_notify_member(self, index: int) -> None:
         member = self.members[index]
-        changes = self.changes_since(member.watched_from, WATCHED)
+        changes = self.changes_since(member.watched_from, WATCHED_PREFIX)
         first_revision = changes[0][0]
         member.watched_from = first_revision + 1
         for revision, key, value in changes:
@@ -222,7 +222,7 @@
             patience_us=PATIENCE_US,
             canary=Canary(CANARY_SHARE, 2 * PATIENCE_US) if has_canary else None,
         )
-        self.store.call(propose(change, self.store.keys), self.now)
+        self.store.call(proposal_transaction(change, self.store.keys), self.now)
 
     def _do_join(self, name: str) -> None:
         member = SimulatedMember(self, name, RATES[NAMES.index(name)])
