--- a/gullhold/testing/rollout_checker.py
+++ b/gullhold/testing/rollout_checker.py
@@ -11,8 +11,8 @@
 from gullhold.testing.attempt_record import AttemptRecord
 
 CHANGE_KEY = "policy/now/change"
-VOTES = "policy/words/"
-SUFFICIENT_WORDS = {"strict": ("still",), "loose": ("ready", "trial", "still")}  # by overlap
+VOTES_PREFIX = "policy/words/"
+SUFFICIENT_VOTES = {"strict": ("still",), "loose": ("ready", "trial", "still")}  # stored kinds, by overlap
 FINAL_STATES = ("decided", "dropped")
 
 Journal = Iterable[Mapping[str, Any]]
@@ -78,11 +78,11 @@
 class RolloutChecker:
     """Goes through a store's journal once: which changes were decided, and how members had voted by then.
 
-    decided_without_all: decisions made while an enrolled member had not voted ready, or still for a strict
-    change; decided_though_refused: decisions on a version that a member had refused; divergent_changes: ended
-    changes after which the members had not all adopted one version; stop_times_s: for each member and strict
-    change, the time from its preparation to its adoption by the member; outcomes: {number: "decided" or
-    "dropped"}.
+    decided_without_all: decisions made while an enrolled member had not voted ready, or for a strict change
+    stopped (stored as "still"); decided_though_refused: decisions on a version that a member had refused;
+    divergent_changes: ended changes after which the members had not all adopted one version; stop_times_s:
+    for each member and strict change, the time from its preparation to its adoption by the member; outcomes:
+    {number: "decided" or "dropped"}.
     """
 
     def __init__(self, lines: Journal) -> None:
@@ -121,9 +121,9 @@
             self.divergent_changes += len(versions) > 1
 
     def _put(self, key: str, value: str, lease: int, at: float) -> None:
-        if not key.startswith(VOTES):
+        if not key.startswith(VOTES_PREFIX):
             return
-        member = key.removeprefix(VOTES)
+        member = key.removeprefix(VOTES_PREFIX)
         vote = json.loads(value)
         was_stopped = self._votes.get(member, {}).get("word") == "still"
         if was_stopped and vote["word"] == "under":
@@ -139,7 +139,7 @@
         if state in FINAL_STATES:
             self.outcomes[number] = state
         if state == "decided":
-            self._decided(number, SUFFICIENT_WORDS[change["overlap"]])
+            self._decided(number, SUFFICIENT_VOTES[change["overlap"]])
 
     def _decided(self, number: int, sufficient: Sequence[str]) -> None:
         votes = self._votes.values()
