--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -11,10 +11,10 @@
 from itertools import pairwise
 from typing import Any, NamedTuple
 
-ROLES = "duties/"
-EFFECTS = ("beats/", "plan/")
-SCHEDULED_COMMANDS = "plan/"
-OCCURRENCES = "/run/"
+ROLES_PREFIX = "duties/"
+EFFECT_PREFIXES = ("beats/", "plan/")
+SCHEDULED_COMMANDS_PREFIX = "plan/"
+OCCURRENCE_PART = "/run/"  # of the key plan/COMMAND/run/DUE
 
 Line = dict[str, Any]  # of the journal
 OccurrenceKey = tuple[str, int]  # command, due time
@@ -107,9 +107,9 @@
         self._roles_by_lease = defaultdict(set)
         for key, value, revision, lease in keys:
             name = _fleet_key(key)
-            if not name.startswith(ROLES):
+            if not name.startswith(ROLES_PREFIX):
                 continue
-            role = name.removeprefix(ROLES)
+            role = name.removeprefix(ROLES_PREFIX)
             self._leaders[role] = Leader(json.loads(value)["owner"], revision, lease)
             self._roles_by_lease[lease].add(role)
             self._highest_tokens[role] = max(self._highest_tokens[role], revision)
@@ -117,12 +117,12 @@
     def _check_transaction(self, line: Line) -> None:
         conditions = {_fleet_key(key): revision for key, revision in line["when"]}
         writes = [(kind, _fleet_key(key), value, lease) for kind, key, value, lease in line["acts"]]
-        effects = [key for kind, key, _, _ in writes if kind == "put" and key.startswith(EFFECTS)]
+        effects = [key for kind, key, _, _ in writes if kind == "put" and key.startswith(EFFECT_PREFIXES)]
         if effects:
             tokens = {
-                key.removeprefix(ROLES): revision
+                key.removeprefix(ROLES_PREFIX): revision
                 for key, revision in conditions.items()
-                if key.startswith(ROLES)
+                if key.startswith(ROLES_PREFIX)
             }
             self._check_effect(line, tokens, effects)
         if not line["met"]:
@@ -135,17 +135,17 @@
                 self._check_delete(key)
 
     def _check_put(self, line: Line, key: str, value: str, lease: int) -> None:
-        if key.startswith(ROLES):
+        if key.startswith(ROLES_PREFIX):
             leader = Leader(json.loads(value)["owner"], line["revision"], lease)
-            self._check_acquisition(line["at"], key.removeprefix(ROLES), leader)
-        elif key.startswith(SCHEDULED_COMMANDS) and OCCURRENCES in key:
+            self._check_acquisition(line["at"], key.removeprefix(ROLES_PREFIX), leader)
+        elif key.startswith(SCHEDULED_COMMANDS_PREFIX) and OCCURRENCE_PART in key:
             _, command, _, due = key.split("/")
             self._occurrences[command, int(due)][line["revision"]] = json.loads(value)
 
     def _check_delete(self, key: str) -> None:
-        if not key.startswith(ROLES):
+        if not key.startswith(ROLES_PREFIX):
             return
-        role = key.removeprefix(ROLES)
+        role = key.removeprefix(ROLES_PREFIX)
         old = self._leaders.pop(role, None)
         if old:
             self._roles_by_lease[old.lease].discard(role)
