--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -121,7 +121,7 @@
         self.allocations.request_report()
 
     def used(self, now: int) -> int:
-        """Return in_use, without what has settled or left the window until now."""
+        """Subtract from in_use what has settled, or left the window, by `now`; return it."""
         if self.settling:
             self._remove_until(self.settling, now)
         if self.spent:
--- a/gullhold/budgets/usage_report.py
+++ b/gullhold/budgets/usage_report.py
@@ -54,7 +54,7 @@
 
 
 def render_page(fleet_name: str, samples: Sequence[Sample]) -> str:
-    """Return the page: figures on the allocation, use and waiting of each budget, and a chart of each."""
+    """Return the page: figures on each budget's allocation, use and waiting, and a chart of each budget."""
     import jinja2  # noqa: PLC0415  only a report needs it
 
     source = files("gullhold.budgets").joinpath(TEMPLATE).read_text("utf-8")
