--- a/gullhold/operator/values.py
+++ b/gullhold/operator/values.py
@@ -17,7 +17,7 @@
     "duration": frozenset((ScalarType.DURATION,)),
 }
 DURATION_UNITS_US = {"h": 3_600_000_000, "min": 60_000_000, "s": 1_000_000, "ms": 1000}  # largest first
-MIN_SIMILARITY = 0.5  # difflib ratio of an unknown name and a known one, from which on that is suggested
+MIN_SIMILARITY = 0.5  # smallest difflib ratio at which a known name is suggested for an unknown one
 ABSENT: Any = object()  # the value of a scalar of which only types and bounds are stated
 
 
--- a/gullhold/simulation/discovery.py
+++ b/gullhold/simulation/discovery.py
@@ -26,8 +26,8 @@
 class Discovery:
     """The endpoint list, and the gateways that watch it.
 
-    gateways: by name; a change is sent to those that are in it at the time. extra_delay_us: added by a fault
-    to the network's delay of watch events.
+    gateways: running gateways by name; each change is sent to them. extra_delay_us: added by a fault to the
+    network's delay of watch events.
     """
 
     def __init__(
--- a/gullhold/simulation/streams.py
+++ b/gullhold/simulation/streams.py
@@ -13,7 +13,7 @@
 
 
 class StreamEnd(StrEnum):
-    """How one side of a connection ended it."""
+    """How one side of a connection ends its direction."""
 
     CLOSED = "closed"  # after all written bytes, as by a TCP FIN
     RESET = "reset"  # at once; bytes in flight are lost
