--- a/gullhold/rollout/vote_tally.py
+++ b/gullhold/rollout/vote_tally.py
@@ -1,49 +1,47 @@
-"""The votes of a fleet's members, counted so that common questions need no pass over all members."""
+"""The votes of a fleet's members, counted so that common queries need no pass over all members."""
 
 from collections import Counter
 
-from gullhold.rollout.vote import SUFFICIENT_KINDS, Vote, VoteKind, VotePosition
+from gullhold.rollout.vote import SUFFICIENT_KINDS, Vote, VoteKind, VoteSummary
 
 
 class VoteTally:
-    """Votes by member (name and lease, as in the key)."""
+    """Votes by member, identified by NAME/LEASE as in the vote's key."""
 
     def __init__(self) -> None:
         self.votes: dict[str, Vote] = {}
-        self._counts: Counter[VotePosition] = Counter()  # number of members by position
+        self._counts: Counter[VoteSummary] = Counter()  # number of members for each summary that occurs
 
     def set(self, member: str, vote: Vote | None) -> None:
         """Record a member's vote; None: the member's lease has ended."""
         old = self.votes.pop(member, None)
         if old is not None:
-            self._remove(old.position())
+            self._remove(old.summary())
         if vote is not None:
             self.votes[member] = vote
-            self._counts[vote.position()] += 1
+            self._counts[vote.summary()] += 1
 
-    def _remove(self, position: VotePosition) -> None:
-        self._counts[position] -= 1
-        if not self._counts[position]:
-            del self._counts[position]
+    def _remove(self, summary: VoteSummary) -> None:
+        self._counts[summary] -= 1
+        if not self._counts[summary]:
+            del self._counts[summary]
 
     def all_support(self, change: int, kind: VoteKind) -> bool:
-        """Whether there are members and all of them support the change with a vote of this kind."""
+        """Whether all members support the change with a vote of this kind; false if there are none."""
         sufficient = SUFFICIENT_KINDS[kind]
         return bool(self._counts) and all(
-            position.change == change and position.kind in sufficient for position in self._counts
+            summary.change == change and summary.kind in sufficient for summary in self._counts
         )
 
-    def all_under(self, version: int) -> bool:
-        """Whether each member uses the version and votes on no change."""
+    def all_use(self, version: int) -> bool:
+        """Whether each member uses the version and has no vote on a change."""
         return all(
-            position.version == version and position.kind == VoteKind.UNDER for position in self._counts
+            summary.version == version and summary.kind == VoteKind.NO_VOTE for summary in self._counts
         )
 
     def first_refusal(self, change: int) -> tuple[str, Vote] | None:
-        """(name and lease of a member that refuses the change, its vote); None: no member does."""
-        if not any(
-            position.change == change and position.kind == VoteKind.REFUSED for position in self._counts
-        ):
+        """A member that refuses the change, as (NAME/LEASE, vote); None if none does."""
+        if not any(summary.change == change and summary.kind == VoteKind.REFUSED for summary in self._counts):
             return None
         for member, vote in self.votes.items():
             if vote.change == change and vote.kind == VoteKind.REFUSED:
@@ -51,5 +49,5 @@
         return None
 
     def missing(self, change: int, kind: VoteKind) -> list[str]:
-        """The members that do not support the change with a vote of this kind, sorted."""
+        """The members that do not support the change with a vote of this kind, sorted by name."""
         return sorted(member for member, vote in self.votes.items() if not vote.supports(change, kind))
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -10,7 +10,7 @@
 from gullhold.rollout.policy_gate import PolicyGate
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.rollout_member import RolloutMember
-from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES
+from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES_PREFIX
 from gullhold.rollout.vote import VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
 from gullhold.testing import rollout_explorer, walking
@@ -49,9 +49,9 @@
         """As the product's, without the conditions of the enrollment."""
         super().step(now, lease)
         in_flight = self.calls.in_flight
-        if self.out and in_flight and in_flight.purpose == CallPurpose.ENROLL:
-            call = self.out[-1]
-            self.out[-1] = CallStore(call.serial, Transaction((), call.request.operations))
+        if self.actions and in_flight and in_flight.purpose == CallPurpose.ENROLL:
+            call = self.actions[-1]
+            self.actions[-1] = CallStore(call.serial, Transaction((), call.request.operations))
 
 
 class DispatchesUnenrolled(RolloutMember):
@@ -60,7 +60,7 @@
     def step(self, now: int, lease: int) -> None:
         """As the product's, with the gate open."""
         super().step(now, lease)
-        if self.state in (MemberState.LEARNING, MemberState.ENROLLING):
+        if self.state in (MemberState.READING_POLICY, MemberState.ENROLLING):
             self.gate.enrolled_lease = lease
             self.gate.is_stopped = False
             self.gate.policy_known_until = now + self.gate.guaranteed_us
@@ -76,19 +76,19 @@
 class StaysStopped(RolloutMember):
     """Stays stopped though the change was dropped."""
 
-    def _consider_change(self) -> None:
+    def _handle_change(self) -> None:
         if self.change is None or self.change.state != ChangeState.DROPPED:
-            super()._consider_change()
+            super()._handle_change()
 
 
 class ReportsStopTooSoon(RolloutMember):
     """Says that it has stopped before its core has."""
 
-    def _consider_change(self) -> None:
-        super()._consider_change()
+    def _handle_change(self) -> None:
+        super()._handle_change()
         is_prepared = self.change and self.change.state == ChangeState.PREPARED
         if is_prepared and self.vote.kind == VoteKind.READY:
-            self._vote(self.vote._replace(kind=VoteKind.STILL))
+            self._set_vote(self.vote._replace(kind=VoteKind.STOPPED))
             self.gate.is_stopped = False
 
 
@@ -98,7 +98,7 @@
     def written(self, reply: Reply) -> None:
         """As the product's, whatever the reply proves."""
         if reply.proof != Proof.DONE:
-            self._stored = self._written
+            self._stored = self._in_flight
         super().written(reply)
 
 
@@ -113,8 +113,8 @@
 class AdoptsOnReady(RolloutMember):
     """Goes by a change as soon as it has voted ready."""
 
-    def _consider_change(self) -> None:
-        super()._consider_change()
+    def _handle_change(self) -> None:
+        super()._handle_change()
         is_checked = self.change and self.change.state == ChangeState.CHECKED
         if self.state == MemberState.ACTIVE and is_checked and self.vote.kind == VoteKind.READY:
             self._adopt(0, self.change.version)
@@ -126,7 +126,7 @@
     def _all_support(self, kind: VoteKind) -> bool:
         number = self.change.version.number
         votes = self.votes.votes.values()
-        count = sum(vote.change == number and vote.kind in (kind, VoteKind.STILL) for vote in votes)
+        count = sum(vote.change == number and vote.kind in (kind, VoteKind.STOPPED) for vote in votes)
         return count * 2 > len(votes)
 
 
@@ -185,7 +185,7 @@
 class ClosesEarly(RolloutCoordinator):
     """Forgets a change as soon as it is decided, whoever goes by what."""
 
-    def _close(self) -> None:
+    def _delete_ended_change(self) -> None:
         self._write([Delete(CHANGE_KEY)], ())
 
 
@@ -194,7 +194,7 @@
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
         """As the product's, deaf to votes that are deleted."""
-        if value is not None or not key.startswith(VOTES):
+        if value is not None or not key.startswith(VOTES_PREFIX):
             super().changed(now, key, value, revision)
 
 
