--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -50,7 +50,7 @@
         super().report(member, applied_write, 0, now)
 
 
-class ForgetsDeadMembers(Ledger):
+class ForgetsLeftMembers(Ledger):
     """Takes all calls of a member that has left for ended."""
 
     def member_left(self, member: str, inactive_at: int, spent: int | None = None) -> None:
@@ -236,7 +236,7 @@
     ReallocatesBeforeReturn,
     ForgetsSpentInWindow,
     ForgetsInUse,
-    ForgetsDeadMembers,
+    ForgetsLeftMembers,
     NoReserve,
     AllocatesAvailableTwice,
     ForgetsExpiringOnLoad,
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -30,7 +30,7 @@
         self.lease = Lease(TERMS)
         self.core_queue: list[
             AdoptVersion | StopDispatching
-        ] = []  # requests to the core's thread that it has not processed
+        ] = []  # requests that the core has yet to process
         self.watched_from: int | None = None  # revision from which it is notified; None: no watch
         self.version_number = 0
         self.version_text = ""
