--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -28,9 +28,7 @@
         self.rate = rate
         self.is_disconnected = False
         self.lease = Lease(TERMS)
-        self.core_queue: list[
-            AdoptVersion | StopDispatching
-        ] = []  # requests that the core has yet to process
+        self.core_queue: list[AdoptVersion | StopDispatching] = []  # requests that the core has not seen
         self.watched_from: int | None = None  # revision from which it is notified; None: no watch
         self.version_number = 0
         self.version_text = ""
