--- a/gullhold/decisions/attempt_review.py
+++ b/gullhold/decisions/attempt_review.py
@@ -7,8 +7,8 @@
 from gullhold.decisions.retry_policy import RetryPolicy
 from gullhold.interface import Agreement
 
-# Multiples of the usual run time of a command.
-REVIEW_INTERVAL_RUNS = 0.6  # between reviews of an attempt
+# In multiples of the usual run time of a command:
+REVIEW_INTERVAL_RUNS = 0.6  # time between reviews of an attempt
 SLOW_RUNS = 1.8  # age from which an attempt is slow, because of a bad query plan or a slow engine
 STALLED_RUNS = 3.0  # age from which it is stalled; also the remaining run time from which it is slow
 
--- a/gullhold/decisions/census.py
+++ b/gullhold/decisions/census.py
@@ -9,13 +9,13 @@
 class Census(NamedTuple):
     """Counts of commands, attempts and threads; all are 0 once every command and every attempt is over."""
 
-    commands: int  # waiting, or with an open attempt
-    ordered_keys: int  # with a command that waits or has an open attempt
-    queued_tenants: int  # with queued commands
-    engine_threads: int  # in use by our attempts, summed over the engines
+    commands: int  # commands that wait or have an open attempt
+    ordered_keys: int  # ordered keys with a command that waits or has an open attempt
+    queued_tenants: int  # tenants with queued commands
+    engine_threads: int  # threads in use by our attempts, summed over the engines
     engine_attempts: int  # our attempts, summed over the engines
     threads: int  # equal to engine_threads, but counted separately, for the limit over all engines
-    timed_out_attempts: int  # that may still run
+    timed_out_attempts: int  # timed-out attempts that may still run
 
 
 def take_census(components: Components, lifecycle: CommandLifecycle) -> Census:
--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -95,14 +95,14 @@
         key: int,  # ordered key, if the profile is ordered; 0: none
         need_mb: float,  # stated by the client; 0: unknown
         dataset: int,
-        order: int,  # of arrival, ascending
+        order: int,  # serial number in order of arrival
         work: float,  # estimate, core-us
         admitted_at: int,  # time of arrival; 0: it does not count towards the retry budget
         objective_at: int,  # end of its latency objective
         is_short: bool,  # its latency objective is among the shortest
         last_start_at: int,  # no attempt is started at this time or later
         worthwhile_until: int,  # an answer after it has no benefit
-        threads: int,  # that an attempt uses on its engine
+        threads: int,  # threads that an attempt uses on its engine
     ) -> None:
         """Create a command that has arrived and has no attempt yet."""
         self.id = id
@@ -128,7 +128,7 @@
         self.first_run_engine: Engine | None = None
         self.first_run_at: int = 0
         self.progress: float = 0.0  # share of work done, as reported for the open attempt; 0: not reported
-        self.is_stalled: bool = False  # its open attempt is stalled, so its engine gets no new attempts
+        self.is_stalled: bool = False  # its open attempt is far slower than usual: see AttemptReview
         self.attempt_claims: Sequence[tuple[BudgetShare, int]] = ()  # released when its attempt ends
         self.admission_shares: Sequence[BudgetShare] = ()  # released when the command ends
 
--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -5,7 +5,8 @@
 from gullhold.decisions.retry_policy import DEADLINE_MARGIN_US
 from gullhold.interface import Agreement
 
-MAX_SHORT_OBJECTIVES = 2.5  # longest objective of a short command, in multiples of the shortest profile's
+# Longest latency objective of a short command, in multiples of the shortest one that a profile states.
+SHORT_OBJECTIVE_FACTOR = 2.5
 
 
 class CommandIntake:
@@ -16,8 +17,8 @@
         self._has_tenants = bool(agreement.tenants)
         self._estimates = estimates
         shortest_objective_us = min([profile.objective_us for profile in agreement.profiles], default=0)
-        self._max_short_us = MAX_SHORT_OBJECTIVES * shortest_objective_us
-        self.submitted_count = 0  # number of commands so far
+        self._max_short_us = SHORT_OBJECTIVE_FACTOR * shortest_objective_us
+        self.submitted_count = 0  # number of commands created so far
 
     def new_command(
         self,
@@ -32,7 +33,7 @@
         need_mb: float,
         dataset: int,
     ) -> Command:
-        """Create a command. tenants: the number of tenants.
+        """Create a command. tenants: the number of tenants; timeout_at: end of the client timeout (us).
 
         A command with an unknown tenant's index counts as the first tenant's. If the agreement names no
         tenants, each profile takes the place of a tenant.
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -12,27 +12,29 @@
 from gullhold.decisions.engine_registry import EngineRegistry
 from gullhold.decisions.estimators import Estimates
 from gullhold.decisions.fleet_budgets import FleetBudgets
-from gullhold.decisions.load_report import FULL_UTILIZATION, LoadReports, widening_factor
+from gullhold.decisions.load_report import FULL_UTILIZATION, LoadReports, raise_factor
 from gullhold.decisions.thread_use import ThreadUse
 from gullhold.decisions.throughput_fit import fit_concurrency_limit
 from gullhold.decisions.traffic import TrafficMeter
 from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement, BudgetKind
 
 THREADS_PER_CORE = 2.0  # threads of all gateways together: the limit before it is raised or lowered
-MAX_ENGINE_WIDENING = 4.0  # highest factor that raises the limit of an engine with free capacity
-MAX_TOTAL_WIDENING = 2.0  # the same for the total limit
+MAX_ENGINE_RAISE = 4.0  # highest factor by which the limit of an engine with free capacity is raised
+MAX_TOTAL_RAISE = 2.0  # highest factor by which the total limit is raised if engines have free capacity
 ALLOWED_DEVIATIONS = 1.0  # standard deviations of our threads in use by which the total limit is raised
-PRESSURE_SLOWNESS = 1.8  # pace over the best pace; time-sharing of cores explains lower values than this
-HISTORY_COMMANDS = 4.0  # weight of the overall slowness so far, in long commands per engine: few of them end
-MAX_SLOWNESS = 10.0  # pace over the best pace that one attempt counts with: bounds its influence
+PRESSURE_SLOWNESS = 1.8  # ratio of pace to best pace; time-sharing of cores explains lower ratios than this
+# Weight of the past in overall_slowness: the work of this many commands of the largest usual work per engine.
+# Few such commands end, so with a higher weight the average would follow them slowly.
+HISTORY_COMMANDS = 4.0
+MAX_SLOWNESS = 10.0  # highest ratio of pace to best pace that one attempt counts with: bounds its influence
 MIN_SHARE_FACTOR = 0.5  # factor of our share at the strongest pressure: one thread a core
 MAX_SHARE_FACTOR = 1.25  # factor of our share without pressure; a higher one overloads all engines
-MIN_LONG_SHARE = 0.3  # of a limit, for long commands
-MAX_LONG_SHARE = 0.8
-LONG_SHARE_LOSS_FACTOR = 0.7  # by which the long share is multiplied after a loss
+MIN_LONG_SHARE = 0.3  # smallest part of a limit that long commands may use
+MAX_LONG_SHARE = 0.8  # largest part of a limit that long commands may use: the rest is kept for short ones
+LONG_SHARE_OVERLOAD_FACTOR = 0.7  # factor of the long share after a sign of overload: see record_overload()
 LONG_SHARE_GAIN = 0.0015  # added to the long share by an answer
 REFIT_US = 10_000_000  # us between fits of an engine's limit
-SAMPLE_US = 800_000  # us that one sample takes; a few commands end in that time
+SAMPLE_US = 800_000  # us that one sample takes: long enough for a few commands to end
 MIN_SAMPLED_LIMIT = 4  # threads; no samples are taken at this limit or a lower one
 SAMPLE_SHARES = {  # of the limit; the samples have to lie far apart
     SampleStage.AT_LIMIT: 1.0,
@@ -70,8 +72,8 @@
         self._budgets = budgets
         self._thread_use = thread_use
         self.share_factor = 1.0  # factor of our share, lowered under pressure
-        self.overall_slowness = 1.0  # pace over the best pace, averaged over all engines
-        self.long_share = MAX_LONG_SHARE  # of a limit, for long commands
+        self.overall_slowness = 1.0  # ratio of pace to best pace, averaged over all engines
+        self.long_share = MAX_LONG_SHARE  # part of a limit that long commands may use
         # Samples are taken on one engine at a time, so that the limits do not oscillate together.
         self._sampled: Engine | None = None
 
@@ -86,8 +88,8 @@
         """Return the limit on our threads on the engine; under pressure the sampled or the fitted one."""
         budget = self._budgets.share(BudgetKind.THREADS, engine.id)
         limit = budget.limit() if budget is not None else THREADS_PER_CORE * engine.cores * self.share(now)
-        widening = widening_factor(self._loads.utilization(engine, now), MAX_ENGINE_WIDENING)
-        limit *= widening / max(1.0, self._health.slowness(engine, now))
+        raised_by = raise_factor(self._loads.utilization(engine, now), MAX_ENGINE_RAISE)
+        limit *= raised_by / max(1.0, self._health.slowness(engine, now))
         if engine.sample_stage and self.is_under_pressure(engine, now):
             return limit * SAMPLE_SHARES[engine.sample_stage]
         if engine.fitted_limit and self.is_under_pressure(engine, now):
@@ -109,7 +111,7 @@
             return True  # the fleet's budget limits the threads of each engine
         limit = THREADS_PER_CORE * self.share(now) * self._engines.ready_cores
         limit += ALLOWED_DEVIATIONS * (limit * self._max_threads) ** 0.5
-        limit *= widening_factor(self._loads.mean_utilization, MAX_TOTAL_WIDENING)
+        limit *= raise_factor(self._loads.mean_utilization, MAX_TOTAL_RAISE)
         threads = self._thread_use.total
         return not threads or threads + command.threads <= self.long_command_limit(limit, command)
 
@@ -129,9 +131,9 @@
         """Whether all engines taken together are under pressure."""
         return self.overall_slowness > PRESSURE_SLOWNESS
 
-    def record_loss(self) -> None:
+    def record_overload(self) -> None:
         """Lower the long share, after an engine has rejected an attempt as overloaded or let it time out."""
-        self.long_share = max(MIN_LONG_SHARE, self.long_share * LONG_SHARE_LOSS_FACTOR)
+        self.long_share = max(MIN_LONG_SHARE, self.long_share * LONG_SHARE_OVERLOAD_FACTOR)
 
     def record_answer(self) -> None:
         """Raise the long share, after an attempt was answered."""
@@ -167,20 +169,22 @@
         elif self._may_begin_samples(engine, now):
             engine.next_fit_at = now + REFIT_US
             engine.samples = ()
-            self._begin_sample(engine, SampleStage.AT_LIMIT, now)
+            self._begin_stage(engine, SampleStage.AT_LIMIT, now)
         elif engine.sample_stage and now >= engine.sample_began_at + SAMPLE_US:
             throughput = engine.sample_work / (now - engine.sample_began_at)
             engine.samples = (self.engine_limit(engine, now), throughput, *engine.samples)
-            self._begin_sample(engine, NEXT_STAGE[engine.sample_stage], now)
+            self._begin_stage(engine, NEXT_STAGE[engine.sample_stage], now)
             if not engine.sample_stage:
                 engine.fitted_limit = fit_concurrency_limit(*engine.samples)
 
     def _may_begin_samples(self, engine: Engine, now: int) -> bool:
+        """Whether no samples are being taken, the engine's limit is due for a fit, and it is high enough."""
         if self._sampled is not None or now < engine.next_fit_at:
             return False
         return self.engine_limit(engine, now) > MIN_SAMPLED_LIMIT
 
-    def _begin_sample(self, engine: Engine, stage: SampleStage, now: int) -> None:
+    def _begin_stage(self, engine: Engine, stage: SampleStage, now: int) -> None:
+        """Begin the sample of this stage; NONE: all samples of the engine have been taken."""
         if stage:
             engine.sample_stage = stage
             self._sampled = engine
--- a/gullhold/decisions/dataset_locks.py
+++ b/gullhold/decisions/dataset_locks.py
@@ -22,5 +22,5 @@
         self._until = {key: until for key, until in self._until.items() if key[0] != engine.slot}
 
     def forget_released(self, now: int) -> None:
-        """Drop locks whose time is over."""
+        """Drop the locks that loads have released by now."""
         self._until = {key: until for key, until in self._until.items() if until > now}
--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -43,7 +43,7 @@
         now = self._call.now
         while due := self._reviews.pop_due(now):
             self._review(*due)
-        self._thread_use.release_ended(now)
+        self._thread_use.release_timed_out(now)
         self._placement.begin_dispatching()
         while self._policy.may_dispatch():
             tenant = self._dispatch_next()
@@ -58,12 +58,12 @@
     def _dispatch_next(self) -> int | None:
         """Dispatch one command; return its tenant, None if no command can be dispatched."""
         for tenant in self._queue.tenants_in_turn():
-            if self._dispatch_of_tenant(tenant):
+            if self._dispatch_one_of(tenant):
                 return tenant
         return None
 
-    def _dispatch_of_tenant(self, tenant: int) -> bool:
-        """Dispatch the first command of one of the tenant's queues; whether an engine may take one."""
+    def _dispatch_one_of(self, tenant: int) -> bool:
+        """Dispatch the first command of one of the tenant's queues; return whether one was dispatched."""
         is_dispatched = False
         for heap in self._queue.queues_of(tenant):
             if self._dispatch_first(heap):
@@ -73,7 +73,7 @@
         return is_dispatched
 
     def _dispatch_first(self, heap: list[QueueEntry]) -> bool:
-        """Dispatch the first command of a queue if an engine may take it; whether one may."""
+        """Dispatch the first command of a queue, if an engine may take it; return whether one did."""
         command = self._queue.first(heap)
         if command is None or not self._retries.may_start(command, self._call.now):
             return False
--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -65,17 +65,17 @@
         self.cell = 0
         self.started_us = 0
         self.cores = 1.0
-        # Thread use: of our attempts.
+        # Thread use: counts of this gateway's attempts and of their threads.
         self.threads = 0
         self.attempts = 0
         # Health: the rate and the sums decay exponentially from the times given with them.
         self.failure_rate = 0.0
         self.failure_rate_at = 0
-        self.overloaded_until = 0  # until then no attempt is started on it
+        self.overloaded_until = 0  # time until which no attempt is started on the engine
         self.stalled_attempts = 0
         self.completed_at = 0
         self.completed_work = 0.0  # core-us
-        self.completed_slow_work = 0.0  # the same, each attempt's work times its slowness
+        self.completed_slow_work = 0.0  # core-us, with each attempt's work multiplied by its slowness
         # Concurrency limit.
         self.fitted_limit: float | None = None  # threads
         self.sample_stage = SampleStage.NONE
@@ -85,14 +85,14 @@
         self.next_fit_at = 0
         # Slow start.
         self.warmup_dispatches: deque[tuple[int, float]] = deque()  # (time, work) of attempts while warming
-        self.warmup_rounding_draw = 0.0  # 0 to 1: rounds our share of its warming budget
-        self.warmup_rounding_drawn_at = 0
+        self.warmup_rounding_draw = 0.0  # part, 0 to 1, of a command's work that has to fit into our share
+        self.warmup_rounding_drawn_at = 0  # 0: the next command is judged by a new draw
         # Load report.
         self.utilization = 1.0  # as reported, 0 to 1
         self.utilization_at = 0
 
     def forget_observations(self) -> None:
-        """Discard observations after the engine's process has restarted."""
+        """Discard the observations of an engine whose process has restarted."""
         self.completed_work = 0.0
         self.completed_slow_work = 0.0
         self.failure_rate = 0.0
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -11,11 +11,11 @@
 # median failure rate of all ready engines.
 OUTLIER_RATE = 0.15  # share of failures
 OUTLIER_MEDIAN_FACTOR = 2
-CAUTIOUS_FACTOR = 0.7  # of OUTLIER_RATE, for long commands and those that are not idempotent
+CAUTIOUS_FACTOR = 0.7  # factor of OUTLIER_RATE for commands that are long or not idempotent
 UNANSWERED_SMOOTHING = 0.3  # weight of a failure without an answer from the engine: it costs the most time
 MIN_FAILURE_RATE = 1e-4  # a failure rate that has decayed to this or less counts as 0
 OVERLOADED_US = 2_000_000  # us without new attempts on an overloaded engine: the time of a few status notes
-MAX_SLOWNESS = 10.0  # slowness that one attempt counts with: bounds its influence
+MAX_SLOWNESS = 10.0  # highest slowness that one attempt counts with: bounds its influence
 
 FAILURES = frozenset((Outcome.ERROR, Outcome.RESET))
 
--- a/gullhold/decisions/estimators.py
+++ b/gullhold/decisions/estimators.py
@@ -10,17 +10,17 @@
 
 # Estimates before the first answer.
 INITIAL_PACE = 1.5
-INITIAL_RUN_SHARE = 0.5  # run time at pace 1, over the latency objective
-INITIAL_NEED_RATIO = 1.1  # mean of memory need over the stated need
+INITIAL_RUN_SHARE = 0.5  # ratio of run time at pace 1 to latency objective
+INITIAL_NEED_RATIO = 1.1  # mean ratio of memory need to stated need
 INITIAL_NEED_DEVIATION = 0.2  # mean absolute deviation of that ratio
 
 GRANTED_DEVIATIONS = 2.0  # deviations granted above the mean need: spilling costs more than unused memory
 MAX_WORK_TIMEOUTS = 100  # upper bound of a client's estimate of work, in client timeouts of its profile
-MIN_WORK_RATIO = 0.2  # bounds of work over estimated work that one answer counts with
-MAX_WORK_RATIO = 5.0
-MIN_PACE = 0.01  # of any attempt: keeps ratios of paces finite
+MIN_WORK_RATIO = 0.2  # lowest ratio of work to estimated work that one answer counts with
+MAX_WORK_RATIO = 5.0  # highest such ratio
+MIN_PACE = 0.01  # a lower pace of an attempt counts as this: keeps ratios of paces finite
 MAX_PACE_GROWTH = 3  # highest pace that one attempt counts with, in multiples of the usual pace
-BEST_PACE_SMOOTHING = SMOOTHING_FACTOR / 10  # the best pace is forgotten slowly
+BEST_PACE_SMOOTHING = SMOOTHING_FACTOR / 10  # weight of a worse pace: low, so that the best is kept for long
 
 
 class ProfileEstimate:
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -3,7 +3,7 @@
 A tenant's quota in a round is its weight times a factor. The factor grows while tenants are served evenly and
 the pace of attempts is steady, and is halved when either is no longer so. The rounds follow the paper
 "Improving the scalability of database engines by controlling their load". Each tenant has a queue of short
-commands and one of long commands, ordered by benefit over work. If the agreement names no tenants, each
+commands and one of long commands, ordered by benefit divided by work. If the agreement names no tenants, each
 profile takes the place of a tenant.
 """
 
@@ -14,16 +14,17 @@
 from gullhold.decisions.moving_average import SMOOTHING_FACTOR, relative_deviation
 from gullhold.interface import Agreement
 
-# The quota factor: commands of the tenant with the lowest weight in a round.
+# The quota factor: number of commands in a round of the tenant with the lowest weight.
 MIN_QUOTA_FACTOR = 1.0
 INITIAL_QUOTA_FACTOR = 2.0
 MAX_QUOTA_FACTOR = 8.0
 
-MAX_UNFAIRNESS = 0.5  # largest deviation of a tenant's weighted count from the mean, over the mean
-MAX_VARIABILITY = 1.0  # standard deviation of the pace over its mean, averaged over tenants
+# Largest relative deviation from the mean of a tenant's dispatched commands, divided by its weight.
+MAX_UNFAIRNESS = 0.5
+MAX_VARIABILITY = 1.0  # ratio of the standard deviation of the pace to its mean, averaged over tenants
 MIN_KEPT_COUNT = 0.02  # commands; a decaying count that is not above it is dropped
 
-# Ordered as heapq compares tuples: (negative benefit over work, order of arrival, entry number, command).
+# Ordered as heapq compares tuples: (negative benefit per work, order of arrival, entry number, command).
 QueueEntry = tuple[float, int, int, Command]
 TenantQueues = tuple[list[QueueEntry], list[QueueEntry]]  # heaps of short and of long commands
 
@@ -35,13 +36,14 @@
         shares = [tenant.share for tenant in agreement.tenants]
         smallest = min((share for share in shares if share > 0), default=1.0)
         weights = [share / smallest for share in shares]
+        # Without tenants each profile takes the place of a tenant, all with the same weight.
         self.weights: Sequence[float] = weights or [1.0] * len(agreement.profiles)
         self._weighted_tenants = sum(weight > 0 for weight in self.weights)
         self.by_tenant: dict[int, TenantQueues] = {}
         self.dispatched: dict[int, float] = {}  # decaying counts of dispatched commands, by tenant
         self.quotas: dict[int, float] = {}  # commands left in this round, by tenant; absent: all of the quota
-        # Decaying sums by tenant: (count, paces, squared paces).
-        self.pace_sums: dict[int, Sequence[float]] = {}
+        # Moving averages by tenant, begun at 0: (of 1 for each attempt, of its pace, of its squared pace).
+        self.pace_averages: dict[int, Sequence[float]] = {}
         self._pace_deviations = 0.0  # sum over tenants of the relative deviation of the pace
         self._quota_factor = INITIAL_QUOTA_FACTOR
         self._quota_factor_rose = False
@@ -75,7 +77,7 @@
         )
 
     def queues_of(self, tenant: int) -> list[list[QueueEntry]]:
-        """Return the two queues of a tenant, first the one whose first command has more benefit over work."""
+        """Return a tenant's two queues, first the one whose first command has the higher benefit per work."""
         return sorted(self.by_tenant[tenant], key=lambda heap: heap[0][0] if heap else 0.0)
 
     def first(self, heap: list[QueueEntry]) -> Command | None:
@@ -106,10 +108,10 @@
 
     def record_pace(self, tenant: int, pace: float) -> None:
         """Record the pace of an attempt of a tenant's command."""
-        before = self.pace_sums.get(tenant, (0.0, 0.0, 0.0))
+        before = self.pace_averages.get(tenant, (0.0, 0.0, 0.0))
         observed = (1.0, pace, pace * pace)
         after = [old + SMOOTHING_FACTOR * (new - old) for old, new in zip(before, observed, strict=True)]
-        self.pace_sums[tenant] = after
+        self.pace_averages[tenant] = after
         self._pace_deviations = (
             self._pace_deviations + relative_deviation(*after) - relative_deviation(*before)
         )
@@ -124,7 +126,7 @@
     def _begin_round(self) -> None:
         """Reset the quotas, and adapt the quota factor to unfairness and to the variability of the pace."""
         unfairness = self._unfairness()
-        variability = max(self._pace_deviations, 0.0) / len(self.pace_sums) if self.pace_sums else 0.0
+        variability = max(self._pace_deviations, 0.0) / len(self.pace_averages) if self.pace_averages else 0.0
         if unfairness < MAX_UNFAIRNESS / 2 and variability < MAX_VARIABILITY / 2:
             self._quota_factor = min(self._quota_factor + 1, MAX_QUOTA_FACTOR)
             self._quota_factor_rose = True
@@ -140,7 +142,7 @@
         }
 
     def _unfairness(self) -> float:
-        """Return the largest deviation of a tenant's count over weight from the mean, over the mean."""
+        """Return the largest relative deviation from the mean among the tenants' counts per weight."""
         counts = [
             count / self.weights[tenant]
             for tenant, count in self.dispatched.items()
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -8,19 +8,19 @@
 from gullhold.interface import Agreement, Outcome
 
 UTILIZATION_FIELD = "util"  # name of the field in the reports
-FULL_UTILIZATION = 0.7  # from which an engine has no free capacity
+FULL_UTILIZATION = 0.7  # utilisation from which an engine has no free capacity
 UTILIZATION_DECAY_US = 1_000_000  # us, time constant with which a report decays to the mean of all engines
-MIN_UTILIZATION = 0.01  # keeps the widening factor finite
+MIN_UTILIZATION = 0.01  # a lower one counts as this: keeps raise_factor() finite
 # The report of an engine above one of these limits is ignored; the engine counts as fully utilised.
 DISTRUST_FAILURE_RATE = 0.1  # lower than the failure rate of an outlier
 DISTRUST_SLOWNESS = 1.5
 
 
-def widening_factor(utilization: float, max_widening: float) -> float:
-    """Return the factor, 1 to max_widening, by which a limit is raised at this utilisation."""
+def raise_factor(utilization: float, max_factor: float) -> float:
+    """Return the factor, 1 to max_factor, by which a limit is raised at this utilisation."""
     if utilization >= FULL_UTILIZATION:
         return 1.0
-    return min(max_widening, max(1.0, FULL_UTILIZATION / max(utilization, MIN_UTILIZATION)))
+    return min(max_factor, max(1.0, FULL_UTILIZATION / max(utilization, MIN_UTILIZATION)))
 
 
 class LoadReports:
--- a/gullhold/decisions/moving_average.py
+++ b/gullhold/decisions/moving_average.py
@@ -3,7 +3,7 @@
 from math import exp
 
 SMOOTHING_FACTOR = 0.1  # weight of the newest observation in a moving average over about the last ten
-# us, time constant: longer than some long commands, shorter than a fault of an engine.
+# us, time constant of observations: longer than some long commands, shorter than a fault of an engine.
 OBSERVATION_DECAY_US = 12_000_000
 
 
@@ -13,9 +13,9 @@
 
 
 def relative_deviation(count: float, total: float, squares: float) -> float:
-    """Return standard deviation over mean, from decaying sums of 1, value and squared value.
+    """Return the ratio of the standard deviation to the mean; 0 if total is 0.
 
-    Returns 0 if total is 0.
+    count, total, squares: moving averages of 1, of the value and of the squared value, all with one decay.
     """
     if not total:
         return 0.0
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -56,7 +56,7 @@
             self._thread_use.hold_timed_out(engine, command.threads, command.sent_at, now)
         self._health.record_outcome(engine, outcome, may_still_run, now)
         if outcome == Outcome.OVERLOADED or may_still_run:
-            self._limits.record_loss()
+            self._limits.record_overload()
         elif outcome == Outcome.ANSWERED:
             self._limits.record_answer()
         if outcome in MEASURED_OUTCOMES and command.state != CommandState.ORPHANED:
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -23,7 +23,7 @@
 MAX_RANDOM_DRAWS = 4  # engines drawn independently of one another
 MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most deployments have
 CANDIDATES = 2  # engines to choose from: the power of two choices
-CACHED_THREADS_WEIGHT = 0.7  # of a command's threads on a preferred engine, which has its data set cached
+CACHED_THREADS_WEIGHT = 0.7  # weight of a command's threads on a preferred engine, which has its data cached
 
 
 class Placement:
@@ -73,7 +73,9 @@
         preferred, others = self._positions(command, len(pool))
         wanted = CANDIDATES
         if not command.is_short and self._limits.engine_limit(pool[0], now) < command.threads:
-            wanted += 1  # thread counts hardly tell engines apart if one command exceeds the limit
+            # An engine may then take the command only while it runs none of our attempts, so thread counts
+            # hardly tell candidates apart; one more gives more choice. pool[0] stands for all engines.
+            wanted += 1
         seen: set[Engine] = set()
         found = self._recent_engine(command, len(pool), seen, now)
         self._draw_engines(command, ranking, preferred, wanted, found, seen, now)
@@ -148,7 +150,7 @@
         """Return the positions of the preferred and of all engines for a command, in its data set's order.
 
         If a profile waits for loads, commands that load a data set use only the second half of the engines,
-        and all other commands only the first half.
+        and all other commands only the first half, so that they rarely have to wait for a load.
         """
         preferred = range(self.popularity.preferred_engines(command.dataset, size))
         positions = range(size)
--- a/gullhold/decisions/policy_terms.py
+++ b/gullhold/decisions/policy_terms.py
@@ -6,12 +6,12 @@
 from gullhold.interface import PolicyGate
 
 # Priorities of attempts on their engines, for profiles without a priority in the policy.
-SHORT_PRIORITY = 3  # of short commands
-LONG_PRIORITY = 1  # of long commands
+SHORT_PRIORITY = 3  # priority of short commands
+LONG_PRIORITY = 1  # priority of long commands
 
 
 class PolicyTerms:
-    """The gate and the priorities of the policy; without a fleet everything is allowed."""
+    """The gate and the priorities of the policy; without a fleet there is no gate: everything is allowed."""
 
     def __init__(self) -> None:
         self._gate: PolicyGate | None = None
--- a/gullhold/decisions/ranking.py
+++ b/gullhold/decisions/ranking.py
@@ -12,14 +12,14 @@
 
 MAX_RANKED_ENGINES = 256  # the longest list that is ranked for each data set; longer ones have one ring
 RING_SALT = -1  # hashed with the ids of engines to give their positions on the ring
-RING_START_SALT = -2  # hashed with data sets to give their starts on the ring
+RING_START_SALT = -2  # hashed with a data set to give the point of the ring at which its order begins
 MAX_CACHED_RANKINGS = 512  # data sets whose ranking is cached; if there are more, all are dropped
 
 
 def hash_pair(value: int, salt: int) -> int:
     """Return a 32-bit hash of two integers, the same on all gateways.
 
-    The multipliers are 2**32 over the golden ratio and those of MurmurHash3's finalizer.
+    The multipliers are 2**32 divided by the golden ratio and those of MurmurHash3's finalizer.
     """
     mixed = (value ^ salt * 0x9E3779B1) * 0x85EBCA6B & 0xFFFFFFFF
     return (mixed ^ mixed >> 15) * 0xC2B2AE35 & 0xFFFFFFFF
@@ -103,7 +103,7 @@
     def __init__(self) -> None:
         self.engines: list[Engine] = []
         self._members: set[Engine] = set()
-        self._sequences: list[int] = []  # those of the engines, in the same order
+        self._sequences: list[int] = []  # Engine.sequence of each engine, in the same order
         self.rankings: dict[int, Ranking] = {}  # by data set
         self.changes: list[tuple[bool, Engine]] = []  # the latest changes: (whether added, engine)
         self._last_change = 0  # number of the latest change
--- a/gullhold/decisions/slow_start.py
+++ b/gullhold/decisions/slow_start.py
@@ -6,9 +6,12 @@
 from gullhold.decisions.engine import Engine
 from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement
 
-EXPECTED_BUDGET_SHARE = 0.5  # of the warming budget, for all gateways on average: leaves a margin for chance
-MAX_COMMAND_BUDGET_SHARE = 0.25  # of the warming budget, for one command
-GROWTH_FACTOR = 0.5  # assumed growth of capacity over linear growth: a low estimate, to be safe
+# Part of an engine's warming budget that all gateways together use on average: leaves a margin for chance.
+EXPECTED_BUDGET_SHARE = 0.5
+MAX_COMMAND_BUDGET_SHARE = 0.25  # largest part of the warming budget that one command may take
+# Capacity is assumed to grow at this fraction of the rate that would reach full capacity at the end of the
+# warm-up: a low estimate, to be safe.
+GROWTH_FACTOR = 0.5
 
 
 class SlowStart:
@@ -24,7 +27,7 @@
         return 0 < engine.started_us > now - self._agreement.warmup_us
 
     def capacity(self, engine: Engine, now: int) -> float:
-        """Return the warming budget (core-us) at this time; capacity is assumed to grow by GROWTH_FACTOR."""
+        """Return the warming budget (core-us) now; GROWTH_FACTOR slows down the growth of capacity."""
         agreement = self._agreement
         growth = (
             (now - engine.started_us)
@@ -47,8 +50,9 @@
         """Whether a warming engine may be given this work (core-us).
 
         Our limit is an even share of the engine's warming budget. Shares smaller than one command are rounded
-        at random, with one draw for each window, so that all gateways together keep to the budget on average.
-        If the fleet has a budget for the engine (has_fleet_budget), that one limits the sum.
+        at random, so that all gateways together keep to the budget on average. A draw is kept until an
+        attempt is dispatched, but for one window at most. If the fleet has a budget for the engine
+        (has_fleet_budget), that budget limits the sum instead.
 
         Nothing is given in the first window after this gateway's own start, as it may have used its share
         before a restart: otherwise gateways that are all killed, or that restart repeatedly, would exceed the
@@ -68,6 +72,6 @@
         return has_fleet_budget or sent + engine.warmup_rounding_draw * work <= our_share
 
     def record_dispatch(self, engine: Engine, work: float, now: int) -> None:
-        """Record an attempt on a warming engine; the next one is rounded with a new draw."""
+        """Record an attempt on a warming engine, and have the next may_take() draw anew."""
         engine.warmup_dispatches.append((now, work))
         engine.warmup_rounding_drawn_at = 0
--- a/gullhold/decisions/thread_use.py
+++ b/gullhold/decisions/thread_use.py
@@ -4,13 +4,13 @@
 
 from gullhold.decisions.engine import Engine
 
-TIMED_OUT_HOLD_AGES = 2.0  # for which a timed-out attempt is assumed to run on, in multiples of its age
+TIMED_OUT_RUN_FACTOR = 2.0  # a timed-out attempt is assumed to run on for its age times this
 
 
 class TimedOutAttempt(NamedTuple):
     """An attempt that timed out and is assumed to run on."""
 
-    until: float  # us; it is assumed to have ended then
+    until: float  # time (us) at which it is assumed to have ended
     engine: Engine
     started_us: int  # start of the engine's process that ran it
     threads: int
@@ -41,12 +41,12 @@
         Otherwise an overloaded engine would be given new work while it still runs the old. The price: work
         that a dead engine has lost takes up capacity.
         """
-        until = now + TIMED_OUT_HOLD_AGES * (now - sent_at)
+        until = now + TIMED_OUT_RUN_FACTOR * (now - sent_at)
         self.timed_out.append(TimedOutAttempt(until, engine, engine.started_us, threads))
         self.occupy(engine, threads)
 
-    def release_ended(self, now: int) -> None:
-        """Release the threads of attempts whose time is over or whose engine has restarted."""
+    def release_timed_out(self, now: int) -> None:
+        """Release the threads of timed-out attempts that are assumed over or whose engine has restarted."""
         if not self.timed_out:
             return
         remaining = []
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -5,7 +5,7 @@
 from gullhold.interface import US_PER_SECOND, Agreement
 
 TRAFFIC_DECAY_US = 15_000_000  # us, time constant of the count of arrivals: longer than a burst
-MIN_EVEN_SHARE_FRACTION = 0.1  # of an even share of the traffic, for a gateway without arrivals
+MIN_EVEN_SHARE_FRACTION = 0.1  # fraction of an even share that a gateway has even without arrivals
 
 
 class TrafficMeter:
@@ -13,7 +13,7 @@
 
     def __init__(self, agreement: Agreement, now: int) -> None:
         self._gateways = agreement.gateways
-        # Commands/s of all tenants, at all gateways together.
+        # Commands/s that all tenants together may submit to all gateways.
         self._allowance = sum(tenant.allowance for tenant in agreement.tenants)
         self.count = self._allowance / agreement.gateways * TRAFFIC_DECAY_US / US_PER_SECOND
         self._counted_at = now
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -205,18 +205,18 @@
 class Profile(NamedTuple):
     """How the commands of one profile behave, and their latency objective."""
 
-    threads: int  # that a command uses on its engine
+    threads: int  # threads that a command uses on its engine
     objective_us: int  # latency objective of a command with little work
-    objective_stretch: float  # by which the objective grows for each us of work per thread
+    objective_stretch: float  # growth (us) of the objective for each us of work per thread
     timeout_us: int  # client timeout of a command, over all its attempts
-    benefit: float  # of an answer within the latency objective
+    benefit: float  # benefit of an answer within the latency objective
     late_benefit_share: float  # share of the benefit that an answer after the objective still earns
     idempotency: Idempotency
     dedup_scope: DeduplicationScope
-    dedup_window_us: int  # for which engines drop retries, from the first attempt that may have run
+    dedup_window_us: int  # time for which engines drop retries, from the first attempt that may have run on
     ordered: bool  # commands with the same key run one after another
-    zones: frozenset[int] | None  # whose engines may run it; None: all
-    engine_kinds: frozenset[int] | None  # that may run it; None: all
+    zones: frozenset[int] | None  # zones whose engines may run it; None: all
+    engine_kinds: frozenset[int] | None  # kinds of engines that may run it; None: all
     loads_dataset: bool  # a command locks its data set on its engine while it runs
     waits_for_loads: bool  # a command waits on its engine while its data set is locked there
     name: str = ""  # for drivers only: its name in requests
@@ -235,14 +235,14 @@
 
     profiles: tuple[Profile, ...]
     tenants: tuple[Tenant, ...]
-    gateways: int  # in the fleet
-    zone: int  # of this gateway
-    cores_by_kind: tuple[float, ...]  # of an engine, by its kind
-    memory_mb_by_kind: tuple[float, ...]  # of an engine, by its kind
-    max_grant_share: float  # of an engine's memory, for the grant of one attempt
+    gateways: int  # number of gateways in the fleet
+    zone: int  # zone of this gateway
+    cores_by_kind: tuple[float, ...]  # cores of an engine, by its kind
+    memory_mb_by_kind: tuple[float, ...]  # memory of an engine, by its kind
+    max_grant_share: float  # largest part of an engine's memory that one attempt may be granted
     honors_grants: bool  # engines heed the memory granted to an attempt
     honors_priority: bool  # engines heed the priority of an attempt
-    max_attempts: int  # for one command; 0: no limit
+    max_attempts: int  # largest number of attempts of one command; 0: no limit
     supports_cancel: bool  # engines can cancel an open attempt
     max_retry_after_us: int  # longest wait that a shed reply may ask of a client; 0: none
     warmup_initial_share: float  # share of its full capacity that an engine has at its start
@@ -250,7 +250,7 @@
     # An engine is overloaded by more work in one window than overload_multiple * its cores * the window.
     overload_multiple: float
     overload_window_us: int
-    key_settle_us: int  # for which an ordered key waits after an attempt that may still run
+    key_settle_us: int  # time for which an ordered key waits after an attempt that may still run
     retry_budget_base: float | None  # retries allowed in any window whatever the traffic; None: no budget
     retry_budget_share: float  # further retries allowed for each ended command of the window
     retry_budget_window_us: int
@@ -259,8 +259,8 @@
     zone_names: tuple[str, ...] = ()
     kind_names: tuple[str, ...] = ()
     report_fields: tuple[str, ...] = ()  # names of the values in a load report, in their order
-    status_interval_us: int = 0  # between status notes on an open attempt; 0: engines send none
+    status_interval_us: int = 0  # time between status notes on an open attempt; 0: engines send none
     streams_per_connection: int = 1  # attempts that one connection to an engine carries
     connect_timeout_us: int = 0
-    idle_timeout_us: int = 0  # after which an engine closes an idle connection
-    max_open_commands: int = 0  # commands without a final answer, at once; 0: no limit
+    idle_timeout_us: int = 0  # time after which an engine closes an idle connection
+    max_open_commands: int = 0  # most commands without a final answer at once; 0: no limit
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -50,7 +50,7 @@
     while driver.running_ids():
         driver.end_attempt(driver.running_ids()[0], Outcome.ANSWERED)
     assert not queue.by_tenant
-    assert set(queue.pace_sums) | set(queue.dispatched) | set(queue.quotas) <= {
+    assert set(queue.pace_averages) | set(queue.dispatched) | set(queue.quotas) <= {
         7,
         70_000,
         99_999,
--- a/tests/decisions/test_load_report.py
+++ b/tests/decisions/test_load_report.py
@@ -4,7 +4,7 @@
 from driver import MS, WORK, Driver, make_agreement, profile
 from scenarios import answer_commands, count_dispatched, driver_with_load_reports
 
-from gullhold.decisions.load_report import FULL_UTILIZATION, widening_factor
+from gullhold.decisions.load_report import FULL_UTILIZATION, raise_factor
 from gullhold.interface import EngineState, Outcome
 
 
@@ -84,6 +84,6 @@
 
 
 def test_free_capacity_raises_a_limit_only_below_full_utilization():
-    assert widening_factor(FULL_UTILIZATION, 4.0) == widening_factor(1.0, 4.0) == 1.0
-    assert widening_factor(FULL_UTILIZATION / 2, 4.0) == 2.0
-    assert widening_factor(0.0, 4.0) == 4.0
+    assert raise_factor(FULL_UTILIZATION, 4.0) == raise_factor(1.0, 4.0) == 1.0
+    assert raise_factor(FULL_UTILIZATION / 2, 4.0) == 2.0
+    assert raise_factor(0.0, 4.0) == 4.0
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -53,9 +53,9 @@
 def test_threads_of_a_timed_out_attempt_are_held_for_two_ages():
     use, engine = ThreadUse(), Engine(1, 0, 1)
     use.hold_timed_out(engine, 3, START, START + 100 * MS)
-    use.release_ended(START + 299 * MS)
+    use.release_timed_out(START + 299 * MS)
     assert (use.total, engine.threads, engine.attempts) == (3, 3, 1)
-    use.release_ended(START + 300 * MS)
+    use.release_timed_out(START + 300 * MS)
     assert (use.total, engine.threads, engine.attempts) == (0, 0, 0)
     assert not use.timed_out
 
@@ -64,5 +64,5 @@
     use, engine = ThreadUse(), Engine(1, 0, 1)
     use.hold_timed_out(engine, 3, START, START + 100 * MS)
     engine.started_us = START + 150 * MS
-    use.release_ended(START + 160 * MS)
+    use.release_timed_out(START + 160 * MS)
     assert use.total == 0 == engine.threads
