--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -54,15 +54,15 @@
 
 
 def build_parts(
-    configuration: Configuration, door_record: "AdmissionQueueRecord | None" = None
+    configuration: Configuration, admission_record: "AdmissionQueueRecord | None" = None
 ) -> GatewayParts:
     """Build the core, the listener and the discovery client. Raises ConfigurationError.
 
-    door_record: settings of the admission queue from the operator file; None: no queue.
+    admission_record: settings of the admission queue from the operator file; None: no queue.
     """
     admission = None
-    if door_record and door_record.on:
-        admission = build_admission(door_record, configuration.agreement, configuration.seed)
+    if admission_record and admission_record.on:
+        admission = build_admission(admission_record, configuration.agreement, configuration.seed)
     # An equal share of the memory for each connection, but at least room for a result.
     max_message_bytes = max(
         configuration.memory_bytes // configuration.max_sockets, RESULTS_PER_MESSAGE * MAX_RESULT_BYTES
@@ -76,7 +76,7 @@
         configuration.max_sockets - max_clients - RESERVED_DESCRIPTORS,
         StatementMemory(configuration.memory_bytes // STATEMENT_MEMORY_DIVISOR),
         admission.queue if admission else None,
-        door_record.come_back.field if door_record else "",
+        admission_record.come_back.field if admission_record else "",
     )
     listener = _open_listener(configuration, core, max_message_bytes, max_clients, admission)
     discovery_client = DiscoveryClient(
@@ -92,24 +92,26 @@
     return GatewayParts(core, listener, discovery_client)
 
 
-def build_admission(door_record: "AdmissionQueueRecord", agreement: Agreement, seed: int) -> Admission:
+def build_admission(admission_record: "AdmissionQueueRecord", agreement: Agreement, seed: int) -> Admission:
     """Build the admission queue that a record of the operator file describes. Raises ConfigurationError."""
     from gullhold.admission.client_identity import ClientIdentifier  # noqa: PLC0415  only if it is on
     from gullhold.admission.queue import AdmissionQueue  # noqa: PLC0415  only if it is on
 
     tenant_names = [tenant.name for tenant in agreement.tenants]
     fallback_tenant = None
-    if door_record.tenants == "open":
-        if door_record.others not in tenant_names:
-            raise ConfigurationError(f"door.others: {door_record.others!r} is no tenant of the agreement")
-        fallback_tenant = tenant_names.index(door_record.others)
+    if admission_record.tenants == "open":
+        if admission_record.others not in tenant_names:
+            raise ConfigurationError(
+                f"door.others: {admission_record.others!r} is no tenant of the agreement"
+            )
+        fallback_tenant = tenant_names.index(admission_record.others)
     try:
-        client_identity = ClientIdentifier(door_record.client, tenant_names, fallback_tenant)
+        client_identity = ClientIdentifier(admission_record.client, tenant_names, fallback_tenant)
     except ValueError as error:
         raise ConfigurationError(f"door.client.networks: {error}") from None
     queue = AdmissionQueue(
         seed,
-        door_record,
+        admission_record,
         [tenant.share for tenant in agreement.tenants],
         agreement.profiles,
         agreement.max_retry_after_us,
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -15,7 +15,7 @@
 from gullhold.net.write_buffer import WriteBuffer
 
 MAX_READ_BYTES = 4096  # limit of one read of the wake-up pipe
-FAULT_WAIT_S = 0.01  # pause after an exception, or after a flush that wrote nothing
+FAILURE_DELAY_S = 0.01  # pause after an exception, or after a flush that wrote nothing
 
 
 class Flusher:
@@ -45,7 +45,7 @@
             # Without this thread, blocked connections would stay blocked.
             except Exception:  # noqa: BLE001  the outermost loop of the thread
                 logger.exception("flusher failed, continuing")
-                time.sleep(FAULT_WAIT_S)
+                time.sleep(FAILURE_DELAY_S)
 
     def flush_writable(self) -> None:
         """Wait until some sockets are writable or a buffer was added, and flush the writable ones."""
@@ -68,7 +68,7 @@
                 count = buffer.flush()  # if bytes remain, the buffer calls watch() again
                 did_each_write = did_each_write and count > 0
         if not did_each_write:  # writable, but nothing was accepted: the system lacks memory
-            time.sleep(FAULT_WAIT_S)
+            time.sleep(FAILURE_DELAY_S)
 
     def _take_all(self) -> list[WriteBuffer]:
         """Remove and return all waiting buffers; the caller re-adds those that still wait."""
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -39,7 +39,7 @@
             self.core.now,
             pending.number,
             request.tenant,
-            request.flow,
+            request.client_name,
             request.profile,
             request.ordering_key,
             request.work_us,
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -17,7 +17,9 @@
 NUMBER_PATTERN = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
 TRANSACTION_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}\Z")
 IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-+\--<>-~]*\Z")  # printable; "," and "=" separate RESP fields
-MAX_TIMEOUT_FACTOR = 2  # clients may round a profile's timeout up, to twice the longest one at most
+MAX_TIMEOUT_FACTOR = (
+    2  # a client timeout may be this many times the longest one of any profile: clients round up
+)
 NO_ORDERING_KEY = 0  # key of a command that may run beside any other
 
 
@@ -36,7 +38,7 @@
     memory_mb: float  # estimated memory
     table_group: int  # group of the tables that the statement uses; 0: none
     is_retry: bool  # the client has sent this command before
-    flow: bytes = b""  # name of the client's flow; empty without an admission queue
+    client_name: bytes = b""  # name by which the admission queue knows the client; empty without a queue
 
 
 class RequestFault(StrEnum):
@@ -58,8 +60,8 @@
 class RequestReader:
     """Converts the arguments of execute to a Request, by the profiles and tenants of one agreement.
 
-    client_identity: determines the flow of a request; None without an admission queue. retry_after_field: the
-    field of a Shed that holds the Retry-After time; empty if there is none.
+    client_identity: determines the client_name of a request; None without an admission queue.
+    retry_after_field: the field of a Shed that holds the Retry-After time; empty if there is none.
     """
 
     def __init__(
@@ -99,9 +101,9 @@
         if self._client_identity is None:  # there is no admission queue
             return None
         tenant, unknown_tenant = self._client_identity.tenant(fields.get(b"team", b""))
-        flow = self._client_identity.client_name(fields, unknown_tenant, *peer)
+        client_name = self._client_identity.client_name(fields, unknown_tenant, *peer)
         profile = self._profiles.get(fields.get(b"verb"))
-        rejects_until_us, retry_at_us = known_rejections.get((tenant, flow, profile), (0, None))
+        rejects_until_us, retry_at_us = known_rejections.get((tenant, client_name, profile), (0, None))
         if now_us >= rejects_until_us or not _has_transaction_id(fields):
             return None
         if b"second" not in fields or retry_at_us is None:
@@ -116,15 +118,15 @@
     ) -> Request:
         """Convert a request, if it is valid. Raises RequestError.
 
-        address, connection: the client's host and HOST:PORT, by which its flow may be determined.
+        address, connection: the client's host and HOST:PORT, by which it may be named.
         """
         if not _has_transaction_id(fields):
             raise RequestError(RequestFault.UNUSABLE, b"txn")
         profile = self._profile(fields)
         tenant, unknown_tenant = self._tenant(fields)
-        flow = b""
+        client_name = b""
         if self._client_identity:
-            flow = self._client_identity.client_name(fields, unknown_tenant, address, connection)
+            client_name = self._client_identity.client_name(fields, unknown_tenant, address, connection)
         idempotency_key = self._idempotency_key(fields, profile)
         timeout_ms = _number(fields, b"limit", self._max_timeout_ms, default=b"")
         work_ms = _number(fields, b"cpu", self._max_work_ms)
@@ -142,7 +144,7 @@
             memory_mb=_number(fields, b"memory", self._max_memory_mb),
             table_group=group,
             is_retry=b"second" in fields,
-            flow=flow,
+            client_name=client_name,
         )
 
     def _retry_after(self, wait_us: int) -> dict[bytes, bytes]:
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -22,19 +22,20 @@
     """Wait until a condition holds; fail after WAIT_TIMEOUT_S."""
     deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline, "the condition did not become true in time"
+        assert time.monotonic() < deadline, f"{condition} did not become true within {WAIT_TIMEOUT_S} s"
         time.sleep(POLL_INTERVAL_S)
 
 
 class Gateway:
     """A gateway in this process.
 
-    delayed_threads: names of threads that the test starts later; door_record: settings of an admission queue.
+    delayed_threads: names of threads that the test starts later.
+    admission_record: settings of an admission queue.
     """
 
-    def __init__(self, tmp_path, configuration, delayed_threads=(), door_record=None):
+    def __init__(self, tmp_path, configuration, delayed_threads=(), admission_record=None):
         path = write_configuration(tmp_path, configuration)
-        parts = build_parts(load_configuration(path), door_record)
+        parts = build_parts(load_configuration(path), admission_record)
         self.core = parts.core
         self.listener = parts.listener
         self.discovery_client = parts.discovery_client
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -26,7 +26,7 @@
         record = records.read(ADMISSION_RULES + more, "test.cue").door
         configuration = config(*parts, **other)
         adjust_settings(configuration["settings"], tenants, cores)
-        gateways.append(Gateway(tmp_path, configuration, door_record=record))
+        gateways.append(Gateway(tmp_path, configuration, admission_record=record))
         engines.extend(parts)
         return gateways[-1], Caller(gateways[-1].address)
 
