--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -6,7 +6,7 @@
 from gullhold.net.client_limits import MAX_OPEN_REQUESTS
 from gullhold.net.received_call import ReceivedCall
 
-MAX_DEFERRED_BYTES = 32_768  # total size of deferred calls: 32 of usual size
+MAX_DEFERRED_BYTES = 32_768  # most bytes of deferred calls at once: 32 calls of 1 KB
 MAX_DEFERRED_FRACTION = 0.4  # longest deferral of a call, as a fraction of its client timeout
 # Shortest and longest pause after a rejection by the reader thread.
 MIN_PAUSE_S = 0.05
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -153,13 +153,13 @@
         queue = self.core.admission_queue
         if not queue or not queue.known_rejections:
             return False
-        shed_fields = self.reader.known_rejection(
+        shed_arguments = self.reader.known_rejection(
             fields, self.client.peer, queue.known_rejections, received_at_us
         )
-        if not shed_fields:
+        if not shed_arguments:
             return False
         self.counters.add("rejected_admission_early")
-        self.rejections.append(thrift.encode_shed(sequence_id, *shed_fields))
+        self.rejections.append(thrift.encode_shed(sequence_id, *shed_arguments))
         return True
 
     def _read_request(self, sequence_id: int, fields: dict[bytes, bytes], statement: bytes) -> Request | None:
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -20,9 +20,9 @@
     from gullhold.net.core import Core
 
 CLOSING_PAUSE_S = 0.5  # pause between reads, in the shutdown, of a connection that still has open requests
-MAX_CLOSING_READ_BYTES = 65_536  # limit of one read in the shutdown: 32 requests of usual size
+MAX_CLOSING_READ_BYTES = 65_536  # limit of one read in the shutdown: 32 requests of 2 KB
 FULL_POLL_INTERVAL_S = 0.05  # time between reads in a pause once no more calls can be deferred
-MESSAGE_TIMEOUT_S = 2.0  # time to complete a message: the protocol requires that we end the connection in 3 s
+MESSAGE_TIMEOUT_S = 2.0  # time to complete a message; by the protocol we have to end the connection in 3 s
 IDLE_TIMEOUT_S = 5.0  # time without a request; usual clients close an idle connection after 4 s themselves
 MAX_READ_WAIT_US = 500_000  # longest wait of a read, so that the two timeouts above are checked
 PAUSE_MARGIN_US = 1000  # added to a read's wait for the end of a pause, so that the pause is over then
@@ -54,16 +54,18 @@
             MAX_OPEN_REQUESTS * (MAX_RESULT_BYTES + max_message_bytes), core.counters, core.flusher
         )
         self.open_requests: dict[int, PendingRequest] = {}  # by sequence id
-        self.undelivered: dict[int, bool] = {}  # ids of requests posted to the core, not processed yet
+        # Sequence ids of requests posted to the core, not processed yet. A dict, whose values mean nothing,
+        # as its pop() removes an id and tells whether it was there in one step.
+        self.undelivered: dict[int, bool] = {}
         self.interrupted: set[int] = set()  # sequence ids whose interrupts the core has not processed
         self.posted_count = 0  # number of requests posted to the core
-        self.settled_count = 0  # number of these that are answered or dropped
-        self.completed_count = 0  # number of these whose answers are in the write buffer, or that are dropped
-        self.is_ending = False  # no further reads, or about to end
+        self.settled_count = 0  # number of these whose answer is decided, or that are dropped
+        self.completed_count = 0  # number of those whose answer is in the write buffer, or that are dropped
+        self.is_ending = False  # the connection is no longer read, or is to end soon
         self.has_left = False  # the client closed it, or it broke: no answers are expected any more
-        self.is_draining = False  # to end once nothing is open
+        self.is_draining = False  # the connection is to end once all its requests are answered
         self.end_requested = False  # the core was asked whether the idle connection may end
-        self.may_end = False  # the core has allowed that
+        self.may_end = False  # the core has allowed the idle connection to end
         self.local_end: tuple[ConnectionEnd, str] | None = None  # why we ended it, with a detail for the log
         self.backpressure = Backpressure()
         self.calls = ClientCalls(self, reader)
@@ -95,9 +97,9 @@
                 ConnectionEnd.RESET if self.write_buffer.is_closed else ConnectionEnd.PEER_NOT_READING, ""
             )
 
-    def end(self, end: ConnectionEnd, text: str) -> None:
+    def end(self, end: ConnectionEnd, detail: str) -> None:
         """End the connection at once and discard buffered answers; its reader wakes and reports the end."""
-        self.local_end = self.local_end or (end, text)
+        self.local_end = self.local_end or (end, detail)
         self.is_ending = True
         self.write_buffer.finish(now=True)
 
@@ -123,18 +125,18 @@
         finally:
             self.connection.close()
 
-    def report_end(self, end: ConnectionEnd, text: str) -> None:
+    def report_end(self, end: ConnectionEnd, detail: str) -> None:
         """From the reader thread: tell the core that reading has ended, and why."""
         if self.local_end:
-            end, text = self.local_end
+            end, detail = self.local_end
         self.is_ending = True
         if end in connection_ends.CLIENT_STILL_WAITS:  # posted behind its requests, so that each is answered
             self.calls.reject_deferred()
             self.write_rejections()
-            self.core.post(self.core.client_ended, self, end, text)
+            self.core.post(self.core.client_ended, self, end, detail)
         else:  # ahead of all other events: no more attempts must be sent for this client
             self.has_left = True
-            self.core.post_urgent(self.core.client_ended, self, end, text)
+            self.core.post_urgent(self.core.client_ended, self, end, detail)
 
     def write_rejections(self) -> bool:
         """From the reader thread: send the collected rejections in one write; return whether any existed."""
@@ -144,15 +146,15 @@
         return True
 
     def _serve(self) -> None:
-        text = ""
+        detail = ""
         try:
             end = self._read()
             if self.write_buffer.error:  # a failed write has ended the connection and woken the reader
-                end, text = connection_ends.classify_exception(self.write_buffer.error)
+                end, detail = connection_ends.classify_exception(self.write_buffer.error)
         # An internal fault ends this connection only.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
-            end, text = connection_ends.classify_exception(error)
-        self.report_end(end, text)
+            end, detail = connection_ends.classify_exception(error)
+        self.report_end(end, detail)
         self._linger()
 
     def _linger(self) -> None:
@@ -215,7 +217,7 @@
                 self.write_buffer.finish()
 
     def _end_if_settled(self) -> None:
-        """End a draining connection of which everything was read, once nothing is open."""
+        """End a draining connection of which everything was read, once no request is open."""
         if self.core.is_rejecting:
             self._end_when_answered()
         elif not self.is_busy():
@@ -240,7 +242,9 @@
         if self.idle_timer.idle_s(is_mid_message, is_busy, was_answered) <= limit_s:
             return
         if is_mid_message:
-            raise ProtocolError("a message was not completed within the time limit")
+            raise ProtocolError(
+                f"only {len(self.decoder.buffer)} bytes of a message arrived within the limit of {limit_s} s"
+            )
         if not is_busy:
             self._request_end()
 
@@ -270,8 +274,8 @@
         if pause_s <= 0:
             return int(POLL_INTERVAL_S * 1e6) if self.end_requested else MAX_READ_WAIT_US
         if self.backpressure.deferred_calls:
-            oldest_s = self.backpressure.oldest_remaining_s(self.core.clock())
-            pause_s = min(pause_s, max(oldest_s, POLL_INTERVAL_S))
+            remaining_s = self.backpressure.oldest_remaining_s(self.core.clock())
+            pause_s = min(pause_s, max(remaining_s, POLL_INTERVAL_S))
         return int(min(pause_s * 1e6 + PAUSE_MARGIN_US, MAX_READ_WAIT_US))
 
     def _set_read_timeout(self, wait_us: int) -> None:
@@ -290,7 +294,7 @@
                 return
 
     def _end_when_answered(self) -> None:
-        """In the shutdown, shut down our side if nothing is open, else read slowly until that is so.
+        """In the shutdown, shut down our side if no request is open, else read slowly until then.
 
         The client then sends further requests to another gateway.
         """
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -165,12 +165,12 @@
         """Handle an interrupt: the client does not wait for this answer any more."""
         self.requests.interrupt(client, sequence_id)
 
-    def client_ended(self, client: Client, end: ConnectionEnd, text: str) -> None:
-        """Handle the end of a client's connection; its reader has stopped. text: details for the log."""
-        self.requests.client_ended(client, end, text)
+    def client_ended(self, client: Client, end: ConnectionEnd, detail: str) -> None:
+        """Handle the end of a client's connection; its reader has stopped. detail: details for the log."""
+        self.requests.client_ended(client, end, detail)
 
     def check(self, client: Client, sequence_id: int) -> None:
-        """Answer a health check: whether the gateway serves. Answered here because this thread serves."""
+        """Answer a health check. The core's thread answers, so that a core that is stuck does not pass it."""
         is_serving = self.endpoint_list.has_initial_list and not self.shutdown_began_at
         if is_serving and self.gate:
             is_serving = not self.gate.rejects_new()
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -25,7 +25,8 @@
 FIRST_EVENT_TIMEOUT_US = 100_000
 BATCH_INTERVAL_S = 0.01  # after a call to the core, events are gathered for this long before the next
 FAILURE_DELAY_S = 0.1  # pause after an unexpected exception, before the stream is followed again
-SILENCE_LIMIT_US = 2_000_000  # by then two of the bare indexes are missing, which come once a second
+# The service sends at least the index of its last event once a second: by then two of these are missing.
+SILENCE_LIMIT_US = 2_000_000
 
 
 def is_readable_within(sock: socket.socket, timeout_us: int) -> bool:
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -16,7 +16,7 @@
     from gullhold.net.core import Core
     from gullhold.net.pending_requests import PendingRequest
 
-CONNECT_RETRY_INTERVAL_S = 0.02  # while this machine lacks resources or a route
+CONNECT_RETRY_INTERVAL_S = 0.02  # time between tries to connect while this machine lacks resources or a route
 # Errors after which connecting is retried; ENETUNREACH: there is no route yet. ip(7), connect(2).
 RETRIED_ERRNOS = connection_ends.LOCAL_EXHAUSTION_ERRNOS | {errno.ENETUNREACH}
 
@@ -153,34 +153,34 @@
             if arrays:
                 self.core.post_first(self.core.replies.handle, self, arrays)
 
-    def reader_ended(self, end: ConnectionEnd, text: str, connection: Connection | None) -> None:
+    def reader_ended(self, end: ConnectionEnd, detail: str, connection: Connection | None) -> None:
         """From the reader thread as it ends: close the descriptor and report the end to the core."""
         self.write_buffer.finish(now=True)
         if connection is not None:
             connection.close()
         self.core.pool.holding_descriptor.discard(self)
-        self.core.post_first(self.core.pool.connection_ended, self, self.local_end or end, text)
+        self.core.post_first(self.core.pool.connection_ended, self, self.local_end or end, detail)
 
     def _run(self) -> None:
         end = ConnectionEnd.INTERNAL_FAULT
-        text = ""
+        detail = ""
         connection = None
         try:
             try:
                 connection = Connection(self._connect_in_time())
             except OSError as error:
-                end, text = connection_ends.classify_exception(error, connecting=True)
+                end, detail = connection_ends.classify_exception(error, connecting=True)
                 return
             if not self.connected(connection):
                 return
             end = self._read(connection.sock)
             if self.write_buffer.error:  # a write failed and woke the reader: this is the cause
-                end, text = connection_ends.classify_exception(self.write_buffer.error)
+                end, detail = connection_ends.classify_exception(self.write_buffer.error)
         # An unexpected exception ends this connection only.
         except Exception as error:  # noqa: BLE001  the outermost function of the thread
-            end, text = connection_ends.classify_exception(error)
+            end, detail = connection_ends.classify_exception(error)
         finally:
-            self.reader_ended(end, text, connection)
+            self.reader_ended(end, detail, connection)
 
     def _connect_in_time(self) -> socket.socket:
         """Return a connected socket. Raises OSError if connecting fails or takes too long.
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-MIN_SWEEP_INTERVAL_US = 100_000  # between two checks, however short the connect timeout is
+MIN_SWEEP_INTERVAL_US = 100_000  # shortest time between two checks, however short the connect timeout is
 
 
 class ConnectionLimits(NamedTuple):
     """Intervals and limits for all engine connections, derived from the settings."""
 
-    sweep_interval_us: int  # between two checks of all connections: the connect timeout
-    attempts_when_shared: int  # on one shared connection; few, so that few are lost with it
+    sweep_interval_us: int  # time between two checks of all connections: the connect timeout
+    attempts_when_shared: int  # most attempts on one shared connection; few, so that few are lost with it
     silent_after_us: int  # a working connection with an open attempt gets a reply within this time
     lost_after_us: int  # by then two status notes are missing; 0: engines send none
 
--- a/gullhold/net/engine_pool.py
+++ b/gullhold/net/engine_pool.py
@@ -44,11 +44,12 @@
             if connection.accepts(transaction_id, max_streams) and not self.is_idle(connection)
         ]
         # One attempt per connection while descriptors last, so that a malformed reply, a reset, or a request
-        # that an engine can't read fails no other attempt. But some engines close a connection as soon as
-        # nothing else is open on it, although pages or a fetch are still to come: there attempts share one.
-        max_preferred_open = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
+        # that an engine can't read fails no other attempt. But some engines close a connection on which no
+        # other attempt is open although pages or a fetch are still to come. An engine that closes connections
+        # in an orderly way may be one of these, so a few attempts share a connection to it.
+        max_open_if_preferred = self.core.limits.attempts_when_shared if endpoint.orderly_closes else 1
         preferred = [
-            connection for connection in usable if len(connection.open_attempts) < max_preferred_open
+            connection for connection in usable if len(connection.open_attempts) < max_open_if_preferred
         ]
         if preferred:  # the fullest; of idle ones the last used, so that the others can be closed as idle
             return max(preferred, key=lambda connection: (len(connection.open_attempts), connection.used_at))
@@ -83,12 +84,12 @@
         if connection.write_buffer.put(resp.encode(*strings)) < 0 and not connection.is_ended:
             self.core.defer(self.drop, connection, ConnectionEnd.PEER_NOT_READING)
 
-    def drop(self, connection: EngineConnection, end: ConnectionEnd, text: str = "") -> None:
+    def drop(self, connection: EngineConnection, end: ConnectionEnd, detail: str = "") -> None:
         """Close a connection from this side and end its attempts now."""
         connection.begin_close(end)
-        self.connection_ended(connection, end, text)
+        self.connection_ended(connection, end, detail)
 
-    def connection_ended(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
+    def connection_ended(self, connection: EngineConnection, end: ConnectionEnd, detail: str) -> None:
         """Remove a connection that has ended, and end its attempts. Further calls do nothing."""
         if connection.is_ended:
             return
@@ -98,7 +99,7 @@
         self.core.endpoint_list.forget_if_removed(connection.endpoint)
         self.counters.add(f"engine_connections_ended_{end.value}")
         self._update_orderly_closes(connection, end)
-        self._log_close(connection, end, text)
+        self._log_close(connection, end, detail)
         self._end_attempts(connection, end)
 
     def is_idle(self, connection: EngineConnection) -> bool:
@@ -116,7 +117,7 @@
         self.holding_descriptor.add(connection)
         try:
             connection.start()
-        except RuntimeError:  # the thread can't be started
+        except RuntimeError:  # the reader thread can't be started
             self.holding_descriptor.discard(connection)
             self.counters.add("engine_connections_no_thread")
             return None
@@ -150,7 +151,7 @@
         elif end == ConnectionEnd.CLOSED_BY_PEER:
             endpoint.orderly_closes += 1
 
-    def _log_close(self, connection: EngineConnection, end: ConnectionEnd, text: str) -> None:
+    def _log_close(self, connection: EngineConnection, end: ConnectionEnd, detail: str) -> None:
         is_planned = end in (ConnectionEnd.IDLE, ConnectionEnd.RETIRED)
         is_routine = is_planned or (end == ConnectionEnd.CLOSED_BY_PEER and not connection.open_attempts)
         event = LoggedEvent(
@@ -161,7 +162,7 @@
             old_state="open" if connection.connection else "connecting",
             new_state="closed",
             open=len(connection.open_attempts),
-            detail=text,
+            detail=detail,
         )
         self.core.event_log.add(event, not is_routine)
 
--- a/gullhold/net/engine_protocol.py
+++ b/gullhold/net/engine_protocol.py
@@ -3,19 +3,19 @@
 from gullhold.interface import Outcome
 
 # Commands.
-FETCH = b"fetch"
-MORE = b"more"
-DONE = b"done"
-ABORT = b"abort"
-RENICE = b"renice"
+FETCH = b"fetch"  # starts an attempt
+MORE = b"more"  # requests the next page of a result
+DONE = b"done"  # no further page of the result is needed
+ABORT = b"abort"  # cancels an attempt
+RENICE = b"renice"  # changes the priority of an open attempt
 ALIVE = b"alive"  # health check; the engine replies ALIVE with the same tag
-# Replies.
-STATUS = b"status"
-CHUNK = b"chunk"
-ANSWER = b"200"
+# Replies; the protocol names the final ones by numbers, as HTTP does.
+STATUS = b"status"  # a status note on an open attempt
+CHUNK = b"chunk"  # a page after the first
+ANSWER = b"200"  # the first page, which is the last one too unless the reply states more
 ERROR = b"500"
-OVERLOADED = b"503"
-EXPIRED = b"504"
+OVERLOADED = b"503"  # rejected without running it
+EXPIRED = b"504"  # its time was over before it ran
 
 # Replies that end an attempt; OVERLOADED and EXPIRED mean that it never ran.
 FINAL_REPLIES = {
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-STATUS_KINDS_BY_NOTE = {
+STATUS_KINDS_BY_NOTE = {  # by the value of the field `note`, as the protocol names it
     b"share": StatusKind.PROGRESS,
     b"short": StatusKind.SPILLING,
     b"held": StatusKind.WAITING,
@@ -20,8 +20,8 @@
 PAGE_REPLIES = (engine_protocol.ANSWER, engine_protocol.CHUNK)
 MAX_PAGE_BYTES = 6_000  # set by the protocol
 TABS_PER_ROW = 2  # a row has three columns, by the protocol
-MIN_STRINGS = 2  # in a reply: transaction id and kind of reply
-MAX_STRINGS = 4  # transaction id, kind of reply, fields, body
+MIN_STRINGS = 2  # fewest strings of a reply: transaction id and kind of reply
+MAX_STRINGS = 4  # strings of a reply that are read: transaction id, kind of reply, fields, body
 
 
 class EngineReplies:
@@ -46,7 +46,7 @@
 
     def _handle_array(self, connection: EngineConnection, array: list[bytes]) -> None:
         if len(array) < MIN_STRINGS:
-            raise ProtocolError(f"a reply is too short: {len(array)} words")
+            raise ProtocolError(f"a reply has {len(array)} strings, but needs at least {MIN_STRINGS}")
         transaction_id, reply, encoded_fields, body = (*array, b"", b"")[:MAX_STRINGS]
         if reply == engine_protocol.ALIVE:
             self.core.attempts.cancel_confirmed(connection, transaction_id)
@@ -68,7 +68,9 @@
             attempt.resources = self._resources(fields)
             self.core.attempts.end(attempt, engine_protocol.FINAL_REPLIES[reply])
         else:
-            raise ProtocolError(f"{reply!r} is not allowed in this state of the attempt")
+            raise ProtocolError(
+                f"reply {reply!r} is unknown, or not allowed after {len(attempt.pages)} pages"
+            )
 
     def _handle_page(
         self,
@@ -91,7 +93,9 @@
         elif self._is_next_page(attempt, fields):
             self._add_page(connection, attempt, rows)
         else:
-            raise ProtocolError(f"{reply!r} is not allowed in this state of the attempt")
+            raise ProtocolError(
+                f"reply {reply!r} is not the next page: {len(attempt.pages)} pages have arrived"
+            )
 
     def _handle_status(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
         kind = STATUS_KINDS_BY_NOTE.get(fields.get(b"note", b""))
@@ -113,8 +117,12 @@
         check_page(rows)
         attempt.pages.append(rows)
         attempt.result_bytes += len(rows)
+        # MAX_RESULT_BYTES also limits the number of pages, as if each had a byte.
         if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > MAX_RESULT_BYTES:
-            raise ProtocolError("a result of too many bytes or pages")
+            raise ProtocolError(
+                f"a result of {attempt.result_bytes} bytes (limit {self.core.max_message_bytes})"
+                f" or {attempt.page_count} pages (limit {MAX_RESULT_BYTES}) is too large"
+            )
         if len(attempt.pages) < attempt.page_count:
             self.core.pool.send_control(
                 connection, engine_protocol.MORE, transaction_id, b"%d" % len(attempt.pages)
@@ -148,7 +156,7 @@
             loads = dict(pair.partition(b":")[::2] for pair in fields[b"load"].split(b";"))
             load = [float(loads.get(name, 0)) for name in self.report_fields]
         if not all(map(isfinite, (work_ms, memory_mb, *load))):
-            raise ProtocolError("a cost, memory or load value is not finite")
+            raise ProtocolError(f"not all values are finite: cost {work_ms}, memory {memory_mb}, load {load}")
         return ResourceUse(int(work_ms * US_PER_MS), memory_mb, tuple(load))
 
 
@@ -158,4 +166,7 @@
     has_other_columns = rows.count(b"\t") != TABS_PER_ROW * rows.count(b"\n")
     is_last_row_incomplete = bool(rows) and not rows.endswith(b"\n")
     if is_too_long or has_other_columns or is_last_row_incomplete:
-        raise ProtocolError("a page is too long, or does not consist of complete rows of three columns")
+        raise ProtocolError(
+            f"invalid page: {len(rows)} bytes (limit {MAX_PAGE_BYTES}), rows without three columns:"
+            f" {has_other_columns}, incomplete last row: {is_last_row_incomplete}"
+        )
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -1,4 +1,4 @@
-"""The table of pending requests: each from its arrival at the core to its one final answer."""
+"""The table of pending requests: each stays until it is settled and has no open attempt."""
 
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
@@ -42,7 +42,7 @@
     undelivered: sequence ids of requests that were posted to the core, but not processed by it yet.
     interrupted: sequence ids of open requests whose interrupts the core has not processed yet.
     settled_count: number of requests for which an answer was decided, or which were dropped.
-    completed_count: number of settled requests whose answers were passed to put(), or which were dropped.
+    completed_count: number of the settled requests whose answers were passed to put(), or which were dropped.
     has_left: the client has disconnected and no longer waits for answers.
     """
 
@@ -147,7 +147,7 @@
             self.counters.add("interrupted")
             self._abandon([pending])
 
-    def client_ended(self, client: Client, end: ConnectionEnd, text: str) -> None:
+    def client_ended(self, client: Client, end: ConnectionEnd, detail: str) -> None:
         """Handle the end of a client's connection.
 
         A client that closed its connection, or whose connection broke, has left: its requests are dropped.
@@ -163,7 +163,7 @@
             old_state="open",
             new_state="closed",
             open=len(client.open_requests),
-            detail=text,
+            detail=detail,
         )
         self.core.event_log.add(event, is_unusual)
         if end in connection_ends.CLIENT_STILL_WAITS:
@@ -275,7 +275,7 @@
         self.counters.add(reason)
         self._log_rejection(pending, reason)
         self.answer(pending, message)
-        if pending.attempt:  # of no use once its request is answered
+        if pending.attempt:  # the attempt is of no use once its request is answered
             self.core.attempts.abandon(pending.attempt, Outcome.CANCELLED)
 
     def _log_rejection(self, pending: PendingRequest, reason: str) -> None:
@@ -315,7 +315,7 @@
     def _mark_settled(self, pending: PendingRequest) -> Client:
         """Mark a request as settled, detach it from its client and return the client."""
         client = pending.client
-        assert client is not None, "the request is already settled"
+        assert client is not None, f"request {pending.number} is already settled"
         client.open_requests.pop(pending.sequence_id, None)
         client.settled_count += 1
         client.interrupted.discard(pending.sequence_id)
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -52,7 +52,7 @@
         size, header_size = header
         self.buffer.consume(header_size)
         if not 0 < size <= MAX_STRINGS_PER_ARRAY:
-            raise ProtocolError(f"array length out of range: {size}")
+            raise ProtocolError(f"array of {size} strings: not between 1 and {MAX_STRINGS_PER_ARRAY}")
         self.strings = []
         self.missing_count = size
         return True
@@ -64,12 +64,14 @@
             return None
         size, header_size = header
         if not 0 <= size <= self.buffer.max_bytes - MAX_HEADER_BYTES:
-            raise ProtocolError(f"string length out of range: {size}")
+            raise ProtocolError(
+                f"string of {size} bytes does not fit the buffer of {self.buffer.max_bytes} bytes"
+            )
         body = self.buffer.peek(size + len(LINE_END), header_size)
         if body is None:
             return None
         if body[size:] != LINE_END:
-            raise ProtocolError("no line end after a string of the announced length")
+            raise ProtocolError(f"no line end after a string of the announced length of {size} bytes")
         self.buffer.consume(header_size + len(body))
         return body[:size]
 
@@ -81,13 +83,13 @@
         end = self.buffer.find(LINE_END)
         if end < 0 or end > MAX_HEADER_BYTES:
             if len(self.buffer) > MAX_HEADER_BYTES or end >= 0:
-                raise ProtocolError("length line is too long")
+                raise ProtocolError(f"length line is longer than {MAX_HEADER_BYTES} bytes")
             if len(self.buffer) and self.buffer.peek(1) != prefix:
-                raise ProtocolError("not an array of bulk strings")
+                raise ProtocolError(f"expected a length line that begins with {prefix!r}")
             return None
         line = self.buffer.peek(end) or b""  # never None, as the line is complete
         if line[:1] != prefix or not line[1:].isdigit():
-            raise ProtocolError("not an array of bulk strings")
+            raise ProtocolError(f"expected a length line that begins with {prefix!r}, got {line!r}")
         return int(line[1:]), end + len(LINE_END)
 
 
--- a/gullhold/net/shutdown.py
+++ b/gullhold/net/shutdown.py
@@ -14,9 +14,9 @@
 NEW_REQUESTS_US = 600_000  # time in which new requests still arrive
 MAX_COUNTED_TIMEOUT_US = 3_000_000  # upper limit for the longest client timeout
 QUIET_US = 350_000  # time without a new answer after which an early end may begin
-REJECTING_US = 600_000  # time before the last answers in which all new requests are rejected
+REJECTING_US = 600_000  # longest time before the forced end in which all new requests are rejected
 RECHECK_US = QUIET_US // 4  # time between checks whether all requests are answered
-KILL_US = 700_000  # time from the longest client timeout to the kill
+KILL_US = 700_000  # time to the kill once the longest client timeout, counted from the start, is over
 EXIT_US = 200_000  # time kept before the kill for the exit of the process
 CLOSING_CHECK_US = 10_000  # time between checks whether all client connections have ended
 
@@ -41,12 +41,14 @@
         # With short client timeouts new requests arrive almost until the kill; the last of them must still be
         # read and answered.
         self._stop_at_us = core.now + longest_us + KILL_US - EXIT_US
-        last_at_us = core.now + max(longest_us, min(NEW_REQUESTS_US, longest_us + QUIET_US))
+        force_end_at_us = core.now + max(longest_us, min(NEW_REQUESTS_US, longest_us + QUIET_US))
         no_more_new_at_us = core.now + NEW_REQUESTS_US
-        close_at_us = min(max(no_more_new_at_us, last_at_us - REJECTING_US), last_at_us)
+        # For a while before the forced end new requests are rejected, but not in the time in which they are
+        # still to arrive.
+        reject_at_us = min(max(no_more_new_at_us, force_end_at_us - REJECTING_US), force_end_at_us)
         core.call_later(no_more_new_at_us, self._end_if_quiet)
-        core.call_later(close_at_us, self._stop_accepting)
-        core.call_later(last_at_us, self._end_now)
+        core.call_later(reject_at_us, self._stop_accepting)
+        core.call_later(force_end_at_us, self._end_now)
 
     def _end_if_quiet(self) -> None:
         """End early if all requests are answered, the last one some time ago; else check again later."""
@@ -59,7 +61,7 @@
             core.call_later(core.now + RECHECK_US, self._end_if_quiet)
 
     def _end_now(self) -> None:
-        """Answer all open requests at once, and close the client connections: the kill is near."""
+        """Answer all open requests at once, and close the client connections, as the kill is near."""
         core = self.core
         core.call_later(self._stop_at_us, self._stop)  # first: a fault below must not prevent the stop
         for pending in core.requests.unanswered():
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -11,7 +11,7 @@
 
 from gullhold.interface import EngineEntry
 
-MAX_EVENT_DELAY_US = 10_000_000  # of a watch event; more than the 7 s that the protocol allows
+MAX_EVENT_DELAY_US = 10_000_000  # longest delay of a watch event: more than the 7 s that the protocol allows
 
 
 class StartTime(NamedTuple):
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -126,7 +126,9 @@
     def read(self, size: int) -> bytes:
         """Read the next size bytes."""
         if size < 0 or self.position + size > len(self.data):
-            raise ProtocolError("a value runs past its frame")
+            raise ProtocolError(
+                f"{size} bytes at position {self.position} do not fit a frame of {len(self.data)} bytes"
+            )
         self.position += size
         return self.data[self.position - size : self.position]
 
@@ -144,7 +146,7 @@
         Numbers of types that the service's messages do not use (I8, I16, I64, DOUBLE) are returned as bytes.
         """
         if depth > MAX_NESTING:
-            raise ProtocolError("structs or containers are nested too deeply")
+            raise ProtocolError(f"structs or containers are nested more than {MAX_NESTING} levels deep")
         if value_type in SIZE_BY_FIXED_TYPE:
             return self._read_fixed(value_type)
         if value_type == STRING:
@@ -198,11 +200,13 @@
             pair = []
             for _ in (0, 1):
                 if at + LENGTH_SIZE > end:
-                    raise ProtocolError("a value runs past its frame")
+                    raise ProtocolError(f"a length at position {at} does not fit a frame of {end} bytes")
                 size = I32_FORMAT.unpack_from(data, at)[0]
                 at += LENGTH_SIZE + size
                 if size < 0 or at > end:
-                    raise ProtocolError("a value runs past its frame")
+                    raise ProtocolError(
+                        f"a string of {size} bytes up to {at} does not fit a frame of {end} bytes"
+                    )
                 pair.append(data[at - size : at])
             strings[pair[0]] = pair[1]
         self.position = at
@@ -211,9 +215,9 @@
     def _read_container_size(self, *item_types: int) -> int:
         size = self.read_number(I32_FORMAT)
         if size < 0 or size > len(self.data) - self.position:  # no value is shorter than a byte
-            raise ProtocolError(f"container size negative or larger than its frame: {size}")
+            raise ProtocolError(f"{size} items of a container do not fit a frame of {len(self.data)} bytes")
         if size and not VALUE_TYPES.issuperset(item_types):
-            raise ProtocolError("unknown item type in a container")
+            raise ProtocolError(f"unknown type among the item types of a container: {item_types}")
         return size
 
 
@@ -235,7 +239,9 @@
         while (length := self.buffer.peek(LENGTH_SIZE)) is not None:
             size = I32_FORMAT.unpack(length)[0]
             if not MESSAGE_HEADER.size <= size <= self.buffer.max_bytes - LENGTH_SIZE:
-                raise ProtocolError(f"frame length out of range: {size} bytes")
+                raise ProtocolError(
+                    f"frame of {size} bytes: no message, or over the limit of {self.buffer.max_bytes} bytes"
+                )
             frame = self.buffer.peek(size, LENGTH_SIZE)
             if frame is None:
                 return
@@ -258,7 +264,9 @@
 def _read_header(reader: FrameReader, message_types: Collection[int]) -> MessageHeader:
     version, _, message_type = MESSAGE_HEADER.unpack(reader.read(MESSAGE_HEADER.size))
     if version != VERSION_1 or message_type not in message_types:
-        raise ProtocolError("not a strict binary message, or of an unexpected type")
+        raise ProtocolError(
+            f"not a strict binary message of an expected type: version {version:#x}, type {message_type}"
+        )
     try:
         method = reader.read_string().decode()
     except UnicodeDecodeError:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -99,11 +99,11 @@
         """Handle the end of the engine's side."""
         self.report_end(ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET)
 
-    def report_end(self, end: ConnectionEnd, text: str = "") -> None:
+    def report_end(self, end: ConnectionEnd, detail: str = "") -> None:
         """Report the end of reading to the core, once."""
         if not self.has_reported:
             self.has_reported = True
-            self.reader_ended(end, text, self.connection)
+            self.reader_ended(end, detail, self.connection)
 
 
 class SimulatedClientConnection(ClientConnection):
@@ -139,16 +139,16 @@
             ConnectionEnd.CLOSED_BY_PEER if end_kind == StreamEnd.CLOSED else ConnectionEnd.RESET
         )
 
-    def end(self, end: ConnectionEnd, text: str) -> None:
+    def end(self, end: ConnectionEnd, detail: str) -> None:
         """End it from the gateway's side, and report the end of reading at once."""
-        super().end(end, text)
-        self._report_end_once(end, text)
+        super().end(end, detail)
+        self._report_end_once(end, detail)
 
-    def _report_end_once(self, end: ConnectionEnd, text: str = "") -> None:
+    def _report_end_once(self, end: ConnectionEnd, detail: str = "") -> None:
         """Report the end of reading to the core, once."""
         if not self.has_reported:
             self.has_reported = True
-            self.report_end(end, text)
+            self.report_end(end, detail)
 
 
 class SimulatedCore(Core):
