--- a/gullhold/net/list_change.py
+++ b/gullhold/net/list_change.py
@@ -14,7 +14,7 @@
     "draining": EngineState.DRAINING,
     REMOVED_PHASE: EngineState.REMOVED,
 }
-DEFAULT_WEIGHT = 1.0
+DEFAULT_WEIGHT = 1.0  # weight of an engine whose entry states none
 
 
 class ListChange(NamedTuple):
@@ -74,8 +74,8 @@
     def must_precede(self, change: ListChange) -> bool:
         """Whether the batch must be applied before this change, not together with it.
 
-        So it is if the change is a complete list, or if both concern the same engine, whose states must be
-        applied one by one.
+        It must be if the change is a complete list, or if both concern the same engine, as the states of an
+        engine are applied one by one.
         """
         return change.is_complete or any(entry.id in self._engine_ids for entry in change.entries)
 
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from gullhold.admission.client_identity import ClientIdentifier
 
-RESERVED_DIVISOR = 8  # 1/8 of max_clients is kept free for new connections
+RESERVED_DIVISOR = 8  # 1/8 of the max_clients connections is kept free for new ones
 
 
 class Listener:
@@ -60,7 +60,7 @@
                 self._start_client(*self._accepted)
                 self._accepted = None
                 self.core.counters.add("client_connections_accepted")
-            except Exception as error:  # noqa: BLE001  of any kind: without this thread nothing is accepted
+            except Exception as error:  # noqa: BLE001  without this thread nothing is accepted
                 if self.sock.fileno() < 0:
                     return
                 self._handle_accept_error(error)
@@ -112,7 +112,7 @@
     def _serve(self, client: ClientConnection) -> None:
         try:
             client.run()
-        finally:  # only now, with its descriptor closed, it no longer counts against the limit
+        finally:  # its descriptor is closed by now, so it no longer counts against the limit
             self.clients.discard(client)
 
     def _make_room(self) -> bool:
--- a/tests/byte_streams.py
+++ b/tests/byte_streams.py
@@ -22,8 +22,8 @@
 ) -> list[Any]:
     """Return all that a decoder yields for data that arrive in pieces.
 
-    sizes: bytes of the first pieces; they are removed from the list. The rest arrives byte by byte if the
-    data are short, or else in larger pieces.
+    sizes: sizes in bytes of the first pieces, which are removed from the list. The rest arrives byte by byte
+    if the data are short, or else in larger pieces.
     """
     found, at = [], 0
     while at < len(data):
--- a/tests/decisions/scenarios.py
+++ b/tests/decisions/scenarios.py
@@ -43,9 +43,9 @@
     return driver
 
 
-def count_dispatched(driver: Driver, submitted: int = 12) -> int:
+def count_dispatched(driver: Driver, submitted_count: int = 12) -> int:
     """Submit commands at the same time; return how many commands have an open attempt then."""
-    for _ in range(submitted):
+    for _ in range(submitted_count):
         driver.submit()
     return len(driver.running_ids())
 
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -50,9 +50,10 @@
 
 
 def test_the_share_of_a_gateway_stays_near_its_part_of_the_traffic_when_commands_wait_long():
-    """Guards against a share that grows while a few commands wait.
+    """Guards against a share of the traffic that grows while a few commands wait.
 
-    It once grew fourfold: all engines got more threads than at their best throughput, and were overloaded.
+    The share once grew fourfold: all engines got more threads than at their best throughput, and were
+    overloaded.
     """
     agreement = make_agreement(
         profile(objective_us=9000 * MS, timeout_us=20_000 * MS), gateways=3, tenants=(Tenant(1.0, 30.0),)
@@ -81,8 +82,8 @@
     driver = Driver(agreement)
     driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
 
-    def long_over_short():
-        """Return the threads that 120 long commands get, over those that 120 short commands get."""
+    def long_to_short_ratio():
+        """Return the ratio of the threads that 120 long commands get to those that 120 short ones get."""
         threads_used = []
         for profile_index, threads in ((1, 3), (0, 1)):
             submitted = [driver.submit(profile_index) for _ in range(120)]
@@ -98,14 +99,14 @@
         return threads_used[0] / threads_used[1]
 
     answer_commands(driver, 20, 1.0)
-    before = long_over_short()
+    before = long_to_short_ratio()
     for _ in range(3):
         lost = driver.submit()
         driver.now = driver.commands[lost].timeout_at - 30 * MS
         driver.end_attempt(lost, Outcome.TIMED_OUT)
     driver.now += 30_000 * MS
     driver.update_engines()
-    after = long_over_short()
+    after = long_to_short_ratio()
     answer_commands(driver, 400, 1.0)
     assert after < 0.6 * before
-    assert long_over_short() > 0.9 * before
+    assert long_to_short_ratio() > 0.9 * before
--- a/tests/decisions/test_decisions_fair_queue.py
+++ b/tests/decisions/test_decisions_fair_queue.py
@@ -8,7 +8,7 @@
 from gullhold.interface import EngineState, Outcome, Tenant
 
 
-def dispatched_of_two_tenants(shares, submitted, answered):
+def dispatched_of_two_tenants(shares, submitted_count, answered_count):
     """Return how many commands of each of two tenants are dispatched while commands are answered in turn."""
     driver = Driver(
         make_agreement(
@@ -17,10 +17,10 @@
         )
     )
     driver.update_engines((1, 0, 1, EngineState.READY, 0, 0))
-    for i in range(submitted):
+    for i in range(submitted_count):
         driver.submit(tenant=i % 2)
     dispatched = [0, 0]
-    for _ in range(answered):
+    for _ in range(answered_count):
         command_id = driver.running_ids()[0]
         dispatched[(command_id - 1) % 2] += 1
         driver.now += 100 * MS
@@ -29,13 +29,13 @@
 
 
 def test_tenants_are_served_by_weight_under_pressure():
-    dispatched = dispatched_of_two_tenants((0.75, 0.25), submitted=400, answered=150)
+    dispatched = dispatched_of_two_tenants((0.75, 0.25), submitted_count=400, answered_count=150)
     assert 0.6 < dispatched[0] / sum(dispatched) < 0.85
 
 
 def test_tenants_that_all_have_no_weight_are_served_in_turn():
     """Guards against an exception at the end of a round, which made the dispatched command fail."""
-    assert min(dispatched_of_two_tenants((0.0, 0.0), submitted=60, answered=40)) >= 10
+    assert min(dispatched_of_two_tenants((0.0, 0.0), submitted_count=60, answered_count=40)) >= 10
 
 
 def test_tenants_without_queued_commands_cost_no_time():
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -16,7 +16,9 @@
         used.add(driver.commands[ident].open_attempt.engine)
         driver.now += 50 * MS
         driver.end_attempt(ident, Outcome.ANSWERED)
-    assert len(used) <= 5 * 6  # five data sets with four engines each, and some more
+    # The driver's commands use five data sets, each with four recent engines; up to six are allowed, as at
+    # times a less busy engine is chosen instead.
+    assert len(used) <= 5 * 6
     busy = [driver.submit() for _ in range(60)]  # at once: hardly any engine gets two while others are idle
     engines = [driver.commands[ident].open_attempt.engine for ident in busy]
     assert len(set(engines)) >= 55
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -61,9 +61,9 @@
 
 @pytest.mark.parametrize("gateways", [3, 30, 200])
 def test_gateways_that_restart_repeatedly_stay_inside_the_warmup_budget(gateways):
-    """Guards against starts that do not know what the gateway sent before.
+    """Guards against a gateway that, after a restart, does not know what it sent before.
 
-    Gateways with four starts in a window sent three times the warming budget.
+    Gateways that started four times in a window sent three times the warming budget.
     """
     agreement = make_agreement(profile(objective_us=60_000 * MS, timeout_us=90_000 * MS), gateways=gateways)
     sent = 0
--- a/tests/decisions/test_thread_use.py
+++ b/tests/decisions/test_thread_use.py
@@ -31,7 +31,7 @@
         submit_to_overloaded_engines(),
         submit_to_overloaded_engines(supports_cancel=True),
     )
-    # Each attempt holds its threads for two more ages, which leaves a third of the attempts.
+    # A timed-out attempt holds its threads for twice its age more, so a third as many attempts are possible.
     assert 0 < attempts < 0.5 * attempts_with_cancel
 
 
--- a/tests/decisions/test_throughput_fit.py
+++ b/tests/decisions/test_throughput_fit.py
@@ -24,7 +24,7 @@
     assert fit_concurrency_limit(10, 1.0, 10, 1.0, 30, 1.0) is None
 
 
-def test_equal_throughputs_peak_at_the_smallest_sample():
+def test_equal_throughputs_have_no_peak_or_one_below_the_middle_sample():
     assert (
         fit_concurrency_limit(10, 4.0, 20, 4.0, 40, 4.0) is None
         or fit_concurrency_limit(10, 4.0, 20, 4.0, 40, 4.0) < 20
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -130,7 +130,7 @@
         self.engines: dict[int, ListedEngine] = {}  # by engine id
         self.commands: dict[int, SubmittedCommand] = {}  # by command id
         self.ids_by_key: dict[int, list[int]] = {}  # by ordered key: ids of commands in order of arrival
-        self.settles_until: dict[int, int] = {}  # end of the settling time, by ordered key
+        self.settles_until: dict[int, int] = {}  # by ordered key: time until which no first attempt may start
         self.log: list[Result] = []  # all results that were carried out
         self.retried_at: list[int] = []
         self.submitted_at: list[int] = []
@@ -200,7 +200,8 @@
     ) -> None:
         """End the open attempt of a command.
 
-        cost: the work that its answer reports. closed: the command ends with it. report: its load report.
+        cost: the work that its answer reports. closed: the command ends with the attempt.
+        report: the engine's load report.
         """
         command = self.commands[command_id]
         attempt, command.open_attempt = command.open_attempt, None
@@ -236,7 +237,7 @@
         if attempt and command.first_run is None:
             command.first_run = attempt
         self.carry_out(self.gateway.abandon(self.now, command_id))
-        assert command.is_over, "no final answer"
+        assert command.is_over, f"command {command_id} was abandoned, but got no final answer"
         if attempt:
             command.open_attempt = attempt
             self.end_attempt(command_id, Outcome.CANCELLED)
@@ -312,9 +313,11 @@
         listed = self.engines[engine]
         assert not command.is_over
         assert self.now < command.timeout_at
-        assert not command.open_attempt, "two open attempts of one command"
+        assert not command.open_attempt, f"command {command_id} still has {command.open_attempt}"
         assert len(command.attempts_sent_at) < self.agreement.max_attempts
-        assert listed.state == EngineState.READY, "dispatched to an engine that drains or is removed"
+        assert listed.state == EngineState.READY, (
+            f"command {command_id} sent to engine {engine}: {listed.state!r}"
+        )
         if command.first_run and command_profile.idempotency != Idempotency.IDEMPOTENT:
             self.check_deduplication(command, listed)
         assert command_profile.zones is None or listed.zone in command_profile.zones
@@ -327,18 +330,25 @@
             self.check_retry_budget()
 
     def check_deduplication(self, command: SubmittedCommand, listed: ListedEngine) -> None:
-        """Check that a retry of what may have run stays within the deduplication window and scope."""
+        """Check that a retry of a command that may have run stays in its deduplication window and scope."""
         command_profile = command.profile
         assert command_profile.idempotency == Idempotency.KEYED
         assert self.now < command.first_run.sent_at + command_profile.dedup_window_us
         first = self.engines[command.first_run.engine]
         if command_profile.dedup_scope == DeduplicationScope.ZONE:
-            assert first.zone == listed.zone, "left its deduplication scope"
+            assert first.zone == listed.zone, (
+                f"retry of {command.first_run} in zone {listed.zone}, not {first.zone}"
+            )
         if command_profile.dedup_scope == DeduplicationScope.CELL:
-            assert first.cell == listed.cell, "left its deduplication scope"
+            assert first.cell == listed.cell, (
+                f"retry of {command.first_run} in cell {listed.cell}, not {first.cell}"
+            )
 
     def check_warmup(self, command: SubmittedCommand, engine: int, listed: ListedEngine) -> None:
-        """Check that a warming engine gets at most our share of its capacity, and one command by rounding."""
+        """Check that a warming engine gets at most our share of its capacity and one command more.
+
+        The further command is allowed because shares smaller than a command are rounded at random.
+        """
         agreement = self.agreement
         sent = self.warmup_work.setdefault(engine, [])
         sent.append((self.now, command.work))
@@ -354,17 +364,23 @@
             * agreement.cores_by_kind[listed.kind]
             * agreement.overload_window_us
         )
-        assert work <= capacity / agreement.gateways + command.work, "warming engine overloaded"
+        assert work <= capacity / agreement.gateways + command.work, (
+            f"warming engine {engine} got {work} core-us in one window;"
+            f" limit: {capacity / agreement.gateways} and the {command.work} of the last command"
+        )
 
     def check_key_order(self, command_id: int, command: SubmittedCommand) -> None:
         """Check that all earlier commands with the key are over, and that the key has settled."""
         ids = self.ids_by_key[command.key]
         for other in ids[: ids.index(command_id)]:
             earlier = self.commands[other]
-            assert earlier.is_over, "an earlier command with the key is not over"
-            assert not earlier.open_attempt, "an earlier command with the key has an open attempt"
+            assert earlier.is_over, f"command {command_id} before the end of {other} with key {command.key}"
+            assert not earlier.open_attempt, f"command {command_id} during {earlier.open_attempt} of {other}"
         has_settled = self.now >= self.settles_until.get(command.key, 0)
-        assert command.attempts_sent_at or has_settled, "the key has not settled"
+        assert command.attempts_sent_at or has_settled, (
+            f"command {command_id} starts at {self.now} us, but its key {command.key} settles only at"
+            f" {self.settles_until[command.key]} us"
+        )
 
     def check_retry_budget(self) -> None:
         """Check that this retry fits into the retry budget."""
@@ -375,4 +391,4 @@
         submitted = sum(at > since for at in self.submitted_at)
         if agreement.retry_budget_base is not None:
             budget = agreement.retry_budget_base + agreement.retry_budget_share * submitted
-            assert retries <= budget, "more retries than the retry budget allows"
+            assert retries <= budget, f"{retries} retries in the window; the retry budget is {budget}"
--- a/tests/races.py
+++ b/tests/races.py
@@ -1,6 +1,6 @@
 """Helpers for tests of races: they make two events happen in the order that may cause a fault.
 
-docs/notes/crossings.md has the table of these pairs of events.
+docs/notes/crossings.md has a table of the pairs of events.
 """
 
 import socket
@@ -30,7 +30,7 @@
 
     def __enter__(self) -> Self:
         self.core.post(self._block)
-        assert self.blocked.wait(WAIT_TIMEOUT_S)
+        assert self.blocked.wait(WAIT_TIMEOUT_S), f"the core did not begin to block within {WAIT_TIMEOUT_S} s"
         return self
 
     def __exit__(self, *_: type[BaseException] | BaseException | TracebackType | None) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -104,7 +104,7 @@
 
 
 def test_retry_is_sent_only_when_the_abort_of_the_first_attempt_is_confirmed(start_gateway):
-    """Both travel on different connections: in one of some hundred attempts the fetch overtook the abort."""
+    """The two use different connections: in one of some hundred attempts the retry overtook the abort."""
     engines = [Engine(endless, ok()), Engine(endless, ok())]
     for engine in engines:
         engine.alive_delay_s = 0.2
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections: when they end, which requests on them are rejected, and which are closed for others."""
+"""Client connections: when they end, which requests are rejected, and how room is made for new ones."""
 
 import socket
 import time
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -87,7 +87,7 @@
 
 
 def test_signals_take_effect_at_once_when_another_thread_receives_them(launch_gateway, tmp_path):
-    """Otherwise the main thread waits until the next report is due: it kept an old list for 7.5 s."""
+    """Guards against a main thread that waits on until its next report: it kept an old list for 7.5 s."""
     old, new, port = DiscoveryService(), DiscoveryService(), free_port()
     configuration = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
     process = launch_gateway(
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -93,7 +93,7 @@
     assert reader.known_rejection(fields, peer, known, 1000) is None  # no longer known to be rejected
     assert reader.known_rejection(fields | {b"desk": b"other"}, peer, known, 5) is None
     assert reader.known_rejection(fields | {b"verb": b"mark"}, peer, known, 5) is None
-    # An invalid request is answered as such.
+    # An invalid request is not shed here: it goes on to validation, which answers with a Fault.
     assert reader.known_rejection(fields | {b"txn": b"no"}, peer, known, 5) is None
     # A retry gets the remainder of the first Retry-After time; after that the admission queue decides.
     assert reader.known_rejection(fields | {b"second": b"1"}, peer, known, 0) == ({b"back": b"5000"},)
