--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any
 
-from benchmarks.budget_rig import MEMBERS, make_rig, start_client, threads_budget, windowed_budget
+from benchmarks.budget_fleet import MEMBERS, make_fleet, start_client, threads_budget, windowed_budget
 from benchmarks.fleet_load import count_fault_lines, stop_clients
 from gullhold.testing import load_client
 from gullhold.testing.budget_checker import AllocationHistory, most_at_once, most_in_window, retries
@@ -97,7 +97,7 @@
         windowed_budget("further", TOTALS["further"], "2s"),
         windowed_budget("taken", TOTALS["taken"], "1s"),
     ]
-    with make_rig(MEMBERS, budgets, engines=2, seed=seed, make=_make_failing_engine) as rig:
+    with make_fleet(MEMBERS, budgets, engines=2, seed=seed, make=_make_failing_engine) as rig:
         rig.start()
         run = FaultRun(rig, random.Random(seed))
         for turn in range(turns):
--- a/benchmarks/budget_rig.py
+++ b/benchmarks/budget_fleet.py
@@ -27,7 +27,7 @@
     return {"of": f'"{kind}"', "whole": total, "window": window}
 
 
-def make_rig(
+def make_fleet(
     members: int,
     budgets: Sequence[Budget],
     engines: int = 1,
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -4,13 +4,13 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from benchmarks.budget_rig import (
+from benchmarks.budget_fleet import (
     CORES,
     MEMBERS,
     TOTAL_THREADS,
     Budget,
     allocations,
-    make_rig,
+    make_fleet,
     start_client,
     threads_budget,
     windowed_budget,
@@ -69,7 +69,7 @@
 
 def measure_use(seconds: float, busy: Sequence[str], budgets: Sequence[Budget]) -> float:
     """The share of the total that is used when these gateways ask for all of it."""
-    with make_rig(MEMBERS, budgets) as rig:
+    with make_fleet(MEMBERS, budgets) as rig:
         rig.start(operator=bool(budgets))
         load = {
             "open": 2 * TOTAL_THREADS // len(busy),
@@ -115,7 +115,7 @@
     """One of two busy members ends, killed or in good order, in turn."""
     after_leave_s = []
     after_kill_leases = []
-    with make_rig(3, [threads_budget(SHARED_THREADS)]) as rig:
+    with make_fleet(3, [threads_budget(SHARED_THREADS)]) as rig:
         rig.start()
         clients = [start_client(rig, name, seed, open=40) for seed, name in enumerate(("n0", "n1"))]
         for turn in range(turns):
@@ -163,7 +163,7 @@
 
 def measure_gain(seconds: float, budgets: Sequence[Budget]) -> Gain:
     """Commands answered in the objective under uneven traffic, with one engine slow and one warming up."""
-    with make_rig(MEMBERS, budgets, engines=3, adjust=_use_warmup_rules) as rig:
+    with make_fleet(MEMBERS, budgets, engines=3, adjust=_use_warmup_rules) as rig:
         rig.engines[1].pace = 0.5
         rig.born_ms[2] = int(time.time() * 1000)
         rig.start(operator=bool(budgets))
@@ -184,7 +184,7 @@
 
 def measure_service_without_store(seconds: float, budgets: Sequence[Budget]) -> float:
     """The share of requests answered with the store dead, at a load that even allocations carry."""
-    with make_rig(MEMBERS, budgets) as rig:
+    with make_fleet(MEMBERS, budgets) as rig:
         rig.start(operator=True)
         clients = [
             start_client(rig, name, seed, rate=30.0, work_ms=150.0, limit_ms=1000)
@@ -230,8 +230,8 @@
     """CPU of a command with budgets over that without, with the default times of a fleet."""
     budgets = [threads_budget(), windowed_budget("further", 1000, "5s")]
     times = {"lease_s": 5, "look": "100ms"}
-    with make_rig(1, budgets, **times) as rig_with, make_rig(1, [], **times) as rig_without:
-        meters = [CostMeter(rig_with), CostMeter(rig_without)]
+    with make_fleet(1, budgets, **times) as fleet_with, make_fleet(1, [], **times) as fleet_without:
+        meters = [CostMeter(fleet_with), CostMeter(fleet_without)]
         for _ in range(2):  # both are under the same load at the same time
             for meter in meters:
                 meter.begin()
@@ -245,7 +245,7 @@
 
 def measure_member_cost(seconds: float, members: int = 12) -> MemberCost:
     """What one member costs the store while demand alternates."""
-    with make_rig(members, [threads_budget(48)], engines=2) as rig:
+    with make_fleet(members, [threads_budget(48)], engines=2) as rig:
         rig.start()
         rig.until(lambda: len(allocations(rig)) == members)
         calls_before = count_store_calls(rig)
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -9,7 +9,7 @@
 
 from benchmarks.budget_calls import CallCosts, call_costs
 from benchmarks.budget_faults import run_faults
-from benchmarks.budget_rig import MEMBERS, threads_budget
+from benchmarks.budget_fleet import MEMBERS, threads_budget
 from benchmarks.budget_runs import (
     measure_command_cost,
     measure_gain,
@@ -49,7 +49,7 @@
     "drift left out",
 )
 FLEET_SIZES = (200, 1000)  # members, by the decisions alone
-RIGS_AT_ONCE = 2
+FLEETS_AT_ONCE = 2
 DECISION_PROCESSES = 5
 
 
@@ -82,7 +82,7 @@
     )
 
 
-class RigRuns:
+class FleetRuns:
     """All runs with real processes, begun; results are waited for in the order of the printed figures."""
 
     def __init__(self, pool: ProcessPoolExecutor, extent: Extent, seed: int) -> None:
@@ -128,7 +128,7 @@
         )
 
 
-def add_calls(figures: Figures, runs: RigRuns, alone: dict[int, Future[CallCosts]]) -> None:
+def add_calls(figures: Figures, runs: FleetRuns, alone: dict[int, Future[CallCosts]]) -> None:
     """Calls and bytes of a member: in a run, and by the decisions alone in fleets of several sizes."""
     measured = runs.calls.result()
     costs = {members: job.result() for members, job in alone.items()}
@@ -150,10 +150,10 @@
     extent = QUICK if arguments.is_quick else FULL
     figures = Figures(quick=arguments.is_quick, seed=arguments.seed)
     # Rigs two at a time, decisions beside them; what a command costs is measured by itself.
-    with ProcessPoolExecutor(RIGS_AT_ONCE) as rigs, ProcessPoolExecutor(DECISION_PROCESSES) as pool:
+    with ProcessPoolExecutor(FLEETS_AT_ONCE) as fleet_pool, ProcessPoolExecutor(DECISION_PROCESSES) as pool:
         exploration = Exploration(pool, exploration_plan(extent.exploration), extent.exploration)
         alone = {members: pool.submit(call_costs, members) for members in FLEET_SIZES}
-        runs = RigRuns(rigs, extent, arguments.seed)
+        runs = FleetRuns(fleet_pool, extent, arguments.seed)
         runs.add_results(figures)
         add_calls(figures, runs, alone)
         figures.add(**exploration.figures())
