--- a/benchmarks/admission_queue.py
+++ b/benchmarks/admission_queue.py
@@ -1,10 +1,10 @@
-"""The admission queue's fairness: shares, latency beside a crowd, memory, CPU, and what becomes of retries.
+"""The admission queue: fair shares, latency beside a crowding client, memory, CPU and the outcome of retries.
 
     python -m benchmarks.admission_queue [--quick]
 
-Last line JSON; status 1: a bound is missed. A real gateway (a process of its own) on loopback, test doubles
-for engines, clients under load here. Some cases run with the queue, without it, and on the program as it was
-before it had one.
+Prints all figures as JSON in the last line; exits with status 1 if a bound is missed. The gateway is a real
+process on loopback; its engines are test doubles, and most of its clients run in this process. The full run
+repeats some cases without the queue, and on the last commit before the queue was added.
 """
 
 from pathlib import Path
@@ -23,7 +23,7 @@
 from benchmarks.harness import Figures, at_least, at_most, make_parser, report_and_exit
 from gullhold.testing.running import ADMISSION_RULES, ROOT
 
-COMMIT_BEFORE_QUEUE = "a6dbb5f"  # the last one without an admission queue
+COMMIT_BEFORE_QUEUE = "a6dbb5f"  # the last commit without an admission queue
 DECISION_TENANTS = (2, 4000, 100_000)
 BOUNDS = {
     "share_error": at_most(0.10),
@@ -39,7 +39,11 @@
 
 
 class Extent(NamedTuple):
-    """How much is run; has_variants: also without the queue and, if git has it, as before it."""
+    """The size of a run.
+
+    has_variants: whether some cases also run without the queue and, if git has COMMIT_BEFORE_QUEUE, on that
+    commit.
+    """
 
     decision_commands: int
     shares_s: float
@@ -55,7 +59,10 @@
 
 
 def list_variants(extent: Extent, earlier_root: Path | None) -> list[Variant]:
-    """The variants to run, that with the queue first; earlier_root: folder of the earlier version."""
+    """The variants to run, the one with the queue first.
+
+    earlier_root: the folder of the earlier version, or None if git does not have it.
+    """
     variants = [Variant("door", ADMISSION_RULES, ROOT)]
     if extent.has_variants:
         variants.append(Variant("no door", "", ROOT))
@@ -65,7 +72,7 @@
 
 
 def add_decision_cost(figures: Figures, commands: int) -> None:
-    """CPU of the decisions alone with few and many tenants."""
+    """Measure the CPU time of the decision module alone with few and with many tenants."""
     costs = {tenants: cpu_us_of_command(tenants, commands) for tenants in DECISION_TENANTS}
     few, *many = costs.values()
     print(
@@ -75,14 +82,14 @@
 
 
 def add_fairness(figures: Figures, extent: Extent, variants: list[Variant]) -> None:
-    """Shares and latency of polite clients, by variant; bounds hold for the first."""
+    """Measure shares and the latency of polite clients; the bounds apply to the first variant."""
     errors = {variant.name: measure_share_errors(extent.shares_s, variant) for variant in variants}
     ratios = {variant.name: measure_latency_ratio(extent.latency_s, variant) for variant in variants}
     rounded_ratios = {name: round(ratio, 2) if ratio else None for name, ratio in ratios.items()}
     present = variants[0].name
     figures.by_name |= {
         "share_error": round(errors[present].largest, 3),
-        "share_error_middle": round(errors[present].middle, 3),
+        "share_error_middle": round(errors[present].largest_median, 3),
         "share_error_by_way": {name: round(error.largest, 3) for name, error in errors.items()},
         "polite_p95_ratio": rounded_ratios[present],
         "polite_p95_ratio_by_way": rounded_ratios,
@@ -90,7 +97,7 @@
 
 
 def add_costs(figures: Figures, extent: Extent) -> None:
-    """What becomes of retries, and what rejections and many tenants cost."""
+    """Measure the outcome of retries, and the costs of rejections and of many tenants."""
     retries = measure_retries(extent.retries_s)
     rejection_ratio = measure_rejection_cost(extent.rejections_s)
     growth = measure_tenant_growth(extent.tenants)
@@ -99,15 +106,15 @@
         "memory_second_mb": round(growth.further_growth_mb, 2),
         "tenants": extent.tenants,
         "cpu_ratio_tenants": round(growth.cpu_ratio, 2),
-        "came_back_answered": round(retries.after_told or 0, 3),
-        "came_back_at_once_answered": round(retries.at_once or 0, 3),
+        "came_back_answered": round(retries.after_wait or 0, 3),
+        "came_back_at_once_answered": round(retries.immediately or 0, 3),
         "refusal_cpu_ratio": round(rejection_ratio, 3),
     }
 
 
 def main() -> None:
-    """Run all of it; the last line is JSON."""
-    parser = make_parser("admission_queue", __doc__, "under a minute: shorter, fewer tenants")
+    """Run all cases and print their figures."""
+    parser = make_parser("admission_queue", __doc__, "a shorter run with fewer tenants, under a minute")
     is_quick = parser.parse_args().quick
     extent = QUICK if is_quick else FULL
     figures = Figures()
--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -1,4 +1,4 @@
-"""Cases of the admission queue on a real gateway: shares, latency beside a crowd, retries, rejections."""
+"""Cases of the admission queue on a real gateway: shares, latency under crowding, retries, rejections."""
 
 from statistics import median
 from typing import NamedTuple
@@ -15,40 +15,43 @@
 from gullhold.testing import load_client
 
 SHARE_CROWDS = ((160, 8), (1600, 50))  # open requests and connections of the crowding client
-LATENCY_CROWD = (160, 8)
-EVEN_CLIENTS = 3  # that the crowding client has to share with
+LATENCY_CROWD = (160, 8)  # the same of the crowding client in the latency case
+EVEN_CLIENTS = 3  # clients that are due the same share as the crowding client
 POLITE_CLIENTS = 4
 RETRYING_CLIENTS = 20
-RETRYING_RATE_PER_S = 16.0  # of each: 320 a second in all where the engines can do 160
+RETRYING_RATE_PER_S = 16.0  # requests of each client: 320 per second in total, and the engines serve 160
 SERVED_CLIENTS = 10
-REJECTED_CROWD = (640, 20)
+REJECTED_CROWD = (640, 20)  # open requests and connections of the client whose requests are rejected
 UNLIMITED_ATTEMPTS = 10**9
 
 
 class ShareErrors(NamedTuple):
-    """Relative departures from an even share: the largest of all, and the largest median of a run."""
+    """Relative deviations of clients from an even share.
+
+    largest: of all clients in all runs; largest_median: the largest of the runs' medians.
+    """
 
     largest: float
-    middle: float
+    largest_median: float
 
 
 class RetryShares(NamedTuple):
-    """The share of retries that were answered, of clients that heed Retry-After and that retry at once.
+    """The share of retries that were answered; None if nothing was retried.
 
-    None where nothing was retried.
+    after_wait: for clients that wait as long as Retry-After says; immediately: for clients that don't wait.
     """
 
-    after_told: float | None
-    at_once: float | None
+    after_wait: float | None
+    immediately: float | None
 
 
 def measure_share_errors(seconds: float, variant: Variant) -> ShareErrors:
-    """How far clients of one tenant are from even shares beside one with many more open requests."""
+    """Measure how unevenly clients of one tenant are served when one has many more requests open."""
     largest = 0.0
-    middles = []
+    medians = []
     for open_requests, connections in SHARE_CROWDS:
         with run_gateway(variant) as running:
-            # A rejected request is not retried: all clients stay backlogged.
+            # Clients that don't retry send their next request at once, so that all of them stay backlogged.
             clients = make_clients(
                 running, "polite", EVEN_CLIENTS, open=16, retry_rule=load_client.RetryRule.NEVER
             )
@@ -56,23 +59,26 @@
             counts = measure(running, clients, seconds).counts
         errors = _share_errors(counts)
         largest = max(largest, *errors)
-        middles.append(median(errors))
+        medians.append(median(errors))
         print(
             f"shares {variant.name} {open_requests}: answered {[count.answered for count in counts]}, off by "
             f"{', '.join(f'{error:.3f}' for error in errors)}",
             flush=True,
         )
-    return ShareErrors(largest, max(middles))
+    return ShareErrors(largest, max(medians))
 
 
 def _share_errors(counts: list[ClientCounts]) -> list[float]:
-    """The relative departure of each client from an even share of what was answered."""
+    """The relative deviation of each client from an even share of the answers."""
     total = sum(count.answered for count in counts)
     return [abs(count.answered * len(counts) / max(total, 1) - 1) for count in counts]
 
 
 def measure_latency_ratio(seconds: float, variant: Variant) -> float | None:
-    """p95 latency of polite clients beside a crowd over the same without it; None without answers."""
+    """The p95 latency of polite clients beside a crowding client, divided by that without one.
+
+    None if a run gave no answers.
+    """
     alone_s = _polite_p95_s(seconds, variant, is_crowded=False)
     crowded_s = _polite_p95_s(seconds, variant, is_crowded=True)
     print(
@@ -92,7 +98,7 @@
 
 
 def measure_retries(seconds: float) -> RetryShares:
-    """What becomes of retries at twice the load that the engines can do."""
+    """Measure the outcome of retries at twice the load that the engines can serve."""
     return RetryShares(
         _answered_retries(seconds, load_client.RetryRule.AFTER_WAIT, "told"),
         _answered_retries(seconds, load_client.RetryRule.IMMEDIATELY, "at once"),
@@ -100,7 +106,10 @@
 
 
 def _answered_retries(seconds: float, retry_rule: load_client.RetryRule, name: str) -> float | None:
-    """The share of retries that were answered. retry_rule: of the clients; name: of that in the output."""
+    """The share of retries that were answered, or None if there were none.
+
+    retry_rule: when the clients retry; name: the label of the rule in the output.
+    """
     with run_gateway() as running:
         clients = make_clients(
             running, "client", RETRYING_CLIENTS, rate=RETRYING_RATE_PER_S, retry_rule=retry_rule
@@ -118,7 +127,7 @@
 
 
 def measure_rejection_cost(seconds: float) -> float:
-    """CPU of one rejection over that of one served command."""
+    """The CPU time of one rejection, divided by that of one served command."""
     with run_gateway() as running:
         clients = make_clients(running, "client", SERVED_CLIENTS, rate=10.0)
         result = measure(running, clients, seconds)
--- a/benchmarks/admission_queue_decisions.py
+++ b/benchmarks/admission_queue_decisions.py
@@ -1,4 +1,4 @@
-"""CPU of the decision module alone as the number of tenants grows."""
+"""CPU time of the decision module alone as the number of tenants grows."""
 
 import random
 import time
@@ -20,10 +20,10 @@
 )
 
 ENGINES = 8
-RUNS = 3  # of which the fastest counts
+REPETITIONS = 3  # the fastest one counts
 ARRIVAL_INTERVAL_US = 400
-ATTEMPT_US = 20_000  # from its dispatch to its end
-WORK_US = 50_000  # of a command
+ATTEMPT_US = 20_000  # from the dispatch of an attempt to its end
+WORK_US = 50_000  # CPU time that a command takes on an engine
 TIMEOUT_US = 4_000_000
 ESTIMATED_MB = 64.0
 USED_MB = 60
@@ -48,7 +48,7 @@
 
 
 def make_agreement(tenants: int) -> Agreement:
-    """One gateway, and so many tenants with even shares."""
+    """The agreement of one gateway and the given number of tenants with even shares."""
     return Agreement(
         profiles=(PROFILE,),
         tenants=tuple(Tenant(1 / tenants) for _ in range(tenants)),
@@ -75,19 +75,19 @@
 
 
 class DecisionRun:
-    """Commands of random tenants, one after another, at a gateway's decisions."""
+    """Submits commands of random tenants to the decision module at a fixed interval of simulated time."""
 
     def __init__(self, agreement: Agreement) -> None:
         self.tenants = len(agreement.tenants)
         self.gateway = Gateway(1, agreement, 0)
         self.draw = random.Random(3)
         self.now = 1000
-        self.open: deque[tuple[int, int]] = deque()  # (when it ends in us, command) of each attempt
+        self.open: deque[tuple[int, int]] = deque()  # (end time in us, command) of each open attempt
         entries = [EngineEntry(100 + number, 0, 1.0, 0, EngineState.READY, 0, 0) for number in range(ENGINES)]
         self.gateway.update_engines(0, entries, True)
 
     def submit(self, command: int) -> None:
-        """A command arrives, and the attempts that are due end."""
+        """Submit a command, then end the attempts that are due by its arrival."""
         self.now += ARRIVAL_INTERVAL_US
         tenant = self.draw.randrange(self.tenants)
         timeout_at = self.now + TIMEOUT_US
@@ -95,24 +95,24 @@
         results = self.gateway.submit(
             self.now, command, 0, tenant, 0, timeout_at, WORK_US, ESTIMATED_MB, dataset, False
         )
-        self._note_dispatches(results)
+        self._record_dispatches(results)
         while self.open and self.open[0][0] <= self.now:
             _, ended = self.open.popleft()
             results = self.gateway.attempt_ended(
                 self.now, ended, 0, Outcome.ANSWERED, False, ATTEMPT_US, WORK_US, USED_MB, ()
             )
-            self._note_dispatches(results)
+            self._record_dispatches(results)
 
-    def _note_dispatches(self, results: Iterable[Result]) -> None:
+    def _record_dispatches(self, results: Iterable[Result]) -> None:
         ends_at = self.now + ATTEMPT_US
         self.open.extend((ends_at, result.command) for result in results if isinstance(result, Dispatch))
 
 
 def cpu_us_of_command(tenants: int, commands: int) -> float:
-    """CPU of one command of so many, with so many tenants."""
+    """The CPU time per command with the given number of tenants, averaged over the given commands."""
     agreement = make_agreement(tenants)
     costs = []
-    for _ in range(RUNS):
+    for _ in range(REPETITIONS):
         run = DecisionRun(agreement)
         began_s = time.process_time()
         for command in range(commands):
--- a/benchmarks/admission_queue_load.py
+++ b/benchmarks/admission_queue_load.py
@@ -1,4 +1,4 @@
-"""Load on one gateway with test doubles for engines, and what came of it."""
+"""Puts load on one gateway whose engines are test doubles, and counts the outcomes."""
 
 import time
 from collections.abc import Sequence
@@ -9,14 +9,17 @@
 from gullhold.testing import load_client
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
 
-TENANT = "one"  # of all clients, with the whole share
-WARM_UP_S = 1.5  # before a measurement: the drain rate is known, the first connections are up
+TENANT = "one"  # the only tenant: all clients belong to it
+WARM_UP_S = 1.5  # until the gateway knows its drain rate and the first connections are open
 
 Client = load_client.LoadClient | load_client.LoadClientProcess
 
 
 class Variant(NamedTuple):
-    """A way to run the gateway. operator: text of its operator file, or empty; root: the program's folder."""
+    """A way to run the gateway.
+
+    operator: the text of its operator file, or empty for none; root: the project folder to run it from.
+    """
 
     name: str
     operator: str
@@ -24,28 +27,31 @@
 
 
 class ClientCounts(NamedTuple):
-    """What became of a client's requests."""
+    """How many of a client's requests were answered and how many were rejected."""
 
     answered: int
     rejected: int
 
 
 class LoadResult(NamedTuple):
-    """A measured period: the gateway's CPU time, and the counts of each client."""
+    """The gateway's CPU time over a measured period, and the counts of each client."""
 
     cpu_s: float
     counts: list[ClientCounts]
 
 
 def run_gateway(variant: Variant | None = None) -> RunningDeployment:
-    """A gateway with two engines of four slots; None: the present one with the admission queue."""
+    """A gateway with two engines of four slots each.
+
+    variant: how to run it; None stands for the current version with the admission queue.
+    """
     if variant is None:
         return RunningDeployment(operator=ADMISSION_RULES, tenants=((TENANT, 1.0),))
     return RunningDeployment(operator=variant.operator, tenants=((TENANT, 1.0),), root=variant.root)
 
 
 def make_clients(running: RunningDeployment, name: str, count: int, **options: Any) -> list[Client]:
-    """Clients NAME-0 and on; options: of each client."""
+    """Make clients named NAME-0, NAME-1 and so on; options: passed to each LoadClient."""
     return [
         load_client.LoadClient(running.address, TENANT, f"{name}-{number}", **options)
         for number in range(count)
@@ -55,7 +61,7 @@
 def make_crowding_client(
     running: RunningDeployment, open_requests: int, connections: int, **options: Any
 ) -> load_client.LoadClientProcess:
-    """A client with many open requests, in a process of its own; options: of the client."""
+    """Make a client with many open requests, in a process of its own; options: passed to the client."""
     options = {"retry_rule": load_client.RetryRule.NEVER} | options
     return load_client.LoadClientProcess(
         running.address, TENANT, "crowding", open=open_requests, connections=connections, **options
@@ -65,10 +71,10 @@
 def measure(
     running: RunningDeployment, clients: Sequence[Client], seconds: float, finish_open: bool = False
 ) -> LoadResult:
-    """Run these clients and count for so long after WARM_UP_S.
+    """Run the clients, and count for the given time once WARM_UP_S is over.
 
-    finish_open: requests that are open at the end are waited for; they count in what the clients show
-    afterwards.
+    finish_open: wait for the requests that are open at the end. They appear in the clients' own counts, not
+    in the result.
     """
     for client in clients:
         client.start()
@@ -90,5 +96,5 @@
 
 
 def latency_p95_s(clients: Sequence[Client]) -> float | None:
-    """The 95th percentile over the answers of all clients; None without answers."""
+    """The 95th percentile of the latencies of all clients' answers, or None without answers."""
     return quantile(latency for client in clients for latency in client.counts.latencies_s)
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -1,4 +1,4 @@
-"""Memory and CPU of the request path as the number of open tenants grows."""
+"""Memory and CPU time of the request path as the number of tenants grows that no agreement lists."""
 
 import random
 import socket
@@ -11,15 +11,17 @@
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
 from gullhold.testing.working_engine import statement
 
-OPEN_TENANTS = 'door: {tenants: "open", others: "others"}\n'  # in the operator file
+OPEN_TENANTS = (
+    'door: {tenants: "open", others: "others"}\n'  # operator file: admit tenants that are not listed
+)
 CONNECTIONS = 4
 OPEN_PER_CONNECTION = 8
-TWO_TENANTS_RUNS = 4  # of which the median counts
+TWO_TENANTS_RUNS = 4  # the median counts
 TWO_TENANTS_COMMANDS = 1000
 TWO_TENANTS_OPEN = 32
-BASE_TENANTS = 100  # seen before memory is measured
+BASE_TENANTS = 100  # have sent a command before memory is measured first
 SOME_TENANTS = 4000
-# Numbers of the first tenant of each step, so far apart that no tenant comes twice.
+# The number of the first tenant of each step. They are so far apart that no tenant appears in two steps.
 FIRST_OF_BASE = 100
 FIRST_OF_SOME = 10**9
 FIRST_OF_MANY = 10**8
@@ -29,8 +31,8 @@
 class TenantGrowth(NamedTuple):
     """What many tenants cost.
 
-    growth_mb: memory for the first of them; further_growth_mb: for as many again; cpu_ratio: CPU of a command
-    where many tenants send over that where two do.
+    growth_mb: memory that the first of them add; further_growth_mb: memory that as many others add then;
+    cpu_ratio: CPU time per command of many tenants, divided by that of two tenants.
     """
 
     growth_mb: float
@@ -50,7 +52,7 @@
         self.sequence = 0
 
     def send(self, names: Iterator[bytes], draw: random.Random) -> None:
-        """Send requests of the next tenants until max_open are open; draw: of transaction ids."""
+        """Send requests of the next tenants until max_open are open; draw: generates the transaction ids."""
         burst = []
         while self.open < self.max_open:
             name = next(names, None)
@@ -63,7 +65,10 @@
             self.sock.sendall(b"".join(burst))
 
     def receive(self) -> int:
-        """Wait for answers if requests are open; how many came. Raises ConnectionError at the end."""
+        """Wait for answers if requests are open, and return their number.
+
+        Raises ConnectionError if the gateway closes the connection.
+        """
         if not self.open:
             return 0
         if not self.decoder.buffer.receive(self.sock):
@@ -78,7 +83,7 @@
 
 
 def small_read(sequence: int, draw: random.Random, name: bytes) -> bytes:
-    """A frame that asks for 1 ms of work, by a tenant and a client of this name."""
+    """A request frame for 1 ms of work; name: of both the tenant and the client."""
     fields = {
         b"verb": b"read",
         b"txn": b"%016x" % draw.getrandbits(64),
@@ -92,13 +97,16 @@
 
 
 def cpu_us_of_each_once(running: RunningDeployment, first: int, count: int) -> float:
-    """CPU of a command where so many tenants send one each, as fast as answers come; first: number of one."""
+    """The CPU time per command when each tenant sends one command, as fast as answers arrive.
+
+    first: the number of the first tenant; count: how many tenants there are.
+    """
     names = (b"t%d" % number for number in range(first, first + count))
     return _cpu_us(running, names, count, CONNECTIONS, OPEN_PER_CONNECTION, seed=first)
 
 
 def cpu_us_of_two_tenants(running: RunningDeployment) -> float:
-    """CPU of a command where two tenants send all of them."""
+    """The CPU time per command when two tenants send all commands."""
     names = (b"u%d" % (number % 2) for number in range(1, TWO_TENANTS_COMMANDS + 1))
     return _cpu_us(running, names, TWO_TENANTS_COMMANDS, connections=1, max_open=TWO_TENANTS_OPEN, seed=5)
 
@@ -106,7 +114,7 @@
 def _cpu_us(
     running: RunningDeployment, names: Iterator[bytes], count: int, connections: int, max_open: int, seed: int
 ) -> float:
-    """The gateway's CPU for a command of tenants of these names, count in all."""
+    """The gateway's CPU time per command; names: the tenant of each of the `count` commands."""
     draw = random.Random(seed)
     cpu_before_s = running.cpu_s()
     streams = [RequestStream(running.address, max_open) for _ in range(connections)]
@@ -121,7 +129,7 @@
 
 
 def measure_tenant_growth(tenants: int) -> TenantGrowth:
-    """Let so many tenants that the gateway has not seen send a command each, then as many others."""
+    """Measure what the given number of new tenants cost, each with one command, and as many others after."""
     known = (("known", 0.5), ("others", 0.5))
     with RunningDeployment(
         operator=ADMISSION_RULES + OPEN_TENANTS, tenants=known, slots=64, cores=32
--- a/benchmarks/answering_server.py
+++ b/benchmarks/answering_server.py
@@ -1,7 +1,7 @@
-"""A control for benchmarks of overload: it does nothing but answer, on threads like the gateway's.
+"""The control of the overload benchmark: a server that sheds every request at once.
 
-`python -m benchmarks.answering_server HOST:PORT` reads each connection in a thread of its own and sheds each
-request at once. How late its answers are is what the machine, the interpreter and the clients take.
+`python -m benchmarks.answering_server HOST:PORT` reads each connection in a thread of its own, as the gateway
+does. The latency of its answers is the part that the machine, the interpreter and the clients cause.
 """
 
 import socket
@@ -17,7 +17,7 @@
 
 
 def serve_client(sock: socket.socket) -> None:
-    """Shed each request of one connection until it ends."""
+    """Shed each request of one connection until the connection ends."""
     decoder = thrift.Decoder(MAX_FRAME_BYTES)
     with sock, suppress(OSError, ProtocolError):
         while decoder.buffer.receive(sock):
@@ -26,7 +26,7 @@
 
 
 def main(address: str) -> None:
-    """Serve until the process is ended."""
+    """Accept connections on HOST:PORT until the process is killed."""
     with socket.create_server(split_host_port(address), backlog=BACKLOG) as listener:
         while True:
             sock, _ = listener.accept()
--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -14,8 +14,8 @@
 TOTALS = {"threads": 24, "further": 20, "taken": 400}  # of the budgets, by their kind
 RETRY_WINDOW_S = 2.0
 DEMANDS = (40, 12)  # open commands of the two clients that start in each turn
-KEPT_CLIENTS = 2  # that go on into the next turn
-FAULTS_LAST_S = 0.8
+CONTINUING_CLIENTS = 2  # that go on into the next turn
+FAULT_DURATION_S = 0.8
 RECOVERY_S = 0.5
 CUT_DIRECTIONS = (("there", "back"), ("back",))  # in turn
 
@@ -37,10 +37,10 @@
         paused, cut, killed = self.draw.sample(rig.names, 3)
         rig.pause(paused)
         rig.cut(cut, sides=CUT_DIRECTIONS[turn % 2])
-        self._strike(turn, killed)
-        time.sleep(FAULTS_LAST_S)
-        stop_clients(self.clients[:-KEPT_CLIENTS])
-        self.clients = self.clients[-KEPT_CLIENTS:]
+        self._inject_fault(turn, killed)
+        time.sleep(FAULT_DURATION_S)
+        stop_clients(self.clients[:-CONTINUING_CLIENTS])
+        self.clients = self.clients[-CONTINUING_CLIENTS:]
         rig.resume(paused)
         rig.heal(cut)
         if turn % 3 == 0:
@@ -54,11 +54,11 @@
         )
         self.clients.append(client)
 
-    def _strike(self, turn: int, victim: str) -> None:
+    def _inject_fault(self, turn: int, member: str) -> None:
         """By turns a gateway is killed, calls of the store fail, or the store restarts."""
         match turn % 3:
             case 0:
-                self.rig.kill(victim)
+                self.rig.kill(member)
             case 1:
                 self.rig.faults(lose=8, stale=3, behind=4)
             case _:
@@ -66,7 +66,7 @@
                 self.rig.start_register()
 
 
-def judge(rig: Rig) -> dict[str, Any]:
+def collect_figures(rig: Rig) -> dict[str, Any]:
     """The figures of a run: what engines counted, the store's journal shows and the gateways logged."""
     peaks = [most_at_once(engine.attempts).amount for engine in rig.engines]
     retried = retries(rig.engines)
@@ -104,4 +104,4 @@
             run.run_turn(turn)
         stop_clients(run.clients)
         rig.stop(*[name for name in rig.names if rig.members[name].process.poll() is None])
-        return judge(rig)
+        return collect_figures(rig)
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -22,15 +22,15 @@
 from gullhold.testing.running import cpu_s
 
 SHARED_THREADS = 24  # of two members, one of which ends
-TAKEN_OVER = 22  # threads that a member has once another's allocation was given to it
-BOTH_BUSY = 6  # threads; each of the two has more once it is seen as busy
+TAKEN_OVER_THREADS = 22  # threads that a member has once another's allocation was given to it
+MIN_BUSY_THREADS = 6  # threads; each of the two has more once it is seen as busy
 WARMUP_INITIAL_SHARE = 0.05
 WARMUP_S = 30
 LATENCY_OBJECTIVE_S = 0.4
-STORE_LOSS_S = 1.3  # after which all leases have expired
+LEASE_EXPIRY_WAIT_S = 1.3  # after which all leases have expired
 
 
-class Redivision(NamedTuple):
+class Reallocation(NamedTuple):
     """From a member's end to its allocation written for others, 95th percentiles."""
 
     after_leave_s: float | None
@@ -61,9 +61,9 @@
 def _share_in_use(rig: Rig, began: float, ended: float) -> float:
     """The mean of the threads in use on the first engine between two Unix times, as a share of the total."""
     in_use_s = 0.0
-    for flight in rig.engines[0].attempts:
-        flight_began, flight_ended = flight.started_at, flight.ended_at
-        in_use_s += max(0.0, min(flight_ended or ended, ended) - max(flight_began, began))
+    for attempt in rig.engines[0].attempts:
+        attempt_began, attempt_ended = attempt.started_at, attempt.ended_at
+        in_use_s += max(0.0, min(attempt_ended or ended, ended) - max(attempt_began, began))
     return in_use_s / (ended - began) / TOTAL_THREADS
 
 
@@ -94,9 +94,9 @@
         allocated = 0
         for amounts in by_budget.values():
             allocated += sum(amount for name, amount in amounts.items() if name.startswith(member + "/"))
-        if allocated >= TAKEN_OVER:
+        if allocated >= TAKEN_OVER_THREADS:
             return at
-    raise AssertionError(f"{member} was never given {TAKEN_OVER}")
+    raise AssertionError(f"{member} was never given {TAKEN_OVER_THREADS}")
 
 
 def _end_and_measure(rig: Rig, is_kill: bool) -> float:
@@ -107,11 +107,11 @@
     else:
         rig.stop("n0")
     ended = time.time()
-    rig.until(lambda: allocations(rig).get("n1", 0) >= TAKEN_OVER)
+    rig.until(lambda: allocations(rig).get("n1", 0) >= TAKEN_OVER_THREADS)
     return max(0.0, _taken_over_at(rig, "n1", began) - ended)
 
 
-def measure_redivision(turns: int) -> Redivision:
+def measure_reallocation(turns: int) -> Reallocation:
     """One of two busy members ends, killed or in good order, in turn."""
     after_leave_s = []
     after_kill_leases = []
@@ -119,7 +119,7 @@
         rig.start()
         clients = [start_client(rig, name, seed, open=40) for seed, name in enumerate(("n0", "n1"))]
         for turn in range(turns):
-            rig.until(lambda: min(allocations(rig).get(name, 0) for name in ("n0", "n1")) > BOTH_BUSY)
+            rig.until(lambda: min(allocations(rig).get(name, 0) for name in ("n0", "n1")) > MIN_BUSY_THREADS)
             time.sleep(0.2)
             is_kill = turn % 2 == 0
             waited_s = _end_and_measure(rig, is_kill)
@@ -131,7 +131,7 @@
             stop_clients(clients[:1])
             clients[0] = start_client(rig, "n0", 10 + turn, open=40)
         stop_clients(clients)
-    return Redivision(rounded_quantile(after_leave_s), rounded_quantile(after_kill_leases))
+    return Reallocation(rounded_quantile(after_leave_s), rounded_quantile(after_kill_leases))
 
 
 def _use_warmup_rules(settings: dict[str, Any]) -> None:
@@ -150,7 +150,7 @@
 
     Its capacity grows half as fast as a line.
     """
-    work = [(flight.started_at, flight.work_ms / 1000) for flight in rig.engines[engine].attempts]
+    work = [(attempt.started_at, attempt.work_ms / 1000) for attempt in rig.engines[engine].attempts]
     started_at = rig.born_ms[engine] / 1000
     overloads = 0
     for at, _ in work:
@@ -192,7 +192,7 @@
         ]
         time.sleep(1.0)
         rig.kill_register()
-        time.sleep(STORE_LOSS_S)
+        time.sleep(LEASE_EXPIRY_WAIT_S)
         share = measure_answered_share(clients, seconds)
         stop_clients(clients)
         rig.start_register()
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -14,7 +14,7 @@
     measure_command_cost,
     measure_gain,
     measure_member_cost,
-    measure_redivision,
+    measure_reallocation,
     measure_service_without_store,
     measure_use,
 )
@@ -59,7 +59,7 @@
     run_s: float
     calls_s: float
     fault_turns: int
-    redivisions: int
+    reallocations: int
     exploration: ExplorationSize
 
 
@@ -92,7 +92,7 @@
         service_budgets = [threads_budget(alone=10, members=MEMBERS)]
         seconds = extent.run_s
         self.faults = pool.submit(run_faults, extent.fault_turns, seed)
-        self.redivided = pool.submit(measure_redivision, extent.redivisions)
+        self.reallocation = pool.submit(measure_reallocation, extent.reallocations)
         self.used_by_one = pool.submit(measure_use, seconds, names[:1], budgets)
         self.used_without = pool.submit(measure_use, seconds, names[:1], [])
         self.used_evenly = pool.submit(measure_use, seconds, names, budgets)
@@ -105,10 +105,10 @@
     def add_results(self, figures: Figures) -> None:
         """Wait for them, in order."""
         figures.add(**self.faults.result())
-        redivision = self.redivided.result()
+        reallocation = self.reallocation.result()
         figures.add(
-            redivided_order_p95_s=redivision.after_leave_s,
-            redivided_kill_p95_leases=redivision.after_kill_leases,
+            redivided_order_p95_s=reallocation.after_leave_s,
+            redivided_kill_p95_leases=reallocation.after_kill_leases,
         )
         figures.add(
             used_of_whole=self.used_by_one.result(),
--- a/benchmarks/decision_exploration.py
+++ b/benchmarks/decision_exploration.py
@@ -1,4 +1,4 @@
-"""Explores decisions without processes: seeded walks, mutants that walks must find, systematic search."""
+"""Explores decisions without gateway processes: random walks, mutants to be found, systematic searches."""
 
 from collections.abc import Callable, Iterable, Mapping
 from concurrent.futures import Executor
@@ -6,12 +6,16 @@
 
 from gullhold.testing.walking import Explored, Finding, FindingKind, InvariantError
 
-MAX_FAULT_LENGTH = 400  # characters of a broken walk that are printed
-MAX_FINDING_LENGTH = 90  # characters of a finding that are printed
+MAX_FAULT_LENGTH = 400  # printed characters of the text of a broken rule
+MAX_FINDING_LENGTH = 90  # printed characters of the text of a finding
 
 
 class ExplorationSize(NamedTuple):
-    """How much is explored. max_mutant_walks: for each mutant; max_states: of each systematic search."""
+    """How much is explored.
+
+    walks_per_job: random walks of each job in the process pool; jobs: their number; max_mutant_walks: the most
+    walks taken to find one mutant; max_states: the number of states at which a systematic search stops.
+    """
 
     walks_per_job: int
     jobs: int
@@ -20,10 +24,10 @@
 
 
 class ExplorationPlan(NamedTuple):
-    """What is explored; all functions are called in other processes, so they have to be picklable.
+    """What is explored. All functions are called in other processes, so they have to be picklable.
 
-    walk(seed) returns the marks of the states that it met, and raises InvariantError. find_mutant: by the
-    mutant's name, a search for a walk that finds it. searches: systematic searches.
+    walk(seed): one random walk; returns hashes of the states that it reached, or raises InvariantError.
+    find_mutant: for each mutant by its name, a search for a walk that finds it. searches: systematic searches.
     """
 
     walk: Callable[[int], set[int]]
@@ -31,22 +35,26 @@
     searches: Iterable[Callable[[], Explored]]
 
 
-class Walked(NamedTuple):
-    """Marks of the states that walks met, and the text of the walk that broke, empty if none did."""
+class WalkResult(NamedTuple):
+    """What a job's walks found.
+
+    state_hashes: of the states that they reached; fault: the text of the first broken rule, empty if there is
+    none.
+    """
 
-    marks: set[int]
+    state_hashes: set[int]
     fault: str
 
 
 class Exploration:
-    """An exploration that has begun in a pool of processes."""
+    """An exploration that runs in a pool of processes."""
 
     def __init__(self, pool: Executor, plan: ExplorationPlan, size: ExplorationSize) -> None:
-        """Mutants come first, in the plan's order: the longest searches should not be the last to begin."""
+        """Submit all jobs: mutants first, in the plan's order, so that the longest jobs don't start last."""
         self.walk_count = size.walks_per_job * size.jobs
         self._found = {name: pool.submit(find) for name, find in plan.find_mutant.items()}
         self._walked = [
-            pool.submit(walk_seeds, plan.walk, range(first, first + size.walks_per_job))
+            pool.submit(run_walks, plan.walk, range(first, first + size.walks_per_job))
             for first in range(0, self.walk_count, size.walks_per_job)
         ]
         self._explored = [pool.submit(search) for search in plan.searches]
@@ -62,9 +70,9 @@
         for fault in faults:
             print("broken:", fault)
         missed = sum(finding is None for finding in findings.values())
-        marks = set().union(*(one.marks for one in walked))
+        state_hashes = set().union(*(one.state_hashes for one in walked))
         return {
-            "explored_states": len(marks) + sum(one.states for one in explored),
+            "explored_states": len(state_hashes) + sum(one.states for one in explored),
             "walks": self.walk_count,
             "systematic_depth_whole": min(one.depth for one in explored),
             "walks_broken": len(faults),
@@ -74,19 +82,19 @@
         }
 
 
-def walk_seeds(walk: Callable[[int], set[int]], seeds: range) -> Walked:
-    """Take a walk from each seed, up to the first that breaks a rule."""
-    marks: set[int] = set()
+def run_walks(walk: Callable[[int], set[int]], seeds: range) -> WalkResult:
+    """Take one walk for each seed, until a walk breaks a rule."""
+    state_hashes: set[int] = set()
     for seed in seeds:
         try:
-            marks |= walk(seed)
+            state_hashes |= walk(seed)
         except InvariantError as fault:
-            return Walked(marks, str(fault)[:MAX_FAULT_LENGTH])
-    return Walked(marks, "")
+            return WalkResult(state_hashes, str(fault)[:MAX_FAULT_LENGTH])
+    return WalkResult(state_hashes, "")
 
 
 def describe(finding: Finding | None) -> str:
-    """What found a mutant, as a line of the output; a crash is marked as one, for it proves no rule."""
+    """The output line that says what found a mutant; a crash is marked, since it shows no broken rule."""
     if finding is None:
         return "NOT FOUND"
     mark = "CRASH: " if finding.kind is FindingKind.CRASH else ""
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -50,14 +50,14 @@
 
 
 class Traffic(Thread):
-    """Requests at an even rate on one connection, for so many seconds; counts asked and answered ones."""
+    """Requests at an even rate on one connection, for so many seconds; counts sent and answered ones."""
 
     def __init__(self, address: Address, seconds: float, seed: int) -> None:
         super().__init__(daemon=True)
         self.caller = Caller(address)
         self.seconds = seconds
         self.draw = Random(seed).random
-        self.asked = 0
+        self.sent = 0
         self.answered = 0
 
     def run(self) -> None:
@@ -66,11 +66,11 @@
         reader.start()
         began = time.monotonic()
         while (elapsed_s := time.monotonic() - began) < self.seconds:
-            if self.asked <= elapsed_s * RATE_PER_S:
+            if self.sent <= elapsed_s * RATE_PER_S:
                 group = int(self.draw() * DATASETS)
                 statement = b"select a from sales_%d.t" % group
-                self.caller.ask("read", TIMEOUT_MS, txn=b"%016x" % (self.asked + 1), body=statement)
-                self.asked += 1
+                self.caller.ask("read", TIMEOUT_MS, txn=b"%016x" % (self.sent + 1), body=statement)
+                self.sent += 1
             time.sleep(REQUEST_POLL_S)
         reader.join(TIMEOUT_MS / 1000)
         self.caller.sock.close()
@@ -92,9 +92,9 @@
     Engines 0 and on go, those from `size` on start in their place. list_bytes: of the events so far.
     """
 
-    def __init__(self, feed: DiscoveryService, addresses: list[str], size: int) -> None:
+    def __init__(self, discovery_service: DiscoveryService, addresses: list[str], size: int) -> None:
         super().__init__(daemon=True)
-        self.feed = feed
+        self.discovery_service = discovery_service
         self.addresses = addresses
         self.size = size
         self.list_bytes = 0
@@ -120,7 +120,7 @@
     def _send(self, member: tuple[str, str, str], started_ms: int) -> None:
         self.index += 1
         watch_event = event(self.index, member, started_ms=started_ms)
-        self.feed.send(watch_event)
+        self.discovery_service.send(watch_event)
         self.list_bytes += len(json.dumps(watch_event)) + 1
 
 
@@ -142,20 +142,20 @@
 
 def run_size(size: int, seed: int) -> GatewayFigures:
     """The figures of one gateway over so many engines."""
-    feed = DiscoveryService()
-    swarm = ManyEngines(size + int(size * REPLACED_SHARE))
+    discovery_service = DiscoveryService()
+    engines = ManyEngines(size + int(size * REPLACED_SHARE))
     try:
-        configuration = _configuration(feed, swarm, size)
+        configuration = _configuration(discovery_service, engines, size)
         with run_gateway(configuration) as process:
-            return _measure(process, configuration, feed, swarm, size, seed)
+            return _measure(process, configuration, discovery_service, engines, size, seed)
     finally:
-        swarm.close()
+        engines.close()
 
 
-def _configuration(feed: DiscoveryService, swarm: ManyEngines, size: int) -> dict[str, Any]:
-    """The file that the gateway is started with: it knows the first engines, and follows the feed."""
-    configuration = config() | {"listen": free_address(), "coordinator": feed.address}
-    members = [(f"s-{number}", swarm.addresses[number], "ready") for number in range(size)]
+def _configuration(discovery_service: DiscoveryService, engines: ManyEngines, size: int) -> dict[str, Any]:
+    """The gateway's configuration: it lists the first `size` engines and names the discovery service."""
+    configuration = config() | {"listen": free_address(), "coordinator": discovery_service.address}
+    members = [(f"s-{number}", engines.addresses[number], "ready") for number in range(size)]
     configuration["known"] = {"index": 1, "updates": [event(1, *members, whole=True)]}
     configuration["settings"]["domain"]["cores_by_kind"] = [CORES / size]
     configuration["settings"]["balancers"] = GATEWAYS
@@ -200,15 +200,15 @@
 def _measure(
     process: subprocess.Popen[bytes],
     configuration: dict[str, Any],
-    feed: DiscoveryService,
-    swarm: ManyEngines,
+    discovery_service: DiscoveryService,
+    engines: ManyEngines,
     size: int,
     seed: int,
 ) -> GatewayFigures:
     """Send traffic and replace engines, then take the figures."""
     seconds = RAMP_S + 2 * AROUND_RAMP_S
     traffic = Traffic(_address(configuration), seconds, seed)
-    replacement = Replacement(feed, swarm.addresses, size)
+    replacement = Replacement(discovery_service, engines.addresses, size)
     traffic.start()
     replacement.start()
     descriptors = peak_descriptors(process.pid, seconds)
@@ -219,6 +219,6 @@
         descriptors=descriptors,
         cpu_s=cpu_s(process.pid),
         memory_mb=peak_memory_mb(process.pid),
-        connections=swarm.accepted,
-        served=traffic.answered / traffic.asked,
+        connections=engines.accepted,
+        served=traffic.answered / traffic.sent,
     )
--- a/benchmarks/leadership.py
+++ b/benchmarks/leadership.py
@@ -37,7 +37,7 @@
 class Extent(NamedTuple):
     """How much is run."""
 
-    fault_rounds: int
+    fault_turns: int
     handovers: int
     service_s: float
     idle_s: float
@@ -64,7 +64,7 @@
 
 def measure(extent: Extent, figures: Figures) -> None:
     """Take all figures."""
-    figures.add(**leadership_runs.run_faults(extent.fault_rounds, figures.by_name["seed"]))
+    figures.add(**leadership_runs.run_faults(extent.fault_turns, figures.by_name["seed"]))
     handovers = leadership_runs.run_handovers(extent.handovers)
     figures.by_name["owners_accepted_at_once"] += handovers.broken
     figures.add(handover_p95_leases=handovers.kill_p95, handover_sigterm_p95_leases=handovers.sigterm_p95)
--- a/benchmarks/leadership_decisions.py
+++ b/benchmarks/leadership_decisions.py
@@ -32,7 +32,7 @@
 LEASE_ID = 7
 FIRST_REVISION = 10
 SETTLED_AFTER_US = 30_000_000
-CALLS_FOR_S = 120
+SIMULATED_S = 120
 MUTANT_MODULES = {"members": membership_mutants, "scheduled commands": scheduled_command_mutants}
 
 
@@ -66,7 +66,7 @@
     settled = 0
     revision = FIRST_REVISION
     member.tick(now)
-    while now < CALLS_FOR_S * 1_000_000:
+    while now < SIMULATED_S * 1_000_000:
         for action in member.take_actions():
             if not isinstance(action, CallStore):
                 continue
@@ -83,7 +83,7 @@
     assigned = sum(leader == "n0" for leader in member.claims.assignment.leaders.values())
     if len(member.claims.tokens) != assigned:
         raise SystemExit(f"{len(member.claims.tokens)} of {assigned} roles were claimed")
-    settled_s = CALLS_FOR_S - SETTLED_AFTER_US / 1_000_000
+    settled_s = SIMULATED_S - SETTLED_AFTER_US / 1_000_000
     return MemberCalls(round(settled / settled_s, 3), claiming)
 
 
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -24,14 +24,14 @@
 NON_IDEMPOTENT = "single"
 FAULTY_MEMBERS = 6
 FAULTY_HEARTBEATS = 18
-FAULT_S = 1.7  # longer than a lease
+FAULT_DURATION_S = 1.7  # longer than a lease
 RECOVERY_S = 0.5
 NO_HANDOVER = 99.0  # leases, where no effect followed
 MEMBERS = 4
 HEARTBEATS = 24
 IDLE_HEARTBEATS = 36
 IDLE_PERIOD_MS = 3_600_000  # of a heartbeat, longer than the run
-STORE_LOSS_S = 1.2  # after which all leases have expired
+LEASE_EXPIRY_WAIT_S = 1.2  # after which all leases have expired
 
 
 def scheduled_command(kind: str, number: int) -> dict[str, str]:
@@ -47,7 +47,7 @@
     }
 
 
-def run_faults(rounds: int, seed: int) -> dict[str, Any]:
+def run_faults(turns: int, seed: int) -> dict[str, Any]:
     """Six gateways, roles and scheduled commands under drawn faults; figures of what was kept."""
     draw = random.Random(seed)
     scheduled = [
@@ -58,37 +58,37 @@
     with rig:
         rig.start()
         rig.until(lambda: len(rig.owners()) == roles)
-        for turn in range(rounds):
+        for turn in range(turns):
             _run_one_fault(rig, draw.sample(rig.names, 4), turn)
         rig.until(lambda: len(rig.owners()) == roles)
         time.sleep(1.5)
         rig.stop(*rig.names)
-        return judge(rig, [item["name"].strip('"') for item in scheduled])
+        return collect_figures(rig, [item["name"].strip('"') for item in scheduled])
 
 
 def _run_one_fault(rig: Rig, names: list[str], turn: int) -> None:
     """One is cut off one way, one both ways, one sleeps, and by turns one is killed, or the store fails."""
-    cut_one_way, cut_off, sleeper, victim = names
+    cut_one_way, cut_both_ways, paused, killed = names
     rig.cut(cut_one_way, sides=("there",))
-    rig.cut(cut_off)
-    rig.pause(sleeper)
+    rig.cut(cut_both_ways)
+    rig.pause(paused)
     if turn % 3 == 0:
-        rig.kill(victim)
+        rig.kill(killed)
     elif turn % 3 == 1:
         rig.faults(lose=6, stale=3, behind=4)
     else:
         rig.kill_register()
         rig.start_register()
-    time.sleep(FAULT_S)
+    time.sleep(FAULT_DURATION_S)
     rig.heal(cut_one_way)
-    rig.heal(cut_off)
-    rig.resume(sleeper)
+    rig.heal(cut_both_ways)
+    rig.resume(paused)
     if turn % 3 == 0:
-        rig.start(victim)
+        rig.start(killed)
     time.sleep(RECOVERY_S)
 
 
-def judge(rig: Rig, commands: Iterable[str]) -> dict[str, Any]:
+def collect_figures(rig: Rig, commands: Iterable[str]) -> dict[str, Any]:
     """What the store's journal and the engines' records say of a run."""
     check = Check(rig.lines())
     occurrences = check.occurrences()
@@ -248,7 +248,7 @@
         time.sleep(0.5)
         share_alive = measure_answered_share(clients, seconds)
         rig.kill_register()
-        time.sleep(STORE_LOSS_S)
+        time.sleep(LEASE_EXPIRY_WAIT_S)
         share_dead = measure_answered_share(clients, seconds)
         stop_clients(clients)
         rig.start_register()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -19,31 +19,35 @@
 PROCESSES = 4
 CLIENTS = 8  # of each process
 CONNECTIONS = 10  # of each client
-PATIENT_QUEUE = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
+QUEUE_RULES = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
 ONE_CORE = 0  # the processor of a gateway on one core
 CONTROL_START_S = 1.0
-OLDEST_EVENT_MS = TIMEOUT_S * 1000 / 10
+MAX_EVENT_AGE_MS = TIMEOUT_S * 1000 / 10
 
 BOUNDS = {
     "late": at_most(0),
     "read_unanswered": at_most(0),
-    "oldest_event_ms": at_most(OLDEST_EVENT_MS),
+    "oldest_event_ms": at_most(MAX_EVENT_AGE_MS),
     "goodput_ratio": at_least(1.0),
     "faults": at_most(0),
 }
 
 
 class Case(NamedTuple):
-    """One run. open_each: requests open on a connection."""
+    """One run. open_per_connection: requests open on a connection."""
 
-    open_each: int
+    open_per_connection: int
     has_queue: bool = False
     is_one_core: bool = False
 
     @property
     def name(self) -> str:
         """Its name in the table."""
-        parts = [str(self.open_each), "queue" if self.has_queue else "", "core" if self.is_one_core else ""]
+        parts = [
+            str(self.open_per_connection),
+            "queue" if self.has_queue else "",
+            "core" if self.is_one_core else "",
+        ]
         return "-".join(part for part in parts if part)
 
 
@@ -59,10 +63,10 @@
 
 
 FULL = tuple(
-    Case(open_each, has_queue, is_one_core)
+    Case(open_per_connection, has_queue, is_one_core)
     for has_queue in (False, True)
     for is_one_core in (False, True)
-    for open_each in (1, 2, 4, 8, 16, 32, 64)
+    for open_per_connection in (1, 2, 4, 8, 16, 32, 64)
 )
 QUICK = (
     Case(2),
@@ -74,10 +78,10 @@
 )
 
 
-def make_crowd(open_each: int) -> Crowd:
+def make_crowd(open_per_connection: int) -> Crowd:
     """The clients of a run."""
     options = {
-        "open": CONNECTIONS * open_each,
+        "open": CONNECTIONS * open_per_connection,
         "connections": CONNECTIONS,
         "limit_ms": int(TIMEOUT_S * 1000),
         "retry_rule": RetryRule.NEVER,
@@ -85,35 +89,35 @@
     return Crowd(PROCESSES, CLIENTS, options)
 
 
-def load(address: tuple[str, int], open_each: int, seconds: float) -> LoadCounts:
+def run_load(address: tuple[str, int], open_per_connection: int, seconds: float) -> LoadCounts:
     """Load an address for so long; what came of it once all that was open is over."""
-    crowd = LoadProcesses(address, make_crowd(open_each))
+    crowd = LoadProcesses(address, make_crowd(open_per_connection))
     crowd.start()
     time.sleep(seconds)
     return crowd.stop()
 
 
-def measure_control(open_each: int, seconds: float) -> float:
+def measure_control(open_per_connection: int, seconds: float) -> float:
     """The longest time, in s, that an answer took where nothing is done but to answer."""
     address = free_address()
     process = subprocess.Popen([sys.executable, "-m", "benchmarks.answering_server", address], cwd=ROOT)
     try:
         time.sleep(CONTROL_START_S)
         host, _, port = address.rpartition(":")
-        return load((host, int(port)), open_each, seconds).slowest_s
+        return run_load((host, int(port)), open_per_connection, seconds).slowest_s
     finally:
         process.kill()
         process.wait()
 
 
 def run_case(case: Case, seconds: float, control_s: float) -> Result:
-    """Run a gateway under the load of a case. control_s: what the control took."""
-    operator = PATIENT_QUEUE if case.has_queue else ""
+    """Run a gateway under the run_load of a case. control_s: what the control took."""
+    operator = QUEUE_RULES if case.has_queue else ""
     with RunningDeployment(operator=operator, slots=16, timeout_s=TIMEOUT_S, max_open=1000) as running:
         assert serving_status(running.address)
         if case.is_one_core:
             running.confine(ONE_CORE)
-        counts = load(running.address, case.open_each, seconds)
+        counts = run_load(running.address, case.open_per_connection, seconds)
         running.process.terminate()
         running.process.wait()
         answers = counts.answered + counts.shed + counts.failed
@@ -129,14 +133,18 @@
 
 def run(cases: tuple[Case, ...], seconds: float, figures: Figures) -> None:
     """Run all cases; the figures of the worst."""
-    control_s = {case.open_each: 0.0 for case in cases}
-    for open_each in control_s:
-        control_s[open_each] = measure_control(open_each, seconds)
-    figures.add(control_s={open_each: round(value, 2) for open_each, value in control_s.items()})
-    results = {case: run_case(case, seconds, control_s[case.open_each]) for case in cases}
+    control_s = {case.open_per_connection: 0.0 for case in cases}
+    for open_per_connection in control_s:
+        control_s[open_per_connection] = measure_control(open_per_connection, seconds)
+    figures.add(
+        control_s={open_per_connection: round(value, 2) for open_per_connection, value in control_s.items()}
+    )
+    results = {case: run_case(case, seconds, control_s[case.open_per_connection]) for case in cases}
     for case, result in results.items():
         figures.add(**{case.name: result._asdict()})
-    reference = {case.is_one_core: result.good for case, result in results.items() if case.open_each == 2}
+    reference = {
+        case.is_one_core: result.good for case, result in results.items() if case.open_per_connection == 2
+    }
     figures.add(
         late=sum(result.late for result in results.values()),
         read_unanswered=sum(result.read_unanswered for result in results.values()),
@@ -146,7 +154,7 @@
             min(
                 result.good / max(1, reference[case.is_one_core])
                 for case, result in results.items()
-                if case.open_each in (8, 32)
+                if case.open_per_connection in (8, 32)
             ),
             2,
         ),
--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -24,15 +24,15 @@
 from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
 TOTAL_THREADS = 24  # of the fleet's budget
-LOWERED_BY = 8  # threads, by every second policy
-CHANGES_IN_RUN = 44  # on one fleet, so that each grants another amount below MAX_GRANT_MB
+THREADS_DECREASE = 8  # threads, by every second policy
+CHANGES_PER_RUN = 44  # on one fleet, so that each grants another amount below MAX_GRANT_MB
 MEMBERS = 6
 SURVIVING_MEMBERS = 4  # the first of them, none of which is killed
-PATIENCE_US = 1_500_000  # of the coordinator with members that do not vote
+VOTE_TIMEOUT_US = 1_500_000  # of the coordinator with members that do not vote
 RETRY_S = 0.3  # after a proposal that can't be opened yet
 MAX_FAULT_DELAY_S = 0.05  # after the proposal
-FAULT_LASTS_S = 0.2
-OUTCOME_KNOWN_S = 6  # in which it has to be known what became of a change, with faults
+FAULT_DURATION_S = 0.2
+OUTCOME_TIMEOUT_S = 6  # in which it has to be known what became of a change, with faults
 CUT_DIRECTIONS = (("there",), ("back",), ("there", "back"))  # in turn
 JOURNAL_STATES = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}  # of reported outcomes
 
@@ -72,7 +72,7 @@
 
 def policy_with_budget(grant_mb: int, turn: int) -> str:
     """A policy that engines can tell, and that moves a budget's total up and down by turns."""
-    threads = TOTAL_THREADS - LOWERED_BY * (turn % 2)
+    threads = TOTAL_THREADS - THREADS_DECREASE * (turn % 2)
     return f"policy: {{grants: read: {grant_mb}, budgets: threads: {threads}}}"
 
 
@@ -85,37 +85,39 @@
     with make_fleet(MEMBERS, budgets=budgets, seed=seed) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
-        policies = PolicyClient(rig.register_address, FLEET_NAME)
+        policy_client = PolicyClient(rig.register_address, FLEET_NAME)
         clients = start_load(rig, rig.names)
         for turn in range(count):
-            outcome = _change_with_fault(rig, policies, turn, draw)
+            outcome = _change_with_fault(rig, policy_client, turn, draw)
             if outcome is None:
                 continue
             outcomes.append(outcome)
             if RolloutChecker(rig.lines()).outcomes.get(outcome.number) == "decided":
                 applied.append(AppliedChange(FIRST_GRANT_MB + turn, outcome.overlap))
         time.sleep(0.5)
-        wait_for_version(rig, policies.current().number, rig.names)
+        wait_for_version(rig, policy_client.current().number, rig.names)
         stop_clients(clients)
-        return judge(rig, clients, outcomes, applied)
+        return collect_figures(rig, clients, outcomes, applied)
 
 
-def _change_with_fault(rig: Rig, policies: PolicyClient, turn: int, draw: random.Random) -> Outcome | None:
+def _change_with_fault(
+    rig: Rig, policy_client: PolicyClient, turn: int, draw: random.Random
+) -> Outcome | None:
     """Make one change with a fault; None: it could not be proposed yet."""
     fault = Fault(turn % len(Fault))
     name = draw.choice(rig.names[SURVIVING_MEMBERS:] if fault == Fault.KILL else rig.names)
     overlap = Overlap.LOOSE if turn // len(Fault) % 2 else Overlap.STRICT
     text = policy_with_budget(FIRST_GRANT_MB + turn, turn)
     try:
-        version = policies.propose(text, "bench", "b", overlap=overlap, patience_us=PATIENCE_US)
+        version = policy_client.propose(text, "bench", "b", overlap=overlap, patience_us=VOTE_TIMEOUT_US)
     except (PolicyError, StoreUnavailableError):  # the last one is not closed yet
         time.sleep(RETRY_S)
         return None
     time.sleep(draw.random() * MAX_FAULT_DELAY_S)
     _begin_fault(rig, fault, name, turn)
-    policies.wait(version.number, FAULT_LASTS_S)
+    policy_client.wait(version.number, FAULT_DURATION_S)
     _end_fault(rig, fault, name)
-    return Outcome(version.number, policies.wait(version.number, OUTCOME_KNOWN_S).status, overlap)
+    return Outcome(version.number, policy_client.wait(version.number, OUTCOME_TIMEOUT_S).status, overlap)
 
 
 def _begin_fault(rig: Rig, fault: Fault, name: str, turn: int) -> None:
@@ -147,7 +149,7 @@
             rig.heal(name)
 
 
-def judge(
+def collect_figures(
     rig: Rig,
     clients: Sequence[load_client.LoadClient],
     outcomes: Sequence[Outcome],
@@ -206,5 +208,5 @@
 
 def run_several_with_faults(runs: int, seed: int) -> dict[str, Any]:
     """Runs on fleets of their own: figures summed, of times the worst."""
-    rows = [run_with_faults(CHANGES_IN_RUN, seed + number) for number in range(runs)]
+    rows = [run_with_faults(CHANGES_PER_RUN, seed + number) for number in range(runs)]
     return {name: (max if name.endswith("_ms") else sum)(row[name] for row in rows) for name in rows[0]}
--- a/benchmarks/policy_rollout_runs.py
+++ b/benchmarks/policy_rollout_runs.py
@@ -21,9 +21,9 @@
 from gullhold.testing.fleet import Rig
 from gullhold.testing.rollout_checker import RolloutChecker, by_policy
 
-STRICT_OUTCOME_S = 8  # in which a strict change has to be in force with everything up
-LOOSE_OUTCOME_S = 5
-DEAD_MEMBER_OUTCOME_S = 6
+STRICT_CHANGE_TIMEOUT_S = 8  # in which a strict change has to be in force with everything up
+LOOSE_CHANGE_TIMEOUT_S = 5
+DEAD_MEMBER_TIMEOUT_S = 6
 POLL_INTERVAL_S = 0.1  # between the reads of one that waits for a change
 CALLS_TO_PROPOSE = 3  # reads and writes besides those
 LOADED_MEMBERS = 3
@@ -40,7 +40,7 @@
 
 
 class Service(NamedTuple):
-    """Service while policies change.
+    """Service while policy_client change.
 
     answered_ratio: share answered while changes are made over the share without; return_s: from a dead
     member's return to the first command that it dispatches; wrong_attempts: under a policy that is no longer
@@ -57,12 +57,12 @@
     with make_fleet(members) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
-        policies = PolicyClient(rig.register_address, FLEET_NAME)
+        policy_client = PolicyClient(rig.register_address, FLEET_NAME)
         time.sleep(0.3)
         idle_calls_per_s = _idle_calls_per_s(rig)
         calls_before = count_store_calls(rig)
         began = time.monotonic()
-        durations = [_make_strict_change(policies, FIRST_GRANT_MB + turn) for turn in range(count)]
+        durations = [_make_strict_change(policy_client, FIRST_GRANT_MB + turn) for turn in range(count)]
         seconds = time.monotonic() - began
         own_calls = count * CALLS_TO_PROPOSE + sum(durations) / POLL_INTERVAL_S
         calls = count_store_calls(rig) - calls_before - idle_calls_per_s * seconds - own_calls
@@ -80,11 +80,11 @@
     return count_store_calls(rig) - calls_before
 
 
-def _make_strict_change(policies: PolicyClient, grant_mb: int) -> float:
+def _make_strict_change(policy_client: PolicyClient, grant_mb: int) -> float:
     """Make one strict change; the time until it is known to be in force, in s."""
     proposed_at = time.monotonic()
-    version = policies.propose(policy_text(grant_mb), "bench", "b", overlap=Overlap.STRICT)
-    if policies.wait(version.number, STRICT_OUTCOME_S).status != ExitStatus.IN_FORCE:
+    version = policy_client.propose(policy_text(grant_mb), "bench", "b", overlap=Overlap.STRICT)
+    if policy_client.wait(version.number, STRICT_CHANGE_TIMEOUT_S).status != ExitStatus.IN_FORCE:
         raise SystemExit(f"change {version.number} did not come into force")
     return time.monotonic() - proposed_at
 
@@ -94,14 +94,14 @@
     with make_fleet(LOADED_MEMBERS) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
-        policies = PolicyClient(rig.register_address, FLEET_NAME)
+        policy_client = PolicyClient(rig.register_address, FLEET_NAME)
         clients = start_load(rig, rig.names, LOAD_RATE_PER_S)
         time.sleep(0.5)
         without = _answered_share_during(clients, seconds, lambda _turn: time.sleep(0.05))
-        during = _answered_share_during(clients, seconds, lambda turn: _make_change(policies, turn))
+        during = _answered_share_during(clients, seconds, lambda turn: _make_change(policy_client, turn))
         rig.kill(RETURNING_MEMBER)
-        version = policies.propose(policy_text(MAX_GRANT_MB), "bench", "b")
-        policies.wait(version.number, DEAD_MEMBER_OUTCOME_S)
+        version = policy_client.propose(policy_text(MAX_GRANT_MB), "bench", "b")
+        policy_client.wait(version.number, DEAD_MEMBER_TIMEOUT_S)
         stop_clients(clients)
         return_s, wrong_attempts = _return_of_member(rig)
         return Service(round(during / without, 4), return_s, wrong_attempts)
@@ -114,7 +114,7 @@
     clients = start_load(rig, [RETURNING_MEMBER], LOAD_RATE_PER_S)
     rig.until(lambda: any(attempt.at > began for attempt in by_policy(rig.engines, [MAX_GRANT_MB])))
     time.sleep(0.3)
-    first_at = next(flight.started_at for flight in rig.engines[0].attempts if flight.started_at > began)
+    first_at = next(record.started_at for record in rig.engines[0].attempts if record.started_at > began)
     stop_clients(clients)
     attempts = by_policy(rig.engines, [MAX_GRANT_MB])
     wrong = sum(attempt.at > began and not attempt.place for attempt in attempts)
@@ -135,9 +135,9 @@
     return answered_share(clients)
 
 
-def _make_change(policies: PolicyClient, turn: int) -> None:
+def _make_change(policy_client: PolicyClient, turn: int) -> None:
     """Make one change, strict and loose by turns."""
     overlap = Overlap.LOOSE if turn % 2 else Overlap.STRICT
-    version = policies.propose(policy_text(FIRST_GRANT_MB + turn), "bench", "b", overlap=overlap)
-    policies.wait(version.number, LOOSE_OUTCOME_S)
+    version = policy_client.propose(policy_text(FIRST_GRANT_MB + turn), "bench", "b", overlap=overlap)
+    policy_client.wait(version.number, LOOSE_CHANGE_TIMEOUT_S)
     time.sleep(0.05)
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -16,15 +16,15 @@
 from gullhold.testing.load_process import Crowd, LoadProcesses
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, serving_status
 
-KILL_AT_S = 3.7  # after SIGTERM, with client timeouts of 3 s and more: the protocol's
-WAITING = 9_900  # requests that are open when SIGTERM comes
+MAX_SHUTDOWN_S = 3.7  # after SIGTERM, with client timeouts of 3 s and more: the protocol's
+FLOOD_REQUESTS = 9_900  # requests that are open when SIGTERM comes
 FLOOD_LIMIT_S = 15.0  # until so many are open
 EXIT_LIMIT_S = 15.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 ONE_CORE = 0
 BUSY_PROCESSES = 6
 TIMEOUT_S = 8.0
-RULES = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
+QUEUE_RULES = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
 CROWD = Crowd(
     processes=4,
     clients=8,
@@ -37,7 +37,7 @@
 )
 VARIANTS = ("all cores", "one core", "beside busy processes")
 BOUNDS = {
-    "latest_s": at_most(KILL_AT_S),
+    "latest_s": at_most(MAX_SHUTDOWN_S),
     "read_unanswered": at_most(0),
     "bad_status": at_most(0),
     "faults": at_most(0),
@@ -69,7 +69,7 @@
 
 def run_once(is_one_core: bool) -> Result:
     """Flood a gateway, end it, and count what it read and what its clients got."""
-    with RunningDeployment(operator=RULES, slots=0, timeout_s=TIMEOUT_S, max_open=30000) as running:
+    with RunningDeployment(operator=QUEUE_RULES, slots=0, timeout_s=TIMEOUT_S, max_open=30000) as running:
         assert serving_status(running.address)
         if is_one_core:
             running.confine(ONE_CORE)
@@ -94,13 +94,13 @@
 
 
 def wait_until_flooded(clients: LoadProcesses) -> None:
-    """Wait until WAITING requests are open. Raises TimeoutError."""
+    """Wait until FLOOD_REQUESTS requests are open. Raises TimeoutError."""
     end = time.monotonic() + FLOOD_LIMIT_S
     open_requests = 0
-    while open_requests < WAITING:
+    while open_requests < FLOOD_REQUESTS:
         if time.monotonic() > end:
             raise TimeoutError(f"{open_requests} requests are open")
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
         counts = clients.counts()
         open_requests = counts.attempts - counts.answered - counts.shed - counts.failed
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -15,10 +15,10 @@
 from gullhold.testing.soak.run import play_seed
 
 DEFAULT_SEEDS = "0:50"
-SHOWN_VIOLATIONS = 5  # of one seed in its line
+MAX_PRINTED_VIOLATIONS = 5  # of one seed in its line
 
 
-def seeds_of(text: str) -> range:
+def parse_seeds(text: str) -> range:
     """Parse A:B, the first seed and the one after the last. Raises ValueError."""
     first, _, end = text.partition(":")
     return range(int(first), int(end))
@@ -27,7 +27,9 @@
 def parse_arguments() -> argparse.Namespace:
     """Read the command line."""
     parser = argparse.ArgumentParser(prog="benchmarks.soak", description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--seeds", type=seeds_of, default=seeds_of(DEFAULT_SEEDS), help="A:B, B not included")
+    parser.add_argument(
+        "--seeds", type=parse_seeds, default=parse_seeds(DEFAULT_SEEDS), help="A:B, B not included"
+    )
     parser.add_argument("--seconds", type=float, default=float("inf"), help="begin no seed after this time")
     parser.add_argument("--replay", type=int, help="play this seed alone, and show its plan")
     return parser.parse_args()
@@ -51,7 +53,7 @@
         requests += outcome.requests
         if outcome.violations:
             violations[seed] = outcome.violations
-        shown = [asdict(violation) for violation in outcome.violations[:SHOWN_VIOLATIONS]]
+        shown = [asdict(violation) for violation in outcome.violations[:MAX_PRINTED_VIOLATIONS]]
         print(
             f"{time.monotonic() - began:6.1f} s seed {seed} requests {outcome.requests} {shown}", flush=True
         )
