--- a/gullhold/testing/rollout_checker.py
+++ b/gullhold/testing/rollout_checker.py
@@ -1,7 +1,7 @@
-"""Checks rollouts by what engines were sent and by the store's journal.
+"""Checks rollouts by the attempts that engines recorded and by the store's journal.
 
-A policy is recognised by the memory that it grants. The checker shares nothing with what it checks but the
-words of the engines' protocol and the keys and values of the store.
+The policy of an attempt is recognised by the memory that it grants. The checker shares no code with what it
+checks. It knows only the engines' protocol, and the keys and values of the store.
 """
 
 import json
@@ -11,8 +11,8 @@
 from gullhold.testing.attempt_record import AttemptRecord
 
 CHANGE_KEY = "policy/now/change"
-VOTES = "policy/words/"
-SUFFICIENT_WORDS = {"strict": ("still",), "loose": ("ready", "trial", "still")}  # by overlap
+VOTES_PREFIX = "policy/words/"
+SUFFICIENT_VOTES = {"strict": ("still",), "loose": ("ready", "trial", "still")}  # stored kinds, by overlap
 FINAL_STATES = ("decided", "dropped")
 
 Journal = Iterable[Mapping[str, Any]]
@@ -24,67 +24,72 @@
     attempts: Sequence[AttemptRecord]
 
 
-class Dispatched(NamedTuple):
-    """One attempt: its time in s, and the place of its policy, from 1; 0: what no change has touched."""
+class PolicyAttempt(NamedTuple):
+    """An attempt: its time in s, and the index of its policy from 1; 0: no change applied to it yet."""
 
     at: float
-    place: int
+    policy_index: int
 
 
-class Mixture(NamedTuple):
-    """Attempts under an older policy after the first one under a newer, and the longest such overlap."""
+class PolicyOverlap(NamedTuple):
+    """How long policies overlapped.
+
+    stale_attempts: number of attempts under an older policy after the first one under a newer; overlap_ms:
+    longest time from the first attempt under a policy to the last one under an older policy.
+    """
 
     stale_attempts: int
     overlap_ms: float
 
 
-def by_policy(engines: Iterable[Engine], grants: Sequence[int]) -> list[Dispatched]:
-    """All attempts in order of time, each with its policy.
+def attempts_with_policy(engines: Iterable[Engine], grants: Sequence[int]) -> list[PolicyAttempt]:
+    """Return all attempts in order of time, each with its policy.
 
-    grants: MB that each policy grants, in the order in which they came into force, from place 1 on.
+    grants: MB that each policy grants, in the order in which the policies came into force, from index 1 on.
     """
-    places = {float(mb): place for place, mb in enumerate(grants, 1)}
+    indexes = {float(mb): index for index, mb in enumerate(grants, 1)}
     attempts = [
-        Dispatched(attempt.started_at, places.get(attempt.memory_mb, 0))
+        PolicyAttempt(attempt.started_at, indexes.get(attempt.memory_mb, 0))
         for engine in engines
         for attempt in engine.attempts
     ]
     return sorted(attempts)
 
 
-def measure_mixture(attempts: Iterable[tuple[float, int]]) -> Mixture:
-    """How far policies were mixed in attempts in order of time: (time in s, place of its policy)."""
+def measure_overlap(attempts: Iterable[tuple[float, int]]) -> PolicyOverlap:
+    """Measure how long policies overlapped; attempts: (time in s, index of the policy), in order of time."""
     first_at: dict[int, float] = {}
     last_at: dict[int, float] = {}
     count = 0
     newest = 0
-    for at, place in attempts:
-        first_at.setdefault(place, at)
-        last_at[place] = at
-        count += place < newest
-        newest = max(newest, place)
+    for at, index in attempts:
+        first_at.setdefault(index, at)
+        last_at[index] = at
+        count += index < newest
+        newest = max(newest, index)
     longest_s = 0.0
     for new, began_at in first_at.items():
         for old, ended_at in last_at.items():
             if old < new:
                 longest_s = max(longest_s, ended_at - began_at)
-    return Mixture(count, round(longest_s * 1000, 1))
+    return PolicyOverlap(count, round(longest_s * 1000, 1))
 
 
 class RolloutChecker:
-    """Goes through a store's journal: what was decided, and what members had voted by then.
+    """Goes through a store's journal once: which changes were decided, and how members had voted by then.
 
-    decided_without_all: decisions made while an enrolled member had not voted ready, or still for a strict
-    change; decided_though_refused: decisions on what a member had refused; split: ended changes after which
-    not all members had adopted one version; stopped_s: for each member and strict change, the time from its
-    preparation to its adoption by the member; outcomes: {number: "decided" or "dropped"}.
+    decided_without_all: decisions made while an enrolled member had not voted ready, or for a strict change
+    stopped (stored as "still"); decided_though_refused: decisions on a version that a member had refused;
+    divergent_changes: ended changes after which the members had not all adopted one version; stop_times_s:
+    for each member and strict change, the time from its preparation to its adoption by the member; outcomes:
+    {number: "decided" or "dropped"}.
     """
 
     def __init__(self, lines: Journal) -> None:
         self.decided_without_all = 0
         self.decided_though_refused = 0
-        self.split = 0
-        self.stopped_s: list[float] = []
+        self.divergent_changes = 0
+        self.stop_times_s: list[float] = []
         self.outcomes: dict[int, str] = {}
         self._votes: dict[str, dict[str, Any]] = {}  # stored values by member (name and lease)
         self._members: dict[int, set[str]] = {}  # by lease
@@ -101,10 +106,10 @@
                 self._votes = {}
                 self._members = {}
                 for key, value, _, lease in line["keys"]:
-                    self._put(_relative(key), value, lease, at)
+                    self._put(_fleet_key(key), value, lease, at)
             case "txn" if line["met"]:
                 for kind, key, value, lease in line["acts"]:
-                    self._apply_write(kind, _relative(key), value, lease, at)
+                    self._apply_write(kind, _fleet_key(key), value, lease, at)
 
     def _apply_write(self, kind: str, key: str, value: str, lease: int, at: float) -> None:
         if kind == "put":
@@ -113,16 +118,16 @@
                 self._change_written(json.loads(value), at)
         elif kind == "delete" and key == CHANGE_KEY:
             versions = {vote["under"] for vote in self._votes.values()}
-            self.split += len(versions) > 1
+            self.divergent_changes += len(versions) > 1
 
     def _put(self, key: str, value: str, lease: int, at: float) -> None:
-        if not key.startswith(VOTES):
+        if not key.startswith(VOTES_PREFIX):
             return
-        member = key.removeprefix(VOTES)
+        member = key.removeprefix(VOTES_PREFIX)
         vote = json.loads(value)
         was_stopped = self._votes.get(member, {}).get("word") == "still"
         if was_stopped and vote["word"] == "under":
-            self.stopped_s.append(at - self._prepared_at)
+            self.stop_times_s.append(at - self._prepared_at)
         self._votes[member] = vote
         self._members.setdefault(lease, set()).add(member)
 
@@ -134,7 +139,7 @@
         if state in FINAL_STATES:
             self.outcomes[number] = state
         if state == "decided":
-            self._decided(number, SUFFICIENT_WORDS[change["overlap"]])
+            self._decided(number, SUFFICIENT_VOTES[change["overlap"]])
 
     def _decided(self, number: int, sufficient: Sequence[str]) -> None:
         votes = self._votes.values()
@@ -146,10 +151,10 @@
         )
 
     def adopted_versions(self) -> dict[str, int]:
-        """Return the number of the version that each member has adopted, by the member's name."""
+        """Return the number of the version that each member last reported as adopted, by its name."""
         return {member.partition("/")[0]: vote["under"] for member, vote in self._votes.items()}
 
 
-def _relative(key: str) -> str:
-    """The key without the root and the name of the fleet: /ROOT/FLEET/KEY."""
+def _fleet_key(key: str) -> str:
+    """Return a key without the prefix of its fleet, /gullhold/FLEET/."""
     return key.split("/", 3)[3]
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -11,7 +11,7 @@
 from gullhold.testing import load_client
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
-from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
+from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy, measure_overlap
 
 CLIENT_SEEDS = count(1)  # one for each client, so that their request ids differ
 
@@ -82,7 +82,7 @@
     checker = RolloutChecker(fleet.lines())
     assert not checker.decided_without_all, fleet.story()
     assert not checker.decided_though_refused, fleet.story()
-    mixed_count, measured_ms = measure_mixture(by_policy(fleet.engines, grants))
+    mixed_count, measured_ms = measure_overlap(attempts_with_policy(fleet.engines, grants))
     assert not (strict and mixed_count), (mixed_count, measured_ms, fleet.story())
     assert measured_ms <= overlap_ms, (mixed_count, measured_ms, fleet.story())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -15,8 +15,8 @@
 from gullhold.testing.budget_checker import (
     AllocationHistory,
     first_attempts,
-    most_at_once,
-    most_in_window,
+    peak_in_window,
+    peak_threads,
     retries,
 )
 from gullhold.testing.counting_engine import CountingEngine
@@ -72,11 +72,11 @@
     Returns the history of the allocations.
     """
     for engine in fleet.engines:
-        most, when = most_at_once(engine.attempts)
+        most, when = peak_threads(engine.attempts)
         assert most <= total, f"{most} in use at {when - fleet.began:.3f} s\n{fleet.story()}"
     history = AllocationHistory(fleet.lines())
-    assert history.most, fleet.story()
-    assert max(history.most.values()) <= total, fleet.story()
+    assert history.max_sums, fleet.story()
+    assert max(history.max_sums.values()) <= total, fleet.story()
     assert sum(len(engine.attempts) for engine in fleet.engines) >= min_attempts
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
@@ -86,7 +86,7 @@
 def allocations(fleet):
     """Return the allocations of the one engine's threads by member."""
     history = AllocationHistory(fleet.lines())
-    return history.now(next(iter(history.most), ""))
+    return history.allocated_by_name(next(iter(history.max_sums), ""))
 
 
 def test_a_member_with_all_demand_gets_all_but_the_floors_of_the_others():
@@ -99,7 +99,7 @@
         other = start_client(fleet, "n1")
         fleet.until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
         time.sleep(0.3)
-        assert most_at_once(fleet.engines[0].attempts)[0] == 10
+        assert peak_threads(fleet.engines[0].attempts)[0] == 10
         stop_clients(other)
         check_fleet(fleet, min_attempts=50)
 
@@ -175,7 +175,7 @@
         fleet.stop("n0")
         fleet.until(lambda: allocations(fleet).get("n2", 0) >= 11)
         stop_clients(one)
-        assert check_fleet(fleet, min_attempts=50).moves >= 8
+        assert check_fleet(fleet, min_attempts=50).increases >= 8
 
 
 def test_the_total_is_not_exceeded_when_all_members_restart_under_the_same_or_other_names():
@@ -218,10 +218,10 @@
             time.sleep(0.9)
             stop_clients(one)
         sends = first_attempts(fleet.engines)
-        most, _ = most_in_window(sends, window_s)
+        most, _ = peak_in_window(sends, window_s)
         assert 20 <= most <= 30, (most, len(sends))
         assert len(sends) > 40, (most, len(sends))
-        assert AllocationHistory(fleet.lines()).moves >= 5
+        assert AllocationHistory(fleet.lines()).increases >= 5
 
 
 def test_retries_of_the_fleet_do_not_exceed_their_budget_in_any_window():
@@ -235,7 +235,7 @@
             time.sleep(0.8)
             stop_clients(*clients)
         further = retries(fleet.engines)
-        most, _ = most_in_window(further, 2.0)
+        most, _ = peak_in_window(further, 2.0)
         assert 6 <= most <= 12, (most, len(further))
         assert len(further) >= 12, (most, len(further))
 
@@ -257,7 +257,7 @@
         time.sleep(5.0)
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
-    most, _ = most_in_window(calls, 2.0)
+    most, _ = peak_in_window(calls, 2.0)
     assert 3 <= most <= 6, (most, len(calls))
     assert len(calls) >= 8, (most, len(calls))
 
@@ -280,8 +280,8 @@
         stop_clients(*clients)
         late = [row for row in fleet.engines[0].attempts if row.started_at > lowered]
         assert len(late) >= 8
-        assert most_at_once(late)[0] <= 4
-        assert most_at_once(fleet.engines[0].attempts)[0] <= 12
+        assert peak_threads(late)[0] <= 4
+        assert peak_threads(fleet.engines[0].attempts)[0] <= 12
 
 
 def test_every_member_is_served_in_turn_when_the_total_is_enough_for_one_command_only():
@@ -318,7 +318,7 @@
         # The warming engine may get 0.05 of its 16 cores in a window at first, and then more, at half the
         # rate that would reach all cores after 60 s.
         grown = 0.05 + 0.95 / 2 * (time.time() - fleet.born_ms[0] / 1000) / 60
-        most, _ = most_in_window(
+        most, _ = peak_in_window(
             [(row.started_at, row.work_ms / 1000) for row in fleet.engines[0].attempts], 1.0
         )
         assert 0.1 <= most <= 16 * grown, (most, 16 * grown)
@@ -334,7 +334,7 @@
             time.sleep(1.0)
             stop_clients(one)
         assert (
-            check_fleet(fleet, min_attempts=200).moves >= 5
+            check_fleet(fleet, min_attempts=200).increases >= 5
         )  # of 12 threads for 60 ms each: at most 1,200 in 6 s
 
 
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -20,7 +20,7 @@
 from gullhold.rollout.policy_version import PolicyError, PolicyVersion
 from gullhold.rollout.store_schema import CHANGE_KEY, decode_change, encode_change
 from gullhold.testing.counting_engine import CountingEngine
-from gullhold.testing.rollout_checker import RolloutChecker, by_policy
+from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy
 
 
 @pytest.mark.parametrize("overlap", [Overlap.LOOSE, Overlap.STRICT])
@@ -40,7 +40,7 @@
         assert stop_clients(clients) > 60
         assert not any(client.counts.failed + client.counts.unanswered for client in clients)
         check_run(fleet, grants, overlap == Overlap.STRICT, 300)
-        assert {policy for _, policy in by_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
+        assert {policy for _, policy in attempts_with_policy(fleet.engines, grants)} == {0, 1, 2, 3, 4}
         assert policies.current().text == policy_granting(23)
         assert len(policies.history()) == 4
 
@@ -73,7 +73,7 @@
         time.sleep(0.3)
         stop_clients(clients)
         checker = check_run(fleet, [20, 21], strict=True)
-        assert {policy for _, policy in by_policy(fleet.engines, [20, 21])} == {0}
+        assert {policy for _, policy in attempts_with_policy(fleet.engines, [20, 21])} == {0}
         assert checker.outcomes == {1: "dropped", 2: "dropped"}
 
 
@@ -147,7 +147,7 @@
         fleet.start(coordinator)
         wait_until_in_force(fleet, 0)
         time.sleep(0.1)
-        canary_sends = [at for at, policy in by_policy(fleet.engines, [20]) if policy]
+        canary_sends = [at for at, policy in attempts_with_policy(fleet.engines, [20]) if policy]
         # All members use the parent version again.
         assert not canary_sends or max(canary_sends) < time.time() - 0.05
         version = propose_when_possible(
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -18,8 +18,8 @@
 from gullhold.rollout.policy_change import OnSilence, Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.testing import load_client
-from gullhold.testing.budget_checker import most_at_once
-from gullhold.testing.rollout_checker import by_policy
+from gullhold.testing.budget_checker import peak_threads
+from gullhold.testing.rollout_checker import attempts_with_policy
 
 
 @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
         time.sleep(0.4)
         stop_clients(clients)
         check_run(fleet, [20], strict=True)
-        assert by_policy(fleet.engines, [20])[-1][1] == 1
+        assert attempts_with_policy(fleet.engines, [20])[-1][1] == 1
 
 
 def test_a_member_cut_off_after_voting_ready_rejects_requests_once_its_lease_expires():
@@ -185,8 +185,8 @@
         time.sleep(1.5)
         stop_clients(clients)
         attempts = fleet.engines[0].attempts
-        assert most_at_once(attempts)[0] <= 12
+        assert peak_threads(attempts)[0] <= 12
         assert (
-            3 <= most_at_once([attempt for attempt in attempts if attempt.started_at > decided + 0.5])[0] <= 5
+            3 <= peak_threads([attempt for attempt in attempts if attempt.started_at > decided + 0.5])[0] <= 5
         )
         check_run(fleet, [20], strict=True)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -36,15 +36,15 @@
     simulated_rollout_member,
 )
 from gullhold.testing.action_kind import ActionKind
-from gullhold.testing.rollout_checker import RolloutChecker, measure_mixture
+from gullhold.testing.rollout_checker import RolloutChecker, measure_overlap
 from gullhold.testing.walking import FindingKind
 
 VERSION = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
 
 
 def test_the_checkers_find_mixed_policies_and_decisions_without_all_votes():
-    assert measure_mixture([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
-    assert measure_mixture([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
+    assert measure_overlap([(1.0, 0), (2.0, 1), (2.5, 0), (3.0, 1)]) == (1, 500.0)
+    assert measure_overlap([(1.0, 0), (2.0, 1), (3.0, 2)]) == (0, 0)
     change = PolicyChange(VERSION, ChangeState.DECIDED)
 
     def journal_line(key, value, lease=0):
@@ -77,21 +77,21 @@
 )
 def test_a_canary_runs_on_some_members_and_the_change_is_dropped_when_it_fails_there(text, is_decided):
     world = rollout_world.World(Overlap.LOOSE, faults=0)
-    world.calm()
+    world.settle()
     world.act(ActionKind.PROPOSE, text)
     states = set()
     for _ in range(16):
-        world.act(ActionKind.TIME)
+        world.act(ActionKind.ADVANCE_TIME)
         while action := world.next_orderly_action():
             world.act(*action)
-        item = world.model.keys.get(CHANGE_KEY)
+        item = world.store.keys.get(CHANGE_KEY)
         if item:
             states.add(decode_change(item.value).state)
-        numbers = [member.number for member in world.members if member.number]
-        assert len(numbers) <= 1 or world.decided
-    world.calm()
-    world.settled()
-    assert world.decided == (1 if is_decided else 0)
+        numbers = [member.version_number for member in world.members if member.version_number]
+        assert len(numbers) <= 1 or world.version_in_force
+    world.settle()
+    world.check_settled()
+    assert world.version_in_force == (1 if is_decided else 0)
     assert (ChangeState.CANARY in states) == (text != rollout_world.REFUSED_TEXT)
 
 
@@ -163,7 +163,7 @@
 
 def test_a_member_without_a_vote_to_write_steps_when_it_is_to_read_the_policy_again():
     world = rollout_world.World(Overlap.LOOSE, faults=0)
-    world.calm()
+    world.settle()
     for member in world.members:
         now = member()
         assert member.decisions.due(now) == max(now, member.decisions.refresh_at)
@@ -218,7 +218,7 @@
 
 @pytest.mark.parametrize("name", [name for name in rollout_mutants.MUTANTS if name != "IgnoresEnrollment"])
 def test_the_walks_find_change_mutants(name):  # benchmarks.policy_rollout finds the other one: 610 walks
-    finding = rollout_mutants.find(name, 250, 500)
+    finding = rollout_mutants.find_detecting_walk(name, 250, 500)
     assert finding is not None, finding
     assert finding.kind is FindingKind.VIOLATION, finding
 
@@ -243,7 +243,7 @@
     ],
 )
 def test_the_walks_find_reallocation_mutants(name):  # benchmarks.budgets finds those left out
-    finding = budget_mutants.find(name, 60, 800)
+    finding = budget_mutants.find_detecting_walk(name, 60, 800)
     assert finding is not None
     if name not in FOUND_BY_A_CRASH:
         assert finding.kind is FindingKind.VIOLATION, finding
