--- a/benchmarks/decision_exploration.py
+++ b/benchmarks/decision_exploration.py
@@ -13,8 +13,8 @@
 class ExplorationSize(NamedTuple):
     """How much is explored.
 
-    walks_per_job: random walks of each job in the process pool; jobs: their number; max_mutant_walks: the most
-    walks taken to find one mutant; max_states: the number of states at which a systematic search stops.
+    walks_per_job: random walks of each job in the pool; jobs: their number; max_mutant_walks: the most walks
+    taken to find one mutant; max_states: the number of states at which a systematic search stops.
     """
 
     walks_per_job: int
@@ -27,7 +27,7 @@
     """What is explored. All functions are called in other processes, so they have to be picklable.
 
     walk(seed): one random walk; returns hashes of the states that it reached, or raises InvariantError.
-    find_mutant: for each mutant by its name, a search for a walk that finds it. searches: systematic searches.
+    find_mutant: by mutant's name, a search for a walk that finds the mutant. searches: systematic searches.
     """
 
     walk: Callable[[int], set[int]]
