--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -134,7 +134,10 @@
     served_s = result.cpu_s / sum(count.answered for count in result.counts)
     with run_gateway() as running:
         crowding = make_crowding_client(
-            running, *REJECTED_CROWD, retry_rule=load_client.RetryRule.IMMEDIATELY, tries=UNLIMITED_ATTEMPTS
+            running,
+            *REJECTED_CROWD,
+            retry_rule=load_client.RetryRule.IMMEDIATELY,
+            max_attempts=UNLIMITED_ATTEMPTS,
         )
         result = measure(running, [crowding], seconds)
     (count,) = result.counts
