--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -36,7 +36,7 @@
 REFIT_US = 10_000_000  # us between fits of an engine's limit
 SAMPLE_US = 800_000  # us that one sample takes: long enough for a few commands to end
 MIN_SAMPLED_LIMIT = 4  # threads; no samples are taken at this limit or a lower one
-SAMPLE_SHARES = {  # of the limit; the samples have to lie far apart
+SAMPLE_SHARES = {  # part of the limit at which each sample is taken; the samples have to lie far apart
     SampleStage.AT_LIMIT: 1.0,
     SampleStage.AT_UPPER: 0.7,
     SampleStage.AT_LOWER: 0.4,
--- a/gullhold/decisions/dataset_engines.py
+++ b/gullhold/decisions/dataset_engines.py
@@ -5,7 +5,9 @@
 from gullhold.decisions.engine import Engine
 
 MIN_PREFERRED_ENGINES = 3  # engines that any data set prefers
-INITIAL_COMMANDS = 20  # added to the total, so that the first few commands do not prefer many engines
+INITIAL_COMMANDS = (
+    20  # commands added to the total, so that the first few commands do not prefer many engines
+)
 PREFERRED_SHARE_FACTOR = 2.0  # ratio of a data set's share of the engines to its share of the commands
 MAX_COUNTED_COMMANDS = 400  # commands after which all counts are halved
 MIN_KEPT_COUNT = 0.5  # commands; a lower count is dropped when counts are halved
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -28,7 +28,7 @@
         self._estimates = estimates
         self._failing: set[Engine] = set()  # engines with failures
         self._stalled: set[Engine] = set()  # engines with stalled attempts
-        self.median_failure_rate = 0.0  # of the ready engines
+        self.median_failure_rate = 0.0  # median of the ready engines' failure rates
 
     def record_listed(self, engine: Engine) -> None:
         """Count an engine that has become ready again among those with failures, if it has any."""
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -19,7 +19,7 @@
 from gullhold.decisions.slow_start import SlowStart
 from gullhold.interface import Agreement, BudgetKind, DeduplicationScope, EngineState
 
-MANY_ENGINES = MAX_RANKED_ENGINES  # with more engines, commands return to those used recently
+MANY_ENGINES = MAX_RANKED_ENGINES  # with more engines than this, commands return to those used recently
 MAX_RANDOM_DRAWS = 4  # engines drawn independently of one another
 MAX_SCANNED_ENGINES = 128  # engines scanned after that, from a random start: more than most deployments have
 CANDIDATES = 2  # engines to choose from: the power of two choices
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -70,7 +70,7 @@
     """Kinds of budgets that the gateways of a fleet share.
 
     The subject of a budget is the id of an engine, the index of a tenant, or 0. Budgets of what is in use at
-    the same time: THREADS and MEMORY (MB) of an engine, OPEN_COMMANDS of a tenant. Budgets of what is spent
+    one time: THREADS and MEMORY (MB) of an engine, OPEN_COMMANDS of a tenant. Budgets of what is spent
     over a window: RETRIES; WARMUP, in millionths of the work that a warming engine can take; ADMISSIONS of a
     tenant; DISCOVERY_CALLS. Divided by weight: TRAFFIC_SHARE, in millionths of the fleet's traffic.
     """
@@ -159,7 +159,7 @@
 
     id: int
     zone: int
-    weight: float  # as listed; no decision depends on it
+    weight: float  # as the list states it; no decision depends on it
     kind: int
     state: EngineState
     cell: int
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -21,9 +21,9 @@
     from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import AdmissionQueueRecord, FleetRecord
 
-LISTEN_RETRY_LIMIT_S = 5.0  # for retries while the address is in use or sockets are short
+LISTEN_RETRY_LIMIT_S = 5.0  # time for retries while the address is in use or sockets are short
 STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory for waiting statements, as much again for unread answers
-# For everything but client and engine connections: standard streams, listener, discovery, spare ones.
+# Descriptors for all but client and engine connections: standard streams, listener, discovery, spare ones.
 RESERVED_DESCRIPTORS = 16
 CLIENT_SOCKETS_DIVISOR = 2  # half of the sockets for clients, which usually need at most a third
 RESULTS_PER_MESSAGE = 2  # the largest message, with its other fields, has room for so many results
@@ -45,7 +45,7 @@
 
     def background_threads(self) -> dict[str, Callable[[], None]]:
         """Return the functions of all threads but the core's, by thread name, in the order of their start."""
-        assert self.core.flusher is not None, "build_parts() sets it"
+        assert self.core.flusher is not None, "the core has no flusher, although build_parts() sets it"
         return {
             "listener": self.listener.run,
             "coordinator": self.discovery_client.run,
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -13,8 +13,8 @@
     from gullhold.net.client_connection import ClientConnection
 
 # Field id and type of arguments; FIELDS_ARGUMENT of execute is defined in received_call.
-SEQUENCE_ID_ARGUMENT = (1, thrift.I32)  # of interrupt
-STATEMENT_ARGUMENT = (2, thrift.STRING)  # of execute
+SEQUENCE_ID_ARGUMENT = (1, thrift.I32)  # field id and type of the argument of interrupt
+STATEMENT_ARGUMENT = (2, thrift.STRING)  # field id and type of the second argument of execute
 
 
 class ClientCalls:
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -164,7 +164,7 @@
         read. What is read here arrived after we shut down our side: the client sends it again to another
         gateway, so it is never handled.
         """
-        deadline_s = time.monotonic() + MESSAGE_TIMEOUT_S  # for writing the buffered answers
+        deadline_s = time.monotonic() + MESSAGE_TIMEOUT_S  # deadline for writing the buffered answers
         is_end_awaited = False  # our side is shut down; the peer's end of stream is due
         with suppress(OSError):
             set_read_timeout(self.connection.sock, int(POLL_INTERVAL_S * 1e6))
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -219,7 +219,10 @@
             try:
                 count = self.decoder.buffer.receive(sock)
             except BlockingIOError:
-                raise ProtocolError("the rest of a reply did not arrive within the connect timeout") from None
+                raise ProtocolError(
+                    "the rest of a reply did not arrive within the connect timeout of"
+                    f" {self.core.agreement.connect_timeout_us} us"
+                ) from None
             if not count:
                 return ConnectionEnd.CLOSED_BY_PEER
             self.deliver()
--- a/gullhold/net/engine_health.py
+++ b/gullhold/net/engine_health.py
@@ -20,7 +20,7 @@
     sweep_interval_us: int  # time between two checks of all connections: the connect timeout
     attempts_when_shared: int  # most attempts on one shared connection; few, so that few are lost with it
     silent_after_us: int  # a working connection with an open attempt gets a reply within this time
-    lost_after_us: int  # by then two status notes are missing; 0: engines send none
+    lost_after_us: int  # time without replies by which two status notes are missing; 0: engines send none
 
     @classmethod
     def from_agreement(cls, agreement: Agreement) -> "ConnectionLimits":
--- a/gullhold/net/event_loop.py
+++ b/gullhold/net/event_loop.py
@@ -17,7 +17,7 @@
 # Lateness of a step that counts as a stall: far more than a step takes, a fifth of the usual drain grace.
 STALL_US = 100_000
 MAX_CATCH_UP_US = 500_000  # longest wait for the discovery thread after a stall
-CATCH_UP_POLL_INTERVAL_S = 0.001  # between checks whether the discovery thread has caught up
+CATCH_UP_POLL_INTERVAL_S = 0.001  # time between checks whether the discovery thread has caught up
 FAILURE_DELAY_S = 0.001  # time between a failed step and the next
 CLOCK_OFFSET_NS = time.time_ns() - time.monotonic_ns()  # wall clock minus monotonic clock at the start
 
--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -20,7 +20,7 @@
 LOG_LEVEL_VARIABLE = "GULLHOLD_LOG"
 DEFAULT_LOG_LEVEL = "INFO"
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
-FLEET_END_TIMEOUT_S = 1.0  # for writing the results of scheduled commands: a few calls of the store
+FLEET_END_TIMEOUT_S = 1.0  # time for writing the results of scheduled commands: a few calls of the store
 FAILURE_DELAY_S = 0.01  # pause of the main thread after an unexpected exception
 
 
@@ -32,7 +32,7 @@
         # Taken before the file is read: if the file is replaced meanwhile, its version differs.
         version = file_version(path) if path else None
         self.configuration = load_configuration(path)
-        assert path, "load_configuration() raises for an empty path"
+        assert path, "the path is empty, although load_configuration() raises for that"
         operator_file = load_operator_file(operator_path)
         self._parts = build_parts(self.configuration, operator_file.door if operator_file else None)
         self.core = self._parts.core
--- a/gullhold/net/service.py
+++ b/gullhold/net/service.py
@@ -13,7 +13,7 @@
 
 THREAD_STACK_BYTES = 256 * 1024  # address space; only pages that are used take memory
 SWITCH_INTERVAL_S = 0.001  # how long a thread may keep the interpreter lock; less than network delays
-LOG_END_TIMEOUT_S = 0.2  # for writing the lines that are still queued at the end
+LOG_END_TIMEOUT_S = 0.2  # time for writing the lines that are still queued at the end
 STATUS_FAILED = 1  # exit status: a thread could not be started
 STATUS_UNUSABLE = 2  # exit status: the configuration can't be used
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -46,7 +46,7 @@
                 row for i, item in enumerate(node) for row in lines(item, f"{path}.{i}")
             ]
         if isinstance(node, list):
-            node = ",".join(str(item) for item in node)
+            node = ",".join(str(scalar) for scalar in node)
         return [f"{path}={str(node).lower() if isinstance(node, bool) else node}"]
 
     agreement = read_agreement(tree)
