--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -117,7 +117,7 @@
         check_page(rows)
         attempt.pages.append(rows)
         attempt.result_bytes += len(rows)
-        # MAX_RESULT_BYTES also limits the number of pages, as if each had a byte.
+        # MAX_RESULT_BYTES also limits the number of pages: each is taken to have at least one byte.
         if attempt.result_bytes > self.core.max_message_bytes or attempt.page_count > MAX_RESULT_BYTES:
             raise ProtocolError(
                 f"a result of {attempt.result_bytes} bytes (limit {self.core.max_message_bytes})"
--- a/gullhold/net/request_reader.py
+++ b/gullhold/net/request_reader.py
@@ -17,9 +17,7 @@
 NUMBER_PATTERN = re.compile(rb"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,2})?\Z")
 TRANSACTION_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}\Z")
 IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-+\--<>-~]*\Z")  # printable; "," and "=" separate RESP fields
-MAX_TIMEOUT_FACTOR = (
-    2  # a client timeout may be this many times the longest one of any profile: clients round up
-)
+MAX_TIMEOUT_FACTOR = 2  # clients may round a timeout up, to twice the longest one of any profile at most
 NO_ORDERING_KEY = 0  # key of a command that may run beside any other
 
 
