--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -104,7 +104,10 @@
 
 
 def test_retry_is_sent_only_when_the_abort_of_the_first_attempt_is_confirmed(start_gateway):
-    """The two use different connections: in one of some hundred attempts the retry overtook the abort."""
+    """Guards against a retry that overtakes the abort, as each is sent on a connection of its own.
+
+    That happened in one of some hundred attempts.
+    """
     engines = [Engine(endless, ok()), Engine(endless, ok())]
     for engine in engines:
         engine.alive_delay_s = 0.2
