--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -9,7 +9,7 @@
 from gullhold.testing import load_client
 from gullhold.testing.budget_checker import AllocationHistory, most_at_once, most_in_window, retries
 from gullhold.testing.counting_engine import CountingEngine
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 
 TOTALS = {"threads": 24, "further": 20, "taken": 400}  # of the budgets, by their kind
 RETRY_WINDOW_S = 2.0
@@ -23,7 +23,7 @@
 class FaultRun:
     """Demand that moves between gateways while drawn faults strike."""
 
-    def __init__(self, rig: Rig, draw: random.Random) -> None:
+    def __init__(self, rig: FleetRig, draw: random.Random) -> None:
         self.rig = rig
         self.draw = draw
         self.clients: list[load_client.LoadClient] = []
@@ -36,7 +36,7 @@
             self._start_client(name, open_commands)
         paused, cut, killed = self.draw.sample(rig.names, 3)
         rig.pause(paused)
-        rig.cut(cut, sides=CUT_DIRECTIONS[turn % 2])
+        rig.cut(cut, directions=CUT_DIRECTIONS[turn % 2])
         self._strike(turn, killed)
         time.sleep(FAULTS_LAST_S)
         stop_clients(self.clients[:-KEPT_CLIENTS])
@@ -60,18 +60,18 @@
             case 0:
                 self.rig.kill(victim)
             case 1:
-                self.rig.faults(lose=8, stale=3, behind=4)
+                self.rig.inject_store_faults(lose=8, stale=3, behind=4)
             case _:
-                self.rig.kill_register()
-                self.rig.start_register()
+                self.rig.kill_store()
+                self.rig.start_store()
 
 
-def judge(rig: Rig) -> dict[str, Any]:
+def judge(rig: FleetRig) -> dict[str, Any]:
     """The figures of a run: what engines counted, the store's journal shows and the gateways logged."""
     peaks = [most_at_once(engine.attempts).amount for engine in rig.engines]
     retried = retries(rig.engines)
     most_retries = most_in_window(retried, RETRY_WINDOW_S).amount
-    history = AllocationHistory(rig.lines())
+    history = AllocationHistory(rig.journal_lines())
     over_total = sum(peak > TOTALS["threads"] for peak in peaks)
     over_total += most_retries > TOTALS["further"]
     over_total += sum(most > TOTALS[budget.partition("/")[0]] for budget, most in history.most.items())
--- a/benchmarks/budget_rig.py
+++ b/benchmarks/budget_rig.py
@@ -8,7 +8,7 @@
 from gullhold.testing import load_client
 from gullhold.testing.budget_checker import AllocationHistory
 from gullhold.testing.counting_engine import CountingEngine
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 
 CORES = 60  # of an engine: the decisions' limit is two threads a core
 TOTAL_THREADS = 2 * CORES  # of the fleet on one engine
@@ -34,8 +34,8 @@
     adjust: Callable[[dict[str, Any]], None] | None = None,
     make: Callable[[int], CountingEngine] = make_counting_engine,
     **options: Any,
-) -> Rig:
-    """A fleet of so many gateways. adjust(settings) changes these; make(seed): an engine; options: of Rig."""
+) -> FleetRig:
+    """A fleet of so many gateways. adjust(settings) changes these; make(seed): an engine; options: FleetRig's."""
 
     def adjust_all(settings: dict[str, Any]) -> None:
         settings["balancers"] = members
@@ -43,16 +43,23 @@
         if adjust:
             adjust(settings)
 
-    return Rig(members=members, budgets=budgets, engines=engines, adjust=adjust_all, make=make, **options)
+    return FleetRig(
+        members=members,
+        budgets=budgets,
+        engines=engines,
+        adjust_settings=adjust_all,
+        make_engine=make,
+        **options,
+    )
 
 
-def start_client(rig: Rig, member: str, seed: int, **options: Any) -> load_client.LoadClient:
+def start_client(rig: FleetRig, member: str, seed: int, **options: Any) -> load_client.LoadClient:
     """Start a client of one gateway; options: of the client, in place of those given here."""
     options = {"open": 60, "connections": 2, "work_ms": 100.0, "limit_ms": 1500} | options
     return fleet_load.start_client(rig, member, f"c{seed}", seed, **options)
 
 
-def allocations(rig: Rig) -> dict[str, int]:
+def allocations(rig: FleetRig) -> dict[str, int]:
     """Each member's allocation of the one engine's threads, by name."""
-    history = AllocationHistory(rig.lines())
+    history = AllocationHistory(rig.journal_lines())
     return history.now(next(iter(history.most), ""))
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -18,7 +18,7 @@
 from benchmarks.fleet_load import count_store_calls, measure_answered_share, stop_clients
 from benchmarks.harness import rounded_quantile
 from gullhold.testing.budget_checker import AllocationHistory
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.running import cpu_s
 
 SHARED_THREADS = 24  # of two members, one of which ends
@@ -58,7 +58,7 @@
     bytes: int
 
 
-def _share_in_use(rig: Rig, began: float, ended: float) -> float:
+def _share_in_use(rig: FleetRig, began: float, ended: float) -> float:
     """The mean of the threads in use on the first engine between two Unix times, as a share of the total."""
     in_use_s = 0.0
     for flight in rig.engines[0].attempts:
@@ -86,9 +86,9 @@
         return round(share, 4)
 
 
-def _taken_over_at(rig: Rig, member: str, after: float) -> float:
+def _taken_over_at(rig: FleetRig, member: str, after: float) -> float:
     """The Unix time at which a member was first written to have taken over, after another one."""
-    for at, by_budget in AllocationHistory(rig.lines()).history:
+    for at, by_budget in AllocationHistory(rig.journal_lines()).history:
         if at <= after:
             continue
         allocated = 0
@@ -99,7 +99,7 @@
     raise AssertionError(f"{member} was never given {TAKEN_OVER}")
 
 
-def _end_and_measure(rig: Rig, is_kill: bool) -> float:
+def _end_and_measure(rig: FleetRig, is_kill: bool) -> float:
     """End n0, and wait until n1 has its threads; the time from the end to that, in s."""
     began = time.time()
     if is_kill:
@@ -107,7 +107,7 @@
     else:
         rig.stop("n0")
     ended = time.time()
-    rig.until(lambda: allocations(rig).get("n1", 0) >= TAKEN_OVER)
+    rig.wait_until(lambda: allocations(rig).get("n1", 0) >= TAKEN_OVER)
     return max(0.0, _taken_over_at(rig, "n1", began) - ended)
 
 
@@ -119,7 +119,7 @@
         rig.start()
         clients = [start_client(rig, name, seed, open=40) for seed, name in enumerate(("n0", "n1"))]
         for turn in range(turns):
-            rig.until(lambda: min(allocations(rig).get(name, 0) for name in ("n0", "n1")) > BOTH_BUSY)
+            rig.wait_until(lambda: min(allocations(rig).get(name, 0) for name in ("n0", "n1")) > BOTH_BUSY)
             time.sleep(0.2)
             is_kill = turn % 2 == 0
             waited_s = _end_and_measure(rig, is_kill)
@@ -145,13 +145,13 @@
         category["aim"] = LATENCY_OBJECTIVE_S
 
 
-def _count_overloads(rig: Rig, engine: int) -> int:
+def _count_overloads(rig: FleetRig, engine: int) -> int:
     """Commands by which a warming engine had more work in a second than it can take.
 
     Its capacity grows half as fast as a line.
     """
     work = [(flight.started_at, flight.work_ms / 1000) for flight in rig.engines[engine].attempts]
-    started_at = rig.born_ms[engine] / 1000
+    started_at = rig.engine_start_ms[engine] / 1000
     overloads = 0
     for at, _ in work:
         grown = (1 - WARMUP_INITIAL_SHARE) / 2 * (at - started_at) / WARMUP_S
@@ -165,7 +165,7 @@
     """Commands answered in the objective under uneven traffic, with one engine slow and one warming up."""
     with make_rig(MEMBERS, budgets, engines=3, adjust=_use_warmup_rules) as rig:
         rig.engines[1].pace = 0.5
-        rig.born_ms[2] = int(time.time() * 1000)
+        rig.engine_start_ms[2] = int(time.time() * 1000)
         rig.start(operator=bool(budgets))
         load = {"work_ms": 250.0, "limit_ms": 900}
         clients = [start_client(rig, "n0", 1, rate=170.0, connections=4, **load)]
@@ -191,18 +191,18 @@
             for seed, name in enumerate(rig.names)
         ]
         time.sleep(1.0)
-        rig.kill_register()
+        rig.kill_store()
         time.sleep(STORE_LOSS_S)
         share = measure_answered_share(clients, seconds)
         stop_clients(clients)
-        rig.start_register()
+        rig.start_store()
         return share
 
 
 class CostMeter:
     """CPU and answers of a gateway in a fleet of its own, over the periods between begin() and end()."""
 
-    def __init__(self, rig: Rig) -> None:
+    def __init__(self, rig: FleetRig) -> None:
         """Start the gateway and its load."""
         rig.start()
         self.pid = rig.members["n0"].process.pid
@@ -229,7 +229,7 @@
 def measure_command_cost(seconds: float) -> CommandCost:
     """CPU of a command with budgets over that without, with the default times of a fleet."""
     budgets = [threads_budget(), windowed_budget("further", 1000, "5s")]
-    times = {"lease_s": 5, "look": "100ms"}
+    times = {"lease_s": 5, "budget_check_interval": "100ms"}
     with make_rig(1, budgets, **times) as rig_with, make_rig(1, [], **times) as rig_without:
         meters = [CostMeter(rig_with), CostMeter(rig_without)]
         for _ in range(2):  # both are under the same load at the same time
@@ -247,13 +247,13 @@
     """What one member costs the store while demand alternates."""
     with make_rig(members, [threads_budget(48)], engines=2) as rig:
         rig.start()
-        rig.until(lambda: len(allocations(rig)) == members)
+        rig.wait_until(lambda: len(allocations(rig)) == members)
         calls_before = count_store_calls(rig)
-        bytes_before = AllocationHistory(rig.lines()).bytes
+        bytes_before = AllocationHistory(rig.journal_lines()).bytes
         for turn in range(2):
             client = start_client(rig, f"n{turn}", turn, work_ms=60.0)
             time.sleep(seconds / 2)
             stop_clients([client])
         calls = count_store_calls(rig) - calls_before
-        size = AllocationHistory(rig.lines()).bytes - bytes_before
+        size = AllocationHistory(rig.journal_lines()).bytes - bytes_before
         return MemberCost(round(calls / members / seconds, 2), round(size / members / seconds))
--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -6,7 +6,7 @@
 
 from gullhold.testing import gateway_log, load_client
 from gullhold.testing.counting_engine import CountingEngine
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 
 ENGINE_SLOTS = 400  # so many that an engine never queues
 
@@ -16,7 +16,7 @@
     return CountingEngine(slots=ENGINE_SLOTS, seed=seed)
 
 
-def start_client(rig: Rig, member: str, name: str, seed: int, **options: Any) -> load_client.LoadClient:
+def start_client(rig: FleetRig, member: str, name: str, seed: int, **options: Any) -> load_client.LoadClient:
     """Start a client of one gateway that does not retry; options: of the client."""
     options = {"retry_rule": load_client.RetryRule.NEVER} | options
     return load_client.LoadClient(rig.members[member].address, "", name, seed=seed, **options).start()
@@ -45,11 +45,11 @@
     return answered_share(clients)
 
 
-def count_store_calls(rig: Rig) -> int:
+def count_store_calls(rig: FleetRig) -> int:
     """Calls that the fleet's store has had, of all kinds."""
-    return sum(rig.counts().values())
+    return sum(rig.store_call_counts().values())
 
 
-def count_fault_lines(rig: Rig) -> int:
+def count_fault_lines(rig: FleetRig) -> int:
     """Lines in the gateways' logs that say that the program itself went wrong."""
     return sum(len(gateway_log.fault_lines(member.log_text())) for member in rig.members.values())
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -14,7 +14,7 @@
     stop_clients,
 )
 from benchmarks.harness import rounded_quantile
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.fleet_checker import Check, marks, sent
 from gullhold.testing.running import cpu_s, resident_mb
 
@@ -54,31 +54,37 @@
         scheduled_command(kind, number) for kind in PROFILES for number in range(COMMANDS_PER_PROFILE)
     ]
     roles = FAULTY_HEARTBEATS + len(scheduled)
-    rig = Rig(members=FAULTY_MEMBERS, beats=FAULTY_HEARTBEATS, beat_ms=40, scheduled=scheduled, seed=seed)
+    rig = FleetRig(
+        members=FAULTY_MEMBERS,
+        heartbeat_roles=FAULTY_HEARTBEATS,
+        heartbeat_ms=40,
+        scheduled=scheduled,
+        seed=seed,
+    )
     with rig:
         rig.start()
-        rig.until(lambda: len(rig.owners()) == roles)
+        rig.wait_until(lambda: len(rig.leaders()) == roles)
         for turn in range(rounds):
             _run_one_fault(rig, draw.sample(rig.names, 4), turn)
-        rig.until(lambda: len(rig.owners()) == roles)
+        rig.wait_until(lambda: len(rig.leaders()) == roles)
         time.sleep(1.5)
         rig.stop(*rig.names)
         return judge(rig, [item["name"].strip('"') for item in scheduled])
 
 
-def _run_one_fault(rig: Rig, names: list[str], turn: int) -> None:
+def _run_one_fault(rig: FleetRig, names: list[str], turn: int) -> None:
     """One is cut off one way, one both ways, one sleeps, and by turns one is killed, or the store fails."""
     cut_one_way, cut_off, sleeper, victim = names
-    rig.cut(cut_one_way, sides=("there",))
+    rig.cut(cut_one_way, directions=("there",))
     rig.cut(cut_off)
     rig.pause(sleeper)
     if turn % 3 == 0:
         rig.kill(victim)
     elif turn % 3 == 1:
-        rig.faults(lose=6, stale=3, behind=4)
+        rig.inject_store_faults(lose=6, stale=3, behind=4)
     else:
-        rig.kill_register()
-        rig.start_register()
+        rig.kill_store()
+        rig.start_store()
     time.sleep(FAULT_S)
     rig.heal(cut_one_way)
     rig.heal(cut_off)
@@ -88,9 +94,9 @@
     time.sleep(RECOVERY_S)
 
 
-def judge(rig: Rig, commands: Iterable[str]) -> dict[str, Any]:
+def judge(rig: FleetRig, commands: Iterable[str]) -> dict[str, Any]:
     """What the store's journal and the engines' records say of a run."""
-    check = Check(rig.lines())
+    check = Check(rig.journal_lines())
     occurrences = check.occurrences()
     late_effects = [line for line in check.broken if "token" in line or "effect" in line]
     for line in check.broken[:5]:
@@ -111,7 +117,7 @@
     }
 
 
-def _count_repeats(rig: Rig, occurrences: dict[tuple[str, int], Any]) -> int:
+def _count_repeats(rig: FleetRig, occurrences: dict[tuple[str, int], Any]) -> int:
     """Attempts of non-idempotent commands beyond those that their records allow for."""
     repeats = 0
     for statement, attempts in sent(rig.engines).items():
@@ -124,7 +130,7 @@
     return repeats
 
 
-def _count_late_repeats(rig: Rig) -> int:
+def _count_late_repeats(rig: FleetRig) -> int:
     """Idempotency keys that were sent over a longer time than engines remember them."""
     late = 0
     for attempts in marks(rig.engines).values():
@@ -161,7 +167,7 @@
     """End one leader after another, by turns with SIGKILL and SIGTERM."""
     after_kill: list[float] = []
     after_sigterm: list[float] = []
-    with Rig(members=MEMBERS, beats=HEARTBEATS, beat_ms=40) as rig:
+    with FleetRig(members=MEMBERS, heartbeat_roles=HEARTBEATS, heartbeat_ms=40) as rig:
         rig.start()
         _wait_for_leaders(rig)
         for turn in range(count):
@@ -170,26 +176,26 @@
             times = _run_one_handover(rig, rig.names[turn % MEMBERS], is_kill)
             (after_kill if is_kill else after_sigterm).extend(times)
             _wait_for_leaders(rig)
-        broken = Check(rig.lines()).broken
+        broken = Check(rig.journal_lines()).broken
     return Handovers(rounded_quantile(after_kill), rounded_quantile(after_sigterm), len(broken))
 
 
-def _wait_for_leaders(rig: Rig) -> None:
+def _wait_for_leaders(rig: FleetRig) -> None:
     """Wait until every member leads some role."""
-    rig.until(lambda: len({member for member, _ in rig.owners().values()}) == len(rig.names))
+    rig.wait_until(lambda: len({member for member, _ in rig.leaders().values()}) == len(rig.names))
 
 
-def _run_one_handover(rig: Rig, name: str, is_kill: bool) -> list[float]:
+def _run_one_handover(rig: FleetRig, name: str, is_kill: bool) -> list[float]:
     """The time of each role that the member led, in leases; then it is started again."""
-    roles = {role for role, (member, _) in rig.owners().items() if member == name}
+    roles = {role for role, (member, _) in rig.leaders().items() if member == name}
     ended_at = time.time()
     if is_kill:
         rig.kill(name)
     else:
         rig.members[name].terminate()
-    rig.until(lambda: all(rig.owners().get(role, (name, 0))[0] != name for role in roles))
+    rig.wait_until(lambda: all(rig.leaders().get(role, (name, 0))[0] != name for role in roles))
     time.sleep(0.3)
-    handovers = Check(rig.lines()).handovers()
+    handovers = Check(rig.journal_lines()).handovers()
     times = []
     for role in roles:
         first_effects = [
@@ -213,10 +219,12 @@
 
 def run_idle(seconds: float, members: int = 12) -> IdleCost:
     """So many idle members beside a gateway without a fleet."""
-    with Rig(members=members + 1, lease_s=5, beats=IDLE_HEARTBEATS, beat_ms=IDLE_PERIOD_MS) as rig:
+    with FleetRig(
+        members=members + 1, lease_s=5, heartbeat_roles=IDLE_HEARTBEATS, heartbeat_ms=IDLE_PERIOD_MS
+    ) as rig:
         rig.start(*rig.names[:members])
         rig.start(rig.names[members], operator=False)
-        rig.until(lambda: len(rig.owners()) == IDLE_HEARTBEATS)
+        rig.wait_until(lambda: len(rig.leaders()) == IDLE_HEARTBEATS)
         time.sleep(1)
         pids = [rig.members[name].process.pid for name in rig.names]
         calls_before = count_store_calls(rig)
@@ -240,16 +248,16 @@
 def run_service(seconds: float) -> ServiceShares:
     """The same load with the store alive and dead."""
     load = {"work_ms": 20.0, "limit_ms": 500, "rate": 40.0}
-    with Rig(members=3, beats=6) as rig:
+    with FleetRig(members=3, heartbeat_roles=6) as rig:
         rig.start()
         clients = [
             start_client(rig, name, f"c{number}", number, **load) for number, name in enumerate(rig.names)
         ]
         time.sleep(0.5)
         share_alive = measure_answered_share(clients, seconds)
-        rig.kill_register()
+        rig.kill_store()
         time.sleep(STORE_LOSS_S)
         share_dead = measure_answered_share(clients, seconds)
         stop_clients(clients)
-        rig.start_register()
+        rig.start_store()
     return ServiceShares(round(share_dead / share_alive, 4), [round(share_alive, 4), round(share_dead, 4)])
--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -20,7 +20,7 @@
 from gullhold.rollout.policy_version import PolicyError
 from gullhold.testing import load_client
 from gullhold.testing.budget_checker import AllocationHistory, most_at_once
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
 TOTAL_THREADS = 24  # of the fleet's budget
@@ -85,14 +85,14 @@
     with make_fleet(MEMBERS, budgets=budgets, seed=seed) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
-        policies = PolicyClient(rig.register_address, FLEET_NAME)
+        policies = PolicyClient(rig.store_address, FLEET_NAME)
         clients = start_load(rig, rig.names)
         for turn in range(count):
             outcome = _change_with_fault(rig, policies, turn, draw)
             if outcome is None:
                 continue
             outcomes.append(outcome)
-            if RolloutChecker(rig.lines()).outcomes.get(outcome.number) == "decided":
+            if RolloutChecker(rig.journal_lines()).outcomes.get(outcome.number) == "decided":
                 applied.append(AppliedChange(FIRST_GRANT_MB + turn, outcome.overlap))
         time.sleep(0.5)
         wait_for_version(rig, policies.current().number, rig.names)
@@ -100,7 +100,9 @@
         return judge(rig, clients, outcomes, applied)
 
 
-def _change_with_fault(rig: Rig, policies: PolicyClient, turn: int, draw: random.Random) -> Outcome | None:
+def _change_with_fault(
+    rig: FleetRig, policies: PolicyClient, turn: int, draw: random.Random
+) -> Outcome | None:
     """Make one change with a fault; None: it could not be proposed yet."""
     fault = Fault(turn % len(Fault))
     name = draw.choice(rig.names[SURVIVING_MEMBERS:] if fault == Fault.KILL else rig.names)
@@ -118,7 +120,7 @@
     return Outcome(version.number, policies.wait(version.number, OUTCOME_KNOWN_S).status, overlap)
 
 
-def _begin_fault(rig: Rig, fault: Fault, name: str, turn: int) -> None:
+def _begin_fault(rig: FleetRig, fault: Fault, name: str, turn: int) -> None:
     """Let something go wrong, with this gateway where it concerns one."""
     match fault:
         case Fault.KILL:
@@ -126,17 +128,17 @@
         case Fault.PAUSE:
             rig.pause(name)
         case Fault.CUT:
-            rig.cut(name, sides=CUT_DIRECTIONS[turn % len(CUT_DIRECTIONS)])
+            rig.cut(name, directions=CUT_DIRECTIONS[turn % len(CUT_DIRECTIONS)])
         case Fault.LOST_CALLS:
-            rig.faults(lose=5, stale=3, behind=3)
+            rig.inject_store_faults(lose=5, stale=3, behind=3)
         case Fault.STORE_RESTART:
-            rig.kill_register()
-            rig.start_register()
+            rig.kill_store()
+            rig.start_store()
         case Fault.DELAYS:
-            rig.faults(drop=1, delay=0.3, delay_s=0.05)
+            rig.inject_store_faults(drop=1, delay=0.3, delay_s=0.05)
 
 
-def _end_fault(rig: Rig, fault: Fault, name: str) -> None:
+def _end_fault(rig: FleetRig, fault: Fault, name: str) -> None:
     """Mend what does not end by itself."""
     match fault:
         case Fault.KILL:
@@ -148,16 +150,16 @@
 
 
 def judge(
-    rig: Rig,
+    rig: FleetRig,
     clients: Sequence[load_client.LoadClient],
     outcomes: Sequence[Outcome],
     applied: Sequence[AppliedChange],
 ) -> dict[str, Any]:
     """What engines, clients, the store's journal and the gateways' logs say of a run."""
-    check = RolloutChecker(rig.lines())
+    check = RolloutChecker(rig.journal_lines())
     overlaps = measure_overlaps(rig, applied)
     over_on_engine = most_at_once(rig.engines[0].attempts).amount > TOTAL_THREADS
-    over_allocated = max(AllocationHistory(rig.lines()).most.values(), default=0) > TOTAL_THREADS
+    over_allocated = max(AllocationHistory(rig.journal_lines()).most.values(), default=0) > TOTAL_THREADS
     return {
         "changes": len(outcomes),
         "in_force": sum(outcome.status == ExitStatus.IN_FORCE for outcome in outcomes),
@@ -186,7 +188,7 @@
     )
 
 
-def measure_overlaps(rig: Rig, applied: Sequence[AppliedChange]) -> Overlaps:
+def measure_overlaps(rig: FleetRig, applied: Sequence[AppliedChange]) -> Overlaps:
     """How far attempts under the policy before a change and under its own were mixed."""
     attempts = by_policy(rig.engines, [change.grant_mb for change in applied])
     strict_mixed = 0
--- a/benchmarks/policy_rollout_runs.py
+++ b/benchmarks/policy_rollout_runs.py
@@ -18,7 +18,7 @@
 from gullhold.rollout.policy_change import Overlap
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.testing import load_client
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.rollout_checker import RolloutChecker, by_policy
 
 STRICT_OUTCOME_S = 8  # in which a strict change has to be in force with everything up
@@ -57,7 +57,7 @@
     with make_fleet(members) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
-        policies = PolicyClient(rig.register_address, FLEET_NAME)
+        policies = PolicyClient(rig.store_address, FLEET_NAME)
         time.sleep(0.3)
         idle_calls_per_s = _idle_calls_per_s(rig)
         calls_before = count_store_calls(rig)
@@ -66,7 +66,7 @@
         seconds = time.monotonic() - began
         own_calls = count * CALLS_TO_PROPOSE + sum(durations) / POLL_INTERVAL_S
         calls = count_store_calls(rig) - calls_before - idle_calls_per_s * seconds - own_calls
-        held_p99_s = rounded_quantile(RolloutChecker(rig.lines()).stopped_s, 0.99)
+        held_p99_s = rounded_quantile(RolloutChecker(rig.journal_lines()).stopped_s, 0.99)
         return RolloutCost(
             None if held_p99_s is None else round(held_p99_s * 1000, 1),
             rounded_quantile(durations),
@@ -74,7 +74,7 @@
         )
 
 
-def _idle_calls_per_s(rig: Rig) -> int:
+def _idle_calls_per_s(rig: FleetRig) -> int:
     calls_before = count_store_calls(rig)
     time.sleep(1.0)
     return count_store_calls(rig) - calls_before
@@ -94,7 +94,7 @@
     with make_fleet(LOADED_MEMBERS) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
-        policies = PolicyClient(rig.register_address, FLEET_NAME)
+        policies = PolicyClient(rig.store_address, FLEET_NAME)
         clients = start_load(rig, rig.names, LOAD_RATE_PER_S)
         time.sleep(0.5)
         without = _answered_share_during(clients, seconds, lambda _turn: time.sleep(0.05))
@@ -107,12 +107,12 @@
         return Service(round(during / without, 4), return_s, wrong_attempts)
 
 
-def _return_of_member(rig: Rig) -> tuple[float, int]:
+def _return_of_member(rig: FleetRig) -> tuple[float, int]:
     """Start a member that missed a change; return_s and wrong_attempts of Service."""
     began = time.time()
     rig.start(RETURNING_MEMBER)
     clients = start_load(rig, [RETURNING_MEMBER], LOAD_RATE_PER_S)
-    rig.until(lambda: any(attempt.at > began for attempt in by_policy(rig.engines, [MAX_GRANT_MB])))
+    rig.wait_until(lambda: any(attempt.at > began for attempt in by_policy(rig.engines, [MAX_GRANT_MB])))
     time.sleep(0.3)
     first_at = next(flight.started_at for flight in rig.engines[0].attempts if flight.started_at > began)
     stop_clients(clients)
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -69,83 +69,85 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class RigOptions:
-    """What a rig is made of.
-
-    members, engines: their numbers; lease_s: of a member; fleet: more of the operator's file, as text;
-    scheduled, budgets: records of the operator's file; beats, beat_ms: heartbeat roles and their period;
-    timeout_s: of all commands; dedup_s: how long engines remember an idempotency key; drift, policy, look:
-    text of the operator's file under these keys; settle_ms: of roles; moves: of roles, a second;
-    coordinator: address of the discovery service; adjust(settings): changes the settings that gateways are
-    started with; make(seed): makes an engine.
+class FleetRigOptions:
+    """The options of a FleetRig.
+
+    members, engines: their numbers; lease_s: lease of a member; operator_text: further text of the operator
+    file; scheduled, budgets: records of the operator file; heartbeat_roles, heartbeat_ms: number of heartbeat
+    roles and their period; seed: of the engines and gateways; timeout_s: client timeout of all profiles;
+    dedup_s: how long engines remember an idempotency key; drift, policy: text of the operator file under
+    these keys; settle_ms, max_moves_per_s: settling time of roles, and how many may move in a second;
+    budget_check_interval: duration in the operator file; coordinator: address of the discovery service;
+    adjust_settings: changes the settings that gateways are started with, in place; make_engine: makes an
+    engine from a seed.
     """
 
     members: int = 3
     lease_s: int = 1
-    fleet: str = ""
+    operator_text: str = ""
     scheduled: Iterable[dict[str, Any]] = ()
-    beats: int = 0
-    beat_ms: int = 50
+    heartbeat_roles: int = 0
+    heartbeat_ms: int = 50
     engines: int = 2
     seed: int = 1
     timeout_s: float = 3.0
     dedup_s: float = 4.0
     drift: str = "rate: 0.02, margin: 50ms"
     settle_ms: int = 200
-    moves: int = 500
+    max_moves_per_s: int = 500
     budgets: Iterable[dict[str, Any]] = ()
     policy: str = ""
-    look: str = "50ms"
+    budget_check_interval: str = "50ms"
     coordinator: str | None = None
-    adjust: Callable[[dict[str, Any]], Any] = _leave_unchanged
-    make: Callable[[int], RecordingEngine] = _make_recording_engine
+    adjust_settings: Callable[[dict[str, Any]], Any] = _leave_unchanged
+    make_engine: Callable[[int], RecordingEngine] = _make_recording_engine
 
     def operator_values(self) -> dict[str, Any]:
         """Return the values in the operator's file that are the same for all members."""
         return {
             "lease_s": self.lease_s,
-            "look": self.look,
+            "look": self.budget_check_interval,
             "policy": self.policy,
             "drift": self.drift,
             "roles": (
-                f"moves: {self.moves}, settle: {self.settle_ms}ms, "
-                f"beats: {self.beats}, beat: {self.beat_ms}ms"
+                f"moves: {self.max_moves_per_s}, settle: {self.settle_ms}ms, "
+                f"beats: {self.heartbeat_roles}, beat: {self.heartbeat_ms}ms"
             ),
             "schedule": _operator_list(self.scheduled),
-            "more": self.fleet,
+            "more": self.operator_text,
         }
 
 
-class Rig:
-    """A fleet from entering to leaving.
+class FleetRig:
+    """A fleet of gateway processes with its store and engines, which runs inside a `with` block.
 
-    born_ms: start times of engines in Unix ms, by the engine's number; began: Unix s; budgets: may be changed
-    before a member's start.
+    engine_start_ms: start times of engines in Unix ms, by the engine's number; started_at: Unix s; budgets:
+    records of the operator file, read whenever a member starts.
     """
 
     def __init__(self, **options: Any) -> None:
-        """Prepare it; nothing runs yet. options: fields of RigOptions."""
-        self.options = RigOptions(**options)
+        """Prepare it; nothing runs yet. options: fields of FleetRigOptions."""
+        self.options = FleetRigOptions(**options)
         self.lease_s = self.options.lease_s
         self.dedup_s = self.options.dedup_s
         self.folder = tempfile.TemporaryDirectory(prefix="gullhold-fleet-")
         self.path = Path(self.folder.name)
         self.budgets = list(self.options.budgets)
         self.engines = [
-            self.options.make(self.options.seed + number) for number in range(self.options.engines)
+            self.options.make_engine(self.options.seed + number) for number in range(self.options.engines)
         ]
-        self.born_ms: dict[int, int] = {}
+        self.engine_start_ms: dict[int, int] = {}
         self.store_process = StoreProcess(self.path)
         self.names = [f"n{number}" for number in range(self.options.members)]
         self.members: dict[str, Member] = {}
-        self.began = time.time()
+        self.started_at = time.time()
         self._operator_values = self.options.operator_values()
 
     def __enter__(self) -> Self:
         """Start the store."""
-        self.start_register()
+        self.start_store()
         for name in self.names:
-            self.members[name] = Member(name, self.path, self.register_address)
+            self.members[name] = Member(name, self.path, self.store_address)
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -163,25 +165,25 @@
     # The store
 
     @property
-    def register_address(self) -> str:
+    def store_address(self) -> str:
         """HOST:PORT of the store."""
         return self.store_process.address
 
-    def start_register(self) -> None:
+    def start_store(self) -> None:
         """Start the store, or start it again with what it has stored."""
         self.store_process.start()
 
-    def kill_register(self) -> None:
+    def kill_store(self) -> None:
         """Kill the store, at whatever it is doing."""
         self.store_process.kill()
 
-    def faults(self, **requested: Any) -> None:
+    def inject_store_faults(self, **requested: Any) -> None:
         """Ask the store for faults."""
-        requests.post(f"http://{self.register_address}/faults", json=requested, timeout=PATIENCE_S)
+        requests.post(f"http://{self.store_address}/faults", json=requested, timeout=PATIENCE_S)
 
-    def counts(self) -> dict[str, int]:
+    def store_call_counts(self) -> dict[str, int]:
         """Calls that the store has had, by kind."""
-        return requests.get(f"http://{self.register_address}/counts", timeout=PATIENCE_S).json()
+        return requests.get(f"http://{self.store_address}/counts", timeout=PATIENCE_S).json()
 
     # Members
 
@@ -190,22 +192,22 @@
         *names: str,
         wait: bool = True,
         operator: bool = True,
-        name_: str | None = None,
+        as_name: str | None = None,
         **hooks: Any,
     ) -> None:
         """Start gateways, all without names.
 
-        wait: until they answer or end; operator: with the operator's file; name_: under another's name;
+        wait: until they answer or end; operator: with the operator's file; as_name: under another's name;
         hooks: what gullhold.testing.hooked_gateway is asked for.
         """
         started = [self.members[name] for name in names or self.names]
         for member in started:
             member.serial += 1
             operator_text = self._operator_text(member) if operator else None
-            member.start(self._configuration(member, name_ or member.name), operator_text, hooks)
+            member.start(self._configuration(member, as_name or member.name), operator_text, hooks)
         if wait:
             for member in started:
-                self.until(partial(_has_started_or_ended, member))
+                self.wait_until(partial(_has_started_or_ended, member))
 
     def _operator_text(self, member: Member) -> str:
         return OPERATOR_FILE.format(
@@ -227,10 +229,10 @@
         for category in settings["categories"]:
             category["give_up"] = self.options.timeout_s
             category["window"] = self.dedup_s
-        self.options.adjust(settings)
+        self.options.adjust_settings(settings)
         entries = configuration["known"]["updates"][0]["endpoints"]["members"]
         for number, entry in enumerate(entries):
-            entry["up_since_ms"] = self.born_ms.get(number, 0)
+            entry["up_since_ms"] = self.engine_start_ms.get(number, 0)
         return configuration
 
     def stop(self, *names: str) -> None:
@@ -255,15 +257,15 @@
         for name in names:
             self.members[name].resume()
 
-    def paused(self, name: str) -> bool:
+    def is_paused(self, name: str) -> bool:
         """Whether it sleeps by a SIGSTOP."""
         return self.members[name].is_paused()
 
     def cut(
-        self, name: str, way: RelayMode = RelayMode.HELD, sides: Iterable[str] = tuple(Direction)
+        self, name: str, mode: RelayMode = RelayMode.HELD, directions: Iterable[str] = tuple(Direction)
     ) -> None:
         """Between a gateway and the store nothing passes in these directions until heal()."""
-        self.members[name].relay.set(way, sides)
+        self.members[name].relay.set(mode, directions)
 
     def heal(self, name: str) -> None:
         """All passes again."""
@@ -271,12 +273,12 @@
 
     # What can be seen
 
-    def until(self, condition: Callable[[], Any], seconds: float = PATIENCE_S) -> Any:
+    def wait_until(self, condition: Callable[[], Any], seconds: float = PATIENCE_S) -> Any:
         """Wait until a condition gives something true; what it gave. Raises AssertionError with the story."""
         end = time.monotonic() + seconds
         while not (found := condition()):
             if time.monotonic() > end:
-                raise AssertionError("waited in vain\n" + self.story())
+                raise AssertionError("waited in vain\n" + self.timeline())
             time.sleep(POLL_S)
         return found
 
@@ -290,31 +292,33 @@
         ]
         return sorted(events, key=lambda event: event.at)
 
-    def lines(self) -> list[dict[str, Any]]:
+    def journal_lines(self) -> list[dict[str, Any]]:
         """The store's journal."""
         return self.store_process.journal_lines()
 
-    def owners(self) -> dict[str, tuple[str, int]]:
+    def leaders(self) -> dict[str, tuple[str, int]]:
         """(member, token) of the leader of each role, by the store's journal."""
-        return Check(self.lines()).owners()
+        return Check(self.journal_lines()).owners()
 
-    def owner(self, role: str, other_than: str = "") -> str:
+    def wait_for_leader(self, role: str, other_than: str = "") -> str:
         """Wait until a member leads a role, and not this one; its name."""
 
         def new_leader() -> str | None:
-            leader = self.owners().get(role)
+            leader = self.leaders().get(role)
             if leader is None or leader[0] == other_than:
                 return None
             return leader[0]
 
-        return self.until(new_leader)
+        return self.wait_until(new_leader)
 
-    def story(self) -> str:
+    def timeline(self) -> str:
         """The last of what happened, for a failure: when, who, what, token, revision."""
         rows = [(event.at, _event_story(event)) for event in self.events()]
-        rows += [(line["at"], _journal_story(line)) for line in self.lines() if _is_worth_telling(line)]
+        rows += [
+            (line["at"], _journal_story(line)) for line in self.journal_lines() if _is_worth_telling(line)
+        ]
         last = sorted(rows)[-STORY_LINES:]
-        return "\n".join(f"{at - self.began:8.3f} {text[:STORY_LINE_LENGTH]}" for at, text in last)
+        return "\n".join(f"{at - self.started_at:8.3f} {text[:STORY_LINE_LENGTH]}" for at, text in last)
 
 
 def _has_started_or_ended(member: Member) -> bool:
--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -3,7 +3,7 @@
 import time
 from typing import Any
 
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.fleet_checker import Check
 
 
@@ -29,9 +29,9 @@
     }
 
 
-def check_run(rig: Rig, min_effects: int = 1) -> Check:
+def check_run(rig: FleetRig, min_effects: int = 1) -> Check:
     """Check the store's journal of a run: no rule is broken, and at least min_effects writes took effect."""
-    check = Check(rig.lines())
-    assert not check.broken, "\n".join(check.broken[:5]) + "\n" + rig.story()
-    assert check.effects >= min_effects, rig.story()
+    check = Check(rig.journal_lines())
+    assert not check.broken, "\n".join(check.broken[:5]) + "\n" + rig.timeline()
+    assert check.effects >= min_effects, rig.timeline()
     return check
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -10,18 +10,18 @@
 from gullhold.rollout.store_schema import CHANGE_KEY
 from gullhold.testing import load_client
 from gullhold.testing.counting_engine import CountingEngine
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
 
 CLIENT_SEEDS = count(1)  # each client draws its own ids
 
 
-def rig(members: int = 3, **other: Any) -> Rig:
+def rig(members: int = 3, **other: Any) -> FleetRig:
     """A fleet with one counting engine, on which policies are enabled."""
-    return Rig(
+    return FleetRig(
         members=members,
         engines=1,
-        **{"policy": "on: true", "make": lambda seed: CountingEngine(slots=64, seed=seed)} | other,
+        **{"policy": "on: true", "make_engine": lambda seed: CountingEngine(slots=64, seed=seed)} | other,
     )
 
 
@@ -30,7 +30,7 @@
     return f"policy: grants: read: {megabytes}"
 
 
-def load(fleet: Rig, *names: str, rate: float = 40.0) -> list[load_client.LoadClient]:
+def load(fleet: FleetRig, *names: str, rate: float = 40.0) -> list[load_client.LoadClient]:
     """Start a client of each of these gateways, by default of all; rate: requests a second of each."""
     return [
         load_client.LoadClient(
@@ -56,39 +56,41 @@
     return sum(client.counts.answered for client in clients)
 
 
-def on(fleet: Rig, number: int = 0, names: Iterable[str] | None = None) -> None:
+def on(fleet: FleetRig, number: int = 0, names: Iterable[str] | None = None) -> None:
     """Wait until a policy is in force at these gateways, by default at all."""
     expected = set(names or fleet.names)
 
     def is_in_force() -> bool:
-        in_force = RolloutChecker(fleet.lines()).adopted_versions()
+        in_force = RolloutChecker(fleet.journal_lines()).adopted_versions()
         return {name for name, found in in_force.items() if found == number} >= expected
 
-    fleet.until(is_in_force)
+    fleet.wait_until(is_in_force)
 
 
-def propose(client: PolicyClient, fleet: Rig, text: str, **options: Any) -> PolicyVersion:
+def propose(client: PolicyClient, fleet: FleetRig, text: str, **options: Any) -> PolicyVersion:
     """Propose a policy as soon as no other change is open; returns its version."""
-    fleet.until(lambda: CHANGE_KEY not in client.read())
+    fleet.wait_until(lambda: CHANGE_KEY not in client.read())
     return client.propose(text, "a", "b", **options)
 
 
-def judged(fleet: Rig, grants: list[int], strict: bool = False, overlap_ms: int = 1200) -> RolloutChecker:
+def judged(
+    fleet: FleetRig, grants: list[int], strict: bool = False, overlap_ms: int = 1200
+) -> RolloutChecker:
     """Check a run: policies overlap no longer than stated, and no change was decided without all votes.
 
     grants: the MB that tell each policy apart. strict: no two policies may be in force at one time.
     """
-    check = RolloutChecker(fleet.lines())
-    assert not check.decided_without_all, fleet.story()
-    assert not check.decided_though_refused, fleet.story()
+    check = RolloutChecker(fleet.journal_lines())
+    assert not check.decided_without_all, fleet.timeline()
+    assert not check.decided_though_refused, fleet.timeline()
     wrong, overlap = measure_mixture(by_policy(fleet.engines, grants))
-    assert not (strict and wrong), (wrong, overlap, fleet.story())
-    assert overlap <= overlap_ms, (wrong, overlap, fleet.story())
+    assert not (strict and wrong), (wrong, overlap, fleet.timeline())
+    assert overlap <= overlap_ms, (wrong, overlap, fleet.timeline())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
     return check
 
 
-def is_serving(fleet: Rig, name: str) -> bool:
+def is_serving(fleet: FleetRig, name: str) -> bool:
     """Whether a gateway answers its health check with good."""
     return health_check.is_serving(fleet.members[name].address, 1.0)
--- a/tests/test_fleet_occurrences.py
+++ b/tests/test_fleet_occurrences.py
@@ -5,7 +5,7 @@
 import pytest
 from fleet_runs import check_run, due_once_in, scheduled_command
 
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.fleet_checker import Check, sent
 
 
@@ -14,19 +14,21 @@
     [("intent", "before", 1), ("intent", "after", 0), ("outcome", "before", 1), ("outcome", "after", 1)],
 )
 def test_a_non_idempotent_occurrence_whose_leader_is_killed_runs_at_most_once(point, side, sends):
-    with Rig(members=2, scheduled=[scheduled_command("once", "once") | due_once_in()]) as rig:
+    with FleetRig(members=2, scheduled=[scheduled_command("once", "once") | due_once_in()]) as rig:
         rig.start("n0", point=point, side=side, act="kill", nth=1)
         rig.members["n0"].process.wait(8)
         rig.start("n1")
 
         def settled_rows():
-            rows = [row for row in Check(rig.lines()).occurrences().values() if row["state"] != "skipped"]
+            rows = [
+                row for row in Check(rig.journal_lines()).occurrences().values() if row["state"] != "skipped"
+            ]
             return rows and rows[0]["state"] in ("answered", "failed") and rows
 
-        (row,) = rig.until(settled_rows)
+        (row,) = rig.wait_until(settled_rows)
         time.sleep(0.3)
         fetches = sum(len(rows) for rows in sent(rig.engines).values())
-        assert fetches == sends, rig.story()
+        assert fetches == sends, rig.timeline()
         assert row["state"] == (
             "answered" if (point, side) in (("intent", "before"), ("outcome", "after")) else "failed"
         )
@@ -37,12 +39,12 @@
 
 def test_occurrences_continue_through_kills_and_pauses_as_their_profiles_allow():
     profiles = {"plain": "read", "marked": "mark", "single": "once"}
-    with Rig(
+    with FleetRig(
         members=3, scheduled=[scheduled_command(name, profile, 60) for name, profile in profiles.items()]
     ) as rig:
         rig.start()
         for step in range(4):
-            name = rig.owner(("schedule/plain", "schedule/marked", "schedule/single")[step % 3])
+            name = rig.wait_for_leader(("schedule/plain", "schedule/marked", "schedule/single")[step % 3])
             time.sleep(0.4)
             if step % 2:
                 rig.kill(name)
@@ -72,18 +74,20 @@
 
 
 def test_at_sigterm_the_outcome_of_work_in_progress_is_written_before_the_role_is_released():
-    with Rig(
+    with FleetRig(
         members=2, scheduled=[scheduled_command("long", "once", 1500, work="1500ms") | due_once_in()]
     ) as rig:
         rig.start("n0")
-        rig.until(lambda: sum(len(engine.received) for engine in rig.engines))
+        rig.wait_until(lambda: sum(len(engine.received) for engine in rig.engines))
         rig.start("n1")  # the work takes longer than a lease; the role stays with n0 until it ends
         rig.stop("n0")
-        rows = rig.until(
-            lambda: [row for row in Check(rig.lines()).occurrences().values() if row["state"] == "answered"]
+        rows = rig.wait_until(
+            lambda: [
+                row for row in Check(rig.journal_lines()).occurrences().values() if row["state"] == "answered"
+            ]
         )
         assert rows[0]["by"] == "n0"
-        assert rig.owner("schedule/long", "n0") == "n1"
+        assert rig.wait_for_leader("schedule/long", "n0") == "n1"
         time.sleep(0.3)
         assert sum(len(engine.received) for engine in rig.engines) == 1
         check_run(rig)
--- a/tests/test_fleet_operator.py
+++ b/tests/test_fleet_operator.py
@@ -8,7 +8,7 @@
 
 from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.operator import records
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.fleet_checker import Check
 
 
@@ -43,7 +43,7 @@
     ],
 )
 def test_the_gateway_exits_with_the_reason_when_a_scheduled_command_is_invalid(fields, reason):
-    with Rig(members=1, scheduled=[scheduled_command("a", "read") | fields]) as rig:
+    with FleetRig(members=1, scheduled=[scheduled_command("a", "read") | fields]) as rig:
         rig.start("n0", wait=False)
         assert rig.members["n0"].process.wait(8) == 2
         assert reason in rig.members["n0"].log.read_text()
@@ -52,15 +52,15 @@
 def test_the_fleet_commands_print_members_roles_and_occurrences(capsys):
     from gullhold.__main__ import main  # noqa: PLC0415
 
-    with Rig(members=2, beats=3, scheduled=[scheduled_command("a", "read")]) as rig:
+    with FleetRig(members=2, heartbeat_roles=3, scheduled=[scheduled_command("a", "read")]) as rig:
         rig.start()
         final = RoleAssignment(["schedule/a", "beat/0", "beat/1", "beat/2"])
         final.update_members(["n0", "n1"])  # from then on no role moves between two commands
-        rig.until(lambda: {role: leader for role, (leader, _) in rig.owners().items()} == final.leaders)
-        rig.until(lambda: Check(rig.lines()).occurrences())
+        rig.wait_until(lambda: {role: leader for role, (leader, _) in rig.leaders().items()} == final.leaders)
+        rig.wait_until(lambda: Check(rig.journal_lines()).occurrences())
         rows = {}
         for subject in ("members", "duties", "roles", "history"):
-            arguments = ["fleet", subject, "--register", rig.register_address, "--name", "rig"]
+            arguments = ["fleet", subject, "--register", rig.store_address, "--name", "rig"]
             assert main([*arguments, "--json"]) == 0
             rows[subject] = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
             assert main(arguments) == 0
@@ -71,4 +71,4 @@
         assert rows["history"][0]["command"] == "a"
         rig.store_process.process.send_signal(signal.SIGTERM)
         assert rig.store_process.process.wait(8) == 0
-        assert main(["fleet", "members", "--register", rig.register_address]) == 1
+        assert main(["fleet", "members", "--register", rig.store_address]) == 1
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -20,7 +20,7 @@
     with rig() as fleet:
         fleet.start()
         on(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
+        client, clients = PolicyClient(fleet.store_address, "rig"), load(fleet)
         time.sleep(0.3)
         grants = [20, 21, 22, 23]
         for i, mb in enumerate(grants):
@@ -46,7 +46,7 @@
         fleet.budgets = []
         fleet.start("n2")  # another file: it knows no such budget
         on(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
+        client, clients = PolicyClient(fleet.store_address, "rig"), load(fleet)
         record = propose(
             client, fleet, "policy: {budgets: threads: 8, grants: read: 20}", overlap=Overlap.STRICT
         )
@@ -54,7 +54,7 @@
         assert status == ExitStatus.DROPPED
         assert "is no budget" in line
         # The change closes when n1 has voted, or its lease has ended.
-        fleet.until(lambda: CHANGE_KEY not in client.read())
+        fleet.wait_until(lambda: CHANGE_KEY not in client.read())
         fleet.pause("n1")
         record = propose(client, fleet, granting(21), patience_us=400_000)
         status, line = client.wait(record.number, 8)
@@ -73,7 +73,7 @@
     with rig(2) as fleet:
         fleet.start()
         on(fleet)
-        client = PolicyClient(fleet.register_address, "rig")
+        client = PolicyClient(fleet.store_address, "rig")
         for text, why in (
             ("policy: sends: once: 2", "must never run twice"),
             ("policy: sends: read: 99", "the agreement allows 6"),
@@ -87,14 +87,14 @@
                 client.propose(text, "a", "b")
         spoilt = PolicyVersion(9, 0, "a", "b", 0, granting(20)).sealed()._replace(reason="c")
         session = client.session
-        fleet.until(lambda: CHANGE_KEY not in client.read())
+        fleet.wait_until(lambda: CHANGE_KEY not in client.read())
         assert session.call(
             Transaction(((CHANGE_KEY, 0),), (Put(CHANGE_KEY, encode_change(PolicyChange(spoilt))),))
         ).succeeded
         status, line = client.wait(9, 5)
         assert status == ExitStatus.DROPPED
         assert "digest" in line
-        fleet.until(lambda: CHANGE_KEY not in client.read())
+        fleet.wait_until(lambda: CHANGE_KEY not in client.read())
         with pytest.raises(PolicyError, match="not 7"):
             client.propose(granting(20), "a", "b", parent=7)
         first = propose(client, fleet, granting(20))
@@ -105,7 +105,7 @@
         fleet.pause("n0")
         third = propose(client, fleet, granting(22), on_silence=OnSilence.WAIT, patience_us=60_000_000)
         assert client.status(third.number).status == ExitStatus.UNKNOWN
-        fleet.until(lambda: third.number == client.drop())
+        fleet.wait_until(lambda: third.number == client.drop())
         fleet.resume("n0")
         assert client.wait(third.number, 5) == (
             ExitStatus.DROPPED,
@@ -115,10 +115,10 @@
 
 
 def test_a_bad_canary_is_dropped_though_its_coordinator_dies_and_a_good_one_is_promoted():
-    with rig(make=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
+    with rig(make_engine=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
         fleet.start()
         on(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, rate=60.0)
+        client, clients = PolicyClient(fleet.store_address, "rig"), load(fleet, rate=60.0)
         canary = Canary(0.34, 6_000_000, 0.1, 9.0)
 
         def state():
@@ -127,8 +127,8 @@
 
         # Of a command that fails one in three times and is sent once, a third are not answered.
         record = client.propose("policy: {grants: read: 20, sends: read: 1}", "a", "b", canary=canary)
-        fleet.until(lambda: state() == "canary")
-        victim = fleet.owners()["policy"][0]
+        fleet.wait_until(lambda: state() == "canary")
+        victim = fleet.leaders()["policy"][0]
         fleet.kill(victim)
         status, line = client.wait(record.number, 8)
         assert status == ExitStatus.DROPPED, line
@@ -142,7 +142,7 @@
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, record.number)
         end(clients)
-        check = RolloutChecker(fleet.lines())
+        check = RolloutChecker(fleet.journal_lines())
         assert check.outcomes == {1: "dropped", 2: "decided"}
         assert not check.decided_without_all
 
@@ -157,15 +157,15 @@
         "statement": '"select 1 from warm_1.t /* work=10 */"',
     }
     door = 'door: {on: true, client: field: "client", weights: {n0: 1}}'
-    with rig(2, scheduled=[words], fleet=door) as fleet:
+    with rig(2, scheduled=[words], operator_text=door) as fleet:
         fleet.start()
         on(fleet)
-        client = PolicyClient(fleet.register_address, "rig")
+        client = PolicyClient(fleet.store_address, "rig")
 
         def warmed():
             return sum("warm" in row.statement for row in fleet.engines[0].received)
 
-        fleet.until(lambda: warmed() >= 3)
+        fleet.wait_until(lambda: warmed() >= 3)
         record = client.propose("policy: {schedules: warm: false, clients: n0: 4}", "a", "b")
         assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
         time.sleep(0.3)
@@ -177,5 +177,5 @@
         assert "off by the fleet's policy" in skipped[-1]["reason"]
         record = client.propose("policy: clients: n0: 4", "a", "b")
         assert client.wait(record.number, 5).status == ExitStatus.IN_FORCE
-        fleet.until(lambda: warmed() > before + 1)
+        fleet.wait_until(lambda: warmed() > before + 1)
         judged(fleet, [])
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -32,8 +32,8 @@
         fleet.start(carrier, point=state, side=side, act=act, nth=1)
         fleet.start(*others)
         on(fleet)
-        fleet.until(lambda: fleet.owners()["policy"][0] == carrier)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, *others)
+        fleet.wait_until(lambda: fleet.leaders()["policy"][0] == carrier)
+        client, clients = PolicyClient(fleet.store_address, "rig"), load(fleet, *others)
         record = client.propose(granting(20), "a", "b", overlap=Overlap.STRICT)
         status, line = client.wait(record.number, 8)
         assert status == ExitStatus.IN_FORCE, line
@@ -59,7 +59,7 @@
         fleet.start(first)
         fleet.start(victim, point=word, side=side, act="kill", nth=1)
         on(fleet, 0, (first, victim))
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet, first)
+        client, clients = PolicyClient(fleet.store_address, "rig"), load(fleet, first)
         record = client.propose(granting(20), "a", "b", overlap=Overlap.STRICT)
         fleet.members[victim].process.wait(8)
         fleet.start(other)  # it enrols in the middle, before or after the decision
@@ -76,17 +76,17 @@
     with rig() as fleet:
         fleet.start()
         on(fleet)
-        client, clients, grants = PolicyClient(fleet.register_address, "rig"), load(fleet), []
+        client, clients, grants = PolicyClient(fleet.store_address, "rig"), load(fleet), []
         for turn in range(4):
             mb = 20 + turn
             record = client.propose(granting(mb), "a", "b", overlap=(Overlap.STRICT, Overlap.LOOSE)[turn % 2])
             if turn % 2:
-                fleet.faults(lose=6)
+                fleet.inject_store_faults(lose=6)
             else:
                 time.sleep(0.03)
-                fleet.kill_register()
-                fleet.start_register()
-                fleet.faults(drop=1)
+                fleet.kill_store()
+                fleet.start_store()
+                fleet.inject_store_faults(drop=1)
             status, line = client.wait(record.number, 8)
             assert status in (ExitStatus.IN_FORCE, ExitStatus.DROPPED), line
             grants += [mb] * (status == ExitStatus.IN_FORCE)
@@ -100,7 +100,7 @@
     with rig(4) as fleet:
         fleet.start()
         on(fleet)
-        client = PolicyClient(fleet.register_address, "rig")
+        client = PolicyClient(fleet.store_address, "rig")
         fleet.kill("n2")
         fleet.pause("n3")  # it slept, and wakes believing in what was
         clients = load(fleet, "n0", "n1", "n3")
@@ -124,18 +124,18 @@
         others = [name for name in fleet.names if name != victim]
         fleet.start()
         on(fleet)
-        client, clients = PolicyClient(fleet.register_address, "rig"), load(fleet)
+        client, clients = PolicyClient(fleet.store_address, "rig"), load(fleet)
         time.sleep(0.3)
         fleet.cut(victim)
         record = client.propose(granting(20), "a", "b", on_silence=OnSilence.WAIT)
         assert client.wait(record.number, 8).status == ExitStatus.IN_FORCE
         on(fleet, 1, others)
         asker = clients[fleet.names.index(victim)]
-        fleet.until(lambda: asker.counts.shed > 3)  # a time to come back is not stated by this agreement
+        fleet.wait_until(lambda: asker.counts.shed > 3)  # a time to come back is not stated by this agreement
         assert is_serving(fleet, victim) is False
         fleet.heal(victim)
         on(fleet, 1)  # its word stands at the register a moment before the reply that opens its gate
-        fleet.until(lambda: is_serving(fleet, victim))
+        fleet.wait_until(lambda: is_serving(fleet, victim))
         time.sleep(0.2)
         end(clients)
         judged(fleet, [20])
@@ -145,7 +145,7 @@
     with rig(4, budgets=[{"of": '"threads"', "whole": 12, "linger": "1s"}]) as fleet:
         fleet.start()
         on(fleet)
-        client = PolicyClient(fleet.register_address, "rig")
+        client = PolicyClient(fleet.store_address, "rig")
         clients = [
             load_client.LoadClient(
                 fleet.members[name].address,
--- a/tests/test_policy_commands.py
+++ b/tests/test_policy_commands.py
@@ -18,7 +18,7 @@
     with rig(2) as fleet:
         fleet.start()
         on(fleet)
-        at = ["--register", fleet.register_address, "--name", "rig"]
+        at = ["--register", fleet.store_address, "--name", "rig"]
         assert main(["policy", "check", str(path)]) == 0
         assert main(["policy", "diff", str(path), *at]) == 0
         assert "grants read: as agreed -> 20" in capsys.readouterr().out
@@ -39,11 +39,11 @@
         assert main(["policy", "drop", *at]) == 2
         path.write_text("policy: {")
         assert main(["policy", "propose", str(path), *at]) == 2
-        client = PolicyClient(fleet.register_address, "rig")
+        client = PolicyClient(fleet.store_address, "rig")
         reply = client.session.call(ReadPrefix("policy/now/"))
         assert reply.proof == Proof.DONE
         assert client.current().text == INITIAL_VERSION.text
         assert history_key(2) in client.read()
-        fleet.kill_register()
+        fleet.kill_store()
         assert main(["policy", "status", *at]) == ExitStatus.UNKNOWN
-        fleet.start_register()
+        fleet.start_store()
--- a/tests/test_policy_snapshot.py
+++ b/tests/test_policy_snapshot.py
@@ -23,16 +23,16 @@
     with rig(1, policy=f'on: true, snapshot: "{path}", spare: {SNAPSHOT_LIFE_S}s') as fleet:
         fleet.start()
         on(fleet)
-        client = PolicyClient(fleet.register_address, "rig")
+        client = PolicyClient(fleet.store_address, "rig")
         assert client.wait(client.propose(granting(20), "a", "b").number, 5).status == ExitStatus.IN_FORCE
-        fleet.until(lambda: snapshot.read(path) and snapshot.read(path)[0].number == 1)
+        fleet.wait_until(lambda: snapshot.read(path) and snapshot.read(path)[0].number == 1)
         fleet.kill("n0")
-        fleet.kill_register()
+        fleet.kill_store()
         fleet.start("n0")
         clients = load(fleet)
-        fleet.until(lambda: clients[0].counts.answered > 5)
+        fleet.wait_until(lambda: clients[0].counts.answered > 5)
         assert {row.memory_mb for row in fleet.engines[0].attempts} == {20}
         # The time for which the snapshot may be used is over.
-        fleet.until(lambda: clients[0].counts.shed > 5, seconds=2 * SNAPSHOT_LIFE_S)
+        fleet.wait_until(lambda: clients[0].counts.shed > 5, seconds=2 * SNAPSHOT_LIFE_S)
         end(clients)
-        fleet.start_register()
+        fleet.start_store()
