--- a/benchmarks/budget_rig.py
+++ b/benchmarks/budget_rig.py
@@ -35,7 +35,10 @@
     make: Callable[[int], CountingEngine] = make_counting_engine,
     **options: Any,
 ) -> FleetRig:
-    """A fleet of so many gateways. adjust(settings) changes these; make(seed): an engine; options: FleetRig's."""
+    """A fleet of so many gateways.
+
+    adjust(settings) changes these; make(seed): an engine; options: those of FleetRig.
+    """
 
     def adjust_all(settings: dict[str, Any]) -> None:
         settings["balancers"] = members
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -69,7 +69,7 @@
             if self.asked <= elapsed_s * RATE_PER_S:
                 group = int(self.draw() * DATASETS)
                 statement = b"select a from sales_%d.t" % group
-                self.caller.ask("read", TIMEOUT_MS, txn=b"%016x" % (self.asked + 1), body=statement)
+                self.caller.send_command("read", TIMEOUT_MS, txn=b"%016x" % (self.asked + 1), body=statement)
                 self.asked += 1
             time.sleep(REQUEST_POLL_S)
         reader.join(TIMEOUT_MS / 1000)
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -40,7 +40,7 @@
         self.sock.sendall(thrift.encode_message(kind, method, seq, body + thrift.END_OF_STRUCT))
         return seq
 
-    def ask(
+    def send_command(
         self,
         verb: str = "read",
         limit: int = 3000,
@@ -72,7 +72,7 @@
         """Withdraw the command with this sequence number."""
         self.send("interrupt", b"\x08\0\1" + struct.pack(">i", seq), kind=thrift.ONEWAY)
 
-    def answer(self) -> Answer | None:
+    def read_answer(self) -> Answer | None:
         """Return the next answer; None at the end of the connection."""
         frame = self._read_frame()
         if frame is None:
--- a/gullhold/testing/soak/doubles.py
+++ b/gullhold/testing/soak/doubles.py
@@ -124,7 +124,7 @@
         with self.lock:
             self.open[self.caller.seq + 1] = record
         client.records.append(record)
-        self.caller.ask(
+        self.caller.send_command(
             profile,
             int(client.plan.timeout_s * 1000),
             txn=txn,
@@ -142,7 +142,7 @@
 
     def _read(self) -> None:
         try:
-            while (found := self.caller.answer()) is not None:
+            while (found := self.caller.read_answer()) is not None:
                 self._take(found.sequence_number, AnswerAt(time.monotonic(), found.result))
         except (OSError, thrift.ProtocolError):
             pass
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -38,7 +38,7 @@
                     body = statement(txn, 1)
                     self.record.requests[txn] = (1, body)
                     self.written[serial] = time.monotonic()  # first: its answer may come at once
-                    self.caller.ask("odd" if self.odd else "read", self.limit_ms, txn=txn, body=body)
+                    self.caller.send_command("odd" if self.odd else "read", self.limit_ms, txn=txn, body=body)
                 time.sleep(self.pause_s)
         except OSError:
             pass  # its end
@@ -46,7 +46,7 @@
 
     def _read(self):
         try:
-            while (found := self.caller.answer()) is not None:
+            while (found := self.caller.read_answer()) is not None:
                 self.written.pop(found[0], None)
         except OSError:
             pass
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -183,7 +183,7 @@
                 txn = b"%08x%08x" % (self.number + 1, self.serial)
                 body = statement(txn, self.pages, self.size)
                 self.record.requests[txn] = (self.pages, body)
-                seq = caller.ask("read", self.limit_ms, txn=txn, body=body)
+                seq = caller.send_command("read", self.limit_ms, txn=txn, body=body)
                 open_now[seq] = txn
             if leaving:
                 with suppress(ConnectionError):
@@ -198,7 +198,7 @@
 
     def _take_answer(self, caller: Caller, open_now: dict[int, bytes]) -> None:
         try:
-            found = caller.answer()
+            found = caller.read_answer()
         except TimeoutError:
             self.record.add_violation(f"no answer in time: {sorted(open_now.values())}")
             open_now.clear()
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -45,7 +45,7 @@
 def test_queued_commands_are_unknown_to_the_decision_module_and_shed_in_time(start_gateway):
     gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
     for _ in range(30):
-        client.ask(limit=600, client=b"one")
+        client.send_command(limit=600, client=b"one")
     until(
         lambda: (
             gateway.core.admission_queue.queued_count
@@ -57,7 +57,7 @@
         <= 4 * 2 * 16 + gateway.core.admission_queue.settings.max_forwarded_per_tenant_profile
     )
     began_s = time.monotonic()
-    answers = [client.answer()[1] for _ in range(30)]
+    answers = [client.read_answer()[1] for _ in range(30)]
     assert set(answers) == {"shed"}
     assert time.monotonic() - began_s < 0.7
 
@@ -65,9 +65,9 @@
 def test_the_queue_is_empty_after_clients_interrupt_or_disconnect(start_gateway):
     gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
     other = Caller(gateway.address)
-    seqs = [client.ask(client=b"one") for _ in range(30)]
+    seqs = [client.send_command(client=b"one") for _ in range(30)]
     for _ in range(20):
-        other.ask(client=b"two")
+        other.send_command(client=b"two")
     until(lambda: gateway.core.admission_queue.queued_count + len(gateway.core.gateway.commands) == 50)
     for seq in seqs:
         client.interrupt(seq)
@@ -79,14 +79,14 @@
     engine, later = WorkingEngine(slots=1), Engine()
     gateway, client = start_gateway(engine, cores=1, more="door: patience: 100")
     for _ in range(20):
-        client.ask(limit=4000, client=b"one", body=statement(30))
+        client.send_command(limit=4000, client=b"one", body=statement(30))
     until(lambda: engine.completed >= 2)
     core = gateway.core
     core.list_changed(
         *parse_event(event(2, ("s-0", engine.address, "draining")), core.agreement, EngineIds())
     )
     core.list_changed(*parse_event(event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds()))
-    answers = [client.answer()[1] for _ in range(20)]
+    answers = [client.read_answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
     assert len(later.messages(b"fetch")) >= 10
     assert engine.completed + len(later.messages(b"fetch")) == 20
@@ -96,11 +96,11 @@
 def test_unknown_tenants_use_the_share_of_the_fallback_tenant_or_are_refused(start_gateway):
     tenants = (("a", 0.7), ("rest", 0.3))
     _, client = start_gateway(Engine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}')
-    client.ask(team=b"never heard of")
-    assert client.answer() == (1, b"a\tb\tc\n")
+    client.send_command(team=b"never heard of")
+    assert client.read_answer() == (1, b"a\tb\tc\n")
     gateway, client = start_gateway(Engine(), tenants=tenants)
-    client.ask(team=b"never heard of")
-    assert client.answer() == (1, "fault")
+    client.send_command(team=b"never heard of")
+    assert client.read_answer() == (1, "fault")
     assert not gateway.core.admission_queue.flow_table.tenants
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -34,8 +34,8 @@
 def test_failed_attempt_is_retried_only_when_a_second_run_does_no_harm(start_gateway, verb, step, expected):
     engine = Engine(step, ok())
     gateway, client = start_gateway(engine)
-    seq = client.ask(verb)
-    assert client.answer() == (seq, expected)
+    seq = client.send_command(verb)
+    assert client.read_answer() == (seq, expected)
     assert len(engine.messages(b"fetch")) == (1 if expected == "fault" else 2)
 
 
@@ -44,8 +44,8 @@
     dead.stop_listening()
     gateway, client = start_gateway(dead, engine)
     for _ in range(6):
-        seq = client.ask("once")
-        assert client.answer() == (seq, b"a\tb\tc\n")
+        seq = client.send_command("once")
+        assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert len(engine.messages(b"fetch")) == 6
 
 
@@ -66,18 +66,18 @@
 
     engine = Engine(fail_after_first_page, ok())
     gateway, client = start_gateway(engine)
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
-    seq = client.ask("once")
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command("once")
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
 
 
 def test_endless_query_is_failed_and_aborted_when_the_client_timeout_is_near(start_gateway):
     engine = Engine(endless)
     gateway, client = start_gateway(engine)
     began = time.monotonic()
-    seq = client.ask("once", limit=700)
-    assert client.answer() == (seq, "fault")
+    seq = client.send_command("once", limit=700)
+    assert client.read_answer() == (seq, "fault")
     assert 0.5 < time.monotonic() - began < 1.0
     until(lambda: engine.messages(b"abort"))
     assert engine.messages(b"alive")
@@ -95,12 +95,12 @@
 
     engine = Engine(answer_at_abort, ok())
     gateway, client = start_gateway(engine)
-    first = client.ask()
+    first = client.send_command()
     until(lambda: fetches)
     client.interrupt(first)
     until(lambda: gateway.count("unmatched_replies"))
-    second = client.ask()
-    assert client.answer() == (second, b"a\tb\tc\n")
+    second = client.send_command()
+    assert client.read_answer() == (second, b"a\tb\tc\n")
 
 
 def test_retry_is_sent_only_when_the_abort_of_the_first_attempt_is_confirmed(start_gateway):
@@ -109,8 +109,10 @@
     for engine in engines:
         engine.alive_delay_s = 0.2
     gateway, client = start_gateway(*engines)
-    seq = client.ask(limit=4000, cpu=b"20")  # takes far longer than usual, so it is cancelled and retried
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command(
+        limit=4000, cpu=b"20"
+    )  # takes far longer than usual, so it is cancelled and retried
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     messages = sorted((words for engine in engines for words in engine.received), key=lambda words: words[-1])
     order = [words[1] for words in messages if words[1] in (b"fetch", b"abort", b"alive answered")]
     assert order[:4] == [b"fetch", b"abort", b"alive answered", b"fetch"]
@@ -123,8 +125,8 @@
 
     engine = Engine(answer_at_abort)
     gateway, client = start_gateway(engine)
-    seq = client.ask(limit=4000, cpu=b"20")
-    assert client.answer() == (seq, b"j\tu\tst\n")
+    seq = client.send_command(limit=4000, cpu=b"20")
+    assert client.read_answer() == (seq, b"j\tu\tst\n")
     assert len(engine.messages(b"fetch")) == 1
     until(lambda: gateway.count("attempts_ended_answered") == 1)
 
@@ -133,11 +135,11 @@
     """Guards against attempts on a machine that vanished: its open connection looks healthy for seconds."""
     vanished = Engine(mute)
     gateway, client = start_gateway(vanished)
-    client.ask("once", limit=3000)
+    client.send_command("once", limit=3000)
     until(lambda: vanished.messages(b"fetch"))
     vanished.stop_listening()
     until(lambda: vanished.messages(b"alive"))
-    client.ask(limit=3000)
+    client.send_command(limit=3000)
     until(lambda: gateway.count("attempts_ended_connect_failed"))
     assert len(vanished.messages(b"fetch")) == 1
 
@@ -155,8 +157,8 @@
 
     gateway, client = start_gateway(Engine(step))
     for _ in range(3):
-        seq = client.ask()
-        assert client.answer() == (seq, first_page + second_page)
+        seq = client.send_command()
+        assert client.read_answer() == (seq, first_page + second_page)
     until(lambda: gateway.count("duplicate_pages") >= 6)
     assert gateway.count("engine_connections_opened") == 1
     assert not gateway.count("attempts_ended_reset")
@@ -175,11 +177,11 @@
 def test_malformed_reply_fails_only_its_own_attempt_which_is_retried(start_gateway, reply):
     engine = Engine(endless, reply if callable(reply) else raw(reply), ok())
     gateway, client = start_gateway(engine)
-    first = client.ask("once", limit=3000)
+    first = client.send_command("once", limit=3000)
     until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert time.monotonic() - began < 1
     assert gateway.count("engine_connections_ended_malformed") == 1
     assert first in open_sequence_ids(gateway)
@@ -189,8 +191,8 @@
 def test_attempt_without_replies_is_retried_when_its_connection_works(start_gateway):
     engine = Engine(endless, ok())  # answers an alive, but never the fetch
     gateway, client = start_gateway(engine, cancel=False)
-    seq = client.ask(limit=3500, cpu=b"900")
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command(limit=3500, cpu=b"900")
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert gateway.count("attempts_unanswered") == 1
     assert gateway.count("engine_connections_opened") <= 2
     (first, second), (abort,) = engine.messages(b"fetch"), engine.messages(b"abort")
@@ -205,14 +207,14 @@
     unshared, shared = Engine(endless), Engine(answer_and_close, endless)
     gateway, client = start_gateway(unshared)
     for _ in range(2):
-        client.ask("once")
+        client.send_command("once")
     until(lambda: gateway.count("engine_connections_opened") == 2)
     gateway, client = start_gateway(shared, streams_per_conn=9)
-    client.ask("once")
-    client.answer()
+    client.send_command("once")
+    client.read_answer()
     until(lambda: gateway.count("engine_connections_ended_closed_by_peer") == 1)
     for number in range(5):
-        client.ask("once")
+        client.send_command("once")
         until(lambda: len(shared.messages(b"fetch")) == 2 + number)  # noqa: B023
     # At most three attempts share a connection, so that a reset fails few.
     assert gateway.count("engine_connections_opened") == 1 + 2
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -14,7 +14,7 @@
 def idle_connection(gateway, caller):
     """Send one check on a client's connection; return the gateway's side of it."""
     caller.send("check", b"\x02\0\1\1")
-    assert caller.answer()[1] == b""
+    assert caller.read_answer()[1] == b""
     (gateway_side,) = gateway.listener.clients
     return gateway_side
 
@@ -30,9 +30,9 @@
         monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 0.0)
         until(lambda: gateway_side.end_requested)  # the reader has asked the core whether it may end
         monkeypatch.setattr(client_connection, "IDLE_TIMEOUT_S", 60)
-        seq = client.ask()
+        seq = client.send_command()
         until(lambda: gateway_side.posted_count == 1)
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert not gateway.count("client_connections_ended_idle")
 
 
@@ -45,7 +45,7 @@
     gateway_side = idle_connection(gateway, client)
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 2.0)
     gateway_side.write_buffer.finish()
-    client.ask()
+    client.send_command()
     assert read_to_end(client) == (b"", True)
     until(lambda: len(gateway_side.decoder.buffer) or gateway_side.is_ending)
     client.sock.close()
@@ -59,7 +59,7 @@
     gateway, client = start_gateway(engine)
     gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
-        client.ask()
+        client.send_command()
         until(lambda: gateway_side.posted_count == 1)
         gateway_side.write_buffer.finish()  # as if the core had allowed the end just before
     until(lambda: gateway.count("interrupted") == 1)
@@ -77,7 +77,7 @@
         until(lambda: gateway_side.last_active_at > idle_since)
         gateway_side.drain()
         until(lambda: gateway_side.end_requested)
-    assert client.answer() == (seq, b"")
+    assert client.read_answer() == (seq, b"")
     assert read_to_end(client) == (b"", True)
 
 
@@ -86,10 +86,10 @@
     rows = b"x\ty\tz\n" * 900
     gateway, client = start_gateway(Engine(ok(*[rows] * 8)))
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    seqs = [client.ask() for _ in range(30)]
+    seqs = [client.send_command() for _ in range(30)]
     until(lambda: gateway.count("answered") == 30)
     client.sock.sendall(b"\xff\xff\xff\xff" + b"noise" * 20_000)
-    answers = [client.answer() for _ in seqs]
+    answers = [client.read_answer() for _ in seqs]
     assert {seq for seq, _ in answers} == set(seqs)
     assert all(body == rows * 8 for _, body in answers)
     assert read_to_end(client) == (b"", True)
@@ -110,8 +110,8 @@
 def test_an_ended_connection_is_freed_without_the_garbage_collector(start_gateway):
     """Guards against a reference cycle, which keeps the connection and its buffers until a collection."""
     gateway, client = start_gateway(Engine())
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     gateway_side = ref(next(iter(gateway.listener.clients)))
     gc.collect()
     gc.disable()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -21,23 +21,23 @@
     ):
         other = Caller(gateway.address)
         other.sock.sendall(data)
-        assert other.answer() is None
+        assert other.read_answer() is None
     incomplete = Caller(gateway.address)
     incomplete.sock.sendall(b"\0\0\1\0abc")
     incomplete.sock.close()
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert gateway.count("client_connections_ended_malformed") == 4
 
 
 def test_a_repeated_sequence_id_ends_the_connection_and_its_open_request(start_gateway):
     engine = Engine(endless)
     gateway, client = start_gateway(engine)
-    client.ask(seq=5)
+    client.send_command(seq=5)
     until(lambda: engine.messages(b"fetch"))
-    client.ask(seq=5)
-    assert client.answer() == (5, "shed")  # the open request gets its one answer, the second call none
-    assert client.answer() is None
+    client.send_command(seq=5)
+    assert client.read_answer() == (5, "shed")  # the open request gets its one answer, the second call none
+    assert client.read_answer() is None
     until(lambda: engine.messages(b"abort"))
 
 
@@ -48,10 +48,10 @@
     """
     engine = Engine(endless)
     gateway, client = start_gateway(engine)
-    client.ask("once")
+    client.send_command("once")
     until(lambda: engine.messages(b"fetch"))
     client.sock.shutdown(socket.SHUT_WR)
-    assert client.answer() is None  # no answer is due, and the gateway shuts down its side too
+    assert client.read_answer() is None  # no answer is due, and the gateway shuts down its side too
     until(lambda: engine.messages(b"abort") and not gateway.core.requests.by_number)
     assert len(engine.messages(b"fetch")) == 1
     assert not gateway.count("answered")
@@ -62,10 +62,10 @@
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 0.1)
     gateway, client = start_gateway(Engine(endless))
     idle = Caller(gateway.address)
-    seq = client.ask("once", limit=1200)
-    assert idle.answer() is None
-    assert client.answer() == (seq, "fault")  # long after the idle timeout
-    assert client.answer() is None
+    seq = client.send_command("once", limit=1200)
+    assert idle.read_answer() is None
+    assert client.read_answer() == (seq, "fault")  # long after the idle timeout
+    assert client.read_answer() is None
     until(lambda: gateway.count("client_connections_ended_idle") == 2)
 
 
@@ -77,9 +77,9 @@
     incomplete, interrupting = Caller(gateway.address), Caller(gateway.address)
     incomplete.sock.sendall(b"\0\0\1\0\x80\1")
     for _ in range(30):
-        interrupting.interrupt(interrupting.ask())
+        interrupting.interrupt(interrupting.send_command())
     for caller in (client, incomplete, interrupting):
-        assert caller.answer() is None
+        assert caller.read_answer() is None
     # Requests that are interrupted at once do not count as traffic of this gateway.
     assert gateway.core.gateway.components.traffic.count < 1
     monkeypatch.setattr(client_connection, "MESSAGE_TIMEOUT_S", 60)
@@ -87,27 +87,27 @@
     idle = [Caller(gateway.address) for _ in range(40)]
     active = Caller(gateway.address)
     seq = active.send("check", b"\x02\0\1\1")
-    assert active.answer() == (seq, b"")
+    assert active.read_answer() == (seq, b"")
     assert gateway.count("idle_clients_closed") >= 31
-    assert all(caller.answer() is None for caller in idle[:30])
+    assert all(caller.read_answer() is None for caller in idle[:30])
 
 
 def test_invalid_requests_and_those_over_the_connection_limit_are_rejected(start_gateway):
     engine = Engine(says(b"500"))
     gateway, client = start_gateway(engine)
     for name, value in (("cpu", b"1e40"), ("memory", b"1e12"), ("cpu", b"1_0"), ("memory", b" 5")):
-        seq = client.ask(**{name: value})
-        assert client.answer() == (seq, "fault")
+        seq = client.send_command(**{name: value})
+        assert client.read_answer() == (seq, "fault")
     assert not engine.received
-    seq = client.ask()  # every attempt ends with error 500
-    assert client.answer() == (seq, "shed")
+    seq = client.send_command()  # every attempt ends with error 500
+    assert client.read_answer() == (seq, "shed")
     assert len(engine.messages(b"fetch")) <= 6
     over_limit = Caller(gateway.address)
     engine.script[:] = [endless]
     for _ in range(60):
-        over_limit.ask()
+        over_limit.send_command()
     until(lambda: gateway.count("rejected_connection_limit") == 28)
-    over_limit.ask(seq=7)  # a sequence id that was used before
+    over_limit.send_command(seq=7)  # a sequence id that was used before
     until(lambda: gateway.count("client_connections_ended_malformed") == 1)
 
 
@@ -115,7 +115,7 @@
     gateway, client = start_gateway(Engine())
     gateway.core.post(time.sleep, 0.3)  # blocks the core, so that events wait
     for _ in range(20):
-        client.interrupt(client.ask())
+        client.interrupt(client.send_command())
     until(lambda: gateway.count("interrupted") == 20)
     assert gateway.core.gateway.submitted_count == 0
 
@@ -123,13 +123,13 @@
 def test_requests_that_arrived_before_a_connection_is_drained_are_answered(start_gateway):
     gateway, client = start_gateway(Engine())
     client.send("check", b"\x02\0\1\1")
-    client.answer()
+    client.read_answer()
     (gateway_side,) = gateway.listener.clients
     gateway.core.post(time.sleep, 0.2)
-    seqs = [client.ask() for _ in range(3)]
+    seqs = [client.send_command() for _ in range(3)]
     gateway_side.drain()
-    assert sorted(client.answer() for _ in seqs) == [(seq, b"a\tb\tc\n") for seq in seqs]
-    assert client.answer() is None
+    assert sorted(client.read_answer() for _ in seqs) == [(seq, b"a\tb\tc\n") for seq in seqs]
+    assert client.read_answer() is None
 
 
 def test_a_connection_accepted_just_now_is_not_closed_to_make_room(start_gateway):
@@ -140,19 +140,19 @@
     time.sleep(client_connection.TRANSIT_TIME_S + 0.05)
     new = [Caller(gateway.address) for _ in range(5)]
     for caller in new:
-        seq = caller.ask()
-        assert caller.answer() == (seq, b"a\tb\tc\n")
-    assert all(caller.answer() is None for caller in old[:4])
+        seq = caller.send_command()
+        assert caller.read_answer() == (seq, b"a\tb\tc\n")
+    assert all(caller.read_answer() is None for caller in old[:4])
 
 
 def test_an_interrupted_request_does_not_count_as_open_before_the_core_settles_it(start_gateway):
     gateway, client = start_gateway(Engine(endless))
-    seqs = [client.ask() for _ in range(32)]
+    seqs = [client.send_command() for _ in range(32)]
     until(lambda: len(open_sequence_ids(gateway)) == 32)
     gateway.core.post(time.sleep, 0.3)  # blocks the core, so that events wait
     for seq in seqs[:5]:
         client.interrupt(seq)
-        client.ask()
+        client.send_command()
     until(lambda: len(open_sequence_ids(gateway)) == 32 and gateway.count("interrupted") == 5)
     assert not gateway.count("rejected_connection_limit")
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -33,7 +33,7 @@
 def test_no_attempt_is_sent_for_a_client_that_leaves_while_its_command_waits(gateway_without_engines, how):
     gateway, client, discovery = gateway_without_engines()
     other, engine = Caller(gateway.address), Engine()
-    seq = client.ask(limit=7000)
+    seq = client.send_command(limit=7000)
     until(lambda: gateway.core.requests.by_number)
     if how == "closes":
         client.sock.close()
@@ -45,8 +45,8 @@
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
     discovery.send(event(2, ("s-0", engine.address, "ready")))
-    seq = other.ask(txn=b"f%015x" % 7)
-    assert other.answer() == (seq, b"a\tb\tc\n")
+    seq = other.send_command(txn=b"f%015x" % 7)
+    assert other.read_answer() == (seq, b"a\tb\tc\n")
     assert [words[2] for words in engine.messages(b"fetch")] == [b"f%015x" % 7]
     engine.close()
 
@@ -57,7 +57,7 @@
     gateway, client = start_gateway(engine)
     with BlockedCore(gateway.core):
         for _ in range(20):
-            client.ask()
+            client.send_command()
         until(lambda: len(gateway.listener.clients) == 1)
         (gateway_side,) = gateway.listener.clients
         until(lambda: gateway_side.posted_count == 20)
@@ -73,10 +73,10 @@
     """Guards against a reader that sleeps in the pause: the waiting command would be sent to an engine."""
     gateway, client, discovery = gateway_without_engines(connect_timeout=3.0)
     other, engine = Caller(gateway.address), Engine()
-    seq = client.ask(limit=7000)
+    seq = client.send_command(limit=7000)
     until(lambda: gateway.core.requests.by_number)
-    client.ask("odd")  # an unknown profile: an invalid request begins a pause
-    assert client.answer()[1] == "fault"
+    client.send_command("odd")  # an unknown profile: an invalid request begins a pause
+    assert client.read_answer()[1] == "fault"
     began = time.monotonic()
     if how == "closes":
         client.sock.close()
@@ -85,8 +85,8 @@
     until(lambda: not gateway.core.requests.by_number)
     assert time.monotonic() - began < 1
     discovery.send(event(2, ("s-0", engine.address, "ready")))
-    seq = other.ask()
-    assert other.answer() == (seq, b"a\tb\tc\n")
+    seq = other.send_command()
+    assert other.read_answer() == (seq, b"a\tb\tc\n")
     assert len(engine.messages(b"fetch")) == 1
     engine.close()
 
@@ -94,14 +94,14 @@
 def test_calls_deferred_in_a_pause_are_handled_after_it_unless_interrupted(start_gateway):
     engine = Engine(endless, ok())
     gateway, client = start_gateway(engine, connect_timeout=0.5)
-    running = client.ask("once")
+    running = client.send_command("once")
     until(lambda: engine.messages(b"fetch"))
     began = time.monotonic()
-    invalid = client.ask("odd")
-    first, interrupted, last = (client.ask(txn=b"f%015x" % n) for n in (1, 2, 3))
+    invalid = client.send_command("odd")
+    first, interrupted, last = (client.send_command(txn=b"f%015x" % n) for n in (1, 2, 3))
     client.interrupt(interrupted)
     check = client.send("check", b"\x02\0\1\1")
-    answers = [client.answer() for _ in range(4)]
+    answers = [client.read_answer() for _ in range(4)]
     assert answers[0] == (invalid, "fault")
     assert time.monotonic() - began >= 0.5
     assert set(answers[1:]) == {(first, b"a\tb\tc\n"), (last, b"a\tb\tc\n"), (check, b"")}
@@ -113,12 +113,12 @@
 
 def test_deferred_calls_are_limited_during_a_pause(start_gateway):
     gateway, client = start_gateway(Engine(endless), connect_timeout=1.0)
-    client.ask("once")
-    client.ask("odd")
-    assert client.answer()[1] == "fault"
+    client.send_command("once")
+    client.send_command("odd")
+    assert client.read_answer()[1] == "fault"
     (gateway_side,) = gateway.listener.clients
     for _ in range(400):
-        client.ask(body=b"select 1 from sales_3.t" + b" " * 5000)
+        client.send_command(body=b"select 1 from sales_3.t" + b" " * 5000)
     until(
         lambda: (
             len(gateway_side.backpressure.deferred_calls) >= client_limits.MAX_OPEN_REQUESTS
@@ -145,15 +145,15 @@
     gateway, client = start_gateway(engine)
     assert gateway.core.statement_memory.max_bytes == 192 * 2**20 // 8
     gateway.core.statement_memory.max_bytes = 10_000
-    seqs = [client.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
+    seqs = [client.send_command("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
     until(lambda: len(engine.messages(b"fetch")) == 2)
     other = Caller(gateway.address)
-    big = other.ask(body=b"select 1 from sales_3.t" + b" " * 4000)
-    assert other.answer() == (big, "shed")
+    big = other.send_command(body=b"select 1 from sales_3.t" + b" " * 4000)
+    assert other.read_answer() == (big, "shed")
     assert gateway.count("rejected_statement_memory") == 1
     client.interrupt(seqs[0])
     until(lambda: gateway.core.statement_memory.used_bytes < 5000)
-    other.ask("once", body=b"select 1 from sales_3.t" + b" " * 4000)
+    other.send_command("once", body=b"select 1 from sales_3.t" + b" " * 4000)
     until(lambda: len(engine.messages(b"fetch")) == 3)
 
 
@@ -179,8 +179,8 @@
         most_bytes = max(most_bytes, sum(one.write_buffer.size for one in unread_sides))
     assert memory.max_bytes < most_bytes < memory.max_bytes + 12 * 2 * len(frame)
     assert 0 < gateway.count("answers_undeliverable") <= 12
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")  # a client that reads is still served
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")  # a client that reads is still served
 
 
 def test_open_requests_are_answered_when_malformed_bytes_end_their_connection(start_gateway):
@@ -188,23 +188,27 @@
     engine = Engine(endless)
     gateway, client = start_gateway(engine)
     other = Caller(gateway.address)
-    other_seq = other.ask("once", limit=2000)
-    seqs = [client.ask(), client.ask("once")]
+    other_seq = other.send_command("once", limit=2000)
+    seqs = [client.send_command(), client.send_command("once")]
     until(lambda: len(engine.messages(b"fetch")) == 3)
     client.sock.sendall(b"\xff\xff\xff\xff" * 10)
-    assert {client.answer(), client.answer()} == {(seqs[0], "shed"), (seqs[1], "fault")}
-    assert client.answer() is None
-    assert other.answer() == (other_seq, "fault")  # at its own client timeout
+    assert {client.read_answer(), client.read_answer()} == {(seqs[0], "shed"), (seqs[1], "fault")}
+    assert client.read_answer() is None
+    assert other.read_answer() == (other_seq, "fault")  # at its own client timeout
     assert gateway.count("client_connections_ended_malformed") == 1
 
 
 def test_deferred_requests_are_answered_when_malformed_bytes_end_their_connection(start_gateway):
     gateway, client = start_gateway(Engine(endless), connect_timeout=2.0)
-    running, invalid, deferred = client.ask("once"), client.ask("odd"), client.ask()
+    running, invalid, deferred = (
+        client.send_command("once"),
+        client.send_command("odd"),
+        client.send_command(),
+    )
     client.sock.sendall(b"\xff\xff\xff\xff")
-    assert client.answer() == (invalid, "fault")
-    assert {client.answer(), client.answer()} == {(deferred, "shed"), (running, "fault")}
-    assert client.answer() is None
+    assert client.read_answer() == (invalid, "fault")
+    assert {client.read_answer(), client.read_answer()} == {(deferred, "shed"), (running, "fault")}
+    assert client.read_answer() is None
 
 
 @pytest.fixture
@@ -235,7 +239,7 @@
 ):
     """Guards against an event that fails half way and leaves the other requests open to be sent."""
     gateway, client, _ = gateway_with_queued_requests
-    requests = {client.ask(limit=600) for _ in range(20)}
+    requests = {client.send_command(limit=600) for _ in range(20)}
     gateway_side = leave_while_the_core_is_blocked(gateway, client, requests, blocked_s=0.7)
     assert not gateway_side.open_requests
     assert not gateway.core.requests.by_number
@@ -249,7 +253,7 @@
 ):
     """Guards against requests that are dropped one by one: the second would be sent in place of the first."""
     gateway, client, engine = gateway_with_queued_requests
-    requests = {client.ask(limit=4000) for _ in range(6)}
+    requests = {client.send_command(limit=4000) for _ in range(6)}
     leave_while_the_core_is_blocked(gateway, client, requests, blocked_s=2.1)
     time.sleep(0.2)
     assert gateway.count("attempts_sent") == gateway.count("attempts_ended_overloaded")
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -27,11 +27,11 @@
         delayed_threads=("core", "coordinator"),
     )
     client = Caller(gateway.address)
-    seq = client.ask()
+    seq = client.send_command()
     until(lambda: gateway.core.queue.qsize() == 1)
     gateway.start_threads("core", "coordinator")
     discovery.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert not old.received
     assert len(new.messages(b"fetch")) == 1
     gateway.end()
@@ -44,8 +44,8 @@
         discovery.close()
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": discovery.address})
     client, began = Caller(gateway.address), time.monotonic()
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert time.monotonic() - began < 0.6
     gateway.end()
 
@@ -66,21 +66,21 @@
     callers = [Caller(("127.0.0.1", port)) for _ in range(20)]
     for caller in callers:
         caller.send("check", b"\x02\0\1\1")
-        assert caller.answer()[1] == b""
+        assert caller.read_answer()[1] == b""
     for turn in range(5):
         drained, replacement = (old, new) if turn % 2 == 0 else (new, old)
         names = ("s-0", "s-1") if turn % 2 == 0 else ("s-1", "s-0")
         before = len(drained.messages(b"fetch"))
         process.send_signal(signal.SIGSTOP)
         until(lambda: are_threads_stopped(process.pid))  # takes a while on a busy machine
-        sequence_ids = [caller.ask() for caller in callers]
+        sequence_ids = [caller.send_command() for caller in callers]
         discovery.send(
             event(2 + turn, (names[0], drained.address, "draining"), (names[1], replacement.address, "ready"))
         )
         time.sleep(0.6)  # longer than the drain grace period
         process.send_signal(signal.SIGCONT)
         for caller, seq in zip(callers, sequence_ids, strict=True):
-            assert caller.answer() == (seq, b"a\tb\tc\n")
+            assert caller.read_answer() == (seq, b"a\tb\tc\n")
         assert len(drained.messages(b"fetch")) == before
     process.send_signal(signal.SIGTERM)
     assert process.wait(WAIT_TIMEOUT_S) == 0
@@ -112,8 +112,8 @@
     discovery.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     until(lambda: gateway.count("endpoint_list_events") == 2)
     client = Caller(gateway.address)
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert not old.received
     assert discovery.follow_requests[1] == b"follow 1\n"
     gateway.end()
@@ -142,15 +142,15 @@
     discovery, old, new = DiscoveryService(), Engine(), Engine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": discovery.address})
     client = Caller(gateway.address)
-    client.ask()
-    client.answer()
+    client.send_command()
+    client.read_answer()
     discovery.send(
         event(2, ("s-9", new.address, "ready")), event(3, ("s-0", old.address, "draining")), b"3\n"
     )
     until(lambda: gateway.count("endpoint_list_events") == 3)
     for _ in range(4):
-        client.ask()
-        client.answer()
+        client.send_command()
+        client.read_answer()
     assert len(old.messages(b"fetch")) == 1
     assert len(new.messages(b"fetch")) == 4
     discovery.send(b"{bad\n")  # followed again from the last good event; the list stays as it is
@@ -160,8 +160,8 @@
         event(3, ("s-9", new.address, "gone")), event(4, ("s-7", new.address, "ready"), whole=True)
     )
     until(lambda: gateway.count("endpoint_list_events") == 4)
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert len(new.messages(b"fetch")) == 5
     assert len({words[0] for words in new.messages(b"fetch")}) == 2  # another engine gets another connection
     gateway.end()
@@ -173,8 +173,8 @@
     client = Caller(gateway.address)
     for i, engine in enumerate(engines):  # each is added with its own address, then removed
         discovery.send(event(2 * i + 2, (f"s-{i}", engine.address, "ready")))
-        seq = client.ask()
-        assert client.answer() == (seq, b"a\tb\tc\n")
+        seq = client.send_command()
+        assert client.read_answer() == (seq, b"a\tb\tc\n")
         discovery.send(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
     assert not gateway.core.gateway.components.engines.by_id
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -17,7 +17,7 @@
     discovery, late = DiscoveryService(), LateEngine()
     gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": discovery.address})
     client = Caller(gateway.address)
-    seq = client.ask(limit=7000)
+    seq = client.send_command(limit=7000)
     until(lambda: gateway.core.pool.connections)
     discovery.send(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[change])))
     until(lambda: gateway.count("attempts_ended_not_started"))
@@ -33,14 +33,14 @@
     """Without cancellation the decision module asks for no cancel, and the fetch was still sent."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0, cancel=cancel)
-    client.ask(limit=7000, txn=b"f%015x" % 1)
+    client.send_command(limit=7000, txn=b"f%015x" % 1)
     until(lambda: gateway.core.pool.connections)
     client.sock.close()
     until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1)
     conn = late.accept()
     until(lambda: gateway.count("engine_connections_opened") == 1 and not gateway.core.requests.by_number)
     other = Caller(gateway.address)
-    seq = other.ask(txn=b"f%015x" % 2)
+    seq = other.send_command(txn=b"f%015x" % 2)
     assert b"f%015x" % 1 not in (first := conn.recv(1000))
     assert b"f%015x" % 2 in first
     other.interrupt(seq)
@@ -51,8 +51,8 @@
 def test_attempt_is_withdrawn_when_its_deadline_passes_before_the_connection_opens(start_gateway):
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0)
-    seq = client.ask("once", limit=300)
-    assert client.answer() == (seq, "shed")  # it never ran, so the client may retry
+    seq = client.send_command("once", limit=300)
+    assert client.read_answer() == (seq, "shed")  # it never ran, so the client may retry
     conn = late.accept()
     until(lambda: gateway.count("engine_connections_opened") == 1)
     conn.settimeout(0.3)
@@ -76,7 +76,7 @@
     late, fence = LateEngine(), StubFence()
     gateway, client = start_gateway(late, connect_timeout=5.0)
     gateway.core.fences.append(fence)
-    seq = client.ask("once", limit=4000)
+    seq = client.send_command("once", limit=4000)
     until(lambda: gateway.core.pool.connections)
     fence.current_token = 2
     conn = late.accept()
@@ -91,7 +91,7 @@
     """Guards against a fetch encoded at the decision: after its wait the stated timeout was too long."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=3.0)
-    client.ask(limit=3500)
+    client.send_command(limit=3500)
     until(lambda: gateway.count("attempts_sent") == 1)
     time.sleep(0.7)
     conn, decoder = late.accept(), resp.Decoder(100_000)
@@ -103,7 +103,7 @@
     assert verb == b"fetch"
     assert 0 < int(resp.decode_fields(fields)[b"w"]) <= left + 150
     conn.sendall(resp.encode(txn, b"200", b"pages=1,cost=5,need=10", b"a\tb\tc\n"))
-    assert client.answer()[1] == b"a\tb\tc\n"
+    assert client.read_answer()[1] == b"a\tb\tc\n"
 
 
 def test_connection_limit_counts_dropped_connections_until_their_descriptors_are_closed(start_gateway):
@@ -111,13 +111,13 @@
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0)
     gateway.core.pool.max_connections = 1
-    seq = client.ask("once", limit=400)
-    assert client.answer() == (seq, "shed")
+    seq = client.send_command("once", limit=400)
+    assert client.read_answer() == (seq, "shed")
     (connection,) = gateway.core.pool.connections
     gateway.core.post(gateway.core.pool.drop, connection, connection_ends.ConnectionEnd.SILENT)
     until(lambda: not gateway.core.pool.connections)
-    seq = client.ask("once", limit=400)
-    assert client.answer() == (seq, "shed")
+    seq = client.send_command("once", limit=400)
+    assert client.read_answer() == (seq, "shed")
     assert gateway.count("engine_connections_no_descriptor")
     late.accept().close()
     until(lambda: not gateway.core.pool.holding_descriptor)
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -67,8 +67,8 @@
             lambda: {leader for leader, _ in rig.leaders().values()} == {"n1"} and len(rig.leaders()) == 4
         )
         client = Caller(rig.members["n0"].address)
-        seq = client.ask()
-        assert client.answer() == (seq, b"a\tb\tc\n")
+        seq = client.send_command()
+        assert client.read_answer() == (seq, b"a\tb\tc\n")
         logged = [event for _, _, event, _ in rig.events("n0")]
         assert logged.count("register unreachable, serving standalone") == 1
         rig.heal("n0")  # held calls arrive late and are refused; then n0 joins again
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -26,8 +26,8 @@
     engine = Engine(drains)
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": discovery.address})
     client = Caller(gateway.address)
-    seq = client.ask("once")
-    assert client.answer() == (seq, b"1\t2\t3\n4\t5\t6\n")
+    seq = client.send_command("once")
+    assert client.read_answer() == (seq, b"1\t2\t3\n4\t5\t6\n")
     assert len(engine.messages(b"fetch")) == 1
     gateway.end()
 
@@ -43,7 +43,7 @@
 
     engine = Engine(leaves)
     gateway, client = start_gateway(engine)
-    client.ask()
+    client.send_command()
     until(lambda: engine.messages(b"done") or engine.messages(b"abort"))
     until(lambda: not gateway.core.requests.by_number)
     assert len(engine.messages(b"fetch")) == 1
@@ -59,8 +59,8 @@
     until(lambda: is_listening(port))
     callers = [Caller(("127.0.0.1", port)) for _ in range(10)]
     for caller in callers:
-        seq = caller.ask()
-        assert caller.answer() == (seq, b"a\tb\tc\n")
+        seq = caller.send_command()
+        assert caller.read_answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGTERM)
     ends, fetch_count = [], len(engine.messages(b"fetch"))
 
@@ -68,7 +68,7 @@
         """Read to the end of the stream, and send a request at that moment."""
         ends.append(read_to_end(caller))
         try:
-            caller.ask()
+            caller.send_command()
             ends.append(read_to_end(caller))
         except OSError:
             ends.append((b"", False))
@@ -103,10 +103,10 @@
         caller = Caller(("127.0.0.1", port))
         while True:
             try:
-                seq = caller.ask(limit=900)
+                seq = caller.send_command(limit=900)
             except OSError:
                 return  # the connection had ended before
-            answer = caller.answer()
+            answer = caller.read_answer()
             if answer is None:
                 return
             if answer[0] != seq:
@@ -131,11 +131,11 @@
 
 def test_answers_put_before_the_end_of_a_connection_arrive_whole_and_later_ones_are_dropped(start_gateway):
     gateway, client = start_gateway(Engine(ok(b"x\ty\tz\n" * 800)))
-    seq = client.ask()
+    seq = client.send_command()
     until(lambda: gateway.count("answered") == 1)
     (gateway_side,) = gateway.listener.clients
     gateway_side.write_buffer.finish()
     gateway_side.put(thrift.encode_shed(99, {}))  # dropped, as our side ends; not counted as undeliverable
-    assert client.answer() == (seq, b"x\ty\tz\n" * 800)
+    assert client.read_answer() == (seq, b"x\ty\tz\n" * 800)
     assert read_to_end(client) == (b"", True)
     assert not gateway.count("answers_undeliverable")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -29,19 +29,19 @@
     until(lambda: is_listening(port))
     client = Caller(("127.0.0.1", port))
     client.send("check", b"\x02\0\1\1")
-    assert client.answer()[1] == b""
-    endless_seq = client.ask("once", limit=7000)
+    assert client.read_answer()[1] == b""
+    endless_seq = client.send_command("once", limit=7000)
     until(lambda: engine.messages(b"fetch"))
     process.send_signal(signal.SIGUSR1)
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
     other = Caller(("127.0.0.1", port))  # new connections are still accepted and served
-    seq = other.ask()
-    assert other.answer() == (seq, b"a\tb\tc\n")
+    seq = other.send_command()
+    assert other.read_answer() == (seq, b"a\tb\tc\n")
     other.send("check", b"\x02\0\1\1")
-    assert other.answer()[1] == "unfit"
-    assert client.answer() == (endless_seq, "fault")
+    assert other.read_answer()[1] == "unfit"
+    assert client.read_answer() == (endless_seq, "fault")
     assert 2.5 < time.monotonic() - began < 3.7
     assert process.wait(WAIT_TIMEOUT_S) == 0
     log = process.stderr.read()
@@ -67,8 +67,8 @@
     new.send(event(3, ("s-9", engine.address, "ready"), whole=True))
     time.sleep(0.2)
     client = Caller(("127.0.0.1", port))
-    seq = client.ask()
-    assert client.answer() == (seq, b"a\tb\tc\n")
+    seq = client.send_command()
+    assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert process.poll() is None
     assert old.follow_requests == [b"follow 1\n"]
     assert new.follow_requests == [b"follow 2\n"]
@@ -179,9 +179,9 @@
     until(lambda: is_listening(port))
     # About a third of the sockets of the configuration, which is what clients usually need.
     callers = [Caller(("127.0.0.1", port)) for _ in range(330)]
-    sequence_ids = [[caller.ask() for _ in range(3)] for caller in callers]
+    sequence_ids = [[caller.send_command() for _ in range(3)] for caller in callers]
     for caller, seqs in zip(callers, sequence_ids, strict=True):
-        answers = [caller.answer() for _ in seqs]
+        answers = [caller.read_answer() for _ in seqs]
         assert {seq for seq, _ in answers} == set(seqs)
         assert all(word in (b"a\tb\tc\n", "shed") for _, word in answers)
     status = dict(row.split(":", 1) for row in Path(f"/proc/{process.pid}/status").read_text().splitlines())
@@ -208,8 +208,8 @@
         process.send_signal(signal.SIGUSR1)  # each logs a long line
         time.sleep(0.001)
     caller = Caller(("127.0.0.1", port))
-    seq = caller.ask()
-    assert caller.answer() == (seq, b"a\tb\tc\n")
+    seq = caller.send_command()
+    assert caller.read_answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGTERM)
     assert process.wait(WAIT_TIMEOUT_S) == 0
     os.close(read_end)
@@ -224,14 +224,14 @@
     until(lambda: is_listening(port))
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
     first = Caller(("127.0.0.1", port))
-    seq = first.ask()
-    assert first.answer() == (seq, b"a\tb\tc\n")  # its connection to the engine is open
+    seq = first.send_command()
+    assert first.read_answer() == (seq, b"a\tb\tc\n")  # its connection to the engine is open
     callers = [Caller(("127.0.0.1", port)) for _ in range(60)]
-    sequence_ids = [caller.ask(limit=7000) for caller in callers]
+    sequence_ids = [caller.send_command(limit=7000) for caller in callers]
     # With a bound of 20 a slow gateway had not reached its limit before the first callers closed.
     until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= 30)
     for caller, seq in zip(callers, sequence_ids, strict=True):
-        assert caller.answer() == (seq, b"a\tb\tc\n")
+        assert caller.read_answer() == (seq, b"a\tb\tc\n")
         caller.sock.close()
     process.send_signal(signal.SIGTERM)
     assert process.wait(WAIT_TIMEOUT_S) == 0
