--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from gullhold.net import thrift
-from gullhold.testing import PATIENCE_S, load_client
+from gullhold.testing import WAIT_TIMEOUT_S, load_client
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
 from gullhold.testing.working_engine import statement
 
@@ -42,7 +42,7 @@
     """A connection that keeps a bounded number of small requests open."""
 
     def __init__(self, address: tuple[str, int], max_open: int) -> None:
-        self.sock = socket.create_connection(address, timeout=PATIENCE_S)
+        self.sock = socket.create_connection(address, timeout=WAIT_TIMEOUT_S)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.decoder = thrift.Decoder(load_client.MAX_FRAME_BYTES)
         self.max_open = max_open
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -14,8 +14,8 @@
 from typing import Any, NamedTuple
 
 from gullhold.net import thrift
-from gullhold.testing import PATIENCE_S
-from gullhold.testing.client import Caller
+from gullhold.testing import WAIT_TIMEOUT_S
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.many_engines import ManyEngines
@@ -54,7 +54,7 @@
 
     def __init__(self, address: Address, seconds: float, seed: int) -> None:
         super().__init__(daemon=True)
-        self.caller = Caller(address)
+        self.caller = BlockingClient(address)
         self.seconds = seconds
         self.draw = Random(seed).random
         self.asked = 0
@@ -190,7 +190,7 @@
 
 
 def _wait_until_it_answers(address: Address, log_path: Path) -> None:
-    ends_at = time.monotonic() + PATIENCE_S
+    ends_at = time.monotonic() + WAIT_TIMEOUT_S
     while not serving_status(address):
         if time.monotonic() > ends_at:
             raise RuntimeError(f"the gateway did not come up: {log_path.read_text()}")
--- a/gullhold/testing/__init__.py
+++ b/gullhold/testing/__init__.py
@@ -8,11 +8,11 @@
 from collections.abc import Iterator
 
 LOOPBACK = "127.0.0.1"  # the only address on which a test double listens or connects
-PATIENCE_S = 8.0  # s until a wait of a test double fails: far more than any answer takes
+WAIT_TIMEOUT_S = 8.0  # s until a wait of a test double fails: far more than any answer takes
 LISTEN_BACKLOG = 512  # connections that wait to be accepted
 
 
-def listening() -> tuple[socket.socket, str]:
+def open_listener() -> tuple[socket.socket, str]:
     """Open a listening socket on a free port; return it with its address, HOST:PORT."""
     sock = socket.create_server((LOOPBACK, 0), backlog=LISTEN_BACKLOG)
     return sock, f"{LOOPBACK}:{sock.getsockname()[1]}"
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from gullhold.net import thrift
-from gullhold.testing import PATIENCE_S
+from gullhold.testing import WAIT_TIMEOUT_S
 
 READ_BYTES = 100_000
 LENGTH_SIZE = 4  # bytes of the length of a frame
@@ -23,13 +23,13 @@
     result: bytes | str
 
 
-class Caller:
+class BlockingClient:
     """A client's connection. Command numbers are unique among all callers of the process."""
 
     serial = 0
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(address, timeout=PATIENCE_S)
+        self.sock = socket.create_connection(address, timeout=WAIT_TIMEOUT_S)
         self.buffer = b""
         self.seq = 0
 
@@ -54,8 +54,8 @@
         verb: its profile; limit: its timeout in ms; txn: its number, by default a new one; other: further
         fields.
         """
-        Caller.serial += 1
-        txn = txn or b"%016x" % Caller.serial
+        BlockingClient.serial += 1
+        txn = txn or b"%016x" % BlockingClient.serial
         fields = {
             b"verb": verb.encode(),
             b"txn": txn,
--- a/gullhold/testing/discovery_service.py
+++ b/gullhold/testing/discovery_service.py
@@ -5,7 +5,7 @@
 from threading import Event, Thread
 from typing import Any
 
-from gullhold.testing import PATIENCE_S, accepted_connections, listening
+from gullhold.testing import WAIT_TIMEOUT_S, accepted_connections, open_listener
 
 MAX_REQUEST_BYTES = 100
 
@@ -20,7 +20,7 @@
         self.follow_requests: list[bytes] = []
         self.connection: socket.socket | None = None
         self.has_follower = Event()
-        self.listener, self.address = listening()
+        self.listener, self.address = open_listener()
         Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -31,7 +31,7 @@
 
     def send(self, *lines: bytes | dict[str, Any]) -> None:
         """Send lines to the last follower, once there is one; bytes are sent as they are, others as JSON."""
-        assert self.has_follower.wait(PATIENCE_S)
+        assert self.has_follower.wait(WAIT_TIMEOUT_S)
         assert self.connection is not None
         self.connection.sendall(b"".join(map(_encoded, lines)))
 
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -14,7 +14,7 @@
 
 import requests
 
-from gullhold.testing import PATIENCE_S, gateway_log
+from gullhold.testing import WAIT_TIMEOUT_S, gateway_log
 from gullhold.testing.deployment import config
 from gullhold.testing.fleet_checker import Check
 from gullhold.testing.fleet_process import Member, StoreProcess
@@ -179,11 +179,11 @@
 
     def inject_store_faults(self, **requested: Any) -> None:
         """Ask the store for faults."""
-        requests.post(f"http://{self.store_address}/faults", json=requested, timeout=PATIENCE_S)
+        requests.post(f"http://{self.store_address}/faults", json=requested, timeout=WAIT_TIMEOUT_S)
 
     def store_call_counts(self) -> dict[str, int]:
         """Calls that the store has had, by kind."""
-        return requests.get(f"http://{self.store_address}/counts", timeout=PATIENCE_S).json()
+        return requests.get(f"http://{self.store_address}/counts", timeout=WAIT_TIMEOUT_S).json()
 
     # Members
 
@@ -273,7 +273,7 @@
 
     # What can be seen
 
-    def wait_until(self, condition: Callable[[], Any], seconds: float = PATIENCE_S) -> Any:
+    def wait_until(self, condition: Callable[[], Any], seconds: float = WAIT_TIMEOUT_S) -> Any:
         """Wait until a condition gives something true; what it gave. Raises AssertionError with the story."""
         end = time.monotonic() + seconds
         while not (found := condition()):
--- a/gullhold/testing/fleet_process.py
+++ b/gullhold/testing/fleet_process.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from gullhold.net import split_host_port
-from gullhold.testing import PATIENCE_S
+from gullhold.testing import WAIT_TIMEOUT_S
 from gullhold.testing.relay import Relay
 from gullhold.testing.running import ROOT, free_address
 
@@ -112,7 +112,7 @@
 
     def wait(self) -> None:
         """Wait for the end."""
-        self.process.wait(PATIENCE_S)
+        self.process.wait(WAIT_TIMEOUT_S)
 
     def kill(self) -> None:
         """SIGKILL, if it runs."""
--- a/gullhold/testing/load_client.py
+++ b/gullhold/testing/load_client.py
@@ -14,7 +14,7 @@
 
 from gullhold.net import thrift
 from gullhold.net.connection_ends import ProtocolError
-from gullhold.testing import PATIENCE_S
+from gullhold.testing import WAIT_TIMEOUT_S
 from gullhold.testing.client import execute_arguments
 from gullhold.testing.load_counts import Attempt, LoadCounts
 from gullhold.testing.working_engine import statement
@@ -124,7 +124,7 @@
     def join(self) -> None:
         """Wait until all connections have ended."""
         for thread in self.threads:
-            thread.join(PATIENCE_S)
+            thread.join(WAIT_TIMEOUT_S)
 
     def reset_counts(self) -> None:
         """Set all counts to zero: a measurement begins."""
@@ -188,7 +188,7 @@
     def run(self) -> None:
         """Connect, and send and read until the client is stopped or the connection ends."""
         try:
-            with socket.create_connection(self.client.address, timeout=PATIENCE_S) as sock:
+            with socket.create_connection(self.client.address, timeout=WAIT_TIMEOUT_S) as sock:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 sock.settimeout(READ_TIMEOUT_S)
                 self._serve(sock)
@@ -352,7 +352,7 @@
     def join(self) -> None:
         """Wait until all connections have ended; the counts are final."""
         self._give_order(ClientOrder.JOIN)
-        self.process.join(PATIENCE_S)
+        self.process.join(WAIT_TIMEOUT_S)
 
 
 def _run_client(pipe: Connection, arguments: tuple[Any, ...], options: dict[str, Any]) -> None:
--- a/gullhold/testing/load_process.py
+++ b/gullhold/testing/load_process.py
@@ -6,7 +6,7 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from gullhold.testing import PATIENCE_S
+from gullhold.testing import WAIT_TIMEOUT_S
 from gullhold.testing.load_client import LoadClient
 from gullhold.testing.load_counts import LoadCounts
 
@@ -49,7 +49,7 @@
         """Send nothing more, wait for what is open, end the processes; return the final counts."""
         total = add_counts(self._ask("stop"))
         for process in self._processes:
-            process.join(PATIENCE_S)
+            process.join(WAIT_TIMEOUT_S)
         return total
 
     def _ask(self, order: str) -> list[LoadCounts]:
--- a/gullhold/testing/relay.py
+++ b/gullhold/testing/relay.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 
 from gullhold.net import split_host_port
-from gullhold.testing import listening
+from gullhold.testing import open_listener
 
 CHUNK_BYTES = 65536
 CONNECT_TIMEOUT_S = 5
@@ -47,7 +47,7 @@
         self._changed = threading.Condition()
         self._sockets: set[socket.socket] = set()
         self._is_closed = False
-        self._listener, self.address = listening()
+        self._listener, self.address = open_listener()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def set(self, mode: RelayMode = RelayMode.OPEN, directions: Iterable[str] = tuple(Direction)) -> None:
--- a/gullhold/testing/running.py
+++ b/gullhold/testing/running.py
@@ -12,7 +12,7 @@
 from typing import Any, Self
 
 from gullhold.net import health_check
-from gullhold.testing import LOOPBACK, PATIENCE_S, gateway_log
+from gullhold.testing import LOOPBACK, WAIT_TIMEOUT_S, gateway_log
 from gullhold.testing.deployment import config
 from gullhold.testing.working_engine import WorkingEngine
 
@@ -133,7 +133,7 @@
                 stderr=log,
                 env=os.environ | environment,
             )
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while serving_status(self.address) is None:
             if time.monotonic() > end or self.process.poll() is not None:
                 self.__exit__()
@@ -153,7 +153,7 @@
     def _end_process(process: subprocess.Popen) -> None:
         process.terminate()
         try:
-            process.wait(PATIENCE_S)
+            process.wait(WAIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
--- a/gullhold/testing/scripted.py
+++ b/gullhold/testing/scripted.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from gullhold.net import resp
-from gullhold.testing import accepted_connections, listening
+from gullhold.testing import accepted_connections, open_listener
 
 MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway
 DEFAULT_PAGE = b"a\tb\tc\n"
@@ -25,7 +25,7 @@
 ReceivedMessage = tuple[Any, ...]
 
 
-class Engine:
+class ScriptedEngine:
     """Listens until close(), keeps the messages that it receives, and answers by its script.
 
     script: the steps still to be taken; received: all messages so far; alive_delay_s: delay of the answer to
@@ -33,11 +33,11 @@
     """
 
     def __init__(self, *script: Step) -> None:
-        self.script = list(script) or [ok()]
+        self.script = list(script) or [serve_pages()]
         self.received: list[ReceivedMessage] = []
         self.connections: list[socket.socket] = []
         self.alive_delay_s = 0.0
-        self.listener, self.address = listening()
+        self.listener, self.address = open_listener()
         Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -55,7 +55,7 @@
                     self.received.append((number, *words, time.monotonic()))
                     if words[0] == b"fetch":
                         step = self._next_step()
-                    if words[0] == b"alive" and step is not mute:
+                    if words[0] == b"alive" and step is not answer_nothing:
                         self._answer_alive(connection, number, words[1])
                     elif step:
                         step(connection, *words)
@@ -85,10 +85,10 @@
             self.stop_listening()
         for connection in self.connections:
             if connection.fileno() >= 0:
-                resets(connection, b"fetch")
+                reset_connection(connection, b"fetch")
 
 
-def ok(*pages: bytes, fields: bytes = DEFAULT_FIELDS) -> Step:
+def serve_pages(*pages: bytes, fields: bytes = DEFAULT_FIELDS) -> Step:
     """Return a step that serves these pages, by default one."""
     pages = pages or (DEFAULT_PAGE,)
 
@@ -102,7 +102,7 @@
     return step
 
 
-def says(word: bytes, *rest: bytes) -> Step:
+def reply_with(word: bytes, *rest: bytes) -> Step:
     """Return a step that answers a fetch with these words and no page."""
 
     def step(connection: socket.socket, verb: bytes, *words: bytes) -> None:
@@ -112,7 +112,7 @@
     return step
 
 
-def raw(data: bytes) -> Step:
+def send_bytes(data: bytes) -> Step:
     """Return a step that answers a fetch with these bytes, whatever they are."""
 
     def step(connection: socket.socket, verb: bytes, *_words: bytes) -> None:
@@ -122,16 +122,16 @@
     return step
 
 
-def resets(connection: socket.socket, verb: bytes, *_words: bytes) -> None:
+def reset_connection(connection: socket.socket, verb: bytes, *_words: bytes) -> None:
     """Step: reset the connection at a fetch, as a process that dies with the request open."""
     if verb == b"fetch":
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.close()
 
 
-def mute(*_message: Any) -> None:
+def answer_nothing(*_message: Any) -> None:
     """Step: answer nothing, not even an alive, as a machine that vanished."""
 
 
-def endless(*_message: Any) -> None:
+def never_finish(*_message: Any) -> None:
     """Step: a query that never ends, on a connection that works."""
--- a/gullhold/testing/soak/doubles.py
+++ b/gullhold/testing/soak/doubles.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from gullhold.net import thrift
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.soak.plan import Plan
 from gullhold.testing.working_engine import WorkingEngine, statement
 
@@ -75,7 +75,7 @@
     def _run(self) -> None:
         while not self.is_stopped and self.may_connect:
             try:
-                caller = Caller(self.address)
+                caller = BlockingClient(self.address)
             except OSError:
                 time.sleep(self.plan.pause_s)
                 continue
@@ -85,7 +85,7 @@
 class _SoakConnection:
     """One connection: a thread that writes, and one that reads until the end."""
 
-    def __init__(self, client: SoakClient, caller: Caller) -> None:
+    def __init__(self, client: SoakClient, caller: BlockingClient) -> None:
         self.client = client
         self.caller = caller
         self.lock = Lock()
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 from gullhold.net import split_host_port
-from gullhold.testing import PATIENCE_S, gateway_log
+from gullhold.testing import WAIT_TIMEOUT_S, gateway_log
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.load_client import RetryRule
@@ -80,7 +80,7 @@
 
     def wait_until_serving(self) -> None:
         """Raise RuntimeError where it does not come up."""
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while not serving_status(self.address):
             if time.monotonic() > end or self.process.poll() is not None:
                 raise RuntimeError(f"the gateway did not come up: {self.log_text()}")
@@ -155,7 +155,7 @@
         if plan.crowd is Crowd.IDLE:
             time.sleep(10 * POLL_S)  # the others are connected first
             self.idle = [
-                socket.create_connection(gateway.address, PATIENCE_S)
+                socket.create_connection(gateway.address, WAIT_TIMEOUT_S)
                 for gateway in self.gateways
                 for _ in range(IDLE_CONNECTIONS)
             ]
@@ -259,7 +259,7 @@
         for client in self.clients:
             client.stop()
         for client in self.clients:
-            client.join(PATIENCE_S)
+            client.join(WAIT_TIMEOUT_S)
         if self.flood:
             self.flood.stop()
         for sock in self.idle:
--- a/gullhold/testing/working_engine.py
+++ b/gullhold/testing/working_engine.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from gullhold.net import resp
-from gullhold.testing import accepted_connections, listening
+from gullhold.testing import accepted_connections, open_listener
 
 WORK_PATTERN = re.compile(rb"/\* work=([0-9.]+) \*/")
 DEFAULT_WORK_MS = 20.0  # of a statement that states none
@@ -87,7 +87,7 @@
         self.completed = 0
         self.closed = False
         self.connections: list[socket.socket] = []
-        self.listener, self.address = listening()
+        self.listener, self.address = open_listener()
         for run in (self._accept, self._complete_attempts):
             Thread(target=run, daemon=True).start()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 from serving import Gateway, start_process
 
 from gullhold.testing import gateway_log
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config
 
 logger.remove()  # gateways inside a test process would log to a stream that pytest has closed
@@ -29,7 +29,7 @@
     def start(*test_engines, **settings):
         engines.extend(test_engines)
         gateways.append(Gateway(tmp_path, config(*test_engines, **settings)))
-        return gateways[-1], Caller(gateways[-1].address)
+        return gateways[-1], BlockingClient(gateways[-1].address)
 
     yield start
     for gateway in gateways:
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -9,7 +9,7 @@
 
 from faults.plan import Plan
 from faults.traffic import FaultyGateway, statement
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 
 CROSSING_S = 0.05  # s in which a request may cross the end of its connection, from the protocol
 AFTER_S = 0.7  # s behind the longest deadline (3 s at most) at which SIGKILL may come: the protocol
@@ -21,7 +21,7 @@
 
     def __init__(self, address, record, number, pause_s, limit_ms, odd=False):
         super().__init__(daemon=True)
-        self.caller, self.record, self.number = Caller(address), record, number
+        self.caller, self.record, self.number = BlockingClient(address), record, number
         self.pause_s, self.limit_ms, self.odd = pause_s, limit_ms, odd
         self.written, self.ended_at, self.violations = {}, None, []
 
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -22,8 +22,8 @@
 from faults.plan import Plan
 from gullhold.net import health_check, resp
 from gullhold.net.connection_ends import ProtocolError
-from gullhold.testing import gateway_log, listening
-from gullhold.testing.client import Caller
+from gullhold.testing import gateway_log, open_listener
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config
 from gullhold.testing.running import free_address
 
@@ -82,7 +82,7 @@
         self.draw = Random(seed).random
         self.fetches = 0
         self.hangs = False  # takes work and answers nothing
-        self.sock, self.address = listening()
+        self.sock, self.address = open_listener()
         Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
@@ -174,7 +174,7 @@
             time.sleep(PAUSE_S)
 
     def _use_connection(self) -> None:
-        caller = Caller(self.address)
+        caller = BlockingClient(self.address)
         caller.sock.settimeout(self.limit_ms / 1000 + GRACE_S)
         leaving, open_now = self.draw() < self.leaves, {}
         with caller.sock:
@@ -196,7 +196,7 @@
             if caller.buffer:
                 self.record.add_violation(f"bytes behind the last answer: {bytes(caller.buffer[:40])!r}")
 
-    def _take_answer(self, caller: Caller, open_now: dict[int, bytes]) -> None:
+    def _take_answer(self, caller: BlockingClient, open_now: dict[int, bytes]) -> None:
         try:
             found = caller.read_answer()
         except TimeoutError:
--- a/tests/races.py
+++ b/tests/races.py
@@ -11,7 +11,7 @@
 from serving import WAIT_TIMEOUT_S
 
 from gullhold.net.core import Core
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 
 CLIENTS_CLOSED_COUNTER = "client_connections_ended_closed_by_peer"  # counts clients that left
 
@@ -72,7 +72,7 @@
     is_orderly: bool
 
 
-def read_to_end(caller: Caller) -> Remainder:
+def read_to_end(caller: BlockingClient) -> Remainder:
     """Read all data left on a client's connection, without writing to it or closing it."""
     data = caller.buffer
     while True:
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -10,10 +10,10 @@
 from gullhold.net.list_change import parse_event
 from gullhold.operator import records
 from gullhold.testing import load_client
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config, event
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, adjust_settings
-from gullhold.testing.scripted import Engine, endless
+from gullhold.testing.scripted import ScriptedEngine, never_finish
 from gullhold.testing.working_engine import WorkingEngine, statement
 
 
@@ -28,7 +28,7 @@
         adjust_settings(configuration["settings"], tenants, cores)
         gateways.append(Gateway(tmp_path, configuration, door_record=record))
         engines.extend(parts)
-        return gateways[-1], Caller(gateways[-1].address)
+        return gateways[-1], BlockingClient(gateways[-1].address)
 
     yield make
     for gateway in gateways:
@@ -43,7 +43,7 @@
 
 
 def test_queued_commands_are_unknown_to_the_decision_module_and_shed_in_time(start_gateway):
-    gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
+    gateway, client = start_gateway(ScriptedEngine(never_finish), more="door: patience: 100")
     for _ in range(30):
         client.send_command(limit=600, client=b"one")
     until(
@@ -63,8 +63,8 @@
 
 
 def test_the_queue_is_empty_after_clients_interrupt_or_disconnect(start_gateway):
-    gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
-    other = Caller(gateway.address)
+    gateway, client = start_gateway(ScriptedEngine(never_finish), more="door: patience: 100")
+    other = BlockingClient(gateway.address)
     seqs = [client.send_command(client=b"one") for _ in range(30)]
     for _ in range(20):
         other.send_command(client=b"two")
@@ -76,7 +76,7 @@
 
 
 def test_queued_commands_go_to_another_engine_when_one_drains(start_gateway):
-    engine, later = WorkingEngine(slots=1), Engine()
+    engine, later = WorkingEngine(slots=1), ScriptedEngine()
     gateway, client = start_gateway(engine, cores=1, more="door: patience: 100")
     for _ in range(20):
         client.send_command(limit=4000, client=b"one", body=statement(30))
@@ -95,10 +95,12 @@
 
 def test_unknown_tenants_use_the_share_of_the_fallback_tenant_or_are_refused(start_gateway):
     tenants = (("a", 0.7), ("rest", 0.3))
-    _, client = start_gateway(Engine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}')
+    _, client = start_gateway(
+        ScriptedEngine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}'
+    )
     client.send_command(team=b"never heard of")
     assert client.read_answer() == (1, b"a\tb\tc\n")
-    gateway, client = start_gateway(Engine(), tenants=tenants)
+    gateway, client = start_gateway(ScriptedEngine(), tenants=tenants)
     client.send_command(team=b"never heard of")
     assert client.read_answer() == (1, "fault")
     assert not gateway.core.admission_queue.flow_table.tenants
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -7,32 +7,40 @@
 from serving import open_sequence_ids, until
 
 from gullhold.net import resp
-from gullhold.testing.scripted import Engine, endless, mute, ok, raw, resets, says
+from gullhold.testing.scripted import (
+    ScriptedEngine,
+    answer_nothing,
+    never_finish,
+    reply_with,
+    reset_connection,
+    send_bytes,
+    serve_pages,
+)
 
 
 @pytest.mark.parametrize(
     ("verb", "step", "expected"),
     [
-        ("once", says(b"503"), b"a\tb\tc\n"),
-        ("once", says(b"504"), b"a\tb\tc\n"),
-        ("once", says(b"500"), "fault"),
-        ("read", says(b"500"), b"a\tb\tc\n"),
-        ("mark", says(b"500"), b"a\tb\tc\n"),
-        ("once", resets, "fault"),
-        ("read", resets, b"a\tb\tc\n"),
-        ("mark", resets, b"a\tb\tc\n"),
-        ("read", raw(b"+OK\r\n"), b"a\tb\tc\n"),
-        ("once", raw(b"*1\r\n$99999999\r\n"), "fault"),
-        ("read", says(b"chunk"), b"a\tb\tc\n"),
-        ("read", says(b"200", b"pages=x"), b"a\tb\tc\n"),
-        ("read", ok(b"x\n", fields=b"cost=inf"), b"a\tb\tc\n"),
-        ("once", ok(b"x\n", fields=b"need=much"), "fault"),
-        ("read", mute, b"a\tb\tc\n"),
-        ("once", mute, "fault"),
+        ("once", reply_with(b"503"), b"a\tb\tc\n"),
+        ("once", reply_with(b"504"), b"a\tb\tc\n"),
+        ("once", reply_with(b"500"), "fault"),
+        ("read", reply_with(b"500"), b"a\tb\tc\n"),
+        ("mark", reply_with(b"500"), b"a\tb\tc\n"),
+        ("once", reset_connection, "fault"),
+        ("read", reset_connection, b"a\tb\tc\n"),
+        ("mark", reset_connection, b"a\tb\tc\n"),
+        ("read", send_bytes(b"+OK\r\n"), b"a\tb\tc\n"),
+        ("once", send_bytes(b"*1\r\n$99999999\r\n"), "fault"),
+        ("read", reply_with(b"chunk"), b"a\tb\tc\n"),
+        ("read", reply_with(b"200", b"pages=x"), b"a\tb\tc\n"),
+        ("read", serve_pages(b"x\n", fields=b"cost=inf"), b"a\tb\tc\n"),
+        ("once", serve_pages(b"x\n", fields=b"need=much"), "fault"),
+        ("read", answer_nothing, b"a\tb\tc\n"),
+        ("once", answer_nothing, "fault"),
     ],
 )
 def test_failed_attempt_is_retried_only_when_a_second_run_does_no_harm(start_gateway, verb, step, expected):
-    engine = Engine(step, ok())
+    engine = ScriptedEngine(step, serve_pages())
     gateway, client = start_gateway(engine)
     seq = client.send_command(verb)
     assert client.read_answer() == (seq, expected)
@@ -40,7 +48,7 @@
 
 
 def test_non_idempotent_command_is_retried_when_an_engine_refuses_the_connection(start_gateway):
-    dead, engine = Engine(), Engine()
+    dead, engine = ScriptedEngine(), ScriptedEngine()
     dead.stop_listening()
     gateway, client = start_gateway(dead, engine)
     for _ in range(6):
@@ -53,7 +61,7 @@
     "reply_to_more",
     [
         lambda conn, txn: conn.sendall(resp.encode(txn, b"500", b"-", b"")),
-        lambda conn, _txn: resets(conn, b"fetch"),
+        lambda conn, _txn: reset_connection(conn, b"fetch"),
         lambda conn, txn: conn.sendall(resp.encode(txn, b"chunk", b"page=7", b"x")),
     ],
 )
@@ -64,7 +72,7 @@
         if verb == b"more":
             reply_to_more(conn, words[0])
 
-    engine = Engine(fail_after_first_page, ok())
+    engine = ScriptedEngine(fail_after_first_page, serve_pages())
     gateway, client = start_gateway(engine)
     seq = client.send_command()
     assert client.read_answer() == (seq, b"a\tb\tc\n")
@@ -73,7 +81,7 @@
 
 
 def test_endless_query_is_failed_and_aborted_when_the_client_timeout_is_near(start_gateway):
-    engine = Engine(endless)
+    engine = ScriptedEngine(never_finish)
     gateway, client = start_gateway(engine)
     began = time.monotonic()
     seq = client.send_command("once", limit=700)
@@ -93,7 +101,7 @@
         if verb == b"abort":  # as if the answer had been sent just before the abort arrived
             conn.sendall(resp.encode(words[0], b"200", b"pages=1", b"late\n"))
 
-    engine = Engine(answer_at_abort, ok())
+    engine = ScriptedEngine(answer_at_abort, serve_pages())
     gateway, client = start_gateway(engine)
     first = client.send_command()
     until(lambda: fetches)
@@ -105,7 +113,7 @@
 
 def test_retry_is_sent_only_when_the_abort_of_the_first_attempt_is_confirmed(start_gateway):
     """Both travel on different connections: in one of some hundred attempts the fetch overtook the abort."""
-    engines = [Engine(endless, ok()), Engine(endless, ok())]
+    engines = [ScriptedEngine(never_finish, serve_pages()), ScriptedEngine(never_finish, serve_pages())]
     for engine in engines:
         engine.alive_delay_s = 0.2
     gateway, client = start_gateway(*engines)
@@ -121,9 +129,9 @@
 def test_answer_reaches_the_client_when_it_crosses_the_abort(start_gateway):
     def answer_at_abort(conn, verb, *words):
         if verb == b"abort":
-            ok(b"j\tu\tst\n")(conn, b"fetch", *words)
+            serve_pages(b"j\tu\tst\n")(conn, b"fetch", *words)
 
-    engine = Engine(answer_at_abort)
+    engine = ScriptedEngine(answer_at_abort)
     gateway, client = start_gateway(engine)
     seq = client.send_command(limit=4000, cpu=b"20")
     assert client.read_answer() == (seq, b"j\tu\tst\n")
@@ -133,7 +141,7 @@
 
 def test_no_attempt_is_sent_on_a_connection_when_its_health_check_is_unanswered(start_gateway):
     """Guards against attempts on a machine that vanished: its open connection looks healthy for seconds."""
-    vanished = Engine(mute)
+    vanished = ScriptedEngine(answer_nothing)
     gateway, client = start_gateway(vanished)
     client.send_command("once", limit=3000)
     until(lambda: vanished.messages(b"fetch"))
@@ -155,7 +163,7 @@
         if verb == b"more":
             conn.sendall(answer + chunk + chunk + answer)
 
-    gateway, client = start_gateway(Engine(step))
+    gateway, client = start_gateway(ScriptedEngine(step))
     for _ in range(3):
         seq = client.send_command()
         assert client.read_answer() == (seq, first_page + second_page)
@@ -171,11 +179,11 @@
         b"\x00\xff noise \r\n*3\r\n",
         b"*4\r\n$3000000000\r\n",  # a reply of 3 GB
         b"*4\r\n$16" + b"1" * 40,  # a line that never ends
-        ok(b"a\tb\tc\nno\x00ise"),  # not complete rows
+        serve_pages(b"a\tb\tc\nno\x00ise"),  # not complete rows
     ],
 )
 def test_malformed_reply_fails_only_its_own_attempt_which_is_retried(start_gateway, reply):
-    engine = Engine(endless, reply if callable(reply) else raw(reply), ok())
+    engine = ScriptedEngine(never_finish, reply if callable(reply) else send_bytes(reply), serve_pages())
     gateway, client = start_gateway(engine)
     first = client.send_command("once", limit=3000)
     until(lambda: engine.messages(b"fetch"))
@@ -189,7 +197,7 @@
 
 
 def test_attempt_without_replies_is_retried_when_its_connection_works(start_gateway):
-    engine = Engine(endless, ok())  # answers an alive, but never the fetch
+    engine = ScriptedEngine(never_finish, serve_pages())  # answers an alive, but never the fetch
     gateway, client = start_gateway(engine, cancel=False)
     seq = client.send_command(limit=3500, cpu=b"900")
     assert client.read_answer() == (seq, b"a\tb\tc\n")
@@ -201,10 +209,10 @@
 
 def test_attempts_share_a_connection_only_when_the_engine_closes_it_after_an_answer(start_gateway):
     def answer_and_close(conn, verb, *words):
-        ok()(conn, verb, *words)
+        serve_pages()(conn, verb, *words)
         conn.shutdown(socket.SHUT_WR)
 
-    unshared, shared = Engine(endless), Engine(answer_and_close, endless)
+    unshared, shared = ScriptedEngine(never_finish), ScriptedEngine(answer_and_close, never_finish)
     gateway, client = start_gateway(unshared)
     for _ in range(2):
         client.send_command("once")
--- a/tests/test_client_connection_end.py
+++ b/tests/test_client_connection_end.py
@@ -8,7 +8,7 @@
 from serving import until
 
 from gullhold.net import client_connection
-from gullhold.testing.scripted import Engine, ok
+from gullhold.testing.scripted import ScriptedEngine, serve_pages
 
 
 def idle_connection(gateway, caller):
@@ -23,7 +23,7 @@
     start_gateway, monkeypatch
 ):
     """Guards against an end that was decided before the request arrived, and that leaves it unanswered."""
-    engine = Engine()
+    engine = ScriptedEngine()
     gateway, client = start_gateway(engine)
     gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
@@ -40,7 +40,7 @@
     start_gateway, monkeypatch
 ):
     """The client sends it again to another gateway: submitted here too, it could run twice."""
-    engine = Engine()
+    engine = ScriptedEngine()
     gateway, client = start_gateway(engine)
     gateway_side = idle_connection(gateway, client)
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 2.0)
@@ -55,7 +55,7 @@
 
 
 def test_a_request_read_before_the_shutdown_of_our_side_and_processed_after_it_is_dropped(start_gateway):
-    engine = Engine()
+    engine = ScriptedEngine()
     gateway, client = start_gateway(engine)
     gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
@@ -69,7 +69,7 @@
 
 def test_a_check_in_the_cores_queue_is_answered_before_an_idle_connection_ends(start_gateway):
     """A check does not count as open, so the connection looks idle while the check waits for the core."""
-    gateway, client = start_gateway(Engine())
+    gateway, client = start_gateway(ScriptedEngine())
     gateway_side = idle_connection(gateway, client)
     with BlockedCore(gateway.core):
         idle_since = gateway_side.last_active_at
@@ -84,7 +84,7 @@
 def test_answers_arrive_whole_when_a_connection_ends_with_unread_bytes(start_gateway):
     """Closing a socket with unread bytes resets the connection, and the client loses unread answers."""
     rows = b"x\ty\tz\n" * 900
-    gateway, client = start_gateway(Engine(ok(*[rows] * 8)))
+    gateway, client = start_gateway(ScriptedEngine(serve_pages(*[rows] * 8)))
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     seqs = [client.send_command() for _ in range(30)]
     until(lambda: gateway.count("answered") == 30)
@@ -96,7 +96,7 @@
 
 
 def test_a_closing_connection_counts_as_open_until_its_descriptor_is_closed(start_gateway, monkeypatch):
-    gateway, client = start_gateway(Engine())
+    gateway, client = start_gateway(ScriptedEngine())
     monkeypatch.setattr(client_connection, "TRANSIT_TIME_S", 1.0)
     gateway_side = idle_connection(gateway, client)
     gateway_side.drain()
@@ -109,7 +109,7 @@
 
 def test_an_ended_connection_is_freed_without_the_garbage_collector(start_gateway):
     """Guards against a reference cycle, which keeps the connection and its buffers until a collection."""
-    gateway, client = start_gateway(Engine())
+    gateway, client = start_gateway(ScriptedEngine())
     seq = client.send_command()
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     gateway_side = ref(next(iter(gateway.listener.clients)))
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -8,10 +8,10 @@
 from serving import Gateway, open_sequence_ids, until
 
 from gullhold.net import backpressure, client_limits, thrift
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
-from gullhold.testing.scripted import Engine, endless, ok, resets, says
+from gullhold.testing.scripted import ScriptedEngine, never_finish, reply_with, reset_connection, serve_pages
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
     def make(**limits):
         discovery = DiscoveryService()
         gateways.append(Gateway(tmp_path, config(**limits) | {"coordinator": discovery.address}))
-        return gateways[-1], Caller(gateways[-1].address), discovery
+        return gateways[-1], BlockingClient(gateways[-1].address), discovery
 
     yield make
     for gateway in gateways:
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("how", ["closes", "ends its side", "resets", "interrupts"])
 def test_no_attempt_is_sent_for_a_client_that_leaves_while_its_command_waits(gateway_without_engines, how):
     gateway, client, discovery = gateway_without_engines()
-    other, engine = Caller(gateway.address), Engine()
+    other, engine = BlockingClient(gateway.address), ScriptedEngine()
     seq = client.send_command(limit=7000)
     until(lambda: gateway.core.requests.by_number)
     if how == "closes":
@@ -40,7 +40,7 @@
     elif how == "ends its side":
         client.sock.shutdown(socket.SHUT_WR)
     elif how == "resets":
-        resets(client.sock, b"fetch")
+        reset_connection(client.sock, b"fetch")
     else:
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
@@ -53,7 +53,7 @@
 
 def test_the_end_of_a_client_is_processed_before_its_waiting_requests(start_gateway):
     """Guards against an end that waits behind all requests: each would be sent before it is dropped."""
-    engine = Engine()
+    engine = ScriptedEngine()
     gateway, client = start_gateway(engine)
     with BlockedCore(gateway.core):
         for _ in range(20):
@@ -72,7 +72,7 @@
 def test_a_disconnect_or_interrupt_is_noticed_during_a_pause(gateway_without_engines, how):
     """Guards against a reader that sleeps in the pause: the waiting command would be sent to an engine."""
     gateway, client, discovery = gateway_without_engines(connect_timeout=3.0)
-    other, engine = Caller(gateway.address), Engine()
+    other, engine = BlockingClient(gateway.address), ScriptedEngine()
     seq = client.send_command(limit=7000)
     until(lambda: gateway.core.requests.by_number)
     client.send_command("odd")  # an unknown profile: an invalid request begins a pause
@@ -92,7 +92,7 @@
 
 
 def test_calls_deferred_in_a_pause_are_handled_after_it_unless_interrupted(start_gateway):
-    engine = Engine(endless, ok())
+    engine = ScriptedEngine(never_finish, serve_pages())
     gateway, client = start_gateway(engine, connect_timeout=0.5)
     running = client.send_command("once")
     until(lambda: engine.messages(b"fetch"))
@@ -112,7 +112,7 @@
 
 
 def test_deferred_calls_are_limited_during_a_pause(start_gateway):
-    gateway, client = start_gateway(Engine(endless), connect_timeout=1.0)
+    gateway, client = start_gateway(ScriptedEngine(never_finish), connect_timeout=1.0)
     client.send_command("once")
     client.send_command("odd")
     assert client.read_answer()[1] == "fault"
@@ -141,13 +141,13 @@
 
 def test_a_request_is_shed_when_the_statement_memory_is_exhausted(start_gateway):
     """Without a limit, 32 of the largest statements on each of 10 connections took 60 of 80 MB."""
-    engine = Engine(endless)
+    engine = ScriptedEngine(never_finish)
     gateway, client = start_gateway(engine)
     assert gateway.core.statement_memory.max_bytes == 192 * 2**20 // 8
     gateway.core.statement_memory.max_bytes = 10_000
     seqs = [client.send_command("once", body=b"select 1 from sales_3.t" + b" " * 4000) for _ in range(2)]
     until(lambda: len(engine.messages(b"fetch")) == 2)
-    other = Caller(gateway.address)
+    other = BlockingClient(gateway.address)
     big = other.send_command(body=b"select 1 from sales_3.t" + b" " * 4000)
     assert other.read_answer() == (big, "shed")
     assert gateway.count("rejected_statement_memory") == 1
@@ -159,12 +159,12 @@
 
 def test_connections_that_do_not_read_are_ended_when_unread_answers_exceed_their_memory(start_gateway):
     """One connection may buffer 8 MB of answers, and there may be hundreds."""
-    gateway, client = start_gateway(Engine())
+    gateway, client = start_gateway(ScriptedEngine())
     memory, frame = gateway.core.statement_memory, thrift.encode_answer("execute", 1, b"x\ty\tz\n" * 8000)
     memory.max_bytes = 2_000_000
     unread = []
     for _ in range(12):
-        unread.append(Caller(gateway.address))
+        unread.append(BlockingClient(gateway.address))
         unread[-1].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     until(lambda: len(gateway.listener.clients) == 13)
     reading_port = client.sock.getsockname()[1]
@@ -185,9 +185,9 @@
 
 def test_open_requests_are_answered_when_malformed_bytes_end_their_connection(start_gateway):
     """Guards against requests that are dropped though their client still waits for the answers."""
-    engine = Engine(endless)
+    engine = ScriptedEngine(never_finish)
     gateway, client = start_gateway(engine)
-    other = Caller(gateway.address)
+    other = BlockingClient(gateway.address)
     other_seq = other.send_command("once", limit=2000)
     seqs = [client.send_command(), client.send_command("once")]
     until(lambda: len(engine.messages(b"fetch")) == 3)
@@ -199,7 +199,7 @@
 
 
 def test_deferred_requests_are_answered_when_malformed_bytes_end_their_connection(start_gateway):
-    gateway, client = start_gateway(Engine(endless), connect_timeout=2.0)
+    gateway, client = start_gateway(ScriptedEngine(never_finish), connect_timeout=2.0)
     running, invalid, deferred = (
         client.send_command("once"),
         client.send_command("odd"),
@@ -214,9 +214,9 @@
 @pytest.fixture
 def gateway_with_queued_requests(tmp_path):
     """A gateway whose one engine is overloaded: requests wait in the decision module."""
-    engine = Engine(says(b"503"))
+    engine = ScriptedEngine(reply_with(b"503"))
     gateway = Gateway(tmp_path, config(engine))
-    yield gateway, Caller(gateway.address), engine
+    yield gateway, BlockingClient(gateway.address), engine
     gateway.end()
     engine.close()
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -12,21 +12,21 @@
 import pytest
 from serving import WAIT_TIMEOUT_S, Gateway, free_port, is_listening, until
 
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
-from gullhold.testing.scripted import Engine
+from gullhold.testing.scripted import ScriptedEngine
 
 
 def test_engine_gets_no_attempt_when_it_was_drained_while_the_gateway_started(tmp_path):
     """Guards against attempts that use the configuration's list before the first watch event has arrived."""
-    discovery, old, new = DiscoveryService(), Engine(), Engine()
+    discovery, old, new = DiscoveryService(), ScriptedEngine(), ScriptedEngine()
     gateway = Gateway(
         tmp_path,
         config(old) | {"coordinator": discovery.address},
         delayed_threads=("core", "coordinator"),
     )
-    client = Caller(gateway.address)
+    client = BlockingClient(gateway.address)
     seq = client.send_command()
     until(lambda: gateway.core.queue.qsize() == 1)
     gateway.start_threads("core", "coordinator")
@@ -39,11 +39,11 @@
 
 @pytest.mark.parametrize("failure", ["refuses", "says nothing"])
 def test_gateway_serves_the_known_list_when_the_discovery_service_is_down(tmp_path, failure):
-    discovery, engine = DiscoveryService(), Engine()
+    discovery, engine = DiscoveryService(), ScriptedEngine()
     if failure == "refuses":
         discovery.close()
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": discovery.address})
-    client, began = Caller(gateway.address), time.monotonic()
+    client, began = BlockingClient(gateway.address), time.monotonic()
     seq = client.send_command()
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert time.monotonic() - began < 0.6
@@ -60,10 +60,10 @@
 
 def test_engine_gets_no_attempt_when_it_was_drained_while_the_process_was_stopped(launch_gateway):
     """On waking, the process finds many requests and a list change, and must apply the change first."""
-    discovery, old, new, port = DiscoveryService(), Engine(), Engine(), free_port()
+    discovery, old, new, port = DiscoveryService(), ScriptedEngine(), ScriptedEngine(), free_port()
     process = launch_gateway(config(old) | {"listen": f"127.0.0.1:{port}", "coordinator": discovery.address})
     until(lambda: is_listening(port))
-    callers = [Caller(("127.0.0.1", port)) for _ in range(20)]
+    callers = [BlockingClient(("127.0.0.1", port)) for _ in range(20)]
     for caller in callers:
         caller.send("check", b"\x02\0\1\1")
         assert caller.read_answer()[1] == b""
@@ -87,7 +87,7 @@
 
 
 def test_event_is_applied_once_when_the_discovery_address_changes_in_the_middle_of_it(tmp_path):
-    old, new, engines = DiscoveryService(), DiscoveryService(), [Engine(), Engine()]
+    old, new, engines = DiscoveryService(), DiscoveryService(), [ScriptedEngine(), ScriptedEngine()]
     gateway = Gateway(tmp_path, config() | {"coordinator": old.address})
     line = json.dumps(event(2, ("s-0", engines[0].address, "ready"))).encode() + b"\n"
     old.send(line[:40])
@@ -105,13 +105,13 @@
 
 
 def test_stream_is_followed_again_from_the_last_event_when_it_falls_silent(tmp_path):
-    discovery, old, new = DiscoveryService(), Engine(), Engine()
+    discovery, old, new = DiscoveryService(), ScriptedEngine(), ScriptedEngine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": discovery.address})
     discovery.send(b"1\n")
     until(lambda: len(discovery.follow_requests) == 2)  # reconnected after two missing lines
     discovery.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     until(lambda: gateway.count("endpoint_list_events") == 2)
-    client = Caller(gateway.address)
+    client = BlockingClient(gateway.address)
     seq = client.send_command()
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert not old.received
@@ -121,7 +121,7 @@
 
 def test_list_is_followed_again_when_idle_clients_hold_all_descriptors(launch_gateway):
     """Reconnecting needs a descriptor while clients hold as many as they can get."""
-    discovery, engine, port = DiscoveryService(), Engine(), free_port()
+    discovery, engine, port = DiscoveryService(), ScriptedEngine(), free_port()
     configuration = config(engine) | {"listen": f"127.0.0.1:{port}", "coordinator": discovery.address}
     configuration["limits"]["sockets"] = 60
     process = launch_gateway(configuration)
@@ -139,9 +139,9 @@
 
 
 def test_attempts_follow_the_endpoint_list_when_engines_join_drain_and_leave(tmp_path):
-    discovery, old, new = DiscoveryService(), Engine(), Engine()
+    discovery, old, new = DiscoveryService(), ScriptedEngine(), ScriptedEngine()
     gateway = Gateway(tmp_path, config(old) | {"coordinator": discovery.address})
-    client = Caller(gateway.address)
+    client = BlockingClient(gateway.address)
     client.send_command()
     client.read_answer()
     discovery.send(
@@ -168,9 +168,9 @@
 
 
 def test_ids_and_connections_of_engines_are_freed_when_they_are_removed(tmp_path):
-    discovery, engines = DiscoveryService(), [Engine() for _ in range(8)]
+    discovery, engines = DiscoveryService(), [ScriptedEngine() for _ in range(8)]
     gateway = Gateway(tmp_path, config() | {"coordinator": discovery.address})
-    client = Caller(gateway.address)
+    client = BlockingClient(gateway.address)
     for i, engine in enumerate(engines):  # each is added with its own address, then removed
         discovery.send(event(2 * i + 2, (f"s-{i}", engine.address, "ready")))
         seq = client.send_command()
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -7,7 +7,7 @@
 from serving import Gateway, until
 
 from gullhold.net import connection_ends, resp
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
 
@@ -16,7 +16,7 @@
 def test_attempt_is_withdrawn_when_its_engine_leaves_before_the_connection_opens(tmp_path, change):
     discovery, late = DiscoveryService(), LateEngine()
     gateway = Gateway(tmp_path, config(late, connect_timeout=5.0) | {"coordinator": discovery.address})
-    client = Caller(gateway.address)
+    client = BlockingClient(gateway.address)
     seq = client.send_command(limit=7000)
     until(lambda: gateway.core.pool.connections)
     discovery.send(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[change])))
@@ -39,7 +39,7 @@
     until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1)
     conn = late.accept()
     until(lambda: gateway.count("engine_connections_opened") == 1 and not gateway.core.requests.by_number)
-    other = Caller(gateway.address)
+    other = BlockingClient(gateway.address)
     seq = other.send_command(txn=b"f%015x" % 2)
     assert b"f%015x" % 1 not in (first := conn.recv(1000))
     assert b"f%015x" % 2 in first
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -7,9 +7,9 @@
 
 from gullhold.net import eventlog
 from gullhold.net.eventlog import EventKind, EventLog, LoggedEvent
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config
-from gullhold.testing.scripted import Engine, ok, resets
+from gullhold.testing.scripted import ScriptedEngine, reset_connection, serve_pages
 
 
 def test_lines_are_suppressed_and_counted_when_they_exceed_the_rate_limit(monkeypatch):
@@ -51,11 +51,11 @@
 
 
 def test_log_shows_the_reset_and_the_retry_of_a_request(launch_gateway, tmp_path):
-    port, engine, log = free_port(), Engine(resets, ok()), tmp_path / "log"
+    port, engine, log = free_port(), ScriptedEngine(reset_connection, serve_pages()), tmp_path / "log"
     with open(log, "wb") as file:
         process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"}, stderr=file)
     until(lambda: is_listening(port))
-    client = Caller(("127.0.0.1", port))
+    client = BlockingClient(("127.0.0.1", port))
     seq = client.send_command(txn=b"00000000000000ab")
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGUSR1)
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -11,7 +11,7 @@
 
 from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.operator import records
-from gullhold.testing import listening, load_client
+from gullhold.testing import load_client, open_listener
 from gullhold.testing.budget_checker import (
     AllocationHistory,
     first_attempts,
@@ -234,7 +234,7 @@
 
 def test_polls_of_the_discovery_service_are_counted_for_the_fleet_where_it_ends_every_stream():
     budget, calls = {"of": '"lists"', "whole": 6, "window": "2s", "alone": 1, "members": 3}, []
-    sock, address = listening()
+    sock, address = open_listener()
 
     def serve():
         with suppress(OSError):
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -5,7 +5,7 @@
 import pytest
 from fleet_runs import check_run
 
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.fleet import FleetRig
 from gullhold.testing.fleet_checker import Check
 from gullhold.testing.relay import RelayMode
@@ -66,7 +66,7 @@
         rig.wait_until(
             lambda: {leader for leader, _ in rig.leaders().values()} == {"n1"} and len(rig.leaders()) == 4
         )
-        client = Caller(rig.members["n0"].address)
+        client = BlockingClient(rig.members["n0"].address)
         seq = client.send_command()
         assert client.read_answer() == (seq, b"a\tb\tc\n")
         logged = [event for _, _, event, _ in rig.events("n0")]
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -8,10 +8,10 @@
 from serving import WAIT_TIMEOUT_S, Gateway, free_port, is_listening, until
 
 from gullhold.net import resp, thrift
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
-from gullhold.testing.scripted import Engine, ok
+from gullhold.testing.scripted import ScriptedEngine, serve_pages
 
 
 def test_a_result_is_complete_when_its_engine_drains_between_two_pages(tmp_path):
@@ -21,11 +21,11 @@
         if verb == b"more":
             discovery.send(event(2, ("s-0", engine.address, "draining")))
             until(lambda: gateway.count("endpoint_list_events") == 2)
-        ok(b"1\t2\t3\n", b"4\t5\t6\n")(conn, verb, *words)
+        serve_pages(b"1\t2\t3\n", b"4\t5\t6\n")(conn, verb, *words)
 
-    engine = Engine(drains)
+    engine = ScriptedEngine(drains)
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": discovery.address})
-    client = Caller(gateway.address)
+    client = BlockingClient(gateway.address)
     seq = client.send_command("once")
     assert client.read_answer() == (seq, b"1\t2\t3\n4\t5\t6\n")
     assert len(engine.messages(b"fetch")) == 1
@@ -41,7 +41,7 @@
         if verb == b"fetch":
             conn.sendall(resp.encode(words[0], b"200", b"pages=2,cost=20,need=64", b"1\t2\t3\n"))
 
-    engine = Engine(leaves)
+    engine = ScriptedEngine(leaves)
     gateway, client = start_gateway(engine)
     client.send_command()
     until(lambda: engine.messages(b"done") or engine.messages(b"abort"))
@@ -54,10 +54,10 @@
 
     Idle clients that send a request just when the gateway shuts down its side cause this.
     """
-    engine, port = Engine(), free_port()
+    engine, port = ScriptedEngine(), free_port()
     process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
-    callers = [Caller(("127.0.0.1", port)) for _ in range(10)]
+    callers = [BlockingClient(("127.0.0.1", port)) for _ in range(10)]
     for caller in callers:
         seq = caller.send_command()
         assert caller.read_answer() == (seq, b"a\tb\tc\n")
@@ -91,7 +91,7 @@
 
     The process then exits with unread requests and resets the connections.
     """
-    engine, port = Engine(), free_port()
+    engine, port = ScriptedEngine(), free_port()
     configuration = config(engine) | {"listen": f"127.0.0.1:{port}"}
     for item in configuration["settings"]["categories"]:
         item["give_up"] = 1.0
@@ -100,7 +100,7 @@
     wrong_results, wrong_ids = [], []
 
     def send_requests():
-        caller = Caller(("127.0.0.1", port))
+        caller = BlockingClient(("127.0.0.1", port))
         while True:
             try:
                 seq = caller.send_command(limit=900)
@@ -130,7 +130,7 @@
 
 
 def test_answers_put_before_the_end_of_a_connection_arrive_whole_and_later_ones_are_dropped(start_gateway):
-    gateway, client = start_gateway(Engine(ok(b"x\ty\tz\n" * 800)))
+    gateway, client = start_gateway(ScriptedEngine(serve_pages(b"x\ty\tz\n" * 800)))
     seq = client.send_command()
     until(lambda: gateway.count("answered") == 1)
     (gateway_side,) = gateway.listener.clients
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -14,20 +14,20 @@
 
 from gullhold.__main__ import main
 from gullhold.net import service
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config, event
 from gullhold.testing.discovery_service import DiscoveryService
-from gullhold.testing.scripted import Engine, endless, ok
+from gullhold.testing.scripted import ScriptedEngine, never_finish, serve_pages
 
 
 def test_open_requests_are_answered_and_exit_status_is_0_when_sigterm_arrives(launch_gateway):
-    engine, port = Engine(endless, ok()), free_port()
+    engine, port = ScriptedEngine(never_finish, serve_pages()), free_port()
     configuration = config(engine) | {"listen": f"127.0.0.1:{port}"}
     configuration["settings"]["limits"]["cancel"] = False  # the open request must not be retried
     configuration["settings"]["domain"]["note_period"] = 0  # nor its attempt be abandoned as lost
     process = launch_gateway(configuration)
     until(lambda: is_listening(port))
-    client = Caller(("127.0.0.1", port))
+    client = BlockingClient(("127.0.0.1", port))
     client.send("check", b"\x02\0\1\1")
     assert client.read_answer()[1] == b""
     endless_seq = client.send_command("once", limit=7000)
@@ -36,7 +36,7 @@
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
-    other = Caller(("127.0.0.1", port))  # new connections are still accepted and served
+    other = BlockingClient(("127.0.0.1", port))  # new connections are still accepted and served
     seq = other.send_command()
     assert other.read_answer() == (seq, b"a\tb\tc\n")
     other.send("check", b"\x02\0\1\1")
@@ -51,7 +51,7 @@
 
 
 def test_sighup_applies_the_new_discovery_address_and_ignores_an_unusable_file(launch_gateway, tmp_path):
-    old, new, engine, port = DiscoveryService(), DiscoveryService(), Engine(), free_port()
+    old, new, engine, port = DiscoveryService(), DiscoveryService(), ScriptedEngine(), free_port()
     configuration = config() | {"listen": f"127.0.0.1:{port}", "coordinator": old.address}
     process = launch_gateway(configuration)
     until(lambda: old.follow_requests)
@@ -66,7 +66,7 @@
     until(lambda: new.follow_requests)
     new.send(event(3, ("s-9", engine.address, "ready"), whole=True))
     time.sleep(0.2)
-    client = Caller(("127.0.0.1", port))
+    client = BlockingClient(("127.0.0.1", port))
     seq = client.send_command()
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert process.poll() is None
@@ -154,7 +154,7 @@
 
 
 def test_version_check_and_config_commands_print_results_and_exit_statuses(start_gateway, tmp_path, capsys):
-    gateway, _ = start_gateway(Engine())
+    gateway, _ = start_gateway(ScriptedEngine())
     address = f"127.0.0.1:{gateway.address[1]}"
     assert main(["version"]) == 0
     assert capsys.readouterr().out.startswith("gullhold 0.")
@@ -174,11 +174,11 @@
 
 
 def test_memory_threads_and_descriptors_stay_within_limits_when_330_clients_are_connected(launch_gateway):
-    engine, port = Engine(), free_port()
+    engine, port = ScriptedEngine(), free_port()
     process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
     # About a third of the sockets of the configuration, which is what clients usually need.
-    callers = [Caller(("127.0.0.1", port)) for _ in range(330)]
+    callers = [BlockingClient(("127.0.0.1", port)) for _ in range(330)]
     sequence_ids = [[caller.send_command() for _ in range(3)] for caller in callers]
     for caller, seqs in zip(callers, sequence_ids, strict=True):
         answers = [caller.read_answer() for _ in seqs]
@@ -198,7 +198,7 @@
 
 def test_requests_are_answered_when_nobody_reads_the_log(launch_gateway):
     """Guards against a full pipe at standard error that blocks the core's thread."""
-    dead, engine, port = Engine(), Engine(), free_port()
+    dead, engine, port = ScriptedEngine(), ScriptedEngine(), free_port()
     dead.stop_listening()
     read_end, write_end = os.pipe()
     fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
@@ -207,7 +207,7 @@
     for _ in range(300):
         process.send_signal(signal.SIGUSR1)  # each logs a long line
         time.sleep(0.001)
-    caller = Caller(("127.0.0.1", port))
+    caller = BlockingClient(("127.0.0.1", port))
     seq = caller.send_command()
     assert caller.read_answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGTERM)
@@ -217,16 +217,16 @@
 
 
 def test_connections_wait_and_are_served_later_when_descriptors_run_out(launch_gateway):
-    engine, port = Engine(), free_port()
+    engine, port = ScriptedEngine(), free_port()
     configuration = config(engine) | {"listen": f"127.0.0.1:{port}"}
     configuration["limits"]["sockets"] = 40
     process = launch_gateway(configuration)
     until(lambda: is_listening(port))
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
-    first = Caller(("127.0.0.1", port))
+    first = BlockingClient(("127.0.0.1", port))
     seq = first.send_command()
     assert first.read_answer() == (seq, b"a\tb\tc\n")  # its connection to the engine is open
-    callers = [Caller(("127.0.0.1", port)) for _ in range(60)]
+    callers = [BlockingClient(("127.0.0.1", port)) for _ in range(60)]
     sequence_ids = [caller.send_command(limit=7000) for caller in callers]
     # With a bound of 20 a slow gateway had not reached its limit before the first callers closed.
     until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= 30)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -7,13 +7,13 @@
 
 from gullhold.interface import Outcome
 from gullhold.net import resp, thrift
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.deployment import config
-from gullhold.testing.scripted import Engine, endless, ok
+from gullhold.testing.scripted import ScriptedEngine, never_finish, serve_pages
 
 
 def test_command_is_answered_with_all_pages_in_order(start_gateway):
-    engine = Engine(ok(b"1\t2\t3\n" * 800, b"4\t5\t6\n" * 900, b"7\t8\t9\n"))
+    engine = ScriptedEngine(serve_pages(b"1\t2\t3\n" * 800, b"4\t5\t6\n" * 900, b"7\t8\t9\n"))
     gateway, client = start_gateway(engine)
     seq = client.send_command(
         "mark", unique=b"5c0f", txn=b"9b1f03aa5c7e2d41", body="select 'é\r\n' from a_1.b".encode()
@@ -34,7 +34,7 @@
 
 
 def test_resource_use_of_an_answer_reaches_the_decision_module_in_its_units(start_gateway):
-    gateway, client = start_gateway(Engine(ok()))
+    gateway, client = start_gateway(ScriptedEngine(serve_pages()))
     seen, inner = [], gateway.core.gateway.attempt_ended
     gateway.core.gateway.attempt_ended = lambda *args: seen.append(args) or inner(*args)
     client.send_command()
@@ -54,7 +54,9 @@
 
 def test_each_request_gets_one_complete_answer_when_many_share_a_connection(start_gateway):
     page = b"x\ty\tz\n" * 900
-    gateway, client = start_gateway(Engine(ok(*[page] * 8)), Engine(ok(*[page] * 8)))
+    gateway, client = start_gateway(
+        ScriptedEngine(serve_pages(*[page] * 8)), ScriptedEngine(serve_pages(*[page] * 8))
+    )
     sequence_ids = {client.send_command() for _ in range(32)}
     time.sleep(0.2)  # the client reads late: no answer may be mixed up or lost
     answers = [client.read_answer() for _ in range(32)]
@@ -64,7 +66,7 @@
 
 @pytest.mark.parametrize("step_s", [-5, 5])
 def test_client_timeout_stays_the_same_when_the_wall_clock_is_set(start_gateway, monkeypatch, step_s):
-    _, client = start_gateway(Engine(endless))
+    _, client = start_gateway(ScriptedEngine(never_finish))
     client.send_command("once", limit=10)  # its answer shows that the gateway serves
     client.read_answer()
     began, real_time_ns = time.monotonic(), time.time_ns
@@ -76,7 +78,7 @@
 
 
 def test_request_is_shed_without_an_attempt_when_its_timeout_is_too_short(start_gateway):
-    engine = Engine()
+    engine = ScriptedEngine()
     gateway, client = start_gateway(engine)
     for limit in (0, 10):
         seq = client.send_command(limit=limit)
@@ -85,7 +87,7 @@
 
 
 def test_invalid_requests_get_an_error_answer_and_no_attempt(start_gateway):
-    engine = Engine()
+    engine = ScriptedEngine()
     gateway, client = start_gateway(engine)
     sequence_ids = [
         client.send_command("odd"),
@@ -105,7 +107,7 @@
 
 def test_names_are_unknown_to_a_gateway_when_only_another_of_the_process_has_them(tmp_path):
     """Guards against settings that are kept in global state of the process."""
-    engine, gateways = Engine(), []
+    engine, gateways = ScriptedEngine(), []
     for prefix in ("one", "two"):
         configuration = config(engine)
         configuration["settings"]["tenants"] = [{"name": prefix, "fraction": 1.0}]
@@ -113,7 +115,11 @@
             item["name"] = prefix + item["name"]
         gateways.append((prefix, Gateway(tmp_path, configuration)))
     for prefix, gateway in gateways:
-        client, other, team = Caller(gateway.address), {"one": "two", "two": "one"}[prefix], prefix.encode()
+        client, other, team = (
+            BlockingClient(gateway.address),
+            {"one": "two", "two": "one"}[prefix],
+            prefix.encode(),
+        )
         sequence_ids = [
             client.send_command(prefix + "read", team=team),
             client.send_command(other + "read", team=team),
@@ -127,7 +133,7 @@
 
 
 def test_request_is_shed_when_max_open_is_reached(start_gateway):
-    engine = Engine(endless)
+    engine = ScriptedEngine(never_finish)
     gateway, client = start_gateway(engine, max_open=2)
     sequence_ids = [client.send_command() for _ in range(3)]
     assert client.read_answer() == (sequence_ids[2], "shed")
@@ -139,7 +145,7 @@
 
 @pytest.mark.causes_faults
 def test_only_one_request_fails_when_the_decision_module_raises_for_it(start_gateway):
-    gateway, client = start_gateway(Engine())
+    gateway, client = start_gateway(ScriptedEngine())
     inner = gateway.core.gateway.submit
 
     def submit_or_fail(now, command_id, *rest):
