--- a/benchmarks/admission_queue.py
+++ b/benchmarks/admission_queue.py
@@ -21,7 +21,7 @@
 from benchmarks.admission_queue_load import Variant
 from benchmarks.admission_queue_tenants import measure_tenant_growth
 from benchmarks.harness import Figures, at_least, at_most, make_parser, report_and_exit
-from gullhold.testing.running import ADMISSION_RULES, ROOT
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, ROOT
 
 COMMIT_BEFORE_QUEUE = "a6dbb5f"  # the last one without an admission queue
 DECISION_TENANTS = (2, 4000, 100_000)
@@ -56,7 +56,7 @@
 
 def list_variants(extent: Extent, earlier_root: Path | None) -> list[Variant]:
     """The variants to run, that with the queue first; earlier_root: folder of the earlier version."""
-    variants = [Variant("door", ADMISSION_RULES, ROOT)]
+    variants = [Variant("door", ADMISSION_OPERATOR_FILE, ROOT)]
     if extent.has_variants:
         variants.append(Variant("no door", "", ROOT))
     if extent.has_variants and earlier_root is not None:
--- a/benchmarks/admission_queue_load.py
+++ b/benchmarks/admission_queue_load.py
@@ -7,7 +7,7 @@
 
 from benchmarks.harness import quantile
 from gullhold.testing import load_client
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment
 
 TENANT = "one"  # of all clients, with the whole share
 WARM_UP_S = 1.5  # before a measurement: the drain rate is known, the first connections are up
@@ -40,7 +40,7 @@
 def run_gateway(variant: Variant | None = None) -> RunningDeployment:
     """A gateway with two engines of four slots; None: the present one with the admission queue."""
     if variant is None:
-        return RunningDeployment(operator=ADMISSION_RULES, tenants=((TENANT, 1.0),))
+        return RunningDeployment(operator=ADMISSION_OPERATOR_FILE, tenants=((TENANT, 1.0),))
     return RunningDeployment(operator=variant.operator, tenants=((TENANT, 1.0),), root=variant.root)
 
 
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -8,7 +8,7 @@
 
 from gullhold.net import thrift
 from gullhold.testing import WAIT_TIMEOUT_S, load_client
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment
 from gullhold.testing.working_engine import statement
 
 OPEN_TENANTS = 'door: {tenants: "open", others: "others"}\n'  # in the operator file
@@ -88,7 +88,7 @@
         b"team": name,
         b"client": name,
     }
-    return load_client.frame(sequence, fields, statement(1))
+    return load_client.encode_execute_call(sequence, fields, statement(1))
 
 
 def cpu_us_of_each_once(running: RunningDeployment, first: int, count: int) -> float:
@@ -124,7 +124,7 @@
     """Let so many tenants that the gateway has not seen send a command each, then as many others."""
     known = (("known", 0.5), ("others", 0.5))
     with RunningDeployment(
-        operator=ADMISSION_RULES + OPEN_TENANTS, tenants=known, slots=64, cores=32
+        operator=ADMISSION_OPERATOR_FILE + OPEN_TENANTS, tenants=known, slots=64, cores=32
     ) as running:
         cpu_us_of_each_once(running, 0, 2)  # the first commands bring up the connections
         few_us = median(cpu_us_of_two_tenants(running) for _ in range(TWO_TENANTS_RUNS))
--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -87,7 +87,7 @@
 
 
 def _make_failing_engine(seed: int) -> CountingEngine:
-    return CountingEngine(slots=64, seed=seed, failure_rate=0.1, runs_on=True)
+    return CountingEngine(slots=64, seed=seed, failure_rate=0.1, runs_after_disconnect=True)
 
 
 def run_faults(turns: int, seed: int) -> dict[str, Any]:
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -164,7 +164,7 @@
 def measure_gain(seconds: float, budgets: Sequence[Budget]) -> Gain:
     """Commands answered in the objective under uneven traffic, with one engine slow and one warming up."""
     with make_rig(MEMBERS, budgets, engines=3, adjust=_use_warmup_rules) as rig:
-        rig.engines[1].pace = 0.5
+        rig.engines[1].speed = 0.5
         rig.engine_start_ms[2] = int(time.time() * 1000)
         rig.start(operator=bool(budgets))
         load = {"work_ms": 250.0, "limit_ms": 900}
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -16,7 +16,7 @@
 from gullhold.net import thrift
 from gullhold.testing import WAIT_TIMEOUT_S
 from gullhold.testing.client import BlockingClient
-from gullhold.testing.deployment import config, event
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.many_engines import ManyEngines
 from gullhold.testing.running import ROOT, cpu_s, free_address, serving_status
@@ -119,7 +119,7 @@
 
     def _send(self, member: tuple[str, str, str], started_ms: int) -> None:
         self.index += 1
-        watch_event = event(self.index, member, started_ms=started_ms)
+        watch_event = endpoint_list_event(self.index, member, started_ms=started_ms)
         self.feed.send(watch_event)
         self.list_bytes += len(json.dumps(watch_event)) + 1
 
@@ -156,7 +156,7 @@
     """The file that the gateway is started with: it knows the first engines, and follows the feed."""
     configuration = config() | {"listen": free_address(), "coordinator": feed.address}
     members = [(f"s-{number}", swarm.addresses[number], "ready") for number in range(size)]
-    configuration["known"] = {"index": 1, "updates": [event(1, *members, whole=True)]}
+    configuration["known"] = {"index": 1, "updates": [endpoint_list_event(1, *members, is_complete=True)]}
     configuration["settings"]["domain"]["cores_by_kind"] = [CORES / size]
     configuration["settings"]["balancers"] = GATEWAYS
     return configuration
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -12,14 +12,20 @@
 from benchmarks.harness import Figures, at_least, at_most, make_parser, report_and_exit
 from gullhold.testing.load_client import RetryRule
 from gullhold.testing.load_counts import LoadCounts
-from gullhold.testing.load_process import Crowd, LoadProcesses
-from gullhold.testing.running import ADMISSION_RULES, ROOT, RunningDeployment, free_address, serving_status
+from gullhold.testing.load_process import ClientGroup, LoadProcesses
+from gullhold.testing.running import (
+    ADMISSION_OPERATOR_FILE,
+    ROOT,
+    RunningDeployment,
+    free_address,
+    serving_status,
+)
 
 TIMEOUT_S = 1.0  # of all requests
 PROCESSES = 4
 CLIENTS = 8  # of each process
 CONNECTIONS = 10  # of each client
-PATIENT_QUEUE = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
+PATIENT_QUEUE = ADMISSION_OPERATOR_FILE + "door: {patience: 1000, waiting: 30000}"
 ONE_CORE = 0  # the processor of a gateway on one core
 CONTROL_START_S = 1.0
 OLDEST_EVENT_MS = TIMEOUT_S * 1000 / 10
@@ -74,7 +80,7 @@
 )
 
 
-def make_crowd(open_each: int) -> Crowd:
+def make_crowd(open_each: int) -> ClientGroup:
     """The clients of a run."""
     options = {
         "open": CONNECTIONS * open_each,
@@ -82,7 +88,7 @@
         "limit_ms": int(TIMEOUT_S * 1000),
         "retry_rule": RetryRule.NEVER,
     }
-    return Crowd(PROCESSES, CLIENTS, options)
+    return ClientGroup(PROCESSES, CLIENTS, options)
 
 
 def load(address: tuple[str, int], open_each: int, seconds: float) -> LoadCounts:
@@ -112,7 +118,7 @@
     with RunningDeployment(operator=operator, slots=16, timeout_s=TIMEOUT_S, max_open=1000) as running:
         assert serving_status(running.address)
         if case.is_one_core:
-            running.confine(ONE_CORE)
+            running.pin_to_core(ONE_CORE)
         counts = load(running.address, case.open_each, seconds)
         running.process.terminate()
         running.process.wait()
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -13,8 +13,8 @@
 
 from benchmarks.harness import Figures, at_most, make_parser, report_and_exit
 from gullhold.testing.load_client import RetryRule
-from gullhold.testing.load_process import Crowd, LoadProcesses
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, serving_status
+from gullhold.testing.load_process import ClientGroup, LoadProcesses
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment, serving_status
 
 KILL_AT_S = 3.7  # after SIGTERM, with client timeouts of 3 s and more: the protocol's
 WAITING = 9_900  # requests that are open when SIGTERM comes
@@ -24,8 +24,8 @@
 ONE_CORE = 0
 BUSY_PROCESSES = 6
 TIMEOUT_S = 8.0
-RULES = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
-CROWD = Crowd(
+RULES = ADMISSION_OPERATOR_FILE + "door: {patience: 1000, waiting: 30000}"
+CROWD = ClientGroup(
     processes=4,
     clients=8,
     options={
@@ -72,7 +72,7 @@
     with RunningDeployment(operator=RULES, slots=0, timeout_s=TIMEOUT_S, max_open=30000) as running:
         assert serving_status(running.address)
         if is_one_core:
-            running.confine(ONE_CORE)
+            running.pin_to_core(ONE_CORE)
         clients = LoadProcesses(running.address, CROWD)
         clients.start()
         wait_until_flooded(clients)
--- a/gullhold/demo.py
+++ b/gullhold/demo.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from gullhold.testing.load_client import LoadClient
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment
 
 CROWDED_TENANT = "nightly"
 TENANTS = (("north", 1 / 3), ("south", 1 / 3), (CROWDED_TENANT, 1 / 3))
@@ -113,7 +113,7 @@
     status = 0
     for has_admission in admission_choices:
         title = "with the door" if has_admission else "without a door"
-        operator = ADMISSION_RULES if has_admission else ""
+        operator = ADMISSION_OPERATOR_FILE if has_admission else ""
         clients = run_once(title, operator, duration_s, seed, console)
         if not all(client.counts.answered for client in clients):
             status = 1
--- a/gullhold/simulation/discovery.py
+++ b/gullhold/simulation/discovery.py
@@ -9,7 +9,7 @@
 from gullhold.simulation.clock import Clock
 from gullhold.simulation.engine import SimulatedEngine
 from gullhold.simulation.network import ONE_WAY_DELAY_US
-from gullhold.testing.deployment import event
+from gullhold.testing.deployment import endpoint_list_event
 
 if TYPE_CHECKING:
     from gullhold.simulation.gateway import SimulatedGateway
@@ -48,7 +48,7 @@
     def complete_list(self) -> dict[str, Any]:
         """The event that states the complete list as it is now, parsed from JSON."""
         members = ((engine.id, engine.address, self.phases[engine.id].value) for engine in self.engines)
-        return event(self.last_index, *members, whole=True)
+        return endpoint_list_event(self.last_index, *members, is_complete=True)
 
     def report_complete_list(self, gateway: "SimulatedGateway") -> None:
         """Tell the checker that a gateway has started with the list as it is now."""
@@ -59,7 +59,7 @@
         """Change an engine's phase and send the event to each gateway, behind all earlier events."""
         self.last_index += 1
         self.phases[engine.id] = phase
-        change = event(self.last_index, (engine.id, engine.address, phase.value))
+        change = endpoint_list_event(self.last_index, (engine.id, engine.address, phase.value))
         line = json.dumps(change).encode() + b"\n"
         for gateway in self.gateways.values():
             arrival_us = self.clock.now + ONE_WAY_DELAY_US + self.extra_delay_us
--- a/gullhold/testing/counting_engine.py
+++ b/gullhold/testing/counting_engine.py
@@ -8,7 +8,7 @@
 
 from gullhold.net import resp
 from gullhold.testing.attempt_record import AttemptRecord
-from gullhold.testing.recording_engine import RecordingEngine, fields_of
+from gullhold.testing.recording_engine import RecordingEngine, fetch_fields
 from gullhold.testing.working_engine import AttemptKey, work_ms_of
 
 SEED_FACTOR = 7919  # keeps the draws of failures apart from those of durations
@@ -20,21 +20,21 @@
     def __init__(
         self,
         threads: Mapping[str, int] | None = None,
-        runs_on: bool = False,
+        runs_after_disconnect: bool = False,
         failure_rate: float = 0.0,
         seed: int = 1,
         **other: Any,
     ) -> None:
         """Start it.
 
-        threads: of an attempt by its profile, 1 where not given; runs_on: attempts whose connection ends run
-        to their end, as in engines that notice late; failure_rate: fraction of fetches answered with an error
-        at once; other: arguments of the working engine.
+        threads: threads of an attempt by its profile, 1 where not given; runs_after_disconnect: attempts
+        whose connection ends run to their end, as in engines that notice late; failure_rate: fraction of
+        fetches answered with an error at once; other: arguments of WorkingEngine.
         """
         self.attempts: list[AttemptRecord] = []
         self.open: dict[tuple[socket.socket, bytes], AttemptRecord] = {}
         self.threads = threads or {}
-        self.runs_on = runs_on
+        self.runs_after_disconnect = runs_after_disconnect
         self.failure_rate = failure_rate
         self.draw_failure = Random(seed * SEED_FACTOR).random
         super().__init__(seed=seed, **other)
@@ -47,7 +47,7 @@
 
     def _record(self, connection: socket.socket, words: list[bytes]) -> bool:
         """Record a fetch; return whether it is to run, rather than to fail at once."""
-        fields = fields_of(words)
+        fields = fetch_fields(words)
         record = AttemptRecord(
             started_at=time.time(),
             ended_at=None,
@@ -66,7 +66,7 @@
         return not fails
 
     def _connection_ended(self, connection: socket.socket) -> None:
-        if self.runs_on:
+        if self.runs_after_disconnect:
             self._remove_queued(lambda key: key.connection is connection)
         else:
             super()._connection_ended(connection)
--- a/gullhold/testing/deployment.py
+++ b/gullhold/testing/deployment.py
@@ -63,19 +63,19 @@
     }
 
 
-def event(
-    index: int, *members: tuple[str, str, str], whole: bool = False, started_ms: int = 0
+def endpoint_list_event(
+    index: int, *members: tuple[str, str, str], is_complete: bool = False, started_ms: int = 0
 ) -> dict[str, Any]:
     """Return one event of the endpoint list.
 
-    members: (engine id, address, phase) of each; whole: whether the event is the complete list; started_ms:
-    the start time of all its members, in Unix ms.
+    members: (engine id, address, phase) of each; is_complete: whether the event is the complete list;
+    started_ms: the start time of all its members, in Unix ms.
     """
     return {
         "index": index,
         "endpoints": {
             "revision": index,
-            "complete": whole,
+            "complete": is_complete,
             "members": [_list_entry(*member, started_ms) for member in members],
         },
     }
@@ -105,5 +105,5 @@
         "settings": settings(**limits),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "coordinator": None,
-        "known": {"index": 1, "updates": [event(1, *members, whole=True)]},
+        "known": {"index": 1, "updates": [endpoint_list_event(1, *members, is_complete=True)]},
     }
--- a/gullhold/testing/load_client.py
+++ b/gullhold/testing/load_client.py
@@ -45,7 +45,7 @@
     attempt: Attempt
 
 
-def frame(seq: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
+def encode_execute_call(seq: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
     """Encode one execute call."""
     return thrift.encode_message(
         thrift.CALL, "execute", seq, execute_arguments(fields, body) + thrift.END_OF_STRUCT
@@ -158,7 +158,7 @@
             fields[b"team"] = self.tenant.encode()
         if attempt.number > 1:
             fields[b"second"] = b"1"
-        return frame(seq, fields, statement(self.work_ms, 1 + self.serial % TABLE_GROUPS))
+        return encode_execute_call(seq, fields, statement(self.work_ms, 1 + self.serial % TABLE_GROUPS))
 
     def _run(self, index: int, connections: int) -> None:
         """Thread: serve one connection."""
--- a/gullhold/testing/load_process.py
+++ b/gullhold/testing/load_process.py
@@ -1,4 +1,4 @@
-"""Processes that run several load clients each, so that a crowd is not held back by one interpreter lock."""
+"""Processes that run several load clients each, so that one interpreter lock does not limit their load."""
 
 import multiprocessing
 from collections.abc import Sequence
@@ -12,8 +12,8 @@
 
 
 @dataclass(frozen=True)
-class Crowd:
-    """What a crowd is made of: processes, clients of each, and the options of each client."""
+class ClientGroup:
+    """Load clients: number of processes, clients in each process, and the LoadClient options of each."""
 
     processes: int
     clients: int
@@ -21,17 +21,17 @@
 
 
 class LoadProcesses:
-    """A crowd of clients on one address, from start() to stop()."""
+    """A group of clients of one gateway, from start() to stop()."""
 
-    def __init__(self, address: tuple[str, int], crowd: Crowd) -> None:
+    def __init__(self, address: tuple[str, int], group: ClientGroup) -> None:
         """Start the processes; the clients wait for start()."""
         context = multiprocessing.get_context("spawn")
         self._pipes: list[Connection] = []
         self._processes = []
-        for number in range(crowd.processes):
+        for number in range(group.processes):
             pipe, child_pipe = context.Pipe()
             process = context.Process(
-                target=_run_clients, args=(child_pipe, address, crowd, number), daemon=True
+                target=_run_clients, args=(child_pipe, address, group, number), daemon=True
             )
             process.start()
             self._pipes.append(pipe)
@@ -68,13 +68,13 @@
     return total
 
 
-def _run_clients(pipe: Connection, address: tuple[str, int], crowd: Crowd, number: int) -> None:
+def _run_clients(pipe: Connection, address: tuple[str, int], group: ClientGroup, number: int) -> None:
     """The process of some clients: carry out orders until it is told to stop."""
     clients = [
         LoadClient(
-            address, "", f"client-{number}-{index}", seed=number * crowd.clients + index, **crowd.options
+            address, "", f"client-{number}-{index}", seed=number * group.clients + index, **group.options
         )
-        for index in range(crowd.clients)
+        for index in range(group.clients)
     ]
     order = None
     while order != "stop":
--- a/gullhold/testing/recording_engine.py
+++ b/gullhold/testing/recording_engine.py
@@ -17,7 +17,7 @@
     statement: str
 
 
-def fields_of(words: list[bytes]) -> dict[bytes, bytes]:
+def fetch_fields(words: list[bytes]) -> dict[bytes, bytes]:
     """Return the fields of a fetch, by their names on the wire."""
     return dict(pair.partition(b"=")[::2] for pair in words[2].split(b","))
 
@@ -36,7 +36,7 @@
 
     def _receive(self, connection: socket.socket, words: list[bytes]) -> None:
         if words[0] == b"fetch":
-            fields = fields_of(words)
+            fields = fetch_fields(words)
             key = fields.get(b"i", b"").decode()
             command = ReceivedCommand(time.time(), key, fields[b"c"].decode(), words[3].decode())
             self.received.append(command)
--- a/gullhold/testing/running.py
+++ b/gullhold/testing/running.py
@@ -21,7 +21,7 @@
 HEALTH_CHECK_TIMEOUT_S = 1.0
 POLL_S = 0.05  # between looks whether the gateway serves
 # An operator file with an admission queue. Clients are known by a field, and get Retry-After in a field.
-ADMISSION_RULES = """
+ADMISSION_OPERATOR_FILE = """
 door: {
     on: true
     client: field: "client"
@@ -166,7 +166,7 @@
         """Return the last value of a counter that the gateway has logged; 0: none."""
         return gateway_log.counter(self.log_text(), name)
 
-    def confine(self, core: int) -> None:
+    def pin_to_core(self, core: int) -> None:
         """Let the gateway run on one processor only."""
         for thread in os.listdir(f"/proc/{self._pid()}/task"):
             os.sched_setaffinity(int(thread), {core})
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -16,12 +16,17 @@
 
 from gullhold.net import split_host_port
 from gullhold.testing import WAIT_TIMEOUT_S, gateway_log
-from gullhold.testing.deployment import config, event
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.load_client import RetryRule
-from gullhold.testing.load_process import Crowd as LoadCrowd
-from gullhold.testing.load_process import LoadProcesses
-from gullhold.testing.running import ADMISSION_RULES, ROOT, adjust_settings, free_address, serving_status
+from gullhold.testing.load_process import ClientGroup, LoadProcesses
+from gullhold.testing.running import (
+    ADMISSION_OPERATOR_FILE,
+    ROOT,
+    adjust_settings,
+    free_address,
+    serving_status,
+)
 from gullhold.testing.soak.doubles import FetchAt, RequestRecord, SoakClient, SoakEngine
 from gullhold.testing.soak.judge import Kind, Stop, Violation, judge_attempts, judge_requests
 from gullhold.testing.soak.plan import ENGINES, SERVING_S, Crowd, Plan, Trouble
@@ -33,7 +38,7 @@
 POLL_S = 0.005
 COMMAND = ("-m", "gullhold")
 FIRST_INDEX = 1  # of the events of the endpoint list: the one in the configuration
-FLOOD = LoadCrowd(
+FLOOD = ClientGroup(
     processes=2, clients=4, options={"open": 256, "connections": 8, "retry_rule": RetryRule.NEVER}
 )
 
@@ -70,7 +75,7 @@
         adjust_settings(configuration["settings"], (), 16, plan.timeout_s, plan.timeout_s / 3)
         arguments = ["serve", "--config", str(_write(folder / "config.json", json.dumps(configuration)))]
         if plan.has_queue:
-            arguments += ["--operator", str(_write(folder / "operator.cue", ADMISSION_RULES))]
+            arguments += ["--operator", str(_write(folder / "operator.cue", ADMISSION_OPERATOR_FILE))]
         self.log = folder / "log"
         environment = os.environ | {"PYTHONPATH": str(ROOT), "MALLOC_ARENA_MAX": "1", "GULLHOLD_LOG": "INFO"}
         with open(self.log, "wb") as log:
@@ -161,7 +166,7 @@
             ]
         if plan.crowd is Crowd.FLOOD:
             options = FLOOD.options | {"limit_ms": int(plan.timeout_s * 1000)}
-            crowd = LoadCrowd(FLOOD.processes, FLOOD.clients, options)
+            crowd = ClientGroup(FLOOD.processes, FLOOD.clients, options)
             self.flood = LoadProcesses(self.gateways[0].address, crowd)
             self.flood.start()
 
@@ -215,7 +220,7 @@
         self.last_index += 1
         try:
             for gateway in self.gateways:
-                gateway.discovery.send(event(self.last_index, member, **facts))
+                gateway.discovery.send(endpoint_list_event(self.last_index, member, **facts))
         except (OSError, AssertionError):  # the service is away, or a gateway follows it no more
             return False
         return True
--- a/gullhold/testing/working_engine.py
+++ b/gullhold/testing/working_engine.py
@@ -60,7 +60,7 @@
 class WorkingEngine:
     """Serves until close().
 
-    slots: commands at once; pace: ms of work done in a ms; both may be changed at any time. running: serial
+    slots: commands at once; speed: ms of work done in a ms; both may be changed at any time. running: serial
     by attempt; completed: answers so far. `changed` is the lock of all state; methods marked "Lock held" need
     it.
     """
@@ -68,14 +68,14 @@
     def __init__(
         self,
         slots: int = 4,
-        pace: float = 1.0,
+        speed: float = 1.0,
         spread: float = 0.0,
         seed: int = 1,
         result: bytes = b"a\tb\tc\n",
     ) -> None:
         """spread: fraction by which a command's time varies at random; result: the page of each answer."""
         self.slots = slots
-        self.pace = pace
+        self.speed = speed
         self.spread = spread
         self.result = result
         self.draw = Random(seed).random
@@ -164,7 +164,7 @@
             self.serial += 1
             self.running[key] = self.serial
             factor = 1.0 + self.spread * (2 * self.draw() - 1)
-            end = time.monotonic() + work_ms * factor / self.pace / 1000
+            end = time.monotonic() + work_ms * factor / self.speed / 1000
             heappush(self.scheduled_ends, ScheduledEnd(end, self.serial, key, work_ms))
             self.changed.notify()
 
--- a/tests/faults/test_clock.py
+++ b/tests/faults/test_clock.py
@@ -8,7 +8,7 @@
 
 from faults.plan import Plan
 from faults.traffic import FaultyGateway
-from gullhold.testing.deployment import event
+from gullhold.testing.deployment import endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 
 HOUR_S = 3600
@@ -27,7 +27,9 @@
     gateway.configuration["settings"]["rules"] |= {"warm_after": WARM_S, "cold_from": 0.002, "tip_after": 1.0}
     gateway.configuration["coordinator"] = feed.address
     with gateway:
-        feed.send(event(2, ("s-1", second.address, "ready"), started_ms=int(time.time() * 1000)))
+        feed.send(
+            endpoint_list_event(2, ("s-1", second.address, "ready"), started_ms=int(time.time() * 1000))
+        )
         gateway.start_clients(6, burst=1)
         until(lambda: first.fetches >= 60)  # within a second or so, in which it stands next to nothing
         cold, share = second.fetches, second.fetches / first.fetches
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -11,8 +11,8 @@
 from gullhold.operator import records
 from gullhold.testing import load_client
 from gullhold.testing.client import BlockingClient
-from gullhold.testing.deployment import config, event
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, adjust_settings
+from gullhold.testing.deployment import config, endpoint_list_event
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment, adjust_settings
 from gullhold.testing.scripted import ScriptedEngine, never_finish
 from gullhold.testing.working_engine import WorkingEngine, statement
 
@@ -23,7 +23,7 @@
     gateways, engines = [], []
 
     def make(*parts, more="", tenants=(), cores=2, **other):
-        record = records.read(ADMISSION_RULES + more, "test.cue").door
+        record = records.read(ADMISSION_OPERATOR_FILE + more, "test.cue").door
         configuration = config(*parts, **other)
         adjust_settings(configuration["settings"], tenants, cores)
         gateways.append(Gateway(tmp_path, configuration, door_record=record))
@@ -83,9 +83,11 @@
     until(lambda: engine.completed >= 2)
     core = gateway.core
     core.list_changed(
-        *parse_event(event(2, ("s-0", engine.address, "draining")), core.agreement, EngineIds())
+        *parse_event(endpoint_list_event(2, ("s-0", engine.address, "draining")), core.agreement, EngineIds())
+    )
+    core.list_changed(
+        *parse_event(endpoint_list_event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds())
     )
-    core.list_changed(*parse_event(event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds()))
     answers = [client.read_answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
     assert len(later.messages(b"fetch")) >= 10
@@ -107,7 +109,9 @@
 
 
 def test_inside_one_tenant_a_crowding_client_takes_no_more_than_its_share():
-    with RunningDeployment(operator=ADMISSION_RULES, tenants=(("one", 1.0),), memory_mb=192) as running:
+    with RunningDeployment(
+        operator=ADMISSION_OPERATOR_FILE, tenants=(("one", 1.0),), memory_mb=192
+    ) as running:
         clients = [
             load_client.LoadClient(running.address, "one", "polite", open=16).start(),
             load_client.LoadClient(running.address, "one", "crowding", open=160, connections=8).start(),
@@ -130,7 +134,7 @@
     """Guards against a gateway that goes on accepting commands: it had not ended 10 s after SIGTERM."""
     more = "door: {patience: 1000, waiting: 30000}"
     with RunningDeployment(
-        operator=ADMISSION_RULES + more, slots=0, timeout_s=8.0, max_open=30000
+        operator=ADMISSION_OPERATOR_FILE + more, slots=0, timeout_s=8.0, max_open=30000
     ) as running:
         clients = [
             load_client.LoadClient(
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -9,7 +9,7 @@
 
 from gullhold.net import backpressure, client_limits, thrift
 from gullhold.testing.client import BlockingClient
-from gullhold.testing.deployment import config, event
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import ScriptedEngine, never_finish, reply_with, reset_connection, serve_pages
 
@@ -44,7 +44,7 @@
     else:
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
-    discovery.send(event(2, ("s-0", engine.address, "ready")))
+    discovery.send(endpoint_list_event(2, ("s-0", engine.address, "ready")))
     seq = other.send_command(txn=b"f%015x" % 7)
     assert other.read_answer() == (seq, b"a\tb\tc\n")
     assert [words[2] for words in engine.messages(b"fetch")] == [b"f%015x" % 7]
@@ -84,7 +84,7 @@
         client.interrupt(seq)
     until(lambda: not gateway.core.requests.by_number)
     assert time.monotonic() - began < 1
-    discovery.send(event(2, ("s-0", engine.address, "ready")))
+    discovery.send(endpoint_list_event(2, ("s-0", engine.address, "ready")))
     seq = other.send_command()
     assert other.read_answer() == (seq, b"a\tb\tc\n")
     assert len(engine.messages(b"fetch")) == 1
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -13,7 +13,7 @@
 from serving import WAIT_TIMEOUT_S, Gateway, free_port, is_listening, until
 
 from gullhold.testing.client import BlockingClient
-from gullhold.testing.deployment import config, event
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import ScriptedEngine
 
@@ -30,7 +30,7 @@
     seq = client.send_command()
     until(lambda: gateway.core.queue.qsize() == 1)
     gateway.start_threads("core", "coordinator")
-    discovery.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
+    discovery.send(endpoint_list_event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert not old.received
     assert len(new.messages(b"fetch")) == 1
@@ -75,7 +75,9 @@
         until(lambda: are_threads_stopped(process.pid))  # takes a while on a busy machine
         sequence_ids = [caller.send_command() for caller in callers]
         discovery.send(
-            event(2 + turn, (names[0], drained.address, "draining"), (names[1], replacement.address, "ready"))
+            endpoint_list_event(
+                2 + turn, (names[0], drained.address, "draining"), (names[1], replacement.address, "ready")
+            )
         )
         time.sleep(0.6)  # longer than the drain grace period
         process.send_signal(signal.SIGCONT)
@@ -89,15 +91,15 @@
 def test_event_is_applied_once_when_the_discovery_address_changes_in_the_middle_of_it(tmp_path):
     old, new, engines = DiscoveryService(), DiscoveryService(), [ScriptedEngine(), ScriptedEngine()]
     gateway = Gateway(tmp_path, config() | {"coordinator": old.address})
-    line = json.dumps(event(2, ("s-0", engines[0].address, "ready"))).encode() + b"\n"
+    line = json.dumps(endpoint_list_event(2, ("s-0", engines[0].address, "ready"))).encode() + b"\n"
     old.send(line[:40])
     gateway.discovery_client.change_address(new.address)
     until(lambda: new.follow_requests)
     new.send(line, b"2\n")
     until(lambda: gateway.count("endpoint_list_events") == 2)
     with contextlib.suppress(OSError):  # the gateway has closed it
-        old.send(line[40:], event(3, ("s-0", engines[0].address, "gone")))
-    new.send(event(3, ("s-1", engines[1].address, "ready")))
+        old.send(line[40:], endpoint_list_event(3, ("s-0", engines[0].address, "gone")))
+    new.send(endpoint_list_event(3, ("s-1", engines[1].address, "ready")))
     until(lambda: gateway.count("endpoint_list_events") == 3)
     assert new.follow_requests == [b"follow 1\n"]
     assert len(gateway.core.gateway.components.engines.ready) == 2
@@ -109,7 +111,7 @@
     gateway = Gateway(tmp_path, config(old) | {"coordinator": discovery.address})
     discovery.send(b"1\n")
     until(lambda: len(discovery.follow_requests) == 2)  # reconnected after two missing lines
-    discovery.send(event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
+    discovery.send(endpoint_list_event(2, ("s-0", old.address, "draining"), ("s-1", new.address, "ready")))
     until(lambda: gateway.count("endpoint_list_events") == 2)
     client = BlockingClient(gateway.address)
     seq = client.send_command()
@@ -145,7 +147,9 @@
     client.send_command()
     client.read_answer()
     discovery.send(
-        event(2, ("s-9", new.address, "ready")), event(3, ("s-0", old.address, "draining")), b"3\n"
+        endpoint_list_event(2, ("s-9", new.address, "ready")),
+        endpoint_list_event(3, ("s-0", old.address, "draining")),
+        b"3\n",
     )
     until(lambda: gateway.count("endpoint_list_events") == 3)
     for _ in range(4):
@@ -157,7 +161,8 @@
     until(lambda: len(discovery.follow_requests) == 2)
     assert discovery.follow_requests == [b"follow 1\n", b"follow 3\n"]
     discovery.send(
-        event(3, ("s-9", new.address, "gone")), event(4, ("s-7", new.address, "ready"), whole=True)
+        endpoint_list_event(3, ("s-9", new.address, "gone")),
+        endpoint_list_event(4, ("s-7", new.address, "ready"), is_complete=True),
     )
     until(lambda: gateway.count("endpoint_list_events") == 4)
     seq = client.send_command()
@@ -172,10 +177,10 @@
     gateway = Gateway(tmp_path, config() | {"coordinator": discovery.address})
     client = BlockingClient(gateway.address)
     for i, engine in enumerate(engines):  # each is added with its own address, then removed
-        discovery.send(event(2 * i + 2, (f"s-{i}", engine.address, "ready")))
+        discovery.send(endpoint_list_event(2 * i + 2, (f"s-{i}", engine.address, "ready")))
         seq = client.send_command()
         assert client.read_answer() == (seq, b"a\tb\tc\n")
-        discovery.send(event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
+        discovery.send(endpoint_list_event(2 * i + 3, (f"s-{i}", engine.address, "gone")))
     until(lambda: not gateway.core.pool.endpoints and not gateway.core.pool.connections)
     assert not gateway.core.gateway.components.engines.by_id
     assert not gateway.discovery_client.engine_ids.ids_by_name
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -8,7 +8,7 @@
 
 from gullhold.net import connection_ends, resp
 from gullhold.testing.client import BlockingClient
-from gullhold.testing.deployment import config, event
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 
 
@@ -19,7 +19,9 @@
     client = BlockingClient(gateway.address)
     seq = client.send_command(limit=7000)
     until(lambda: gateway.core.pool.connections)
-    discovery.send(event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[change])))
+    discovery.send(
+        endpoint_list_event(2, ("s-0", late.address, {"drains": "draining", "is gone": "gone"}[change]))
+    )
     until(lambda: gateway.count("attempts_ended_not_started"))
     conn = late.accept()
     assert conn.recv(100) == b""  # closed without a byte sent
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -116,7 +116,7 @@
 
 
 def test_a_killed_member_is_charged_until_its_running_work_is_over():
-    with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
+    with make_rig(2, make=counting_engine(runs_after_disconnect=True)) as fleet:
         fleet.start()
         clients = [client(fleet, name, work_ms=700.0, limit_ms=2500) for name in ("n0", "n1")]
         fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
@@ -173,7 +173,7 @@
 
 
 def test_all_members_restart_at_once_under_the_same_and_under_other_names():
-    with make_rig(4, make=counting_engine(runs_on=True)) as fleet:
+    with make_rig(4, make=counting_engine(runs_after_disconnect=True)) as fleet:
         for names in (("n0", "n1"), ("n0", "n1"), ("n2", "n3")):
             fleet.start(*names)
             clients = [client(fleet, name, work_ms=300.0) for name in names]
@@ -255,7 +255,7 @@
 
 
 def test_a_total_lowered_below_what_is_in_use_is_reached_without_cancels():
-    with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
+    with make_rig(2, make=counting_engine(runs_after_disconnect=True)) as fleet:
         fleet.start()
         clients = [client(fleet, name, work_ms=400.0, limit_ms=2000) for name in ("n0", "n1")]
         fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
--- a/tests/test_overload_service.py
+++ b/tests/test_overload_service.py
@@ -6,11 +6,11 @@
 from serving import until
 
 from gullhold.testing.load_client import RetryRule
-from gullhold.testing.load_process import Crowd, LoadProcesses
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, serving_status
+from gullhold.testing.load_process import ClientGroup, LoadProcesses
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment, serving_status
 
 KILL_AT_S = 3.7  # time from SIGTERM to the kill, with client timeouts of 3 s and more
-PATIENT_QUEUE = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
+PATIENT_QUEUE = ADMISSION_OPERATOR_FILE + "door: {patience: 1000, waiting: 30000}"
 
 
 def crowd(open_each, limit_ms, processes=2, clients=8):
@@ -21,7 +21,7 @@
         "limit_ms": limit_ms,
         "retry_rule": RetryRule.NEVER,
     }
-    return Crowd(processes, clients, options)
+    return ClientGroup(processes, clients, options)
 
 
 def answers(counts):
@@ -60,7 +60,7 @@
     with RunningDeployment(operator=PATIENT_QUEUE, slots=0, timeout_s=8.0, max_open=30000) as running:
         assert serving_status(running.address)
         if cores == "one core":
-            running.confine(0)
+            running.pin_to_core(0)
         clients = LoadProcesses(running.address, crowd(32, limit_ms=8000, processes=4))
         clients.start()
 
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -9,7 +9,7 @@
 
 from gullhold.net import resp, thrift
 from gullhold.testing.client import BlockingClient
-from gullhold.testing.deployment import config, event
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import ScriptedEngine, serve_pages
 
@@ -19,7 +19,7 @@
 
     def drains(conn, verb, *words):
         if verb == b"more":
-            discovery.send(event(2, ("s-0", engine.address, "draining")))
+            discovery.send(endpoint_list_event(2, ("s-0", engine.address, "draining")))
             until(lambda: gateway.count("endpoint_list_events") == 2)
         serve_pages(b"1\t2\t3\n", b"4\t5\t6\n")(conn, verb, *words)
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,7 +15,7 @@
 from gullhold.__main__ import main
 from gullhold.net import service
 from gullhold.testing.client import BlockingClient
-from gullhold.testing.deployment import config, event
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.scripted import ScriptedEngine, never_finish, serve_pages
 
@@ -60,11 +60,11 @@
         path.write_text(text)
         process.send_signal(signal.SIGHUP)
         time.sleep(0.05)
-    old.send(event(2, ("s-0", "127.0.0.1:1", "ready")))
+    old.send(endpoint_list_event(2, ("s-0", "127.0.0.1:1", "ready")))
     path.write_text(json.dumps(configuration | {"coordinator": new.address}))
     process.send_signal(signal.SIGHUP)
     until(lambda: new.follow_requests)
-    new.send(event(3, ("s-9", engine.address, "ready"), whole=True))
+    new.send(endpoint_list_event(3, ("s-9", engine.address, "ready"), is_complete=True))
     time.sleep(0.2)
     client = BlockingClient(("127.0.0.1", port))
     seq = client.send_command()
