--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -10,9 +10,9 @@
 import time
 from dataclasses import asdict
 
-from gullhold.testing.soak.judge import Violation
 from gullhold.testing.soak.plan import draw_plan
-from gullhold.testing.soak.run import play_seed
+from gullhold.testing.soak.run import run_plan
+from gullhold.testing.soak.violations import Violation
 
 DEFAULT_SEEDS = "0:50"
 SHOWN_VIOLATIONS = 5  # of one seed in its line
@@ -46,7 +46,7 @@
         plan = draw_plan(seed)
         if arguments.replay is not None:
             print(json.dumps(asdict(plan), default=str))
-        outcome = play_seed(plan)
+        outcome = run_plan(plan)
         played += 1
         requests += outcome.requests
         if outcome.violations:
--- a/gullhold/testing/soak/doubles.py
+++ b/gullhold/testing/soak/clients_and_engines.py
@@ -17,7 +17,7 @@
 WORK_MS = (2.0, 20.0, 60.0)  # of a command
 
 
-class AnswerAt(NamedTuple):
+class TimedAnswer(NamedTuple):
     """An answer and when it was read."""
 
     at: float
@@ -32,12 +32,12 @@
     profile: str
     written_at: float
     timeout_s: float
-    answers: list[AnswerAt] = field(default_factory=list)
+    answers: list[TimedAnswer] = field(default_factory=list)
     left_at: float | None = None  # when its client left, with the request open
     ends_at: float | None = None
 
 
-class FetchAt(NamedTuple):
+class TimedFetch(NamedTuple):
     """A command that an engine was sent."""
 
     at: float
@@ -143,7 +143,7 @@
     def _read(self) -> None:
         try:
             while (found := self.caller.read_answer()) is not None:
-                self._take(found.sequence_number, AnswerAt(time.monotonic(), found.result))
+                self._take(found.sequence_number, TimedAnswer(time.monotonic(), found.result))
         except (OSError, thrift.ProtocolError):
             pass
         ended_at = time.monotonic()
@@ -152,7 +152,7 @@
             for record in self.open.values():
                 record.ends_at = ended_at
 
-    def _take(self, sequence_number: int, answer: AnswerAt) -> None:
+    def _take(self, sequence_number: int, answer: TimedAnswer) -> None:
         with self.lock:
             record = self.open.pop(sequence_number, None) or self.answered.get(sequence_number)
             if record is not None:
@@ -165,13 +165,13 @@
 
     def __init__(self, number: int, seed: int) -> None:
         self.number = number
-        self.fetches: list[FetchAt] = []
+        self.fetches: list[TimedFetch] = []
         self.hangs = False
         super().__init__(slots=16, spread=0.2, seed=seed)
 
     def _receive(self, connection: socket.socket, words: list[bytes]) -> None:
         if words[0] == b"fetch":
-            self.fetches.append(FetchAt(time.monotonic(), words[1], self.number))
+            self.fetches.append(TimedFetch(time.monotonic(), words[1], self.number))
         if not self.hangs:
             super()._receive(connection, words)
 
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -27,9 +27,9 @@
     free_address,
     serving_status,
 )
-from gullhold.testing.soak.doubles import FetchAt, RequestRecord, SoakClient, SoakEngine
-from gullhold.testing.soak.judge import Kind, Stop, Violation, judge_attempts, judge_requests
+from gullhold.testing.soak.clients_and_engines import RequestRecord, SoakClient, SoakEngine, TimedFetch
 from gullhold.testing.soak.plan import ENGINES, SERVING_S, Crowd, Plan, Trouble
+from gullhold.testing.soak.violations import Kind, Suspension, Violation, check_attempts, check_requests
 
 DRAIN_GRACE_S = 0.5  # of the settings
 NEW_CONNECTIONS_S = 0.3  # after SIGTERM in which clients still connect, from the protocol
@@ -116,7 +116,7 @@
         self.engines = [SoakEngine(number, plan.seed * 100 + number) for number in range(ENGINES)]
         self.replaced: list[SoakEngine] = []
         self.drained_at: dict[int, float] = {}
-        self.stops: list[Stop] = []
+        self.stops: list[Suspension] = []
         self.stopped_at = 0.0
         self.terminated_at = 0.0
         self.last_index = FIRST_INDEX
@@ -143,9 +143,9 @@
         fetches = [fetch for engine in (*self.engines, *self.replaced) for fetch in engine.fetches]
         return Outcome(len(records), violations + self._judge(records, fetches))
 
-    def _judge(self, records: list[RequestRecord], fetches: list[FetchAt]) -> list[Violation]:
-        found = judge_requests(records, self.stops)
-        found += judge_attempts(records, fetches, self.drained_at, DRAIN_GRACE_S)
+    def _judge(self, records: list[RequestRecord], fetches: list[TimedFetch]) -> list[Violation]:
+        found = check_requests(records, self.stops)
+        found += check_attempts(records, fetches, self.drained_at, DRAIN_GRACE_S)
         for gateway in self.gateways:
             found += [Violation(Kind.FAULT, line) for line in gateway_log.fault_lines(gateway.log_text())]
         return found
@@ -238,7 +238,7 @@
             if gateway.process.poll() is None:
                 gateway.process.send_signal(number)
         if number == signal.SIGCONT:
-            self.stops.append(Stop(self.stopped_at, time.monotonic()))
+            self.stops.append(Suspension(self.stopped_at, time.monotonic()))
 
     def _stop_connecting(self) -> None:
         for client in self.clients:
@@ -278,7 +278,7 @@
     return path
 
 
-def play_seed(plan: Plan, command: Sequence[str] = COMMAND) -> Outcome:
+def run_plan(plan: Plan, command: Sequence[str] = COMMAND) -> Outcome:
     """Play one plan in a folder of its own."""
     with tempfile.TemporaryDirectory(prefix="gullhold-soak-") as folder:
         return SoakRun(plan, Path(folder), command).play()
--- a/gullhold/testing/soak/judge.py
+++ b/gullhold/testing/soak/violations.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from gullhold.testing.soak.doubles import FetchAt, RequestRecord
+from gullhold.testing.soak.clients_and_engines import RequestRecord, TimedFetch
 
 CROSSING_S = 0.05  # in which a request may cross the end of its connection, from the protocol
 RULE_SLACK_S = 0.05  # by which each time limit is longer on sockets, from the protocol
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Stop:
+class Suspension:
     """The process was suspended from one time to another."""
 
     began_at: float
@@ -46,7 +46,7 @@
         return max(0.0, min(self.ended_at, ended_at) - max(self.began_at, began_at))
 
 
-def judge_requests(records: Iterable[RequestRecord], stops: Sequence[Stop] = ()) -> list[Violation]:
+def check_requests(records: Iterable[RequestRecord], stops: Sequence[Suspension] = ()) -> list[Violation]:
     """Judge what clients wrote and got."""
     found = []
     for record in records:
@@ -70,9 +70,9 @@
     return record.written_at < record.ends_at - CROSSING_S - MACHINE_S
 
 
-def judge_attempts(
+def check_attempts(
     records: Iterable[RequestRecord],
-    fetches: Iterable[FetchAt],
+    fetches: Iterable[TimedFetch],
     drained_at: Mapping[int, float],
     grace_s: float,
 ) -> list[Violation]:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,10 +9,10 @@
 import pytest
 
 from gullhold.testing.running import ROOT
-from gullhold.testing.soak.doubles import AnswerAt, FetchAt, RequestRecord
-from gullhold.testing.soak.judge import Kind, Stop, judge_attempts, judge_requests
+from gullhold.testing.soak.clients_and_engines import RequestRecord, TimedAnswer, TimedFetch
 from gullhold.testing.soak.plan import SERVING_S, Crowd, Plan, SignalAt, Trouble, TroubleAt, draw_plan
-from gullhold.testing.soak.run import play_seed
+from gullhold.testing.soak.run import run_plan
+from gullhold.testing.soak.violations import Kind, Suspension, check_attempts, check_requests
 
 SEEDS_IN_CI = range(1000, 1008)
 QUIET_PLAN = Plan(
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS_IN_CI)
 def test_a_seed_of_the_soak_shows_no_violation(seed):
-    outcome = play_seed(draw_plan(seed))
+    outcome = run_plan(draw_plan(seed))
     assert outcome.requests > 20
     assert not outcome.violations, outcome.violations
 
@@ -54,7 +54,7 @@
     ],
 )
 def test_the_soak_finds_a_gateway_with_a_deliberate_fault(mutant, kind, plan):
-    outcome = play_seed(plan, ("-m", "gullhold.testing.soak.mutant", mutant))
+    outcome = run_plan(plan, ("-m", "gullhold.testing.soak.mutant", mutant))
     assert kind in {violation.kind for violation in outcome.violations}
 
 
@@ -68,7 +68,7 @@
 
 def record(profile="read", written_at=10.0, timeout_s=1.0, answers=(), **more):
     """A request that was written at a time, and what became of it."""
-    answers = [AnswerAt(at, "shed") for at in answers]
+    answers = [TimedAnswer(at, "shed") for at in answers]
     return RequestRecord(b"0" * 16, profile, written_at, timeout_s, answers, **more)
 
 
@@ -78,23 +78,23 @@
 
 
 def test_the_judge_of_answers():
-    assert not judge_requests([record(answers=[10.9])])
-    assert kinds(judge_requests([record(answers=[11.3])])) == [Kind.LATE]
-    assert not judge_requests([record(answers=[11.3])], [Stop(10.1, 10.4)])
-    assert kinds(judge_requests([record(answers=[10.1, 10.2])])) == [Kind.TWICE]
-    assert kinds(judge_requests([record(ends_at=11.0)])) == [Kind.UNANSWERED]
-    assert not judge_requests([record(ends_at=10.01)])  # crosses the end of its connection
-    assert not judge_requests([record(ends_at=11.0, left_at=10.5)])
+    assert not check_requests([record(answers=[10.9])])
+    assert kinds(check_requests([record(answers=[11.3])])) == [Kind.LATE]
+    assert not check_requests([record(answers=[11.3])], [Suspension(10.1, 10.4)])
+    assert kinds(check_requests([record(answers=[10.1, 10.2])])) == [Kind.TWICE]
+    assert kinds(check_requests([record(ends_at=11.0)])) == [Kind.UNANSWERED]
+    assert not check_requests([record(ends_at=10.01)])  # crosses the end of its connection
+    assert not check_requests([record(ends_at=11.0, left_at=10.5)])
 
 
 def test_the_judge_of_attempts():
     left, once = record(left_at=10.5), record("once", answers=[10.1])
-    assert not judge_attempts([left], [FetchAt(10.4, left.txn, 0)], {}, 0.5)
-    assert kinds(judge_attempts([left], [FetchAt(10.9, left.txn, 0)], {}, 0.5)) == [Kind.AFTER_LEAVING]
-    fetches = [FetchAt(10.0, once.txn, 0), FetchAt(10.1, once.txn, 1)]
-    assert kinds(judge_attempts([once], fetches, {}, 0.5)) == [Kind.RAN_TWICE]
-    assert not judge_attempts([once], fetches[:1], {0: 9.6}, 0.5)
-    assert kinds(judge_attempts([once], fetches[:1], {0: 9.0}, 0.5)) == [Kind.DRAINING]
+    assert not check_attempts([left], [TimedFetch(10.4, left.txn, 0)], {}, 0.5)
+    assert kinds(check_attempts([left], [TimedFetch(10.9, left.txn, 0)], {}, 0.5)) == [Kind.AFTER_LEAVING]
+    fetches = [TimedFetch(10.0, once.txn, 0), TimedFetch(10.1, once.txn, 1)]
+    assert kinds(check_attempts([once], fetches, {}, 0.5)) == [Kind.RAN_TWICE]
+    assert not check_attempts([once], fetches[:1], {0: 9.6}, 0.5)
+    assert kinds(check_attempts([once], fetches[:1], {0: 9.0}, 0.5)) == [Kind.DRAINING]
 
 
 def test_the_command_ends_with_a_line_of_json():
