--- a/gullhold/testing/attempt_record.py
+++ b/gullhold/testing/attempt_record.py
@@ -1,4 +1,4 @@
-"""The record that a counting engine keeps of each attempt; checkers read it."""
+"""The record that a counting engine makes of each attempt, for the checkers of budgets and policies."""
 
 from dataclasses import dataclass
 
@@ -7,8 +7,9 @@
 class AttemptRecord:
     """One attempt at an engine.
 
-    started_at, ended_at: Unix s; ended_at is None while it is open or runs. threads: that it takes; txn: the
-    number of its command; work_ms: of its statement; memory_mb: granted to it, 0 where nothing is.
+    started_at, ended_at: Unix s; ended_at is None until the attempt has ended. threads: threads that it
+    occupies; txn: number of its command; work_ms: work in its statement; memory_mb: memory granted to it, 0
+    for none.
     """
 
     started_at: float
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -1,4 +1,4 @@
-"""A client connection that sends and reads one message at a time, for tests that look at each answer."""
+"""A client on a blocking socket that sends and reads single messages, for tests that check each answer."""
 
 import socket
 import struct
@@ -7,16 +7,16 @@
 from gullhold.net import thrift
 from gullhold.testing import WAIT_TIMEOUT_S
 
-READ_BYTES = 100_000
-LENGTH_SIZE = 4  # bytes of the length of a frame
-DEFAULT_BODY = b"select 1 from sales_3.t"
+MAX_READ_BYTES = 100_000  # bytes of one read from the socket
+LENGTH_SIZE = 4  # bytes of the length in front of a frame
+DEFAULT_STATEMENT = b"select 1 from sales_3.t"
 
 
 class Answer(NamedTuple):
-    """A reply to a call.
+    """The reply to a call.
 
-    result: the body of a good answer; "unfit" for an answer marked as not good; else "shed", "fault" or
-    "exception".
+    result: the rows of a successful answer; "unfit" for an answer that is marked as not good; "shed" or
+    "fault" for the declared exceptions; "exception" for an application exception.
     """
 
     sequence_number: int
@@ -24,7 +24,7 @@
 
 
 class BlockingClient:
-    """A client's connection. Command numbers are unique among all callers of the process."""
+    """A client with one connection. The txns of its commands are unique in this process."""
 
     serial = 0
 
@@ -34,7 +34,11 @@
         self.seq = 0
 
     def send(self, method: str, body: bytes, kind: int = thrift.CALL, seq: int | None = None) -> int:
-        """Send one message; body: its fields without the end of the struct. Return its sequence number."""
+        """Send one message and return its sequence number.
+
+        body: its encoded fields without the end of the struct; kind: its Thrift message type; seq: by
+        default the next one.
+        """
         self.seq += 1
         seq = seq or self.seq
         self.sock.sendall(thrift.encode_message(kind, method, seq, body + thrift.END_OF_STRUCT))
@@ -46,13 +50,13 @@
         limit: int = 3000,
         seq: int | None = None,
         txn: bytes | None = None,
-        body: bytes = DEFAULT_BODY,
+        body: bytes = DEFAULT_STATEMENT,
         **other: bytes,
     ) -> int:
         """Send a command; return its sequence number.
 
-        verb: its profile; limit: its timeout in ms; txn: its number, by default a new one; other: further
-        fields.
+        verb: the profile; limit: the client timeout in ms; txn: the command's number, by default a new one;
+        body: the statement; other: further fields.
         """
         BlockingClient.serial += 1
         txn = txn or b"%016x" % BlockingClient.serial
@@ -69,11 +73,11 @@
         return self.send("execute", execute_arguments(fields, body), seq=seq)
 
     def interrupt(self, seq: int) -> None:
-        """Withdraw the command with this sequence number."""
+        """Withdraw the open command with this sequence number."""
         self.send("interrupt", b"\x08\0\1" + struct.pack(">i", seq), kind=thrift.ONEWAY)
 
     def read_answer(self) -> Answer | None:
-        """Return the next answer; None at the end of the connection."""
+        """Wait for the next answer and return it; None at the end of the connection."""
         frame = self._read_frame()
         if frame is None:
             return None
@@ -91,10 +95,10 @@
         return Answer(seq, "shed" if (thrift.RESULT_SHED, thrift.STRUCT) in result else "fault")
 
     def _read_frame(self) -> bytes | None:
-        """Read one frame without its length; None at the end of the connection."""
+        """Read one frame and return it without its length; None at the end of the connection."""
         while not self._has_frame():
             try:
-                data = self.sock.recv(READ_BYTES)
+                data = self.sock.recv(MAX_READ_BYTES)
             except ConnectionError:
                 data = b""
             if not data:
--- a/gullhold/testing/counting_engine.py
+++ b/gullhold/testing/counting_engine.py
@@ -1,4 +1,4 @@
-"""A test engine that records each attempt: when it began and ended, its threads, work and memory."""
+"""A test engine that records start, end, threads, work and memory of each attempt."""
 
 import socket
 import time
@@ -11,11 +11,14 @@
 from gullhold.testing.recording_engine import RecordingEngine, fetch_fields
 from gullhold.testing.working_engine import AttemptKey, work_ms_of
 
-SEED_FACTOR = 7919  # keeps the draws of failures apart from those of durations
+FAILURE_SEED_FACTOR = 7919  # makes the random failures independent of the random durations
 
 
 class CountingEngine(RecordingEngine):
-    """Keeps a record of each fetch. attempts: all of them, in order; open: those that have not ended."""
+    """A working engine with a record of each attempt.
+
+    attempts: all attempts in order; open: those that have not ended, by connection and txn.
+    """
 
     def __init__(
         self,
@@ -25,7 +28,7 @@
         seed: int = 1,
         **other: Any,
     ) -> None:
-        """Start it.
+        """Start the engine.
 
         threads: threads of an attempt by its profile, 1 where not given; runs_after_disconnect: attempts
         whose connection ends run to their end, as in engines that notice late; failure_rate: fraction of
@@ -36,7 +39,7 @@
         self.threads = threads or {}
         self.runs_after_disconnect = runs_after_disconnect
         self.failure_rate = failure_rate
-        self.draw_failure = Random(seed * SEED_FACTOR).random
+        self.draw_failure = Random(seed * FAILURE_SEED_FACTOR).random
         super().__init__(seed=seed, **other)
 
     def _receive(self, connection: socket.socket, words: list[bytes]) -> None:
@@ -46,7 +49,7 @@
             connection.sendall(resp.encode(words[1], b"500", b"-", b""))
 
     def _record(self, connection: socket.socket, words: list[bytes]) -> bool:
-        """Record a fetch; return whether it is to run, rather than to fail at once."""
+        """Record a fetch; return whether the engine runs it, False if it is to be answered with an error."""
         fields = fetch_fields(words)
         record = AttemptRecord(
             started_at=time.time(),
--- a/gullhold/testing/deployment.py
+++ b/gullhold/testing/deployment.py
@@ -1,24 +1,21 @@
-"""The configuration that a gateway is started with, for a small deployment of test doubles.
-
-The settings and the events of the endpoint list have the keys and the shape that the gateway reads.
-"""
+"""The JSON configuration of a gateway in a small deployment of test doubles, and endpoint list events."""
 
 from typing import Any, Protocol
 
 from gullhold.testing import LOOPBACK
 
-# Profiles of the deployment: name, idempotency, client timeout in s, latency objective in s.
+# Profiles of commands: name, idempotency, client timeout in s, latency objective in s.
 PROFILES = (("read", "pure", 4.0, 0.2), ("mark", "token", 4.0, 1.0), ("once", "side_effect", 4.0, 1.0))
 
 
 class Addressed(Protocol):
-    """A test double of an engine: it listens on an address, HOST:PORT."""
+    """A test double of an engine. address: HOST:PORT on which it listens."""
 
     address: str
 
 
 def settings(**limits: Any) -> dict[str, Any]:
-    """Return the settings of a small deployment; limits: replaced keys of its "limits"."""
+    """Return the settings of a small deployment; limits: replacements and additions to its "limits"."""
     return {
         "balancers": 1,
         "my_zone": 0,
@@ -96,7 +93,7 @@
 
 
 def config(*engines: Addressed, **limits: Any) -> dict[str, Any]:
-    """Return the configuration of a gateway that knows these engines; limits: as for settings()."""
+    """Return the configuration of a gateway with these engines in its list; limits: as in settings()."""
     members = [(f"s-{number}", engine.address, "ready") for number, engine in enumerate(engines)]
     return {
         "name": "n0",
--- a/gullhold/testing/discovery_service.py
+++ b/gullhold/testing/discovery_service.py
@@ -1,4 +1,4 @@
-"""A test double of the discovery service: keeps the requests of its followers, and sends what it is given."""
+"""A test double of the discovery service, which sends its followers the events that a test gives it."""
 
 import json
 import socket
@@ -11,9 +11,9 @@
 
 
 class DiscoveryService:
-    """Serves one follower after another until close().
+    """Accepts followers until close(), and sends events to the latest one.
 
-    follow_requests: the first bytes that each connection sent.
+    follow_requests: the first bytes that each follower sent.
     """
 
     def __init__(self) -> None:
@@ -30,13 +30,13 @@
             self.has_follower.set()
 
     def send(self, *lines: bytes | dict[str, Any]) -> None:
-        """Send lines to the last follower, once there is one; bytes are sent as they are, others as JSON."""
+        """Wait for a follower, and send lines to the latest one; bytes are sent unchanged, dicts as JSON."""
         assert self.has_follower.wait(WAIT_TIMEOUT_S)
         assert self.connection is not None
         self.connection.sendall(b"".join(map(_encoded, lines)))
 
     def close(self) -> None:
-        """Stop listening, and close the last connection."""
+        """Stop listening, and close the latest follower's connection."""
         for sock in (self.listener, self.connection):
             if sock is not None:
                 sock.shutdown(socket.SHUT_RDWR)
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -1,7 +1,8 @@
-"""Several gateways as processes of their own, a store, engines, and relays between them, on loopback.
+"""A test rig of a fleet: gateway processes, their relays to a store process, and engines, all on loopback.
 
-A scenario calls it step by step: start, stop, kill, pause, resume, cut, heal. What came of it is read from
-the store's journal, the engines' records and the gateways' events by gullhold.testing.fleet_checker.
+A test starts, stops, kills, pauses and resumes gateways, and cuts their connections to the store.
+gullhold.testing.fleet_checker checks the results in the store's journal, the engines' records and the
+gateways' events.
 """
 
 import tempfile
@@ -22,13 +23,13 @@
 from gullhold.testing.relay import Direction, RelayMode
 from gullhold.testing.running import serving_status
 
-KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}  # profiles of the deployment
-SEEDS_PER_RIG = 1000  # the starts of one rig have seeds of their own
-POLL_S = 0.01  # between looks at what is waited for
-STORY_LINES = 40
-STORY_LINE_LENGTH = 200
-EVENT_FACTS = ("role", "token", "reason", "due_us")
-JOURNAL_FACTS = ("revision", "met", "lease", "acts")
+IDEMPOTENCY_BY_PROFILE = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}
+SEEDS_PER_RIG = 1000  # each start of a gateway has its own seed; bounds the number of starts in a rig
+POLL_INTERVAL_S = 0.01
+TIMELINE_LINES = 40  # the last ones, in a failure's message
+TIMELINE_LINE_LENGTH = 200  # characters
+TIMELINE_EVENT_FIELDS = ("role", "token", "reason", "due_us")
+TIMELINE_JOURNAL_FIELDS = ("revision", "met", "lease", "acts")
 
 OPERATOR_FILE = """fleet: {{
     on: true, name: "rig", register: "{register}", timeout: 400ms, lease: {lease_s}s, look: {look}
@@ -46,7 +47,7 @@
 
 
 class FleetEvent(NamedTuple):
-    """An event that a gateway logged of the fleet. at: Unix s."""
+    """A fleet event that a gateway logged. at: Unix s; facts: the fields of its log record."""
 
     at: float
     member: str
@@ -55,7 +56,7 @@
 
 
 def _operator_list(items: Iterable[dict[str, Any]]) -> str:
-    """Records of an operator's file."""
+    """Return records as the elements of a list in an operator file."""
     rows = [", ".join(f"{key}: {value}" for key, value in item.items()) for item in items]
     return "\n".join("{" + row + "}," for row in rows)
 
@@ -103,7 +104,7 @@
     make_engine: Callable[[int], RecordingEngine] = _make_recording_engine
 
     def operator_values(self) -> dict[str, Any]:
-        """Return the values in the operator's file that are the same for all members."""
+        """Return the values in the operator file that are the same for all members."""
         return {
             "lease_s": self.lease_s,
             "look": self.budget_check_interval,
@@ -126,7 +127,7 @@
     """
 
     def __init__(self, **options: Any) -> None:
-        """Prepare it; nothing runs yet. options: fields of FleetRigOptions."""
+        """Start the engines; no gateway or store runs yet. options: fields of FleetRigOptions."""
         self.options = FleetRigOptions(**options)
         self.lease_s = self.options.lease_s
         self.dedup_s = self.options.dedup_s
@@ -144,14 +145,14 @@
         self._operator_values = self.options.operator_values()
 
     def __enter__(self) -> Self:
-        """Start the store."""
+        """Start the store, and prepare the members; none of them is started."""
         self.start_store()
         for name in self.names:
             self.members[name] = Member(name, self.path, self.store_address)
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End all processes, and remove the files."""
+        """Kill all processes, and remove the files."""
         for member in self.members.values():
             member.kill()
             gateway_log.record(member.log_text())
@@ -170,19 +171,19 @@
         return self.store_process.address
 
     def start_store(self) -> None:
-        """Start the store, or start it again with what it has stored."""
+        """Start the store, or restart it on its file."""
         self.store_process.start()
 
     def kill_store(self) -> None:
-        """Kill the store, at whatever it is doing."""
+        """Kill the store with SIGKILL."""
         self.store_process.kill()
 
     def inject_store_faults(self, **requested: Any) -> None:
-        """Ask the store for faults."""
+        """Make the store fail in these ways; the names are those of gullhold.testing.register.faults."""
         requests.post(f"http://{self.store_address}/faults", json=requested, timeout=WAIT_TIMEOUT_S)
 
     def store_call_counts(self) -> dict[str, int]:
-        """Calls that the store has had, by kind."""
+        """Return the number of calls that the store has received, by path."""
         return requests.get(f"http://{self.store_address}/counts", timeout=WAIT_TIMEOUT_S).json()
 
     # Members
@@ -195,10 +196,10 @@
         as_name: str | None = None,
         **hooks: Any,
     ) -> None:
-        """Start gateways, all without names.
+        """Start these gateways, or all of them if no names are given.
 
-        wait: until they answer or end; operator: with the operator's file; as_name: under another's name;
-        hooks: what gullhold.testing.hooked_gateway is asked for.
+        wait: wait until each answers its health check or has ended; operator: with an operator file; as_name:
+        the name in the configuration, if it is another member's; hooks: for gullhold.testing.hooked_gateway.
         """
         started = [self.members[name] for name in names or self.names]
         for member in started:
@@ -225,7 +226,7 @@
             "coordinator": self.options.coordinator,
         }
         settings = configuration["settings"]
-        settings["domain"]["note_period"] = 0  # these engines send no status notes
+        settings["domain"]["note_period"] = 0  # the test engines send no status notes
         for category in settings["categories"]:
             category["give_up"] = self.options.timeout_s
             category["window"] = self.dedup_s
@@ -236,54 +237,57 @@
         return configuration
 
     def stop(self, *names: str) -> None:
-        """SIGTERM, and wait for the end."""
+        """Send SIGTERM to these gateways, and wait until they have ended."""
         for name in names:
             self.members[name].terminate()
         for name in names:
             self.members[name].wait()
 
     def kill(self, *names: str) -> None:
-        """SIGKILL."""
+        """Kill these gateways with SIGKILL."""
         for name in names:
             self.members[name].kill()
 
     def pause(self, *names: str) -> None:
-        """SIGSTOP."""
+        """Suspend these gateways with SIGSTOP."""
         for name in names:
             self.members[name].pause()
 
     def resume(self, *names: str) -> None:
-        """SIGCONT."""
+        """Resume these gateways with SIGCONT."""
         for name in names:
             self.members[name].resume()
 
     def is_paused(self, name: str) -> bool:
-        """Whether it sleeps by a SIGSTOP."""
+        """Return whether a gateway is suspended by SIGSTOP."""
         return self.members[name].is_paused()
 
     def cut(
         self, name: str, mode: RelayMode = RelayMode.HELD, directions: Iterable[str] = tuple(Direction)
     ) -> None:
-        """Between a gateway and the store nothing passes in these directions until heal()."""
+        """Interrupt a gateway's connections to the store until heal(); mode: what becomes of the bytes."""
         self.members[name].relay.set(mode, directions)
 
     def heal(self, name: str) -> None:
-        """All passes again."""
+        """Let a gateway and the store communicate again."""
         self.members[name].relay.set(RelayMode.OPEN)
 
-    # What can be seen
+    # Observation
 
     def wait_until(self, condition: Callable[[], Any], seconds: float = WAIT_TIMEOUT_S) -> Any:
-        """Wait until a condition gives something true; what it gave. Raises AssertionError with the story."""
-        end = time.monotonic() + seconds
+        """Wait until a condition returns something true, and return that.
+
+        Raises AssertionError with the timeline after so many seconds.
+        """
+        deadline = time.monotonic() + seconds
         while not (found := condition()):
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise AssertionError("waited in vain\n" + self.timeline())
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         return found
 
     def events(self, name: str | None = None) -> list[FleetEvent]:
-        """What gateways logged of the fleet, in order of time; name: of one gateway alone."""
+        """Return the fleet events that gateways logged, in order of time; name: of this gateway only."""
         members = [self.members[name]] if name else self.members.values()
         events = [
             FleetEvent(record["time"]["timestamp"], member.name, record["extra"]["event"], record["extra"])
@@ -293,15 +297,15 @@
         return sorted(events, key=lambda event: event.at)
 
     def journal_lines(self) -> list[dict[str, Any]]:
-        """The store's journal."""
+        """Return the records of the store's journal."""
         return self.store_process.journal_lines()
 
     def leaders(self) -> dict[str, tuple[str, int]]:
-        """(member, token) of the leader of each role, by the store's journal."""
+        """Return the (member, token) of the leader of each role, according to the store's journal."""
         return Check(self.journal_lines()).owners()
 
     def wait_for_leader(self, role: str, other_than: str = "") -> str:
-        """Wait until a member leads a role, and not this one; its name."""
+        """Wait until a member other than `other_than` leads a role; return its name."""
 
         def new_leader() -> str | None:
             leader = self.leaders().get(role)
@@ -312,31 +316,29 @@
         return self.wait_until(new_leader)
 
     def timeline(self) -> str:
-        """The last of what happened, for a failure: when, who, what, token, revision."""
-        rows = [(event.at, _event_story(event)) for event in self.events()]
-        rows += [
-            (line["at"], _journal_story(line)) for line in self.journal_lines() if _is_worth_telling(line)
-        ]
-        last = sorted(rows)[-STORY_LINES:]
-        return "\n".join(f"{at - self.started_at:8.3f} {text[:STORY_LINE_LENGTH]}" for at, text in last)
+        """Return the latest fleet events and journal records as text, for the message of a failure."""
+        rows = [(event.at, _event_text(event)) for event in self.events()]
+        rows += [(line["at"], _journal_text(line)) for line in self.journal_lines() if _is_shown(line)]
+        last = sorted(rows)[-TIMELINE_LINES:]
+        return "\n".join(f"{at - self.started_at:8.3f} {text[:TIMELINE_LINE_LENGTH]}" for at, text in last)
 
 
 def _has_started_or_ended(member: Member) -> bool:
     return serving_status(member.address) is not None or member.has_ended()
 
 
-def _event_story(event: FleetEvent) -> str:
-    facts = [f"{key}={event.facts[key]}" for key in EVENT_FACTS if event.facts.get(key)]
+def _event_text(event: FleetEvent) -> str:
+    facts = [f"{key}={event.facts[key]}" for key in TIMELINE_EVENT_FIELDS if event.facts.get(key)]
     return " ".join([event.member, event.text, *facts])
 
 
-def _journal_story(line: dict[str, Any]) -> str:
-    facts = [f"{key}={line[key]}" for key in JOURNAL_FACTS if key in line]
+def _journal_text(line: dict[str, Any]) -> str:
+    facts = [f"{key}={line[key]}" for key in TIMELINE_JOURNAL_FIELDS if key in line]
     return " ".join(["register", line["what"], *facts])
 
 
-def _is_worth_telling(line: dict[str, Any]) -> bool:
-    """Whether a line of the journal is more than a renewed lease or a heartbeat that was written."""
+def _is_shown(line: dict[str, Any]) -> bool:
+    """Return whether a journal record is neither a renewed lease nor a heartbeat that was written."""
     if "kept" in line["what"]:
         return False
     is_heartbeat = line.get("met") and all("/beats/" in write[1] for write in line["acts"])
--- a/gullhold/testing/gateway_log.py
+++ b/gullhold/testing/gateway_log.py
@@ -1,19 +1,19 @@
-"""Looks for faults of the program itself in what gateways logged.
+"""Finds faults of the program itself in the logs of gateways.
 
-Whatever starts a gateway for a test passes its log to record() when the gateway has ended; one fixture of the
-tests looks at all of them.
+Code that starts a gateway for a test passes its log to record() when the gateway has ended. A fixture of all
+tests then checks the recorded logs.
 """
 
 import re
 
-# Parts of lines that say that the program itself went wrong. A counter that is 0 is not logged.
+# Parts of log lines that report a fault of the program. Counters are logged only if they are not 0.
 FAULT_LINES = ("internal_faults", "decision_faults", "was not answered in time", "Traceback")
 
 _ended_logs: list[str] = []
 
 
 def record(text: str) -> None:
-    """Keep the log, or the counters, of a gateway that has ended."""
+    """Record the log or the counters of a gateway that has ended."""
     _ended_logs.append(text)
 
 
@@ -25,11 +25,11 @@
 
 
 def counter(text: str, name: str) -> int:
-    """Return the last value of a counter in a log; 0: it was not logged."""
+    """Return the last value of a counter in a log; 0 if it was not logged."""
     values = re.findall(rf"\b{name}=(\d+)", text)
     return int(values[-1]) if values else 0
 
 
 def fault_lines(text: str) -> list[str]:
-    """Return the lines of a log that say that the program itself went wrong."""
+    """Return the lines of a log that report a fault of the program."""
     return [line for line in text.splitlines() if any(part in line for part in FAULT_LINES)]
--- a/gullhold/testing/hooked_gateway.py
+++ b/gullhold/testing/hooked_gateway.py
@@ -1,10 +1,13 @@
-"""Starts `gullhold` with the test hooks that a rig asks for; nothing of them is in the product.
-
-GULLHOLD_RIG holds JSON: rate: how fast this process's clocks run; point, side, act, nth: what to do to itself
-("kill" or "stop") "before" or "after" the nth call of the store that is this: "effect" (a heartbeat),
-"intent" or "outcome" of an occurrence, "claim", "keep", "divide" (shares of budgets), "report" (of what is
-used), "give back" (the last report), "checked", "prepared", "decided", "dropped" (a change of policy),
-"ready", "still", "under" (a vote on one).
+"""Runs `gullhold` with hooks for tests: clocks at another rate, or a signal at a call of the store.
+
+The hooks are given as JSON in the environment variable GULLHOLD_RIG; the product does not know of it. Keys:
+rate: rate of this process's clocks against the machine's.
+point, nth: the nth store call of this kind. Kinds: "effect" (writes a heartbeat), "intent" and "outcome" (of
+an occurrence), "claim" (of a role), "keep" (renews a lease), "divide" (allocates budgets), "report" (usage),
+"give back" (a member's last usage report), "checked", "prepared", "decided", "dropped" (states of a policy
+change), "ready", "still", "under" (votes on one).
+side: "before" or "after" that call.
+act: what this process then does to itself: "kill" (SIGKILL) or "stop" (SIGSTOP).
 """
 
 import json
@@ -23,13 +26,13 @@
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP}
 
 
-def run_at(rate: float) -> None:
+def scale_clocks(rate: float) -> None:
     """Let all clocks of this process run at this rate from now on."""
     for name in ("monotonic", "monotonic_ns", "time", "time_ns"):
-        _run_clock_at(name, rate)
+        _scale_clock(name, rate)
 
 
-def _run_clock_at(name: str, rate: float) -> None:
+def _scale_clock(name: str, rate: float) -> None:
     real = getattr(time, name)
     start = real()
     number = type(start)
@@ -40,9 +43,9 @@
     setattr(time, name, clock)
 
 
-def point_of(request: "Request") -> str:
-    """What a request to the store is, in a script's words; empty: nothing that a script may name."""
-    from gullhold.fleet import store_calls  # noqa: PLC0415  once the clocks run at the rig's rate
+def call_kind(request: "Request") -> str:
+    """Return the kind of a store call, as GULLHOLD_RIG names it; empty: a call without a name."""
+    from gullhold.fleet import store_calls  # noqa: PLC0415  after the clocks are scaled
 
     if isinstance(request, store_calls.KeepLeaseAlive):
         return "keep"
@@ -52,17 +55,17 @@
         return "claim"
     if any(put.key == "budget/fence" for put in puts):
         return "divide"
-    points = [point for point in map(_point_of_put, puts) if point]
-    if points:
-        return points[0]
+    kinds = [kind for kind in map(_put_kind, puts) if kind]
+    if kinds:
+        return kinds[0]
     if any("/run/" in put.key for put in puts):
         states = [json.loads(put.value)["state"] for put in puts if "/run/" in put.key]
         return "intent" if states[0] == "intent" else "outcome"
     return "effect" if any(put.key.startswith("beats/") for put in puts) else ""
 
 
-def _point_of_put(put: "Put") -> str:
-    """What a write of budgets or policies is."""
+def _put_kind(put: "Put") -> str:
+    """Return the kind of a write of budgets or policies; empty: it has none."""
     if put.key.startswith("policy/words/"):
         return json.loads(put.value)["word"]
     if put.key == "policy/now/change":
@@ -72,44 +75,44 @@
     return ""
 
 
-def strike(act: str) -> None:
-    """Do it to ourselves, now.
+def signal_self(act: str) -> None:
+    """Send the signal of this act to the calling thread.
 
-    By a signal to this thread, not to the process: guards against a thread that runs on, and writes what it
-    was to be stopped before, while the kernel wakes another thread to take the signal.
+    A signal to the whole process may be taken by another thread: until the kernel has woken that one, the
+    calling thread could go on and make the call that it was to be stopped before.
     """
     signal.pthread_kill(threading.get_ident(), SIGNALS[act])
 
 
 def hook(point: str, side: str, act: str, nth: int) -> None:
-    """Do this to ourselves at that call."""
-    from gullhold.fleet.store_client import StoreClient  # noqa: PLC0415  once the clocks run at the rig's rate
+    """Make this process signal itself at a store call; the arguments are the keys of GULLHOLD_RIG."""
+    from gullhold.fleet.store_client import StoreClient  # noqa: PLC0415  after the clocks are scaled
 
     real = StoreClient.call
-    numbers = count(1)
+    call_numbers = count(1)
 
     def call(self: "StoreClient", request: "Request") -> "Reply":
-        is_here = point_of(request) == point and next(numbers) == nth
+        is_here = call_kind(request) == point and next(call_numbers) == nth
         if is_here and side == "before":
-            strike(act)
+            signal_self(act)
         reply = real(self, request)
         if is_here and side == "after":
-            strike(act)
+            signal_self(act)
         return reply
 
     StoreClient.call = call
 
 
 def main() -> None:
-    """As `python -m gullhold`, hooked."""
+    """Run `gullhold` with the hooks, and exit with its status."""
     hooks = json.loads(os.environ.get("GULLHOLD_RIG", "{}"))
     if "rate" in hooks:
-        run_at(hooks.pop("rate"))
+        scale_clocks(hooks.pop("rate"))
     if hooks:
         hook(**hooks)
-    from gullhold.__main__ import main as product  # noqa: PLC0415  once the clocks run at the rig's rate
+    from gullhold.__main__ import main as gullhold_main  # noqa: PLC0415  after the clocks are scaled
 
-    status = product(sys.argv[1:])
+    status = gullhold_main(sys.argv[1:])
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(status)
--- a/gullhold/testing/load_client.py
+++ b/gullhold/testing/load_client.py
@@ -1,4 +1,4 @@
-"""Clients under load: each keeps commands open over its connections, and counts what became of them."""
+"""Load clients: each keeps commands open on its connections, and counts their outcomes."""
 
 import multiprocessing
 import socket
@@ -19,26 +19,26 @@
 from gullhold.testing.load_counts import Attempt, LoadCounts
 from gullhold.testing.working_engine import statement
 
-MAX_OPEN_REQUESTS = 32  # open on one connection, from the protocol
+MAX_OPEN_REQUESTS = 32  # on one connection; the protocol's limit
 MAX_FRAME_BYTES = 100_000  # bytes of an answer
-READ_TIMEOUT_S = 0.01  # s for which a connection waits for an answer before it looks what it may send
-GRACE_S = 0.5  # s after the commands' timeout for which open ones are read once the client is stopped
-SHED_DELAY_S = 0.02  # s that a client waits between a command that it gives up and the next one
-FIRST_DELAY_S = 0.05  # s until the first command of a rate, at most
-RETRY_JITTER = 0.1  # fraction of Retry-After that is added to it at random, at most
-TABLE_GROUPS = 5  # groups of tables that the statements read in turn
+READ_TIMEOUT_S = 0.01  # s for which a connection waits for an answer before it checks what to send
+GRACE_S = 0.5  # s after the client timeout for which a stopped client still reads answers
+SHED_DELAY_S = 0.02  # s between a shed command that is not retried and the new one in its place
+MAX_FIRST_DELAY_S = 0.05  # s until the first command of a connection that sends at a rate
+MAX_RETRY_JITTER = 0.1  # fraction of Retry-After; a random share of it is added
+TABLE_GROUPS = 5  # the statements read these groups of tables in turn
 
 
 class RetryRule(Enum):
     """What a client does with a command that is shed."""
 
-    AFTER_WAIT = auto()  # retry after the time that the answer states, give up without one
+    AFTER_WAIT = auto()  # retry after the answer's Retry-After, give up if it has none
     IMMEDIATELY = auto()
     NEVER = auto()
 
 
 class ScheduledAttempt(NamedTuple):
-    """An attempt to be sent at a time in monotonic s; serial: orders those of one time."""
+    """An attempt to be sent at a time in monotonic s; serial: orders attempts with the same time."""
 
     at: float
     serial: int
@@ -53,9 +53,9 @@
 
 
 class LoadClient:
-    """One client of a tenant, on a thread for each connection, until stop() or disconnect().
+    """A client of one tenant with a thread for each connection, which run until stop() or disconnect().
 
-    `lock` guards the counts and the serial number of commands.
+    `lock` guards the counts and the serial number of attempts.
     """
 
     def __init__(
@@ -76,12 +76,12 @@
         seed: int = 1,
         retry_after_field: bytes = b"retry_ms",
     ) -> None:
-        """Prepare it; nothing runs yet.
+        """Prepare the client; start() starts it.
 
-        tenant: empty for none; open: commands at once in all, unless there is a rate; work_ms: that a command
-        takes; estimate_factor: of its estimate to its work; limit_ms: its timeout; verb: its profile; rate:
-        commands a second in all, 0 for a fixed number open; name_field, retry_after_field: names of the
-        fields that hold the client's name and, in ms, Retry-After.
+        tenant: empty for none; open: number of commands kept open on all connections, if there is no rate;
+        work_ms: work of a command; estimate_factor: ratio of its estimate to its work; limit_ms: client
+        timeout; verb: profile; rate: commands a second on all connections, 0 to keep a fixed number open;
+        name_field, retry_after_field: names of the fields with the client's name and with Retry-After in ms.
         """
         self.address = address
         self.tenant = tenant
@@ -113,11 +113,11 @@
         return self
 
     def stop(self) -> None:
-        """Send nothing more; answers to what is open are still read, for a while."""
+        """Send nothing more; answers to open commands are still read until GRACE_S after their timeout."""
         self.is_stopped = True
 
     def disconnect(self) -> None:
-        """Close all connections now, whatever is open."""
+        """Close all connections now, also with commands open."""
         self.is_stopped = True
         self.is_disconnected = True
 
@@ -127,12 +127,12 @@
             thread.join(WAIT_TIMEOUT_S)
 
     def reset_counts(self) -> None:
-        """Set all counts to zero: a measurement begins."""
+        """Set all counts to zero, for the start of a measurement."""
         with self.lock:
             self.counts = LoadCounts()
 
     def copy_counts(self) -> LoadCounts:
-        """Return a copy of the counts of now."""
+        """Return a copy of the current counts."""
         with self.lock:
             return replace(
                 self.counts,
@@ -161,23 +161,23 @@
         return encode_execute_call(seq, fields, statement(self.work_ms, 1 + self.serial % TABLE_GROUPS))
 
     def _run(self, index: int, connections: int) -> None:
-        """Thread: serve one connection."""
+        """Run one connection, on its thread."""
         _LoadConnection(self, index, connections).run()
 
 
 class _LoadConnection:
     """One connection of a client, used by one thread.
 
-    open: attempts by their sequence number; scheduled: those to be sent later, a heap; ready: those to be
-    sent as soon as there are few enough open.
+    open: attempts that were sent, by sequence number; scheduled: heap of attempts to be sent later; ready:
+    attempts to be sent once fewer than MAX_OPEN_REQUESTS are open; answers: answers read so far.
     """
 
     def __init__(self, client: LoadClient, index: int, connections: int) -> None:
-        """Connection number index of so many."""
+        """index: number of this connection, from 0; connections: number of the client's connections."""
         self.client = client
         self.max_open = client.open // connections + (index < client.open % connections)
         self.rate = client.rate / connections
-        self.next_at = time.monotonic() + client.draw.random() * FIRST_DELAY_S
+        self.next_at = time.monotonic() + client.draw.random() * MAX_FIRST_DELAY_S
         self.decoder = thrift.Decoder(MAX_FRAME_BYTES)
         self.sequence_number = 0
         self.answers = 0
@@ -186,7 +186,7 @@
         self.ready: deque[Attempt] = deque()
 
     def run(self) -> None:
-        """Connect, and send and read until the client is stopped or the connection ends."""
+        """Connect, then send and read until the client is stopped or the connection ends."""
         try:
             with socket.create_connection(self.client.address, timeout=WAIT_TIMEOUT_S) as sock:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -199,7 +199,7 @@
 
     def _serve(self, sock: socket.socket) -> None:
         end = 0.0
-        while self._goes_on(end):
+        while self._is_running(end):
             now = time.monotonic()
             if not self.client.is_stopped or not end:
                 end = now + self.client.limit_ms / 1000 + GRACE_S
@@ -216,13 +216,13 @@
                 self.answers += 1
                 self._take_answer(answer)
 
-    def _goes_on(self, end: float) -> bool:
+    def _is_running(self, end: float) -> bool:
         if not self.client.is_stopped:
             return True
         return bool(self.open) and not self.client.is_disconnected and time.monotonic() < end
 
     def _schedule(self, now: float) -> None:
-        """Make ready what is due: new commands at the rate or up to the number open, and retries."""
+        """Move due retries to `ready`, and new commands at the rate or up to the number to keep open."""
         client = self.client
         while not client.is_stopped and self.rate and self.next_at <= now:
             self.next_at += client.draw.expovariate(self.rate)
@@ -236,7 +236,7 @@
         return len(self.open) + len(self.scheduled) + len(self.ready)
 
     def _take_calls(self, now: float) -> list[bytes]:
-        """Return the calls to be sent now."""
+        """Return the encoded calls to be sent now, and record them as open."""
         calls = []
         while self.ready and len(self.open) < MAX_OPEN_REQUESTS and not self.client.is_stopped:
             self.sequence_number += 1
@@ -246,7 +246,7 @@
         return calls
 
     def _take_answer(self, answer: bytes) -> None:
-        """Count an answer, and schedule what follows from it."""
+        """Count an answer, and schedule a retry or a new command if it shed its command."""
         message = thrift.decode_message(answer, thrift.REPLY, thrift.EXCEPTION)
         now = time.monotonic()
         attempt = self.open.pop(message.sequence_id, None)
@@ -276,7 +276,7 @@
         delay_s = 0.0
         waits = self.client.retry_rule == RetryRule.AFTER_WAIT
         if waits and retry_after is not None:
-            delay_s = float(retry_after) / 1000 * (1 + RETRY_JITTER * self.client.draw.random())
+            delay_s = float(retry_after) / 1000 * (1 + MAX_RETRY_JITTER * self.client.draw.random())
         self._schedule_at(now + delay_s, attempt._replace(number=attempt.number + 1, has_waited=waits))
 
     def _is_retried(self, attempt: Attempt, retry_after: bytes | None) -> bool:
@@ -294,7 +294,7 @@
 
 
 def _shed_fields(message: thrift.Message) -> dict[bytes, bytes] | None:
-    """Return the fields of an answer that sheds its command; None: it is another answer."""
+    """Return the fields of an answer that sheds its command; None: the answer is of another kind."""
     shed = (
         message.fields.get((thrift.RESULT_SHED, thrift.STRUCT))
         if message.message_type == thrift.REPLY
@@ -304,7 +304,7 @@
 
 
 class ClientOrder(StrEnum):
-    """What the process of a client is told to do: the client's method of this name."""
+    """An order to the process of a client; the value is the name of the LoadClient method to call."""
 
     START = "start"
     RESET_COUNTS = "reset_counts"
@@ -314,25 +314,25 @@
 
 
 class LoadClientProcess:
-    """A client in a process of its own, so that its work slows nobody else's clock; used like a LoadClient.
+    """A LoadClient in a process of its own, so that its CPU use does not delay the threads of this process.
 
-    counts: as of the last call.
+    counts: as of the last method call.
     """
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
-        """Prepare the process; arguments, options: of the LoadClient."""
+        """Prepare the process; arguments, options: those of LoadClient."""
         context = multiprocessing.get_context("spawn")
         self.pipe, child_pipe = context.Pipe()
         self.process = context.Process(target=_run_client, args=(child_pipe, arguments, options), daemon=True)
         self.counts = LoadCounts()
 
     def _give_order(self, order: ClientOrder) -> None:
-        """Wait until the process has carried an order out."""
+        """Send an order, and wait until the process has carried it out."""
         self.pipe.send(order)
         self.counts = self.pipe.recv()
 
     def start(self) -> Self:
-        """Send commands until stop(); return once it has begun."""
+        """Start the process and its client; return once the client sends commands."""
         self.process.start()
         self._give_order(ClientOrder.START)
         return self
@@ -356,7 +356,7 @@
 
 
 def _run_client(pipe: Connection, arguments: tuple[Any, ...], options: dict[str, Any]) -> None:
-    """The process of a client: carry out orders until it has joined."""
+    """Run in the process of a client: carry out orders up to and including JOIN."""
     client = LoadClient(*arguments, **options)
     order = None
     while order != ClientOrder.JOIN:
--- a/gullhold/testing/load_counts.py
+++ b/gullhold/testing/load_counts.py
@@ -1,4 +1,4 @@
-"""The attempts of a client under load, and the counts of what became of them."""
+"""The attempts of a load client, and counts of their outcomes."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -7,8 +7,8 @@
 class Attempt(NamedTuple):
     """An attempt of a command.
 
-    sent_at: monotonic s; number: from 1; has_waited: whether it is a retry after the time that an answer
-    stated.
+    sent_at: monotonic s; number: from 1; has_waited: whether it is a retry that was sent after the
+    Retry-After of the answer before it.
     """
 
     sent_at: float
@@ -18,13 +18,14 @@
 
 @dataclass
 class LoadCounts:
-    """What became of a client's commands since its counts were reset.
+    """Outcomes of a client's commands since its counts were reset.
 
-    sent: first attempts; attempts: all; answered, shed, failed: answers by their kind; unanswered: attempts
-    open at their connection's end; retry_after_received: shed answers that state a time; waited_*: retries
-    after that time; early_*: retries before it; duplicate_answers: answers to what is not open; latencies_s:
-    of good answers, from their attempt; late_by_s: how much later than the commands' timeout the late answers
-    of any kind came; slowest_s: the longest time from an attempt to its answer of any kind.
+    sent: first attempts; attempts: all attempts; answered, shed, failed: answers of each kind; unanswered:
+    attempts that were open when their connection ended; retry_after_received: shed answers with a
+    Retry-After; waited_*: retries sent after that time; early_*: retries sent before it; duplicate_answers:
+    answers to attempts that are not open; latencies_s: time from an attempt to its successful answer;
+    late_by_s: for each answer of any kind that came after the client timeout, by how much; slowest_s: the
+    longest time from an attempt to its answer of any kind.
     """
 
     sent: int = 0
@@ -46,7 +47,7 @@
     latencies_s: list[float] = field(default_factory=list)
 
     def add_sent(self, attempt: Attempt) -> None:
-        """Count an attempt that is sent."""
+        """Count an attempt that is about to be sent."""
         self.attempts += 1
         if attempt.number == 1:
             self.sent += 1
@@ -63,11 +64,11 @@
             self.late_by_s.append(delay_s - timeout_s)
 
     def late_beyond(self, allowed_s: float) -> int:
-        """Return how many answers of any kind came later than the commands' timeout and this time."""
+        """Return how many answers of any kind came later than this time after the client timeout."""
         return sum(late_s > allowed_s for late_s in self.late_by_s)
 
     def add_answered(self, attempt: Attempt, now: float) -> None:
-        """Count a good answer. now: monotonic s."""
+        """Count a successful answer. now: monotonic s."""
         self.answered += 1
         self.latencies_s.append(now - attempt.sent_at)
         if attempt.number > 1:
--- a/gullhold/testing/load_process.py
+++ b/gullhold/testing/load_process.py
@@ -24,7 +24,7 @@
     """A group of clients of one gateway, from start() to stop()."""
 
     def __init__(self, address: tuple[str, int], group: ClientGroup) -> None:
-        """Start the processes; the clients wait for start()."""
+        """Start the processes; their clients start with start()."""
         context = multiprocessing.get_context("spawn")
         self._pipes: list[Connection] = []
         self._processes = []
@@ -38,28 +38,28 @@
             self._processes.append(process)
 
     def start(self) -> None:
-        """Let all clients begin."""
-        self._ask("start")
+        """Start all clients."""
+        self._give_order("start")
 
     def counts(self) -> LoadCounts:
         """Return the counts of all clients so far."""
-        return add_counts(self._ask("counts"))
+        return add_counts(self._give_order("counts"))
 
     def stop(self) -> LoadCounts:
-        """Send nothing more, wait for what is open, end the processes; return the final counts."""
-        total = add_counts(self._ask("stop"))
+        """Stop the clients, wait for open commands, end the processes; return the final counts."""
+        total = add_counts(self._give_order("stop"))
         for process in self._processes:
             process.join(WAIT_TIMEOUT_S)
         return total
 
-    def _ask(self, order: str) -> list[LoadCounts]:
+    def _give_order(self, order: str) -> list[LoadCounts]:
         for pipe in self._pipes:
             pipe.send(order)
         return [pipe.recv() for pipe in self._pipes]
 
 
 def add_counts(parts: Sequence[LoadCounts]) -> LoadCounts:
-    """Return the counts of several clients together."""
+    """Return the counts of several clients as one: sums, and the maximum of slowest_s."""
     total = LoadCounts()
     for part in parts:
         for field in fields(LoadCounts):
@@ -69,7 +69,7 @@
 
 
 def _run_clients(pipe: Connection, address: tuple[str, int], group: ClientGroup, number: int) -> None:
-    """The process of some clients: carry out orders until it is told to stop."""
+    """Run in a process of the group: carry out orders up to and including "stop"."""
     clients = [
         LoadClient(
             address, "", f"client-{number}-{index}", seed=number * group.clients + index, **group.options
--- a/gullhold/testing/many_engines.py
+++ b/gullhold/testing/many_engines.py
@@ -1,4 +1,4 @@
-"""Thousands of test engines on one thread: each listens and answers a fetch at once; fetches are counted."""
+"""Thousands of test engines on one thread; each has its own listener and answers every fetch at once."""
 
 import selectors
 import socket
@@ -11,14 +11,14 @@
 MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway
 BACKLOG = 16  # connections of one engine that wait to be accepted
 MAX_READ_BYTES = 65_536  # bytes of one read
-SELECT_TIMEOUT_S = 0.2  # s after which the thread looks whether close() was called
+SELECT_TIMEOUT_S = 0.2  # s after which the thread checks whether close() was called
 
 
 class ManyEngines:
     """Engines that listen until close().
 
-    addresses: HOST:PORT by the engine's number; accepted: connections so far; fetches: requests answered so
-    far.
+    addresses: HOST:PORT by the engine's number; accepted: connections accepted so far; fetches: fetches
+    answered so far.
     """
 
     def __init__(self, size: int, answer: bytes = b"a\tb\tc\n") -> None:
--- a/gullhold/testing/recording_engine.py
+++ b/gullhold/testing/recording_engine.py
@@ -9,7 +9,7 @@
 
 
 class ReceivedCommand(NamedTuple):
-    """A command that an engine was sent. at: Unix s; idempotency_key empty: it has none."""
+    """A command that an engine received. at: Unix s; idempotency_key: empty if the command has none."""
 
     at: float
     idempotency_key: str
@@ -18,18 +18,18 @@
 
 
 def fetch_fields(words: list[bytes]) -> dict[bytes, bytes]:
-    """Return the fields of a fetch, by their names on the wire."""
+    """Return the fields of a fetch message, by their names on the wire."""
     return dict(pair.partition(b"=")[::2] for pair in words[2].split(b","))
 
 
 class RecordingEngine(WorkingEngine):
-    """Keeps the commands that it was sent.
+    """A working engine with a record of the commands that it received.
 
-    on_fetch: called with the fields and the statement of each fetch, before it is handled.
+    on_fetch: called with the fields and the statement of each fetch before the engine handles it.
     """
 
     def __init__(self, **other: Any) -> None:
-        """other: arguments of the working engine."""
+        """other: arguments of WorkingEngine."""
         self.received: list[ReceivedCommand] = []
         self.on_fetch: Callable[[dict[bytes, bytes], bytes], Any] = lambda *_: None
         super().__init__(**other)
--- a/gullhold/testing/register/__init__.py
+++ b/gullhold/testing/register/__init__.py
@@ -1,7 +1,8 @@
-"""A store server of our own: the subset of etcd's published v3 interface that the fleet uses, on one machine.
+"""A store server with the subset of etcd's published v3 interface that a fleet uses, for a single machine.
 
-A stand-in for tests and benchmarks, and the embedded default of a fleet on one machine (`gullhold store`).
+Tests and benchmarks use it in place of etcd, and `gullhold store` runs it for a fleet on one machine.
 
-store: keys, revisions, leases and history; database: their file; wire: the JSON of the interface; calls: the
-calls over a store; server: HTTP; journal: what a checker reads; faults: what a test's script asks for.
+store: keys, revisions, leases and history; database: their SQLite file; wire: the JSON of the interface;
+calls: the calls on a store; server: HTTP; journal: a record of all changes, for checkers; faults: failures
+that a test requests.
 """
--- a/gullhold/testing/register/calls.py
+++ b/gullhold/testing/register/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the published v3 interface over a store: JSON in, JSON out."""
+"""The calls of etcd's published v3 interface on a store: JSON in, JSON out."""
 
 from typing import NamedTuple
 
@@ -16,21 +16,21 @@
     is_comparison_met,
 )
 
-NOT_FOUND_CODE = 5  # the interface's error code for what does not exist
+NOT_FOUND_CODE = 5  # the interface's error code for a missing lease or path
 
 
 class Answer(NamedTuple):
-    """What a call is answered, and whether it wrote."""
+    """The answer to a call. is_write: whether the call may have changed the store."""
 
     body: Json
     is_write: bool
 
 
 class Calls:
-    """Carries calls out. A call for what does not exist raises KeyError."""
+    """Carries out calls. Raises KeyError for a lease or a path that does not exist."""
 
     def __init__(self, store: Store, journal: Journal, faults: Faults) -> None:
-        """All three are shared by the connections."""
+        """The arguments are shared by all connections."""
         self.store = store
         self.journal = journal
         self.faults = faults
@@ -44,11 +44,11 @@
         }
 
     def carry_out(self, path: str, request: Json) -> Answer:
-        """Carry a call out. Raises KeyError also for a path that is not known."""
+        """Carry out the call at this path. Raises KeyError for an unknown path or lease."""
         return self._by_path[path](request)
 
     def header(self, revision: int | None = None) -> Json:
-        """The header of an answer; revision None: the store's."""
+        """Return the header of an answer; revision: by default the store's."""
         return {"revision": str(revision or self.store.revision)}
 
     def _grant_lease(self, request: Json) -> Answer:
@@ -95,13 +95,13 @@
     def _transact(self, request: Json) -> Answer:
         comparisons = request.get("compare", ())
         operations = [decode_operation(operation) for operation in request.get("success", ())]
-        otherwise = [decode_operation(operation) for operation in request.get("failure", ())]
+        failure_operations = [decode_operation(operation) for operation in request.get("failure", ())]
 
         def are_met(keys: dict[bytes, StoredKey]) -> bool:
             return all(is_comparison_met(comparison, keys) for comparison in comparisons)
 
         with self.store.lock:
-            is_met, read = self.store.transact(are_met, operations, otherwise)
+            is_met, read = self.store.transact(are_met, operations, failure_operations)
             answer = {"header": self.header(), "responses": [_response(items) for items in read]}
             conditions = [
                 (decode(comparison["key"]), int(comparison.get("mod_revision", 0)))
@@ -115,7 +115,7 @@
 
 
 def _response(items: list[tuple[bytes, StoredKey]] | None) -> Json:
-    """What one operation of a transaction gave; None: it was a write."""
+    """Encode the result of one operation of a transaction; items: None if it was a write."""
     if items is None:
         return {"response_put": {}}
     return {"response_range": {"kvs": [encode_key(key, item) for key, item in items]}}
--- a/gullhold/testing/register/database.py
+++ b/gullhold/testing/register/database.py
@@ -1,6 +1,6 @@
-"""The file of the store server: SQLite, durable through a kill at any moment.
+"""The SQLite file of the store server, which is consistent after a kill at any moment.
 
-The names of tables and columns are those that released versions write: they are not to be changed.
+Released versions have written files with these names of tables and columns, so they must not change.
 """
 
 import sqlite3
@@ -21,53 +21,52 @@
 
 
 class Database:
-    """One connection to the file. connection may be replaced, by a test whose statements fail."""
+    """One connection to the file. connection: a test may replace it by one whose statements fail."""
 
     def __init__(self, path: str | Path, is_synced: bool) -> None:
-        """is_synced: whether each change also survives a loss of power."""
+        """is_synced: whether each change survives a loss of power, not only a kill of the process."""
         self.connection = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
         self.connection.execute("pragma journal_mode=wal")
         self.connection.execute(f"pragma synchronous={'full' if is_synced else 'normal'}")
         self.connection.executescript(SCHEMA)
 
-    # What it holds
+    # Reads
 
     def read_revisions(self) -> tuple[int, int]:
-        """(the newest revision, the first one whose change is in the history)."""
+        """Return (newest revision, oldest revision whose changes are in the history)."""
         found = dict(self.connection.execute("select name, value from told"))
         return found.get("revision", 1), found.get("first", 0)
 
     def read_keys(self) -> dict[bytes, StoredKey]:
-        """All keys as they are now."""
+        """Return all keys with their current values."""
         rows = self.connection.execute("select key, value, born, changed, version, lease from kv")
         return {key: StoredKey(*fields) for key, *fields in rows}
 
     def read_history(self) -> list[StoredChange]:
-        """All changes that are kept, in order."""
+        """Return all changes in the history, in order."""
         rows = self.connection.execute(
             "select revision, key, value, lease, born, version from past order by revision, place"
         )
         return [StoredChange(*row) for row in rows]
 
     def read_leases(self) -> dict[int, float]:
-        """The time to live of each lease, s."""
+        """Return the time to live of each lease in s, by lease id."""
         return dict(self.connection.execute("select id, ttl from leases"))
 
-    # Changes
+    # Writes
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
-        """All of it, or nothing, in the file.
+        """Run the block in a transaction, and roll it back if a statement or a sync fails.
 
-        A statement or a sync that fails undoes what was begun: guards against a transaction that stays open,
-        in which no other could begin any more.
+        Without the rollback the failed transaction would stay open, and no later one could begin.
         """
         self.connection.execute("begin immediate")
         try:
             yield
             self.connection.execute("commit")
         except BaseException:
-            with suppress(sqlite3.Error):  # some failures have undone it already
+            with suppress(sqlite3.Error):  # SQLite has rolled back by itself after some failures
                 self.connection.execute("rollback")
             raise
 
@@ -82,7 +81,7 @@
         updates: list[KeyUpdate],
         ended_lease: int,
     ) -> None:
-        """Write one revision. ended_lease 0: none."""
+        """Write one revision. ended_lease: id of a lease to delete, 0 for none."""
         with self._transaction():
             if changes:
                 self._write_changes(revision, changes, updates)
@@ -100,7 +99,7 @@
         connection.execute("insert or replace into told values ('revision', ?)", (revision,))
 
     def compact(self, first_revision: int) -> None:
-        """Drop the changes before this revision."""
+        """Delete the changes before this revision from the history."""
         with self._transaction():
             self.connection.execute("delete from past where revision < ?", (first_revision,))
             self.connection.execute("insert or replace into told values ('first', ?)", (first_revision,))
--- a/gullhold/testing/register/faults.py
+++ b/gullhold/testing/register/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the store server that a test's script asks for."""
+"""Faults of the store server that a test requests."""
 
 import time
 from typing import Any
@@ -7,16 +7,16 @@
 
 
 class Faults:
-    """What a script has asked for. Names of the script are those of set().
+    """The faults that a test has requested; set() has the names that a request uses.
 
     refuse_until, delay_until: monotonic times up to which connections are closed unread, and calls are
-    delayed; delay_s: before a call is carried out; late_s: before its reply. lost_replies: writes that are
-    still to be carried out and not answered. stale_reads: reads that are still to be answered as of
-    `stale_by` changes ago.
+    delayed; delay_s: delay before a call is carried out; late_s: delay before its reply. lost_replies: number
+    of coming writes that are carried out and not answered. stale_reads: number of coming reads that are
+    answered with the state of `stale_by` revisions ago.
     """
 
     def __init__(self) -> None:
-        """No faults."""
+        """Start without faults."""
         self.refuse_until = 0.0
         self.delay_until = 0.0
         self.delay_s = 0.0
@@ -26,7 +26,7 @@
         self.stale_by = 0
 
     def set(self, store: Store, requested: dict[str, Any]) -> None:
-        """Take over what a script asks for. Raises ValueError for names that are not known."""
+        """Apply the faults of a request. Raises ValueError for an unknown name."""
         for name, value in requested.items():
             self._set_one(store, name, value)
 
@@ -49,31 +49,31 @@
             case "drop":
                 store.compact(store.revision)
             case _:
-                raise ValueError(f"no such fault: {name}")
+                raise ValueError(f"unknown fault: {name}")
 
     def is_refusing(self) -> bool:
-        """Whether connections are closed unread now."""
+        """Return whether connections are closed unread at the moment."""
         return time.monotonic() < self.refuse_until
 
     def delay_call(self) -> None:
-        """Wait before a call is carried out, where that is asked for."""
+        """Wait before a call is carried out, if a test has requested it."""
         if time.monotonic() < self.delay_until:
             time.sleep(self.delay_s)
 
     def delay_reply(self) -> None:
-        """Wait before a reply, where that is asked for."""
+        """Wait before a reply, if a test has requested it."""
         if time.monotonic() < self.delay_until and self.late_s:
             time.sleep(self.late_s)
 
     def loses_reply(self) -> bool:
-        """Whether the reply to a write is lost; counted if so."""
+        """Return whether the reply to this write is to be dropped, and count it if so."""
         if self.lost_replies <= 0:
             return False
         self.lost_replies -= 1
         return True
 
     def next_read_stale_by(self) -> int:
-        """How many changes ago the next read is to show."""
+        """Return how many revisions old the answer to this read is to be; 0: current."""
         if self.stale_reads <= 0:
             return 0
         self.stale_reads -= 1
--- a/gullhold/testing/register/journal.py
+++ b/gullhold/testing/register/journal.py
@@ -1,6 +1,6 @@
-"""The journal of the store server: a JSON line for each lease and transaction, refused ones too.
+"""The journal of the store server, for checkers: a JSON line for each event of a lease and each transaction.
 
-A checker reads it. It knows nothing of what keys mean.
+Transactions whose conditions were not met are included. The journal does not interpret keys or values.
 """
 
 import json
@@ -12,15 +12,15 @@
 
 
 class Journal:
-    """Appends lines to a file; lines None: there is no journal."""
+    """Appends lines to a file; without a file it does nothing."""
 
     def __init__(self, lines: TextIO | None) -> None:
-        """lines: open for appending."""
+        """lines: a file that is open for appending, or None."""
         self._lines = lines
         self._lock = threading.Lock()
 
     def write(self, event: str, **facts: Any) -> None:
-        """Write one line."""
+        """Write one line with the time, the event and these fields."""
         if self._lines is None:
             return
         with self._lock:
@@ -28,7 +28,7 @@
             self._lines.flush()
 
     def write_start(self, revision: int, keys: dict[bytes, StoredKey]) -> None:
-        """Write what the store holds: a kill may have come between a change and its line."""
+        """Write all keys at the start: a kill may have prevented the line of the last change."""
         rows = [
             [key.decode(), item.value.decode(), item.mod_revision, item.lease] for key, item in keys.items()
         ]
@@ -41,7 +41,7 @@
         conditions: list[tuple[bytes, int]],
         operations: list[StoreOperation],
     ) -> None:
-        """Write a transaction that has writes; conditions: keys with their revisions."""
+        """Write a transaction, unless it only reads; conditions: keys with the revisions compared."""
         writes = [write for write in map(_row, operations) if write]
         if self._lines is None or not writes:
             return
@@ -50,7 +50,7 @@
 
 
 def _row(operation: StoreOperation) -> list | None:
-    """A write as the journal has it; None for a read."""
+    """Return a write in the form of the journal; None for a read."""
     match operation:
         case PutKey(key, value, lease):
             return ["put", key.decode(), value.decode(), lease]
--- a/gullhold/testing/relay.py
+++ b/gullhold/testing/relay.py
@@ -1,4 +1,4 @@
-"""A relay between two processes, which cuts, delays, halves and loses what passes, one way or both."""
+"""A TCP relay that can hold, delay, truncate or drop the bytes of one direction or both."""
 
 import socket
 import threading
@@ -12,31 +12,30 @@
 
 CHUNK_BYTES = 65536
 CONNECT_TIMEOUT_S = 5
-CLOSE_CHECK_S = 0.5  # the most that a held connection waits between looks at whether the relay is closed
+CLOSE_CHECK_INTERVAL_S = 0.5  # at which a held connection checks whether the relay is closed
 
 
 class Direction(StrEnum):
-    """A direction of a relay."""
+    """A direction of the bytes through a relay."""
 
-    THERE = "there"  # from the side that connects to the one that listens
-    BACK = "back"
+    FORWARD = "there"  # from the client to the target
+    BACKWARD = "back"
 
 
 class RelayMode(StrEnum):
     """What becomes of the bytes of a direction."""
 
-    OPEN = "open"
-    HELD = "held"
-    LOST = "lost"
-    HALVED = "halved"
+    OPEN = "open"  # they are passed on
+    HELD = "held"  # they are passed on once the direction is open again
+    LOST = "lost"  # they are dropped, and the connection ends
+    HALVED = "halved"  # half of the next bytes are passed on, and the connection ends
 
 
 class Relay:
-    """Passes bytes to a target until set() says otherwise.
+    """Listens, connects each client to a target, and passes bytes on as the mode of their direction says.
 
-    Held bytes go on when the direction is open again, as a network would deliver them late, also those of a
-    side that has given up. Lost: the connection ends in their place. Halved: half of the next bytes go on,
-    then the connection ends.
+    Held bytes are delivered late, as on a network, even if their sender has closed its connection meanwhile.
+    delay_s: delay of all bytes.
     """
 
     def __init__(self, target: str) -> None:
@@ -51,7 +50,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def set(self, mode: RelayMode = RelayMode.OPEN, directions: Iterable[str] = tuple(Direction)) -> None:
-        """From now on what passes in these directions is open, held, lost or halved."""
+        """Set the mode of these directions, by default of both."""
         with self._changed:
             self._modes.update(dict.fromkeys(directions, mode))
             self._changed.notify_all()
@@ -62,7 +61,7 @@
             self._end(sock)
 
     def close(self) -> None:
-        """Refuse connections from now on."""
+        """Stop listening, and end all connections."""
         self._is_closed = True
         self.set(RelayMode.OPEN)
         self._end(self._listener)
@@ -78,7 +77,7 @@
             threading.Thread(target=self._connect, args=(near,), daemon=True).start()
 
     def _connect(self, near: socket.socket) -> None:
-        self._wait(Direction.THERE)  # a new connection does not come up through a cut
+        self._wait(Direction.FORWARD)  # while that direction is held, no connection is made
         try:
             far = socket.create_connection(self.target, timeout=CONNECT_TIMEOUT_S)
         except OSError:
@@ -88,20 +87,21 @@
         for sock in (near, far):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._sockets.add(sock)
-        back = threading.Thread(target=self._pump, args=(far, near, Direction.BACK), daemon=True)
+        back = threading.Thread(target=self._pump, args=(far, near, Direction.BACKWARD), daemon=True)
         back.start()
-        self._pump(near, far, Direction.THERE)
+        self._pump(near, far, Direction.FORWARD)
         back.join()
-        # Only now: while a thread reads there the socket's number must not become another's.
+        # Closed only after both threads have ended: a descriptor that is closed while a thread still reads it
+        # may be reused for another connection.
         for sock in (near, far):
             self._sockets.discard(sock)
             sock.close()
 
     def _wait(self, direction: Direction) -> RelayMode:
-        """Wait while a direction is held; its mode after that."""
+        """Wait while a direction is held; return its mode after that."""
         with self._changed:
             while self._modes[direction] == RelayMode.HELD and not self._is_closed:
-                self._changed.wait(CLOSE_CHECK_S)
+                self._changed.wait(CLOSE_CHECK_INTERVAL_S)
             return self._modes[direction]
 
     def _pump(self, source: socket.socket, sink: socket.socket, direction: Direction) -> None:
@@ -115,7 +115,7 @@
                 sink.sendall(data[: len(data) // 2] if mode == RelayMode.HALVED else data)
                 if mode == RelayMode.HALVED:
                     break
-            else:  # what was sent before the end still goes on
+            else:  # end of the stream: the bytes before it were passed on
                 self._wait(direction)
                 sink.shutdown(socket.SHUT_WR)
                 return
@@ -123,6 +123,6 @@
         self._end(sink)
 
     def _end(self, sock: socket.socket) -> None:
-        """Both threads that read and write there return; the one that made the socket closes it."""
+        """Shut a socket down, so that threads that use it return; the thread that opened it closes it."""
         with suppress(OSError):
             sock.shutdown(socket.SHUT_RDWR)
--- a/gullhold/testing/running.py
+++ b/gullhold/testing/running.py
@@ -1,4 +1,4 @@
-"""A small deployment that runs: working engines in this process, one gateway as a process, on loopback."""
+"""A small deployment on loopback: a gateway process, and working engines on threads of this process."""
 
 import json
 import os
@@ -19,8 +19,9 @@
 ROOT = Path(__file__).resolve().parents[2]
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 HEALTH_CHECK_TIMEOUT_S = 1.0
-POLL_S = 0.05  # between looks whether the gateway serves
-# An operator file with an admission queue. Clients are known by a field, and get Retry-After in a field.
+POLL_INTERVAL_S = 0.05
+# An operator file that enables the admission queue. One command field holds the name of the client, one field
+# of a shed answer holds Retry-After.
 ADMISSION_OPERATOR_FILE = """
 door: {
     on: true
@@ -31,7 +32,7 @@
 
 
 def free_address() -> str:
-    """Return a HOST:PORT that nobody listens on at this moment."""
+    """Return a HOST:PORT with a port that is free at this moment."""
     with socket.socket() as sock:
         sock.bind((LOOPBACK, 0))
         return f"{LOOPBACK}:{sock.getsockname()[1]}"
@@ -46,8 +47,8 @@
 ) -> dict[str, Any]:
     """Change settings in place and return them.
 
-    tenants: (name, share); cores: of an engine; timeout_s, target_s: client timeout and latency objective of
-    all profiles.
+    tenants: (name, share) of each; cores: cores of an engine; timeout_s, target_s: client timeout and latency
+    objective of all profiles.
     """
     settings["tenants"] = [{"name": name, "fraction": share} for name, share in tenants]
     settings["domain"]["cores_by_kind"] = [cores]
@@ -72,10 +73,10 @@
 
 
 def serving_status(address: tuple[str, int]) -> bool | None:
-    """Return whether a gateway says that it serves; None: nobody answers there yet.
+    """Return whether a gateway reports that it serves; None: no answer within HEALTH_CHECK_TIMEOUT_S.
 
-    A gateway that accepts connections may take its time to answer on a busy machine; callers have a limit of
-    their own.
+    On a busy machine a gateway that accepts connections may answer later than that, so callers try again up
+    to a limit of their own.
     """
     try:
         return health_check.is_serving(address, HEALTH_CHECK_TIMEOUT_S)
@@ -84,7 +85,7 @@
 
 
 class RunningDeployment:
-    """Engines and a gateway, from entering to leaving. address: (host, port) of the gateway."""
+    """Engines and a gateway, which runs inside a `with` block. address: (host, port) of the gateway."""
 
     def __init__(
         self,
@@ -102,12 +103,12 @@
         sockets: int = 1024,
         max_open: int = 20000,
     ) -> None:
-        """Start the engines and write the gateway's files; the gateway starts at entering.
+        """Start the engines and write the gateway's files; entering the `with` block starts the gateway.
 
-        engines, slots, spread, seed: number of engines and what each is made with; tenants, cores, timeout_s,
-        target_s: as for adjust_settings(); operator: text of an operator file, "" for none; root: folder of
-        the program, for an earlier version; memory_mb, sockets: limits of the gateway; max_open: its open
-        commands.
+        engines: number of engines; slots, spread, seed: arguments of each WorkingEngine; tenants, cores,
+        timeout_s, target_s: arguments of adjust_settings(); operator: text of an operator file, "" for none;
+        root: source folder of the gateway, for an earlier version; memory_mb, sockets, max_open: the
+        gateway's limits of memory, descriptors and open commands.
         """
         self.engines = [WorkingEngine(slots, spread=spread, seed=seed + number) for number in range(engines)]
         self.folder = tempfile.TemporaryDirectory(prefix="gullhold-")
@@ -133,12 +134,12 @@
                 stderr=log,
                 env=os.environ | environment,
             )
-        end = time.monotonic() + WAIT_TIMEOUT_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while serving_status(self.address) is None:
-            if time.monotonic() > end or self.process.poll() is not None:
+            if time.monotonic() > deadline or self.process.poll() is not None:
                 self.__exit__()
-                raise RuntimeError(f"the gateway did not come up: {self.log_text()}")
-            time.sleep(POLL_S)
+                raise RuntimeError(f"the gateway did not start: {self.log_text()}")
+            time.sleep(POLL_INTERVAL_S)
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -163,11 +164,11 @@
         return self.log.read_text("utf-8", "replace") if self.log.exists() else ""
 
     def counter(self, name: str) -> int:
-        """Return the last value of a counter that the gateway has logged; 0: none."""
+        """Return the last value of a counter that the gateway has logged; 0: it has logged none."""
         return gateway_log.counter(self.log_text(), name)
 
     def pin_to_core(self, core: int) -> None:
-        """Let the gateway run on one processor only."""
+        """Restrict all threads of the gateway to one core of the machine."""
         for thread in os.listdir(f"/proc/{self._pid()}/task"):
             os.sched_setaffinity(int(thread), {core})
 
@@ -185,7 +186,7 @@
 
 
 def _write_files(folder: Path, configuration: dict[str, Any], operator: str) -> list[str]:
-    """Write a gateway's files; return the arguments that name them."""
+    """Write a gateway's configuration and operator file; return the arguments that name them."""
     configuration_path = folder / "config.json"
     configuration_path.write_text(json.dumps(configuration))
     operator_path = folder / "operator.cue"
--- a/gullhold/testing/scripted.py
+++ b/gullhold/testing/scripted.py
@@ -1,8 +1,8 @@
-"""A test engine that follows a script: it keeps what it receives, and answers by steps, one for each fetch.
+"""A test engine that follows a script of steps, one for each fetch, and records the messages it receives.
 
-A step is a function of a connection and the words of a message: step(connection, verb, *words). It is called
-for the fetch that it is taken for and for the messages that follow on the connection, except alives. The last
-step stays in use.
+A step is a function of a connection and the words of a message: step(connection, verb, *words). Each fetch
+takes the next step of the script; the last step is used again and again. The step is called for the fetch and
+for the messages that follow on its connection, except for alive messages, which the engine answers itself.
 """
 
 import socket
@@ -20,16 +20,16 @@
 DEFAULT_FIELDS = b"cost=20.5,need=64,load=inflight:7;x0:0.5"
 
 Step = Callable[..., Any]
-# (number of the connection from 1, verb, *words, monotonic time in s); an answer to an alive is kept as
-# (number of the connection, b"alive answered", monotonic time in s).
+# (number of the connection from 1, verb, *words, monotonic time in s). An answer to an alive message is
+# recorded as (number of the connection, b"alive answered", monotonic time in s).
 ReceivedMessage = tuple[Any, ...]
 
 
 class ScriptedEngine:
-    """Listens until close(), keeps the messages that it receives, and answers by its script.
+    """An engine that listens until close() and answers according to its script.
 
-    script: the steps still to be taken; received: all messages so far; alive_delay_s: delay of the answer to
-    an alive.
+    script: the steps that are left, which tests may replace; received: all messages so far; alive_delay_s:
+    delay before an alive message is answered.
     """
 
     def __init__(self, *script: Step) -> None:
@@ -76,11 +76,11 @@
 
     def stop_listening(self) -> None:
         """Refuse connections from now on."""
-        self.listener.shutdown(socket.SHUT_RDWR)  # closing alone would leave the accept that waits
+        self.listener.shutdown(socket.SHUT_RDWR)  # close() alone does not end an accept() that is waiting
         self.listener.close()
 
     def close(self) -> None:
-        """Stop listening, and reset all connections, as at the process's end."""
+        """Stop listening, and reset all connections, as if the process had died."""
         if self.listener.fileno() >= 0:
             self.stop_listening()
         for connection in self.connections:
@@ -89,7 +89,7 @@
 
 
 def serve_pages(*pages: bytes, fields: bytes = DEFAULT_FIELDS) -> Step:
-    """Return a step that serves these pages, by default one."""
+    """Return a step that answers a fetch with these pages, by default with one."""
     pages = pages or (DEFAULT_PAGE,)
 
     def step(connection: socket.socket, verb: bytes, *words: bytes) -> None:
@@ -102,18 +102,18 @@
     return step
 
 
-def reply_with(word: bytes, *rest: bytes) -> Step:
-    """Return a step that answers a fetch with these words and no page."""
+def reply_with(status: bytes, *rest: bytes) -> Step:
+    """Return a step that answers a fetch with this status, these further words and no page."""
 
     def step(connection: socket.socket, verb: bytes, *words: bytes) -> None:
         if verb == b"fetch":
-            connection.sendall(resp.encode(words[0], word, *rest, b"-", b""))
+            connection.sendall(resp.encode(words[0], status, *rest, b"-", b""))
 
     return step
 
 
 def send_bytes(data: bytes) -> Step:
-    """Return a step that answers a fetch with these bytes, whatever they are."""
+    """Return a step that answers a fetch with these bytes, which need not be a valid message."""
 
     def step(connection: socket.socket, verb: bytes, *_words: bytes) -> None:
         if verb == b"fetch":
@@ -123,15 +123,15 @@
 
 
 def reset_connection(connection: socket.socket, verb: bytes, *_words: bytes) -> None:
-    """Step: reset the connection at a fetch, as a process that dies with the request open."""
+    """Step: reset the connection at a fetch, like a process that dies while it runs the command."""
     if verb == b"fetch":
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.close()
 
 
 def answer_nothing(*_message: Any) -> None:
-    """Step: answer nothing, not even an alive, as a machine that vanished."""
+    """Step: answer nothing, not even alive messages, like a machine that is off the network."""
 
 
 def never_finish(*_message: Any) -> None:
-    """Step: a query that never ends, on a connection that works."""
+    """Step: run the command forever, on a connection that still answers alive messages."""
--- a/gullhold/testing/working_engine.py
+++ b/gullhold/testing/working_engine.py
@@ -1,7 +1,7 @@
-"""A test engine that takes time: it runs so many commands at once, each for as long as its work takes.
+"""A test engine with a limited number of slots, in which each command runs for the time of its work.
 
-The work of a command is in its statement (`/* work=50 */`, ms), so that estimates can differ from it.
-Commands that find no free slot wait in the engine, first come first served. Random draws have a seed.
+The work of a command is stated in its statement (`/* work=50 */`, ms), so that the client's estimate can
+differ from it. Commands that find no free slot wait in a FIFO queue. Random draws are seeded.
 """
 
 import re
@@ -19,12 +19,12 @@
 from gullhold.testing import accepted_connections, open_listener
 
 WORK_PATTERN = re.compile(rb"/\* work=([0-9.]+) \*/")
-DEFAULT_WORK_MS = 20.0  # of a statement that states none
-MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway: far over any statement here
+DEFAULT_WORK_MS = 20.0  # of a statement without a work comment
+MAX_MESSAGE_BYTES = 200_000  # bytes of one message from the gateway; statements of tests are far smaller
 
 
 def statement(work_ms: float, group: int = 1) -> bytes:
-    """Return a statement of this work on this group of tables."""
+    """Return a statement with this work that reads from this group of tables."""
     return b"select a, b, c from sales_%d.t /* work=%g */" % (group, work_ms)
 
 
@@ -35,7 +35,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """An attempt: the connection that it came on, and the number of its command."""
+    """Identifies an attempt: the connection on which it arrived, and the number of its command."""
 
     connection: socket.socket
     txn: bytes
@@ -49,7 +49,7 @@
 
 
 class ScheduledEnd(NamedTuple):
-    """When a running attempt is to end, in monotonic s. serial: tells it from other runs of the same key."""
+    """The end of a running attempt, in monotonic s. serial: distinguishes runs with the same key."""
 
     at: float
     serial: int
@@ -58,11 +58,12 @@
 
 
 class WorkingEngine:
-    """Serves until close().
+    """An engine that serves until close().
 
-    slots: commands at once; speed: ms of work done in a ms; both may be changed at any time. running: serial
-    by attempt; completed: answers so far. `changed` is the lock of all state; methods marked "Lock held" need
-    it.
+    slots: number of attempts that run at once; speed: ms of work done in a ms; both may be changed at any
+    time. running: serial by attempt; queue: attempts that wait for a slot; completed: answers so far.
+    `changed` guards all state and wakes the thread that ends attempts; methods marked "Lock held" are called
+    with it locked.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
             Thread(target=run, daemon=True).start()
 
     def close(self) -> None:
-        """Close all sockets, as at the process's end."""
+        """Close all sockets, as if the process had ended."""
         with self.changed:
             self.closed = True
             self.changed.notify()
@@ -142,23 +143,23 @@
         self._remove_queued(lambda key: key.connection is connection)
 
     def _remove_queued(self, is_removed: Callable[[AttemptKey], bool]) -> None:
-        """Lock held: drop the attempts that wait and match."""
+        """Lock held: remove the queued attempts for which is_removed is true."""
         for attempt in self.queue:
             if is_removed(attempt.key):
                 self._ended(attempt.key)
         self.queue = deque(attempt for attempt in self.queue if not is_removed(attempt.key))
 
     def _abort(self, key: AttemptKey) -> None:
-        """Lock held: stop an attempt, if it runs."""
+        """Lock held: stop an attempt if it is running."""
         if self.running.pop(key, None) is not None:
             self._ended(key)
             self._start_queued()
 
     def _ended(self, key: AttemptKey) -> None:
-        """Lock held: an attempt has left the engine. For subclasses."""
+        """Lock held: an attempt has ended or was removed. Subclasses override this."""
 
     def _start_queued(self) -> None:
-        """Lock held: start attempts that wait, in the slots that are free."""
+        """Lock held: start queued attempts in the free slots."""
         while self.queue and len(self.running) < self.slots:
             key, work_ms = self.queue.popleft()
             self.serial += 1
@@ -169,7 +170,7 @@
             self.changed.notify()
 
     def _complete_attempts(self) -> None:
-        """Thread: answer each attempt that has run for its time."""
+        """Answer each attempt that has run for its time, on a thread of its own."""
         while not self.closed:
             with self.changed:
                 end = self._next_end()
@@ -181,7 +182,7 @@
             self._answer(end)
 
     def _next_end(self) -> ScheduledEnd | None:
-        """Lock held: remove and return the attempt that is to end now; None: wait, and look again."""
+        """Lock held: wait for the next end; return it if it is due, None if the caller has to call again."""
         now = time.monotonic()
         if not self.scheduled_ends:
             self.changed.wait()
