--- a/gullhold/testing/register/server.py
+++ b/gullhold/testing/register/server.py
@@ -1,4 +1,4 @@
-"""The store server: the JSON gateway of the published v3 interface, with faults that a script asks for."""
+"""The HTTP server of the store: the JSON form of etcd's v3 interface, with faults that a test can request."""
 
 import json
 import signal
@@ -21,24 +21,24 @@
 from gullhold.testing.register.store_types import CompactedError, StoredChange
 from gullhold.testing.register.wire import Json, decode_range, encode_change
 
-EXPIRY_INTERVAL_S = 0.02  # between looks for leases that have run out
-READER_CHECK_S = 0.2  # the most that a watch waits between looks at whether its reader is still there
-WATCH_WRITE_TIMEOUT_S = 10 * READER_CHECK_S
-VERSION = {"etcdserver": "3.5.0", "etcdcluster": "3.5.0"}
+EXPIRY_INTERVAL_S = 0.02  # between checks for expired leases
+READER_CHECK_INTERVAL_S = 0.2  # at which a watch without changes checks whether its reader has gone
+WATCH_WRITE_TIMEOUT_S = 10 * READER_CHECK_INTERVAL_S
+REPORTED_VERSION = {"etcdserver": "3.5.0", "etcdcluster": "3.5.0"}
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
 
 
-class Server(ThreadingHTTPServer):
-    """Listens; one thread a connection."""
+class StoreServer(ThreadingHTTPServer):
+    """Serves a store, with a thread for each connection."""
 
     daemon_threads = True
     request_queue_size = 512
     allow_reuse_address = True
 
     def __init__(self, address: tuple[str, int], store: Store, journal: Journal, is_scripted: bool) -> None:
-        """is_scripted: a test's script may ask for faults."""
-        super().__init__(address, Handler)
+        """is_scripted: whether clients may request faults."""
+        super().__init__(address, ConnectionHandler)
         self.store = store
         self.journal = journal
         self.is_scripted = is_scripted
@@ -48,46 +48,46 @@
         self.call_counts: Counter[str] = Counter()
 
     def expire_leases(self) -> None:
-        """End leases that have run out, for ever; for a thread."""
+        """End expired leases until the server is stopped; runs on a thread of its own."""
         while not self.is_stopped:
             time.sleep(EXPIRY_INTERVAL_S)
             try:
                 for lease_id in self.store.expire_leases():
                     self.journal.write("lease ended", lease=lease_id, revision=self.store.revision)
-            except (sqlite3.Error, OSError) as error:  # a disk that is full for a while: leases end later
+            except (sqlite3.Error, OSError) as error:  # such as a full disk: the leases end at a later check
                 print(f"gullhold: leases: {error}", file=sys.stderr, flush=True)
 
     def handle_error(self, *_: Any) -> None:
-        """A client that went away is no fault."""
+        """Do nothing: a connection that its client has closed is not an error."""
 
 
-class Handler(BaseHTTPRequestHandler):
-    """One connection."""
+class ConnectionHandler(BaseHTTPRequestHandler):
+    """Handles the requests of one connection."""
 
-    server: Server
+    server: StoreServer
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
     wbufsize = -1
 
     def log_message(self, *_: Any) -> None:
-        """Nothing: there is a journal."""
+        """Do nothing: the journal takes the place of a request log."""
 
     def handle(self) -> None:
-        """Serve the connection, or close it unread while connections are refused."""
+        """Serve the connection, or close it unread while a fault refuses connections."""
         if not self.server.faults.is_refusing():
             super().handle()
 
     def do_GET(self) -> None:
-        """What the published interface says of itself, and the counts of calls."""
+        """Answer the version of the interface, and the number of calls by path."""
         if self.path == "/version":
-            self._answer(VERSION)
+            self._answer(REPORTED_VERSION)
         elif self.path == "/counts":
             self._answer(dict(self.server.call_counts))
         else:
             self._answer({"code": NOT_FOUND_CODE, "message": "not found"}, HTTP_NOT_FOUND)
 
     def do_POST(self) -> None:
-        """One call."""
+        """Carry out one call of the interface, or set the faults that a test requests."""
         faults = self.server.faults
         request = json.loads(self.rfile.read(int(self.headers.get("Content-Length", 0))) or "{}")
         if self.path == "/faults" and self.server.is_scripted:
@@ -130,7 +130,7 @@
     # Watches
 
     def _watch(self, request: Json) -> None:
-        """Send changes of a range until the reader has gone."""
+        """Send the changes of a range until the reader has closed the connection."""
         start, range_end = decode_range(request)
         store = self.server.store
         revision = int(request.get("start_revision", 0))
@@ -139,7 +139,7 @@
         self.connection.settimeout(0)
         while not self.server.is_stopped:
             try:
-                changes, revision = store.changes_since(revision, start, range_end, READER_CHECK_S)
+                changes, revision = store.changes_since(revision, start, range_end, READER_CHECK_INTERVAL_S)
             except CompactedError as error:
                 self._end_compacted(error.first_revision)
                 return
@@ -187,11 +187,15 @@
     scripted: bool = False,
     on_ready: Callable[[], None] = lambda: None,
 ) -> None:
-    """Serve at HOST:PORT until interrupted; path, journal: files; sync: also survive a loss of power."""
+    """Serve at HOST:PORT until KeyboardInterrupt.
+
+    path: data file; sync: changes survive a loss of power; journal: path, None for no journal; scripted:
+    clients may request faults; on_ready: called once the server listens.
+    """
     store = Store(path, sync)
     with open(journal or "/dev/null", "a", encoding="utf-8") as lines:
         journal_writer = Journal(lines if journal else None)
-        server = Server(split_host_port(listen), store, journal_writer, scripted)
+        server = StoreServer(split_host_port(listen), store, journal_writer, scripted)
         journal_writer.write_start(store.revision, store.keys)
         threading.Thread(target=server.expire_leases, daemon=True, name="leases").start()
         on_ready()
@@ -203,7 +207,7 @@
 
 
 def main(listen: str, path: str, sync: bool, journal: str | None, scripted: bool) -> int:
-    """`gullhold store`: serve until SIGTERM or SIGINT; the exit status."""
+    """Run `gullhold store`: serve until SIGTERM or SIGINT; return the exit status."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         serve(listen, path, sync, journal, scripted, lambda: print(f"register on {listen}", flush=True))
--- a/gullhold/testing/register/store.py
+++ b/gullhold/testing/register/store.py
@@ -1,4 +1,4 @@
-"""Keys, revisions, leases and history, durable through a kill at any moment."""
+"""The state of the store server: keys, revisions, leases and history. It survives a kill at any moment."""
 
 import secrets
 import sqlite3
@@ -23,41 +23,41 @@
     is_in_range,
 )
 
-MAX_HISTORY = 20_000  # changes that watches may still ask for; what is older is dropped
+MAX_HISTORY = 20_000  # changes that watches can still read; older ones are dropped
 LEASE_ID_BITS = 62
 
 KeyItems = list[tuple[bytes, StoredKey]]
 
 
 class Lease:
-    """A lease and the keys attached to it."""
+    """A lease and the keys attached to it. ends_at: s of the store's clock."""
 
     __slots__ = ("ends_at", "keys", "ttl_s")
 
     def __init__(self, ttl_s: float, now: float) -> None:
-        """now: s of the store's clock."""
+        """Start the lease. now: s of the store's clock."""
         self.ttl_s = ttl_s
         self.ends_at = now + ttl_s
         self.keys: set[bytes] = set()
 
 
 class LeaseStatus(NamedTuple):
-    """What is known of a lease."""
+    """Remaining time in s and attached keys of a lease."""
 
     left_s: float
     keys: list[bytes]
 
 
 class Store:
-    """All state, under one lock.
+    """All state of the server, guarded by one lock.
 
-    After a restart every lease runs for its whole time anew, as the published stores do it: late, never
-    early. rate: of this store's clock against the machine's; early_s: leases end so much sooner
+    After a restart every lease runs for its whole time to live again, as in etcd, so that it may end late but
+    never early. rate: rate of the store's clock against the machine's; early_s: how much sooner leases end
     (negative: later).
     """
 
     def __init__(self, path: str | Path, sync: bool = True) -> None:
-        """sync: whether each change also survives a loss of power."""
+        """sync: whether each change survives a loss of power, not only a kill of the process."""
         self.database = Database(path, sync)
         self.lock = Condition()
         self.rate = 1.0
@@ -72,13 +72,13 @@
                 self.leases[item.lease].keys.add(key)
 
     def clock(self) -> float:
-        """Seconds, by this store's own clock."""
+        """Return s of the store's clock."""
         return time.monotonic() * self.rate
 
     # Leases
 
     def grant_lease(self, ttl_s: float) -> int:
-        """Create a lease; its id."""
+        """Create a lease; return its id."""
         with self.lock:
             lease_id = secrets.randbits(LEASE_ID_BITS) | 1
             self.database.add_lease(lease_id, ttl_s)
@@ -86,7 +86,7 @@
             return lease_id
 
     def renew_lease(self, lease_id: int) -> float:
-        """Let it run for its whole time anew; the time in s, 0 where there is no such lease."""
+        """Restart the time to live of a lease; return it in s, 0 if there is no such lease."""
         with self.lock:
             lease = self.leases.get(lease_id)
             if not lease:
@@ -95,7 +95,7 @@
             return lease.ttl_s
 
     def lease_status(self, lease_id: int) -> LeaseStatus | None:
-        """What is known of a lease; None where there is no such lease."""
+        """Return the status of a lease; None if there is no such lease."""
         with self.lock:
             lease = self.leases.get(lease_id)
             if not lease:
@@ -103,7 +103,7 @@
             return LeaseStatus(max(0, lease.ends_at - self.clock()), sorted(lease.keys))
 
     def revoke_lease(self, lease_id: int) -> bool:
-        """End it, with its keys in one revision; whether there was one."""
+        """End a lease and delete its keys in one revision; return whether there was such a lease."""
         with self.lock:
             lease = self.leases.get(lease_id)
             if not lease:
@@ -112,7 +112,7 @@
             return True
 
     def expire_leases(self) -> list[int]:
-        """End what has run out; the ids."""
+        """End the leases that have expired; return their ids."""
         with self.lock:
             now = self.clock()
             expired = [
@@ -124,11 +124,11 @@
 
     # Keys
 
-    def read(self, start: bytes, range_end: bytes, changes_ago: int = 0) -> KeyItems:
-        """The keys of a range, in order; changes_ago: as it was so many revisions ago."""
+    def read(self, start: bytes, range_end: bytes, revisions_ago: int = 0) -> KeyItems:
+        """Return the keys of a range in order; revisions_ago: in the state of so many revisions ago."""
         with self.lock:
-            if changes_ago:
-                return self._read_old(start, range_end, max(1, self.revision - changes_ago))
+            if revisions_ago:
+                return self._read_old(start, range_end, max(1, self.revision - revisions_ago))
             return [(key, self.keys[key]) for key in sorted(self.keys) if is_in_range(key, start, range_end)]
 
     def _read_old(self, start: bytes, range_end: bytes, revision: int) -> KeyItems:
@@ -146,18 +146,19 @@
         self,
         are_conditions_met: Callable[[dict[bytes, StoredKey]], bool],
         operations: list[StoreOperation],
-        otherwise: list[StoreOperation],
+        failure_operations: list[StoreOperation],
     ) -> tuple[bool, list[KeyItems | None]]:
-        """Carry out operations in one revision if the conditions are met, otherwise the others.
+        """Carry out the operations in one revision if the conditions are met, else the failure operations.
 
-        are_conditions_met is called under the lock with all keys. (whether they were met, what each operation
-        read, None where it writes). Raises KeyError where a put names a lease that does not exist.
+        are_conditions_met: called with all keys while the lock is held. Return (whether the conditions were
+        met, what each operation has read, None for a write). Raises KeyError if a put names a lease that does
+        not exist.
         """
         with self.lock:
             is_met = are_conditions_met(self.keys)
-            chosen = operations if is_met else otherwise
+            chosen = operations if is_met else failure_operations
             writes = self._writes(chosen)
-            # Reads of a transaction show what it began with: ours never read what they write.
+            # Reads show the state before the transaction; the fleet never reads in one what it also writes.
             read = [
                 self.read(operation.key, operation.range_end) if isinstance(operation, ReadKeys) else None
                 for operation in chosen
@@ -167,7 +168,7 @@
             return is_met, read
 
     def _writes(self, operations: list[StoreOperation]) -> list[PutKey | DeleteKeys]:
-        """The writes of a transaction, each of one key."""
+        """Return the writes of a transaction, with a deletion of a range as one of each key."""
         for operation in operations:
             if isinstance(operation, PutKey) and operation.lease and operation.lease not in self.leases:
                 raise KeyError("requested lease not found")
@@ -181,7 +182,7 @@
         return writes
 
     def _apply(self, writes: list[PutKey | DeleteKeys], ended_lease: int = 0) -> None:
-        """Write one revision, durable before any reader sees it."""
+        """Write one revision to the file, then change the state that readers see."""
         revision = self.revision + 1
         changes = []
         updates: list[KeyUpdate] = []
@@ -191,7 +192,7 @@
             if isinstance(write, PutKey):
                 change = _put_change(write, old, revision)
                 updates.append(KeyUpdate(write.key, old, _key_after(change)))
-            elif old is None or write.key in updated_keys:  # deleted once in one revision
+            elif old is None or write.key in updated_keys:  # at most one deletion of a key in a revision
                 continue
             else:
                 change = StoredChange(revision, write.key, None, 0, 0, 0)
@@ -208,7 +209,7 @@
             self.history += changes
             self.revision = revision
             if len(self.history) > 2 * MAX_HISTORY:
-                with suppress(sqlite3.Error):  # the change itself is written; the next one tries again
+                with suppress(sqlite3.Error):  # the change is written; the next one compacts again
                     self.compact(self.history[-MAX_HISTORY].revision)
         self.lock.notify_all()
 
@@ -226,7 +227,7 @@
     # History
 
     def compact(self, first_revision: int) -> None:
-        """Drop the changes before this revision."""
+        """Drop the changes before this revision from the history."""
         with self.lock:
             first_revision = min(first_revision, self.revision)
             self.database.compact(first_revision)
@@ -237,9 +238,10 @@
     def changes_since(
         self, revision: int, start: bytes, range_end: bytes, max_wait_s: float
     ) -> tuple[list[StoredChange], int]:
-        """(changes of a range from a revision on, the next revision to ask for).
+        """Return (changes of a range from a revision on, the revision to read from next).
 
-        Waits for a change for so long at most. Raises CompactedError where some of the changes are dropped.
+        Waits up to max_wait_s if there is no such revision yet. Raises CompactedError if some of the changes
+        were dropped.
         """
         with self.lock:
             if self.revision < revision:
@@ -252,7 +254,7 @@
             ], self.revision + 1
 
     def _history_index(self, revision: int) -> int:
-        """Where the changes from this revision on begin."""
+        """Return the index in the history of the first change from this revision on."""
         return bisect_right(self.history, revision - 1, key=lambda change: change.revision)
 
 
@@ -263,5 +265,5 @@
 
 
 def _key_after(change: StoredChange) -> StoredKey:
-    """The key as a write left it."""
+    """Return the stored key that results from a write."""
     return StoredKey(change.value, change.create_revision, change.revision, change.version, change.lease)
--- a/gullhold/testing/register/store_types.py
+++ b/gullhold/testing/register/store_types.py
@@ -4,7 +4,7 @@
 
 
 class StoredKey(NamedTuple):
-    """One key as it is now. lease 0: none."""
+    """The value and the metadata of a key. lease: id of its lease, 0 for none."""
 
     value: bytes
     create_revision: int
@@ -14,7 +14,7 @@
 
 
 class StoredChange(NamedTuple):
-    """One change of a key; value None: it was deleted, and the fields after it are 0."""
+    """One change of a key. value: None for a deletion, in which the fields after it are 0."""
 
     revision: int
     key: bytes
@@ -25,11 +25,11 @@
 
 
 class KeyUpdate(NamedTuple):
-    """A key before and after one write of a revision; None: it does not exist."""
+    """A key before a revision and after one of the revision's writes; None: the key does not exist."""
 
     key: bytes
-    before: StoredKey | None  # the revision
-    after: StoredKey | None  # the write
+    before: StoredKey | None
+    after: StoredKey | None
 
 
 class PutKey(NamedTuple):
@@ -56,20 +56,23 @@
 
 StoreOperation = PutKey | DeleteKeys | ReadKeys
 
-END_OF_ALL_KEYS = b"\0"  # as the end of a range: there is none
+END_OF_ALL_KEYS = b"\0"  # as the end of a range: the range has no upper bound
 
 
 def is_in_range(key: bytes, start: bytes, range_end: bytes) -> bool:
-    """Whether a range has the key. range_end: the first key behind the range; empty: `start` alone."""
+    """Return whether a key is in a range.
+
+    range_end: first key after the range, END_OF_ALL_KEYS for no bound; empty: only `start` is in the range.
+    """
     if not range_end:
         return key == start
     return start <= key and (range_end == END_OF_ALL_KEYS or key < range_end)
 
 
 class CompactedError(Exception):
-    """The history back to a revision is dropped."""
+    """The history does not go back to the requested revision."""
 
     def __init__(self, first_revision: int) -> None:
-        """first_revision: the first one that is left."""
+        """first_revision: oldest revision whose changes are in the history."""
         super().__init__(first_revision)
         self.first_revision = first_revision
--- a/gullhold/testing/register/wire.py
+++ b/gullhold/testing/register/wire.py
@@ -1,4 +1,4 @@
-"""The JSON of the published v3 interface: keys and values are base64, numbers are texts."""
+"""The JSON of etcd's published v3 interface: keys and values are base64, integers are strings."""
 
 from base64 import b64decode, b64encode
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 Json = dict[str, Any]
 
-# What a comparison may look at: the name of its value in the request, and the field of a key.
+# Targets of a comparison: the name of the compared value in the request, and the field of StoredKey.
 COMPARED_FIELDS = {
     "MOD": ("mod_revision", "mod_revision"),
     "CREATE": ("create_revision", "create_revision"),
@@ -32,22 +32,22 @@
 
 
 def encode(data: bytes) -> str:
-    """Bytes as the interface has them."""
+    """Encode a key or a value."""
     return b64encode(data).decode()
 
 
 def decode(text: str | None) -> bytes:
-    """The bytes of a text of the interface; None: empty."""
+    """Decode a key or a value; None gives empty bytes."""
     return b64decode(text or "")
 
 
 def decode_range(request: Json) -> tuple[bytes, bytes]:
-    """(start, end) of a request's range; end empty: the start alone."""
+    """Return (start, end) of a request's range; the end is empty for a single key."""
     return decode(request["key"]), decode(request.get("range_end"))
 
 
 def decode_operation(request: Json) -> StoreOperation:
-    """An operation of a transaction."""
+    """Decode an operation of a transaction."""
     if "request_put" in request:
         put = request["request_put"]
         return PutKey(decode(put["key"]), decode(put.get("value")), int(put.get("lease", 0)))
@@ -57,7 +57,7 @@
 
 
 def is_comparison_met(comparison: Json, keys: dict[bytes, StoredKey]) -> bool:
-    """Whether a comparison of a transaction holds."""
+    """Return whether a comparison of a transaction is true of these keys."""
     value_name, field = COMPARED_FIELDS[comparison["target"]]
     item = keys.get(decode(comparison["key"]))
     actual = getattr(item, field) if item else 0
@@ -66,7 +66,7 @@
 
 
 def encode_key(key: bytes, item: StoredKey) -> Json:
-    """A key with its value."""
+    """Encode a key with its value and metadata."""
     fields = {
         "key": encode(key),
         "value": encode(item.value),
@@ -80,7 +80,7 @@
 
 
 def encode_change(change: StoredChange) -> Json:
-    """A watch event."""
+    """Encode a change as a watch event."""
     if change.value is None:
         return {"type": "DELETE", "kv": {"key": encode(change.key), "mod_revision": str(change.revision)}}
     return {
--- a/gullhold/testing/soak/__init__.py
+++ b/gullhold/testing/soak/__init__.py
@@ -1,5 +1,8 @@
-"""A soak: real gateways between test doubles, a plan of troubles for each seed, judged by the wire alone.
+"""A soak test: gateway processes between test doubles, with random troubles planned from a seed.
 
-plan: what a seed draws; doubles: clients and engines that keep what they wrote and got; judge: what was
-wrong; run: one seed; mutant: a gateway with a deliberate fault, to show that the judge finds it.
+The checks use only what clients and engines saw on the wire, the gateways' exits and their logs.
+
+plan: the plan of a seed; clients_and_engines: test doubles that record what they sent and received;
+violations: the checks; run: the run of one plan; mutant: gateways with a deliberate fault, which show that
+the checks find it.
 """
--- a/gullhold/testing/soak/clients_and_engines.py
+++ b/gullhold/testing/soak/clients_and_engines.py
@@ -1,4 +1,4 @@
-"""Clients and engines of the soak: each keeps what it wrote and got, with times in monotonic s."""
+"""Clients and engines of the soak test, which record what they send and receive. Times are monotonic s."""
 
 import socket
 import time
@@ -13,12 +13,12 @@
 from gullhold.testing.working_engine import WorkingEngine, statement
 
 PROFILES = ("read", "mark", "once")
-MAX_OPEN = 16  # requests of one connection
-WORK_MS = (2.0, 20.0, 60.0)  # of a command
+MAX_OPEN_REQUESTS = 16  # of one connection
+WORK_MS = (2.0, 20.0, 60.0)  # work of a command; one is chosen at random
 
 
 class TimedAnswer(NamedTuple):
-    """An answer and when it was read."""
+    """An answer and the time at which the client read it."""
 
     at: float
     result: bytes | str
@@ -26,19 +26,23 @@
 
 @dataclass
 class RequestRecord:
-    """One request as its client saw it. ends_at: when its connection ended, None while it is open."""
+    """One request as its client saw it.
+
+    left_at: when the client closed its connection with the request open; ends_at: when the connection ended
+    with the request open; both None otherwise.
+    """
 
     txn: bytes
     profile: str
     written_at: float
     timeout_s: float
     answers: list[TimedAnswer] = field(default_factory=list)
-    left_at: float | None = None  # when its client left, with the request open
+    left_at: float | None = None
     ends_at: float | None = None
 
 
 class TimedFetch(NamedTuple):
-    """A command that an engine was sent."""
+    """A command that an engine received. engine: its number."""
 
     at: float
     txn: bytes
@@ -46,9 +50,9 @@
 
 
 class SoakClient:
-    """Keeps asking on one connection until that ends, then on another until it is stopped.
+    """A client that sends commands on one connection after another until it is stopped.
 
-    may_connect: whether it opens a further connection.
+    may_connect: whether it opens another connection when one has ended.
     """
 
     def __init__(self, address: tuple[str, int], number: int, plan: Plan) -> None:
@@ -61,15 +65,15 @@
         self._thread = Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start to send commands."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask nothing more."""
+        """Send no more commands."""
         self.is_stopped = True
 
     def join(self, timeout_s: float) -> None:
-        """Wait until its connection has ended."""
+        """Wait until the client's connection has ended."""
         self._thread.join(timeout_s)
 
     def _run(self) -> None:
@@ -83,7 +87,10 @@
 
 
 class _SoakConnection:
-    """One connection: a thread that writes, and one that reads until the end."""
+    """One connection of a client; the client's thread writes, and another thread reads until the end.
+
+    open, answered: requests by sequence number.
+    """
 
     def __init__(self, client: SoakClient, caller: BlockingClient) -> None:
         self.client = client
@@ -101,21 +108,21 @@
         reader.start()
         try:
             while not self.has_ended and not self.client.is_stopped:
-                if len(self.open) < MAX_OPEN:
-                    self._ask()
+                if len(self.open) < MAX_OPEN_REQUESTS:
+                    self._send_command()
                 if self.open and self.client.draw.random() < self.client.plan.leave_chance:
                     self._leave()
                     break
                 time.sleep(self.client.plan.pause_s)
         except OSError:
-            pass  # its end
+            pass  # the connection has ended
         reader.join(self.client.plan.timeout_s + 2.0)
         ends_at = time.monotonic()
         for record in self.open.values():
             record.ends_at = record.ends_at or ends_at
         caller.sock.close()
 
-    def _ask(self) -> None:
+    def _send_command(self) -> None:
         client = self.client
         draw = client.draw
         profile = draw.choice(PROFILES)
@@ -133,7 +140,7 @@
         )
 
     def _leave(self) -> None:
-        """Close the connection; the reader notices at once."""
+        """Close the connection with requests open; the reading thread ends at once."""
         now = time.monotonic()
         with self.lock:
             for record in self.open.values():
@@ -143,7 +150,7 @@
     def _read(self) -> None:
         try:
             while (found := self.caller.read_answer()) is not None:
-                self._take(found.sequence_number, TimedAnswer(time.monotonic(), found.result))
+                self._record_answer(found.sequence_number, TimedAnswer(time.monotonic(), found.result))
         except (OSError, thrift.ProtocolError):
             pass
         ended_at = time.monotonic()
@@ -152,7 +159,7 @@
             for record in self.open.values():
                 record.ends_at = ended_at
 
-    def _take(self, sequence_number: int, answer: TimedAnswer) -> None:
+    def _record_answer(self, sequence_number: int, answer: TimedAnswer) -> None:
         with self.lock:
             record = self.open.pop(sequence_number, None) or self.answered.get(sequence_number)
             if record is not None:
@@ -161,7 +168,7 @@
 
 
 class SoakEngine(WorkingEngine):
-    """A working engine that keeps when it was sent what, and can hang."""
+    """A working engine that records the fetches it receives. hangs: whether it answers nothing any more."""
 
     def __init__(self, number: int, seed: int) -> None:
         self.number = number
--- a/gullhold/testing/soak/mutant.py
+++ b/gullhold/testing/soak/mutant.py
@@ -1,6 +1,6 @@
-"""A gateway with a deliberate fault: `python -m gullhold.testing.soak.mutant NAME serve ...`.
+"""Runs a gateway with a deliberate fault: `python -m gullhold.testing.soak.mutant NAME serve ...`.
 
-The soak has to find each of them.
+The checks of the soak test have to find each of these faults.
 """
 
 import sys
@@ -11,15 +11,15 @@
 from gullhold.net.pending_requests import PendingRequest, PendingRequests
 from gullhold.net.shutdown import GracefulShutdown
 
-ONE_OF = 20  # answers is dropped, late or sent twice
-LATE_S = 1.5  # of an end or an answer: beyond all that the protocol allows
-answers = 0
+FAULT_INTERVAL = 20  # one of so many answers is dropped, late or sent twice
+DELAY_S = 1.5  # of an answer or of the end; longer than any delay that the protocol allows
+answers = 0  # written so far
 
 
-def _is_chosen() -> bool:
-    global answers  # noqa: PLW0603  one process, one thread
+def _is_next_faulty() -> bool:
+    global answers  # noqa: PLW0603  one thread of the process writes answers
     answers += 1
-    return answers % ONE_OF == 0
+    return answers % FAULT_INTERVAL == 0
 
 
 def drop_answers() -> None:
@@ -27,18 +27,18 @@
     original = PendingRequests.answer
 
     def answer(self: PendingRequests, pending: PendingRequest, message: bytes) -> None:
-        original(self, pending, b"" if _is_chosen() else message)
+        original(self, pending, b"" if _is_next_faulty() else message)
 
     PendingRequests.answer = answer  # type: ignore[method-assign]
 
 
 def answer_late() -> None:
-    """Hold some answers, and all behind them, for longer than the client timeout."""
+    """Delay some answers, and all behind them, beyond the client timeout."""
     original = PendingRequests.answer
 
     def answer(self: PendingRequests, pending: PendingRequest, message: bytes) -> None:
-        if _is_chosen():
-            time.sleep(LATE_S)
+        if _is_next_faulty():
+            time.sleep(DELAY_S)
         original(self, pending, message)
 
     PendingRequests.answer = answer  # type: ignore[method-assign]
@@ -49,13 +49,13 @@
     original = PendingRequests.answer
 
     def answer(self: PendingRequests, pending: PendingRequest, message: bytes) -> None:
-        original(self, pending, message * 2 if _is_chosen() else message)
+        original(self, pending, message * 2 if _is_next_faulty() else message)
 
     PendingRequests.answer = answer  # type: ignore[method-assign]
 
 
 def ignore_leaving() -> None:
-    """Go on with the requests of clients that have left, and send what waits later."""
+    """Continue requests whose clients have left, so that queued ones are dispatched later."""
 
     def client_ended(_requests: PendingRequests, client: object, *_: object) -> None:
         client.has_left = False  # type: ignore[attr-defined]
@@ -65,11 +65,11 @@
 
 
 def end_late() -> None:
-    """Go on after the last answers for a while."""
+    """Let the process run on for a while after the last answers."""
     original = GracefulShutdown._stop
 
     def stop(self: GracefulShutdown) -> None:
-        time.sleep(LATE_S)
+        time.sleep(DELAY_S)
         original(self)
 
     GracefulShutdown._stop = stop  # type: ignore[method-assign]
--- a/gullhold/testing/soak/plan.py
+++ b/gullhold/testing/soak/plan.py
@@ -1,27 +1,27 @@
-"""The plan of one seed of the soak. One seed gives one plan."""
+"""Plans of the soak test: troubles, clients and signals of one run. A seed always gives the same plan."""
 
 import signal
 from dataclasses import dataclass
 from enum import StrEnum
 from random import Random
 
-SERVING_S = 1.2  # from the first request to SIGTERM
-TIMEOUTS_S = (0.4, 0.8, 1.5, 3.0)  # client timeouts, short and long
+SERVING_S = 1.2  # s from the first request to SIGTERM
+CLIENT_TIMEOUTS_S = (0.4, 0.8, 1.5, 3.0)
 ENGINES = 3
-MAX_STOP_S = 0.3  # of a process by SIGSTOP
-MAX_KILL_COUNTED_S = 3.0  # of the longest client timeout, from the protocol
-KILL_AFTER_S = 0.7  # from the longest client timeout to SIGKILL, from the protocol
+MAX_SUSPENSION_S = 0.3  # of a process by SIGSTOP
+MAX_KILL_TIMEOUT_S = 3.0  # protocol: up to which the longest client timeout delays SIGKILL
+KILL_AFTER_TIMEOUT_S = 0.7  # protocol: from the end of that timeout to SIGKILL
 
 
 class Trouble(StrEnum):
     """What happens to an engine or to the discovery service."""
 
-    HANG = "hang"  # takes commands and answers nothing more
-    DRAIN = "drain"  # is listed as draining, and goes on working
-    VANISH = "vanish"  # closes all connections and listens no more
-    REPLACE = "replace"  # vanishes, and another one starts cold in its place
-    DISCOVERY_AWAY = "discovery away"  # the service closes and listens no more
-    DISCOVERY_SILENT = "discovery silent"  # the service stays connected and says nothing more
+    HANG = "hang"  # the engine accepts commands and answers nothing more
+    DRAIN = "drain"  # the engine is listed as draining, and goes on working
+    VANISH = "vanish"  # the engine closes all connections and stops listening
+    REPLACE = "replace"  # the engine vanishes, and another one starts cold in its place
+    DISCOVERY_AWAY = "discovery away"  # the service closes all connections and stops listening
+    DISCOVERY_SILENT = "discovery silent"  # the service stays connected and sends nothing more
 
 
 ENGINE_TROUBLES = (Trouble.HANG, Trouble.DRAIN, Trouble.VANISH, Trouble.REPLACE)
@@ -29,16 +29,16 @@
 
 
 class Crowd(StrEnum):
-    """Other clients beside those that are judged."""
+    """The kind of load by further clients, whose requests are not checked."""
 
     NONE = "none"
-    IDLE = "idle connections"  # fill the descriptors
-    FLOOD = "flood"  # ask as fast as they are answered
+    IDLE = "idle connections"  # which take up the gateway's descriptors
+    FLOOD = "flood"  # clients that send a new command as soon as one is answered
 
 
 @dataclass(frozen=True)
 class TroubleAt:
-    """A trouble of an engine, by its number, at a time in s from the first request."""
+    """A trouble at a time in s from the first request. engine: number of the engine that it concerns."""
 
     at_s: float
     trouble: Trouble
@@ -55,10 +55,11 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What is played.
+    """The plan of one run.
 
-    clients: of each gateway; pause_s: of a client between two requests; leave_chance: that it closes its
-    connection after a request, with others open.
+    clients: number of each gateway's clients; pause_s: time of a client between two requests; leave_chance:
+    probability that it closes its connection after a request, with requests open; has_queue: whether the
+    gateways have an admission queue.
     """
 
     seed: int
@@ -74,14 +75,14 @@
 
     @property
     def kill_at_s(self) -> float:
-        """When SIGKILL comes at the earliest, in s from SIGTERM."""
-        return min(self.timeout_s, MAX_KILL_COUNTED_S) + KILL_AFTER_S
+        """Earliest time of SIGKILL, in s from SIGTERM."""
+        return min(self.timeout_s, MAX_KILL_TIMEOUT_S) + KILL_AFTER_TIMEOUT_S
 
 
 def draw_plan(seed: int) -> Plan:
     """Return the plan of a seed."""
     draw = Random(seed)
-    timeout_s = draw.choice(TIMEOUTS_S)
+    timeout_s = draw.choice(CLIENT_TIMEOUTS_S)
     return Plan(
         seed=seed,
         gateways=draw.choice((1, 1, 2)),
@@ -97,9 +98,9 @@
 
 
 def _draw_troubles(draw: Random) -> tuple[TroubleAt, ...]:
-    """Up to two engines have a trouble of their own, in some seeds the discovery service too."""
+    """Return troubles of up to two engines, and in some plans one of the discovery service."""
     engines = draw.sample(range(ENGINES), draw.randint(0, ENGINES - 1))
-    latest_s = SERVING_S + 0.3  # some come in the shutdown
+    latest_s = SERVING_S + 0.3  # later than SIGTERM, so that some come during the shutdown
     troubles = [
         TroubleAt(draw.uniform(0.1, latest_s), draw.choice(ENGINE_TROUBLES), each) for each in engines
     ]
@@ -109,7 +110,7 @@
 
 
 def _draw_signals(draw: Random, timeout_s: float) -> tuple[SignalAt, ...]:
-    """SIGTERM, and series of others before, in and after it."""
+    """Return SIGTERM, and in some plans a second one, series of other signals, and a suspension."""
     signals = [SignalAt(SERVING_S, signal.SIGTERM)]
     if draw.random() < 0.5:
         signals.append(SignalAt(SERVING_S + draw.uniform(0.0, 0.5), signal.SIGTERM))
@@ -118,7 +119,7 @@
             at_s = draw.uniform(0.1, SERVING_S + timeout_s)
             signals += [SignalAt(at_s + 0.02 * each, number) for each in range(draw.randint(1, 5))]
     if draw.random() < 0.3:
-        at_s = draw.uniform(0.2, SERVING_S - MAX_STOP_S - 0.1)
+        at_s = draw.uniform(0.2, SERVING_S - MAX_SUSPENSION_S - 0.1)
         signals.append(SignalAt(at_s, signal.SIGSTOP))
-        signals.append(SignalAt(at_s + draw.uniform(0.05, MAX_STOP_S), signal.SIGCONT))
+        signals.append(SignalAt(at_s + draw.uniform(0.05, MAX_SUSPENSION_S), signal.SIGCONT))
     return tuple(sorted(signals, key=lambda each: each.at_s))
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed of the soak: gateways as processes, engines, discovery services and clients on loopback."""
+"""One run of the soak test: gateway processes, engines, discovery services and clients on loopback."""
 
 import json
 import os
@@ -31,20 +31,20 @@
 from gullhold.testing.soak.plan import ENGINES, SERVING_S, Crowd, Plan, Trouble
 from gullhold.testing.soak.violations import Kind, Suspension, Violation, check_attempts, check_requests
 
-DRAIN_GRACE_S = 0.5  # of the settings
-NEW_CONNECTIONS_S = 0.3  # after SIGTERM in which clients still connect, from the protocol
-SOCKETS = 160  # descriptors of a gateway; half are for clients
-IDLE_CONNECTIONS = 70  # of a crowd that fills the descriptors
-POLL_S = 0.005
-COMMAND = ("-m", "gullhold")
-FIRST_INDEX = 1  # of the events of the endpoint list: the one in the configuration
-FLOOD = ClientGroup(
+DRAIN_GRACE_S = 0.5  # as in the settings of gullhold.testing.deployment
+NEW_CONNECTIONS_S = 0.3  # protocol: for so long after SIGTERM clients may still connect
+SOCKETS = 160  # limit of a gateway's descriptors; half of them are for clients
+IDLE_CONNECTIONS = 70  # nearly all descriptors that a gateway has for clients
+POLL_INTERVAL_S = 0.005
+GATEWAY_COMMAND = ("-m", "gullhold")  # arguments of Python
+FIRST_INDEX = 1  # of the endpoint list event in the configuration
+FLOOD_CLIENTS = ClientGroup(
     processes=2, clients=4, options={"open": 256, "connections": 8, "retry_rule": RetryRule.NEVER}
 )
 
 
 class Outcome(NamedTuple):
-    """What came of a seed."""
+    """The result of a run. requests: number of requests that were checked."""
 
     requests: int
     violations: list[Violation]
@@ -52,14 +52,17 @@
 
 @dataclass(frozen=True)
 class Step:
-    """Something that is done at a time in s from the first request."""
+    """An action at a time in s from the first request."""
 
     at_s: float
-    do: Callable[[], None]
+    action: Callable[[], None]
 
 
 class SoakGateway:
-    """One gateway process with a discovery service of its own."""
+    """One gateway process with its own discovery service.
+
+    command: the arguments of Python that start the program; log: path.
+    """
 
     def __init__(
         self, folder: Path, plan: Plan, engines: Sequence[SoakEngine], command: Sequence[str]
@@ -84,53 +87,58 @@
             )
 
     def wait_until_serving(self) -> None:
-        """Raise RuntimeError where it does not come up."""
-        end = time.monotonic() + WAIT_TIMEOUT_S
+        """Wait until the gateway serves. Raises RuntimeError if it does not start."""
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while not serving_status(self.address):
-            if time.monotonic() > end or self.process.poll() is not None:
-                raise RuntimeError(f"the gateway did not come up: {self.log_text()}")
-            time.sleep(POLL_S)
+            if time.monotonic() > deadline or self.process.poll() is not None:
+                raise RuntimeError(f"the gateway did not start: {self.log_text()}")
+            time.sleep(POLL_INTERVAL_S)
 
     def log_text(self) -> str:
-        """What it has logged."""
+        """Return what the gateway has logged so far."""
         return self.log.read_text("utf-8", "replace")
 
     def close(self) -> None:
-        """End the process, if it still runs, and the discovery service."""
+        """Kill the process if it still runs, and close the discovery service."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
         self.close_discovery()
 
     def close_discovery(self) -> None:
-        """End the discovery service; a second call does nothing."""
+        """Close the discovery service; a second call does nothing."""
         with suppress(OSError):
             self.discovery.close()
 
 
 class SoakRun:
-    """Plays one plan. command: the arguments of Python that start the program."""
+    """One run of a plan.
+
+    command: the arguments of Python that start a gateway; replaced: engines that were closed and replaced;
+    drained_at: when the gateways were told that an engine drains, by its number, in monotonic s;
+    suspended_at, terminated_at: when SIGSTOP and the first SIGTERM were sent, in monotonic s.
+    """
 
-    def __init__(self, plan: Plan, folder: Path, command: Sequence[str] = COMMAND) -> None:
+    def __init__(self, plan: Plan, folder: Path, command: Sequence[str] = GATEWAY_COMMAND) -> None:
         self.plan = plan
         self.engines = [SoakEngine(number, plan.seed * 100 + number) for number in range(ENGINES)]
         self.replaced: list[SoakEngine] = []
         self.drained_at: dict[int, float] = {}
-        self.stops: list[Suspension] = []
-        self.stopped_at = 0.0
+        self.suspensions: list[Suspension] = []
+        self.suspended_at = 0.0
         self.terminated_at = 0.0
         self.last_index = FIRST_INDEX
         self.gateways = []
         for number in range(plan.gateways):
-            own = folder / str(number)
-            own.mkdir()
-            self.gateways.append(SoakGateway(own, plan, self.engines, command))
+            gateway_folder = folder / str(number)
+            gateway_folder.mkdir()
+            self.gateways.append(SoakGateway(gateway_folder, plan, self.engines, command))
         self.clients: list[SoakClient] = []
         self.idle: list[socket.socket] = []
         self.flood: LoadProcesses | None = None
 
-    def play(self) -> Outcome:
-        """Serve, have trouble, end; judge what was seen."""
+    def run(self) -> Outcome:
+        """Carry out the plan until the gateways have ended, and check what was recorded."""
         try:
             for gateway in self.gateways:
                 gateway.wait_until_serving()
@@ -141,10 +149,10 @@
             self._close()
         records = [record for client in self.clients for record in client.records]
         fetches = [fetch for engine in (*self.engines, *self.replaced) for fetch in engine.fetches]
-        return Outcome(len(records), violations + self._judge(records, fetches))
+        return Outcome(len(records), violations + self._check(records, fetches))
 
-    def _judge(self, records: list[RequestRecord], fetches: list[TimedFetch]) -> list[Violation]:
-        found = check_requests(records, self.stops)
+    def _check(self, records: list[RequestRecord], fetches: list[TimedFetch]) -> list[Violation]:
+        found = check_requests(records, self.suspensions)
         found += check_attempts(records, fetches, self.drained_at, DRAIN_GRACE_S)
         for gateway in self.gateways:
             found += [Violation(Kind.FAULT, line) for line in gateway_log.fault_lines(gateway.log_text())]
@@ -158,16 +166,16 @@
                 client.start()
                 self.clients.append(client)
         if plan.crowd is Crowd.IDLE:
-            time.sleep(10 * POLL_S)  # the others are connected first
+            time.sleep(10 * POLL_INTERVAL_S)  # the checked clients connect first
             self.idle = [
                 socket.create_connection(gateway.address, WAIT_TIMEOUT_S)
                 for gateway in self.gateways
                 for _ in range(IDLE_CONNECTIONS)
             ]
         if plan.crowd is Crowd.FLOOD:
-            options = FLOOD.options | {"limit_ms": int(plan.timeout_s * 1000)}
-            crowd = ClientGroup(FLOOD.processes, FLOOD.clients, options)
-            self.flood = LoadProcesses(self.gateways[0].address, crowd)
+            options = FLOOD_CLIENTS.options | {"limit_ms": int(plan.timeout_s * 1000)}
+            group = ClientGroup(FLOOD_CLIENTS.processes, FLOOD_CLIENTS.clients, options)
+            self.flood = LoadProcesses(self.gateways[0].address, group)
             self.flood.start()
 
     def _do_steps(self) -> None:
@@ -179,7 +187,7 @@
         began = time.monotonic()
         for step in sorted(steps, key=lambda each: each.at_s):
             time.sleep(max(0.0, began + step.at_s - time.monotonic()))
-            step.do()
+            step.action()
 
     def _trouble_step(self, trouble: Trouble, number: int) -> Callable[[], None]:
         match trouble:
@@ -194,7 +202,7 @@
             case Trouble.DISCOVERY_AWAY:
                 return self._close_discovery
             case _:
-                return lambda: None  # the service never says anything by itself
+                return lambda: None  # DISCOVERY_SILENT: the service sends nothing by itself anyway
 
     def _close_discovery(self) -> None:
         for gateway in self.gateways:
@@ -202,26 +210,26 @@
 
     def _drain(self, number: int) -> None:
         told_at = time.monotonic()
-        if self._tell((f"s-{number}", self.engines[number].address, "draining")):
+        if self._send_change((f"s-{number}", self.engines[number].address, "draining")):
             self.drained_at[number] = told_at
 
     def _replace(self, number: int) -> None:
-        """The engine goes, and another one starts cold, under another name."""
+        """Close an engine, and start another one cold with an id of its own."""
         self.replaced.append(self.engines[number])
         self.engines[number].close()
         new_number = ENGINES + number
         self.engines[number] = SoakEngine(new_number, self.plan.seed * 100 + new_number)
         now_ms = int(time.time() * 1000)
-        self._tell((f"s-{number}", self.replaced[-1].address, "gone"))
-        self._tell((f"s-{new_number}", self.engines[number].address, "ready"), started_ms=now_ms)
+        self._send_change((f"s-{number}", self.replaced[-1].address, "gone"))
+        self._send_change((f"s-{new_number}", self.engines[number].address, "ready"), started_ms=now_ms)
 
-    def _tell(self, member: tuple[str, str, str], **facts: Any) -> bool:
-        """Tell a change of the endpoint list to all gateways; whether all could be told."""
+    def _send_change(self, member: tuple[str, str, str], **facts: Any) -> bool:
+        """Send a change of the endpoint list to all gateways; return whether all of them were sent it."""
         self.last_index += 1
         try:
             for gateway in self.gateways:
                 gateway.discovery.send(endpoint_list_event(self.last_index, member, **facts))
-        except (OSError, AssertionError):  # the service is away, or a gateway follows it no more
+        except (OSError, AssertionError):  # the service is closed, or a gateway no longer follows it
             return False
         return True
 
@@ -233,24 +241,24 @@
         if number == signal.SIGTERM and not self.terminated_at:
             self.terminated_at = now
         if number == signal.SIGSTOP:
-            self.stopped_at = now
+            self.suspended_at = now
         for gateway in self.gateways:
             if gateway.process.poll() is None:
                 gateway.process.send_signal(number)
         if number == signal.SIGCONT:
-            self.stops.append(Suspension(self.stopped_at, time.monotonic()))
+            self.suspensions.append(Suspension(self.suspended_at, time.monotonic()))
 
     def _stop_connecting(self) -> None:
         for client in self.clients:
             client.may_connect = False
 
     def _await_ends(self) -> list[Violation]:
-        """Wait for the end of each process until SIGKILL may come."""
+        """Wait for the end of each gateway until the earliest time of SIGKILL; return violations."""
         found = []
         for gateway in self.gateways:
-            left_s = self.terminated_at + self.plan.kill_at_s - time.monotonic()
+            remaining_s = self.terminated_at + self.plan.kill_at_s - time.monotonic()
             try:
-                status = gateway.process.wait(max(0.0, left_s))
+                status = gateway.process.wait(max(0.0, remaining_s))
             except subprocess.TimeoutExpired:
                 found.append(Violation(Kind.LATE_END, f"over {self.plan.kill_at_s:.1f} s"))
                 continue
@@ -278,7 +286,7 @@
     return path
 
 
-def run_plan(plan: Plan, command: Sequence[str] = COMMAND) -> Outcome:
-    """Play one plan in a folder of its own."""
+def run_plan(plan: Plan, command: Sequence[str] = GATEWAY_COMMAND) -> Outcome:
+    """Run one plan in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix="gullhold-soak-") as folder:
-        return SoakRun(plan, Path(folder), command).play()
+        return SoakRun(plan, Path(folder), command).run()
--- a/gullhold/testing/soak/violations.py
+++ b/gullhold/testing/soak/violations.py
@@ -1,4 +1,4 @@
-"""What was wrong in one run of the soak, by what clients wrote and got and what engines were sent."""
+"""Checks of one run of the soak test, on what clients sent and received and on what engines received."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 
 from gullhold.testing.soak.clients_and_engines import RequestRecord, TimedFetch
 
-CROSSING_S = 0.05  # in which a request may cross the end of its connection, from the protocol
-RULE_SLACK_S = 0.05  # by which each time limit is longer on sockets, from the protocol
-LEFT_S = 0.1  # after a client has left in which an attempt may still begin, from the protocol
-MACHINE_S = 0.2  # by which this machine may be late in writing down when something happened
+CROSSING_S = 0.05  # protocol: a request written this shortly before its connection's end may go unanswered
+SOCKET_TOLERANCE_S = 0.05  # protocol: by which each time limit is longer on sockets
+ATTEMPT_AFTER_LEAVING_S = 0.1  # protocol: an attempt may still start so long after its client left
+RECORDING_DELAY_S = 0.2  # by which test doubles on a busy machine may record the time of an event late
 
 
 class Kind(StrEnum):
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One violation, with what shows it."""
+    """A violation of the protocol or of the rules for shutdown. detail: what shows it."""
 
     kind: Kind
     detail: str
@@ -36,18 +36,20 @@
 
 @dataclass(frozen=True)
 class Suspension:
-    """The process was suspended from one time to another."""
+    """An interval, in monotonic s, in which the gateways were suspended by SIGSTOP."""
 
     began_at: float
     ended_at: float
 
     def overlap_s(self, began_at: float, ended_at: float) -> float:
-        """Return for how long of an interval the process was suspended."""
+        """Return how long the gateways were suspended within an interval."""
         return max(0.0, min(self.ended_at, ended_at) - max(self.began_at, began_at))
 
 
-def check_requests(records: Iterable[RequestRecord], stops: Sequence[Suspension] = ()) -> list[Violation]:
-    """Judge what clients wrote and got."""
+def check_requests(
+    records: Iterable[RequestRecord], suspensions: Sequence[Suspension] = ()
+) -> list[Violation]:
+    """Return the violations in what clients sent and received."""
     found = []
     for record in records:
         name = f"{record.profile} {record.txn.decode()}"
@@ -55,19 +57,19 @@
             found.append(Violation(Kind.TWICE, name))
         if record.answers:
             delay_s = record.answers[0].at - record.written_at
-            stopped_s = sum(stop.overlap_s(record.written_at, record.answers[0].at) for stop in stops)
-            if delay_s > record.timeout_s + RULE_SLACK_S + MACHINE_S + stopped_s:
+            suspended_s = sum(each.overlap_s(record.written_at, record.answers[0].at) for each in suspensions)
+            if delay_s > record.timeout_s + SOCKET_TOLERANCE_S + RECORDING_DELAY_S + suspended_s:
                 found.append(Violation(Kind.LATE, f"{name}: {delay_s:.3f} s of {record.timeout_s} s"))
-        elif _is_lost(record):
+        elif _is_wrongly_unanswered(record):
             found.append(Violation(Kind.UNANSWERED, name))
     return found
 
 
-def _is_lost(record: RequestRecord) -> bool:
-    """Whether a request without an answer was written well before its connection ended."""
+def _is_wrongly_unanswered(record: RequestRecord) -> bool:
+    """Return whether a request without an answer was written early enough to be answered."""
     if record.left_at is not None or record.ends_at is None:
         return False
-    return record.written_at < record.ends_at - CROSSING_S - MACHINE_S
+    return record.written_at < record.ends_at - CROSSING_S - RECORDING_DELAY_S
 
 
 def check_attempts(
@@ -76,7 +78,11 @@
     drained_at: Mapping[int, float],
     grace_s: float,
 ) -> list[Violation]:
-    """Judge what engines were sent. drained_at: when the drain of an engine was told, by its number."""
+    """Return the violations in what engines received.
+
+    drained_at: when the gateways were told that an engine drains, by its number; grace_s: how long after that
+    it may still receive attempts.
+    """
     found = []
     by_txn = {record.txn: record for record in records}
     sent: set[bytes] = set()
@@ -84,11 +90,14 @@
         record = by_txn.get(fetch.txn)
         told_at = drained_at.get(fetch.engine)
         name = f"{fetch.txn.decode()} at engine {fetch.engine}"
-        if told_at is not None and fetch.at > told_at + grace_s + RULE_SLACK_S + MACHINE_S:
+        if told_at is not None and fetch.at > told_at + grace_s + SOCKET_TOLERANCE_S + RECORDING_DELAY_S:
             found.append(Violation(Kind.DRAINING, name))
         if record is None:
             continue
-        if record.left_at is not None and fetch.at > record.left_at + LEFT_S + MACHINE_S:
+        if (
+            record.left_at is not None
+            and fetch.at > record.left_at + ATTEMPT_AFTER_LEAVING_S + RECORDING_DELAY_S
+        ):
             found.append(Violation(Kind.AFTER_LEAVING, name))
         if record.profile == "once" and fetch.txn in sent:
             found.append(Violation(Kind.RAN_TWICE, name))
--- a/tests/faults/__init__.py
+++ b/tests/faults/__init__.py
@@ -1,5 +1,6 @@
-"""Faults of system calls, played on real gateway processes over loopback.
+"""Tests of gateway and store processes whose system calls fail.
 
-`shim.c` is loaded into a gateway (LD_PRELOAD) and fails, shortens or delays its system calls by a seeded
-plan; `plan.py` builds it and writes plans; `traffic.py` asks, answers and checks every byte that arrives.
+`shim.c` is loaded into a process (LD_PRELOAD) and fails, shortens or delays its system calls according to a
+seeded plan; `plan.py` builds it and writes plans; `traffic.py` has clients and engines that check every byte
+they receive.
 """
--- a/tests/faults/test_durability.py
+++ b/tests/faults/test_durability.py
@@ -1,4 +1,4 @@
-"""What the store acknowledged stays so, whatever disk faults it had and however it was killed."""
+"""Changes that the store server has acknowledged survive disk faults and kills."""
 
 import sqlite3
 import subprocess
@@ -26,50 +26,52 @@
         ("write", ""),
     ],
 )
-def test_nothing_told_as_done_is_undone_by_a_disk_that_fails_for_a_while_or_a_kill(tmp_path, call, error):
+def test_acknowledged_writes_survive_when_the_disk_fails_for_a_while_and_the_store_is_killed(
+    tmp_path, call, error
+):
     plan, address = Plan(tmp_path, seed=len(call + error)), free_address()
-    process = started(plan, address, tmp_path)
+    process = start_store(plan, address, tmp_path)
     session = StoreClient(address, "/t/", 2.0)
     until(lambda: session.call(ReadPrefix("/t/")).proof == Proof.DONE)
-    done, maybe = {}, {}
+    acknowledged, unconfirmed = {}, {}  # last acknowledged value of a key, later values that may be stored
     try:
-        plan.set(call, 200, error, most=0 if error else 100)
+        plan.set(call, 200, error, max_bytes=0 if error else 100)
         for n in range(ROUNDS):
             key, value = f"/t/{n % KEYS}", str(n)
             if session.call(Transaction(operations=(Put(key, value),))).proof == Proof.DONE:
-                done[key], maybe[key] = value, []
+                acknowledged[key], unconfirmed[key] = value, []
             else:
-                maybe.setdefault(key, []).append(value)
+                unconfirmed.setdefault(key, []).append(value)
         assert plan.hits(call) > 3
         plan.clear()
-        assert session.call(GrantLease(30)).proof == Proof.DONE  # it works again, for all
+        assert session.call(GrantLease(30)).proof == Proof.DONE  # the store works again without a restart
         for n in range(KEYS):
             assert session.call(Transaction(operations=(Put(f"/t/new{n}", "x"),))).proof == Proof.DONE
-            done[f"/t/new{n}"] = "x"
-        plan.set(call, 200, error, most=0 if error else 100)
+            acknowledged[f"/t/new{n}"] = "x"
+        plan.set(call, 200, error, max_bytes=0 if error else 100)
         session.call(Transaction(operations=(Put("/t/last", "x"),)))
-        read = {item.key: item.value for item in session.call(ReadPrefix("/t/")).items}
+        before_kill = {item.key: item.value for item in session.call(ReadPrefix("/t/")).items}
     finally:
         process.kill()
         process.wait()
     plan.clear()
-    again = started(plan, address, tmp_path)
+    restarted = start_store(plan, address, tmp_path)
     try:
         until(lambda: session.call(ReadPrefix("/t/")).proof == Proof.DONE)
-        found = {item.key: item.value for item in session.call(ReadPrefix("/t/")).items}
+        after_restart = {item.key: item.value for item in session.call(ReadPrefix("/t/")).items}
     finally:
-        again.kill()
-        again.wait()
-    for seen in (read, found):
-        for key, value in done.items():
-            assert seen.get(key) == value or seen.get(key) in maybe.get(key, ())
+        restarted.kill()
+        restarted.wait()
+    for stored in (before_kill, after_restart):
+        for key, value in acknowledged.items():
+            assert stored.get(key) == value or stored.get(key) in unconfirmed.get(key, ())
 
 
-def started(plan, address, folder):
-    """A register over one file, whose system calls follow the plan."""
-    words = ["register", "--listen", address, "--store", str(folder / "register.db")]
+def start_store(plan, address, folder):
+    """Start a store server on a file, with system calls that fail according to the plan."""
+    arguments = ["register", "--listen", address, "--store", str(folder / "register.db")]
     return subprocess.Popen(
-        [sys.executable, "-m", "gullhold", *words],
+        [sys.executable, "-m", "gullhold", *arguments],
         cwd=ROOT,
         env=plan.environment(),
         stdout=subprocess.DEVNULL,
@@ -77,35 +79,35 @@
     )
 
 
-class Failing:
-    """A connection to the file whose statement number `at` fails as a full disk does."""
+class FailingConnection:
+    """A connection to the store's file whose statement number `at`, from 1, fails as on a full disk."""
 
     def __init__(self, db, at):
-        self.db, self.left = db, at
+        self.db, self.statements_left = db, at
 
-    def execute(self, *words):
-        """As the connection's own."""
-        return self._run(self.db.execute, words)
+    def execute(self, *arguments):
+        """Run a statement, or fail."""
+        return self._run(self.db.execute, arguments)
 
-    def executemany(self, *words):
-        """As the connection's own."""
-        return self._run(self.db.executemany, words)
+    def executemany(self, *arguments):
+        """Run a statement with several sets of parameters, or fail."""
+        return self._run(self.db.executemany, arguments)
 
-    def _run(self, call, words):
-        self.left -= 1
-        if self.left == 0:
+    def _run(self, call, arguments):
+        self.statements_left -= 1
+        if self.statements_left == 0:
             raise sqlite3.OperationalError("database or disk is full")
-        return call(*words)
+        return call(*arguments)
 
 
 @pytest.mark.parametrize("at", range(1, 8))
-def test_a_transaction_that_fails_at_any_statement_leaves_memory_and_file_alike(tmp_path, at):
-    """Its transaction stayed open: every later change failed, while reads went on as if all were well."""
+def test_memory_and_file_hold_the_same_state_when_a_transaction_fails_at_any_statement(tmp_path, at):
+    """Guards against a failed transaction that stays open: every later change fails, while reads work."""
     store = Store(tmp_path / "register.db", sync=False)
     lease = store.grant_lease(30)
     put(store, b"a", b"1", lease)
     working = store.database.connection
-    store.database.connection = Failing(working, at)
+    store.database.connection = FailingConnection(working, at)
     failed = False
     try:
         operations = [PutKey(b"a", b"2"), DeleteKeys(b"b"), PutKey(b"c", b"3")]
@@ -116,8 +118,8 @@
     store.database.connection = working
     assert failed or at > 6
     put(store, b"d", b"4", 0)
-    again = Store(tmp_path / "register.db", sync=False)
-    for one, other in ((store, again), (again, store)):
+    reopened = Store(tmp_path / "register.db", sync=False)
+    for one, other in ((store, reopened), (reopened, store)):
         assert {key: (item.value, item.mod_revision) for key, item in one.keys.items()} == {
             key: (item.value, item.mod_revision) for key, item in other.keys.items()
         }
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process, with deadlines of any length, while clients go on asking on open connections."""
+"""Graceful shutdown with short and long client timeouts, while clients go on sending on open connections."""
 
 import signal
 import time
@@ -11,13 +11,16 @@
 from faults.traffic import FaultyGateway, statement
 from gullhold.testing.client import BlockingClient
 
-CROSSING_S = 0.05  # s in which a request may cross the end of its connection, from the protocol
-AFTER_S = 0.7  # s behind the longest deadline (3 s at most) at which SIGKILL may come: the protocol
-SPARE_S = 0.15  # s that this machine may be late in writing down when something happened
+CROSSING_S = 0.05  # protocol: a request written this shortly before its connection's end may go unanswered
+KILL_AFTER_TIMEOUT_S = 0.7  # protocol: from the longest client timeout (at most 3 s) to SIGKILL
+RECORDING_DELAY_S = 0.15  # by which a client on a busy machine may record the time of an event late
 
 
 class PacedClient(Thread):
-    """Sends requests at an even pace on one connection until that ends; keeps when each was written."""
+    """Sends requests at even intervals on one connection until it ends, and records when each was written.
+
+    odd: requests have an unknown profile, so that they are not dispatched.
+    """
 
     def __init__(self, address, record, number, pause_s, limit_ms, odd=False):
         super().__init__(daemon=True)
@@ -37,11 +40,13 @@
                     txn = b"%08x%08x" % (self.number + 1, serial)
                     body = statement(txn, 1)
                     self.record.requests[txn] = (1, body)
-                    self.written[serial] = time.monotonic()  # first: its answer may come at once
+                    self.written[serial] = (
+                        time.monotonic()
+                    )  # before it is sent, as its answer may come at once
                     self.caller.send_command("odd" if self.odd else "read", self.limit_ms, txn=txn, body=body)
                 time.sleep(self.pause_s)
         except OSError:
-            pass  # its end
+            pass  # the connection has ended
         reader.join(WAIT_TIMEOUT_S)
 
     def _read(self):
@@ -52,14 +57,18 @@
             pass
         self.ended_at = time.monotonic()
 
-    def lost(self):
-        """Requests without an answer that were written well before the end."""
-        return [seq for seq, at in self.written.items() if at < self.ended_at - CROSSING_S - SPARE_S]
+    def unanswered(self):
+        """Return the requests without an answer that were written early enough to be answered."""
+        return [
+            seq for seq, at in self.written.items() if at < self.ended_at - CROSSING_S - RECORDING_DELAY_S
+        ]
 
 
 @pytest.mark.parametrize("deadline_s", [0.3, 0.6, 1.5])
 @pytest.mark.parametrize("hangs", [False, True])
-def test_all_that_was_asked_before_the_end_is_answered_and_the_end_comes_in_time(tmp_path, deadline_s, hangs):
+def test_every_request_is_answered_and_the_process_ends_in_time_when_it_is_terminated(
+    tmp_path, deadline_s, hangs
+):
     plan = Plan(tmp_path)
     gateway = FaultyGateway(tmp_path, plan)
     for category in gateway.configuration["settings"]["categories"]:
@@ -68,7 +77,7 @@
         clients = [
             PacedClient(gateway.address, gateway.record, n, 0.02, int(deadline_s * 1000), odd=n >= 6)
             for n in range(8)
-        ]  # two ask for what can't be used, again and again
+        ]  # the last two send requests that can't be dispatched
         for client in clients:
             client.start()
         time.sleep(0.5)
@@ -79,9 +88,9 @@
         began = time.monotonic()
         gateway.process.send_signal(signal.SIGTERM)
         assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
-        assert time.monotonic() - began < deadline_s + AFTER_S
+        assert time.monotonic() - began < deadline_s + KILL_AFTER_TIMEOUT_S
         for client in clients:
             client.join(WAIT_TIMEOUT_S)
-        assert [client.lost() for client in clients] == [[]] * len(clients)
+        assert [client.unanswered() for client in clients] == [[]] * len(clients)
         assert not gateway.record.violations
         assert "Traceback" not in gateway.log_text()
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -1,7 +1,7 @@
-"""Clients and engines that check every byte which a gateway forwards.
+"""Clients and engines that check every byte that a gateway forwards.
 
-Each request has a txn of its own, which its statement and every row of its result repeat. A frame, a row or a
-request that nobody sent in this form counts as a violation; so does a client's request that was not answered.
+Each request has its own txn, which its statement and every row of its result repeat. Violations are frames,
+rows and requests that nobody sent in the form in which they arrived, and requests that were not answered.
 """
 
 import json
@@ -27,19 +27,19 @@
 from gullhold.testing.deployment import config
 from gullhold.testing.running import free_address
 
-MAX_MESSAGE_BYTES = 200_000  # bytes of one message of the gateway
-PAGE_ROWS = 200  # rows of a page: under the protocol's 6,000 bytes
-PAUSE_S = 0.005  # s between connections of a client: the machine has other tests to run
-GRACE_S = 0.5  # s after a request's time in which its answer earns nothing, but is not lost
+MAX_MESSAGE_BYTES = 200_000  # of one message from the gateway
+PAGE_ROWS = 200  # keeps a page under the protocol's 6,000 bytes
+PAUSE_S = 0.005  # between connections of a client, so that other tests on the machine get CPU time
+GRACE_S = 0.5  # after the client timeout, in which an answer is late but does not count as missing
 
 
 def statement(txn: bytes, pages: int, size: int = 0) -> bytes:
-    """A statement that names its request and how many pages its result has, filled up to a size in bytes."""
+    """Return a statement with its txn and the number of pages of its result, padded to a size in bytes."""
     return (b"select 1 from sales_3.t /* %s %d */" % (txn, pages)).ljust(size, b" ")
 
 
 def page(txn: bytes, number: int) -> bytes:
-    """One page of a result: every row names the request."""
+    """Return one page of a result, in which every row has the txn of the request."""
     return b"%s\t%d\tx\n" % (txn, number) * PAGE_ROWS
 
 
@@ -50,9 +50,9 @@
 
 
 class Record:
-    """What all clients and engines saw on the wire.
+    """What all clients and engines of a gateway have seen on the wire.
 
-    requests: (pages of the result, statement) by txn. counts: outcomes of requests, by name.
+    requests: (pages of the result, statement) by txn; counts: number of outcomes, by name.
     """
 
     def __init__(self) -> None:
@@ -67,26 +67,29 @@
             self.counts[name] = self.counts.get(name, 0) + 1
 
     def add_violation(self, text: str) -> None:
-        """Record that something arrived which nobody sent, or that something did not arrive."""
+        """Record that something arrived that was not sent, or that an answer did not arrive."""
         with self.lock:
             self.violations.append(text)
 
 
 class EchoEngine:
-    """Answers each fetch with rows that name it, page by page, and checks that a client asked for it."""
+    """An engine that answers each fetch with rows of its txn, page by page, and checks that a client sent it.
+
+    reset_probability: of a connection at each read; hangs: whether it answers nothing.
+    """
 
     def __init__(self, record: Record, reset_probability: float = 0.0, seed: int = 1) -> None:
         self.record = record
         self.connections: list[socket.socket] = []
-        self.reset_probability = reset_probability  # for each read
+        self.reset_probability = reset_probability
         self.draw = Random(seed).random
         self.fetches = 0
-        self.hangs = False  # takes work and answers nothing
+        self.hangs = False
         self.sock, self.address = open_listener()
         Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Close the listener and all connections, as at the end of a process."""
+        """Close the listener and all connections, as if the process had ended."""
         for sock in (self.sock, *self.connections):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -100,13 +103,13 @@
                 Thread(target=self._serve, args=(conn,), daemon=True).start()
 
     def _serve(self, conn: socket.socket) -> None:
-        machine = resp.Decoder(MAX_MESSAGE_BYTES)
+        decoder = resp.Decoder(MAX_MESSAGE_BYTES)
         try:
-            while machine.buffer.receive(conn):
+            while decoder.buffer.receive(conn):
                 if self.draw() < self.reset_probability:  # in the middle of a request
                     reset(conn)
                     return
-                for words in machine.arrays():
+                for words in decoder.arrays():
                     self._answer(conn, *words)
         except OSError:
             pass
@@ -126,17 +129,17 @@
             if words[2] != body:
                 self.record.add_violation(f"an engine was sent what no client had sent: {words}")
                 return
-            facts = b"pages=%d,cost=20,need=10" % pages  # what clients estimate
-            conn.sendall(resp.encode(txn, b"200", facts, page(txn, 0)))
+            fields = b"pages=%d,cost=20,need=10" % pages  # cost and need as the clients estimate them
+            conn.sendall(resp.encode(txn, b"200", fields, page(txn, 0)))
         elif verb == b"more":
             conn.sendall(resp.encode(txn, b"chunk", b"page=" + words[1], page(txn, int(words[1]))))
 
 
 class Client(Thread):
-    """Sends requests on one connection after another; some are reset with answers unread.
+    """Sends requests on one connection after another, and resets some connections with answers unread.
 
-    leaves: the probability that a connection is reset so. burst: requests on a connection.
-    size: bytes of a statement.
+    leaves: probability of such a reset; pages: pages of each result; burst: requests on a connection;
+    limit_ms: client timeout; size: bytes of a statement.
     """
 
     def __init__(
@@ -164,7 +167,7 @@
         self.serial = 0
 
     def run(self) -> None:
-        """Use one connection after another until it is stopped."""
+        """Use one connection after another until is_stopped is set."""
         while not self.is_stopped:
             try:
                 self._use_connection()
@@ -187,7 +190,7 @@
                 open_now[seq] = txn
             if leaving:
                 with suppress(ConnectionError):
-                    caller.sock.recv(1000)  # in the middle of what it is being sent
+                    caller.sock.recv(1000)  # part of the answers
                 reset(caller.sock)
                 self.record.add("left")
                 return
@@ -203,7 +206,7 @@
             self.record.add_violation(f"no answer in time: {sorted(open_now.values())}")
             open_now.clear()
             return
-        except Exception as fault:  # noqa: BLE001  bytes that are no answer, of whatever kind
+        except Exception as fault:  # noqa: BLE001  an answer that cannot be decoded
             self.record.add_violation(f"a client was sent what is no answer: {fault!r}")
             open_now.clear()
             return
@@ -211,20 +214,20 @@
             self.record.add_violation(f"a connection ended with requests open: {sorted(open_now.values())}")
             open_now.clear()
             return
-        seq, what = found
+        seq, result = found
         txn = open_now.pop(seq, None)
         if txn is None:
             self.record.add_violation(f"an answer to {seq}, which is not open here")
-        elif isinstance(what, bytes) and what != b"".join(page(txn, n) for n in range(self.pages)):
-            self.record.add_violation(f"rows of another request for {txn}: {what[:40]!r}")
-        self.record.add("answered" if isinstance(what, bytes) else what)
+        elif isinstance(result, bytes) and result != b"".join(page(txn, n) for n in range(self.pages)):
+            self.record.add_violation(f"rows of another request for {txn}: {result[:40]!r}")
+        self.record.add("answered" if isinstance(result, bytes) else result)
 
 
 class FaultyGateway:
-    """A gateway process with a plan of faults, between engines that echo and clients that check.
+    """A gateway process with a fault plan, between clients and engines that check what they receive.
 
-    It runs inside a `with` block. words: the arguments of Python, by default those that start a gateway.
-    settings: of the configuration.
+    It runs inside a `with` block. arguments: those of Python, by default those that start a gateway;
+    settings: the limits of the configuration.
     """
 
     def __init__(
@@ -233,7 +236,7 @@
         plan: Plan,
         engines: int = 2,
         reset_probability: float = 0.0,
-        words: tuple[str, ...] = ("-m", "gullhold", "serve"),
+        arguments: tuple[str, ...] = ("-m", "gullhold", "serve"),
         **settings: Any,
     ) -> None:
         self.record = Record()
@@ -241,7 +244,7 @@
         self.clients: list[Client] = []
         self.process: subprocess.Popen | None = None
         self.engines = [EchoEngine(self.record, reset_probability, seed) for seed in range(engines)]
-        self.log, self.words = folder / "log", words
+        self.log, self.arguments = folder / "log", arguments
         listen = free_address()
         host, _, port = listen.rpartition(":")
         self.address = (host, int(port))
@@ -263,7 +266,7 @@
 
     @contextmanager
     def started(self) -> Iterator[Self]:
-        """As `with` on the object itself, but without the wait until it serves."""
+        """Run the gateway in a `with` block that does not wait until it serves."""
         self._start()
         try:
             yield self
@@ -274,38 +277,38 @@
         self.path.write_text(json.dumps(self.configuration))
         with open(self.log, "wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.words],
+                [sys.executable, *self.arguments],
                 cwd=ROOT,
                 stderr=log,
                 env=self.plan.environment() | {"GW_CONFIG": str(self.path)},
             )
 
     def is_serving(self) -> bool:
-        """Whether it answers its health check with good."""
+        """Return whether the gateway's health check reports that it serves."""
         try:
             return bool(health_check.is_serving(self.address, 1.0))
         except (OSError, ProtocolError):
             return False
 
-    def start_clients(self, count: int, **facts: Any) -> None:
-        """Start so many clients; facts: arguments of Client."""
+    def start_clients(self, count: int, **options: Any) -> None:
+        """Start so many clients; options: arguments of Client."""
         for _ in range(count):
-            self.clients.append(Client(self.address, self.record, len(self.clients), **facts))
+            self.clients.append(Client(self.address, self.record, len(self.clients), **options))
             self.clients[-1].start()
 
     def stop_clients(self) -> None:
-        """Stop the clients and wait for their outstanding requests."""
+        """Stop the clients, and wait until their open requests have been answered."""
         for client in self.clients:
             client.is_stopped = True
         for client in self.clients:
             client.join(WAIT_TIMEOUT_S)
 
     def run_for(self, seconds: float) -> list[str]:
-        """Let it run for so long, then stop the clients; returns the violations."""
+        """Let the clients run for so long, then stop them; return the violations."""
         time.sleep(seconds)
         self.stop_clients()
         return self.record.violations
 
     def log_text(self) -> str:
-        """All that it has logged."""
+        """Return what the gateway has logged."""
         return self.log.read_text("utf-8", "replace")
--- a/tests/test_gateway_log.py
+++ b/tests/test_gateway_log.py
@@ -1,4 +1,4 @@
-"""The check that finds faults of the program in the logs of gateways."""
+"""Detection of faults of the program in the logs of gateways."""
 
 import pytest
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a few seeds of it, its judge, and gateways with a deliberate fault that it has to find."""
+"""The soak test on a few seeds, its checks, and gateways with a deliberate fault that it has to find."""
 
 import json
 import signal
@@ -27,7 +27,7 @@
     troubles=(),
     signals=(SignalAt(SERVING_S, signal.SIGTERM),),
 )
-# Two engines of three hang, so that commands wait while their clients leave.
+# Two of three engines hang, so that commands wait while their clients leave.
 BUSY_PLAN = replace(
     QUIET_PLAN,
     clients=8,
@@ -53,12 +53,12 @@
         ("end_late", Kind.LATE_END, QUIET_PLAN),
     ],
 )
-def test_the_soak_finds_a_gateway_with_a_deliberate_fault(mutant, kind, plan):
+def test_soak_reports_a_violation_when_the_gateway_has_a_deliberate_fault(mutant, kind, plan):
     outcome = run_plan(plan, ("-m", "gullhold.testing.soak.mutant", mutant))
     assert kind in {violation.kind for violation in outcome.violations}
 
 
-def test_one_seed_gives_one_plan_and_seeds_have_all_crowds_and_series_of_signals():
+def test_plans_are_equal_for_one_seed_and_cover_all_crowds_timeouts_and_signal_series():
     plans = [draw_plan(seed) for seed in range(50)]
     assert plans == [draw_plan(seed) for seed in range(50)]
     assert {plan.crowd for plan in plans} == set(Crowd)
@@ -67,27 +67,29 @@
 
 
 def record(profile="read", written_at=10.0, timeout_s=1.0, answers=(), **more):
-    """A request that was written at a time, and what became of it."""
+    """Return the record of a request; answers: the times at which it was answered."""
     answers = [TimedAnswer(at, "shed") for at in answers]
     return RequestRecord(b"0" * 16, profile, written_at, timeout_s, answers, **more)
 
 
 def kinds(violations):
-    """The kinds of some violations."""
+    """Return the kinds of these violations."""
     return [violation.kind for violation in violations]
 
 
-def test_the_judge_of_answers():
+def test_requests_are_violations_when_answered_late_or_twice_or_not_at_all():
     assert not check_requests([record(answers=[10.9])])
     assert kinds(check_requests([record(answers=[11.3])])) == [Kind.LATE]
     assert not check_requests([record(answers=[11.3])], [Suspension(10.1, 10.4)])
     assert kinds(check_requests([record(answers=[10.1, 10.2])])) == [Kind.TWICE]
     assert kinds(check_requests([record(ends_at=11.0)])) == [Kind.UNANSWERED]
-    assert not check_requests([record(ends_at=10.01)])  # crosses the end of its connection
+    assert not check_requests(
+        [record(ends_at=10.01)]
+    )  # written so late that it may cross the end of its connection
     assert not check_requests([record(ends_at=11.0, left_at=10.5)])
 
 
-def test_the_judge_of_attempts():
+def test_attempts_are_violations_after_the_client_left_on_a_draining_engine_or_when_repeated():
     left, once = record(left_at=10.5), record("once", answers=[10.1])
     assert not check_attempts([left], [TimedFetch(10.4, left.txn, 0)], {}, 0.5)
     assert kinds(check_attempts([left], [TimedFetch(10.9, left.txn, 0)], {}, 0.5)) == [Kind.AFTER_LEAVING]
@@ -97,7 +99,7 @@
     assert kinds(check_attempts([once], fetches[:1], {0: 9.0}, 0.5)) == [Kind.DRAINING]
 
 
-def test_the_command_ends_with_a_line_of_json():
+def test_benchmark_prints_a_last_line_of_json_and_its_status_follows_the_violations():
     command = [sys.executable, "-m", "benchmarks.soak", "--seeds", "1000:1001", "--seconds", "0"]
     ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     last_line = json.loads(ended.stdout.splitlines()[-1])
