--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -35,18 +35,18 @@
 class ForgetsWindow(Ledger):
     """Takes what was spent within the window for free once an allocation was reduced."""
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:
         """Take in a report."""
-        super().report(member, seen_write, in_use, now)
+        super().report(member, applied_write, in_use, now)
         self.entries[member].expiring = []
 
 
 class ForgetsInUse(Ledger):
     """Takes what is in use for ended when an allocation is given back."""
 
-    def report(self, member: str, seen_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  the fault
+    def report(self, member: str, applied_write: int, in_use: int, now: int) -> None:  # noqa: ARG002  the fault
         """Take in a report."""
-        super().report(member, seen_write, 0, now)
+        super().report(member, applied_write, 0, now)
 
 
 class ForgetsDeadMembers(Ledger):
@@ -108,7 +108,7 @@
         self, write: int, now: int, max_budgets: int = MAX_BUDGETS_PER_ROUND
     ) -> dict[str, dict[str, int]]:
         """Allocate."""
-        self.left = {}
+        self.newly_left = {}
         return super().allocate(write, now, max_budgets)
 
 
@@ -137,7 +137,7 @@
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
         """Take in the reply to a write."""
         if reply.proof == Proof.UNKNOWN and self.writing == serial:
-            reply = reply._replace(proof=Proof.DONE, revision=self.fence)
+            reply = reply._replace(proof=Proof.DONE, revision=self.fence_revision)
         super().written(now, serial, reply)
 
 
@@ -184,17 +184,17 @@
         """Note the current lease."""
         if lease_id != self.lease_id:
             self.lease_id = lease_id
-            self.seen_write = 0
+            self.applied_write = 0
 
 
 class AcknowledgesUnapplied(Allocations):
     """Says that it goes by a reduction, and goes on by the larger allocation."""
 
-    def apply_write(self, lease_id: int, write: int, written: Mapping[str, int]) -> None:
+    def apply_write(self, lease_id: int, write: int, stored_amounts: Mapping[str, int]) -> None:
         """Take in a write."""
         before = {key: allocation.allocated for key, allocation in self.allocations.items()}
-        super().apply_write(lease_id, write, written)
-        if not written:
+        super().apply_write(lease_id, write, stored_amounts)
+        if not stored_amounts:
             return
         for key, allocated in before.items():
             self.allocations[key].allocated = max(allocated, self.allocations[key].allocated)
