--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -129,9 +129,8 @@
         fleet.kill("n0")
         fleet.wait_until(lambda: allocations(fleet).get("n1", 0) == 12)
         time.sleep(0.8)
-        fleet.wait_until(
-            lambda: len(fleet.engines[0].open) == 12
-        )  # it is less for a moment between two commands
+        # It is less for a moment between two commands.
+        fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
         stop_clients(*clients)
         check_fleet(fleet, min_attempts=20)
 
