--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -40,9 +40,8 @@
                     txn = b"%08x%08x" % (self.number + 1, serial)
                     body = statement(txn, 1)
                     self.record.requests[txn] = (1, body)
-                    self.written[serial] = (
-                        time.monotonic()
-                    )  # before it is sent, as its answer may come at once
+                    # Recorded before it is sent, as its answer may come at once.
+                    self.written[serial] = time.monotonic()
                     self.caller.send_command("odd" if self.odd else "read", self.limit_ms, txn=txn, body=body)
                 time.sleep(self.pause_s)
         except OSError:
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -45,9 +45,8 @@
         until(lambda: all(plan.hits(call) for call, *_ in PLANS[name]))
         until(lambda: gateway.record.counts.get("answered", 0) > 40)
         assert not gateway.run_for(0.5)
-        assert ("Traceback" in gateway.log_text()) == (
-            name == "waits that fail"
-        )  # the flusher logs the failure and continues
+        # The flusher logs the failure of its wait and continues.
+        assert ("Traceback" in gateway.log_text()) == (name == "waits that fail")
         plan.clear()
         gateway.process.send_signal(signal.SIGTERM)
         assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -117,9 +117,8 @@
     for engine in engines:
         engine.alive_delay_s = 0.2
     gateway, client = start_gateway(*engines)
-    seq = client.send_command(
-        limit=4000, cpu=b"20"
-    )  # takes far longer than usual, so it is cancelled and retried
+    # Takes far longer than usual, so it is cancelled and retried.
+    seq = client.send_command(limit=4000, cpu=b"20")
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     messages = sorted((words for engine in engines for words in engine.received), key=lambda words: words[-1])
     order = [words[1] for words in messages if words[1] in (b"fetch", b"abort", b"alive answered")]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -83,9 +83,8 @@
     assert not check_requests([record(answers=[11.3])], [Suspension(10.1, 10.4)])
     assert kinds(check_requests([record(answers=[10.1, 10.2])])) == [Kind.TWICE]
     assert kinds(check_requests([record(ends_at=11.0)])) == [Kind.UNANSWERED]
-    assert not check_requests(
-        [record(ends_at=10.01)]
-    )  # written so late that it may cross the end of its connection
+    # Written so late that it may cross the end of its connection.
+    assert not check_requests([record(ends_at=10.01)])
     assert not check_requests([record(ends_at=11.0, left_at=10.5)])
 
 
