--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -4,18 +4,18 @@
 import time
 from typing import Any
 
-from benchmarks.budget_rig import MEMBERS, make_rig, start_client, threads_budget, windowed_budget
+from benchmarks.budget_fleet import MEMBERS, make_fleet, start_client, threads_budget, windowed_budget
 from benchmarks.fleet_load import count_fault_lines, stop_clients
 from gullhold.testing import load_client
-from gullhold.testing.budget_checker import AllocationHistory, most_at_once, most_in_window, retries
+from gullhold.testing.budget_checker import AllocationHistory, peak_in_window, peak_threads, retries
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import FleetRig
 
 TOTALS = {"threads": 24, "further": 20, "taken": 400}  # of the budgets, by their kind
 RETRY_WINDOW_S = 2.0
 DEMANDS = (40, 12)  # open commands of the two clients that start in each turn
-KEPT_CLIENTS = 2  # that go on into the next turn
-FAULTS_LAST_S = 0.8
+CONTINUING_CLIENTS = 2  # that go on into the next turn
+FAULT_DURATION_S = 0.8
 RECOVERY_S = 0.5
 CUT_DIRECTIONS = (("there", "back"), ("back",))  # in turn
 
@@ -37,10 +37,10 @@
         paused, cut, killed = self.draw.sample(rig.names, 3)
         rig.pause(paused)
         rig.cut(cut, directions=CUT_DIRECTIONS[turn % 2])
-        self._strike(turn, killed)
-        time.sleep(FAULTS_LAST_S)
-        stop_clients(self.clients[:-KEPT_CLIENTS])
-        self.clients = self.clients[-KEPT_CLIENTS:]
+        self._inject_fault(turn, killed)
+        time.sleep(FAULT_DURATION_S)
+        stop_clients(self.clients[:-CONTINUING_CLIENTS])
+        self.clients = self.clients[-CONTINUING_CLIENTS:]
         rig.resume(paused)
         rig.heal(cut)
         if turn % 3 == 0:
@@ -54,11 +54,11 @@
         )
         self.clients.append(client)
 
-    def _strike(self, turn: int, victim: str) -> None:
+    def _inject_fault(self, turn: int, member: str) -> None:
         """By turns a gateway is killed, calls of the store fail, or the store restarts."""
         match turn % 3:
             case 0:
-                self.rig.kill(victim)
+                self.rig.kill(member)
             case 1:
                 self.rig.inject_store_faults(lose=8, stale=3, behind=4)
             case _:
@@ -66,18 +66,18 @@
                 self.rig.start_store()
 
 
-def judge(rig: FleetRig) -> dict[str, Any]:
+def collect_figures(rig: FleetRig) -> dict[str, Any]:
     """The figures of a run: what engines counted, the store's journal shows and the gateways logged."""
-    peaks = [most_at_once(engine.attempts).amount for engine in rig.engines]
+    peaks = [peak_threads(engine.attempts).amount for engine in rig.engines]
     retried = retries(rig.engines)
-    most_retries = most_in_window(retried, RETRY_WINDOW_S).amount
+    most_retries = peak_in_window(retried, RETRY_WINDOW_S).amount
     history = AllocationHistory(rig.journal_lines())
     over_total = sum(peak > TOTALS["threads"] for peak in peaks)
     over_total += most_retries > TOTALS["further"]
-    over_total += sum(most > TOTALS[budget.partition("/")[0]] for budget, most in history.most.items())
+    over_total += sum(most > TOTALS[budget.partition("/")[0]] for budget, most in history.max_sums.items())
     return {
         "over_whole": over_total,
-        "moves": history.moves,
+        "moves": history.increases,
         "rules_broken": count_fault_lines(rig),
         "further_sends": len(retried),
         "most_at_once": peaks,
@@ -97,11 +97,11 @@
         windowed_budget("further", TOTALS["further"], "2s"),
         windowed_budget("taken", TOTALS["taken"], "1s"),
     ]
-    with make_rig(MEMBERS, budgets, engines=2, seed=seed, make=_make_failing_engine) as rig:
+    with make_fleet(MEMBERS, budgets, engines=2, seed=seed, make=_make_failing_engine) as rig:
         rig.start()
         run = FaultRun(rig, random.Random(seed))
         for turn in range(turns):
             run.run_turn(turn)
         stop_clients(run.clients)
         rig.stop(*[name for name in rig.names if rig.members[name].process.poll() is None])
-        return judge(rig)
+        return collect_figures(rig)
--- a/benchmarks/budget_rig.py
+++ b/benchmarks/budget_fleet.py
@@ -27,7 +27,7 @@
     return {"of": f'"{kind}"', "whole": total, "window": window}
 
 
-def make_rig(
+def make_fleet(
     members: int,
     budgets: Sequence[Budget],
     engines: int = 1,
@@ -65,4 +65,4 @@
 def allocations(rig: FleetRig) -> dict[str, int]:
     """Each member's allocation of the one engine's threads, by name."""
     history = AllocationHistory(rig.journal_lines())
-    return history.now(next(iter(history.most), ""))
+    return history.allocated_by_name(next(iter(history.max_sums), ""))
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -15,7 +15,7 @@
 )
 from benchmarks.harness import rounded_quantile
 from gullhold.testing.fleet import FleetRig
-from gullhold.testing.fleet_checker import Check, marks, sent
+from gullhold.testing.fleet_checker import FleetChecker, attempts_by_key, attempts_by_statement
 from gullhold.testing.running import cpu_s, resident_mb
 
 PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the word in a statement's table
@@ -24,14 +24,14 @@
 NON_IDEMPOTENT = "single"
 FAULTY_MEMBERS = 6
 FAULTY_HEARTBEATS = 18
-FAULT_S = 1.7  # longer than a lease
+FAULT_DURATION_S = 1.7  # longer than a lease
 RECOVERY_S = 0.5
 NO_HANDOVER = 99.0  # leases, where no effect followed
 MEMBERS = 4
 HEARTBEATS = 24
 IDLE_HEARTBEATS = 36
 IDLE_PERIOD_MS = 3_600_000  # of a heartbeat, longer than the run
-STORE_LOSS_S = 1.2  # after which all leases have expired
+LEASE_EXPIRY_WAIT_S = 1.2  # after which all leases have expired
 
 
 def scheduled_command(kind: str, number: int) -> dict[str, str]:
@@ -47,7 +47,7 @@
     }
 
 
-def run_faults(rounds: int, seed: int) -> dict[str, Any]:
+def run_faults(turns: int, seed: int) -> dict[str, Any]:
     """Six gateways, roles and scheduled commands under drawn faults; figures of what was kept."""
     draw = random.Random(seed)
     scheduled = [
@@ -64,50 +64,50 @@
     with rig:
         rig.start()
         rig.wait_until(lambda: len(rig.leaders()) == roles)
-        for turn in range(rounds):
+        for turn in range(turns):
             _run_one_fault(rig, draw.sample(rig.names, 4), turn)
         rig.wait_until(lambda: len(rig.leaders()) == roles)
         time.sleep(1.5)
         rig.stop(*rig.names)
-        return judge(rig, [item["name"].strip('"') for item in scheduled])
+        return collect_figures(rig, [item["name"].strip('"') for item in scheduled])
 
 
 def _run_one_fault(rig: FleetRig, names: list[str], turn: int) -> None:
     """One is cut off one way, one both ways, one sleeps, and by turns one is killed, or the store fails."""
-    cut_one_way, cut_off, sleeper, victim = names
+    cut_one_way, cut_both_ways, paused, killed = names
     rig.cut(cut_one_way, directions=("there",))
-    rig.cut(cut_off)
-    rig.pause(sleeper)
+    rig.cut(cut_both_ways)
+    rig.pause(paused)
     if turn % 3 == 0:
-        rig.kill(victim)
+        rig.kill(killed)
     elif turn % 3 == 1:
         rig.inject_store_faults(lose=6, stale=3, behind=4)
     else:
         rig.kill_store()
         rig.start_store()
-    time.sleep(FAULT_S)
+    time.sleep(FAULT_DURATION_S)
     rig.heal(cut_one_way)
-    rig.heal(cut_off)
-    rig.resume(sleeper)
+    rig.heal(cut_both_ways)
+    rig.resume(paused)
     if turn % 3 == 0:
-        rig.start(victim)
+        rig.start(killed)
     time.sleep(RECOVERY_S)
 
 
-def judge(rig: FleetRig, commands: Iterable[str]) -> dict[str, Any]:
+def collect_figures(rig: FleetRig, commands: Iterable[str]) -> dict[str, Any]:
     """What the store's journal and the engines' records say of a run."""
-    check = Check(rig.journal_lines())
+    check = FleetChecker(rig.journal_lines())
     occurrences = check.occurrences()
-    late_effects = [line for line in check.broken if "token" in line or "effect" in line]
-    for line in check.broken[:5]:
+    late_effects = [line for line in check.violations if "token" in line or "effect" in line]
+    for line in check.violations[:5]:
         print("broken:", line)
     states = [record["state"] for record in occurrences.values()]
     return {
-        "owners_accepted_at_once": len(check.broken) - len(late_effects),
+        "owners_accepted_at_once": len(check.violations) - len(late_effects),
         "late_effects_accepted": len(late_effects),
-        "late_effects_tried": check.late,
+        "late_effects_tried": check.rejected_effects,
         "effects": check.effects,
-        "moves": check.moves,
+        "moves": check.leader_changes,
         "occurrences": len(occurrences),
         "occurrences_lost": sum(count_missing(check, command) for command in commands),
         "non_replayable_twice": _count_repeats(rig, occurrences),
@@ -120,7 +120,7 @@
 def _count_repeats(rig: FleetRig, occurrences: dict[tuple[str, int], Any]) -> int:
     """Attempts of non-idempotent commands beyond those that their records allow for."""
     repeats = 0
-    for statement, attempts in sent(rig.engines).items():
+    for statement, attempts in attempts_by_statement(rig.engines).items():
         if NON_IDEMPOTENT not in statement:
             continue
         table = statement.split()[3]
@@ -133,13 +133,13 @@
 def _count_late_repeats(rig: FleetRig) -> int:
     """Idempotency keys that were sent over a longer time than engines remember them."""
     late = 0
-    for attempts in marks(rig.engines).values():
+    for attempts in attempts_by_key(rig.engines).values():
         times = [at for at, _ in attempts]
         late += max(times) - min(times) > rig.dedup_s
     return late
 
 
-def count_missing(check: Check, command: str) -> int:
+def count_missing(check: FleetChecker, command: str) -> int:
     """Due times of a command without a record, between the first and the last that are recorded."""
     recorded = sorted(
         (due, record["count"] if record["state"] == "skipped" else 1)
@@ -176,7 +176,7 @@
             times = _run_one_handover(rig, rig.names[turn % MEMBERS], is_kill)
             (after_kill if is_kill else after_sigterm).extend(times)
             _wait_for_leaders(rig)
-        broken = Check(rig.journal_lines()).broken
+        broken = FleetChecker(rig.journal_lines()).violations
     return Handovers(rounded_quantile(after_kill), rounded_quantile(after_sigterm), len(broken))
 
 
@@ -195,7 +195,7 @@
         rig.members[name].terminate()
     rig.wait_until(lambda: all(rig.leaders().get(role, (name, 0))[0] != name for role in roles))
     time.sleep(0.3)
-    handovers = Check(rig.journal_lines()).handovers()
+    handovers = FleetChecker(rig.journal_lines()).handovers()
     times = []
     for role in roles:
         first_effects = [
@@ -256,7 +256,7 @@
         time.sleep(0.5)
         share_alive = measure_answered_share(clients, seconds)
         rig.kill_store()
-        time.sleep(STORE_LOSS_S)
+        time.sleep(LEASE_EXPIRY_WAIT_S)
         share_dead = measure_answered_share(clients, seconds)
         stop_clients(clients)
         rig.start_store()
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -1,7 +1,7 @@
-"""The world in which decisions of budgets are explored: members, two processes that may lead, a small store.
+"""The simulated world of budgets: members, two processes that may lead the allocator role, and a model store.
 
-Members are on clocks of their own within the stated drift. What is really begun is counted in the world's own
-time; it may never pass the total.
+Clocks of members deviate from the world's time by no more than the allowed drift. What members really use is
+counted in the world's time; it may never exceed the budget's total.
 """
 
 from collections.abc import Hashable
@@ -33,56 +33,63 @@
 )
 from gullhold.testing.role_pair_world import QUANTUM_US, RATES, TERMS, RolePairWorld
 from gullhold.testing.simulated_budget_member import SimulatedMember
-from gullhold.testing.store_model import Model
+from gullhold.testing.store_model import StoreModel
 from gullhold.testing.walking import InvariantError
 
-DEMANDS = (0, 4, TOTAL)  # of a member in turn, while demand changes
-SETTLED_DEMAND = 3  # of each member in the end
-FAULTS = (*CALL_FAULTS, ActionKind.DIE, ActionKind.CUT, ActionKind.ELECT, ActionKind.MISS, ActionKind.LEAVE)
-SETTLED = 30  # moments in which a fleet without faults has to have allocated all
-MAX_QUIET_STEPS = 60  # steps in which all that is under way is carried out
+DEMANDS = (0, 4, TOTAL)  # of a member, in turn, until the world settles
+SETTLED_DEMAND = 3  # of each member once the world settles
+FAULTS = (
+    *CALL_FAULTS,
+    ActionKind.CRASH,
+    ActionKind.DISCONNECT,
+    ActionKind.ELECT,
+    ActionKind.MISS_CHANGES,
+    ActionKind.LEAVE,
+)
+SETTLING_STEPS = 30  # steps of time within which a fleet without faults has to allocate everything
+MAX_ACTIONS_PER_SETTLING_STEP = 60  # to carry out what is under way
 
-Action = tuple[Any, ...]  # (what, whom)
+Action = tuple[Any, ...]  # (kind, argument of the kind)
 
 
 class Lingering(NamedTuple):
-    """So many calls of a dead member that may run until a time in us."""
+    """A number of calls of a crashed member that may run until a time in us."""
 
     until: int
     calls: int
 
 
 class World(RolePairWorld):
-    """Members, two processes that may lead, store, and what is under way.
+    """Members, two candidates for the allocator role, the store, and the calls under way.
 
-    act() takes one of actions(); raises InvariantError. spent: when each amount of a windowed budget was
-    spent; lingering: work of members that have died; is_settling: demand changes no more.
+    act() carries out one of actions(). spent: times at which an amount of 1 of a windowed budget was spent,
+    in us; lingering: calls of crashed members; is_settling: whether demand has stopped changing.
     """
 
     def __init__(self, kind: LedgerKind, faults: int = 4, **variant: Any) -> None:
-        """variant: fields of Variant."""
+        """kind: of the ledger; faults: number of faults that may still happen; variant: fields of Variant."""
         self.kind = kind
         self.variant = Variant(**variant)
         budgets = {BUDGET: self.variant.budget(kind)}
         roles = [
             self.variant.make_role(budgets, make_allocator=self.variant.make_allocator) for _ in range(2)
         ]
-        super().__init__(Model(ROOT), "duties/" + ROLE, REPORTS, roles, faults)
+        super().__init__(StoreModel(ROOT), "duties/" + ROLE, REPORTS, roles, faults)
         self.spent: list[int] = []
         self.lingering: list[Lingering] = []
         self.is_settling = False
         for name in NAMES:
-            self._do_come(name)
+            self._do_join(name)
         self._do_elect(0)
 
-    def _do_come(self, name: str) -> None:
-        """A process begins, and has a lease."""
+    def _do_join(self, name: str) -> None:
+        """Start a member's process, and grant it a lease."""
         member = SimulatedMember(self, name, RATES[len(self.members) % len(RATES)])
         self.members.append(member)
         self._grant(member)
 
     def _grant(self, member: SimulatedMember) -> None:
-        member.lease.renew(self.model.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
+        member.lease.renew(self.store.call(GrantLease(TERMS.ttl_s), self.now).lease, member())
         member.reported_revision = 0
         member.applied_revision = 0
         member.allocations.begin_lease(member.lease.id)
@@ -101,30 +108,30 @@
         return Transaction(conditions, (write,))
 
     def actions(self) -> list[Action]:
-        """Return all that may be next."""
-        found: list[Action] = [(ActionKind.TIME,), *self.call_actions(), *self.holder_actions()]
+        """Return all actions that are possible now."""
+        found: list[Action] = [(ActionKind.ADVANCE_TIME,), *self.call_actions(), *self.candidate_actions()]
         for index, member in enumerate(self.members):
             found += self._member_actions(index, member)
-        return found + [(ActionKind.COME, name) for name in self._missing_names()]
+        return found + [(ActionKind.JOIN, name) for name in self._missing_names()]
 
     def _member_actions(self, index: int, member: SimulatedMember) -> list[Action]:
         found: list[Action] = []
         if member.allocation.allows(1):
-            found.append((ActionKind.SPEND, index))
+            found.append((ActionKind.ACQUIRE, index))
         if member.running:
-            found.append((ActionKind.END, index))
-        if not member.cut and self._rows(member):
-            found.append((ActionKind.HEAR, index))
+            found.append((ActionKind.RELEASE, index))
+        if not member.is_disconnected and self._rows(member):
+            found.append((ActionKind.NOTIFY_MEMBER, index))
         if self.may_report(member):
             found.append((ActionKind.REPORT, index))
         if self.faults:
             found += [
-                (ActionKind.DIE, index),
+                (ActionKind.CRASH, index),
                 (ActionKind.LEAVE, index),
-                (ActionKind.HEAL if member.cut else ActionKind.CUT, index),
+                (ActionKind.RECONNECT if member.is_disconnected else ActionKind.DISCONNECT, index),
             ]
-        elif member.cut:
-            found.append((ActionKind.HEAL, index))
+        elif member.is_disconnected:
+            found.append((ActionKind.RECONNECT, index))
         return found
 
     def _missing_names(self) -> list[str]:
@@ -132,59 +139,59 @@
         return [name for name in NAMES if name not in present]
 
     def next_orderly_action(self) -> Action | None:
-        """Return what happens next where nothing is wrong; None: nothing is under way."""
+        """Return the next action in the order of a world without faults; None: nothing is under way."""
         action = super().next_orderly_action()
         if action:
             return action
         for index, member in enumerate(self.members):
-            if not member.cut and self._rows(member):
-                return ActionKind.HEAR, index
+            if not member.is_disconnected and self._rows(member):
+                return ActionKind.NOTIFY_MEMBER, index
         return None
 
     def may_report(self, member: SimulatedMember) -> bool:
-        """Whether a member may report: one report of it is under way at a time."""
+        """Whether a member may report now: it sends its next report only after the reply to the last one."""
         is_reporting = any(caller is member for caller, *_ in self.calls)
         return member.lease.is_valid(member()) and not is_reporting
 
     def _rows(self, member: SimulatedMember) -> list[tuple[int, str, str | None]]:
-        """Return the writes of a member's row, as (revision, key, value), that it has not taken in."""
+        """Return the writes of a member's row that it has not applied yet, as (revision, key, value)."""
         key = ALLOCATIONS + member.key()
         return [row for row in self.changes_since(member.applied_revision + 1, key) if row[1] == key]
 
-    def act(self, what: ActionKind, whom: Any = 0) -> None:
-        """Do one thing; raises InvariantError."""
-        self.faults -= what in FAULTS
-        self.HANDLERS[what](self, whom)
+    def act(self, kind: ActionKind, argument: Any = 0) -> None:
+        """Carry out one action; raises InvariantError."""
+        self.faults -= kind in FAULTS
+        self.HANDLERS[kind](self, argument)
         self.check()
 
-    def _do_time(self, _: Any) -> None:
+    def _do_advance_time(self, _: Any) -> None:
         self.now += QUANTUM_US
         for member in self.members:
             lease_id = member.lease.id
             self._renew_lease(member)
             if lease_id and member.lease.id != lease_id:
                 member.lease_lost_at = self.now
-            while member.running and member.running[0] <= self.now - LINGER_US:  # nothing runs longer
+            while member.running and member.running[0] <= self.now - LINGER_US:  # no call runs longer
                 member.running.pop(0)
                 member.allocation.release(1)
-        self._step_holders()
+        self._step_candidates()
 
-    def _do_reply(self, index: int) -> None:
-        caller, (what, *context), reply = self.replies.pop(index)
-        if what != "reported":
-            self._call_holder(caller, what, *context, reply)
+    def _do_deliver_reply(self, index: int) -> None:
+        caller, (method, *context), reply = self.replies.pop(index)
+        if method != "reported":
+            self._call_candidate(caller, method, *context, reply)
         elif caller in self.members and context[0] == REPORTS + caller.key():
             self._reported(caller, reply)
 
     def _reported(self, member: SimulatedMember, reply: Reply) -> None:
         if reply.proof == Proof.DONE and reply.succeeded:
             member.reported_revision = reply.revision
-        else:  # as the driver does: what is stored is looked at, and everything is reported again
-            item = self.model.keys.get(REPORTS + member.key())
+        else:  # like the product's driver: read the stored revision, and report everything again
+            item = self.store.keys.get(REPORTS + member.key())
             member.reported_revision = item.revision if item else 0
             self._report(member)
 
-    def _do_spend(self, index: int) -> None:
+    def _do_acquire(self, index: int) -> None:
         member = self.members[index]
         while member.allocation.allows(1):
             member.allocation.acquire(1)
@@ -192,14 +199,14 @@
             if self.kind == LedgerKind.HELD:
                 member.running.append(self.now)
 
-    def _do_end(self, index: int) -> None:
+    def _do_release(self, index: int) -> None:
         member = self.members[index]
         older_half = -(-len(member.running) // 2)
         for _ in range(older_half):
             member.running.pop(0)
             member.allocation.release(1)
 
-    def _do_hear(self, index: int) -> None:
+    def _do_notify_member(self, index: int) -> None:
         member = self.members[index]
         member.applied_revision, _, value = self._rows(member)[0]
         if value is not None:
@@ -213,10 +220,10 @@
         member.demand = SETTLED_DEMAND if self.is_settling else DEMANDS[turn % len(DEMANDS)]
         self._report(member)
 
-    def _do_die(self, index: int) -> None:
-        """What it began goes on for as long as it may after it became unable to begin more.
+    def _do_crash(self, index: int) -> None:
+        """End a member without releasing anything; its calls run on for up to LINGER_US.
 
-        That is now, but for what it had begun when it lost an earlier lease: that long after the loss.
+        That time counts from now; for calls that began before the loss of an earlier lease, from that loss.
         """
         member = self.members.pop(index)
         self._drop_calls(member)
@@ -224,24 +231,24 @@
         self._linger(member.lease_lost_at, earlier_calls)
         self._linger(self.now, len(member.running) - earlier_calls)
 
-    def _linger(self, unable_since: int, calls: int) -> None:
+    def _linger(self, inactive_since: int, calls: int) -> None:
         if calls:
-            self.lingering.append(Lingering(unable_since + LINGER_US, calls))
+            self.lingering.append(Lingering(inactive_since + LINGER_US, calls))
 
     def _drop_calls(self, member: SimulatedMember) -> None:
         self.calls = [row for row in self.calls if row[0] is not member]
 
     def _do_leave(self, index: int) -> None:
-        """In good order: nothing is begun any more, the last report is written, the lease ends."""
+        """Shut a member down in order: it writes its last report, and its lease ends."""
         member = self.members[index]
-        if member.lease.is_valid(member()) and not member.cut:
+        if member.lease.is_valid(member()) and not member.is_disconnected:
             self._drop_calls(member)
-            self.model.call(self._report_call(member, has_left=True), self.now)
-            self.model.end(member.lease.id)
-        self._do_die(self.members.index(member))
+            self.store.call(self._report_call(member, has_left=True), self.now)
+            self.store.end_lease(member.lease.id)
+        self._do_crash(self.members.index(member))
 
     def check(self) -> None:
-        """Raise InvariantError where more than the total is in use, or was spent within any window."""
+        """Raise InvariantError if too much is in use, was spent within a window, or is allocated."""
         self.lingering = [row for row in self.lingering if row.until > self.now]
         if self.kind == LedgerKind.HELD:
             used = sum(len(member.running) for member in self.members)
@@ -250,22 +257,22 @@
             self.spent = [at for at in self.spent if at > self.now - WINDOW_US]
             used = len(self.spent)
         if used > TOTAL:
-            raise InvariantError(f"{used} of {TOTAL} are in use")
+            raise InvariantError(f"{used} of a total of {TOTAL} are in use")
         allocated = self._stored_allocations()
         if allocated > TOTAL - RESERVE * len(NAMES):
             raise InvariantError(f"{allocated} of {TOTAL - RESERVE * len(NAMES)} are allocated")
 
     def _stored_allocations(self) -> int:
-        """Return the sum of all allocations in the store, as one that reads it sees them."""
-        rows = [item.value for key, item in self.model.keys.items() if key.startswith(ALLOCATIONS)]
+        """Return the sum of all allocations in the store."""
+        rows = [item.value for key, item in self.store.keys.items() if key.startswith(ALLOCATIONS)]
         entries = [entry for row in rows for entry in decode_row(row).entries.values()]
         return sum(allocated_amount(entry) for entry in entries)
 
-    def mark(self) -> Hashable:
-        """Return what makes two states the same: all but absolute time and numbers of writes."""
+    def fingerprint(self) -> Hashable:
+        """Return a value that is equal for states that differ only in time and in numbers of writes."""
         return (
-            tuple(member.state() for member in self.members),
-            tuple((key, item.value) for key, item in sorted(self.model.keys.items())),
+            tuple(member.fingerprint() for member in self.members),
+            tuple((key, item.value) for key, item in sorted(self.store.keys.items())),
             tuple((tag, str(request)) for _, request, tag in self.calls),
             tuple((tag, reply.proof, reply.succeeded) for _, tag, reply in self.replies),
             tuple(map(str, self.delayed_requests)),
@@ -274,48 +281,51 @@
             self.faults,
             tuple(
                 (role.token, role.is_loaded, role.fence_revision, role.reading, role.writing)
-                for role in self.holders
+                for role in self.candidates
             ),
             tuple(at - self.now for at in self.spent),
             tuple((until - self.now, calls) for until, calls in self.lingering),
         )
 
-    def calm(self) -> None:
-        """No more faults: all is carried out in turn, everybody reports, and one leader allocates."""
+    def settle(self) -> None:
+        """End the faults, and let the fleet reach a steady state.
+
+        Delayed calls are lost, missing members start, all report the same demand, and one leader allocates.
+        """
         self.faults = 0
         self.delayed_requests = []
         self.is_settling = True
-        self.holders[1 - self.leader].lost()
+        self.candidates[1 - self.leader].lost()
         for member in self.members:
-            member.cut = False
-        for _ in range(SETTLED):
-            self._calm_moment()
+            member.is_disconnected = False
+        for _ in range(SETTLING_STEPS):
+            self._take_settling_step()
 
-    def _calm_moment(self) -> None:
-        self.act(ActionKind.TIME)
+    def _take_settling_step(self) -> None:
+        self.act(ActionKind.ADVANCE_TIME)
         for index, member in enumerate(self.members):
             if self.kind == LedgerKind.HELD:
-                self.act(ActionKind.END, index)
+                self.act(ActionKind.RELEASE, index)
             if self.may_report(member):
                 self.act(ActionKind.REPORT, index)
         for name in self._missing_names():
-            self.act(ActionKind.COME, name)
-        self.finish_calls(MAX_QUIET_STEPS)
+            self.act(ActionKind.JOIN, name)
+        self.finish_calls(MAX_ACTIONS_PER_SETTLING_STEP)
 
-    def settled(self) -> None:
-        """Raise InvariantError unless all that may be allocated is allocated among those who live."""
+    def check_settled(self) -> None:
+        """Raise InvariantError unless all that can be allocated is allocated to the running members."""
         allocated = sum(member.allocation.allocated for member in self.members)
-        if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # one of it may be on its way
-            raise InvariantError(f"{allocated} are divided though nothing is wrong any more")
+        if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # 1 may be in transfer between members
+            raise InvariantError(f"{allocated} are allocated after the end of the faults, though more can be")
 
     HANDLERS = RolePairWorld.HANDLERS | {
-        ActionKind.COME: _do_come,
-        ActionKind.TIME: _do_time,
-        ActionKind.REPLY: _do_reply,
-        ActionKind.SPEND: _do_spend,
-        ActionKind.END: _do_end,
-        ActionKind.HEAR: _do_hear,
+        ActionKind.JOIN: _do_join,
+        ActionKind.ADVANCE_TIME: _do_advance_time,
+        ActionKind.DELIVER_REPLY: _do_deliver_reply,
+        ActionKind.ACQUIRE: _do_acquire,
+        ActionKind.RELEASE: _do_release,
+        ActionKind.NOTIFY_MEMBER: _do_notify_member,
         ActionKind.REPORT: _do_report,
-        ActionKind.DIE: _do_die,
+        ActionKind.CRASH: _do_crash,
         ActionKind.LEAVE: _do_leave,
     }
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -17,7 +17,7 @@
 
 from gullhold.testing import WAIT_TIMEOUT_S, gateway_log
 from gullhold.testing.deployment import config
-from gullhold.testing.fleet_checker import Check
+from gullhold.testing.fleet_checker import FleetChecker
 from gullhold.testing.fleet_process import Member, StoreProcess
 from gullhold.testing.recording_engine import RecordingEngine
 from gullhold.testing.relay import Direction, RelayMode
@@ -302,7 +302,7 @@
 
     def leaders(self) -> dict[str, tuple[str, int]]:
         """Return the (member, token) of the leader of each role, according to the store's journal."""
-        return Check(self.journal_lines()).owners()
+        return FleetChecker(self.journal_lines()).leaders()
 
     def wait_for_leader(self, role: str, other_than: str = "") -> str:
         """Wait until a member other than `other_than` leads a role; return its name."""
--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -1,7 +1,8 @@
-"""The checker of a fleet: reads the store's journal and the engines' records, and knows none of our code.
+"""Checks the roles and effects of a fleet by the store's journal and the engines' records.
 
-What it takes as given is how things are stored: duties/NAME holds who leads a role, the revision of its last
-change is the fencing token, beats/ and plan/ are effects, whose transactions compare the token.
+It shares no code with what it checks. It knows only the stored form: duties/ROLE holds the leader of a role,
+and the revision of its last change is the fencing token; keys under beats/ and plan/ are effects, whose
+transactions are conditional on the token.
 """
 
 import json
@@ -10,17 +11,17 @@
 from itertools import pairwise
 from typing import Any, NamedTuple
 
-ROLES = "duties/"
-EFFECTS = ("beats/", "plan/")
-SCHEDULED_COMMANDS = "plan/"
-OCCURRENCES = "/run/"
+ROLES_PREFIX = "duties/"
+EFFECT_PREFIXES = ("beats/", "plan/")
+SCHEDULED_COMMANDS_PREFIX = "plan/"
+OCCURRENCE_PART = "/run/"  # of the key plan/COMMAND/run/DUE
 
 Line = dict[str, Any]  # of the journal
 OccurrenceKey = tuple[str, int]  # command, due time
 
 
 class Leader(NamedTuple):
-    """Who leads a role."""
+    """The leader of a role, its fencing token and its lease."""
 
     member: str
     token: int
@@ -28,7 +29,7 @@
 
 
 class Acquisition(NamedTuple):
-    """A member began to lead a role."""
+    """A member became the leader of a role."""
 
     at: float  # Unix s
     token: int
@@ -36,26 +37,26 @@
 
 
 class Handover(NamedTuple):
-    """A role passed to another member. first_effect_at None: it has had no effect yet."""
+    """A role passed to another member; times in Unix s. first_effect_at None: no effect so far."""
 
     role: str
     first_effect_at: float | None
     acquired_at: float
 
 
-class Check:
-    """Goes through a journal once. Everything that is wrong is in `broken`, a line each.
+class FleetChecker:
+    """Goes through a journal once, and lists everything that is wrong in `violations`, a line each.
 
-    effects: those carried out; late: those refused, of a token that is no more; moves: changes of a role's
-    leader.
+    effects: number of effects carried out; rejected_effects: number refused because their token was no longer
+    valid; leader_changes: how often a role's new leader was another member than the one before.
     """
 
     def __init__(self, lines: Iterable[Line]) -> None:
-        """lines: of the journal, in their order."""
-        self.broken: list[str] = []
-        self.late = 0
+        """lines: of the store's journal, in their order."""
+        self.violations: list[str] = []
+        self.rejected_effects = 0
         self.effects = 0
-        self.moves = 0
+        self.leader_changes = 0
         self._leaders: dict[str, Leader] = {}
         self._highest_tokens: dict[str, int] = defaultdict(int)
         self._roles_by_lease: dict[int, set[str]] = defaultdict(set)
@@ -66,20 +67,20 @@
         for line in lines:
             line_revision = line.get("revision", revision)
             if line_revision < revision:
-                self.broken.append(f"the register went back from revision {revision}: {line}")
+                self.violations.append(f"the store went back from revision {revision}: {line}")
             revision = line_revision
             self._check_line(line)
 
-    def owners(self) -> dict[str, tuple[str, int]]:
-        """(member, token) of the leader of each role at the end."""
+    def leaders(self) -> dict[str, tuple[str, int]]:
+        """Return (member, token) of the leader of each role at the end of the journal."""
         return {role: (leader.member, leader.token) for role, leader in self._leaders.items()}
 
     def occurrences(self) -> dict[OccurrenceKey, Any]:
-        """The last stored record of each occurrence."""
+        """Return the last stored record of each occurrence."""
         return {key: records[max(records)] for key, records in self._occurrences.items()}
 
     def handovers(self) -> list[Handover]:
-        """The changes of a role's leader."""
+        """Return the changes of each role's leader from one member to another."""
         return [
             Handover(role, self._first_effects.get((role, new.token)), new.at)
             for role, acquisitions in self._acquisitions.items()
@@ -98,27 +99,30 @@
                 self._check_start(line["keys"])
 
     def _check_start(self, keys: list[list]) -> None:
-        """A store that was killed: what it committed and had not yet written down is in its keys."""
+        """Take the leaders from the keys with which the store started.
+
+        A store that was killed may have committed changes that it had not yet written to the journal.
+        """
         self._leaders = {}
         self._roles_by_lease = defaultdict(set)
         for key, value, revision, lease in keys:
-            name = _without_fleet(key)
-            if not name.startswith(ROLES):
+            name = _fleet_key(key)
+            if not name.startswith(ROLES_PREFIX):
                 continue
-            role = name.removeprefix(ROLES)
+            role = name.removeprefix(ROLES_PREFIX)
             self._leaders[role] = Leader(json.loads(value)["owner"], revision, lease)
             self._roles_by_lease[lease].add(role)
             self._highest_tokens[role] = max(self._highest_tokens[role], revision)
 
     def _check_transaction(self, line: Line) -> None:
-        conditions = {_without_fleet(key): revision for key, revision in line["when"]}
-        writes = [(kind, _without_fleet(key), value, lease) for kind, key, value, lease in line["acts"]]
-        effects = [key for kind, key, _, _ in writes if kind == "put" and key.startswith(EFFECTS)]
+        conditions = {_fleet_key(key): revision for key, revision in line["when"]}
+        writes = [(kind, _fleet_key(key), value, lease) for kind, key, value, lease in line["acts"]]
+        effects = [key for kind, key, _, _ in writes if kind == "put" and key.startswith(EFFECT_PREFIXES)]
         if effects:
             tokens = {
-                key.removeprefix(ROLES): revision
+                key.removeprefix(ROLES_PREFIX): revision
                 for key, revision in conditions.items()
-                if key.startswith(ROLES)
+                if key.startswith(ROLES_PREFIX)
             }
             self._check_effect(line, tokens, effects)
         if not line["met"]:
@@ -131,17 +135,17 @@
                 self._check_delete(key)
 
     def _check_put(self, line: Line, key: str, value: str, lease: int) -> None:
-        if key.startswith(ROLES):
+        if key.startswith(ROLES_PREFIX):
             leader = Leader(json.loads(value)["owner"], line["revision"], lease)
-            self._check_acquisition(line["at"], key.removeprefix(ROLES), leader)
-        elif key.startswith(SCHEDULED_COMMANDS) and OCCURRENCES in key:
+            self._check_acquisition(line["at"], key.removeprefix(ROLES_PREFIX), leader)
+        elif key.startswith(SCHEDULED_COMMANDS_PREFIX) and OCCURRENCE_PART in key:
             _, command, _, due = key.split("/")
             self._occurrences[command, int(due)][line["revision"]] = json.loads(value)
 
     def _check_delete(self, key: str) -> None:
-        if not key.startswith(ROLES):
+        if not key.startswith(ROLES_PREFIX):
             return
-        role = key.removeprefix(ROLES)
+        role = key.removeprefix(ROLES_PREFIX)
         old = self._leaders.pop(role, None)
         if old:
             self._roles_by_lease[old.lease].discard(role)
@@ -149,16 +153,16 @@
     def _check_acquisition(self, at: float, role: str, leader: Leader) -> None:
         old = self._leaders.get(role)
         if old and old.member != leader.member:
-            self.broken.append(
+            self.violations.append(
                 f"{role} was taken from {tuple(old)} by {leader.member} at revision {leader.token}"
             )
         if leader.token <= self._highest_tokens[role]:
-            self.broken.append(f"the token of {role} did not grow: {leader.token}")
+            self.violations.append(f"the token of {role} did not increase: {leader.token}")
         if old:
             self._roles_by_lease[old.lease].discard(role)
         acquisitions = self._acquisitions[role]
         if acquisitions and acquisitions[-1].member != leader.member:
-            self.moves += 1
+            self.leader_changes += 1
         self._highest_tokens[role] = leader.token
         self._leaders[role] = leader
         self._roles_by_lease[leader.lease].add(role)
@@ -166,7 +170,7 @@
 
     def _check_effect(self, line: Line, tokens: dict[str, int], effects: list[str]) -> None:
         if len(tokens) != 1:
-            self.broken.append(f"an effect with {len(tokens)} tokens: {effects}")
+            self.violations.append(f"an effect with {len(tokens)} tokens: {effects}")
             return
         ((role, token),) = tokens.items()
         leader = self._leaders.get(role)
@@ -175,13 +179,13 @@
             self.effects += 1
             self._first_effects.setdefault((role, token), line["at"])
             if token != current:
-                self.broken.append(f"{role}: an effect under token {token}, now {current or 'nobody'}'s")
+                self.violations.append(f"{role}: an effect under token {token}, now {current or 'nobody'}'s")
         elif token != current:
-            self.late += 1
+            self.rejected_effects += 1
 
 
-def marks(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
-    """(time, profile) of what engines were sent, by idempotency key."""
+def attempts_by_key(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
+    """Return (time in s, profile) of the attempts that engines received, by idempotency key."""
     found = defaultdict(list)
     for engine in engines:
         for command in engine.received:
@@ -190,8 +194,8 @@
     return found
 
 
-def sent(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
-    """(time, profile) of what engines were sent, by statement."""
+def attempts_by_statement(engines: Iterable[Any]) -> dict[str, list[tuple[float, str]]]:
+    """Return (time in s, profile) of the attempts that engines received, by statement."""
     found = defaultdict(list)
     for engine in engines:
         for command in engine.received:
@@ -199,6 +203,6 @@
     return found
 
 
-def _without_fleet(key: str) -> str:
-    """A key without the prefix of its fleet, /gullhold/NAME/."""
+def _fleet_key(key: str) -> str:
+    """Return a key without the prefix of its fleet, /gullhold/FLEET/."""
     return key.split("/", 3)[3]
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -1,4 +1,8 @@
-"""Deliberate faults in the decisions of a rollout: the explorer finds each one, or it has a gap."""
+"""Mutants of the rollout logic: the walks of the explorer have to find each of them.
+
+A mutant is the product's class of gates, members or coordinators with one method changed. A mutant that no
+walk finds shows a gap in the explorer or its invariants.
+"""
 
 from dataclasses import replace
 
@@ -10,131 +14,131 @@
 from gullhold.rollout.policy_gate import PolicyGate
 from gullhold.rollout.rollout_coordinator import RolloutCoordinator
 from gullhold.rollout.rollout_member import RolloutMember
-from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES
+from gullhold.rollout.store_schema import CHANGE_KEY, ENROLLMENT_KEY, VOTES_PREFIX
 from gullhold.rollout.vote import VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
 from gullhold.testing import rollout_explorer, walking
 
 
-class IgnoresLease(PolicyGate):
-    """Dispatches whatever the time."""
+class IgnoresLeaseTime(PolicyGate):
+    """Dispatches after the member's lease has expired."""
 
     def may_dispatch(self) -> bool:
-        """As the product's, without the lease's end."""
+        """Decide without the expiry of the lease."""
         return not self.is_stopped and self.enrolled_lease != 0
 
 
 class TrustsSilentWatch(PolicyGate):
-    """Takes a watch that says nothing for a proof that nothing changed."""
+    """Takes a watch that reports nothing for a proof that the policy has not changed."""
 
     def may_dispatch(self) -> bool:
-        """As the product's, with the policy always known."""
+        """Decide as if the policy had just been confirmed."""
         self.policy_known_until = max(self.policy_known_until, self.clock() + self.guaranteed_us)
         return super().may_dispatch()
 
 
 class IgnoresStop(PolicyGate):
-    """Says that it has stopped, and dispatches."""
+    """Dispatches though the member has voted that it has stopped."""
 
     def may_dispatch(self) -> bool:
-        """As the product's, never stopped."""
+        """Decide as if never stopped."""
         self.is_stopped = False
         return super().may_dispatch()
 
 
 class EnrollsUnconditionally(RolloutMember):
-    """Enrolls without looking whether what it learned still holds."""
+    """Enrolls even if the policy has changed since it read it."""
 
     def step(self, now: int, lease: int) -> None:
-        """As the product's, without the conditions of the enrollment."""
+        """Step, and drop the conditions of an enrollment."""
         super().step(now, lease)
         in_flight = self.calls.in_flight
-        if self.out and in_flight and in_flight.purpose == CallPurpose.ENROLL:
-            call = self.out[-1]
-            self.out[-1] = CallStore(call.serial, Transaction((), call.request.operations))
+        if self.actions and in_flight and in_flight.purpose == CallPurpose.ENROLL:
+            call = self.actions[-1]
+            self.actions[-1] = CallStore(call.serial, Transaction((), call.request.operations))
 
 
 class DispatchesUnenrolled(RolloutMember):
-    """Opens its gate when it has a lease, before it has learned anything."""
+    """Opens its gate as soon as it has a lease, before it has read the policy and enrolled."""
 
     def step(self, now: int, lease: int) -> None:
-        """As the product's, with the gate open."""
+        """Step, and open the gate in the states before enrollment."""
         super().step(now, lease)
-        if self.state in (MemberState.LEARNING, MemberState.ENROLLING):
+        if self.state in (MemberState.READING_POLICY, MemberState.ENROLLING):
             self.gate.enrolled_lease = lease
             self.gate.is_stopped = False
             self.gate.policy_known_until = now + self.gate.guaranteed_us
 
 
-class AcceptsUnfit(RolloutMember):
-    """Votes ready on what does not fit, and runs it."""
+class AcceptsUnfitVersion(RolloutMember):
+    """Votes ready on a version that does not fit its settings, and adopts it."""
 
     def __init__(self, name, gate, _fits, figures) -> None:  # noqa: ANN001  the product's signature
         super().__init__(name, gate, lambda _version: "", figures)
 
 
 class StaysStopped(RolloutMember):
-    """Stays stopped though the change was dropped."""
+    """Stays stopped after a change was dropped."""
 
-    def _consider_change(self) -> None:
+    def _handle_change(self) -> None:
         if self.change is None or self.change.state != ChangeState.DROPPED:
-            super()._consider_change()
+            super()._handle_change()
 
 
 class ReportsStopTooSoon(RolloutMember):
-    """Says that it has stopped before its core has."""
+    """Votes that it has stopped before its core has."""
 
-    def _consider_change(self) -> None:
-        super()._consider_change()
+    def _handle_change(self) -> None:
+        super()._handle_change()
         is_prepared = self.change and self.change.state == ChangeState.PREPARED
         if is_prepared and self.vote.kind == VoteKind.READY:
-            self._vote(self.vote._replace(kind=VoteKind.STILL))
+            self._set_vote(self.vote._replace(kind=VoteKind.STOPPED))
             self.gate.is_stopped = False
 
 
-class TrustingPublisher(VotePublisher):
-    """Takes a vote whose reply was lost for stored."""
+class TrustsLostReplyPublisher(VotePublisher):
+    """Takes a vote for stored when the reply to its write was lost."""
 
     def written(self, reply: Reply) -> None:
-        """As the product's, whatever the reply proves."""
+        """Handle any reply as success."""
         if reply.proof != Proof.DONE:
-            self._stored = self._written
+            self._stored = self._in_flight
         super().written(reply)
 
 
 class TrustsLostReply(RolloutMember):
-    """Takes a vote whose reply was lost for stored."""
+    """Takes a vote for stored when the reply to its write was lost."""
 
     def __init__(self, name, gate, fits, figures) -> None:  # noqa: ANN001  the product's signature
         super().__init__(name, gate, fits, figures)
-        self.publisher = TrustingPublisher()
+        self.publisher = TrustsLostReplyPublisher()
 
 
 class AdoptsOnReady(RolloutMember):
-    """Goes by a change as soon as it has voted ready."""
+    """Adopts a version as soon as it has voted ready on it."""
 
-    def _consider_change(self) -> None:
-        super()._consider_change()
+    def _handle_change(self) -> None:
+        super()._handle_change()
         is_checked = self.change and self.change.state == ChangeState.CHECKED
         if self.state == MemberState.ACTIVE and is_checked and self.vote.kind == VoteKind.READY:
             self._adopt(0, self.change.version)
 
 
 class DecidesByMajority(RolloutCoordinator):
-    """Decides when most have voted."""
+    """Decides when more than half of the members have voted for the change."""
 
     def _all_support(self, kind: VoteKind) -> bool:
         number = self.change.version.number
         votes = self.votes.votes.values()
-        count = sum(vote.change == number and vote.kind in (kind, VoteKind.STILL) for vote in votes)
+        count = sum(vote.change == number and vote.kind in (kind, VoteKind.STOPPED) for vote in votes)
         return count * 2 > len(votes)
 
 
-class UnconditionalWrites(RolloutCoordinator):
-    """Writes without some of the conditions."""
+class WritesWithFewerConditions(RolloutCoordinator):
+    """Base of mutants that write without some of the conditions."""
 
     def take_actions(self) -> list[RoleAction]:
-        """As the product's, with fewer conditions."""
+        """Return the product's actions with fewer conditions on writes."""
         return [
             replace(action, conditions=self._reduced(action.conditions))
             if isinstance(action, WriteKeys)
@@ -146,22 +150,22 @@
         raise NotImplementedError
 
 
-class IgnoresEnrollment(UnconditionalWrites):
-    """Decides whoever joined meanwhile."""
+class IgnoresEnrollment(WritesWithFewerConditions):
+    """Decides even if a member has enrolled since it counted the votes."""
 
     def _reduced(self, conditions: tuple[Condition, ...]) -> tuple[Condition, ...]:
         return tuple((key, revision) for key, revision in conditions if key != ENROLLMENT_KEY)
 
 
-class WritesUnconditionally(UnconditionalWrites):
-    """Writes whatever is stored: a write that was given up may come after another change."""
+class WritesUnconditionally(WritesWithFewerConditions):
+    """Writes without conditions: a write that was given up may be executed after another change."""
 
     def _reduced(self, conditions: tuple[Condition, ...]) -> tuple[Condition, ...]:  # noqa: ARG002  all go
         return ()
 
 
 class IgnoresRefusals(RolloutCoordinator):
-    """Counts a refusal as a vote like any other."""
+    """Counts a refusal as a vote for the change."""
 
     def _drop_if_refused(self) -> bool:
         return False
@@ -173,7 +177,7 @@
 
 
 class SkipsPreparation(RolloutCoordinator):
-    """Decides a strict change without anybody having stopped."""
+    """Decides a strict change without waiting for the members to stop."""
 
     def _change_state(
         self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
@@ -182,46 +186,48 @@
         super()._change_state(decided, reason, canary_members)
 
 
-class ClosesEarly(RolloutCoordinator):
-    """Forgets a change as soon as it is decided, whoever goes by what."""
+class ClosesChangeEarly(RolloutCoordinator):
+    """Deletes a change as soon as it is decided, before all members have adopted its version."""
 
-    def _close(self) -> None:
+    def _delete_ended_change(self) -> None:
         self._write([Delete(CHANGE_KEY)], ())
 
 
-class WaitsForExpired(RolloutCoordinator):
-    """Waits for the votes of those whose lease is over."""
+class WaitsForExpiredVotes(RolloutCoordinator):
+    """Waits for the votes of members whose lease has expired."""
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """As the product's, deaf to votes that are deleted."""
-        if value is not None or not key.startswith(VOTES):
+        """Handle a change, but not the deletion of a vote."""
+        if value is not None or not key.startswith(VOTES_PREFIX):
             super().changed(now, key, value, revision)
 
 
-GATES = (IgnoresLease, TrustsSilentWatch, IgnoresStop)
-MEMBERS = (
+GATE_MUTANTS = (IgnoresLeaseTime, TrustsSilentWatch, IgnoresStop)
+MEMBER_MUTANTS = (
     EnrollsUnconditionally,
     DispatchesUnenrolled,
-    AcceptsUnfit,
+    AcceptsUnfitVersion,
     StaysStopped,
     ReportsStopTooSoon,
     TrustsLostReply,
     AdoptsOnReady,
 )
-COORDINATORS = (
+COORDINATOR_MUTANTS = (
     DecidesByMajority,
     IgnoresEnrollment,
     IgnoresRefusals,
     SkipsPreparation,
-    ClosesEarly,
+    ClosesChangeEarly,
     WritesUnconditionally,
-    WaitsForExpired,
+    WaitsForExpiredVotes,
 )
-MUTANTS = {kind.__name__: {"make_gate": kind} for kind in GATES}
-MUTANTS |= {kind.__name__: {"make_member": kind} for kind in MEMBERS}
-MUTANTS |= {kind.__name__: {"make_coordinator": kind} for kind in COORDINATORS}
+MUTANTS = {kind.__name__: {"make_gate": kind} for kind in GATE_MUTANTS}
+MUTANTS |= {kind.__name__: {"make_member": kind} for kind in MEMBER_MUTANTS}
+MUTANTS |= {kind.__name__: {"make_coordinator": kind} for kind in COORDINATOR_MUTANTS}
 
 
-def find(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
-    """Return the first walk that finds a mutant; None: none of them does."""
-    return walking.find(lambda seed: rollout_explorer.walk(seed, steps, **MUTANTS[name]), walks, first)
+def find_detecting_walk(name: str, walks: int, steps: int, first: int = 0) -> walking.Finding | None:
+    """Return the first walk that fails with a mutant; None: none of them does."""
+    return walking.find_failing_walk(
+        lambda seed: rollout_explorer.walk(seed, steps, **MUTANTS[name]), walks, first
+    )
--- a/gullhold/testing/scheduled_command_mutants.py
+++ b/gullhold/testing/scheduled_command_mutants.py
@@ -1,4 +1,7 @@
-"""Deliberate faults in the decisions on scheduled commands: the walks find each one, or they have a gap."""
+"""Mutants of the scheduled command logic: the walks have to find each of them.
+
+A mutant that no walk finds shows a gap in the walks or their invariants.
+"""
 
 from dataclasses import replace
 
@@ -9,8 +12,8 @@
 from gullhold.testing import scheduled_command_explorer, walking
 
 
-class SendsFirst(ScheduledCommand):
-    """Writes the intent after the attempt is sent."""
+class SendsBeforeIntent(ScheduledCommand):
+    """Sends an attempt before its intent is written."""
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
         super()._write(purpose, occurrence, handled_until)
@@ -20,22 +23,22 @@
             self.actions.append(write)
 
 
-class RunsAgain(ScheduledCommand):
-    """Retries whatever the profile."""
+class RetriesAnyProfile(ScheduledCommand):
+    """Repeats an attempt that may have run, whatever the command's idempotency."""
 
     def _recover(self, occurrence: Occurrence, now: int) -> None:
         self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
 
 
-class ForgetsWindow(ScheduledCommand):
-    """Gives a keyed command its whole client timeout, however old its key is."""
+class IgnoresDedupWindow(ScheduledCommand):
+    """Gives each attempt the whole client timeout, however little is left of the deduplication window."""
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
         super()._send(occurrence._replace(started_us=now), now)
 
 
-class NewMark(ScheduledCommand):
-    """Makes an idempotency key for each attempt."""
+class NewKeyPerAttempt(ScheduledCommand):
+    """Makes a new idempotency key for each attempt."""
 
     def _send(self, occurrence: Occurrence, now: int) -> None:
         super()._send(occurrence, now)
@@ -43,32 +46,39 @@
             self.actions[-1] = replace(self.actions[-1], idempotency_key=idempotency_key(self.member, now))
 
 
-class AnyRecord(ScheduledCommand):
-    """Writes records without comparing them with what it knows."""
+class WritesUnconditionally(ScheduledCommand):
+    """Writes records without the condition that they are as it last read them."""
 
     def _write(self, purpose: WritePurpose, occurrence: Occurrence | None, handled_until: int) -> None:
         super()._write(purpose, occurrence, handled_until)
         self.actions[-1] = replace(self.actions[-1], conditions=())
 
     def records_read(self, now: int, reply: Reply) -> None:
-        """Keeps what it remembers, whatever the store says."""
+        """Keep the records that it remembers, whatever the store has."""
         remembered = dict(self.records.by_due_time)
         super().records_read(now, reply)
         self.records.by_due_time.update(remembered)
 
 
-class FailureIsShed(ScheduledCommand):
-    """Takes a failure for proof that nothing ran."""
+class TakesFailureForShed(ScheduledCommand):
+    """Takes a failed attempt for one that was shed and so had no effect."""
 
     def attempt_ended(self, now: int, state: OccurrenceState, reason: str) -> None:
-        """As if it had been shed."""
+        """Handle a failure like a shed attempt."""
         taken_for = OccurrenceState.SHED if state == OccurrenceState.FAILED else state
         super().attempt_ended(now, taken_for, reason)
 
 
-MUTANTS = (SendsFirst, RunsAgain, ForgetsWindow, NewMark, AnyRecord, FailureIsShed)
+MUTANTS = (
+    SendsBeforeIntent,
+    RetriesAnyProfile,
+    IgnoresDedupWindow,
+    NewKeyPerAttempt,
+    WritesUnconditionally,
+    TakesFailureForShed,
+)
 
 
-def find(mutant: type[ScheduledCommand], walks: int) -> walking.Finding | None:
-    """Return the first walk that finds a mutant; None: none of them does."""
-    return walking.find(lambda seed: scheduled_command_explorer.walk(seed, make=mutant), walks)
+def find_detecting_walk(mutant: type[ScheduledCommand], walks: int) -> walking.Finding | None:
+    """Return the first walk that fails with a mutant; None: none of them does."""
+    return walking.find_failing_walk(lambda seed: scheduled_command_explorer.walk(seed, make=mutant), walks)
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes with policies on, its clients, and checks of what its gateways did."""
+"""A fleet of real processes with policies enabled, its clients, and checks of its gateways' behaviour."""
 
 from collections.abc import Iterable
 from itertools import count
@@ -11,13 +11,13 @@
 from gullhold.testing import load_client
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import FleetRig
-from gullhold.testing.rollout_checker import RolloutChecker, by_policy, measure_mixture
+from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy, measure_overlap
 
-CLIENT_SEEDS = count(1)  # each client draws its own ids
+CLIENT_SEEDS = count(1)  # one for each client, so that their request ids differ
 
 
-def rig(members: int = 3, **other: Any) -> FleetRig:
-    """A fleet with one counting engine, on which policies are enabled."""
+def make_fleet(members: int = 3, **other: Any) -> FleetRig:
+    """Return a fleet with one counting engine and policies enabled. other: arguments of FleetRig."""
     return FleetRig(
         members=members,
         engines=1,
@@ -25,13 +25,13 @@
     )
 
 
-def granting(megabytes: int) -> str:
-    """A policy that engines can recognize: it grants so many MB to each read."""
+def policy_granting(megabytes: int) -> str:
+    """Return the text of a policy that grants so many MB to each read, which the engine records."""
     return f"policy: grants: read: {megabytes}"
 
 
-def load(fleet: FleetRig, *names: str, rate: float = 40.0) -> list[load_client.LoadClient]:
-    """Start a client of each of these gateways, by default of all; rate: requests a second of each."""
+def start_clients(fleet: FleetRig, *names: str, rate: float = 40.0) -> list[load_client.LoadClient]:
+    """Start a client for each of these gateways, by default for all; rate: requests per second of each."""
     return [
         load_client.LoadClient(
             fleet.members[name].address,
@@ -47,8 +47,8 @@
     ]
 
 
-def end(clients: list[load_client.LoadClient]) -> int:
-    """Stop the clients and wait for their outstanding requests; returns how many requests were answered."""
+def stop_clients(clients: list[load_client.LoadClient]) -> int:
+    """Stop the clients and wait for their pending requests; return how many requests were answered."""
     for client in clients:
         client.stop()
     for client in clients:
@@ -56,8 +56,8 @@
     return sum(client.counts.answered for client in clients)
 
 
-def on(fleet: FleetRig, number: int = 0, names: Iterable[str] | None = None) -> None:
-    """Wait until a policy is in force at these gateways, by default at all."""
+def wait_until_in_force(fleet: FleetRig, number: int = 0, names: Iterable[str] | None = None) -> None:
+    """Wait until these gateways, by default all, have adopted the version of this number."""
     expected = set(names or fleet.names)
 
     def is_in_force() -> bool:
@@ -67,30 +67,31 @@
     fleet.wait_until(is_in_force)
 
 
-def propose(client: PolicyClient, fleet: FleetRig, text: str, **options: Any) -> PolicyVersion:
-    """Propose a policy as soon as no other change is open; returns its version."""
+def propose_when_possible(client: PolicyClient, fleet: FleetRig, text: str, **options: Any) -> PolicyVersion:
+    """Propose a policy as soon as no other change is open; return its version."""
     fleet.wait_until(lambda: CHANGE_KEY not in client.read())
     return client.propose(text, "a", "b", **options)
 
 
-def judged(
+def check_run(
     fleet: FleetRig, grants: list[int], strict: bool = False, overlap_ms: int = 1200
 ) -> RolloutChecker:
-    """Check a run: policies overlap no longer than stated, and no change was decided without all votes.
+    """Check a run: versions overlapped no longer than overlap_ms, and every decision had all votes.
 
-    grants: the MB that tell each policy apart. strict: no two policies may be in force at one time.
+    grants: MB that each decided policy grants, in the order in which they came into force. strict: no attempt
+    may start under an old version after one has started under a newer one.
     """
-    check = RolloutChecker(fleet.journal_lines())
-    assert not check.decided_without_all, fleet.timeline()
-    assert not check.decided_though_refused, fleet.timeline()
-    wrong, overlap = measure_mixture(by_policy(fleet.engines, grants))
-    assert not (strict and wrong), (wrong, overlap, fleet.timeline())
-    assert overlap <= overlap_ms, (wrong, overlap, fleet.timeline())
+    checker = RolloutChecker(fleet.journal_lines())
+    assert not checker.decided_without_all, fleet.timeline()
+    assert not checker.decided_though_refused, fleet.timeline()
+    mixed_count, measured_ms = measure_overlap(attempts_with_policy(fleet.engines, grants))
+    assert not (strict and mixed_count), (mixed_count, measured_ms, fleet.timeline())
+    assert measured_ms <= overlap_ms, (mixed_count, measured_ms, fleet.timeline())
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
-    return check
+    return checker
 
 
 def is_serving(fleet: FleetRig, name: str) -> bool:
-    """Whether a gateway answers its health check with good."""
+    """Whether a gateway's health check reports that it serves."""
     return health_check.is_serving(fleet.members[name].address, 1.0)
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -7,7 +7,7 @@
 
 from gullhold.testing.client import BlockingClient
 from gullhold.testing.fleet import FleetRig
-from gullhold.testing.fleet_checker import Check
+from gullhold.testing.fleet_checker import FleetChecker
 from gullhold.testing.relay import RelayMode
 
 
@@ -20,7 +20,7 @@
         assert rig.wait_for_leader("beat/1", "n0") == "n1"
         time.sleep(0.2)
         rig.resume("n0")
-        rig.wait_until(lambda: Check(rig.journal_lines()).late)
+        rig.wait_until(lambda: FleetChecker(rig.journal_lines()).rejected_effects)
         rig.wait_until(
             lambda: any(event == "write under a stale token refused" for _, _, event, _ in rig.events("n0"))
         )
@@ -164,7 +164,7 @@
             rig.start("n1")
             time.sleep(0.5)
             rig.stop("n1")
-        assert check_run(rig, 6).moves == 0
+        assert check_run(rig, 6).leader_changes == 0
 
 
 def test_of_two_processes_with_one_name_the_later_wins():
