--- a/benchmarks/admission_queue.py
+++ b/benchmarks/admission_queue.py
@@ -113,7 +113,7 @@
 
 
 def main() -> None:
-    """Run all cases and print their figures."""
+    """Run the benchmark and print its figures."""
     parser = make_parser("admission_queue", __doc__, "a shorter run with fewer tenants, under a minute")
     is_quick = parser.parse_args().quick
     extent = QUICK if is_quick else FULL
--- a/benchmarks/budget_calls.py
+++ b/benchmarks/budget_calls.py
@@ -1,4 +1,4 @@
-"""Calls and bytes that budgets cost a member of a large fleet, by the decisions alone."""
+"""Store calls and bytes that budgets cost a member of a large fleet, without real processes."""
 
 import time
 from typing import NamedTuple
@@ -10,20 +10,24 @@
 from gullhold.fleet.role_state import ReadKeys, WriteKeys
 from gullhold.fleet.store_calls import KeyValue, Proof, Put, Reply
 
-BUDGETS = 5000  # in the fleet
-BUDGETS_PER_MEMBER = 250  # that each member reports
-CHANGED_BUDGETS = 5  # of a member in a turn
+BUDGETS = 5000  # budgets in the fleet
+BUDGETS_PER_MEMBER = 250  # budgets that each member reports
+CHANGED_BUDGETS = 5  # budgets of each member whose usage changes in a turn
 TURNS = 2
-TURN_US = 1_000_000
-TOTAL = 10_000  # of each budget
-KINDS = ("threads", "taken")  # a held and a windowed one
-LINGER_US = 1_000_000  # of the held one
-WINDOW_US = 1_000_000  # of the other
-FIRST_USAGE = Usage(0, 5, 8)  # of each budget of a member
+TURN_US = 1_000_000  # simulated time
+TOTAL = 10_000  # total of each budget
+KINDS = ("threads", "taken")  # a held budget and a windowed one
+LINGER_US = 1_000_000  # of the held budget
+WINDOW_US = 1_000_000  # of the windowed budget
+FIRST_USAGE = Usage(0, 5, 8)  # the first report of each member on each of its budgets
 
 
 class CallCosts(NamedTuple):
-    """calls, bytes: of one member for a change of some of its budgets; longest_ms: of one allocation."""
+    """What budgets cost in a fleet of one size.
+
+    calls, bytes: calls to the store and bytes written for each member and turn, those of the allocator shared
+    among the members; longest_ms: the longest step of the allocator.
+    """
 
     calls: float
     bytes: int
@@ -31,10 +35,10 @@
 
 
 class AllocatorLoop:
-    """An allocator's role whose calls to the store are answered here at once; counts calls and bytes."""
+    """Runs an allocator's role, answers its calls to the store at once, and counts calls and bytes."""
 
     def __init__(self, usage: dict[str, dict[str, Usage]]) -> None:
-        """usage: by member and budget, as reported first."""
+        """Start the role. usage: each member's usage of each of its budgets, as reported first."""
         self.usage = usage
         self.role = AllocatorRole(
             {
@@ -54,7 +58,7 @@
         self.role.read(self.now, read.serial, Reply(Proof.DONE, 3, items=items))
 
     def settle(self) -> None:
-        """Step until nothing is to be allocated."""
+        """Let the allocator run until it has nothing left to allocate."""
         while True:
             began = time.perf_counter()
             self.role.step(self.now)
@@ -75,7 +79,7 @@
         self.role.written(self.now, write.serial, Reply(Proof.DONE, self.revision))
 
     def report(self, member: str) -> None:
-        """A member reports its usage as it is now."""
+        """Report the current usage of a member."""
         self.reports += 1
         self.revision += 1
         text = _report(self.usage[member])
@@ -90,9 +94,9 @@
 
 
 def call_costs(members: int) -> CallCosts:
-    """The costs in a fleet of so many members, some of whose budgets change in each turn.
+    """Measure the costs in a fleet of this many members; some budgets of each member change in each turn.
 
-    Each member reports a part of the budgets: scaled down from all of them.
+    The case is scaled down: each member reports BUDGETS_PER_MEMBER of the budgets, not all of them.
     """
     names = [f"{KINDS[number % len(KINDS)]}/{number}" for number in range(BUDGETS)]
     usage = {}
--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -1,4 +1,4 @@
-"""A fleet's budgets under moving demand and drawn faults."""
+"""A fleet's budgets under demand that moves between gateways, and under random faults."""
 
 import random
 import time
@@ -11,17 +11,17 @@
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 
-TOTALS = {"threads": 24, "further": 20, "taken": 400}  # of the budgets, by their kind
-RETRY_WINDOW_S = 2.0
+TOTALS = {"threads": 24, "further": 20, "taken": 400}  # total of each budget by its kind
+RETRY_WINDOW_S = 2.0  # the window of the budget of retries ("further")
 DEMANDS = (40, 12)  # open commands of the two clients that start in each turn
-CONTINUING_CLIENTS = 2  # that go on into the next turn
+CONTINUING_CLIENTS = 2  # clients that go on into the next turn
 FAULT_DURATION_S = 0.8
-RECOVERY_S = 0.5
-CUT_DIRECTIONS = (("there", "back"), ("back",))  # in turn
+RECOVERY_S = 0.5  # between the end of a turn's faults and the next turn
+CUT_DIRECTIONS = (("there", "back"), ("back",))  # between gateway and store, alternately by turn
 
 
 class FaultRun:
-    """Demand that moves between gateways while drawn faults strike."""
+    """Moves demand between gateways while random faults happen."""
 
     def __init__(self, rig: Rig, draw: random.Random) -> None:
         self.rig = rig
@@ -30,7 +30,10 @@
         self.client_count = 0
 
     def run_turn(self, turn: int) -> None:
-        """New clients at two gateways; three gateways and sometimes the store are struck, then mended."""
+        """Start clients at two gateways, cause faults and end them.
+
+        One gateway is paused, one cut off from the store, and a third one or the store has the turn's fault.
+        """
         rig = self.rig
         for name, open_commands in zip(self.draw.sample(rig.names, 2), DEMANDS, strict=True):
             self._start_client(name, open_commands)
@@ -55,7 +58,7 @@
         self.clients.append(client)
 
     def _inject_fault(self, turn: int, member: str) -> None:
-        """By turns a gateway is killed, calls of the store fail, or the store restarts."""
+        """Kill a gateway, make calls of the store fail, or restart the store, by turns."""
         match turn % 3:
             case 0:
                 self.rig.kill(member)
@@ -67,7 +70,7 @@
 
 
 def collect_figures(rig: Rig) -> dict[str, Any]:
-    """The figures of a run: what engines counted, the store's journal shows and the gateways logged."""
+    """The figures of a run, from the engines' records, the store's journal and the gateways' logs."""
     peaks = [peak_threads(engine.attempts).amount for engine in rig.engines]
     retried = retries(rig.engines)
     most_retries = peak_in_window(retried, RETRY_WINDOW_S).amount
@@ -91,7 +94,7 @@
 
 
 def run_faults(turns: int, seed: int) -> dict[str, Any]:
-    """Run held and windowed budgets through so many turns; the figures by name."""
+    """Run a fleet with held and windowed budgets for the given number of turns; returns figures by name."""
     budgets = [
         threads_budget(TOTALS["threads"]),
         windowed_budget("further", TOTALS["further"], "2s"),
--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes with budgets; engines are test doubles here and count what is in them."""
+"""Fleets of real processes with budgets. Engines are test doubles in this process that record attempts."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -10,20 +10,20 @@
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 
-CORES = 60  # of an engine: the decisions' limit is two threads a core
-TOTAL_THREADS = 2 * CORES  # of the fleet on one engine
+CORES = 60  # of an engine; a gateway runs at most two threads per core on it
+TOTAL_THREADS = 2 * CORES  # the fleet's budget on one engine
 MEMBERS = 6
 
-Budget = dict[str, Any]  # an operator's record of a budget
+Budget = dict[str, Any]  # the record of a budget in the operator file
 
 
 def threads_budget(total: int = TOTAL_THREADS, **other: Any) -> Budget:
-    """A budget of threads on each engine."""
+    """A budget of threads on each engine; other: further fields of its record."""
     return {"of": '"threads"', "whole": total, "linger": "600ms"} | other
 
 
 def windowed_budget(kind: str, total: int, window: str) -> Budget:
-    """A budget of what is spent in any window of time; kind, window: in the operator's words."""
+    """A budget that limits spending in any window of time; kind, window: as in the operator file."""
     return {"of": f'"{kind}"', "whole": total, "window": window}
 
 
@@ -35,7 +35,11 @@
     make: Callable[[int], CountingEngine] = make_counting_engine,
     **options: Any,
 ) -> Rig:
-    """A fleet of so many gateways. adjust(settings) changes these; make(seed): an engine; options: of Rig."""
+    """A fleet of gateways, not started yet.
+
+    budgets: records of the operator file; adjust(settings): changes the gateways' settings further;
+    make(seed): makes an engine; options: other options of Rig.
+    """
 
     def adjust_all(settings: dict[str, Any]) -> None:
         settings["balancers"] = members
@@ -47,12 +51,12 @@
 
 
 def start_client(rig: Rig, member: str, seed: int, **options: Any) -> load_client.LoadClient:
-    """Start a client of one gateway; options: of the client, in place of those given here."""
+    """Start a client of one gateway; options: of the client, replacing the defaults below."""
     options = {"open": 60, "connections": 2, "work_ms": 100.0, "limit_ms": 1500} | options
     return fleet_load.start_client(rig, member, f"c{seed}", seed, **options)
 
 
 def allocations(rig: Rig) -> dict[str, int]:
-    """Each member's allocation of the one engine's threads, by name."""
+    """Each member's allocation of threads in a fleet with one engine, by the member's name."""
     history = AllocationHistory(rig.lines())
     return history.allocated_by_name(next(iter(history.max_sums), ""))
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -1,4 +1,4 @@
-"""Runs of a fleet's budgets with real processes: what is used, how fast it is divided anew, what it costs."""
+"""Runs of a fleet with budgets in real processes: use, delay of reallocation, gain, service and costs."""
 
 import time
 from collections.abc import Sequence
@@ -21,45 +21,55 @@
 from gullhold.testing.fleet import Rig
 from gullhold.testing.running import cpu_s
 
-SHARED_THREADS = 24  # of two members, one of which ends
-TAKEN_OVER_THREADS = 22  # threads that a member has once another's allocation was given to it
-MIN_BUSY_THREADS = 6  # threads; each of the two has more once it is seen as busy
+SHARED_THREADS = 24  # the budget that two busy members share until one of them ends
+TAKEN_OVER_THREADS = 22  # the remaining member's least allocation once it has taken over the other's
+MIN_BUSY_THREADS = 6  # each of the two members has more than this once its demand is known
 WARMUP_INITIAL_SHARE = 0.05
 WARMUP_S = 30
 LATENCY_OBJECTIVE_S = 0.4
-LEASE_EXPIRY_WAIT_S = 1.3  # after which all leases have expired
+LEASE_EXPIRY_WAIT_S = 1.3  # from the end of the store, by which all leases have expired
 
 
 class Reallocation(NamedTuple):
-    """From a member's end to its allocation written for others, 95th percentiles."""
+    """The time from a member's end until its allocation is written to another; 95th percentiles.
+
+    after_leave_s: after SIGTERM; after_kill_leases: after SIGKILL, in lease times. None if not measured.
+    """
 
     after_leave_s: float | None
     after_kill_leases: float | None
 
 
 class Gain(NamedTuple):
-    """Share of commands answered in the latency objective; commands that a warming engine could not take."""
+    """What budgets gain under uneven traffic.
+
+    answered: the share of commands answered within the latency objective; overloads: commands that exceeded
+    the capacity of the warming engine.
+    """
 
     answered: float
     overloads: int
 
 
 class CommandCost(NamedTuple):
-    """CPU of a command with budgets over that without, and us of that without."""
+    """CPU time per command: with budgets divided by without, and in us without."""
 
     ratio: float
     us_without: int
 
 
 class MemberCost(NamedTuple):
-    """Calls to the store and bytes written, of one member in a second."""
+    """Calls to the store and bytes written, per member and second."""
 
     calls: float
     bytes: int
 
 
 def _share_in_use(rig: Rig, began: float, ended: float) -> float:
-    """The mean of the threads in use on the first engine between two Unix times, as a share of the total."""
+    """The mean number of threads in use on the first engine, as a share of the total.
+
+    began, ended: Unix time in s.
+    """
     in_use_s = 0.0
     for attempt in rig.engines[0].attempts:
         attempt_began, attempt_ended = attempt.started_at, attempt.ended_at
@@ -68,7 +78,7 @@
 
 
 def measure_use(seconds: float, busy: Sequence[str], budgets: Sequence[Budget]) -> float:
-    """The share of the total that is used when these gateways ask for all of it."""
+    """The share of the total that is used when the busy gateways together ask for all of it."""
     with make_fleet(MEMBERS, budgets) as rig:
         rig.start(operator=bool(budgets))
         load = {
@@ -87,7 +97,10 @@
 
 
 def _taken_over_at(rig: Rig, member: str, after: float) -> float:
-    """The Unix time at which a member was first written to have taken over, after another one."""
+    """When the journal first shows that a member has taken over the other's allocation.
+
+    Times are Unix s; entries up to `after` are ignored.
+    """
     for at, by_budget in AllocationHistory(rig.lines()).history:
         if at <= after:
             continue
@@ -100,7 +113,7 @@
 
 
 def _end_and_measure(rig: Rig, is_kill: bool) -> float:
-    """End n0, and wait until n1 has its threads; the time from the end to that, in s."""
+    """End n0 and wait until n1 has taken over its allocation; returns the time between in s."""
     began = time.time()
     if is_kill:
         rig.kill("n0")
@@ -112,7 +125,7 @@
 
 
 def measure_reallocation(turns: int) -> Reallocation:
-    """One of two busy members ends, killed or in good order, in turn."""
+    """End one of two busy members again and again, alternately with SIGKILL and SIGTERM."""
     after_leave_s = []
     after_kill_leases = []
     with make_fleet(3, [threads_budget(SHARED_THREADS)]) as rig:
@@ -146,9 +159,9 @@
 
 
 def _count_overloads(rig: Rig, engine: int) -> int:
-    """Commands by which a warming engine had more work in a second than it can take.
+    """Commands that brought a warming engine more work within 1 s than its capacity then.
 
-    Its capacity grows half as fast as a line.
+    Its capacity is taken to grow at half the rate that would bring it to the full capacity in WARMUP_S.
     """
     work = [(attempt.started_at, attempt.work_ms / 1000) for attempt in rig.engines[engine].attempts]
     started_at = rig.born_ms[engine] / 1000
@@ -162,7 +175,7 @@
 
 
 def measure_gain(seconds: float, budgets: Sequence[Budget]) -> Gain:
-    """Commands answered in the objective under uneven traffic, with one engine slow and one warming up."""
+    """Measure the gain under uneven traffic, with one engine at half speed and one that warms up."""
     with make_fleet(MEMBERS, budgets, engines=3, adjust=_use_warmup_rules) as rig:
         rig.engines[1].pace = 0.5
         rig.born_ms[2] = int(time.time() * 1000)
@@ -183,7 +196,7 @@
 
 
 def measure_service_without_store(seconds: float, budgets: Sequence[Budget]) -> float:
-    """The share of requests answered with the store dead, at a load that even allocations carry."""
+    """The share of requests answered with the store down, at a load that even allocations can serve."""
     with make_fleet(MEMBERS, budgets) as rig:
         rig.start(operator=True)
         clients = [
@@ -200,10 +213,10 @@
 
 
 class CostMeter:
-    """CPU and answers of a gateway in a fleet of its own, over the periods between begin() and end()."""
+    """Counts CPU time and answers of a gateway alone in its fleet, in periods from begin() to end()."""
 
     def __init__(self, rig: Rig) -> None:
-        """Start the gateway and its load."""
+        """Start the gateway and a client that puts load on it."""
         rig.start()
         self.pid = rig.members["n0"].process.pid
         self.client = start_client(rig, "n0", 1, rate=120.0, work_ms=5.0, limit_ms=900)
@@ -212,27 +225,27 @@
         self.answered = 0
 
     def begin(self) -> None:
-        """Begin a period."""
+        """Begin a measured period."""
         self.cpu_s -= cpu_s(self.pid)
         self.answered -= self.client.counts.answered
 
     def end(self) -> None:
-        """End a period."""
+        """End the measured period."""
         self.cpu_s += cpu_s(self.pid)
         self.answered += self.client.counts.answered
 
     def cost_s(self) -> float:
-        """CPU of a command, in s."""
+        """CPU time per answered command over all periods, in s."""
         return self.cpu_s / max(1, self.answered)
 
 
 def measure_command_cost(seconds: float) -> CommandCost:
-    """CPU of a command with budgets over that without, with the default times of a fleet."""
+    """Measure the CPU time per command with and without budgets, with the default times of a fleet."""
     budgets = [threads_budget(), windowed_budget("further", 1000, "5s")]
     times = {"lease_s": 5, "look": "100ms"}
     with make_fleet(1, budgets, **times) as fleet_with, make_fleet(1, [], **times) as fleet_without:
         meters = [CostMeter(fleet_with), CostMeter(fleet_without)]
-        for _ in range(2):  # both are under the same load at the same time
+        for _ in range(2):  # both gateways run at the same time under the same load
             for meter in meters:
                 meter.begin()
             time.sleep(seconds)
@@ -244,7 +257,7 @@
 
 
 def measure_member_cost(seconds: float, members: int = 12) -> MemberCost:
-    """What one member costs the store while demand alternates."""
+    """Measure what one member costs the store while demand moves from one member to another."""
     with make_fleet(members, [threads_budget(48)], engines=2) as rig:
         rig.start()
         rig.until(lambda: len(allocations(rig)) == members)
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,6 +1,9 @@
-"""Budgets of a fleet: `python -m benchmarks.budgets [--quick]`. Last line JSON; status 1: a bound is missed.
+"""Budgets of a fleet: use, reallocation, gain and costs.
 
-Gateways, store and faults are real processes; engines are test doubles here and count what is in them.
+    python -m benchmarks.budgets [--quick]
+
+Prints all figures as JSON in the last line; exits with status 1 if a bound is missed. Gateways and the store
+are real processes; engines are test doubles in this process that record attempts.
 """
 
 from concurrent.futures import Future, ProcessPoolExecutor
@@ -48,13 +51,17 @@
     "reports not compared",
     "drift left out",
 )
-FLEET_SIZES = (200, 1000)  # members, by the decisions alone
-FLEETS_AT_ONCE = 2
-DECISION_PROCESSES = 5
+FLEET_SIZES = (200, 1000)  # members of the simulated fleets whose calls are counted
+FLEETS_AT_ONCE = 2  # fleets of real processes that run at the same time
+DECISION_PROCESSES = 5  # processes that explore decisions meanwhile
 
 
 class Extent(NamedTuple):
-    """How much is run."""
+    """The size of a run.
+
+    run_s, calls_s: duration of each run, and of the run that counts calls to the store; fault_turns: turns of
+    the run with faults; reallocations: members that are ended.
+    """
 
     run_s: float
     calls_s: float
@@ -68,7 +75,7 @@
 
 
 def exploration_plan(size: ExplorationSize) -> ExplorationPlan:
-    """Walks, mutants and searches of the allocator and its members; the slowest mutants come first."""
+    """The exploration of the allocator and its members; the mutants that take longest come first."""
     names = sorted(budget_mutants.MUTANTS, key=lambda name: name not in SLOW_MUTANTS)
     return ExplorationPlan(
         walk=partial(budget_explorer.walk, steps=WALK_STEPS, with_fingerprints=True),
@@ -84,7 +91,7 @@
 
 
 class FleetRuns:
-    """All runs with real processes, begun; results are waited for in the order of the printed figures."""
+    """All runs with fleets of real processes; they are submitted at once to a pool of processes."""
 
     def __init__(self, pool: ProcessPoolExecutor, extent: Extent, seed: int) -> None:
         names = [f"n{number}" for number in range(MEMBERS)]
@@ -104,7 +111,7 @@
         self.calls = pool.submit(measure_member_cost, extent.calls_s)
 
     def add_results(self, figures: Figures) -> None:
-        """Wait for them, in order."""
+        """Wait for the results and add them in the order in which they are printed."""
         figures.add(**self.faults.result())
         reallocation = self.reallocation.result()
         figures.add(
@@ -130,7 +137,10 @@
 
 
 def add_calls(figures: Figures, runs: FleetRuns, alone: dict[int, Future[CallCosts]]) -> None:
-    """Calls and bytes of a member: in a run, and by the decisions alone in fleets of several sizes."""
+    """Add the calls and bytes per member: with real processes, and simulated in fleets of several sizes.
+
+    alone: the simulated costs, by the number of members.
+    """
     measured = runs.calls.result()
     costs = {members: job.result() for members, job in alone.items()}
     calls = [one.calls for one in costs.values()]
@@ -146,11 +156,11 @@
 
 
 def main() -> None:
-    """Run all of it; the last line is JSON."""
+    """Run the benchmark and print its figures."""
     arguments = parse_arguments("budgets", __doc__)
     extent = QUICK if arguments.is_quick else FULL
     figures = Figures(quick=arguments.is_quick, seed=arguments.seed)
-    # Rigs two at a time, decisions beside them; what a command costs is measured by itself.
+    # Two fleets run at a time beside the exploration. The CPU time per command is measured afterwards, alone.
     with ProcessPoolExecutor(FLEETS_AT_ONCE) as fleet_pool, ProcessPoolExecutor(DECISION_PROCESSES) as pool:
         exploration = Exploration(pool, exploration_plan(extent.exploration), extent.exploration)
         alone = {members: pool.submit(call_costs, members) for members in FLEET_SIZES}
--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -1,4 +1,4 @@
-"""Earlier name of benchmarks.policy_rollout: `python -m benchmarks.change` goes on working."""
+"""Earlier name of benchmarks.policy_rollout, kept so that `python -m benchmarks.change` still works."""
 
 from benchmarks.policy_rollout import main
 
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -1,4 +1,4 @@
-"""Earlier name of benchmarks.admission_queue: `python -m benchmarks.door` goes on working."""
+"""Earlier name of benchmarks.admission_queue, kept so that `python -m benchmarks.door` still works."""
 
 from benchmarks.admission_queue import main
 
--- a/benchmarks/earlier_version.py
+++ b/benchmarks/earlier_version.py
@@ -1,4 +1,4 @@
-"""The project as it was at an earlier commit, to measure against."""
+"""Unpacks the project as of an earlier commit, so that benchmarks can compare against it."""
 
 import subprocess
 import tarfile
@@ -13,7 +13,7 @@
 
 @contextmanager
 def checkout(commit: str) -> Iterator[Path | None]:
-    """A folder with the project as it was at a commit, or None where git does not have that."""
+    """A temporary folder with the project as of a commit, or None if git does not have the commit."""
     archive = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True, check=False)
     if archive.returncode:
         yield None
--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -1,4 +1,4 @@
-"""Engines and clients that load a fleet's gateways, and what can be read of the whole fleet afterwards."""
+"""Engines and clients that put load on a fleet's gateways, and counts over the whole fleet."""
 
 import time
 from collections.abc import Iterable, Sequence
@@ -8,22 +8,22 @@
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import Rig
 
-ENGINE_SLOTS = 400  # so many that an engine never queues
+ENGINE_SLOTS = 400  # enough for an engine never to queue an attempt
 
 
 def make_counting_engine(seed: int) -> CountingEngine:
-    """An engine that counts, and runs all that it is sent at once."""
+    """An engine that records its attempts and starts each of them at once."""
     return CountingEngine(slots=ENGINE_SLOTS, seed=seed)
 
 
 def start_client(rig: Rig, member: str, name: str, seed: int, **options: Any) -> load_client.LoadClient:
-    """Start a client of one gateway that does not retry; options: of the client."""
+    """Start a client of one gateway; options: of the client, which by default does not retry."""
     options = {"retry_rule": load_client.RetryRule.NEVER} | options
     return load_client.LoadClient(rig.members[member].address, "", name, seed=seed, **options).start()
 
 
 def stop_clients(clients: Iterable[load_client.LoadClient]) -> None:
-    """Stop the clients, and wait for their outstanding requests."""
+    """Stop the clients and wait for the answers to their open requests."""
     clients = list(clients)
     for client in clients:
         client.stop()
@@ -32,13 +32,13 @@
 
 
 def answered_share(clients: Sequence[load_client.LoadClient]) -> float:
-    """The share of the requests that were answered, of those since the counts were last set to zero."""
+    """The share of requests that were answered since the counts were last reset."""
     answered = sum(client.counts.answered for client in clients)
     return answered / max(1, sum(client.counts.sent for client in clients))
 
 
 def measure_answered_share(clients: Sequence[load_client.LoadClient], seconds: float) -> float:
-    """The share of the requests that are answered from now on, over so long."""
+    """Reset the counts, wait for the given time, and return the share of requests answered in it."""
     for client in clients:
         client.reset_counts()
     time.sleep(seconds)
@@ -46,10 +46,10 @@
 
 
 def count_store_calls(rig: Rig) -> int:
-    """Calls that the fleet's store has had, of all kinds."""
+    """The number of calls that the fleet's store has received, of all kinds."""
     return sum(rig.counts().values())
 
 
 def count_fault_lines(rig: Rig) -> int:
-    """Lines in the gateways' logs that say that the program itself went wrong."""
+    """The number of lines in the gateways' logs that report an internal fault."""
     return sum(len(gateway_log.fault_lines(member.log_text())) for member in rig.members.values())
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,9 +1,10 @@
-"""What a gateway needs over 3,200 engines against 80: `python -m benchmarks.fleet_size [--quick]`.
+"""What a gateway needs with 3,200 engines compared with 80: `python -m benchmarks.fleet_size [--quick]`.
 
-The same traffic, capacity, ramp and replacement at both sizes. A real gateway (a process of its own) on
-loopback; a test double of the discovery service replaces six in ten engines within seven seconds. The bounds
-are those of the users' page on the standing test. Two figures, the decision module's time for a command and
-for a change of the endpoint list, are taken in this process. Last line JSON; status 1: a bound is missed.
+Traffic, total capacity and the replaced share are the same at both sizes. The gateway is a real process on
+loopback; a test double of the discovery service replaces 60% of the engines within 7 s. The bounds are those
+that the users set for this test. Two figures are measured in this process: the time that the decision module
+takes for a command and for a change of the endpoint list. Prints all figures as JSON in the last line; exits
+with status 1 if a bound is missed.
 """
 
 from statistics import median
@@ -14,9 +15,9 @@
 from benchmarks.harness import at_least, at_most, parse_arguments, report_and_exit
 
 SMALL, LARGE = 80, 3200  # engines
-THOUSANDS = LARGE / 1000
-MIN_DECISION_ROUNDS = 3  # of which the fastest counts
-# The large size may need so many times what the small one does, and the bound on "extra" more.
+THOUSANDS = LARGE / 1000  # the bounds grow with each thousand engines
+MIN_DECISION_ROUNDS = 3  # the fastest one counts
+# The large size may need this many times what the small one does. The bounds on "extra" limit the excess.
 ALLOWED_RATIOS = {"cpu_s": 1.4, "memory_mb": 1.5, "descriptors": 2.0, "connections": 2.5, "list_bytes": 2.0}
 BOUNDS = {
     "cpu_extra_s": at_most(0.02 + 0.12 * THOUSANDS),
@@ -31,7 +32,7 @@
 
 
 def measure_size(size: int, rounds: int, seed: int) -> dict[str, float]:
-    """The figures of GatewayFigures (medians) and DecisionTimes (the least) for so many engines, by name."""
+    """Measure one size: figures of GatewayFigures (medians) and DecisionTimes (minima) by name."""
     runs = [run_size(size, seed + turn) for turn in range(rounds)]
     decisions = [
         measure_decisions(size, CORES, DATASETS, seed + turn)
@@ -44,7 +45,7 @@
 
 
 def compare(small: dict[str, float], large: dict[str, float]) -> dict[str, Any]:
-    """Ratios of all figures, and by how much the large size exceeds the allowed ratios."""
+    """The ratios of the figures, and by how much the large size exceeds ALLOWED_RATIOS."""
     ratios = {name: round(large[name] / small[name], 3) for name in small}
     extra = {name: large[name] - ratio * small[name] for name, ratio in ALLOWED_RATIOS.items()}
     return {
@@ -65,7 +66,7 @@
 
 
 def main() -> None:
-    """Run all of it; the last line is JSON."""
+    """Run the benchmark and print its figures."""
     arguments = parse_arguments("fleet_size", __doc__)
     rounds = 1 if arguments.is_quick else 3
     small, large = (measure_size(size, rounds, arguments.seed) for size in (SMALL, LARGE))
--- a/benchmarks/fleet_size_decisions.py
+++ b/benchmarks/fleet_size_decisions.py
@@ -1,4 +1,4 @@
-"""Time that the decision module takes for a command and for a change of the endpoint list."""
+"""The time that the decision module takes for a command and for a change of the endpoint list."""
 
 import time
 from random import Random
@@ -10,7 +10,7 @@
 from gullhold.testing.deployment import config
 
 COMMANDS = 3000
-CHANGE_EVERY = 30  # commands; a change is one engine that goes and one in its place
+CHANGE_EVERY = 30  # commands between replacements of an engine, each of which is two list changes
 GATEWAYS = 50
 ARRIVAL_INTERVAL_US = 40_000
 TIMEOUT_US = 2_000_000
@@ -18,18 +18,18 @@
 NEED_MB = 10
 MIN_ATTEMPT_US = 5_000
 MAX_ATTEMPT_US = 200_000
-ENGINE_ID_FACTOR = 7919  # engines' ids are spread, as they are in a real list
+ENGINE_ID_FACTOR = 7919  # spreads the ids of engines, as in a real list
 
 
 class DecisionTimes(NamedTuple):
-    """us of the module for a command from its arrival to its end, and for a change of the list."""
+    """The module's mean time in us: for a command from its arrival to its end, and for one list change."""
 
     us_per_command: float
     us_per_list_change: float
 
 
 class OpenAttempt(NamedTuple):
-    """An attempt of a command that ends at a time, us."""
+    """An attempt of a command. ends_at, sent_at: us of simulated time."""
 
     ends_at: int
     command: int
@@ -37,10 +37,10 @@
 
 
 class DecisionRun:
-    """A gateway's decisions with so many engines, even arrivals, and engines that are replaced."""
+    """Runs a gateway's decision module with evenly spaced commands and engines that are replaced."""
 
     def __init__(self, engines: int, cores: float, datasets: int, seed: int) -> None:
-        """cores: of all engines together; datasets: groups of tables that commands read."""
+        """Add the engines. cores: of all engines together; datasets: groups of tables that commands read."""
         self.draw = Random(seed)
         agreement = read_agreement(config()["settings"] | {"balancers": GATEWAYS})
         agreement = agreement._replace(cores_by_kind=(cores / engines,))
@@ -54,7 +54,7 @@
         self.gateway.update_engines(self.now, entries, True)
 
     def submit(self, command: int) -> float:
-        """A command arrives, and the attempts that are due end; s that this took the module."""
+        """Submit a command and end the attempts that are due; returns the time in s that the module took."""
         self.now += ARRIVAL_INTERVAL_US
         began = time.perf_counter()
         timeout_at = self.now + TIMEOUT_US
@@ -79,7 +79,7 @@
         )
 
     def replace_engine(self) -> float:
-        """An engine goes, and another starts in its place; s that this took the module."""
+        """Remove an engine and add a new one; returns the time in s that the module took."""
         place = self.draw.randrange(len(self.engines))
         self.next_engine += 1
         removed = _entry(self.engines[place], EngineState.REMOVED, 0)
@@ -97,7 +97,10 @@
 
 
 def measure_decisions(engines: int, cores: float, datasets: int, seed: int) -> DecisionTimes:
-    """Submit COMMANDS and replace engines; the mean times. Arguments: of DecisionRun."""
+    """Submit COMMANDS commands while engines are replaced, and return the mean times.
+
+    engines, cores, datasets, seed: as for DecisionRun.
+    """
     run = DecisionRun(engines, cores, datasets, seed)
     submitting_s = 0.0
     changing_s = 0.0
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process over a number of engines under traffic while most of these are replaced."""
+"""One gateway process under traffic while most of its engines are replaced."""
 
 import json
 import os
@@ -21,17 +21,17 @@
 from gullhold.testing.many_engines import ManyEngines
 from gullhold.testing.running import ROOT, cpu_s, free_address, serving_status
 
-CORES = 1280.0  # of all engines together: the same at every size
+CORES = 1280.0  # of all engines together, whatever their number
 GATEWAYS = 50
-REPLACED_SHARE = 0.6  # of the engines are replaced ...
-RAMP_S = 7.0  # ... within this time
-AROUND_RAMP_S = 2.0  # of traffic before and after
-RATE_PER_S = 25.0  # requests: some tens a second is what a gateway sees
-TIMEOUT_MS = 2000  # of a request
+REPLACED_SHARE = 0.6  # share of the engines that are replaced within RAMP_S
+RAMP_S = 7.0
+AROUND_RAMP_S = 2.0  # duration of traffic before the ramp, and after it
+RATE_PER_S = 25.0  # requests; a gateway in production receives some tens per second
+TIMEOUT_MS = 2000  # client timeout of each request
 DATASETS = 40  # groups of tables that requests read
-LIST_INTERVAL_S = 0.05  # between groups of watch events
+LIST_INTERVAL_S = 0.05  # least time between two groups of watch events
 DESCRIPTOR_POLL_S = 0.2
-REQUEST_POLL_S = 0.005  # between looks whether a request is due
+REQUEST_POLL_S = 0.005  # between checks whether a request is due
 STARTUP_POLL_S = 0.05
 MAX_FRAME_BYTES = 1 << 20
 
@@ -39,7 +39,11 @@
 
 
 class GatewayFigures(NamedTuple):
-    """What a gateway needed. list_bytes: of the watch events; served: share of the requests answered."""
+    """What a gateway needed.
+
+    list_bytes: size of the watch events sent to it; descriptors, memory_mb: peaks; connections: accepted by
+    all engines over the run; served: the share of requests answered with a result.
+    """
 
     list_bytes: int
     descriptors: int
@@ -50,7 +54,7 @@
 
 
 class Traffic(Thread):
-    """Requests at an even rate on one connection, for so many seconds; counts sent and answered ones."""
+    """Sends requests at an even rate on one connection for a given time; counts requests and answers."""
 
     def __init__(self, address: Address, seconds: float, seed: int) -> None:
         super().__init__(daemon=True)
@@ -61,7 +65,7 @@
         self.answered = 0
 
     def run(self) -> None:
-        """Send the requests, then wait for the last answers."""
+        """Send the requests, then wait for the last answers until their timeout."""
         reader = Thread(target=self._read, daemon=True)
         reader.start()
         began = time.monotonic()
@@ -87,9 +91,9 @@
 
 
 class Replacement(Thread):
-    """Watch events, from AROUND_RAMP_S on, that replace engines one after another within RAMP_S.
+    """Sends watch events that replace engines one after another within RAMP_S, after AROUND_RAMP_S.
 
-    Engines 0 and on go, those from `size` on start in their place. list_bytes: of the events so far.
+    Engine number N is replaced by engine number `size` + N. list_bytes: size of the events so far.
     """
 
     def __init__(self, discovery_service: DiscoveryService, addresses: list[str], size: int) -> None:
@@ -98,10 +102,10 @@
         self.addresses = addresses
         self.size = size
         self.list_bytes = 0
-        self.index = 1  # of the last event
+        self.index = 1  # index of the last event
 
     def run(self) -> None:
-        """Send the events when they are due."""
+        """Send each event when it is due; events that are due within LIST_INTERVAL_S are sent together."""
         time.sleep(AROUND_RAMP_S)
         began = time.monotonic()
         count = int(self.size * REPLACED_SHARE)
@@ -125,7 +129,7 @@
 
 
 def peak_descriptors(pid: int, seconds: float) -> int:
-    """The most open descriptors of a process over so long."""
+    """The largest number of open file descriptors of a process, polled for the given time."""
     peak = 0
     ends_at = time.monotonic() + seconds
     while time.monotonic() < ends_at:
@@ -135,13 +139,13 @@
 
 
 def peak_memory_mb(pid: int) -> float:
-    """The most memory that a process had."""
+    """The peak resident memory of a process."""
     rows = dict(line.split(":", 1) for line in Path(f"/proc/{pid}/status").read_text().splitlines())
     return int(rows["VmHWM"].split()[0]) / 1024
 
 
 def run_size(size: int, seed: int) -> GatewayFigures:
-    """The figures of one gateway over so many engines."""
+    """Run one gateway with the given number of engines and return its figures."""
     discovery_service = DiscoveryService()
     engines = ManyEngines(size + int(size * REPLACED_SHARE))
     try:
@@ -169,7 +173,10 @@
 
 @contextmanager
 def run_gateway(configuration: dict[str, Any]) -> Iterator[subprocess.Popen[bytes]]:
-    """A gateway process that answers, killed on leaving. Raises RuntimeError with its log."""
+    """Start a gateway, wait until it serves, and kill it on leaving.
+
+    Raises RuntimeError with the gateway's log if it does not serve in time.
+    """
     with tempfile.TemporaryDirectory(prefix="gullhold-size-") as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(configuration))
@@ -193,7 +200,7 @@
     ends_at = time.monotonic() + PATIENCE_S
     while not serving_status(address):
         if time.monotonic() > ends_at:
-            raise RuntimeError(f"the gateway did not come up: {log_path.read_text()}")
+            raise RuntimeError(f"the gateway did not start: {log_path.read_text()}")
         time.sleep(STARTUP_POLL_S)
 
 
@@ -205,7 +212,7 @@
     size: int,
     seed: int,
 ) -> GatewayFigures:
-    """Send traffic and replace engines, then take the figures."""
+    """Send traffic while engines are replaced, then read the figures of the gateway's process."""
     seconds = RAMP_S + 2 * AROUND_RAMP_S
     traffic = Traffic(_address(configuration), seconds, seed)
     replacement = Replacement(discovery_service, engines.addresses, size)
--- a/benchmarks/leadership.py
+++ b/benchmarks/leadership.py
@@ -1,9 +1,10 @@
-"""One leader at a time: what a fleet of real processes keeps under faults, and what it costs.
+"""One leader for each role at a time, in a fleet of real processes: correctness under faults, and costs.
 
     python -m benchmarks.leadership [--quick]
 
-Last line JSON; status 1: a bound is missed. Quick: 6 gateways for some 25 s of faults, 12 for the counts of
-calls; under a minute. In full: four times the faults and ten times the walks.
+Prints all figures as JSON in the last line; exits with status 1 if a bound is missed. The quick run takes
+under a minute: 6 gateways for some 25 s of faults, and 12 to count calls to the store. QUICK and FULL say how
+much more the full run does.
 """
 
 from concurrent.futures import ProcessPoolExecutor
@@ -31,11 +32,15 @@
     "mutants_missed": at_most(0),
     "walks_broken": at_most(0),
 }
-FLEET_SIZES = (50, 200, 1000)  # members, for the counts of calls
+FLEET_SIZES = (50, 200, 1000)  # members of the simulated fleets whose calls are counted
 
 
 class Extent(NamedTuple):
-    """How much is run."""
+    """The size of a run.
+
+    fault_turns: turns of the run with faults; handovers: leaders that are ended; service_s, idle_s: duration
+    of each measurement of service and of idle cost.
+    """
 
     fault_turns: int
     handovers: int
@@ -49,7 +54,7 @@
 
 
 def add_calls(figures: Figures, cost: IdleCost) -> None:
-    """What an idle member costs: in a run, and by the decisions alone in fleets of several sizes."""
+    """Add what an idle member costs: in a real fleet, and in calls of simulated fleets of several sizes."""
     calls = {size: leadership_decisions.count_calls(size) for size in FLEET_SIZES}
     rates = [count.settled_per_s for count in calls.values()]
     figures.add(
@@ -63,7 +68,7 @@
 
 
 def measure(extent: Extent, figures: Figures) -> None:
-    """Take all figures."""
+    """Run all cases and add their figures."""
     figures.add(**leadership_runs.run_faults(extent.fault_turns, figures.by_name["seed"]))
     handovers = leadership_runs.run_handovers(extent.handovers)
     figures.by_name["owners_accepted_at_once"] += handovers.broken
@@ -79,7 +84,7 @@
 
 
 def main() -> None:
-    """Run all of it; the last line is JSON."""
+    """Run the benchmark and print its figures."""
     arguments = parse_arguments("leadership", __doc__)
     figures = Figures(quick=arguments.is_quick, seed=arguments.seed)
     measure(QUICK if arguments.is_quick else FULL, figures)
--- a/benchmarks/leadership_decisions.py
+++ b/benchmarks/leadership_decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions of members alone keep and cost, for benchmarks.leadership."""
+"""Checks and costs of a member's decisions, without real processes or a store; for benchmarks.leadership."""
 
 from functools import partial
 from typing import NamedTuple
@@ -31,13 +31,13 @@
 SEARCH_DEPTH = 8
 LEASE_ID = 7
 FIRST_REVISION = 10
-SETTLED_AFTER_US = 30_000_000
-SIMULATED_S = 120
+SETTLED_AFTER_US = 30_000_000  # simulated time by which a member has claimed its roles
+SIMULATED_S = 120  # simulated time for which calls are counted
 MUTANT_MODULES = {"members": membership_mutants, "scheduled commands": scheduled_command_mutants}
 
 
 def moves_over_least(members: int = 12) -> float:
-    """Roles that move when one of so many members leaves, over its own."""
+    """The number of roles that move when one of the members leaves, divided by the roles that it had."""
     names = [f"n{number}" for number in range(members)]
     leaver = names[3]
     assignment = RoleAssignment(ROLES)
@@ -48,14 +48,20 @@
 
 
 class MemberCalls(NamedTuple):
-    """Calls of one member: a second once it has settled, and to claim its roles."""
+    """Calls of one member to the store.
+
+    settled_per_s: calls per second once it has claimed its roles; claiming: calls before that.
+    """
 
     settled_per_s: float
     claiming: int
 
 
 def count_calls(members: int, lease_s: int = 5) -> MemberCalls:
-    """The calls of one member among so many that make no changes."""
+    """Count the calls of one member in a fleet whose other members change nothing.
+
+    Ends the program if the member has not claimed all roles that it is assigned.
+    """
     rules = MembershipRules(LeaseTerms(lease_s, 0.01, 100_000), 0, 200, 100_000, 5_000_000, 1_000_000)
     member = Membership("n0", "x", rules, ROLES, lambda: 0.5, 0)
     others = tuple(
@@ -90,7 +96,7 @@
 def _reply(
     request: Request, revision: int, others: tuple[KeyValue, ...], member: Membership, lease_s: int
 ) -> Reply:
-    """What a store in which nobody else changes anything replies."""
+    """The reply of a store that only this member changes."""
     match request:
         case GrantLease():
             return Reply(Proof.DONE, revision, lease=LEASE_ID, ttl_s=lease_s)
@@ -106,14 +112,17 @@
 
 
 def walk(seed: int) -> set[int]:
-    """A walk of members and one of a scheduled command; marks of the states that members met."""
+    """Take a random walk of members and one of a scheduled command.
+
+    Returns hashes of the states that members reached.
+    """
     marks = membership_explorer.walk(seed, WALK_STEPS)
     scheduled_command_explorer.walk(seed)
     return marks
 
 
 def find_mutant(kind: str, number: int, max_walks: int) -> Finding | None:
-    """The walk that finds a mutant, if any does; kind, number: its key and place in MUTANT_MODULES."""
+    """Search for a walk that finds a mutant. kind: key in MUTANT_MODULES; number: index in MUTANTS."""
     mutant = MUTANT_MODULES[kind].MUTANTS[number]
     if kind == "members":
         return membership_mutants.find_detecting_walk(mutant, max_walks, WALK_STEPS)
@@ -121,7 +130,7 @@
 
 
 def exploration_plan(size: ExplorationSize) -> ExplorationPlan:
-    """Walks, mutants and a search of members and scheduled commands."""
+    """The exploration of members and scheduled commands."""
     return ExplorationPlan(
         walk=walk,
         find_mutant={
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -1,4 +1,4 @@
-"""Runs of fleets of real processes for benchmarks.leadership: faults, handovers, costs."""
+"""Runs of fleets of real processes for benchmarks.leadership: faults, handovers, service and costs."""
 
 import random
 import statistics
@@ -18,24 +18,24 @@
 from gullhold.testing.fleet_checker import FleetChecker, attempts_by_key, attempts_by_statement
 from gullhold.testing.running import cpu_s, resident_mb
 
-PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the word in a statement's table
+PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the kind in a statement's table name
 COMMANDS_PER_PROFILE = 3
-INTERVAL_US = 500_000  # of a scheduled command
+INTERVAL_US = 500_000  # between due times of a scheduled command
 NON_IDEMPOTENT = "single"
 FAULTY_MEMBERS = 6
 FAULTY_HEARTBEATS = 18
 FAULT_DURATION_S = 1.7  # longer than a lease
-RECOVERY_S = 0.5
-NO_HANDOVER = 99.0  # leases, where no effect followed
+RECOVERY_S = 0.5  # between the end of a turn's faults and the next turn
+NO_HANDOVER = 99.0  # in leases: the time noted for a role whose next leader had no effect
 MEMBERS = 4
-HEARTBEATS = 24
-IDLE_HEARTBEATS = 36
-IDLE_PERIOD_MS = 3_600_000  # of a heartbeat, longer than the run
-LEASE_EXPIRY_WAIT_S = 1.2  # after which all leases have expired
+HEARTBEATS = 24  # heartbeat roles
+IDLE_HEARTBEATS = 36  # heartbeat roles of the idle fleet
+IDLE_PERIOD_MS = 3_600_000  # heartbeat period longer than the run, so that members stay idle
+LEASE_EXPIRY_WAIT_S = 1.2  # from the end of the store, by which all leases have expired
 
 
 def scheduled_command(kind: str, number: int) -> dict[str, str]:
-    """An operator's words for a scheduled command; each has a statement of its own."""
+    """The record of a scheduled command in the operator file; its statement names a table of its own."""
     name = f"{kind}{number}"
     return {
         "name": f'"{name}"',
@@ -48,7 +48,7 @@
 
 
 def run_faults(turns: int, seed: int) -> dict[str, Any]:
-    """Six gateways, roles and scheduled commands under drawn faults; figures of what was kept."""
+    """Run gateways with roles and scheduled commands under random faults; returns figures by name."""
     draw = random.Random(seed)
     scheduled = [
         scheduled_command(kind, number) for kind in PROFILES for number in range(COMMANDS_PER_PROFILE)
@@ -67,7 +67,11 @@
 
 
 def _run_one_fault(rig: Rig, names: list[str], turn: int) -> None:
-    """One is cut off one way, one both ways, one sleeps, and by turns one is killed, or the store fails."""
+    """Cause faults at gateways and the store, then end them.
+
+    One gateway is cut off in one direction, one in both, one is paused. By turns a fourth one is killed, store
+    calls fail, or the store restarts.
+    """
     cut_one_way, cut_both_ways, paused, killed = names
     rig.cut(cut_one_way, sides=("there",))
     rig.cut(cut_both_ways)
@@ -89,7 +93,7 @@
 
 
 def collect_figures(rig: Rig, commands: Iterable[str]) -> dict[str, Any]:
-    """What the store's journal and the engines' records say of a run."""
+    """The figures of a run, from the store's journal, the engines' records and the gateways' logs."""
     check = FleetChecker(rig.lines())
     occurrences = check.occurrences()
     late_effects = [line for line in check.violations if "token" in line or "effect" in line]
@@ -112,7 +116,7 @@
 
 
 def _count_repeats(rig: Rig, occurrences: dict[tuple[str, int], Any]) -> int:
-    """Attempts of non-idempotent commands beyond those that their records allow for."""
+    """The number of attempts of non-idempotent commands beyond those in the stored occurrences."""
     repeats = 0
     for statement, attempts in attempts_by_statement(rig.engines).items():
         if NON_IDEMPOTENT not in statement:
@@ -125,7 +129,7 @@
 
 
 def _count_late_repeats(rig: Rig) -> int:
-    """Idempotency keys that were sent over a longer time than engines remember them."""
+    """The number of idempotency keys that were sent over a longer time than engines remember them."""
     late = 0
     for attempts in attempts_by_key(rig.engines).values():
         times = [at for at, _ in attempts]
@@ -134,7 +138,7 @@
 
 
 def count_missing(check: FleetChecker, command: str) -> int:
-    """Due times of a command without a record, between the first and the last that are recorded."""
+    """The number of due times without a record between a command's first and last recorded ones."""
     recorded = sorted(
         (due, record["count"] if record["state"] == "skipped" else 1)
         for (name, due), record in check.occurrences().items()
@@ -150,7 +154,11 @@
 
 
 class Handovers(NamedTuple):
-    """Times from the end of a leader to the next one's first effect, in leases, and what broke."""
+    """The time from the end of a leader to the first effect of the next one.
+
+    kill_p95, sigterm_p95: 95th percentiles in lease times, None if not measured; broken: the number of rules
+    that the journal shows as broken.
+    """
 
     kill_p95: float | None
     sigterm_p95: float | None
@@ -158,7 +166,7 @@
 
 
 def run_handovers(count: int) -> Handovers:
-    """End one leader after another, by turns with SIGKILL and SIGTERM."""
+    """End one member after another, alternately with SIGKILL and SIGTERM."""
     after_kill: list[float] = []
     after_sigterm: list[float] = []
     with Rig(members=MEMBERS, beats=HEARTBEATS, beat_ms=40) as rig:
@@ -175,12 +183,12 @@
 
 
 def _wait_for_leaders(rig: Rig) -> None:
-    """Wait until every member leads some role."""
+    """Wait until every member leads at least one role."""
     rig.until(lambda: len({member for member, _ in rig.owners().values()}) == len(rig.names))
 
 
 def _run_one_handover(rig: Rig, name: str, is_kill: bool) -> list[float]:
-    """The time of each role that the member led, in leases; then it is started again."""
+    """End a member and start it again; returns the handover time of each role that it led, in lease times."""
     roles = {role for role, (member, _) in rig.owners().items() if member == name}
     ended_at = time.time()
     if is_kill:
@@ -204,7 +212,11 @@
 
 
 class IdleCost(NamedTuple):
-    """What an idle member costs: calls of the store a second, and CPU and MB over one without a fleet."""
+    """What an idle member costs.
+
+    calls_per_s: calls to the store; cpu_share, memory_mb: CPU seconds per second, and resident memory, beyond
+    those of a gateway without a fleet.
+    """
 
     calls_per_s: float
     cpu_share: float
@@ -212,7 +224,7 @@
 
 
 def run_idle(seconds: float, members: int = 12) -> IdleCost:
-    """So many idle members beside a gateway without a fleet."""
+    """Measure the cost of idle members against a gateway without a fleet."""
     with Rig(members=members + 1, lease_s=5, beats=IDLE_HEARTBEATS, beat_ms=IDLE_PERIOD_MS) as rig:
         rig.start(*rig.names[:members])
         rig.start(rig.names[members], operator=False)
@@ -231,14 +243,17 @@
 
 
 class ServiceShares(NamedTuple):
-    """Answered in target with the store dead over with it alive; the shares of each."""
+    """The shares of requests answered with the store up and down.
+
+    ratio: the second share divided by the first; shares: both, in this order.
+    """
 
     ratio: float
     shares: list[float]
 
 
 def run_service(seconds: float) -> ServiceShares:
-    """The same load with the store alive and dead."""
+    """Measure service under the same load with the store up and down."""
     load = {"work_ms": 20.0, "limit_ms": 500, "rate": 40.0}
     with Rig(members=3, beats=6) as rig:
         rig.start()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,7 +1,9 @@
-"""A gateway under overload: `python -m benchmarks.overload [--quick]`. Last line JSON, status 1: missed.
+"""A gateway under overload: `python -m benchmarks.overload [--quick]`.
 
-Clients on 320 connections ask as fast as they are answered, 1 to 64 requests open on each. An answer is late
-if it comes after the client timeout and the longest time that a control took, which only answers.
+Clients on 320 connections keep 1 to 64 requests open on each. A control, a server that only answers, is run
+under the same load: an answer of the gateway is late if it exceeds the client timeout by more than the
+control's longest latency. Prints all figures as JSON in the last line; exits with status 1 if a bound is
+missed.
 """
 
 import subprocess
@@ -15,13 +17,13 @@
 from gullhold.testing.load_process import Crowd, LoadProcesses
 from gullhold.testing.running import ADMISSION_RULES, ROOT, RunningDeployment, free_address, serving_status
 
-TIMEOUT_S = 1.0  # of all requests
+TIMEOUT_S = 1.0  # client timeout of all requests
 PROCESSES = 4
-CLIENTS = 8  # of each process
+CLIENTS = 8  # in each process
 CONNECTIONS = 10  # of each client
 QUEUE_RULES = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
-ONE_CORE = 0  # the processor of a gateway on one core
-CONTROL_START_S = 1.0
+ONE_CORE = 0  # the processor to which a gateway on one core is confined
+CONTROL_START_S = 1.0  # until the control serves
 MAX_EVENT_AGE_MS = TIMEOUT_S * 1000 / 10
 
 BOUNDS = {
@@ -34,7 +36,11 @@
 
 
 class Case(NamedTuple):
-    """One run. open_per_connection: requests open on a connection."""
+    """The load and the set-up of one run.
+
+    open_per_connection: open requests on each connection; has_queue: whether the admission queue is on;
+    is_one_core: whether the gateway is confined to one processor.
+    """
 
     open_per_connection: int
     has_queue: bool = False
@@ -42,7 +48,7 @@
 
     @property
     def name(self) -> str:
-        """Its name in the table."""
+        """The name of the case's figures in the output."""
         parts = [
             str(self.open_per_connection),
             "queue" if self.has_queue else "",
@@ -52,7 +58,12 @@
 
 
 class Result(NamedTuple):
-    """What came of a run. good: answers with rows in their time."""
+    """The counts of one run.
+
+    good: results within the client timeout; late: answers that exceed it by more than the control's latency;
+    read_unanswered: requests that the gateway read and did not answer; oldest_event_ms: the longest time that
+    an event waited for the core thread; faults: internal faults and failed decisions; offered: attempts sent.
+    """
 
     good: int
     late: int
@@ -79,7 +90,7 @@
 
 
 def make_crowd(open_per_connection: int) -> Crowd:
-    """The clients of a run."""
+    """The client processes of a run."""
     options = {
         "open": CONNECTIONS * open_per_connection,
         "connections": CONNECTIONS,
@@ -90,7 +101,7 @@
 
 
 def run_load(address: tuple[str, int], open_per_connection: int, seconds: float) -> LoadCounts:
-    """Load an address for so long; what came of it once all that was open is over."""
+    """Put load on an address for the given time; returns the counts once no request is open any more."""
     crowd = LoadProcesses(address, make_crowd(open_per_connection))
     crowd.start()
     time.sleep(seconds)
@@ -98,7 +109,7 @@
 
 
 def measure_control(open_per_connection: int, seconds: float) -> float:
-    """The longest time, in s, that an answer took where nothing is done but to answer."""
+    """The longest latency, in s, of a server that does nothing but answer."""
     address = free_address()
     process = subprocess.Popen([sys.executable, "-m", "benchmarks.answering_server", address], cwd=ROOT)
     try:
@@ -111,7 +122,7 @@
 
 
 def run_case(case: Case, seconds: float, control_s: float) -> Result:
-    """Run a gateway under the run_load of a case. control_s: what the control took."""
+    """Run a gateway under the load of a case. control_s: the control's longest latency under that load."""
     operator = QUEUE_RULES if case.has_queue else ""
     with RunningDeployment(operator=operator, slots=16, timeout_s=TIMEOUT_S, max_open=1000) as running:
         assert serving_status(running.address)
@@ -132,7 +143,7 @@
 
 
 def run(cases: tuple[Case, ...], seconds: float, figures: Figures) -> None:
-    """Run all cases; the figures of the worst."""
+    """Run all cases; adds the figures of each, and the worst or the sum over all."""
     control_s = {case.open_per_connection: 0.0 for case in cases}
     for open_per_connection in control_s:
         control_s[open_per_connection] = measure_control(open_per_connection, seconds)
@@ -162,7 +173,7 @@
 
 
 def main() -> None:
-    """The command line."""
+    """Run the benchmark and print its figures."""
     arguments = make_parser("overload", __doc__ or "").parse_args()
     figures = Figures()
     run(QUICK if arguments.quick else FULL, 3.0 if arguments.quick else 6.0, figures)
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -1,4 +1,4 @@
-"""Earlier name of benchmarks.leadership: `python -m benchmarks.owner` goes on working."""
+"""Earlier name of benchmarks.leadership, kept so that `python -m benchmarks.owner` still works."""
 
 from benchmarks.leadership import main
 
--- a/benchmarks/policy_rollout.py
+++ b/benchmarks/policy_rollout.py
@@ -1,7 +1,10 @@
-"""Rollouts of a policy: `python -m benchmarks.policy_rollout [--quick]`.
+"""Rollouts of a policy: correctness under faults, service and costs.
 
-Last line JSON; status 1: a bound is missed. Gateways, store and faults are real processes; engines are test
-doubles here and tell policies by what they grant.
+    python -m benchmarks.policy_rollout [--quick]
+
+Prints all figures as JSON in the last line; exits with status 1 if a bound is missed. Gateways and the store
+are real processes. Engines are test doubles in this process; the memory granted to an attempt shows under
+which policy it was sent.
 """
 
 from concurrent.futures import ProcessPoolExecutor
@@ -35,13 +38,17 @@
 }
 WALK_STEPS = 500
 SEARCH_DEPTH = 8
-FLEET_SIZES = (6, 12)  # members, real processes
-DECISION_FLEET_SIZES = (200, 1000, 10_000)  # members, by the decisions alone
-DECISION_PROCESSES = 3
+FLEET_SIZES = (6, 12)  # members of the fleets of real processes
+DECISION_FLEET_SIZES = (200, 1000, 10_000)  # members of the simulated fleets
+DECISION_PROCESSES = 3  # processes that explore decisions
 
 
 class Extent(NamedTuple):
-    """How much is run. fault_runs: with faults, each on a fleet of its own; changes: without faults."""
+    """The size of a run.
+
+    fault_runs: runs with faults, each with a fleet of its own; changes: changes without faults; service_s:
+    duration of each measurement of service.
+    """
 
     fault_runs: int
     changes: int
@@ -54,7 +61,7 @@
 
 
 def exploration_plan(size: ExplorationSize) -> ExplorationPlan:
-    """Walks, mutants and searches of the coordinator and its members."""
+    """The exploration of the coordinator and its members."""
     return ExplorationPlan(
         walk=partial(rollout_explorer.walk, steps=WALK_STEPS, with_fingerprints=True),
         find_mutant={
@@ -69,7 +76,7 @@
 
 
 def add_costs(figures: Figures, changes: int) -> None:
-    """What a change costs in fleets of real processes."""
+    """Add what a change costs in fleets of real processes."""
     costs = {members: measure_rollout_cost(members, changes) for members in FLEET_SIZES}
     figures.add(
         held_p99_ms={members: cost.held_p99_ms for members, cost in costs.items()},
@@ -79,7 +86,7 @@
 
 
 def add_service(figures: Figures, seconds: float) -> None:
-    """Service while policies change."""
+    """Add the figures of service while policies change."""
     service = measure_service(seconds)
     figures.add(
         answered_ratio=service.answered_ratio,
@@ -89,7 +96,7 @@
 
 
 def add_coordinator_costs(figures: Figures) -> None:
-    """What a change costs its coordinator, by the decisions alone."""
+    """Add what a change costs its coordinator in simulated fleets."""
     costs = {members: coordinator_cost(members) for members in DECISION_FLEET_SIZES}
     figures.add(
         carrier_calls={members: cost.calls for members, cost in costs.items()},
@@ -98,11 +105,11 @@
 
 
 def main() -> None:
-    """Run all of it; the last line is JSON."""
+    """Run the benchmark and print its figures."""
     arguments = parse_arguments("policy_rollout", __doc__)
     extent = QUICK if arguments.is_quick else FULL
     figures = Figures(quick=arguments.is_quick, seed=arguments.seed)
-    # The runs with faults take no times that the exploration beside them could spoil.
+    # The exploration runs beside the runs with faults, which measure no time that it could distort.
     with ProcessPoolExecutor(DECISION_PROCESSES) as pool:
         exploration = Exploration(pool, exploration_plan(extent.exploration), extent.exploration)
         figures.add(**run_several_with_faults(extent.fault_runs, arguments.seed))
--- a/benchmarks/policy_rollout_calls.py
+++ b/benchmarks/policy_rollout_calls.py
@@ -1,4 +1,4 @@
-"""The coordinator's side of one strict change, by its decisions alone: calls to the store, and time."""
+"""What one strict change costs the coordinator in calls and time, without real processes or a store."""
 
 import time
 from collections.abc import Iterable
@@ -13,18 +13,18 @@
 from gullhold.rollout.vote import Vote, VoteKind
 
 FIRST_REVISION = 10
-MEMBER_VOTES = (Vote(0, 1, VoteKind.READY), Vote(0, 1, VoteKind.STOPPED), Vote(1))  # of each, in this order
+MEMBER_VOTES = (Vote(0, 1, VoteKind.READY), Vote(0, 1, VoteKind.STOPPED), Vote(1))  # each member's, in turn
 
 
 class CoordinatorCost(NamedTuple):
-    """What one strict change costs its coordinator: calls to the store, and s to decide."""
+    """What one strict change costs its coordinator: calls to the store, and the time of all steps in s."""
 
     calls: int
     seconds: float
 
 
 class CoordinatorStore:
-    """A store that only a coordinator uses: its keys, and how many calls the coordinator makes."""
+    """A store in memory for a coordinator; calls: the number of calls that the coordinator made."""
 
     def __init__(self) -> None:
         self.keys: dict[str, str] = {}
@@ -32,13 +32,13 @@
         self.calls = 0
 
     def put(self, key: str, value: str) -> int:
-        """Write a key; the revision."""
+        """Write a key and return the new revision."""
         self.revision += 1
         self.keys[key] = value
         return self.revision
 
     def serve(self, coordinator: RolloutCoordinator) -> None:
-        """Carry out what the coordinator requests, until it requests nothing."""
+        """Carry out the coordinator's actions until it has no more."""
         while actions := coordinator.take_actions():
             for action in actions:
                 match action:
@@ -68,7 +68,7 @@
 
 
 def coordinator_cost(members: int) -> CoordinatorCost:
-    """Carry out one strict change among so many members; ends the program if it does not come into force."""
+    """Carry out one strict change in a fleet of one size; ends the program if it does not come into force."""
     coordinator = RolloutCoordinator()
     store = CoordinatorStore()
     version = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -1,4 +1,4 @@
-"""Rollouts of a policy under load, each with a fault while it is made."""
+"""Rollouts of a policy under load, each with a fault while the change is open."""
 
 import random
 import time
@@ -23,22 +23,22 @@
 from gullhold.testing.fleet import Rig
 from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy, measure_overlap
 
-TOTAL_THREADS = 24  # of the fleet's budget
-THREADS_DECREASE = 8  # threads, by every second policy
-CHANGES_PER_RUN = 44  # on one fleet, so that each grants another amount below MAX_GRANT_MB
+TOTAL_THREADS = 24  # the fleet's budget of threads
+THREADS_DECREASE = 8  # threads by which every second policy lowers the budget
+CHANGES_PER_RUN = 44  # on one fleet: few enough for each to grant another amount below MAX_GRANT_MB
 MEMBERS = 6
-SURVIVING_MEMBERS = 4  # the first of them, none of which is killed
-VOTE_TIMEOUT_US = 1_500_000  # of the coordinator with members that do not vote
-RETRY_S = 0.3  # after a proposal that can't be opened yet
-MAX_FAULT_DELAY_S = 0.05  # after the proposal
+SURVIVING_MEMBERS = 4  # the first members, which are never killed
+VOTE_TIMEOUT_US = 1_500_000  # time that the coordinator waits for votes of silent members
+RETRY_S = 0.3  # after a proposal that failed because the last change is still open
+MAX_FAULT_DELAY_S = 0.05  # from the proposal to the fault
 FAULT_DURATION_S = 0.2
-OUTCOME_TIMEOUT_S = 6  # in which it has to be known what became of a change, with faults
-CUT_DIRECTIONS = (("there",), ("back",), ("there", "back"))  # in turn
-JOURNAL_STATES = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}  # of reported outcomes
+OUTCOME_TIMEOUT_S = 6  # time in which the outcome of a change has to be known, faults included
+CUT_DIRECTIONS = (("there",), ("back",), ("there", "back"))  # between gateway and store, by turns
+JOURNAL_STATES = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}  # by reported outcome
 
 
 class Fault(IntEnum):
-    """What goes wrong while a change is made; each in its turn."""
+    """What goes wrong while a change is made; changes get these faults one after another."""
 
     KILL = 0
     PAUSE = 1
@@ -49,7 +49,7 @@
 
 
 class Outcome(NamedTuple):
-    """What was reported to the one who proposed a change. number: of its version."""
+    """The outcome of a change as reported to its author. number: of the proposed version."""
 
     number: int
     status: ExitStatus
@@ -64,20 +64,24 @@
 
 
 class Overlaps(NamedTuple):
-    """Attempts mixed by strict changes, and how long each change overlapped with the policy before, in ms."""
+    """How far changes overlapped with the policy before them.
+
+    strict_mixed: attempts sent under the earlier policy after the first one under a strict change's policy;
+    lengths_ms: the duration of each change's overlap.
+    """
 
     strict_mixed: int
     lengths_ms: list[float]
 
 
 def policy_with_budget(grant_mb: int, turn: int) -> str:
-    """A policy that engines can tell, and that moves a budget's total up and down by turns."""
+    """A policy recognisable by the memory that it grants, whose budget alternates between two totals."""
     threads = TOTAL_THREADS - THREADS_DECREASE * (turn % 2)
     return f"policy: {{grants: read: {grant_mb}, budgets: threads: {threads}}}"
 
 
 def run_with_faults(count: int, seed: int) -> dict[str, Any]:
-    """Make so many changes on gateways under load, each with a fault; the figures by name."""
+    """Make changes to a fleet under load, each with a fault; returns the figures by name."""
     draw = random.Random(seed)
     outcomes = []
     applied = []
@@ -103,14 +107,14 @@
 def _change_with_fault(
     rig: Rig, policy_client: PolicyClient, turn: int, draw: random.Random
 ) -> Outcome | None:
-    """Make one change with a fault; None: it could not be proposed yet."""
+    """Make one change with a fault; None if it can't be proposed since the last one is open."""
     fault = Fault(turn % len(Fault))
     name = draw.choice(rig.names[SURVIVING_MEMBERS:] if fault == Fault.KILL else rig.names)
     overlap = Overlap.LOOSE if turn // len(Fault) % 2 else Overlap.STRICT
     text = policy_with_budget(FIRST_GRANT_MB + turn, turn)
     try:
         version = policy_client.propose(text, "bench", "b", overlap=overlap, patience_us=VOTE_TIMEOUT_US)
-    except (PolicyError, StoreUnavailableError):  # the last one is not closed yet
+    except (PolicyError, StoreUnavailableError):  # the last change is still open, or the store is down
         time.sleep(RETRY_S)
         return None
     time.sleep(draw.random() * MAX_FAULT_DELAY_S)
@@ -121,7 +125,7 @@
 
 
 def _begin_fault(rig: Rig, fault: Fault, name: str, turn: int) -> None:
-    """Let something go wrong, with this gateway where it concerns one."""
+    """Cause a fault. name: the gateway that is affected if the fault concerns one."""
     match fault:
         case Fault.KILL:
             rig.kill(name)
@@ -139,7 +143,7 @@
 
 
 def _end_fault(rig: Rig, fault: Fault, name: str) -> None:
-    """Mend what does not end by itself."""
+    """End a fault that does not end by itself."""
     match fault:
         case Fault.KILL:
             rig.start(name, wait=False)
@@ -155,7 +159,7 @@
     outcomes: Sequence[Outcome],
     applied: Sequence[AppliedChange],
 ) -> dict[str, Any]:
-    """What engines, clients, the store's journal and the gateways' logs say of a run."""
+    """The figures of a run, from engines, clients, the store's journal and the gateways' logs."""
     check = RolloutChecker(rig.lines())
     overlaps = measure_overlaps(rig, applied)
     over_on_engine = peak_threads(rig.engines[0].attempts).amount > TOTAL_THREADS
@@ -180,7 +184,7 @@
 
 
 def _count_misreported(check: RolloutChecker, outcomes: Iterable[Outcome]) -> int:
-    """Outcomes that were reported as known and are not those in the store's journal."""
+    """The number of outcomes that were reported as known but differ from those in the store's journal."""
     return sum(
         outcome.status in JOURNAL_STATES
         and check.outcomes.get(outcome.number) != JOURNAL_STATES[outcome.status]
@@ -189,7 +193,7 @@
 
 
 def measure_overlaps(rig: Rig, applied: Sequence[AppliedChange]) -> Overlaps:
-    """How far attempts under the policy before a change and under its own were mixed."""
+    """Measure how far attempts under each change's policy and under the one before were mixed."""
     attempts = attempts_with_policy(rig.engines, [change.grant_mb for change in applied])
     strict_mixed = 0
     lengths_ms = []
@@ -207,6 +211,6 @@
 
 
 def run_several_with_faults(runs: int, seed: int) -> dict[str, Any]:
-    """Runs on fleets of their own: figures summed, of times the worst."""
+    """Run several fleets one after another; returns the sums of figures, of times (*_ms) the maximum."""
     rows = [run_with_faults(CHANGES_PER_RUN, seed + number) for number in range(runs)]
     return {name: (max if name.endswith("_ms") else sum)(row[name] for row in rows) for name in rows[0]}
--- a/benchmarks/policy_rollout_fleet.py
+++ b/benchmarks/policy_rollout_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes that go by one policy; engines tell policies by the memory that they grant."""
+"""Fleets of real processes with a policy. The memory that an attempt is granted identifies its policy."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,19 +8,19 @@
 from gullhold.testing.fleet import Rig
 from gullhold.testing.rollout_checker import RolloutChecker
 
-FLEET_NAME = "rig"  # as the operator's file of a Rig has it
-FIRST_GRANT_MB = 1  # of the first policy; each further one grants another amount
-MAX_GRANT_MB = 49  # commands ask for more, so that the grant is what they get
-RATE_PER_S = 25.0  # of a client's requests
+FLEET_NAME = "rig"  # the name in the operator file of a Rig
+FIRST_GRANT_MB = 1  # grant of the first policy; each further policy grants another amount
+MAX_GRANT_MB = 49  # commands need more than this, so that the grant is the memory that they get
+RATE_PER_S = 25.0  # requests of each client
 
 
 def policy_text(grant_mb: int) -> str:
-    """A policy that engines can tell by what it grants."""
+    """A policy recognisable by the memory that it grants."""
     return f"policy: grants: read: {grant_mb}"
 
 
 def make_fleet(members: int, **options: Any) -> Rig:
-    """A fleet of so many gateways on one engine that counts; options: of Rig."""
+    """A fleet of gateways with one engine that records attempts; options: other options of Rig."""
     return Rig(
         members=members,
         engines=1,
@@ -31,7 +31,7 @@
 
 
 def start_load(rig: Rig, names: Iterable[str], rate: float = RATE_PER_S) -> list[load_client.LoadClient]:
-    """Start a client of each of these gateways; rate: requests a second of each."""
+    """Start one client for each of the gateways; rate: requests per second of each client."""
     return [
         start_client(rig, name, f"{name}{number}", number + 1, rate=rate, work_ms=10.0, limit_ms=900)
         for number, name in enumerate(names)
@@ -39,10 +39,10 @@
 
 
 def wait_for_version(rig: Rig, number: int, names: Iterable[str]) -> None:
-    """Wait until these members go by a version of the policy."""
+    """Wait until the members have adopted a version of the policy."""
 
-    def all_go_by_it() -> bool:
+    def all_have_adopted_it() -> bool:
         versions = RolloutChecker(rig.lines()).adopted_versions()
         return all(versions.get(name) == number for name in names)
 
-    rig.until(all_go_by_it)
+    rig.until(all_have_adopted_it)
--- a/benchmarks/policy_rollout_runs.py
+++ b/benchmarks/policy_rollout_runs.py
@@ -1,4 +1,4 @@
-"""Rollouts of a policy without faults but the death of one gateway: what they cost and delay."""
+"""Rollouts of a policy with no fault but the kill of one gateway: what they cost and delay."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -21,18 +21,23 @@
 from gullhold.testing.fleet import Rig
 from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy
 
-STRICT_CHANGE_TIMEOUT_S = 8  # in which a strict change has to be in force with everything up
+STRICT_CHANGE_TIMEOUT_S = 8  # time in which a strict change has to come into force with all members up
 LOOSE_CHANGE_TIMEOUT_S = 5
-DEAD_MEMBER_TIMEOUT_S = 6
-POLL_INTERVAL_S = 0.1  # between the reads of one that waits for a change
-CALLS_TO_PROPOSE = 3  # reads and writes besides those
+DEAD_MEMBER_TIMEOUT_S = 6  # for a change while a member is down
+POLL_INTERVAL_S = 0.1  # between the reads with which the client of a change waits for its outcome
+CALLS_TO_PROPOSE = 3  # calls to the store of that client besides these reads
 LOADED_MEMBERS = 3
-LOAD_RATE_PER_S = 60.0  # of each client
+LOAD_RATE_PER_S = 60.0  # requests of each client
 RETURNING_MEMBER = "n2"
 
 
 class RolloutCost(NamedTuple):
-    """Strict changes while everything is up. calls_per_member: of the store, for one change."""
+    """What strict changes cost while all members are up.
+
+    held_p99_ms: time from a change's preparation to its adoption by a member, which does not dispatch
+    meanwhile; change_p95_s: time from the proposal until the change is known to be in force;
+    calls_per_member: calls to the store for one change.
+    """
 
     held_p99_ms: float | None
     change_p95_s: float | None
@@ -40,11 +45,11 @@
 
 
 class Service(NamedTuple):
-    """Service while policy_client change.
+    """Service while policies change, and after the return of a member that missed a change.
 
-    answered_ratio: share answered while changes are made over the share without; return_s: from a dead
-    member's return to the first command that it dispatches; wrong_attempts: under a policy that is no longer
-    in force, after its return.
+    answered_ratio: the share of requests answered while changes are made, divided by the share without them;
+    return_s: time from the member's start to the first attempt that it dispatches; wrong_attempts: attempts
+    after that start under a policy that is no longer in force.
     """
 
     answered_ratio: float
@@ -53,7 +58,7 @@
 
 
 def measure_rollout_cost(members: int, count: int) -> RolloutCost:
-    """So many strict changes with everything up; ends the program if one does not come into force."""
+    """Make strict changes while all members are up; ends the program if one does not come into force."""
     with make_fleet(members) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
@@ -81,7 +86,7 @@
 
 
 def _make_strict_change(policy_client: PolicyClient, grant_mb: int) -> float:
-    """Make one strict change; the time until it is known to be in force, in s."""
+    """Make one strict change; returns the time until it is known to be in force, in s."""
     proposed_at = time.monotonic()
     version = policy_client.propose(policy_text(grant_mb), "bench", "b", overlap=Overlap.STRICT)
     if policy_client.wait(version.number, STRICT_CHANGE_TIMEOUT_S).status != ExitStatus.IN_FORCE:
@@ -90,7 +95,7 @@
 
 
 def measure_service(seconds: float) -> Service:
-    """Serve without and with changes for so long each, then with a member that missed one."""
+    """Measure service without and with changes, for the given time each, and the return of a dead member."""
     with make_fleet(LOADED_MEMBERS) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
@@ -108,7 +113,7 @@
 
 
 def _return_of_member(rig: Rig) -> tuple[float, int]:
-    """Start a member that missed a change; return_s and wrong_attempts of Service."""
+    """Start the member that missed a change; returns return_s and wrong_attempts of Service."""
     began = time.time()
     rig.start(RETURNING_MEMBER)
     clients = start_load(rig, [RETURNING_MEMBER], LOAD_RATE_PER_S)
@@ -126,7 +131,7 @@
 def _answered_share_during(
     clients: Sequence[load_client.LoadClient], seconds: float, act: Callable[[int], None]
 ) -> float:
-    """The share of the requests that are answered while act(turn) is called again and again for so long."""
+    """The share of requests answered while act(turn) is called again and again for the given time."""
     for client in clients:
         client.reset_counts()
     ends_at = time.monotonic() + seconds
@@ -138,7 +143,7 @@
 
 
 def _make_change(policy_client: PolicyClient, turn: int) -> None:
-    """Make one change, strict and loose by turns."""
+    """Make one change, alternately strict and loose."""
     overlap = Overlap.LOOSE if turn % 2 else Overlap.STRICT
     version = policy_client.propose(policy_text(FIRST_GRANT_MB + turn), "bench", "b", overlap=overlap)
     policy_client.wait(version.number, LOOSE_CHANGE_TIMEOUT_S)
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -1,7 +1,8 @@
-"""SIGTERM under a flood: `python -m benchmarks.shutdown [--quick]`. Last line JSON, status 1: missed.
+"""Graceful shutdown under a flood of requests: `python -m benchmarks.shutdown [--quick]`.
 
-10,000 requests wait in the admission queue of one gateway, and 320 connections go on asking until its end:
-on all processors, on one, and beside busy processes.
+SIGTERM comes while about 10,000 requests wait in the admission queue of a gateway, and clients on 320
+connections go on sending until its end: on all processors, on one, and beside busy processes. Prints all
+figures as JSON in the last line; exits with status 1 if a bound is missed.
 """
 
 import subprocess
@@ -16,14 +17,16 @@
 from gullhold.testing.load_process import Crowd, LoadProcesses
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, serving_status
 
-MAX_SHUTDOWN_S = 3.7  # after SIGTERM, with client timeouts of 3 s and more: the protocol's
-FLOOD_REQUESTS = 9_900  # requests that are open when SIGTERM comes
-FLOOD_LIMIT_S = 15.0  # until so many are open
-EXIT_LIMIT_S = 15.0
+MAX_SHUTDOWN_S = (
+    3.7  # the protocol kills a process 0.7 s after the client timeout, which counts as 3 s at most
+)
+FLOOD_REQUESTS = 9_900  # least number of open requests when SIGTERM is sent
+FLOOD_LIMIT_S = 15.0  # time in which that many requests have to be open
+EXIT_LIMIT_S = 15.0  # from SIGTERM, after which the run fails
 POLL_INTERVAL_S = 0.05
-ONE_CORE = 0
+ONE_CORE = 0  # the processor to which a gateway on one core is confined
 BUSY_PROCESSES = 6
-TIMEOUT_S = 8.0
+TIMEOUT_S = 8.0  # client timeout of all requests
 QUEUE_RULES = ADMISSION_RULES + "door: {patience: 1000, waiting: 30000}"
 CROWD = Crowd(
     processes=4,
@@ -45,7 +48,12 @@
 
 
 class Result(NamedTuple):
-    """What came of one run. event_late_ms: the latest event of the core."""
+    """The counts of one run.
+
+    took_s: from SIGTERM to the end; read: requests that the gateway read; unanswered: how many of them got no
+    answer; event_late_ms: the longest time that an event waited for the core thread; status: exit status;
+    faults: internal faults and failed decisions.
+    """
 
     took_s: float
     read: int
@@ -57,7 +65,7 @@
 
 @contextmanager
 def busy_processes(count: int) -> Iterator[None]:
-    """So many processes that take all the processor time that they can get."""
+    """Keep processes running that use as much processor time as they get."""
     processes = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(count)]
     try:
         yield
@@ -68,7 +76,7 @@
 
 
 def run_once(is_one_core: bool) -> Result:
-    """Flood a gateway, end it, and count what it read and what its clients got."""
+    """Flood a gateway, send SIGTERM, and count the requests that it read and the answers of its clients."""
     with RunningDeployment(operator=QUEUE_RULES, slots=0, timeout_s=TIMEOUT_S, max_open=30000) as running:
         assert serving_status(running.address)
         if is_one_core:
@@ -94,7 +102,7 @@
 
 
 def wait_until_flooded(clients: LoadProcesses) -> None:
-    """Wait until FLOOD_REQUESTS requests are open. Raises TimeoutError."""
+    """Wait until FLOOD_REQUESTS requests are open. Raises TimeoutError after FLOOD_LIMIT_S."""
     end = time.monotonic() + FLOOD_LIMIT_S
     open_requests = 0
     while open_requests < FLOOD_REQUESTS:
@@ -106,7 +114,7 @@
 
 
 def main() -> None:
-    """The command line."""
+    """Run the benchmark and print its figures."""
     arguments = make_parser("shutdown", __doc__ or "").parse_args()
     runs = 3 if arguments.quick else 20
     figures = Figures(runs_each=runs)
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,7 +1,8 @@
-"""A soak of real gateways: `python -m benchmarks.soak [--seeds A:B] [--seconds N] [--replay SEED]`.
+"""A soak test of real gateways: `python -m benchmarks.soak [--seeds A:B] [--seconds N] [--replay SEED]`.
 
-Each seed draws one plan of troubles, signals and crowds and is judged by the wire alone. Last line JSON: the
-seeds, each violation with its seed, the requests judged; status 1 if there is any violation.
+Each seed draws one plan of faults, signals and client load, and is judged only by what clients and engines
+saw on the wire. Prints JSON in the last line: the number of seeds, the number of requests judged, and each
+violation with its seed; exits with status 1 if there is any violation.
 """
 
 import argparse
@@ -15,7 +16,7 @@
 from gullhold.testing.soak.run import play_seed
 
 DEFAULT_SEEDS = "0:50"
-MAX_PRINTED_VIOLATIONS = 5  # of one seed in its line
+MAX_PRINTED_VIOLATIONS = 5  # in the output line of one seed
 
 
 def parse_seeds(text: str) -> range:
@@ -28,15 +29,20 @@
     """Read the command line."""
     parser = argparse.ArgumentParser(prog="benchmarks.soak", description=(__doc__ or "").splitlines()[0])
     parser.add_argument(
-        "--seeds", type=parse_seeds, default=parse_seeds(DEFAULT_SEEDS), help="A:B, B not included"
+        "--seeds",
+        type=parse_seeds,
+        default=parse_seeds(DEFAULT_SEEDS),
+        help="seeds from A up to B, B not included",
     )
-    parser.add_argument("--seconds", type=float, default=float("inf"), help="begin no seed after this time")
-    parser.add_argument("--replay", type=int, help="play this seed alone, and show its plan")
+    parser.add_argument(
+        "--seconds", type=float, default=float("inf"), help="start no further seed after this time"
+    )
+    parser.add_argument("--replay", type=int, help="play only this seed, and print its plan")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Play all seeds."""
+    """Play the seeds and print what was found."""
     arguments = parse_arguments()
     seeds = arguments.seeds if arguments.replay is None else range(arguments.replay, arguments.replay + 1)
     began = time.monotonic()
