--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -51,7 +51,7 @@
     medians = []
     for open_requests, connections in SHARE_CROWDS:
         with run_gateway(variant) as running:
-            # Clients that don't retry send their next request at once, so that all of them stay backlogged.
+            # Clients that don't retry go on with the next request, so that all of them stay backlogged.
             clients = make_clients(
                 running, "polite", EVEN_CLIENTS, open=16, retry_rule=load_client.RetryRule.NEVER
             )
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -1,4 +1,4 @@
-"""Memory and CPU time of the request path as the number of tenants grows that no agreement lists."""
+"""Memory and CPU time of the request path as the number of unlisted tenants grows."""
 
 import random
 import socket
@@ -12,7 +12,7 @@
 from gullhold.testing.working_engine import statement
 
 OPEN_TENANTS = (
-    'door: {tenants: "open", others: "others"}\n'  # operator file: admit tenants that are not listed
+    'door: {tenants: "open", others: "others"}\n'  # operator file: unlisted tenants use the share of `others`
 )
 CONNECTIONS = 4
 OPEN_PER_CONNECTION = 8
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -69,8 +69,8 @@
 def _run_one_fault(rig: Rig, names: list[str], turn: int) -> None:
     """Cause faults at gateways and the store, then end them.
 
-    One gateway is cut off in one direction, one in both, one is paused. By turns a fourth one is killed, store
-    calls fail, or the store restarts.
+    One gateway is cut off in one direction, one in both, one is paused. By turns a fourth one is killed,
+    calls to the store fail, or the store restarts.
     """
     cut_one_way, cut_both_ways, paused, killed = names
     rig.cut(cut_one_way, sides=("there",))
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -1,8 +1,8 @@
-"""Records calls, results and bytes as one hash that knows values and no names, so that a renaming keeps it.
+"""Records calls, results and bytes as one hash of their values, which does not change when names do.
 
-A number, a text or a sequence counts by its value alone: a tuple, a named tuple and a frozen dataclass with
-the same fields in the same order are the same record, an enum member is its value, and a whole float is the
-integer that equals it. Types that stand for a tag number are listed by whoever records them.
+A tuple, a named tuple and a dataclass with the same values in the same order count as the same record, an
+enum member counts as its value, and a float without a fraction as the equal integer. The names of types and
+fields do not count; types that have to be told apart are given a tag number.
 """
 
 from collections.abc import Callable, Mapping, Set
@@ -14,10 +14,7 @@
 
 
 class Recorder:
-    """A running hash of records.
-
-    tags: for types that carry a tag number in place of a first field: the number that stands before them.
-    """
+    """A running hash of records. tags: the number that goes into the hash before the fields of a type."""
 
     def __init__(self, tags: Mapping[type, int] | None = None) -> None:
         self.tags = dict(tags or {})
@@ -25,7 +22,7 @@
         self._hash = sha256()
 
     def add(self, *values: object) -> None:
-        """Add one record."""
+        """Add one record of these values to the hash."""
         self.records += 1
         self._hash.update(repr(self.canonical(values)).encode())
 
@@ -34,7 +31,7 @@
         return self._hash.hexdigest()
 
     def canonical(self, value: object) -> Any:
-        """The value without the names of its types and fields."""
+        """The value as nested lists without names of types and fields; other objects become "object"."""
         if isinstance(value, Enum):
             return self.canonical(value.value)
         if value is None or isinstance(value, str | bytes):
@@ -61,7 +58,7 @@
         return [] if tag is None else [tag]
 
     def recording(self, number: int, call: Callable) -> Callable:
-        """A method that does as this one does and records its arguments and its result."""
+        """Wrap a method so that each call records this number, the arguments as passed, and the result."""
 
         @wraps(call)
         def recorded(target: object, *args: object, **named: object) -> object:
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -1,7 +1,7 @@
-"""The decisions and the bytes of seeded runs, as hashes: a change of names or of structure must keep them.
+"""The decisions and bytes of seeded runs, compared as hashes with those that commit 3c216f7 produced.
 
-The expected values were recorded on commit 3c216f7. A change that is meant to alter a decision or a byte on
-the wire records them anew, and says so in its commit; one that is not meant to has a fault.
+Changes of names or structure must keep the hashes. A change that is meant to alter a decision or a byte on
+the wire has to record them again and say so in its commit; any other change that alters them is faulty.
 """
 
 from random import Random
@@ -31,7 +31,7 @@
 )
 from gullhold.simulation import play, streams
 
-# Methods of the decision module and of a stream, numbered: the numbers go into the hash, the names do not.
+# Recorded methods of the decision module and of a stream. Their numbers go into the hash, their names do not.
 GATEWAY_CALLS = {
     "update_engines": 1,
     "submit": 2,
@@ -45,7 +45,7 @@
     "apply_policy": 10,
 }
 STREAM_CALLS = {"write": 21, "finish": 22}
-# Result types that stand for the number that a result once began with.
+# Results were once tuples that began with these numbers, which is how the hashes were recorded.
 TAGS = {
     Dispatch: 0,
     SetGrantAndPriority: 1,
@@ -57,29 +57,29 @@
     ReportDemand: 7,
 }
 
-REHEARSED_SEEDS = 12
-WALKS_EACH = 10
+SIMULATED_SEEDS = 12
+WALKS_PER_AGREEMENT = 10
 WALK_STEPS = 260
 
 
-class Part:
-    """A member's part of one budget, without a fleet: so much at once."""
+class FixedShare:
+    """A gateway's share of one budget that never changes, as the decision module uses it (BudgetShare)."""
 
     def __init__(self, size: int) -> None:
         self.size = size
         self.used = 0
-        self.refusals = 0
+        self.rejections = 0
 
     def limit(self) -> int:
-        """How much may be acquired at once."""
+        """Return the size of the share."""
         return self.size
 
     def allows(self, amount: int) -> bool:
-        """Whether so much more may be acquired."""
+        """Return whether this amount may be acquired now."""
         return self.used + amount <= self.size
 
     def acquire(self, amount: int) -> None:
-        """Count an amount as acquired."""
+        """Count an amount as in use."""
         self.used += amount
 
     def release(self, amount: int, confirmed: bool = True) -> None:  # noqa: ARG002  the interface of a budget
@@ -87,55 +87,55 @@
         self.used -= amount
 
     def record_rejection(self, amount: int) -> None:
-        """Count one rejection."""
-        self.refusals += amount
+        """Add the amount that was not available."""
+        self.rejections += amount
 
 
 class Gate:
-    """A policy's gate, open or shut by turns of a seeded generator."""
+    """A policy's gate that is open or closed at random."""
 
     def __init__(self, draw: Random) -> None:
         self.draw = draw
 
     def may_dispatch(self) -> bool:
-        """Whether attempts may be sent: nine times in ten."""
+        """Return whether attempts may be dispatched: true in 90% of calls."""
         return self.draw.random() < 0.9
 
     def rejects_new(self) -> bool:
-        """Whether new commands are rejected: once in ten times."""
+        """Return whether new commands are rejected: true in 10% of calls."""
         return self.draw.random() < 0.1
 
 
 class Walk:
-    """Seeded calls on one gateway through the driver, which checks the rules after every call."""
+    """Random calls on one gateway through the driver, which checks the gateway's rules after each call."""
 
     def __init__(self, agreement: Agreement, seed: int, engines: int) -> None:
         self.draw = Random(seed)
-        self.world = Driver(agreement, seed)
+        self.driver = Driver(agreement, seed)
         self.engines = engines
-        self.parts: dict[tuple[int, int], Part] = {}
-        for ident in range(engines):
-            self.world.update_engines((ident, ident % 2, ident % 2, EngineState.READY, ident % 3, 0))
+        self.shares: dict[tuple[int, int], FixedShare] = {}
+        for engine in range(engines):
+            self.driver.update_engines((engine, engine % 2, engine % 2, EngineState.READY, engine % 3, 0))
 
     def step(self) -> None:
-        """One call drawn by chance; arrivals and waits are the most frequent."""
-        calls = (self.arrive,) * 7 + (self.end,) * 5 + (self.wait,) * 3
+        """Make one random call. New commands, ends of attempts and waits are the most frequent."""
+        calls = (self.submit,) * 7 + (self.end_attempt,) * 5 + (self.wait,) * 3
         calls += (
-            self.list_change,
-            self.leave,
-            self.give_up,
-            self.note,
-            self.stream,
-            self.budgets,
-            self.policy,
+            self.change_engines,
+            self.client_left,
+            self.abandon,
+            self.attempt_status,
+            self.begin_answer,
+            self.apply_budgets,
+            self.apply_policy,
         )
         self.draw.choice(calls)()
 
-    def arrive(self) -> None:
-        """A command arrives."""
+    def submit(self) -> None:
+        """Submit a command, some with estimates that no client should send."""
         number = self.draw.randrange(10_000)
-        self.world.submit(
-            number % len(self.world.agreement.profiles),
+        self.driver.submit(
+            number % len(self.driver.agreement.profiles),
             tenant=number % 3,
             key=number % 4,
             work=self.draw.choice((3, 20, 100, 400)) * MS,
@@ -144,20 +144,20 @@
             estimate=ARBITRARY_ESTIMATES[number // 7 % 6] if number % 5 == 0 else None,
         )
 
-    def end(self) -> None:
-        """An open attempt ends with a drawn outcome."""
-        if out := self.world.running_ids():
+    def end_attempt(self) -> None:
+        """End an open attempt with a random outcome."""
+        if running := self.driver.running_ids():
             outcome = self.draw.choice((0, 0, 0, 0, 0, *range(8)))
             report = (self.draw.choice(ARBITRARY_ESTIMATES), self.draw.random())[: self.draw.randrange(3)]
             cost = self.draw.choice((2, 50, 100, 900)) * MS
-            self.world.end_attempt(self.draw.choice(out), outcome, cost=cost, report=report)
+            self.driver.end_attempt(self.draw.choice(running), outcome, cost=cost, report=report)
 
     def wait(self) -> None:
-        """Time passes."""
-        self.world.wait(self.draw.choice((1, 10, 60, 300, 900)) * MS)
+        """Let time pass."""
+        self.driver.wait(self.draw.choice((1, 10, 60, 300, 900)) * MS)
 
-    def list_change(self) -> None:
-        """The endpoint list changes in one entry."""
+    def change_engines(self) -> None:
+        """Change one entry of the endpoint list; in 5% of the calls the entry is the full list."""
         state = self.draw.choice(
             (
                 EngineState.READY,
@@ -167,68 +167,74 @@
                 EngineState.REMOVED,
             )
         )
-        born = self.world.now if self.draw.random() < 0.3 else 0
-        ident = self.draw.randrange(self.engines)
-        entry = (ident, ident % 2, ident // 7 % 2, state, ident % 3, born)
-        self.world.update_engines(entry, full=self.draw.random() < 0.05)
-
-    def leave(self) -> None:
-        """A client whose command has an open attempt leaves."""
-        if out := self.world.running_ids():
-            self.world.client_left(self.draw.choice(out))
-
-    def give_up(self) -> None:
-        """The service ends an unanswered command."""
-        owed = [ident for ident, command in self.world.commands.items() if not command.is_over]
-        if owed:
-            self.world.abandon(self.draw.choice(owed))
-
-    def note(self) -> None:
-        """An engine tells the status of an open attempt."""
-        if out := self.world.running_ids():
-            ident = self.draw.choice(out)
-            send = self.world.commands[ident].open_attempt.number
-            note, value = self.draw.randrange(3), self.draw.choice((0.0, 0.02, 0.6, 1.0, 2.0))
-            self.world.carry_out(self.world.gateway.attempt_status(self.world.now, ident, send, note, value))
-
-    def stream(self) -> None:
-        """The final answer of an open attempt begins."""
-        if self.draw.random() < 0.2 and (out := self.world.running_ids()):
-            ident = self.draw.choice(out)
-            send = self.world.commands[ident].open_attempt.number
-            self.world.carry_out(self.world.gateway.answer_began(self.world.now, ident, send))
-            self.world.commands[ident].is_over = True  # the answer that has begun is the final one
-
-    def budgets(self) -> None:
-        """Budgets are applied; the demands that are reported in return are not carried out."""
+        started_at = self.driver.now if self.draw.random() < 0.3 else 0
+        engine = self.draw.randrange(self.engines)
+        entry = (engine, engine % 2, engine // 7 % 2, state, engine % 3, started_at)
+        self.driver.update_engines(entry, full=self.draw.random() < 0.05)
+
+    def client_left(self) -> None:
+        """Disconnect a client whose command has an open attempt."""
+        if running := self.driver.running_ids():
+            self.driver.client_left(self.draw.choice(running))
+
+    def abandon(self) -> None:
+        """Abandon an unanswered command, as the service does when it ends a request by itself."""
+        unanswered = [
+            command_id for command_id, command in self.driver.commands.items() if not command.is_over
+        ]
+        if unanswered:
+            self.driver.abandon(self.draw.choice(unanswered))
+
+    def attempt_status(self) -> None:
+        """Deliver a status note on an open attempt."""
+        if running := self.driver.running_ids():
+            command_id = self.draw.choice(running)
+            attempt = self.driver.commands[command_id].open_attempt.number
+            status, value = self.draw.randrange(3), self.draw.choice((0.0, 0.02, 0.6, 1.0, 2.0))
+            self.driver.carry_out(
+                self.driver.gateway.attempt_status(self.driver.now, command_id, attempt, status, value)
+            )
+
+    def begin_answer(self) -> None:
+        """Begin the final answer of an open attempt, in 20% of the calls."""
+        if self.draw.random() < 0.2 and (running := self.driver.running_ids()):
+            command_id = self.draw.choice(running)
+            attempt = self.driver.commands[command_id].open_attempt.number
+            self.driver.carry_out(self.driver.gateway.answer_began(self.driver.now, command_id, attempt))
+            self.driver.commands[command_id].is_over = True  # an answer that has begun is the final one
+
+    def apply_budgets(self) -> None:
+        """Apply budgets, in 30% of the calls, and ignore the demands that are reported in return."""
         if self.draw.random() < 0.3:
-            results = self.world.gateway.apply_budgets(self.world.now, self.part)
-            self.world.carry_out([result for result in results if not isinstance(result, ReportDemand)])
+            results = self.driver.gateway.apply_budgets(self.driver.now, self.share)
+            self.driver.carry_out([result for result in results if not isinstance(result, ReportDemand)])
 
-    def part(self, budget: int, of: int) -> Part | None:
-        """The member's part of one budget for one subject, or None where the agreement's own budget holds."""
-        agreement = self.world.agreement
+    def share(self, budget: int, subject: int) -> FixedShare | None:
+        """Return the share of one budget for one subject; None if only the agreement's own budget applies."""
+        agreement = self.driver.agreement
         if budget == BudgetKind.ADMISSIONS or (
             budget == BudgetKind.RETRIES and agreement.retry_budget_base is not None
         ):
-            return None  # the driver checks the agreement's own budget of further sends
+            return None  # the driver checks the agreement's own retry budget
         limit = {
             BudgetKind.WARMUP: 10**6 // agreement.gateways,
             BudgetKind.TRAFFIC_SHARE: 4 * 10**5,
             BudgetKind.MEMORY: 10**5,
         }.get(budget, 12)
-        return self.parts.setdefault((budget, of), Part(limit))
+        return self.shares.setdefault((budget, subject), FixedShare(limit))
 
-    def policy(self) -> None:
-        """A policy is applied."""
+    def apply_policy(self) -> None:
+        """Apply a policy with random weights, in 30% of the calls."""
         if self.draw.random() < 0.3:
-            weights = [self.draw.choice((1.0, 2.0, 0.5)) for _ in self.world.gateway.components.queue.weights]
+            weights = [
+                self.draw.choice((1.0, 2.0, 0.5)) for _ in self.driver.gateway.components.queue.weights
+            ]
             terms = DecisionTerms(weights, {0: 2}, {0: 48.0}, {0: self.draw.choice((1, 2, 3))})
-            self.world.carry_out(self.world.gateway.apply_policy(self.world.now, terms, Gate(self.draw)))
+            self.driver.carry_out(self.driver.gateway.apply_policy(self.driver.now, terms, Gate(self.draw)))
 
 
 def recorded(recorder: Recorder, target: type, calls: dict[str, int]) -> mock._patch_multiple:
-    """The target with these methods recorded."""
+    """Patch the target so that its methods record their calls. calls: the number of each method by name."""
     methods = {name: recorder.recording(number, getattr(target, name)) for name, number in calls.items()}
     return mock.patch.multiple(target, **methods)
 
@@ -241,14 +247,14 @@
     "loads": (21339, "7b9e0ee966f4c36c0b20a1da642e6b6ecda1f0d79fc9fec9cb6faf8a6b8f060d"),
 }
 CROWDED_HASH = (21609, "b477ecb4677e52afc0a32856e4c10a69191d764b997b7f00a07ccf09c400f62d")
-REHEARSAL_HASH = (77742, "72d0d59ebcf9075dd41ea52db2fc8d66347f026b25eaa38b9d9014094892d227")
+SIMULATION_HASH = (77742, "72d0d59ebcf9075dd41ea52db2fc8d66347f026b25eaa38b9d9014094892d227")
 
 
 @pytest.mark.parametrize("name", AGREEMENTS)
 def test_seeded_walks_give_the_recorded_decisions(name: str) -> None:
     recorder = Recorder(TAGS)
     with recorded(recorder, Gateway, GATEWAY_CALLS):
-        for seed in range(WALKS_EACH):
+        for seed in range(WALKS_PER_AGREEMENT):
             walk = Walk(AGREEMENTS[name], seed, engines=5 if seed % 2 else 300)
             for _ in range(WALK_STEPS):
                 walk.step()
@@ -256,7 +262,10 @@
 
 
 def test_a_crowded_gateway_gives_the_recorded_decisions() -> None:
-    """Long commands on few engines, slower and slower: pressure, samples, fits, health and cold starts."""
+    """Long commands on few engines that get slower.
+
+    This covers pressure, sampling, fitted estimates, engine health and slow start.
+    """
     recorder = Recorder(TAGS)
     agreement = make_agreement(
         profile(threads=2, objective_us=3000 * MS, timeout_us=9000 * MS),
@@ -271,31 +280,31 @@
     with recorded(recorder, Gateway, GATEWAY_CALLS):
         for seed in range(3):
             draw = Random(seed)
-            world = Driver(agreement, seed)
-            born = world.now if seed else 0
-            world.update_engines(
-                *((ident, 0, 0, EngineState.READY, 0, born * (ident == 3)) for ident in range(4))
+            driver = Driver(agreement, seed)
+            started_at = driver.now if seed else 0
+            driver.update_engines(
+                *((ident, 0, 0, EngineState.READY, 0, started_at * (ident == 3)) for ident in range(4))
             )
             for step in range(2500):
-                world.submit(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need_mb=40.0)
-                out = world.running_ids()
-                slowest = 1 + step // 300
-                if len(out) > 3 * slowest or draw.random() < 0.5:
-                    for ident in out[: 1 + slowest // 2]:
+                driver.submit(step % 2, tenant=step % 2, work=draw.choice((20, 120, 700)) * MS, need_mb=40.0)
+                running = driver.running_ids()
+                slowdown = 1 + step // 300
+                if len(running) > 3 * slowdown or draw.random() < 0.5:
+                    for ident in running[: 1 + slowdown // 2]:
                         outcome = Outcome.ANSWERED if draw.random() < 0.95 else draw.choice((1, 2, 3, 4, 5))
-                        world.end_attempt(
+                        driver.end_attempt(
                             ident, outcome, cost=draw.choice((20, 120, 700)) * MS, report=(0.95,)
                         )
-                world.wait(draw.choice((2, 10, 30)) * MS)
+                driver.wait(draw.choice((2, 10, 30)) * MS)
     assert (recorder.records, recorder.digest()) == CROWDED_HASH
 
 
-def test_rehearsed_seeds_give_the_recorded_calls_and_bytes() -> None:
+def test_simulated_seeds_give_the_recorded_calls_and_bytes() -> None:
     recorder = Recorder(TAGS)
     with (
         recorded(recorder, Gateway, GATEWAY_CALLS),
         recorded(recorder, streams.Stream, STREAM_CALLS),
     ):
-        results = [play.play(seed) for seed in range(REHEARSED_SEEDS)]
-    assert [result.violations for result in results] == [[]] * REHEARSED_SEEDS
-    assert (recorder.records, recorder.digest()) == REHEARSAL_HASH
+        results = [play.play(seed) for seed in range(SIMULATED_SEEDS)]
+    assert [result.violations for result in results] == [[]] * SIMULATED_SEEDS
+    assert (recorder.records, recorder.digest()) == SIMULATION_HASH
