--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -27,19 +27,19 @@
 
 
 class KnownRedError(Exception):
-    """KNOWN-RED.txt is invalid; the message is one plain line."""
+    """KNOWN-RED.txt is invalid. The message is a single line, which main() prints."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailureRate:
-    """How often a test failed in the runs that were measured."""
+    """How many of the measured runs of a test failed."""
 
     failed_runs: int
     measured_runs: int
 
     @property
     def is_certain(self) -> bool:
-        """Whether all runs failed."""
+        """Whether all measured runs failed."""
         return self.failed_runs == self.measured_runs
 
     def __str__(self) -> str:
@@ -48,7 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedTest:
-    """One line of KNOWN-RED.txt. command: shows the failure; seen: what its runs showed."""
+    """One line of KNOWN-RED.txt.
+
+    test: its pytest id; command: command and seed that show the failure; seen: what the failed runs showed;
+    issue: the number of the open issue.
+    """
 
     test: str
     command: str
@@ -80,7 +84,7 @@
 
 
 def parse_seen(field: str) -> tuple[FailureRate, str]:
-    """Parse `N of M: what was seen`, with two whole numbers and 1 <= N <= M."""
+    """Parse `N of M: what was seen`, where N of M runs failed. Raises KnownRedError unless 1 <= N <= M."""
     match = SEEN_PATTERN.fullmatch(field)
     if match is None:
         raise KnownRedError(
@@ -93,7 +97,7 @@
 
 
 def parse_line(line: str) -> ListedTest:
-    """Parse one line that lists a test."""
+    """Parse one line that lists a test. Raises KnownRedError if the line is not of the form FORM."""
     fields = [field.strip() for field in line.split("|")]
     if len(fields) != FIELDS or not all(fields) or "::" not in fields[0]:
         raise KnownRedError(f"{FILE_NAME}: not `{FORM}`: {line}")
@@ -105,7 +109,10 @@
 
 
 def read_listed_tests(path: Path) -> tuple[ListedTest, ...]:
-    """Read the listed tests of a file; none if there is no file."""
+    """Read the listed tests of a file; none if there is no file.
+
+    Raises KnownRedError if a line is invalid or a test is listed twice.
+    """
     if not path.exists():
         return ()
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines()]
@@ -116,27 +123,30 @@
 
 
 def run_pytest(root: Path, python: str, arguments: Sequence[str]) -> int:
-    """Run pytest in the given directory and return its exit status."""
+    """Run pytest in the root directory and return its exit status."""
     return subprocess.run([python, "-m", "pytest", "-q", *arguments], cwd=root, check=False).returncode
 
 
 def run_suite_without(
     listed_tests: Sequence[ListedTest], root: Path, python: str, arguments: Sequence[str]
 ) -> bool:
-    """Run all tests that are not listed; whether they pass."""
+    """Run all tests that are not listed and return whether they pass."""
     deselected = [f"--deselect={listed.test}" for listed in listed_tests]
     return run_pytest(root, python, [*arguments, *deselected]) == ExitCode.OK
 
 
 def run_listed_test(listed: ListedTest, root: Path, python: str) -> bool:
-    """Run one listed test alone and print its result; whether CI tolerates it."""
+    """Run one listed test alone, print its result, and return whether CI tolerates it."""
     status = run_pytest(root, python, ["-p", "no:cacheprovider", listed.test])
     print(f"known red: {listed.describe(status)}")
     return listed.tolerates(status)
 
 
 def main(root: Path, python: str, pytest_arguments: Sequence[str]) -> int:
-    """Run the other tests, then the listed ones; return the exit status for CI."""
+    """Run the tests that are not listed, then each listed one, and return the exit status for CI.
+
+    root: the directory of KNOWN-RED.txt, in which the tests run; python: the interpreter that runs them.
+    """
     try:
         listed_tests = read_listed_tests(root / FILE_NAME)
     except (KnownRedError, OSError, UnicodeDecodeError) as error:
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""Checks what the pages name against the repository: files, sub-commands, options, tests and diagrams."""
+"""The pages agree with the repository: files, commands, options, tests, log lines and diagrams exist."""
 
 import argparse
 import re
@@ -20,38 +20,38 @@
 COMMAND_PAGES = [ROOT / "README.md", *sorted((ROOT / "docs/operators").glob("*.md"))]
 FOLDERS = ("gullhold", "tests", "benchmarks", "deploy", "docs", "journal")
 FILE_ENDING = re.compile(r"\.(py|md|cue|toml|txt|lark|j2|c)$")
-# What users write themselves, or what the program makes, in examples of the pages.
-NAMES_IN_EXAMPLES = {"small.txt", "policy.json", "FILE"}
+# Files in the pages' examples that users or the program create.
+EXAMPLE_FILES = {"small.txt", "policy.json", "FILE"}
 MAX_ARCHITECTURE_LINES = 150
 GLOSSARY_COLUMNS = 4
 GLOSSARY_TITLE = "term in the code"
 DIAGRAM = re.compile(r"```mermaid\n(.*?)```", re.DOTALL)
 
 
-def quoted(text: str) -> set[str]:
-    """Return what stands in backticks on one line, without what stands in fenced blocks."""
+def texts_in_backticks(text: str) -> set[str]:
+    """Return the texts in backticks within one line, leaving out fenced blocks."""
     without_blocks = re.sub(r"^```.*?^```", "", text, flags=re.DOTALL | re.MULTILINE)
     return set(re.findall(r"`([^`\n]+)`", without_blocks))
 
 
 def looks_like_a_file(name: str) -> bool:
-    """Tell whether a quoted text names a file or a folder of the repository."""
+    """Return whether a text in backticks names a file or a folder of the repository."""
     if re.search(r"[\s*<>{}]|\.\.\.|://", name) or name.startswith(("/", "-", "~")):
         return False
     path = name.split("::", maxsplit=1)[0]
     if path.split("/", maxsplit=1)[0] in FOLDERS and "/" in path:
         return True
-    return bool(FILE_ENDING.search(path)) and path not in NAMES_IN_EXAMPLES
+    return bool(FILE_ENDING.search(path)) and path not in EXAMPLE_FILES
 
 
 def exists(name: str) -> bool:
-    """Tell whether a file is there: from the root, or in short under the package or the tests."""
+    """Return whether a file exists relative to the root, the package or the tests."""
     path = name.split("::", maxsplit=1)[0]
     return any((base / path).exists() for base in (ROOT, ROOT / "gullhold", ROOT / "tests"))
 
 
 def links(text: str) -> set[str]:
-    """Return the targets of links that stay inside the repository, without their anchors."""
+    """Return the targets of links within the repository, without their anchors."""
     targets = {target.split("#")[0] for target in re.findall(r"\]\(([^)\s]+)\)", text)}
     return {target for target in targets if target and "://" not in target}
 
@@ -70,9 +70,9 @@
 
 
 def named_commands(text: str) -> list[tuple[str, str]]:
-    """Return each `gullhold SUBCOMMAND ...` of a page: the sub-command and the rest of its text.
+    """Return each `gullhold SUBCOMMAND ...` of a page: the sub-command and the text after it.
 
-    A line that is indented below a command in a block of examples goes on with it.
+    In a block of examples, a line that is indented by 20 spaces or more continues the command above it.
     """
     joined = re.sub(r"\n {20,}", " ", text)
     found = re.findall(r"`gullhold ([^`\n]+)`", joined)
@@ -84,7 +84,9 @@
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
 def test_files_that_a_page_names_exist(page: Path):
     text = page.read_text()
-    missing = sorted(name for name in quoted(text) if looks_like_a_file(name) and not exists(name))
+    missing = sorted(
+        name for name in texts_in_backticks(text) if looks_like_a_file(name) and not exists(name)
+    )
     assert missing == []
     dead = sorted(target for target in links(text) if not (page.parent / target).exists())
     assert dead == []
@@ -113,7 +115,7 @@
 
 
 def _check_choices(parser: argparse.ArgumentParser, name: str, rest: str) -> None:
-    """Check `a|b|c` of a command against what its first argument may be."""
+    """Check alternatives such as `a|b|c` after a command against the choices of its first argument."""
     choices = next((a.choices for a in parser._actions if not a.option_strings and a.choices), None)
     if choices and rest and not rest.startswith("-"):
         named = rest.split(maxsplit=1)[0].split("|")
@@ -123,23 +125,27 @@
 @pytest.mark.parametrize("page", COMMAND_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
 def test_options_in_backticks_are_options_of_some_command(page: Path):
     known = {option for parser in subcommands().values() for option in parser._option_string_actions}
-    known |= {"--quick", "--why"}  # of the benchmarks, of the operators' kit
-    named = {o for text in quoted(page.read_text()) if text.startswith("--") for o in [text.split()[0]]}
+    known |= {"--quick", "--why"}  # options of the benchmarks, and of the operators' own tools
+    named = {
+        o for text in texts_in_backticks(page.read_text()) if text.startswith("--") for o in [text.split()[0]]
+    }
     assert sorted(named - known) == []
 
 
-def test_the_pages_name_commands_at_all():
-    """Guards against a pattern that finds nothing: the checks above would hold for any page."""
+def test_the_patterns_find_commands_and_files():
+    """Guards against patterns that match nothing, with which the checks above pass for any page."""
     named = {name for page in COMMAND_PAGES for name, _ in named_commands(page.read_text())}
     assert named >= {"demo", "serve", "config", "store", "fleet", "policy", "simulate", "check", "version"}
-    files = {name for page in PAGES for name in quoted(page.read_text()) if looks_like_a_file(name)}
+    files = {
+        name for page in PAGES for name in texts_in_backticks(page.read_text()) if looks_like_a_file(name)
+    }
     assert len(files) > 100
 
 
-def test_tests_that_the_table_of_crossing_events_names_exist_once():
+def test_tests_named_in_the_table_of_crossing_events_exist_once():
     names = [name for file in (ROOT / "tests").rglob("test_*.py") for name in _test_functions(file)]
     text = (ROOT / "docs/notes/crossings.md").read_text()
-    parts = [part.strip(".") for part in quoted(text) if part.count("_") > 1 and "/" not in part]
+    parts = [part.strip(".") for part in texts_in_backticks(text) if part.count("_") > 1 and "/" not in part]
     assert len(parts) > 40
     for part in parts:
         assert len([name for name in names if part in name]) == 1, part
@@ -149,8 +155,8 @@
     return re.findall(r"^def (test_\w+)", file.read_text(), re.MULTILINE)
 
 
-def test_log_lines_and_counters_that_staff_look_for_stand_in_the_code():
-    """Texts with `...` or a colon are put together from parts, of which each has to be there."""
+def test_log_lines_and_counters_of_the_on_call_page_exist_in_the_code():
+    """Texts with `...` or a colon are composed at run time: each fragment has to exist."""
     table = on_call_log_section().split("| line or counter |")[1]
     cells = [row.split(" | ")[0] for row in table.splitlines()[2:] if row.startswith("| `")]
     texts = [text for cell in cells for text in re.findall(r"`([^`]+)`", cell)]
@@ -158,7 +164,7 @@
     assert missing_in_the_code(texts) == []
 
 
-def test_new_names_in_the_tables_of_earlier_names_stand_in_the_code():
+def test_new_names_in_the_tables_of_earlier_names_exist_in_the_code():
     tables = on_call_log_section().split("### Names of earlier versions")[1].split("### What they mean")[0]
     rows = [row.strip("| ").split(" | ") for row in tables.splitlines() if row.startswith("| `")]
     texts = [text for _, now in rows for text in re.findall(r"`([^`]+)`", now)]
@@ -171,14 +177,17 @@
 
 
 def missing_in_the_code(texts: list[str]) -> list[str]:
-    """Parts of texts that no module has; `...`, `=` and capitals stand for what is put in at run time."""
+    """Return the fragments of texts that no module contains.
+
+    `...`, `=` and words in capitals separate fragments: they stand for values that are inserted at run time.
+    """
     source = "\n".join(file.read_text() for file in (ROOT / "gullhold").rglob("*.py"))
-    pieces = {piece.strip() for text in texts for piece in re.split(r"\.\.\.|: |[A-Z]+|=| (?=\w+=)", text)}
-    parts = {piece.removeprefix("peak_") for piece in pieces}
+    fragments = {piece.strip() for text in texts for piece in re.split(r"\.\.\.|: |[A-Z]+|=| (?=\w+=)", text)}
+    parts = {piece.removeprefix("peak_") for piece in fragments}
     return sorted(part for part in parts if part and not re.search(rf"\b{re.escape(part)}\b", source))
 
 
-def test_the_architecture_is_one_page_with_a_diagram_for_each_way():
+def test_the_architecture_is_one_page_with_one_diagram_for_each_path():
     text = (ROOT / "docs/architecture.md").read_text()
     assert len(text.splitlines()) <= MAX_ARCHITECTURE_LINES
     for title in ("The way of a request", "The way of a configuration change"):
@@ -196,20 +205,20 @@
 
 
 def glossary_rows() -> list[tuple[str, str]]:
-    """Return (term in the code, where) of each row of the glossary's tables of terms."""
+    """Return (term in the code, files where it is used) for each row of the glossary's tables of terms."""
     lines = (ROOT / "docs/glossary.md").read_text().splitlines()
     cells = [line.strip("|").split(" | ") for line in lines if line.startswith("| ")]
     return [(row[2], row[3]) for row in cells if len(row) == GLOSSARY_COLUMNS and row[2] != GLOSSARY_TITLE]
 
 
 def source_of(path: str) -> str:
-    """Return the Python source of a file or of a whole package, named from the root or from the package."""
+    """Return the Python source of a file or a whole folder, relative to the root or the package."""
     place = next(base / path for base in (ROOT, ROOT / "gullhold") if (base / path).exists())
     files = place.rglob("*.py") if place.is_dir() else [place]
     return "\n".join(file.read_text() for file in files)
 
 
-def test_names_of_the_glossary_stand_in_the_files_that_it_says():
+def test_names_of_the_glossary_exist_in_the_files_that_it_states():
     rows = glossary_rows()
     missing = []
     names_found = 0
