--- a/tests/data/make_stored_data.py
+++ b/tests/data/make_stored_data.py
@@ -1,7 +1,7 @@
 """Writes the files of `tests/data/<version>/` with the gateway's own code; see README.md beside this file.
 
-Run it from a checkout of the version whose files are wanted, with the libraries of requirements-full.txt and
-requirements-dev.txt:
+It imports modules by the names that they have in commit 3c216f7. Run it from a checkout of that commit, with
+the libraries of requirements-full.txt and requirements-dev.txt:
 
     PYTHONPATH=. python tests/data/make_stored_data.py tests/data/v3c216f7
 """
@@ -28,10 +28,10 @@
 from gullhold.budgets import show as budgets_show
 
 FLEET_NAME = "rig"
-LEASE_S = 60  # readers of a stored register must come before the leases of its members are over
-NOBODY_LISTENS = "127.0.0.1:9"  # the discard port: stands for the addresses of the run, which are gone
+LEASE_S = 60  # long enough for a test to read the stored database before the leases of its members expire
+UNUSED_ADDRESS = "127.0.0.1:9"  # the discard port; replaces the addresses that existed only during the run
 REHEARSAL_SEED = 1
-REHEARSAL_MUTANT = "a drain that is heard and not obeyed"  # makes a script fail, so that it is cut down
+REHEARSAL_MUTANT = "a drain that is heard and not obeyed"  # a defect that makes a script fail, to shrink it
 
 POLICIES = {
     "first.cue": 'policy: {grants: read: 20, clients: "desk": 4}\n',
@@ -94,51 +94,51 @@
 DOOR = 'door: {on: true, client: field: "client", weights: {desk: 2}}'
 
 
-def printed(*words: str, wanted: int = 0) -> str:
-    """What one call of the command line prints; it must end with this exit status."""
+def output_of(*arguments: str, expected: int = 0) -> str:
+    """Run one gullhold command and return what it prints. Raises RuntimeError for another exit status."""
     out = io.StringIO()
     with contextlib.redirect_stdout(out):
-        status = main(list(words))
-    expect(status, wanted)
+        status = main(list(arguments))
+    expect(status, expected)
     return out.getvalue()
 
 
-def register_words(fleet: Rig) -> list[str]:
-    """Where the register of a fleet is, for the command line."""
+def store_options_of(fleet: Rig) -> list[str]:
+    """The command-line options that name a fleet and the address of its store."""
     return ["--register", fleet.register_address, "--name", FLEET_NAME]
 
 
 def write_operator_files(folder: Path) -> None:
-    """Operator files, each with what `gullhold config --operator` prints of it."""
+    """Write operator files, and for each of them what `gullhold config --operator` prints."""
     folder.mkdir()
     for source in sorted(Path("deploy").glob("*.cue")):
         shutil.copy(source, folder)
     (folder / "every_field.cue").write_text(EVERY_FIELD, "utf-8")
     (folder / "empty.cue").write_text("", "utf-8")
     for path in sorted(folder.glob("*.cue")):
-        path.with_suffix(".printed").write_text(printed("config", "--operator", str(path)), "utf-8")
+        path.with_suffix(".printed").write_text(output_of("config", "--operator", str(path)), "utf-8")
 
 
 def write_rehearsal_scripts(folder: Path) -> None:
-    """A whole script as drawn from a seed, and one that `gullhold rehearse --shrink` cut down."""
+    """Write the complete script of a seed, and one that `gullhold rehearse --shrink` has shortened."""
     folder.mkdir()
     whole, small = folder / "whole.txt", folder / "small.txt"
     whole.write_text(script.text_of(play.faults_of(REHEARSAL_SEED, play.Size())), "utf-8")
-    words = ["rehearse", "--seeds", str(REHEARSAL_SEED), "--replay", str(whole), "--shrink", str(small)]
+    arguments = ["rehearse", "--seeds", str(REHEARSAL_SEED), "--replay", str(whole), "--shrink", str(small)]
     with mutants.applied(REHEARSAL_MUTANT):
-        if main(words) != 1:
+        if main(arguments) != 1:
             raise RuntimeError("the script did not fail")
 
 
 def write_policies(folder: Path) -> None:
-    """Files for `gullhold policy propose`."""
+    """Write policy files for `gullhold policy propose`."""
     folder.mkdir()
     for name, text in POLICIES.items():
         (folder / name).write_text(text, "utf-8")
 
 
-def propose(fleet: Rig, path: Path, *words: str) -> int:
-    """Propose a file when no other change is open; the exit status of the command line."""
+def propose(fleet: Rig, path: Path, *arguments: str) -> int:
+    """Propose a policy file once no other change is open; returns the exit status of the command."""
     office = Office(fleet.register_address, FLEET_NAME)
     fleet.until(lambda: CHANGE not in office.read()[0])
     return main(
@@ -146,36 +146,36 @@
             "policy",
             "propose",
             str(path),
-            *register_words(fleet),
+            *store_options_of(fleet),
             "--author",
             "desk",
             "--why",
             path.stem,
-            *words,
+            *arguments,
         ]
     )
 
 
 def budgets_of(fleet: Rig) -> list[dict]:
-    """The rows of `gullhold fleet budgets`."""
+    """Return the rows that `gullhold fleet budgets` prints."""
     return budgets_show.rows(budgets_show._reader(fleet.register_address, FLEET_NAME)())
 
 
-def unfinished(fleet: Rig, command: str) -> bool:
-    """Whether an occurrence of a scheduled command stands as begun and without an outcome."""
-    rows = printed("fleet", "history", "--json", *register_words(fleet)).splitlines()
+def has_open_occurrence(fleet: Rig, command: str) -> bool:
+    """Return whether an occurrence of a scheduled command is stored as begun, without an outcome."""
+    rows = output_of("fleet", "history", "--json", *store_options_of(fleet)).splitlines()
     return any(row["command"] == command and row["state"] == "intent" for row in map(json.loads, rows))
 
 
-def play_fleet(fleet: Rig, folder: Path, policies: Path) -> None:
-    """A short life of a fleet that ends in the middle of a change: n1 sleeps and the change waits for it."""
+def run_fleet(fleet: Rig, folder: Path, policies: Path) -> None:
+    """Run a fleet through three changes, and kill it during a fourth that waits for the paused member n1."""
     path = folder / "snapshot"
-    plain = fleet.operator
-    fleet.operator = plain.replace(
+    operator_text = fleet.operator
+    fleet.operator = operator_text.replace(
         "policy: {on: true}", f'policy: {{on: true, snapshot: "{path}", spare: 24h}}'
     )
     fleet.start("n0")
-    fleet.operator = plain
+    fleet.operator = operator_text
     fleet.start("n1")
     fleet.until(lambda: len(Changes(fleet.lines()).under()) == 2)
     client = crowd.Client(
@@ -191,12 +191,12 @@
     ).start()
     expect(propose(fleet, policies / "first.cue", "--wait", "5"), IN_FORCE)
     expect(propose(fleet, policies / "refused.cue", "--wait", "5"), DROPPED)
-    time.sleep(1.5)  # some occurrences of what is scheduled
+    time.sleep(1.5)  # time for some occurrences of the scheduled commands
     expect(propose(fleet, policies / "second.cue", "--wait", "5", "--overlap", "strict"), IN_FORCE)
-    time.sleep(1.5)  # some that are skipped
+    time.sleep(1.5)  # time for some occurrences that the policy skips
     fleet.until(lambda: (kept := snapshot.read(path)) and kept[0].number == 3)
     fleet.until(lambda: any(row["waiting"] and row["used"] for row in budgets_of(fleet)))
-    fleet.until(lambda: unfinished(fleet, "audit"))
+    fleet.until(lambda: has_open_occurrence(fleet, "audit"))
     fleet.pause("n1")
     propose(
         fleet,
@@ -213,21 +213,21 @@
     office = Office(fleet.register_address, FLEET_NAME)
     fleet.until(lambda: "ready: n0" in office.status(4)[1])
     fleet.until(lambda: change_of(office.read()[0][CHANGE]).state == "checked")
-    fleet.until(lambda: unfinished(fleet, "audit"))
+    fleet.until(lambda: has_open_occurrence(fleet, "audit"))
     fleet.kill_register()
     fleet.kill(*fleet.names)
     client.stop()
     client.join()
 
 
-def expect(found: int, wanted: int) -> None:
-    """Stop where the fleet did something else than the data are to show."""
-    if found != wanted:
-        raise RuntimeError(f"exit status {found} where {wanted} was expected")
+def expect(found: int, expected: int) -> None:
+    """Raise RuntimeError if a command ended with another exit status than the stored data have to show."""
+    if found != expected:
+        raise RuntimeError(f"exit status {found} where {expected} was expected")
 
 
-def keep_register(fleet: Rig, folder: Path) -> None:
-    """The register's store in one file, its journal, and its records as JSON."""
+def write_store(fleet: Rig, folder: Path) -> None:
+    """Copy the store's database in one file and its journal, and write its records as JSON."""
     store = fleet.path / "store"
     database = sqlite3.connect(store)
     database.execute("pragma wal_checkpoint(truncate)")
@@ -245,37 +245,41 @@
     )
 
 
-def keep_answers(fleet: Rig, folder: Path, policies: Path) -> None:
-    """What the command line prints of the store, served anew without any gateway."""
+def write_command_output(fleet: Rig, folder: Path, policies: Path) -> None:
+    """Write what commands print about the store, which runs again without any gateway."""
     fleet.start_register()
-    where = register_words(fleet)
+    store_options = store_options_of(fleet)
     for what in ("members", "duties", "history", "budgets"):
-        (folder / f"{what}.printed").write_text(printed("fleet", what, "--json", *where), "utf-8")
-    (folder / "policies.printed").write_text(printed("policy", "history", "--json", *where), "utf-8")
-    (folder / "status.printed").write_text(printed("policy", "status", *where, wanted=UNKNOWN), "utf-8")
-    difference = printed("policy", "diff", str(policies / "open.cue"), *where)
+        (folder / f"{what}.printed").write_text(output_of("fleet", what, "--json", *store_options), "utf-8")
+    (folder / "policies.printed").write_text(
+        output_of("policy", "history", "--json", *store_options), "utf-8"
+    )
+    (folder / "status.printed").write_text(
+        output_of("policy", "status", *store_options, expected=UNKNOWN), "utf-8"
+    )
+    difference = output_of("policy", "diff", str(policies / "open.cue"), *store_options)
     (folder / "difference.printed").write_text(difference, "utf-8")
 
 
-def keep_gateway(fleet: Rig, folder: Path, name: str) -> None:
-    """The configuration and the operator file of a gateway, without the addresses and paths of the run."""
+def write_gateway_files(fleet: Rig, folder: Path, name: str) -> None:
+    """Write a gateway's configuration and operator file, without addresses and paths of the run."""
     member = fleet.members[name]
     configuration = (member.folder / "config.json").read_text("utf-8")
     for address in [member.listen, *(engine.address for engine in fleet.engines)]:
         told = address if isinstance(address, str) else ":".join(map(str, address))
-        configuration = configuration.replace(told, NOBODY_LISTENS)
+        configuration = configuration.replace(told, UNUSED_ADDRESS)
     (folder / f"{name}.json").write_text(configuration + "\n", "utf-8")
     (folder / f"{name}.printed").write_text(
-        printed("config", "--config", str(folder / f"{name}.json")), "utf-8"
+        output_of("config", "--config", str(folder / f"{name}.json")), "utf-8"
     )
     operator = (member.folder / "operator.cue").read_text("utf-8")
-    operator = operator.replace(member.relay.address, NOBODY_LISTENS)
+    operator = operator.replace(member.relay.address, UNUSED_ADDRESS)
     operator = operator.replace(str(member.events), "events").replace(str(folder / "snapshot"), "snapshot")
     (folder / f"{name}.cue").write_text(operator, "utf-8")
 
 
 def make(folder: Path) -> None:
-    """All of it, into a folder that is not there yet."""
+    """Write all files into a new folder."""
     folder.mkdir(parents=True)
     write_operator_files(folder / "operator")
     write_policies(folder / "policies")
@@ -295,11 +299,11 @@
         look="200ms",
         make=lambda seed: CountingEngine(slots=64, seed=seed),
     ) as fleet:
-        play_fleet(fleet, fleet_folder.resolve(), folder / "policies")
-        keep_register(fleet, fleet_folder)
-        keep_answers(fleet, fleet_folder, folder / "policies")
+        run_fleet(fleet, fleet_folder.resolve(), folder / "policies")
+        write_store(fleet, fleet_folder)
+        write_command_output(fleet, fleet_folder, folder / "policies")
         for name in fleet.names:
-            keep_gateway(fleet, fleet_folder.resolve(), name)
+            write_gateway_files(fleet, fleet_folder.resolve(), name)
 
 
 if __name__ == "__main__":
