--- a/benchmarks/admission_queue.py
+++ b/benchmarks/admission_queue.py
@@ -38,7 +38,7 @@
 }
 
 
-class Extent(NamedTuple):
+class RunSize(NamedTuple):
     """The size of a run.
 
     has_variants: whether some cases also run without the queue and, if git has COMMIT_BEFORE_QUEUE, on that
@@ -54,19 +54,19 @@
     has_variants: bool
 
 
-QUICK = Extent(700, 2.5, 3, 3, 2, 5_000, has_variants=False)
-FULL = Extent(6000, 12, 15, 20, 8, 100_000, has_variants=True)
+QUICK = RunSize(700, 2.5, 3, 3, 2, 5_000, has_variants=False)
+FULL = RunSize(6000, 12, 15, 20, 8, 100_000, has_variants=True)
 
 
-def list_variants(extent: Extent, earlier_root: Path | None) -> list[Variant]:
+def list_variants(size: RunSize, earlier_root: Path | None) -> list[Variant]:
     """The variants to run, the one with the queue first.
 
     earlier_root: the folder of the earlier version, or None if git does not have it.
     """
     variants = [Variant("door", ADMISSION_RULES, ROOT)]
-    if extent.has_variants:
+    if size.has_variants:
         variants.append(Variant("no door", "", ROOT))
-    if extent.has_variants and earlier_root is not None:
+    if size.has_variants and earlier_root is not None:
         variants.append(Variant("earlier", "", earlier_root))
     return variants
 
@@ -76,15 +76,16 @@
     costs = {tenants: cpu_us_of_command(tenants, commands) for tenants in DECISION_TENANTS}
     few, *many = costs.values()
     print(
-        "module alone: " + ", ".join(f"{us:.0f} us at {tenants}" for tenants, us in costs.items()), flush=True
+        "decision module alone: " + ", ".join(f"{us:.0f} us at {tenants}" for tenants, us in costs.items()),
+        flush=True,
     )
     figures.by_name["cpu_ratio_tenants_module"] = round(max(many) / few, 2)
 
 
-def add_fairness(figures: Figures, extent: Extent, variants: list[Variant]) -> None:
+def add_fairness(figures: Figures, size: RunSize, variants: list[Variant]) -> None:
     """Measure shares and the latency of polite clients; the bounds apply to the first variant."""
-    errors = {variant.name: measure_share_errors(extent.shares_s, variant) for variant in variants}
-    ratios = {variant.name: measure_latency_ratio(extent.latency_s, variant) for variant in variants}
+    errors = {variant.name: measure_share_errors(size.shares_s, variant) for variant in variants}
+    ratios = {variant.name: measure_latency_ratio(size.latency_s, variant) for variant in variants}
     rounded_ratios = {name: round(ratio, 2) if ratio else None for name, ratio in ratios.items()}
     present = variants[0].name
     figures.by_name |= {
@@ -96,15 +97,15 @@
     }
 
 
-def add_costs(figures: Figures, extent: Extent) -> None:
+def add_costs(figures: Figures, size: RunSize) -> None:
     """Measure the outcome of retries, and the costs of rejections and of many tenants."""
-    retries = measure_retries(extent.retries_s)
-    rejection_ratio = measure_rejection_cost(extent.rejections_s)
-    growth = measure_tenant_growth(extent.tenants)
+    retries = measure_retries(size.retries_s)
+    rejection_ratio = measure_rejection_cost(size.rejections_s)
+    growth = measure_tenant_growth(size.tenants)
     figures.by_name |= {
         "memory_growth_mb": round(growth.growth_mb, 2),
         "memory_second_mb": round(growth.further_growth_mb, 2),
-        "tenants": extent.tenants,
+        "tenants": size.tenants,
         "cpu_ratio_tenants": round(growth.cpu_ratio, 2),
         "came_back_answered": round(retries.after_wait or 0, 3),
         "came_back_at_once_answered": round(retries.immediately or 0, 3),
@@ -116,12 +117,12 @@
     """Run the benchmark and print its figures."""
     parser = make_parser("admission_queue", __doc__, "a shorter run with fewer tenants, under a minute")
     is_quick = parser.parse_args().quick
-    extent = QUICK if is_quick else FULL
+    size = QUICK if is_quick else FULL
     figures = Figures()
     with earlier_version.checkout(COMMIT_BEFORE_QUEUE) as earlier_root:
-        add_decision_cost(figures, extent.decision_commands)
-        add_fairness(figures, extent, list_variants(extent, earlier_root))
-        add_costs(figures, extent)
+        add_decision_cost(figures, size.decision_commands)
+        add_fairness(figures, size, list_variants(size, earlier_root))
+        add_costs(figures, size)
     figures.by_name |= {"quick": is_quick, "seconds": round(figures.seconds(), 1)}
     report_and_exit(figures.by_name, BOUNDS)
 
--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -118,9 +118,9 @@
     answered = sum(client.counts.waited_answered + client.counts.early_answered for client in clients)
     retries = answered + sum(client.counts.waited_shed + client.counts.early_shed for client in clients)
     print(
-        f"came back {name}: {answered} of {retries} answered; answers in all "
+        f"retries {name}: {answered} of {retries} answered; answers in total "
         f"{sum(client.counts.answered for client in clients)}, "
-        f"told {sum(client.counts.retry_after_received for client in clients)}",
+        f"with Retry-After {sum(client.counts.retry_after_received for client in clients)}",
         flush=True,
     )
     return answered / retries if retries else None
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -11,9 +11,8 @@
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
 from gullhold.testing.working_engine import statement
 
-OPEN_TENANTS = (
-    'door: {tenants: "open", others: "others"}\n'  # operator file: unlisted tenants use the share of `others`
-)
+# In the operator file: unlisted tenants use the share of the tenant `others`.
+OPEN_TENANTS = 'door: {tenants: "open", others: "others"}\n'
 CONNECTIONS = 4
 OPEN_PER_CONNECTION = 8
 TWO_TENANTS_RUNS = 4  # the median counts
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -109,7 +109,7 @@
             allocated += sum(amount for name, amount in amounts.items() if name.startswith(member + "/"))
         if allocated >= TAKEN_OVER_THREADS:
             return at
-    raise AssertionError(f"{member} was never given {TAKEN_OVER_THREADS}")
+    raise AssertionError(f"{member} never had a total allocation of at least {TAKEN_OVER_THREADS}")
 
 
 def _end_and_measure(rig: Rig, is_kill: bool) -> float:
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -56,7 +56,7 @@
 DECISION_PROCESSES = 5  # processes that explore decisions meanwhile
 
 
-class Extent(NamedTuple):
+class RunSize(NamedTuple):
     """The size of a run.
 
     run_s, calls_s: duration of each run, and of the run that counts calls to the store; fault_turns: turns of
@@ -70,8 +70,8 @@
     exploration: ExplorationSize
 
 
-QUICK = Extent(1.5, 2.0, 7, 4, ExplorationSize(30, 8, 1200, 1500))
-FULL = Extent(15.0, 20.0, 60, 20, ExplorationSize(400, 16, 6000, 40_000))
+QUICK = RunSize(1.5, 2.0, 7, 4, ExplorationSize(30, 8, 1200, 1500))
+FULL = RunSize(15.0, 20.0, 60, 20, ExplorationSize(400, 16, 6000, 40_000))
 
 
 def exploration_plan(size: ExplorationSize) -> ExplorationPlan:
@@ -93,14 +93,14 @@
 class FleetRuns:
     """All runs with fleets of real processes; they are submitted at once to a pool of processes."""
 
-    def __init__(self, pool: ProcessPoolExecutor, extent: Extent, seed: int) -> None:
+    def __init__(self, pool: ProcessPoolExecutor, size: RunSize, seed: int) -> None:
         names = [f"n{number}" for number in range(MEMBERS)]
         budgets = [threads_budget()]
         gain_budgets = [threads_budget(), {"of": '"cold"', "window": "1s"}]
         service_budgets = [threads_budget(alone=10, members=MEMBERS)]
-        seconds = extent.run_s
-        self.faults = pool.submit(run_faults, extent.fault_turns, seed)
-        self.reallocation = pool.submit(measure_reallocation, extent.reallocations)
+        seconds = size.run_s
+        self.faults = pool.submit(run_faults, size.fault_turns, seed)
+        self.reallocation = pool.submit(measure_reallocation, size.reallocations)
         self.used_by_one = pool.submit(measure_use, seconds, names[:1], budgets)
         self.used_without = pool.submit(measure_use, seconds, names[:1], [])
         self.used_evenly = pool.submit(measure_use, seconds, names, budgets)
@@ -108,7 +108,7 @@
         self.gain_without = pool.submit(measure_gain, seconds, [])
         self.service = pool.submit(measure_service_without_store, seconds, service_budgets)
         self.service_without = pool.submit(measure_service_without_store, seconds, [])
-        self.calls = pool.submit(measure_member_cost, extent.calls_s)
+        self.calls = pool.submit(measure_member_cost, size.calls_s)
 
     def add_results(self, figures: Figures) -> None:
         """Wait for the results and add them in the order in which they are printed."""
@@ -158,17 +158,17 @@
 def main() -> None:
     """Run the benchmark and print its figures."""
     arguments = parse_arguments("budgets", __doc__)
-    extent = QUICK if arguments.is_quick else FULL
+    size = QUICK if arguments.is_quick else FULL
     figures = Figures(quick=arguments.is_quick, seed=arguments.seed)
     # Two fleets run at a time beside the exploration. The CPU time per command is measured afterwards, alone.
     with ProcessPoolExecutor(FLEETS_AT_ONCE) as fleet_pool, ProcessPoolExecutor(DECISION_PROCESSES) as pool:
-        exploration = Exploration(pool, exploration_plan(extent.exploration), extent.exploration)
+        exploration = Exploration(pool, exploration_plan(size.exploration), size.exploration)
         alone = {members: pool.submit(call_costs, members) for members in FLEET_SIZES}
-        runs = FleetRuns(fleet_pool, extent, arguments.seed)
+        runs = FleetRuns(fleet_pool, size, arguments.seed)
         runs.add_results(figures)
         add_calls(figures, runs, alone)
         figures.add(**exploration.figures())
-    command_cost = measure_command_cost(2 * extent.run_s)
+    command_cost = measure_command_cost(2 * size.run_s)
     figures.add(cpu_over=command_cost.ratio, cpu_off_us=command_cost.us_without)
     figures.add_duration()
     report_and_exit(figures.by_name, BOUNDS)
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -189,14 +189,14 @@
                 env=os.environ | {"GW_CONFIG": str(path), "MALLOC_ARENA_MAX": "1"},
             )
         try:
-            _wait_until_it_answers(_address(configuration), log_path)
+            _wait_until_serving(_address(configuration), log_path)
             yield process
         finally:
             process.kill()
             process.wait()
 
 
-def _wait_until_it_answers(address: Address, log_path: Path) -> None:
+def _wait_until_serving(address: Address, log_path: Path) -> None:
     ends_at = time.monotonic() + PATIENCE_S
     while not serving_status(address):
         if time.monotonic() > ends_at:
--- a/benchmarks/leadership.py
+++ b/benchmarks/leadership.py
@@ -35,7 +35,7 @@
 FLEET_SIZES = (50, 200, 1000)  # members of the simulated fleets whose calls are counted
 
 
-class Extent(NamedTuple):
+class RunSize(NamedTuple):
     """The size of a run.
 
     fault_turns: turns of the run with faults; handovers: leaders that are ended; service_s, idle_s: duration
@@ -49,8 +49,8 @@
     exploration: ExplorationSize
 
 
-QUICK = Extent(7, 4, 2.5, 2.0, ExplorationSize(60, 8, 1200, 4_000))
-FULL = Extent(40, 16, 15.0, 20.0, ExplorationSize(2000, 16, 1200, 60_000))
+QUICK = RunSize(7, 4, 2.5, 2.0, ExplorationSize(60, 8, 1200, 4_000))
+FULL = RunSize(40, 16, 15.0, 20.0, ExplorationSize(2000, 16, 1200, 60_000))
 
 
 def add_calls(figures: Figures, cost: IdleCost) -> None:
@@ -67,19 +67,19 @@
     )
 
 
-def measure(extent: Extent, figures: Figures) -> None:
+def measure(size: RunSize, figures: Figures) -> None:
     """Run all cases and add their figures."""
-    figures.add(**leadership_runs.run_faults(extent.fault_turns, figures.by_name["seed"]))
-    handovers = leadership_runs.run_handovers(extent.handovers)
+    figures.add(**leadership_runs.run_faults(size.fault_turns, figures.by_name["seed"]))
+    handovers = leadership_runs.run_handovers(size.handovers)
     figures.by_name["owners_accepted_at_once"] += handovers.broken
     figures.add(handover_p95_leases=handovers.kill_p95, handover_sigterm_p95_leases=handovers.sigterm_p95)
-    service = leadership_runs.run_service(extent.service_s)
+    service = leadership_runs.run_service(size.service_s)
     figures.add(service_ratio=service.ratio, answered_in_target=service.shares)
-    add_calls(figures, leadership_runs.run_idle(extent.idle_s))
+    add_calls(figures, leadership_runs.run_idle(size.idle_s))
     figures.add(moves_over_least=leadership_decisions.moves_over_least())
     with ProcessPoolExecutor() as pool:
-        plan = leadership_decisions.exploration_plan(extent.exploration)
-        figures.add(**Exploration(pool, plan, extent.exploration).figures())
+        plan = leadership_decisions.exploration_plan(size.exploration)
+        figures.add(**Exploration(pool, plan, size.exploration).figures())
     figures.add_duration()
 
 
--- a/benchmarks/leadership_decisions.py
+++ b/benchmarks/leadership_decisions.py
@@ -88,7 +88,9 @@
             member.tick(now)
     assigned = sum(leader == "n0" for leader in member.claims.assignment.leaders.values())
     if len(member.claims.tokens) != assigned:
-        raise SystemExit(f"{len(member.claims.tokens)} of {assigned} roles were claimed")
+        raise SystemExit(
+            f"{len(member.claims.tokens)} of {assigned} roles assigned to the member were claimed"
+        )
     settled_s = SIMULATED_S - SETTLED_AFTER_US / 1_000_000
     return MemberCalls(round(settled / settled_s, 3), claiming)
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -142,7 +142,7 @@
         )
 
 
-def run(cases: tuple[Case, ...], seconds: float, figures: Figures) -> None:
+def run_cases(cases: tuple[Case, ...], seconds: float, figures: Figures) -> None:
     """Run all cases; adds the figures of each, and the worst or the sum over all."""
     control_s = {case.open_per_connection: 0.0 for case in cases}
     for open_per_connection in control_s:
@@ -176,7 +176,7 @@
     """Run the benchmark and print its figures."""
     arguments = make_parser("overload", __doc__ or "").parse_args()
     figures = Figures()
-    run(QUICK if arguments.quick else FULL, 3.0 if arguments.quick else 6.0, figures)
+    run_cases(QUICK if arguments.quick else FULL, 3.0 if arguments.quick else 6.0, figures)
     figures.add_duration()
     report_and_exit(figures.by_name, BOUNDS)
 
--- a/benchmarks/policy_rollout.py
+++ b/benchmarks/policy_rollout.py
@@ -43,7 +43,7 @@
 DECISION_PROCESSES = 3  # processes that explore decisions
 
 
-class Extent(NamedTuple):
+class RunSize(NamedTuple):
     """The size of a run.
 
     fault_runs: runs with faults, each with a fleet of its own; changes: changes without faults; service_s:
@@ -56,8 +56,8 @@
     exploration: ExplorationSize
 
 
-QUICK = Extent(1, 8, 3.0, ExplorationSize(60, 8, 1000, 3000))
-FULL = Extent(7, 40, 15.0, ExplorationSize(1500, 16, 6000, 60_000))
+QUICK = RunSize(1, 8, 3.0, ExplorationSize(60, 8, 1000, 3000))
+FULL = RunSize(7, 40, 15.0, ExplorationSize(1500, 16, 6000, 60_000))
 
 
 def exploration_plan(size: ExplorationSize) -> ExplorationPlan:
@@ -107,15 +107,15 @@
 def main() -> None:
     """Run the benchmark and print its figures."""
     arguments = parse_arguments("policy_rollout", __doc__)
-    extent = QUICK if arguments.is_quick else FULL
+    size = QUICK if arguments.is_quick else FULL
     figures = Figures(quick=arguments.is_quick, seed=arguments.seed)
     # The exploration runs beside the runs with faults, which measure no time that it could distort.
     with ProcessPoolExecutor(DECISION_PROCESSES) as pool:
-        exploration = Exploration(pool, exploration_plan(extent.exploration), extent.exploration)
-        figures.add(**run_several_with_faults(extent.fault_runs, arguments.seed))
+        exploration = Exploration(pool, exploration_plan(size.exploration), size.exploration)
+        figures.add(**run_several_with_faults(size.fault_runs, arguments.seed))
         figures.add(**exploration.figures())
-    add_costs(figures, extent.changes)
-    add_service(figures, extent.service_s)
+    add_costs(figures, size.changes)
+    add_service(figures, size.service_s)
     add_coordinator_costs(figures)
     figures.add_duration()
     report_and_exit(figures.by_name, BOUNDS)
--- a/benchmarks/policy_rollout_calls.py
+++ b/benchmarks/policy_rollout_calls.py
@@ -13,7 +13,8 @@
 from gullhold.rollout.vote import Vote, VoteKind
 
 FIRST_REVISION = 10
-MEMBER_VOTES = (Vote(0, 1, VoteKind.READY), Vote(0, 1, VoteKind.STOPPED), Vote(1))  # each member's, in turn
+# The votes that each member writes, in this order.
+MEMBER_VOTES = (Vote(0, 1, VoteKind.READY), Vote(0, 1, VoteKind.STOPPED), Vote(1))
 
 
 class CoordinatorCost(NamedTuple):
@@ -85,5 +86,5 @@
             coordinator.changed(0, key, value, store.put(key, value))
         store.serve(coordinator)
     if CHANGE_KEY in store.keys or CURRENT_KEY not in store.keys:
-        raise SystemExit(f"among {members} members the change did not come into force")
+        raise SystemExit(f"the change among {members} members did not come into force")
     return CoordinatorCost(store.calls, round(time.perf_counter() - began, 2))
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -17,9 +17,8 @@
 from gullhold.testing.load_process import Crowd, LoadProcesses
 from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, serving_status
 
-MAX_SHUTDOWN_S = (
-    3.7  # the protocol kills a process 0.7 s after the client timeout, which counts as 3 s at most
-)
+# The protocol kills the process 0.7 s after the longest client timeout, which counts as 3 s at most.
+MAX_SHUTDOWN_S = 3.7
 FLOOD_REQUESTS = 9_900  # least number of open requests when SIGTERM is sent
 FLOOD_LIMIT_S = 15.0  # time in which that many requests have to be open
 EXIT_LIMIT_S = 15.0  # from SIGTERM, after which the run fails
@@ -107,7 +106,9 @@
     open_requests = 0
     while open_requests < FLOOD_REQUESTS:
         if time.monotonic() > end:
-            raise TimeoutError(f"{open_requests} requests are open")
+            raise TimeoutError(
+                f"{open_requests} requests are open, fewer than the flood needs in its time limit"
+            )
         time.sleep(POLL_INTERVAL_S)
         counts = clients.counts()
         open_requests = counts.attempts - counts.answered - counts.shed - counts.failed
