--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""What all benchmarks share: bounds, the last line of the output, and the commands that the pages name."""
+"""What all benchmarks share: bounds, the JSON in the last line, and a command line for each name in use."""
 
 import json
 import subprocess
@@ -24,7 +24,7 @@
 
 
 def reported(capsys, figures, bounds):
-    """Return the exit status and the last line, decoded."""
+    """Report figures and return the exit status and the last line, decoded from JSON."""
     with pytest.raises(SystemExit) as exit_info:
         report_and_exit(figures, bounds)
     return exit_info.value.code, json.loads(capsys.readouterr().out.splitlines()[-1])
@@ -37,7 +37,7 @@
     assert last_line == {"slowest_s": 1.5, "moves": 3, "other": [1], "missed": []}
 
 
-def test_missed_bounds_are_named_and_end_with_status_1(capsys):
+def test_a_run_that_misses_bounds_names_them_and_ends_with_status_1(capsys):
     bounds = {"slowest_s": at_most(1.5), "moves": at_least(3), "kept": at_most(0)}
     status, last_line = reported(capsys, {"slowest_s": 1.6, "moves": 2, "kept": 0}, bounds)
     assert status == 1
@@ -49,7 +49,7 @@
     assert bound.is_missed_by(None)
 
 
-def test_quantiles_are_values_that_were_measured():
+def test_a_quantile_is_one_of_the_values_or_none_without_values():
     assert quantile([3.0, 1.0, 2.0], 0.5) == 2.0
     assert quantile(range(101)) == 95
     assert rounded_quantile([0.12345]) == 0.123
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("name", COMMANDS)
-def test_each_benchmark_is_a_command(name):
+def test_each_benchmark_accepts_quick_when_run_by_name(name):
     shown = subprocess.run(
         [sys.executable, "-m", f"benchmarks.{name}", "--help"],
         cwd=ROOT,
