--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -17,7 +17,7 @@
 SHARE_CROWDS = ((160, 8), (1600, 50))  # open requests and connections of the crowding client
 LATENCY_CROWD = (160, 8)  # the same of the crowding client in the latency case
 EVEN_CLIENTS = 3  # clients that are due the same share as the crowding client
-POLITE_CLIENTS = 4
+POLITE_CLIENTS = 4  # clients that send at a low, even rate
 RETRYING_CLIENTS = 20
 RETRYING_RATE_PER_S = 16.0  # requests of each client: 320 per second in total, and the engines serve 160
 SERVED_CLIENTS = 10
@@ -38,7 +38,7 @@
 class RetryShares(NamedTuple):
     """The share of retries that were answered; None if nothing was retried.
 
-    after_wait: for clients that wait as long as Retry-After says; immediately: for clients that don't wait.
+    after_wait: for clients that wait as long as the answer tells them; immediately: for clients that don't wait.
     """
 
     after_wait: float | None
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -128,7 +128,10 @@
 
 
 def measure_tenant_growth(tenants: int) -> TenantGrowth:
-    """Measure what the given number of new tenants cost, each with one command, and as many others after."""
+    """Measure what new tenants cost: first the given number of them, then as many others.
+
+    Each of them sends one command.
+    """
     known = (("known", 0.5), ("others", 0.5))
     with RunningDeployment(
         operator=ADMISSION_RULES + OPEN_TENANTS, tenants=known, slots=64, cores=32
--- a/benchmarks/leadership_decisions.py
+++ b/benchmarks/leadership_decisions.py
@@ -32,7 +32,7 @@
 LEASE_ID = 7
 FIRST_REVISION = 10
 SETTLED_AFTER_US = 30_000_000  # simulated time by which a member has claimed its roles
-SIMULATED_S = 120  # simulated time for which calls are counted
+SIMULATED_S = 120  # simulated duration of a run that counts calls
 MUTANT_MODULES = {"members": membership_mutants, "scheduled commands": scheduled_command_mutants}
 
 
--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -107,7 +107,7 @@
 def _change_with_fault(
     rig: Rig, policy_client: PolicyClient, turn: int, draw: random.Random
 ) -> Outcome | None:
-    """Make one change with a fault; None if it can't be proposed since the last one is open."""
+    """Make one change with a fault; returns None if the change can't be proposed yet."""
     fault = Fault(turn % len(Fault))
     name = draw.choice(rig.names[SURVIVING_MEMBERS:] if fault == Fault.KILL else rig.names)
     overlap = Overlap.LOOSE if turn // len(Fault) % 2 else Overlap.STRICT
