--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -38,7 +38,7 @@
 class RetryShares(NamedTuple):
     """The share of retries that were answered; None if nothing was retried.
 
-    after_wait: for clients that wait as long as the answer tells them; immediately: for clients that don't wait.
+    after_wait: for clients that wait as long as the answer says; immediately: for clients that don't wait.
     """
 
     after_wait: float | None
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -156,8 +156,8 @@
 class Handovers(NamedTuple):
     """The time from the end of a leader to the first effect of the next one.
 
-    kill_p95, sigterm_p95: 95th percentiles in lease times, None if not measured; broken: the number of violations
-    that the store's journal shows.
+    kill_p95, sigterm_p95: 95th percentiles in lease times, None if not measured; broken: the number of
+    violations that the store's journal shows.
     """
 
     kill_p95: float | None
