--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -1,4 +1,4 @@
-"""Memory and CPU time of the request path as the number of tenants grows that no agreement lists."""
+"""Memory and CPU time of the request path as the number of unlisted tenants grows."""
 
 import random
 import socket
@@ -11,9 +11,8 @@
 from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment
 from gullhold.testing.working_engine import statement
 
-OPEN_TENANTS = (
-    'door: {tenants: "open", others: "others"}\n'  # operator file: admit tenants that are not listed
-)
+# In the operator file: unlisted tenants use the share of the tenant `others`.
+OPEN_TENANTS = 'door: {tenants: "open", others: "others"}\n'
 CONNECTIONS = 4
 OPEN_PER_CONNECTION = 8
 TWO_TENANTS_RUNS = 4  # the median counts
@@ -129,7 +128,10 @@
 
 
 def measure_tenant_growth(tenants: int) -> TenantGrowth:
-    """Measure what the given number of new tenants cost, each with one command, and as many others after."""
+    """Measure what new tenants cost: first the given number of them, then as many others.
+
+    Each of them sends one command.
+    """
     known = (("known", 0.5), ("others", 0.5))
     with RunningDeployment(
         operator=ADMISSION_OPERATOR_FILE + OPEN_TENANTS, tenants=known, slots=64, cores=32
