--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -17,7 +17,7 @@
 SHARE_CROWDS = ((160, 8), (1600, 50))  # open requests and connections of the crowding client
 LATENCY_CROWD = (160, 8)  # the same of the crowding client in the latency case
 EVEN_CLIENTS = 3  # clients that are due the same share as the crowding client
-POLITE_CLIENTS = 4
+POLITE_CLIENTS = 4  # clients that send at a low, even rate
 RETRYING_CLIENTS = 20
 RETRYING_RATE_PER_S = 16.0  # requests of each client: 320 per second in total, and the engines serve 160
 SERVED_CLIENTS = 10
@@ -38,7 +38,7 @@
 class RetryShares(NamedTuple):
     """The share of retries that were answered; None if nothing was retried.
 
-    after_wait: for clients that wait as long as Retry-After says; immediately: for clients that don't wait.
+    after_wait: for clients that wait as long as the answer says; immediately: for clients that don't wait.
     """
 
     after_wait: float | None
@@ -51,7 +51,7 @@
     medians = []
     for open_requests, connections in SHARE_CROWDS:
         with run_gateway(variant) as running:
-            # Clients that don't retry send their next request at once, so that all of them stay backlogged.
+            # Clients that don't retry go on with the next request, so that all of them stay backlogged.
             clients = make_clients(
                 running, "polite", EVEN_CLIENTS, open=16, retry_rule=load_client.RetryRule.NEVER
             )
@@ -118,9 +118,9 @@
     answered = sum(client.counts.waited_answered + client.counts.early_answered for client in clients)
     retries = answered + sum(client.counts.waited_shed + client.counts.early_shed for client in clients)
     print(
-        f"came back {name}: {answered} of {retries} answered; answers in all "
+        f"retries {name}: {answered} of {retries} answered; answers in total "
         f"{sum(client.counts.answered for client in clients)}, "
-        f"told {sum(client.counts.retry_after_received for client in clients)}",
+        f"with Retry-After {sum(client.counts.retry_after_received for client in clients)}",
         flush=True,
     )
     return answered / retries if retries else None
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -1,4 +1,4 @@
-"""Memory and CPU time of the request path as the number of tenants grows that no agreement lists."""
+"""Memory and CPU time of the request path as the number of unlisted tenants grows."""
 
 import random
 import socket
@@ -7,13 +7,12 @@
 from typing import NamedTuple
 
 from gullhold.net import thrift
-from gullhold.testing import PATIENCE_S, load_client
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
+from gullhold.testing import WAIT_TIMEOUT_S, load_client
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment
 from gullhold.testing.working_engine import statement
 
-OPEN_TENANTS = (
-    'door: {tenants: "open", others: "others"}\n'  # operator file: admit tenants that are not listed
-)
+# In the operator file: unlisted tenants use the share of the tenant `others`.
+OPEN_TENANTS = 'door: {tenants: "open", others: "others"}\n'
 CONNECTIONS = 4
 OPEN_PER_CONNECTION = 8
 TWO_TENANTS_RUNS = 4  # the median counts
@@ -44,7 +43,7 @@
     """A connection that keeps a bounded number of small requests open."""
 
     def __init__(self, address: tuple[str, int], max_open: int) -> None:
-        self.sock = socket.create_connection(address, timeout=PATIENCE_S)
+        self.sock = socket.create_connection(address, timeout=WAIT_TIMEOUT_S)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.decoder = thrift.Decoder(load_client.MAX_FRAME_BYTES)
         self.max_open = max_open
@@ -93,7 +92,7 @@
         b"team": name,
         b"client": name,
     }
-    return load_client.frame(sequence, fields, statement(1))
+    return load_client.encode_execute_call(sequence, fields, statement(1))
 
 
 def cpu_us_of_each_once(running: RunningDeployment, first: int, count: int) -> float:
@@ -129,10 +128,13 @@
 
 
 def measure_tenant_growth(tenants: int) -> TenantGrowth:
-    """Measure what the given number of new tenants cost, each with one command, and as many others after."""
+    """Measure what new tenants cost: first the given number of them, then as many others.
+
+    Each of them sends one command.
+    """
     known = (("known", 0.5), ("others", 0.5))
     with RunningDeployment(
-        operator=ADMISSION_RULES + OPEN_TENANTS, tenants=known, slots=64, cores=32
+        operator=ADMISSION_OPERATOR_FILE + OPEN_TENANTS, tenants=known, slots=64, cores=32
     ) as running:
         cpu_us_of_each_once(running, 0, 2)  # the first commands bring up the connections
         few_us = median(cpu_us_of_two_tenants(running) for _ in range(TWO_TENANTS_RUNS))
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -1,4 +1,4 @@
-"""Runs of fleets of real processes for benchmarks.leadership: faults, handovers, costs."""
+"""Runs of fleets of real processes for benchmarks.leadership: faults, handovers, service and costs."""
 
 import random
 import statistics
@@ -14,28 +14,28 @@
     stop_clients,
 )
 from benchmarks.harness import rounded_quantile
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.fleet_checker import FleetChecker, attempts_by_key, attempts_by_statement
 from gullhold.testing.running import cpu_s, resident_mb
 
-PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the word in a statement's table
+PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the kind in a statement's table name
 COMMANDS_PER_PROFILE = 3
-INTERVAL_US = 500_000  # of a scheduled command
+INTERVAL_US = 500_000  # between due times of a scheduled command
 NON_IDEMPOTENT = "single"
 FAULTY_MEMBERS = 6
 FAULTY_HEARTBEATS = 18
 FAULT_DURATION_S = 1.7  # longer than a lease
-RECOVERY_S = 0.5
-NO_HANDOVER = 99.0  # leases, where no effect followed
+RECOVERY_S = 0.5  # between the end of a turn's faults and the next turn
+NO_HANDOVER = 99.0  # in leases: the time noted for a role whose next leader had no effect
 MEMBERS = 4
-HEARTBEATS = 24
-IDLE_HEARTBEATS = 36
-IDLE_PERIOD_MS = 3_600_000  # of a heartbeat, longer than the run
-LEASE_EXPIRY_WAIT_S = 1.2  # after which all leases have expired
+HEARTBEATS = 24  # heartbeat roles
+IDLE_HEARTBEATS = 36  # heartbeat roles of the idle fleet
+IDLE_PERIOD_MS = 3_600_000  # heartbeat period longer than the run, so that members stay idle
+LEASE_EXPIRY_WAIT_S = 1.2  # from the end of the store, by which all leases have expired
 
 
 def scheduled_command(kind: str, number: int) -> dict[str, str]:
-    """An operator's words for a scheduled command; each has a statement of its own."""
+    """The record of a scheduled command in the operator file; its statement names a table of its own."""
     name = f"{kind}{number}"
     return {
         "name": f'"{name}"',
@@ -48,37 +48,47 @@
 
 
 def run_faults(turns: int, seed: int) -> dict[str, Any]:
-    """Six gateways, roles and scheduled commands under drawn faults; figures of what was kept."""
+    """Run gateways with roles and scheduled commands under random faults; returns figures by name."""
     draw = random.Random(seed)
     scheduled = [
         scheduled_command(kind, number) for kind in PROFILES for number in range(COMMANDS_PER_PROFILE)
     ]
     roles = FAULTY_HEARTBEATS + len(scheduled)
-    rig = Rig(members=FAULTY_MEMBERS, beats=FAULTY_HEARTBEATS, beat_ms=40, scheduled=scheduled, seed=seed)
+    rig = FleetRig(
+        members=FAULTY_MEMBERS,
+        heartbeat_roles=FAULTY_HEARTBEATS,
+        heartbeat_ms=40,
+        scheduled=scheduled,
+        seed=seed,
+    )
     with rig:
         rig.start()
-        rig.until(lambda: len(rig.owners()) == roles)
+        rig.wait_until(lambda: len(rig.leaders()) == roles)
         for turn in range(turns):
             _run_one_fault(rig, draw.sample(rig.names, 4), turn)
-        rig.until(lambda: len(rig.owners()) == roles)
+        rig.wait_until(lambda: len(rig.leaders()) == roles)
         time.sleep(1.5)
         rig.stop(*rig.names)
         return collect_figures(rig, [item["name"].strip('"') for item in scheduled])
 
 
-def _run_one_fault(rig: Rig, names: list[str], turn: int) -> None:
-    """One is cut off one way, one both ways, one sleeps, and by turns one is killed, or the store fails."""
+def _run_one_fault(rig: FleetRig, names: list[str], turn: int) -> None:
+    """Cause faults at gateways and the store, then end them.
+
+    One gateway is cut off in one direction, one in both, one is paused. By turns a fourth one is killed,
+    calls to the store fail, or the store restarts.
+    """
     cut_one_way, cut_both_ways, paused, killed = names
-    rig.cut(cut_one_way, sides=("there",))
+    rig.cut(cut_one_way, directions=("there",))
     rig.cut(cut_both_ways)
     rig.pause(paused)
     if turn % 3 == 0:
         rig.kill(killed)
     elif turn % 3 == 1:
-        rig.faults(lose=6, stale=3, behind=4)
+        rig.inject_store_faults(lose=6, stale=3, behind=4)
     else:
-        rig.kill_register()
-        rig.start_register()
+        rig.kill_store()
+        rig.start_store()
     time.sleep(FAULT_DURATION_S)
     rig.heal(cut_one_way)
     rig.heal(cut_both_ways)
@@ -88,9 +98,9 @@
     time.sleep(RECOVERY_S)
 
 
-def collect_figures(rig: Rig, commands: Iterable[str]) -> dict[str, Any]:
-    """What the store's journal and the engines' records say of a run."""
-    check = FleetChecker(rig.lines())
+def collect_figures(rig: FleetRig, commands: Iterable[str]) -> dict[str, Any]:
+    """The figures of a run, from the store's journal, the engines' records and the gateways' logs."""
+    check = FleetChecker(rig.journal_lines())
     occurrences = check.occurrences()
     late_effects = [line for line in check.violations if "token" in line or "effect" in line]
     for line in check.violations[:5]:
@@ -111,8 +121,8 @@
     }
 
 
-def _count_repeats(rig: Rig, occurrences: dict[tuple[str, int], Any]) -> int:
-    """Attempts of non-idempotent commands beyond those that their records allow for."""
+def _count_repeats(rig: FleetRig, occurrences: dict[tuple[str, int], Any]) -> int:
+    """The number of attempts of non-idempotent commands beyond those in the stored occurrences."""
     repeats = 0
     for statement, attempts in attempts_by_statement(rig.engines).items():
         if NON_IDEMPOTENT not in statement:
@@ -124,8 +134,8 @@
     return repeats
 
 
-def _count_late_repeats(rig: Rig) -> int:
-    """Idempotency keys that were sent over a longer time than engines remember them."""
+def _count_late_repeats(rig: FleetRig) -> int:
+    """The number of idempotency keys that were sent over a longer time than engines remember them."""
     late = 0
     for attempts in attempts_by_key(rig.engines).values():
         times = [at for at, _ in attempts]
@@ -134,7 +144,7 @@
 
 
 def count_missing(check: FleetChecker, command: str) -> int:
-    """Due times of a command without a record, between the first and the last that are recorded."""
+    """The number of due times without a record between a command's first and last recorded ones."""
     recorded = sorted(
         (due, record["count"] if record["state"] == "skipped" else 1)
         for (name, due), record in check.occurrences().items()
@@ -150,7 +160,11 @@
 
 
 class Handovers(NamedTuple):
-    """Times from the end of a leader to the next one's first effect, in leases, and what broke."""
+    """The time from the end of a leader to the first effect of the next one.
+
+    kill_p95, sigterm_p95: 95th percentiles in lease times, None if not measured; broken: the number of
+    violations that the store's journal shows.
+    """
 
     kill_p95: float | None
     sigterm_p95: float | None
@@ -158,10 +172,10 @@
 
 
 def run_handovers(count: int) -> Handovers:
-    """End one leader after another, by turns with SIGKILL and SIGTERM."""
+    """End one member after another, alternately with SIGKILL and SIGTERM."""
     after_kill: list[float] = []
     after_sigterm: list[float] = []
-    with Rig(members=MEMBERS, beats=HEARTBEATS, beat_ms=40) as rig:
+    with FleetRig(members=MEMBERS, heartbeat_roles=HEARTBEATS, heartbeat_ms=40) as rig:
         rig.start()
         _wait_for_leaders(rig)
         for turn in range(count):
@@ -170,26 +184,26 @@
             times = _run_one_handover(rig, rig.names[turn % MEMBERS], is_kill)
             (after_kill if is_kill else after_sigterm).extend(times)
             _wait_for_leaders(rig)
-        broken = FleetChecker(rig.lines()).violations
+        broken = FleetChecker(rig.journal_lines()).violations
     return Handovers(rounded_quantile(after_kill), rounded_quantile(after_sigterm), len(broken))
 
 
-def _wait_for_leaders(rig: Rig) -> None:
-    """Wait until every member leads some role."""
-    rig.until(lambda: len({member for member, _ in rig.owners().values()}) == len(rig.names))
+def _wait_for_leaders(rig: FleetRig) -> None:
+    """Wait until every member leads at least one role."""
+    rig.wait_until(lambda: len({member for member, _ in rig.leaders().values()}) == len(rig.names))
 
 
-def _run_one_handover(rig: Rig, name: str, is_kill: bool) -> list[float]:
-    """The time of each role that the member led, in leases; then it is started again."""
-    roles = {role for role, (member, _) in rig.owners().items() if member == name}
+def _run_one_handover(rig: FleetRig, name: str, is_kill: bool) -> list[float]:
+    """End a member and start it again; returns the handover time of each role that it led, in lease times."""
+    roles = {role for role, (member, _) in rig.leaders().items() if member == name}
     ended_at = time.time()
     if is_kill:
         rig.kill(name)
     else:
         rig.members[name].terminate()
-    rig.until(lambda: all(rig.owners().get(role, (name, 0))[0] != name for role in roles))
+    rig.wait_until(lambda: all(rig.leaders().get(role, (name, 0))[0] != name for role in roles))
     time.sleep(0.3)
-    handovers = FleetChecker(rig.lines()).handovers()
+    handovers = FleetChecker(rig.journal_lines()).handovers()
     times = []
     for role in roles:
         first_effects = [
@@ -204,7 +218,11 @@
 
 
 class IdleCost(NamedTuple):
-    """What an idle member costs: calls of the store a second, and CPU and MB over one without a fleet."""
+    """What an idle member costs.
+
+    calls_per_s: calls to the store; cpu_share, memory_mb: CPU seconds per second, and resident memory, beyond
+    those of a gateway without a fleet.
+    """
 
     calls_per_s: float
     cpu_share: float
@@ -212,11 +230,13 @@
 
 
 def run_idle(seconds: float, members: int = 12) -> IdleCost:
-    """So many idle members beside a gateway without a fleet."""
-    with Rig(members=members + 1, lease_s=5, beats=IDLE_HEARTBEATS, beat_ms=IDLE_PERIOD_MS) as rig:
+    """Measure the cost of idle members against a gateway without a fleet."""
+    with FleetRig(
+        members=members + 1, lease_s=5, heartbeat_roles=IDLE_HEARTBEATS, heartbeat_ms=IDLE_PERIOD_MS
+    ) as rig:
         rig.start(*rig.names[:members])
         rig.start(rig.names[members], operator=False)
-        rig.until(lambda: len(rig.owners()) == IDLE_HEARTBEATS)
+        rig.wait_until(lambda: len(rig.leaders()) == IDLE_HEARTBEATS)
         time.sleep(1)
         pids = [rig.members[name].process.pid for name in rig.names]
         calls_before = count_store_calls(rig)
@@ -231,25 +251,28 @@
 
 
 class ServiceShares(NamedTuple):
-    """Answered in target with the store dead over with it alive; the shares of each."""
+    """The shares of requests answered with the store up and down.
+
+    ratio: the second share divided by the first; shares: both, in this order.
+    """
 
     ratio: float
     shares: list[float]
 
 
 def run_service(seconds: float) -> ServiceShares:
-    """The same load with the store alive and dead."""
+    """Measure service under the same load with the store up and down."""
     load = {"work_ms": 20.0, "limit_ms": 500, "rate": 40.0}
-    with Rig(members=3, beats=6) as rig:
+    with FleetRig(members=3, heartbeat_roles=6) as rig:
         rig.start()
         clients = [
             start_client(rig, name, f"c{number}", number, **load) for number, name in enumerate(rig.names)
         ]
         time.sleep(0.5)
         share_alive = measure_answered_share(clients, seconds)
-        rig.kill_register()
+        rig.kill_store()
         time.sleep(LEASE_EXPIRY_WAIT_S)
         share_dead = measure_answered_share(clients, seconds)
         stop_clients(clients)
-        rig.start_register()
+        rig.start_store()
     return ServiceShares(round(share_dead / share_alive, 4), [round(share_alive, 4), round(share_dead, 4)])
--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -1,4 +1,4 @@
-"""Rollouts of a policy under load, each with a fault while it is made."""
+"""Rollouts of a policy under load, each with a fault while the change is open."""
 
 import random
 import time
@@ -20,25 +20,25 @@
 from gullhold.rollout.policy_version import PolicyError
 from gullhold.testing import load_client
 from gullhold.testing.budget_checker import AllocationHistory, peak_threads
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 from gullhold.testing.rollout_checker import RolloutChecker, attempts_with_policy, measure_overlap
 
-TOTAL_THREADS = 24  # of the fleet's budget
-THREADS_DECREASE = 8  # threads, by every second policy
-CHANGES_PER_RUN = 44  # on one fleet, so that each grants another amount below MAX_GRANT_MB
+TOTAL_THREADS = 24  # the fleet's budget of threads
+THREADS_DECREASE = 8  # threads by which every second policy lowers the budget
+CHANGES_PER_RUN = 44  # on one fleet: few enough for each to grant another amount below MAX_GRANT_MB
 MEMBERS = 6
-SURVIVING_MEMBERS = 4  # the first of them, none of which is killed
-VOTE_TIMEOUT_US = 1_500_000  # of the coordinator with members that do not vote
-RETRY_S = 0.3  # after a proposal that can't be opened yet
-MAX_FAULT_DELAY_S = 0.05  # after the proposal
+SURVIVING_MEMBERS = 4  # the first members, which are never killed
+VOTE_TIMEOUT_US = 1_500_000  # time that the coordinator waits for votes of silent members
+RETRY_S = 0.3  # after a proposal that failed because the last change is still open
+MAX_FAULT_DELAY_S = 0.05  # from the proposal to the fault
 FAULT_DURATION_S = 0.2
-OUTCOME_TIMEOUT_S = 6  # in which it has to be known what became of a change, with faults
-CUT_DIRECTIONS = (("there",), ("back",), ("there", "back"))  # in turn
-JOURNAL_STATES = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}  # of reported outcomes
+OUTCOME_TIMEOUT_S = 6  # time in which the outcome of a change has to be known, faults included
+CUT_DIRECTIONS = (("there",), ("back",), ("there", "back"))  # between gateway and store, by turns
+JOURNAL_STATES = {ExitStatus.IN_FORCE: "decided", ExitStatus.DROPPED: "dropped"}  # by reported outcome
 
 
 class Fault(IntEnum):
-    """What goes wrong while a change is made; each in its turn."""
+    """What goes wrong while a change is made; changes get these faults one after another."""
 
     KILL = 0
     PAUSE = 1
@@ -49,7 +49,7 @@
 
 
 class Outcome(NamedTuple):
-    """What was reported to the one who proposed a change. number: of its version."""
+    """The outcome of a change as reported to its author. number: of the proposed version."""
 
     number: int
     status: ExitStatus
@@ -64,20 +64,24 @@
 
 
 class Overlaps(NamedTuple):
-    """Attempts mixed by strict changes, and how long each change overlapped with the policy before, in ms."""
+    """How far changes overlapped with the policy before them.
+
+    strict_mixed: attempts sent under the earlier policy after the first one under a strict change's policy;
+    lengths_ms: the duration of each change's overlap.
+    """
 
     strict_mixed: int
     lengths_ms: list[float]
 
 
 def policy_with_budget(grant_mb: int, turn: int) -> str:
-    """A policy that engines can tell, and that moves a budget's total up and down by turns."""
+    """A policy recognisable by the memory that it grants, whose budget alternates between two totals."""
     threads = TOTAL_THREADS - THREADS_DECREASE * (turn % 2)
     return f"policy: {{grants: read: {grant_mb}, budgets: threads: {threads}}}"
 
 
 def run_with_faults(count: int, seed: int) -> dict[str, Any]:
-    """Make so many changes on gateways under load, each with a fault; the figures by name."""
+    """Make changes to a fleet under load, each with a fault; returns the figures by name."""
     draw = random.Random(seed)
     outcomes = []
     applied = []
@@ -85,14 +89,14 @@
     with make_fleet(MEMBERS, budgets=budgets, seed=seed) as rig:
         rig.start()
         wait_for_version(rig, 0, rig.names)
-        policy_client = PolicyClient(rig.register_address, FLEET_NAME)
+        policy_client = PolicyClient(rig.store_address, FLEET_NAME)
         clients = start_load(rig, rig.names)
         for turn in range(count):
             outcome = _change_with_fault(rig, policy_client, turn, draw)
             if outcome is None:
                 continue
             outcomes.append(outcome)
-            if RolloutChecker(rig.lines()).outcomes.get(outcome.number) == "decided":
+            if RolloutChecker(rig.journal_lines()).outcomes.get(outcome.number) == "decided":
                 applied.append(AppliedChange(FIRST_GRANT_MB + turn, outcome.overlap))
         time.sleep(0.5)
         wait_for_version(rig, policy_client.current().number, rig.names)
@@ -101,16 +105,16 @@
 
 
 def _change_with_fault(
-    rig: Rig, policy_client: PolicyClient, turn: int, draw: random.Random
+    rig: FleetRig, policy_client: PolicyClient, turn: int, draw: random.Random
 ) -> Outcome | None:
-    """Make one change with a fault; None: it could not be proposed yet."""
+    """Make one change with a fault; returns None if the change can't be proposed yet."""
     fault = Fault(turn % len(Fault))
     name = draw.choice(rig.names[SURVIVING_MEMBERS:] if fault == Fault.KILL else rig.names)
     overlap = Overlap.LOOSE if turn // len(Fault) % 2 else Overlap.STRICT
     text = policy_with_budget(FIRST_GRANT_MB + turn, turn)
     try:
         version = policy_client.propose(text, "bench", "b", overlap=overlap, patience_us=VOTE_TIMEOUT_US)
-    except (PolicyError, StoreUnavailableError):  # the last one is not closed yet
+    except (PolicyError, StoreUnavailableError):  # the last change is still open, or the store is down
         time.sleep(RETRY_S)
         return None
     time.sleep(draw.random() * MAX_FAULT_DELAY_S)
@@ -120,26 +124,26 @@
     return Outcome(version.number, policy_client.wait(version.number, OUTCOME_TIMEOUT_S).status, overlap)
 
 
-def _begin_fault(rig: Rig, fault: Fault, name: str, turn: int) -> None:
-    """Let something go wrong, with this gateway where it concerns one."""
+def _begin_fault(rig: FleetRig, fault: Fault, name: str, turn: int) -> None:
+    """Cause a fault. name: the gateway that is affected if the fault concerns one."""
     match fault:
         case Fault.KILL:
             rig.kill(name)
         case Fault.PAUSE:
             rig.pause(name)
         case Fault.CUT:
-            rig.cut(name, sides=CUT_DIRECTIONS[turn % len(CUT_DIRECTIONS)])
+            rig.cut(name, directions=CUT_DIRECTIONS[turn % len(CUT_DIRECTIONS)])
         case Fault.LOST_CALLS:
-            rig.faults(lose=5, stale=3, behind=3)
+            rig.inject_store_faults(lose=5, stale=3, behind=3)
         case Fault.STORE_RESTART:
-            rig.kill_register()
-            rig.start_register()
+            rig.kill_store()
+            rig.start_store()
         case Fault.DELAYS:
-            rig.faults(drop=1, delay=0.3, delay_s=0.05)
+            rig.inject_store_faults(drop=1, delay=0.3, delay_s=0.05)
 
 
-def _end_fault(rig: Rig, fault: Fault, name: str) -> None:
-    """Mend what does not end by itself."""
+def _end_fault(rig: FleetRig, fault: Fault, name: str) -> None:
+    """End a fault that does not end by itself."""
     match fault:
         case Fault.KILL:
             rig.start(name, wait=False)
@@ -150,16 +154,16 @@
 
 
 def collect_figures(
-    rig: Rig,
+    rig: FleetRig,
     clients: Sequence[load_client.LoadClient],
     outcomes: Sequence[Outcome],
     applied: Sequence[AppliedChange],
 ) -> dict[str, Any]:
-    """What engines, clients, the store's journal and the gateways' logs say of a run."""
-    check = RolloutChecker(rig.lines())
+    """The figures of a run, from engines, clients, the store's journal and the gateways' logs."""
+    check = RolloutChecker(rig.journal_lines())
     overlaps = measure_overlaps(rig, applied)
     over_on_engine = peak_threads(rig.engines[0].attempts).amount > TOTAL_THREADS
-    over_allocated = max(AllocationHistory(rig.lines()).max_sums.values(), default=0) > TOTAL_THREADS
+    over_allocated = max(AllocationHistory(rig.journal_lines()).max_sums.values(), default=0) > TOTAL_THREADS
     return {
         "changes": len(outcomes),
         "in_force": sum(outcome.status == ExitStatus.IN_FORCE for outcome in outcomes),
@@ -180,7 +184,7 @@
 
 
 def _count_misreported(check: RolloutChecker, outcomes: Iterable[Outcome]) -> int:
-    """Outcomes that were reported as known and are not those in the store's journal."""
+    """The number of outcomes that were reported as known but differ from those in the store's journal."""
     return sum(
         outcome.status in JOURNAL_STATES
         and check.outcomes.get(outcome.number) != JOURNAL_STATES[outcome.status]
@@ -188,8 +192,8 @@
     )
 
 
-def measure_overlaps(rig: Rig, applied: Sequence[AppliedChange]) -> Overlaps:
-    """How far attempts under the policy before a change and under its own were mixed."""
+def measure_overlaps(rig: FleetRig, applied: Sequence[AppliedChange]) -> Overlaps:
+    """Measure how far attempts under each change's policy and under the one before were mixed."""
     attempts = attempts_with_policy(rig.engines, [change.grant_mb for change in applied])
     strict_mixed = 0
     lengths_ms = []
@@ -207,6 +211,6 @@
 
 
 def run_several_with_faults(runs: int, seed: int) -> dict[str, Any]:
-    """Runs on fleets of their own: figures summed, of times the worst."""
+    """Run several fleets one after another; returns the sums of figures, of times (*_ms) the maximum."""
     rows = [run_with_faults(CHANGES_PER_RUN, seed + number) for number in range(runs)]
     return {name: (max if name.endswith("_ms") else sum)(row[name] for row in rows) for name in rows[0]}
--- a/gullhold/testing/load_process.py
+++ b/gullhold/testing/load_process.py
@@ -1,4 +1,4 @@
-"""Processes that run several load clients each, so that a crowd is not held back by one interpreter lock."""
+"""Processes that run several load clients each, so that one interpreter lock does not limit their load."""
 
 import multiprocessing
 from collections.abc import Sequence
@@ -6,14 +6,14 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from gullhold.testing import PATIENCE_S
+from gullhold.testing import WAIT_TIMEOUT_S
 from gullhold.testing.load_client import LoadClient
 from gullhold.testing.load_counts import LoadCounts
 
 
 @dataclass(frozen=True)
-class Crowd:
-    """What a crowd is made of: processes, clients of each, and the options of each client."""
+class ClientGroup:
+    """Load clients: number of processes, clients in each process, and the LoadClient options of each."""
 
     processes: int
     clients: int
@@ -21,45 +21,45 @@
 
 
 class LoadProcesses:
-    """A crowd of clients on one address, from start() to stop()."""
+    """A group of clients of one gateway, from start() to stop()."""
 
-    def __init__(self, address: tuple[str, int], crowd: Crowd) -> None:
-        """Start the processes; the clients wait for start()."""
+    def __init__(self, address: tuple[str, int], group: ClientGroup) -> None:
+        """Start the processes; their clients start with start()."""
         context = multiprocessing.get_context("spawn")
         self._pipes: list[Connection] = []
         self._processes = []
-        for number in range(crowd.processes):
+        for number in range(group.processes):
             pipe, child_pipe = context.Pipe()
             process = context.Process(
-                target=_run_clients, args=(child_pipe, address, crowd, number), daemon=True
+                target=_run_clients, args=(child_pipe, address, group, number), daemon=True
             )
             process.start()
             self._pipes.append(pipe)
             self._processes.append(process)
 
     def start(self) -> None:
-        """Let all clients begin."""
-        self._ask("start")
+        """Start all clients."""
+        self._give_order("start")
 
     def counts(self) -> LoadCounts:
         """Return the counts of all clients so far."""
-        return add_counts(self._ask("counts"))
+        return add_counts(self._give_order("counts"))
 
     def stop(self) -> LoadCounts:
-        """Send nothing more, wait for what is open, end the processes; return the final counts."""
-        total = add_counts(self._ask("stop"))
+        """Stop the clients, wait for open commands, end the processes; return the final counts."""
+        total = add_counts(self._give_order("stop"))
         for process in self._processes:
-            process.join(PATIENCE_S)
+            process.join(WAIT_TIMEOUT_S)
         return total
 
-    def _ask(self, order: str) -> list[LoadCounts]:
+    def _give_order(self, order: str) -> list[LoadCounts]:
         for pipe in self._pipes:
             pipe.send(order)
         return [pipe.recv() for pipe in self._pipes]
 
 
 def add_counts(parts: Sequence[LoadCounts]) -> LoadCounts:
-    """Return the counts of several clients together."""
+    """Return the counts of several clients as one: sums, and the maximum of slowest_s."""
     total = LoadCounts()
     for part in parts:
         for field in fields(LoadCounts):
@@ -68,13 +68,13 @@
     return total
 
 
-def _run_clients(pipe: Connection, address: tuple[str, int], crowd: Crowd, number: int) -> None:
-    """The process of some clients: carry out orders until it is told to stop."""
+def _run_clients(pipe: Connection, address: tuple[str, int], group: ClientGroup, number: int) -> None:
+    """Run in a process of the group: carry out orders up to and including "stop"."""
     clients = [
         LoadClient(
-            address, "", f"client-{number}-{index}", seed=number * crowd.clients + index, **crowd.options
+            address, "", f"client-{number}-{index}", seed=number * group.clients + index, **group.options
         )
-        for index in range(crowd.clients)
+        for index in range(group.clients)
     ]
     order = None
     while order != "stop":
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -10,10 +10,10 @@
 from gullhold.net.list_change import parse_event
 from gullhold.operator import records
 from gullhold.testing import load_client
-from gullhold.testing.client import Caller
-from gullhold.testing.deployment import config, event
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment, adjust_settings
-from gullhold.testing.scripted import Engine, endless
+from gullhold.testing.client import BlockingClient
+from gullhold.testing.deployment import config, endpoint_list_event
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment, adjust_settings
+from gullhold.testing.scripted import ScriptedEngine, never_finish
 from gullhold.testing.working_engine import WorkingEngine, statement
 
 
@@ -23,12 +23,12 @@
     gateways, engines = [], []
 
     def make(*parts, more="", tenants=(), cores=2, **other):
-        record = records.read(ADMISSION_RULES + more, "test.cue").door
+        record = records.read(ADMISSION_OPERATOR_FILE + more, "test.cue").door
         configuration = config(*parts, **other)
         adjust_settings(configuration["settings"], tenants, cores)
         gateways.append(Gateway(tmp_path, configuration, admission_record=record))
         engines.extend(parts)
-        return gateways[-1], Caller(gateways[-1].address)
+        return gateways[-1], BlockingClient(gateways[-1].address)
 
     yield make
     for gateway in gateways:
@@ -43,9 +43,9 @@
 
 
 def test_queued_commands_are_unknown_to_the_decision_module_and_shed_in_time(start_gateway):
-    gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
+    gateway, client = start_gateway(ScriptedEngine(never_finish), more="door: patience: 100")
     for _ in range(30):
-        client.ask(limit=600, client=b"one")
+        client.send_command(limit=600, client=b"one")
     until(
         lambda: (
             gateway.core.admission_queue.queued_count
@@ -57,17 +57,17 @@
         <= 4 * 2 * 16 + gateway.core.admission_queue.settings.max_forwarded_per_tenant_profile
     )
     began_s = time.monotonic()
-    answers = [client.answer()[1] for _ in range(30)]
+    answers = [client.read_answer()[1] for _ in range(30)]
     assert set(answers) == {"shed"}
     assert time.monotonic() - began_s < 0.7
 
 
 def test_the_queue_is_empty_after_clients_interrupt_or_disconnect(start_gateway):
-    gateway, client = start_gateway(Engine(endless), more="door: patience: 100")
-    other = Caller(gateway.address)
-    seqs = [client.ask(client=b"one") for _ in range(30)]
+    gateway, client = start_gateway(ScriptedEngine(never_finish), more="door: patience: 100")
+    other = BlockingClient(gateway.address)
+    seqs = [client.send_command(client=b"one") for _ in range(30)]
     for _ in range(20):
-        other.ask(client=b"two")
+        other.send_command(client=b"two")
     until(lambda: gateway.core.admission_queue.queued_count + len(gateway.core.gateway.commands) == 50)
     for seq in seqs:
         client.interrupt(seq)
@@ -76,17 +76,19 @@
 
 
 def test_queued_commands_go_to_another_engine_when_one_drains(start_gateway):
-    engine, later = WorkingEngine(slots=1), Engine()
+    engine, later = WorkingEngine(slots=1), ScriptedEngine()
     gateway, client = start_gateway(engine, cores=1, more="door: patience: 100")
     for _ in range(20):
-        client.ask(limit=4000, client=b"one", body=statement(30))
+        client.send_command(limit=4000, client=b"one", body=statement(30))
     until(lambda: engine.completed >= 2)
     core = gateway.core
     core.list_changed(
-        *parse_event(event(2, ("s-0", engine.address, "draining")), core.agreement, EngineIds())
+        *parse_event(endpoint_list_event(2, ("s-0", engine.address, "draining")), core.agreement, EngineIds())
     )
-    core.list_changed(*parse_event(event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds()))
-    answers = [client.answer()[1] for _ in range(20)]
+    core.list_changed(
+        *parse_event(endpoint_list_event(3, ("s-9", later.address, "ready")), core.agreement, EngineIds())
+    )
+    answers = [client.read_answer()[1] for _ in range(20)]
     assert all(answer == b"a\tb\tc\n" for answer in answers)
     assert len(later.messages(b"fetch")) >= 10
     assert engine.completed + len(later.messages(b"fetch")) == 20
@@ -95,17 +97,21 @@
 
 def test_unknown_tenants_use_the_share_of_the_fallback_tenant_or_are_refused(start_gateway):
     tenants = (("a", 0.7), ("rest", 0.3))
-    _, client = start_gateway(Engine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}')
-    client.ask(team=b"never heard of")
-    assert client.answer() == (1, b"a\tb\tc\n")
-    gateway, client = start_gateway(Engine(), tenants=tenants)
-    client.ask(team=b"never heard of")
-    assert client.answer() == (1, "fault")
+    _, client = start_gateway(
+        ScriptedEngine(), tenants=tenants, more='door: {tenants: "open", others: "rest"}'
+    )
+    client.send_command(team=b"never heard of")
+    assert client.read_answer() == (1, b"a\tb\tc\n")
+    gateway, client = start_gateway(ScriptedEngine(), tenants=tenants)
+    client.send_command(team=b"never heard of")
+    assert client.read_answer() == (1, "fault")
     assert not gateway.core.admission_queue.flow_table.tenants
 
 
 def test_inside_one_tenant_a_crowding_client_takes_no_more_than_its_share():
-    with RunningDeployment(operator=ADMISSION_RULES, tenants=(("one", 1.0),), memory_mb=192) as running:
+    with RunningDeployment(
+        operator=ADMISSION_OPERATOR_FILE, tenants=(("one", 1.0),), memory_mb=192
+    ) as running:
         clients = [
             load_client.LoadClient(running.address, "one", "polite", open=16).start(),
             load_client.LoadClient(running.address, "one", "crowding", open=160, connections=8).start(),
@@ -128,7 +134,7 @@
     """Guards against a gateway that goes on accepting commands: it had not ended 10 s after SIGTERM."""
     more = "door: {patience: 1000, waiting: 30000}"
     with RunningDeployment(
-        operator=ADMISSION_RULES + more, slots=0, timeout_s=8.0, max_open=30000
+        operator=ADMISSION_OPERATOR_FILE + more, slots=0, timeout_s=8.0, max_open=30000
     ) as running:
         clients = [
             load_client.LoadClient(
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -11,7 +11,7 @@
 
 from gullhold.fleet.role_assignment import RoleAssignment
 from gullhold.operator import records
-from gullhold.testing import listening, load_client
+from gullhold.testing import load_client, open_listener
 from gullhold.testing.budget_checker import (
     AllocationHistory,
     first_attempts,
@@ -20,7 +20,7 @@
     retries,
 )
 from gullhold.testing.counting_engine import CountingEngine
-from gullhold.testing.fleet import Rig
+from gullhold.testing.fleet import FleetRig
 
 CLIENT_SEEDS = count(1)  # so that each client draws other request ids
 
@@ -37,7 +37,7 @@
     """
     make_engine = other.pop("make", None) or counting_engine()
     budgets = budgets or [threads_budget()]
-    return Rig(members=members, budgets=budgets, engines=engines, make=make_engine, **other)
+    return FleetRig(members=members, budgets=budgets, engines=engines, make_engine=make_engine, **other)
 
 
 def counting_engine(**facts):
@@ -73,10 +73,10 @@
     """
     for engine in fleet.engines:
         most, when = peak_threads(engine.attempts)
-        assert most <= total, f"{most} in use at {when - fleet.began:.3f} s\n{fleet.story()}"
-    history = AllocationHistory(fleet.lines())
-    assert history.max_sums, fleet.story()
-    assert max(history.max_sums.values()) <= total, fleet.story()
+        assert most <= total, f"{most} in use at {when - fleet.started_at:.3f} s\n{fleet.timeline()}"
+    history = AllocationHistory(fleet.journal_lines())
+    assert history.max_sums, fleet.timeline()
+    assert max(history.max_sums.values()) <= total, fleet.timeline()
     assert sum(len(engine.attempts) for engine in fleet.engines) >= min_attempts
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
@@ -85,7 +85,7 @@
 
 def allocations(fleet):
     """Return the allocations of the one engine's threads by member."""
-    history = AllocationHistory(fleet.lines())
+    history = AllocationHistory(fleet.journal_lines())
     return history.allocated_by_name(next(iter(history.max_sums), ""))
 
 
@@ -93,11 +93,11 @@
     with make_rig() as fleet:
         fleet.start()
         one = start_client(fleet, "n0")
-        fleet.until(lambda: allocations(fleet) == {"n0": 10, "n1": 1, "n2": 1})
+        fleet.wait_until(lambda: allocations(fleet) == {"n0": 10, "n1": 1, "n2": 1})
         time.sleep(0.5)
         stop_clients(one)
         other = start_client(fleet, "n1")
-        fleet.until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
+        fleet.wait_until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
         time.sleep(0.3)
         assert peak_threads(fleet.engines[0].attempts)[0] == 10
         stop_clients(other)
@@ -110,26 +110,27 @@
         # Long commands: of many short ones the pause may hit one between the last check of the allocation and
         # the write to the engine, which nothing here can refuse (docs/notes/budgets.md).
         clients = [start_client(fleet, name, work_ms=150.0) for name in ("n0", "n1")]
-        fleet.until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
+        fleet.wait_until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
         fleet.pause("n0")
-        fleet.until(lambda: allocations(fleet).get("n1", 0) == 12)
-        fleet.until(lambda: len(fleet.engines[0].open) == 12)
+        fleet.wait_until(lambda: allocations(fleet).get("n1", 0) == 12)
+        fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
         fleet.resume("n0")  # with queued commands
         time.sleep(0.7)
-        fleet.until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
+        fleet.wait_until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
         stop_clients(*clients)
         check_fleet(fleet, min_attempts=100)
 
 
 def test_a_killed_member_is_charged_until_its_running_work_has_ended():
-    with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
+    with make_rig(2, make=counting_engine(runs_after_disconnect=True)) as fleet:
         fleet.start()
         clients = [start_client(fleet, name, work_ms=700.0, limit_ms=2500) for name in ("n0", "n1")]
-        fleet.until(lambda: len(fleet.engines[0].open) == 12)
+        fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
         fleet.kill("n0")
-        fleet.until(lambda: allocations(fleet).get("n1", 0) == 12)
+        fleet.wait_until(lambda: allocations(fleet).get("n1", 0) == 12)
         time.sleep(0.8)
-        fleet.until(lambda: len(fleet.engines[0].open) == 12)  # it is less for a moment between two commands
+        # It is less for a moment between two commands.
+        fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
         stop_clients(*clients)
         check_fleet(fleet, min_attempts=20)
 
@@ -142,19 +143,19 @@
         allocator = assignment.leaders["budgets"]
         others = [name for name in fleet.names if name != allocator]
         fleet.start(allocator, point="divide", side=side, act=act, nth=4)
-        fleet.owner("budgets")
+        fleet.wait_for_leader("budgets")
         clients = [start_client(fleet, allocator, rate=40.0)]
         fleet.start(*others)
         clients += [start_client(fleet, name) for name in others]
         if act == "kill":
             fleet.members[allocator].process.wait(8)
         else:
-            fleet.until(lambda: fleet.paused(allocator))
-        assert fleet.owner("budgets", allocator) in others
-        fleet.until(lambda: sum(allocations(fleet).get(name, 0) for name in others) >= 11)
+            fleet.wait_until(lambda: fleet.is_paused(allocator))
+        assert fleet.wait_for_leader("budgets", allocator) in others
+        fleet.wait_until(lambda: sum(allocations(fleet).get(name, 0) for name in others) >= 11)
         if act == "stop":
             fleet.resume(allocator)  # two members act as allocator: the late write is refused
-            fleet.until(
+            fleet.wait_until(
                 lambda: "write under a stale token refused" in [row[2] for row in fleet.events(allocator)]
             )
         time.sleep(0.5)
@@ -167,23 +168,23 @@
         fleet.start()
         for turn in range(4):
             one = start_client(fleet, f"n{turn % 2}")
-            fleet.faults(lose=6)
+            fleet.inject_store_faults(lose=6)
             time.sleep(0.8)
             stop_clients(one)
         one = start_client(fleet, "n2")
-        fleet.faults(lose=3)
+        fleet.inject_store_faults(lose=3)
         fleet.stop("n0")
-        fleet.until(lambda: allocations(fleet).get("n2", 0) >= 11)
+        fleet.wait_until(lambda: allocations(fleet).get("n2", 0) >= 11)
         stop_clients(one)
         assert check_fleet(fleet, min_attempts=50).increases >= 8
 
 
 def test_the_total_is_not_exceeded_when_all_members_restart_under_the_same_or_other_names():
-    with make_rig(4, make=counting_engine(runs_on=True)) as fleet:
+    with make_rig(4, make=counting_engine(runs_after_disconnect=True)) as fleet:
         for names in (("n0", "n1"), ("n0", "n1"), ("n2", "n3")):
             fleet.start(*names)
             clients = [start_client(fleet, name, work_ms=300.0) for name in names]
-            fleet.until(lambda names=names: sum(allocations(fleet).get(name, 0) for name in names) >= 12)
+            fleet.wait_until(lambda names=names: sum(allocations(fleet).get(name, 0) for name in names) >= 12)
             time.sleep(0.3)
             fleet.kill(*names)
             stop_clients(*clients)
@@ -194,14 +195,14 @@
     with make_rig(5) as fleet:
         fleet.start()
         clients = [start_client(fleet, name) for name in ("n3", "n4")]
-        fleet.until(lambda: allocations(fleet).get("n3", 0) + allocations(fleet).get("n4", 0) >= 9)
+        fleet.wait_until(lambda: allocations(fleet).get("n3", 0) + allocations(fleet).get("n4", 0) >= 9)
         for name in ("n0", "n1", "n2"):
             fleet.kill(name)
             fleet.start(name)
         fleet.cut("n3")
-        fleet.until(lambda: allocations(fleet).get("n4", 0) >= 8)
+        fleet.wait_until(lambda: allocations(fleet).get("n4", 0) >= 8)
         fleet.heal("n3")
-        fleet.until(lambda: allocations(fleet).get("n3", 0) >= 4)
+        fleet.wait_until(lambda: allocations(fleet).get("n3", 0) >= 4)
         stop_clients(*clients)
         check_fleet(fleet, min_attempts=50)
 
@@ -212,7 +213,7 @@
     with make_rig(budgets=[budget], drift="rate: 0.1, margin: 20ms") as fleet:
         for i, name in enumerate(fleet.names):  # rates of the clocks, near the bound on drift
             fleet.start(name, rate=(1.08, 1.0, 0.93)[i])
-        fleet.until(lambda: len(allocations(fleet)) == 3)
+        fleet.wait_until(lambda: len(allocations(fleet)) == 3)
         for turn in range(6):
             one = start_client(fleet, f"n{turn % 3}", rate=60.0, work_ms=10.0)
             time.sleep(0.9)
@@ -221,7 +222,7 @@
         most, _ = peak_in_window(sends, window_s)
         assert 20 <= most <= 30, (most, len(sends))
         assert len(sends) > 40, (most, len(sends))
-        assert AllocationHistory(fleet.lines()).increases >= 5
+        assert AllocationHistory(fleet.journal_lines()).increases >= 5
 
 
 def test_retries_of_the_fleet_do_not_exceed_their_budget_in_any_window():
@@ -242,7 +243,7 @@
 
 def test_discovery_calls_of_the_fleet_keep_their_budget_when_every_stream_ends_at_once():
     budget, calls = {"of": '"lists"', "whole": 6, "window": "2s", "alone": 1, "members": 3}, []
-    sock, address = listening()
+    sock, address = open_listener()
 
     def serve():
         with suppress(OSError):
@@ -263,15 +264,15 @@
 
 
 def test_use_falls_to_a_lowered_total_without_cancelled_work():
-    with make_rig(2, make=counting_engine(runs_on=True)) as fleet:
+    with make_rig(2, make=counting_engine(runs_after_disconnect=True)) as fleet:
         fleet.start()
         clients = [start_client(fleet, name, work_ms=400.0, limit_ms=2000) for name in ("n0", "n1")]
-        fleet.until(lambda: len(fleet.engines[0].open) == 12)
+        fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
         fleet.budgets[0]["whole"] = 4
         for name in ("n1", "n0"):
             fleet.stop(name)
             fleet.start(name)
-        fleet.until(lambda: sum(allocations(fleet).values()) == 4)
+        fleet.wait_until(lambda: sum(allocations(fleet).values()) == 4)
         stop_clients(*clients)
         lowered = time.time() + 1.5  # work begun under the former total has ended by then
         time.sleep(1.6)
@@ -289,10 +290,10 @@
         settings["domain"]["parallelism"] = [3, 1, 1]
 
     make = counting_engine(threads={"read": 3})
-    with make_rig(budgets=[threads_budget(4, grain=3, floor=0)], make=make, adjust=three) as fleet:
+    with make_rig(budgets=[threads_budget(4, grain=3, floor=0)], make=make, adjust_settings=three) as fleet:
         fleet.start()
         clients = [start_client(fleet, name, open=3, work_ms=40.0, limit_ms=2900) for name in fleet.names]
-        fleet.until(lambda: all(one.counts.answered >= 3 for one in clients))
+        fleet.wait_until(lambda: all(one.counts.answered >= 3 for one in clients))
         stop_clients(*clients)
         check_fleet(fleet, total=4, min_attempts=9)
 
@@ -303,11 +304,11 @@
     def rules(settings):
         settings["rules"] |= {"cold_from": 0.05, "warm_after": 60, "fall_multiple": 1, "tip_after": 1}
 
-    with make_rig(budgets=[cold], adjust=rules) as fleet:
-        fleet.born_ms[0] = int(time.time() * 1000)
+    with make_rig(budgets=[cold], adjust_settings=rules) as fleet:
+        fleet.engine_start_ms[0] = int(time.time() * 1000)
         fleet.start("n0", "n1")
         clients = [start_client(fleet, "n0", work_ms=20.0)]
-        fleet.until(lambda: len(fleet.engines[0].attempts) > 8)
+        fleet.wait_until(lambda: len(fleet.engines[0].attempts) > 8)
         fleet.kill("n1")
         fleet.start("n2")
         clients.append(start_client(fleet, "n2", work_ms=20.0))
@@ -317,7 +318,7 @@
         stop_clients(*clients)
         # The warming engine may get 0.05 of its 16 cores in a window at first, and then more, at half the
         # rate that would reach all cores after 60 s.
-        grown = 0.05 + 0.95 / 2 * (time.time() - fleet.born_ms[0] / 1000) / 60
+        grown = 0.05 + 0.95 / 2 * (time.time() - fleet.engine_start_ms[0] / 1000) / 60
         most, _ = peak_in_window(
             [(row.started_at, row.work_ms / 1000) for row in fleet.engines[0].attempts], 1.0
         )
@@ -328,7 +329,7 @@
 def test_the_whole_budget_is_used_when_demand_alternates_between_members_each_second():
     with make_rig(2) as fleet:
         fleet.start()
-        fleet.until(lambda: len(allocations(fleet)) == 2)
+        fleet.wait_until(lambda: len(allocations(fleet)) == 2)
         for turn in range(6):
             one = start_client(fleet, f"n{turn % 2}")
             time.sleep(1.0)
@@ -342,16 +343,16 @@
     with make_rig(2, [threads_budget(12, alone=2, members=3)]) as fleet:
         fleet.start()
         clients = [start_client(fleet, "n0"), start_client(fleet, "n1")]
-        fleet.until(lambda: sum(allocations(fleet).values()) == 6)
+        fleet.wait_until(lambda: sum(allocations(fleet).values()) == 6)
         time.sleep(1.2)
-        fleet.kill_register()
-        fleet.until(lambda: len(fleet.engines[0].open) <= 4, 3)
+        fleet.kill_store()
+        fleet.wait_until(lambda: len(fleet.engines[0].open) <= 4, 3)
         began = sum(one.counts.answered for one in clients)
         time.sleep(0.6)
         assert sum(one.counts.answered for one in clients) > began + 20
         gone = time.time()
-        fleet.start_register()
-        fleet.until(lambda: sum(allocations(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
+        fleet.start_store()
+        fleet.wait_until(lambda: sum(allocations(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
         stop_clients(*clients)
         check_fleet(fleet, min_attempts=50)
         assert time.time() - gone < 6
@@ -363,15 +364,15 @@
     with make_rig(2, [threads_budget(12, alone=1, members=2)]) as fleet:
         fleet.start()
         one = start_client(fleet, "n0")
-        fleet.until(lambda: allocations(fleet) == {"n0": 9, "n1": 1})
-        at = ["--register", fleet.register_address, "--name", "rig"]
+        fleet.wait_until(lambda: allocations(fleet) == {"n0": 9, "n1": 1})
+        at = ["--register", fleet.store_address, "--name", "rig"]
 
         def row_in_use():
             assert main(["fleet", "budgets", *at, "--json"]) == 0
             (row,) = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
             return row if row["used"] >= 9 else None  # the first reports came before the load
 
-        row = fleet.until(row_in_use)
+        row = fleet.wait_until(row_in_use)
         assert (row["whole"], row["kept back"], row["given"], row["waiting"]) == (12, 2, 10, "n0")
         assert row["parts"] == "n0 9, n1 1"
         assert main(["fleet", "report", *at, "--seconds", "0.5", "--out", str(tmp_path / "x.html")]) == 0
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -28,7 +28,7 @@
     with make_fleet() as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet)
+        policies, clients = PolicyClient(fleet.store_address, "rig"), start_clients(fleet)
         time.sleep(0.3)
         grants = [20, 21, 22, 23]
         for i, grant_mb in enumerate(grants):
@@ -54,7 +54,7 @@
         fleet.budgets = []
         fleet.start("n2")  # its operator file lacks the budget that the change sets
         wait_until_in_force(fleet)
-        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet)
+        policies, clients = PolicyClient(fleet.store_address, "rig"), start_clients(fleet)
         version = propose_when_possible(
             policies, fleet, "policy: {budgets: threads: 8, grants: read: 20}", overlap=Overlap.STRICT
         )
@@ -62,7 +62,7 @@
         assert status == ExitStatus.DROPPED
         assert "is no budget" in line
         # The change is closed once n1 uses the version in force again, or its lease has ended.
-        fleet.until(lambda: CHANGE_KEY not in policies.read())
+        fleet.wait_until(lambda: CHANGE_KEY not in policies.read())
         fleet.pause("n1")
         version = propose_when_possible(policies, fleet, policy_granting(21), patience_us=400_000)
         status, line = policies.wait(version.number, 8)
@@ -81,7 +81,7 @@
     with make_fleet(2) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.store_address, "rig")
         for text, reason in (
             ("policy: sends: once: 2", "must never run twice"),
             ("policy: sends: read: 99", "the agreement allows 6"),
@@ -95,14 +95,14 @@
                 policies.propose(text, "a", "b")
         altered = PolicyVersion(9, 0, "a", "b", 0, policy_granting(20)).sealed()._replace(reason="c")
         session = policies.session
-        fleet.until(lambda: CHANGE_KEY not in policies.read())
+        fleet.wait_until(lambda: CHANGE_KEY not in policies.read())
         assert session.call(
             Transaction(((CHANGE_KEY, 0),), (Put(CHANGE_KEY, encode_change(PolicyChange(altered))),))
         ).succeeded
         status, line = policies.wait(9, 5)
         assert status == ExitStatus.DROPPED
         assert "digest" in line
-        fleet.until(lambda: CHANGE_KEY not in policies.read())
+        fleet.wait_until(lambda: CHANGE_KEY not in policies.read())
         with pytest.raises(PolicyError, match="not 7"):
             policies.propose(policy_granting(20), "a", "b", parent=7)
         first = propose_when_possible(policies, fleet, policy_granting(20))
@@ -115,7 +115,7 @@
             policies, fleet, policy_granting(22), on_silence=OnSilence.WAIT, patience_us=60_000_000
         )
         assert policies.status(third.number).status == ExitStatus.UNKNOWN
-        fleet.until(lambda: third.number == policies.drop())
+        fleet.wait_until(lambda: third.number == policies.drop())
         fleet.resume("n0")
         assert policies.wait(third.number, 5) == (
             ExitStatus.DROPPED,
@@ -125,10 +125,10 @@
 
 
 def test_a_failing_canary_is_dropped_though_its_coordinator_is_killed_and_a_good_one_is_decided():
-    with make_fleet(make=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
+    with make_fleet(make_engine=lambda seed: CountingEngine(slots=64, seed=seed, failure_rate=0.3)) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, rate=60.0)
+        policies, clients = PolicyClient(fleet.store_address, "rig"), start_clients(fleet, rate=60.0)
         canary = Canary(0.34, 6_000_000, 0.1, 9.0)
 
         def state():
@@ -138,8 +138,8 @@
         # Attempts fail with probability 0.3 and this policy allows one for each read, so that its canary
         # fails three times as many commands as allowed.
         version = policies.propose("policy: {grants: read: 20, sends: read: 1}", "a", "b", canary=canary)
-        fleet.until(lambda: state() == "canary")
-        coordinator = fleet.owners()["policy"][0]
+        fleet.wait_until(lambda: state() == "canary")
+        coordinator = fleet.leaders()["policy"][0]
         fleet.kill(coordinator)
         status, line = policies.wait(version.number, 8)
         assert status == ExitStatus.DROPPED, line
@@ -156,7 +156,7 @@
         assert policies.wait(version.number, 8).status == ExitStatus.IN_FORCE
         wait_until_in_force(fleet, version.number)
         stop_clients(clients)
-        checker = RolloutChecker(fleet.lines())
+        checker = RolloutChecker(fleet.journal_lines())
         assert checker.outcomes == {1: "dropped", 2: "decided"}
         assert not checker.decided_without_all
 
@@ -171,15 +171,15 @@
         "statement": '"select 1 from warm_1.t /* work=10 */"',
     }
     admission_queue = 'door: {on: true, client: field: "client", weights: {n0: 1}}'
-    with make_fleet(2, scheduled=[command], fleet=admission_queue) as fleet:
+    with make_fleet(2, scheduled=[command], operator_text=admission_queue) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.store_address, "rig")
 
         def count_warm_commands():
             return sum("warm" in attempt.statement for attempt in fleet.engines[0].received)
 
-        fleet.until(lambda: count_warm_commands() >= 3)
+        fleet.wait_until(lambda: count_warm_commands() >= 3)
         version = policies.propose("policy: {schedules: warm: false, clients: n0: 4}", "a", "b")
         assert policies.wait(version.number, 5).status == ExitStatus.IN_FORCE
         time.sleep(0.3)
@@ -191,5 +191,5 @@
         assert "off by the fleet's policy" in skipped[-1]["reason"]
         version = policies.propose("policy: clients: n0: 4", "a", "b")
         assert policies.wait(version.number, 5).status == ExitStatus.IN_FORCE
-        fleet.until(lambda: count_warm_commands() > before + 1)
+        fleet.wait_until(lambda: count_warm_commands() > before + 1)
         check_run(fleet, [])
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -41,8 +41,8 @@
         fleet.start(coordinator, point=state, side=side, act=act, nth=1)
         fleet.start(*others)
         wait_until_in_force(fleet)
-        fleet.until(lambda: fleet.owners()["policy"][0] == coordinator)
-        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, *others)
+        fleet.wait_until(lambda: fleet.leaders()["policy"][0] == coordinator)
+        policies, clients = PolicyClient(fleet.store_address, "rig"), start_clients(fleet, *others)
         version = policies.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
         status, line = policies.wait(version.number, 8)
         assert status == ExitStatus.IN_FORCE, line
@@ -68,7 +68,7 @@
         fleet.start(first)
         fleet.start(victim, point=vote, side=side, act="kill", nth=1)
         wait_until_in_force(fleet, 0, (first, victim))
-        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet, first)
+        policies, clients = PolicyClient(fleet.store_address, "rig"), start_clients(fleet, first)
         version = policies.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
         fleet.members[victim].process.wait(8)
         fleet.start(other)  # it enrolls during the change, before or after the decision
@@ -85,19 +85,19 @@
     with make_fleet() as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies, clients, grants = PolicyClient(fleet.register_address, "rig"), start_clients(fleet), []
+        policies, clients, grants = PolicyClient(fleet.store_address, "rig"), start_clients(fleet), []
         for turn in range(4):
             grant_mb = 20 + turn
             version = policies.propose(
                 policy_granting(grant_mb), "a", "b", overlap=(Overlap.STRICT, Overlap.LOOSE)[turn % 2]
             )
             if turn % 2:
-                fleet.faults(lose=6)
+                fleet.inject_store_faults(lose=6)
             else:
                 time.sleep(0.03)
-                fleet.kill_register()
-                fleet.start_register()
-                fleet.faults(drop=1)
+                fleet.kill_store()
+                fleet.start_store()
+                fleet.inject_store_faults(drop=1)
             status, line = policies.wait(version.number, 8)
             assert status in (ExitStatus.IN_FORCE, ExitStatus.DROPPED), line
             grants += [grant_mb] * (status == ExitStatus.IN_FORCE)
@@ -111,7 +111,7 @@
     with make_fleet(4) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.store_address, "rig")
         fleet.kill("n2")
         fleet.pause("n3")  # when it goes on, it still holds the old policy
         clients = start_clients(fleet, "n0", "n1", "n3")
@@ -135,7 +135,7 @@
         others = [name for name in fleet.names if name != victim]
         fleet.start()
         wait_until_in_force(fleet)
-        policies, clients = PolicyClient(fleet.register_address, "rig"), start_clients(fleet)
+        policies, clients = PolicyClient(fleet.store_address, "rig"), start_clients(fleet)
         time.sleep(0.3)
         fleet.cut(victim)
         version = policies.propose(policy_granting(20), "a", "b", on_silence=OnSilence.WAIT)
@@ -143,12 +143,12 @@
         wait_until_in_force(fleet, 1, others)
         victim_client = clients[fleet.names.index(victim)]
         # This agreement states no time after which to retry.
-        fleet.until(lambda: victim_client.counts.shed > 3)
+        fleet.wait_until(lambda: victim_client.counts.shed > 3)
         assert is_serving(fleet, victim) is False
         fleet.heal(victim)
         # The victim's vote is stored a moment before the reply to that write opens its gate.
         wait_until_in_force(fleet, 1)
-        fleet.until(lambda: is_serving(fleet, victim))
+        fleet.wait_until(lambda: is_serving(fleet, victim))
         time.sleep(0.2)
         stop_clients(clients)
         check_run(fleet, [20])
@@ -158,7 +158,7 @@
     with make_fleet(4, budgets=[{"of": '"threads"', "whole": 12, "linger": "1s"}]) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.store_address, "rig")
         clients = [
             load_client.LoadClient(
                 fleet.members[name].address,
