--- a/tests/admission_world.py
+++ b/tests/admission_simulation.py
@@ -22,7 +22,7 @@
 COMMAND_BYTES = 100
 
 
-def door_record(text: str = "") -> records.AdmissionQueueRecord:
+def queue_record(text: str = "") -> records.AdmissionQueueRecord:
     """The admission queue's record, from the text of an operator file that is appended to a minimal one."""
     return records.read('door: {on: true, come_back: field: "retry_ms"}\n' + text, "test.cue").door
 
@@ -70,7 +70,7 @@
     result: Forward | Reject
 
 
-class World:
+class AdmissionSimulation:
     """Clients, an admission queue, and a decision module with `slots` attempts open at once.
 
     It keeps records of its own, and compares the queue with them after each step if `checked` is true.
@@ -87,7 +87,7 @@
         seed: int = 1,
         checked: bool = True,
     ) -> None:
-        self.record = door_record(text)
+        self.record = queue_record(text)
         self.slots = slots
         self.checked = checked
         self.ordered = ordered
@@ -254,15 +254,15 @@
             assert not queue.forwarded_count
 
 
-def keep_open(world: World, span_us: int, **clients: int) -> None:
+def keep_open(simulation: AdmissionSimulation, span_us: int, **clients: int) -> None:
     """Keep as many commands open for each client as it has in `clients`; work_done omits the first second."""
-    until, is_counting = world.now + span_us, False
-    while world.now < until:
-        if not is_counting and world.now > until - span_us + SECOND:
-            world.work_done.clear()
+    until, is_counting = simulation.now + span_us, False
+    while simulation.now < until:
+        if not is_counting and simulation.now > until - span_us + SECOND:
+            simulation.work_done.clear()
             is_counting = True
-        open_by_client = Counter(command.client for command in world.open_commands.values())
+        open_by_client = Counter(command.client for command in simulation.open_commands.values())
         for client, target in clients.items():
             for _ in range(target - open_by_client[client.encode()]):
-                world.submit(client.encode())
-        world.wait(10 * MS)
+                simulation.submit(client.encode())
+        simulation.wait(10 * MS)
--- a/tests/test_admission_retry_after.py
+++ b/tests/test_admission_retry_after.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 import pytest
-from admission_world import MS, SECOND, CommandEnd, World, keep_open
+from admission_simulation import MS, SECOND, AdmissionSimulation, CommandEnd, keep_open
 
 
 class DueRetry(NamedTuple):
@@ -20,7 +20,7 @@
 
     answered_fraction: float
     retry_count: int
-    world: World
+    simulation: AdmissionSimulation
 
 
 def overload(waits_for_retry_after: bool, seed: int) -> Overload:
@@ -28,57 +28,57 @@
 
     Retries wait for the Retry-After time, or else follow the rejection at once.
     """
-    world = World("door: patience: 0.9", weights=(1.0,), seed=seed, checked=False)
-    draw, next_at = random.Random(seed), world.now
+    simulation = AdmissionSimulation("door: patience: 0.9", weights=(1.0,), seed=seed, checked=False)
+    draw, next_at = random.Random(seed), simulation.now
     due_retries: list[DueRetry] = []
     retry_ids: list[int] = []
     attempts_by_id: dict[int, int] = {}
-    until = world.now + 20 * SECOND
-    while world.now < until:
-        while next_at <= world.now:  # 160 commands a second from 20 clients; four slots serve 80
+    until = simulation.now + 20 * SECOND
+    while simulation.now < until:
+        while next_at <= simulation.now:  # 160 commands a second from 20 clients; four slots serve 80
             next_at += int(draw.expovariate(160 / SECOND))
-            attempts_by_id[world.submit(b"c:%d" % draw.randrange(20), timeout_us=2 * SECOND)] = 1
-        for retry in [retry for retry in due_retries if retry.due_at <= world.now]:
+            attempts_by_id[simulation.submit(b"c:%d" % draw.randrange(20), timeout_us=2 * SECOND)] = 1
+        for retry in [retry for retry in due_retries if retry.due_at <= simulation.now]:
             due_retries.remove(retry)
-            retry_ids.append(world.submit(retry.client, timeout_us=2 * SECOND, is_retry=True))
+            retry_ids.append(simulation.submit(retry.client, timeout_us=2 * SECOND, is_retry=True))
             attempts_by_id[retry_ids[-1]] = retry.attempts + 1
-        for ident in [ident for ident in attempts_by_id if ident in world.ends]:
+        for ident in [ident for ident in attempts_by_id if ident in simulation.ends]:
             attempts = attempts_by_id.pop(ident)
-            wait_us = world.retry_after_us.get(ident, 0) if waits_for_retry_after else 1
-            if world.ends[ident] == CommandEnd.REJECTED and attempts < 3 and wait_us:
-                due_retries.append(DueRetry(world.now + wait_us, world.clients[ident], attempts))
-        world.wait(5 * MS)
-    world.wait(4 * SECOND)
-    answered = sum(world.ends[ident] == CommandEnd.ANSWERED for ident in retry_ids)
-    return Overload(answered / len(retry_ids), len(retry_ids), world)
+            wait_us = simulation.retry_after_us.get(ident, 0) if waits_for_retry_after else 1
+            if simulation.ends[ident] == CommandEnd.REJECTED and attempts < 3 and wait_us:
+                due_retries.append(DueRetry(simulation.now + wait_us, simulation.clients[ident], attempts))
+        simulation.wait(5 * MS)
+    simulation.wait(4 * SECOND)
+    answered = sum(simulation.ends[ident] == CommandEnd.ANSWERED for ident in retry_ids)
+    return Overload(answered / len(retry_ids), len(retry_ids), simulation)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_retries_mostly_succeed_after_the_retry_after_time_but_less_often_at_once(seed):
-    waited, count, world = overload(True, seed)
+    waited, count, simulation = overload(True, seed)
     assert count > 50, (waited, count)
     assert waited >= 0.9, (waited, count)
-    assert world.queue.retry_scheduler.window_count <= world.record.come_back.all
+    assert simulation.queue.retry_scheduler.window_count <= simulation.record.come_back.all
     at_once, at_once_count, _ = overload(False, seed)
     assert at_once_count > count
     assert at_once < waited
 
 
 def test_early_retries_get_rejected_and_leave_the_retry_windows_unchanged():
-    world = World("door: patience: 0.5", weights=(1.0,), slots=1)
-    keep_open(world, 3 * SECOND, a=60)
+    simulation = AdmissionSimulation("door: patience: 0.5", weights=(1.0,), slots=1)
+    keep_open(simulation, 3 * SECOND, a=60)
     rejected = [
         ident
-        for ident, end in world.ends.items()
-        if end == CommandEnd.REJECTED and world.retry_after_us[ident]
+        for ident, end in simulation.ends.items()
+        if end == CommandEnd.REJECTED and simulation.retry_after_us[ident]
     ]
     assert rejected
-    retries = next(iter(world.queue.flow_table.tenants.values())).flows[b"a"].retries
-    while world.queue.retry_scheduler.use_window(retries, world.now):  # the windows that have begun
+    retries = next(iter(simulation.queue.flow_table.tenants.values())).flows[b"a"].retries
+    while simulation.queue.retry_scheduler.use_window(retries, simulation.now):  # the windows that have begun
         pass
     before = list(retries.windows), retries.next_begin_us
-    last_id_before = world.last_id
+    last_id_before = simulation.last_id
     for _ in range(20):
-        world.submit(b"a", is_retry=True)
+        simulation.submit(b"a", is_retry=True)
         assert (list(retries.windows), retries.next_begin_us) == before
-    assert CommandEnd.REJECTED in [end for ident, end in world.ends.items() if ident > last_id_before]
+    assert CommandEnd.REJECTED in [end for ident, end in simulation.ends.items() if ident > last_id_before]
--- a/tests/test_client_identity.py
+++ b/tests/test_client_identity.py
@@ -1,13 +1,13 @@
 """Names of clients and indexes of tenants by the operator's rules."""
 
-from admission_world import door_record
+from admission_simulation import queue_record
 
 from gullhold.admission.client_identity import ClientIdentifier
 from gullhold.admission_interface import UNKNOWN_TENANT
 
 
 def test_client_and_tenant_follow_the_operators_rules():
-    client_rule = door_record("""door: client: {field: "desk", networks: [
+    client_rule = queue_record("""door: client: {field: "desk", networks: [
         {net: "10.0.0.0/8", name: "offices"}, {net: "10.1.0.0/16", name: "nat", each: "connection"},
         {net: "10.1.2.0/24", name: "desks", each: "address"}, {net: "2001:db8::/32", name: "six"}]}""").client
     identifier = ClientIdentifier(client_rule, ["a", "b"])
