--- a/gullhold/simulator_adapter/__main__.py
+++ b/gullhold/simulator_adapter/__main__.py
@@ -27,7 +27,7 @@
     (size,) = LENGTH.unpack(length)
     body = batches.read(size - LENGTH.size) if size >= BATCH_HEADER.size else b""
     if len(body) < BATCH_HEADER.size - LENGTH.size or len(body) < size - LENGTH.size:
-        raise ValueError("frame cut short")
+        raise ValueError(f"frame of {size} bytes cut short: {LENGTH.size + len(body)} bytes read")
     return body
 
 
--- a/gullhold/simulator_adapter/events.py
+++ b/gullhold/simulator_adapter/events.py
@@ -127,7 +127,10 @@
         code, size = wire.RECORD_HEADER.unpack_from(body, at)
         at += wire.RECORD_HEADER.size
         if at + size > len(body):
-            raise ValueError(f"record of code {code} extends past the end of its frame")
+            raise ValueError(
+                f"record of code {code} with {size} bytes of fields at byte {at} extends past the end of its "
+                f"frame of {len(body)} bytes"
+            )
         yield code, body[at : at + size]
         at += size
 
@@ -136,7 +139,10 @@
     """Decode the number of a list of engines, and its entries. Raises ValueError if entries are missing."""
     number, count = wire.PAGE.unpack_from(fields)
     if len(fields) < wire.PAGE.size + count * wire.PAGE_ENTRY.size:
-        raise ValueError("list of engines has fewer entries than it states")
+        raise ValueError(
+            f"list {number} of engines states {count} entries of {wire.PAGE_ENTRY.size} bytes, but has only "
+            f"{len(fields) - wire.PAGE.size} bytes for them"
+        )
     entries = []
     for index in range(count):
         at = wire.PAGE.size + index * wire.PAGE_ENTRY.size
@@ -154,28 +160,28 @@
     return decoder(fields)
 
 
-def _new_instance(fields: bytes) -> NewInstance:
+def _decode_new_instance(fields: bytes) -> NewInstance:
     instance, seed, size = wire.NEW_INSTANCE.unpack_from(fields)
     start = wire.NEW_INSTANCE.size
     text = bytes(fields[start : start + size]).decode("utf-8", "replace")
     return NewInstance(instance, seed, text)
 
 
-def _announce(fields: bytes) -> EndpointsAnnounced:
+def _decode_announce(fields: bytes) -> EndpointsAnnounced:
     return EndpointsAnnounced(*wire.ANNOUNCE.unpack_from(fields))
 
 
-def _arrival(fields: bytes) -> CommandArrived:
+def _decode_arrival(fields: bytes) -> CommandArrived:
     *plain, options = wire.ARRIVAL.unpack_from(fields)
     # The layout fixes the number of fields, which the type of a list can't express.
     return CommandArrived(*plain, ArrivalOption(options))  # type: ignore[call-arg]
 
 
-def _established(fields: bytes) -> AnswerBegan:
+def _decode_established(fields: bytes) -> AnswerBegan:
     return AnswerBegan(*wire.ESTABLISHED.unpack_from(fields))
 
 
-def _answer(fields: bytes) -> AttemptEnded | None:
+def _decode_answer(fields: bytes) -> AttemptEnded | None:
     unpacked = wire.ANSWER.unpack_from(fields)
     instance, command, attempt, latency_s, used, _, outcome_code, is_closed, figure_count = unpacked
     if outcome_code not in wire.OUTCOME_BY_CODE:
@@ -195,19 +201,19 @@
     )
 
 
-def _client_gone(fields: bytes) -> ClientLeft:
+def _decode_client_gone(fields: bytes) -> ClientLeft:
     return ClientLeft(*wire.CLIENT_GONE.unpack_from(fields))
 
 
-def _timeout_fired(fields: bytes) -> TimerFired:
+def _decode_timeout_fired(fields: bytes) -> TimerFired:
     return TimerFired(*wire.TIMEOUT_FIRED.unpack_from(fields))
 
 
-def _retire(fields: bytes) -> Retired:
+def _decode_retire(fields: bytes) -> Retired:
     return Retired(*wire.INSTANCE.unpack_from(fields))
 
 
-def _update_of(fields: bytes) -> StatusNoted | None:
+def _decode_update_of(fields: bytes) -> StatusNoted | None:
     instance, command, attempt, _, kind, value = wire.UPDATE_OF.unpack_from(fields)
     if kind not in wire.STATUS_KIND_BY_CODE:
         return None
@@ -215,13 +221,13 @@
 
 
 DECODERS: dict[int, Callable[[bytes], Event | None]] = {
-    EventCode.NEW_INSTANCE: _new_instance,
-    EventCode.ANNOUNCE: _announce,
-    EventCode.ARRIVAL: _arrival,
-    EventCode.ESTABLISHED: _established,
-    EventCode.ANSWER: _answer,
-    EventCode.CLIENT_GONE: _client_gone,
-    EventCode.TIMEOUT_FIRED: _timeout_fired,
-    EventCode.RETIRE: _retire,
-    EventCode.UPDATE_OF: _update_of,
+    EventCode.NEW_INSTANCE: _decode_new_instance,
+    EventCode.ANNOUNCE: _decode_announce,
+    EventCode.ARRIVAL: _decode_arrival,
+    EventCode.ESTABLISHED: _decode_established,
+    EventCode.ANSWER: _decode_answer,
+    EventCode.CLIENT_GONE: _decode_client_gone,
+    EventCode.TIMEOUT_FIRED: _decode_timeout_fired,
+    EventCode.RETIRE: _decode_retire,
+    EventCode.UPDATE_OF: _decode_update_of,
 }
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -172,7 +172,7 @@
             elif code == 6:
                 instance, _, token = struct.unpack(">IdQ", fields)
                 self.timers.append((instance, token))
-            assert code != 4, fields
+            assert code != 4, f"the host reported an exception in the decision module: {fields}"
         self.now_s += self.draw.choice((0.001, 0.02, 0.2))
         return reply
 
