--- a/gullhold/fleet/assembly.py
+++ b/gullhold/fleet/assembly.py
@@ -22,7 +22,7 @@
 
 
 def membership_rules(record: "FleetRecord") -> MembershipRules:
-    """The settings of a member's lease, roles and calls to the store. record: of the operator file."""
+    """The settings of a member's lease, roles and calls to the store, from the operator file."""
     roles = record.duties
     return MembershipRules(
         lease_terms=LeaseTerms(record.lease // US_PER_SECOND, record.drift.rate, record.drift.margin),
@@ -76,7 +76,7 @@
 
 
 def _profile(item: "ScheduledCommandRecord", agreement: Agreement, path: str) -> Profile:
-    """The profile that a scheduled command names. path: of the command in the operator file, for errors."""
+    """The profile that a scheduled command names. path: names the command in errors."""
     profiles = {profile.name: profile for profile in reversed(agreement.profiles)}  # the first of each name
     if item.profile not in profiles:
         raise UnusableFleetError(f"{path}: {item.profile!r} is no profile of the agreement")
--- a/gullhold/fleet/backoff.py
+++ b/gullhold/fleet/backoff.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-GROWTH_FACTOR = 2.0  # each delay over the previous one, before jitter
+GROWTH_FACTOR = 2.0  # ratio of each delay to the previous one, before jitter
 JITTER = 0.5  # largest share taken off a delay at random, so that members that failed together spread out
 
 
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -61,9 +61,9 @@
 
 __all__ = ["FleetMember", "UnusableFleetError"]
 
-WORK_LANE = "work"  # for the keys of heartbeats and scheduled commands
-MAX_SLEEP_S = 0.5  # of the fleet's thread, so that it notices a jump of the Unix clock
-MIN_SLEEP_S = 0.002  # of the fleet's thread, so that work that is due but blocked causes no busy loop
+WORK_LANE = "work"  # lane for calls for the keys of heartbeats and scheduled commands
+MAX_SLEEP_S = 0.5  # longest wait of the fleet's thread, so that it notices a jump of the Unix clock
+MIN_SLEEP_S = 0.002  # shortest wait of the fleet's thread, so that due but blocked work causes no busy loop
 WATCH_SILENCE_LEASES = 2  # times to live of a lease; a watch that is silent for longer is opened again
 NONCE_BITS = 64
 
@@ -72,7 +72,10 @@
     """A member of a fleet, from start() until it has left; then `stopped` is set."""
 
     def __init__(self, record: "FleetRecord", configuration: "Configuration", core: "Core") -> None:
-        """record: of the operator file. Raises UnusableFleetError if it does not fit the agreement."""
+        """record: the fleet's part of the operator file.
+
+        Raises UnusableFleetError if it does not fit the agreement.
+        """
         agreement = configuration.agreement
         self.record = record
         self.core = core
@@ -81,7 +84,7 @@
         self.stopped = Event()
         self.lanes: dict[str, Lane] = {}
         self.role_states: dict[str, RoleState] = {}
-        self.watchers: dict[str, Watcher] = {}  # of the keys of the role states, by role
+        self.watchers: dict[str, Watcher] = {}  # watchers of the keys of role states, by role
         self.scheduled_commands = assembly.scheduled_commands(record, agreement, self.name)
         # The seed differs at each start, so that the nonce distinguishes processes of the same name.
         self._random = random.Random(configuration.seed ^ time.time_ns())
@@ -156,10 +159,10 @@
         return StoreClient(self.record.register_, prefix, self.record.timeout / US_PER_SECOND)
 
     def watch(self, name: str, prefix: str, on_change: OnChange, on_gap: Callable[[], Any]) -> Watcher:
-        """Create a watcher of the keys with this prefix; Watcher.watch_from() starts it. name: of its thread.
+        """Create a watcher of the keys with this prefix; Watcher.watch_from() starts it.
 
-        On the fleet's thread, on_change(key, value or None if it was deleted, revision) is called for each
-        change, and on_gap() if changes were missed.
+        name: part of its thread's name. On the fleet's thread, on_change(key, value or None if it was
+        deleted, revision) is called for each change, and on_gap() if changes were missed.
         """
         pauses = self.record.duties.pauses
         return Watcher(
@@ -173,7 +176,7 @@
         )
 
     def watch_role(self, role: str, name: str, prefix: str) -> None:
-        """Create the watcher that passes changes of a role's keys to its role state. name: of its thread."""
+        """Create the watcher that passes changes of a role's keys to its role state. name: as in watch()."""
         self.watchers[role] = self.watch(
             name,
             prefix,
--- a/gullhold/fleet/identity.py
+++ b/gullhold/fleet/identity.py
@@ -8,7 +8,7 @@
     """One process of a member.
 
     incarnation: revision of the store at which it first joined, 0 before that; of two processes of one name,
-    the one with the higher incarnation stays. key_revision: of the last known change of the member's key, 0
+    the one with the higher incarnation stays. key_revision: revision of the member's key, as last known, 0
     if the key does not exist.
     """
 
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -253,7 +253,7 @@
         self._change_state(MemberState.LEFT, reason)
 
     def _joined(self, now: int, revision: int, is_ready: bool) -> None:
-        """Record that this member's key is in the store. revision: of the key."""
+        """Record that this member's key is in the store. revision: the key's revision."""
         is_first = self.state != MemberState.JOINED
         self.identity.key_revision = revision
         self.is_ready = is_ready
@@ -265,7 +265,7 @@
             self._change_state(MemberState.JOINED, "joined")
         self._reassign_roles(now)
         if is_first:
-            self.claims.review_all(now)
+            self.claims.plan_all_roles(now)
 
     def _reassign_roles(self, now: int) -> None:
         self.claims.reassign(now, [name for name, is_ready in self.members.items() if is_ready])
--- a/gullhold/fleet/membership_types.py
+++ b/gullhold/fleet/membership_types.py
@@ -48,7 +48,7 @@
     READ_MEMBERS = "read"
     JOIN = "join"
     BECOME_READY = "ready"
-    INSPECT_ROLES = "look"  # read the keys of roles that this member may or may not lead
+    INSPECT_ROLES = "look"  # read the keys of roles whose claim or release has no certain result
     AUDIT_LEASE = "audit"  # read which keys are attached to this member's lease
     CLAIM_ROLES = "claim"
     RELEASE_ROLES = "release"
--- a/gullhold/fleet/occurrence_records.py
+++ b/gullhold/fleet/occurrence_records.py
@@ -26,11 +26,11 @@
     """
 
     def __init__(self, prefix: str) -> None:
-        """prefix: of the command's keys in the store."""
+        """prefix: the start of all the command's keys in the store."""
         self.prefix = prefix
         self.handled_until = 0
         self.by_due_time: dict[int, Occurrence] = {}
-        self._revisions: dict[int, int] = {}  # of the records' keys, by due time
+        self._revisions: dict[int, int] = {}  # revisions of the records' keys, by due time
 
     def load(self, items: Iterable[KeyValue]) -> None:
         """Replace everything by the keys read from the store; records that are not valid are left out."""
@@ -46,7 +46,7 @@
                 self._set(occurrence, item.revision)
 
     def written(self, occurrence: Occurrence, revision: int) -> None:
-        """Record that the occurrence was written. revision: of its key."""
+        """Record that the occurrence was written. revision: its key's revision."""
         self._set(occurrence, revision)
         self.handled_until = max(self.handled_until, occurrence.due_us)
 
--- a/gullhold/fleet/recovery.py
+++ b/gullhold/fleet/recovery.py
@@ -12,7 +12,7 @@
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState
 from gullhold.interface import Idempotency
 
-MIN_TIME_SHARE = 0.1  # of the client timeout; a keyed command with less time left is not sent again
+MIN_TIME_SHARE = 0.1  # share of the client timeout; a keyed command with less time left is not sent again
 
 
 class ScheduledProfile(NamedTuple):
@@ -89,8 +89,10 @@
 def deduplicated_until(
     rules: ScheduledCommandRules, profile: ScheduledProfile, occurrence: Occurrence
 ) -> int:
-    """Unix us until which engines certainly drop a repeat, counted from the first intent.
+    """The time in Unix us, by this host's clock, until which engines certainly drop a repeat.
 
-    No attempt has run before that, by the clock of any host within the stated skew.
+    Engines remember an idempotency key from when they first receive it, and no attempt is sent before the
+    first intent is written: so the deduplication window has not ended before dedup_window_us have passed
+    since started_us. That is a time of another host's clock, which may be ahead of this host's by the skew.
     """
     return occurrence.started_us + profile.dedup_window_us - rules.max_clock_skew_us
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -34,8 +34,9 @@
 from gullhold.fleet.store_schema import ROLES_PREFIX, LeaderRecord
 
 MAX_ROLES_PER_CALL = store_calls.MAX_TRANSACTION_OPERATIONS - 1  # a claim also compares the member's key
-# Guaranteed lease times between reads of the keys attached to this member's lease, which show claims that
-# were carried out though their calls were given up.
+# Time between two reads of the keys that are attached to this member's lease, as a multiple of the time for
+# which a renewed lease certainly holds. The keys show a claim that was carried out though its call was given
+# up.
 AUDIT_INTERVAL_LEASES = 5
 
 
@@ -68,7 +69,7 @@
         self.to_release: dict[str, int] = {}
         self.claim_at: dict[str, int] = {}
         self.own_key_revisions: dict[str, int] = {}
-        self.unverified: dict[str, bool] = {}  # in order of arrival
+        self.unverified: dict[str, bool] = {}  # its keys are the roles, in the order in which they were added
         self.busy: set[str] = set()
         self._emit = emit
 
@@ -98,14 +99,14 @@
     def reassign(self, now: int, ready_members: Iterable[str]) -> None:
         """Assign the roles to these members; plan to claim or give up those whose assignment has changed."""
         for role in self.assignment.update_members(ready_members):
-            self.review(now, role)
+            self.plan_role(now, role)
 
-    def review_all(self, now: int) -> None:
+    def plan_all_roles(self, now: int) -> None:
         """Plan to claim or give up each role, according to its assignment."""
         for role in self.assignment.roles:
-            self.review(now, role)
+            self.plan_role(now, role)
 
-    def review(self, now: int, role: str) -> None:
+    def plan_role(self, now: int, role: str) -> None:
         """Plan to claim or give up a role, according to its assignment."""
         is_assigned = self._is_assigned(role)
         if role not in self.tokens:
@@ -218,7 +219,7 @@
                 self.claim_at.pop(role, None)
                 self.own_key_revisions.pop(role, None)
                 self.won(role, reply.revision)
-                self.review(now, role)  # it may be assigned to another member by now
+                self.plan_role(now, role)  # it may be assigned to another member by now
         elif reply.proof == Proof.DONE:
             self._handle_role_keys(now, call, reply)
             return not reply.items
@@ -230,7 +231,7 @@
         """Take the reply to a release of roles."""
         if reply.proof == Proof.DONE and reply.succeeded:
             for role in call.context:
-                self.review(now, role)
+                self.plan_role(now, role)
         else:
             self._mark_unverified(call.context)
 
@@ -245,7 +246,7 @@
         for role in self.tokens.keys() - attached:  # while the lease holds, no other member deletes its keys
             self.lost(role, "key removed")
             self.to_release.pop(role, None)
-            self.review(now, role)
+            self.plan_role(now, role)
 
     def _mark_unverified(self, roles: Iterable[str]) -> None:
         """Have the keys of these roles read before the roles are claimed or given up."""
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -11,7 +11,7 @@
 from gullhold.fleet.store_calls import Condition, Operation, Proof, Reply
 
 IDLE_STEP_US = 2_000_000  # us between steps while nothing is due; each event causes a step of its own
-RETRY_US = 200_000  # us until the next call after one that is not known to have been carried out
+RETRY_US = 200_000  # us until the next call after one that was not certainly carried out
 
 CallSerial = tuple[int, int]  # (fencing token, number of the call under this token)
 
@@ -70,7 +70,7 @@
     """
 
     def __init__(self, prefix: str) -> None:
-        """prefix: of the role's keys."""
+        """prefix: the start of all the role's keys."""
         self.prefix = prefix
         self.token = 0
         self.serials = count(1)
@@ -136,8 +136,8 @@
             self.newest_revision = max(self.newest_revision, reply.revision)
         else:
             self.retry_at = now + RETRY_US
-        is_known = reply.proof == Proof.DONE and self._write_confirmed(reply)
-        self.is_loaded = is_known and self.is_loaded
+        matches_store = reply.proof == Proof.DONE and self._write_confirmed(reply)
+        self.is_loaded = matches_store and self.is_loaded
         self.step(now)
 
     def read(self, now: int, serial: CallSerial, reply: Reply) -> None:
@@ -191,5 +191,5 @@
         raise NotImplementedError
 
     def _write_confirmed(self, reply: Reply) -> bool:
-        """Take the reply to a write, carried out or refused; return whether the keys are still known."""
+        """Take the reply to a write, carried out or refused; return whether all keys are known afterwards."""
         raise NotImplementedError
--- a/gullhold/fleet/scheduled_command.py
+++ b/gullhold/fleet/scheduled_command.py
@@ -34,7 +34,7 @@
 RELOAD_DELAY_US = RETRY_DELAY_US // 2  # us until records are read again after a write without confirmation
 MIN_STEP_US = 20_000  # us between steps at least; a cron expression has a resolution of a second
 
-# Of the log lines of occurrences, by state; "info" for all others.
+# Levels of the log lines of occurrences, by state; "info" for all others.
 LOG_LEVELS: dict[str, str] = {OccurrenceState.FAILED: "error", OccurrenceState.SKIPPED: "warning"}
 
 
@@ -53,9 +53,9 @@
 class WritePurpose(StrEnum):
     """What a write to the store records."""
 
-    START = "start"  # of a new command: the time from which it has due times, without an occurrence
-    INTENT = "intent"  # that an attempt is about to be sent
-    SETTLE = "settle"  # the outcome of an attempt, or that the occurrence has failed
+    START = "start"  # the time from which a new command has due times; no occurrence
+    INTENT = "intent"  # an attempt is about to be sent
+    SETTLE = "settle"  # the outcome of an attempt, or the occurrence has failed
     SKIP = "skip"  # due times that are skipped
 
 
@@ -74,9 +74,9 @@
     take_actions() returns ScheduledCommandActions; due() is when to step() next. All times are Unix us.
 
     token: fencing token, 0 while this member does not lead the role. is_disabled: a policy has turned the
-    command off. in_flight: the occurrence with an open attempt of this member. outcome: of an attempt that
-    ended, not written yet. unsent_intent: an intent of this member that may have been written, but whose
-    attempt was never sent. retry_at: by due time, when an open occurrence may be worked on again.
+    command off. in_flight: the occurrence with an open attempt of this member. outcome: the outcome of an
+    attempt that ended, not written yet. unsent_intent: an intent of this member that may have been written,
+    but whose attempt was never sent. retry_at: when an open occurrence may be worked on again, by due time.
     pause_until: no step is taken before this time, after a call without confirmation.
     """
 
@@ -95,7 +95,7 @@
         self.is_leaving = False
         self.is_loaded = False
         self.is_reading = False
-        self.serial = 0  # of the newest write
+        self.serial = 0  # number of the newest write
         self.pending_write: PendingWrite | None = None
         self.in_flight: Occurrence | None = None
         self.outcome: Occurrence | None = None
@@ -193,7 +193,7 @@
                 self._write_intent(occurrence._replace(attempts=occurrence.attempts + 1), now)
 
     def _begin_next(self, now: int) -> None:
-        """Begin the next due time, or skip those that can't be begun."""
+        """Begin the occurrence of the next due time, or skip due times whose occurrences can't be begun."""
         due_us = self.calendar.next_after(self.records.handled_until)
         if due_us > now:
             return
--- a/gullhold/fleet/scheduled_command_driver.py
+++ b/gullhold/fleet/scheduled_command_driver.py
@@ -26,16 +26,16 @@
 
     def __init__(
         self,
-        fleet: "FleetMember",
+        fleet_member: "FleetMember",
         records: "dict[str, ScheduledCommandRecord]",
         client: ScheduledCommandClient,
     ) -> None:
-        """fleet: the member. records: of the operator file, by role. client: sends attempts."""
-        self._fleet = fleet
-        self._commands = fleet.scheduled_commands
+        """records: the scheduled commands in the operator file, by role. client: sends attempts."""
+        self._fleet_member = fleet_member
+        self._commands = fleet_member.scheduled_commands
         self._records = records
         self._client = client
-        self._role_by_number: dict[int, str] = {}  # of open attempts, by their number
+        self._role_by_number: dict[int, str] = {}  # roles of open attempts, by the attempt's number
 
     def won(self, role: str, token: int) -> None:
         """Begin to lead the role, under this fencing token."""
@@ -63,7 +63,7 @@
         return [command.due(now) - now for command in self._commands.values() if command.token]
 
     def attempt_ended(self, number: int, state: OccurrenceState, reason: str) -> None:
-        """Pass the end of an attempt on to its command. number: of the attempt."""
+        """Pass the end of an attempt on to its command. number: the attempt's number."""
         role = self._role_by_number.pop(number, None)
         if role:
             self._commands[role].attempt_ended(unix_us(), state, reason)
@@ -78,29 +78,31 @@
             case ReadRecords(prefix):
                 self._lane().submit(ReadPrefix(prefix), self._records_read, role)
             case WriteRecord(serial, token, operations, conditions):
-                request = self._fleet.membership.fenced_transaction(role, token, operations, conditions)
+                request = self._fleet_member.membership.fenced_transaction(
+                    role, token, operations, conditions
+                )
                 self._lane().submit(request, self._record_written, role, serial, token)
             case SetBusy(is_busy):
-                self._fleet.membership.set_busy(role, is_busy)
+                self._fleet_member.membership.set_busy(role, is_busy)
             case SendAttempt():
                 self._send(role, action)
             case LogEvent(level, text, facts):
-                self._fleet.log_event(level, "occurrence " + text, **facts)
+                self._fleet_member.log_event(level, "occurrence " + text, **facts)
 
     def _lane(self) -> Lane:
-        return self._fleet.work_lane
+        return self._fleet_member.work_lane
 
     def _records_read(self, role: str, reply: Reply) -> None:
         self._commands[role].records_read(unix_us(), reply)
 
     def _record_written(self, role: str, serial: int, token: int, reply: Reply) -> None:
-        self._fleet.log_if_refused(role, token, reply)
-        may_act = self._fleet.membership.fencing_token(role, monotonic_us()) == token
+        self._fleet_member.log_if_refused(role, token, reply)
+        may_act = self._fleet_member.membership.fencing_token(role, monotonic_us()) == token
         self._commands[role].record_written(unix_us(), serial, reply, may_act)
 
     def _send(self, role: str, attempt: SendAttempt) -> None:
         command = self._commands[role]
-        self._fleet.log_event(
+        self._fleet_member.log_event(
             "info",
             "occurrence sent",
             role=role,
--- a/gullhold/fleet/show.py
+++ b/gullhold/fleet/show.py
@@ -27,7 +27,7 @@
     is_occurrence_key,
 )
 
-TIMEOUT_S = 3.0  # of each call to the store; an operator is waiting for the answer
+TIMEOUT_S = 3.0  # limit of each call to the store; an operator is waiting for the answer
 
 Row = Mapping[str, Any]  # values by name of the column
 ReadItems = Callable[[str], Iterable[KeyValue]]  # reads the keys with a prefix; raises ConnectionError
--- a/gullhold/fleet/store_calls.py
+++ b/gullhold/fleet/store_calls.py
@@ -23,7 +23,7 @@
 
 
 class KeyValue(NamedTuple):
-    """One key in the store. revision: of its last change; lease: the one it is attached to, 0 for none."""
+    """One key in the store. revision: the store's at its last change; lease: the key's lease, 0: none."""
 
     key: str
     value: str
@@ -99,9 +99,9 @@
 class Reply(NamedTuple):
     """The reply to a request; all fields but the proof are valid only with Proof.DONE.
 
-    revision: of the store when it replied; succeeded: the conditions of a transaction held; items: the keys
-    that were read; lease: the one granted; ttl_s: of a granted or renewed lease, 0 if the lease does not
-    exist; keys: the names of the keys attached to a lease.
+    revision: the store's revision when it replied; succeeded: the conditions of a transaction held; items:
+    the keys that were read; lease: the one granted; ttl_s: time to live of a granted or renewed lease, 0 if
+    the lease does not exist; keys: the names of the keys attached to a lease.
     """
 
     proof: Proof
--- a/gullhold/fleet/store_schema.py
+++ b/gullhold/fleet/store_schema.py
@@ -10,7 +10,7 @@
 
 from gullhold.fleet.occurrence import Occurrence, OccurrenceState
 
-GULLHOLD_PREFIX = "/gullhold/"  # of all keys of this program; others may share the store
+GULLHOLD_PREFIX = "/gullhold/"  # prefix of all keys of this program; other programs may share the store
 
 MEMBERS_PREFIX = "members/"  # + name of a member: its key, attached to its lease
 ROLES_PREFIX = "duties/"  # + name of a role: its key, attached to the lease of its leader
@@ -24,7 +24,7 @@
 # Keys under the prefix of a scheduled command.
 HANDLED_UNTIL_KEY = "upto"  # Unix us up to which all due times have been handled
 OCCURRENCES_PREFIX = "run/"  # + due time in Unix us: one occurrence
-DUE_DIGITS = 20  # of a due time in a key, with leading zeros, so that keys sort by time
+DUE_DIGITS = 20  # digits of a due time in a key, with leading zeros, so that keys sort by time
 
 
 def fleet_prefix(fleet_name: str) -> str:
@@ -58,7 +58,7 @@
 
     @classmethod
     def decode(cls, text: str, revision: int) -> "MemberRecord":
-        """Decode a stored text. revision: of the key; it is the incarnation if the text has 0 or none."""
+        """Decode a stored text. revision: the key's; it is the incarnation if the text has 0 or none."""
         fields = _decode_object(text)
         return cls(fields.get("nonce"), bool(fields.get("ready")), fields.get("since") or revision)
 
--- a/gullhold/fleet/watcher.py
+++ b/gullhold/fleet/watcher.py
@@ -39,7 +39,7 @@
         on_change: OnChange,
         on_gap: Callable[[], Any],
     ) -> None:
-        """name: of the thread. max_silence_s: how long a stream may be without data before it is reopened."""
+        """name: part of the thread's name. max_silence_s: a stream without data for so long is reopened."""
         self._make_session = make_session
         self._prefix = prefix
         self._max_silence_s = max_silence_s
@@ -47,7 +47,7 @@
         self._on_change = on_change
         self._on_gap = on_gap
         self._next_revision = 0  # the first one that was not reported yet
-        self._start_revisions: SimpleQueue[int] = SimpleQueue()  # of calls of watch_from()
+        self._start_revisions: SimpleQueue[int] = SimpleQueue()  # arguments of the calls of watch_from()
         start_thread(self._run, f"fleet watch {name}")
 
     def watch_from(self, revision: int) -> None:
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -41,7 +41,7 @@
 )
 def test_the_walks_find_membership_mutants(mutant):
     finding = membership_mutants.find_detecting_walk(mutant, 60, 160)
-    assert finding is not None, finding
+    assert finding is not None, f"no walk detects the mutant {mutant}"
     assert finding.kind is FindingKind.VIOLATION, finding
 
 
--- a/tests/test_fleet_occurrences.py
+++ b/tests/test_fleet_occurrences.py
@@ -44,23 +44,25 @@
     ) as rig:
         rig.start()
         for step in range(4):
-            name = rig.owner(("schedule/plain", "schedule/marked", "schedule/single")[step % 3])
+            leader = rig.owner(("schedule/plain", "schedule/marked", "schedule/single")[step % 3])
             time.sleep(0.4)
             if step % 2:
-                rig.kill(name)
+                rig.kill(leader)
                 time.sleep(1.2)
-                rig.start(name)
+                rig.start(leader)
             else:
-                rig.pause(name)
+                rig.pause(leader)
                 time.sleep(1.5)
-                rig.resume(name)
+                rig.resume(leader)
         time.sleep(1.0)
         check = check_run(rig, 30)
         rows = check.occurrences()
         assert {command for command, _ in rows} == set(profiles)
         for engine in rig.engines:
             for _, key, profile, statement in engine.received:
-                assert (key != "") or "marked" not in statement, profile
+                assert (key != "") or "marked" not in statement, (
+                    f"{statement!r} of the profile {profile!r} was received without an idempotency key"
+                )
         once = [(due, row) for (command, due), row in rows.items() if command == "single"]
         sends = sum(
             len(at) for statement, at in attempts_by_statement(rig.engines).items() if "single" in statement
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -29,7 +29,7 @@
 
 def test_all_roles_are_led_when_replies_to_grants_joins_and_claims_are_lost():
     with Rig(members=2, beats=4) as rig:
-        rig.faults(lose=8)  # replies: to calls that grant leases, join and claim roles
+        rig.faults(lose=8)  # 8 replies, to calls that grant leases, join and claim roles
         rig.start()
         rig.until(
             lambda: len({leader for leader, _ in rig.owners().values()}) == 2 and len(rig.owners()) == 4
--- a/tests/test_fleet_scheduled_commands.py
+++ b/tests/test_fleet_scheduled_commands.py
@@ -202,7 +202,7 @@
 @pytest.mark.parametrize("mutant", scheduled_command_mutants.MUTANTS)
 def test_the_walks_find_scheduled_command_mutants(mutant):
     finding = scheduled_command_mutants.find_detecting_walk(mutant, 300)
-    assert finding is not None, finding
+    assert finding is not None, f"no walk detects the mutant {mutant}"
     assert finding.kind is FindingKind.VIOLATION, finding
 
 
