--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -19,9 +19,9 @@
 class AllocationRule(NamedTuple):
     """The rule for one budget, or for the budgets of all engines or tenants. Times are us.
 
-    total: of the whole fleet, and the most that a member requests. window_us: length of the window of a
-    windowed budget. settle_us: how long cancelled work may run on. reserve: what may be spent besides the
-    allocation, from reserve_after_us after the start of the process.
+    total: amount for the whole fleet, and the most that a member requests. window_us: length of the window
+    of a windowed budget. settle_us: how long cancelled work may run on. reserve: what may be spent besides
+    the allocation, from reserve_after_us after the start of the process.
     """
 
     kind: LedgerKind
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -20,16 +20,17 @@
 from gullhold.budgets.ledger import Ledger, LedgerKind
 from gullhold.budgets.max_min_fairness import damp_changes, max_min_shares
 
-MAX_BUDGETS_PER_ROUND = 200  # of one call of allocate(): takes half a second with 1,000 members
-MAX_BUDGETS = 50_000  # with a ledger at the same time; members have only their reserve of further budgets
-ROTATION_US = 1_000_000  # until other members are served first, if not all can have a usable amount
+MAX_BUDGETS_PER_ROUND = 200  # in one call of allocate(), which with 1,000 members takes half a second
+MAX_BUDGETS = 50_000  # that have a ledger at the same time; of further ones members have only their reserve
+ROTATION_US = 1_000_000  # us until other members are served first, if not all can have a usable amount
 
 
 class Budget(NamedTuple):
     """The rule for one budget, or for the budgets of all engines or tenants.
 
-    total: of the whole fleet. window_us, linger_us: as in Ledger. reserve_per_member: what each member may
-    spend besides its allocation, even while it can't reach the store; it is reserved for max_members members.
+    total: amount for the whole fleet. window_us, linger_us: as in Ledger. reserve_per_member: what each
+    member may spend besides its allocation, even while it can't reach the store. It is reserved for
+    max_members members.
     floor: smallest allocation of each member. granularity: smallest usable amount, such as what one command
     needs.
     """
@@ -128,8 +129,8 @@
     ) -> None:
         """Record that a member has left.
 
-        inactive_at: from this time on it can begin nothing more. last_usage: from its last report, if it has
-        shut down gracefully; None: its use is unknown.
+        inactive_at: from this time on it can begin nothing more. last_usage: usage in its last report, if it
+        has shut down gracefully; None: its use is unknown.
         """
         self.reported_budgets.pop(member, None)
         for name in self.row_budgets.get(member, ()):
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -25,18 +25,18 @@
 from gullhold.fleet.store_calls import MAX_TRANSACTION_OPERATIONS, Delete, Operation, Put, Reply
 
 ROLE = "budgets"  # name of the role in the store and in the log
-FENCE_OPERATIONS = 2  # in each transaction: the write of the fence and the comparison of the role's token
+FENCE_OPERATIONS = 2  # of each transaction: it writes the fence and compares the role's token
 OPERATIONS_PER_MEMBER = 2  # at most: its row, and its report if both are deleted
 MAX_MEMBERS_PER_WRITE = (MAX_TRANSACTION_OPERATIONS - FENCE_OPERATIONS) // OPERATIONS_PER_MEMBER
 WRITES_PER_TOKEN = 1 << 20  # write numbers reserved for each fencing token, so that they always increase
-MIN_WRITE_INTERVAL_US = 20_000  # between two writes, so that one write answers several reports
+MIN_WRITE_INTERVAL_US = 20_000  # least us between two writes, so that one write answers several reports
 
 
 class AllocatorRole(RoleState):
     """The allocator and its keys in the store while this member leads the role.
 
-    fence_revision: revision of the fence as last written; report_revision: of the newest report that was
-    taken. token, as in RoleState: the fencing token, 0 while this member does not lead.
+    fence_revision: revision of the fence as last written; report_revision: that of the newest report that
+    was taken. token, as in RoleState: the fencing token, 0 while this member does not lead.
     """
 
     def __init__(
--- a/gullhold/budgets/budget_schema.py
+++ b/gullhold/budgets/budget_schema.py
@@ -21,9 +21,9 @@
 class Usage(NamedTuple):
     """A member's report on one budget, in the budget's unit.
 
-    in_use: of its allocation, in use now or spent within the window; peak: the largest amount in use since
-    the last report, but the whole allocation if an amount was refused since then; requested: the allocation
-    that the member asks for.
+    in_use: what is in use now, or was spent within the window, beyond the reserve; peak: the largest amount
+    in use since the last report, but the whole allocation if an amount was refused since then; requested: the
+    allocation that the member asks for.
     """
 
     in_use: int
--- a/gullhold/budgets/core_budgets.py
+++ b/gullhold/budgets/core_budgets.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from gullhold.net.core import Core
 
-CORE_TIMEOUT_S = 1.0  # for the core's answer to the thread that reads the endpoint list
+CORE_TIMEOUT_S = 1.0  # limit of the wait for the core in the thread that reads the endpoint list
 
 
 class AllocationWrite(NamedTuple):
@@ -36,7 +36,7 @@
         self.allocations = allocations
         self.on_collected = on_collected
         core.fences.append(allocations)
-        self.apply(())  # before the first command, so that no command escapes the budgets
+        self.apply(())  # done before the first command, so that no command escapes the budgets
 
     def apply(self, writes: Sequence[AllocationWrite]) -> None:
         """Apply these writes, then collect the usage. May be called on any thread."""
--- a/gullhold/budgets/max_min_fairness.py
+++ b/gullhold/budgets/max_min_fairness.py
@@ -10,7 +10,7 @@
 
 MemberKey = TypeVar("MemberKey", bound=Hashable)
 
-MAX_IDLE_CHANGE = 0.1  # of an allocation: changes up to this are not made if no member lacks anything
+MAX_IDLE_CHANGE = 0.1  # fraction of an allocation; smaller changes are not made if no member lacks anything
 
 
 def max_min_shares(
@@ -65,7 +65,9 @@
     )
     shares = {member: count * granularity for member, count in units.items()}
     largest = max(shares, key=lambda member: shares[member])
-    shares[largest] += total % granularity  # smaller than a unit: of use only beside complete units
+    shares[largest] += (
+        total % granularity
+    )  # less than a unit, which is usable only together with complete units
     return shares
 
 
--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -31,7 +31,7 @@
     from gullhold.operator.records import FleetRecord
 
 REPORT_LANE = "reports"
-LANES = (REPORT_LANE, ROLE)  # of the member's calls and of the allocator's: neither wait for the other
+LANES = (REPORT_LANE, ROLE)  # for the member's calls and for the allocator's: neither wait for the other
 FINAL_REPORT_ROLE = ROLE + "/spent"  # set as busy, so that the membership outlasts the final report
 
 
@@ -39,34 +39,40 @@
     """One member's budgets, and the allocator if this member leads its role. On the fleet's thread."""
 
     def __init__(
-        self, fleet: "FleetMember", record: "FleetRecord", agreement: Agreement, clock: Callable[[], int]
+        self,
+        fleet_member: "FleetMember",
+        record: "FleetRecord",
+        agreement: Agreement,
+        clock: Callable[[], int],
     ) -> None:
         """record: the fleet's record in the operator file. clock: monotonic us. Raises BudgetRuleError."""
-        self.fleet = fleet
-        self.core = fleet.core
+        self.fleet_member = fleet_member
+        self.core = fleet_member.core
         self.clock = clock
         rules = build_rules(record.budgets, agreement, record.drift.rate)
         tenants = tenant_names(agreement)
         self.allocations = Allocations(
             rules.allocations,
             lambda kind, subject: subject_budget_name(kind, subject, tenants),
-            fleet.membership.lease,
+            fleet_member.membership.lease,
             clock,
-            on_shortage=lambda: fleet.post(self.reports.collect_soon),
+            on_shortage=lambda: fleet_member.post(self.reports.collect_soon),
         )
-        fleet.role_states[ROLE] = AllocatorRole(rules.budgets)
+        fleet_member.role_states[ROLE] = AllocatorRole(rules.budgets)
         self.reports = ReportState(record.look)
         self.row: dict[str, int] = {}  # allocations by budget name, as last read
         self.unapplied_writes: list[AllocationWrite] = []  # not posted to the core's thread yet
         self.core_budgets = CoreBudgets(
-            fleet.core, self.allocations, lambda collected: fleet.post(self._usage_collected, collected)
+            fleet_member.core,
+            self.allocations,
+            lambda collected: fleet_member.post(self._usage_collected, collected),
         )
 
     def start(self, watch: "Callable[..., Watcher]") -> None:
         """Watch this member's row, and the reports for the allocator's role. watch: returns a Watcher."""
-        prefix = f"{ALLOCATIONS}{self.fleet.name}/"
+        prefix = f"{ALLOCATIONS}{self.fleet_member.name}/"
         self._row_watcher = watch("parts", prefix, self._row_changed, self._read_row)
-        self.fleet.watch_role(ROLE, "reports", REPORTS)
+        self.fleet_member.watch_role(ROLE, "reports", REPORTS)
 
     def may_call_discovery(self) -> bool:
         """Whether the discovery service may be called now; for the thread that reads the endpoint list."""
@@ -78,7 +84,7 @@
 
     def step(self, now: int) -> None:
         """Begin a new lease, collect usage or send the final report, whichever is due."""
-        lease = self.fleet.membership.lease
+        lease = self.fleet_member.membership.lease
         if lease.id and lease.id != self.reports.lease_id:
             self.reports.begin_lease(lease.id)
             self.row = {}
@@ -95,21 +101,21 @@
         """Begin a graceful shutdown: the lease is kept until the final report is written."""
         self.reports.is_leaving = True
         if not self.reports.is_final_report_sent:
-            self.fleet.membership.set_busy(FINAL_REPORT_ROLE, True)
+            self.fleet_member.membership.set_busy(FINAL_REPORT_ROLE, True)
 
     def _usage_collected(self, collected: CollectedUsage) -> None:
         now = self.clock()
-        is_lease_valid = self.fleet.membership.lease.is_valid(now)
+        is_lease_valid = self.fleet_member.membership.lease.is_valid(now)
         report = self.reports.usage_collected(now, collected, is_lease_valid)
         if report is not None:
             lease_id = self.reports.lease_id
             self._report_lane().submit(self._report_call(report, lease_id), self._report_written, lease_id)
 
     def _report_lane(self) -> "Lane":
-        return self.fleet.lanes[REPORT_LANE]
+        return self.fleet_member.lanes[REPORT_LANE]
 
     def _member_key(self) -> str:
-        return f"{self.fleet.name}/{self.reports.lease_id:x}"
+        return f"{self.fleet_member.name}/{self.reports.lease_id:x}"
 
     def _report_call(self, report: UsageReport, lease_id: int) -> Transaction:
         """Return the write of a report.
@@ -137,7 +143,7 @@
 
     def _final_report_written(self, _reply: Reply | None) -> None:
         """Let the lease end. If the final report was refused, the allocator treats this member as killed."""
-        self.fleet.membership.set_busy(FINAL_REPORT_ROLE, False)
+        self.fleet_member.membership.set_busy(FINAL_REPORT_ROLE, False)
 
     def _report_written(self, lease_id: int, reply: Reply) -> None:
         if self.reports.report_written(lease_id, reply):
@@ -174,4 +180,4 @@
         for name in self.row.keys() | row.keys():
             if row.get(name, 0) != self.row.get(name, 0):
                 changed[name] = row.get(name, 0)
-        self.fleet.log_event("debug", "allocations changed", write=write, allocations=changed)
+        self.fleet_member.log_event("debug", "allocations changed", write=write, allocations=changed)
--- a/gullhold/budgets/report_state.py
+++ b/gullhold/budgets/report_state.py
@@ -8,7 +8,7 @@
 from gullhold.fleet.role_state import IDLE_STEP_US
 from gullhold.fleet.store_calls import Proof, Reply
 
-MIN_REPORT_INTERVAL_US = 50_000  # between two reports of one member
+MIN_REPORT_INTERVAL_US = 50_000  # least us between two reports of one member
 QUIET_INTERVALS = 5  # collection intervals to wait while no allocation runs out or has to be released
 
 
@@ -34,13 +34,13 @@
 class ReportState:
     """State of one member's reports. Times are us of a monotonic clock.
 
-    lease_id: the lease that reports are for; revision: of this member's report in the store;
+    lease_id: the lease that reports are for; revision: that of this member's stored report;
     is_row_requested: whether a read of this member's row was sent under this lease; was_reduced: whether a
     reduction is not acknowledged yet; is_leaving: whether a graceful shutdown has begun.
     """
 
     def __init__(self, collect_interval_us: int) -> None:
-        """collect_interval_us: between two collections while usage changes."""
+        """collect_interval_us: time between two collections while usage changes."""
         self.collect_interval_us = collect_interval_us
         self.throttle = ReportThrottle(MIN_REPORT_INTERVAL_US)
         self.lease_id = 0
--- a/gullhold/budgets/report_throttle.py
+++ b/gullhold/budgets/report_throttle.py
@@ -5,15 +5,15 @@
 from gullhold.budgets.budget_schema import Usage
 from gullhold.budgets.demand import is_mostly_idle
 
-MIN_CHANGE = 0.1  # of what was reported or allocated; smaller changes are not written
-STALE_US = 2_000_000  # until changed use is reported even if it affects no allocation, for staff
+MIN_CHANGE = 0.1  # fraction of what was reported or allocated; smaller changes are not written
+STALE_US = 2_000_000  # us until changed use is reported even if it affects no allocation, for staff
 
 
 class ReportThrottle:
     """Lets the first report through, then those that may change allocations or that staff should see."""
 
     def __init__(self, min_interval_us: int) -> None:
-        """min_interval_us: between two reports."""
+        """min_interval_us: least time between two reports."""
         self.min_interval_us = min_interval_us
         self.last_usage: dict[str, Usage] | None = None
         self.last_applied_write = 0
--- a/gullhold/budgets/show.py
+++ b/gullhold/budgets/show.py
@@ -83,7 +83,8 @@
 ) -> int:
     """Run `fleet plan`: print what this many members would be allocated; return the exit status.
 
-    demands: of the first members; the others have the last of these. Without any, each demands the total.
+    demands: those of the first members; the last one holds for all others. Without any, each member demands
+    the total.
     """
     budget = Budget(
         LedgerKind.HELD,
--- a/gullhold/operator/parser.py
+++ b/gullhold/operator/parser.py
@@ -46,7 +46,7 @@
 def parse(source: str, file_name: str) -> RecordNode:
     """Parse the text of a file into its top-level record. Raises OperatorFileError for a syntax error.
 
-    file_name: for the locations in errors.
+    file_name: stated in the locations of errors.
     """
     from lark.exceptions import UnexpectedInput  # noqa: PLC0415
 
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -41,7 +41,7 @@
     """An IP network, and how the clients in it are told apart.
 
     net: address and prefix length; each: what counts as one client, "network" (the whole), "address" or
-    "connection"; name: of the client, if the whole network is one.
+    "connection"; name: the client's name, if the whole network is one client.
     """
 
     net: str
@@ -52,8 +52,8 @@
 class ClientIdentityRecord(OperatorRecord):
     """How the client of a command is identified inside its tenant.
 
-    field: request field with the client's name, "": none; networks: for requests without that field;
-    otherwise: outside of all networks, "address" or "connection" identifies the client.
+    field: request field with the client's name, "": none; networks: identify the clients of requests without
+    that field; otherwise: outside of all networks, "address" or "connection" identifies the client.
     """
 
     field: str
@@ -64,10 +64,10 @@
 class RetryAfterRecord(OperatorRecord):
     """Retry-After times for clients whose commands the admission queue sheds, and the capacity kept for them.
 
-    field: of the shed reply, in milliseconds, "": no Retry-After time is sent; least, most: bounds of the
-    time, in us; spread: random addition to it, as a part of it; part: of a flow's service, reserved for
-    retries in their windows; grace: us for which a retry that is late still counts as in its window; each,
-    all: limits of open windows in one flow and in all flows.
+    field: field of the shed reply with the time in ms, "": no Retry-After time is sent; least, most: bounds
+    of the time, in us; spread: random addition to it, as a part of it; part: share of a flow's service that
+    is reserved for retries in their windows; grace: us for which a retry that is late still counts as in its
+    window; each, all: limits of open windows in one flow and in all flows.
     """
 
     field: str
@@ -94,7 +94,7 @@
     patience: expected wait, in latency objectives, above which a command is shed; exact: limit of the flows
     of a single client each; shared: flows of a tenant that its other clients share; redeal: us between two
     redistributions of clients over the shared flows; tenants: "closed" (only tenants of the agreement) or
-    "open"; others: the tenant whose share unknown tenants use; weights: of clients by name.
+    "open"; others: the tenant whose share unknown tenants use; weights: clients' weights by name.
     """
 
     on: bool
@@ -141,7 +141,7 @@
 class RolesRecord(OperatorRecord):
     """How roles are distributed over members.
 
-    moves: limit of the roles that a member gives up for another one, per second; settle: us that a member
+    moves: limit of the roles that a member gives up to other members, per second; settle: us that a member
     which joins others waits before roles move to it; pauses: backoff of the calls to the store; leaving: us
     that a leaving member waits for its work in progress; beats: number of heartbeat roles, whose leaders only
     write to the store, every `beat` us, to monitor that leadership works.
@@ -236,10 +236,10 @@
 class FleetRecord(OperatorRecord):
     """Work that several gateways coordinate through a store.
 
-    name: of the fleet, where several share a store; register_: HOST:PORT of the store; timeout: of a call to
-    it, in us; lease: lifetime of a member's lease without a renewal, in us; schedule: scheduled commands;
-    look: us between two collections of a member's usage of budgets; events: path of the file to which each
-    event is appended as a JSON line, "": only the log has the events.
+    name: the fleet's name, as several fleets may share a store; register_: HOST:PORT of the store; timeout:
+    time limit of a call to it, in us; lease: lifetime of a member's lease without a renewal, in us; schedule:
+    scheduled commands; look: us between two collections of a member's usage of budgets; events: path of the
+    file to which each event is appended as a JSON line, "": only the log has the events.
     """
 
     on: bool
@@ -304,7 +304,7 @@
 def read(source: str, file_name: str) -> OperatorFile:
     """Read the text of an operator file, with defaults for the settings it omits. Raises OperatorFileError.
 
-    file_name: for the locations in errors.
+    file_name: stated in the locations of errors.
     """
     root = parse(source, file_name)
     try:
--- a/gullhold/operator/unification.py
+++ b/gullhold/operator/unification.py
@@ -45,7 +45,7 @@
     """Return the value that satisfies both values. Raises OperatorFileError if there is none.
 
     Errors name the location of `found`, which is the file's value, and state `expected`, the schema's value,
-    as the requirement. path: for errors.
+    as the requirement. path: the value's path, for errors.
     """
     match expected, found:
         case (Choices(), _) | (_, Choices()):
--- a/gullhold/operator/values.py
+++ b/gullhold/operator/values.py
@@ -47,14 +47,14 @@
 
 
 class NameRule(NamedTuple):
-    """A rule for the fields of certain names. names: constraint on the names; value: on the values."""
+    """A rule for the fields of certain names. names: constraint on the names; value: on their values."""
 
     names: "Value"
     value: "Value"
 
 
 class Record(NamedTuple):
-    """A record. rules: for fields of other names; is_closed: fields of other names are not allowed."""
+    """A record. rules: those for fields of other names; is_closed: fields of other names are not allowed."""
 
     fields: dict[str, RecordField]
     rules: tuple[NameRule, ...]
--- a/gullhold/rollout/key_revisions.py
+++ b/gullhold/rollout/key_revisions.py
@@ -12,7 +12,7 @@
     """
 
     def __init__(self, reply: Reply = Reply(Proof.DONE)) -> None:  # noqa: B008  immutable
-        """reply: to a read of all keys."""
+        """reply: the reply to a read of all keys."""
         self.read_revision = reply.revision
         self._at_read = {item.key: item.revision for item in reply.items}
         self._since_read: dict[str, int] = {}
--- a/gullhold/rollout/policy_change.py
+++ b/gullhold/rollout/policy_change.py
@@ -17,10 +17,10 @@
 class ChangeState(StrEnum):
     """State of a change; the values are stored."""
 
-    PROPOSED = "proposed"  # by an operator; not checked yet
+    PROPOSED = "proposed"  # proposed by an operator; not checked yet
     CHECKED = "checked"  # the coordinator found its digest and parent valid; members check it and vote
     CANARY = "canary"  # some members use it for a limited time, and all report figures on their commands
-    PREPARED = "prepared"  # for a strict change: members stop dispatching
+    PREPARED = "prepared"  # only for a strict change: members stop dispatching
     DECIDED = "decided"  # in force; final
     DROPPED = "dropped"  # never comes into force; final
 
--- a/gullhold/rollout/policy_client.py
+++ b/gullhold/rollout/policy_client.py
@@ -37,7 +37,7 @@
 )
 
 TIMEOUT_S = 3.0  # timeout of one call to the store
-POLL_INTERVAL_S = 0.1  # between reads of the store while waiting for a change
+POLL_INTERVAL_S = 0.1  # time between reads of the store while waiting for a change
 MAX_NAMES = 8  # members named for each kind of vote, to keep the output on one line
 
 
@@ -69,7 +69,7 @@
     """Reads, proposes and drops policies. report(line): called as the state of a change progresses."""
 
     def __init__(self, address: str, name: str, report: Callable[[str], None] = _ignore) -> None:
-        """address: of the store, HOST:PORT; name: of the fleet."""
+        """address: HOST:PORT of the store; name: the fleet's name."""
         self.session = StoreClient(address, fleet_prefix(name), TIMEOUT_S)
         self.report = report
 
--- a/gullhold/rollout/policy_commands.py
+++ b/gullhold/rollout/policy_commands.py
@@ -109,7 +109,9 @@
     texts = {entry.version.number: entry.version.text for entry in client.history()}
     texts[INITIAL_VERSION.number] = INITIAL_VERSION.text
     if current.parent not in texts:
-        raise PolicyError(f"{current.parent} is no longer in the history; propose its text from a file")
+        raise PolicyError(
+            f"version {current.parent} is no longer in the history; propose its text from a file"
+        )
     reason = arguments.why or f"undo {current.number}"
     return _propose_text(client, arguments, texts[current.parent], reason)
 
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -4,14 +4,14 @@
 from enum import StrEnum
 from typing import Protocol
 
-EARLY_STOP_MARGIN_DIVISOR = 3  # a third of the lease's time before its end: a renewal was missed by then
+EARLY_STOP_MARGIN_DIVISOR = 3  # a third of a lease's guaranteed time; a renewal was missed by then
 
 
 class CutOffRule(StrEnum):
     """How long a member that loses the store while a change is open keeps dispatching (operator file)."""
 
     UNTIL_LEASE_END = "keep"  # as long as its lease certainly holds
-    BEFORE_LEASE_END = "stand"  # until a margin before that
+    BEFORE_LEASE_END = "stand"  # until a margin before the lease's guaranteed end
 
 
 class LeaseView(Protocol):
--- a/gullhold/rollout/policy_version.py
+++ b/gullhold/rollout/policy_version.py
@@ -15,7 +15,7 @@
     """One version of the policy.
 
     parent: number of the version in force that it replaces; reason: why it is proposed; created_at_us: Unix
-    time; text: of the policy; digest: of all other fields.
+    time; text: the policy's text; digest: hash of all other fields.
     """
 
     number: int
@@ -39,5 +39,5 @@
         return blake2s(json.dumps(self[:-1]).encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-# In force until a first change is decided.
+# The version that is in force until a first change is decided.
 INITIAL_VERSION = PolicyVersion(0, 0, "", "what gateways were started with", 0, "policy: {}").sealed()
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -190,7 +190,9 @@
         self, state: ChangeState, reason: str = "", canary_members: tuple[str, ...] = ()
     ) -> None:
         """Write the change's new state. No other method writes it."""
-        assert state in NEXT_STATES[self._open_change.state], f"{self._open_change.state} to {state}"
+        assert state in NEXT_STATES[self._open_change.state], (
+            f"change {self._open_change.version.number} can't go from {self._open_change.state} to {state}"
+        )
         change = replace(self._open_change, state=state, reason=reason, canary_members=canary_members)
         operations: list[Operation] = [Put(CHANGE_KEY, encode_change(change))]
         if state in FINAL_STATES:
--- a/gullhold/rollout/rollout_driver.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -77,15 +77,15 @@
 
     def __init__(
         self,
-        fleet: "FleetMember",
+        fleet_member: "FleetMember",
         record: "FleetRecord",
         agreement: Agreement,
         clock: Callable[[], int],
         guaranteed_us: int,
     ) -> None:
         """record: the fleet's, from the operator file; guaranteed_us: how long a lease certainly holds."""
-        self.fleet = fleet
-        self.core = fleet.core
+        self.fleet_member = fleet_member
+        self.core = fleet_member.core
         self.clock = clock
         self.settings = record.policy
         queue = self.core.admission_queue
@@ -95,15 +95,15 @@
         }
         schedules = [item.name for item in record.schedule]
         self.deployment = Deployment(agreement, budgets, schedules, has_admission_queue=bool(queue))
-        self.gate = PolicyGate(fleet.membership.lease, clock, guaranteed_us, self.settings.cut)
-        self.member = RolloutMember(fleet.name, self.gate, self.find_fault, self._read_figures)
-        fleet.role_states[ROLE] = RolloutCoordinator()
+        self.gate = PolicyGate(fleet_member.membership.lease, clock, guaranteed_us, self.settings.cut)
+        self.member = RolloutMember(fleet_member.name, self.gate, self.find_fault, self._read_figures)
+        fleet_member.role_states[ROLE] = RolloutCoordinator()
         # Budget totals while a change is open: the lower of the old and the new one, so that the allocations
         # exceed neither.
         self.lowest_totals: dict[str, int] = {}
         self.totals_set_for: BudgetTotalsCause | None = None  # when the totals of the allocator were last set
         self.core.fences.append(self.gate)
-        self._adopt(AT_START, INITIAL_VERSION)  # before the first command; the gate is still closed
+        self._adopt(AT_START, INITIAL_VERSION)  # done before the first command; the gate is still closed
         self._use_snapshot()
 
     def _use_snapshot(self) -> None:
@@ -114,7 +114,7 @@
         version = found.version
         age_us = unix_us() - found.known_at_us
         left_us = self.settings.spare - age_us
-        self.fleet.log_event(
+        self.fleet_member.log_event(
             "warning",
             "policy: snapshot loaded",
             version=version.number,
@@ -145,11 +145,11 @@
     def start(self, watch: Callable[..., Watcher]) -> None:
         """Start to watch the keys of the rollout. watch: FleetMember.watch."""
         self.watcher = watch("policy", WATCHED_PREFIX, self._changed, self._watch_gap)
-        self.fleet.watch_role(ROLE, "words", ROLLOUT_PREFIX)
+        self.fleet_member.watch_role(ROLE, "words", ROLLOUT_PREFIX)
 
     def step(self, now: int) -> None:
         """Have the member take its next step, and carry out its actions."""
-        lease = self.fleet.membership.lease
+        lease = self.fleet_member.membership.lease
         self.member.step(now, lease.id if lease.is_valid(now) else 0)
         self._carry_out()
 
@@ -163,7 +163,7 @@
             for action in actions:
                 match action:
                     case CallStore(serial, request):
-                        self.fleet.lanes[VOTE_LANE].submit(request, self._replied, serial)
+                        self.fleet_member.lanes[VOTE_LANE].submit(request, self._replied, serial)
                     case AdoptVersion(serial, version):
                         self._adopt(serial, version)
                     case StopDispatching(number):
@@ -171,14 +171,14 @@
                     case WatchPolicy(revision):
                         self.watcher.watch_from(revision)
                     case LogEvent(level, text, facts):
-                        self.fleet.log_event(level, "policy: " + text, **facts)
+                        self.fleet_member.log_event(level, "policy: " + text, **facts)
         self._set_budget_totals()
 
     def _adopt(self, serial: int, version: PolicyVersion) -> None:
         policy = parse_policy(version.text, f"policy {version.number}")
         self.core.post_urgent(self._apply_policy, serial, self._to_core_policy(version, policy))
         for name in self.deployment.scheduled_commands:
-            command = self.fleet.scheduled_commands[SCHEDULED_COMMAND_ROLE_PREFIX + name]
+            command = self.fleet_member.scheduled_commands[SCHEDULED_COMMAND_ROLE_PREFIX + name]
             command.is_disabled = not policy.schedules.get(name, True)
         if serial != AT_START and self.settings.snapshot and not self.member.canary_change:
             self._write_snapshot(version)
@@ -197,7 +197,7 @@
         try:
             snapshot.write(self.settings.snapshot, version, unix_us())
         except OSError as error:
-            self.fleet.log_event("warning", "policy: snapshot write failed", error=str(error))
+            self.fleet_member.log_event("warning", "policy: snapshot write failed", error=str(error))
 
     # Events, on the fleet's thread
 
@@ -219,15 +219,15 @@
     # On the core's thread
 
     def _apply_policy(self, serial: int, policy: CorePolicy) -> None:
-        if self.fleet.budgets:
-            self.fleet.budgets.allocations.set_totals(_totals_by_kind(policy.budget_totals))
+        if self.fleet_member.budgets:
+            self.fleet_member.budgets.allocations.set_totals(_totals_by_kind(policy.budget_totals))
         self.core.apply_policy(policy.terms, self.gate, policy.tenant_shares, policy.client_weights)
         self.core.counters.add(f"policy_{policy.number}_applied")
-        self.fleet.post(self._adopted, serial)
+        self.fleet_member.post(self._adopted, serial)
 
     def _confirm_stopped(self, number: int) -> None:
         """Confirm that no attempt is sent any more: the gate is closed, and is checked at each attempt."""
-        self.fleet.post(self._stopped, number)
+        self.fleet_member.post(self._stopped, number)
 
     # The allocator of budgets, on the fleet's thread
 
@@ -238,7 +238,7 @@
         cause = BudgetTotalsCause(version.number, None, None)
         if change is not None:
             cause = BudgetTotalsCause(version.number, change.version.number, change.state)
-        if not self.fleet.budgets or cause == self.totals_set_for:
+        if not self.fleet_member.budgets or cause == self.totals_set_for:
             return
         self.totals_set_for = cause
         current = budget_totals(parse_policy(version.text), self.deployment.budgets)
@@ -247,7 +247,7 @@
         elif self._may_come_into_force(change):
             self._lower_totals(current, change)
         # Once the change is decided, the totals stay as they are until every member has adopted it.
-        allocator_role = cast("AllocatorRole", self.fleet.role_states[BUDGETS_ROLE])
+        allocator_role = cast("AllocatorRole", self.fleet_member.role_states[BUDGETS_ROLE])
         allocator_role.set_totals(self.lowest_totals)
 
     def _may_come_into_force(self, change: PolicyChange) -> bool:
--- a/gullhold/rollout/store_schema.py
+++ b/gullhold/rollout/store_schema.py
@@ -91,7 +91,9 @@
     try:
         version = _version_from_fields(fields)
     except (ValueError, TypeError):
-        raise PolicyError("a record that can't be read") from None
+        raise PolicyError(
+            "a stored version of the policy can't be read: its fields are not as expected"
+        ) from None
     version.verify()
     return version
 
@@ -106,7 +108,7 @@
     try:
         fields = json.loads(text)
     except (ValueError, TypeError):
-        raise PolicyError("a record that can't be read") from None
+        raise PolicyError("a stored version of the policy can't be read: it is not JSON") from None
     return version_from_stored(fields)
 
 
@@ -129,7 +131,7 @@
         _convert_to_enum(attributes, "on_silence", OnSilence)
         return PolicyChange(**attributes)
     except (ValueError, TypeError, KeyError):
-        raise PolicyError("a change that can't be read") from None
+        raise PolicyError("the stored change of the policy can't be read") from None
 
 
 def encode_vote(vote: Vote) -> str:
--- a/gullhold/rollout/vote.py
+++ b/gullhold/rollout/vote.py
@@ -59,7 +59,7 @@
     """One member's vote.
 
     version: number of the version that the member uses; change: number of the change that it votes on, 0 if
-    none; reason: why the change is refused; figures: on its commands, while a canary runs.
+    none; reason: why the change is refused; figures: those on its commands, while a canary runs.
     """
 
     version: int
--- a/gullhold/rollout/vote_publisher.py
+++ b/gullhold/rollout/vote_publisher.py
@@ -17,7 +17,7 @@
         """Forget the vote and what is known of the stored copy."""
         self.vote: Vote | None = None
         self._stored: Vote | None = None  # the stored copy; None: not known
-        self._revision = 0  # of the vote's key
+        self._revision = 0  # revision of the vote's key
         self._in_flight: Vote | None = None  # the vote that the write in flight stores
 
     def set_stored(self, vote: Vote, revision: int) -> None:
--- a/tests/budgeting.py
+++ b/tests/budgeting.py
@@ -10,7 +10,7 @@
 from gullhold.interface import BudgetKind
 
 S = 1_000_000  # us
-KIND = BudgetKind.THREADS  # of the one budget; how it is accounted for is a parameter of make_allocation()
+KIND = BudgetKind.THREADS  # kind of the one budget; make_allocation() takes the kind of its ledger
 
 
 class Clock:
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -83,8 +83,14 @@
     assert not checker.decided_without_all, fleet.story()
     assert not checker.decided_though_refused, fleet.story()
     mixed_count, measured_ms = measure_overlap(attempts_with_policy(fleet.engines, grants))
-    assert not (strict and mixed_count), (mixed_count, measured_ms, fleet.story())
-    assert measured_ms <= overlap_ms, (mixed_count, measured_ms, fleet.story())
+    assert not (strict and mixed_count), (
+        f"{mixed_count} attempts under an old version after one under a newer one; the versions overlapped "
+        f"for {measured_ms} ms\n{fleet.story()}"
+    )
+    assert measured_ms <= overlap_ms, (
+        f"versions overlapped for {measured_ms} ms, longer than {overlap_ms} ms, with {mixed_count} attempts "
+        f"under an old version after one under a newer one\n{fleet.story()}"
+    )
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
     return checker
--- a/tests/test_budget_allocator.py
+++ b/tests/test_budget_allocator.py
@@ -9,7 +9,7 @@
 
 
 def make_allocator(*members, **budgets):
-    """Return an allocator to which each member has reported no use. budgets: by default "b", of 60."""
+    """Return an allocator to which each member has reported no use. budgets: by default "b", 60 in all."""
     allocator = Allocator(budgets or {"b": Budget(LedgerKind.HELD, 60)})
     for member in members:
         allocator.report(member, 0, dict.fromkeys(allocator.budgets, NO_USAGE), 0)
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -257,9 +257,11 @@
             while self.spent and self.spent[0] <= self.now - WINDOW_US:
                 self.spent.popleft()
             used = len(self.spent)
-        assert used <= self.total, (used, self.total)
+        assert used <= self.total, f"{used} in use or spent, more than the total of {self.total}"
         allocated = sum(self.ledger.allocations().values())
-        assert allocated <= self.total - self.ledger.reserve, (allocated, self.total)
+        assert allocated <= self.total - self.ledger.reserve, (
+            f"{allocated} allocated of the total of {self.total}, of which {self.ledger.reserve} are reserved"
+        )
 
 
 @pytest.mark.parametrize("kind", [LedgerKind.HELD, LedgerKind.WINDOWED])
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -14,7 +14,7 @@
 from gullhold.interface import BudgetKind
 
 S = 1_000_000  # us
-COLLECT_INTERVAL_US = 100_000  # between collections while usage changes
+COLLECT_INTERVAL_US = 100_000  # us between collections while usage changes
 
 
 def reporting_state(lease_id=7):
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -114,7 +114,7 @@
         fleet.pause("n0")
         fleet.until(lambda: allocations(fleet).get("n1", 0) == 12)
         fleet.until(lambda: len(fleet.engines[0].open) == 12)
-        fleet.resume("n0")  # with queued commands
+        fleet.resume("n0")  # it still has queued commands
         time.sleep(0.7)
         fleet.until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
         stop_clients(*clients)
@@ -219,8 +219,8 @@
             stop_clients(one)
         sends = first_attempts(fleet.engines)
         most, _ = peak_in_window(sends, window_s)
-        assert 20 <= most <= 30, (most, len(sends))
-        assert len(sends) > 40, (most, len(sends))
+        assert 20 <= most <= 30, f"{most} first attempts in a window, not 20 to 30, of {len(sends)} in all"
+        assert len(sends) > 40, f"only {len(sends)} first attempts, of which {most} in one window"
         assert AllocationHistory(fleet.lines()).increases >= 5
 
 
@@ -236,8 +236,8 @@
             stop_clients(*clients)
         further = retries(fleet.engines)
         most, _ = peak_in_window(further, 2.0)
-        assert 6 <= most <= 12, (most, len(further))
-        assert len(further) >= 12, (most, len(further))
+        assert 6 <= most <= 12, f"{most} retries in a window, not 6 to 12, of {len(further)} in all"
+        assert len(further) >= 12, f"only {len(further)} retries, of which {most} in one window"
 
 
 def test_discovery_calls_of_the_fleet_keep_their_budget_when_every_stream_ends_at_once():
@@ -258,8 +258,8 @@
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
     most, _ = peak_in_window(calls, 2.0)
-    assert 3 <= most <= 6, (most, len(calls))
-    assert len(calls) >= 8, (most, len(calls))
+    assert 3 <= most <= 6, f"{most} discovery calls in a window, not 3 to 6, of {len(calls)} in all"
+    assert len(calls) >= 8, f"only {len(calls)} discovery calls, of which {most} in one window"
 
 
 def test_use_falls_to_a_lowered_total_without_cancelled_work():
@@ -321,7 +321,7 @@
         most, _ = peak_in_window(
             [(row.started_at, row.work_ms / 1000) for row in fleet.engines[0].attempts], 1.0
         )
-        assert 0.1 <= most <= 16 * grown, (most, 16 * grown)
+        assert 0.1 <= most <= 16 * grown, f"{most} s of work in a window, not 0.1 s to {16 * grown} s"
         assert len(fleet.engines[0].attempts) > 20
 
 
@@ -333,9 +333,8 @@
             one = start_client(fleet, f"n{turn % 2}")
             time.sleep(1.0)
             stop_clients(one)
-        assert (
-            check_fleet(fleet, min_attempts=200).increases >= 5
-        )  # of 12 threads for 60 ms each: at most 1,200 in 6 s
+        # 12 threads with commands of 60 ms can run at most 1,200 commands in 6 s.
+        assert check_fleet(fleet, min_attempts=200).increases >= 5
 
 
 def test_each_member_serves_from_its_reserve_when_the_store_is_unreachable():
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -108,7 +108,9 @@
         first = propose_when_possible(policies, fleet, policy_granting(20))
         with suppress(PolicyError):  # the first change may be in force already
             second = policies.propose(policy_granting(21), "z", "y", parent=first.parent)
-            raise AssertionError(f"{second.number} beside {first.number}")
+            raise AssertionError(
+                f"change {second.number} was accepted although change {first.number} has the same parent"
+            )
         assert policies.wait(first.number, 5).status == ExitStatus.IN_FORCE
         fleet.pause("n0")
         third = propose_when_possible(
--- a/tests/test_fleet_rollout_failures.py
+++ b/tests/test_fleet_rollout_failures.py
@@ -117,7 +117,7 @@
         clients = start_clients(fleet, "n0", "n1", "n3")
         version = policies.propose(policy_granting(20), "a", "b", overlap=Overlap.STRICT)
         assert policies.wait(version.number, 8).status == ExitStatus.IN_FORCE
-        fleet.start("n2")  # with its old operator file
+        fleet.start("n2")  # its operator file is the old one
         fleet.resume("n3")
         wait_until_in_force(fleet, 1)
         clients += start_clients(fleet, "n2")
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -69,7 +69,7 @@
         ("door: {\n window: }", "f.cue:2:10: '}' is not expected here"),
         ("door: {window: 3", "the end of the file is not expected here"),
         ("door: {window: ~}", "f.cue:1:16: '~' is not expected here"),
-        ("#A: {a: #A}\ndoor: #A", "definitions refer to themselves"),
+        ("#A: {a: #A}\ndoor: #A", "definitions refer to themselves, or values are nested too deep"),
     ],
 )
 def test_an_invalid_file_gives_a_one_line_error_with_location_path_and_bound(source, expected_text):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -123,43 +123,43 @@
 
 
 def test_the_decisions_apply_a_policy_from_the_next_attempt_and_send_nothing_while_the_gate_is_closed():
-    world, gate = Driver(AGREEMENT), Gate()
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    driver, gate = Driver(AGREEMENT), Gate()
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
 
     def adopt(text):
         terms = decision_terms(parse_policy(text), AGREEMENT)
-        world.carry_out(world.gateway.apply_policy(world.now, terms, gate))
+        driver.carry_out(driver.gateway.apply_policy(driver.now, terms, gate))
 
     adopt("policy: {grants: read: 20, priorities: read: 2, sends: read: 1}")
-    first = world.submit()
-    assert SetGrantAndPriority(first, 20, 2) in world.results_of(SetGrantAndPriority)
+    first = driver.submit()
+    assert SetGrantAndPriority(first, 20, 2) in driver.results_of(SetGrantAndPriority)
     gate.is_open = False
-    second = world.submit()
-    world.wait(100 * MS)
-    assert not world.commands[second].open_attempt
+    second = driver.submit()
+    driver.wait(100 * MS)
+    assert not driver.commands[second].open_attempt
     gate.is_open = True
     adopt("policy: grants: read: 30")
-    assert world.commands[second].open_attempt
-    assert SetGrantAndPriority(second, 30, 3) in world.results_of(SetGrantAndPriority)
+    assert driver.commands[second].open_attempt
+    assert SetGrantAndPriority(second, 30, 3) in driver.results_of(SetGrantAndPriority)
     adopt("policy: sends: read: 1")
-    world.end_attempt(first, Outcome.RESET)  # the policy allows one attempt
-    assert world.commands[first].final == Shed
+    driver.end_attempt(first, Outcome.RESET)  # the policy allows one attempt
+    assert driver.commands[first].final == Shed
     gate.is_policy_unknown = True
-    third = world.submit()
-    assert world.commands[third].final == Shed
-    assert not world.commands[third].attempts_sent_at
+    third = driver.submit()
+    assert driver.commands[third].final == Shed
+    assert not driver.commands[third].attempts_sent_at
 
 
 def test_every_command_is_answered_in_time_while_the_gate_is_closed():
-    world, gate = Driver(AGREEMENT), Gate()
-    world.update_engines((1, 0, 0, EngineState.READY, 0, 0))
+    driver, gate = Driver(AGREEMENT), Gate()
+    driver.update_engines((1, 0, 0, EngineState.READY, 0, 0))
     gate.is_open = False
     terms = decision_terms(parse_policy("policy: {}"), AGREEMENT)
-    world.carry_out(world.gateway.apply_policy(world.now, terms, gate))
+    driver.carry_out(driver.gateway.apply_policy(driver.now, terms, gate))
     for _ in range(5):
-        world.submit()
-    world.wait(5000 * MS)  # the driver fails if an answer is late
-    assert all(cmd.final == Shed for cmd in world.commands.values())
+        driver.submit()
+    driver.wait(5000 * MS)  # the driver fails if an answer is late
+    assert all(cmd.final == Shed for cmd in driver.commands.values())
 
 
 def test_unknown_values_of_a_later_version_are_kept_and_unknown_fields_are_rejected():
--- a/tests/test_policy_snapshot.py
+++ b/tests/test_policy_snapshot.py
@@ -15,7 +15,7 @@
     version = PolicyVersion(3, 2, "a", "b", 0, policy_granting(20)).sealed()
     snapshot.write(path, version, 5)
     assert snapshot.read(path) == (version, 5)
-    (tmp_path / "last.new").write_text("half of")  # as a kill during the next write leaves it
+    (tmp_path / "last.new").write_text("half of")  # the file that a kill during a write leaves
     assert snapshot.read(path) == (version, 5)
     path.write_text(path.read_text()[:-9])
     assert snapshot.read(path) is None
