--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -41,7 +41,7 @@
 if TYPE_CHECKING:
     from gullhold.operator.records import AdmissionQueueRecord
 
-EXPIRY_MARGIN_US = 40_000  # time from the rejection to the client timeout: two polls and a message's way
+EXPIRY_MARGIN_US = 40_000  # time for two calls of expire() and the reply before the client timeout
 MAX_FREE_SHARE_PER_CLIENT = 0.5  # share of the free capacity that a flow may use for each of its clients
 MIN_QUEUED_PER_FLOW = 4  # commands that a flow may queue at least, while the queue is not full
 STALE_EXPIRIES_ALLOWED = 1024  # stale heap rows that are kept without a rebuild of the heap
--- a/gullhold/admission/settings.py
+++ b/gullhold/admission/settings.py
@@ -38,7 +38,10 @@
 
     @classmethod
     def from_record(cls, record: "AdmissionQueueRecord", max_retry_after_us: int) -> "AdmissionSettings":
-        """Translate the operator file's record; max_retry_after_us: the agreement's limit, 0: not stated."""
+        """Translate the operator file's record, whose fields its class describes.
+
+        max_retry_after_us: the agreement's limit, 0: not stated.
+        """
         retry = record.come_back
         max_us = min(retry.most, max_retry_after_us) if max_retry_after_us else retry.most
         return cls(
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -64,7 +64,7 @@
 WORK_LANE = "work"  # lane for calls for the keys of heartbeats and scheduled commands
 MAX_SLEEP_S = 0.5  # longest wait of the fleet's thread, so that it notices a jump of the Unix clock
 MIN_SLEEP_S = 0.002  # shortest wait of the fleet's thread, so that due but blocked work causes no busy loop
-WATCH_SILENCE_LEASES = 2  # times to live of a lease; a watch that is silent for longer is opened again
+WATCH_SILENCE_LEASES = 2  # a watch that is silent for this many times a lease's time to live is reopened
 NONCE_BITS = 64
 
 
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -191,5 +191,5 @@
         raise NotImplementedError
 
     def _write_confirmed(self, reply: Reply) -> bool:
-        """Take the reply to a write, carried out or refused; return whether all keys are known afterwards."""
+        """Take the reply to a write, carried out or refused; return False if all keys must be read again."""
         raise NotImplementedError
--- a/gullhold/rollout/canary.py
+++ b/gullhold/rollout/canary.py
@@ -7,7 +7,7 @@
 from gullhold.rollout.policy_change import Canary, PolicyChange
 from gullhold.rollout.vote import CommandFigures, Vote
 
-MIN_COMMANDS = 20  # finished by all canary members; with fewer the share of failures is not significant
+MIN_COMMANDS = 20  # finished by the canary members together; with fewer, failures prove little
 
 
 def choose_members(change: PolicyChange, members: Iterable[str]) -> tuple[str, ...]:
--- a/gullhold/rollout/policy.py
+++ b/gullhold/rollout/policy.py
@@ -14,7 +14,7 @@
 from gullhold.rollout.policy_version import PolicyError
 
 SCHEMA_FILE = "policy.cue"
-MAX_POLICY_CHARACTERS = 100_000  # a policy is one value in the store, which limits their length
+MAX_POLICY_CHARACTERS = 100_000  # a policy is one value in the store, which limits the size of a value
 
 
 class Policy(NamedTuple):
--- a/gullhold/rollout/rollout_driver.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -101,7 +101,7 @@
         # Budget totals while a change is open: the lower of the old and the new one, so that the allocations
         # exceed neither.
         self.lowest_totals: dict[str, int] = {}
-        self.totals_set_for: BudgetTotalsCause | None = None  # when the totals of the allocator were last set
+        self.totals_set_for: BudgetTotalsCause | None = None  # as the allocator's totals were last set
         self.core.fences.append(self.gate)
         self._adopt(AT_START, INITIAL_VERSION)  # done before the first command; the gate is still closed
         self._use_snapshot()
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -250,7 +250,7 @@
             self._confirm_policy()
 
     def _confirm_policy(self) -> None:
-        """Count the policy as known for a lease's time from when the call that read it was sent."""
+        """Count the policy as known for as long as a lease certainly holds, from when its read was sent."""
         self.gate.policy_known_until = self.calls.sent_at + self.gate.guaranteed_us
         self.refresh_at = self.calls.sent_at + self.gate.guaranteed_us // REFRESHES_PER_LEASE
 
--- a/tests/test_budget_allocations.py
+++ b/tests/test_budget_allocations.py
@@ -120,13 +120,11 @@
     allocations = {"b": 10}
     assert throttle.should_write(0, 0, False, {"b": NO_USAGE}, allocations)
     throttle.record_report(0, 0, {"b": NO_USAGE})
-    assert not throttle.should_write(
-        500, 9, True, {"b": NO_USAGE}, allocations
-    )  # within the minimum interval
+    # The minimum interval has not passed.
+    assert not throttle.should_write(500, 9, True, {"b": NO_USAGE}, allocations)
     assert throttle.should_write(1000, 9, True, {"b": NO_USAGE}, allocations)  # a reduction is acknowledged
-    assert not throttle.should_write(
-        1000, 9, False, {"b": Usage(0, 1, 1)}, allocations
-    )  # its allocation suffices
+    # Its allocation suffices.
+    assert not throttle.should_write(1000, 9, False, {"b": Usage(0, 1, 1)}, allocations)
     assert throttle.should_write(1000, 0, False, {"b": Usage(0, 9, 12)}, allocations)  # a burst
     throttle.record_report(1000, 0, {"b": Usage(12, 12, 15)})
     assert not throttle.should_write(2000, 0, False, {"b": Usage(12, 12, 15)}, allocations)
--- a/tests/test_budget_allocator.py
+++ b/tests/test_budget_allocator.py
@@ -68,9 +68,8 @@
 def test_a_reallocation_handles_at_most_max_budgets_and_the_next_ones_handle_the_others():
     allocator = make_allocator("a", "b", **{f"b{i}": Budget(LedgerKind.HELD, 10) for i in range(50)})
     allocator.allocate(1, 0, max_budgets=50)
-    allocator.report(
-        "b", 1, {f"b{i}": Usage(0, 9, 9) for i in range(50)}, 0
-    )  # a has not acknowledged its reductions
+    # Member a has not acknowledged its reductions.
+    allocator.report("b", 1, {f"b{i}": Usage(0, 9, 9) for i in range(50)}, 0)
     seen = [set(allocator.allocate(2 + turn, 0, max_budgets=20).get("a", ())) for turn in range(3)]
     assert [len(names) for names in seen] == [20, 20, 10]
     assert len(set.union(*seen)) == 50
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -103,7 +103,7 @@
     "take_over",
 )
 STEPS = st.lists(st.tuples(st.sampled_from(ACTIONS), st.integers(0, 99)), max_size=80)
-RESERVE = 1  # units of each member
+RESERVE = 1  # units that each member may always spend
 LEASE_US = 2 * S
 WINDOW_US = 3 * S
 LINGER_US = 4 * S
@@ -314,7 +314,7 @@
                 simulation.check()
         except AssertionError:
             return
-    pytest.fail("no seed of the simulation finds this mutant")
+    pytest.fail(f"the simulation does not find the mutant {mutant.__name__} with any seed up to {seed}")
 
 
 @pytest.mark.parametrize("ledger_type, available", [(Ledger, 1), (TakesOldReports, 6)])
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -23,29 +23,29 @@
     children = [fair.add(name, weight) for name, weight in enumerate(weights)]
     weight = dict(zip(children, weights, strict=True))
     queue = {child: [] for child in children}
-    behind, largest = {}, 0.0  # by backlogged child: ideal less real work since it became backlogged
+    lags, largest = {}, 0.0  # by backlogged child: ideal less real work since it became backlogged
     for act, index, work in steps:
         child = children[index]
         if act < 5:
             queue[child].append(work)
             if child.state == IDLE:
                 fair.join(child)
-                behind[child] = 0.0
+                lags[child] = 0.0
         elif (picked := fair.pick()) is not None:
             size = queue[picked].pop(0)
             largest = max(largest, size)
-            total = sum(weight[other] for other in behind)
-            for other in behind:
-                behind[other] += size * weight[other] / total
-            behind[picked] -= size
+            total = sum(weight[other] for other in lags)
+            for other in lags:
+                lags[other] += size * weight[other] / total
+            lags[picked] -= size
             fair.charge(picked, size)
             if not queue[picked]:
                 fair.leave(picked)
-                del behind[picked]
-        assert {child for child in children if child.state != IDLE} == set(behind)
-        assert fair.ready_count == len(behind)
+                del lags[picked]
+        assert {child for child in children if child.state != IDLE} == set(lags)
+        assert fair.ready_count == len(lags)
         assert len(fair.ahead) + len(fair.eligible) <= 2 * 6 + 2 * 64
-        for other, lag in behind.items():
+        for other, lag in lags.items():
             assert lag <= largest + max(largest, QUANTUM) + 1e-6, (
                 f"child {other.owner} lags by {lag}, more than its bound with a largest command of {largest}"
             )
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -1,4 +1,4 @@
-"""Tests budgets in a fleet of real processes: engines count that never more than the total is in use."""
+"""Budgets in a fleet of real processes: by the engines' records, use never exceeds the total."""
 
 import json
 import socket
@@ -234,10 +234,10 @@
             ]
             time.sleep(0.8)
             stop_clients(*clients)
-        further = retries(fleet.engines)
-        most, _ = peak_in_window(further, 2.0)
-        assert 6 <= most <= 12, f"{most} retries in a window, not 6 to 12, of {len(further)} in all"
-        assert len(further) >= 12, f"only {len(further)} retries, of which {most} in one window"
+        retry_attempts = retries(fleet.engines)
+        most, _ = peak_in_window(retry_attempts, 2.0)
+        assert 6 <= most <= 12, f"{most} retries in a window, not 6 to 12, of {len(retry_attempts)} in all"
+        assert len(retry_attempts) >= 12, f"only {len(retry_attempts)} retries, of which {most} in one window"
 
 
 def test_discovery_calls_of_the_fleet_keep_their_budget_when_every_stream_ends_at_once():
@@ -285,11 +285,11 @@
 
 
 def test_every_member_is_served_in_turn_when_the_total_is_enough_for_one_command_only():
-    def three(settings):
+    def set_parallelism(settings):
         settings["domain"]["parallelism"] = [3, 1, 1]
 
     make = counting_engine(threads={"read": 3})
-    with make_rig(budgets=[threads_budget(4, grain=3, floor=0)], make=make, adjust=three) as fleet:
+    with make_rig(budgets=[threads_budget(4, grain=3, floor=0)], make=make, adjust=set_parallelism) as fleet:
         fleet.start()
         clients = [start_client(fleet, name, open=3, work_ms=40.0, limit_ms=2900) for name in fleet.names]
         fleet.until(lambda: all(one.counts.answered >= 3 for one in clients))
@@ -298,12 +298,12 @@
 
 
 def test_a_warming_engine_is_not_overloaded_while_members_change():
-    cold = {"of": '"cold"', "window": "1s"}
+    warmup_budget = {"of": '"cold"', "window": "1s"}
 
     def rules(settings):
         settings["rules"] |= {"cold_from": 0.05, "warm_after": 60, "fall_multiple": 1, "tip_after": 1}
 
-    with make_rig(budgets=[cold], adjust=rules) as fleet:
+    with make_rig(budgets=[warmup_budget], adjust=rules) as fleet:
         fleet.born_ms[0] = int(time.time() * 1000)
         fleet.start("n0", "n1")
         clients = [start_client(fleet, "n0", work_ms=20.0)]
@@ -345,15 +345,15 @@
         time.sleep(1.2)
         fleet.kill_register()
         fleet.until(lambda: len(fleet.engines[0].open) <= 4, 3)
-        began = sum(one.counts.answered for one in clients)
+        answered_before = sum(one.counts.answered for one in clients)
         time.sleep(0.6)
-        assert sum(one.counts.answered for one in clients) > began + 20
-        gone = time.time()
+        assert sum(one.counts.answered for one in clients) > answered_before + 20
+        restarted_at = time.time()
         fleet.start_register()
         fleet.until(lambda: sum(allocations(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
         stop_clients(*clients)
         check_fleet(fleet, min_attempts=50)
-        assert time.time() - gone < 6
+        assert time.time() - restarted_at < 6
 
 
 def test_commands_for_staff_show_budgets_a_plan_and_a_report(tmp_path, capsys):
@@ -363,17 +363,20 @@
         fleet.start()
         one = start_client(fleet, "n0")
         fleet.until(lambda: allocations(fleet) == {"n0": 9, "n1": 1})
-        at = ["--register", fleet.register_address, "--name", "rig"]
+        store_options = ["--register", fleet.register_address, "--name", "rig"]
 
         def row_in_use():
-            assert main(["fleet", "budgets", *at, "--json"]) == 0
+            assert main(["fleet", "budgets", *store_options, "--json"]) == 0
             (row,) = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
             return row if row["used"] >= 9 else None  # the first reports came before the load
 
         row = fleet.until(row_in_use)
         assert (row["whole"], row["kept back"], row["given"], row["waiting"]) == (12, 2, 10, "n0")
         assert row["parts"] == "n0 9, n1 1"
-        assert main(["fleet", "report", *at, "--seconds", "0.5", "--out", str(tmp_path / "x.html")]) == 0
+        assert (
+            main(["fleet", "report", *store_options, "--seconds", "0.5", "--out", str(tmp_path / "x.html")])
+            == 0
+        )
         stop_clients(one)
     page = (tmp_path / "x.html").read_text("utf-8")
     assert "<svg" in page
@@ -387,7 +390,7 @@
     assert main(plan[:-1]) == 0
     assert "17 given, 3 kept back" in capsys.readouterr().out
     assert main(["fleet", "plan", "--wants", "x"]) == 2
-    assert main(["fleet", "budgets", *at]) == 1
+    assert main(["fleet", "budgets", *store_options]) == 1
 
 
 def test_a_budget_that_does_not_fit_is_rejected_with_a_one_line_reason():
