--- a/gullhold/admission/drain_rate.py
+++ b/gullhold/admission/drain_rate.py
@@ -2,7 +2,8 @@
 
 from math import exp
 
-DECAY_TIME_US = 2_000_000  # exponential decay; longer than a few commands run, shorter than disturbances last
+# Time constant of the exponential decay; longer than a few commands run, shorter than disturbances last.
+DECAY_TIME_US = 2_000_000
 MIN_MEASURED_US = 200_000  # least decayed time with queued commands from which the rate is known
 
 
--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -65,9 +65,8 @@
         for tenant_queue in self.tenants.values():
             self.fair_queue.set_weight(tenant_queue.child, self._tenant_weights[tenant_queue.tenant])
             for flow in tenant_queue.flows.values():
-                if isinstance(
-                    flow.key, bytes
-                ):  # an exact flow; clients in shared flows have the default weight
+                # Only exact flows have the weight of their client; shared flows keep the default weight.
+                if isinstance(flow.key, bytes):
                     tenant_queue.fair_queue.set_weight(flow.child, self._client_weight(flow.key))
 
     def tenant_queue(self, tenant: int) -> TenantQueue:
--- a/gullhold/admission/sketch.py
+++ b/gullhold/admission/sketch.py
@@ -36,7 +36,7 @@
         return [row * WIDTH + (digest >> BITS_PER_ROW * row) % WIDTH for row in range(ROWS)]
 
     def add(self, name: bytes, work: float) -> float:
-        """Add work to a name; return the estimate of the name's recent work before."""
+        """Add work to a name; return the estimate of the name's recent work without it."""
         indexes = self.counter_indexes(name, self.salt)
         known_work = min(self._counts[index] for index in indexes)
         for index in indexes:
--- a/gullhold/admission/work_accounting.py
+++ b/gullhold/admission/work_accounting.py
@@ -15,9 +15,8 @@
 
     def __init__(self, flow_table: FlowTable) -> None:
         self._flow_table = flow_table
-        self._mean_work_us = (
-            0.0  # moving average of all commands' real work; 0: no answer has stated a cost yet
-        )
+        # Moving average of all commands' real work in us; 0: no answer has stated a cost yet.
+        self._mean_work_us = 0.0
 
     def estimate_us(self, stated_us: int) -> float:
         """Return the estimated work of a new command; stated_us: its client's estimate, 0: not stated."""
--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -29,8 +29,9 @@
     ) -> None:
         """Begin with allocations of 0, for all budgets whose rule names a subject.
 
-        budget_name: returns the name that a budget has in the store. lease: changed by another thread. clock:
-        monotonic us. on_shortage: called when an allocation runs out, once between two reports.
+        budget_name: returns the name that a budget has in the store. lease: the member's lease, which another
+        thread changes. clock: returns monotonic us. on_shortage: called when an allocation runs out, once
+        between two reports.
         """
         self.rules = dict(rules)
         self.budget_name = budget_name
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -20,8 +20,10 @@
 from gullhold.budgets.ledger import Ledger, LedgerKind
 from gullhold.budgets.max_min_fairness import damp_changes, max_min_shares
 
-MAX_BUDGETS_PER_ROUND = 200  # in one call of allocate(), which with 1,000 members takes half a second
-MAX_BUDGETS = 50_000  # that have a ledger at the same time; of further ones members have only their reserve
+# Budgets that one call of allocate() reallocates at most; this takes half a second with 1,000 members.
+MAX_BUDGETS_PER_ROUND = 200
+# Budgets that have a ledger at the same time at most; of any other budget, members have only their reserve.
+MAX_BUDGETS = 50_000
 ROTATION_US = 1_000_000  # us until other members are served first, if not all can have a usable amount
 
 
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -25,7 +25,7 @@
 from gullhold.fleet.store_calls import MAX_TRANSACTION_OPERATIONS, Delete, Operation, Put, Reply
 
 ROLE = "budgets"  # name of the role in the store and in the log
-FENCE_OPERATIONS = 2  # of each transaction: it writes the fence and compares the role's token
+FENCE_OPERATIONS = 2  # in each transaction: write the fence, compare the role's token
 OPERATIONS_PER_MEMBER = 2  # at most: its row, and its report if both are deleted
 MAX_MEMBERS_PER_WRITE = (MAX_TRANSACTION_OPERATIONS - FENCE_OPERATIONS) // OPERATIONS_PER_MEMBER
 WRITES_PER_TOKEN = 1 << 20  # write numbers reserved for each fencing token, so that they always increase
--- a/gullhold/budgets/demand.py
+++ b/gullhold/budgets/demand.py
@@ -1,9 +1,8 @@
 """How much of a budget a member requests, and how much of the request the allocator credits."""
 
 HEADROOM_DIVISOR = 4  # a member requests a quarter more than its peak, to get it before it runs out
-IDLE_TIMEOUT_US = (
-    2_000_000  # us until a request above a mostly idle allocation is cut: time for several reports
-)
+# Time until a request above a mostly idle allocation is cut, in which several reports arrive.
+IDLE_TIMEOUT_US = 2_000_000
 IDLE_RATIO = 2  # an allocation of more than this times the peak use is mostly idle
 
 
--- a/gullhold/budgets/max_min_fairness.py
+++ b/gullhold/budgets/max_min_fairness.py
@@ -65,9 +65,8 @@
     )
     shares = {member: count * granularity for member, count in units.items()}
     largest = max(shares, key=lambda member: shares[member])
-    shares[largest] += (
-        total % granularity
-    )  # less than a unit, which is usable only together with complete units
+    # The remainder is less than a unit, and usable only together with complete units.
+    shares[largest] += total % granularity
     return shares
 
 
--- a/gullhold/fleet/event_log.py
+++ b/gullhold/fleet/event_log.py
@@ -36,7 +36,7 @@
             self.log("warning", "write under a stale token refused", role=role, token=token)
 
     def log_fault(self, call: Any) -> None:
-        """Write the exception that is being handled, with its traceback. call: the one that raised it."""
+        """Write the exception that is being handled, with its traceback. call: the call that raised it."""
         function = call.call if isinstance(call, Invoke) else call
         logger.exception("fleet: call failed function={}", getattr(function, "__name__", function))
 
--- a/gullhold/fleet/occurrence_records.py
+++ b/gullhold/fleet/occurrence_records.py
@@ -12,9 +12,8 @@
     occurrence_key,
 )
 
-MAX_SETTLED_RECORDS = (
-    20  # settled (final) occurrences that stay in the store, for operators and the next leader
-)
+# Settled (final) occurrences that stay in the store, for operators and the next leader.
+MAX_SETTLED_RECORDS = 20
 
 
 class OccurrenceRecords:
--- a/gullhold/fleet/recovery.py
+++ b/gullhold/fleet/recovery.py
@@ -93,6 +93,7 @@
 
     Engines remember an idempotency key from when they first receive it, and no attempt is sent before the
     first intent is written: so the deduplication window has not ended before dedup_window_us have passed
-    since started_us. That is a time of another host's clock, which may be ahead of this host's by the skew.
+    since started_us. That is a time of another host's clock, which may be ahead of this host's by up to the
+    skew.
     """
     return occurrence.started_us + profile.dedup_window_us - rules.max_clock_skew_us
--- a/gullhold/fleet/watcher.py
+++ b/gullhold/fleet/watcher.py
@@ -71,9 +71,8 @@
                 self._on_gap()
                 self._next_revision = self._start_revisions.get()
                 continue
-            if (
-                time.monotonic() - opened_at >= self._max_silence_s
-            ):  # the store could be reached for that long
+            # A watch that lasted so long has reached the store.
+            if time.monotonic() - opened_at >= self._max_silence_s:
                 self._backoff.reset()
             else:
                 time.sleep(self._backoff.next_delay_us() / US_PER_SECOND)
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -181,11 +181,11 @@
 class BudgetRecord(OperatorRecord):
     """A budget that is divided among the members of the fleet: one, or one for each engine or tenant.
 
-    of: the kind, which decides the unit; tenant: only of this tenant, "": of each tenant without a budget of
-    its own; whole: the total for the fleet; window: us over which spending is counted; linger: us for which
-    work of a stopped member is taken to run on; alone: the reserve of each member, which it may also use
-    without the store; members: number of members for which reserves are kept; floor: smallest allocation of a
-    member; grain: smallest amount that is usable.
+    of: the kind, which decides the unit; tenant: the tenant that it is for, "": one for each tenant without
+    a budget of its own; whole: the total for the fleet; window: length in us of the window in which spending
+    is limited; linger: us for which work of a stopped member is taken to run on; alone: the reserve of each
+    member, which it may also use without the store; members: number of members for which reserves are kept;
+    floor: smallest allocation of a member; grain: smallest amount that is usable.
     """
 
     of: str
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -41,9 +41,8 @@
         self.stop_count = 0
         # Extended by each read of the policy in force: guards against a watch that has silently stopped.
         self.policy_known_until = 0
-        self.snapshot_valid_until = (
-            0  # end of the use of a snapshot, if the store was unreachable at the start
-        )
+        # When the use of a snapshot ends, if the store was unreachable at the start.
+        self.snapshot_valid_until = 0
 
     def may_dispatch(self) -> bool:
         """Whether an attempt may be sent now."""
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -35,9 +35,8 @@
     state = reporting_state()
     report = state.usage_collected(0, collected(), True)
     assert report == UsageReport(0, {"b/0": Usage(0, 0, 0)})
-    assert (
-        state.usage_collected(S, collected(peak=9, requested=12), True) is None
-    )  # the first report is still being written
+    # The first report is still being written.
+    assert state.usage_collected(S, collected(peak=9, requested=12), True) is None
     assert state.report_written(7, Reply(Proof.DONE, 5))
     assert state.revision == 5
     assert state.usage_collected(2 * S, collected(peak=9, requested=12), True)
@@ -80,9 +79,8 @@
     assert state.should_collect(COLLECT_INTERVAL_US, False)
     state.usage_collected(S, collected(in_use=12), True)  # more in use than is allocated
     assert state.due(S, False) == S + COLLECT_INTERVAL_US
-    state.usage_collected(
-        2 * S, collected(was_reduced=True), True
-    )  # not acknowledged yet, as a report is still being written
+    # The reduction is not acknowledged yet, as a report is still being written.
+    state.usage_collected(2 * S, collected(was_reduced=True), True)
     state.usage_collected(3 * S, collected(), True)
     assert state.due(3 * S, False) == 3 * S + COLLECT_INTERVAL_US
 
