--- a/benchmarks/admission_queue.py
+++ b/benchmarks/admission_queue.py
@@ -21,7 +21,7 @@
 from benchmarks.admission_queue_load import Variant
 from benchmarks.admission_queue_tenants import measure_tenant_growth
 from benchmarks.harness import Figures, at_least, at_most, make_parser, report_and_exit
-from gullhold.testing.running import ADMISSION_RULES, ROOT
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, ROOT
 
 COMMIT_BEFORE_QUEUE = "a6dbb5f"  # the last commit without an admission queue
 DECISION_TENANTS = (2, 4000, 100_000)
@@ -63,7 +63,7 @@
 
     earlier_root: the folder of the earlier version, or None if git does not have it.
     """
-    variants = [Variant("door", ADMISSION_RULES, ROOT)]
+    variants = [Variant("door", ADMISSION_OPERATOR_FILE, ROOT)]
     if extent.has_variants:
         variants.append(Variant("no door", "", ROOT))
     if extent.has_variants and earlier_root is not None:
--- a/benchmarks/admission_queue_load.py
+++ b/benchmarks/admission_queue_load.py
@@ -7,7 +7,7 @@
 
 from benchmarks.harness import quantile
 from gullhold.testing import load_client
-from gullhold.testing.running import ADMISSION_RULES, RunningDeployment
+from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment
 
 TENANT = "one"  # the only tenant: all clients belong to it
 WARM_UP_S = 1.5  # until the gateway knows its drain rate and the first connections are open
@@ -46,7 +46,7 @@
     variant: how to run it; None stands for the current version with the admission queue.
     """
     if variant is None:
-        return RunningDeployment(operator=ADMISSION_RULES, tenants=((TENANT, 1.0),))
+        return RunningDeployment(operator=ADMISSION_OPERATOR_FILE, tenants=((TENANT, 1.0),))
     return RunningDeployment(operator=variant.operator, tenants=((TENANT, 1.0),), root=variant.root)
 
 
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -14,9 +14,9 @@
 from typing import Any, NamedTuple
 
 from gullhold.net import thrift
-from gullhold.testing import PATIENCE_S
-from gullhold.testing.client import Caller
-from gullhold.testing.deployment import config, event
+from gullhold.testing import WAIT_TIMEOUT_S
+from gullhold.testing.client import BlockingClient
+from gullhold.testing.deployment import config, endpoint_list_event
 from gullhold.testing.discovery_service import DiscoveryService
 from gullhold.testing.many_engines import ManyEngines
 from gullhold.testing.running import ROOT, cpu_s, free_address, serving_status
@@ -54,7 +54,7 @@
 
     def __init__(self, address: Address, seconds: float, seed: int) -> None:
         super().__init__(daemon=True)
-        self.caller = Caller(address)
+        self.caller = BlockingClient(address)
         self.seconds = seconds
         self.draw = Random(seed).random
         self.sent = 0
@@ -69,7 +69,7 @@
             if self.sent <= elapsed_s * RATE_PER_S:
                 group = int(self.draw() * DATASETS)
                 statement = b"select a from sales_%d.t" % group
-                self.caller.ask("read", TIMEOUT_MS, txn=b"%016x" % (self.sent + 1), body=statement)
+                self.caller.send_command("read", TIMEOUT_MS, txn=b"%016x" % (self.sent + 1), body=statement)
                 self.sent += 1
             time.sleep(REQUEST_POLL_S)
         reader.join(TIMEOUT_MS / 1000)
@@ -119,7 +119,7 @@
 
     def _send(self, member: tuple[str, str, str], started_ms: int) -> None:
         self.index += 1
-        watch_event = event(self.index, member, started_ms=started_ms)
+        watch_event = endpoint_list_event(self.index, member, started_ms=started_ms)
         self.discovery_service.send(watch_event)
         self.list_bytes += len(json.dumps(watch_event)) + 1
 
@@ -156,7 +156,7 @@
     """The gateway's configuration: it lists the first `size` engines and names the discovery service."""
     configuration = config() | {"listen": free_address(), "coordinator": discovery_service.address}
     members = [(f"s-{number}", engines.addresses[number], "ready") for number in range(size)]
-    configuration["known"] = {"index": 1, "updates": [event(1, *members, whole=True)]}
+    configuration["known"] = {"index": 1, "updates": [endpoint_list_event(1, *members, is_complete=True)]}
     configuration["settings"]["domain"]["cores_by_kind"] = [CORES / size]
     configuration["settings"]["balancers"] = GATEWAYS
     return configuration
@@ -190,7 +190,7 @@
 
 
 def _wait_until_it_answers(address: Address, log_path: Path) -> None:
-    ends_at = time.monotonic() + PATIENCE_S
+    ends_at = time.monotonic() + WAIT_TIMEOUT_S
     while not serving_status(address):
         if time.monotonic() > ends_at:
             raise RuntimeError(f"the gateway did not come up: {log_path.read_text()}")
--- a/gullhold/testing/counting_engine.py
+++ b/gullhold/testing/counting_engine.py
@@ -1,4 +1,4 @@
-"""A test engine that records each attempt: when it began and ended, its threads, work and memory."""
+"""A test engine that records start, end, threads, work and memory of each attempt."""
 
 import socket
 import time
@@ -8,35 +8,38 @@
 
 from gullhold.net import resp
 from gullhold.testing.attempt_record import AttemptRecord
-from gullhold.testing.recording_engine import RecordingEngine, fields_of
+from gullhold.testing.recording_engine import RecordingEngine, fetch_fields
 from gullhold.testing.working_engine import AttemptKey, work_ms_of
 
-SEED_FACTOR = 7919  # keeps the draws of failures apart from those of durations
+FAILURE_SEED_FACTOR = 7919  # makes the random failures independent of the random durations
 
 
 class CountingEngine(RecordingEngine):
-    """Keeps a record of each fetch. attempts: all of them, in order; open: those that have not ended."""
+    """A working engine with a record of each attempt.
+
+    attempts: all attempts in order; open: those that have not ended, by connection and txn.
+    """
 
     def __init__(
         self,
         threads: Mapping[str, int] | None = None,
-        runs_on: bool = False,
+        runs_after_disconnect: bool = False,
         failure_rate: float = 0.0,
         seed: int = 1,
         **other: Any,
     ) -> None:
-        """Start it.
+        """Start the engine.
 
-        threads: of an attempt by its profile, 1 where not given; runs_on: attempts whose connection ends run
-        to their end, as in engines that notice late; failure_rate: fraction of fetches answered with an error
-        at once; other: arguments of the working engine.
+        threads: threads of an attempt by its profile, 1 where not given; runs_after_disconnect: attempts
+        whose connection ends run to their end, as in engines that notice late; failure_rate: fraction of
+        fetches answered with an error at once; other: arguments of WorkingEngine.
         """
         self.attempts: list[AttemptRecord] = []
         self.open: dict[tuple[socket.socket, bytes], AttemptRecord] = {}
         self.threads = threads or {}
-        self.runs_on = runs_on
+        self.runs_after_disconnect = runs_after_disconnect
         self.failure_rate = failure_rate
-        self.draw_failure = Random(seed * SEED_FACTOR).random
+        self.draw_failure = Random(seed * FAILURE_SEED_FACTOR).random
         super().__init__(seed=seed, **other)
 
     def _receive(self, connection: socket.socket, words: list[bytes]) -> None:
@@ -46,8 +49,8 @@
             connection.sendall(resp.encode(words[1], b"500", b"-", b""))
 
     def _record(self, connection: socket.socket, words: list[bytes]) -> bool:
-        """Record a fetch; return whether it is to run, rather than to fail at once."""
-        fields = fields_of(words)
+        """Record a fetch; return whether the engine runs it, False if it is to be answered with an error."""
+        fields = fetch_fields(words)
         record = AttemptRecord(
             started_at=time.time(),
             ended_at=None,
@@ -66,7 +69,7 @@
         return not fails
 
     def _connection_ended(self, connection: socket.socket) -> None:
-        if self.runs_on:
+        if self.runs_after_disconnect:
             self._remove_queued(lambda key: key.connection is connection)
         else:
             super()._connection_ended(connection)
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -1,7 +1,8 @@
-"""Several gateways as processes of their own, a store, engines, and relays between them, on loopback.
+"""A test rig of a fleet: gateway processes, their relays to a store process, and engines, all on loopback.
 
-A scenario calls it step by step: start, stop, kill, pause, resume, cut, heal. What came of it is read from
-the store's journal, the engines' records and the gateways' events by gullhold.testing.fleet_checker.
+A test starts, stops, kills, pauses and resumes gateways, and cuts their connections to the store.
+gullhold.testing.fleet_checker checks the results in the store's journal, the engines' records and the
+gateways' events.
 """
 
 import tempfile
@@ -14,7 +15,7 @@
 
 import requests
 
-from gullhold.testing import PATIENCE_S, gateway_log
+from gullhold.testing import WAIT_TIMEOUT_S, gateway_log
 from gullhold.testing.deployment import config
 from gullhold.testing.fleet_checker import FleetChecker
 from gullhold.testing.fleet_process import Member, StoreProcess
@@ -22,13 +23,13 @@
 from gullhold.testing.relay import Direction, RelayMode
 from gullhold.testing.running import serving_status
 
-KINDS = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}  # profiles of the deployment
-SEEDS_PER_RIG = 1000  # the starts of one rig have seeds of their own
-POLL_S = 0.01  # between looks at what is waited for
-STORY_LINES = 40
-STORY_LINE_LENGTH = 200
-EVENT_FACTS = ("role", "token", "reason", "due_us")
-JOURNAL_FACTS = ("revision", "met", "lease", "acts")
+IDEMPOTENCY_BY_PROFILE = {"read": "replayable", "mark": "uniqued", "once": "non-replayable"}
+SEEDS_PER_RIG = 1000  # each start of a gateway has its own seed; bounds the number of starts in a rig
+POLL_INTERVAL_S = 0.01
+TIMELINE_LINES = 40  # the last ones, in a failure's message
+TIMELINE_LINE_LENGTH = 200  # characters
+TIMELINE_EVENT_FIELDS = ("role", "token", "reason", "due_us")
+TIMELINE_JOURNAL_FIELDS = ("revision", "met", "lease", "acts")
 
 OPERATOR_FILE = """fleet: {{
     on: true, name: "rig", register: "{register}", timeout: 400ms, lease: {lease_s}s, look: {look}
@@ -46,7 +47,7 @@
 
 
 class FleetEvent(NamedTuple):
-    """An event that a gateway logged of the fleet. at: Unix s."""
+    """A fleet event that a gateway logged. at: Unix s; facts: the fields of its log record."""
 
     at: float
     member: str
@@ -55,7 +56,7 @@
 
 
 def _operator_list(items: Iterable[dict[str, Any]]) -> str:
-    """Records of an operator's file."""
+    """Return records as the elements of a list in an operator file."""
     rows = [", ".join(f"{key}: {value}" for key, value in item.items()) for item in items]
     return "\n".join("{" + row + "}," for row in rows)
 
@@ -69,87 +70,89 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class RigOptions:
-    """What a rig is made of.
-
-    members, engines: their numbers; lease_s: of a member; fleet: more of the operator's file, as text;
-    scheduled, budgets: records of the operator's file; beats, beat_ms: heartbeat roles and their period;
-    timeout_s: of all commands; dedup_s: how long engines remember an idempotency key; drift, policy, look:
-    text of the operator's file under these keys; settle_ms: of roles; moves: of roles, a second;
-    coordinator: address of the discovery service; adjust(settings): changes the settings that gateways are
-    started with; make(seed): makes an engine.
+class FleetRigOptions:
+    """The options of a FleetRig.
+
+    members, engines: their numbers; lease_s: lease of a member; operator_text: further text of the operator
+    file; scheduled, budgets: records of the operator file; heartbeat_roles, heartbeat_ms: number of heartbeat
+    roles and their period; seed: of the engines and gateways; timeout_s: client timeout of all profiles;
+    dedup_s: how long engines remember an idempotency key; drift, policy: text of the operator file under
+    these keys; settle_ms, max_moves_per_s: settling time of roles, and how many may move in a second;
+    budget_check_interval: duration in the operator file; coordinator: address of the discovery service;
+    adjust_settings: changes the settings that gateways are started with, in place; make_engine: makes an
+    engine from a seed.
     """
 
     members: int = 3
     lease_s: int = 1
-    fleet: str = ""
+    operator_text: str = ""
     scheduled: Iterable[dict[str, Any]] = ()
-    beats: int = 0
-    beat_ms: int = 50
+    heartbeat_roles: int = 0
+    heartbeat_ms: int = 50
     engines: int = 2
     seed: int = 1
     timeout_s: float = 3.0
     dedup_s: float = 4.0
     drift: str = "rate: 0.02, margin: 50ms"
     settle_ms: int = 200
-    moves: int = 500
+    max_moves_per_s: int = 500
     budgets: Iterable[dict[str, Any]] = ()
     policy: str = ""
-    look: str = "50ms"
+    budget_check_interval: str = "50ms"
     coordinator: str | None = None
-    adjust: Callable[[dict[str, Any]], Any] = _leave_unchanged
-    make: Callable[[int], RecordingEngine] = _make_recording_engine
+    adjust_settings: Callable[[dict[str, Any]], Any] = _leave_unchanged
+    make_engine: Callable[[int], RecordingEngine] = _make_recording_engine
 
     def operator_values(self) -> dict[str, Any]:
-        """Return the values in the operator's file that are the same for all members."""
+        """Return the values in the operator file that are the same for all members."""
         return {
             "lease_s": self.lease_s,
-            "look": self.look,
+            "look": self.budget_check_interval,
             "policy": self.policy,
             "drift": self.drift,
             "roles": (
-                f"moves: {self.moves}, settle: {self.settle_ms}ms, "
-                f"beats: {self.beats}, beat: {self.beat_ms}ms"
+                f"moves: {self.max_moves_per_s}, settle: {self.settle_ms}ms, "
+                f"beats: {self.heartbeat_roles}, beat: {self.heartbeat_ms}ms"
             ),
             "schedule": _operator_list(self.scheduled),
-            "more": self.fleet,
+            "more": self.operator_text,
         }
 
 
-class Rig:
-    """A fleet from entering to leaving.
+class FleetRig:
+    """A fleet of gateway processes with its store and engines, which runs inside a `with` block.
 
-    born_ms: start times of engines in Unix ms, by the engine's number; began: Unix s; budgets: may be changed
-    before a member's start.
+    engine_start_ms: start times of engines in Unix ms, by the engine's number; started_at: Unix s; budgets:
+    records of the operator file, read whenever a member starts.
     """
 
     def __init__(self, **options: Any) -> None:
-        """Prepare it; nothing runs yet. options: fields of RigOptions."""
-        self.options = RigOptions(**options)
+        """Start the engines; no gateway or store runs yet. options: fields of FleetRigOptions."""
+        self.options = FleetRigOptions(**options)
         self.lease_s = self.options.lease_s
         self.dedup_s = self.options.dedup_s
         self.folder = tempfile.TemporaryDirectory(prefix="gullhold-fleet-")
         self.path = Path(self.folder.name)
         self.budgets = list(self.options.budgets)
         self.engines = [
-            self.options.make(self.options.seed + number) for number in range(self.options.engines)
+            self.options.make_engine(self.options.seed + number) for number in range(self.options.engines)
         ]
-        self.born_ms: dict[int, int] = {}
+        self.engine_start_ms: dict[int, int] = {}
         self.store_process = StoreProcess(self.path)
         self.names = [f"n{number}" for number in range(self.options.members)]
         self.members: dict[str, Member] = {}
-        self.began = time.time()
+        self.started_at = time.time()
         self._operator_values = self.options.operator_values()
 
     def __enter__(self) -> Self:
-        """Start the store."""
-        self.start_register()
+        """Start the store, and prepare the members; none of them is started."""
+        self.start_store()
         for name in self.names:
-            self.members[name] = Member(name, self.path, self.register_address)
+            self.members[name] = Member(name, self.path, self.store_address)
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End all processes, and remove the files."""
+        """Kill all processes, and remove the files."""
         for member in self.members.values():
             member.kill()
             gateway_log.record(member.log_text())
@@ -163,25 +166,25 @@
     # The store
 
     @property
-    def register_address(self) -> str:
+    def store_address(self) -> str:
         """HOST:PORT of the store."""
         return self.store_process.address
 
-    def start_register(self) -> None:
-        """Start the store, or start it again with what it has stored."""
+    def start_store(self) -> None:
+        """Start the store, or restart it on its file."""
         self.store_process.start()
 
-    def kill_register(self) -> None:
-        """Kill the store, at whatever it is doing."""
+    def kill_store(self) -> None:
+        """Kill the store with SIGKILL."""
         self.store_process.kill()
 
-    def faults(self, **requested: Any) -> None:
-        """Ask the store for faults."""
-        requests.post(f"http://{self.register_address}/faults", json=requested, timeout=PATIENCE_S)
+    def inject_store_faults(self, **requested: Any) -> None:
+        """Make the store fail in these ways; the names are those of gullhold.testing.register.faults."""
+        requests.post(f"http://{self.store_address}/faults", json=requested, timeout=WAIT_TIMEOUT_S)
 
-    def counts(self) -> dict[str, int]:
-        """Calls that the store has had, by kind."""
-        return requests.get(f"http://{self.register_address}/counts", timeout=PATIENCE_S).json()
+    def store_call_counts(self) -> dict[str, int]:
+        """Return the number of calls that the store has received, by path."""
+        return requests.get(f"http://{self.store_address}/counts", timeout=WAIT_TIMEOUT_S).json()
 
     # Members
 
@@ -190,22 +193,22 @@
         *names: str,
         wait: bool = True,
         operator: bool = True,
-        name_: str | None = None,
+        as_name: str | None = None,
         **hooks: Any,
     ) -> None:
-        """Start gateways, all without names.
+        """Start these gateways, or all of them if no names are given.
 
-        wait: until they answer or end; operator: with the operator's file; name_: under another's name;
-        hooks: what gullhold.testing.hooked_gateway is asked for.
+        wait: wait until each answers its health check or has ended; operator: with an operator file; as_name:
+        the name in the configuration, if it is another member's; hooks: for gullhold.testing.hooked_gateway.
         """
         started = [self.members[name] for name in names or self.names]
         for member in started:
             member.serial += 1
             operator_text = self._operator_text(member) if operator else None
-            member.start(self._configuration(member, name_ or member.name), operator_text, hooks)
+            member.start(self._configuration(member, as_name or member.name), operator_text, hooks)
         if wait:
             for member in started:
-                self.until(partial(_has_started_or_ended, member))
+                self.wait_until(partial(_has_started_or_ended, member))
 
     def _operator_text(self, member: Member) -> str:
         return OPERATOR_FILE.format(
@@ -223,65 +226,68 @@
             "coordinator": self.options.coordinator,
         }
         settings = configuration["settings"]
-        settings["domain"]["note_period"] = 0  # these engines send no status notes
+        settings["domain"]["note_period"] = 0  # the test engines send no status notes
         for category in settings["categories"]:
             category["give_up"] = self.options.timeout_s
             category["window"] = self.dedup_s
-        self.options.adjust(settings)
+        self.options.adjust_settings(settings)
         entries = configuration["known"]["updates"][0]["endpoints"]["members"]
         for number, entry in enumerate(entries):
-            entry["up_since_ms"] = self.born_ms.get(number, 0)
+            entry["up_since_ms"] = self.engine_start_ms.get(number, 0)
         return configuration
 
     def stop(self, *names: str) -> None:
-        """SIGTERM, and wait for the end."""
+        """Send SIGTERM to these gateways, and wait until they have ended."""
         for name in names:
             self.members[name].terminate()
         for name in names:
             self.members[name].wait()
 
     def kill(self, *names: str) -> None:
-        """SIGKILL."""
+        """Kill these gateways with SIGKILL."""
         for name in names:
             self.members[name].kill()
 
     def pause(self, *names: str) -> None:
-        """SIGSTOP."""
+        """Suspend these gateways with SIGSTOP."""
         for name in names:
             self.members[name].pause()
 
     def resume(self, *names: str) -> None:
-        """SIGCONT."""
+        """Resume these gateways with SIGCONT."""
         for name in names:
             self.members[name].resume()
 
-    def paused(self, name: str) -> bool:
-        """Whether it sleeps by a SIGSTOP."""
+    def is_paused(self, name: str) -> bool:
+        """Return whether a gateway is suspended by SIGSTOP."""
         return self.members[name].is_paused()
 
     def cut(
-        self, name: str, way: RelayMode = RelayMode.HELD, sides: Iterable[str] = tuple(Direction)
+        self, name: str, mode: RelayMode = RelayMode.HELD, directions: Iterable[str] = tuple(Direction)
     ) -> None:
-        """Between a gateway and the store nothing passes in these directions until heal()."""
-        self.members[name].relay.set(way, sides)
+        """Interrupt a gateway's connections to the store until heal(); mode: what becomes of the bytes."""
+        self.members[name].relay.set(mode, directions)
 
     def heal(self, name: str) -> None:
-        """All passes again."""
+        """Let a gateway and the store communicate again."""
         self.members[name].relay.set(RelayMode.OPEN)
 
-    # What can be seen
+    # Observation
 
-    def until(self, condition: Callable[[], Any], seconds: float = PATIENCE_S) -> Any:
-        """Wait until a condition gives something true; what it gave. Raises AssertionError with the story."""
-        end = time.monotonic() + seconds
+    def wait_until(self, condition: Callable[[], Any], seconds: float = WAIT_TIMEOUT_S) -> Any:
+        """Wait until a condition returns something true, and return that.
+
+        Raises AssertionError with the timeline after so many seconds.
+        """
+        deadline = time.monotonic() + seconds
         while not (found := condition()):
-            if time.monotonic() > end:
-                raise AssertionError("waited in vain\n" + self.story())
-            time.sleep(POLL_S)
+            if time.monotonic() > deadline:
+                raise AssertionError("waited in vain\n" + self.timeline())
+            time.sleep(POLL_INTERVAL_S)
         return found
 
     def events(self, name: str | None = None) -> list[FleetEvent]:
-        """What gateways logged of the fleet, in order of time; name: of one gateway alone."""
+        """Return the fleet events that gateways logged, in order of time; name: of this gateway only."""
         members = [self.members[name]] if name else self.members.values()
         events = [
             FleetEvent(record["time"]["timestamp"], member.name, record["extra"]["event"], record["extra"])
@@ -290,49 +296,49 @@
         ]
         return sorted(events, key=lambda event: event.at)
 
-    def lines(self) -> list[dict[str, Any]]:
-        """The store's journal."""
+    def journal_lines(self) -> list[dict[str, Any]]:
+        """Return the records of the store's journal."""
         return self.store_process.journal_lines()
 
-    def owners(self) -> dict[str, tuple[str, int]]:
-        """(member, token) of the leader of each role, by the store's journal."""
-        return FleetChecker(self.lines()).leaders()
+    def leaders(self) -> dict[str, tuple[str, int]]:
+        """Return the (member, token) of the leader of each role, according to the store's journal."""
+        return FleetChecker(self.journal_lines()).leaders()
 
-    def owner(self, role: str, other_than: str = "") -> str:
-        """Wait until a member leads a role, and not this one; its name."""
+    def wait_for_leader(self, role: str, other_than: str = "") -> str:
+        """Wait until a member other than `other_than` leads a role; return its name."""
 
         def new_leader() -> str | None:
-            leader = self.owners().get(role)
+            leader = self.leaders().get(role)
             if leader is None or leader[0] == other_than:
                 return None
             return leader[0]
 
-        return self.until(new_leader)
+        return self.wait_until(new_leader)
 
-    def story(self) -> str:
-        """The last of what happened, for a failure: when, who, what, token, revision."""
-        rows = [(event.at, _event_story(event)) for event in self.events()]
-        rows += [(line["at"], _journal_story(line)) for line in self.lines() if _is_worth_telling(line)]
-        last = sorted(rows)[-STORY_LINES:]
-        return "\n".join(f"{at - self.began:8.3f} {text[:STORY_LINE_LENGTH]}" for at, text in last)
+    def timeline(self) -> str:
+        """Return the latest fleet events and journal records as text, for the message of a failure."""
+        rows = [(event.at, _event_text(event)) for event in self.events()]
+        rows += [(line["at"], _journal_text(line)) for line in self.journal_lines() if _is_shown(line)]
+        last = sorted(rows)[-TIMELINE_LINES:]
+        return "\n".join(f"{at - self.started_at:8.3f} {text[:TIMELINE_LINE_LENGTH]}" for at, text in last)
 
 
 def _has_started_or_ended(member: Member) -> bool:
     return serving_status(member.address) is not None or member.has_ended()
 
 
-def _event_story(event: FleetEvent) -> str:
-    facts = [f"{key}={event.facts[key]}" for key in EVENT_FACTS if event.facts.get(key)]
+def _event_text(event: FleetEvent) -> str:
+    facts = [f"{key}={event.facts[key]}" for key in TIMELINE_EVENT_FIELDS if event.facts.get(key)]
     return " ".join([event.member, event.text, *facts])
 
 
-def _journal_story(line: dict[str, Any]) -> str:
-    facts = [f"{key}={line[key]}" for key in JOURNAL_FACTS if key in line]
+def _journal_text(line: dict[str, Any]) -> str:
+    facts = [f"{key}={line[key]}" for key in TIMELINE_JOURNAL_FIELDS if key in line]
     return " ".join(["register", line["what"], *facts])
 
 
-def _is_worth_telling(line: dict[str, Any]) -> bool:
-    """Whether a line of the journal is more than a renewed lease or a heartbeat that was written."""
+def _is_shown(line: dict[str, Any]) -> bool:
+    """Return whether a journal record is neither a renewed lease nor a heartbeat that was written."""
     if "kept" in line["what"]:
         return False
     is_heartbeat = line.get("met") and all("/beats/" in write[1] for write in line["acts"])
--- a/gullhold/testing/soak/doubles.py
+++ b/gullhold/testing/soak/clients_and_engines.py
@@ -1,4 +1,4 @@
-"""Clients and engines of the soak: each keeps what it wrote and got, with times in monotonic s."""
+"""Clients and engines of the soak test, which record what they send and receive. Times are monotonic s."""
 
 import socket
 import time
@@ -8,17 +8,17 @@
 from typing import Any, NamedTuple
 
 from gullhold.net import thrift
-from gullhold.testing.client import Caller
+from gullhold.testing.client import BlockingClient
 from gullhold.testing.soak.plan import Plan
 from gullhold.testing.working_engine import WorkingEngine, statement
 
 PROFILES = ("read", "mark", "once")
-MAX_OPEN = 16  # requests of one connection
-WORK_MS = (2.0, 20.0, 60.0)  # of a command
+MAX_OPEN_REQUESTS = 16  # of one connection
+WORK_MS = (2.0, 20.0, 60.0)  # work of a command; one is chosen at random
 
 
-class AnswerAt(NamedTuple):
-    """An answer and when it was read."""
+class TimedAnswer(NamedTuple):
+    """An answer and the time at which the client read it."""
 
     at: float
     result: bytes | str
@@ -26,19 +26,23 @@
 
 @dataclass
 class RequestRecord:
-    """One request as its client saw it. ends_at: when its connection ended, None while it is open."""
+    """One request as its client saw it.
+
+    left_at: when the client closed its connection with the request open; ends_at: when the connection ended
+    with the request open; both None otherwise.
+    """
 
     txn: bytes
     profile: str
     written_at: float
     timeout_s: float
-    answers: list[AnswerAt] = field(default_factory=list)
-    left_at: float | None = None  # when its client left, with the request open
+    answers: list[TimedAnswer] = field(default_factory=list)
+    left_at: float | None = None
     ends_at: float | None = None
 
 
-class FetchAt(NamedTuple):
-    """A command that an engine was sent."""
+class TimedFetch(NamedTuple):
+    """A command that an engine received. engine: its number."""
 
     at: float
     txn: bytes
@@ -46,9 +50,9 @@
 
 
 class SoakClient:
-    """Keeps asking on one connection until that ends, then on another until it is stopped.
+    """A client that sends commands on one connection after another until it is stopped.
 
-    may_connect: whether it opens a further connection.
+    may_connect: whether it opens another connection when one has ended.
     """
 
     def __init__(self, address: tuple[str, int], number: int, plan: Plan) -> None:
@@ -61,21 +65,21 @@
         self._thread = Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start to send commands."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask nothing more."""
+        """Send no more commands."""
         self.is_stopped = True
 
     def join(self, timeout_s: float) -> None:
-        """Wait until its connection has ended."""
+        """Wait until the client's connection has ended."""
         self._thread.join(timeout_s)
 
     def _run(self) -> None:
         while not self.is_stopped and self.may_connect:
             try:
-                caller = Caller(self.address)
+                caller = BlockingClient(self.address)
             except OSError:
                 time.sleep(self.plan.pause_s)
                 continue
@@ -83,9 +87,12 @@
 
 
 class _SoakConnection:
-    """One connection: a thread that writes, and one that reads until the end."""
+    """One connection of a client; the client's thread writes, and another thread reads until the end.
+
+    open, answered: requests by sequence number.
+    """
 
-    def __init__(self, client: SoakClient, caller: Caller) -> None:
+    def __init__(self, client: SoakClient, caller: BlockingClient) -> None:
         self.client = client
         self.caller = caller
         self.lock = Lock()
@@ -101,21 +108,21 @@
         reader.start()
         try:
             while not self.has_ended and not self.client.is_stopped:
-                if len(self.open) < MAX_OPEN:
-                    self._ask()
+                if len(self.open) < MAX_OPEN_REQUESTS:
+                    self._send_command()
                 if self.open and self.client.draw.random() < self.client.plan.leave_chance:
                     self._leave()
                     break
                 time.sleep(self.client.plan.pause_s)
         except OSError:
-            pass  # its end
+            pass  # the connection has ended
         reader.join(self.client.plan.timeout_s + 2.0)
         ends_at = time.monotonic()
         for record in self.open.values():
             record.ends_at = record.ends_at or ends_at
         caller.sock.close()
 
-    def _ask(self) -> None:
+    def _send_command(self) -> None:
         client = self.client
         draw = client.draw
         profile = draw.choice(PROFILES)
@@ -124,7 +131,7 @@
         with self.lock:
             self.open[self.caller.seq + 1] = record
         client.records.append(record)
-        self.caller.ask(
+        self.caller.send_command(
             profile,
             int(client.plan.timeout_s * 1000),
             txn=txn,
@@ -133,7 +140,7 @@
         )
 
     def _leave(self) -> None:
-        """Close the connection; the reader notices at once."""
+        """Close the connection with requests open; the reading thread ends at once."""
         now = time.monotonic()
         with self.lock:
             for record in self.open.values():
@@ -142,8 +149,8 @@
 
     def _read(self) -> None:
         try:
-            while (found := self.caller.answer()) is not None:
-                self._take(found.sequence_number, AnswerAt(time.monotonic(), found.result))
+            while (found := self.caller.read_answer()) is not None:
+                self._record_answer(found.sequence_number, TimedAnswer(time.monotonic(), found.result))
         except (OSError, thrift.ProtocolError):
             pass
         ended_at = time.monotonic()
@@ -152,7 +159,7 @@
             for record in self.open.values():
                 record.ends_at = ended_at
 
-    def _take(self, sequence_number: int, answer: AnswerAt) -> None:
+    def _record_answer(self, sequence_number: int, answer: TimedAnswer) -> None:
         with self.lock:
             record = self.open.pop(sequence_number, None) or self.answered.get(sequence_number)
             if record is not None:
@@ -161,17 +168,17 @@
 
 
 class SoakEngine(WorkingEngine):
-    """A working engine that keeps when it was sent what, and can hang."""
+    """A working engine that records the fetches it receives. hangs: whether it answers nothing any more."""
 
     def __init__(self, number: int, seed: int) -> None:
         self.number = number
-        self.fetches: list[FetchAt] = []
+        self.fetches: list[TimedFetch] = []
         self.hangs = False
         super().__init__(slots=16, spread=0.2, seed=seed)
 
     def _receive(self, connection: socket.socket, words: list[bytes]) -> None:
         if words[0] == b"fetch":
-            self.fetches.append(FetchAt(time.monotonic(), words[1], self.number))
+            self.fetches.append(TimedFetch(time.monotonic(), words[1], self.number))
         if not self.hangs:
             super()._receive(connection, words)
 
--- a/tests/test_policy_commands.py
+++ b/tests/test_policy_commands.py
@@ -18,7 +18,7 @@
     with make_fleet(2) as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        options = ["--register", fleet.register_address, "--name", "rig"]
+        options = ["--register", fleet.store_address, "--name", "rig"]
         assert main(["policy", "check", str(path)]) == 0
         assert main(["policy", "diff", str(path), *options]) == 0
         assert "grants read: as agreed -> 20" in capsys.readouterr().out
@@ -50,11 +50,11 @@
         assert main(["policy", "drop", *options]) == 2
         path.write_text("policy: {")
         assert main(["policy", "propose", str(path), *options]) == 2
-        policies = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.store_address, "rig")
         reply = policies.session.call(ReadPrefix("policy/now/"))
         assert reply.proof == Proof.DONE
         assert policies.current().text == INITIAL_VERSION.text
         assert history_key(2) in policies.read()
-        fleet.kill_register()
+        fleet.kill_store()
         assert main(["policy", "status", *options]) == ExitStatus.UNKNOWN
-        fleet.start_register()
+        fleet.start_store()
--- a/tests/test_policy_snapshot.py
+++ b/tests/test_policy_snapshot.py
@@ -23,19 +23,19 @@
     with make_fleet(1, policy=f'on: true, snapshot: "{path}", spare: {SNAPSHOT_LIFE_S}s') as fleet:
         fleet.start()
         wait_until_in_force(fleet)
-        policies = PolicyClient(fleet.register_address, "rig")
+        policies = PolicyClient(fleet.store_address, "rig")
         assert (
             policies.wait(policies.propose(policy_granting(20), "a", "b").number, 5).status
             == ExitStatus.IN_FORCE
         )
-        fleet.until(lambda: snapshot.read(path) and snapshot.read(path)[0].number == 1)
+        fleet.wait_until(lambda: snapshot.read(path) and snapshot.read(path)[0].number == 1)
         fleet.kill("n0")
-        fleet.kill_register()
+        fleet.kill_store()
         fleet.start("n0")
         clients = start_clients(fleet)
-        fleet.until(lambda: clients[0].counts.answered > 5)
+        fleet.wait_until(lambda: clients[0].counts.answered > 5)
         assert {attempt.memory_mb for attempt in fleet.engines[0].attempts} == {20}
         # Once the snapshot may not be used any more, commands are shed.
-        fleet.until(lambda: clients[0].counts.shed > 5, seconds=2 * SNAPSHOT_LIFE_S)
+        fleet.wait_until(lambda: clients[0].counts.shed > 5, seconds=2 * SNAPSHOT_LIFE_S)
         stop_clients(clients)
-        fleet.start_register()
+        fleet.start_store()
