--- a/tests/admission_world.py
+++ b/tests/admission_simulation.py
@@ -22,7 +22,7 @@
 COMMAND_BYTES = 100
 
 
-def door_record(text: str = "") -> records.AdmissionQueueRecord:
+def queue_record(text: str = "") -> records.AdmissionQueueRecord:
     """The admission queue's record, from the text of an operator file that is appended to a minimal one."""
     return records.read('door: {on: true, come_back: field: "retry_ms"}\n' + text, "test.cue").door
 
@@ -70,12 +70,12 @@
     result: Forward | Reject
 
 
-class World:
+class AdmissionSimulation:
     """Clients, an admission queue, and a decision module with `slots` attempts open at once.
 
     It keeps records of its own, and compares the queue with them after each step if `checked` is true.
-    text: more of the operator file; weights: of the tenants; ordered: for each profile, whether commands with
-    an ordering key must keep their order.
+    text: appended to the minimal operator file of queue_record(); weights: of the tenants; ordered: for each
+    profile, whether commands with an ordering key must keep their order.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         seed: int = 1,
         checked: bool = True,
     ) -> None:
-        self.record = door_record(text)
+        self.record = queue_record(text)
         self.slots = slots
         self.checked = checked
         self.ordered = ordered
@@ -144,7 +144,9 @@
         """Check each result against the queue's guarantees, then carry it out."""
         for result in results:
             self.results.append(TimedResult(self.now, result))
-            assert self.open_commands[result.command].stage is Stage.QUEUED, "second result for a command"
+            assert self.open_commands[result.command].stage is Stage.QUEUED, (
+                f"second result for a command, which is not queued any more: {result}"
+            )
             if isinstance(result, Forward):
                 self._forward(result.command)
             else:
@@ -161,7 +163,10 @@
                 and row.stage is Stage.QUEUED
                 and (row.profile_index, row.ordering_key) == (command.profile_index, command.ordering_key)
             ]
-            assert not earlier, "forwarded before an earlier command of its key"
+            assert not earlier, (
+                f"command {ident} was forwarded before commands {earlier}, which came earlier with the same "
+                f"ordering key {command.ordering_key}"
+            )
         command.stage = Stage.FORWARDED
         self.forwarded.append(ident)
         rows = [self.open_commands[other] for other in self.forwarded]
@@ -171,7 +176,8 @@
 
     def _reject(self, rejection: Reject) -> None:
         assert self.now <= self.open_commands[rejection.command].timeout_at, (
-            "rejected after its client timeout"
+            f"command {rejection.command} was rejected at {self.now} us, after its client timeout at "
+            f"{self.open_commands[rejection.command].timeout_at} us"
         )
         assert rejection.retry_after_us <= self.record.come_back.most
         self.retry_after_us[rejection.command] = rejection.retry_after_us
@@ -254,15 +260,15 @@
             assert not queue.forwarded_count
 
 
-def keep_open(world: World, span_us: int, **clients: int) -> None:
+def keep_open(simulation: AdmissionSimulation, span_us: int, **clients: int) -> None:
     """Keep as many commands open for each client as it has in `clients`; work_done omits the first second."""
-    until, is_counting = world.now + span_us, False
-    while world.now < until:
-        if not is_counting and world.now > until - span_us + SECOND:
-            world.work_done.clear()
+    until, is_counting = simulation.now + span_us, False
+    while simulation.now < until:
+        if not is_counting and simulation.now > until - span_us + SECOND:
+            simulation.work_done.clear()
             is_counting = True
-        open_by_client = Counter(command.client for command in world.open_commands.values())
+        open_by_client = Counter(command.client for command in simulation.open_commands.values())
         for client, target in clients.items():
             for _ in range(target - open_by_client[client.encode()]):
-                world.submit(client.encode())
-        world.wait(10 * MS)
+                simulation.submit(client.encode())
+        simulation.wait(10 * MS)
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -85,8 +85,14 @@
     assert not checker.decided_without_all, fleet.timeline()
     assert not checker.decided_though_refused, fleet.timeline()
     mixed_count, measured_ms = measure_overlap(attempts_with_policy(fleet.engines, grants))
-    assert not (strict and mixed_count), (mixed_count, measured_ms, fleet.timeline())
-    assert measured_ms <= overlap_ms, (mixed_count, measured_ms, fleet.timeline())
+    assert not (strict and mixed_count), (
+        f"{mixed_count} attempts under an old version after one under a newer one; the versions overlapped "
+        f"for {measured_ms} ms\n{fleet.timeline()}"
+    )
+    assert measured_ms <= overlap_ms, (
+        f"versions overlapped for {measured_ms} ms, longer than {overlap_ms} ms, with {mixed_count} attempts "
+        f"under an old version after one under a newer one\n{fleet.timeline()}"
+    )
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
     return checker
