--- a/gullhold/net/process.py
+++ b/gullhold/net/process.py
@@ -90,7 +90,7 @@
         """Log a report and the recent events of requests and connections."""
         self.log_report()
         for line in self.core.event_log.lines():
-            logger.info("recent event {}", line)
+            logger.info("recent {}", line)
 
     def _redirect_log(self) -> LogSink:
         """Log to standard error through a sink that never blocks."""
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -59,7 +59,7 @@
     seq = client.send_command(txn=b"00000000000000ab")
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     process.send_signal(signal.SIGUSR1)
-    until(lambda: "recent event at_us=" in log.read_text())
+    until(lambda: "recent at_us=" in log.read_text())
     time.sleep(0.1)
     text = log.read_text()
     address = engine.address
