--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -99,6 +99,7 @@
         used = self.used(now)
         if used > self.peak:
             self.peak = used
+            # From here on the peak and its headroom, which a member requests, are more than the allocation.
             if used * (HEADROOM_DIVISOR + 1) > self.allocated * HEADROOM_DIVISOR:
                 self.allocations.request_report()
 
--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -65,7 +65,11 @@
         return allocation
 
     def set_totals(self, totals: Mapping[tuple[BudgetKind, str], int]) -> None:
-        """Set the totals, the most to request, by kind and name of the subject; "": each of the kind."""
+        """Set the totals of budgets, which are also the most that this member requests of them.
+
+        totals: by kind and name of the subject; the entry with the name "" is for each subject of the kind
+        that has no entry of its own.
+        """
         self.rules = {key: self._rule_with_total(key, rule, totals) for key, rule in self.rules.items()}
         for key, allocation in self.allocations.items():
             kind, _ = key
--- a/gullhold/budgets/allocator.py
+++ b/gullhold/budgets/allocator.py
@@ -24,7 +24,7 @@
 MAX_BUDGETS_PER_ROUND = 200
 # Budgets that have a ledger at the same time at most; of any other budget, members have only their reserve.
 MAX_BUDGETS = 50_000
-ROTATION_US = 1_000_000  # us until other members are served first, if not all can have a usable amount
+ROTATION_US = 1_000_000  # us until the members served first change, while not all can have a usable amount
 
 
 class Budget(NamedTuple):
@@ -182,10 +182,10 @@
     ) -> dict[str, dict[str, int]]:
         """Return the allocations that change with this write, by member and budget name.
 
-        write: number of the write, larger than any before. A member without changed allocations is contained
-        if its row has to be written for another reason. Members that have left come first: what they had may
-        go to others with this write, and the stored rows must never sum to more than the total. At most
-        max_budgets budgets are reallocated now, the others with the next writes.
+        write: number of the write, larger than any before. A member is contained without changed allocations
+        if its row changes otherwise: it has left, or a ledger has no entry for it any more. Members that have
+        left come first: what they had may go to others with this write, and the stored rows must never sum to
+        more than the total. At most max_budgets budgets are reallocated now, the others with the next writes.
         """
         while self.scheduled and self.scheduled[0][0] <= now:
             _, name = heappop(self.scheduled)
--- a/gullhold/budgets/budget_rules.py
+++ b/gullhold/budgets/budget_rules.py
@@ -37,7 +37,7 @@
 PER_ENGINE_KINDS = frozenset({BudgetKind.THREADS, BudgetKind.MEMORY, BudgetKind.WARMUP})
 PER_TENANT_KINDS = frozenset({BudgetKind.OPEN_COMMANDS, BudgetKind.ADMISSIONS})
 SETTLE_US = 500_000  # how long cancelled work may run on at an engine: twice a cancel's transmission time
-LINGER_MARGIN_US = 1_000_000  # added to the longest client timeout: no attempt at an engine lasts longer
+LINGER_MARGIN_US = 1_000_000  # added to the longest client timeout: no attempt lasts longer than their sum
 
 
 class BudgetRuleError(Exception):
--- a/gullhold/budgets/core_budgets.py
+++ b/gullhold/budgets/core_budgets.py
@@ -49,6 +49,7 @@
         self.core.apply_budgets(self.allocations, self._collect)
 
     def _collect(self, demands: Sequence[Demand]) -> None:
+        """Pass on the usage since the last report, and reset whether an allocation was reduced."""
         allocations = self.allocations
         usage = allocations.report(demands)
         was_reduced = allocations.was_reduced
--- a/gullhold/budgets/ledger.py
+++ b/gullhold/budgets/ledger.py
@@ -99,8 +99,8 @@
     """The ledger of one budget.
 
     window_us: length of the window of a windowed budget. linger_us: how long work may go on after its member
-    has become unable to begin more. reserve: part of the total that is never allocated, as members may always
-    spend it. entries: by member.
+    has become unable to begin more work. reserve: part of the total that is never allocated, as members may
+    always spend it. entries: by member.
     """
 
     def __init__(
@@ -149,6 +149,7 @@
         return changed
 
     def _reduce(self, member: str, target: int, write: int, changed: dict[str, int]) -> None:
+        """Lower a member's allocation to its target, if it is larger, and add the target to `changed`."""
         entry = self.entries[member]
         if entry.allocated > target:
             if self.kind != LedgerKind.WEIGHT:
@@ -165,8 +166,8 @@
                 continue
             before = entry.charge(now)
             # The member is charged with `before` already, so up to there a raise costs nothing. A negative
-            # `available`, as when members have more in use than allocated, limits even this: otherwise the
-            # allocations would sum to more than the total, and still do so after the use has ended.
+            # `available`, as when members have more in use than allocated, limits even such a raise: the
+            # allocations would otherwise sum to more than the total, and still do so after the use has ended.
             raised = min(target, before + available)
             if raised > entry.allocated:
                 entry.allocated = raised
@@ -214,7 +215,7 @@
         entry.has_left = True
 
     def _expiry_us(self) -> int:
-        """How long a charge lasts after its member has become unable to begin more."""
+        """How long a charge lasts after its member has become unable to begin more work."""
         return self.window_us if self.kind == LedgerKind.WINDOWED else self.linger_us
 
     def remove_expired(self, now: int, present: Container[str] = ()) -> None:
@@ -232,7 +233,7 @@
         """Load a member's entry as another allocator stored it.
 
         Its expiring charges last a full period from now. The entry does not say which writes the member has
-        applied: a report that is older than the entry must not be applied to it, as it would be taken for
-        new.
+        applied, so it takes any report for new: the caller must not pass report() one that is older than the
+        entry.
         """
         self.entries[member] = LedgerEntry.unpack(packed, now + self._expiry_us())
--- a/gullhold/budgets/report_throttle.py
+++ b/gullhold/budgets/report_throttle.py
@@ -6,11 +6,11 @@
 from gullhold.budgets.demand import is_mostly_idle
 
 MIN_CHANGE = 0.1  # fraction of what was reported or allocated; smaller changes are not written
-STALE_US = 2_000_000  # us until changed use is reported even if it affects no allocation, for staff
+STALE_US = 2_000_000  # us until changed use is reported even if it affects no allocation, for operators
 
 
 class ReportThrottle:
-    """Lets the first report through, then those that may change allocations or that staff should see."""
+    """Lets the first report through, then those that may change allocations or that operators should see."""
 
     def __init__(self, min_interval_us: int) -> None:
         """min_interval_us: least time between two reports."""
@@ -59,7 +59,7 @@
 
     @staticmethod
     def _is_changed(new: Usage, old: Usage, allocated: int, is_stale: bool) -> bool:
-        """Whether the usage of one budget has changed so that the allocator or staff should know.
+        """Whether the usage of one budget has changed so that the allocator or operators should know.
 
         Changed use with an unchanged request is reported after STALE_US: otherwise the store would show the
         use from before a burst for as long as the burst lasts. This costs at most one write in that time.
--- a/gullhold/budgets/stored_budgets.py
+++ b/gullhold/budgets/stored_budgets.py
@@ -24,8 +24,8 @@
     """One budget as stored.
 
     allocations: by member; used: by member, the peak use in its last report. waiting: members that request
-    more than they are allocated. charged_for: members that are charged with more than their allocation: its
-    reduction may not be applied yet, or they have left and their work may go on.
+    more than they are allocated. charged_for: members that are charged with more than their allocation: a
+    reduction of it may not be applied yet, or they have left and their work may go on.
     """
 
     total: int
@@ -54,10 +54,10 @@
     reader = _Reader(totals)
     for item in items:
         if item.key.startswith(REPORTS):
-            reader.read_report(item.key.removeprefix(REPORTS), item.value)
+            reader.add_report(item.key.removeprefix(REPORTS), item.value)
     for item in items:
         if item.key.startswith(ALLOCATIONS):
-            reader.read_row(item.key.removeprefix(ALLOCATIONS), item.value)
+            reader.add_row(item.key.removeprefix(ALLOCATIONS), item.value)
     reader.find_waiting()
     return reader.budgets
 
@@ -77,7 +77,7 @@
             self.budgets[name] = StoredBudget(total, reserve)
         return self.budgets[name]
 
-    def read_report(self, member: str, value: str) -> None:
+    def add_report(self, member: str, value: str) -> None:
         """Add a member's report; one that can't be decoded is ignored."""
         report = decode_report(value)
         if report is None:
@@ -86,7 +86,7 @@
             self._budget(name).used[member] = usage.peak
             self.requested[name, member] = usage.requested
 
-    def read_row(self, member: str, value: str) -> None:
+    def add_row(self, member: str, value: str) -> None:
         """Add a member's row."""
         for name, packed in decode_row(value).entries.items():
             budget = self._budget(name)
