--- a/gullhold/rollout/proposal.py
+++ b/gullhold/rollout/proposal.py
@@ -32,7 +32,9 @@
         raise PolicyError(f"change {decode_change(keys[CHANGE_KEY].value).version.number} is open")
     current = current_version(keys)
     if change.version.parent != current.number:
-        raise PolicyError(f"{current.number} is in force, not {change.version.parent}")
+        raise PolicyError(
+            f"version {current.number} is in force, not {change.version.parent}, on which this one is based"
+        )
     if change.canary and change.overlap == Overlap.STRICT:
         raise PolicyError("a canary lets old and new run side by side: it can't be strict")
     current_revision = keys[CURRENT_KEY].revision if CURRENT_KEY in keys else 0
