--- a/gullhold/rollout/canary.py
+++ b/gullhold/rollout/canary.py
@@ -17,8 +17,8 @@
     return tuple(ranked[:count])
 
 
-def _rank(change: int, member: str) -> bytes:
-    return blake2s(f"{change} {member}".encode()).digest()
+def _rank(number: int, member: str) -> bytes:
+    return blake2s(f"{number} {member}".encode()).digest()
 
 
 def all_reported(change: PolicyChange, votes: Mapping[str, Vote]) -> bool:
--- a/gullhold/rollout/policy_change.py
+++ b/gullhold/rollout/policy_change.py
@@ -20,7 +20,7 @@
     PROPOSED = "proposed"  # proposed by an operator; not checked yet
     CHECKED = "checked"  # the coordinator found its digest and parent valid; members check it and vote
     CANARY = "canary"  # some members use it for a limited time, and all report figures on their commands
-    PREPARED = "prepared"  # only for a strict change: members stop dispatching
+    PREPARED = "prepared"  # only if the overlap is STRICT: members stop dispatching
     DECIDED = "decided"  # in force; final
     DROPPED = "dropped"  # never comes into force; final
 
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -22,10 +22,11 @@
 
 
 class PolicyGate:
-    """Implements gullhold.interface.PolicyGate, and invalidates attempts decided on before it was closed.
+    """Implements gullhold.interface.PolicyGate; an attempt decided on before stop() is never sent after it.
 
     The core's thread checks it at each attempt; the fleet's thread changes it. clock: returns us of a
-    monotonic clock; guaranteed_us: how long a lease certainly holds.
+    monotonic clock; guaranteed_us: how long a lease certainly holds by that clock, from when its grant or
+    renewal was sent; cut_off_rule: value of a CutOffRule.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         self.enrolled_lease = 0  # id of the lease under which this member has enrolled; 0: it has not
         self.open_change = 0  # number of the change that this member has voted ready on; 0: none
         self.is_stopped = False
-        self.stop_count = 0
+        self.stop_count = 0  # part of the fencing token, so that a stop invalidates earlier attempts
         # Extended by each read of the policy in force: guards against a watch that has silently stopped.
         self.policy_known_until = 0
         # When the use of a snapshot ends, if the store was unreachable at the start.
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -72,7 +72,10 @@
         self.history: list[int] = []  # numbers of the versions in the stored history, ascending
 
     def _next_write_at(self, now: int) -> int | None:
-        """When the change's patience or canary ends; None: only votes, which cause a step, are awaited."""
+        """When a write may be due without a new vote, as the change's patience or canary ends.
+
+        None: only votes, which cause a step, are awaited.
+        """
         if self.change is None:
             return None
         waits = [self.change.patience_us]
@@ -100,7 +103,7 @@
                     f"the open change is in a state that this version of the program does not know: {unknown}"
                 )
 
-    # States
+    # Steps of the open change, by its state
 
     @property
     def _open_change(self) -> PolicyChange:
--- a/gullhold/rollout/rollout_driver.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -246,7 +246,7 @@
             self.lowest_totals = current
         elif self._may_come_into_force(change):
             self._lower_totals(current, change)
-        # Once the change is decided, the totals stay as they are until every member has adopted it.
+        # Otherwise the totals stay as they are: those of a decided change until every member has adopted it.
         allocator_role = cast("AllocatorRole", self.fleet_member.role_states[BUDGETS_ROLE])
         allocator_role.set_totals(self.lowest_totals)
 
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -38,8 +38,10 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
 
-REFRESHES_PER_LEASE = 3  # reads of the policy in force during the time for which one read counts
-UNUSABLE_POLICY_RETRY_US = RETRY_US * 5  # us between reads of a policy that can't be used: it rarely changes
+# A read of the policy in force confirms it for as long as a lease certainly holds; it is repeated so often
+# within that time.
+REFRESHES_PER_LEASE = 3
+UNUSABLE_POLICY_RETRY_US = RETRY_US * 5  # us between reads of an unusable policy: policies rarely change
 # States of a change in which members vote on it.
 VOTING_STATES = frozenset((ChangeState.CHECKED, ChangeState.CANARY, ChangeState.PREPARED))
 
--- a/gullhold/rollout/store_schema.py
+++ b/gullhold/rollout/store_schema.py
@@ -23,7 +23,8 @@
 VOTES_PREFIX = ROLLOUT_PREFIX + "words/"  # + MEMBER/LEASE, the lease in hexadecimal: the member's vote
 HISTORY_PREFIX = ROLLOUT_PREFIX + "past/"  # + number of a version whose change has ended: its history entry
 
-# Names of attributes by the names of the stored fields that hold them.
+# Names of attributes by the names of the stored fields that hold them. The stored names must not change, as
+# the stores of fleets hold them.
 VERSION_FIELDS = {
     "number": "number",
     "parent": "parent",
--- a/gullhold/rollout/vote.py
+++ b/gullhold/rollout/vote.py
@@ -73,5 +73,5 @@
         return VoteSummary(self.version, self.change, self.kind)
 
     def supports(self, change: int, kind: VoteKind) -> bool:
-        """Whether it is a vote on the change, of this kind or of one that counts as such."""
+        """Whether it is a vote on the change, of this kind or of one that SUFFICIENT_KINDS names for it."""
         return self.change == change and self.kind in SUFFICIENT_KINDS[kind]
--- a/gullhold/rollout/vote_tally.py
+++ b/gullhold/rollout/vote_tally.py
@@ -6,7 +6,7 @@
 
 
 class VoteTally:
-    """Votes by member, identified by NAME/LEASE as in the vote's key."""
+    """Votes by member, identified by NAME/LEASE as in the vote's key; changes and versions by number."""
 
     def __init__(self) -> None:
         self.votes: dict[str, Vote] = {}
@@ -27,7 +27,7 @@
             del self._counts[summary]
 
     def all_support(self, change: int, kind: VoteKind) -> bool:
-        """Whether all members support the change with a vote of this kind; false if there are none."""
+        """Whether all members support the change with a vote of this kind; false if no member has a vote."""
         sufficient = SUFFICIENT_KINDS[kind]
         return bool(self._counts) and all(
             summary.change == change and summary.kind in sufficient for summary in self._counts
