--- a/gullhold/operator/parser.py
+++ b/gullhold/operator/parser.py
@@ -141,7 +141,7 @@
         case "list":
             return ListNode(tuple(_parse_node(child, file_name) for child in subtrees), location)
         case _:
-            raise AssertionError(f"the grammar has no rule {tree.data}")
+            raise AssertionError(f"the parser has no case for the grammar's rule {tree.data}")
 
 
 def _parse_alternative(tree: "Tree", file_name: str) -> Alternative:
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -21,8 +21,9 @@
 US_PER_S = 1_000_000
 VALIDATOR_PREFIX = "Value error, "  # added by pydantic to the text of a ValueError
 
-# Kinds of budgets, by the values of BudgetRecord.of. "further" and "cold" may have a window: if the file
-# states none, they take the window of the agreement.
+# Kinds of budgets, by the values of BudgetRecord.of: "open" is for open commands, "taken" for admitted ones,
+# "lists" for calls to the discovery service, "share" for a share of the traffic. "further" (retries) and
+# "cold" (work of warming engines) may have a window: if the file states none, it is that of the agreement.
 PER_TENANT_BUDGETS = ("open", "taken")
 WINDOW_REQUIRED_BUDGETS = ("taken", "lists")
 NO_WINDOW_BUDGETS = ("threads", "memory", "open", "share")
@@ -223,8 +224,9 @@
     """Rollouts of policy changes to all members.
 
     cut: when a member that can't reach the store during a rollout stops dispatching, "keep": when its lease
-    ends, "stand": earlier by a margin; snapshot: path of the file that keeps the policy in force, "": none;
-    spare: age in us up to which a member that starts without the store uses the snapshot, 0: never.
+    ends, "stand": earlier, by a third of the time for which a lease certainly holds;
+    snapshot: path of the file that keeps the policy in force, "": none; spare: age in us up to which a member
+    that starts without the store uses the snapshot, 0: never.
     """
 
     on: bool
--- a/gullhold/operator/schema.cue
+++ b/gullhold/operator/schema.cue
@@ -148,13 +148,13 @@
 #Budget: {
 	// threads, memory: in use on an engine, memory in MB; open: pending commands of a tenant; taken: commands of a
 	// tenant accepted within the window; further: retries within the window; cold: work sent to an engine that is
-	// warming, within the window; share: of the traffic; lists: calls to the discovery service within the window.
+	// warming, within the window; share: share of the traffic; lists: calls to the discovery service within the window.
 	of: "threads" | "memory" | "open" | "taken" | "further" | "cold" | "share" | "lists"
 	// open, taken: the tenant that it is for; "": one budget for each tenant that has none of its own.
 	tenant: *"" | string
 	// The total for the fleet; cold, share: in millionths, 1000000 is the whole expected amount.
 	whole: *1000000 | (int & >=1 & <=1000000000000)
-	// Within which spending is counted; 0s: the agreement's window (further, cold).
+	// The window within which spending is counted; 0s: the agreement's window (further, cold).
 	window: *0s | (duration & >=0s & <=1h)
 	// How long work may run on after its gateway has stopped; 0s: the longest client timeout and one second.
 	linger: *0s | (duration & >=0s & <=1h)
@@ -171,7 +171,7 @@
 #Policy: {
 	on: *false | bool
 	// When a member that can't reach the register while a change is open stops dispatching: "keep": when its lease
-	// ends, "stand": earlier by a margin.
+	// ends, "stand": earlier, by a third of the time for which a lease certainly holds.
 	cut: *"keep" | "stand"
 	// A file that keeps the policy last in force; "": none.
 	snapshot: *"" | string
