--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -82,8 +82,12 @@
     may start under an old version after one has started under a newer one.
     """
     checker = RolloutChecker(fleet.journal_lines())
-    assert not checker.decided_without_all, fleet.timeline()
-    assert not checker.decided_though_refused, fleet.timeline()
+    assert not checker.decided_without_all, (
+        f"{checker.decided_without_all} decisions without all votes\n{fleet.timeline()}"
+    )
+    assert not checker.decided_though_refused, (
+        f"{checker.decided_though_refused} decisions on a refused version\n{fleet.timeline()}"
+    )
     mixed_count, measured_ms = measure_overlap(attempts_with_policy(fleet.engines, grants))
     assert not (strict and mixed_count), (
         f"{mixed_count} attempts under an old version after one under a newer one; the versions overlapped "
--- a/tests/test_budget_allocations.py
+++ b/tests/test_budget_allocations.py
@@ -123,7 +123,7 @@
     # The minimum interval has not passed.
     assert not throttle.should_write(500, 9, True, {"b": NO_USAGE}, allocations)
     assert throttle.should_write(1000, 9, True, {"b": NO_USAGE}, allocations)  # a reduction is acknowledged
-    # Its allocation suffices.
+    # The member requests 1, and its allocation of 10 is enough for that.
     assert not throttle.should_write(1000, 9, False, {"b": Usage(0, 1, 1)}, allocations)
     assert throttle.should_write(1000, 0, False, {"b": Usage(0, 9, 12)}, allocations)  # a burst
     throttle.record_report(1000, 0, {"b": Usage(12, 12, 15)})
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -239,7 +239,7 @@
             self.ledger.member_left(name, self.now + LEASE_US)
 
     def advance_time(self, k):
-        """Advance the time, and renew the leases of members unless they ended too long ago."""
+        """Advance the time by k / 40 s, and renew leases unless they ended at least half a second ago."""
         self.now += k * S // 40
         for allocation in self.members.values():
             lease = allocation.allocations.lease
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -1,4 +1,4 @@
-"""Tests when a member collects and reports its usage, and the rules that the operator's records lead to."""
+"""Tests when a member collects and reports its usage, and the rules made of the operator file's budgets."""
 
 from types import SimpleNamespace
 
@@ -79,7 +79,7 @@
     assert state.should_collect(COLLECT_INTERVAL_US, False)
     state.usage_collected(S, collected(in_use=12), True)  # more in use than is allocated
     assert state.due(S, False) == S + COLLECT_INTERVAL_US
-    # The reduction is not acknowledged yet, as a report is still being written.
+    # The allocator does not know yet that the reduction is applied: a report is still being written.
     state.usage_collected(2 * S, collected(was_reduced=True), True)
     state.usage_collected(3 * S, collected(), True)
     assert state.due(3 * S, False) == 3 * S + COLLECT_INTERVAL_US
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -46,7 +46,7 @@
 
 
 def start_client(fleet, name, rate=0.0, **facts):
-    """Start a client of one gateway. rate: commands per second; 0: always has `open` commands open."""
+    """Start a client of the gateway `name`. rate: commands per second; 0: always has `open` commands open."""
     facts = {
         "open": 40,
         "connections": 2,
@@ -73,10 +73,15 @@
     """
     for engine in fleet.engines:
         most, when = peak_threads(engine.attempts)
-        assert most <= total, f"{most} in use at {when - fleet.started_at:.3f} s\n{fleet.timeline()}"
+        assert most <= total, (
+            f"{most} threads in use, more than the total of {total}, at {when - fleet.started_at:.3f} s"
+            f"\n{fleet.timeline()}"
+        )
     history = AllocationHistory(fleet.journal_lines())
-    assert history.max_sums, fleet.timeline()
-    assert max(history.max_sums.values()) <= total, fleet.timeline()
+    assert history.max_sums, f"no allocation was written\n{fleet.timeline()}"
+    assert max(history.max_sums.values()) <= total, (
+        f"largest sums of the allocations: {history.max_sums}, not at most {total}\n{fleet.timeline()}"
+    )
     assert sum(len(engine.attempts) for engine in fleet.engines) >= min_attempts
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
@@ -129,7 +134,7 @@
         fleet.kill("n0")
         fleet.wait_until(lambda: allocations(fleet).get("n1", 0) == 12)
         time.sleep(0.8)
-        # It is less for a moment between two commands.
+        # Fewer are open for a moment, when one command has ended and the next has not begun.
         fleet.wait_until(lambda: len(fleet.engines[0].open) == 12)
         stop_clients(*clients)
         check_fleet(fleet, min_attempts=20)
@@ -280,7 +285,7 @@
         time.sleep(0.8)
         stop_clients(*clients)
         late = [row for row in fleet.engines[0].attempts if row.started_at > lowered]
-        assert len(late) >= 8
+        assert len(late) >= 8, f"only {len(late)} attempts after the total was lowered, not 8"
         assert peak_threads(late)[0] <= 4
         assert peak_threads(fleet.engines[0].attempts)[0] <= 12
 
@@ -303,10 +308,10 @@
 def test_a_warming_engine_is_not_overloaded_while_members_change():
     warmup_budget = {"of": '"cold"', "window": "1s"}
 
-    def rules(settings):
+    def set_warmup_rules(settings):
         settings["rules"] |= {"cold_from": 0.05, "warm_after": 60, "fall_multiple": 1, "tip_after": 1}
 
-    with make_rig(budgets=[warmup_budget], adjust_settings=rules) as fleet:
+    with make_rig(budgets=[warmup_budget], adjust_settings=set_warmup_rules) as fleet:
         fleet.engine_start_ms[0] = int(time.time() * 1000)
         fleet.start("n0", "n1")
         clients = [start_client(fleet, "n0", work_ms=20.0)]
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -216,8 +216,9 @@
         assert depth >= 2
 
 
+# benchmarks.policy_rollout finds IgnoresEnrollment, which takes 610 walks.
 @pytest.mark.parametrize("name", [name for name in rollout_mutants.MUTANTS if name != "IgnoresEnrollment"])
-def test_the_walks_find_change_mutants(name):  # benchmarks.policy_rollout finds the other one: 610 walks
+def test_the_walks_find_change_mutants(name):
     finding = rollout_mutants.find_detecting_walk(name, 250, 500)
     assert finding is not None, f"no walk detects the mutant {name}"
     assert finding.kind is FindingKind.VIOLATION, finding
