--- a/gullhold/budgets/budget_schema.py
+++ b/gullhold/budgets/budget_schema.py
@@ -2,7 +2,7 @@
 
 Under `budget/`: `asks/MEMBER`, a member's report, attached to its lease, so that the key exists as long as
 the member does. `parts/MEMBER`, the member's row: its allocations and the allocator's charges. `fence`,
-written by and compared in every write of the allocator; it also shows the allocator's totals to staff.
+written by and compared in every write of the allocator; it also shows the allocator's totals to operators.
 Stored names must not change, as other members and later processes read them.
 """
 
