--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -224,9 +224,9 @@
     """Rollouts of policy changes to all members.
 
     cut: when a member that can't reach the store during a rollout stops dispatching, "keep": when its lease
-    ends, "stand": earlier, by a third of the time for which a lease certainly holds;
-    snapshot: path of the file that keeps the policy in force, "": none; spare: age in us up to which a member
-    that starts without the store uses the snapshot, 0: never.
+    ends, "stand": earlier, by a third of the time for which a lease certainly holds; snapshot: path of the
+    file that keeps the policy in force, "": none; spare: age in us up to which a member that starts without
+    the store uses the snapshot, 0: never.
     """
 
     on: bool
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -97,6 +97,7 @@
         f"versions overlapped for {measured_ms} ms, longer than {overlap_ms} ms, with {mixed_count} attempts "
         f"under an old version after one under a newer one\n{fleet.timeline()}"
     )
+    # "_faults" is the end of the names of the counters internal_faults and decision_faults.
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
     return checker
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -83,6 +83,7 @@
         f"largest sums of the allocations: {history.max_sums}, not at most {total}\n{fleet.timeline()}"
     )
     assert sum(len(engine.attempts) for engine in fleet.engines) >= min_attempts
+    # "_faults" is the end of the names of the counters internal_faults and decision_faults.
     logs = [member.log.read_text("utf-8", "replace") for member in fleet.members.values()]
     assert not any(word in log for log in logs for word in ("Traceback", "_faults", "not answered in time"))
     return history
