--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -118,7 +118,9 @@
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines()]
     listed_tests = tuple(parse_line(line) for line in lines if line and not line.startswith("#"))
     if len({listed.test for listed in listed_tests}) < len(listed_tests):
-        raise KnownRedError(f"{FILE_NAME}: a test is named twice")
+        tests = [listed.test for listed in listed_tests]
+        repeated = sorted({test for test in tests if tests.count(test) > 1})
+        raise KnownRedError(f"{FILE_NAME}: a test is named twice: {', '.join(repeated)}")
     return listed_tests
 
 
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -18,9 +18,11 @@
 TWO_TENANTS_RUNS = 4  # the median counts
 TWO_TENANTS_COMMANDS = 1000
 TWO_TENANTS_OPEN = 32
-BASE_TENANTS = 100  # have sent a command before memory is measured first
+BASE_TENANTS = 100  # number of tenants that send a command before the first measurement of memory
 SOME_TENANTS = 4000
-# The number of the first tenant of each step. They are so far apart that no tenant appears in two steps.
+# The number of the first tenant of each step of measure_tenant_growth(): BASE_TENANTS tenants, SOME_TENANTS
+# tenants, and two steps of as many tenants as it is asked for. They are so far apart that no tenant is in
+# two steps.
 FIRST_OF_BASE = 100
 FIRST_OF_SOME = 10**9
 FIRST_OF_MANY = 10**8
--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -11,7 +11,7 @@
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import FleetRig
 
-TOTALS = {"threads": 24, "further": 20, "taken": 400}  # total of each budget by its kind
+TOTALS = {"threads": 24, "further": 20, "taken": 400}  # by kind; further: retries, taken: admissions
 RETRY_WINDOW_S = 2.0  # the window of the budget of retries ("further")
 DEMANDS = (40, 12)  # open commands of the two clients that start in each turn
 CONTINUING_CLIENTS = 2  # clients that go on into the next turn
--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -27,13 +27,14 @@
 WARMUP_INITIAL_SHARE = 0.05
 WARMUP_S = 30
 LATENCY_OBJECTIVE_S = 0.4
-LEASE_EXPIRY_WAIT_S = 1.3  # from the end of the store, by which all leases have expired
+LEASE_EXPIRY_WAIT_S = 1.3  # time after the end of the store, by which all leases have expired
 
 
 class Reallocation(NamedTuple):
     """The time from a member's end until its allocation is written to another; 95th percentiles.
 
-    after_leave_s: after SIGTERM; after_kill_leases: after SIGKILL, in lease times. None if not measured.
+    after_leave_s: after SIGTERM; after_kill_leases: after SIGKILL, divided by the lease's duration. None if
+    not measured.
     """
 
     after_leave_s: float | None
@@ -169,8 +170,8 @@
     started_at = rig.engine_start_ms[engine] / 1000
     overloads = 0
     for at, _ in work:
-        grown = (1 - WARMUP_INITIAL_SHARE) / 2 * (at - started_at) / WARMUP_S
-        capacity = (WARMUP_INITIAL_SHARE + grown) * CORES
+        capacity_gained = (1 - WARMUP_INITIAL_SHARE) / 2 * (at - started_at) / WARMUP_S
+        capacity = (WARMUP_INITIAL_SHARE + capacity_gained) * CORES
         in_window = sum(amount for other_at, amount in work if at - 1.0 < other_at <= at)
         overloads += in_window > capacity
     return overloads
@@ -198,7 +199,7 @@
 
 
 def measure_service_without_store(seconds: float, budgets: Sequence[Budget]) -> float:
-    """The share of requests answered with the store down, at a load that even allocations can serve."""
+    """The share of requests answered without the store, at a load that equal allocations to all members can serve."""
     with make_fleet(MEMBERS, budgets) as rig:
         rig.start(operator=True)
         clients = [
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -43,6 +43,7 @@
 }
 WALK_STEPS = 800
 SEARCH_DEPTH = 8
+# Mutants that take longest to detect; exploration_plan() starts them first.
 SLOW_MUTANTS = (
     "NoFence",
     "ForgetsExpiringOnLoad",
@@ -136,13 +137,13 @@
         )
 
 
-def add_calls(figures: Figures, runs: FleetRuns, alone: dict[int, Future[CallCosts]]) -> None:
+def add_calls(figures: Figures, runs: FleetRuns, simulated_costs: dict[int, Future[CallCosts]]) -> None:
     """Add the calls and bytes per member: with real processes, and simulated in fleets of several sizes.
 
-    alone: the simulated costs, by the number of members.
+    simulated_costs: by the number of members of the simulated fleet.
     """
     measured = runs.calls.result()
-    costs = {members: job.result() for members, job in alone.items()}
+    costs = {members: job.result() for members, job in simulated_costs.items()}
     calls = [one.calls for one in costs.values()]
     sizes = [one.bytes for one in costs.values()]
     figures.add(
@@ -163,10 +164,10 @@
     # Two fleets run at a time beside the exploration. The CPU time per command is measured afterwards, alone.
     with ProcessPoolExecutor(FLEETS_AT_ONCE) as fleet_pool, ProcessPoolExecutor(DECISION_PROCESSES) as pool:
         exploration = Exploration(pool, exploration_plan(size.exploration), size.exploration)
-        alone = {members: pool.submit(call_costs, members) for members in FLEET_SIZES}
+        simulated_costs = {members: pool.submit(call_costs, members) for members in FLEET_SIZES}
         runs = FleetRuns(fleet_pool, size, arguments.seed)
         runs.add_results(figures)
-        add_calls(figures, runs, alone)
+        add_calls(figures, runs, simulated_costs)
         figures.add(**exploration.figures())
     command_cost = measure_command_cost(2 * size.run_s)
     figures.add(cpu_over=command_cost.ratio, cpu_off_us=command_cost.us_without)
--- a/benchmarks/fleet_size_decisions.py
+++ b/benchmarks/fleet_size_decisions.py
@@ -54,7 +54,7 @@
         self.gateway.update_engines(self.now, entries, True)
 
     def submit(self, command: int) -> float:
-        """Submit a command and end the attempts that are due; returns the time in s that the module took."""
+        """Submit a command and end the attempts that are due; returns the decision module's time in s."""
         self.now += ARRIVAL_INTERVAL_US
         began = time.perf_counter()
         timeout_at = self.now + TIMEOUT_US
@@ -79,7 +79,7 @@
         )
 
     def replace_engine(self) -> float:
-        """Remove an engine and add a new one; returns the time in s that the module took."""
+        """Remove an engine and add a new one; returns the time in s that the decision module took."""
         place = self.draw.randrange(len(self.engines))
         self.next_engine += 1
         removed = _entry(self.engines[place], EngineState.REMOVED, 0)
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -90,7 +90,7 @@
             return
 
 
-class Replacement(Thread):
+class EngineReplacer(Thread):
     """Sends watch events that replace engines one after another within RAMP_S, after AROUND_RAMP_S.
 
     Engine number N is replaced by engine number `size` + N. list_bytes: size of the events so far.
@@ -215,7 +215,7 @@
     """Send traffic while engines are replaced, then read the figures of the gateway's process."""
     seconds = RAMP_S + 2 * AROUND_RAMP_S
     traffic = Traffic(_address(configuration), seconds, seed)
-    replacement = Replacement(discovery_service, engines.addresses, size)
+    replacement = EngineReplacer(discovery_service, engines.addresses, size)
     traffic.start()
     replacement.start()
     descriptors = peak_descriptors(process.pid, seconds)
--- a/benchmarks/policy_rollout.py
+++ b/benchmarks/policy_rollout.py
@@ -47,7 +47,7 @@
     """The size of a run.
 
     fault_runs: runs with faults, each with a fleet of its own; changes: changes without faults; service_s:
-    duration of each measurement of service.
+    duration of each measurement of the share of requests that are answered.
     """
 
     fault_runs: int
--- a/benchmarks/policy_rollout_runs.py
+++ b/benchmarks/policy_rollout_runs.py
@@ -24,8 +24,8 @@
 STRICT_CHANGE_TIMEOUT_S = 8  # time in which a strict change has to come into force with all members up
 LOOSE_CHANGE_TIMEOUT_S = 5
 DEAD_MEMBER_TIMEOUT_S = 6  # for a change while a member is down
-POLL_INTERVAL_S = 0.1  # between the reads with which the client of a change waits for its outcome
-CALLS_TO_PROPOSE = 3  # calls to the store of that client besides these reads
+POLL_INTERVAL_S = 0.1  # time between the reads with which the client of a change waits for its outcome
+CALLS_TO_PROPOSE = 3  # calls to the store by which the client of a change proposes it, besides its reads
 LOADED_MEMBERS = 3
 LOAD_RATE_PER_S = 60.0  # requests of each client
 RETURNING_MEMBER = "n2"
--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -41,7 +41,7 @@
     ONE_ANSWER = "one answer"  # each command is answered exactly once
     IN_TIME = "in time"  # a command is answered within its client timeout
     INTACT = "intact"  # an answer has exactly the rows of the command's result
-    NO_LEFTOVERS = "census"  # at the end the gateways' tables are empty
+    NO_LEFTOVERS = "census"  # at the end of a simulation the gateways' tables are empty
 
 
 class Violation(NamedTuple):
@@ -62,7 +62,7 @@
         self.is_over = not ran
 
     def is_open(self) -> bool:
-        """Whether it has not ended and its gateway has not closed the connection."""
+        """Whether the attempt has not ended, and its gateway has not closed the connection to the engine."""
         return not self.is_over and not self.session.gateway_endpoint.is_finishing
 
 
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -15,7 +15,9 @@
 if TYPE_CHECKING:
     from gullhold.simulation.world import World
 
-NOTE_INTERVAL_US = 120_000  # between status notes of an attempt; shorter than the note period of the settings
+# Time between status notes of an attempt. It is shorter than the interval in the settings, by which gateways
+# tell that an engine has fallen silent.
+NOTE_INTERVAL_US = 120_000
 MAX_MESSAGE_BYTES = 1 << 18
 DUPLICATE_WORK_US = 1000  # for an attempt that does not run again because its idempotency key is known
 MAX_ATTEMPTS_PER_CORE = 4  # an engine that runs so many rejects further attempts as overloaded
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -152,7 +152,10 @@
 
 
 class SimulatedCore(Core):
-    """The product's core on a world's clock, without its thread."""
+    """The core of the gateway process, driven by the simulation's virtual clock instead of its own thread.
+
+    args: the arguments of Core, in their order.
+    """
 
     connect = SimulatedEngineConnection
 
@@ -186,9 +189,11 @@
         self.world = world
         self.name = name
         self.is_alive = True
-        self.turn_event: Event | None = None  # in which the core runs next
+        self.turn_event: Event | None = None  # the scheduled event in which the core runs next
         self.endpoints: list[Endpoint] = []
-        self.last_event_arrival_us = 0  # when the last watch event sent to it arrives
+        self.last_event_arrival_us = (
+            0  # virtual time at which the last watch event sent to this gateway arrives
+        )
         agreement = configuration.agreement
         now = world.clock.start_us + world.clock.now
         self.core = SimulatedCore(
--- a/gullhold/simulation/mutants.py
+++ b/gullhold/simulation/mutants.py
@@ -38,34 +38,34 @@
 
 
 def _ignore_draining(update_engines: Method) -> Method:
-    def call(self: Gateway, now: int, entries: list[EngineEntry], full: bool) -> list[Result]:
+    def mutated(self: Gateway, now: int, entries: list[EngineEntry], full: bool) -> list[Result]:
         entries_as_ready = [
             entry._replace(state=EngineState.READY) if entry.state == EngineState.DRAINING else entry
             for entry in entries
         ]
         return update_engines(self, now, entries_as_ready, full)
 
-    return call
+    return mutated
 
 
 def _skip_cancel_confirmation(_abandon: Method) -> Method:
-    def call(self: Attempts, attempt: Attempt, outcome: Outcome) -> None:
+    def mutated(self: Attempts, attempt: Attempt, outcome: Outcome) -> None:
         connection, txn = attempt.connection, attempt.pending.request.transaction_id
-        is_open = connection and connection.open_attempts.get(txn) is attempt
-        if is_open and not connection.write_buffer.withdraw(attempt.message):
+        is_attempt_open = connection and connection.open_attempts.get(txn) is attempt
+        if is_attempt_open and not connection.write_buffer.withdraw(attempt.message):
             self.core.pool.send_control(connection, engine_protocol.ABORT, txn)
             connection.abandoned_ids.add(txn)
             del connection.open_attempts[txn]
         self.core.defer(self.end, attempt, outcome)
 
-    return call
+    return mutated
 
 
 def _send_answer_twice(answer: Method) -> Method:
-    def call(self: PendingRequests, pending: PendingRequest, message: bytes) -> None:
+    def mutated(self: PendingRequests, pending: PendingRequest, message: bytes) -> None:
         answer(self, pending, message + message)
 
-    return call
+    return mutated
 
 
 def _retry_up_to_max_attempts(_may_retry: Method) -> Method:
@@ -73,7 +73,7 @@
 
 
 def _double_dedup_window(may_retry: Method) -> Method:
-    def call(self: RetryPolicy, command: Command, now: int) -> bool:
+    def mutated(self: RetryPolicy, command: Command, now: int) -> bool:
         profile = command.profile
         command.profile = profile._replace(dedup_window_us=2 * profile.dedup_window_us)
         try:
@@ -81,38 +81,38 @@
         finally:
             command.profile = profile
 
-    return call
+    return mutated
 
 
 def _ignore_client_end(_client_ended: Method) -> Method:
-    def call(self: PendingRequests, *_end: object) -> None:
+    def mutated(self: PendingRequests, *_end: object) -> None:
         self.counters.add("unheard")
 
-    return call
+    return mutated
 
 
 def _lose_every_fifth_timer(call_later: Method) -> Method:
-    def call(self: EventLoop, due_at_us: int, callback: Method, *args: object) -> None:
+    def mutated(self: EventLoop, due_at_us: int, callback: Method, *args: object) -> None:
         self.scheduled_count = getattr(self, "scheduled_count", 0) + 1
         if self.scheduled_count % LOST_TIMER_INTERVAL or callback == self.health.sweep:
             call_later(self, due_at_us, callback, *args)
 
-    return call
+    return mutated
 
 
 def _stop_after_first_page(add_page: Method) -> Method:
-    def call(self: EngineReplies, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
+    def mutated(self: EngineReplies, connection: EngineConnection, attempt: Attempt, rows: bytes) -> None:
         attempt.page_count = 1
         add_page(self, connection, attempt, rows)
 
-    return call
+    return mutated
 
 
 def _keep_transaction_id(_forget: Method) -> Method:
-    def call(self: PendingRequests, pending: PendingRequest) -> None:
+    def mutated(self: PendingRequests, pending: PendingRequest) -> None:
         self.by_number.pop(pending.number, None)
 
-    return call
+    return mutated
 
 
 def _report_connect_failed(_outcome: Method) -> Method:
@@ -120,17 +120,17 @@
 
 
 def _skip_recheck_on_connect(_connection_up: Method) -> Method:
-    def call(_self: EnginePool, connection: EngineConnection) -> None:
+    def mutated(_self: EnginePool, connection: EngineConnection) -> None:
         connection.write_buffer.attach(connection.connection)
 
-    return call
+    return mutated
 
 
 def _keep_withdrawn_attempts(_withdraw: Method) -> Method:
-    def call(self: WriteBuffer, data: bytes) -> bool:
+    def mutated(self: WriteBuffer, data: bytes) -> bool:
         return any(message.data is data for message in self.pending)
 
-    return call
+    return mutated
 
 
 def _use_previous_sequence_number(answer: Method) -> Method:
@@ -138,14 +138,14 @@
 
 
 def _append_duplicate_answer(handle_array: Method) -> Method:
-    def call(self: EngineReplies, connection: EngineConnection, words: list[bytes]) -> None:
+    def mutated(self: EngineReplies, connection: EngineConnection, words: list[bytes]) -> None:
         attempt = connection.open_attempts.get(words[0])
         if words[1] == engine_protocol.ANSWER and attempt and attempt.pages:
             self._add_page(connection, attempt, words[3])
         else:
             handle_array(self, connection, words)
 
-    return call
+    return mutated
 
 
 MUTANTS: dict[str, Mutant] = {
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/play.py
@@ -9,8 +9,8 @@
 from gullhold.simulation.script import Fault, FaultTarget, draw_faults
 from gullhold.simulation.world import CLIENTS_SEND_FOR_US, World, WorldSize
 
-# From the clients' last commands until all has ended: longer than any client timeout, and than the time for
-# which an attempt whose client timeout has passed is taken to run on.
+# Time from the clients' last commands to the end of the simulation. It is longer than any client timeout, and
+# also longer than the time for which a gateway assumes that an attempt still runs after its client timeout.
 SETTLE_US = 9_000_000
 
 
--- a/gullhold/testing/budget_checker.py
+++ b/gullhold/testing/budget_checker.py
@@ -16,7 +16,7 @@
 FLEET_KEY_PARTS = 3  # parts of /gullhold/FLEET/, which comes before a key of the fleet
 
 
-class CountingEngine(Protocol):
+class AttemptRecorder(Protocol):
     """An engine that keeps a record of each attempt that it was sent."""
 
     attempts: Sequence[AttemptRecord]
@@ -86,12 +86,12 @@
     return peak
 
 
-def _starts(engines: Iterable[CountingEngine]) -> list[tuple[float, bytes]]:
+def _starts(engines: Iterable[AttemptRecorder]) -> list[tuple[float, bytes]]:
     """Return (start in s, txn id of the command) of all attempts at all engines, in order of time."""
     return sorted((attempt.started_at, attempt.txn) for engine in engines for attempt in engine.attempts)
 
 
-def retries(engines: Iterable[CountingEngine]) -> list[TimedAmount]:
+def retries(engines: Iterable[AttemptRecorder]) -> list[TimedAmount]:
     """Return all attempts but the first of each command, over all engines."""
     seen: set[bytes] = set()
     found = []
@@ -102,7 +102,7 @@
     return found
 
 
-def first_attempts(engines: Iterable[CountingEngine]) -> list[TimedAmount]:
+def first_attempts(engines: Iterable[AttemptRecorder]) -> list[TimedAmount]:
     """Return the first attempt of each command, over all engines."""
     first: dict[bytes, float] = {}
     for at, txn in _starts(engines):
@@ -167,11 +167,11 @@
         by_budget: dict[str, dict[str, int]] = {}
         for member, row in self.rows.items():
             for name, amount in row.items():
-                members = by_budget.setdefault(name, {})
+                amounts = by_budget.setdefault(name, {})
                 if amount:
-                    members[member] = amount
-        for name, members in by_budget.items():
-            self.max_sums[name] = max(self.max_sums[name], sum(members.values()))
+                    amounts[member] = amount
+        for name, amounts in by_budget.items():
+            self.max_sums[name] = max(self.max_sums[name], sum(amounts.values()))
         self.history.append(AllocationsAt(at, by_budget))
 
     def allocated_by_name(self, budget: str) -> dict[str, int]:
--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -122,9 +122,10 @@
 
 
 class NoFence(AllocatorRole):
-    """Writes on the condition of the fencing token alone, without the fence.
+    """Writes on the condition of the role's fencing token alone, without the condition on the fence key.
 
-    A write that was given up may then be executed between two later ones.
+    Every write of the allocator also writes that key, and requires the revision of the previous write there.
+    Without this condition a write that was given up may be executed between two later ones.
     """
 
     def take_actions(self) -> list[RoleAction]:
@@ -136,7 +137,7 @@
 
 
 class TakesUnknownForDone(AllocatorRole):
-    """Takes a write whose reply was lost for done, and the last known fence for current."""
+    """Takes a write whose reply was lost for done, and the last known revision of the fence for current."""
 
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
         """Handle the reply to a write, an unknown outcome as success."""
--- a/gullhold/testing/budget_variant.py
+++ b/gullhold/testing/budget_variant.py
@@ -12,7 +12,7 @@
 from gullhold.testing.role_pair_world import TERMS
 
 WINDOW_US = 1_600_000  # in world time; no multiple of QUANTUM_US, so that it ends between two steps
-LINGER_US = 1_100_000  # longest run of a call, in world time; no multiple of QUANTUM_US either
+LINGER_US = 1_100_000  # longest run of a command, in world time; no multiple of QUANTUM_US either
 TOTAL = 10
 RESERVE = 1  # held back for each member
 NAMES = ("a", "b", "c")
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -47,23 +47,24 @@
     ActionKind.LEAVE,
 )
 SETTLING_STEPS = 30  # steps of time within which a fleet without faults has to allocate everything
-MAX_ACTIONS_PER_SETTLING_STEP = 60  # to carry out what is under way
+MAX_ACTIONS_PER_SETTLING_STEP = 60  # limit of the actions that carry out the calls under way
 
 Action = tuple[Any, ...]  # (kind, argument of the kind)
 
 
 class Lingering(NamedTuple):
-    """A number of calls of a crashed member that may run until a time in us."""
+    """A number of commands of a crashed member that may run at engines until a time in us."""
 
     until: int
-    calls: int
+    commands: int
 
 
 class World(RolePairWorld):
-    """Members, two candidates for the allocator role, the store, and the calls under way.
+    """Members, two candidates for the allocator role, the store, and the calls to the store under way.
 
     act() carries out one of actions(). spent: times at which an amount of 1 of a windowed budget was spent,
-    in us; lingering: calls of crashed members; is_settling: whether demand has stopped changing.
+    in us; lingering: commands of crashed members that may still run; is_settling: whether the
+    faults are over, so that demand no longer changes.
     """
 
     def __init__(self, kind: LedgerKind, faults: int = 4, **variant: Any) -> None:
@@ -171,7 +172,7 @@
             self._renew_lease(member)
             if lease_id and member.lease.id != lease_id:
                 member.lease_lost_at = self.now
-            while member.running and member.running[0] <= self.now - LINGER_US:  # no call runs longer
+            while member.running and member.running[0] <= self.now - LINGER_US:  # no command runs longer
                 member.running.pop(0)
                 member.allocation.release(1)
         self._step_candidates()
@@ -221,19 +222,20 @@
         self._report(member)
 
     def _do_crash(self, index: int) -> None:
-        """End a member without releasing anything; its calls run on for up to LINGER_US.
+        """End a member without releasing anything; its commands run on for up to LINGER_US.
 
-        That time counts from now; for calls that began before the loss of an earlier lease, from that loss.
+        That time counts from now, or for commands that began before the loss of an earlier lease, from this
+        loss.
         """
         member = self.members.pop(index)
         self._drop_calls(member)
-        earlier_calls = sum(at < member.lease_lost_at for at in member.running)
-        self._linger(member.lease_lost_at, earlier_calls)
-        self._linger(self.now, len(member.running) - earlier_calls)
+        earlier_commands = sum(at < member.lease_lost_at for at in member.running)
+        self._linger(member.lease_lost_at, earlier_commands)
+        self._linger(self.now, len(member.running) - earlier_commands)
 
-    def _linger(self, inactive_since: int, calls: int) -> None:
-        if calls:
-            self.lingering.append(Lingering(inactive_since + LINGER_US, calls))
+    def _linger(self, inactive_since: int, commands: int) -> None:
+        if commands:
+            self.lingering.append(Lingering(inactive_since + LINGER_US, commands))
 
     def _drop_calls(self, member: SimulatedMember) -> None:
         self.calls = [row for row in self.calls if row[0] is not member]
@@ -252,7 +254,7 @@
         self.lingering = [row for row in self.lingering if row.until > self.now]
         if self.kind == LedgerKind.HELD:
             used = sum(len(member.running) for member in self.members)
-            used += sum(row.calls for row in self.lingering)
+            used += sum(row.commands for row in self.lingering)
         else:
             self.spent = [at for at in self.spent if at > self.now - WINDOW_US]
             used = len(self.spent)
@@ -284,7 +286,7 @@
                 for role in self.candidates
             ),
             tuple(at - self.now for at in self.spent),
-            tuple((until - self.now, calls) for until, calls in self.lingering),
+            tuple((until - self.now, commands) for until, commands in self.lingering),
         )
 
     def settle(self) -> None:
@@ -316,7 +318,10 @@
         """Raise InvariantError unless all that can be allocated is allocated to the running members."""
         allocated = sum(member.allocation.allocated for member in self.members)
         if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # 1 may be in transfer between members
-            raise InvariantError(f"{allocated} are allocated after the end of the faults, though more can be")
+            raise InvariantError(
+                f"{allocated} of a total of {TOTAL} are allocated after the end of the faults, "
+                f"of which {RESERVE} for each of {len(NAMES)} members is kept back"
+            )
 
     HANDLERS = RolePairWorld.HANDLERS | {
         ActionKind.JOIN: _do_join,
--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -272,17 +272,17 @@
         """Let a gateway and the store communicate again."""
         self.members[name].relay.set(RelayMode.OPEN)
 
-    # Observation
+    # Waiting for and reading what the gateways and the store do
 
     def wait_until(self, condition: Callable[[], Any], seconds: float = WAIT_TIMEOUT_S) -> Any:
         """Wait until a condition returns something true, and return that.
 
-        Raises AssertionError with the timeline after so many seconds.
+        Raises AssertionError with the timeline if it does not hold within the given number of seconds.
         """
         deadline = time.monotonic() + seconds
         while not (found := condition()):
             if time.monotonic() > deadline:
-                raise AssertionError("waited in vain\n" + self.timeline())
+                raise AssertionError(f"the condition did not hold within {seconds} s\n" + self.timeline())
             time.sleep(POLL_INTERVAL_S)
         return found
 
--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -61,7 +61,9 @@
         self._highest_tokens: dict[str, int] = defaultdict(int)
         self._roles_by_lease: dict[int, set[str]] = defaultdict(set)
         self._acquisitions: dict[str, list[Acquisition]] = defaultdict(list)
-        self._first_effects: dict[tuple[str, int], float] = {}  # by role and token
+        self._first_effects: dict[
+            tuple[str, int], float
+        ] = {}  # Unix time in s of the first effect, by role and token
         self._occurrences: dict[OccurrenceKey, dict[int, Any]] = defaultdict(dict)  # by revision
         revision = 0
         for line in lines:
--- a/gullhold/testing/fleet_process.py
+++ b/gullhold/testing/fleet_process.py
@@ -39,7 +39,7 @@
             env=os.environ | {"PYTHONPATH": str(ROOT)},
         )
         if not self.process.stdout.readline():
-            raise RuntimeError("the store server did not start")
+            raise RuntimeError(f"the store server at {self.address} did not start")
 
     def kill(self) -> None:
         """Kill the process with SIGKILL."""
--- a/gullhold/testing/hooked_gateway.py
+++ b/gullhold/testing/hooked_gateway.py
@@ -33,12 +33,12 @@
 
 
 def _scale_clock(name: str, rate: float) -> None:
-    real = getattr(time, name)
-    start = real()
+    original = getattr(time, name)
+    start = original()
     number = type(start)
 
     def clock() -> float:
-        return number(start + (real() - start) * rate)
+        return number(start + (original() - start) * rate)
 
     setattr(time, name, clock)
 
@@ -85,17 +85,17 @@
 
 
 def hook(point: str, side: str, act: str, nth: int) -> None:
-    """Make this process signal itself at a store call; the arguments are the keys of GULLHOLD_RIG."""
+    """Make this process signal itself at a store call; the module's docstring explains the parameters."""
     from gullhold.fleet.store_client import StoreClient  # noqa: PLC0415  after the clocks are scaled
 
-    real = StoreClient.call
+    original = StoreClient.call
     call_numbers = count(1)
 
     def call(self: "StoreClient", request: "Request") -> "Reply":
         is_here = call_kind(request) == point and next(call_numbers) == nth
         if is_here and side == "before":
             signal_self(act)
-        reply = real(self, request)
+        reply = original(self, request)
         if is_here and side == "after":
             signal_self(act)
         return reply
--- a/gullhold/testing/register/faults.py
+++ b/gullhold/testing/register/faults.py
@@ -26,7 +26,12 @@
         self.stale_by = 0
 
     def set(self, store: Store, requested: dict[str, Any]) -> None:
-        """Apply the faults of a request. Raises ValueError for an unknown name."""
+        """Apply the faults of a request. Raises ValueError for an unknown name.
+
+        refuse, delay: for how many s connections are closed unread, and calls and replies are delayed; lose:
+        number of lost replies; stale: number of stale reads; behind: how many revisions old these are; drop:
+        the store compacts its history; rate, early_s: as for Store; delay_s, late_s: as for this class.
+        """
         for name, value in requested.items():
             self._set_one(store, name, value)
 
--- a/gullhold/testing/rollout_history.py
+++ b/gullhold/testing/rollout_history.py
@@ -87,8 +87,8 @@
     def _is_canary(self, member: SimulatedMember, now: int) -> bool:
         """Whether a member is in a canary of its undecided version that may still run."""
         canary = self.canaries.get(member.version_number, NO_CANARY)
-        is_member = member.decisions.own_vote_key().removeprefix(VOTES_PREFIX) in canary.members
-        return is_member and now <= canary.seen_at + MAX_OVERLAP_US
+        is_in_canary = member.decisions.own_vote_key().removeprefix(VOTES_PREFIX) in canary.members
+        return is_in_canary and now <= canary.seen_at + MAX_OVERLAP_US
 
 
 def _check_in_force_everywhere(current: PolicyVersion, members: Iterable[SimulatedMember]) -> None:
@@ -108,4 +108,4 @@
     if current.text != REFUSED_TEXT:
         return
     if any(member.name == REFUSING_NAME and member.gate.may_dispatch() for member in members):
-        raise InvariantError(f"{current.number} is in force though {REFUSING_NAME} refused it")
+        raise InvariantError(f"version {current.number} is in force though {REFUSING_NAME} refused it")
--- a/gullhold/testing/rollout_mutants.py
+++ b/gullhold/testing/rollout_mutants.py
@@ -24,7 +24,7 @@
     """Dispatches after the member's lease has expired."""
 
     def may_dispatch(self) -> bool:
-        """Decide without the expiry of the lease."""
+        """Decide without checking whether the lease has expired."""
         return not self.is_stopped and self.enrolled_lease != 0
 
 
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -65,8 +65,11 @@
         self._do_elect(0)
 
     @staticmethod
-    def fits(version: PolicyVersion, name: str) -> str:
-        """Return why a member cannot run a version, or ""; one member alone refuses one policy."""
+    def reason_unusable(version: PolicyVersion, name: str) -> str:
+        """Return why a member can't run a version; empty if it can.
+
+        Only the member REFUSING_NAME refuses a version, and only if its text is REFUSED_TEXT.
+        """
         return "no such tenant" if version.text == REFUSED_TEXT and name == REFUSING_NAME else ""
 
     def _collect_member(self, member: SimulatedMember) -> None:
@@ -234,7 +237,7 @@
         member = self.members.pop(index)
         self.calls = [call for call in self.calls if call[0] is not member]
 
-    # Fingerprints and settling
+    # Fingerprints of states, and the orderly end of a walk
 
     def fingerprint(self) -> tuple:
         """Return a value that is equal for two states that differ in absolute time only."""
--- a/gullhold/testing/scheduled_command_explorer.py
+++ b/gullhold/testing/scheduled_command_explorer.py
@@ -96,7 +96,10 @@
         old_value = self.items[key][0]
         old = decode_occurrence(old_value)
         if old and not old.is_open and value != old_value:
-            raise InvariantError(f"{old.state} became {decode_occurrence(value).state}")
+            raise InvariantError(
+                f"{key}: {old.state} became {decode_occurrence(value).state}, "
+                "but an occurrence that has ended must not change"
+            )
 
     def records(self) -> list[Occurrence]:
         """Return all occurrences in the store, in order of their keys."""
@@ -202,11 +205,17 @@
         records = {item.due_us: item for item in self.store.records()}
         record = records.get(attempt.due_us)
         if record is None or record.attempts < attempt.attempt:
-            raise InvariantError("an attempt was sent without a stored intent")
+            raise InvariantError(
+                f"attempt {attempt.attempt} of the occurrence due at {attempt.due_us} us was sent "
+                "without a stored record of it"
+            )
         earlier = self.attempts.by_due.setdefault(attempt.due_us, [])
         self._check_earlier(attempt, [other for other in earlier if other.state not in NO_EFFECT])
         if len(earlier) >= RULES.max_attempts:
-            raise InvariantError(f"{len(earlier) + 1} attempts of one occurrence")
+            raise InvariantError(
+                f"{len(earlier) + 1} attempts of the occurrence due at {attempt.due_us} us, "
+                f"of at most {RULES.max_attempts}"
+            )
         earlier.append(Attempt(attempt))
 
     def _check_earlier(self, attempt: SendAttempt, may_have_run: list[Attempt]) -> None:
@@ -215,13 +224,22 @@
             return
         match self.profile.idempotency:
             case Idempotency.NON_IDEMPOTENT:
-                raise InvariantError("a non-replayable one is sent again though it may have run")
+                raise InvariantError(
+                    f"the non-idempotent occurrence due at {attempt.due_us} us is sent again "
+                    "though it may have run"
+                )
             case Idempotency.KEYED:
                 if any(other.sent.idempotency_key != attempt.idempotency_key for other in may_have_run):
-                    raise InvariantError("a keyed command is sent again under another idempotency key")
+                    raise InvariantError(
+                        f"the keyed occurrence due at {attempt.due_us} us is sent again under another "
+                        "idempotency key"
+                    )
                 known_until = may_have_run[0].sent.sent_at + self.profile.dedup_window_us
                 if attempt.sent_at + attempt.time_limit_us > known_until:
-                    raise InvariantError("a keyed command may run after engines forgot its idempotency key")
+                    raise InvariantError(
+                        f"the keyed occurrence due at {attempt.due_us} us may run after engines forgot its "
+                        f"idempotency key at {known_until} us"
+                    )
 
     def end_attempt(self, state: OccurrenceState, reason: str = "") -> "CheckedCommandHarness":
         """Record the outcome of the attempt, then end it."""
@@ -251,19 +269,19 @@
     def step(self) -> None:
         """Carry out one random action; raises InvariantError."""
         drawn = self.random.random()
-        first = self.harnesses[0]
-        last = self.harnesses[-1]
+        earliest = self.harnesses[0]
+        current = self.harnesses[-1]
         if drawn < TAKEOVER_BELOW:
-            self._take_over(last.now)
+            self._take_over(current.now)
         elif drawn < LOST_REPLY_BELOW:
             self.store.next_write = self.random.choice((Proof.UNKNOWN, Proof.NOT_DONE))
         elif drawn < TIME_BELOW:
             self._pass_time(self.random.randrange(MAX_STEP_US))
-        elif last.command.in_flight:
+        elif current.command.in_flight:
             states = (OccurrenceState.ANSWERED, OccurrenceState.FAILED, OccurrenceState.SHED)
-            last.end_attempt(self.random.choice(states))
-        elif first.command.in_flight and first is not last:
-            first.end_attempt(OccurrenceState.ANSWERED)
+            current.end_attempt(self.random.choice(states))
+        elif earliest.command.in_flight and earliest is not current:
+            earliest.end_attempt(OccurrenceState.ANSWERED)
 
     def _take_over(self, now: int) -> None:
         harness = self._new_harness()
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -37,7 +37,7 @@
         variant = world.variant
         self.gate = variant.make_gate(self.lease, self, TERMS.guaranteed_us(), variant.cut_off_rule)
         self.decisions = variant.make_member(
-            name, self.gate, lambda version: world.fits(version, name), self.figures
+            name, self.gate, lambda version: world.reason_unusable(version, name), self.figures
         )
 
     def __call__(self) -> int:
--- a/gullhold/testing/soak/plan.py
+++ b/gullhold/testing/soak/plan.py
@@ -8,9 +8,11 @@
 SERVING_S = 1.2  # s from the first request to SIGTERM
 CLIENT_TIMEOUTS_S = (0.4, 0.8, 1.5, 3.0)
 ENGINES = 3
-MAX_SUSPENSION_S = 0.3  # of a process by SIGSTOP
-MAX_KILL_TIMEOUT_S = 3.0  # protocol: up to which the longest client timeout delays SIGKILL
-KILL_AFTER_TIMEOUT_S = 0.7  # protocol: from the end of that timeout to SIGKILL
+MAX_SUSPENSION_S = 0.3  # longest suspension of a process by SIGSTOP
+# The protocol allows SIGKILL this long after SIGTERM: the longest client timeout, but at most
+# MAX_KILL_TIMEOUT_S, and KILL_AFTER_TIMEOUT_S more.
+MAX_KILL_TIMEOUT_S = 3.0
+KILL_AFTER_TIMEOUT_S = 0.7
 
 
 class Trouble(StrEnum):
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -253,7 +253,7 @@
             client.may_connect = False
 
     def _await_ends(self) -> list[Violation]:
-        """Wait for the end of each gateway until the earliest time of SIGKILL; return violations."""
+        """Wait for the gateways' ends until SIGKILL is allowed; return late ends and bad exit statuses."""
         found = []
         for gateway in self.gateways:
             remaining_s = self.terminated_at + self.plan.kill_at_s - time.monotonic()
--- a/gullhold/testing/soak/violations.py
+++ b/gullhold/testing/soak/violations.py
@@ -6,10 +6,12 @@
 
 from gullhold.testing.soak.clients_and_engines import RequestRecord, TimedFetch
 
-CROSSING_S = 0.05  # protocol: a request written this shortly before its connection's end may go unanswered
-SOCKET_TOLERANCE_S = 0.05  # protocol: by which each time limit is longer on sockets
-ATTEMPT_AFTER_LEAVING_S = 0.1  # protocol: an attempt may still start so long after its client left
-RECORDING_DELAY_S = 0.2  # by which test doubles on a busy machine may record the time of an event late
+# Times that the client protocol allows.
+CROSSING_S = 0.05  # a request written this shortly before its connection's end may go unanswered
+SOCKET_TOLERANCE_S = 0.05  # added to each time limit where it is observed on sockets
+ATTEMPT_AFTER_LEAVING_S = 0.1  # an attempt may still start so long after its client left
+
+RECORDING_DELAY_S = 0.2  # test doubles on a busy machine may record the time of an event this much too late
 
 
 class Kind(StrEnum):
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -11,21 +11,22 @@
 from faults.traffic import FaultyGateway, statement
 from gullhold.testing.client import BlockingClient
 
-CROSSING_S = 0.05  # protocol: a request written this shortly before its connection's end may go unanswered
-KILL_AFTER_TIMEOUT_S = 0.7  # protocol: from the longest client timeout (at most 3 s) to SIGKILL
-RECORDING_DELAY_S = 0.15  # by which a client on a busy machine may record the time of an event late
+# The protocol allows that a request written this shortly before its connection's end goes unanswered.
+CROSSING_S = 0.05
+KILL_AFTER_TIMEOUT_S = 0.7  # from the end of the longest client timeout (counted as at most 3 s) to SIGKILL
+RECORDING_DELAY_S = 0.15  # a client on a busy machine may record the time of an event this much too late
 
 
 class PacedClient(Thread):
     """Sends requests at even intervals on one connection until it ends, and records when each was written.
 
-    odd: requests have an unknown profile, so that they are not dispatched.
+    has_unknown_profile: requests have an unknown profile, so that they are not dispatched.
     """
 
-    def __init__(self, address, record, number, pause_s, limit_ms, odd=False):
+    def __init__(self, address, record, number, pause_s, limit_ms, has_unknown_profile=False):
         super().__init__(daemon=True)
         self.caller, self.record, self.number = BlockingClient(address), record, number
-        self.pause_s, self.limit_ms, self.odd = pause_s, limit_ms, odd
+        self.pause_s, self.limit_ms, self.has_unknown_profile = pause_s, limit_ms, has_unknown_profile
         self.written, self.ended_at, self.violations = {}, None, []
 
     def run(self):
@@ -42,7 +43,9 @@
                     self.record.requests[txn] = (1, body)
                     # Recorded before it is sent, as its answer may come at once.
                     self.written[serial] = time.monotonic()
-                    self.caller.send_command("odd" if self.odd else "read", self.limit_ms, txn=txn, body=body)
+                    self.caller.send_command(
+                        "odd" if self.has_unknown_profile else "read", self.limit_ms, txn=txn, body=body
+                    )
                 time.sleep(self.pause_s)
         except OSError:
             pass  # the connection has ended
@@ -74,7 +77,9 @@
         category["give_up"], category["aim"] = deadline_s, deadline_s / 3
     with gateway:
         clients = [
-            PacedClient(gateway.address, gateway.record, n, 0.02, int(deadline_s * 1000), odd=n >= 6)
+            PacedClient(
+                gateway.address, gateway.record, n, 0.02, int(deadline_s * 1000), has_unknown_profile=n >= 6
+            )
             for n in range(8)
         ]  # the last two send requests that can't be dispatched
         for client in clients:
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -22,7 +22,7 @@
     "waits that fail": [
         ("poll", 300, "ENOMEM", 0),
         ("send", 1000, "", 1500),
-    ],  # after a short write the flusher waits in poll
+    ],  # after a short write, the thread that writes to clients (the flusher) waits in poll
     "no buffer for a write": [("send", 200, "ENOBUFS", 0)],
     "short reads and writes": [("send", 1000, "", 39), ("recv", 1000, "", 39)],
     "single bytes": [("send", 300, "", 1), ("recv", 300, "", 1)],
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -98,7 +98,7 @@
         if "://" in target:
             continue
         other = page.parent / target if target else page
-        assert anchor in headings(other.read_text()), f"{target}#{anchor}"
+        assert anchor in headings(other.read_text()), f"{page}: {target}#{anchor} links to no heading"
 
 
 @pytest.mark.parametrize("page", COMMAND_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
@@ -106,11 +106,11 @@
     parsers = subcommands()
     commands = named_commands(page.read_text())
     for name, rest in commands:
-        assert name in parsers, f"gullhold {name}"
-        assert name not in EARLIER_COMMAND_NAMES, f"gullhold {name}"
+        assert name in parsers, f"gullhold {name}: no such command"
+        assert name not in EARLIER_COMMAND_NAMES, f"gullhold {name}: an earlier name of a command"
         known = parsers[name]._option_string_actions
         unknown = [option for option in re.findall(r"--[a-z][a-z-]*", rest) if option not in known]
-        assert unknown == [], f"gullhold {name} {rest}"
+        assert unknown == [], f"gullhold {name} {rest}: no options {unknown}"
         _check_choices(parsers[name], name, rest)
 
 
@@ -119,13 +119,18 @@
     choices = next((a.choices for a in parser._actions if not a.option_strings and a.choices), None)
     if choices and rest and not rest.startswith("-"):
         named = rest.split(maxsplit=1)[0].split("|")
-        assert set(named) <= set(choices) - set(EARLIER_FLEET_SUBJECTS), f"gullhold {name} {rest}"
+        assert set(named) <= set(choices) - set(EARLIER_FLEET_SUBJECTS), (
+            f"gullhold {name} {rest}: the choices are {choices}"
+        )
 
 
 @pytest.mark.parametrize("page", COMMAND_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
 def test_options_in_backticks_are_options_of_some_command(page: Path):
     known = {option for parser in subcommands().values() for option in parser._option_string_actions}
-    known |= {"--quick", "--why"}  # options of the benchmarks, and of the operators' own tools
+    known |= {
+        "--quick",
+        "--why",
+    }  # an option of the benchmarks, and one of `gullhold policy` and the operators' own tools
     named = {
         o for text in texts_in_backticks(page.read_text()) if text.startswith("--") for o in [text.split()[0]]
     }
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -40,7 +40,7 @@
         (RED + "\n" + GREEN, True, 1, "test_green: passes: its line goes"),
         (ABSENT, False, 1, "test_none: does not exist"),
         (ABSENT.replace("test_it.py::", "test_none.py::"), False, 1, "test_none: does not exist"),
-        (RED + "\n" + RED, True, 1, "named twice"),
+        (RED + "\n" + RED, True, 1, "a test is named twice: test_it.py::test_red"),
         # Every field is required.
         ("test_it.py::test_red", True, 1, "not `test | command and seed | N of M: what was seen | issue`"),
         (f"test_it.py::test_red | {COMMAND} | 3 of 3: a fault", True, 1, "not `test | command"),
@@ -58,7 +58,7 @@
         (SOMETIMES_GREEN, True, 1, "test_green: passes, passed over"),
         (SOMETIMES_RED + "\n" + GREEN, True, 1, "test_green: passes: its line goes"),
         (RED + "\n" + SOMETIMES_GREEN, False, 1, "test_red: passes: its line goes"),
-        (SOMETIMES_RED + "\n" + RED, True, 1, "named twice"),
+        (SOMETIMES_RED + "\n" + RED, True, 1, "a test is named twice: test_it.py::test_red"),
     ],
 )
 def test_only_failures_of_listed_tests_are_tolerated(tmp_path, capfd, lines, red, status, expected):
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -189,18 +189,20 @@
         """Deliver a status note on an open attempt."""
         if running := self.driver.running_ids():
             command_id = self.draw.choice(running)
-            attempt = self.driver.commands[command_id].open_attempt.number
+            attempt_number = self.driver.commands[command_id].open_attempt.number
             status, value = self.draw.randrange(3), self.draw.choice((0.0, 0.02, 0.6, 1.0, 2.0))
             self.driver.carry_out(
-                self.driver.gateway.attempt_status(self.driver.now, command_id, attempt, status, value)
+                self.driver.gateway.attempt_status(self.driver.now, command_id, attempt_number, status, value)
             )
 
     def begin_answer(self) -> None:
         """Begin the final answer of an open attempt, in 20% of the calls."""
         if self.draw.random() < 0.2 and (running := self.driver.running_ids()):
             command_id = self.draw.choice(running)
-            attempt = self.driver.commands[command_id].open_attempt.number
-            self.driver.carry_out(self.driver.gateway.answer_began(self.driver.now, command_id, attempt))
+            attempt_number = self.driver.commands[command_id].open_attempt.number
+            self.driver.carry_out(
+                self.driver.gateway.answer_began(self.driver.now, command_id, attempt_number)
+            )
             self.driver.commands[command_id].is_over = True  # an answer that has begun is the final one
 
     def apply_budgets(self) -> None:
@@ -215,7 +217,7 @@
         if budget == BudgetKind.ADMISSIONS or (
             budget == BudgetKind.RETRIES and agreement.retry_budget_base is not None
         ):
-            return None  # the driver checks the agreement's own retry budget
+            return None  # of the retries, the driver checks the agreement's own budget
         limit = {
             BudgetKind.WARMUP: 10**6 // agreement.gateways,
             BudgetKind.TRAFFIC_SHARE: 4 * 10**5,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -62,7 +62,7 @@
 def output_of(*arguments: str) -> str:
     """Return what one gullhold command prints, which has to succeed."""
     ended = run(*arguments)
-    assert ended.returncode == 0, ended.stderr
+    assert ended.returncode == 0, f"gullhold {' '.join(arguments)}: status {ended.returncode}: {ended.stderr}"
     return ended.stdout
 
 
@@ -73,7 +73,7 @@
     """
     end = time.monotonic() + TIMEOUT_S
     while not (found := probe()):
-        assert time.monotonic() < end, "the condition did not hold in time " + why()
+        assert time.monotonic() < end, f"the condition did not hold within {TIMEOUT_S} s {why()}"
         time.sleep(POLL_INTERVAL_S)
     return found
 
