--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -199,7 +199,7 @@
 
 
 def measure_service_without_store(seconds: float, budgets: Sequence[Budget]) -> float:
-    """The share of requests answered without the store, at a load that equal allocations to all members can serve."""
+    """The share of requests answered without the store, at a load that equal allocations can serve."""
     with make_fleet(MEMBERS, budgets) as rig:
         rig.start(operator=True)
         clients = [
--- a/gullhold/testing/register/database.py
+++ b/gullhold/testing/register/database.py
@@ -11,8 +11,8 @@
 from gullhold.testing.register.store_types import KeyUpdate, StoredChange, StoredKey
 
 # kv: the current keys; born, changed: the revisions of creation and of the last change. past: the history of
-# changes; place: the position of a change within its revision. told: the newest revision, and the first one of
-# the history, by name ("revision", "first").
+# changes; place: the position of a change within its revision. told: the newest revision, and the first one
+# of the history, by name ("revision", "first").
 SCHEMA = """
 create table if not exists kv (key blob primary key, value blob, born int, changed int, version int,
                                lease int);
