--- a/gullhold/simulation/client.py
+++ b/gullhold/simulation/client.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from gullhold.simulation.gateway import SimulatedGateway
-    from gullhold.simulation.world import World
+    from gullhold.simulation.simulation import Simulation
 
 MAX_MESSAGE_BYTES = 1 << 18
 MAX_OPEN = 30  # commands that a client has open at the same time
@@ -27,14 +27,14 @@
 
     def __init__(
         self,
-        world: "World",
+        simulation: "Simulation",
         number: int,
         gateway: "SimulatedGateway",
         verbs: Sequence[bytes],
         mean_gap_us: int,
     ) -> None:
         """verbs: of which one is drawn for each command; mean_gap_us: mean time between commands."""
-        self.world = world
+        self.simulation = simulation
         self.number = number
         self.gateway = gateway
         self.verbs = verbs
@@ -48,18 +48,18 @@
     def send_next(self) -> None:
         """Send a command, unless too many are open, and schedule the next one.
 
-        Ends when the client has left, or at the world's clients_send_until_us.
+        Ends when the client has left, or at the simulation's clients_send_until_us.
         """
-        world = self.world
-        if self.has_left or world.clock.now > world.clients_send_until_us:
+        simulation = self.simulation
+        if self.has_left or simulation.clock.now > simulation.clients_send_until_us:
             return
         if len(self.open) < MAX_OPEN:
             self._send_command()
-        gap_us = int(self.mean_gap_us * (0.2 + 1.6 * world.random.random()))
-        world.clock.after(gap_us, self.send_next)
+        gap_us = int(self.mean_gap_us * (0.2 + 1.6 * simulation.random.random()))
+        simulation.clock.after(gap_us, self.send_next)
 
     def _send_command(self) -> None:
-        random = self.world.random.random
+        random = self.simulation.random.random
         self.last_seq += 1
         verb = self.verbs[int(random() * len(self.verbs))]
         txn = b"%08x%08x" % (self.number, self.last_seq)
@@ -70,7 +70,7 @@
         if verb == b"mark":
             fields[b"unique"] = txn * 2
         self.open[self.last_seq] = txn
-        self.world.checker.command_sent(self, txn, verb, limit_ms * US_PER_MS)
+        self.simulation.checker.command_sent(self, txn, verb, limit_ms * US_PER_MS)
         self.endpoint.write(encode_execute(self.last_seq, fields, body))
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
@@ -78,7 +78,7 @@
         self.decoder.buffer.put(data)
         for frame in self.decoder.frames():
             seq, body = decode_answer(frame)
-            self.world.checker.answered(self, self.open.pop(seq, None), body)
+            self.simulation.checker.answered(self, self.open.pop(seq, None), body)
 
     def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
         """Handle the end of the gateway's side: a new client takes this one's place, unless it has left."""
@@ -89,11 +89,11 @@
         if self.has_left:
             return
         self.has_left = True
-        self.world.checker.client_left(self, list(self.open.values()))
+        self.simulation.checker.client_left(self, list(self.open.values()))
         if not self.endpoint.is_finishing and not self.endpoint.outgoing.is_finished:
             self.endpoint.finish(StreamEnd.CLOSED)
         if reconnect:
-            self.world.start_client(self.gateway.name, self.verbs, self.mean_gap_us)
+            self.simulation.start_client(self.gateway.name, self.verbs, self.mean_gap_us)
 
 
 def encode_execute(seq: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -13,7 +13,7 @@
 from gullhold.simulation.streams import StreamEnd
 
 if TYPE_CHECKING:
-    from gullhold.simulation.world import World
+    from gullhold.simulation.simulation import Simulation
 
 # Time between status notes of an attempt. It is shorter than the interval in the settings, by which gateways
 # tell that an engine has fallen silent.
@@ -91,8 +91,8 @@
     malformed_answers, duplicate_answers: how many of the next answers are malformed or sent twice.
     """
 
-    def __init__(self, world: "World", engine_id: str, address: str, cores: int) -> None:
-        self.world = world
+    def __init__(self, simulation: "Simulation", engine_id: str, address: str, cores: int) -> None:
+        self.simulation = simulation
         self.id = engine_id
         self.address = address
         self.cores = cores
@@ -107,7 +107,7 @@
 
     def accept(self, gateway_endpoint: Endpoint) -> Endpoint:
         """Accept a gateway's connection; returns the endpoint on the engine's side."""
-        endpoint = Endpoint(self.world.clock, None)
+        endpoint = Endpoint(self.simulation.clock, None)
         session = EngineSession(self, endpoint, gateway_endpoint)
         endpoint.reader = session
         self.sessions.append(session)
@@ -149,31 +149,31 @@
         attempt = session.running.pop(txn, None)
         if attempt:
             self.running_count -= 1
-            self.world.clock.cancel(attempt.end_event)
-            self.world.clock.cancel(attempt.note_event)
-            self.world.checker.attempt_over(self, txn)
+            self.simulation.clock.cancel(attempt.end_event)
+            self.simulation.clock.cancel(attempt.note_event)
+            self.simulation.checker.attempt_over(self, txn)
 
     def _fetch(
         self, session: EngineSession, txn: bytes, fields: dict[bytes, bytes], body: bytes, written_at: int
     ) -> None:
         key = fields.get(b"i", b"")
         is_rejected = self.running_count >= MAX_ATTEMPTS_PER_CORE * self.cores
-        self.world.checker.attempt_arrived(session, txn, key, written_at, not is_rejected)
+        self.simulation.checker.attempt_arrived(session, txn, key, written_at, not is_rejected)
         if is_rejected:
             session.send(txn, b"503", b"-", b"")
             return
         is_duplicate = self._is_known_key(key)
         self.abandon(session, txn)  # a second attempt on this connection replaces the first
         if key and not is_duplicate:
-            self.idempotency_keys[key] = self.world.clock.now
+            self.idempotency_keys[key] = self.simulation.clock.now
         work_us = DUPLICATE_WORK_US if is_duplicate else US_PER_MS * int(body.split()[1])
         self._start(session, txn, work_us)
 
     def _is_known_key(self, key: bytes) -> bool:
         """Whether this idempotency key first arrived within the last deduplication window."""
-        window_us = self.world.dedup_window_us
+        window_us = self.simulation.dedup_window_us
         first_at = self.idempotency_keys.get(key, -window_us)
-        return bool(key) and self.world.clock.now - first_at < window_us
+        return bool(key) and self.simulation.clock.now - first_at < window_us
 
     def _start(self, session: EngineSession, txn: bytes, work_us: int) -> None:
         attempt = RunningAttempt(session, txn)
@@ -181,19 +181,19 @@
         self.running_count += 1
         core_contention = max(1.0, self.running_count / self.cores)
         duration_us = int(work_us * self.slowdown * core_contention)
-        attempt.end_event = self.world.clock.after(duration_us, self._complete, attempt, work_us)
-        attempt.note_event = self.world.clock.after(NOTE_INTERVAL_US, self._send_note, attempt)
+        attempt.end_event = self.simulation.clock.after(duration_us, self._complete, attempt, work_us)
+        attempt.note_event = self.simulation.clock.after(NOTE_INTERVAL_US, self._send_note, attempt)
 
     def _send_note(self, attempt: RunningAttempt) -> None:
         attempt.session.send(attempt.txn, b"status", b"note=share,v=0.5", b"")
-        attempt.note_event = self.world.clock.after(NOTE_INTERVAL_US, self._send_note, attempt)
+        attempt.note_event = self.simulation.clock.after(NOTE_INTERVAL_US, self._send_note, attempt)
 
     def _complete(self, attempt: RunningAttempt, work_us: int) -> None:
         session, txn = attempt.session, attempt.txn
-        self.world.clock.cancel(attempt.note_event)
+        self.simulation.clock.cancel(attempt.note_event)
         del session.running[txn]
         self.running_count -= 1
-        self.world.checker.attempt_over(self, txn)
+        self.simulation.checker.attempt_over(self, txn)
         session.answered.add(txn)
         if self.malformed_answers:
             self.malformed_answers -= 1
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -1,7 +1,8 @@
 """A gateway on virtual time: the product's core, decisions, connections and parsers, no threads, no sockets.
 
 Two things replace the threads: a connection's endpoint passes arriving bytes to it, and an event of the
-world's clock runs the core when a call was posted to it or a timer is due. All else is the product's code.
+simulation's clock runs the core when a call was posted to it or a timer is due. All else is the product's
+code.
 """
 
 from collections.abc import Callable
@@ -24,7 +25,7 @@
 from gullhold.simulation.streams import StreamEnd
 
 if TYPE_CHECKING:
-    from gullhold.simulation.world import World
+    from gullhold.simulation.simulation import Simulation
 
 MAX_MESSAGE_BYTES = 192 << 10  # as in a small deployment
 MAX_CONNECTIONS = 200  # to engines, of one gateway
@@ -72,7 +73,7 @@
 
     def start(self) -> None:
         """Connect over the network, which calls connect_succeeded() or report_end() later."""
-        self.core.world.network.connect(self)
+        self.core.simulation.network.connect(self)
 
     def connect_succeeded(self, endpoint: Endpoint) -> None:
         """Attach the endpoint of the new connection, unless the connection was closed in the meantime."""
@@ -83,7 +84,7 @@
         """Close it from the gateway's side; the end of reading is reported by an event, as by a thread."""
         super().begin_close(end)
         if self.connection is not None:
-            self.core.world.clock.after(0, self.report_end, end)
+            self.core.simulation.clock.after(0, self.report_end, end)
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
         """Decode and deliver bytes of the engine."""
@@ -159,14 +160,16 @@
 
     connect = SimulatedEngineConnection
 
-    def __init__(self, world: "World", simulated_gateway: "SimulatedGateway", *args: object) -> None:
-        self.world = world
+    def __init__(
+        self, simulation: "Simulation", simulated_gateway: "SimulatedGateway", *args: object
+    ) -> None:
+        self.simulation = simulation
         self.simulated_gateway = simulated_gateway
         super().__init__(*args)
 
     def clock(self) -> int:
         """Return Unix time in us; shifts of the wall clock do not change it."""
-        return self.world.clock.start_us + self.world.clock.now
+        return self.simulation.clock.start_us + self.simulation.clock.now
 
     def post(self, call: Callable[..., None], *args: object) -> None:
         """Queue a call for the core, and schedule a turn in which it is made."""
@@ -182,11 +185,11 @@
 class SimulatedGateway:
     """One gateway process, from its start until it is killed.
 
-    world: provides the clock and the network; configuration: as a real process reads it at its start.
+    simulation: provides the clock and the network; configuration: as a real process reads it at its start.
     """
 
-    def __init__(self, world: "World", name: str, configuration: Configuration) -> None:
-        self.world = world
+    def __init__(self, simulation: "Simulation", name: str, configuration: Configuration) -> None:
+        self.simulation = simulation
         self.name = name
         self.is_alive = True
         self.turn_event: Event | None = None  # the scheduled event in which the core runs next
@@ -195,9 +198,9 @@
             0  # virtual time at which the last watch event sent to this gateway arrives
         )
         agreement = configuration.agreement
-        now = world.clock.start_us + world.clock.now
+        now = simulation.clock.start_us + simulation.clock.now
         self.core = SimulatedCore(
-            world,
+            simulation,
             self,
             Gateway(configuration.seed, agreement, now),
             agreement,
@@ -226,15 +229,15 @@
 
     def open_endpoint(self, connection: SimulatedEngineConnection) -> Endpoint:
         """Return a new endpoint for the gateway's side of a connection to an engine."""
-        endpoint = Endpoint(self.world.clock, connection)
+        endpoint = Endpoint(self.simulation.clock, connection)
         self.endpoints.append(endpoint)
         return endpoint
 
     def wake(self) -> None:
         """Schedule a turn of the core without delay, in place of a later one."""
         if self.turn_event:
-            self.world.clock.cancel(self.turn_event)
-        self.turn_event = self.world.clock.after(0, self._run_turns)
+            self.simulation.clock.cancel(self.turn_event)
+        self.turn_event = self.simulation.clock.after(0, self._run_turns)
 
     def kill(self) -> None:
         """Stop at once, as by SIGKILL; all connections are reset."""
@@ -257,7 +260,7 @@
             core.turn(event)
         if self.turn_event is None:
             wait_us = max(0, core.next_timer_at_us() - core.now)
-            self.turn_event = self.world.clock.after(wait_us, self._run_turns)
+            self.turn_event = self.simulation.clock.after(wait_us, self._run_turns)
 
     def leftover_sizes(self) -> dict[str, int]:
         """Return the sizes of the tables that still hold entries, by the names that violations print."""
--- a/gullhold/simulation/play.py
+++ b/gullhold/simulation/runner.py
@@ -1,4 +1,4 @@
-"""Runs one simulation: a world from a seed, the faults of a script, and what the checker found."""
+"""Runs one simulation: draws or takes the faults of a script, and returns what the checker found."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 from gullhold.simulation.clock import first_scheduled
 from gullhold.simulation.fault_injection import SUPPORTED_KINDS, FaultInjector
 from gullhold.simulation.script import Fault, FaultTarget, draw_faults
-from gullhold.simulation.world import CLIENTS_SEND_FOR_US, World, WorldSize
+from gullhold.simulation.simulation import CLIENTS_SEND_FOR_US, Simulation, SimulationSize
 
 # Time from the clients' last commands to the end of the simulation. It is longer than any client timeout, and
 # also longer than the time for which a gateway assumes that an attempt still runs after its client timeout.
@@ -25,7 +25,7 @@
     counts: dict[str, int]
 
 
-def faults_of_seed(seed: int, size: WorldSize) -> list[Fault]:
+def faults_of_seed(seed: int, size: SimulationSize) -> list[Fault]:
     """Return the faults that a seed draws, only of the kinds that can be injected."""
     target_counts = {
         FaultTarget.CONNECTION: size.engines,
@@ -38,29 +38,29 @@
     return [fault for fault in candidates if fault.kind in SUPPORTED_KINDS][: size.faults]
 
 
-def play(
+def run_simulation(
     seed: int,
     faults: list[Fault] | None = None,
-    size: WorldSize | None = None,
+    size: SimulationSize | None = None,
     choose: Callable[[int], int] = first_scheduled,
 ) -> Result:
     """Run a simulation to its end. faults: the script, None: drawn from the seed; choose: as for Clock."""
-    size = size or WorldSize()
+    size = size or SimulationSize()
     faults = faults_of_seed(seed, size) if faults is None else faults
-    world = World(seed, size, choose)
-    injector = FaultInjector(world)
+    simulation = Simulation(seed, size, choose)
+    injector = FaultInjector(simulation)
     for fault in faults:
-        world.clock.at(fault.at_us, injector.inject, fault)
+        simulation.clock.at(fault.at_us, injector.inject, fault)
     end_at_us = CLIENTS_SEND_FOR_US + SETTLE_US
-    world.clock.run(end_at_us)
-    _release_expired_attempts(world)
-    world.clock.run(end_at_us + 1)
-    violations = world.checker.finish(world.gateways.values())
-    return Result(violations, world.checker.trace_hash.hexdigest(), dict(world.checker.counts))
+    simulation.clock.run(end_at_us)
+    _release_expired_attempts(simulation)
+    simulation.clock.run(end_at_us + 1)
+    violations = simulation.checker.finish(simulation.gateways.values())
+    return Result(violations, simulation.checker.trace_hash.hexdigest(), dict(simulation.checker.counts))
 
 
-def _release_expired_attempts(world: World) -> None:
+def _release_expired_attempts(simulation: Simulation) -> None:
     """Send an empty list change, on which each gateway releases attempts that can't run any longer."""
-    for gateway in world.gateways.values():
+    for gateway in simulation.gateways.values():
         if gateway.is_alive:
             gateway.core.list_changed((), {}, False)
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -17,9 +17,9 @@
 from gullhold.simulation import script
 from gullhold.simulation.checker import Rule
 from gullhold.simulation.fault_injection import SUPPORTED_KINDS
-from gullhold.simulation.play import Result, faults_of_seed, play
+from gullhold.simulation.runner import Result, faults_of_seed, run_simulation
 from gullhold.simulation.script import Fault
-from gullhold.simulation.world import WorldSize
+from gullhold.simulation.simulation import SimulationSize
 
 EXIT_OK = 0
 EXIT_VIOLATION = 1
@@ -65,8 +65,8 @@
 
 
 def fails_by(rule: Rule, seed: int) -> Callable[[list[Fault]], bool]:
-    """Return a function that tells whether a script breaks this rule in the world of this seed."""
-    return lambda faults: any(violation.rule == rule for violation in play(seed, faults).violations)
+    """Return a function that tells whether a script breaks this rule in the simulation of this seed."""
+    return lambda faults: any(violation.rule == rule for violation in run_simulation(seed, faults).violations)
 
 
 def _parse_seeds(text: str) -> range:
@@ -80,12 +80,12 @@
 
 
 def _run_seed(seed: int) -> Run:
-    return _run_script(seed, faults_of_seed(seed, WorldSize()))
+    return _run_script(seed, faults_of_seed(seed, SimulationSize()))
 
 
 def _run_script(seed: int, faults: list[Fault]) -> Run:
     logger.remove()  # simulated gateways would log every fault
-    return Run(seed, faults, play(seed, faults))
+    return Run(seed, faults, run_simulation(seed, faults))
 
 
 def _print_violation(failing: Run, replay: str | None, command: str) -> None:
--- a/gullhold/simulation/world.py
+++ b/gullhold/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""A simulated world: gateways, engines and clients on one clock, with one source of randomness."""
+"""The parts of one simulation: gateways, engines and clients on one clock, with one source of randomness."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -28,8 +28,8 @@
 VERBS = (b"read", b"read", b"read", b"mark", b"once")
 
 
-class WorldSize(NamedTuple):
-    """The size of a world, and the number of faults that a seed draws for it."""
+class SimulationSize(NamedTuple):
+    """The size of a simulation, and the number of faults that a seed draws for it."""
 
     gateways: int = 2
     engines: int = 3
@@ -38,13 +38,15 @@
     faults: int = 6
 
 
-class World:
+class Simulation:
     """Everything that takes part in a simulation.
 
     A seed gives the same run only as long as the parts draw from `random` in the same order.
     """
 
-    def __init__(self, seed: int, size: WorldSize, choose: Callable[[int], int] = first_scheduled) -> None:
+    def __init__(
+        self, seed: int, size: SimulationSize, choose: Callable[[int], int] = first_scheduled
+    ) -> None:
         """choose: as for Clock."""
         self.size = size
         self.clock = Clock(choose=choose)
@@ -74,7 +76,7 @@
         self.discovery.report_complete_list(gateway)
 
     def start_clients(self, name: str) -> None:
-        """Start the clients of a gateway, as many as the world's size states."""
+        """Start the clients of a gateway, as many as the simulation's size states."""
         for _ in range(self.size.clients_per_gateway):
             self.start_client(name, VERBS, self.size.mean_gap_us)
 
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -29,7 +29,7 @@
     StartTimer,
     Tenant,
 )
-from gullhold.simulation import play, streams
+from gullhold.simulation import runner, streams
 
 # Recorded methods of the decision module and of a stream. Their numbers go into the hash, their names do not.
 GATEWAY_CALLS = {
@@ -307,6 +307,6 @@
         recorded(recorder, Gateway, GATEWAY_CALLS),
         recorded(recorder, streams.Stream, STREAM_CALLS),
     ):
-        results = [play.play(seed) for seed in range(SIMULATED_SEEDS)]
+        results = [runner.run_simulation(seed) for seed in range(SIMULATED_SEEDS)]
     assert [result.violations for result in results] == [[]] * SIMULATED_SEEDS
     assert (recorder.records, recorder.digest()) == SIMULATION_HASH
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 
 from gullhold.__main__ import main
-from gullhold.simulation import mutants, play, script, show
+from gullhold.simulation import mutants, runner, script, show
 from gullhold.simulation.clock import Clock, LivelockError
 from gullhold.simulation.discovery import EnginePhase
 from gullhold.simulation.script import Fault, FaultTarget, ScriptError
+from gullhold.simulation.simulation import Simulation, SimulationSize
 from gullhold.simulation.streams import DuplexStream, StreamConditions, StreamEnd
-from gullhold.simulation.world import World, WorldSize
 from gullhold.testing.running import ROOT
 
 # A seed that finds the mutant, by mutant; those that take many seeds to find are left out
@@ -231,14 +231,14 @@
 
 def test_simulated_seeds_break_no_rule():
     for seed in range(6):
-        result = play.play(seed)
+        result = runner.run_simulation(seed)
         assert not result.violations, (seed, result.violations)
         assert result.counts["answered"] > 200
         assert result.counts["fetched"] > 200
 
 
 def test_a_seed_gives_the_same_trace_under_another_hash_seed():
-    code = "from gullhold.simulation import play; print(play.play(3).trace)"
+    code = "from gullhold.simulation import runner; print(runner.run_simulation(3).trace)"
     traces = {
         subprocess.run(
             [sys.executable, "-c", code],
@@ -250,21 +250,21 @@
         ).stdout
         for seed in ("1", "77")
     }
-    assert traces == {play.play(3).trace + "\n"}
+    assert traces == {runner.run_simulation(3).trace + "\n"}
 
 
 @pytest.mark.parametrize("name", sorted(MUTANT_SEEDS))
 def test_the_checker_reports_the_rule_that_a_mutant_breaks(name):
     with mutants.applied(name):  # without a mutant, seeds 0 to 5 break no rule, as tested above
         assert mutants.MUTANTS[name].rule in {
-            violation.rule for violation in play.play(MUTANT_SEEDS[name]).violations
+            violation.rule for violation in runner.run_simulation(MUTANT_SEEDS[name]).violations
         }
 
 
 def test_a_failing_script_is_shrunk_written_and_replayed(tmp_path, capsys):
     path = tmp_path / "small"
     with mutants.applied("draining ignored"):
-        faults = play.faults_of_seed(1, WorldSize())
+        faults = runner.faults_of_seed(1, SimulationSize())
         shrunk = script.shrink(faults, show.fails_by("drain", 1))
         assert 0 < len(shrunk) < len(faults)
         assert "drain" in {fault.kind for fault in shrunk}
@@ -275,15 +275,15 @@
 
 
 def test_watch_events_keep_their_order_at_any_delay():
-    world = World(1, WorldSize(clients_per_gateway=0))
-    world.discovery.extra_delay_us = 3_000_000
-    world.discovery.change_phase(world.engines[0], EnginePhase.DRAINING)
-    world.discovery.extra_delay_us = 0
-    world.discovery.change_phase(world.engines[1], EnginePhase.DRAINING)
-    world.clock.run(2_900_000)
-    assert all(gateway.event_stream.last_index == 1 for gateway in world.gateways.values())
-    world.clock.run(3_100_000)
-    assert all(gateway.event_stream.last_index == 3 for gateway in world.gateways.values())
+    simulation = Simulation(1, SimulationSize(clients_per_gateway=0))
+    simulation.discovery.extra_delay_us = 3_000_000
+    simulation.discovery.change_phase(simulation.engines[0], EnginePhase.DRAINING)
+    simulation.discovery.extra_delay_us = 0
+    simulation.discovery.change_phase(simulation.engines[1], EnginePhase.DRAINING)
+    simulation.clock.run(2_900_000)
+    assert all(gateway.event_stream.last_index == 1 for gateway in simulation.gateways.values())
+    simulation.clock.run(3_100_000)
+    assert all(gateway.event_stream.last_index == 3 for gateway in simulation.gateways.values())
 
 
 def test_unusable_arguments_give_a_one_line_error_and_exit_status_2(tmp_path, capsys):
