--- a/benchmarks/admission_queue_decisions.py
+++ b/benchmarks/admission_queue_decisions.py
@@ -22,7 +22,7 @@
 ENGINES = 8
 REPETITIONS = 3  # the fastest one counts
 ARRIVAL_INTERVAL_US = 400
-ATTEMPT_US = 20_000  # from the dispatch of an attempt to its end
+ATTEMPT_US = 20_000  # time from the dispatch of an attempt to its end
 WORK_US = 50_000  # work of a command, in core-us
 TIMEOUT_US = 4_000_000
 ESTIMATED_MB = 64.0
--- a/benchmarks/admission_queue_load.py
+++ b/benchmarks/admission_queue_load.py
@@ -10,7 +10,7 @@
 from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment
 
 TENANT = "one"  # the only tenant: all clients belong to it
-WARM_UP_S = 1.5  # until the gateway knows its drain rate and the first connections are open
+WARM_UP_S = 1.5  # time in which the gateway learns its drain rate and opens the first connections
 
 Client = load_client.LoadClient | load_client.LoadClientProcess
 
--- a/benchmarks/budget_calls.py
+++ b/benchmarks/budget_calls.py
@@ -17,8 +17,8 @@
 TURN_US = 1_000_000  # simulated time
 TOTAL = 10_000  # total of each budget
 KINDS = ("threads", "taken")  # a held budget and a windowed one
-LINGER_US = 1_000_000  # of the held budget
-WINDOW_US = 1_000_000  # of the windowed budget
+LINGER_US = 1_000_000  # lingering time of the held budget
+WINDOW_US = 1_000_000  # window of the windowed budget
 FIRST_USAGE = Usage(0, 5, 8)  # the first report of each member on each of its budgets
 
 
--- a/benchmarks/budget_faults.py
+++ b/benchmarks/budget_faults.py
@@ -11,12 +11,13 @@
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import FleetRig
 
-TOTALS = {"threads": 24, "further": 20, "taken": 400}  # by kind; further: retries, taken: admissions
+# Totals of the budgets, by kind: "further" limits retries, "taken" admissions.
+TOTALS = {"threads": 24, "further": 20, "taken": 400}
 RETRY_WINDOW_S = 2.0  # the window of the budget of retries ("further")
 DEMANDS = (40, 12)  # open commands of the two clients that start in each turn
 CONTINUING_CLIENTS = 2  # clients that go on into the next turn
 FAULT_DURATION_S = 0.8
-RECOVERY_S = 0.5  # between the end of a turn's faults and the next turn
+RECOVERY_S = 0.5  # time between the end of a turn's faults and the next turn
 CUT_DIRECTIONS = (("there", "back"), ("back",))  # between gateway and store, alternately by turn
 
 
--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -10,7 +10,7 @@
 from gullhold.testing.counting_engine import CountingEngine
 from gullhold.testing.fleet import FleetRig
 
-CORES = 60  # of an engine; a gateway runs at most two threads per core on it
+CORES = 60  # cores of an engine; a gateway runs at most two threads per core on it
 TOTAL_THREADS = 2 * CORES  # the fleet's budget on one engine
 MEMBERS = 6
 
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -21,7 +21,7 @@
 from gullhold.testing.many_engines import ManyEngines
 from gullhold.testing.running import ROOT, cpu_s, free_address, serving_status
 
-CORES = 1280.0  # of all engines together, whatever their number
+CORES = 1280.0  # cores of all engines together, whatever their number
 GATEWAYS = 50
 REPLACED_SHARE = 0.6  # share of the engines that are replaced within RAMP_S
 RAMP_S = 7.0
@@ -31,7 +31,7 @@
 DATASETS = 40  # groups of tables that requests read
 LIST_INTERVAL_S = 0.05  # least time between two groups of watch events
 DESCRIPTOR_POLL_S = 0.2
-REQUEST_POLL_S = 0.005  # between checks whether a request is due
+REQUEST_POLL_S = 0.005  # time between checks whether a request is due
 STARTUP_POLL_S = 0.05
 MAX_FRAME_BYTES = 1 << 20
 
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -20,18 +20,18 @@
 
 PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the kind in a statement's table name
 COMMANDS_PER_PROFILE = 3
-INTERVAL_US = 500_000  # between due times of a scheduled command
+INTERVAL_US = 500_000  # time between due times of a scheduled command
 NON_IDEMPOTENT = "single"
 FAULTY_MEMBERS = 6
 FAULTY_HEARTBEATS = 18
 FAULT_DURATION_S = 1.7  # longer than a lease
-RECOVERY_S = 0.5  # between the end of a turn's faults and the next turn
-NO_HANDOVER = 99.0  # in leases: the time noted for a role whose next leader had no effect
+RECOVERY_S = 0.5  # time between the end of a turn's faults and the next turn
+NO_HANDOVER = 99.0  # ratio recorded for a role whose next leader had no effect
 MEMBERS = 4
 HEARTBEATS = 24  # heartbeat roles
 IDLE_HEARTBEATS = 36  # heartbeat roles of the idle fleet
 IDLE_PERIOD_MS = 3_600_000  # heartbeat period longer than the run, so that members stay idle
-LEASE_EXPIRY_WAIT_S = 1.2  # from the end of the store, by which all leases have expired
+LEASE_EXPIRY_WAIT_S = 1.2  # time after the end of the store, by which all leases have expired
 
 
 def scheduled_command(kind: str, number: int) -> dict[str, str]:
@@ -194,7 +194,7 @@
 
 
 def _run_one_handover(rig: FleetRig, name: str, is_kill: bool) -> list[float]:
-    """End a member and start it again; returns the handover time of each role that it led, in lease times."""
+    """End a member and start it again; returns each led role's handover time divided by a lease's."""
     roles = {role for role, (member, _) in rig.leaders().items() if member == name}
     ended_at = time.time()
     if is_kill:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -25,11 +25,11 @@
 
 TIMEOUT_S = 1.0  # client timeout of all requests
 PROCESSES = 4
-CLIENTS = 8  # in each process
-CONNECTIONS = 10  # of each client
+CLIENTS = 8  # clients in each process
+CONNECTIONS = 10  # connections of each client
 QUEUE_RULES = ADMISSION_OPERATOR_FILE + "door: {patience: 1000, waiting: 30000}"
 ONE_CORE = 0  # the processor to which a gateway on one core is confined
-CONTROL_START_S = 1.0  # until the control serves
+CONTROL_START_S = 1.0  # time until the control serves
 MAX_EVENT_AGE_MS = TIMEOUT_S * 1000 / 10
 
 BOUNDS = {
--- a/benchmarks/policy_rollout_faults.py
+++ b/benchmarks/policy_rollout_faults.py
@@ -25,12 +25,12 @@
 
 TOTAL_THREADS = 24  # the fleet's budget of threads
 THREADS_DECREASE = 8  # threads by which every second policy lowers the budget
-CHANGES_PER_RUN = 44  # on one fleet: few enough for each to grant another amount below MAX_GRANT_MB
+CHANGES_PER_RUN = 44  # changes on one fleet: few enough for each to grant another amount below MAX_GRANT_MB
 MEMBERS = 6
 SURVIVING_MEMBERS = 4  # the first members, which are never killed
 VOTE_TIMEOUT_US = 1_500_000  # time that the coordinator waits for votes of silent members
-RETRY_S = 0.3  # after a proposal that failed because the last change is still open
-MAX_FAULT_DELAY_S = 0.05  # from the proposal to the fault
+RETRY_S = 0.3  # wait after a proposal that failed because the last change is still open
+MAX_FAULT_DELAY_S = 0.05  # longest time from the proposal to the fault
 FAULT_DURATION_S = 0.2
 OUTCOME_TIMEOUT_S = 6  # time in which the outcome of a change has to be known, faults included
 CUT_DIRECTIONS = (("there",), ("back",), ("there", "back"))  # between gateway and store, by turns
--- a/benchmarks/policy_rollout_runs.py
+++ b/benchmarks/policy_rollout_runs.py
@@ -23,7 +23,7 @@
 
 STRICT_CHANGE_TIMEOUT_S = 8  # time in which a strict change has to come into force with all members up
 LOOSE_CHANGE_TIMEOUT_S = 5
-DEAD_MEMBER_TIMEOUT_S = 6  # for a change while a member is down
+DEAD_MEMBER_TIMEOUT_S = 6  # timeout of a change while a member is down
 POLL_INTERVAL_S = 0.1  # time between the reads with which the client of a change waits for its outcome
 CALLS_TO_PROPOSE = 3  # calls to the store by which the client of a change proposes it, besides its reads
 LOADED_MEMBERS = 3
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -21,7 +21,7 @@
 MAX_SHUTDOWN_S = 3.7
 FLOOD_REQUESTS = 9_900  # least number of open requests when SIGTERM is sent
 FLOOD_LIMIT_S = 15.0  # time in which that many requests have to be open
-EXIT_LIMIT_S = 15.0  # from SIGTERM, after which the run fails
+EXIT_LIMIT_S = 15.0  # time from SIGTERM after which the run fails
 POLL_INTERVAL_S = 0.05
 ONE_CORE = 0  # the processor to which a gateway on one core is confined
 BUSY_PROCESSES = 6
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -16,7 +16,7 @@
 from gullhold.testing.soak.violations import Violation
 
 DEFAULT_SEEDS = "0:50"
-MAX_PRINTED_VIOLATIONS = 5  # in the output line of one seed
+MAX_PRINTED_VIOLATIONS = 5  # violations in the output line of one seed
 
 
 def parse_seeds(text: str) -> range:
--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -26,7 +26,7 @@
 DRAIN_GRACE_US = 550_000
 CLIENT_LEFT_GRACE_US = 100_000
 CLIENT_DELAY_US = 400  # one way between a client and its gateway
-ANSWER_SLACK_US = 50_000  # after its client timeout, within which an answer still counts as in time
+ANSWER_SLACK_US = 50_000  # an answer this long after its client timeout still counts as in time
 
 
 class Rule(StrEnum):
@@ -76,8 +76,8 @@
         self.deadline = at + limit_us
         self.attempts: list[ObservedAttempt] = []
         self.answers = 0
-        self.left_at: int | None = None  # when its gateway is notified that the client left
-        self.is_gateway_killed = False  # before it was answered: it needs no answer
+        self.left_at: int | None = None  # time at which its gateway is notified that the client left
+        self.is_gateway_killed = False  # the gateway was killed before its answer, so none is required
 
 
 class Checker:
@@ -90,7 +90,7 @@
         self.dedup_window_us = dedup_window_us
         self.commands: dict[bytes, ObservedCommand] = {}
         self.violations: list[Violation] = []
-        self.leaving: dict[tuple[str, str], int] = {}  # when notified, by gateway and engine
+        self.leaving: dict[tuple[str, str], int] = {}  # time of the notification, by gateway and engine
         self.trace_hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
 
--- a/gullhold/simulation/client.py
+++ b/gullhold/simulation/client.py
@@ -15,9 +15,9 @@
 MAX_MESSAGE_BYTES = 1 << 18
 MAX_OPEN = 30  # commands that a client has open at the same time
 MIN_LIMIT_MS = 400  # shortest client timeout
-LIMIT_SPREAD_MS = 2400  # added to it at random
+LIMIT_SPREAD_MS = 2400  # largest random addition to MIN_LIMIT_MS
 MIN_WORK_MS = 10  # shortest work of a command
-WORK_SPREAD_MS = 400  # added to it at random, small amounts more often
+WORK_SPREAD_MS = 400  # largest random addition to MIN_WORK_MS; small ones are more frequent
 TABLES = 5  # number of tables that the statements read
 US_PER_MS = 1000
 
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -19,7 +19,7 @@
 # tell that an engine has fallen silent.
 NOTE_INTERVAL_US = 120_000
 MAX_MESSAGE_BYTES = 1 << 18
-DUPLICATE_WORK_US = 1000  # for an attempt that does not run again because its idempotency key is known
+DUPLICATE_WORK_US = 1000  # duration of an attempt that is not run again, as its idempotency key is known
 MAX_ATTEMPTS_PER_CORE = 4  # an engine that runs so many rejects further attempts as overloaded
 US_PER_MS = 1000
 MALFORMED_MESSAGE = b"*2\r\n$not a length\r\n"
@@ -102,7 +102,7 @@
         self.malformed_answers = 0
         self.duplicate_answers = 0
         self.sessions: list[EngineSession] = []
-        self.idempotency_keys: dict[bytes, int] = {}  # when each first arrived
+        self.idempotency_keys: dict[bytes, int] = {}  # virtual time in us at which each first arrived
         self.running_count = 0
 
     def accept(self, gateway_endpoint: Endpoint) -> Endpoint:
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -27,8 +27,8 @@
 if TYPE_CHECKING:
     from gullhold.simulation.simulation import Simulation
 
-MAX_MESSAGE_BYTES = 192 << 10  # as in a small deployment
-MAX_CONNECTIONS = 200  # to engines, of one gateway
+MAX_MESSAGE_BYTES = 192 << 10  # limit of a small deployment
+MAX_CONNECTIONS = 200  # connections of one gateway to engines
 STATEMENT_MEMORY_BYTES = 24 << 20  # limit of the statements of pending requests
 MAX_DISCOVERY_LINE_BYTES = 1 << 20  # limit of one line from the discovery service
 CONNECTION_SERIALS = count()  # hashes of connections, so that sets of them have the same order in every run
--- a/gullhold/simulation/network.py
+++ b/gullhold/simulation/network.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from gullhold.simulation.gateway import SimulatedEngineConnection
 
-ONE_WAY_DELAY_US = 400  # between any two processes, without a fault
+ONE_WAY_DELAY_US = 400  # delay between any two processes without a fault
 
 
 def healthy_conditions() -> StreamConditions:
--- a/gullhold/simulation/script.py
+++ b/gullhold/simulation/script.py
@@ -68,12 +68,14 @@
     FaultKind.DRAIN: FaultRange(FaultTarget.ENGINE, 0, 0),  # draining in the endpoint list, later ready again
     FaultKind.REMOVE: FaultRange(FaultTarget.ENGINE, 0, 0),  # out of the endpoint list, then it crashes
     FaultKind.LATE_LIST: FaultRange(FaultTarget.DISCOVERY, 100_000, 5_000_000),  # us added to watch events
-    FaultKind.DISCOVERY_MOVED: FaultRange(FaultTarget.DISCOVERY, 0, 0),  # to another address
+    FaultKind.DISCOVERY_MOVED: FaultRange(
+        FaultTarget.DISCOVERY, 0, 0
+    ),  # the service moves to another address
     FaultKind.KILL: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGKILL; another process takes its place
     FaultKind.STOP: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGTERM
     FaultKind.CLOCK_JUMP: FaultRange(FaultTarget.GATEWAY, -2_000_000, 2_000_000),  # us of the wall clock
     FaultKind.RETRY_BURST: FaultRange(FaultTarget.CLIENT, 1, 50),  # simultaneous retries
-    FaultKind.CLIENT_LEAVES: FaultRange(FaultTarget.CLIENT, 0, 0),  # with commands open
+    FaultKind.CLIENT_LEAVES: FaultRange(FaultTarget.CLIENT, 0, 0),  # a client leaves with commands open
 }
 
 
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -46,7 +46,7 @@
         seed_range = _parse_seeds(seeds)
         faults = script.parse_script(Path(replay).read_text("utf-8")) if replay else None
         if not seed_range:
-            raise ValueError("the range contains no seed")
+            raise ValueError(f"the range {seeds} contains no seed")
     except (OSError, ValueError, script.ScriptError) as error:
         print(f"gullhold: {replay or seeds}: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
--- a/gullhold/simulation/simulation.py
+++ b/gullhold/simulation/simulation.py
@@ -20,7 +20,7 @@
 from gullhold.simulation.network import Network, healthy_conditions
 from gullhold.testing.deployment import settings
 
-CLIENTS_SEND_FOR_US = 6_000_000  # from the start; faults are injected in the same time
+CLIENTS_SEND_FOR_US = 6_000_000  # time from the start; faults are injected within it too
 DEDUPLICATION_WINDOW_S = 0.4  # short, so that it ends while commands are open
 CANCEL_DISABLED_EVERY = 3  # one of so many consecutive seeds has engines without cancellation
 ENGINE_CORES = 4
@@ -34,7 +34,7 @@
     gateways: int = 2
     engines: int = 3
     clients_per_gateway: int = 3
-    mean_gap_us: int = 60_000  # between commands of a client
+    mean_gap_us: int = 60_000  # mean time between commands of a client
     faults: int = 6
 
 
--- a/gullhold/simulation/streams.py
+++ b/gullhold/simulation/streams.py
@@ -39,7 +39,7 @@
 class StreamConditions:
     """How one direction of a connection behaves; all fields may be changed while it is in use."""
 
-    delay_us: int = 100  # of each segment
+    delay_us: int = 100  # delay of each segment
     jitter_us: int = 0  # largest random addition to the delay
     max_segment_bytes: int = 0  # a write is split into segments of at most this size; 0: one segment
     window_bytes: int = 65_536  # bytes in flight from which on the writer is blocked
--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -15,10 +15,13 @@
 
 MAX_ORDERLY_ACTIONS = 14  # calls and replies handled in one step of time
 # Probabilities within one step of time.
-REPORT_CHANCE = 0.5  # that a member reports
-STOP_CHANCE = 0.05  # that the rest of what is under way waits for the next step of time
-CALL_FAULT_CHANCE = 0.06  # that a call is hit by a fault
-ACQUIRE_CHANCES = (0.7, 0.5)  # that a member acquires all that it may, and that one more action follows
+REPORT_CHANCE = 0.5  # probability that a member reports
+STOP_CHANCE = 0.05  # probability that the calls under way wait for the next step of time
+CALL_FAULT_CHANCE = 0.06  # probability that a call is hit by a fault
+ACQUIRE_CHANCES = (
+    0.7,
+    0.5,
+)  # probabilities that a member acquires all it may, and that one more action follows
 FREQUENT_CHANCES = (
     (ActionKind.RELEASE, 0.4),
     (ActionKind.JOIN, 0.4),
@@ -33,7 +36,7 @@
     ActionKind.MISS_CHANGES,
     ActionKind.LEAVE,
 )
-RARE_CHANCE = 0.2  # that a rare action is taken where no frequent one is
+RARE_CHANCE = 0.2  # probability that a rare action is taken if no frequent one is
 
 
 def random_steps(world: World, draw: Callable[[], float]) -> Iterator[Action]:
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -36,8 +36,8 @@
 from gullhold.testing.store_model import StoreModel
 from gullhold.testing.walking import InvariantError
 
-DEMANDS = (0, 4, TOTAL)  # of a member, in turn, until the world settles
-SETTLED_DEMAND = 3  # of each member once the world settles
+DEMANDS = (0, 4, TOTAL)  # demands of a member, in turn, until the world settles
+SETTLED_DEMAND = 3  # demand of each member once the world settles
 FAULTS = (
     *CALL_FAULTS,
     ActionKind.CRASH,
--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -14,9 +14,9 @@
 ROLES_PREFIX = "duties/"
 EFFECT_PREFIXES = ("beats/", "plan/")
 SCHEDULED_COMMANDS_PREFIX = "plan/"
-OCCURRENCE_PART = "/run/"  # of the key plan/COMMAND/run/DUE
+OCCURRENCE_PART = "/run/"  # part of an occurrence's key plan/COMMAND/run/DUE
 
-Line = dict[str, Any]  # of the journal
+Line = dict[str, Any]  # a line of the journal
 OccurrenceKey = tuple[str, int]  # command, due time
 
 
@@ -64,7 +64,9 @@
         self._first_effects: dict[
             tuple[str, int], float
         ] = {}  # Unix time in s of the first effect, by role and token
-        self._occurrences: dict[OccurrenceKey, dict[int, Any]] = defaultdict(dict)  # by revision
+        self._occurrences: dict[OccurrenceKey, dict[int, Any]] = defaultdict(
+            dict
+        )  # stored records by revision
         revision = 0
         for line in lines:
             line_revision = line.get("revision", revision)
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -30,7 +30,7 @@
     CallPurpose.GRANT_LEASE,
     CallPurpose.READ_MEMBERS,
 )
-MAX_PLAN_STEPS = 6  # of a targeted strategy, which inserts no further step at this length
+MAX_PLAN_STEPS = 6  # length at which the plan of a targeted strategy gets no further step
 
 
 def settled_world(
@@ -98,9 +98,9 @@
 class RandomStrategy:
     """Chooses any action: calls and replies are late, out of order and lost."""
 
-    TIME_CHANCE = 0.12  # that time advances: otherwise no lease ever expires
-    RARE_CALL_CHANCE = 0.4  # that a fault hits a rare call, if one is under way
-    NO_CALL_FAULT_CHANCE = 0.8  # that the action is drawn from those that are no faults of calls
+    TIME_CHANCE = 0.12  # probability that time advances, without which no lease expires
+    RARE_CALL_CHANCE = 0.4  # probability that a fault hits a rare call, if one is under way
+    NO_CALL_FAULT_CHANCE = 0.8  # probability that the action is drawn from those other than faults of calls
 
     def __init__(self, draw: Draw) -> None:
         """draw: source of random fractions, from [0, 1)."""
@@ -127,7 +127,7 @@
     """
 
     DEVIATION_CHANCE = 0.08
-    RARE_CALL_CHANCE = 0.5  # that a deviation is a fault of a rare call, if one is under way
+    RARE_CALL_CHANCE = 0.5  # probability that a deviation is a fault of a rare call, if one is under way
 
     def __init__(self, draw: Draw) -> None:
         """draw: source of random fractions, from [0, 1)."""
@@ -156,7 +156,7 @@
 class TargetedStrategy(OrderlyStrategy):
     """Delays a call or its reply, disturbs the calling member, and lets the delayed one go on later."""
 
-    RESUME_CHANCE = 0.04  # that the target resumes, at each action while it is paused
+    RESUME_CHANCE = 0.04  # probability that a paused target resumes, at each action
     MAX_WAIT_STEPS = 25  # actions between two steps of the plan
 
     def __init__(self, draw: Draw) -> None:
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -33,7 +33,7 @@
 from gullhold.testing.store_model import Change, StoreModel
 from gullhold.testing.walking import InvariantError
 
-CLOCK_RATES = (0.87, 1.0, 1.1)  # of members' clocks, relative to the store's: within the drift of 0.15
+CLOCK_RATES = (0.87, 1.0, 1.1)  # rates of members' clocks relative to the store's, within the drift of 0.15
 # Role assignment gives the first role to "a" at all times, and the second one to "c" until "b" joins.
 ROLES = ("d0", "d5")
 NAMES = ("a", "c")
@@ -48,7 +48,7 @@
 )
 FIXED_FRACTION = 0.5  # in place of a random fraction, so that backoff delays are the same in every run
 START_US = 10_000_000
-MAX_EFFECTS = 2  # under way at once
+MAX_EFFECTS = 2  # effects under way at once
 SETTLING_STEPS = 60  # steps of time within which a fleet without faults has to have a leader for every role
 MAX_ACTIONS_PER_SETTLING_STEP = 40  # orderly actions after each of these steps
 
@@ -77,7 +77,7 @@
         self.roles = roles
         self.faults = faults
         self.members: list[Membership] = []
-        self.rates: list[float] = []  # of each member's clock, relative to the store's
+        self.rates: list[float] = []  # rate of each member's clock relative to the store's
         self.watched_from: list[int | None] = []  # first revision to notify each of; None: no watch
         self.is_paused: list[bool] = []
         self.crashed: set[int] = set()
--- a/gullhold/testing/register/server.py
+++ b/gullhold/testing/register/server.py
@@ -21,8 +21,8 @@
 from gullhold.testing.register.store_types import CompactedError, StoredChange
 from gullhold.testing.register.wire import Json, decode_range, encode_change
 
-EXPIRY_INTERVAL_S = 0.02  # between checks for expired leases
-READER_CHECK_INTERVAL_S = 0.2  # at which a watch without changes checks whether its reader has gone
+EXPIRY_INTERVAL_S = 0.02  # time between checks for expired leases
+READER_CHECK_INTERVAL_S = 0.2  # time after which a watch without changes checks whether its reader has gone
 WATCH_WRITE_TIMEOUT_S = 10 * READER_CHECK_INTERVAL_S
 REPORTED_VERSION = {"etcdserver": "3.5.0", "etcdcluster": "3.5.0"}
 HTTP_OK = 200
--- a/gullhold/testing/relay.py
+++ b/gullhold/testing/relay.py
@@ -12,7 +12,7 @@
 
 CHUNK_BYTES = 65536
 CONNECT_TIMEOUT_S = 5
-CLOSE_CHECK_INTERVAL_S = 0.5  # at which a held connection checks whether the relay is closed
+CLOSE_CHECK_INTERVAL_S = 0.5  # time between a held connection's checks whether the relay is closed
 
 
 class Direction(StrEnum):
--- a/gullhold/testing/role_pair_world.py
+++ b/gullhold/testing/role_pair_world.py
@@ -16,7 +16,7 @@
 
 QUANTUM_US = 250_000  # duration of one step of time: a lease lasts four of them
 TERMS = LeaseTerms(1, 0.15, 0)
-RATES = (0.87, 1.1, 1.0)  # of clocks, relative to the store's: within the drift of TERMS
+RATES = (0.87, 1.1, 1.0)  # rates of clocks relative to the store's, within the drift of TERMS
 START_US = 10_000_000
 
 Change = tuple[int, str, str | None]  # revision, key, value or None if it was deleted
--- a/gullhold/testing/rollout_checker.py
+++ b/gullhold/testing/rollout_checker.py
@@ -18,7 +18,7 @@
 Journal = Iterable[Mapping[str, Any]]
 
 
-class Engine(Protocol):
+class AttemptRecorder(Protocol):
     """An engine that keeps a record of each attempt that it was sent."""
 
     attempts: Sequence[AttemptRecord]
@@ -42,7 +42,7 @@
     overlap_ms: float
 
 
-def attempts_with_policy(engines: Iterable[Engine], grants: Sequence[int]) -> list[PolicyAttempt]:
+def attempts_with_policy(engines: Iterable[AttemptRecorder], grants: Sequence[int]) -> list[PolicyAttempt]:
     """Return all attempts in order of time, each with its policy.
 
     grants: MB that each policy grants, in the order in which the policies came into force, from index 1 on.
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -11,7 +11,7 @@
     from gullhold.testing.rollout_world import World
 
 FAILING_TEXT = "sour"  # a policy under which every command fails
-COMMANDS_PER_REPORT = 30  # by which a member's figures grow each time they are requested
+COMMANDS_PER_REPORT = 30  # commands added to a member's figures each time they are requested
 
 
 class SimulatedMember:
--- a/gullhold/testing/soak/clients_and_engines.py
+++ b/gullhold/testing/soak/clients_and_engines.py
@@ -13,7 +13,7 @@
 from gullhold.testing.working_engine import WorkingEngine, statement
 
 PROFILES = ("read", "mark", "once")
-MAX_OPEN_REQUESTS = 16  # of one connection
+MAX_OPEN_REQUESTS = 16  # open requests of one connection
 WORK_MS = (2.0, 20.0, 60.0)  # work of a command; one is chosen at random
 
 
--- a/gullhold/testing/soak/mutant.py
+++ b/gullhold/testing/soak/mutant.py
@@ -12,7 +12,7 @@
 from gullhold.net.shutdown import GracefulShutdown
 
 FAULT_INTERVAL = 20  # one of so many answers is dropped, late or sent twice
-DELAY_S = 1.5  # of an answer or of the end; longer than any delay that the protocol allows
+DELAY_S = 1.5  # delay of an answer or of the end; longer than any that the protocol allows
 answers = 0  # written so far
 
 
--- a/gullhold/testing/soak/plan.py
+++ b/gullhold/testing/soak/plan.py
@@ -34,7 +34,7 @@
     """The kind of load by further clients, whose requests are not checked."""
 
     NONE = "none"
-    IDLE = "idle connections"  # which take up the gateway's descriptors
+    IDLE = "idle connections"  # connections that only take up the gateway's descriptors
     FLOOD = "flood"  # clients that send a new command as soon as one is answered
 
 
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -37,7 +37,7 @@
 IDLE_CONNECTIONS = 70  # nearly all descriptors that a gateway has for clients
 POLL_INTERVAL_S = 0.005
 GATEWAY_COMMAND = ("-m", "gullhold")  # arguments of Python
-FIRST_INDEX = 1  # of the endpoint list event in the configuration
+FIRST_INDEX = 1  # index of the endpoint list event in the configuration
 FLOOD_CLIENTS = ClientGroup(
     processes=2, clients=4, options={"open": 256, "connections": 8, "retry_rule": RetryRule.NEVER}
 )
--- a/gullhold/testing/walking.py
+++ b/gullhold/testing/walking.py
@@ -13,8 +13,8 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-FAULT_CHANCE = 0.15  # that a fault stays among the actions that are drawn from
-TIME_CHANCE = 0.12  # that time advances: otherwise no lease ever expires
+FAULT_CHANCE = 0.15  # probability that a fault stays among the actions to draw from
+TIME_CHANCE = 0.12  # probability that time advances, without which no lease expires
 
 Action = Sequence[Any]
 Draw = Callable[[], float]  # a random fraction, from [0, 1)
--- a/gullhold/testing/working_engine.py
+++ b/gullhold/testing/working_engine.py
@@ -19,7 +19,7 @@
 from gullhold.testing import accepted_connections, open_listener
 
 WORK_PATTERN = re.compile(rb"/\* work=([0-9.]+) \*/")
-DEFAULT_WORK_MS = 20.0  # of a statement without a work comment
+DEFAULT_WORK_MS = 20.0  # work of a statement without a work comment
 MAX_MESSAGE_BYTES = 200_000  # bytes of one message from the gateway; statements of tests are far smaller
 
 
--- a/tests/faults/test_clock.py
+++ b/tests/faults/test_clock.py
@@ -12,7 +12,7 @@
 from gullhold.testing.discovery_service import DiscoveryService
 
 HOUR_S = 3600
-WARM_UP_S = 30.0  # of engines in these tests: they stay cold for longer than a test runs
+WARM_UP_S = 30.0  # warm-up of engines in these tests: they stay cold for longer than a test runs
 
 
 @pytest.mark.parametrize("off_s", [-HOUR_S, HOUR_S])
--- a/tests/faults/test_descriptors.py
+++ b/tests/faults/test_descriptors.py
@@ -8,7 +8,7 @@
 SEND_DELAY_US = (
     1500  # us by which a call starts after its arguments are read, as if its thread had lost the CPU
 )
-MAX_WRITE_BYTES = 2000  # that one system call accepts: less than a statement, as with full buffers
+MAX_WRITE_BYTES = 2000  # bytes that one system call accepts: less than a statement, as with full buffers
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -27,10 +27,10 @@
 from gullhold.testing.deployment import config
 from gullhold.testing.running import free_address
 
-MAX_MESSAGE_BYTES = 200_000  # of one message from the gateway
+MAX_MESSAGE_BYTES = 200_000  # size of one message from the gateway
 PAGE_ROWS = 200  # keeps a page under the protocol's 6,000 bytes
-PAUSE_S = 0.005  # between connections of a client, so that other tests on the machine get CPU time
-GRACE_S = 0.5  # after the client timeout, in which an answer is late but does not count as missing
+PAUSE_S = 0.005  # pause between a client's connections, so that other tests on the machine get CPU time
+GRACE_S = 0.5  # time after the client timeout in which an answer is late, but does not count as missing
 
 
 def statement(txn: bytes, pages: int, size: int = 0) -> bytes:
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -153,7 +153,7 @@
     parts = [part.strip(".") for part in texts_in_backticks(text) if part.count("_") > 1 and "/" not in part]
     assert len(parts) > 40
     for part in parts:
-        assert len([name for name in names if part in name]) == 1, part
+        assert len([name for name in names if part in name]) == 1, f"not exactly one test is named *{part}*"
 
 
 def _test_functions(file: Path) -> list[str]:
@@ -197,7 +197,7 @@
     assert len(text.splitlines()) <= MAX_ARCHITECTURE_LINES
     for title in ("The way of a request", "The way of a configuration change"):
         section = text.split(f"## {title}\n")[1].split("\n## ")[0]
-        assert len(DIAGRAM.findall(section)) == 1, title
+        assert len(DIAGRAM.findall(section)) == 1, f"{title}: not exactly one diagram"
 
 
 def test_modules_in_the_diagrams_exist():
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -45,7 +45,7 @@
     assert seen == ["a", "b"]
     assert clock.now == 15
     assert clock.next_due_at() == 20
-    clock.at(3, seen.append, "late")  # in the past: due now
+    clock.at(3, seen.append, "late")  # its time is in the past: due now
     clock.run(100)
     assert seen == ["a", "b", "late", "c"]
     assert clock.now == 100
@@ -232,7 +232,7 @@
 def test_simulated_seeds_break_no_rule():
     for seed in range(6):
         result = runner.run_simulation(seed)
-        assert not result.violations, (seed, result.violations)
+        assert not result.violations, f"seed {seed}: {result.violations}"
         assert result.counts["answered"] > 200
         assert result.counts["fetched"] > 200
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,7 +25,7 @@
 
 ROOT = Path(__file__).parent.parent
 STORED = ROOT / "tests" / "data" / "v3c216f7"
-TIMEOUT_S = 15.0  # after which a wait or a call fails; all of them take far less
+TIMEOUT_S = 15.0  # time after which a wait or a call fails; all of them take far less
 POLL_INTERVAL_S = 0.05
 PREFIX = "/gullhold/rig/"
 STATUS_UNKNOWN = 4  # exit status of `gullhold policy status` while the outcome of the change is not known
