--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -26,7 +26,7 @@
 DRAIN_GRACE_US = 550_000
 CLIENT_LEFT_GRACE_US = 100_000
 CLIENT_DELAY_US = 400  # one way between a client and its gateway
-ANSWER_SLACK_US = 50_000  # after its client timeout, within which an answer still counts as in time
+ANSWER_SLACK_US = 50_000  # an answer this long after its client timeout still counts as in time
 
 
 class Rule(StrEnum):
@@ -41,7 +41,7 @@
     ONE_ANSWER = "one answer"  # each command is answered exactly once
     IN_TIME = "in time"  # a command is answered within its client timeout
     INTACT = "intact"  # an answer has exactly the rows of the command's result
-    NO_LEFTOVERS = "census"  # at the end the gateways' tables are empty
+    NO_LEFTOVERS = "census"  # at the end of a simulation the gateways' tables are empty
 
 
 class Violation(NamedTuple):
@@ -62,7 +62,7 @@
         self.is_over = not ran
 
     def is_open(self) -> bool:
-        """Whether it has not ended and its gateway has not closed the connection."""
+        """Whether the attempt has not ended, and its gateway has not closed the connection to the engine."""
         return not self.is_over and not self.session.gateway_endpoint.is_finishing
 
 
@@ -76,8 +76,8 @@
         self.deadline = at + limit_us
         self.attempts: list[ObservedAttempt] = []
         self.answers = 0
-        self.left_at: int | None = None  # when its gateway is notified that the client left
-        self.is_gateway_killed = False  # before it was answered: it needs no answer
+        self.left_at: int | None = None  # time at which its gateway is notified that the client left
+        self.is_gateway_killed = False  # the gateway was killed before its answer, so none is required
 
 
 class Checker:
@@ -90,7 +90,7 @@
         self.dedup_window_us = dedup_window_us
         self.commands: dict[bytes, ObservedCommand] = {}
         self.violations: list[Violation] = []
-        self.leaving: dict[tuple[str, str], int] = {}  # when notified, by gateway and engine
+        self.leaving: dict[tuple[str, str], int] = {}  # time of the notification, by gateway and engine
         self.trace_hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
 
--- a/gullhold/simulation/world.py
+++ b/gullhold/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""A simulated world: gateways, engines and clients on one clock, with one source of randomness."""
+"""The parts of one simulation: gateways, engines and clients on one clock, with one source of randomness."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -20,7 +20,7 @@
 from gullhold.simulation.network import Network, healthy_conditions
 from gullhold.testing.deployment import settings
 
-CLIENTS_SEND_FOR_US = 6_000_000  # from the start; faults are injected in the same time
+CLIENTS_SEND_FOR_US = 6_000_000  # time from the start; faults are injected within it too
 DEDUPLICATION_WINDOW_S = 0.4  # short, so that it ends while commands are open
 CANCEL_DISABLED_EVERY = 3  # one of so many consecutive seeds has engines without cancellation
 ENGINE_CORES = 4
@@ -28,23 +28,25 @@
 VERBS = (b"read", b"read", b"read", b"mark", b"once")
 
 
-class WorldSize(NamedTuple):
-    """The size of a world, and the number of faults that a seed draws for it."""
+class SimulationSize(NamedTuple):
+    """The size of a simulation, and the number of faults that a seed draws for it."""
 
     gateways: int = 2
     engines: int = 3
     clients_per_gateway: int = 3
-    mean_gap_us: int = 60_000  # between commands of a client
+    mean_gap_us: int = 60_000  # mean time between commands of a client
     faults: int = 6
 
 
-class World:
+class Simulation:
     """Everything that takes part in a simulation.
 
     A seed gives the same run only as long as the parts draw from `random` in the same order.
     """
 
-    def __init__(self, seed: int, size: WorldSize, choose: Callable[[int], int] = first_scheduled) -> None:
+    def __init__(
+        self, seed: int, size: SimulationSize, choose: Callable[[int], int] = first_scheduled
+    ) -> None:
         """choose: as for Clock."""
         self.size = size
         self.clock = Clock(choose=choose)
@@ -74,7 +76,7 @@
         self.discovery.report_complete_list(gateway)
 
     def start_clients(self, name: str) -> None:
-        """Start the clients of a gateway, as many as the world's size states."""
+        """Start the clients of a gateway, as many as the simulation's size states."""
         for _ in range(self.size.clients_per_gateway):
             self.start_client(name, VERBS, self.size.mean_gap_us)
 
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -11,7 +11,7 @@
     from gullhold.testing.rollout_world import World
 
 FAILING_TEXT = "sour"  # a policy under which every command fails
-COMMANDS_PER_REPORT = 30  # by which a member's figures grow each time they are requested
+COMMANDS_PER_REPORT = 30  # commands added to a member's figures each time they are requested
 
 
 class SimulatedMember:
@@ -37,7 +37,7 @@
         variant = world.variant
         self.gate = variant.make_gate(self.lease, self, TERMS.guaranteed_us(), variant.cut_off_rule)
         self.decisions = variant.make_member(
-            name, self.gate, lambda version: world.fits(version, name), self.figures
+            name, self.gate, lambda version: world.reason_unusable(version, name), self.figures
         )
 
     def __call__(self) -> int:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,7 +25,7 @@
 
 ROOT = Path(__file__).parent.parent
 STORED = ROOT / "tests" / "data" / "v3c216f7"
-TIMEOUT_S = 15.0  # after which a wait or a call fails; all of them take far less
+TIMEOUT_S = 15.0  # time after which a wait or a call fails; all of them take far less
 POLL_INTERVAL_S = 0.05
 PREFIX = "/gullhold/rig/"
 STATUS_UNKNOWN = 4  # exit status of `gullhold policy status` while the outcome of the change is not known
@@ -62,7 +62,7 @@
 def output_of(*arguments: str) -> str:
     """Return what one gullhold command prints, which has to succeed."""
     ended = run(*arguments)
-    assert ended.returncode == 0, ended.stderr
+    assert ended.returncode == 0, f"gullhold {' '.join(arguments)}: status {ended.returncode}: {ended.stderr}"
     return ended.stdout
 
 
@@ -73,7 +73,7 @@
     """
     end = time.monotonic() + TIMEOUT_S
     while not (found := probe()):
-        assert time.monotonic() < end, "the condition did not hold in time " + why()
+        assert time.monotonic() < end, f"the condition did not hold within {TIMEOUT_S} s {why()}"
         time.sleep(POLL_INTERVAL_S)
     return found
 
