--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -40,7 +40,7 @@
 def test_a_seed_of_the_soak_shows_no_violation(seed):
     outcome = run_plan(draw_plan(seed))
     assert outcome.requests > 20
-    assert not outcome.violations, f"seed {seed}: {outcome.violations}"
+    assert not outcome.violations, outcome.violations
 
 
 @pytest.mark.parametrize(
