--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -15,7 +15,7 @@
 from gullhold.testing import load_client
 
 SHARE_CROWDS = ((160, 8), (1600, 50))  # open requests and connections of the crowding client
-LATENCY_CROWD = (160, 8)  # the same of the crowding client in the latency case
+LATENCY_CROWD = (160, 8)  # open requests and connections of the crowding client in the latency case
 EVEN_CLIENTS = 3  # clients that are due the same share as the crowding client
 POLITE_CLIENTS = 4  # clients that send at a low, even rate
 RETRYING_CLIENTS = 20
--- a/benchmarks/fleet_size_decisions.py
+++ b/benchmarks/fleet_size_decisions.py
@@ -22,7 +22,7 @@
 
 
 class DecisionTimes(NamedTuple):
-    """The module's mean time in us: for a command from its arrival to its end, and for one list change."""
+    """Mean time of the decision module in us: of a command from arrival to end, and of a list change."""
 
     us_per_command: float
     us_per_list_change: float
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -122,7 +122,7 @@
 
 
 def _count_repeats(rig: FleetRig, occurrences: dict[tuple[str, int], Any]) -> int:
-    """The number of attempts of non-idempotent commands beyond those in the stored occurrences."""
+    """The number of attempts of non-idempotent commands beyond those that their stored occurrences count."""
     repeats = 0
     for statement, attempts in attempts_by_statement(rig.engines).items():
         if NON_IDEMPOTENT not in statement:
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -107,7 +107,7 @@
     while open_requests < FLOOD_REQUESTS:
         if time.monotonic() > end:
             raise TimeoutError(
-                f"{open_requests} requests are open, fewer than the flood needs in its time limit"
+                f"{open_requests} requests are open after {FLOOD_LIMIT_S} s; the run needs {FLOOD_REQUESTS}"
             )
         time.sleep(POLL_INTERVAL_S)
         counts = clients.counts()
--- a/gullhold/admission/settings.py
+++ b/gullhold/admission/settings.py
@@ -12,7 +12,7 @@
     """How clients of rejected commands are asked to retry."""
 
     is_offered: bool  # the operator file names a field of the shed reply for it
-    min_us: int  # shortest wait before a window
+    min_us: int  # shortest Retry-After time, after which the window in which the retry is expected begins
     max_us: int  # longest Retry-After time
     spread: float  # random addition to a Retry-After time, at most this part of it
     grace_us: int  # time after the latest Retry-After time in which a retry is still inside its window
--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -7,7 +7,9 @@
 from gullhold.fleet.lease import Lease
 from gullhold.interface import BudgetKind, Demand
 
-BudgetKey = tuple[BudgetKind, int]  # kind and subject: an engine's id, a tenant's index, or 0
+BudgetKey = tuple[
+    BudgetKind, int
+]  # kind and subject: an engine's id, a tenant's index, or 0 if the kind has no subject
 RuleKey = tuple[BudgetKind, int | None]  # subject None: the rule is for the budget of each subject
 
 
@@ -146,7 +148,9 @@
             if is_wanted or allocation.used(now) or allocation.rejected:
                 usage[self.budget_name(*key)] = allocation.report(unmet.get(key, 0), now)
             else:
-                del self.allocations[key]  # the engine is gone or not ready any more
+                del self.allocations[
+                    key
+                ]  # of an engine that is gone or not ready: budgets with a fixed subject are in rules
         return usage
 
     def allocated(self) -> dict[str, int]:
--- a/gullhold/budgets/max_min_fairness.py
+++ b/gullhold/budgets/max_min_fairness.py
@@ -65,7 +65,8 @@
     )
     shares = {member: count * granularity for member, count in units.items()}
     largest = max(shares, key=lambda member: shares[member])
-    # The remainder is less than a unit, and usable only together with complete units.
+    # The remainder is less than a unit and usable only together with complete units, so it goes to the member
+    # that has the most of them.
     shares[largest] += total % granularity
     return shares
 
--- a/gullhold/budgets/report_state.py
+++ b/gullhold/budgets/report_state.py
@@ -114,8 +114,8 @@
         if lease_id != self.lease_id:
             return False
         if reply.proof != Proof.DONE or not reply.succeeded:
-            # The stored report differs from what was expected: the next write is compared with its revision
-            # and reports everything.
+            # The stored report differs from what was expected, or it is unknown whether the write was carried
+            # out: the next write reports everything, on the condition of the revision that the reply states.
             self.revision = reply.items[0].revision if reply.items else 0
             self.throttle.reset()
             return False
--- a/gullhold/decisions/fair_queue.py
+++ b/gullhold/decisions/fair_queue.py
@@ -117,7 +117,10 @@
         )
 
     def _quota(self, tenant: int) -> float:
-        """Return what is left of a tenant's quota, which is at least 1 in a round; 0 before the first one."""
+        """Return what is left of a tenant's quota in this round; 0 before the first round.
+
+        A tenant without an entry has its whole quota left, which is at least 1.
+        """
         quota = self.quotas.get(tenant)
         if quota is not None:
             return quota
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -34,7 +34,7 @@
     from gullhold.decisions.decision_terms import DecisionTerms
 
 MIN_PROGRESS = 0.01  # share of the work that is done; a status note of less counts as this
-MIN_LOAD_WAIT_CODE = 2  # a WAITING note with this value or a higher one waits for a load of its data set
+MIN_LOAD_WAIT_CODE = 2  # a WAITING note with this value or more: the command waits for a load of its data set
 LOAD_LOCK_US = OVERLOADED_US  # us for which such a note locks the data set on the engine
 
 
--- a/gullhold/fleet/calendar.py
+++ b/gullhold/fleet/calendar.py
@@ -11,7 +11,7 @@
 
 from gullhold.fleet.clocks import US_PER_SECOND
 
-MAX_COUNTED = 10_000  # due times of an expression that are counted; of more, the number is reported as this
+MAX_COUNTED = 10_000  # highest number of due times that is counted; a higher one is reported as this
 
 
 class InvalidCalendarError(Exception):
--- a/gullhold/fleet/driver.py
+++ b/gullhold/fleet/driver.py
@@ -115,7 +115,7 @@
             self.policies = RolloutDriver(
                 self, record, agreement, monotonic_us, rules.lease_terms.guaranteed_us()
             )
-        # What the operator file turns on of these; each has start(), step() and due().
+        # The budgets and policies, if the operator file turns them on; each has start(), step() and due().
         self._features = [feature for feature in (self.budgets, self.policies) if feature]
 
     def _roles(self) -> list[str]:
--- a/gullhold/fleet/store_calls.py
+++ b/gullhold/fleet/store_calls.py
@@ -116,8 +116,8 @@
 class PendingCall(NamedTuple):
     """A request that has no reply yet.
 
-    sent_at: monotonic us at which it was handed out, which is not after it was sent; context: values needed
-    to handle its reply.
+    sent_at: monotonic us at which it was handed out to be sent, at or before the time at which it is sent, so
+    that a lease counted from it never lasts too long; context: values needed to handle its reply.
     """
 
     number: int
--- a/gullhold/fleet/store_client.py
+++ b/gullhold/fleet/store_client.py
@@ -1,8 +1,8 @@
 """Client of the store: etcd's v3 key-value API as JSON over HTTP, by a client library.
 
-Each reply has the strongest Proof that holds. If no connection was established, or the store answered that
-something the request needs does not exist, nothing was done; after any other error a write may have been
-carried out already, or may be carried out later.
+Each reply states a Proof (see store_calls): whether the request was carried out. If no connection was
+established, or the store answered that something the request needs does not exist, nothing was done; after
+any other error a write may have been carried out already, or may be carried out later.
 """
 
 import json
--- a/gullhold/interface.py
+++ b/gullhold/interface.py
@@ -263,4 +263,4 @@
     streams_per_connection: int = 1  # attempts that one connection to an engine carries
     connect_timeout_us: int = 0
     idle_timeout_us: int = 0  # time after which an engine closes an idle connection
-    max_open_commands: int = 0  # most commands without a final answer at once; 0: no limit
+    max_open_commands: int = 0  # most commands of one gateway without a final answer; 0: no limit
--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -35,7 +35,7 @@
 
     @property
     def client(self) -> "ClientConnection":
-        """The connection that owns this object; it exists while one of its calls is handled."""
+        """The connection that owns this object: weakly referenced, but it exists while a call is handled."""
         return cast("ClientConnection", self._client())
 
     def handle(self, frame: bytes, received_at_us: int) -> None:
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -182,7 +182,7 @@
     def answer_result(self, pending: PendingRequest, rows: bytes) -> None:
         """Answer a request with its complete result, and count the answer and its latency."""
         self.counters.add(counters.ANSWERED)
-        if self.core.gate:  # a canary is judged by its answer times
+        if self.core.gate:  # with policies only: the canary of a rollout is judged by its answer times
             timeout_us = pending.request.timeout_us
             self.counters.add(counters.ANSWER_TIME_US, self.core.now - pending.timeout_at_us + timeout_us)
         self.answer(pending, thrift.encode_answer("execute", pending.sequence_id, rows))
--- a/gullhold/net/resp.py
+++ b/gullhold/net/resp.py
@@ -85,7 +85,9 @@
             if len(self.buffer) > MAX_HEADER_BYTES or end >= 0:
                 raise ProtocolError(f"length line is longer than {MAX_HEADER_BYTES} bytes")
             if len(self.buffer) and self.buffer.peek(1) != prefix:
-                raise ProtocolError(f"expected a length line that begins with {prefix!r}")
+                raise ProtocolError(
+                    f"expected a length line that begins with {prefix!r}, got {self.buffer.peek(1)!r}"
+                )
             return None
         line = self.buffer.peek(end) or b""  # never None, as the line is complete
         if line[:1] != prefix or not line[1:].isdigit():
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -82,7 +82,7 @@
         start_us = min(now, listed_us + clock_lead_us)
         last = self.start_times.get(entry.id)
         if last is not None and last.listed_us == listed_us:
-            # The same start was reported before: what was learnt since can only make it earlier.
+            # The same start was reported before: a later report may only make its corrected time earlier.
             start_us = min(start_us, last.corrected_us)
         self.start_times[entry.id] = StartTime(listed_us, start_us)
         if is_watch_event:
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -36,7 +36,7 @@
         self.clock = clock
         self.guaranteed_us = guaranteed_us
         self.cut_off_rule = cut_off_rule
-        self.enrolled_lease = 0  # id of the lease under which this member has enrolled; 0: it has not
+        self.enrolled_lease = 0  # lease under which this member enrolled (stored its first vote); 0: none
         self.open_change = 0  # number of the change that this member has voted ready on; 0: none
         self.is_stopped = False
         self.stop_count = 0  # part of the fencing token, so that a stop invalidates earlier attempts
--- a/gullhold/rollout/rollout_driver.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -42,7 +42,7 @@
     from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import FleetRecord
 
-VOTE_LANE = "words"  # lane of the member's calls to the store
+VOTE_LANE = "words"  # the member's lane: a thread that sends its calls to the store one after the other
 # Two lanes, so that calls of the member and calls of the coordinator do not wait for each other.
 LANES = (VOTE_LANE, ROLE)
 AT_START = 0  # serial of adoptions at the start; their confirmations are ignored
--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -90,7 +90,7 @@
         self.dedup_window_us = dedup_window_us
         self.commands: dict[bytes, ObservedCommand] = {}
         self.violations: list[Violation] = []
-        self.leaving: dict[tuple[str, str], int] = {}  # time of the notification, by gateway and engine
+        self.leaving: dict[tuple[str, str], int] = {}  # when a gateway was told that an engine leaves
         self.trace_hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
 
--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -16,7 +16,7 @@
 MAX_ORDERLY_ACTIONS = 14  # calls and replies handled in one step of time
 # Probabilities within one step of time.
 REPORT_CHANCE = 0.5  # probability that a member reports
-STOP_CHANCE = 0.05  # probability that the calls under way wait for the next step of time
+STOP_CHANCE = 0.05  # before each call or reply: probability that all that are left wait for the next step
 CALL_FAULT_CHANCE = 0.06  # probability that a call is hit by a fault
 ACQUIRE_CHANCES = (
     0.7,
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -259,7 +259,9 @@
             self.spent = [at for at in self.spent if at > self.now - WINDOW_US]
             used = len(self.spent)
         if used > TOTAL:
-            raise InvariantError(f"{used} of a total of {TOTAL} are in use")
+            raise InvariantError(
+                f"commands in use, or spent within a window: {used}, more than the total of {TOTAL}"
+            )
         allocated = self._stored_allocations()
         if allocated > TOTAL - RESERVE * len(NAMES):
             raise InvariantError(f"{allocated} of {TOTAL - RESERVE * len(NAMES)} are allocated")
--- a/gullhold/testing/client.py
+++ b/gullhold/testing/client.py
@@ -117,5 +117,5 @@
 
 
 def execute_arguments(fields: dict[bytes, bytes], body: bytes) -> bytes:
-    """Encode the arguments of an execute call, without the end of their struct."""
+    """Encode the arguments of an execute call; the caller appends the end of their struct."""
     return b"\x0d\0\1" + thrift.encode_string_map(fields) + b"\x0b\0\2" + thrift.encode_string(body)
--- a/gullhold/testing/membership_mutants.py
+++ b/gullhold/testing/membership_mutants.py
@@ -116,9 +116,10 @@
 
 
 class ReusesToken(Membership):
-    """Goes on under the token of its own key that it finds after a lost reply to the claim.
+    """Takes a role under the token of its own key, found after the reply to the claim was lost.
 
-    An older call that is still under way may yet delete that key.
+    That is wrong because an older call under way may yet delete that key; the product writes the key again,
+    for a new token.
     """
 
     class claims_type(RoleClaims):  # noqa: N801  stands for the attribute of this name
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -50,7 +50,7 @@
 START_US = 10_000_000
 MAX_EFFECTS = 2  # effects under way at once
 SETTLING_STEPS = 60  # steps of time within which a fleet without faults has to have a leader for every role
-MAX_ACTIONS_PER_SETTLING_STEP = 40  # orderly actions after each of these steps
+MAX_ACTIONS_PER_SETTLING_STEP = 40  # calls, replies and notifications handled after each settling step
 
 
 def fixed_fraction() -> float:
@@ -171,7 +171,7 @@
     # Carrying out actions
 
     def act(self, kind: ActionKind, index: int = 0, role: str = "") -> None:
-        """Carry out one action; raises InvariantError."""
+        """Carry out one action; raises InvariantError if an invariant is broken afterwards."""
         if kind in FAULTS:
             self.faults -= 1
         if kind in CALL_FAULTS:
--- a/gullhold/testing/rollout_history.py
+++ b/gullhold/testing/rollout_history.py
@@ -81,7 +81,7 @@
         if late_us > MAX_OVERLAP_US:
             raise InvariantError(
                 f"{member.name} dispatches under version {member.version_number} "
-                f"{late_us} us after it was replaced"
+                f"{late_us} us after it was replaced; limit: {MAX_OVERLAP_US} us"
             )
 
     def _is_canary(self, member: SimulatedMember, now: int) -> bool:
--- a/gullhold/testing/rollout_world.py
+++ b/gullhold/testing/rollout_world.py
@@ -42,7 +42,7 @@
 SETTLING_STEPS = 40  # steps of time within which a world without faults has to settle
 MAX_ACTIONS_PER_SETTLING_STEP = 80  # limit of the actions that carry out what is under way
 PATIENCE_US = 4 * QUANTUM_US  # how long a change waits for votes
-CANARY_SHARE = 0.4  # share of the members in a canary: one out of three
+CANARY_SHARE = 0.4  # share of the members in a canary: rounded, one out of three
 
 
 class World(RolePairWorld):
--- a/gullhold/testing/soak/violations.py
+++ b/gullhold/testing/soak/violations.py
@@ -6,7 +6,7 @@
 
 from gullhold.testing.soak.clients_and_engines import RequestRecord, TimedFetch
 
-# Times that the client protocol allows.
+# Times that the client protocol allows, and tolerances for observing them.
 CROSSING_S = 0.05  # a request written this shortly before its connection's end may go unanswered
 SOCKET_TOLERANCE_S = 0.05  # added to each time limit where it is observed on sockets
 ATTEMPT_AFTER_LEAVING_S = 0.1  # an attempt may still start so long after its client left
--- a/tests/decisions/test_engine_health.py
+++ b/tests/decisions/test_engine_health.py
@@ -131,7 +131,9 @@
                 ident,
                 Outcome.TIMED_OUT if driver.commands[ident].open_attempt.engine == 1 else Outcome.ANSWERED,
             )
-    for _ in range(30):  # more than the limits of the other engines
+    # More commands than the concurrency limits of engines 2 and 3 admit, so that engine 1 is used unless it
+    # is avoided.
+    for _ in range(30):
         driver.submit()
     used_engines = [driver.commands[ident].open_attempt.engine for ident in driver.running_ids()]
     assert len(used_engines) > 4
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -267,7 +267,10 @@
         self.now = until
         for command_id, command in self.commands.items():
             is_late = self.now > command.timeout_at and not command.is_over and not command.final
-            assert not is_late, f"command {command_id} has no final answer"
+            assert not is_late, (
+                f"command {command_id} has no final answer at {self.now} us, but its client timeout was at"
+                f" {command.timeout_at} us"
+            )
 
     def carry_out(self, results: list[Result]) -> None:
         """Carry out results, after checking each of them."""
@@ -374,8 +377,14 @@
         ids = self.ids_by_key[command.key]
         for other in ids[: ids.index(command_id)]:
             earlier = self.commands[other]
-            assert earlier.is_over, f"command {command_id} before the end of {other} with key {command.key}"
-            assert not earlier.open_attempt, f"command {command_id} during {earlier.open_attempt} of {other}"
+            assert earlier.is_over, (
+                f"command {command_id} was dispatched before the end of command {other}"
+                f" with the same key {command.key}"
+            )
+            assert not earlier.open_attempt, (
+                f"command {command_id} was dispatched during {earlier.open_attempt} of command {other}"
+                f" with the same key {command.key}"
+            )
         has_settled = self.now >= self.settles_until.get(command.key, 0)
         assert command.attempts_sent_at or has_settled, (
             f"command {command_id} starts at {self.now} us, but its key {command.key} settles only at"
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -34,12 +34,12 @@
 
 
 def statement(txn: bytes, pages: int, size: int = 0) -> bytes:
-    """Return a statement with its txn and the number of pages of its result, padded to a size in bytes."""
+    """Return a statement with a transaction id and the number of pages of its result, padded to a size."""
     return (b"select 1 from sales_3.t /* %s %d */" % (txn, pages)).ljust(size, b" ")
 
 
 def page(txn: bytes, number: int) -> bytes:
-    """Return one page of a result, in which every row has the txn of the request."""
+    """Return one page of a result, in which every row has the transaction id of the request."""
     return b"%s\t%d\tx\n" % (txn, number) * PAGE_ROWS
 
 
--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -33,5 +33,7 @@
     """Check the store's journal of a run: no rule is broken, and at least min_effects writes took effect."""
     check = FleetChecker(rig.journal_lines())
     assert not check.violations, "\n".join(check.violations[:5]) + "\n" + rig.timeline()
-    assert check.effects >= min_effects, rig.timeline()
+    assert check.effects >= min_effects, (
+        f"{check.effects} writes took effect, at least {min_effects} expected\n{rig.timeline()}"
+    )
     return check
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -14,7 +14,7 @@
 
 
 class Recorder:
-    """A running hash of records. tags: the number that goes into the hash before the fields of a type."""
+    """A running hash of records. tags: by type, the number that goes into the hash before its fields."""
 
     def __init__(self, tags: Mapping[type, int] | None = None) -> None:
         self.tags = dict(tags or {})
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -55,7 +55,10 @@
         simulation.now += 100
         assert len(simulation.queue.flow_table.tenants) < 600
         assert len(simulation.queue.forwarded_by_tenant_profile) <= simulation.record.held
-    assert simulation.queue.flow_table.exact_flow_count <= 2, "clients with one command got exact flows"
+    assert simulation.queue.flow_table.exact_flow_count <= 2, (
+        f"{simulation.queue.flow_table.exact_flow_count} exact flows, although each client sent one command;"
+        " at most 2 expected"
+    )
 
 
 def test_waiting_commands_are_shed_shortly_before_their_client_timeout():
--- a/tests/test_admission_queue_service.py
+++ b/tests/test_admission_queue_service.py
@@ -126,7 +126,8 @@
         for client in clients:
             client.join()
         assert abs(counts[0] / sum(counts) - 0.5) <= 0.1, (
-            f"answered commands of the polite and the crowding client: {counts}, not even by 0.1"
+            f"answered commands of the polite and the crowding client: {counts};"
+            f" the share of the polite one is {counts[0] / sum(counts):.2f}, not within 0.1 of 0.5"
         )
         assert clients[1].counts.retry_after_received > 0
         assert not clients[0].counts.unanswered + clients[1].counts.unanswered
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -189,7 +189,7 @@
                 self.stored = {name: entry.pack() for name, entry in self.ledger.entries.items()}
 
     def lose(self, k):
-        """Lose the oldest write and the oldest report under way, if k is odd."""
+        """Lose the oldest write and the oldest report under way, if k, a drawn number, is odd."""
         for queue in (self.writes, self.reports):
             if queue and k % 2:
                 queue.popleft()
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -120,7 +120,7 @@
     if choices and rest and not rest.startswith("-"):
         named = rest.split(maxsplit=1)[0].split("|")
         assert set(named) <= set(choices) - set(EARLIER_FLEET_SUBJECTS), (
-            f"gullhold {name} {rest}: the choices are {choices}"
+            f"gullhold {name} {rest}: choices are {sorted(set(choices) - set(EARLIER_FLEET_SUBJECTS))}"
         )
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -168,7 +168,9 @@
     seq = client.send_command()
     assert client.read_answer() == (seq, b"a\tb\tc\n")
     assert len(new.messages(b"fetch")) == 5
-    assert len({words[0] for words in new.messages(b"fetch")}) == 2  # another engine gets another connection
+    # The first item of a message is the number of its connection: s-7, another engine at the address of s-9,
+    # gets another connection.
+    assert len({words[0] for words in new.messages(b"fetch")}) == 2
     gateway.end()
 
 
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -47,7 +47,8 @@
         assert len(fair.ahead) + len(fair.eligible) <= 2 * 6 + 2 * 64
         for other, lag in lags.items():
             assert lag <= largest + max(largest, QUANTUM) + 1e-6, (
-                f"child {other.owner} lags by {lag}, more than its bound with a largest command of {largest}"
+                f"child {other.owner} lags by {lag}, more than {largest + max(largest, QUANTUM)},"
+                f" the bound with a largest command of {largest}"
             )
 
 
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -114,7 +114,8 @@
     with make_rig(2) as fleet:
         fleet.start()
         # Long commands: of many short ones the pause may hit one between the last check of the allocation and
-        # the write to the engine, which nothing here can refuse (docs/notes/budgets.md).
+        # the write to the engine. Engines do not check allocations: such a command would run after the pause
+        # (docs/notes/budgets.md).
         clients = [start_client(fleet, name, work_ms=150.0) for name in ("n0", "n1")]
         fleet.wait_until(lambda: allocations(fleet) == {"n0": 6, "n1": 6})
         fleet.pause("n0")
@@ -286,7 +287,10 @@
         time.sleep(0.8)
         stop_clients(*clients)
         late = [row for row in fleet.engines[0].attempts if row.started_at > lowered]
-        assert len(late) >= 8, f"only {len(late)} attempts after the total was lowered, not 8"
+        assert len(late) >= 8, (
+            f"only {len(late)} attempts after the work begun under the former total had ended;"
+            " at least 8 expected"
+        )
         assert peak_threads(late)[0] <= 4
         assert peak_threads(fleet.engines[0].attempts)[0] <= 12
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -177,7 +177,7 @@
     engine, port = ScriptedEngine(), free_port()
     process = launch_gateway(config(engine) | {"listen": f"127.0.0.1:{port}"})
     until(lambda: is_listening(port))
-    # About a third of the sockets of the configuration, which is what clients usually need.
+    # 330 is about a third of the sockets of the configuration; clients usually need that many.
     callers = [BlockingClient(("127.0.0.1", port)) for _ in range(330)]
     sequence_ids = [[caller.send_command() for _ in range(3)] for caller in callers]
     for caller, seqs in zip(callers, sequence_ids, strict=True):
@@ -225,7 +225,7 @@
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (40, 40))
     first = BlockingClient(("127.0.0.1", port))
     seq = first.send_command()
-    assert first.read_answer() == (seq, b"a\tb\tc\n")  # its connection to the engine is open
+    assert first.read_answer() == (seq, b"a\tb\tc\n")  # the gateway now has its connection to the engine
     callers = [BlockingClient(("127.0.0.1", port)) for _ in range(60)]
     sequence_ids = [caller.send_command(limit=7000) for caller in callers]
     # With a bound of 20 a slow gateway had not reached its limit before the first callers closed.
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -157,7 +157,7 @@
         self.driver.wait(self.draw.choice((1, 10, 60, 300, 900)) * MS)
 
     def change_engines(self) -> None:
-        """Change one entry of the endpoint list; in 5% of the calls the entry is the full list."""
+        """Change one entry of the endpoint list; in 5% of the calls the new list is this entry alone."""
         state = self.draw.choice(
             (
                 EngineState.READY,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -109,7 +109,9 @@
     with running_process(folder, "register.log", "register", *arguments) as process:
 
         def serves() -> bool:
-            assert process.poll() is None, (folder / "register.log").read_text("utf-8")
+            assert process.poll() is None, f"the store ended with status {process.poll()}:\n" + (
+                folder / "register.log"
+            ).read_text("utf-8")
             return "register on" in (folder / "register.log").read_text("utf-8")
 
         wait_until(serves)
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -58,7 +58,8 @@
     assert write_buffer.flusher.waiting
     assert write_buffer.finish(now=True)
     until(lambda: not write_buffer.flusher.waiting)
-    assert ours.recv(1) == b""  # the reader wakes; until it closes the socket, the descriptor is not reused
+    assert ours.recv(1) == b""  # a reader thread blocked here would wake
+    # The descriptor must not be reused before the reader closes the connection.
     assert ours.fileno() >= 0
     assert connection.fileno() >= 0
     connection.close()
