--- a/gullhold/admission/rejection_table.py
+++ b/gullhold/admission/rejection_table.py
@@ -9,9 +9,9 @@
 class RejectionTable:
     """Known rejections by tenant, client and profile, at most max_entries of them.
 
-    After a rejection a client's new commands would be rejected too, until its flow's queue has drained by
-    as much as the rejected command would have been late. Reader threads look here first, so that clients that
-    retry at once do not load the core's thread.
+    After a rejection a client's new commands would be rejected too, for about the time by which the rejected
+    command would have been late. Reader threads look here first, so that clients that retry at once do not
+    load the core's thread.
 
     Other threads read `entries`: an entry is replaced as a whole, never modified.
     """
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -269,8 +269,8 @@
         )
     try:
         method = reader.read_string().decode()
-    except UnicodeDecodeError:
-        raise ProtocolError("method name is not valid UTF-8") from None
+    except UnicodeDecodeError as error:
+        raise ProtocolError(f"method name is not valid UTF-8: {error.object[:40]!r}") from None
     return MessageHeader(method, message_type, reader.read_number(I32_FORMAT))
 
 
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -123,7 +123,7 @@
         return self is other
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
-        """Decode and handle bytes of the client, and write rejections, as a real connection's reader thread does."""
+        """Handle bytes of the client, and write rejections, as a real connection's reader thread does."""
         if self.has_reported:
             return
         try:
@@ -168,7 +168,7 @@
         super().__init__(*args)
 
     def clock(self) -> int:
-        """Return Unix time in us: that of the start plus the virtual time since, without shifts of a wall clock."""
+        """Return Unix time in us: that of the start plus the virtual time since; ignores clock shifts."""
         return self.simulation.clock.start_us + self.simulation.clock.now
 
     def post(self, call: Callable[..., None], *args: object) -> None:
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -340,11 +340,11 @@
         first = self.engines[command.first_run.engine]
         if command_profile.dedup_scope == DeduplicationScope.ZONE:
             assert first.zone == listed.zone, (
-                f"retry of {command.first_run} in zone {listed.zone}, not {first.zone}"
+                f"retry in zone {listed.zone}, but the first run {command.first_run} was in zone {first.zone}"
             )
         if command_profile.dedup_scope == DeduplicationScope.CELL:
             assert first.cell == listed.cell, (
-                f"retry of {command.first_run} in cell {listed.cell}, not {first.cell}"
+                f"retry in cell {listed.cell}, but the first run {command.first_run} was in cell {first.cell}"
             )
 
     def check_warmup(self, command: SubmittedCommand, engine: int, listed: ListedEngine) -> None:
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -61,7 +61,8 @@
         status, line = policies.wait(version.number, 8)
         assert status == ExitStatus.DROPPED
         assert "is no budget" in line
-        # The change is closed once n1 uses the version in force again, or its lease has ended.
+        # A dropped change is deleted once all members use the version in force and have withdrawn their votes
+        # on the change; until then no other can be opened. The vote of a member ends with its lease.
         fleet.wait_until(lambda: CHANGE_KEY not in policies.read())
         fleet.pause("n1")
         version = propose_when_possible(policies, fleet, policy_granting(21), patience_us=400_000)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -178,7 +178,7 @@
         role.won(1, 0)
         role.read(0, role.take_actions()[0].serial, Reply(Proof.DONE, 7))
         assert role.is_loaded
-    coordinator.changed(0, CHANGE_KEY, opened, 9)  # not by its own write: it reads all keys again
+    coordinator.changed(0, CHANGE_KEY, opened, 9)  # while it writes nothing: it reads all keys again
     allocator.changed(0, REPORTS + "a/1", encode_report(UsageReport(0, {"b/0": Usage(0, 1, 1)})), 9)
     allocator.watch_gap(0)
     allocator.written(0, allocator.writing, Reply(Proof.DONE, 10, succeeded=False))
