--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -49,7 +49,7 @@
     ) -> None:
         self._tenants = {name: index for index, name in enumerate(tenants)}
         self._fallback_tenant = fallback_tenant
-        self._field = rule.field.encode()
+        self._field = rule.field.encode()  # the request field that names the client
         self._is_by_address = rule.otherwise == "address"
         self._networks = None
         if rule.networks:
