--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -30,8 +30,9 @@
 # allocations; used_of_whole, used_even: share of the total in use when one member is busy, and when all are;
 # used_today: as used_of_whole, without budgets; redivided_order_p95_s, redivided_kill_p95_leases: time from a
 # member's end by SIGTERM or SIGKILL until its allocation is written to another, in s, and divided by a
-# lease's; cold_fallen: commands that exceeded the capacity of the warming engine; calls_flat: largest ratio
-# of calls or bytes per member between FLEET_SIZES; service_dead: shares of requests answered without the store, with budgets and without.
+# lease's; cold_fallen: commands that exceeded the capacity of the warming engine; calls_flat: largest
+# ratio of calls or bytes per member between FLEET_SIZES; service_dead: shares of requests answered
+# without the store, with budgets and without.
 BOUNDS = {
     "over_whole": at_most(0),
     "moves": at_least(300),
