--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -7,9 +7,8 @@
 from gullhold.fleet.lease import Lease
 from gullhold.interface import BudgetKind, Demand
 
-BudgetKey = tuple[
-    BudgetKind, int
-]  # kind and subject: an engine's id, a tenant's index, or 0 if the kind has no subject
+# Kind and subject of a budget: an engine's id, a tenant's index, or 0 if the kind has no subject.
+BudgetKey = tuple[BudgetKind, int]
 RuleKey = tuple[BudgetKind, int | None]  # subject None: the rule is for the budget of each subject
 
 
@@ -148,9 +147,8 @@
             if is_wanted or allocation.used(now) or allocation.rejected:
                 usage[self.budget_name(*key)] = allocation.report(unmet.get(key, 0), now)
             else:
-                del self.allocations[
-                    key
-                ]  # of an engine that is gone or not ready: budgets with a fixed subject are in rules
+                # Of an engine that is gone or not ready: budgets with a fixed subject are in rules.
+                del self.allocations[key]
         return usage
 
     def allocated(self) -> dict[str, int]:
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -69,9 +69,8 @@
         self.to_release: dict[str, int] = {}
         self.claim_at: dict[str, int] = {}
         self.own_key_revisions: dict[str, int] = {}
-        self.unverified: dict[
-            str, bool
-        ] = {}  # roles in the order in which they were added; the values mean nothing
+        # Roles in the order in which they were added; the values mean nothing.
+        self.unverified: dict[str, bool] = {}
         self.busy: set[str] = set()
         self._emit = emit
 
