--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -18,7 +18,8 @@
 from gullhold.decisions.traffic import TrafficMeter
 from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement, BudgetKind
 
-THREADS_PER_CORE = 2.0  # threads of all gateways together: the limit before it is raised or lowered
+# Threads of all gateways together: the initial limit of the design, before it is raised or lowered.
+THREADS_PER_CORE = 2.0
 MAX_ENGINE_RAISE = 4.0  # highest factor by which the limit of an engine with free capacity is raised
 MAX_TOTAL_RAISE = 2.0  # highest factor by which the total limit is raised if engines have free capacity
 ALLOWED_DEVIATIONS = 1.0  # standard deviations of our threads in use by which the total limit is raised
@@ -33,7 +34,7 @@
 MAX_LONG_SHARE = 0.8  # largest part of a limit that long commands may use: the rest is kept for short ones
 LONG_SHARE_OVERLOAD_FACTOR = 0.7  # factor of the long share after a sign of overload: see record_overload()
 LONG_SHARE_GAIN = 0.0015  # added to the long share by an answer
-REFIT_US = 10_000_000  # us between fits of an engine's limit
+REFIT_US = 10_000_000  # us between fits of an engine's limit, set by the design
 SAMPLE_US = 800_000  # us that one sample takes: long enough for a few commands to end
 MIN_SAMPLED_LIMIT = 4  # threads; no samples are taken at this limit or a lower one
 SAMPLE_SHARES = {  # part of the limit at which each sample is taken; the samples have to lie far apart
