--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -35,7 +35,7 @@
             lambda: len({leader for leader, _ in rig.leaders().values()}) == 2 and len(rig.leaders()) == 4
         )
         assert sum(line["what"] == "reply lost" for line in rig.journal_lines()) == 8
-        rig.wait_until(lambda: check_run(rig).effects > 10)
+        rig.wait_until(lambda: check_run(rig, 0).effects > 10)
 
 
 def test_a_role_is_taken_over_within_the_lease_time_after_a_kill_and_at_once_after_sigterm():
@@ -101,7 +101,7 @@
             rig.kill_store()
             rig.start_store()
         rig.inject_store_faults(lose=5, stale=5, behind=3)
-        rig.wait_until(lambda: len(rig.leaders()) == 9 and check_run(rig).effects > 60)
+        rig.wait_until(lambda: len(rig.leaders()) == 9 and check_run(rig, 0).effects > 60)
 
 
 def test_with_a_store_slower_than_a_lease_no_leader_acts_and_requests_back_off():
@@ -153,7 +153,7 @@
                 {leader for leader, _ in rig.leaders().values()} <= {"n4", "n5"} and len(rig.leaders()) == 24
             )
         )
-        rig.wait_until(lambda: check_run(rig).effects >= 24)
+        rig.wait_until(lambda: check_run(rig, 0).effects >= 24)
 
 
 def test_a_flapping_member_attracts_no_roles():
