--- a/gullhold/decisions/attempt_review.py
+++ b/gullhold/decisions/attempt_review.py
@@ -36,11 +36,11 @@
         self._estimates = estimates
         self._retries = retries
 
-    def first_at(self, run_us: float, now: int) -> int:
+    def first_review_at(self, run_us: float, now: int) -> int:
         """Return the time (us) of the first review of an attempt that starts now."""
         return int(now + REVIEW_INTERVAL_RUNS * run_us)
 
-    def next_at(self, command: Command, now: int) -> int:
+    def next_review_at(self, command: Command, now: int) -> int:
         """Return the time (us) of the next review of an attempt that is reviewed now."""
         return int(now + REVIEW_INTERVAL_RUNS * self._estimates.run_us(command)) + 1
 
--- a/gullhold/decisions/command.py
+++ b/gullhold/decisions/command.py
@@ -147,7 +147,7 @@
         self.progress = 0.0
         self.attempts += 1
 
-    def mark_run(self) -> None:
+    def mark_may_have_run(self) -> None:
         """Record that the newest attempt may have run."""
         if self.first_run_engine is None:
             self.first_run_engine = self.engine
--- a/gullhold/decisions/command_intake.py
+++ b/gullhold/decisions/command_intake.py
@@ -26,14 +26,14 @@
         command_id: int,
         profile_index: int,
         tenant: int,
-        tenants: int,
+        tenant_count: int,
         key: int,
         timeout_at: int,
         stated_work: float,
         need_mb: float,
         dataset: int,
     ) -> Command:
-        """Create a command. tenants: the number of tenants; timeout_at: end of the client timeout (us).
+        """Create a command. tenant_count: the number of tenants; timeout_at: end of the client timeout (us).
 
         A command with an unknown tenant's index counts as the first tenant's. If the agreement names no
         tenants, each profile takes the place of a tenant.
@@ -50,7 +50,7 @@
             id=command_id,
             profile_index=profile_index,
             profile=profile,
-            tenant=tenant if tenant < tenants else 0,
+            tenant=tenant if tenant < tenant_count else 0,
             key=key,
             need_mb=need_mb if 0 < need_mb < float("inf") else 0.0,
             dataset=dataset,
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -83,7 +83,7 @@
         budget = self._budgets.share(BudgetKind.TRAFFIC_SHARE, 0)
         if budget is not None:
             return self.share_factor * budget.limit() / MILLIONTHS_PER_UNIT
-        return self._traffic.share_of(self.share_factor, now)
+        return self._traffic.scaled_share(self.share_factor, now)
 
     def engine_limit(self, engine: Engine, now: int) -> float:
         """Return the limit on our threads on the engine; under pressure the sampled or the fitted one."""
--- a/gullhold/decisions/dataset_engines.py
+++ b/gullhold/decisions/dataset_engines.py
@@ -30,10 +30,10 @@
             self._counts = {each: count / 2 for each, count in self._counts.items() if count > MIN_KEPT_COUNT}
             self._total = MAX_COUNTED_COMMANDS / 2
 
-    def preferred_engines(self, dataset: int, engines: int) -> int:
-        """Return how many engines the data set prefers. engines: how many there are."""
+    def preferred_engine_count(self, dataset: int, engine_count: int) -> int:
+        """Return how many of engine_count engines the data set prefers."""
         share = self._counts.get(dataset, 0.0) / (self._total + INITIAL_COMMANDS)
-        return min(engines, MIN_PREFERRED_ENGINES + int(share * engines * PREFERRED_SHARE_FACTOR))
+        return min(engine_count, MIN_PREFERRED_ENGINES + int(share * engine_count * PREFERRED_SHARE_FACTOR))
 
 
 class RecentEngines:
--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -103,7 +103,7 @@
         self._lifecycle.change_state(command, CommandState.DISPATCHED)
         self._call.results.append(Dispatch(command.id, engine.id, command.last_start_at))
         if command.is_idempotent:
-            self._reviews.add(self._attempt_review.first_at(run_us, now), command)
+            self._reviews.add(self._attempt_review.first_review_at(run_us, now), command)
 
     def _acquire_claims(self, command: Command, engine: Engine) -> None:
         """Acquire what the attempt needs from the fleet's budgets."""
@@ -139,9 +139,9 @@
                 self._lifecycle.change_state(command, CommandState.CANCELLING)
             case Verdict.STALLED:
                 self._mark_stalled(command)
-                self._reviews.add(self._attempt_review.next_at(command, now), command)
+                self._reviews.add(self._attempt_review.next_review_at(command, now), command)
             case Verdict.REVIEW_AGAIN:
-                self._reviews.add(self._attempt_review.next_at(command, now), command)
+                self._reviews.add(self._attempt_review.next_review_at(command, now), command)
             case Verdict.LEAVE_ALONE:
                 pass
 
--- a/gullhold/decisions/fleet_budgets.py
+++ b/gullhold/decisions/fleet_budgets.py
@@ -39,14 +39,14 @@
         """Return our share of one budget, None if the fleet has no such budget."""
         return self._lookup(budget, subject) if self._lookup else None
 
-    def admit(self, command: Command, is_open: bool) -> bool:
+    def admit(self, command: Command, policy_admits: bool) -> bool:
         """Acquire what a new command needs to be admitted, if our shares allow it; return whether they do.
 
-        is_open: whether the policy in force admits new commands.
+        policy_admits: whether the policy in force admits new commands.
         """
         found = [self.share(budget, command.tenant) for budget in ADMISSION_BUDGETS]
         shares = [share for share in found if share is not None]
-        is_admitted = is_open and all(share.allows(1) for share in shares)
+        is_admitted = policy_admits and all(share.allows(1) for share in shares)
         for share in shares:
             if is_admitted:
                 share.acquire(1)
@@ -75,10 +75,10 @@
 
         The demand for each engine is an even part of what is queued, but at least the largest command's.
         """
-        engines = max(1, len(ready))
-        threads = _even_share([command.threads for command in queued], engines)
-        memory = _even_share([ceil(command.need_mb) for command in queued], engines)
-        work = _even_share([command.work for command in queued], engines)
+        engine_count = max(1, len(ready))
+        threads = _even_share([command.threads for command in queued], engine_count)
+        memory = _even_share([ceil(command.need_mb) for command in queued], engine_count)
+        work = _even_share([command.work for command in queued], engine_count)
         demands = [
             Demand(BudgetKind.RETRIES, 0, sum([command.attempts > 0 for command in queued])),
             Demand(BudgetKind.TRAFFIC_SHARE, 0, ceil(traffic)),
@@ -92,8 +92,8 @@
         return ReportDemand(tuple(demands))
 
 
-def _even_share(amounts: list[Amount], engines: int) -> Amount | int:
+def _even_share(amounts: list[Amount], engine_count: int) -> Amount | int:
     """Return an even part of the amounts for one engine, but at least the largest amount."""
     if not amounts:
         return 0
-    return max(*amounts, ceil(sum(amounts) / engines))
+    return max(*amounts, ceil(sum(amounts) / engine_count))
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -204,16 +204,16 @@
         if command is None:
             return self._call.results
         engine = cast("Engine", command.engine)  # an open attempt has one
-        is_unawaited = command.state in (CommandState.ORPHANED, CommandState.STREAMING)
+        needs_no_final_answer = command.state in (CommandState.ORPHANED, CommandState.STREAMING)
         self._release_claims(command, outcome)
         self.components.loads.record(engine, report, outcome, now)
         self.components.outcomes.record(command, engine, outcome, latency_us, cost, need_mb, now)
         if outcome == Outcome.ERROR:
             command.admitted_at = 0
         if outcome not in NEVER_RAN:
-            command.mark_run()
+            command.mark_may_have_run()
         self.components.key_order.record_outcome(command, outcome, now)
-        if is_closed or is_unawaited or outcome == Outcome.ANSWERED:
+        if is_closed or needs_no_final_answer or outcome == Outcome.ANSWERED:
             self._lifecycle.change_state(command, CommandState.ENDED)
         elif self._may_try_again(command, engine, outcome):
             self._lifecycle.change_state(command, CommandState.QUEUED)
@@ -243,7 +243,7 @@
         if command.state in WAITING_STATES:
             self._lifecycle.finish(command)
         elif command.state in (CommandState.DISPATCHED, CommandState.CANCELLING):
-            command.mark_run()
+            command.mark_may_have_run()
             self._lifecycle.finish(command, CommandState.ORPHANED)
         return self._call.results
 
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -70,7 +70,7 @@
             return None
         pool = self._pool()
         ranking = pool.ranked(command.dataset)
-        preferred, others = self._positions(command, len(pool))
+        preferred, positions = self._positions(command, len(pool))
         wanted = CANDIDATES
         if not command.is_short and self._limits.engine_limit(pool[0], now) < command.threads:
             # An engine may then take the command only while it runs none of our attempts, so thread counts
@@ -80,7 +80,7 @@
         found = self._recent_engine(command, len(pool), seen, now)
         self._draw_engines(command, ranking, preferred, wanted, found, seen, now)
         wanted_in_total = max(CANDIDATES, wanted - 1 + len(found))
-        self._draw_engines(command, ranking, others, wanted_in_total, found, seen, now)
+        self._draw_engines(command, ranking, positions, wanted_in_total, found, seen, now)
         if not found:
             self._draw_engines(command, ready, range(len(ready)), CANDIDATES, found, seen, now)
         return self._least_busy(command, found, ranking, preferred, now)
@@ -152,7 +152,7 @@
         If a profile waits for loads, commands that load a data set use only the second half of the engines,
         and all other commands only the first half, so that they rarely have to wait for a load.
         """
-        preferred = range(self.popularity.preferred_engines(command.dataset, size))
+        preferred = range(self.popularity.preferred_engine_count(command.dataset, size))
         positions = range(size)
         half = size // 2
         if not half or not self._separates_loads:
--- a/gullhold/decisions/slow_start.py
+++ b/gullhold/decisions/slow_start.py
@@ -26,8 +26,8 @@
         """Whether the engine started so recently that it is not warm yet."""
         return 0 < engine.started_us > now - self._agreement.warmup_us
 
-    def capacity(self, engine: Engine, now: int) -> float:
-        """Return the warming budget (core-us) now; GROWTH_FACTOR slows down the growth of capacity."""
+    def warming_budget(self, engine: Engine, now: int) -> float:
+        """Return the work (core-us) that the engine can take now in one overload window."""
         agreement = self._agreement
         growth = (
             (now - engine.started_us)
@@ -44,7 +44,9 @@
 
     def budget_millionths(self, work: float, engine: Engine, now: int) -> int:
         """Return work (core-us) in millionths of what all gateways may give the engine in a window."""
-        return ceil(work * MILLIONTHS_PER_UNIT / max(1.0, EXPECTED_BUDGET_SHARE * self.capacity(engine, now)))
+        return ceil(
+            work * MILLIONTHS_PER_UNIT / max(1.0, EXPECTED_BUDGET_SHARE * self.warming_budget(engine, now))
+        )
 
     def may_take(self, engine: Engine, work: float, has_fleet_budget: bool, now: int) -> bool:
         """Whether a warming engine may be given this work (core-us).
@@ -65,7 +67,7 @@
             engine.warmup_rounding_draw = self._draw()
             engine.warmup_rounding_drawn_at = now
         sent = sum([work_sent for at, work_sent in engine.warmup_dispatches if at > window_start])
-        budget = self.capacity(engine, now)
+        budget = self.warming_budget(engine, now)
         if work > MAX_COMMAND_BUDGET_SHARE * budget:
             return False
         our_share = EXPECTED_BUDGET_SHARE * budget / self._agreement.gateways
--- a/gullhold/decisions/traffic.py
+++ b/gullhold/decisions/traffic.py
@@ -27,7 +27,7 @@
         """Subtract a command whose client has left."""
         self.count = max(0.0, self.count - 1)
 
-    def share_of(self, scale: float, now: int) -> float:
+    def scaled_share(self, scale: float, now: int) -> float:
         """Return our share of the traffic, times scale: measured if tenants state allowances, else even."""
         if not self._allowance:
             return scale / self._gateways
--- a/tests/decisions/test_command.py
+++ b/tests/decisions/test_command.py
@@ -27,7 +27,7 @@
     assert not command.may_have_run
     for engine, now in ((first, START), (second, START + MS)):
         command.begin_attempt(engine, now)
-        command.mark_run()
+        command.mark_may_have_run()
     assert command.attempts == 2
     assert command.engine is second
     assert command.first_run_engine is first
--- a/tests/decisions/test_dataset_engines.py
+++ b/tests/decisions/test_dataset_engines.py
@@ -9,14 +9,14 @@
 
 def test_popular_data_sets_prefer_more_engines_and_counts_are_halved_at_the_maximum():
     popularity = DatasetPopularity()
-    assert popularity.preferred_engines(1, 100) == 3
-    assert popularity.preferred_engines(1, 2) == 2
+    assert popularity.preferred_engine_count(1, 100) == 3
+    assert popularity.preferred_engine_count(1, 2) == 2
     for _ in range(MAX_COUNTED_COMMANDS):
         popularity.record(1)
-    assert popularity.preferred_engines(1, 50) == 50
+    assert popularity.preferred_engine_count(1, 50) == 50
     popularity.record(2)
-    assert popularity.preferred_engines(2, 100) == 3  # its count of one command is too low to show
-    assert popularity.preferred_engines(1, 1000) > 900
+    assert popularity.preferred_engine_count(2, 100) == 3  # its count of one command is too low to show
+    assert popularity.preferred_engine_count(1, 1000) > 900
 
 
 def test_the_last_four_engines_of_a_data_set_are_remembered():
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -124,16 +124,16 @@
     agreement = make_agreement(gateways=2)
     slow_start, engine = SlowStart(agreement, 0, Random(1).random), Engine(1, 0, 1)
     engine.started_us, engine.cores = START, 4.0
-    capacity = slow_start.capacity(engine, START)
-    assert capacity == pytest.approx(3.0 * 0.3 * 4.0 * 2000 * MS)
-    assert slow_start.capacity(engine, START + 5000 * MS) > capacity
+    budget = slow_start.warming_budget(engine, START)
+    assert budget == pytest.approx(3.0 * 0.3 * 4.0 * 2000 * MS)
+    assert slow_start.warming_budget(engine, START + 5000 * MS) > budget
     commands_given = 0
     while slow_start.may_take(engine, 100 * MS, False, START) and commands_given < 100:
         slow_start.record_dispatch(engine, 100 * MS, START)
         commands_given += 1
-    assert abs(commands_given * 100 * MS - capacity / 4) <= 100 * MS
+    assert abs(commands_given * 100 * MS - budget / 4) <= 100 * MS
     assert slow_start.may_take(engine, 100 * MS, True, START)  # a budget of the fleet limits the sum instead
-    assert not slow_start.may_take(engine, capacity / 3, True, START)  # too much for one command
+    assert not slow_start.may_take(engine, budget / 3, True, START)  # too much for one command
     assert not slow_start.is_warming(engine, START + 10_000 * MS)
 
 
