--- a/gullhold/decisions/attempt_review.py
+++ b/gullhold/decisions/attempt_review.py
@@ -56,7 +56,7 @@
         return Verdict.REVIEW_AGAIN
 
     def _is_slow(self, command: Command, run_us: float, now: int) -> bool:
-        """Judge by the progress that the engine has reported, if any, else by the age of the attempt."""
+        """Whether the attempt is slow, by the progress that its engine reported if any, else by its age."""
         age_us = now - command.sent_at
         if command.progress:
             return age_us * (1 / command.progress - 1) > STALLED_RUNS * run_us
--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -9,10 +9,10 @@
 class SampleStage(IntEnum):
     """Which of the three samples of throughput is being taken on an engine."""
 
-    NONE = 0
-    AT_LIMIT = 1
-    AT_UPPER = 2
-    AT_LOWER = 3
+    NONE = 0  # no sample
+    AT_LIMIT = 1  # the one at the limit
+    AT_UPPER = 2  # the one at the higher of two fractions of the limit
+    AT_LOWER = 3  # the one at the lower fraction
 
 
 class Engine:
--- a/gullhold/decisions/engine_health.py
+++ b/gullhold/decisions/engine_health.py
@@ -31,7 +31,7 @@
         self.median_failure_rate = 0.0  # median of the ready engines' failure rates
 
     def record_listed(self, engine: Engine) -> None:
-        """Count an engine that has become ready again among those with failures, if it has any."""
+        """Add an engine that is ready again to those with failures, if attempts on it have failed."""
         if engine in self._ready and engine.failure_rate:
             self._failing.add(engine)
 
@@ -102,7 +102,10 @@
         return 2 * stalled < len(self._ready)
 
     def _median_failure_rate(self, now: int) -> float:
-        """Return the median of the ready engines; 0, without a scan, while fewer than half have failures."""
+        """Return the median failure rate of the ready engines.
+
+        It is 0, without a scan of all engines, while fewer than half of them have failures.
+        """
         if 2 * len(self._failing) >= len(self._ready):
             self._failing = {
                 engine
--- a/gullhold/decisions/estimators.py
+++ b/gullhold/decisions/estimators.py
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.usual_work = 0.0  # core-us; 0: no command yet
-        self.work_bias = 1.0  # factor from stated work to work
+        self.work_bias = 1.0  # ratio of the actual work to the stated work
         self.need_ratio = INITIAL_NEED_RATIO
         self.need_deviation = INITIAL_NEED_DEVIATION
         self.best_pace = 1.0
--- a/gullhold/decisions/outcome_recorder.py
+++ b/gullhold/decisions/outcome_recorder.py
@@ -49,7 +49,8 @@
         """Record an ended attempt. cost: its work (core-us), need_mb: its memory; 0: unknown.
 
         If attempts can't be cancelled, one that timed out may still run: it counts as a failure of its engine
-        and keeps its threads for a while. If they can be, a timeout is only a sign of overload, by its pace.
+        and keeps its threads for a while. If they can be cancelled, a timeout counts only with its pace,
+        which shows an overload.
         """
         may_still_run = outcome == Outcome.TIMED_OUT and not self._supports_cancel
         if may_still_run:
--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -31,7 +31,7 @@
         self.max_attempts_by_profile: Mapping[int, int] = {}  # for the profiles that the fleet's policy names
 
     def may_retry(self, command: Command, now: int) -> bool:
-        """Whether one more attempt may ever be allowed, by attempts, idempotency and deduplication window."""
+        """Whether the number of attempts, idempotency and deduplication window allow one more attempt."""
         default = self.agreement.max_attempts
         max_attempts = self.max_attempts_by_profile.get(command.profile_index, default)
         if 0 < max_attempts <= command.attempts:
@@ -41,7 +41,7 @@
         return command.is_keyed and now + DEADLINE_MARGIN_US < command.deduplication_until
 
     def may_start(self, command: Command, now: int) -> bool:
-        """Whether an attempt is allowed now, by its time, may_retry(), key order and the retry budget."""
+        """Whether an attempt may start now, by the last start, may_retry(), key order and the retry budget."""
         self._drop_old_times(now)
         if now >= command.last_start_at or not self.may_retry(command, now):
             return False
--- a/gullhold/decisions/slow_start.py
+++ b/gullhold/decisions/slow_start.py
@@ -6,7 +6,8 @@
 from gullhold.decisions.engine import Engine
 from gullhold.interface import MILLIONTHS_PER_UNIT, Agreement
 
-# Part of an engine's warming budget that all gateways together use on average: leaves a margin for chance.
+# Part of an engine's warming budget that all gateways together use on average; the rest is a margin for
+# random variation.
 EXPECTED_BUDGET_SHARE = 0.5
 MAX_COMMAND_BUDGET_SHARE = 0.25  # largest part of the warming budget that one command may take
 # Capacity is assumed to grow at this fraction of the rate that would reach full capacity at the end of the
