--- a/gullhold/admission/__init__.py
+++ b/gullhold/admission/__init__.py
@@ -3,5 +3,5 @@
 The network code calls queue.py, which combines the other modules: the choice among tenants and flows
 (fair_queue, tenant_queue, flow), bounded tables (flow_table, sketch), Retry-After times (drain_rate,
 wait_estimate, retry_after, rejection_table) and the charging of work (work_accounting). client_identity
-tells clients apart. No module here does I/O.
+identifies the client of a command. No module here does I/O.
 """
--- a/gullhold/admission/flow_table.py
+++ b/gullhold/admission/flow_table.py
@@ -16,8 +16,8 @@
 MIN_QUANTUM_US = 50_000.0  # the work assumed for a command that states none
 # A client is heavy if its part of all recent work is above
 # HEAVY_SHARE * (1 / max_exact_flows) * (exact_flow_count / max_exact_flows):
-# a part of an even share, scaled by the fraction of the allowed exact flows that exist. So while few of them
-# exist, light clients get one too.
+# a part of an even share, scaled by the fraction of the allowed exact flows that exist. So while few exact
+# flows exist, light clients get one too.
 HEAVY_SHARE = 0.5
 SKETCH_ERROR_FACTOR = 2.8  # e, rounded up: estimates are too high by at most this times all work / WIDTH
 TENANTS_CHECKED_PER_CALL = 2  # tenants whose flows are checked for idle ones in one call
@@ -112,7 +112,8 @@
     def forget_idle(self, now_us: int) -> None:
         """Forget idle flows and tenants that are not ahead of their shares; above the limits, all idle ones.
 
-        Each call checks a few of them in rotation: more than one event can add, but never the whole tables.
+        Each call checks a few of them in rotation, always more than one event can add: so the tables stay
+        bounded, and no call takes long.
         """
         for _ in range(min(TENANTS_CHECKED_PER_CALL, len(self.tenants))):
             tenant, tenant_queue = next(iter(self.tenants.items()))
--- a/gullhold/admission/queue.py
+++ b/gullhold/admission/queue.py
@@ -1,11 +1,11 @@
 """The admission queue: decides which commands wait, are forwarded to the decision module, or are rejected.
 
 It does no I/O and is not thread-safe; each call states the time in whole microseconds. Results are Forward,
-which passes a command on to the decision module, and Reject, the command's final answer: a shed, which is
-true since no attempt of the command was ever sent.
+which passes a command on to the decision module, and Reject, its final answer: it is shed, and a retry by the
+client does no harm, as no attempt of it was ever sent.
 
-The queue rejects for its own limits only: it is full, or the command would wait or has waited too long. What
-the decision module queues, sends, retries or sheds is decided there.
+The queue rejects a command only if the queue is full, or the command would wait too long or has waited too
+long. The decision module decides what it queues, sends, retries or sheds itself.
 """
 
 from collections import deque
--- a/gullhold/admission/sketch.py
+++ b/gullhold/admission/sketch.py
@@ -8,8 +8,8 @@
 from hashlib import blake2b
 
 ROWS = 4  # hash functions
-# Counters in a row, 64 KB in all rows; an estimate is too high by at most e/2048 of all work, but for 1 name
-# in 50.
+# Counters in a row, 64 KB in all rows; an estimate is too high by at most e/2048 of all work, except for 1
+# name in 50.
 WIDTH = 2048
 BITS_PER_ROW = 16  # bits of the hash from which the index in one row is taken
 HASH_BYTES = ROWS * BITS_PER_ROW // 8
--- a/gullhold/admission_interface.py
+++ b/gullhold/admission_interface.py
@@ -16,7 +16,7 @@
 
 
 class Reject(NamedTuple):
-    """Decision: shed the command, which is true since no attempt of it was ever sent."""
+    """Decision: shed the command. A retry by its client does no harm, as no attempt was ever sent."""
 
     command: int
     retry_after_us: int  # 0: no Retry-After time can be given
@@ -30,7 +30,7 @@
 
     tenant: int
     client: bytes  # name from ClientIdentifier.client_name()
-    profile: int | None  # index in the agreement; None: not in it, so that there is never an entry
+    profile: int | None  # index in the agreement; None: not in the agreement; such flows have no entry
 
 
 class KnownRejection(NamedTuple):
