--- a/gullhold/demo.py
+++ b/gullhold/demo.py
@@ -112,7 +112,7 @@
     console = Console()
     status = 0
     for has_admission in admission_choices:
-        title = "with the door" if has_admission else "without a door"
+        title = "with the admission queue" if has_admission else "without the admission queue"
         operator = ADMISSION_OPERATOR_FILE if has_admission else ""
         clients = run_once(title, operator, duration_s, seed, console)
         if not all(client.counts.answered for client in clients):
