--- a/gullhold/decisions/retry_policy.py
+++ b/gullhold/decisions/retry_policy.py
@@ -41,7 +41,7 @@
         return command.is_keyed and now + DEADLINE_MARGIN_US < command.deduplication_until
 
     def may_start(self, command: Command, now: int) -> bool:
-        """Whether an attempt may start now, by the last start, may_retry(), key order and the retry budget."""
+        """Whether an attempt may start now, by its last start, may_retry(), key order and retry budget."""
         self._drop_old_times(now)
         if now >= command.last_start_at or not self.may_retry(command, now):
             return False
