--- a/gullhold/operator/evaluation.py
+++ b/gullhold/operator/evaluation.py
@@ -69,7 +69,10 @@
         """
         if depth > MAX_DEPTH:
             raise OperatorFileError(
-                node.location, path, "definitions refer to themselves, or values are nested too deep"
+                node.location,
+                path,
+                "definitions refer to themselves, or values are nested too deep: "
+                f"more than {MAX_DEPTH} levels",
             )
         match node:
             case Constant():
--- a/gullhold/operator/records.py
+++ b/gullhold/operator/records.py
@@ -83,7 +83,7 @@
     @model_validator(mode="after")
     def _check_bounds(self) -> Self:
         if self.least > self.most:
-            raise ValueError("least is over most")
+            raise ValueError(f"least of {self.least} us is over most of {self.most} us")
         return self
 
 
@@ -204,19 +204,21 @@
         if self.alone and not self.members:
             raise ValueError("alone needs members: the number of gateways for which it is kept back")
         if self.alone * self.members > self.whole:
-            raise ValueError(f"alone for {self.members} members is over the whole of {self.whole}")
+            raise ValueError(
+                f"alone of {self.alone} for {self.members} members is over the whole of {self.whole}"
+            )
         return self
 
     @model_validator(mode="after")
     def _check_kind(self) -> Self:
         if self.tenant and self.of not in PER_TENANT_BUDGETS:
-            raise ValueError(f"a budget of {self.of} has no tenant")
+            raise ValueError(f"a budget of {self.of} has no tenant, but {self.tenant!r} is stated")
         if self.of in WINDOW_REQUIRED_BUDGETS and not self.window:
             raise ValueError(f"a budget of {self.of} needs a window")
         if self.of == "lists" and not self.alone:
             raise ValueError("a budget of lists needs alone: a gateway without the register reads lists too")
         if self.window and self.of in NO_WINDOW_BUDGETS:
-            raise ValueError(f"a budget of {self.of} has no window")
+            raise ValueError(f"a budget of {self.of} has no window, but one of {self.window} us is stated")
         return self
 
 
@@ -262,21 +264,27 @@
         if self.on and not self.register_:
             raise ValueError("fleet.on needs fleet.register: HOST:PORT")
         if self.lease % US_PER_S:
-            raise ValueError("fleet.lease must be in whole seconds")
+            raise ValueError(f"fleet.lease of {self.lease} us must be in whole seconds")
         if self.lease * (1 - self.drift.rate) - self.drift.margin < self.lease / 2:
-            raise ValueError("fleet.drift leaves less than half of fleet.lease")
+            raise ValueError(
+                f"fleet.drift with a rate of {self.drift.rate} and a margin of {self.drift.margin} us leaves "
+                f"less than half of fleet.lease of {self.lease} us"
+            )
         if self.duties.pauses.least > self.duties.pauses.most:
-            raise ValueError("fleet.duties.pauses: least is over most")
+            raise ValueError(
+                f"fleet.duties.pauses: least of {self.duties.pauses.least} us is over most of "
+                f"{self.duties.pauses.most} us"
+            )
         return self
 
     @model_validator(mode="after")
     def _check_names(self) -> Self:
         names = [command.name for command in self.schedule]
         if len(set(names)) < len(names):
-            raise ValueError("fleet.schedule: two commands of one name")
+            raise ValueError(f"fleet.schedule: two commands of one name among {', '.join(names)}")
         budgets = [(budget.of, budget.tenant) for budget in self.budgets]
         if len(set(budgets)) < len(budgets):
-            raise ValueError("fleet.budgets: two of the same kind and tenant")
+            raise ValueError(f"fleet.budgets: two of the same kind and tenant among {budgets}")
         return self
 
 
--- a/gullhold/operator/schema.cue
+++ b/gullhold/operator/schema.cue
@@ -107,7 +107,7 @@
 
 // How roles (duties) are distributed over the members of the fleet.
 #Duties: {
-	// How many roles a second one member gives up so that they move to another.
+	// How many roles per second a member gives up so that they move to other members.
 	moves: *200 | (int & >=1 & <=100000)
 	// How long a member that joins others waits before roles move to it.
 	settle: *5s | (duration & >=0s & <=1h)
@@ -175,6 +175,7 @@
 	cut: *"keep" | "stand"
 	// A file that keeps the policy last in force; "": none.
 	snapshot: *"" | string
-	// The age up to which a gateway that starts without the register uses it; 0s: it waits for the register.
+	// The age of the snapshot up to which a gateway that starts without the register uses it; 0s: it waits for the
+	// register.
 	spare:    *0s | (duration & >=0s & <=24h)
 }
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -64,7 +64,10 @@
         ("door: {window: #W}", "f.cue:1:16: door.window: #W is not known"),
         ('door: client: networks: [{net: "10.0.0.0/8"}]', "f.cue:1:26: door.client.networks.0.name: must be"),
         ('door: client: networks: [{net: "10", name: "x"}]', "f.cue:1:32: door.client.networks.0.net: "),
-        ("door: {come_back: {least: 2s, most: 1s}}", "f.cue:1:8: door.come_back: least is over most"),
+        (
+            "door: {come_back: {least: 2s, most: 1s}}",
+            "f.cue:1:8: door.come_back: least of 2000000 us is over most of 1000000 us",
+        ),
         ('door: tenants: "open"', "f.cue:1:1: door: "),
         ("door: {\n window: }", "f.cue:2:10: '}' is not expected here"),
         ("door: {window: 3", "the end of the file is not expected here"),
