--- a/tests/admission_simulation.py
+++ b/tests/admission_simulation.py
@@ -118,15 +118,17 @@
     ) -> int:
         """Submit a new command; return its id. estimate_factor: its stated estimate divided by its work."""
         self.last_id += 1
-        ident = self.last_id
+        command_id = self.last_id
         timeout_at = self.now + timeout_us
-        self.open_commands[ident] = OpenCommand(client, tenant, profile_index, ordering_key, work, timeout_at)
-        self.clients[ident] = client
+        self.open_commands[command_id] = OpenCommand(
+            client, tenant, profile_index, ordering_key, work, timeout_at
+        )
+        self.clients[command_id] = client
         estimate = int(work * estimate_factor)
         self.carry_out(
             self.queue.submit(
                 self.now,
-                ident,
+                command_id,
                 tenant,
                 client,
                 profile_index,
@@ -138,7 +140,7 @@
             )
         )
         self.forward_all()
-        return ident
+        return command_id
 
     def carry_out(self, results: Iterable[Forward | Reject]) -> None:
         """Check each result against the queue's guarantees, then carry it out."""
@@ -153,22 +155,22 @@
                 assert isinstance(result, Reject)
                 self._reject(result)
 
-    def _forward(self, ident: int) -> None:
-        command = self.open_commands[ident]
+    def _forward(self, command_id: int) -> None:
+        command = self.open_commands[command_id]
         if self.ordered[command.profile_index] and command.ordering_key:
             earlier = [
                 other
                 for other, row in self.open_commands.items()
-                if other < ident
+                if other < command_id
                 and row.stage is Stage.QUEUED
                 and (row.profile_index, row.ordering_key) == (command.profile_index, command.ordering_key)
             ]
             assert not earlier, (
-                f"command {ident} was forwarded before commands {earlier}, which came earlier with the same "
-                f"ordering key {command.ordering_key}"
+                f"command {command_id} was forwarded before commands {earlier}, which came earlier with the "
+                f"same ordering key {command.ordering_key}"
             )
         command.stage = Stage.FORWARDED
-        self.forwarded.append(ident)
+        self.forwarded.append(command_id)
         rows = [self.open_commands[other] for other in self.forwarded]
         tenant_profile = (command.tenant, command.profile_index)
         assert sum((row.tenant, row.profile_index) == tenant_profile for row in rows) <= self.record.window
@@ -183,19 +185,19 @@
         self.retry_after_us[rejection.command] = rejection.retry_after_us
         self._end(rejection.command, CommandEnd.REJECTED)
 
-    def _end(self, ident: int, end: CommandEnd) -> None:
-        self.ends[ident] = end
-        del self.open_commands[ident]
+    def _end(self, command_id: int, end: CommandEnd) -> None:
+        self.ends[command_id] = end
+        del self.open_commands[command_id]
 
     def forward_all(self) -> None:
         """Start attempts while slots are free, and let the queue forward, until nothing changes."""
         while True:
             while self.forwarded and len(self.running) < self.slots:
-                ident = self.forwarded.pop(0)
-                command = self.open_commands[ident]
+                command_id = self.forwarded.pop(0)
+                command = self.open_commands[command_id]
                 command.stage = Stage.RUNNING
-                self.running.append(RunningAttempt(self.now + int(command.work), ident))
-                self.queue.attempt_sent(ident)
+                self.running.append(RunningAttempt(self.now + int(command.work), command_id))
+                self.queue.attempt_sent(command_id)
             results = self.queue.take_ready(self.now)
             if not results:
                 break
@@ -226,15 +228,15 @@
         self.queue.command_ended(self.now, attempt.command)
         self._end(attempt.command, CommandEnd.ANSWERED)
 
-    def client_left(self, ident: int) -> None:
+    def client_left(self, command_id: int) -> None:
         """Let the client of a command leave, at any stage of the command."""
-        stage = self.open_commands[ident].stage
-        self.running = [attempt for attempt in self.running if attempt.command != ident]
-        self.forwarded = [other for other in self.forwarded if other != ident]
+        stage = self.open_commands[command_id].stage
+        self.running = [attempt for attempt in self.running if attempt.command != command_id]
+        self.forwarded = [other for other in self.forwarded if other != command_id]
         if stage is Stage.RUNNING:
-            self.queue.attempt_ended(self.now, ident, 0, True)
-        self.queue.command_ended(self.now, ident)
-        self._end(ident, CommandEnd.CLIENT_LEFT)
+            self.queue.attempt_ended(self.now, command_id, 0, True)
+        self.queue.command_ended(self.now, command_id)
+        self._end(command_id, CommandEnd.CLIENT_LEFT)
         self.forward_all()
 
     def check(self) -> None:
--- a/tests/test_admission_fairness.py
+++ b/tests/test_admission_fairness.py
@@ -91,7 +91,11 @@
             next_at += 125 * MS
             sent_at[simulation.submit(b"c:polite")] = simulation.now
         simulation.wait(2 * MS)
-        waits += [simulation.now - sent_at.pop(ident) for ident in list(sent_at) if ident in simulation.ends]
+        waits += [
+            simulation.now - sent_at.pop(command_id)
+            for command_id in list(sent_at)
+            if command_id in simulation.ends
+        ]
     assert len(waits) > 30
     assert sorted(waits)[int(0.95 * len(waits))] <= 110 * MS
 
@@ -136,9 +140,13 @@
             open_count = sum(command.tenant == tenant for command in simulation.open_commands.values())
             for _ in range(target - open_count):
                 retry_counts[simulation.submit(b"c:%d" % tenant, tenant)] = 0
-        for ident in [ident for ident in retry_counts if simulation.ends.get(ident) == CommandEnd.REJECTED]:
-            count = retry_counts.pop(ident)
-            if simulation.clients[ident] == b"c:1" and count < 2:
+        for command_id in [
+            command_id
+            for command_id in retry_counts
+            if simulation.ends.get(command_id) == CommandEnd.REJECTED
+        ]:
+            count = retry_counts.pop(command_id)
+            if simulation.clients[command_id] == b"c:1" and count < 2:
                 retry_counts[simulation.submit(b"c:1", 1, is_retry=True)] = count + 1
         simulation.wait(10 * MS)
     assert abs(simulation.work_done[b"c:0"] / simulation.work_done.total() - 0.5) <= 0.05
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -48,10 +48,10 @@
         )
         for decision in simulation.queue.take_ready(simulation.now):
             assert isinstance(decision, Forward)
-            ident = decision.command
-            simulation.queue.attempt_sent(ident)
-            simulation.queue.attempt_ended(simulation.now, ident, 100, True)
-            simulation.queue.command_ended(simulation.now, ident)
+            command_id = decision.command
+            simulation.queue.attempt_sent(command_id)
+            simulation.queue.attempt_ended(simulation.now, command_id, 100, True)
+            simulation.queue.command_ended(simulation.now, command_id)
         simulation.now += 100
         assert len(simulation.queue.flow_table.tenants) < 600
         assert len(simulation.queue.forwarded_by_tenant_profile) <= simulation.record.held
@@ -74,9 +74,9 @@
 def test_the_queue_is_empty_when_all_clients_have_left():
     simulation = AdmissionSimulation(weights=(1.0,), slots=1)
     submitted = [simulation.submit(b"c:%d" % (i % 3)) for i in range(30)]
-    for ident in reversed(submitted):
-        if ident in simulation.open_commands:
-            simulation.client_left(ident)
+    for command_id in reversed(submitted):
+        if command_id in simulation.open_commands:
+            simulation.client_left(command_id)
     assert not simulation.queue.commands
     assert not simulation.queue.queued_count
     assert not simulation.queue.forwarded_count
@@ -88,8 +88,8 @@
     simulation = AdmissionSimulation(weights=(1.0,), slots=0)
     for _ in range(10):
         simulation.submit(profile_index=0)
-    ident = simulation.submit(profile_index=1)
-    assert simulation.open_commands[ident].stage is Stage.FORWARDED
+    command_id = simulation.submit(profile_index=1)
+    assert simulation.open_commands[command_id].stage is Stage.FORWARDED
 
 
 def test_commands_with_one_ordering_key_keep_their_order_across_clients():
--- a/tests/test_admission_retry_after.py
+++ b/tests/test_admission_retry_after.py
@@ -42,15 +42,17 @@
             due_retries.remove(retry)
             retry_ids.append(simulation.submit(retry.client, timeout_us=2 * SECOND, is_retry=True))
             attempts_by_id[retry_ids[-1]] = retry.attempts + 1
-        for ident in [ident for ident in attempts_by_id if ident in simulation.ends]:
-            attempts = attempts_by_id.pop(ident)
+        for command_id in [command_id for command_id in attempts_by_id if command_id in simulation.ends]:
+            attempts = attempts_by_id.pop(command_id)
             # 1 us: the client retries at once; 0 us: it was given no Retry-After time and doesn't retry.
-            wait_us = simulation.retry_after_us.get(ident, 0) if waits_for_retry_after else 1
-            if simulation.ends[ident] == CommandEnd.REJECTED and attempts < 3 and wait_us:
-                due_retries.append(DueRetry(simulation.now + wait_us, simulation.clients[ident], attempts))
+            wait_us = simulation.retry_after_us.get(command_id, 0) if waits_for_retry_after else 1
+            if simulation.ends[command_id] == CommandEnd.REJECTED and attempts < 3 and wait_us:
+                due_retries.append(
+                    DueRetry(simulation.now + wait_us, simulation.clients[command_id], attempts)
+                )
         simulation.wait(5 * MS)
     simulation.wait(4 * SECOND)
-    answered = sum(simulation.ends[ident] == CommandEnd.ANSWERED for ident in retry_ids)
+    answered = sum(simulation.ends[command_id] == CommandEnd.ANSWERED for command_id in retry_ids)
     return Overload(answered / len(retry_ids), len(retry_ids), simulation)
 
 
@@ -69,9 +71,9 @@
     simulation = AdmissionSimulation("door: patience: 0.5", weights=(1.0,), slots=1)
     keep_open(simulation, 3 * SECOND, a=60)
     rejected = [
-        ident
-        for ident, end in simulation.ends.items()
-        if end == CommandEnd.REJECTED and simulation.retry_after_us[ident]
+        command_id
+        for command_id, end in simulation.ends.items()
+        if end == CommandEnd.REJECTED and simulation.retry_after_us[command_id]
     ]
     assert rejected
     retries = next(iter(simulation.queue.flow_table.tenants.values())).flows[b"a"].retries
@@ -82,4 +84,6 @@
     for _ in range(20):
         simulation.submit(b"a", is_retry=True)
         assert (list(retries.windows), retries.next_begin_us) == before
-    assert CommandEnd.REJECTED in [end for ident, end in simulation.ends.items() if ident > last_id_before]
+    assert CommandEnd.REJECTED in [
+        end for command_id, end in simulation.ends.items() if command_id > last_id_before
+    ]
