--- a/gullhold/admission/client_identity.py
+++ b/gullhold/admission/client_identity.py
@@ -50,7 +50,7 @@
         self._tenants = {name: index for index, name in enumerate(tenants)}
         self._fallback_tenant = fallback_tenant
         self._field = rule.field.encode()  # the request field that names the client
-        self._is_by_address = rule.otherwise == "address"
+        self._identifies_by_address = rule.otherwise == "address"
         self._networks = None
         if rule.networks:
             import pytricia  # noqa: PLC0415  needed only where networks are named
@@ -92,7 +92,7 @@
             names = {"network": network.name, "address": address}
             name = names.get(network.identified_by, connection)
             return _bounded_name(NameKind.NETWORK, str(name).encode())
-        name = address if self._is_by_address else connection
+        name = address if self._identifies_by_address else connection
         return _bounded_name(NameKind.ADDRESS, str(name).encode())
 
     def _network_rule(self, address: str) -> NetworkRule | None:
--- a/gullhold/decisions/gateway.py
+++ b/gullhold/decisions/gateway.py
@@ -33,9 +33,9 @@
 if TYPE_CHECKING:
     from gullhold.decisions.decision_terms import DecisionTerms
 
-MIN_PROGRESS = 0.01  # share of the work that is done; a status note of less counts as this
+MIN_PROGRESS = 0.01  # lowest share of work done; a status note that reports less counts as this
 MIN_LOAD_WAIT_CODE = 2  # a WAITING note with this value or more: the command waits for a load of its data set
-LOAD_LOCK_US = OVERLOADED_US  # us for which such a note locks the data set on the engine
+LOAD_LOCK_US = OVERLOADED_US  # us for which a note of waiting for a load locks the data set on the engine
 
 
 class Gateway:
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -9,8 +9,12 @@
 
 
 def test_commands_of_an_ordered_key_run_one_after_another():
-    order, kind = KeyOrder(300 * MS), profile(ordered=True)
-    first, second, other = make_command(1, kind, 5), make_command(2, kind, 5), make_command(3, kind)
+    order, ordered_profile = KeyOrder(300 * MS), profile(ordered=True)
+    first, second, other = (
+        make_command(1, ordered_profile, 5),
+        make_command(2, ordered_profile, 5),
+        make_command(3, ordered_profile),
+    )
     assert [order.add(command) for command in (first, second, other)] == [True, False, True]
     assert order.remove(other) is None
     assert order.remove(first) is second
