--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -18,12 +18,12 @@
         ordered=(False, True),
         seed=seed,
     )
-    for act, client, kind, key in steps:
+    for act, client, profile_index, key in steps:
         if act < 6:
             simulation.submit(
                 b"c:%d" % client,
                 client % 2,
-                kind,
+                profile_index,
                 key,
                 timeout_us=(act + 1) * 100 * MS,
                 is_retry=act == 5,
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -109,9 +109,9 @@
             self.requests += 1
             until = self.now_s + draw.choice((0.3, 2.0, 5.0))
             work = draw.choice((0.02, 0.1, 0.6, *ODD_TIMES))
-            tables = draw.choice((1.0, 2.0, float("nan")))
+            dataset = draw.choice((1.0, 2.0, float("nan")))
             fields = (instance, self.requests, draw.randrange(3), 0, draw.randrange(3), until, work, 40.0)
-            return record(3, "IIHIQddffB", *fields, tables, draw.randrange(8))
+            return record(3, "IIHIQddffB", *fields, dataset, draw.randrange(8))
         if kind < 0.75 and self.sent:
             instance, request, engine = self.sent.pop(draw.randrange(len(self.sent)))
             return self.answer(instance, request, engine)
