--- a/gullhold/decisions/command_lifecycle.py
+++ b/gullhold/decisions/command_lifecycle.py
@@ -73,7 +73,7 @@
         self._queue.push(command, profile.benefit * (profile.late_benefit_share if is_late else 1.0))
 
     def finish(self, command: Command, state: CommandState = CommandState.ENDED) -> None:
-        """Give the final answer: Shed if a retry by the client does no harm, else Fail."""
+        """Give the final answer, Shed if a retry by the client does no harm, else Fail; enter the state."""
         if self._retries.may_shed(command, self._call.now):
             self._call.results.append(Shed(command.id, self._max_retry_after_us))
         else:
--- a/gullhold/decisions/concurrency_limit.py
+++ b/gullhold/decisions/concurrency_limit.py
@@ -76,7 +76,7 @@
         self.overall_slowness = 1.0  # ratio of pace to best pace, averaged over all engines
         self.long_share = MAX_LONG_SHARE  # part of a limit that long commands may use
         # Samples are taken on one engine at a time, so that the limits do not oscillate together.
-        self._sampled: Engine | None = None
+        self._sampled_engine: Engine | None = None
 
     def share(self, now: int) -> float:
         """Return our share, 0 to 1, of the capacity of all engines."""
@@ -160,8 +160,8 @@
     def stop_sampling(self, engine: Engine) -> None:
         """Discard the samples being taken on the engine."""
         engine.sample_stage = SampleStage.NONE
-        if self._sampled is engine:
-            self._sampled = None
+        if self._sampled_engine is engine:
+            self._sampled_engine = None
 
     def _sample(self, engine: Engine, now: int) -> None:
         """Under pressure, sample throughput at three concurrencies for SAMPLE_US each, then fit the curve."""
@@ -180,7 +180,7 @@
 
     def _may_begin_samples(self, engine: Engine, now: int) -> bool:
         """Whether no samples are being taken, the engine's limit is due for a fit, and it is high enough."""
-        if self._sampled is not None or now < engine.next_fit_at:
+        if self._sampled_engine is not None or now < engine.next_fit_at:
             return False
         return self.engine_limit(engine, now) > MIN_SAMPLED_LIMIT
 
@@ -188,7 +188,7 @@
         """Begin the sample of this stage; NONE: all samples of the engine have been taken."""
         if stage:
             engine.sample_stage = stage
-            self._sampled = engine
+            self._sampled_engine = engine
         else:
             self.stop_sampling(engine)
         engine.sample_began_at = now
--- a/gullhold/decisions/dispatcher.py
+++ b/gullhold/decisions/dispatcher.py
@@ -58,11 +58,11 @@
     def _dispatch_next(self) -> int | None:
         """Dispatch one command; return its tenant, None if no command can be dispatched."""
         for tenant in self._queue.tenants_in_turn():
-            if self._dispatch_one_of(tenant):
+            if self._dispatch_from(tenant):
                 return tenant
         return None
 
-    def _dispatch_one_of(self, tenant: int) -> bool:
+    def _dispatch_from(self, tenant: int) -> bool:
         """Dispatch the first command of one of the tenant's queues; return whether one was dispatched."""
         is_dispatched = False
         for heap in self._queue.queues_of(tenant):
--- a/gullhold/decisions/load_report.py
+++ b/gullhold/decisions/load_report.py
@@ -28,7 +28,8 @@
 
     def __init__(self, agreement: Agreement, health: EngineHealth) -> None:
         fields = list(agreement.report_fields)
-        self._field = fields.index(UTILIZATION_FIELD) if UTILIZATION_FIELD in fields else -1
+        # Position of the utilisation in a report; -1: engines do not report it.
+        self._field_index = fields.index(UTILIZATION_FIELD) if UTILIZATION_FIELD in fields else -1
         self._health = health
         self.mean_utilization = 1.0  # moving average over all engines; 1 until engines report
 
@@ -38,12 +39,12 @@
         Without a valid report, a rejection as overloaded or a timeout counts as full utilisation. A report is
         invalid if its value is negative, infinite or not a number.
         """
-        reported = report[self._field] if 0 <= self._field < len(report) else -1.0
+        reported = report[self._field_index] if 0 <= self._field_index < len(report) else -1.0
         if 0.0 <= reported < float("inf"):
             utilization = min(reported, 1.0)
             engine.utilization = utilization
             engine.utilization_at = now
-        elif self._field >= 0 and outcome in (Outcome.OVERLOADED, Outcome.TIMED_OUT):
+        elif self._field_index >= 0 and outcome in (Outcome.OVERLOADED, Outcome.TIMED_OUT):
             utilization = 1.0
         else:
             return
@@ -55,7 +56,7 @@
         It is 1 if engines report none, and for an engine that fails or is slow: one that lacks memory is slow
         although its cores are idle.
         """
-        if self._field < 0 or self._health.failure_rate(engine, now) > DISTRUST_FAILURE_RATE:
+        if self._field_index < 0 or self._health.failure_rate(engine, now) > DISTRUST_FAILURE_RATE:
             return 1.0
         if self._health.slowness(engine, now) > DISTRUST_SLOWNESS:
             return 1.0
--- a/gullhold/decisions/placement.py
+++ b/gullhold/decisions/placement.py
@@ -27,7 +27,10 @@
 
 
 class Placement:
-    """Decides which engines may take a command, and chooses one of them."""
+    """Decides which engines may take a command, and chooses one of them.
+
+    draw: returns a random number from 0 to 1.
+    """
 
     def __init__(
         self,
--- a/gullhold/decisions/slow_start.py
+++ b/gullhold/decisions/slow_start.py
@@ -16,7 +16,10 @@
 
 
 class SlowStart:
-    """Keeps to the warming budget of each engine: the work that it can take in one overload window."""
+    """Keeps to the warming budget of each engine: the work that it can take in one overload window.
+
+    started_at: start of this gateway (us); draw: returns a random number from 0 to 1.
+    """
 
     def __init__(self, agreement: Agreement, started_at: int, draw: Callable[[], float]) -> None:
         self._agreement = agreement
