--- a/gullhold/testing/soak/clients_and_engines.py
+++ b/gullhold/testing/soak/clients_and_engines.py
@@ -28,8 +28,8 @@
 class RequestRecord:
     """One request as its client saw it.
 
-    left_at: when the client closed its connection with the request open; ends_at: when the connection ended
-    with the request open; both None otherwise.
+    left_at: when the client closed its connection with the request open; connection_ended_at: when the
+    connection ended with the request open; both None otherwise.
     """
 
     txn: bytes
@@ -38,7 +38,7 @@
     timeout_s: float
     answers: list[TimedAnswer] = field(default_factory=list)
     left_at: float | None = None
-    ends_at: float | None = None
+    connection_ended_at: float | None = None
 
 
 class TimedFetch(NamedTuple):
@@ -79,11 +79,11 @@
     def _run(self) -> None:
         while not self.is_stopped and self.may_connect:
             try:
-                caller = BlockingClient(self.address)
+                blocking_client = BlockingClient(self.address)
             except OSError:
                 time.sleep(self.plan.pause_s)
                 continue
-            _SoakConnection(self, caller).run()
+            _SoakConnection(self, blocking_client).run()
 
 
 class _SoakConnection:
@@ -92,9 +92,9 @@
     open, answered: requests by sequence number.
     """
 
-    def __init__(self, client: SoakClient, caller: BlockingClient) -> None:
+    def __init__(self, client: SoakClient, blocking_client: BlockingClient) -> None:
         self.client = client
-        self.caller = caller
+        self.blocking_client = blocking_client
         self.lock = Lock()
         self.open: dict[int, RequestRecord] = {}
         self.answered: dict[int, RequestRecord] = {}
@@ -102,8 +102,8 @@
         self.left_at: float | None = None
 
     def run(self) -> None:
-        caller = self.caller
-        caller.sock.settimeout(None)
+        blocking_client = self.blocking_client
+        blocking_client.sock.settimeout(None)
         reader = Thread(target=self._read, daemon=True)
         reader.start()
         try:
@@ -117,10 +117,10 @@
         except OSError:
             pass  # the connection has ended
         reader.join(self.client.plan.timeout_s + 2.0)
-        ends_at = time.monotonic()
+        ended_at = time.monotonic()
         for record in self.open.values():
-            record.ends_at = record.ends_at or ends_at
-        caller.sock.close()
+            record.connection_ended_at = record.connection_ended_at or ended_at
+        blocking_client.sock.close()
 
     def _send_command(self) -> None:
         client = self.client
@@ -129,9 +129,9 @@
         txn = b"%016x" % draw.getrandbits(64)
         record = RequestRecord(txn, profile, time.monotonic(), client.plan.timeout_s)
         with self.lock:
-            self.open[self.caller.seq + 1] = record
+            self.open[self.blocking_client.seq + 1] = record
         client.records.append(record)
-        self.caller.send_command(
+        self.blocking_client.send_command(
             profile,
             int(client.plan.timeout_s * 1000),
             txn=txn,
@@ -145,19 +145,19 @@
         with self.lock:
             for record in self.open.values():
                 record.left_at = now
-        self.caller.sock.shutdown(socket.SHUT_RDWR)
+        self.blocking_client.sock.shutdown(socket.SHUT_RDWR)
 
     def _read(self) -> None:
         try:
-            while (found := self.caller.read_answer()) is not None:
-                self._record_answer(found.sequence_number, TimedAnswer(time.monotonic(), found.result))
+            while (answer := self.blocking_client.read_answer()) is not None:
+                self._record_answer(answer.sequence_number, TimedAnswer(time.monotonic(), answer.result))
         except (OSError, thrift.ProtocolError):
             pass
         ended_at = time.monotonic()
         self.has_ended = True
         with self.lock:
             for record in self.open.values():
-                record.ends_at = ended_at
+                record.connection_ended_at = ended_at
 
     def _record_answer(self, sequence_number: int, answer: TimedAnswer) -> None:
         with self.lock:
--- a/gullhold/testing/soak/plan.py
+++ b/gullhold/testing/soak/plan.py
@@ -104,7 +104,7 @@
     engines = draw.sample(range(ENGINES), draw.randint(0, ENGINES - 1))
     latest_s = SERVING_S + 0.3  # later than SIGTERM, so that some come during the shutdown
     troubles = [
-        TroubleAt(draw.uniform(0.1, latest_s), draw.choice(ENGINE_TROUBLES), each) for each in engines
+        TroubleAt(draw.uniform(0.1, latest_s), draw.choice(ENGINE_TROUBLES), engine) for engine in engines
     ]
     if draw.random() < 0.3:
         troubles.append(TroubleAt(draw.uniform(0.1, latest_s), draw.choice(DISCOVERY_TROUBLES), 0))
--- a/gullhold/testing/soak/run.py
+++ b/gullhold/testing/soak/run.py
@@ -32,7 +32,7 @@
 from gullhold.testing.soak.violations import Kind, Suspension, Violation, check_attempts, check_requests
 
 DRAIN_GRACE_S = 0.5  # as in the settings of gullhold.testing.deployment
-NEW_CONNECTIONS_S = 0.3  # protocol: for so long after SIGTERM clients may still connect
+NEW_CONNECTIONS_S = 0.3  # the protocol lets clients connect until this long after SIGTERM
 SOCKETS = 160  # limit of a gateway's descriptors; half of them are for clients
 IDLE_CONNECTIONS = 70  # nearly all descriptors that a gateway has for clients
 POLL_INTERVAL_S = 0.005
@@ -115,8 +115,9 @@
     """One run of a plan.
 
     command: the arguments of Python that start a gateway; replaced: engines that were closed and replaced;
-    drained_at: when the gateways were told that an engine drains, by its number, in monotonic s;
-    suspended_at, terminated_at: when SIGSTOP and the first SIGTERM were sent, in monotonic s.
+    drained_at: when the gateways were sent an endpoint list in which an engine is draining, by the engine's
+    number, in monotonic s; suspended_at, terminated_at: when SIGSTOP and the first SIGTERM were sent, in
+    monotonic s; last_index: index of the latest endpoint list event.
     """
 
     def __init__(self, plan: Plan, folder: Path, command: Sequence[str] = GATEWAY_COMMAND) -> None:
@@ -134,7 +135,7 @@
             gateway_folder.mkdir()
             self.gateways.append(SoakGateway(gateway_folder, plan, self.engines, command))
         self.clients: list[SoakClient] = []
-        self.idle: list[socket.socket] = []
+        self.idle_connections: list[socket.socket] = []
         self.flood: LoadProcesses | None = None
 
     def run(self) -> Outcome:
@@ -167,7 +168,7 @@
                 self.clients.append(client)
         if plan.crowd is Crowd.IDLE:
             time.sleep(10 * POLL_INTERVAL_S)  # the checked clients connect first
-            self.idle = [
+            self.idle_connections = [
                 socket.create_connection(gateway.address, WAIT_TIMEOUT_S)
                 for gateway in self.gateways
                 for _ in range(IDLE_CONNECTIONS)
@@ -209,9 +210,9 @@
             gateway.close_discovery()
 
     def _drain(self, number: int) -> None:
-        told_at = time.monotonic()
+        sent_at = time.monotonic()
         if self._send_change((f"s-{number}", self.engines[number].address, "draining")):
-            self.drained_at[number] = told_at
+            self.drained_at[number] = sent_at
 
     def _replace(self, number: int) -> None:
         """Close an engine, and start another one cold with an id of its own."""
@@ -223,12 +224,15 @@
         self._send_change((f"s-{number}", self.replaced[-1].address, "gone"))
         self._send_change((f"s-{new_number}", self.engines[number].address, "ready"), started_ms=now_ms)
 
-    def _send_change(self, member: tuple[str, str, str], **facts: Any) -> bool:
-        """Send a change of the endpoint list to all gateways; return whether all of them were sent it."""
+    def _send_change(self, member: tuple[str, str, str], **options: Any) -> bool:
+        """Send a change of the endpoint list to all gateways; return whether all of them were sent it.
+
+        member, options: arguments of endpoint_list_event().
+        """
         self.last_index += 1
         try:
             for gateway in self.gateways:
-                gateway.discovery.send(endpoint_list_event(self.last_index, member, **facts))
+                gateway.discovery.send(endpoint_list_event(self.last_index, member, **options))
         except (OSError, AssertionError):  # the service is closed, or a gateway no longer follows it
             return False
         return True
@@ -260,7 +264,9 @@
             try:
                 status = gateway.process.wait(max(0.0, remaining_s))
             except subprocess.TimeoutExpired:
-                found.append(Violation(Kind.LATE_END, f"over {self.plan.kill_at_s:.1f} s"))
+                found.append(
+                    Violation(Kind.LATE_END, f"still running {self.plan.kill_at_s:.1f} s after SIGTERM")
+                )
                 continue
             if status:
                 found.append(Violation(Kind.BAD_STATUS, str(status)))
@@ -275,7 +281,7 @@
             client.join(WAIT_TIMEOUT_S)
         if self.flood:
             self.flood.stop()
-        for sock in self.idle:
+        for sock in self.idle_connections:
             sock.close()
         for engine in (*self.engines, *self.replaced):
             engine.close()
--- a/gullhold/testing/soak/violations.py
+++ b/gullhold/testing/soak/violations.py
@@ -9,7 +9,7 @@
 # Times that the client protocol allows, and tolerances for observing them.
 CROSSING_S = 0.05  # a request written this shortly before its connection's end may go unanswered
 SOCKET_TOLERANCE_S = 0.05  # added to each time limit where it is observed on sockets
-ATTEMPT_AFTER_LEAVING_S = 0.1  # an attempt may still start so long after its client left
+ATTEMPT_AFTER_LEAVING_S = 0.1  # an attempt may still start this long after its client left
 
 RECORDING_DELAY_S = 0.2  # test doubles on a busy machine may record the time of an event this much too late
 
@@ -21,9 +21,9 @@
     LATE = "answered late"
     TWICE = "answered twice"
     AFTER_LEAVING = "attempt after the client left"
-    DRAINING = "attempt on a draining engine after the grace"
+    DRAINING = "attempt on a draining engine after the grace period"
     RAN_TWICE = "non-idempotent command sent twice"
-    LATE_END = "end later than the page allows"
+    LATE_END = "end later than the protocol allows"
     BAD_STATUS = "status not 0"
     FAULT = "the program logged a fault"
 
@@ -69,9 +69,9 @@
 
 def _is_wrongly_unanswered(record: RequestRecord) -> bool:
     """Return whether a request without an answer was written early enough to be answered."""
-    if record.left_at is not None or record.ends_at is None:
+    if record.left_at is not None or record.connection_ended_at is None:
         return False
-    return record.written_at < record.ends_at - CROSSING_S - RECORDING_DELAY_S
+    return record.written_at < record.connection_ended_at - CROSSING_S - RECORDING_DELAY_S
 
 
 def check_attempts(
@@ -82,17 +82,17 @@
 ) -> list[Violation]:
     """Return the violations in what engines received.
 
-    drained_at: when the gateways were told that an engine drains, by its number; grace_s: how long after that
-    it may still receive attempts.
+    drained_at: when the gateways were sent an endpoint list in which an engine is draining, by the engine's
+    number; grace_s: how long after that it may still receive attempts.
     """
     found = []
     by_txn = {record.txn: record for record in records}
     sent: set[bytes] = set()
     for fetch in sorted(fetches):
         record = by_txn.get(fetch.txn)
-        told_at = drained_at.get(fetch.engine)
+        listed_at = drained_at.get(fetch.engine)
         name = f"{fetch.txn.decode()} at engine {fetch.engine}"
-        if told_at is not None and fetch.at > told_at + grace_s + SOCKET_TOLERANCE_S + RECORDING_DELAY_S:
+        if listed_at is not None and fetch.at > listed_at + grace_s + SOCKET_TOLERANCE_S + RECORDING_DELAY_S:
             found.append(Violation(Kind.DRAINING, name))
         if record is None:
             continue
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -82,10 +82,10 @@
     assert kinds(check_requests([record(answers=[11.3])])) == [Kind.LATE]
     assert not check_requests([record(answers=[11.3])], [Suspension(10.1, 10.4)])
     assert kinds(check_requests([record(answers=[10.1, 10.2])])) == [Kind.TWICE]
-    assert kinds(check_requests([record(ends_at=11.0)])) == [Kind.UNANSWERED]
+    assert kinds(check_requests([record(connection_ended_at=11.0)])) == [Kind.UNANSWERED]
     # Written so late that it may cross the end of its connection.
-    assert not check_requests([record(ends_at=10.01)])
-    assert not check_requests([record(ends_at=11.0, left_at=10.5)])
+    assert not check_requests([record(connection_ended_at=10.01)])
+    assert not check_requests([record(connection_ended_at=11.0, left_at=10.5)])
 
 
 def test_attempts_are_violations_after_the_client_left_on_a_draining_engine_or_when_repeated():
