--- a/gullhold/testing/budget_checker.py
+++ b/gullhold/testing/budget_checker.py
@@ -44,7 +44,7 @@
 
 
 class ReportAt(NamedTuple):
-    """A member's report, with its time in s: {budget: [in use, used, requested]}."""
+    """A member's report, with its time in s: {budget: [in use, peak, requested]}."""
 
     at: float
     member: str
@@ -114,8 +114,9 @@
     """Goes through a journal once, and keeps the allocations after each write and their sums.
 
     rows: the last row of allocations, by member. max_sums: the highest sum of allocations at any revision, by
-    budget. increases: how often an allocation was raised. writes: transactions that wrote allocations.
-    bytes_written: size of all rows and reports.
+    budget. increases: how often an allocation was raised. history: the allocations after each write. reports:
+    all reports of members. writes: transactions that wrote allocations. bytes_written: size of all rows and
+    reports.
     """
 
     def __init__(self, lines: Iterable[Mapping[str, Any]]) -> None:
--- a/gullhold/testing/budget_explorer.py
+++ b/gullhold/testing/budget_explorer.py
@@ -13,15 +13,14 @@
 from gullhold.testing.action_kind import CALL_FAULTS, ActionKind
 from gullhold.testing.budget_world import FAULTS, Action, World
 
-MAX_ORDERLY_ACTIONS = 14  # calls and replies handled in one step of time
+MAX_ORDERLY_ACTIONS = 14  # calls, replies and notifications handled in one step of time, at most
 # Probabilities within one step of time.
 REPORT_CHANCE = 0.5  # probability that a member reports
 STOP_CHANCE = 0.05  # before each call or reply: probability that all that are left wait for the next step
 CALL_FAULT_CHANCE = 0.06  # probability that a call is hit by a fault
-ACQUIRE_CHANCES = (
-    0.7,
-    0.5,
-)  # probabilities that a member acquires all it may, and that one more action follows
+# For each pass over the members: probability that a member acquires all it may, and probability that one more
+# call, reply or notification is handled after the pass.
+ACQUIRE_CHANCES = (0.7, 0.5)
 FREQUENT_CHANCES = (
     (ActionKind.RELEASE, 0.4),
     (ActionKind.JOIN, 0.4),
--- a/gullhold/testing/budget_world.py
+++ b/gullhold/testing/budget_world.py
@@ -264,7 +264,10 @@
             )
         allocated = self._stored_allocations()
         if allocated > TOTAL - RESERVE * len(NAMES):
-            raise InvariantError(f"{allocated} of {TOTAL - RESERVE * len(NAMES)} are allocated")
+            raise InvariantError(
+                f"the store allocates {allocated}, more than the {TOTAL - RESERVE * len(NAMES)} "
+                "that the reserves leave"
+            )
 
     def _stored_allocations(self) -> int:
         """Return the sum of all allocations in the store."""
@@ -321,8 +324,8 @@
         allocated = sum(member.allocation.allocated for member in self.members)
         if allocated < TOTAL - RESERVE * len(NAMES) - 1:  # 1 may be in transfer between members
             raise InvariantError(
-                f"{allocated} of a total of {TOTAL} are allocated after the end of the faults, "
-                f"of which {RESERVE} for each of {len(NAMES)} members is kept back"
+                f"only {allocated} of a total of {TOTAL} are allocated after the end of the faults, "
+                f"though no more than {RESERVE} for each of {len(NAMES)} members is reserved"
             )
 
     HANDLERS = RolePairWorld.HANDLERS | {
--- a/gullhold/testing/role_pair_world.py
+++ b/gullhold/testing/role_pair_world.py
@@ -66,9 +66,9 @@
     candidate is notified; leader: the index of the candidate that leads; calls, replies: under way;
     delayed_requests: given up by their callers, and may still be executed.
 
-    A subclass adds the members, each callable as its clock and with the attributes lease and is_disconnected,
-    the methods _grant(member) and act(), and HANDLERS: this table with the methods of its own kinds of
-    action.
+    A subclass adds the members, the methods _grant(member) and act(), and in its HANDLERS the methods for its
+    own kinds of action. Calling a member returns the time on its clock; a member has the attributes lease and
+    is_disconnected.
     """
 
     def __init__(
@@ -135,12 +135,12 @@
             return ActionKind.DELIVER_REPLY, 0
         return next(iter(self._notifications()), None)
 
-    def changes_since(self, since: int | None, prefix: str) -> list[Change]:
-        """Return the changes from a revision on of keys with a prefix; since None: there is no watch."""
-        if since is None:
+    def changes_since(self, revision: int | None, prefix: str) -> list[Change]:
+        """Return the changes, from this revision on, of keys with this prefix; none for revision None."""
+        if revision is None:
             return []
         changes = self.store.changes
-        first = bisect_left(changes, since, key=lambda change: change[0])
+        first = bisect_left(changes, revision, key=lambda change: change[0])
         return [change for change in changes[first:] if change[1].startswith(prefix)]
 
     def finish_calls(self, max_actions: int) -> None:
--- a/gullhold/testing/rollout_history.py
+++ b/gullhold/testing/rollout_history.py
@@ -18,7 +18,7 @@
 
 
 class CanaryRun(NamedTuple):
-    """A canary when it was last seen running: world time in us, and keys of its members without prefix."""
+    """When a canary was last seen running, in us of world time, and its members' vote keys without prefix."""
 
     seen_at: int
     members: tuple[str, ...]
@@ -92,7 +92,7 @@
 
 
 def _check_in_force_everywhere(current: PolicyVersion, members: Iterable[SimulatedMember]) -> None:
-    """Check the end of a change: it tells operators that the version in force is used everywhere."""
+    """Check that all members that may dispatch use the version in force: a change ends only after that."""
     late = [
         member.name
         for member in members
--- a/gullhold/testing/simulated_budget_member.py
+++ b/gullhold/testing/simulated_budget_member.py
@@ -1,4 +1,4 @@
-"""A simulated gateway in the world of budgets: clock, lease, allocation and running calls."""
+"""A simulated gateway in the world of budgets: clock, lease, allocation and running commands."""
 
 from collections.abc import Hashable
 from typing import TYPE_CHECKING
@@ -12,9 +12,9 @@
 
 
 class SimulatedMember:
-    """One process of a member, which is callable as its clock.
+    """One process of a member; calling it returns the time on its clock.
 
-    running: times at which its calls under way began, in world time; reported_revision: revision of its
+    running: times at which its running commands began, in world time; reported_revision: revision of its
     report in the store; applied_revision: revision of the newest row of allocations that it has applied;
     lease_lost_at: world time at which it last lost a lease, after which it could begin nothing more.
     """
@@ -45,7 +45,7 @@
         return f"{self.name}/{self.lease.id:x}"
 
     def fingerprint(self) -> Hashable:
-        """Return a value that is equal for equivalent states of it."""
+        """Return a value that is equal for equivalent states of the member."""
         return (
             self.name,
             self.is_disconnected,
--- a/gullhold/testing/simulated_rollout_member.py
+++ b/gullhold/testing/simulated_rollout_member.py
@@ -15,7 +15,7 @@
 
 
 class SimulatedMember:
-    """One gateway, which is callable as its clock.
+    """One gateway; calling it returns the time on its clock.
 
     decisions: the product's rollout logic of a member; version_number, version_text: the version that its
     core uses; answered, failed: commands so far.
@@ -28,7 +28,7 @@
         self.rate = rate
         self.is_disconnected = False
         self.lease = Lease(TERMS)
-        self.core_queue: list[AdoptVersion | StopDispatching] = []  # requests that the core has not seen
+        self.core_queue: list[AdoptVersion | StopDispatching] = []  # not processed yet
         self.watched_from: int | None = None  # revision from which it is notified; None: no watch
         self.version_number = 0
         self.version_text = ""
