--- a/gullhold/testing/fleet_checker.py
+++ b/gullhold/testing/fleet_checker.py
@@ -61,17 +61,17 @@
         self._highest_tokens: dict[str, int] = defaultdict(int)
         self._roles_by_lease: dict[int, set[str]] = defaultdict(set)
         self._acquisitions: dict[str, list[Acquisition]] = defaultdict(list)
-        self._first_effects: dict[
-            tuple[str, int], float
-        ] = {}  # Unix time in s of the first effect, by role and token
-        self._occurrences: dict[OccurrenceKey, dict[int, Any]] = defaultdict(
-            dict
-        )  # stored records by revision
+        # Unix time in s of the first effect, by role and token.
+        self._first_effects: dict[tuple[str, int], float] = {}
+        # Stored records by revision.
+        self._occurrences: dict[OccurrenceKey, dict[int, Any]] = defaultdict(dict)
         revision = 0
         for line in lines:
             line_revision = line.get("revision", revision)
             if line_revision < revision:
-                self.violations.append(f"the store went back from revision {revision}: {line}")
+                self.violations.append(
+                    f"the store's revision went back from {revision} to {line_revision}: {line}"
+                )
             revision = line_revision
             self._check_line(line)
 
@@ -161,7 +161,9 @@
                 f"{role} was taken from {tuple(old)} by {leader.member} at revision {leader.token}"
             )
         if leader.token <= self._highest_tokens[role]:
-            self.violations.append(f"the token of {role} did not increase: {leader.token}")
+            self.violations.append(
+                f"the token of {role} did not increase: {leader.token} after {self._highest_tokens[role]}"
+            )
         if old:
             self._roles_by_lease[old.lease].discard(role)
         acquisitions = self._acquisitions[role]
@@ -174,7 +176,9 @@
 
     def _check_effect(self, line: Line, tokens: dict[str, int], effects: list[str]) -> None:
         if len(tokens) != 1:
-            self.violations.append(f"an effect with {len(tokens)} tokens: {effects}")
+            self.violations.append(
+                f"an effect must depend on 1 token, but depends on {len(tokens)}: {effects}"
+            )
             return
         ((role, token),) = tokens.items()
         leader = self._leaders.get(role)
--- a/gullhold/testing/membership_explorer.py
+++ b/gullhold/testing/membership_explorer.py
@@ -155,7 +155,7 @@
 
 
 class TargetedStrategy(OrderlyStrategy):
-    """Delays a call or its reply, disturbs the calling member, and lets the delayed one go on later."""
+    """Delays a rare call or its reply, pauses or restarts the caller, then releases what was delayed."""
 
     RESUME_CHANCE = 0.04  # probability that a paused target resumes, at each action
     MAX_WAIT_STEPS = 25  # actions between two steps of the plan
@@ -192,7 +192,7 @@
         return action
 
     def _add_member(self, actions: list[Action]) -> Action | None:
-        """Start a process, which makes rare calls, where none is under way."""
+        """Start a process: no rare call is under way to be delayed, and a process that joins makes some."""
         if len(self.plan) < MAX_PLAN_STEPS:
             self.plan.insert(0, self._delay)
         joins = [action for action in actions if action.kind in (ActionKind.JOIN, ActionKind.RESTART)]
--- a/gullhold/testing/membership_world.py
+++ b/gullhold/testing/membership_world.py
@@ -78,7 +78,7 @@
         self.faults = faults
         self.members: list[Membership] = []
         self.rates: list[float] = []  # rate of each member's clock relative to the store's
-        self.watched_from: list[int | None] = []  # first revision to notify each of; None: no watch
+        self.watched_from: list[int | None] = []  # revision from which each is notified; None: no watch
         self.is_paused: list[bool] = []
         self.crashed: set[int] = set()
         self.calls: list[SentCall] = []
@@ -112,6 +112,7 @@
         self._collect(index)
 
     def _collect(self, index: int) -> None:
+        """Take over a member's actions: its calls are under way from now on."""
         for action in self.members[index].take_actions():
             match action:
                 case CallStore(call):
@@ -183,7 +184,7 @@
     def _carry_out(self, kind: ActionKind, index: int, role: str) -> None:
         match kind:
             case ActionKind.ADVANCE_TIME:
-                self._pass_time()
+                self._advance_time()
             case ActionKind.EXECUTE_CALL:
                 member, call = self.calls.pop(index)
                 self.replies.append(SentReply(member, call, self.store.call(call.request, self.now)))
@@ -220,7 +221,7 @@
             case ActionKind.RESTART:
                 self.start_process(self.members[index].identity.name)
 
-    def _pass_time(self) -> None:
+    def _advance_time(self) -> None:
         self.now += QUANTUM_US
         self.store.expire_leases(self.now)
         for index, is_paused in enumerate(self.is_paused):
--- a/gullhold/testing/scheduled_command_explorer.py
+++ b/gullhold/testing/scheduled_command_explorer.py
@@ -31,7 +31,7 @@
 FIRST_TOKEN = 4
 MAX_STEP_US = 900_000  # longest time that passes in one step of a walk
 
-# Each step of a walk draws a fraction, and does the first of these whose bound is above it.
+# Each step of a walk draws a fraction, and takes the first of these actions whose bound is above it.
 TAKEOVER_BELOW = 0.12  # another leader takes over; former leaders go on, with an old token
 LOST_REPLY_BELOW = 0.3  # the reply to the next write is lost, or the write is not executed
 TIME_BELOW = 0.6  # time advances; above it, an attempt ends
@@ -42,8 +42,8 @@
 class Store:
     """A model of the store, for one command.
 
-    token: the fencing token of the current leader; next_write: what becomes of the next write; None: it is
-    done.
+    token: the fencing token of the current leader; next_write: None if the next write is executed and
+    answered, UNKNOWN if its reply is lost, NOT_DONE if it is not executed.
     """
 
     def __init__(self) -> None:
@@ -113,8 +113,8 @@
 class CommandHarness:
     """Runs one leader's command over a model of the store.
 
-    sent, logged: the attempts and log events that the command asked for; may_act: whether the member's lease
-    still allows effects when a write has been replied to.
+    sent, logged: the attempts and log events that the command requested; may_act: whether the member's lease
+    still allows effects when the reply to a write arrives.
     """
 
     def __init__(
@@ -276,7 +276,7 @@
         elif drawn < LOST_REPLY_BELOW:
             self.store.next_write = self.random.choice((Proof.UNKNOWN, Proof.NOT_DONE))
         elif drawn < TIME_BELOW:
-            self._pass_time(self.random.randrange(MAX_STEP_US))
+            self._advance_time(self.random.randrange(MAX_STEP_US))
         elif current.command.in_flight:
             states = (OccurrenceState.ANSWERED, OccurrenceState.FAILED, OccurrenceState.SHED)
             current.end_attempt(self.random.choice(states))
@@ -290,7 +290,7 @@
         harness.now = now
         harness.lead()
 
-    def _pass_time(self, us: int) -> None:
+    def _advance_time(self, us: int) -> None:
         for harness in self.harnesses:
             harness.may_act = harness is self.harnesses[-1]
             harness.advance(us)
