--- a/gullhold/testing/fleet.py
+++ b/gullhold/testing/fleet.py
@@ -178,9 +178,9 @@
         """Kill the store with SIGKILL."""
         self.store_process.kill()
 
-    def inject_store_faults(self, **requested: Any) -> None:
-        """Make the store fail in these ways; the names are those of gullhold.testing.register.faults."""
-        requests.post(f"http://{self.store_address}/faults", json=requested, timeout=WAIT_TIMEOUT_S)
+    def inject_store_faults(self, **faults: Any) -> None:
+        """Make the store fail in these ways; the names are those of Faults.set() in the store server."""
+        requests.post(f"http://{self.store_address}/faults", json=faults, timeout=WAIT_TIMEOUT_S)
 
     def store_call_counts(self) -> dict[str, int]:
         """Return the number of calls that the store has received, by path."""
@@ -338,7 +338,7 @@
 
 
 def _is_shown(line: dict[str, Any]) -> bool:
-    """Return whether a journal record is neither a renewed lease nor a heartbeat that was written."""
+    """Return whether the timeline shows a journal record: all but renewed leases and written heartbeats."""
     if "kept" in line["what"]:
         return False
     is_heartbeat = line.get("met") and all("/beats/" in write[1] for write in line["acts"])
--- a/gullhold/testing/hooked_gateway.py
+++ b/gullhold/testing/hooked_gateway.py
@@ -1,13 +1,13 @@
 """Runs `gullhold` with hooks for tests: clocks at another rate, or a signal at a call of the store.
 
-The hooks are given as JSON in the environment variable GULLHOLD_RIG; the product does not know of it. Keys:
+The hooks are given as JSON in the environment variable GULLHOLD_RIG, which the product does not read. Keys:
 rate: rate of this process's clocks against the machine's.
 point, nth: the nth store call of this kind. Kinds: "effect" (writes a heartbeat), "intent" and "outcome" (of
 an occurrence), "claim" (of a role), "keep" (renews a lease), "divide" (allocates budgets), "report" (usage),
 "give back" (a member's last usage report), "checked", "prepared", "decided", "dropped" (states of a policy
 change), "ready", "still", "under" (votes on one).
 side: "before" or "after" that call.
-act: what this process then does to itself: "kill" (SIGKILL) or "stop" (SIGSTOP).
+act: the signal that this process then sends to itself: "kill" (SIGKILL) or "stop" (SIGSTOP).
 """
 
 import json
@@ -44,7 +44,7 @@
 
 
 def call_kind(request: "Request") -> str:
-    """Return the kind of a store call, as GULLHOLD_RIG names it; empty: a call without a name."""
+    """Return the kind of a store call, as GULLHOLD_RIG names it; empty: a call of another kind."""
     from gullhold.fleet import store_calls  # noqa: PLC0415  after the clocks are scaled
 
     if isinstance(request, store_calls.KeepLeaseAlive):
@@ -65,7 +65,7 @@
 
 
 def _put_kind(put: "Put") -> str:
-    """Return the kind of a write of budgets or policies; empty: it has none."""
+    """Return the kind of a write of budgets or policies; empty: a write of another kind."""
     if put.key.startswith("policy/words/"):
         return json.loads(put.value)["word"]
     if put.key == "policy/now/change":
@@ -78,8 +78,8 @@
 def signal_self(act: str) -> None:
     """Send the signal of this act to the calling thread.
 
-    A signal to the whole process may be taken by another thread: until the kernel has woken that one, the
-    calling thread could go on and make the call that it was to be stopped before.
+    The kernel may deliver a signal to the whole process to another thread. Until that thread has been woken,
+    the calling thread could go on, and make the call before which it was to stop.
     """
     signal.pthread_kill(threading.get_ident(), SIGNALS[act])
 
@@ -92,11 +92,11 @@
     call_numbers = count(1)
 
     def call(self: "StoreClient", request: "Request") -> "Reply":
-        is_here = call_kind(request) == point and next(call_numbers) == nth
-        if is_here and side == "before":
+        is_hooked = call_kind(request) == point and next(call_numbers) == nth
+        if is_hooked and side == "before":
             signal_self(act)
         reply = original(self, request)
-        if is_here and side == "after":
+        if is_hooked and side == "after":
             signal_self(act)
         return reply
 
--- a/gullhold/testing/load_client.py
+++ b/gullhold/testing/load_client.py
@@ -26,7 +26,7 @@
 SHED_DELAY_S = 0.02  # s between a shed command that is not retried and the new one in its place
 MAX_FIRST_DELAY_S = 0.05  # s until the first command of a connection that sends at a rate
 MAX_RETRY_JITTER = 0.1  # fraction of Retry-After; a random share of it is added
-TABLE_GROUPS = 5  # the statements read these groups of tables in turn
+TABLE_GROUPS = 5  # number of groups of tables that the statements read in turn
 
 
 class RetryRule(Enum):
--- a/gullhold/testing/load_counts.py
+++ b/gullhold/testing/load_counts.py
@@ -22,8 +22,9 @@
 
     sent: first attempts; attempts: all attempts; answered, shed, failed: answers of each kind; unanswered:
     attempts that were open when their connection ended; retry_after_received: shed answers with a
-    Retry-After; waited_*: retries sent after that time; early_*: retries sent before it; duplicate_answers:
-    answers to attempts that are not open; latencies_s: time from an attempt to its successful answer;
+    Retry-After; waited_retries, waited_answered, waited_shed: retries sent after that time, and how many of
+    them were answered or shed; early_*: the same for retries sent before it; duplicate_answers: answers to
+    attempts that are not open; latencies_s: time from an attempt to its successful answer;
     late_by_s: for each answer of any kind that came after the client timeout, by how much; slowest_s: the
     longest time from an attempt to its answer of any kind.
     """
@@ -57,7 +58,7 @@
             self.early_retries += 1
 
     def add_delay(self, attempt: Attempt, now: float, timeout_s: float) -> None:
-        """Record how long an attempt waited for its answer, of any kind. now: monotonic s."""
+        """Record the time from an attempt to its answer of any kind. now: monotonic s."""
         delay_s = now - attempt.sent_at
         self.slowest_s = max(self.slowest_s, delay_s)
         if delay_s > timeout_s:
--- a/gullhold/testing/load_process.py
+++ b/gullhold/testing/load_process.py
@@ -63,8 +63,8 @@
     total = LoadCounts()
     for part in parts:
         for field in fields(LoadCounts):
-            mine, other = getattr(total, field.name), getattr(part, field.name)
-            setattr(total, field.name, max(mine, other) if field.name == "slowest_s" else mine + other)
+            old, added = getattr(total, field.name), getattr(part, field.name)
+            setattr(total, field.name, max(old, added) if field.name == "slowest_s" else old + added)
     return total
 
 
--- a/gullhold/testing/register/faults.py
+++ b/gullhold/testing/register/faults.py
@@ -7,7 +7,7 @@
 
 
 class Faults:
-    """The faults that a test has requested; set() has the names that a request uses.
+    """The faults that a test has requested; set() describes the names that a request uses.
 
     refuse_until, delay_until: monotonic times up to which connections are closed unread, and calls are
     delayed; delay_s: delay before a call is carried out; late_s: delay before its reply. lost_replies: number
--- a/gullhold/testing/register/journal.py
+++ b/gullhold/testing/register/journal.py
@@ -19,12 +19,12 @@
         self._lines = lines
         self._lock = threading.Lock()
 
-    def write(self, event: str, **facts: Any) -> None:
+    def write(self, event: str, **fields: Any) -> None:
         """Write one line with the time, the event and these fields."""
         if self._lines is None:
             return
         with self._lock:
-            self._lines.write(json.dumps({"at": time.time(), "what": event, **facts}) + "\n")
+            self._lines.write(json.dumps({"at": time.time(), "what": event, **fields}) + "\n")
             self._lines.flush()
 
     def write_start(self, revision: int, keys: dict[bytes, StoredKey]) -> None:
--- a/gullhold/testing/register/store.py
+++ b/gullhold/testing/register/store.py
@@ -125,7 +125,7 @@
     # Keys
 
     def read(self, start: bytes, range_end: bytes, revisions_ago: int = 0) -> KeyItems:
-        """Return the keys of a range in order; revisions_ago: in the state of so many revisions ago."""
+        """Return the keys of a range in order; revisions_ago: as they were this many revisions ago."""
         with self.lock:
             if revisions_ago:
                 return self._read_old(start, range_end, max(1, self.revision - revisions_ago))
@@ -158,7 +158,7 @@
             is_met = are_conditions_met(self.keys)
             chosen = operations if is_met else failure_operations
             writes = self._writes(chosen)
-            # Reads show the state before the transaction; the fleet never reads in one what it also writes.
+            # Reads show the state before the transaction, in which a fleet never writes a key that it reads.
             read = [
                 self.read(operation.key, operation.range_end) if isinstance(operation, ReadKeys) else None
                 for operation in chosen
@@ -168,7 +168,7 @@
             return is_met, read
 
     def _writes(self, operations: list[StoreOperation]) -> list[PutKey | DeleteKeys]:
-        """Return the writes of a transaction, with a deletion of a range as one of each key."""
+        """Return the writes of a transaction, with the deletion of a range split into one for each key."""
         for operation in operations:
             if isinstance(operation, PutKey) and operation.lease and operation.lease not in self.leases:
                 raise KeyError("requested lease not found")
--- a/gullhold/testing/relay.py
+++ b/gullhold/testing/relay.py
@@ -77,7 +77,7 @@
             threading.Thread(target=self._connect, args=(near,), daemon=True).start()
 
     def _connect(self, near: socket.socket) -> None:
-        self._wait(Direction.FORWARD)  # while that direction is held, no connection is made
+        self._wait_while_held(Direction.FORWARD)  # no connection is made until then
         try:
             far = socket.create_connection(self.target, timeout=CONNECT_TIMEOUT_S)
         except OSError:
@@ -97,7 +97,7 @@
             self._sockets.discard(sock)
             sock.close()
 
-    def _wait(self, direction: Direction) -> RelayMode:
+    def _wait_while_held(self, direction: Direction) -> RelayMode:
         """Wait while a direction is held; return its mode after that."""
         with self._changed:
             while self._modes[direction] == RelayMode.HELD and not self._is_closed:
@@ -109,14 +109,14 @@
             while data := source.recv(CHUNK_BYTES):
                 if self.delay_s:
                     time.sleep(self.delay_s)
-                mode = self._wait(direction)
+                mode = self._wait_while_held(direction)
                 if mode == RelayMode.LOST:
                     break
                 sink.sendall(data[: len(data) // 2] if mode == RelayMode.HALVED else data)
                 if mode == RelayMode.HALVED:
                     break
             else:  # end of the stream: the bytes before it were passed on
-                self._wait(direction)
+                self._wait_while_held(direction)
                 sink.shutdown(socket.SHUT_WR)
                 return
         self._end(source)
--- a/gullhold/testing/store_model.py
+++ b/gullhold/testing/store_model.py
@@ -1,6 +1,6 @@
 """A small model of a fleet's store, for explorers.
 
-It shares no code with the stand-in that serves the store's interface over HTTP (gullhold.testing.register).
+It shares no code with the store server (gullhold.testing.register).
 """
 
 from gullhold.fleet.clocks import US_PER_SECOND
@@ -30,7 +30,7 @@
     """Keys with revisions, leases, and the changes of the keys that have a given prefix."""
 
     def __init__(self, prefix: str, ttl_s: int = TERMS.ttl_s) -> None:
-        """prefix: of the keys whose changes are kept; ttl_s: the time to live that a renewed lease gets."""
+        """prefix: of the keys whose changes are recorded; ttl_s: time to live of a renewed lease."""
         self.prefix = prefix
         self.ttl_s = ttl_s
         self.revision = 1
