--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -60,20 +60,20 @@
 
 
 def output_of(*arguments: str) -> str:
-    """Return what one gullhold command prints, which has to succeed."""
+    """Run one gullhold command, which has to succeed, and return what it prints."""
     ended = run(*arguments)
     assert ended.returncode == 0, f"gullhold {' '.join(arguments)}: status {ended.returncode}: {ended.stderr}"
     return ended.stdout
 
 
-def wait_until(probe: Callable[[], Result], why: Callable[[], str] = lambda: "") -> Result:
+def wait_until(probe: Callable[[], Result], diagnostics: Callable[[], str] = lambda: "") -> Result:
     """Call probe() until it returns something true, and return that.
 
-    why: returns text for the error message if TIMEOUT_S passes first.
+    diagnostics: returns text for the error message if TIMEOUT_S passes first.
     """
     end = time.monotonic() + TIMEOUT_S
     while not (found := probe()):
-        assert time.monotonic() < end, f"the condition did not hold within {TIMEOUT_S} s {why()}"
+        assert time.monotonic() < end, f"the condition did not hold within {TIMEOUT_S} s {diagnostics()}"
         time.sleep(POLL_INTERVAL_S)
     return found
 
@@ -185,9 +185,9 @@
     folder = stored / "fleet"
     with running_store(folder) as address:
         store_options = ("--register", address, "--name", "rig")
-        for what in ("members", "duties", "history", "budgets"):
-            expected = json_lines((folder / f"{what}.printed").read_text("utf-8"))
-            assert json_lines(output_of("fleet", what, "--json", *store_options)) == expected
+        for command in ("members", "duties", "history", "budgets"):
+            expected = json_lines((folder / f"{command}.printed").read_text("utf-8"))
+            assert json_lines(output_of("fleet", command, "--json", *store_options)) == expected
             assert expected
         expected = json_lines((folder / "policies.printed").read_text("utf-8"))
         assert json_lines(output_of("policy", "history", "--json", *store_options)) == expected
@@ -201,17 +201,15 @@
 
 def test_the_register_serves_the_stored_records(stored: Path) -> None:
     folder = stored / "fleet"
-    start, end = (
-        PREFIX.encode(),
-        PREFIX[:-1].encode() + b"0",
-    )  # "0" follows "/" in ASCII, so the range is the prefix
-    asked = {"key": base64.b64encode(start).decode(), "range_end": base64.b64encode(end).decode()}
+    # "0" follows "/" in ASCII, so the range holds all keys with the prefix.
+    start, end = (PREFIX.encode(), PREFIX[:-1].encode() + b"0")
+    body = {"key": base64.b64encode(start).decode(), "range_end": base64.b64encode(end).decode()}
     with running_store(folder) as address:
         request = urllib.request.Request(
-            f"http://{address}/v3/kv/range", json.dumps(asked).encode(), {"Content-Type": "application/json"}
+            f"http://{address}/v3/kv/range", json.dumps(body).encode(), {"Content-Type": "application/json"}
         )
         with urllib.request.urlopen(request, timeout=TIMEOUT_S) as reply:
-            told = json.load(reply)
+            answer = json.load(reply)
     found = [
         {
             "key": base64.b64decode(item["key"]).decode(),
@@ -219,10 +217,10 @@
             "revision": int(item["mod_revision"]),
             "version": int(item["version"]),
         }
-        for item in told["kvs"]
+        for item in answer["kvs"]
     ]
     assert found == stored_records(folder)
-    assert int(told["header"]["revision"]) == journal_lines(folder)[-1]["revision"]
+    assert int(answer["header"]["revision"]) == journal_lines(folder)[-1]["revision"]
 
 
 def test_a_stored_journal_is_continued(stored: Path) -> None:
@@ -232,12 +230,12 @@
         pass
     after = (folder / "register.journal").read_text("utf-8")
     assert after.startswith(before)
-    began, *_ = json_lines(after.removeprefix(before))
-    assert began["what"] == "began"
-    assert began["revision"] == json_lines(before)[-1]["revision"]
-    kept = {record["key"]: (record["value"], record["revision"]) for record in stored_records(folder)}
-    assert {key: (value, revision) for key, value, revision, _ in began["keys"]} == kept
-    assert replay(json_lines(before)) == kept
+    start_record, *_ = json_lines(after.removeprefix(before))
+    assert start_record["what"] == "began"
+    assert start_record["revision"] == json_lines(before)[-1]["revision"]
+    expected = {record["key"]: (record["value"], record["revision"]) for record in stored_records(folder)}
+    assert {key: (value, revision) for key, value, revision, _ in start_record["keys"]} == expected
+    assert replay(json_lines(before)) == expected
 
 
 def replay(lines: list[Row]) -> dict[str, tuple[str, int]]:
@@ -253,12 +251,12 @@
 
 
 def test_the_journal_checker_reads_the_stored_journal(stored: Path) -> None:
-    from gullhold.testing.fleet_checker import FleetChecker  # noqa: PLC0415  nothing else reads journals
+    from gullhold.testing.fleet_checker import FleetChecker  # noqa: PLC0415  only this test needs it
 
     expected = json_lines((stored / "fleet" / "duties.printed").read_text("utf-8"))
-    check = FleetChecker(journal_lines(stored / "fleet"))
-    assert not check.violations
-    assert check.leaders() == {row["duty"]: (row["owner"], row["token"]) for row in expected}
+    checker = FleetChecker(journal_lines(stored / "fleet"))
+    assert not checker.violations
+    assert checker.leaders() == {row["duty"]: (row["owner"], row["token"]) for row in expected}
 
 
 # Gateways
@@ -276,17 +274,17 @@
     (folder / "snapshot").write_text(json.dumps(snapshot), "utf-8")
     with running_process(folder, "n0.log", *gateway_command("n0"), GW_LISTEN=free_address()):
 
-        def used() -> re.Match[str] | None:
+        def snapshot_loaded() -> re.Match[str] | None:
             return re.search(
                 r"snapshot loaded version=3 .*valid_for_s=([\d.]+)", (folder / "n0.log").read_text("utf-8")
             )
 
-        found = wait_until(used, lambda: (folder / "n0.log").read_text("utf-8"))
+        found = wait_until(snapshot_loaded, lambda: (folder / "n0.log").read_text("utf-8"))
     assert float(found[1]) > 0
 
 
 def test_a_gateway_joins_the_stored_members_and_votes_on_the_open_change(stored: Path) -> None:
-    """The leases of the stored members go on after the restart, so they keep their roles."""
+    """The stored members still have their leases after the store's restart, and so keep their roles."""
     folder = stored / "fleet"
     with ExitStack() as stack:
         address = stack.enter_context(running_store(folder))
@@ -360,8 +358,11 @@
 
 
 def settled_audits(text: str) -> list[Row]:
-    """The occurrence that was open when the stored fleet was killed, in a list, once it has an outcome."""
-    begun = next(
+    """Return the occurrence that was open when the stored fleet was killed, as a list.
+
+    The list is empty until the occurrence has an outcome.
+    """
+    opened = next(
         row
         for row in json_lines((STORED / "fleet" / "history.printed").read_text("utf-8"))
         if row["command"] == "audit" and row["state"] == "intent"
@@ -369,5 +370,5 @@
     return [
         row
         for row in json_lines(text)
-        if (row["command"], row["due"]) == ("audit", begun["due"]) and row["state"] != "intent"
+        if (row["command"], row["due"]) == ("audit", opened["due"]) and row["state"] != "intent"
     ]
