--- a/gullhold/testing/budget_mutants.py
+++ b/gullhold/testing/budget_mutants.py
@@ -177,7 +177,7 @@
 class IgnoresLeaseTime(Allocations):
     """Uses its allocations after its lease has expired by its own clock."""
 
-    def is_valid(self, now: int) -> bool:  # noqa: ARG002  that is the fault
+    def is_valid(self, now: int) -> bool:  # noqa: ARG002  the fault
         """Whether it has ever had a lease."""
         return self.lease_id != 0
 
--- a/gullhold/testing/budget_variant.py
+++ b/gullhold/testing/budget_variant.py
@@ -16,7 +16,7 @@
 TOTAL = 10
 RESERVE = 1  # held back for each member
 NAMES = ("a", "b", "c")
-BUDGET = "b"  # the budget's name; 0 stands for its subject, such as an engine or a tenant
+BUDGET = "b"  # the budget's name; in reports "b/0", with the number of a subject such as an engine
 KIND = BudgetKind.THREADS  # any will do: worlds state the kind of ledger separately
 
 
