--- a/gullhold/simulation/client.py
+++ b/gullhold/simulation/client.py
@@ -80,7 +80,7 @@
             seq, body = decode_answer(frame)
             self.simulation.checker.answered(self, self.open.pop(seq, None), body)
 
-    def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
+    def peer_closed(self, _endpoint: Endpoint, _end_kind: StreamEnd) -> None:
         """Handle the end of the gateway's side: a new client takes this one's place, unless it has left."""
         self.leave(reconnect=not self.has_left)
 
--- a/gullhold/simulation/endpoints.py
+++ b/gullhold/simulation/endpoints.py
@@ -15,7 +15,7 @@
         """Handle bytes that arrived from the other side."""
         ...
 
-    def peer_closed(self, endpoint: "Endpoint", how: StreamEnd) -> None:
+    def peer_closed(self, endpoint: "Endpoint", end_kind: StreamEnd) -> None:
         """Handle the end of the other side."""
         ...
 
@@ -49,10 +49,10 @@
         """Return the time of the write with the byte at this offset, in us."""
         return self.write_times[bisect_right(self.write_offsets, offset) - 1]
 
-    def finish(self, how: StreamEnd = StreamEnd.CLOSED) -> None:
+    def finish(self, end_kind: StreamEnd = StreamEnd.CLOSED) -> None:
         """End this side. CLOSED: after the buffered bytes; RESET: at once, the buffered bytes are dropped."""
         self.is_finishing = True
-        if how == StreamEnd.RESET:
+        if end_kind == StreamEnd.RESET:
             self.buffered.clear()
             self.outgoing.finish(StreamEnd.RESET)
         else:
@@ -73,11 +73,11 @@
         if not self.is_closed:
             self.reader.data_received(self, data)
 
-    def end_arrived(self, how: StreamEnd) -> None:
+    def end_arrived(self, end_kind: StreamEnd) -> None:
         """Tell the reader that the other side has ended, once."""
         if not self.is_closed:
             self.is_closed = True
-            self.reader.peer_closed(self, how)
+            self.reader.peer_closed(self, end_kind)
 
 
 def connect(
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -62,7 +62,7 @@
             self.engine.handle_message(self, words, self.gateway_endpoint.written_at(message_offset))
             message_offset = self._parsed_bytes()
 
-    def peer_closed(self, _endpoint: Endpoint, _how: StreamEnd) -> None:
+    def peer_closed(self, _endpoint: Endpoint, _end_kind: StreamEnd) -> None:
         """Handle the end of the gateway's side: abandon all running attempts, and end the engine's side."""
         for txn in list(self.running):
             self.engine.abandon(self, txn)
--- a/gullhold/simulation/streams.py
+++ b/gullhold/simulation/streams.py
@@ -26,7 +26,7 @@
         """Handle bytes that arrived from the other side."""
         ...
 
-    def end_arrived(self, how: StreamEnd) -> None:
+    def end_arrived(self, end_kind: StreamEnd) -> None:
         """Handle the end of the other side's direction."""
         ...
 
@@ -85,13 +85,13 @@
             self._send(taken[start : start + size])
         return len(taken)
 
-    def finish(self, how: StreamEnd = StreamEnd.CLOSED) -> None:
+    def finish(self, end_kind: StreamEnd = StreamEnd.CLOSED) -> None:
         """End the direction. CLOSED: after the bytes in flight; RESET: the bytes in flight are lost."""
         if self.is_finished:
             return
         self.is_finished = True
-        self.is_reset = how == StreamEnd.RESET
-        self._post(how)
+        self.is_reset = end_kind == StreamEnd.RESET
+        self._post(end_kind)
 
     def heal(self) -> None:
         """End the silence: items that were held back are sent."""
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -88,15 +88,15 @@
     """A peer of a connection that records what arrives."""
 
     def __init__(self):
-        self.data, self.how, self.resumed = b"", None, 0
+        self.data, self.end_kind, self.resumed = b"", None, 0
 
     def data_arrived(self, data):
         """Append the bytes to data."""
         self.data += data
 
-    def end_arrived(self, how):
+    def end_arrived(self, end_kind):
         """Record how the other side ended."""
-        self.how = how
+        self.end_kind = end_kind
 
     def resume_writing(self):
         """Count the call."""
@@ -127,7 +127,7 @@
     connection.near_to_far.finish()
     clock.run(10**7)
     assert far.data == b"".join(parts)
-    assert far.how == StreamEnd.CLOSED
+    assert far.end_kind == StreamEnd.CLOSED
 
 
 def test_a_full_window_blocks_the_writer_until_bytes_have_arrived():
@@ -147,7 +147,7 @@
     connection.far_to_near.write(b"answer")
     connection.reset()
     clock.run(5000)
-    assert (near.how, far.how) == (StreamEnd.RESET, StreamEnd.RESET)
+    assert (near.end_kind, far.end_kind) == (StreamEnd.RESET, StreamEnd.RESET)
     assert far.data == b"first"
     assert near.data == b""
     with pytest.raises(BrokenPipeError):
@@ -161,11 +161,11 @@
     connection.far_to_near.finish()
     clock.run(10**6)
     assert far.data == b""
-    assert near.how is None
+    assert near.end_kind is None
     connection.heal()
     clock.run(2 * 10**6)
     assert far.data == b"is anybody there"
-    assert near.how == StreamEnd.CLOSED
+    assert near.end_kind == StreamEnd.CLOSED
 
 
 TARGET_COUNTS = {
