--- a/gullhold/simulation/script.py
+++ b/gullhold/simulation/script.py
@@ -46,7 +46,7 @@
 
 
 class FaultRange(NamedTuple):
-    """What a kind of fault affects, and the smallest and the largest size; both 0: it has no size."""
+    """What a kind of fault affects, and the smallest and the largest size; if both are 0, it has no size."""
 
     target: FaultTarget
     least: int
@@ -68,9 +68,7 @@
     FaultKind.DRAIN: FaultRange(FaultTarget.ENGINE, 0, 0),  # draining in the endpoint list, later ready again
     FaultKind.REMOVE: FaultRange(FaultTarget.ENGINE, 0, 0),  # out of the endpoint list, then it crashes
     FaultKind.LATE_LIST: FaultRange(FaultTarget.DISCOVERY, 100_000, 5_000_000),  # us added to watch events
-    FaultKind.DISCOVERY_MOVED: FaultRange(
-        FaultTarget.DISCOVERY, 0, 0
-    ),  # the service moves to another address
+    FaultKind.DISCOVERY_MOVED: FaultRange(FaultTarget.DISCOVERY, 0, 0),  # the service changes its address
     FaultKind.KILL: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGKILL; another process takes its place
     FaultKind.STOP: FaultRange(FaultTarget.GATEWAY, 0, 0),  # SIGTERM
     FaultKind.CLOCK_JUMP: FaultRange(FaultTarget.GATEWAY, -2_000_000, 2_000_000),  # us of the wall clock
@@ -132,14 +130,15 @@
     try:
         fault = Fault(**json.loads(line))
     except (ValueError, TypeError):
-        raise ScriptError(f"line {number}: not a fault") from None
+        raise ScriptError(f"line {number}: not a JSON object with at_us, kind, place and size") from None
     if fault.kind not in FAULT_RANGES:
         raise ScriptError(f"line {number}: unknown kind of fault {fault.kind!r}")
     kind = FaultKind(fault.kind)
     _, least, most = FAULT_RANGES[kind]
     if not least <= fault.size <= most or fault.at_us < 0 or fault.place < 0:
         raise ScriptError(
-            f"line {number}: {kind} needs a size of {least} to {most}, a time and a place from 0 on"
+            f"line {number}: size {fault.size}, at_us {fault.at_us}, place {fault.place}: "
+            f"{kind} needs a size of {least} to {most}, and at_us and place of at least 0"
         )
     return fault._replace(kind=kind)
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -197,11 +197,11 @@
 @pytest.mark.parametrize(
     "line, message",
     [
-        ("{", "line 1: not a fault"),
+        ("{", "line 1: not a JSON object with at_us, kind, place and size"),
         ('{"at_us": 1, "kind": "storm", "place": 0, "size": 1}', "unknown kind of fault 'storm'"),
-        ('{"at_us": 1, "kind": "slow", "place": 0, "size": 99}', "2 to 20"),
-        ("[1]", "not a fault"),
-        ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "from 0 on"),
+        ('{"at_us": 1, "kind": "slow", "place": 0, "size": 99}', "size 99, .*: slow needs a size of 2 to 20"),
+        ("[1]", "line 1: not a JSON object with at_us, kind"),
+        ('{"at_us": -1, "kind": "reset", "place": 0, "size": 0}', "at_us -1, .* at least 0"),
     ],
 )
 def test_an_invalid_script_gives_an_error_with_its_line_number(line, message):
