--- a/gullhold/simulation/checker.py
+++ b/gullhold/simulation/checker.py
@@ -90,7 +90,8 @@
         self.dedup_window_us = dedup_window_us
         self.commands: dict[bytes, ObservedCommand] = {}
         self.violations: list[Violation] = []
-        self.leaving: dict[tuple[str, str], int] = {}  # when a gateway was told that an engine leaves
+        # When a gateway was notified that an engine drains or was removed, by gateway name and engine id.
+        self.leaving: dict[tuple[str, str], int] = {}
         self.trace_hash = sha256()
         self.counts: defaultdict[str, int] = defaultdict(int)
 
@@ -129,7 +130,7 @@
         command = self.commands[txn]
         self._check_repeat(at, written_at, engine, txn, key)
         if len(command.attempts) >= self.max_attempts:
-            self.add_violation(at, Rule.MAX_ATTEMPTS, f"{txn}")
+            self.add_violation(at, Rule.MAX_ATTEMPTS, f"{txn}: more than {self.max_attempts} attempts")
         self._check_leaving(at, written_at, engine, txn)
         command.attempts.append(ObservedAttempt(at, session, ran))
 
@@ -150,13 +151,13 @@
 
     def _check_leaving(self, at: int, written_at: int, engine: "SimulatedEngine", txn: bytes) -> None:
         command = self.commands[txn]
-        left = self.leaving.get((command.client.gateway.name, engine.id))
-        if left is not None and written_at > left + DRAIN_GRACE_US:
+        notified_at = self.leaving.get((command.client.gateway.name, engine.id))
+        if notified_at is not None and written_at > notified_at + DRAIN_GRACE_US:
             self.add_violation(
-                at, Rule.DRAIN, f"{txn} to {engine.id}, {written_at - left} us after the notice"
+                at, Rule.DRAIN, f"{txn} to {engine.id}, {written_at - notified_at} us after the notice"
             )
         if command.left_at is not None and written_at > command.left_at + CLIENT_LEFT_GRACE_US:
-            text = f"{txn}, {written_at - command.left_at} us after it left"
+            text = f"{txn}, {written_at - command.left_at} us after its client left"
             self.add_violation(at, Rule.CLIENT_LEFT, text)
 
     def attempt_over(self, engine: "SimulatedEngine", txn: bytes) -> None:
@@ -175,7 +176,7 @@
         at = self.clock.now
         self.record("answered" if body is not None else "refused", txn)
         if txn is None:
-            text = f"client {client.number}: an answer to nothing that is open"
+            text = f"client {client.number}: an answer with the sequence number of no open command"
             self.add_violation(at, Rule.ONE_ANSWER, text)
             return
         command = self.commands[txn]
@@ -188,7 +189,7 @@
 
     def _check_result(self, at: int, txn: bytes, body: bytes) -> None:
         if body != complete_result(txn):
-            self.add_violation(at, Rule.INTACT, f"{txn}: {len(body)} bytes")
+            self.add_violation(at, Rule.INTACT, f"{txn}: {len(body)} bytes, not the rows of its result")
         if not any(attempt.ran for attempt in self.commands[txn].attempts):
             self.add_violation(at, Rule.INTACT, f"{txn}: no engine ran it")
 
--- a/gullhold/simulation/clock.py
+++ b/gullhold/simulation/clock.py
@@ -121,6 +121,8 @@
             count_at_instant = count_at_instant + 1 if due_at == instant else 1
             instant = due_at
             if count_at_instant > self.max_events_at_one_instant:
-                raise LivelockError(f"{count_at_instant} events at {due_at} us")
+                raise LivelockError(
+                    f"more than {self.max_events_at_one_instant} events at the instant {due_at} us"
+                )
             self.step()
         self.now = max(self.now, until)
--- a/gullhold/simulation/discovery.py
+++ b/gullhold/simulation/discovery.py
@@ -51,7 +51,7 @@
         return endpoint_list_event(self.last_index, *members, is_complete=True)
 
     def report_complete_list(self, gateway: "SimulatedGateway") -> None:
-        """Tell the checker that a gateway has started with the list as it is now."""
+        """Report to the checker that a gateway starts with the list as it is now."""
         for engine in self.engines:
             self.checker.phase_announced(gateway, engine.id, self.phases[engine.id].value)
 
--- a/gullhold/simulation/endpoints.py
+++ b/gullhold/simulation/endpoints.py
@@ -30,7 +30,7 @@
         self.outgoing: Stream | None = None  # set by connect()
         self.buffered = bytearray()
         self.is_finishing = False  # this side makes no further writes
-        self.is_closed = False  # the other side has ended, or arriving bytes are dropped
+        self.is_closed = False  # arriving bytes are dropped: the other side ended, or this process did
         self.written_bytes = 0  # total of all writes
         self.write_offsets: list[int] = []  # offset of the first byte of each write
         self.write_times: list[int] = []  # virtual time of each write, in us
@@ -74,7 +74,7 @@
             self.reader.data_received(self, data)
 
     def end_arrived(self, end_kind: StreamEnd) -> None:
-        """Tell the reader that the other side has ended, once."""
+        """Notify the reader that the other side has ended, once."""
         if not self.is_closed:
             self.is_closed = True
             self.reader.peer_closed(self, end_kind)
--- a/gullhold/simulation/engine.py
+++ b/gullhold/simulation/engine.py
@@ -15,12 +15,12 @@
 if TYPE_CHECKING:
     from gullhold.simulation.simulation import Simulation
 
-# Time between status notes of an attempt. It is shorter than the interval in the settings, by which gateways
-# tell that an engine has fallen silent.
+# Time between status notes of an attempt. It is shorter than the interval in the settings, because gateways
+# take an engine whose notes are missing to be silent.
 NOTE_INTERVAL_US = 120_000
 MAX_MESSAGE_BYTES = 1 << 18
 DUPLICATE_WORK_US = 1000  # duration of an attempt that is not run again, as its idempotency key is known
-MAX_ATTEMPTS_PER_CORE = 4  # an engine that runs so many rejects further attempts as overloaded
+MAX_ATTEMPTS_PER_CORE = 4  # an engine that runs this many per core rejects further ones as overloaded
 US_PER_MS = 1000
 MALFORMED_MESSAGE = b"*2\r\n$not a length\r\n"
 
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -194,9 +194,8 @@
         self.is_alive = True
         self.turn_event: Event | None = None  # the scheduled event in which the core runs next
         self.endpoints: list[Endpoint] = []
-        self.last_event_arrival_us = (
-            0  # virtual time at which the last watch event sent to this gateway arrives
-        )
+        # Virtual time at which the last watch event that was sent to this gateway arrives.
+        self.last_event_arrival_us = 0
         agreement = configuration.agreement
         now = simulation.clock.start_us + simulation.clock.now
         self.core = SimulatedCore(
--- a/gullhold/simulation/show.py
+++ b/gullhold/simulation/show.py
@@ -65,7 +65,7 @@
 
 
 def fails_by(rule: Rule, seed: int) -> Callable[[list[Fault]], bool]:
-    """Return a function that tells whether a script breaks this rule in the simulation of this seed."""
+    """Return a function that checks whether a script breaks this rule in the simulation of this seed."""
     return lambda faults: any(violation.rule == rule for violation in run_simulation(seed, faults).violations)
 
 
@@ -122,7 +122,7 @@
     table = Table(
         title=f"{len(runs)} scripts, {len(pairs)} of {pair_total} pairs of fault kinds occurred in one script"
     )
-    for column in ("fault", "scripts", "what passed", "times"):
+    for column in ("fault", "scripts", "event", "times"):
         table.add_column(column)
     kinds = [(str(kind), str(kind_counts[kind])) for kind in sorted(SUPPORTED_KINDS)]
     events = [(name, str(count)) for name, count in sorted(event_counts.items())]
