--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -74,13 +74,13 @@
         rate = f", passed over: failed {self.failure_rate} runs"
         match status:
             case ExitCode.OK:
-                return "passes: its line goes" if self.failure_rate.is_certain else "passes" + rate
+                return "passes: its line must be removed" if self.failure_rate.is_certain else "passes" + rate
             case ExitCode.TESTS_FAILED:
                 return "fails" + rate
             case ExitCode.USAGE_ERROR:
                 return "does not exist"
             case _:
-                return f"ends with {status}"
+                return f"ends with exit status {status} of pytest"
 
 
 def parse_seen(field: str) -> tuple[FailureRate, str]:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -36,8 +36,8 @@
             0,
             f"test_red: fails, passed over: failed 3 of 3 runs (a real fault; issue 5; {COMMAND})",
         ),
-        (RED, False, 1, "test_red: passes: its line goes"),
-        (RED + "\n" + GREEN, True, 1, "test_green: passes: its line goes"),
+        (RED, False, 1, "test_red: passes: its line must be removed"),
+        (RED + "\n" + GREEN, True, 1, "test_green: passes: its line must be removed"),
         (ABSENT, False, 1, "test_none: does not exist"),
         (ABSENT.replace("test_it.py::", "test_none.py::"), False, 1, "test_none: does not exist"),
         (RED + "\n" + RED, True, 1, "a test is named twice: test_it.py::test_red"),
@@ -56,8 +56,8 @@
         (SOMETIMES_ABSENT.replace("test_it.py::", "test_none.py::"), False, 1, "test_none: does not exist"),
         # A line applies to its own test only.
         (SOMETIMES_GREEN, True, 1, "test_green: passes, passed over"),
-        (SOMETIMES_RED + "\n" + GREEN, True, 1, "test_green: passes: its line goes"),
-        (RED + "\n" + SOMETIMES_GREEN, False, 1, "test_red: passes: its line goes"),
+        (SOMETIMES_RED + "\n" + GREEN, True, 1, "test_green: passes: its line must be removed"),
+        (RED + "\n" + SOMETIMES_GREEN, False, 1, "test_red: passes: its line must be removed"),
         (SOMETIMES_RED + "\n" + RED, True, 1, "a test is named twice: test_it.py::test_red"),
     ],
 )
