--- a/tests/faults/shim.c
+++ b/tests/faults/shim.c
@@ -4,10 +4,10 @@
  * process runs: an array of rows, one for each call in the order of CALLS there, each
  *     int32 rate    calls in 1000 that are hit, 0: none
  *     int32 error   errno to fail with; 0: shorten (send, recv) or only delay
- *     int32 most    bytes that a shortened call takes at most
- *     int32 delay   microseconds to wait before the system call is made, the moment after its arguments are read
+ *     int32 most    largest number of bytes that a shortened call transfers
+ *     int32 delay   microseconds to wait between the reading of a call's arguments and the system call
  *     int32 count   calls hit so far, written by this file
- * and behind the rows one int64: nanoseconds that the wall clock is off.
+ * and after the rows one int64: the offset of the wall clock in nanoseconds.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -38,12 +38,12 @@
     int file = path ? open(path, O_RDWR) : -1;
     if (file < 0)
         return;
-    void *found = mmap(NULL, sizeof(struct plan), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    void *mapped = mmap(NULL, sizeof(struct plan), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     close(file);
-    if (found == MAP_FAILED)
+    if (mapped == MAP_FAILED)
         return;
     seed = number ? (uint32_t)atoi(number) * 2654435761u | 1 : 1;
-    plan = found;
+    plan = mapped;
 }
 
 /* The row of a call if this one is hit, after its delay; else NULL. */
@@ -121,20 +121,20 @@
     return real(sock, level, name, value, size);
 }
 
-int poll(struct pollfd *looked, nfds_t count, int wait)
+int poll(struct pollfd *descriptors, nfds_t count, int timeout)
 {
     REAL(int, "poll");
     struct row *row = hit(POLL);
     FAIL(row, -1);
-    return real(looked, count, wait);
+    return real(descriptors, count, timeout);
 }
 
-int select(int count, fd_set *in, fd_set *out, fd_set *odd, struct timeval *wait)
+int select(int count, fd_set *readable, fd_set *writable, fd_set *exceptional, struct timeval *timeout)
 {
     REAL(int, "select");
     struct row *row = hit(POLL);
     FAIL(row, -1);
-    return real(count, in, out, odd, wait);
+    return real(count, readable, writable, exceptional, timeout);
 }
 
 int pthread_create(pthread_t *thread, const pthread_attr_t *attributes, void *(*run)(void *), void *value)
@@ -146,43 +146,43 @@
     return real(thread, attributes, run, value);
 }
 
-/* Whether a descriptor is a file of the file system: others are not meant to fail like one. */
-static int is_file(int number)
+/* Whether a descriptor is a regular file: writes to pipes and sockets must not fail as those to a disk do. */
+static int is_file(int descriptor)
 {
-    struct stat found;
-    return fstat(number, &found) == 0 && S_ISREG(found.st_mode);
+    struct stat status;
+    return fstat(descriptor, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-ssize_t write(int number, const void *data, size_t size)
+ssize_t write(int descriptor, const void *data, size_t size)
 {
     REAL(ssize_t, "write");
-    struct row *row = plan && plan->rows[WRITE].rate > 0 && is_file(number) ? hit(WRITE) : NULL;
+    struct row *row = plan && plan->rows[WRITE].rate > 0 && is_file(descriptor) ? hit(WRITE) : NULL;
     FAIL(row, -1);
-    return real(number, data, shorter(row, size));
+    return real(descriptor, data, shorter(row, size));
 }
 
-ssize_t pwrite64(int number, const void *data, size_t size, off64_t at)
+ssize_t pwrite64(int descriptor, const void *data, size_t size, off64_t at)
 {
     REAL(ssize_t, "pwrite64");
-    struct row *row = plan && plan->rows[WRITE].rate > 0 && is_file(number) ? hit(WRITE) : NULL;
+    struct row *row = plan && plan->rows[WRITE].rate > 0 && is_file(descriptor) ? hit(WRITE) : NULL;
     FAIL(row, -1);
-    return real(number, data, shorter(row, size), at);
+    return real(descriptor, data, shorter(row, size), at);
 }
 
-int fsync(int number)
+int fsync(int descriptor)
 {
     REAL(int, "fsync");
     struct row *row = hit(SYNC);
     FAIL(row, -1);
-    return real(number);
+    return real(descriptor);
 }
 
-int fdatasync(int number)
+int fdatasync(int descriptor)
 {
     REAL(int, "fdatasync");
     struct row *row = hit(SYNC);
     FAIL(row, -1);
-    return real(number);
+    return real(descriptor);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now)
--- a/tests/faults/test_descriptors.py
+++ b/tests/faults/test_descriptors.py
@@ -5,9 +5,8 @@
 from faults.plan import Plan
 from faults.traffic import FaultyGateway
 
-SEND_DELAY_US = (
-    1500  # us by which a call starts after its arguments are read, as if its thread had lost the CPU
-)
+# Delay between the reading of a call's arguments and the call, as if its thread had lost the CPU.
+SEND_DELAY_US = 1500
 MAX_WRITE_BYTES = 2000  # bytes that one system call accepts: less than a statement, as with full buffers
 
 
@@ -21,7 +20,7 @@
     with FaultyGateway(tmp_path, plan, engines=4, reset_probability=0.4, attempts_cap=0) as gateway:
         plan.set("send", 400, max_bytes=MAX_WRITE_BYTES, delay_us=SEND_DELAY_US)
         gateway.start_clients(16, burst=2, size=10 * MAX_WRITE_BYTES)
-        gateway.start_clients(8, leaves=0.5, pages=2)
+        gateway.start_clients(8, leave_probability=0.5, pages=2)
         violations = gateway.run_for(2.5)
         assert plan.hits("send") > 100
         assert gateway.record.counts["answered"] > 50
--- a/tests/faults/test_durability.py
+++ b/tests/faults/test_durability.py
@@ -116,7 +116,7 @@
     except sqlite3.OperationalError:
         failed = True
     store.database.connection = working
-    assert failed or at > 6
+    assert failed or at > 6  # the two calls run at least 6 statements
     put(store, b"d", b"4", 0)
     reopened = Store(tmp_path / "register.db", sync=False)
     for one, other in ((store, reopened), (reopened, store)):
--- a/tests/faults/test_shutdown.py
+++ b/tests/faults/test_shutdown.py
@@ -53,8 +53,8 @@
 
     def _read(self):
         try:
-            while (found := self.caller.read_answer()) is not None:
-                self.written.pop(found[0], None)
+            while (answer := self.caller.read_answer()) is not None:
+                self.written.pop(answer[0], None)
         except OSError:
             pass
         self.ended_at = time.monotonic()
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -10,7 +10,8 @@
 from gullhold.net import connection_ends
 from gullhold.net.connection_ends import ConnectionEnd
 
-# The length of a name is the seed of its plan. Fields: call, rate in 1000, errno, max bytes.
+# The length of a name is the seed of its plan. Fields: call, rate in 1000, errno, max bytes. A link is a
+# connection to an engine.
 PLANS = {
     "connections that end before they are taken": [("accept", 300, "ECONNABORTED", 0)],
     "no descriptor for a client": [("accept", 300, "EMFILE", 0)],
--- a/tests/faults/traffic.py
+++ b/tests/faults/traffic.py
@@ -1,7 +1,7 @@
 """Clients and engines that check every byte that a gateway forwards.
 
-Each request has its own txn, which its statement and every row of its result repeat. Violations are frames,
-rows and requests that nobody sent in the form in which they arrived, and requests that were not answered.
+Each request has its own txn, which its statement and every row of its result repeat. A violation is a frame,
+a row or a statement that arrives in another form than it was sent, or a request that is not answered.
 """
 
 import json
@@ -138,7 +138,7 @@
 class Client(Thread):
     """Sends requests on one connection after another, and resets some connections with answers unread.
 
-    leaves: probability of such a reset; pages: pages of each result; burst: requests on a connection;
+    leave_probability: of such a reset; pages: pages of each result; burst: requests on a connection;
     limit_ms: client timeout; size: bytes of a statement.
     """
 
@@ -147,7 +147,7 @@
         address: tuple[str, int],
         record: Record,
         number: int,
-        leaves: float = 0.0,
+        leave_probability: float = 0.0,
         pages: int = 1,
         burst: int = 4,
         limit_ms: int = 3000,
@@ -158,7 +158,7 @@
         self.record = record
         self.draw = Random(number).random
         self.number = number
-        self.leaves = leaves
+        self.leave_probability = leave_probability
         self.pages = pages
         self.burst = burst
         self.limit_ms = limit_ms
@@ -179,7 +179,7 @@
     def _use_connection(self) -> None:
         caller = BlockingClient(self.address)
         caller.sock.settimeout(self.limit_ms / 1000 + GRACE_S)
-        leaving, open_now = self.draw() < self.leaves, {}
+        leaving, open_now = self.draw() < self.leave_probability, {}
         with caller.sock:
             for _ in range(self.burst):
                 self.serial += 1
@@ -197,27 +197,27 @@
             while open_now:
                 self._take_answer(caller, open_now)
             if caller.buffer:
-                self.record.add_violation(f"bytes behind the last answer: {bytes(caller.buffer[:40])!r}")
+                self.record.add_violation(f"bytes after the last answer: {bytes(caller.buffer[:40])!r}")
 
     def _take_answer(self, caller: BlockingClient, open_now: dict[int, bytes]) -> None:
         try:
-            found = caller.read_answer()
+            answer = caller.read_answer()
         except TimeoutError:
             self.record.add_violation(f"no answer in time: {sorted(open_now.values())}")
             open_now.clear()
             return
         except Exception as fault:  # noqa: BLE001  an answer that cannot be decoded
-            self.record.add_violation(f"a client was sent what is no answer: {fault!r}")
+            self.record.add_violation(f"a client received an answer that cannot be decoded: {fault!r}")
             open_now.clear()
             return
-        if found is None:
+        if answer is None:
             self.record.add_violation(f"a connection ended with requests open: {sorted(open_now.values())}")
             open_now.clear()
             return
-        seq, result = found
+        seq, result = answer
         txn = open_now.pop(seq, None)
         if txn is None:
-            self.record.add_violation(f"an answer to {seq}, which is not open here")
+            self.record.add_violation(f"an answer to request {seq}, which is not open on this connection")
         elif isinstance(result, bytes) and result != b"".join(page(txn, n) for n in range(self.pages)):
             self.record.add_violation(f"rows of another request for {txn}: {result[:40]!r}")
         self.record.add("answered" if isinstance(result, bytes) else result)
