--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -34,7 +34,7 @@
     listed = [*deploy["policy"], *deploy["node"]]
     assert [path for path in listed if not (ROOT / path).exists()] == []
     modules = {path.relative_to(ROOT).as_posix() for path in (ROOT / "gullhold/decisions").glob("*.py")}
-    assert modules - set(deploy["policy"]) == {"gullhold/decisions/__init__.py"}  # it has a docstring alone
+    assert modules - set(deploy["policy"]) == {"gullhold/decisions/__init__.py"}  # only a docstring
     words = [sys.executable, "-c", "import sys; from gullhold.net import service; print(*sys.modules)"]
     loaded = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=True).stdout.split()
     paths = {name.replace(".", "/") for name in loaded if name.startswith("gullhold.")}
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -128,9 +128,9 @@
 def test_options_in_backticks_are_options_of_some_command(page: Path):
     known = {option for parser in subcommands().values() for option in parser._option_string_actions}
     known |= {
-        "--quick",
-        "--why",
-    }  # an option of the benchmarks, and one of `gullhold policy` and the operators' own tools
+        "--quick",  # of the benchmarks
+        "--why",  # of `gullhold policy` and of the operators' own tools
+    }
     named = {
         o for text in texts_in_backticks(page.read_text()) if text.startswith("--") for o in [text.split()[0]]
     }
@@ -172,7 +172,7 @@
 def test_new_names_in_the_tables_of_earlier_names_exist_in_the_code():
     tables = on_call_log_section().split("### Names of earlier versions")[1].split("### What they mean")[0]
     rows = [row.strip("| ").split(" | ") for row in tables.splitlines() if row.startswith("| `")]
-    texts = [text for _, now in rows for text in re.findall(r"`([^`]+)`", now)]
+    texts = [text for _, current in rows for text in re.findall(r"`([^`]+)`", current)]
     assert len(texts) > 70
     assert missing_in_the_code(texts) == []
 
