--- a/benchmarks/admission_queue_cases.py
+++ b/benchmarks/admission_queue_cases.py
@@ -61,7 +61,8 @@
         largest = max(largest, *errors)
         medians.append(median(errors))
         print(
-            f"shares {variant.name} {open_requests}: answered {[count.answered for count in counts]}, off by "
+            f"shares {variant.name}, crowding client with {open_requests} open: answered "
+            f"{[count.answered for count in counts]}, deviations "
             f"{', '.join(f'{error:.3f}' for error in errors)}",
             flush=True,
         )
@@ -83,7 +84,7 @@
     crowded_s = _polite_p95_s(seconds, variant, is_crowded=True)
     print(
         f"polite {variant.name}: p95 {(alone_s or 0) * 1000:.0f} ms alone, {(crowded_s or 0) * 1000:.0f} ms "
-        f"beside {LATENCY_CROWD[0]}",
+        f"beside a client whose open requests number {LATENCY_CROWD[0]}",
         flush=True,
     )
     return crowded_s / alone_s if alone_s and crowded_s else None
@@ -143,8 +144,8 @@
     (count,) = result.counts
     rejected_s = (result.cpu_s - count.answered * served_s) / max(count.rejected, 1)
     print(
-        f"served {served_s * 1e6:.0f} us, refused {rejected_s * 1e6:.0f} us of CPU ({count.rejected} refused "
-        f"beside {count.answered} served)",
+        f"served {served_s * 1e6:.0f} us, rejected {rejected_s * 1e6:.0f} us of CPU "
+        f"({count.rejected} rejected beside {count.answered} served)",
         flush=True,
     )
     return rejected_s / served_s
--- a/benchmarks/admission_queue_tenants.py
+++ b/benchmarks/admission_queue_tenants.py
@@ -97,7 +97,7 @@
     return load_client.encode_execute_call(sequence, fields, statement(1))
 
 
-def cpu_us_of_each_once(running: RunningDeployment, first: int, count: int) -> float:
+def cpu_us_of_distinct_tenants(running: RunningDeployment, first: int, count: int) -> float:
     """The CPU time per command when each tenant sends one command, as fast as answers arrive.
 
     first: the number of the first tenant; count: how many tenants there are.
@@ -138,14 +138,14 @@
     with RunningDeployment(
         operator=ADMISSION_OPERATOR_FILE + OPEN_TENANTS, tenants=known, slots=64, cores=32
     ) as running:
-        cpu_us_of_each_once(running, 0, 2)  # the first commands bring up the connections
+        cpu_us_of_distinct_tenants(running, 0, 2)  # the first commands bring up the connections
         few_us = median(cpu_us_of_two_tenants(running) for _ in range(TWO_TENANTS_RUNS))
-        cpu_us_of_each_once(running, FIRST_OF_BASE, BASE_TENANTS)
+        cpu_us_of_distinct_tenants(running, FIRST_OF_BASE, BASE_TENANTS)
         base_mb = running.resident_mb()
-        some_us = cpu_us_of_each_once(running, FIRST_OF_SOME, SOME_TENANTS)
-        many_us = cpu_us_of_each_once(running, FIRST_OF_MANY, tenants)
+        some_us = cpu_us_of_distinct_tenants(running, FIRST_OF_SOME, SOME_TENANTS)
+        many_us = cpu_us_of_distinct_tenants(running, FIRST_OF_MANY, tenants)
         grown_mb = running.resident_mb()
-        cpu_us_of_each_once(running, FIRST_OF_MANY_AGAIN, tenants)
+        cpu_us_of_distinct_tenants(running, FIRST_OF_MANY_AGAIN, tenants)
         again_mb = running.resident_mb()
     print(
         f"tenants: resident {base_mb:.1f} MB at {BASE_TENANTS}, {grown_mb:.1f} after {tenants} more, "
--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -1,4 +1,4 @@
-"""Engines and clients that put load on a fleet's gateways, and counts over the whole fleet."""
+"""Engines and clients that put load on a fleet's gateways, and counts over all of its gateways."""
 
 import time
 from collections.abc import Iterable, Sequence
--- a/benchmarks/fleet_size_gateway.py
+++ b/benchmarks/fleet_size_gateway.py
@@ -200,7 +200,9 @@
     ends_at = time.monotonic() + WAIT_TIMEOUT_S
     while not serving_status(address):
         if time.monotonic() > ends_at:
-            raise RuntimeError(f"the gateway did not start: {log_path.read_text()}")
+            raise RuntimeError(
+                f"no gateway serves at {address} after {WAIT_TIMEOUT_S} s: {log_path.read_text()}"
+            )
         time.sleep(STARTUP_POLL_S)
 
 
--- a/benchmarks/leadership_runs.py
+++ b/benchmarks/leadership_runs.py
@@ -21,7 +21,7 @@
 PROFILES = {"plain": "read", "marked": "mark", "single": "once"}  # by the kind in a statement's table name
 COMMANDS_PER_PROFILE = 3
 INTERVAL_US = 500_000  # time between due times of a scheduled command
-NON_IDEMPOTENT = "single"
+NON_IDEMPOTENT = "single"  # the kind of commands that must not run twice
 FAULTY_MEMBERS = 6
 FAULTY_HEARTBEATS = 18
 FAULT_DURATION_S = 1.7  # longer than a lease
@@ -269,10 +269,13 @@
             start_client(rig, name, f"c{number}", number, **load) for number, name in enumerate(rig.names)
         ]
         time.sleep(0.5)
-        share_alive = measure_answered_share(clients, seconds)
+        share_with_store = measure_answered_share(clients, seconds)
         rig.kill_store()
         time.sleep(LEASE_EXPIRY_WAIT_S)
-        share_dead = measure_answered_share(clients, seconds)
+        share_without_store = measure_answered_share(clients, seconds)
         stop_clients(clients)
         rig.start_store()
-    return ServiceShares(round(share_dead / share_alive, 4), [round(share_alive, 4), round(share_dead, 4)])
+    return ServiceShares(
+        round(share_without_store / share_with_store, 4),
+        [round(share_with_store, 4), round(share_without_store, 4)],
+    )
--- a/benchmarks/policy_rollout_calls.py
+++ b/benchmarks/policy_rollout_calls.py
@@ -69,7 +69,7 @@
 
 
 def coordinator_cost(members: int) -> CoordinatorCost:
-    """Carry out one strict change in a fleet of one size; ends the program if it does not come into force."""
+    """Carry out one strict change among so many members; ends the program if it does not come into force."""
     coordinator = RolloutCoordinator()
     store = CoordinatorStore()
     version = PolicyVersion(1, 0, "", "", 0, "policy: {}").sealed()
--- a/benchmarks/shutdown.py
+++ b/benchmarks/shutdown.py
@@ -17,7 +17,7 @@
 from gullhold.testing.load_process import ClientGroup, LoadProcesses
 from gullhold.testing.running import ADMISSION_OPERATOR_FILE, RunningDeployment, serving_status
 
-# The protocol kills the process 0.7 s after the longest client timeout, which counts as 3 s at most.
+# By the protocol, the process is killed 0.7 s after the longest client timeout, which counts as 3 s at most.
 MAX_SHUTDOWN_S = 3.7
 FLOOD_REQUESTS = 9_900  # least number of open requests when SIGTERM is sent
 FLOOD_LIMIT_S = 15.0  # time in which that many requests have to be open
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,8 +1,8 @@
 """A soak test of real gateways: `python -m benchmarks.soak [--seeds A:B] [--seconds N] [--replay SEED]`.
 
-Each seed draws one plan of faults, signals and client load, and is judged only by what clients and engines
-saw on the wire. Prints JSON in the last line: the number of seeds, the number of requests judged, and each
-violation with its seed; exits with status 1 if there is any violation.
+Each seed draws one plan of faults, signals and client load. The rules are checked only on what clients and
+engines observe on the wire. Prints JSON in the last line: the number of seeds, the number of requests
+checked, and each violation with its seed; exits with status 1 if there is any violation.
 """
 
 import argparse
@@ -37,17 +37,17 @@
     parser.add_argument(
         "--seconds", type=float, default=float("inf"), help="start no further seed after this time"
     )
-    parser.add_argument("--replay", type=int, help="play only this seed, and print its plan")
+    parser.add_argument("--replay", type=int, help="run only this seed, and print its plan")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Play the seeds and print what was found."""
+    """Run the plan of each seed and print the violations."""
     arguments = parse_arguments()
     seeds = arguments.seeds if arguments.replay is None else range(arguments.replay, arguments.replay + 1)
     began = time.monotonic()
     violations: dict[int, list[Violation]] = {}
-    played = requests = 0
+    run_count = requests = 0
     for seed in seeds:
         if time.monotonic() - began > arguments.seconds:
             break
@@ -55,7 +55,7 @@
         if arguments.replay is not None:
             print(json.dumps(asdict(plan), default=str))
         outcome = run_plan(plan)
-        played += 1
+        run_count += 1
         requests += outcome.requests
         if outcome.violations:
             violations[seed] = outcome.violations
@@ -64,7 +64,7 @@
             f"{time.monotonic() - began:6.1f} s seed {seed} requests {outcome.requests} {shown}", flush=True
         )
     rows = [{"seed": seed, **asdict(violation)} for seed, found in violations.items() for violation in found]
-    print(json.dumps({"seeds": played, "requests": requests, "violations": rows}))
+    print(json.dumps({"seeds": run_count, "requests": requests, "violations": rows}))
     sys.exit(1 if rows else 0)
 
 
