--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -63,7 +63,7 @@
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
         self.serial = next(CONNECTION_SERIALS)
-        self.has_reported = False  # whether the end of reading was reported
+        self.has_reported_end = False  # end of reading, as by a reader thread
 
     def __hash__(self) -> int:  # sets of connections have the same order in every run
         return self.serial
@@ -88,7 +88,7 @@
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
         """Decode and deliver bytes of the engine."""
-        if self.has_reported:
+        if self.has_reported_end:
             return
         try:
             self.decoder.buffer.put(data)
@@ -102,8 +102,8 @@
 
     def report_end(self, end: ConnectionEnd, detail: str = "") -> None:
         """Report the end of reading to the core, once."""
-        if not self.has_reported:
-            self.has_reported = True
+        if not self.has_reported_end:
+            self.has_reported_end = True
             self.reader_ended(end, detail, self.connection)
 
 
@@ -113,7 +113,7 @@
     def __init__(self, endpoint: Endpoint, core: Core, reader: RequestReader) -> None:
         super().__init__(EndpointSocket(endpoint), core, reader, MAX_MESSAGE_BYTES)
         self.serial = next(CONNECTION_SERIALS)
-        self.has_reported = False
+        self.has_reported_end = False
         endpoint.reader = self
 
     def __hash__(self) -> int:
@@ -124,7 +124,7 @@
 
     def data_received(self, _endpoint: Endpoint, data: bytes) -> None:
         """Handle bytes of the client, and write rejections, as a real connection's reader thread does."""
-        if self.has_reported:
+        if self.has_reported_end:
             return
         try:
             self.decoder.buffer.put(data)
@@ -147,8 +147,8 @@
 
     def _report_end_once(self, end: ConnectionEnd, detail: str = "") -> None:
         """Report the end of reading to the core, once."""
-        if not self.has_reported:
-            self.has_reported = True
+        if not self.has_reported_end:
+            self.has_reported_end = True
             self.report_end(end, detail)
 
 
--- a/gullhold/simulation/network.py
+++ b/gullhold/simulation/network.py
@@ -66,7 +66,7 @@
 
     def _connected(self, connection: "SimulatedEngineConnection", path: EnginePath) -> None:
         gateway = connection.core.simulated_gateway
-        if not gateway.is_alive or connection.has_reported:
+        if not gateway.is_alive or connection.has_reported_end:
             return
         near = gateway.open_endpoint(connection)
         far = path.engine.accept(near)
