--- a/benchmarks/budget_runs.py
+++ b/benchmarks/budget_runs.py
@@ -162,7 +162,7 @@
 
 
 def _count_overloads(rig: FleetRig, engine: int) -> int:
-    """Commands that brought a warming engine more work within 1 s than its capacity then.
+    """Number of commands that brought a warming engine more work within 1 s than its capacity at that time.
 
     Its capacity is taken to grow at half the rate that would bring it to the full capacity in WARMUP_S.
     """
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -159,6 +159,7 @@
     results = {case: run_case(case, seconds, control_s[case.open_per_connection]) for case in cases}
     for case, result in results.items():
         figures.add(**{case.name: result._asdict()})
+    # Each goodput is divided by that of the same processors at 2 open requests on each connection.
     reference = {
         case.is_one_core: result.good for case, result in results.items() if case.open_per_connection == 2
     }
--- a/gullhold/simulation/gateway.py
+++ b/gullhold/simulation/gateway.py
@@ -63,7 +63,7 @@
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
         self.serial = next(CONNECTION_SERIALS)
-        self.has_reported_end = False  # end of reading, as by a reader thread
+        self.has_reported_end = False  # whether the core was notified of the end of reading
 
     def __hash__(self) -> int:  # sets of connections have the same order in every run
         return self.serial
