--- a/gullhold/simulation/endpoints.py
+++ b/gullhold/simulation/endpoints.py
@@ -15,7 +15,7 @@
         """Handle bytes that arrived from the other side."""
         ...
 
-    def peer_closed(self, endpoint: "Endpoint", how: StreamEnd) -> None:
+    def peer_closed(self, endpoint: "Endpoint", end_kind: StreamEnd) -> None:
         """Handle the end of the other side."""
         ...
 
@@ -30,7 +30,7 @@
         self.outgoing: Stream | None = None  # set by connect()
         self.buffered = bytearray()
         self.is_finishing = False  # this side makes no further writes
-        self.is_closed = False  # the other side has ended, or arriving bytes are dropped
+        self.is_closed = False  # arriving bytes are dropped: the other side ended, or this process did
         self.written_bytes = 0  # total of all writes
         self.write_offsets: list[int] = []  # offset of the first byte of each write
         self.write_times: list[int] = []  # virtual time of each write, in us
@@ -49,10 +49,10 @@
         """Return the time of the write with the byte at this offset, in us."""
         return self.write_times[bisect_right(self.write_offsets, offset) - 1]
 
-    def finish(self, how: StreamEnd = StreamEnd.CLOSED) -> None:
+    def finish(self, end_kind: StreamEnd = StreamEnd.CLOSED) -> None:
         """End this side. CLOSED: after the buffered bytes; RESET: at once, the buffered bytes are dropped."""
         self.is_finishing = True
-        if how == StreamEnd.RESET:
+        if end_kind == StreamEnd.RESET:
             self.buffered.clear()
             self.outgoing.finish(StreamEnd.RESET)
         else:
@@ -73,11 +73,11 @@
         if not self.is_closed:
             self.reader.data_received(self, data)
 
-    def end_arrived(self, how: StreamEnd) -> None:
-        """Tell the reader that the other side has ended, once."""
+    def end_arrived(self, end_kind: StreamEnd) -> None:
+        """Notify the reader that the other side has ended, once."""
         if not self.is_closed:
             self.is_closed = True
-            self.reader.peer_closed(self, how)
+            self.reader.peer_closed(self, end_kind)
 
 
 def connect(
