--- a/gullhold/fleet/heartbeats.py
+++ b/gullhold/fleet/heartbeats.py
@@ -39,7 +39,7 @@
         return min(self._next_at.values(), default=None)
 
     def step(self, now: int) -> None:
-        """Write the heartbeats that are due, but those whose previous write has no reply yet."""
+        """Write the heartbeats that are due, except those whose previous write has no reply yet."""
         for role, at in self._next_at.items():
             if at > now:
                 continue
--- a/gullhold/fleet/membership.py
+++ b/gullhold/fleet/membership.py
@@ -185,7 +185,7 @@
             self._lose_lease(now, KEY_REMOVED)
 
     def watch_gap(self, now: int) -> None:
-        """Have the members read again, as the watch has missed changes."""
+        """Read the keys of the members again, as the watch has missed changes."""
         self.must_read_members = True
         self.tick(now)
 
@@ -221,7 +221,7 @@
         if self.lease.id and not self.lease.is_valid(now):
             self._lose_lease(now, "lease not confirmed in time")
         if self.state == MemberState.LEAVING and now >= self.leave_deadline:
-            self._end("left without the register's word")
+            self._end("left, end of the lease not confirmed in time")
 
     def _reset_roles(self, reason: str) -> None:
         """Lose all roles and this member's key, and ignore the replies to the calls under way."""
--- a/gullhold/fleet/occurrence_records.py
+++ b/gullhold/fleet/occurrence_records.py
@@ -81,6 +81,6 @@
             del self._revisions[due_us]
 
     def _surplus(self) -> list[int]:
-        """Due times of the settled occurrences but for the MAX_SETTLED_RECORDS latest."""
+        """Due times of the settled occurrences except the MAX_SETTLED_RECORDS latest."""
         settled = sorted(due_us for due_us, occurrence in self.by_due_time.items() if not occurrence.is_open)
         return settled[:-MAX_SETTLED_RECORDS]
--- a/gullhold/fleet/recovery.py
+++ b/gullhold/fleet/recovery.py
@@ -60,7 +60,7 @@
 def decide_recovery(
     rules: ScheduledCommandRules, profile: ScheduledProfile, occurrence: Occurrence, now: int
 ) -> RetryAttempt | GiveUp:
-    """Decide about an open occurrence that this member has no attempt of. now: Unix us."""
+    """Decide whether to retry an open occurrence of which this member has no open attempt. now: Unix us."""
     is_late = now > occurrence.due_us + rules.window_us
     if occurrence.attempts >= rules.max_attempts:
         return GiveUp(f"{occurrence.attempts} tries")
@@ -72,7 +72,7 @@
         return GiveUp("it may have run, and its window is over")
     if profile.idempotency == Idempotency.IDEMPOTENT:
         return RetryAttempt(profile.timeout_us)
-    if not profile.is_deduplicated_everywhere:  # only the former leader knows which engines would
+    if not profile.is_deduplicated_everywhere:  # only the former leader knows which engines have the key
         return GiveUp("it may have run, and not all engines would drop a repeat")
     return _recover_keyed(rules, profile, occurrence, now)
 
--- a/gullhold/fleet/role_claims.py
+++ b/gullhold/fleet/role_claims.py
@@ -44,9 +44,10 @@
     """The roles that one member leads, claims or gives up.
 
     tokens: fencing tokens of the roles that it leads. to_release: roles to give up, with the revision of
-    their key. claim_at: roles to claim, each with the time from which to do so (us). own_key_revisions: of
-    those, the revision of a key that this process wrote. unverified: roles whose key has to be read, as this
-    process may have written it. busy: roles that are not given up yet, as work on them is under way.
+    their key. claim_at: roles to claim, each with the time from which to do so (us). own_key_revisions: for
+    roles in claim_at whose stored key this process wrote, the revision of that key. unverified: roles whose
+    key has to be read, as this process may have written it. busy: roles that are not given up yet, as work on
+    them is under way.
     """
 
     def __init__(
--- a/gullhold/fleet/scheduled_command_client.py
+++ b/gullhold/fleet/scheduled_command_client.py
@@ -77,8 +77,8 @@
     ) -> int:
         """Submit an attempt of a command to the core; return its number. Raises RejectedError.
 
-        counted_from: Unix us from which the time limit counts; once that is over, it is not dispatched.
-        idempotency_key: 32 hex digits. is_repeat: it is not the first attempt of its occurrence.
+        counted_from: Unix us from which the time limit counts; once it is over, the attempt is not
+        dispatched. idempotency_key: 32 hex digits. is_repeat: the attempt is not the first of its occurrence.
         """
         number = next(self._numbers)
         fields = {
@@ -112,12 +112,12 @@
             self._on_ended(answer.sequence_id, *_outcome(answer.fields))
 
 
-def _outcome(args: dict[tuple[int, int], Any]) -> tuple[OccurrenceState, str]:
+def _outcome(fields: dict[tuple[int, int], Any]) -> tuple[OccurrenceState, str]:
     """How an attempt ended and the reason, from the fields of its answer."""
-    if args.get(RESULT, {}).get(RESULT_DONE):
+    if fields.get(RESULT, {}).get(RESULT_DONE):
         return OccurrenceState.ANSWERED, ""
-    if SHED in args:
+    if SHED in fields:
         return OccurrenceState.SHED, "shed"
-    details = args.get(FAULT, {}).get(FAULT_DETAILS, {})
+    details = fields.get(FAULT, {}).get(FAULT_DETAILS, {})
     reason = details.get(b"reason", b"failed") if isinstance(details, dict) else b"failed"
     return OccurrenceState.FAILED, reason.decode("utf-8", "replace")
