--- a/gullhold/budgets/allocation.py
+++ b/gullhold/budgets/allocation.py
@@ -1,8 +1,8 @@
 """What one member may spend of one budget, by its own clock. Performs no I/O; on the core's thread.
 
 An allocation is valid only while the lease under which it was read certainly holds: soon after that, the
-allocator gives it to another member. Besides, a member may always spend its reserve, from the time on when
-nothing that an earlier process of the same name has begun can still be running.
+allocator gives it to another member. Besides, a member may spend its reserve at any time, once all work that
+an earlier process of the same name has begun has certainly ended.
 """
 
 from collections import deque
--- a/gullhold/budgets/allocations.py
+++ b/gullhold/budgets/allocations.py
@@ -100,7 +100,7 @@
         return self.was_valid
 
     def fencing_token(self) -> int:
-        """Return the id of the lease under which the last amount was allowed; 0: by the reserve alone."""
+        """Return the id of the lease under which the last amount was allowed; 0 if the reserve allowed it."""
         return self.lease_id if self.was_valid else 0
 
     def token_valid(self, token: object) -> bool:
--- a/gullhold/budgets/allocator_role.py
+++ b/gullhold/budgets/allocator_role.py
@@ -94,7 +94,7 @@
         self._write(operations, ((FENCE, self.fence_revision),))
 
     def _take_uncharged(self) -> None:
-        """Mark the keys of members for deletion that no ledger has an entry for any more."""
+        """Mark for deletion the keys of members for which no ledger has an entry any more."""
         uncharged = self._acting_allocator.uncharged
         self._acting_allocator.uncharged = set()
         self.members_to_delete |= dict.fromkeys(uncharged)
--- a/gullhold/budgets/budget_rules.py
+++ b/gullhold/budgets/budget_rules.py
@@ -112,7 +112,7 @@
     window_us = record.window or agreed_windows_us.get(kind, 0)
     if LEDGER_KINDS[kind] == LedgerKind.WINDOWED and not window_us:
         raise BudgetRuleError(
-            f"fleet.budgets: {record.of}: neither it nor the agreement states a window; set `window`"
+            f"fleet.budgets: {record.of}: neither the budget nor the agreement states a window; set `window`"
         )
     return window_us
 
--- a/gullhold/budgets/member_budgets.py
+++ b/gullhold/budgets/member_budgets.py
@@ -31,7 +31,7 @@
     from gullhold.operator.records import FleetRecord
 
 REPORT_LANE = "reports"
-LANES = (REPORT_LANE, ROLE)  # for the member's calls and for the allocator's: neither wait for the other
+LANES = (REPORT_LANE, ROLE)  # the member's calls and the allocator's do not wait for each other
 FINAL_REPORT_ROLE = ROLE + "/spent"  # set as busy, so that the membership outlasts the final report
 
 
--- a/gullhold/budgets/stored_budgets.py
+++ b/gullhold/budgets/stored_budgets.py
@@ -1,4 +1,4 @@
-"""Reads a fleet's budgets from the reports and rows in the store, to show them to staff."""
+"""Reads a fleet's budgets from the reports and rows in the store, to show them to operators."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
