--- a/gullhold/rollout/member_state.py
+++ b/gullhold/rollout/member_state.py
@@ -24,7 +24,7 @@
 
 
 class CallInFlight(NamedTuple):
-    """A call to the store whose reply is awaited. serial: by it the reply is matched to the call."""
+    """A call to the store whose reply is awaited. serial: matches the reply to the call."""
 
     purpose: CallPurpose
     serial: int
--- a/gullhold/rollout/policy_gate.py
+++ b/gullhold/rollout/policy_gate.py
@@ -82,7 +82,7 @@
         return self.may_dispatch() and token == self.fencing_token()
 
     def rejects_new(self) -> bool:
-        """Whether new commands are rejected, as the policy is unknown; not while stopped, which is short."""
+        """Whether new commands are rejected, as the policy is unknown. A stop is short and rejects none."""
         now = self.clock()
         if now < self.snapshot_valid_until:
             return False
--- a/gullhold/rollout/policy_version.py
+++ b/gullhold/rollout/policy_version.py
@@ -8,7 +8,7 @@
 
 
 class PolicyError(Exception):
-    """A policy, version or change that can't be used; the message is one line for a person."""
+    """A policy, version or change that can't be used; the message is one line for the operator."""
 
 
 class PolicyVersion(NamedTuple):
--- a/gullhold/rollout/rollout_driver.py
+++ b/gullhold/rollout/rollout_driver.py
@@ -72,7 +72,7 @@
 class RolloutDriver:
     """Runs one member's side of the rollout, and the coordinator while this member leads that role.
 
-    Methods are called on the fleet's thread, but for the section below that the core's thread runs.
+    Methods are called on the fleet's thread, except those in the section "On the core's thread".
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         # Budget totals while a change is open: the lower of the old and the new one, so that the allocations
         # exceed neither.
         self.lowest_totals: dict[str, int] = {}
-        self.totals_set_for: BudgetTotalsCause | None = None  # as the allocator's totals were last set
+        self.totals_set_for: BudgetTotalsCause | None = None  # the cause of the last set_totals()
         self.core.fences.append(self.gate)
         self._adopt(AT_START, INITIAL_VERSION)  # done before the first command; the gate is still closed
         self._use_snapshot()
--- a/gullhold/rollout/rollout_member.py
+++ b/gullhold/rollout/rollout_member.py
@@ -38,8 +38,8 @@
 from gullhold.rollout.vote import CommandFigures, Vote, VoteKind
 from gullhold.rollout.vote_publisher import VotePublisher
 
-# A read of the policy in force confirms it for as long as a lease certainly holds; it is repeated so often
-# within that time.
+# A read of the policy in force confirms it for as long as a lease certainly holds; within that time it is
+# read this many times.
 REFRESHES_PER_LEASE = 3
 UNUSABLE_POLICY_RETRY_US = RETRY_US * 5  # us between reads of an unusable policy: policies rarely change
 # States of a change in which members vote on it.
@@ -301,7 +301,7 @@
     # Changes
 
     def changed(self, now: int, key: str, value: str | None, revision: int) -> None:
-        """Take a change of a watched key. value: None if it was deleted: CHANGE_KEY is, to close a change."""
+        """Take a change of a watched key. value: None if deleted, as CHANGE_KEY is to close a change."""
         if self.state != MemberState.ACTIVE:
             return
         if not self.revisions.update(key, revision):
--- a/gullhold/rollout/store_schema.py
+++ b/gullhold/rollout/store_schema.py
@@ -183,7 +183,7 @@
 
 
 def _attributes(fields: Any, names: Mapping[str, str]) -> dict[str, Any]:
-    """Convert stored fields to attributes. Raises TypeError unless it is an object with known fields only."""
+    """Convert stored fields to attributes. Raises TypeError for anything but an object of known fields."""
     if not isinstance(fields, dict) or not fields.keys() <= names.keys():
         raise TypeError("not an object with the fields that this version knows")
     return {names[stored]: value for stored, value in fields.items()}
