--- a/gullhold/rollout/policy_client.py
+++ b/gullhold/rollout/policy_client.py
@@ -202,4 +202,4 @@
         f"{vote}: {', '.join(sorted(names)[:MAX_NAMES])} ({len(names)})"
         for vote, names in sorted(members.items())
     ]
-    return "; ".join(lines) or "nobody is there"
+    return "; ".join(lines) or "no member has a vote"
