--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -31,9 +31,9 @@
 
 def check_run(rig: FleetRig, min_effects: int = 1) -> FleetChecker:
     """Check the store's journal of a run: no rule is broken, and at least min_effects writes took effect."""
-    check = FleetChecker(rig.journal_lines())
-    assert not check.violations, "\n".join(check.violations[:5]) + "\n" + rig.timeline()
-    assert check.effects >= min_effects, (
-        f"{check.effects} writes took effect, at least {min_effects} expected\n{rig.timeline()}"
+    checker = FleetChecker(rig.journal_lines())
+    assert not checker.violations, "\n".join(checker.violations[:5]) + "\n" + rig.timeline()
+    assert checker.effects >= min_effects, (
+        f"{checker.effects} writes took effect, at least {min_effects} expected\n{rig.timeline()}"
     )
-    return check
+    return checker
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -230,7 +230,7 @@
                 allocation.release(1)
 
     def take_over(self, _):
-        """Replace the ledger by one loaded from what was stored last, and repeat which members have left."""
+        """Replace the ledger by one loaded from what was stored last, and report again who has left."""
         left = [name for name, entry in self.ledger.entries.items() if entry.has_left]
         self.ledger = self._new_ledger()
         for name, packed in self.stored.items():
@@ -283,7 +283,7 @@
 
 
 class TakesOldReports(Ledger):
-    """Fault: applies also reports that are older than the last."""
+    """Fault: also applies reports that are older than the last."""
 
     def report(self, member, applied_write, in_use, now):
         """Apply the report as if it were the newest."""
--- a/tests/test_budget_reports.py
+++ b/tests/test_budget_reports.py
@@ -27,8 +27,8 @@
 def collected(in_use=0, peak=0, requested=0, allocated=10, **other):
     """Return the usage that a collection found, with one budget, `b/0`. other: further fields."""
     usage = {"b/0": Usage(in_use, peak, requested)}
-    facts = {"lease_id": 7, "applied_write": 0, "was_reduced": False} | other
-    return CollectedUsage(usage=usage, allocations={"b/0": allocated}, **facts)
+    fields = {"lease_id": 7, "applied_write": 0, "was_reduced": False} | other
+    return CollectedUsage(usage=usage, allocations={"b/0": allocated}, **fields)
 
 
 def test_the_row_is_read_once_after_the_first_report_is_written():
@@ -96,8 +96,8 @@
 
 def record(kind_name, tenant="", **other):
     """Return a record of a budget as in the operator file, of the kind with this name."""
-    facts = {"whole": 10, "window": 0, "linger": 0, "alone": 0, "members": 0, "floor": 1, "grain": 1} | other
-    return SimpleNamespace(of=kind_name, tenant=tenant, **facts)
+    fields = {"whole": 10, "window": 0, "linger": 0, "alone": 0, "members": 0, "floor": 1, "grain": 1} | other
+    return SimpleNamespace(of=kind_name, tenant=tenant, **fields)
 
 
 def agreement(tenants=("t0", "t1")):
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -33,37 +33,40 @@
 def make_rig(members=3, budgets=(), engines=1, **other):
     """Return a fleet with counting engines, by default with a budget of 12 threads on each.
 
-    make: returns an engine for a seed.
+    make: returns an engine for a seed. other: further arguments of FleetRig.
     """
     make_engine = other.pop("make", None) or counting_engine()
     budgets = budgets or [threads_budget()]
     return FleetRig(members=members, budgets=budgets, engines=engines, make_engine=make_engine, **other)
 
 
-def counting_engine(**facts):
-    """Return a function that returns a counting engine for a seed."""
-    return lambda seed: CountingEngine(slots=64, seed=seed, **facts)
+def counting_engine(**options):
+    """Return a function that returns a counting engine for a seed. options: arguments of CountingEngine."""
+    return lambda seed: CountingEngine(slots=64, seed=seed, **options)
 
 
-def start_client(fleet, name, rate=0.0, **facts):
-    """Start a client of the gateway `name`. rate: commands per second; 0: always has `open` commands open."""
-    facts = {
+def start_client(fleet, name, rate=0.0, **options):
+    """Start a client of the gateway `name`. options: arguments of LoadClient.
+
+    rate: commands per second; 0: the client always has `open` commands open.
+    """
+    options = {
         "open": 40,
         "connections": 2,
         "work_ms": 60.0,
         "limit_ms": 900,
         "retry_rule": load_client.RetryRule.NEVER,
         "seed": next(CLIENT_SEEDS),
-    } | facts
-    return load_client.LoadClient(fleet.members[name].address, "", name, rate=rate, **facts).start()
+    } | options
+    return load_client.LoadClient(fleet.members[name].address, "", name, rate=rate, **options).start()
 
 
 def stop_clients(*clients):
     """Let the clients send no more commands, and wait for the answers to the open ones."""
-    for one in clients:
-        one.stop()
-    for one in clients:
-        one.join()
+    for client in clients:
+        client.stop()
+    for client in clients:
+        client.join()
 
 
 def check_fleet(fleet, total=12, min_attempts=1):
@@ -98,10 +101,10 @@
 def test_a_member_with_all_demand_gets_all_but_the_floors_of_the_others():
     with make_rig() as fleet:
         fleet.start()
-        one = start_client(fleet, "n0")
+        client = start_client(fleet, "n0")
         fleet.wait_until(lambda: allocations(fleet) == {"n0": 10, "n1": 1, "n2": 1})
         time.sleep(0.5)
-        stop_clients(one)
+        stop_clients(client)
         other = start_client(fleet, "n1")
         fleet.wait_until(lambda: allocations(fleet) == {"n0": 1, "n1": 10, "n2": 1})
         time.sleep(0.3)
@@ -174,15 +177,15 @@
     with make_rig() as fleet:
         fleet.start()
         for turn in range(4):
-            one = start_client(fleet, f"n{turn % 2}")
+            client = start_client(fleet, f"n{turn % 2}")
             fleet.inject_store_faults(lose=6)
             time.sleep(0.8)
-            stop_clients(one)
-        one = start_client(fleet, "n2")
+            stop_clients(client)
+        client = start_client(fleet, "n2")
         fleet.inject_store_faults(lose=3)
         fleet.stop("n0")
         fleet.wait_until(lambda: allocations(fleet).get("n2", 0) >= 11)
-        stop_clients(one)
+        stop_clients(client)
         assert check_fleet(fleet, min_attempts=50).increases >= 8
 
 
@@ -222,13 +225,13 @@
             fleet.start(name, rate=(1.08, 1.0, 0.93)[i])
         fleet.wait_until(lambda: len(allocations(fleet)) == 3)
         for turn in range(6):
-            one = start_client(fleet, f"n{turn % 3}", rate=60.0, work_ms=10.0)
+            client = start_client(fleet, f"n{turn % 3}", rate=60.0, work_ms=10.0)
             time.sleep(0.9)
-            stop_clients(one)
-        sends = first_attempts(fleet.engines)
-        most, _ = peak_in_window(sends, window_s)
-        assert 20 <= most <= 30, f"{most} first attempts in a window, not 20 to 30, of {len(sends)} in all"
-        assert len(sends) > 40, f"only {len(sends)} first attempts, of which {most} in one window"
+            stop_clients(client)
+        attempts = first_attempts(fleet.engines)
+        most, _ = peak_in_window(attempts, window_s)
+        assert 20 <= most <= 30, f"{most} first attempts in a window, not 20 to 30, of {len(attempts)} in all"
+        assert len(attempts) > 40, f"only {len(attempts)} first attempts, of which {most} in one window"
         assert AllocationHistory(fleet.journal_lines()).increases >= 5
 
 
@@ -305,7 +308,7 @@
     ) as fleet:
         fleet.start()
         clients = [start_client(fleet, name, open=3, work_ms=40.0, limit_ms=2900) for name in fleet.names]
-        fleet.wait_until(lambda: all(one.counts.answered >= 3 for one in clients))
+        fleet.wait_until(lambda: all(client.counts.answered >= 3 for client in clients))
         stop_clients(*clients)
         check_fleet(fleet, total=4, min_attempts=9)
 
@@ -343,9 +346,9 @@
         fleet.start()
         fleet.wait_until(lambda: len(allocations(fleet)) == 2)
         for turn in range(6):
-            one = start_client(fleet, f"n{turn % 2}")
+            client = start_client(fleet, f"n{turn % 2}")
             time.sleep(1.0)
-            stop_clients(one)
+            stop_clients(client)
         # 12 threads with commands of 60 ms can run at most 1,200 commands in 6 s.
         assert check_fleet(fleet, min_attempts=200).increases >= 5
 
@@ -358,9 +361,9 @@
         time.sleep(1.2)
         fleet.kill_store()
         fleet.wait_until(lambda: len(fleet.engines[0].open) <= 4, 3)
-        answered_before = sum(one.counts.answered for one in clients)
+        answered_before = sum(client.counts.answered for client in clients)
         time.sleep(0.6)
-        assert sum(one.counts.answered for one in clients) > answered_before + 20
+        assert sum(client.counts.answered for client in clients) > answered_before + 20
         restarted_at = time.time()
         fleet.start_store()
         fleet.wait_until(lambda: sum(allocations(fleet).values()) == 6 and len(fleet.engines[0].open) >= 9)
@@ -374,7 +377,7 @@
 
     with make_rig(2, [threads_budget(12, alone=1, members=2)]) as fleet:
         fleet.start()
-        one = start_client(fleet, "n0")
+        client = start_client(fleet, "n0")
         fleet.wait_until(lambda: allocations(fleet) == {"n0": 9, "n1": 1})
         store_options = ["--register", fleet.store_address, "--name", "rig"]
 
@@ -390,7 +393,7 @@
             main(["fleet", "report", *store_options, "--seconds", "0.5", "--out", str(tmp_path / "x.html")])
             == 0
         )
-        stop_clients(one)
+        stop_clients(client)
     page = (tmp_path / "x.html").read_text("utf-8")
     assert "<svg" in page
     assert row["budget"] in page
@@ -407,7 +410,7 @@
 
 
 def test_a_budget_that_does_not_fit_is_rejected_with_a_one_line_reason():
-    for text, why in (
+    for text, reason in (
         ('{of: "threads", whole: 5, alone: 2, members: 3}', "over the whole"),
         ('{of: "threads", whole: 5, alone: 2}', "needs members"),
         ('{of: "taken", whole: 5}', "needs a window"),
@@ -416,13 +419,13 @@
         ('{of: "cold", tenant: "a"}', "has no tenant"),
         ('{of: "share"}, {of: "share"}', "two of the same"),
     ):
-        with pytest.raises(records.OperatorFileError, match=why):
+        with pytest.raises(records.OperatorFileError, match=reason):
             records.read(f"fleet: budgets: [{text}]", "x.cue")
-    for budget, why in (
+    for budget, reason in (
         ({"of": '"further"', "whole": 5}, "states a window"),
         ({"of": '"open"', "whole": 5, "tenant": '"nobody"'}, "no tenant of the agreement"),
     ):
         with make_rig(1, [budget]) as fleet:
             fleet.start("n0", wait=False)
             assert fleet.members["n0"].process.wait(8) == 2
-            assert why in fleet.members["n0"].log.read_text()
+            assert reason in fleet.members["n0"].log.read_text()
--- a/tests/test_fleet_occurrences.py
+++ b/tests/test_fleet_occurrences.py
@@ -34,7 +34,7 @@
         assert row["state"] == (
             "answered" if (point, side) in (("intent", "before"), ("outcome", "after")) else "failed"
         )
-        failures = [facts for _, _, what, facts in rig.events() if what == "occurrence failed"]
+        failures = [facts for _, _, event, facts in rig.events() if event == "occurrence failed"]
         assert bool(failures) == (row["state"] == "failed")
         check_run(rig)
 
@@ -57,8 +57,8 @@
                 time.sleep(1.5)
                 rig.resume(leader)
         time.sleep(1.0)
-        check = check_run(rig, 30)
-        rows = check.occurrences()
+        checker = check_run(rig, 30)
+        rows = checker.occurrences()
         assert {command for command, _ in rows} == set(profiles)
         for engine in rig.engines:
             for _, key, profile, statement in engine.received:
--- a/tests/test_fleet_roles.py
+++ b/tests/test_fleet_roles.py
@@ -77,13 +77,14 @@
 
 
 @pytest.mark.parametrize(
-    "way, sides", [(RelayMode.LOST, ("back",)), (RelayMode.HALVED, ("there",)), (RelayMode.HALVED, ("back",))]
+    "mode, directions",
+    [(RelayMode.LOST, ("back",)), (RelayMode.HALVED, ("there",)), (RelayMode.HALVED, ("back",))],
 )
-def test_no_rule_is_broken_when_the_connection_is_cut_in_one_direction_or_inside_a_message(way, sides):
+def test_no_rule_is_broken_when_the_connection_is_cut_in_one_direction_or_inside_a_message(mode, directions):
     with FleetRig(members=2, heartbeat_roles=4) as rig:
         rig.start()
         rig.wait_until(lambda: len({leader for leader, _ in rig.leaders().values()}) == 2)
-        rig.cut("n0", way, sides)
+        rig.cut("n0", mode, directions)
         rig.wait_until(
             lambda: {leader for leader, _ in rig.leaders().values()} == {"n1"} and len(rig.leaders()) == 4
         )
--- a/tests/test_fleet_rollout.py
+++ b/tests/test_fleet_rollout.py
@@ -189,7 +189,7 @@
         before = count_warm_commands()
         time.sleep(0.7)
         assert count_warm_commands() == before
-        skipped = [facts for _, _, what, facts in fleet.events() if what == "occurrence skipped"]
+        skipped = [facts for _, _, event, facts in fleet.events() if event == "occurrence skipped"]
         assert skipped
         assert "off by the fleet's policy" in skipped[-1]["reason"]
         version = policies.propose("policy: clients: n0: 4", "a", "b")
--- a/tests/test_policy_snapshot.py
+++ b/tests/test_policy_snapshot.py
@@ -6,7 +6,7 @@
 from gullhold.rollout.policy_client import ExitStatus, PolicyClient
 from gullhold.rollout.policy_version import PolicyVersion
 
-# Longer than a slow start takes: 3 s were over before the gateway served.
+# Longer than a slow start of the gateway: a snapshot valid for 3 s had expired before the gateway served.
 SNAPSHOT_LIFE_S = 8
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -165,7 +165,7 @@
     world = rollout_world.World(Overlap.LOOSE, faults=0)
     world.settle()
     for member in world.members:
-        now = member()
+        now = member()  # the member is its own clock
         assert member.decisions.due(now) == max(now, member.decisions.refresh_at)
         member.decisions.watch_gap(now)
         assert member.decisions.due(now) == now + IDLE_STEP_US  # its read of the policy is in flight
