--- a/gullhold/rollout/policy_version.py
+++ b/gullhold/rollout/policy_version.py
@@ -8,7 +8,7 @@
 
 
 class PolicyError(Exception):
-    """A policy, version or change that can't be used; the message is one line for a person."""
+    """A policy, version or change that can't be used; the message is one line for the operator."""
 
 
 class PolicyVersion(NamedTuple):
@@ -33,7 +33,7 @@
     def verify(self) -> None:
         """Raise PolicyError unless the digest matches the other fields."""
         if self.digest != self._computed_digest():
-            raise PolicyError(f"the digest of {self.number} does not fit")
+            raise PolicyError(f"the digest of version {self.number} does not match its content")
 
     def _computed_digest(self) -> str:
         return blake2s(json.dumps(self[:-1]).encode(), digest_size=DIGEST_BYTES).hexdigest()
