--- a/gullhold/rollout/policy.py
+++ b/gullhold/rollout/policy.py
@@ -64,7 +64,7 @@
 def parse_policy(source: str, file: str = "policy") -> Policy:
     """Parse a policy's text. file: named in errors. Raises PolicyError with one line that names the place."""
     if len(source) > MAX_POLICY_CHARACTERS:
-        raise PolicyError(f"{file}: {len(source)} characters, over the limit of {MAX_POLICY_CHARACTERS}")
+        raise PolicyError(f"{file}: over {MAX_POLICY_CHARACTERS} characters")
     schema_source = files("gullhold.rollout").joinpath(SCHEMA_FILE).read_text("utf-8")
     try:
         nodes = parse(source, file)
@@ -105,7 +105,7 @@
         if max_attempts > 1 and profiles[name].idempotency == Idempotency.NON_IDEMPOTENT:
             return f"sends: {name!r} must never run twice"
         if 0 < agreement.max_attempts < max_attempts:
-            return f"sends: {name!r}: {max_attempts} attempts, the agreement allows {agreement.max_attempts}"
+            return f"sends: {name!r}: the agreement allows {agreement.max_attempts}"
     return ""
 
 
@@ -114,11 +114,11 @@
         if name not in deployment.scheduled_commands:
             return f"schedules: {name!r} is no scheduled command"
     if policy.clients and not deployment.has_admission_queue:
-        return "clients: there is no admission queue (`door` of the operator file is off)"
+        return "clients: there is no door"
     if policy.priorities and not deployment.agreement.honors_priority:
-        return "priorities: engines of this agreement ignore priorities"
+        return "priorities: engines of this agreement heed none"
     if policy.grants and not deployment.agreement.honors_grants:
-        return "grants: engines of this agreement ignore memory grants"
+        return "grants: engines of this agreement heed none"
     return ""
 
 
@@ -127,10 +127,7 @@
         if name not in budgets:
             return f"budgets: {name!r} is no budget of the fleet"
         if total < budgets[name].reserve:
-            return (
-                f"budgets: {name!r}: {total} is less than the {budgets[name].reserve} that are kept back for "
-                "members without a lease"
-            )
+            return f"budgets: {name!r}: {budgets[name].reserve} are kept back for those who are alone"
     return ""
 
 
--- a/gullhold/rollout/policy_version.py
+++ b/gullhold/rollout/policy_version.py
@@ -33,7 +33,7 @@
     def verify(self) -> None:
         """Raise PolicyError unless the digest matches the other fields."""
         if self.digest != self._computed_digest():
-            raise PolicyError(f"the digest of version {self.number} does not match its content")
+            raise PolicyError(f"the digest of {self.number} does not fit")
 
     def _computed_digest(self) -> str:
         return blake2s(json.dumps(self[:-1]).encode(), digest_size=DIGEST_BYTES).hexdigest()
--- a/gullhold/rollout/rollout_coordinator.py
+++ b/gullhold/rollout/rollout_coordinator.py
@@ -121,9 +121,7 @@
         except PolicyError as error:
             return str(error)
         if version.parent != self.current.number:
-            return (
-                f"version {self.current.number} is in force, not {version.parent}, on which this one is based"
-            )
+            return f"{self.current.number} is in force, not {version.parent}"
         return ""
 
     def _collect_votes(self, now: int) -> None:
