--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -37,7 +37,7 @@
         """
         if is_watch_event:
             for entry in entries:
-                self._learn(now, entry)
+                self._update_clock_lead(now, entry)
         corrected = [self._correct_entry(now, entry, is_watch_event) for entry in entries]
         return corrected + self._correct_unconfirmed(now, {entry.id for entry in entries})
 
@@ -46,7 +46,7 @@
         self.start_times.pop(engine_id, None)
         self.unconfirmed.pop(engine_id, None)
 
-    def _learn(self, now: int, entry: EngineEntry) -> None:
+    def _update_clock_lead(self, now: int, entry: EngineEntry) -> None:
         """Lower the bound on the local clock's lead if an entry of a watch event shows a smaller one."""
         last = self.start_times.get(entry.id)
         is_known = last is not None and last.listed_us == entry.started_us
