--- a/gullhold/net/client_calls.py
+++ b/gullhold/net/client_calls.py
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from gullhold.net.client_connection import ClientConnection
 
-# Field id and type of arguments; FIELDS_ARGUMENT of execute is defined in received_call.
-SEQUENCE_ID_ARGUMENT = (1, thrift.I32)  # field id and type of the argument of interrupt
-STATEMENT_ARGUMENT = (2, thrift.STRING)  # field id and type of the second argument of execute
+# Field ids and types of arguments; FIELDS_ARGUMENT, the first of execute, is defined in received_call.
+SEQUENCE_ID_ARGUMENT = (1, thrift.I32)  # the only argument of interrupt
+STATEMENT_ARGUMENT = (2, thrift.STRING)  # the second argument of execute
 
 
 class ClientCalls:
@@ -53,7 +53,7 @@
         else:
             self.backpressure.defer(call)
 
-    def take_deferred(self) -> None:
+    def handle_deferred(self) -> None:
         """Handle the deferred calls that are due."""
         while self.backpressure.deferred_calls:
             deferred = self.backpressure.take_due(self.core.clock())
--- a/gullhold/net/client_connection.py
+++ b/gullhold/net/client_connection.py
@@ -22,7 +22,7 @@
 CLOSING_PAUSE_S = 0.5  # pause between reads, in the shutdown, of a connection that still has open requests
 MAX_CLOSING_READ_BYTES = 65_536  # limit of one read in the shutdown: 32 requests of 2 KB
 FULL_POLL_INTERVAL_S = 0.05  # time between reads in a pause once no more calls can be deferred
-MESSAGE_TIMEOUT_S = 2.0  # time to complete a message; by the protocol we have to end the connection in 3 s
+MESSAGE_TIMEOUT_S = 2.0  # time to complete a message; the protocol has us end the connection within 3 s
 IDLE_TIMEOUT_S = 5.0  # time without a request; usual clients close an idle connection after 4 s themselves
 MAX_READ_WAIT_US = 500_000  # longest wait of a read, so that the two timeouts above are checked
 PAUSE_MARGIN_US = 1000  # added to a read's wait for the end of a pause, so that the pause is over then
@@ -59,8 +59,8 @@
         self.undelivered: dict[int, bool] = {}
         self.interrupted: set[int] = set()  # sequence ids whose interrupts the core has not processed
         self.posted_count = 0  # number of requests posted to the core
-        self.settled_count = 0  # number of these whose answer is decided, or that are dropped
-        self.completed_count = 0  # number of those whose answer is in the write buffer, or that are dropped
+        self.settled_count = 0  # number of posted requests whose answer is decided, or that are dropped
+        self.completed_count = 0  # number of settled requests whose answer was put, or that are dropped
         self.is_ending = False  # the connection is no longer read, or is to end soon
         self.has_left = False  # the client closed it, or it broke: no answers are expected any more
         self.is_draining = False  # the connection is to end once all its requests are answered
@@ -126,7 +126,7 @@
             self.connection.close()
 
     def report_end(self, end: ConnectionEnd, detail: str) -> None:
-        """From the reader thread: tell the core that reading has ended, and why."""
+        """From the reader thread: report to the core that reading has ended, and why."""
         if self.local_end:
             end, detail = self.local_end
         self.is_ending = True
@@ -197,7 +197,7 @@
             if not has_more:
                 self._end_if_settled()
             with self.core.reading_lock:
-                self.calls.take_deferred()
+                self.calls.handle_deferred()
                 for frame in self.decoder.frames():
                     self.idle_timer.call_received()
                     self.calls.handle(frame, received_at_us)
@@ -304,7 +304,7 @@
             self.write_buffer.finish()
 
     def _request_end(self) -> None:
-        """Ask the core whether this idle connection may end; posted behind all calls that wait for it."""
+        """Ask the core whether this idle connection may end. The core handles all earlier calls first."""
         if not self.end_requested:
             self.end_requested = True
             self.core.post(self.core.close_if_idle, self)
