--- a/gullhold/net/__init__.py
+++ b/gullhold/net/__init__.py
@@ -37,6 +37,6 @@
 
 
 def set_no_delay(sock: socket.socket) -> None:
-    """Send small writes at once (TCP_NODELAY). An error is ignored: it only makes them a little later."""
+    """Send small writes at once (TCP_NODELAY). An error is ignored, as it only delays them a little."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/gullhold/net/assembly.py
+++ b/gullhold/net/assembly.py
@@ -21,12 +21,14 @@
     from gullhold.fleet.driver import FleetMember
     from gullhold.operator.records import AdmissionQueueRecord, FleetRecord
 
-LISTEN_RETRY_LIMIT_S = 5.0  # time for retries while the address is in use or sockets are short
-STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory for waiting statements, as much again for unread answers
-# Descriptors for all but client and engine connections: standard streams, listener, discovery, spare ones.
+LISTEN_RETRY_LIMIT_S = 5.0  # how long to retry while the address is in use or no socket is available
+STATEMENT_MEMORY_DIVISOR = 8  # 1/8 of the memory is for statements, another 1/8 for unread answers
+# Descriptors not for client or engine connections but for standard streams, listener, discovery, and spares.
 RESERVED_DESCRIPTORS = 16
-CLIENT_SOCKETS_DIVISOR = 2  # half of the sockets for clients, which usually need at most a third
-RESULTS_PER_MESSAGE = 2  # the largest message, with its other fields, has room for so many results
+CLIENT_SOCKETS_DIVISOR = 2  # clients get half of the sockets; they usually need at most a third
+# The size limit of a message is at least this many results of the largest size, so that one fits together
+# with the other fields.
+RESULTS_PER_MESSAGE = 2
 
 
 class Admission(NamedTuple):
@@ -63,7 +65,7 @@
     admission = None
     if admission_record and admission_record.on:
         admission = build_admission(admission_record, configuration.agreement, configuration.seed)
-    # An equal share of the memory for each connection, but at least room for a result.
+    # An equal share of the memory for each connection, but enough for a message with the largest result.
     max_message_bytes = max(
         configuration.memory_bytes // configuration.max_sockets, RESULTS_PER_MESSAGE * MAX_RESULT_BYTES
     )
--- a/gullhold/net/attempts.py
+++ b/gullhold/net/attempts.py
@@ -23,7 +23,7 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.NOT_STARTED: "not_started",
 }
-MIN_TIMEOUT_MS = 1  # stated in a fetch also if its deadline has passed
+MIN_TIMEOUT_MS = 1  # smallest time that a fetch states, also if its deadline has passed
 
 
 class Attempts:
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -131,7 +131,7 @@
         self.has_ended = True  # the core's state does not change any more
 
     def begin(self, configured_list: "Sequence[ListChange]") -> None:
-        """Apply the configuration's endpoint list and start the periodic work: from now on a timer is set."""
+        """Apply the configuration's endpoint list and start the periodic work; a timer is always set then."""
         self.tick()
         for change in configured_list:
             self.run_guarded(self.endpoint_list.apply, *change)
@@ -152,7 +152,7 @@
     def list_changed(
         self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, event_count: int = 1
     ) -> None:
-        """From the discovery thread: apply a change of the endpoint list, made of so many watch events."""
+        """From the discovery thread: apply a change of the endpoint list that combines event_count events."""
         self.post_urgent(self.endpoint_list.apply, entries, addresses, is_complete, event_count)
 
     # Clients
@@ -204,7 +204,7 @@
     def apply_budgets(
         self, shares: "ShareLookup", report_demand: Callable[[tuple[Demand, ...]], None]
     ) -> None:
-        """Apply the fleet's budgets, or new ones; report_demand receives the demand of queued commands."""
+        """Apply budgets of the fleet from now on; report_demand receives the demand of queued commands."""
         self.report_demand = report_demand
         self.decisions.call(None, self.gateway.apply_budgets, shares)
 
--- a/gullhold/net/discovery.py
+++ b/gullhold/net/discovery.py
@@ -21,11 +21,11 @@
     from gullhold.net.core import Core
 
 # Within this time a service that has new events sends one: twice the time that the protocol allows for
-# messages that cross.
+# messages in transit.
 FIRST_EVENT_TIMEOUT_US = 100_000
 BATCH_INTERVAL_S = 0.01  # after a call to the core, events are gathered for this long before the next
 FAILURE_DELAY_S = 0.1  # pause after an unexpected exception, before the stream is followed again
-# The service sends at least the index of its last event once a second: by then two of these are missing.
+# The service sends at least the index of its last event once a second: after this time two are missing.
 SILENCE_LIMIT_US = 2_000_000
 
 
--- a/gullhold/net/endpoint_list.py
+++ b/gullhold/net/endpoint_list.py
@@ -23,7 +23,7 @@
     def apply(
         self, entries: list[EngineEntry], addresses: dict[int, str], is_complete: bool, event_count: int = 1
     ) -> None:
-        """Apply a change of the list, made of so many watch events.
+        """Apply a change of the list that combines event_count watch events.
 
         is_complete: the change is a complete list: engines that are not among the entries are removed.
         """
@@ -39,7 +39,7 @@
         self.core.decisions.call(None, self.core.gateway.update_engines, entries, is_complete)
 
     def forget_if_removed(self, endpoint: EngineEndpoint) -> None:
-        """Forget an engine that was removed; its endpoint, only once it has no connection."""
+        """Forget an engine if it was removed; its endpoint is kept while it has connections."""
         if endpoint.state != EngineState.REMOVED:
             return
         self.start_times.forget(endpoint.id)
--- a/gullhold/net/engine_connection.py
+++ b/gullhold/net/engine_connection.py
@@ -105,7 +105,7 @@
         self.decoder = resp.Decoder(max_message_bytes)
         self.write_buffer = WriteBuffer(max_buffered_bytes, core.counters, core.flusher)
         self.open_attempts: dict[bytes, Attempt] = {}  # by transaction id
-        self.abandoned_ids: set[bytes] = set()  # transaction ids to which late replies may arrive
+        self.abandoned_ids: set[bytes] = set()  # of abandoned attempts, to which late replies may arrive
         self.confirmations: dict[bytes, Attempt] = {}  # attempts whose abort is to be confirmed, by tag
         self.is_ended = False
         self.is_retired = False  # no further attempts are sent on it
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -33,7 +33,7 @@
         self.report_fields = [name.encode() for name in core.agreement.report_fields]
 
     def handle(self, connection: EngineConnection, arrays: list[list[bytes]]) -> None:
-        """Handle the arrays that have arrived from an engine, a reply each."""
+        """Handle the arrays that have arrived from an engine; each is one reply."""
         connection.last_reply_at = self.core.now
         connection.probed_at = 0
         try:
--- a/gullhold/net/event_queue.py
+++ b/gullhold/net/event_queue.py
@@ -24,7 +24,8 @@
     def __init__(self) -> None:
         self._first: deque[PostedEvent] = deque()
         self._others: deque[PostedEvent] = deque()
-        self._arrivals: SimpleQueue[None] = SimpleQueue()  # an item per event, put after it; take() waits
+        # One item per event, put after the event; take() waits for an item.
+        self._arrivals: SimpleQueue[None] = SimpleQueue()
 
     def __len__(self) -> int:
         return self._arrivals.qsize()
--- a/gullhold/net/eventlog.py
+++ b/gullhold/net/eventlog.py
@@ -32,8 +32,8 @@
     reason: str
     request: bytes = b""  # transaction id
     connection: str = ""  # "client" or "engine" with the address of the peer
-    old_state: str = ""  # of the request, attempt or connection before the event
-    new_state: str = ""  # and after it
+    old_state: str = ""  # state of the request, attempt or connection before the event
+    new_state: str = ""  # its state after the event
     open: int = 0  # requests or attempts that were open on the closed connection
     detail: str = ""  # message of the system or protocol error, if any
 
@@ -68,12 +68,12 @@
         if not self._may_log(event):
             self.suppressed_count += 1
             return
-        left_out = f" suppressed={self.suppressed_count}" if self.suppressed_count else ""
+        suppressed = f" suppressed={self.suppressed_count}" if self.suppressed_count else ""
         self.suppressed_count = 0
         if is_unusual:
-            logger.warning("{}{}", event.line(), left_out)
+            logger.warning("{}{}", event.line(), suppressed)
         else:
-            logger.info("{}{}", event.line(), left_out)
+            logger.info("{}{}", event.line(), suppressed)
 
     def lines(self) -> list[str]:
         """Return the lines of the recent events, the oldest first."""
--- a/gullhold/net/listener.py
+++ b/gullhold/net/listener.py
@@ -21,10 +21,11 @@
 
 
 class Listener:
-    """Accepts connections until the process ends, also in the shutdown.
+    """Accepts connections until the process ends.
 
-    To a client, a connection in the kernel's backlog is already established. max_clients: limit of open
-    client connections. clients: the open client connections, shared with the statement memory.
+    It accepts them in the shutdown too: to a client, a connection in the kernel's backlog is already
+    established. max_clients: limit of open client connections. clients: the open client connections, shared
+    with the statement memory.
     """
 
     def __init__(
--- a/gullhold/net/logsink.py
+++ b/gullhold/net/logsink.py
@@ -6,7 +6,7 @@
 
 from gullhold.net.counters import Counters
 
-MAX_QUEUED_LINES = 2000  # a few seconds of the most that a failing gateway logs
+MAX_QUEUED_LINES = 2000  # the most that a failing gateway logs in a few seconds
 
 
 class LogSink:
--- a/gullhold/net/overload.py
+++ b/gullhold/net/overload.py
@@ -13,7 +13,7 @@
 
 MAX_WAIT_DIVISOR = 40  # estimated wait of an event: at most 1/40 of the client timeout, to stay below 1/10
 MAX_AGE_DIVISOR = 10  # age of the oldest event: at most 1/10 of the client timeout
-MIN_EVENTS_FOR_AGE_CHECK = 8  # fewer are old only after a pause of the process, and soon processed
+MIN_EVENTS_FOR_AGE_CHECK = 8  # fewer events are old only after a pause of the process, and soon processed
 AVERAGING_EVENTS = 32  # number of events over which the time for one is averaged
 MAX_COUNTED_INTERVAL_US = 100_000  # a longer interval between events is a pause of the process
 
--- a/gullhold/net/shutdown.py
+++ b/gullhold/net/shutdown.py
@@ -16,7 +16,7 @@
 QUIET_US = 350_000  # time without a new answer after which an early end may begin
 REJECTING_US = 600_000  # longest time before the forced end in which all new requests are rejected
 RECHECK_US = QUIET_US // 4  # time between checks whether all requests are answered
-KILL_US = 700_000  # time to the kill once the longest client timeout, counted from the start, is over
+KILL_US = 700_000  # time from the end of the longest client timeout, which counts from the start, to the kill
 EXIT_US = 200_000  # time kept before the kill for the exit of the process
 CLOSING_CHECK_US = 10_000  # time between checks whether all client connections have ended
 
--- a/gullhold/net/thrift.py
+++ b/gullhold/net/thrift.py
@@ -83,14 +83,14 @@
 
 # Field ids of the service's messages.
 RESULT_SUCCESS = 0  # in every result: the value that the method returns
-RESULT_SHED = 1  # in the result of execute, this and the next: an exception that it throws
-RESULT_FAULT = 2
+RESULT_SHED = 1  # in the result of execute: the Shed that it throws
+RESULT_FAULT = 2  # in the result of execute: the Fault that it throws
 ANSWER_BODY = 1  # in an Answer, the struct that a method returns
-ANSWER_FIELDS = 2
-ANSWER_GOOD = 3
+ANSWER_FIELDS = 2  # in an Answer
+ANSWER_GOOD = 3  # in an Answer
 EXCEPTION_FIELDS = 1  # in a Shed or Fault: its map of strings
-APPLICATION_ERROR_MESSAGE = 1  # in an application exception, this and the next
-APPLICATION_ERROR_TYPE = 2
+APPLICATION_ERROR_MESSAGE = 1  # in an application exception
+APPLICATION_ERROR_TYPE = 2  # in an application exception
 CHECK_UNUSED = 1  # the only argument of check, which has no meaning
 
 MAX_CHECK_REPLY_BYTES = 4096  # far more than a reply to check takes, as it has no body
@@ -137,7 +137,7 @@
         return number_format.unpack(self.read(number_format.size))[0]
 
     def read_string(self) -> bytes:
-        """Read the next string as bytes, which may be any."""
+        """Read the next string as bytes; it need not be valid UTF-8."""
         return self.read(self.read_number(I32_FORMAT))
 
     def read_value(self, value_type: int, depth: int = 0) -> Any:
@@ -240,7 +240,8 @@
             size = I32_FORMAT.unpack(length)[0]
             if not MESSAGE_HEADER.size <= size <= self.buffer.max_bytes - LENGTH_SIZE:
                 raise ProtocolError(
-                    f"frame of {size} bytes: no message, or over the limit of {self.buffer.max_bytes} bytes"
+                    f"frame of {size} bytes: not between {MESSAGE_HEADER.size}"
+                    f" and {self.buffer.max_bytes - LENGTH_SIZE} bytes"
                 )
             frame = self.buffer.peek(size, LENGTH_SIZE)
             if frame is None:
--- a/gullhold/net/write_buffer.py
+++ b/gullhold/net/write_buffer.py
@@ -161,7 +161,7 @@
     def _write(self, reencode: Callable[[], bytes] | None = None) -> None:
         """With the lock held: write as much as the socket accepts, and leave the rest to the flusher.
 
-        reencode: that of the only message, kept in case nothing of it is written now.
+        reencode: the function of the only message, kept for the message if none of it is written now.
         """
         while self.pending and self.connection is not None and not self.is_closed:
             message = self.pending[0]
