--- a/tests/serving.py
+++ b/tests/serving.py
@@ -105,4 +105,4 @@
 
 def open_sequence_ids(gateway):
     """Return the sequence ids of the requests whose clients wait for an answer."""
-    return {cmd.sequence_id for cmd in gateway.core.requests.by_number.values() if cmd.client}
+    return {pending.sequence_id for pending in gateway.core.requests.by_number.values() if pending.client}
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -1,4 +1,4 @@
-"""Connections to engines that open late, and what can forbid the attempts that wait for them."""
+"""Connections to engines that open late, and changes after which a waiting attempt must not be sent."""
 
 import time
 
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_attempt_is_withdrawn_when_its_client_leaves_before_the_connection_opens(start_gateway, cancel):
-    """Without cancellation the decision module asks for no cancel, and the fetch was still sent."""
+    """Guards against a fetch that is still sent where the settings forbid cancelling attempts."""
     late = LateEngine()
     gateway, client = start_gateway(late, connect_timeout=5.0, cancel=cancel)
     client.send_command(limit=7000, txn=b"f%015x" % 1)
@@ -46,7 +46,7 @@
     assert b"f%015x" % 1 not in (first := conn.recv(1000))
     assert b"f%015x" % 2 in first
     other.interrupt(seq)
-    until(lambda: not any(cmd.client for cmd in gateway.core.requests.by_number.values()))
+    until(lambda: not any(pending.client for pending in gateway.core.requests.by_number.values()))
     conn.close()
 
 
@@ -85,7 +85,7 @@
     assert conn.recv(1000).count(b"fetch") == 1  # the attempt that was decided under the new token
     assert gateway.count("attempts_withdrawn") == gateway.count("attempts_ended_not_started") == 1
     client.interrupt(seq)
-    until(lambda: not any(cmd.client for cmd in gateway.core.requests.by_number.values()))
+    until(lambda: not any(pending.client for pending in gateway.core.requests.by_number.values()))
     conn.close()
 
 
