--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -19,7 +19,7 @@
     return PostedEvent(posted_at_us, print, (name,))
 
 
-def names(queue):
+def take_names(queue):
     """Take all events of a queue; return their names."""
     taken = []
     while (each := queue.take()) is not None:
@@ -34,7 +34,7 @@
     queue.put(event("b"))
     queue.put(event("reply 2"), goes_first=True)
     assert len(queue) == 4
-    assert names(queue) == ["reply 1", "reply 2", "a", "b"]
+    assert take_names(queue) == ["reply 1", "reply 2", "a", "b"]
     assert queue.take(wait_us=1000) is None
 
 
--- a/tests/test_overload_service.py
+++ b/tests/test_overload_service.py
@@ -14,7 +14,7 @@
 
 
 def crowd(open_each, limit_ms, processes=2, clients=8):
-    """Clients with 10 connections each and open_each open requests on each connection."""
+    """Return a group of clients, each with 10 connections and open_each open requests on each of them."""
     options = {
         "open": 10 * open_each,
         "connections": 10,
@@ -24,8 +24,8 @@
     return ClientGroup(processes, clients, options)
 
 
-def answers(counts):
-    """Number of requests with an answer of any kind."""
+def answer_count(counts):
+    """Return the number of requests with an answer of any kind."""
     return counts.answered + counts.shed + counts.failed
 
 
@@ -38,7 +38,7 @@
         counts = clients.stop()
         running.process.terminate()
         assert running.process.wait(10) == 0
-        assert running.counter("requests_received") == answers(counts)
+        assert running.counter("requests_received") == answer_count(counts)
         assert running.counter("peak_event_delay_us") < 1_000_000
     assert not counts.unanswered
     assert not counts.duplicate_answers
@@ -47,7 +47,10 @@
 
 @pytest.mark.parametrize("operator", ["", PATIENT_QUEUE], ids=["no queue", "queue"])
 def test_a_crowd_gets_its_answers_and_costs_no_more_than_half_of_what_is_answered_well(operator):
-    """Guards against an event queue that grows with the load until no answer arrives in time."""
+    """With 16 times as many open requests, more than half as many as before must be answered in time.
+
+    Guards against an event queue that grows with the load until no answer arrives in time.
+    """
     usual = run_crowd(2, operator)
     crowded = run_crowd(32, operator)
     assert usual.answered > 100
@@ -66,7 +69,7 @@
 
         def is_flooded():
             counts = clients.counts()
-            return counts.attempts - answers(counts) >= 9_900
+            return counts.attempts - answer_count(counts) >= 9_900
 
         until(is_flooded)
         began = time.monotonic()
@@ -76,5 +79,5 @@
         counts = clients.stop()
         assert status == 0
         assert took_s < KILL_AT_S
-        assert running.counter("requests_received") - running.counter("interrupted") == answers(counts)
+        assert running.counter("requests_received") - running.counter("interrupted") == answer_count(counts)
         assert not counts.duplicate_answers
