--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -29,17 +29,17 @@
         gateway.end()
 
 
-@pytest.mark.parametrize("how", ["closes", "ends its side", "resets", "interrupts"])
-def test_no_attempt_is_sent_for_a_client_that_leaves_while_its_command_waits(gateway_without_engines, how):
+@pytest.mark.parametrize("action", ["closes", "ends its side", "resets", "interrupts"])
+def test_no_attempt_is_sent_for_a_client_that_leaves_while_its_command_waits(gateway_without_engines, action):
     gateway, client, discovery = gateway_without_engines()
     other, engine = BlockingClient(gateway.address), ScriptedEngine()
     seq = client.send_command(limit=7000)
     until(lambda: gateway.core.requests.by_number)
-    if how == "closes":
+    if action == "closes":
         client.sock.close()
-    elif how == "ends its side":
+    elif action == "ends its side":
         client.sock.shutdown(socket.SHUT_WR)
-    elif how == "resets":
+    elif action == "resets":
         reset_connection(client.sock, b"fetch")
     else:
         client.interrupt(seq)
@@ -68,8 +68,8 @@
     assert not engine.received
 
 
-@pytest.mark.parametrize("how", ["closes", "interrupts"])
-def test_a_disconnect_or_interrupt_is_noticed_during_a_pause(gateway_without_engines, how):
+@pytest.mark.parametrize("action", ["closes", "interrupts"])
+def test_a_disconnect_or_interrupt_is_noticed_during_a_pause(gateway_without_engines, action):
     """Guards against a reader that sleeps in the pause: the waiting command would be sent to an engine."""
     gateway, client, discovery = gateway_without_engines(connect_timeout=3.0)
     other, engine = BlockingClient(gateway.address), ScriptedEngine()
@@ -78,7 +78,7 @@
     client.send_command("odd")  # an unknown profile: an invalid request begins a pause
     assert client.read_answer()[1] == "fault"
     began = time.monotonic()
-    if how == "closes":
+    if action == "closes":
         client.sock.close()
     else:
         client.interrupt(seq)
@@ -169,14 +169,14 @@
     until(lambda: len(gateway.listener.clients) == 13)
     reading_port = client.sock.getsockname()[1]
     unread_sides = [
-        one for one in list(gateway.listener.clients) if one.peer.connection != f"127.0.0.1:{reading_port}"
+        side for side in list(gateway.listener.clients) if side.peer.connection != f"127.0.0.1:{reading_port}"
     ]
     most_bytes = 0
     for _ in range(400):
-        for one in unread_sides:
-            if not one.write_buffer.is_closed:
-                one.put(frame)
-        most_bytes = max(most_bytes, sum(one.write_buffer.size for one in unread_sides))
+        for side in unread_sides:
+            if not side.write_buffer.is_closed:
+                side.put(frame)
+        most_bytes = max(most_bytes, sum(side.write_buffer.size for side in unread_sides))
     assert memory.max_bytes < most_bytes < memory.max_bytes + 12 * 2 * len(frame)
     assert 0 < gateway.count("answers_undeliverable") <= 12
     seq = client.send_command()
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -17,13 +17,13 @@
 def test_a_result_is_complete_when_its_engine_drains_between_two_pages(tmp_path):
     discovery = DiscoveryService()
 
-    def drains(conn, verb, *words):
+    def drain_before_second_page(conn, verb, *words):
         if verb == b"more":
             discovery.send(endpoint_list_event(2, ("s-0", engine.address, "draining")))
             until(lambda: gateway.count("endpoint_list_events") == 2)
         serve_pages(b"1\t2\t3\n", b"4\t5\t6\n")(conn, verb, *words)
 
-    engine = ScriptedEngine(drains)
+    engine = ScriptedEngine(drain_before_second_page)
     gateway = Gateway(tmp_path, config(engine) | {"coordinator": discovery.address})
     client = BlockingClient(gateway.address)
     seq = client.send_command("once")
@@ -33,7 +33,7 @@
 
 
 def test_the_engine_is_told_when_the_client_leaves_between_two_pages(start_gateway):
-    def leaves(conn, verb, *words):
+    def leave_before_second_page(conn, verb, *words):
         if verb == b"more":
             client.sock.close()
             until(lambda: gateway.count(CLIENTS_CLOSED_COUNTER) == 1)
@@ -41,7 +41,7 @@
         if verb == b"fetch":
             conn.sendall(resp.encode(words[0], b"200", b"pages=2,cost=20,need=64", b"1\t2\t3\n"))
 
-    engine = ScriptedEngine(leaves)
+    engine = ScriptedEngine(leave_before_second_page)
     gateway, client = start_gateway(engine)
     client.send_command()
     until(lambda: engine.messages(b"done") or engine.messages(b"abort"))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -183,7 +183,7 @@
     for caller, seqs in zip(callers, sequence_ids, strict=True):
         answers = [caller.read_answer() for _ in seqs]
         assert {seq for seq, _ in answers} == set(seqs)
-        assert all(word in (b"a\tb\tc\n", "shed") for _, word in answers)
+        assert all(answer in (b"a\tb\tc\n", "shed") for _, answer in answers)
     status = dict(row.split(":", 1) for row in Path(f"/proc/{process.pid}/status").read_text().splitlines())
     assert int(status["VmHWM"].split()[0]) < 100_000  # kB; half of the usual limit of 192 MB
     assert len(os.listdir(f"/proc/{process.pid}/fd")) < 600
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -5,7 +5,7 @@
 from gullhold.interface import EngineEntry, EngineState
 from gullhold.net.start_times import MAX_EVENT_DELAY_US, StartTimes
 
-S = 1_000_000
+S = 1_000_000  # a second, in us
 NOW = 1_790_000_000 * S  # us of Unix time, by our clock
 
 
