--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -38,7 +38,7 @@
     assert queue.take(wait_us=1000) is None
 
 
-def test_the_age_is_that_of_the_oldest_event_of_both_lanes():
+def test_the_age_is_that_of_the_oldest_event_of_both_priorities():
     queue = EventQueue()
     assert queue.oldest_age_us(1000) == 0
     queue.put(event("a", posted_at_us=300))
--- a/tests/test_pages_and_shutdown.py
+++ b/tests/test_pages_and_shutdown.py
@@ -32,7 +32,7 @@
     gateway.end()
 
 
-def test_the_engine_is_told_when_the_client_leaves_between_two_pages(start_gateway):
+def test_the_engine_gets_done_or_abort_when_the_client_leaves_between_two_pages(start_gateway):
     def leave_before_second_page(conn, verb, *words):
         if verb == b"more":
             client.sock.close()
@@ -49,7 +49,7 @@
     assert len(engine.messages(b"fetch")) == 1
 
 
-def test_connections_of_resting_clients_end_without_a_reset_when_the_process_ends(launch_gateway):
+def test_connections_of_idle_clients_end_without_a_reset_when_the_process_ends(launch_gateway):
     """A process that exits with unread bytes resets the connection.
 
     Idle clients that send a request just when the gateway shuts down its side cause this.
