--- a/gullhold/net/event_stream.py
+++ b/gullhold/net/event_stream.py
@@ -45,7 +45,7 @@
             return None, content
         index = content["index"]
         if not isinstance(index, int):
-            raise ValueError("index is not an integer")
+            raise ValueError(f"index {index!r} is not an integer")
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise ProtocolError(f"malformed line in the event stream: {error!r}") from None
     return content, index
