--- a/gullhold/net/backpressure.py
+++ b/gullhold/net/backpressure.py
@@ -14,7 +14,7 @@
 
 
 class Backpressure:
-    """The pauses and deferred calls of one connection. On its reader thread only, but for stop().
+    """The pauses and deferred calls of one connection. On its reader thread only, except for stop().
 
     Interrupts and the end of the connection are handled in a pause too.
     """
--- a/gullhold/net/core.py
+++ b/gullhold/net/core.py
@@ -141,7 +141,7 @@
         self.overload.begin()
 
     def record_interval(self, interval_us: int) -> None:
-        """Pass the time from one event to the next that waited behind it to the overload control."""
+        """Pass the time from one event to the next, which was already waiting, to the overload control."""
         self.overload.record_interval(interval_us)
 
     def after_event(self) -> None:
--- a/gullhold/net/engine_replies.py
+++ b/gullhold/net/engine_replies.py
@@ -84,7 +84,7 @@
         is_answer = reply == engine_protocol.ANSWER
         if is_answer and self._was_cancelled_between_pages(attempt, fields):
             return
-        if self._is_known_page(attempt, fields):
+        if self._is_duplicate_page(attempt, fields):
             self.counters.add("duplicate_pages")  # received before: ignored
         elif is_answer:
             attempt.resources = self._resources(fields)
@@ -140,7 +140,7 @@
         return attempt.outcome_once_confirmed is not None and int(fields.get(b"pages", 1)) > 1
 
     @staticmethod
-    def _is_known_page(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
+    def _is_duplicate_page(attempt: Attempt, fields: dict[bytes, bytes]) -> bool:
         return bool(attempt.pages) and int(fields.get(b"page", 0)) < len(attempt.pages)
 
     @staticmethod
--- a/gullhold/net/event_loop.py
+++ b/gullhold/net/event_loop.py
@@ -139,7 +139,7 @@
         """Called after an event and its deferred calls; subclasses override it."""
 
     def record_interval(self, interval_us: int) -> None:
-        """Called with the time from one event to the next that waited behind it; subclasses override it."""
+        """Called with the time from one event to the next, if that one waited; subclasses override it."""
 
     def run_deferred(self) -> None:
         """Make the deferred calls, also those that they defer."""
--- a/gullhold/net/flusher.py
+++ b/gullhold/net/flusher.py
@@ -21,7 +21,7 @@
 class Flusher:
     """Polls the sockets of blocked write buffers, and flushes each when it is writable.
 
-    On its own thread only, but for watch().
+    On its own thread only, except for watch().
     """
 
     def __init__(self) -> None:
--- a/gullhold/net/pending_requests.py
+++ b/gullhold/net/pending_requests.py
@@ -99,7 +99,7 @@
 class PendingRequests:
     """The pending requests of all clients. Settles each exactly once: answers it, or drops it.
 
-    On the core's thread only, but for is_over_open_limit().
+    On the core's thread only, except for is_over_open_limit().
     """
 
     def __init__(self, core: "Core") -> None:
@@ -293,8 +293,8 @@
     def _abandon(self, abandoned: list[PendingRequest]) -> None:
         """Drop requests whose client no longer waits for their answers.
 
-        All are settled before the decision module is told of the first: as a result it may dispatch or shed
-        another one of them, which would start attempts or send answers for a client that has left.
+        All are settled before the first is reported to the decision module: as a result it may dispatch or
+        shed another one, which would start an attempt or send an answer for a client that has left.
         """
         for pending in abandoned:
             self._mark_settled(pending).completed_count += 1
--- a/gullhold/net/request_admission.py
+++ b/gullhold/net/request_admission.py
@@ -18,7 +18,7 @@
 class RequestAdmission:
     """Carries out the admission queue's decisions; without a queue every request is submitted at once.
 
-    On the core's thread only, but for queued_count().
+    On the core's thread only, except for queued_count().
     """
 
     def __init__(self, core: "Core") -> None:
--- a/gullhold/net/start_times.py
+++ b/gullhold/net/start_times.py
@@ -31,7 +31,7 @@
         self.unconfirmed: dict[int, EngineEntry] = {}
 
     def correct(self, now: int, entries: Sequence[EngineEntry], is_watch_event: bool) -> list[EngineEntry]:
-        """Return these entries with corrected start times, and earlier entries whose times turn out wrong.
+        """Return these entries with corrected start times, and earlier ones whose times turn out to be wrong.
 
         is_watch_event: the entries are from a watch event, not from the configuration's list.
         """
