--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -50,6 +50,20 @@
     gateway.end()
 
 
+def test_a_gateway_that_has_ended_does_not_connect_to_the_port_of_its_discovery_service(tmp_path):
+    """Guards against test gateways that connect to other tests' servers on the port of a closed service."""
+    discovery, engine = DiscoveryService(), ScriptedEngine()
+    gateway = Gateway(tmp_path, config(engine) | {"coordinator": discovery.address})
+    until(lambda: discovery.follow_requests)
+    gateway.end()
+    discovery.close()
+    host, port = discovery.address.split(":")
+    with socket.create_server((host, int(port))) as server:
+        server.settimeout(4 * gateway.core.agreement.connect_timeout_us / 1e6)
+        with pytest.raises(TimeoutError):
+            server.accept()
+
+
 def are_threads_stopped(pid):
     """Whether all threads of a process are stopped."""
     return all(
