--- a/tests/serving.py
+++ b/tests/serving.py
@@ -60,8 +60,8 @@
         self.core.post(setattr, self.core, "stopped", True)
         until(lambda: self.core.stopped)
         self.listener.sock.close()
-        # The discovery client's thread outlives the test. After its service is closed, it would connect to the
-        # server of another test that has the same port by then.
+        # The discovery client's thread outlives the test. After its service is closed, it would connect to
+        # another test's server that has the same port by then.
         self.discovery_client.may_call = lambda: False
         gateway_log.record("\n".join(self.core.counters.lines()))
         assert not self.count("internal_faults")
