--- a/gullhold/decisions/engine.py
+++ b/gullhold/decisions/engine.py
@@ -9,10 +9,10 @@
 class SampleStage(IntEnum):
     """Which of the three samples of throughput is being taken on an engine."""
 
-    NONE = 0  # no sample
-    AT_LIMIT = 1  # the one at the limit
-    AT_UPPER = 2  # the one at the higher of two fractions of the limit
-    AT_LOWER = 3  # the one at the lower fraction
+    NONE = 0  # no sample is being taken
+    AT_LIMIT = 1  # at the current limit
+    AT_UPPER = 2  # at the higher of two fractions of the limit
+    AT_LOWER = 3  # at the lower of two fractions of the limit
 
 
 class Engine:
--- a/gullhold/fleet/role_state.py
+++ b/gullhold/fleet/role_state.py
@@ -128,7 +128,7 @@
             self.actions.append(ReadKeys(self.reading, self.prefix))
 
     def written(self, now: int, serial: CallSerial, reply: Reply) -> None:
-        """Take the reply to WriteKeys; have all keys read again unless it shows what the store has now."""
+        """Handle the reply to WriteKeys; unless it shows the stored values, all keys are read again."""
         if self.writing != serial:
             return
         self.writing = None
--- a/tests/test_budget_ledger.py
+++ b/tests/test_budget_ledger.py
@@ -36,9 +36,8 @@
     assert ledger.available(0) == 0  # a may not have applied the reduction yet
     ledger.report("a", 2, 8, 1 * S)  # it has applied it, after it had spent eight
     assert ledger.reallocate({"a": 0, "b": 10}, 3, 5 * S) == {"b": 2}
-    assert ledger.reallocate({"a": 8, "b": 10}, 4, 5 * S) == {
-        "a": 8
-    }  # up to its own charge an increase costs nothing
+    # The ledger charges a with the 8 that it has spent, so that an allocation of 8 takes nothing from b.
+    assert ledger.reallocate({"a": 8, "b": 10}, 4, 5 * S) == {"a": 8}
     ledger.reallocate({"b": 10}, 5, 5 * S)
     ledger.report("a", 5, 8, 5 * S)
     assert ledger.reallocate({"b": 10}, 6, 6 * S) == {}
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -63,7 +63,7 @@
         self.children = [self.fair.add(number, weight) for number, weight in enumerate(weights)]
         self.bound = bound
         self.queued = {child: [] for child in self.children}
-        self.lags = {}  # of backlogged children: ideal less real work since they became so
+        self.lags = {}  # by backlogged child: its ideal work minus its real work since it became backlogged
         self.largest = 0.0
         self.max_lag_ratio = 0.0
 
